--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -5,7 +5,7 @@
 
 #include "coordination/command.h"
 #include "coordination/node.h"
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
@@ -38,8 +38,8 @@
 	struct fl_job *job;
 	uint64_t rev;
 	cJSON *v = NULL;
-	int rc = fl_inquire(n, ref, &rec, &v, &rev);
-	const struct fl_final *f = fl_final_find(&n->books, ref);
+	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
+	const struct fl_final *f = fl_final_find(&n->cluster, ref);
 
 	if (f) {
 		/* It came to its end while the record was on its way here. */
@@ -49,17 +49,17 @@
 	} else if (rc != 0) {
 		fl_later(resp, "the state service does not answer");
 	} else if (rec.final) {
-		job = n->lead.active ? fl_job_find(&n->books, ref) : NULL;
+		job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
 		if (job && v && rev > job->rev)
-			fl_record_heard(n, job, &rec, rev);
+			fl_record_writer_heard(n, job, &rec, rev);
 		else if (!job && v)
-			fl_final_add(&n->books, ref, rec.status, rec.parts,
+			fl_final_add(&n->cluster, ref, rec.status, rec.parts,
 			             fl_since(rec.cancelled));
 		resp->status = 200;
 		resp->body =
 			fl_status_encode(ref, rec.status, rec.status == FL_DONE ? rec.parts : 0, 0);
 	} else {
-		job = fl_books_apply(&n->books, ref, v, rev);
+		job = fl_cluster_apply(&n->cluster, ref, v, rev);
 		resp->status = 200;
 		resp->body = fl_status_encode(ref, job ? fl_job_status(job) : FL_PENDING,
 		                              job ? job->n_done : 0, job ? job->n_running : 0);
@@ -69,8 +69,8 @@
 
 void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_final *f = fl_final_find(&n->books, ref);
-	struct fl_job *job = f ? NULL : fl_job_find(&n->books, ref);
+	struct fl_final *f = fl_final_find(&n->cluster, ref);
+	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
 
 	if (f)
 		say_final(resp, f, true);
@@ -88,7 +88,7 @@
 	char key[FL_KEY_MAX];
 
 	fl_key_job(key, job->ref);
-	fl_job_describe(&n->books, job, &run);
+	fl_job_describe(&n->cluster, job, &run);
 	fl_multi_init(&m);
 	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
 	fl_multi_when(&m, key, job->rev);
@@ -98,8 +98,8 @@
 
 void fl_answer_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_final *f = fl_final_find(&n->books, ref);
-	struct fl_job *job = f ? NULL : fl_job_find(&n->books, ref);
+	struct fl_final *f = fl_final_find(&n->cluster, ref);
+	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
 	enum fl_status status;
 	struct fl_job_record rec = {.final = true, .cancelled = fl_wall()};
 	uint64_t rev;
@@ -108,7 +108,7 @@
 
 	if (!f && !job) {
 		poll_record(n, ref, resp);
-		job = fl_job_find(&n->books, ref);
+		job = fl_job_find(&n->cluster, ref);
 		if (resp->status != 200 || !job)
 			return;
 		free(resp->body);
@@ -119,8 +119,8 @@
 		return;
 	}
 	if (job->unsure && !job->finishing)
-		fl_record_reread_job(n, ref, &done, &status);
-	job = fl_leading(n) ? fl_job_find(&n->books, ref) : NULL;
+		fl_record_writer_reread_job(n, ref, &done, &status);
+	job = fl_leading(n) ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && job->aborted) {
 		say_aborted(resp, ref);
 		return;
@@ -132,19 +132,19 @@
 	/* Till this is answered, only the record knows: see fl_answer_poll. */
 	job->unsure = true;
 	rc = write_cancel(n, job, rec.cancelled, &rev);
-	job = n->lead.active ? fl_job_find(&n->books, ref) : NULL;
+	job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && rc == 0) {
-		fl_books_cancelled(&n->books, job, &rec, rev);
+		fl_cluster_cancelled(&n->cluster, job, &rec, rev);
 		fl_command_stop_job(n, job);
 		fl_info("jobs", "%s is cancelled", ref);
 	} else if (job && rc == -EAGAIN) {
 		job->unsure = false;
 	} else if (job) {
-		fl_record_reread_job(n, ref, &done, &status);
+		fl_record_writer_reread_job(n, ref, &done, &status);
 	} else if (rc == 0) {
-		fl_books_told_cancelled(&n->books, ref, fl_since(rec.cancelled));
+		fl_cluster_told_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
 	}
-	f = fl_final_find(&n->books, ref);
+	f = fl_final_find(&n->cluster, ref);
 	if (f)
 		say_final(resp, f, false);
 	else if (rc == 0)
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -80,8 +80,8 @@
 
 void fl_command_push_placed(struct fl_node *n)
 {
-	for (int i = 0; i < n->books.machines.n; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
 
 		if (m->want_push && m->up && !m->gone)
 			fl_command_push(n, m);
@@ -90,8 +90,8 @@
 
 void fl_command_stop_job(struct fl_node *n, struct fl_job *job)
 {
-	for (int i = 0; i < n->books.machines.n; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
 
 		for (int k = 0; k < m->n_slots; k++) {
 			if (m->slots[k].job == job) {
@@ -100,7 +100,7 @@
 			}
 		}
 	}
-	fl_job_mark_dirty(&n->books, job);
+	fl_job_mark_dirty(&n->cluster, job);
 	fl_signal_wake(&n->lead.dirty);
 	fl_signal_wake(&n->lead.work);
 }
@@ -115,8 +115,8 @@
 
 		if (!fl_leading(n))
 			continue;
-		for (int i = 0; i < n->books.machines.n; i++) {
-			struct fl_machine *m = n->books.machines.at[i];
+		for (int i = 0; i < n->cluster.machines.n; i++) {
+			struct fl_machine *m = n->cluster.machines.at[i];
 
 			for (int k = 0; k < m->n_slots && !m->gone; k++) {
 				struct fl_job *job = m->slots[k].job;
--- a/src/coordination/silence.c
+++ b/src/coordination/failure_detector.c
@@ -1,9 +1,9 @@
-#include "coordination/silence.h"
+#include "coordination/failure_detector.h"
 
 #include <math.h>
 #include <string.h>
 
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 #include "coordination/node.h"
 
 static const struct {
@@ -23,7 +23,7 @@
 	double heard = fmax(fmax(m->heard, n->lead.since), m->created);
 
 	/* Reports of one that does not hear us are no sign that it can be used. */
-	return fmin(heard, fl_hearing_lost_at(m));
+	return fmin(heard, fl_reachability_lost_at(m));
 }
 
 /*
@@ -39,15 +39,15 @@
 		const struct fl_peer *p = &n->peers[i];
 
 		if (m->zone >= 0 && !p->up &&
-		    strcmp(p->location, fl_names_at(&n->books.zones, m->zone)) == 0 &&
+		    strcmp(p->location, fl_names_at(&n->cluster.zones, m->zone)) == 0 &&
 		    p->heard_at > last - slack && p->heard_at < last + slack)
-			return fl_keeper_keep_s(n);
+			return fl_standby_renewal_s(n);
 	}
 	return 0;
 }
 
-bool fl_silence_lasts(const struct fl_node *n, const struct fl_machine *m, double now,
-                      const double leases[FL_ZONES_MAX])
+bool fl_failure_detector_expired(const struct fl_node *n, const struct fl_machine *m, double now,
+                                 const double leases[FL_ZONES_MAX])
 {
 	double allowed, silent = now - last_sign(n, m) - choice.extra_s, kept;
 
@@ -89,12 +89,12 @@
  * they go by twos and threes. Cheap machines are taken in waves, so ordinary ones are the measure,
  * in all and in each zone.
  */
-void fl_silence_leases(const struct fl_node *n, double now, double leases[FL_ZONES_MAX])
+void fl_failure_detector_leases(const struct fl_node *n, double now, double leases[FL_ZONES_MAX])
 {
 	struct share all = {0}, zone[FL_ZONES_MAX] = {{0}};
 
-	for (int i = 0; i < n->books.machines.n; i++) {
-		const struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n; i++) {
+		const struct fl_machine *m = n->cluster.machines.at[i];
 		bool quiet;
 
 		if (m->gone || m->deleting || m->spot || (!m->up && m->n_slots == 0))
--- a/src/coordination/inquiry.c
+++ b/src/coordination/job_lookup.c
@@ -1,4 +1,4 @@
-#include "coordination/inquiry.h"
+#include "coordination/job_lookup.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 	double patience_s; /* s that a question waits for another's read; users wait 2 s */
 } choice = {0.4, 2.0, 2, 1.8};
 
-void fl_inquiries_init(struct fl_node *n)
+void fl_job_lookups_init(struct fl_node *n)
 {
 	double rate = n->config->state_rps * choice.share / (n->n_peers + 1);
 
@@ -26,7 +26,7 @@
  * the 70 requests that the state service takes. The new leader's own reads were refused, and it was
  * 14 s before it led. Beyond their share polls are told to come again, at once.
  */
-bool fl_inquiry_affords(struct fl_node *n, double requests)
+bool fl_job_lookup_affords(struct fl_node *n, double requests)
 {
 	/* While one leads, the others pass their polls on to it, and ask nothing themselves. */
 	if (fl_leading(n))
@@ -34,16 +34,16 @@
 	return fl_budget_take(&n->poll_reads, requests, fl_now()) <= 0;
 }
 
-static struct fl_inquiry *create(const char *ref)
+static struct fl_job_lookup *create(const char *ref)
 {
-	struct fl_inquiry *q = calloc(1, sizeof(*q));
+	struct fl_job_lookup *q = calloc(1, sizeof(*q));
 
 	if (q)
 		strcpy(q->ref, ref);
 	return q;
 }
 
-static void let_go(struct fl_inquiry *q)
+static void let_go(struct fl_job_lookup *q)
 {
 	if (--q->users > 0)
 		return;
@@ -52,21 +52,21 @@
 }
 
 /* From here on it is being asked: who comes later waits for the next. */
-static void enter(struct fl_node *n, struct fl_inquiry *q)
+static void enter(struct fl_node *n, struct fl_job_lookup *q)
 {
-	HASH_ADD_STR(n->inquiries, ref, q);
+	HASH_ADD_STR(n->job_lookups, ref, q);
 	q->users++;
 }
 
-static void read_records(struct fl_node *n, struct fl_inquiry *q)
+static void read_records(struct fl_node *n, struct fl_job_lookup *q)
 {
-	q->rc = fl_inquiry_affords(n, choice.reads)
-	                ? fl_ledger_read(&n->state, q->ref, &q->rec, &q->v, &q->rev)
+	q->rc = fl_job_lookup_affords(n, choice.reads)
+	                ? fl_records_read(&n->state, q->ref, &q->rec, &q->v, &q->rev)
 	                : -EAGAIN;
 	/* It never changes again: who asks next is answered from memory. */
 	if (!q->rc && q->rec.final && !q->v && q->rec.status == FL_DONE)
-		fl_final_add(&n->books, q->ref, FL_DONE, q->rec.parts, 0);
-	HASH_DEL(n->inquiries, q);
+		fl_final_add(&n->cluster, q->ref, FL_DONE, q->rec.parts, 0);
+	HASH_DEL(n->job_lookups, q);
 	if (q->next)
 		enter(n, q->next);
 	q->over = true;
@@ -75,7 +75,7 @@
 }
 
 /* The first of those that came after the sending reads for all of them. */
-static void read_after(struct fl_node *n, struct fl_inquiry *before, struct fl_inquiry *q)
+static void read_after(struct fl_node *n, struct fl_job_lookup *before, struct fl_job_lookup *q)
 {
 	before->next = q;
 	before->users++;
@@ -92,14 +92,14 @@
 	let_go(before);
 }
 
-int fl_inquire(struct fl_node *n, const char *ref, struct fl_job_record *rec, cJSON **v,
-               uint64_t *rev)
+int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *rec, cJSON **v,
+                       uint64_t *rev)
 {
-	struct fl_inquiry *q, *sent;
+	struct fl_job_lookup *q, *sent;
 	int rc;
 
 	*v = NULL;
-	HASH_FIND_STR(n->inquiries, ref, sent);
+	HASH_FIND_STR(n->job_lookups, ref, sent);
 	q = sent && sent->next ? sent->next : create(ref);
 	if (!q)
 		return -ENOMEM;
--- /dev/null
+++ b/src/coordination/job_lookup.h
@@ -0,0 +1,33 @@
+/* What the records say of a job that somebody asks about: one read for many questions. */
+#ifndef FL_COORDINATION_JOB_LOOKUP_H
+#define FL_COORDINATION_JOB_LOOKUP_H
+
+#include "storage/records.h"
+#include "transport/routine.h"
+
+struct fl_node;
+
+struct fl_job_lookup {
+	UT_hash_handle hh;
+	char ref[FL_REF_MAX];
+	int users; /* routines that hold it, the table included */
+	bool over;
+	struct fl_signal done;
+	struct fl_job_lookup *next; /* what came after the sending waits for another read */
+	int rc;                     /* as of fl_records_read, and what it read */
+	struct fl_job_record rec;
+	cJSON *v;
+	uint64_t rev;
+};
+
+void fl_job_lookups_init(struct fl_node *n);
+/*
+ * Like fl_records_read, of a read sent after the call. -EAGAIN also when polls have had their share
+ * of the state service. `*v` is the caller's.
+ */
+int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *rec, cJSON **v,
+                       uint64_t *rev);
+/* May a poll make one more request to the state service now? */
+bool fl_job_lookup_affords(struct fl_node *n, double requests);
+
+#endif
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -8,7 +8,7 @@
 #include "coordination/node.h"
 #include "coordination/pass.h"
 #include "coordination/reconcile.h"
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 #include "coordination/takeover.h"
 #include "transport/clock.h"
 #include "transport/log.h"
@@ -35,7 +35,7 @@
 		struct fl_report r;
 
 		if (fl_kept_decode(e, &r) != 0) {
-			fl_error("keeper", "%s holds what is no report", ch->key);
+			fl_error("standby", "%s holds what is no report", ch->key);
 			continue;
 		}
 		/* Heard of, but not to be reached: it is alive, and gets no new task. */
@@ -73,8 +73,8 @@
 	if (strlen(ref) >= FL_REF_MAX || !ch->value ||
 	    fl_job_record_decode(ch->value, ref, &rec) != 0 || rec.status != FL_DONE)
 		return;
-	if (!n->books.finals_most || HASH_COUNT(n->books.finals) < n->books.finals_most)
-		fl_final_add(&n->books, ref, rec.status, rec.parts, 0);
+	if (!n->cluster.finals_most || HASH_COUNT(n->cluster.finals) < n->cluster.finals_most)
+		fl_final_add(&n->cluster, ref, rec.status, rec.parts, 0);
 }
 
 /*
@@ -124,8 +124,8 @@
 
 	n->lead.loading = false;
 	if (rc != 0 || !fl_lease_valid(n) || n->lease.grant != grant) {
-		fl_books_forget_tasks(&n->books);
-		n->books.leading = false;
+		fl_cluster_forget_tasks(&n->cluster);
+		n->cluster.leading = false;
 		return;
 	}
 	n->lead.first_epoch = n->lease.epoch;
@@ -134,7 +134,7 @@
 	n->lead.due = true;
 	fl_budget_init(&n->lead.writes, rate, rate, fl_now());
 	duty(n, fl_pass_duty);
-	duty(n, fl_record_duty);
+	duty(n, fl_record_writer_duty);
 	duty(n, kept_duty);
 	duty(n, fl_command_enforce_duty);
 	fl_provision_begin(n);
@@ -144,7 +144,7 @@
 
 void fl_leader_begin(struct fl_node *n)
 {
-	fl_record_free_trash(n);
+	fl_record_writer_free_trash(n);
 	memset(&n->lead, 0, sizeof(n->lead));
 	n->lead.loading = fl_spawn(begin, n) != NULL;
 	if (!n->lead.loading)
@@ -159,7 +159,7 @@
 	n->lead.n_duties = 0;
 	while (n->lead.running > 0 && fl_signal_wait(&n->lead.ended, 1.0) != -ECANCELED)
 		;
-	fl_books_forget_tasks(&n->books);
-	n->books.leading = false;
+	fl_cluster_forget_tasks(&n->cluster);
+	n->cluster.leading = false;
 	fl_info("leader", "%s has laid down the lead", n->config->node);
 }
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -2,7 +2,7 @@
 #ifndef FL_COORDINATION_LEADER_H
 #define FL_COORDINATION_LEADER_H
 
-#include "bookkeeping/ledger.h"
+#include "storage/records.h"
 #include "transport/routine.h"
 
 struct fl_node;
@@ -10,11 +10,11 @@
 enum { FL_DUTIES_MAX = 8 };
 
 struct fl_leadership {
-	bool loading;         /* the books are being loaded, by a routine of its own */
-	bool active;          /* duties run, books are loaded */
+	bool loading;         /* the cluster state are being loaded, by a routine of its own */
+	bool active;          /* duties run, cluster state are loaded */
 	uint64_t first_epoch; /* the epoch of the takeover; raised ones lie above it */
 	double since;         /* steady; since when machines could be heard without a break */
-	int running;          /* routines that use the leader's books */
+	int running;          /* routines that use the leader's cluster state */
 	struct fl_routine *duty[FL_DUTIES_MAX];
 	int n_duties;
 	struct fl_signal work;  /* something to decide */
@@ -31,10 +31,10 @@
 	uint64_t passes;
 };
 
-/* Its books are loaded and its lease holds. */
+/* Its cluster state are loaded and its lease holds. */
 bool fl_leading(const struct fl_node *n);
 /*
- * Loads the books and begins the duties, in a routine of its own: the lease must be renewed
+ * Loads the cluster state and begins the duties, in a routine of its own: the lease must be renewed
  * meanwhile. It gives up when the lease is lost, and may be called again when `loading` is over.
  */
 void fl_leader_begin(struct fl_node *n);
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -57,8 +57,8 @@
 {
 	uint32_t zones = 0;
 
-	for (int i = 0; i < n->books.machines.n_kinds; i++) {
-		const struct fl_kind *k = &n->books.machines.kinds[i];
+	for (int i = 0; i < n->cluster.machines.n_kinds; i++) {
+		const struct fl_kind *k = &n->cluster.machines.kinds[i];
 		bool named = r->n_host_kinds < 0;
 
 		for (int h = 0; h < r->n_host_kinds && !named; h++)
@@ -72,7 +72,7 @@
 /* NULL, or why the job can never run. */
 static const char *never(const struct fl_node *n, const struct fl_run *r)
 {
-	int team = fl_teams_find(&n->books.teams, r->owner), zone;
+	int team = fl_teams_find(&n->cluster.teams, r->owner), zone;
 	bool at_once = r->kind != FL_SWEEP && r->parts > 1;
 	double tasks = at_once ? r->parts : 1;
 	uint32_t zones = zones_for(n, r);
@@ -83,7 +83,7 @@
 	if (r->cpus <= 0 && r->gpus <= 0 && r->ram_gb <= 0)
 		return "a task takes nothing of its machine";
 	if (r->has_site) {
-		zone = fl_names_find(&n->books.zones, r->site);
+		zone = fl_names_find(&n->cluster.zones, r->site);
 		if (zone < 0)
 			return "Site: unknown zone";
 		zones &= 1u << zone;
@@ -95,7 +95,7 @@
 	 */
 	if (at_once && r->apart && (r->together || !(zones & (zones - 1))))
 		return "Apart: half of the tasks fit no allowed machine type";
-	t = &n->books.teams.at[team];
+	t = &n->cluster.teams.at[team];
 	if (!fl_team_within_max(t, r->cpus * tasks, r->gpus * tasks))
 		return "more than the team's limit";
 	return NULL;
@@ -136,8 +136,8 @@
 	cJSON *v = NULL;
 	int rc;
 
-	if (!fl_final_find(&n->books, ref) && !fl_job_find(&n->books, ref)) {
-		rc = state_is_down(n) ? -EAGAIN : fl_ledger_read(&n->state, ref, &rec, &v, &rev);
+	if (!fl_final_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
+		rc = state_is_down(n) ? -EAGAIN : fl_records_read(&n->state, ref, &rec, &v, &rev);
 		cJSON_Delete(v);
 		if (rc && rc != -ENOENT && !hop)
 			return known_to_leader(n, ref, resp);
@@ -166,9 +166,9 @@
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
 	if (rc)
 		return rc;
-	if (!fl_final_find(&n->books, run->ref) && !fl_job_find(&n->books, run->ref) &&
-	    !(n->books.leading && rev <= n->books.list_rev)) {
-		job = fl_job_add(&n->books, run, submitted, rev);
+	if (!fl_final_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
+	    !(n->cluster.leading && rev <= n->cluster.list_rev)) {
+		job = fl_job_add(&n->cluster, run, submitted, rev);
 		if (job && n->lead.active) {
 			n->lead.due = true;
 			fl_signal_wake(&n->lead.work);
@@ -224,14 +224,14 @@
 		fl_refuse(resp, 400, "Ref: missing or invalid");
 		return;
 	}
-	if (fl_keeper_alone(n)) {
+	if (fl_standby_alone(n)) {
 		/* At once: every try at either would cost the user seconds in vain. */
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
 	/* A known job is answered with its state before anything else is judged. */
-	if (bad || !n->kinds_known || fl_final_find(&n->books, run.ref) ||
-	    fl_job_find(&n->books, run.ref)) {
+	if (bad || !n->kinds_known || fl_final_find(&n->cluster, run.ref) ||
+	    fl_job_find(&n->cluster, run.ref)) {
 		rc = answer_known(n, run.ref, hop, resp);
 		if (rc == 1)
 			return;
@@ -294,11 +294,11 @@
 	char key[FL_KEY_MAX];
 	uint64_t rev;
 	cJSON *v = NULL;
-	int rc = fl_inquire(n, ref, &rec, &v, &rev);
+	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
 
 	/* What a user is told here, the other controllers must hear from here. */
 	if (rc == 0 && rec.final && v)
-		fl_books_told_cancelled(&n->books, ref, fl_since(rec.cancelled));
+		fl_cluster_told_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
 	cJSON_Delete(v);
 	if (rc == -ENOENT) {
 		fl_refuse(resp, 404, "no such job");
@@ -314,7 +314,7 @@
 			fl_status_encode(ref, rec.status, rec.status == FL_DONE ? rec.parts : 0, 0);
 		return;
 	}
-	if (!fl_inquiry_affords(n, 1)) {
+	if (!fl_job_lookup_affords(n, 1)) {
 		fl_later(resp, "there are too many questions at the moment");
 		return;
 	}
@@ -355,7 +355,7 @@
 		fl_refuse(resp, 404, "no such job");
 		return;
 	}
-	f = fl_final_find(&n->books, ref);
+	f = fl_final_find(&n->cluster, ref);
 	if (f) {
 		resp->status = 200;
 		resp->body = fl_status_encode(ref, (enum fl_status)f->status,
@@ -372,7 +372,7 @@
 			fl_answer_cancel(n, ref, resp);
 		return;
 	}
-	if (fl_keeper_alone(n)) {
+	if (fl_standby_alone(n)) {
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
@@ -391,11 +391,11 @@
 		poll_or_cancel(n, call, ref, hop, resp);
 		break;
 	case FL_CALL_REPORT:
-		fl_keeper_report(n, body, len, hop, n->config->node, resp);
+		fl_standby_report(n, body, len, hop, n->config->node, resp);
 		break;
 	case FL_CALL_READY:
 		n->probed_at = fl_now();
-		resp->status = n->kinds_known && n->jobs_known && !fl_keeper_alone(n) ? 200 : 503;
+		resp->status = n->kinds_known && n->jobs_known && !fl_standby_alone(n) ? 200 : 503;
 		break;
 	default:
 		fl_refuse(resp, 404, "no such path");
@@ -427,7 +427,7 @@
 	size_t len;
 
 	if (strcmp(req->path, "/gossip") == 0) {
-		fl_keeper_gossip(n, req->body, req->body_len, resp);
+		fl_standby_gossip(n, req->body, req->body_len, resp);
 		return;
 	}
 	if (strcmp(req->path, "/relay") != 0) {
@@ -445,7 +445,7 @@
 	if (!leads && (r.last_hop || strcmp(n->leader, n->config->node) == 0))
 		fl_refuse(resp, 421, "not the leader");
 	else if (r.call == FL_CALL_REPORT)
-		fl_keeper_report(n, r.body, len, hop, r.via, resp);
+		fl_standby_report(n, r.body, len, hop, r.via, resp);
 	else
 		fl_node_user_call(n, r.call, r.ref, r.body, len, hop, resp);
 	fl_relay_free(&r);
@@ -462,9 +462,9 @@
 
 	if (strlen(ref) >= FL_REF_MAX)
 		return;
-	job = fl_job_find(&n->books, ref);
+	job = fl_job_find(&n->cluster, ref);
 	known = job && job->aborted;
-	job = fl_books_apply(&n->books, ref, ch->value, ch->rev);
+	job = fl_cluster_apply(&n->cluster, ref, ch->value, ch->rev);
 	if (!job || !n->lead.active)
 		return;
 	if (job->aborted && !known) {
@@ -488,11 +488,11 @@
 		int rc;
 
 		if (rev == 0) {
-			if (!n->books.leading)
-				fl_books_list_begin(&n->books);
+			if (!n->cluster.leading)
+				fl_cluster_list_begin(&n->cluster);
 			rc = fl_state_list(&n->state, FL_PREFIX_JOBS, on_job, n, &rev);
-			if (rc == 0 && !n->books.leading)
-				fl_books_list_end(&n->books, rev);
+			if (rc == 0 && !n->cluster.leading)
+				fl_cluster_list_end(&n->cluster, rev);
 		} else {
 			rc = fl_state_follow(&n->state, FL_PREFIX_JOBS, &rev, choice.hold_s, on_job,
 			                     n);
@@ -538,7 +538,7 @@
 		if (rc == -EPROTO)
 			fl_error("cloud", "its machine types cannot be read");
 		if (rc == 0) {
-			fl_kinds_set(&n->books.machines, &n->books.zones, kinds, count);
+			fl_kinds_set(&n->cluster.machines, &n->cluster.zones, kinds, count);
 			free(kinds);
 			n->kinds_known = true;
 			return;
@@ -551,15 +551,15 @@
 static int set_up(struct fl_node *n, const struct fl_config *c)
 {
 	n->config = c;
-	n->books.finals_lost_at = -1e9;
-	n->books.finals_most =
+	n->cluster.finals_lost_at = -1e9;
+	n->cluster.finals_most =
 		(unsigned)(c->ram_mb * 1024 * 1024 * choice.finals_share / sizeof(struct fl_final));
 	snprintf(n->boot, sizeof(n->boot), "%s-%.6f", c->node, fl_wall());
 	for (int i = 0; i < c->n_zones; i++)
-		if (fl_names_add(&n->books.zones, c->zones[i]) < 0)
+		if (fl_names_add(&n->cluster.zones, c->zones[i]) < 0)
 			return -ENOMEM;
 	for (int i = 0; i < c->n_teams; i++) {
-		struct fl_team *t = &n->books.teams.at[n->books.teams.n++];
+		struct fl_team *t = &n->cluster.teams.at[n->cluster.teams.n++];
 
 		strcpy(t->name, c->teams[i].name);
 		t->cpus = c->teams[i].cpus;
@@ -576,7 +576,7 @@
 		if (fl_http_client_init(&p->http, c->peers[i].addr, choice.peer_conns) != 0)
 			return -EINVAL;
 	}
-	fl_inquiries_init(n);
+	fl_job_lookups_init(n);
 	if (fl_state_init(&n->state, c->state) != 0)
 		return -EINVAL;
 	return fl_http_client_init(&n->cloud.http, c->cloud, 2);
@@ -613,7 +613,7 @@
 		return -1;
 	}
 	fl_lease_start(n);
-	fl_keeper_start(n);
+	fl_standby_start(n);
 	fl_spawn(kinds_duty, n);
 	fl_spawn(jobs_duty, n);
 	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -2,11 +2,11 @@
 #ifndef FL_COORDINATION_NODE_H
 #define FL_COORDINATION_NODE_H
 
-#include "bookkeeping/jobs.h"
-#include "bookkeeping/ledger.h"
+#include "storage/jobs.h"
+#include "storage/records.h"
 #include "config.h"
-#include "coordination/inquiry.h"
-#include "coordination/keeper.h"
+#include "coordination/job_lookup.h"
+#include "coordination/standby.h"
 #include "coordination/leader.h"
 #include "coordination/lease.h"
 #include "coordination/provision.h"
@@ -28,7 +28,7 @@
 
 struct fl_node {
 	const struct fl_config *config;
-	struct fl_books books;
+	struct fl_cluster cluster;
 	struct fl_state state;
 	struct fl_cloud cloud;
 	struct fl_peer peers[FL_CONFIG_PEERS];
@@ -37,7 +37,7 @@
 	bool kinds_known, jobs_known;
 	/*
 	 * Steady. Every cancellation that any user was told of, or any controller had learned of,
-	 * up to then is in the books: see "Keeping" in docs/design.md.
+	 * up to then is in the cluster state: see "Keeping" in docs/design.md.
 	 */
 	double jobs_at;
 	struct fl_signal jobs_listed; /* the first list of them has come */
@@ -47,13 +47,13 @@
 	uint64_t epoch;
 	double proof_at;
 	struct fl_signal control_changed;
-	struct fl_inquiry *inquiries; /* by ref: reads under way for polls */
+	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
 	struct fl_budget poll_reads;
 	double probed_at; /* steady; when the users' balancer last asked for /ready */
 
 	struct fl_lease lease;
 	struct fl_leadership lead;
-	struct fl_keeper keeper;
+	struct fl_standby standby;
 	struct fl_provision provision;
 };
 
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "coordination/command.h"
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 #include "coordination/node.h"
 #include "coordination/schedule.h"
 #include "transport/clock.h"
@@ -86,7 +86,7 @@
 	return m && m->up && m->described && !m->deleting && !m->gone && m->foreign == 0 &&
 	       m->reclaim_at == 0 && m->avoid_until <= now &&
 	       now - m->reached < choice.fresh_reports * n->config->report_s &&
-	       !fl_hearing_doubted(m);
+	       !fl_reachability_doubted(m);
 }
 
 static double estimated_left(const struct fl_job *job, const struct fl_task *t, double now)
@@ -145,7 +145,7 @@
 }
 
 /* Which jobs fit their team's guarantee together with the team's earlier ones not yet over. */
-static void mark_owed(struct fl_books *b, struct fl_job **scratch)
+static void mark_owed(struct fl_cluster *b, struct fl_job **scratch)
 {
 	double cpus[FL_TEAMS_MAX] = {0}, gpus[FL_TEAMS_MAX] = {0};
 	struct fl_job *job, *tmp;
@@ -166,8 +166,9 @@
 
 /*
  * A stopped task is gone when its machine says so, some passes later, and until then the job may
- * claim elsewhere, where something looks better meanwhile. Found in the play of meetings: the room
- * then went to what had been stopped, which was stopped again, every second for minutes.
+ * claim elsewhere, where something looks better meanwhile. Found in the simulated fault
+ * combinations: the room then went to what had been stopped, which was stopped again, every second
+ * for minutes.
  */
 static struct fl_promise promise_of(const struct fl_machine *m, double now)
 {
@@ -201,7 +202,7 @@
 
 static int take_snapshot(struct fl_node *n, struct snapshot *s, double now)
 {
-	struct fl_books *b = &n->books;
+	struct fl_cluster *b = &n->cluster;
 	size_t n_jobs = HASH_COUNT(b->jobs) + 1, n_machines = (size_t)b->machines.n + 1, n_runs = 1;
 	double wall = fl_wall();
 	struct fl_job *job, *tmp;
@@ -276,7 +277,7 @@
 		uint32_t index = fl_task_next_waiting(job, 0, now);
 
 		if (index >= job->parts ||
-		    fl_task_place(&n->books, job, index, m, n->lease.epoch, now) != 0)
+		    fl_task_place(&n->cluster, job, index, m, n->lease.epoch, now) != 0)
 			continue;
 		fl_machine_note_bundle(m, job->bundle);
 		/* What it was kept for has come; who still waits claims again in each pass. */
@@ -294,7 +295,7 @@
 
 		t->stop = FL_STOP_PREEMPT;
 		fl_info("schedule", "%s/%u is stopped to make room", job->ref, index);
-		fl_command_push(n, n->books.machines.at[t->machine]);
+		fl_command_push(n, n->cluster.machines.at[t->machine]);
 	}
 	if (out->top >= 0 && out->window_s < INFINITY) {
 		struct fl_job *top = s->jobs[out->top];
@@ -327,7 +328,7 @@
 	fl_debug("schedule", "pass %llu: %d jobs, %d machines, %d starts, %d stops, %.1f ms%s",
 	         (unsigned long long)n->lead.passes, s.in.n_jobs, s.in.n_machines, out.n_starts,
 	         out.n_stops, (fl_now() - now) * 1000, out.resume ? ", to be continued" : "");
-	if (n->books.dirty)
+	if (n->cluster.dirty)
 		fl_signal_wake(&n->lead.dirty);
 out:
 	fl_sched_free(&out);
@@ -336,8 +337,8 @@
 
 static void drain_reclaimed(struct fl_node *n)
 {
-	for (int i = 0; i < n->books.machines.n; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
 
 		if (m->gone || m->reclaim_at == 0)
 			continue;
@@ -359,8 +360,8 @@
 /* An ensemble that lost a part cannot go on: the rest is stopped, and it starts again whole. */
 static void stop_broken_ensembles(struct fl_node *n)
 {
-	for (int i = 0; i < n->books.machines.n; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
 
 		for (int k = 0; k < m->n_slots; k++) {
 			struct fl_job *job = m->slots[k].job;
@@ -400,7 +401,7 @@
 		stop_broken_ensembles(n);
 		pass(n);
 		gap = gap_after(fl_now() - last);
-		if (n->books.dirty)
+		if (n->cluster.dirty)
 			fl_signal_wake(&n->lead.dirty);
 		if (n->lead.unforgotten > 0 && last > n->lease.raised_at + choice.forget_s)
 			n->lease.want_epoch = true;
--- a/src/coordination/pass.h
+++ b/src/coordination/pass.h
@@ -1,4 +1,5 @@
-/* Passes: a snapshot of the books goes to the schedule, its decisions come back into them. */
+/* Passes: a snapshot of the cluster state goes to the schedule, its decisions come back into them.
+ */
 #ifndef FL_COORDINATION_PASS_H
 #define FL_COORDINATION_PASS_H
 
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 #include "coordination/node.h"
 #include "coordination/reconcile.h"
 #include "coordination/schedule.h"
-#include "coordination/silence.h"
+#include "coordination/failure_detector.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/routine.h"
@@ -52,7 +52,7 @@
 
 static struct virtual *add_virtual(struct plan *p, int kind, int zone, bool spot, bool fresh)
 {
-	const struct fl_kind *k = &p->n->books.machines.kinds[kind];
+	const struct fl_kind *k = &p->n->cluster.machines.kinds[kind];
 
 	if (p->count == p->cap)
 		return NULL;
@@ -107,14 +107,14 @@
 static struct virtual *rent_for(struct plan *p, const struct fl_job *job, const uint32_t *placed,
                                 int only)
 {
-	const struct fl_machines *ms = &p->n->books.machines;
+	const struct fl_machines *ms = &p->n->cluster.machines;
 	double best_cost = INFINITY;
 	int kind = -1, zone = -1, spot = 0;
 
 	if (p->fresh >= choice.machines_most)
 		return NULL;
 	for (int k = 0; k < ms->n_kinds; k++) {
-		for (int z = 0; z < p->n->books.zones.n && z < FL_ZONES_MAX; z++) {
+		for (int z = 0; z < p->n->cluster.zones.n && z < FL_ZONES_MAX; z++) {
 			for (int s = 0; s < 2; s++) {
 				double cost;
 
@@ -170,7 +170,7 @@
 /* More than the team's limit lets run at once need no machine. */
 static uint32_t cap_by_team(const struct fl_node *n, const struct fl_job *job, uint32_t want)
 {
-	const struct fl_team *t = &n->books.teams.at[job->owner];
+	const struct fl_team *t = &n->cluster.teams.at[job->owner];
 	double most = want;
 
 	if (t->gpus_max > 0 && job->gpus > 0)
@@ -196,7 +196,7 @@
 
 static void note_machines(struct plan *p)
 {
-	struct fl_books *b = &p->n->books;
+	struct fl_cluster *b = &p->n->cluster;
 
 	for (int i = 0; i < b->machines.n; i++) {
 		struct fl_machine *m = b->machines.at[i];
@@ -224,7 +224,7 @@
 static uint32_t room_on(const struct fl_node *n, const struct fl_machine *m,
                         const struct fl_job *like)
 {
-	const struct fl_kind *k = &n->books.machines.kinds[m->kind];
+	const struct fl_kind *k = &n->cluster.machines.kinds[m->kind];
 	double cpus = k->cpus, gpus = k->gpus, ram = k->ram_gb;
 
 	if (m->spot || m->deleting || !job_allows(like, m->kind, m->zone, m->spot))
@@ -247,7 +247,7 @@
  */
 static void plan_reserve(struct plan *p)
 {
-	struct fl_books *b = &p->n->books;
+	struct fl_cluster *b = &p->n->cluster;
 	const struct fl_job *like = NULL;
 	struct fl_job *job, *tmp;
 	double tasks = 0, need, have[FL_ZONES_MAX] = {0};
@@ -321,7 +321,7 @@
 
 	if (n->provision.busy)
 		return;
-	p.cap = n->books.machines.n + choice.machines_most + 1;
+	p.cap = n->cluster.machines.n + choice.machines_most + 1;
 	p.at = malloc((size_t)p.cap * sizeof(*p.at));
 	if (!p.at)
 		return;
@@ -347,8 +347,8 @@
 
 static int rent(struct fl_node *n, const struct fl_want *w)
 {
-	const char *kind = n->books.machines.kinds[w->kind].name;
-	const char *zone = fl_names_at(&n->books.zones, w->zone);
+	const char *kind = n->cluster.machines.kinds[w->kind].name;
+	const char *zone = fl_names_at(&n->cluster.zones, w->zone);
 	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
 	int got = 0, rc = -EAGAIN;
 
@@ -365,11 +365,11 @@
 			break;
 	}
 	for (int i = 0; i < got; i++) {
-		struct fl_machine *m = fl_machine_get(&n->books.machines, hosts[i], fl_now());
+		struct fl_machine *m = fl_machine_get(&n->cluster.machines, hosts[i], fl_now());
 
 		if (!m)
 			continue;
-		fl_books_describe(&n->books, m, w->kind, w->zone, w->spot, NULL);
+		fl_cluster_describe(&n->cluster, m, w->kind, w->zone, w->spot, NULL);
 		fl_debug("cloud", "%s is %s", m->name, w->spot ? "reclaimable" : "ordinary");
 	}
 	free(hosts);
@@ -403,12 +403,12 @@
 
 static void take_listed(struct fl_node *n, const struct fl_listed *l, double now, int *seen)
 {
-	struct fl_machine *m = fl_machine_get(&n->books.machines, l->host, now);
+	struct fl_machine *m = fl_machine_get(&n->cluster.machines, l->host, now);
 
 	if (!m)
 		return;
-	fl_books_describe(&n->books, m, fl_kind_find(&n->books.machines, l->kind),
-	                  fl_names_find(&n->books.zones, l->site), l->spot, l->endpoint);
+	fl_cluster_describe(&n->cluster, m, fl_kind_find(&n->cluster.machines, l->kind),
+	                    fl_names_find(&n->cluster.zones, l->site), l->spot, l->endpoint);
 	if (m->id < *seen)
 		m->listed = true;
 	if (l->status == FL_HOST_FAILED && !m->gone)
@@ -426,7 +426,7 @@
 	double lag = 2 * n->config->list_lag_s + 1;
 
 	for (int i = 0; i < known; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+		struct fl_machine *m = n->cluster.machines.at[i];
 
 		if (m->gone || m->listed || sent <= m->created + lag)
 			continue;
@@ -438,12 +438,12 @@
 static int list_all(struct fl_node *n)
 {
 	double sent = fl_now();
-	int known = n->books.machines.n, rc;
+	int known = n->cluster.machines.n, rc;
 	char from[FL_NAME_MAX] = "";
 	bool more = true;
 
 	for (int i = 0; i < known; i++)
-		n->books.machines.at[i]->listed = false;
+		n->cluster.machines.at[i]->listed = false;
 	while (more) {
 		struct fl_listed *l;
 		int count;
@@ -469,15 +469,15 @@
 static const char *why_return(struct fl_node *n, struct fl_machine *m, double now,
                               const double leases[FL_ZONES_MAX])
 {
-	const struct fl_kind *k = m->kind >= 0 ? &n->books.machines.kinds[m->kind] : NULL;
+	const struct fl_kind *k = m->kind >= 0 ? &n->cluster.machines.kinds[m->kind] : NULL;
 	bool empty = m->n_slots == 0 && m->foreign == 0;
 
 	if (m->deleting)
 		return "given up";
 	if (m->gone)
 		return NULL;
-	if (fl_silence_lasts(n, m, now, leases))
-		return fl_hearing_lost_at(m) < INFINITY ? "does not hear us" : "silent";
+	if (fl_failure_detector_expired(n, m, now, leases))
+		return fl_reachability_lost_at(m) < INFINITY ? "does not hear us" : "silent";
 	if (!k)
 		return NULL;
 	if (!m->up && m->n_slots == 0 && now - m->created > choice.boot_most * k->ready_s + 5)
@@ -512,13 +512,13 @@
 	double now = fl_now(), leases[FL_ZONES_MAX];
 	int count = 0, rc;
 
-	fl_silence_leases(n, now, leases);
+	fl_failure_detector_leases(n, now, leases);
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (leases[z] > 1)
 			n->provision.doubted_until[z] = now + choice.refused_s;
 
-	for (int i = 0; i < n->books.machines.n && count < FL_DELETE_MAX; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n && count < FL_DELETE_MAX; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
 		const char *why = m->returned ? NULL : why_return(n, m, now, leases);
 
 		if (!why)
@@ -564,7 +564,7 @@
 
 	if (spend_call(n) != 0 || fl_cloud_kinds(&n->cloud, &kinds, &count) != 0)
 		return;
-	fl_kinds_set(&n->books.machines, &n->books.zones, kinds, count);
+	fl_kinds_set(&n->cluster.machines, &n->cluster.zones, kinds, count);
 	store_kinds(n, kinds, count);
 	free(kinds);
 }
@@ -578,8 +578,8 @@
 {
 	double now = fl_now(), since = now - n->provision.counted_at;
 
-	for (int i = 0; i < n->books.machines.n && n->provision.counted_at > 0; i++) {
-		const struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n && n->provision.counted_at > 0; i++) {
+		const struct fl_machine *m = n->cluster.machines.at[i];
 
 		if (m->spot && m->up && !m->gone)
 			n->provision.spot_s += since;
@@ -605,7 +605,7 @@
 		if (!fl_lease_valid(n))
 			continue;
 		/* Here nothing of this duty is under way, and pushes keep their machines. */
-		fl_books_sweep(&n->books, fl_now() - choice.tombstone_s);
+		fl_cluster_sweep(&n->cluster, fl_now() - choice.tombstone_s);
 		count_spot(n);
 		return_machines(n);
 		rent_wanted(n);
--- a/src/coordination/provision.h
+++ b/src/coordination/provision.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "bookkeeping/ledger.h"
+#include "storage/records.h"
 
 struct fl_node;
 struct fl_job;
--- a/src/coordination/hearing.c
+++ b/src/coordination/reachability.c
@@ -1,4 +1,4 @@
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 
 #include <math.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 	double report_most; /* report intervals between two reports at most */
 } choice = {2, 4.0, 1.25};
 
-void fl_hearing_proven(struct fl_machine *m)
+void fl_reachability_proven(struct fl_machine *m)
 {
 	m->unheard = 0;
 	m->unheard_since = 0;
@@ -56,8 +56,8 @@
 	return true;
 }
 
-void fl_hearing_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
-                       double now)
+void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+                            double now)
 {
 	bool session_lost, missed;
 	double gap;
@@ -82,22 +82,22 @@
 	}
 	/* An answer with nothing to show proves nothing, unless it was not waited out. */
 	if (m->answered_launch || !m->waited)
-		fl_hearing_proven(m);
+		fl_reachability_proven(m);
 }
 
-void fl_hearing_answered(struct fl_node *n, struct fl_machine *m, bool launch, double now)
+void fl_reachability_answered(struct fl_node *n, struct fl_machine *m, bool launch, double now)
 {
 	m->answered = now;
 	m->answered_epoch = n->lease.epoch;
 	m->answered_launch = launch;
 }
 
-bool fl_hearing_doubted(const struct fl_machine *m)
+bool fl_reachability_doubted(const struct fl_machine *m)
 {
 	return m->unheard >= choice.doubts || m->waited;
 }
 
-double fl_hearing_lost_at(const struct fl_machine *m)
+double fl_reachability_lost_at(const struct fl_machine *m)
 {
 	return m->unheard >= choice.doubts ? m->unheard_since : INFINITY;
 }
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -4,7 +4,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 #include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/log.h"
@@ -96,7 +96,7 @@
 		job->strikes = 0;
 		job->not_before = 0;
 		m->faults = 0;
-		fl_task_done(&n->books, job, index);
+		fl_task_done(&n->cluster, job, index);
 		fl_signal_wake(&n->lead.work);
 		return;
 	case FL_EXIT_STOPPED:
@@ -114,7 +114,7 @@
 		pause = backoff(t->fails);
 		break;
 	}
-	fl_task_release(&n->books, job, index, pause > 0 ? now + pause : 0);
+	fl_task_release(&n->cluster, job, index, pause > 0 ? now + pause : 0);
 	fl_signal_wake(&n->lead.work);
 }
 
@@ -147,7 +147,7 @@
 		struct fl_task *t = fl_task_get(job, p->index);
 
 		if (t && t->phase == FL_TASK_WAITING) {
-			fl_task_done(&n->books, job, p->index);
+			fl_task_done(&n->cluster, job, p->index);
 			fl_signal_wake(&n->lead.work);
 		}
 	}
@@ -160,7 +160,7 @@
 static void reported_part(struct fl_node *n, struct fl_machine *m, const struct fl_part *p,
                           const struct fl_report *r, struct fl_orders *orders, double now)
 {
-	struct fl_job *job = fl_job_find(&n->books, p->ref);
+	struct fl_job *job = fl_job_find(&n->cluster, p->ref);
 	struct fl_task *t = job && p->index < job->parts ? fl_task_peek(job, p->index) : NULL;
 
 	if (!t || t->phase != FL_TASK_PLACED || t->machine != m->id || t->attempt != p->attempt) {
@@ -215,7 +215,7 @@
 			/* The session in which it was placed is over, and so is the attempt. */
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
 			        m->name);
-			fl_task_release(&n->books, job, index, 0);
+			fl_task_release(&n->cluster, job, index, 0);
 			fl_signal_wake(&n->lead.work);
 			continue;
 		}
@@ -226,7 +226,7 @@
 		}
 		if (!wanted(job, t)) {
 			if (absence_proves(m, t, r, way)) {
-				fl_task_release(&n->books, job, index, 0);
+				fl_task_release(&n->cluster, job, index, 0);
 				fl_signal_wake(&n->lead.work);
 			} else if (m->direct_epoch >= r->epoch && m->direct_epoch > 0) {
 				n->lease.want_epoch = true;
@@ -242,10 +242,10 @@
 
 static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *r)
 {
-	int kind = fl_kind_find(&n->books.machines, r->kind);
-	int zone = fl_names_find(&n->books.zones, r->site);
+	int kind = fl_kind_find(&n->cluster.machines, r->kind);
+	int zone = fl_names_find(&n->cluster.zones, r->site);
 
-	fl_books_describe(&n->books, m, kind, zone, r->spot, r->endpoint);
+	fl_cluster_describe(&n->cluster, m, kind, zone, r->spot, r->endpoint);
 }
 
 /*
@@ -282,7 +282,7 @@
                         enum fl_way way)
 {
 	double now = fl_now();
-	struct fl_machine *m = fl_machine_find(&n->books.machines, r->host);
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
 	bool launches;
 
 	if (m && m->gone)
@@ -292,15 +292,15 @@
 	if (from_before(n, r))
 		return 0;
 	if (!m)
-		m = fl_machine_get(&n->books.machines, r->host, now);
+		m = fl_machine_get(&n->cluster.machines, r->host, now);
 	if (!m)
 		return -ENOENT;
 	if (!newer(m, r))
 		return 0;
 	if (way == FL_WAY_COMMAND)
-		fl_hearing_proven(m);
+		fl_reachability_proven(m);
 	else if (way == FL_WAY_REPORT)
-		fl_hearing_report(n, m, r, now);
+		fl_reachability_report(n, m, r, now);
 	take_in(n, m, r, now);
 	if (way != FL_WAY_HEARSAY)
 		m->reached = now;
@@ -308,16 +308,16 @@
 		reported_part(n, m, &r->parts[i], r, orders, now);
 	launches = missing_parts(n, m, r, orders, way, now);
 	if (way == FL_WAY_REPORT)
-		fl_hearing_answered(n, m, launches, now);
+		fl_reachability_answered(n, m, launches, now);
 	return 0;
 }
 
 void fl_reconcile_kept(struct fl_node *n, const struct fl_report *r)
 {
-	struct fl_machine *m = fl_machine_find(&n->books.machines, r->host);
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
 
 	if (m && m->up && newer(m, r))
-		fl_hearing_answered(n, m, false, fl_now());
+		fl_reachability_answered(n, m, false, fl_now());
 }
 
 bool fl_reconcile_direct(struct fl_node *n, struct fl_machine *m, struct fl_orders *orders)
@@ -351,6 +351,6 @@
 	m->gone_at = fl_now();
 	m->up = false;
 	while (m->n_slots > 0)
-		fl_task_release(&n->books, m->slots[0].job, m->slots[0].index, 0);
+		fl_task_release(&n->cluster, m->slots[0].job, m->slots[0].index, 0);
 	fl_signal_wake(&n->lead.work);
 }
--- a/src/coordination/record.c
+++ b/src/coordination/record_writer.c
@@ -1,4 +1,4 @@
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -44,10 +44,10 @@
 	return 0;
 }
 
-void fl_record_heard(struct fl_node *n, struct fl_job *job, const struct fl_job_record *rec,
-                     uint64_t rev)
+void fl_record_writer_heard(struct fl_node *n, struct fl_job *job, const struct fl_job_record *rec,
+                            uint64_t rev)
 {
-	if (!fl_books_cancelled(&n->books, job, rec, rev))
+	if (!fl_cluster_cancelled(&n->cluster, job, rec, rev))
 		return;
 	fl_command_stop_job(n, job);
 	fl_info("jobs", "%s is cancelled, says its record", job->ref);
@@ -58,19 +58,20 @@
  * gone when the answer comes. Only the writing routine may let go of it, so if it turns out to be
  * over it stays unsure, and `*over` is told.
  */
-int fl_record_reread_job(struct fl_node *n, const char *ref, bool *over, enum fl_status *status)
+int fl_record_writer_reread_job(struct fl_node *n, const char *ref, bool *over,
+                                enum fl_status *status)
 {
 	struct fl_job_record rec;
 	struct fl_job *job;
 	uint64_t rev = 0;
 	cJSON *v = NULL;
-	int rc = fl_ledger_read(&n->state, ref, &rec, &v, &rev);
+	int rc = fl_records_read(&n->state, ref, &rec, &v, &rev);
 
 	*over = rc == 0 && v == NULL;
 	*status = rec.status;
-	job = n->lead.active ? fl_job_find(&n->books, ref) : NULL;
+	job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (rc == 0 && v && job)
-		fl_record_heard(n, job, &rec, rev);
+		fl_record_writer_heard(n, job, &rec, rev);
 	cJSON_Delete(v);
 	return rc;
 }
@@ -98,11 +99,11 @@
 	uint32_t rest = 0; /* the first chunk whose record does not go with this write */
 	int rc;
 
-	if (job->unsure && (rc = fl_record_reread_job(n, job->ref, &done, &status)) != 0)
+	if (job->unsure && (rc = fl_record_writer_reread_job(n, job->ref, &done, &status)) != 0)
 		return rc;
 	if (done) {
 		fl_info("jobs", "%s is %s", job->ref, fl_status_name(status));
-		fl_job_finalise(&n->books, job, status);
+		fl_job_finalise(&n->cluster, job, status);
 		return 0;
 	}
 	if (!fl_job_is_over(job))
@@ -133,10 +134,10 @@
 			if (!has_record(fl_job_chunk(job, rest)))
 				continue;
 			fl_key_chunk(key, job->ref, rest);
-			fl_record_discard(n, key);
+			fl_record_writer_discard(n, key);
 		}
 		fl_info("jobs", "%s is %s", job->ref, fl_status_name(status));
-		fl_job_finalise(&n->books, job, status);
+		fl_job_finalise(&n->cluster, job, status);
 		return 0;
 	}
 	job->finishing = false;
@@ -163,7 +164,7 @@
 {
 	int count = 0;
 
-	for (const struct fl_job *job = n->books.dirty; job; job = job->next_dirty)
+	for (const struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
 			const struct fl_chunk *c = fl_job_chunk(job, i);
 
@@ -179,7 +180,7 @@
 	char key[FL_KEY_MAX];
 
 	*count = 0;
-	for (job = n->books.dirty; job; job = next) {
+	for (job = n->cluster.dirty; job; job = next) {
 		next = job->next_dirty;
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
 			struct fl_chunk *c = fl_job_chunk(job, i);
@@ -193,7 +194,7 @@
 				return 1; /* must be read first; the caller does so */
 			fl_key_chunk(key, job->ref, i);
 			fl_multi_when(m, key, c->rev);
-			fl_multi_put(m, key, fl_chunk_encode(&n->books, job, i), 0);
+			fl_multi_put(m, key, fl_chunk_encode(&n->cluster, job, i), 0);
 			items[(*count)++] = (struct batch_item){job, i, c->gen};
 		}
 	}
@@ -202,7 +203,7 @@
 
 static int reread_unknown(struct fl_node *n)
 {
-	for (struct fl_job *job = n->books.dirty; job; job = job->next_dirty)
+	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
 			const struct fl_chunk *c = fl_job_chunk(job, i);
 
@@ -265,9 +266,9 @@
 
 	if (most > choice.batch_bytes / (double)limit)
 		most = (int)(choice.batch_bytes / (double)limit);
-	for (struct fl_job *job = n->books.dirty; job; job = job->next_dirty)
+	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
-			char *group = fl_log_group_encode(&n->books, job, i);
+			char *group = fl_log_group_encode(&n->cluster, job, i);
 			size_t len = group ? strlen(group) + 1 : 0;
 
 			if (!group)
@@ -387,7 +388,7 @@
 
 static void undirty(struct fl_node *n)
 {
-	struct fl_job **at = &n->books.dirty;
+	struct fl_job **at = &n->cluster.dirty;
 
 	while (*at) {
 		struct fl_job *job = *at;
@@ -412,7 +413,7 @@
 	char key[FL_KEY_MAX];
 };
 
-void fl_record_discard(struct fl_node *n, const char *key)
+void fl_record_writer_discard(struct fl_node *n, const char *key)
 {
 	struct fl_trash *t = malloc(sizeof(*t));
 
@@ -423,7 +424,7 @@
 	n->lead.trash = t;
 }
 
-void fl_record_free_trash(struct fl_node *n)
+void fl_record_writer_free_trash(struct fl_node *n)
 {
 	while (n->lead.trash) {
 		struct fl_trash *t = n->lead.trash;
@@ -465,7 +466,7 @@
 	struct fl_job *job, *next;
 	int rc = 0;
 
-	for (job = n->books.dirty; job; job = next) {
+	for (job = n->cluster.dirty; job; job = next) {
 		/* Only this routine takes jobs off the list, so the next one stays on it. */
 		next = job->next_dirty;
 		if (!fl_job_is_over(job))
@@ -496,18 +497,18 @@
 {
 	double left = fl_budget_left(&n->lead.writes, fl_now());
 
-	if (!n->books.dirty || left >= 1)
+	if (!n->cluster.dirty || left >= 1)
 		return 0;
 	return fl_signal_wait(&n->lead.dirty, (1 - left) / n->lead.writes.rate) == -ECANCELED ? -1
 	                                                                                      : 0;
 }
 
-void fl_record_duty(void *arg)
+void fl_record_writer_duty(void *arg)
 {
 	struct fl_node *n = arg;
 
 	while (!fl_cancelled()) {
-		if (!fl_leading(n) || !n->books.dirty) {
+		if (!fl_leading(n) || !n->cluster.dirty) {
 			if (fl_leading(n) && n->lead.trash)
 				empty_trash(n);
 			if (fl_signal_wait(&n->lead.dirty, 0.5) == -ECANCELED)
--- a/src/coordination/schedule.c
+++ b/src/coordination/schedule.c
@@ -341,7 +341,7 @@
 		return true;
 	/*
 	 * Nor what is itself within a guarantee, though its team has more besides: found in the
-	 * play of meetings, it went first in the next pass, and was stopped again.
+	 * simulated fault combinations, it went first in the next pass, and was stopped again.
 	 */
 	if (!owed || r->team == j->team || r->standing || r->owed)
 		return false;
--- a/src/coordination/schedule.h
+++ b/src/coordination/schedule.h
@@ -8,8 +8,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "bookkeeping/machines.h"
-#include "bookkeeping/teams.h"
+#include "storage/machines.h"
+#include "storage/teams.h"
 #include "protocol/users.h"
 
 struct fl_sched_params {
--- a/src/coordination/keeper.c
+++ b/src/coordination/standby.c
@@ -1,4 +1,4 @@
-#include "coordination/keeper.h"
+#include "coordination/standby.h"
 
 #include <errno.h>
 #include <math.h>
@@ -92,7 +92,7 @@
 	struct fl_kept *k;
 	char *text;
 
-	HASH_FIND_STR(n->keeper.kept, r->host, k);
+	HASH_FIND_STR(n->standby.kept, r->host, k);
 	if (k && (r->tenure < k->tenure || (r->tenure == k->tenure && r->serial <= k->serial)))
 		return;
 	text = fl_kept_encode(r);
@@ -105,7 +105,7 @@
 			return;
 		}
 		strcpy(k->host, r->host);
-		HASH_ADD_STR(n->keeper.kept, host, k);
+		HASH_ADD_STR(n->standby.kept, host, k);
 	}
 	free(k->text);
 	k->text = text;
@@ -117,16 +117,16 @@
 
 static void unkeep(struct fl_node *n, struct fl_kept *k)
 {
-	HASH_DEL(n->keeper.kept, k);
+	HASH_DEL(n->standby.kept, k);
 	free(k->text);
 	free(k);
 }
 
 /*
  * A cancellation is answered only after it is stored, so a proof read before it is at most this
- * old when the last keeper refuses; then the worker's own lease ends the tasks within cancel_s.
+ * old when the last standby refuses; then the worker's own lease ends the tasks within cancel_s.
  */
-double fl_keeper_keep_s(const struct fl_node *n)
+double fl_standby_renewal_s(const struct fl_node *n)
 {
 	const struct fl_config *c = n->config;
 
@@ -145,7 +145,7 @@
 
 static bool knows_jobs(const struct fl_node *n)
 {
-	return fl_now() - n->jobs_at <= fl_keeper_keep_s(n);
+	return fl_now() - n->jobs_at <= fl_standby_renewal_s(n);
 }
 
 static bool has_proof(const struct fl_node *n, uint64_t epoch)
@@ -161,10 +161,10 @@
  */
 static bool holds_overdue(const struct fl_node *n, const struct fl_report *r)
 {
-	double before = fl_now() - fl_keeper_keep_s(n);
+	double before = fl_now() - fl_standby_renewal_s(n);
 
 	for (int i = 0; i < r->n_parts; i++) {
-		const struct fl_final *f = fl_final_find(&n->books, r->parts[i].ref);
+		const struct fl_final *f = fl_final_find(&n->cluster, r->parts[i].ref);
 
 		if (r->parts[i].state != FL_ENDED && f && f->status == FL_ABORTED &&
 		    f->cancelled_at < before)
@@ -183,7 +183,7 @@
 {
 	for (int i = 0; i < r->n_parts; i++) {
 		const struct fl_part *p = &r->parts[i];
-		const struct fl_final *f = fl_final_find(&n->books, p->ref);
+		const struct fl_final *f = fl_final_find(&n->cluster, p->ref);
 
 		if (p->state != FL_ENDED && f && f->status == FL_ABORTED)
 			fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, 0);
@@ -196,7 +196,7 @@
  */
 static bool may_keep(struct fl_node *n, uint64_t epoch)
 {
-	struct fl_keeper *k = &n->keeper;
+	struct fl_standby *k = &n->standby;
 
 	if (has_proof(n, epoch))
 		return true;
@@ -220,7 +220,7 @@
 	struct fl_orders orders;
 
 	if (!may_keep(n, r->epoch)) {
-		fl_debug("keeper", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
+		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
 		         r->host, (unsigned long long)r->epoch, (unsigned long long)n->epoch,
 		         fl_now() - n->jobs_at);
 		fl_refuse(resp, 503, "no proof of the epoch");
@@ -228,7 +228,7 @@
 	}
 	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
 	if (holds_overdue(n, r)) {
-		fl_debug("keeper", "%s is refused: it holds what is cancelled", r->host);
+		fl_debug("standby", "%s is refused: it holds what is cancelled", r->host);
 		fl_refuse(resp, 503, "a cancelled job's task is there");
 		return;
 	}
@@ -247,11 +247,11 @@
 {
 	int rc;
 
-	if (n->keeper.relays >= FL_RELAYS_MAX)
+	if (n->standby.relays >= FL_RELAYS_MAX)
 		return -EBUSY;
-	n->keeper.relays++;
+	n->standby.relays++;
 	rc = fl_relay(n, FL_CALL_REPORT, NULL, via, body, hop, choice.patience_s, reply);
-	n->keeper.relays--;
+	n->standby.relays--;
 	return rc;
 }
 
@@ -288,14 +288,14 @@
 	double now = fl_now();
 	struct fl_guest *g;
 
-	HASH_FIND_STR(n->keeper.guests, host, g);
+	HASH_FIND_STR(n->standby.guests, host, g);
 	if (!g) {
 		g = calloc(1, sizeof(*g));
 		if (!g)
 			return false;
 		strcpy(g->host, host);
 		g->came = now;
-		HASH_ADD_STR(n->keeper.guests, host, g);
+		HASH_ADD_STR(n->standby.guests, host, g);
 	}
 	if (now < g->came + choice.settle_reports * n->config->report_s ||
 	    (g->sent > 0 && now < g->sent + choice.home_leases * n->config->lease_s))
@@ -333,7 +333,7 @@
 	return last;
 }
 
-bool fl_keeper_alone(const struct fl_node *n)
+bool fl_standby_alone(const struct fl_node *n)
 {
 	double last = last_peer_word(n);
 
@@ -359,12 +359,12 @@
 {
 	double last = last_peer_word(n), now = fl_now();
 
-	if (!fl_keeper_alone(n) || now > n->probed_at + choice.probe_s ||
+	if (!fl_standby_alone(n) || now > n->probed_at + choice.probe_s ||
 	    last < n->state.last_ok - choice.at_once_s ||
 	    last > n->state.last_ok + choice.at_once_s)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
-		const struct fl_peer *p = &n->peers[n->keeper.away++ % n->n_peers];
+		const struct fl_peer *p = &n->peers[n->standby.away++ % n->n_peers];
 
 		/* Not to one that was lost before. */
 		if (p->heard_at > last - choice.at_once_s)
@@ -408,8 +408,8 @@
 	return p ? 2 + (int)(p - n->peers) : 0;
 }
 
-void fl_keeper_report(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
-                      const char *via, struct fl_response *resp)
+void fl_standby_report(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
+                       const char *via, struct fl_response *resp)
 {
 	const struct fl_peer *home;
 	struct fl_report r;
@@ -424,7 +424,7 @@
 	if (!home && !hop)
 		home = away_from_here(n, &r);
 	if (home) {
-		fl_debug("keeper", "%s is sent to %s", r.host, home->name);
+		fl_debug("standby", "%s is sent to %s", r.host, home->name);
 		resp->status = 421;
 		resp->body = fl_steward_encode(home->name);
 	} else if (fl_leading(n)) {
@@ -441,10 +441,10 @@
 		const struct fl_cancelled *c = &g->cancelled[i];
 		struct fl_job *job;
 
-		if (fl_final_find(&n->books, c->ref))
+		if (fl_final_find(&n->cluster, c->ref))
 			continue;
-		fl_books_told_cancelled(&n->books, c->ref, fl_now() - c->age_s);
-		job = n->lead.active ? fl_job_find(&n->books, c->ref) : NULL;
+		fl_cluster_told_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
+		job = n->lead.active ? fl_job_find(&n->cluster, c->ref) : NULL;
 		if (job)
 			fl_command_stop_job(n, job);
 		fl_info("jobs", "%s is cancelled, says %s", c->ref, g->node);
@@ -500,7 +500,7 @@
 static void tell_cancelled(const struct fl_node *n, double since, struct fl_gossip *g)
 {
 	const struct fl_final *list[FL_GOSSIP_CANCELLED_MAX];
-	int count = fl_finals_cancelled_since(&n->books, since, list, FL_GOSSIP_CANCELLED_MAX);
+	int count = fl_finals_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
 
 	if (!n->jobs_known || count < 0)
 		return;
@@ -526,7 +526,7 @@
 	g->leads = fl_lease_valid(n);
 }
 
-void fl_keeper_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
 {
 	struct fl_gossip g;
 	double since;
@@ -549,7 +549,7 @@
 	fl_gossip_free(&g);
 }
 
-char *fl_keeper_ask(struct fl_node *n)
+char *fl_standby_gossip_request(struct fl_node *n)
 {
 	struct fl_gossip mine;
 
@@ -557,7 +557,8 @@
 	return fl_gossip_encode(&mine);
 }
 
-void fl_keeper_told(struct fl_node *n, struct fl_peer *p, const char *body, size_t len, double sent)
+void fl_standby_gossip_answer(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
+                              double sent)
 {
 	struct fl_gossip theirs;
 
@@ -578,7 +579,7 @@
 	while (fl_sleep(choice.gossip_s) == 0) {
 		double sent = fl_now();
 		struct fl_reply reply;
-		char *text = fl_keeper_ask(n);
+		char *text = fl_standby_gossip_request(n);
 		int rc;
 
 		rc = fl_http_call(&p->http, "POST", "/gossip", text, choice.gossip_wait_s, &reply);
@@ -586,7 +587,8 @@
 		if (rc == 0) {
 			p->heard_at = fl_now();
 			if (reply.status == 200)
-				fl_keeper_told(n, p, reply.body.data, reply.body.len, sent);
+				fl_standby_gossip_answer(n, p, reply.body.data, reply.body.len,
+				                         sent);
 			fl_buf_free(&reply.body);
 		}
 		if (p->up != (rc == 0)) {
@@ -603,7 +605,7 @@
  */
 static int write_digest(struct fl_node *n, int at, cJSON *digest)
 {
-	struct fl_digest_slot *d = &n->keeper.digest[at];
+	struct fl_digest_slot *d = &n->standby.digest[at];
 	char key[FL_KEY_MAX];
 	struct fl_multi m;
 	uint64_t rev = 0;
@@ -629,7 +631,7 @@
 		d->rev = rev;
 	else if (rc != -EAGAIN)
 		d->known = false;
-	fl_debug("keeper", "digest %d: %s", at, rc ? strerror(-rc) : "stored");
+	fl_debug("standby", "digest %d: %s", at, rc ? strerror(-rc) : "stored");
 	return rc;
 }
 
@@ -640,7 +642,7 @@
 	struct fl_kept *k, *tmp;
 	cJSON *digest = NULL;
 
-	HASH_ITER (hh, n->keeper.kept, k, tmp) {
+	HASH_ITER (hh, n->standby.kept, k, tmp) {
 		size_t len = strlen(k->text) + 1;
 
 		if (k->stored || k->at < since || len > limit)
@@ -653,8 +655,8 @@
 		used += len;
 		k->stored = true;
 		/* Last in turn from now on: where writes are short, each machine gets its share. */
-		HASH_DEL(n->keeper.kept, k);
-		HASH_ADD_STR(n->keeper.kept, host, k);
+		HASH_DEL(n->standby.kept, k);
+		HASH_ADD_STR(n->standby.kept, host, k);
 	}
 	return digest;
 }
@@ -669,7 +671,7 @@
 	for (int at = 0; at < FL_DIGESTS_MAX; at++) {
 		cJSON *digest;
 
-		if (fl_budget_take(&n->keeper.writes, 1, fl_now()) > 0)
+		if (fl_budget_take(&n->standby.writes, 1, fl_now()) > 0)
 			return;
 		digest = fill_digest(n, since);
 		if (!digest || write_digest(n, at, digest) != 0)
@@ -681,10 +683,10 @@
 {
 	struct fl_guest *g, *tmp;
 
-	HASH_ITER (hh, n->keeper.guests, g, tmp) {
+	HASH_ITER (hh, n->standby.guests, g, tmp) {
 		if (g->came >= before || g->sent >= before)
 			continue;
-		HASH_DEL(n->keeper.guests, g);
+		HASH_DEL(n->standby.guests, g);
 		free(g);
 	}
 }
@@ -698,21 +700,21 @@
 		struct fl_kept *k, *tmp;
 
 		forget_guests(n, now - choice.home_leases * n->config->lease_s);
-		HASH_ITER (hh, n->keeper.kept, k, tmp)
+		HASH_ITER (hh, n->standby.kept, k, tmp)
 			if (k->at < now - 5 * choice.digest_s)
 				unkeep(n, k);
-		if (!n->keeper.kept || fl_lease_valid(n) || !n->leader[0] ||
+		if (!n->standby.kept || fl_lease_valid(n) || !n->leader[0] ||
 		    fl_state_in_doubt(&n->state))
 			continue;
 		digest(n, now - 2 * choice.digest_s);
 	}
 }
 
-void fl_keeper_start(struct fl_node *n)
+void fl_standby_start(struct fl_node *n)
 {
 	double rate = n->config->state_write_rps * choice.write_share;
 
-	fl_budget_init(&n->keeper.writes, rate, rate * choice.digest_s, fl_now());
+	fl_budget_init(&n->standby.writes, rate, rate * choice.digest_s, fl_now());
 	for (int i = 0; i < n->n_peers; i++) {
 		n->peers[i].heard_at = n->peers[i].told_at = -1e9;
 		fl_spawn(gossip_duty, &n->peers[i]);
--- a/src/coordination/keeper.h
+++ b/src/coordination/standby.h
@@ -3,12 +3,12 @@
  * concluded from a lease having run out. Only a proof that is not too old bounds it, so that a
  * cancelled job's tasks end in time even where no leader can reach them.
  */
-#ifndef FL_COORDINATION_KEEPER_H
-#define FL_COORDINATION_KEEPER_H
+#ifndef FL_COORDINATION_STANDBY_H
+#define FL_COORDINATION_STANDBY_H
 
 #include <uthash.h>
 
-#include "bookkeeping/ledger.h"
+#include "storage/records.h"
 #include "protocol/peers.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
@@ -48,7 +48,7 @@
 	double came, sent; /* steady; sent: away from here, 0: not yet */
 };
 
-struct fl_keeper {
+struct fl_standby {
 	struct fl_kept *kept;
 	struct fl_guest *guests;
 	int relays; /* reports being relayed: a leader that stalls must not take all sockets */
@@ -60,24 +60,24 @@
 	struct fl_signal refreshed; /* the read for a fresher proof has come back */
 };
 
-void fl_keeper_start(struct fl_node *n);
+void fl_standby_start(struct fl_node *n);
 /* `via`: the node that the worker sent it to, by name; NULL or empty: not known. */
-void fl_keeper_report(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
-                      const char *via, struct fl_response *resp);
+void fl_standby_report(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
+                       const char *via, struct fl_response *resp);
 /* Passes a call to the leader, direct or through a third node: 0 and the answer, or an errno. */
 int fl_relay(struct fl_node *n, enum fl_user_call call, const char *ref, const char *via,
              const char *body, enum fl_hop hop, double patience_s, struct fl_reply *out);
 /* s after a proof for which a node keeps workers with it. */
-double fl_keeper_keep_s(const struct fl_node *n);
+double fl_standby_renewal_s(const struct fl_node *n);
 /*
  * This node hears neither the state service nor any other controller: it can decide nothing, pass
  * nothing on, and nobody can order its workers' machines through it.
  */
-bool fl_keeper_alone(const struct fl_node *n);
+bool fl_standby_alone(const struct fl_node *n);
 /* What one controller asks another about once a second; the answer; and what the answer tells. */
-char *fl_keeper_ask(struct fl_node *n);
-void fl_keeper_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
-void fl_keeper_told(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
-                    double sent);
+char *fl_standby_gossip_request(struct fl_node *n);
+void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
+void fl_standby_gossip_answer(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
+                              double sent);
 
 #endif
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
@@ -20,7 +20,7 @@
 static void load_job(void *ctx, const struct fl_change *ch)
 {
 	struct load *l = ctx;
-	struct fl_books *b = &l->n->books;
+	struct fl_cluster *b = &l->n->cluster;
 	const char *ref = ch->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job_record rec;
 	struct fl_job *job;
@@ -64,14 +64,15 @@
 		l->bad++;
 		return;
 	}
-	job = fl_job_find(&l->n->books, ref);
+	job = fl_job_find(&l->n->cluster, ref);
 	if (!job) {
 		/* Left behind by a final write that had more to delete than fits in one. */
 		l->orphans++;
-		fl_record_discard(l->n, ch->key);
+		fl_record_writer_discard(l->n, ch->key);
 		return;
 	}
-	if (fl_chunk_restore(&l->n->books, job, chunk, ch->value, ch->rev, &l->log, l->now) != 0) {
+	if (fl_chunk_restore(&l->n->cluster, job, chunk, ch->value, ch->rev, &l->log, l->now) !=
+	    0) {
 		fl_error("takeover", "%s: cannot be read", ch->key);
 		l->bad++;
 	}
@@ -93,7 +94,7 @@
 /* Chunks that only the log tells of: their records were still to be made. */
 static void load_rest_of_log(struct load *l)
 {
-	struct fl_books *b = &l->n->books;
+	struct fl_cluster *b = &l->n->cluster;
 
 	for (int i = 0; i < l->log.n; i++) {
 		const struct fl_log_group *g = &l->log.at[i];
@@ -117,13 +118,13 @@
 	int rc, jobs = 0;
 	double sent = fl_now();
 
-	fl_books_forget_tasks(&n->books);
-	n->books.leading = true;
-	fl_books_list_begin(&n->books);
+	fl_cluster_forget_tasks(&n->cluster);
+	n->cluster.leading = true;
+	fl_cluster_list_begin(&n->cluster);
 	rc = fl_state_list(&n->state, FL_PREFIX_JOBS, load_job, &l, &rev);
 	if (!rc) {
-		fl_books_list_end(&n->books, rev);
-		n->books.list_rev = rev;
+		fl_cluster_list_end(&n->cluster, rev);
+		n->cluster.list_rev = rev;
 		n->jobs_at = fmax(n->jobs_at, sent);
 		rc = fl_state_list(&n->state, FL_PREFIX_LOG, load_log, &l, &rev);
 	}
@@ -142,7 +143,7 @@
 		fl_error("takeover", "%d records cannot be read", l.bad);
 		return -EPROTO;
 	}
-	HASH_ITER (hh, n->books.jobs, job, tmp) {
+	HASH_ITER (hh, n->cluster.jobs, job, tmp) {
 		jobs++;
 		/*
 		 * Found when all controllers ended again and again: the leader before had recorded
@@ -150,7 +151,7 @@
 		 * nothing else would ever have it finished.
 		 */
 		if (fl_job_is_over(job))
-			fl_job_mark_dirty(&n->books, job);
+			fl_job_mark_dirty(&n->cluster, job);
 	}
 	fl_info("takeover", "%d jobs, %d progress records, %d left over; took %.2f s", jobs,
 	        l.chunks, l.orphans, fl_now() - l.now);
--- a/src/bookkeeping/jobs.c
+++ b/src/storage/jobs.c
@@ -1,4 +1,4 @@
-#include "bookkeeping/jobs.h"
+#include "storage/jobs.h"
 
 #include <errno.h>
 #include <math.h>
@@ -7,7 +7,7 @@
 
 #include "transport/clock.h"
 
-struct fl_job *fl_job_find(const struct fl_books *b, const char *ref)
+struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref)
 {
 	struct fl_job *j;
 
@@ -15,7 +15,7 @@
 	return j;
 }
 
-struct fl_final *fl_final_find(const struct fl_books *b, const char *ref)
+struct fl_final *fl_final_find(const struct fl_cluster *b, const char *ref)
 {
 	struct fl_final *f;
 
@@ -23,7 +23,7 @@
 	return f;
 }
 
-void fl_final_add(struct fl_books *b, const char *ref, enum fl_status status, uint32_t parts,
+void fl_final_add(struct fl_cluster *b, const char *ref, enum fl_status status, uint32_t parts,
                   double cancelled_at)
 {
 	struct fl_final *f = fl_final_find(b, ref);
@@ -50,7 +50,7 @@
 	}
 }
 
-int fl_finals_cancelled_since(const struct fl_books *b, double since, const struct fl_final **out,
+int fl_finals_cancelled_since(const struct fl_cluster *b, double since, const struct fl_final **out,
                               int most)
 {
 	const struct fl_final *f = NULL;
@@ -70,7 +70,7 @@
 	return n;
 }
 
-void fl_books_told_cancelled(struct fl_books *b, const char *ref, double cancelled_at)
+void fl_cluster_told_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at)
 {
 	struct fl_job *job = fl_job_find(b, ref);
 
@@ -90,7 +90,7 @@
 	fl_final_add(b, ref, FL_ABORTED, job->parts, cancelled_at);
 }
 
-static uint32_t kinds_mask(const struct fl_books *b, const struct fl_run *run)
+static uint32_t kinds_mask(const struct fl_cluster *b, const struct fl_run *run)
 {
 	uint32_t mask = 0;
 
@@ -105,7 +105,7 @@
 	return mask;
 }
 
-struct fl_job *fl_job_add(struct fl_books *b, const struct fl_run *run, double submitted,
+struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_run *run, double submitted,
                           uint64_t rev)
 {
 	struct fl_job *j = fl_job_find(b, run->ref);
@@ -154,7 +154,7 @@
 	j->chunks = NULL;
 }
 
-static void unlink_dirty(struct fl_books *b, struct fl_job *job)
+static void unlink_dirty(struct fl_cluster *b, struct fl_job *job)
 {
 	struct fl_job **at = &b->dirty;
 
@@ -165,7 +165,7 @@
 	job->queued_dirty = false;
 }
 
-void fl_job_drop(struct fl_books *b, struct fl_job *job)
+void fl_job_drop(struct fl_cluster *b, struct fl_job *job)
 {
 	unlink_dirty(b, job);
 	HASH_DEL(b->jobs, job);
@@ -173,7 +173,7 @@
 	free(job);
 }
 
-void fl_job_finalise(struct fl_books *b, struct fl_job *job, enum fl_status status)
+void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_status status)
 {
 	fl_final_add(b, job->ref, status, job->parts, job->aborted_at);
 	fl_job_drop(b, job);
@@ -218,7 +218,7 @@
 	return t->gen <= c->saved_gen;
 }
 
-void fl_job_mark_dirty(struct fl_books *b, struct fl_job *job)
+void fl_job_mark_dirty(struct fl_cluster *b, struct fl_job *job)
 {
 	if (job->queued_dirty)
 		return;
@@ -232,7 +232,7 @@
 	return job->aborted ? job->n_placed == 0 : job->n_done == job->parts;
 }
 
-void fl_task_touch(struct fl_books *b, struct fl_job *job, uint32_t index)
+void fl_task_touch(struct fl_cluster *b, struct fl_job *job, uint32_t index)
 {
 	struct fl_chunk *c = job->chunks[index / FL_CHUNK];
 
@@ -260,7 +260,7 @@
 	return job->parts;
 }
 
-static int occupy(struct fl_books *b, struct fl_job *job, uint32_t index, struct fl_machine *m)
+static int occupy(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m)
 {
 	struct fl_team *team = &b->teams.at[job->owner];
 
@@ -279,7 +279,7 @@
 	return 0;
 }
 
-static void vacate(struct fl_books *b, struct fl_job *job, uint32_t index, struct fl_task *t)
+static void vacate(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_task *t)
 {
 	struct fl_machine *m = b->machines.at[t->machine];
 	struct fl_team *team = &b->teams.at[job->owner];
@@ -306,7 +306,7 @@
 	t->epoch = 0;
 }
 
-int fl_task_place(struct fl_books *b, struct fl_job *job, uint32_t index, struct fl_machine *m,
+int fl_task_place(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m,
                   uint64_t epoch, double now)
 {
 	struct fl_task *t = fl_task_get(job, index);
@@ -327,7 +327,7 @@
 	return 0;
 }
 
-int fl_task_restore(struct fl_books *b, struct fl_job *job, uint32_t index, uint32_t attempt,
+int fl_task_restore(struct fl_cluster *b, struct fl_job *job, uint32_t index, uint32_t attempt,
                     struct fl_machine *m, uint64_t tenure, double placed, double now)
 {
 	struct fl_task *t = fl_task_get(job, index);
@@ -350,7 +350,7 @@
 	return 0;
 }
 
-void fl_task_release(struct fl_books *b, struct fl_job *job, uint32_t index, double not_before)
+void fl_task_release(struct fl_cluster *b, struct fl_job *job, uint32_t index, double not_before)
 {
 	struct fl_task *t = fl_task_peek(job, index);
 
@@ -365,7 +365,7 @@
 	fl_task_touch(b, job, index);
 }
 
-void fl_task_done(struct fl_books *b, struct fl_job *job, uint32_t index)
+void fl_task_done(struct fl_cluster *b, struct fl_job *job, uint32_t index)
 {
 	struct fl_task *t = fl_task_get(job, index);
 
@@ -401,8 +401,8 @@
 	t->told = false;
 }
 
-void fl_books_describe(struct fl_books *b, struct fl_machine *m, int kind, int zone, bool spot,
-                       const char *endpoint)
+void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int kind, int zone, bool spot,
+                         const char *endpoint)
 {
 	bool was_known = m->zone >= 0;
 
@@ -418,7 +418,7 @@
 	}
 }
 
-void fl_books_sweep(struct fl_books *b, double before)
+void fl_cluster_sweep(struct fl_cluster *b, double before)
 {
 	for (int i = b->machines.n - 1; i >= 0; i--) {
 		struct fl_machine *m = b->machines.at[i], *moved;
@@ -439,7 +439,7 @@
 	return job->n_running > 0 ? FL_RUNNING : FL_PENDING;
 }
 
-void fl_books_forget_tasks(struct fl_books *b)
+void fl_cluster_forget_tasks(struct fl_cluster *b)
 {
 	struct fl_job *j, *tmp;
 
@@ -460,7 +460,7 @@
 	fl_machines_clear(&b->machines);
 }
 
-void fl_books_free(struct fl_books *b)
+void fl_cluster_free(struct fl_cluster *b)
 {
 	struct fl_final *f, *ftmp;
 	struct fl_job *j, *jtmp;
--- a/src/bookkeeping/jobs.h
+++ b/src/storage/jobs.h
@@ -2,13 +2,13 @@
  * Jobs and their tasks. The one table that the rules rest on is here: a task that is PLACED may
  * be on its machine, and counts against team, machine and zone until it is proven not to be.
  */
-#ifndef FL_BOOKKEEPING_JOBS_H
-#define FL_BOOKKEEPING_JOBS_H
+#ifndef FL_STORAGE_JOBS_H
+#define FL_STORAGE_JOBS_H
 
 #include <uthash.h>
 
-#include "bookkeeping/machines.h"
-#include "bookkeeping/teams.h"
+#include "storage/machines.h"
+#include "storage/teams.h"
 #include "protocol/users.h"
 
 enum { FL_CHUNK = 64 }; /* tasks in one record: stays well within 4 KiB a value */
@@ -80,38 +80,38 @@
 	double learned_at;   /* steady; since when this process knows it */
 };
 
-struct fl_books {
+struct fl_cluster {
 	struct fl_names classes, bundles, zones;
 	struct fl_teams teams;
 	struct fl_machines machines;
 	struct fl_job *jobs;     /* live, by ref */
 	struct fl_final *finals; /* by ref, oldest first */
 	unsigned finals_most;    /* the oldest beyond it are left to the records; 0: no limit */
-	double finals_lost_at;   /* steady; the newest of what was learned and is not held any more */
-	struct fl_job *dirty;    /* jobs with unsaved chunks */
-	uint64_t list_rev;       /* of the list that the leadership began with */
-	bool leading;            /* tasks and machines are held here, not only descriptions */
+	double finals_lost_at; /* steady; the newest of what was learned and is not held any more */
+	struct fl_job *dirty;  /* jobs with unsaved chunks */
+	uint64_t list_rev;     /* of the list that the leadership began with */
+	bool leading;          /* tasks and machines are held here, not only descriptions */
 };
 
-struct fl_job *fl_job_find(const struct fl_books *b, const char *ref);
-struct fl_final *fl_final_find(const struct fl_books *b, const char *ref);
+struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref);
+struct fl_final *fl_final_find(const struct fl_cluster *b, const char *ref);
 /* Adds a live job from its description; NULL if it cannot be read here (unknown team). */
-struct fl_job *fl_job_add(struct fl_books *b, const struct fl_run *run, double submitted,
+struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_run *run, double submitted,
                           uint64_t rev);
 /* Turns a live job into its final state; its tasks must hold no machine. */
-void fl_job_finalise(struct fl_books *b, struct fl_job *job, enum fl_status status);
+void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_status status);
 /* Forgets a live job; its tasks must hold no machine. */
-void fl_job_drop(struct fl_books *b, struct fl_job *job);
-void fl_final_add(struct fl_books *b, const char *ref, enum fl_status status, uint32_t parts,
+void fl_job_drop(struct fl_cluster *b, struct fl_job *job);
+void fl_final_add(struct fl_cluster *b, const char *ref, enum fl_status status, uint32_t parts,
                   double cancelled_at);
 /*
  * Every cancellation that this process has learned of since then, newest first: how many, or -E2BIG
  * if there are more than `most` or some are not held any more.
  */
-int fl_finals_cancelled_since(const struct fl_books *b, double since, const struct fl_final **out,
+int fl_finals_cancelled_since(const struct fl_cluster *b, double since, const struct fl_final **out,
                               int most);
 /* Another controller says that this job is cancelled; what the record says comes later. */
-void fl_books_told_cancelled(struct fl_books *b, const char *ref, double cancelled_at);
+void fl_cluster_told_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at);
 
 /*
  * NULL for a chunk that was never touched. A job that was cancelled before any of its tasks was
@@ -125,34 +125,34 @@
 /* Does the record hold its last change? */
 bool fl_task_saved(const struct fl_chunk *c, const struct fl_task *t);
 /* Something of the job is to be written: a chunk's changes or, when it is over, its final state. */
-void fl_job_mark_dirty(struct fl_books *b, struct fl_job *job);
+void fl_job_mark_dirty(struct fl_cluster *b, struct fl_job *job);
 /* All its tasks are done; or it is cancelled, and none may be on a machine any more. */
 bool fl_job_is_over(const struct fl_job *job);
 /* Marks the chunk as changed and the job as dirty. */
-void fl_task_touch(struct fl_books *b, struct fl_job *job, uint32_t index);
+void fl_task_touch(struct fl_cluster *b, struct fl_job *job, uint32_t index);
 /* Next WAITING task at or after `from` that may start at `now`; parts if none. */
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now);
 
 /* WAITING -> PLACED with a new attempt. */
-int fl_task_place(struct fl_books *b, struct fl_job *job, uint32_t index, struct fl_machine *m,
+int fl_task_place(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m,
                   uint64_t epoch, double now);
 /* Puts an attempt read from a record on its machine. */
-int fl_task_restore(struct fl_books *b, struct fl_job *job, uint32_t index, uint32_t attempt,
+int fl_task_restore(struct fl_cluster *b, struct fl_job *job, uint32_t index, uint32_t attempt,
                     struct fl_machine *m, uint64_t tenure, double placed, double now);
 /* PLACED -> WAITING: the attempt is proven not to be on its machine. */
-void fl_task_release(struct fl_books *b, struct fl_job *job, uint32_t index, double not_before);
+void fl_task_release(struct fl_cluster *b, struct fl_job *job, uint32_t index, double not_before);
 /* Any -> DONE. */
-void fl_task_done(struct fl_books *b, struct fl_job *job, uint32_t index);
+void fl_task_done(struct fl_cluster *b, struct fl_job *job, uint32_t index);
 void fl_task_sighted(struct fl_job *job, struct fl_task *t, enum fl_sight sight, double now);
 
 /* A machine's place becomes known: its attempts now count in their zone. */
-void fl_books_describe(struct fl_books *b, struct fl_machine *m, int kind, int zone, bool spot,
-                       const char *endpoint);
+void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int kind, int zone, bool spot,
+                         const char *endpoint);
 /* Drops tombstones older than `before`. Only where no machine or id is held across a wait. */
-void fl_books_sweep(struct fl_books *b, double before);
+void fl_cluster_sweep(struct fl_cluster *b, double before);
 enum fl_status fl_job_status(const struct fl_job *job);
 /* Everything that only a leader knows goes: tasks, machines, usage. */
-void fl_books_forget_tasks(struct fl_books *b);
-void fl_books_free(struct fl_books *b);
+void fl_cluster_forget_tasks(struct fl_cluster *b);
+void fl_cluster_free(struct fl_cluster *b);
 
 #endif
--- a/src/bookkeeping/machines.c
+++ b/src/storage/machines.c
@@ -1,4 +1,4 @@
-#include "bookkeeping/machines.h"
+#include "storage/machines.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/bookkeeping/machines.h
+++ b/src/storage/machines.h
@@ -1,10 +1,10 @@
 /* Machine types and machines, with every attempt that may be on each. */
-#ifndef FL_BOOKKEEPING_MACHINES_H
-#define FL_BOOKKEEPING_MACHINES_H
+#ifndef FL_STORAGE_MACHINES_H
+#define FL_STORAGE_MACHINES_H
 
 #include <uthash.h>
 
-#include "bookkeeping/names.h"
+#include "storage/names.h"
 #include "protocol/cloud.h"
 
 enum { FL_KINDS_KNOWN_MAX = 32, FL_ZONES_MAX = 8, FL_CACHE_NOTE = 16 };
@@ -25,7 +25,7 @@
 struct fl_machine {
 	UT_hash_handle hh;
 	char name[FL_NAME_MAX], endpoint[FL_NAME_MAX];
-	int id; /* dense; changes only in fl_books_sweep */
+	int id; /* dense; changes only in fl_cluster_sweep */
 	int kind, zone;
 	bool spot;
 	bool described; /* kind, zone and endpoint are known */
@@ -46,7 +46,7 @@
 	uint64_t direct_epoch;   /* highest epoch of a direct launch sent here; 0: none */
 	double heard;            /* steady time of the newest report */
 	double reached; /* and of the newest that orders could answer, or came by a command */
-	/* Whether it hears us, which the arrival of its reports does not show: hearing.h. */
+	/* Whether it hears us, which the arrival of its reports does not show: reachability.h. */
 	double answered;         /* steady; of the newest answer to a report; 0: none */
 	uint64_t answered_epoch; /* that the answer carried */
 	bool answered_launch;    /* the answer ordered a launch */
--- a/src/bookkeeping/names.c
+++ b/src/storage/names.c
@@ -1,4 +1,4 @@
-#include "bookkeeping/names.h"
+#include "storage/names.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/bookkeeping/names.h
+++ b/src/storage/names.h
@@ -1,6 +1,6 @@
 /* Names become dense indices at the door; inside, only the indices travel. */
-#ifndef FL_BOOKKEEPING_NAMES_H
-#define FL_BOOKKEEPING_NAMES_H
+#ifndef FL_STORAGE_NAMES_H
+#define FL_STORAGE_NAMES_H
 
 struct fl_name;
 
--- a/src/bookkeeping/ledger.c
+++ b/src/storage/records.c
@@ -1,4 +1,4 @@
-#include "bookkeeping/ledger.h"
+#include "storage/records.h"
 
 #include <errno.h>
 #include <math.h>
@@ -69,7 +69,7 @@
 	return o;
 }
 
-void fl_job_describe(const struct fl_books *b, const struct fl_job *job, struct fl_run *out)
+void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_run *out)
 {
 	memset(out, 0, sizeof(*out));
 	strcpy(out->ref, job->ref);
@@ -137,8 +137,8 @@
 	return fl_json_amount(v, "submitted", &out->submitted) == FL_FIELD_OK ? 0 : -EPROTO;
 }
 
-int fl_ledger_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
-                   uint64_t *rev)
+int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
+                    uint64_t *rev)
 {
 	char key[FL_KEY_MAX];
 	cJSON *final = NULL;
@@ -156,7 +156,7 @@
 	return rc;
 }
 
-void fl_books_list_begin(struct fl_books *b)
+void fl_cluster_list_begin(struct fl_cluster *b)
 {
 	struct fl_job *job, *tmp;
 
@@ -164,7 +164,7 @@
 		job->listed = false;
 }
 
-void fl_books_list_end(struct fl_books *b, uint64_t rev)
+void fl_cluster_list_end(struct fl_cluster *b, uint64_t rev)
 {
 	struct fl_job *job, *tmp;
 
@@ -174,8 +174,8 @@
 			fl_job_drop(b, job);
 }
 
-bool fl_books_cancelled(struct fl_books *b, struct fl_job *job, const struct fl_job_record *rec,
-                        uint64_t rev)
+bool fl_cluster_cancelled(struct fl_cluster *b, struct fl_job *job, const struct fl_job_record *rec,
+                          uint64_t rev)
 {
 	job->rev = rev;
 	job->unsure = false;
@@ -187,7 +187,8 @@
 	return true;
 }
 
-struct fl_job *fl_books_apply(struct fl_books *b, const char *ref, const cJSON *value, uint64_t rev)
+struct fl_job *fl_cluster_apply(struct fl_cluster *b, const char *ref, const cJSON *value,
+                                uint64_t rev)
 {
 	struct fl_job *job = fl_job_find(b, ref);
 	struct fl_job_record rec;
@@ -225,11 +226,11 @@
 	}
 	/*
 	 * A leader finalises when the tasks are gone. It must not take this for its own old news:
-	 * while it was still loading its books, another may have led and cancelled, and what was
-	 * passed over then was kept as live by this node for ever.
+	 * while it was still loading its cluster state, another may have led and cancelled, and
+	 * what was passed over then was kept as live by this node for ever.
 	 */
 	if (job && b->leading) {
-		fl_books_cancelled(b, job, &rec, rev);
+		fl_cluster_cancelled(b, job, &rec, rev);
 		return job;
 	}
 	if (job) {
@@ -246,7 +247,7 @@
  *  "m":[[index,attempt,machine,tenure,placed],...]}:
  * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
  */
-static cJSON *encode(const struct fl_books *b, const struct fl_job *job, uint32_t chunk,
+static cJSON *encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk,
                      bool unsaved_only)
 {
 	const struct fl_chunk *c = job->chunks[chunk];
@@ -291,13 +292,13 @@
 	return o;
 }
 
-cJSON *fl_chunk_encode(const struct fl_books *b, const struct fl_job *job, uint32_t chunk)
+cJSON *fl_chunk_encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk)
 {
 	return encode(b, job, chunk, false);
 }
 
 /* ["run-000412",3,{...}] */
-char *fl_log_group_encode(const struct fl_books *b, const struct fl_job *job, uint32_t chunk)
+char *fl_log_group_encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk)
 {
 	const struct fl_chunk *c = fl_job_chunk(job, chunk);
 	cJSON *e;
@@ -461,7 +462,7 @@
 	return rc;
 }
 
-static int restore_task(struct fl_books *b, struct fl_job *job, uint32_t index,
+static int restore_task(struct fl_cluster *b, struct fl_job *job, uint32_t index,
                         const struct said *s, double now)
 {
 	struct fl_task *t = fl_task_get(job, index);
@@ -487,7 +488,7 @@
 	return 0;
 }
 
-int fl_chunk_restore(struct fl_books *b, struct fl_job *job, uint32_t chunk, const cJSON *v,
+int fl_chunk_restore(struct fl_cluster *b, struct fl_job *job, uint32_t chunk, const cJSON *v,
                      uint64_t rev, struct fl_log *log, double now)
 {
 	struct said said[FL_CHUNK];
--- a/src/bookkeeping/ledger.h
+++ b/src/storage/records.h
@@ -1,8 +1,8 @@
 /* Records in the state service: their keys, their shape, and the budget of writes. */
-#ifndef FL_BOOKKEEPING_LEDGER_H
-#define FL_BOOKKEEPING_LEDGER_H
+#ifndef FL_STORAGE_RECORDS_H
+#define FL_STORAGE_RECORDS_H
 
-#include "bookkeeping/jobs.h"
+#include "storage/jobs.h"
 #include "protocol/state.h"
 
 #define FL_KEY_LEAD "c/lead"
@@ -38,33 +38,33 @@
  * transaction, so that reading them in this order misses neither. `*v` is the live record's value,
  * owned by the caller, or NULL. -ENOENT: no such job.
  */
-int fl_ledger_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
-                   uint64_t *rev);
+int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
+                    uint64_t *rev);
 
 cJSON *fl_job_record_live(const struct fl_run *run, double submitted);
 cJSON *fl_job_record_final(enum fl_status status, uint32_t parts);
 /* A job that its user has cancelled and whose tasks have still to go. */
 cJSON *fl_job_record_cancelled(const struct fl_run *run, double submitted, double cancelled);
-void fl_job_describe(const struct fl_books *b, const struct fl_job *job, struct fl_run *out);
+void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_run *out);
 /* Of the job with this id; -EPROTO if any of it cannot be read. */
 int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out);
 /*
- * Takes a change of a job record into the books; returns the live job, if it is one. A deletion
- * (no value) means that the job is over: only a leader keeps it, to finish what it is doing. One
- * that is cancelled it keeps as `aborted`, until its tasks are gone.
+ * Takes a change of a job record into the cluster state; returns the live job, if it is one. A
+ * deletion (no value) means that the job is over: only a leader keeps it, to finish what it is
+ * doing. One that is cancelled it keeps as `aborted`, until its tasks are gone.
  */
-struct fl_job *fl_books_apply(struct fl_books *b, const char *ref, const cJSON *value,
-                              uint64_t rev);
+struct fl_job *fl_cluster_apply(struct fl_cluster *b, const char *ref, const cJSON *value,
+                                uint64_t rev);
 
 /* Takes in what the record of a leader's live job says; true if it is news that it is cancelled. */
-bool fl_books_cancelled(struct fl_books *b, struct fl_job *job, const struct fl_job_record *rec,
-                        uint64_t rev);
+bool fl_cluster_cancelled(struct fl_cluster *b, struct fl_job *job, const struct fl_job_record *rec,
+                          uint64_t rev);
 
 /* Around a whole list of job records: live jobs that it no longer holds are dropped. */
-void fl_books_list_begin(struct fl_books *b);
-void fl_books_list_end(struct fl_books *b, uint64_t rev);
+void fl_cluster_list_begin(struct fl_cluster *b);
+void fl_cluster_list_end(struct fl_cluster *b, uint64_t rev);
 
-cJSON *fl_chunk_encode(const struct fl_books *b, const struct fl_job *job, uint32_t chunk);
+cJSON *fl_chunk_encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk);
 
 /*
  * The write-ahead log, a few values under FL_PREFIX_LOG: the changes that no progress record holds
@@ -85,7 +85,7 @@
 };
 
 /* One group as it goes into a value: the unsaved changes of a chunk; NULL if there are none. */
-char *fl_log_group_encode(const struct fl_books *b, const struct fl_job *job, uint32_t chunk);
+char *fl_log_group_encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk);
 cJSON *fl_log_value_begin(void);
 void fl_log_value_add(cJSON *value, const char *group);
 /* Adds a value's groups; -EPROTO if it cannot be read. */
@@ -96,7 +96,7 @@
  * Reads a progress record (NULL: there is none) and what the log says beyond it into tasks and
  * machines; machines not known yet are added. What only the log holds is marked as unsaved.
  */
-int fl_chunk_restore(struct fl_books *b, struct fl_job *job, uint32_t chunk, const cJSON *v,
+int fl_chunk_restore(struct fl_cluster *b, struct fl_job *job, uint32_t chunk, const cJSON *v,
                      uint64_t rev, struct fl_log *log, double now);
 /* Counts of a progress record, for a node that does not lead. */
 int fl_chunk_count(const cJSON *v, uint32_t *done, uint32_t *placed);
--- a/src/bookkeeping/teams.c
+++ b/src/storage/teams.c
@@ -1,4 +1,4 @@
-#include "bookkeeping/teams.h"
+#include "storage/teams.h"
 
 #include <string.h>
 
--- a/src/bookkeeping/teams.h
+++ b/src/storage/teams.h
@@ -1,6 +1,6 @@
 /* Teams: guarantees, limits, and what their tasks may be using right now. */
-#ifndef FL_BOOKKEEPING_TEAMS_H
-#define FL_BOOKKEEPING_TEAMS_H
+#ifndef FL_STORAGE_TEAMS_H
+#define FL_STORAGE_TEAMS_H
 
 #include <stdbool.h>
 
--- /dev/null
+++ b/tests/sim.h
@@ -0,0 +1,254 @@
+/*
+ * A simulation for several controllers in one process: their real coordination code over a
+ * transport, a clock and counterparts that the test owns. Time is virtual, chance comes from one
+ * seed, so the same seed always gives the same run. What the counterparts do follows the protocol's
+ * pages.
+ */
+#ifndef FL_TESTS_SIM_H
+#define FL_TESTS_SIM_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "config.h"
+#include "protocol/workers.h"
+#include "transport/http_client.h"
+#include "transport/http_server.h"
+#include "transport/routine.h"
+
+enum {
+	SIM_NODES = 5,
+	SIM_ZONES = 3,
+	SIM_KINDS = 2,
+	SIM_MACHINES = 160,
+	SIM_JOBS = 96,
+	SIM_PARTS = 32,
+	SIM_TASKS = 1024,
+	SIM_TROUBLES = 64
+};
+
+/* Holds in every build, also where assert() is compiled out. */
+void sim_must(bool holds);
+
+/* ---- time and routines ---- */
+
+struct sim_timer {
+	double when;
+	uint64_t seq;
+	int at; /* place in the heap, from 1; 0: not armed */
+	void (*fn)(void *);
+	void *arg;
+};
+
+void sim_time_begin(void);
+/* Runs everything that is due up to then. */
+void sim_time_run(double until);
+/* Cancels every routine and drops every timer through `drop`. */
+void sim_time_end(void (*drop)(struct sim_timer *t));
+void sim_timer_arm(struct sim_timer *t, double seconds);
+/* A process is a number above 0; 0 is whatever is no controller. */
+int sim_process(void);
+struct fl_routine *sim_spawn(int process, void (*fn)(void *), void *arg);
+/* Its routines unwind at this very moment: gone after the caller's next wait. */
+void sim_process_cancel(int process);
+int sim_process_routines(int process);
+
+/* ---- chance ---- */
+
+void sim_seed(uint64_t seed);
+double sim_between(double low, double high);
+int sim_pick(int n);
+bool sim_chance(double share);
+
+/* ---- hosts and messages ---- */
+
+enum sim_kind { END_USER, END_STATE, END_CLOUD, END_NODE, END_PEER, END_WORKER };
+struct sim_end {
+	enum sim_kind kind;
+	int at;
+};
+
+/* A handler's status when no answer is ever to come. */
+enum { SIM_SILENCE = -1 };
+
+int sim_call(struct sim_end from, struct sim_end to, const char *method, const char *path,
+             const char *body, double timeout_s, struct fl_reply *out);
+void sim_address(struct sim_end e, char out[FL_CONFIG_NAME]);
+bool sim_node_alive(int node);
+/* The process that runs as this node now; 0: none. */
+int sim_node_process(int node);
+void sim_node_start(int node);
+void sim_node_kill(int node);
+void sim_net_end(void);
+
+void sim_state_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp);
+void sim_cloud_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp);
+void sim_worker_serve(struct sim_end from, int process, int machine, const struct fl_request *req,
+                      struct fl_response *resp);
+
+/* ---- troubles ---- */
+
+enum sim_trouble_kind {
+	STATE_OUT,     /* 503 for all */
+	STATE_REFUSES, /* 503 for one node */
+	STATE_SLOW,    /* answers take up to `much` s */
+	LATE_WRITES,   /* a share goes unanswered and is carried out 2 to 12 s later */
+	CUT_STATE,     /* a node's packets to the state service are lost */
+	CUT_PEERS,     /* and those to other controllers */
+	CUT_WORKERS,   /* and those to and from machines */
+	CUT_ZONE,      /* a zone and all else do not hear each other */
+	MUTE,          /* machines that reach no controller, and are reached */
+	DEAF,          /* machines that get no answers and no commands */
+	HANG,          /* machines that stand still */
+	HELD,          /* packets between controllers and machines are held back till the end */
+	LATE_REPORTS,  /* a share of the reports comes once more, much later */
+	SLOW_LINKS,    /* up to `much` s each way */
+	LOST_ANSWERS,  /* a share of the answers to reports and commands never arrives */
+	NODE_DOWN,     /* killed, and started again at the end */
+	CLOUD_OUT,     /* 503 */
+	TAKE_MACHINES, /* machines die */
+	CANCEL_NOW,    /* users call off jobs that run */
+	CANCEL_AT_END, /* a share of jobs is called off as its last task ends */
+	ODD_REQUESTS,  /* repeated submissions, bad jobs, cancelled twice */
+	MORE_JOBS,     /* a burst of submissions */
+	SIM_TROUBLE_KINDS
+};
+
+/* Whom: a node, a zone, or one of these. */
+enum { THE_LEADER = -1, ANY_NODE = -2, ALL_NODES = -3, ANY_ZONE = -4 };
+
+struct sim_trouble {
+	enum sim_trouble_kind kind;
+	double at, for_s; /* s from the beginning */
+	int whom;         /* a node or a zone; THE_LEADER is found out when it begins */
+	double much;      /* share or s */
+	int count;        /* machines or jobs; 0: all that there are */
+	double hang_s;    /* CANCEL_NOW: what the machines of those jobs do next */
+	bool active, over;
+	uint8_t machine[SIM_MACHINES];
+};
+
+struct sim_trouble *sim_trouble(enum sim_trouble_kind kind, double at, double for_s, int whom,
+                                double much, int count);
+void sim_troubles_start(void);
+/* An active one that meets the node or machine; -1: any. */
+const struct sim_trouble *sim_troubled(enum sim_trouble_kind kind, int whom);
+bool sim_hung(int machine);
+/* Is a message lost now? `reply`: the way back of a call. */
+bool sim_lost(struct sim_end from, struct sim_end to, bool reply);
+bool sim_holds(struct sim_end from, struct sim_end to);
+double sim_latency(struct sim_end from, struct sim_end to);
+int sim_leader(void);
+
+/* ---- counterparts ---- */
+
+struct sim_host_kind {
+	const char *name;
+	double cpus, gpus, ram_gb, price, ready_s;
+};
+extern const struct sim_host_kind sim_kinds[SIM_KINDS];
+
+struct sim_team {
+	const char *name;
+	double cpus, cpus_max, gpus, gpus_max;
+};
+enum { SIM_TEAMS = 2 };
+extern const struct sim_team sim_teams[SIM_TEAMS];
+
+struct sim_job {
+	struct fl_run run;
+	char *text;    /* as it is submitted */
+	bool bad;      /* must be refused */
+	double submit; /* s from the beginning */
+	double cancel; /* the same; < 0: never */
+	double real_s[SIM_PARTS];
+	/* What its tasks did. */
+	double progress[SIM_PARTS];
+	bool completed[SIM_PARTS];
+	int on[SIM_PARTS];   /* machines on which it is, at any moment */
+	int host[SIM_PARTS]; /* the latest of them */
+	/* What its user did and was told; times of day of the simulation, 0: not yet. */
+	double sent, accepted, refused, cancel_sent, told_aborted, told_done, answered;
+	bool cancelling, repeating, said_overdue, said_waiting;
+	double waits_since;
+	int starts, late_starts, begun[SIM_PARTS];
+};
+
+struct sim_task {
+	struct sim_job *job;
+	struct fl_part part;
+	bool used;
+	bool counted; /* it is on the machine, as the checker counts */
+	double until; /* of what it is doing now; < 0: without end */
+	double began;
+};
+
+struct sim_machine {
+	char name[32];
+	int kind, zone;
+	bool spot, up, gone, failed, never_up, listed, hung;
+	double rented, ready, gone_at, hung_since, reclaim_at;
+	uint64_t tenure, serial, epoch;
+	double lease_from; /* when the last answered report was sent */
+	double epoch_told, last_sent;
+	bool changed;
+	struct fl_signal work, goes_on;
+	int node;
+	struct sim_task task[SIM_TASKS];
+	int n_tasks; /* places ever used */
+	char bundles[4][FL_NAME_MAX];
+	int n_bundles;
+};
+
+struct sim {
+	uint64_t seed;
+	const char *name;
+	int n_nodes, n_zones;
+	double report_s, lease_s, cancel_s, begin, calm_s, end_s;
+	struct fl_config config[SIM_NODES];
+	struct sim_trouble trouble[SIM_TROUBLES];
+	int n_troubles;
+	struct sim_job job[SIM_JOBS];
+	int n_jobs;
+	struct sim_machine machine[SIM_MACHINES];
+	int n_machines;
+	int most_starts; /* of one task */
+	int failures, starts, completions, late_starts, polls;
+	char report[8192];
+};
+extern struct sim sim;
+
+double sim_time(void); /* s from the beginning */
+int sim_node_zone(int node);
+
+void sim_state_begin(void);
+void sim_state_end(void);
+void sim_cloud_end(void);
+void sim_workers_begin(void);
+void sim_worker_boot(int machine);
+/* The machine ends now, with all on it. */
+void sim_machine_ends(int machine);
+void sim_machine_hangs(int machine, bool hangs);
+void sim_users_begin(void);
+struct sim_job *sim_job_add(double submit);
+void sim_user_submits(struct sim_job *job);
+void sim_user_cancels(struct sim_job *job);
+void sim_user_repeats(struct sim_job *job);
+/* Asks again and again for a while: what is told must not go back. */
+void sim_user_asks(struct sim_job *job);
+struct sim_job *sim_job_find(const char *ref);
+
+/* ---- the rules ---- */
+
+void sim_broken(const char *rule, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void sim_check_begin(void);
+void sim_check_started(struct sim_job *job, uint32_t index, int machine);
+void sim_check_left(struct sim_job *job, uint32_t index);
+void sim_check_submitted(struct sim_job *job, double sent, int status, const char *body);
+void sim_check_polled(struct sim_job *job, double sent, int status, const char *body);
+void sim_check_cancelled(struct sim_job *job, double sent, int status, const char *body);
+void sim_check_epoch(uint64_t epoch, int process);
+void sim_check_rental(const char *name, int process);
+void sim_check_end(void);
+
+#endif
--- a/tests/world_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,5 +1,5 @@
 /* The cloud: machine types, rentals by name, deletion, and a list that lags. */
-#include "world.h"
+#include "sim.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 enum { RENTALS = 512, CAPACITY = 3 };
 
-const struct world_host_kind world_kinds[WORLD_KINDS] = {
+const struct sim_host_kind sim_kinds[SIM_KINDS] = {
 	{"c32", 32, 0, 128, 4.0, 6},
 	{"g4", 32, 4, 256, 12.0, 8},
 };
@@ -41,8 +41,8 @@
 {
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "HostKinds");
 
-	for (int i = 0; i < WORLD_KINDS; i++) {
-		const struct world_host_kind *k = &world_kinds[i];
+	for (int i = 0; i < SIM_KINDS; i++) {
+		const struct sim_host_kind *k = &sim_kinds[i];
 		cJSON *e = cJSON_CreateObject(), *sites;
 
 		cJSON_AddStringToObject(e, "Name", k->name);
@@ -55,8 +55,8 @@
 		cJSON_AddNumberToObject(e, "SpotPrice", k->price * 0.4);
 		cJSON_AddNumberToObject(e, "ReadyS", k->ready_s);
 		sites = cJSON_AddArrayToObject(e, "Sites");
-		for (int z = 0; z < world.n_zones; z++)
-			cJSON_AddItemToArray(sites, cJSON_CreateString(world.config[0].zones[z]));
+		for (int z = 0; z < sim.n_zones; z++)
+			cJSON_AddItemToArray(sites, cJSON_CreateString(sim.config[0].zones[z]));
 		cJSON_AddItemToArray(list, e);
 	}
 	say(resp, 200, o);
@@ -64,16 +64,16 @@
 
 static int kind_of(const char *name)
 {
-	for (int i = 0; i < WORLD_KINDS; i++)
-		if (strcmp(world_kinds[i].name, name) == 0)
+	for (int i = 0; i < SIM_KINDS; i++)
+		if (strcmp(sim_kinds[i].name, name) == 0)
 			return i;
 	return -1;
 }
 
 static int zone_of(const char *name)
 {
-	for (int z = 0; z < world.n_zones; z++)
-		if (strcmp(world.config[0].zones[z], name) == 0)
+	for (int z = 0; z < sim.n_zones; z++)
+		if (strcmp(sim.config[0].zones[z], name) == 0)
 			return z;
 	return -1;
 }
@@ -82,8 +82,8 @@
 {
 	int n = 0;
 
-	for (int i = 0; i < world.n_machines; i++) {
-		const struct world_machine *m = &world.machine[i];
+	for (int i = 0; i < sim.n_machines; i++) {
+		const struct sim_machine *m = &sim.machine[i];
 
 		n += !m->gone && m->kind == kind && m->zone == zone && m->spot == spot;
 	}
@@ -92,23 +92,22 @@
 
 static void rent_one(int kind, int zone, bool spot)
 {
-	struct world_machine *m = &world.machine[world.n_machines];
+	struct sim_machine *m = &sim.machine[sim.n_machines];
 
-	world_must(world.n_machines < WORLD_MACHINES);
+	sim_must(sim.n_machines < SIM_MACHINES);
 	memset(m, 0, sizeof(*m));
-	snprintf(m->name, sizeof(m->name), "m-%06d", world.n_machines + 1);
+	snprintf(m->name, sizeof(m->name), "m-%06d", sim.n_machines + 1);
 	m->kind = kind;
 	m->zone = zone;
 	m->spot = spot;
 	m->rented = fl_now();
-	m->never_up = world_chance(0.04);
+	m->never_up = sim_chance(0.04);
 	/* At times up within a second or two: long before it is listed. */
-	m->ready = fl_now() + (world_chance(0.2)
-	                               ? world_between(0.5, 2)
-	                               : world_between(0.6, 1.5) * world_kinds[kind].ready_s);
-	if (spot && world_chance(0.15))
-		m->reclaim_at = fl_now() + world_between(30, 120);
-	world_worker_boot(world.n_machines++);
+	m->ready = fl_now() + (sim_chance(0.2) ? sim_between(0.5, 2)
+	                                       : sim_between(0.6, 1.5) * sim_kinds[kind].ready_s);
+	if (spot && sim_chance(0.15))
+		m->reclaim_at = fl_now() + sim_between(30, 120);
+	sim_worker_boot(sim.n_machines++);
 }
 
 static void hosts_of(const struct rental *r, struct fl_response *resp)
@@ -116,7 +115,7 @@
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "Hosts");
 
 	for (int i = 0; i < r->count; i++)
-		cJSON_AddItemToArray(list, cJSON_CreateString(world.machine[r->first + i].name));
+		cJSON_AddItemToArray(list, cJSON_CreateString(sim.machine[r->first + i].name));
 	say(resp, 200, o);
 }
 
@@ -140,7 +139,7 @@
 		say(resp, 400, NULL);
 		return;
 	}
-	world_check_rental(name, process);
+	sim_check_rental(name, process);
 	for (int i = 0; i < cl.n; i++)
 		if (strcmp(cl.rental[i].name, name) == 0) {
 			hosts_of(&cl.rental[i], resp);
@@ -151,9 +150,9 @@
 		trouble(resp, "no capacity");
 		return;
 	}
-	world_must(cl.n < RENTALS);
+	sim_must(cl.n < RENTALS);
 	snprintf(cl.rental[cl.n].name, sizeof(cl.rental[0].name), "%s", name);
-	cl.rental[cl.n].first = world.n_machines;
+	cl.rental[cl.n].first = sim.n_machines;
 	cl.rental[cl.n].count = count < room ? (int)count : room;
 	for (int i = 0; i < cl.rental[cl.n].count; i++)
 		rent_one(k, z, spot);
@@ -162,8 +161,8 @@
 
 static int machine_of(const char *name)
 {
-	for (int i = 0; i < world.n_machines; i++)
-		if (strcmp(world.machine[i].name, name) == 0)
+	for (int i = 0; i < sim.n_machines; i++)
+		if (strcmp(sim.machine[i].name, name) == 0)
 			return i;
 	return -1;
 }
@@ -176,8 +175,8 @@
 		int at = cJSON_IsString(e) ? machine_of(e->valuestring) : -1;
 
 		if (at >= 0) {
-			world.machine[at].failed = false;
-			world_machine_ends(at);
+			sim.machine[at].failed = false;
+			sim_machine_ends(at);
 		}
 	}
 	cJSON_Delete(o);
@@ -185,7 +184,7 @@
 }
 
 /* At a moment past: once listed it stays so till it is gone. */
-static bool is_listed(struct world_machine *m, double then)
+static bool is_listed(struct sim_machine *m, double then)
 {
 	if (m->failed)
 		return true;
@@ -199,13 +198,12 @@
 
 static void list(const struct fl_request *req, struct fl_response *resp)
 {
-	double then =
-		fl_now() - world_between(0, world_chance(0.1) ? 2 : 1) * world.config[0].list_lag_s;
+	double then = fl_now() - sim_between(0, sim_chance(0.1) ? 2 : 1) * sim.config[0].list_lag_s;
 	cJSON *o = cJSON_CreateObject(), *hosts = cJSON_AddArrayToObject(o, "Hosts");
 	const char *from = strstr(req->query, "From=");
 
-	for (int i = 0; i < world.n_machines; i++) {
-		struct world_machine *m = &world.machine[i];
+	for (int i = 0; i < sim.n_machines; i++) {
+		struct sim_machine *m = &sim.machine[i];
 		char addr[FL_CONFIG_NAME];
 		cJSON *e;
 
@@ -214,11 +212,11 @@
 		if (!is_listed(m, then))
 			continue;
 		e = cJSON_CreateObject();
-		world_address((struct world_end){END_WORKER, i}, addr);
+		sim_address((struct sim_end){END_WORKER, i}, addr);
 		cJSON_AddStringToObject(e, "Ref", m->name);
 		cJSON_AddStringToObject(e, "Endpoint", addr);
-		cJSON_AddStringToObject(e, "HostKind", world_kinds[m->kind].name);
-		cJSON_AddStringToObject(e, "Site", world.config[0].zones[m->zone]);
+		cJSON_AddStringToObject(e, "HostKind", sim_kinds[m->kind].name);
+		cJSON_AddStringToObject(e, "Site", sim.config[0].zones[m->zone]);
 		cJSON_AddBoolToObject(e, "Reclaimable", m->spot);
 		cJSON_AddStringToObject(e, "Status",
 		                        m->failed                        ? "failed"
@@ -231,21 +229,20 @@
 	say(resp, 200, o);
 }
 
-void world_cloud_serve(struct world_end from, const struct fl_request *req,
-                       struct fl_response *resp)
+void sim_cloud_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp)
 {
-	if (fl_sleep(world_between(0.01, 0.1)) != 0)
+	if (fl_sleep(sim_between(0.01, 0.1)) != 0)
 		return;
-	if (world_troubled(CLOUD_OUT, -1))
+	if (sim_troubled(CLOUD_OUT, -1))
 		trouble(resp, "trouble");
 	else if (strcmp(req->path, "/machine_types") == 0)
 		types(resp);
 	else if (strcmp(req->path, "/rentals") == 0 && req->method == HTTP_POST)
-		rent(world_node_process(from.at), req, resp);
+		rent(sim_node_process(from.at), req, resp);
 	else if (strcmp(req->path, "/rentals/delete") == 0)
 		give_back(req, resp);
 	else
 		list(req, resp);
 }
 
-void world_cloud_end(void) { memset(&cl, 0, sizeof(cl)); }
+void sim_cloud_end(void) { memset(&cl, 0, sizeof(cl)); }
--- a/tests/world_net.c
+++ b/tests/sim_net.c
@@ -1,5 +1,5 @@
-/* The transport of the world: calls between hosts, and the controllers' processes. */
-#include "world.h"
+/* The transport of the simulation: calls between hosts, and the controllers' processes. */
+#include "sim.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -8,11 +8,11 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 #include "transport/clock.h"
 
 struct call {
-	struct world_end from, to;
+	struct sim_end from, to;
 	int process; /* of the caller */
 	char *method, *path, *body;
 	struct fl_response resp;
@@ -20,7 +20,7 @@
 	bool done;
 	int refs;
 	struct fl_signal answered;
-	struct world_timer timer;
+	struct sim_timer timer;
 };
 
 struct served {
@@ -29,8 +29,8 @@
 };
 
 static struct {
-	int process[WORLD_NODES]; /* that runs as this node; 0: down */
-	struct served face[WORLD_NODES][2];
+	int process[SIM_NODES]; /* that runs as this node; 0: down */
+	struct served face[SIM_NODES][2];
 	int processes; /* started so far */
 	int starting;  /* the node that is being started */
 	bool over;
@@ -38,18 +38,18 @@
 
 /* ---- addresses ---- */
 
-void world_address(struct world_end e, char out[FL_CONFIG_NAME])
+void sim_address(struct sim_end e, char out[FL_CONFIG_NAME])
 {
 	snprintf(out, FL_CONFIG_NAME, "10.%d.%d.%d:%d", e.kind + 1, e.at / 200, e.at % 200 + 1,
 	         9000);
 }
 
-static struct world_end end_of(const struct sockaddr_in *sa)
+static struct sim_end end_of(const struct sockaddr_in *sa)
 {
 	uint32_t ip = ntohl(sa->sin_addr.s_addr);
 
-	return (struct world_end){(enum world_kind)((ip >> 16 & 255) - 1),
-	                          (int)(ip >> 8 & 255) * 200 + (int)(ip & 255) - 1};
+	return (struct sim_end){(enum sim_kind)((ip >> 16 & 255) - 1),
+	                        (int)(ip >> 8 & 255) * 200 + (int)(ip & 255) - 1};
 }
 
 int fl_http_client_init(struct fl_http_client *c, const char *addr, int max_idle)
@@ -87,7 +87,7 @@
 {
 	struct call *c = arg;
 
-	if (net.over || world_lost(c->from, c->to, true))
+	if (net.over || sim_lost(c->from, c->to, true))
 		release(c);
 	else
 		complete(c, 0);
@@ -96,7 +96,7 @@
 static void answer(struct call *c)
 {
 	c->timer.fn = deliver;
-	world_timer_arm(&c->timer, world_latency(c->to, c->from));
+	sim_timer_arm(&c->timer, sim_latency(c->to, c->from));
 }
 
 static enum http_method method_of(const char *name)
@@ -112,13 +112,13 @@
 
 	switch (c->to.kind) {
 	case END_STATE:
-		world_state_serve(c->from, req, &c->resp);
+		sim_state_serve(c->from, req, &c->resp);
 		break;
 	case END_CLOUD:
-		world_cloud_serve(c->from, req, &c->resp);
+		sim_cloud_serve(c->from, req, &c->resp);
 		break;
 	case END_WORKER:
-		world_worker_serve(c->from, c->process, c->to.at, req, &c->resp);
+		sim_worker_serve(c->from, c->process, c->to.at, req, &c->resp);
 		break;
 	default:
 		s = &net.face[c->to.at][c->to.kind == END_PEER];
@@ -140,7 +140,7 @@
 		*query = 0;
 	if (!fl_cancelled())
 		dispatch(c, &req);
-	if (net.over || c->resp.status == WORLD_SILENCE)
+	if (net.over || c->resp.status == SIM_SILENCE)
 		release(c);
 	else if (fl_cancelled())
 		complete(c, -ECONNRESET);
@@ -148,14 +148,14 @@
 		answer(c);
 }
 
-static bool is_up(struct world_end e)
+static bool is_up(struct sim_end e)
 {
 	switch (e.kind) {
 	case END_NODE:
 	case END_PEER:
 		return net.process[e.at] != 0;
 	case END_WORKER:
-		return world.machine[e.at].up && !world.machine[e.at].gone;
+		return sim.machine[e.at].up && !sim.machine[e.at].gone;
 	default:
 		return true;
 	}
@@ -168,20 +168,20 @@
 
 	if (net.over) {
 		release(c);
-	} else if (world_holds(c->from, c->to)) {
+	} else if (sim_holds(c->from, c->to)) {
 		/* Held back, and delivered when the link is there again. */
-		world_timer_arm(&c->timer, 0.2);
-	} else if (world_lost(c->from, c->to, false)) {
+		sim_timer_arm(&c->timer, 0.2);
+	} else if (sim_lost(c->from, c->to, false)) {
 		release(c);
 	} else if (!is_up(c->to)) {
 		complete(c, -ECONNREFUSED);
 	} else {
-		world_spawn(node ? net.process[c->to.at] : 0, serve, c);
+		sim_spawn(node ? net.process[c->to.at] : 0, serve, c);
 	}
 }
 
-int world_call(struct world_end from, struct world_end to, const char *method, const char *path,
-               const char *body, double timeout_s, struct fl_reply *out)
+int sim_call(struct sim_end from, struct sim_end to, const char *method, const char *path,
+             const char *body, double timeout_s, struct fl_reply *out)
 {
 	struct call *c;
 	int rc;
@@ -190,17 +190,17 @@
 	if (fl_cancelled())
 		return -ECANCELED;
 	c = calloc(1, sizeof(*c));
-	world_must(c != NULL);
+	sim_must(c != NULL);
 	c->from = from;
 	c->to = to;
-	c->process = world_process();
+	c->process = sim_process();
 	c->method = strdup(method);
 	c->path = strdup(path);
 	c->body = strdup(body ? body : "");
 	c->refs = 2;
 	c->timer.fn = arrive;
 	c->timer.arg = c;
-	world_timer_arm(&c->timer, world_latency(from, to));
+	sim_timer_arm(&c->timer, sim_latency(from, to));
 	rc = fl_signal_wait(&c->answered, timeout_s);
 	if (rc == 0)
 		rc = c->result;
@@ -217,14 +217,14 @@
 int fl_http_call(struct fl_http_client *c, const char *method, const char *path, const char *body,
                  double timeout_s, struct fl_reply *out)
 {
-	struct world_end from = {END_PEER, -1};
+	struct sim_end from = {END_PEER, -1};
 
-	for (int i = 0; i < world.n_nodes; i++)
-		if (net.process[i] == world_process())
+	for (int i = 0; i < sim.n_nodes; i++)
+		if (net.process[i] == sim_process())
 			from.at = i;
 	if (from.at < 0) /* a process that has just been ended */
 		return -ECANCELED;
-	return world_call(from, end_of(&c->addr), method, path, body, timeout_s, out);
+	return sim_call(from, end_of(&c->addr), method, path, body, timeout_s, out);
 }
 
 /* ---- controllers ---- */
@@ -235,32 +235,32 @@
 	struct sockaddr_in sa;
 
 	(void)max_conns, (void)idle_s;
-	world_must(fl_parse_addr(addr, &sa) == 0);
+	sim_must(fl_parse_addr(addr, &sa) == 0);
 	net.face[net.starting][end_of(&sa).kind == END_PEER] = (struct served){handler, ctx};
 	return (struct fl_http_server *)&net;
 }
 
-bool world_node_alive(int node) { return net.process[node] != 0; }
+bool sim_node_alive(int node) { return net.process[node] != 0; }
 
-int world_node_process(int node) { return net.process[node]; }
+int sim_node_process(int node) { return net.process[node]; }
 
 static void boot(void *arg)
 {
 	net.starting = *(const int *)arg;
-	world_must(fl_node_start(&world.config[net.starting]) == 0);
+	sim_must(fl_node_start(&sim.config[net.starting]) == 0);
 }
 
-static int places[WORLD_NODES] = {0, 1, 2, 3, 4};
+static int places[SIM_NODES] = {0, 1, 2, 3, 4};
 
-void world_node_start(int node)
+void sim_node_start(int node)
 {
 	if (net.process[node])
 		return;
 	net.process[node] = ++net.processes;
-	world_spawn(net.process[node], boot, &places[node]);
+	sim_spawn(net.process[node], boot, &places[node]);
 }
 
-static void free_keeper(struct fl_keeper *k)
+static void free_standby(struct fl_standby *k)
 {
 	struct fl_kept *kept, *tmp;
 	struct fl_guest *guest, *next;
@@ -282,38 +282,38 @@
 
 	if (!n)
 		return;
-	fl_record_free_trash(n);
-	free_keeper(&n->keeper);
-	fl_books_free(&n->books);
+	fl_record_writer_free_trash(n);
+	free_standby(&n->standby);
+	fl_cluster_free(&n->cluster);
 	free(n);
 	memset(net.face[node], 0, sizeof(net.face[node]));
 }
 
-void world_node_kill(int node)
+void sim_node_kill(int node)
 {
 	int process = net.process[node];
 
 	if (!process)
 		return;
 	net.process[node] = 0;
-	world_process_cancel(process);
+	sim_process_cancel(process);
 	fl_sleep(0);
-	world_must(fl_cancelled() || world_process_routines(process) == 0);
+	sim_must(fl_cancelled() || sim_process_routines(process) == 0);
 	if (!fl_cancelled())
 		free_node(node);
 }
 
-static void drop(struct world_timer *t)
+static void drop(struct sim_timer *t)
 {
 	if (t->fn == arrive || t->fn == deliver)
 		t->fn(t->arg);
 }
 
-void world_net_end(void)
+void sim_net_end(void)
 {
 	net.over = true;
-	world_time_end(drop);
-	for (int i = 0; i < WORLD_NODES; i++)
+	sim_time_end(drop);
+	for (int i = 0; i < SIM_NODES; i++)
 		free_node(i);
 	memset(&net, 0, sizeof(net));
 }
--- a/tests/world_state.c
+++ b/tests/sim_state.c
@@ -1,5 +1,5 @@
 /* The state service: keys, holds, watches, its limits and its troubles. */
-#include "world.h"
+#include "sim.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -63,7 +63,7 @@
 	if (st.n_log == st.cap_log) {
 		st.cap_log = st.cap_log ? 2 * st.cap_log : 256;
 		st.log = realloc(st.log, (size_t)st.cap_log * sizeof(*st.log));
-		world_must(st.log);
+		sim_must(st.log);
 	}
 	c = &st.log[st.n_log++];
 	snprintf(c->name, sizeof(c->name), "%s", name);
@@ -86,7 +86,7 @@
 
 	if (!k) {
 		k = calloc(1, sizeof(*k));
-		world_must(k != NULL);
+		sim_must(k != NULL);
 		snprintf(k->name, sizeof(k->name), "%s", name);
 		HASH_ADD_STR(st.keys, name, k);
 	}
@@ -126,7 +126,7 @@
 
 	(void)arg;
 	while (fl_sleep(0.02) == 0) {
-		bool out = world_troubled(STATE_OUT, -1) != NULL;
+		bool out = sim_troubled(STATE_OUT, -1) != NULL;
 
 		for (int i = st.n_holds - 1; i >= 0; i--) {
 			if (was_out && !out)
@@ -151,7 +151,7 @@
 		in = fl_json_parse(req->body, req->body_len);
 		fl_json_amount(in, "TtlMs", &ttl);
 		cJSON_Delete(in);
-		world_must(ttl >= 100 && ttl <= 600000 && st.n_holds < HOLDS);
+		sim_must(ttl >= 100 && ttl <= 600000 && st.n_holds < HOLDS);
 		st.hold[st.n_holds++] =
 			(struct hold){++st.grants, ttl / 1000, fl_now() + ttl / 1000};
 		o = cJSON_CreateObject();
@@ -211,7 +211,7 @@
 	/* Small pages, so that paging is really used. */
 	int n = 0, limit = atoi(param(query, "Page=", page, sizeof(page))) > 7 ? 7 : 3;
 
-	world_must(all);
+	sim_must(all);
 	param(query, "Prefix=", prefix, sizeof(prefix));
 	param(query, "From=", from, sizeof(from));
 	HASH_ITER (hh, st.keys, k, tmp)
@@ -243,9 +243,9 @@
 	say(resp, 200, o);
 }
 
-static bool refuses(struct world_end from)
+static bool refuses(struct sim_end from)
 {
-	return world_troubled(STATE_OUT, -1) || world_troubled(STATE_REFUSES, from.at);
+	return sim_troubled(STATE_OUT, -1) || sim_troubled(STATE_REFUSES, from.at);
 }
 
 /* The first change after `from` that matters; -1: none. */
@@ -260,7 +260,7 @@
 }
 
 /* Open watches stay open in an outage, and while one node is refused. */
-static void follow(struct world_end who, const char *query, struct fl_response *resp)
+static void follow(struct sim_end who, const char *query, struct fl_response *resp)
 {
 	char prefix[KEY], word[32];
 	uint64_t from = strtoull(param(query, "From=", word, sizeof(word)), NULL, 10);
@@ -383,23 +383,23 @@
 /* 0, or -1 if the caller is to hear nothing. */
 static int delay(bool write, bool *lost, double *after)
 {
-	const struct world_trouble *slow = world_troubled(STATE_SLOW, -1);
-	const struct world_trouble *late = world_troubled(LATE_WRITES, -1);
-	double s = world_chance(0.01) ? world_between(0.1, 0.4) : 0.002;
+	const struct sim_trouble *slow = sim_troubled(STATE_SLOW, -1);
+	const struct sim_trouble *late = sim_troubled(LATE_WRITES, -1);
+	double s = sim_chance(0.01) ? sim_between(0.1, 0.4) : 0.002;
 
 	/* Slow before it is carried out, or after: then a caller may give up on what was done. */
-	if (slow && world_chance(0.5))
-		s = world_between(0, slow->much);
+	if (slow && sim_chance(0.5))
+		s = sim_between(0, slow->much);
 	else if (slow)
-		*after = world_between(0, slow->much);
-	if (write && late && world_chance(late->much)) {
+		*after = sim_between(0, slow->much);
+	if (write && late && sim_chance(late->much)) {
 		*lost = true;
-		s = world_between(2, 12);
+		s = sim_between(2, 12);
 	}
 	return fl_sleep(s);
 }
 
-static void carry_out(struct world_end from, const struct fl_request *req, const cJSON *o,
+static void carry_out(struct sim_end from, const struct fl_request *req, const cJSON *o,
                       struct fl_response *resp)
 {
 	bool lost = false;
@@ -408,7 +408,7 @@
 	if (delay(strcmp(req->path, "/multi") == 0, &lost, &after) != 0)
 		return;
 	/* What is on its way when the service goes down is carried out when it is back. */
-	while (lost && world_troubled(STATE_OUT, -1))
+	while (lost && sim_troubled(STATE_OUT, -1))
 		if (fl_sleep(0.3) != 0)
 			return;
 	if (!lost && refuses(from)) {
@@ -424,13 +424,12 @@
 	else
 		get(req->path + strlen("/keys/"), resp);
 	if (lost)
-		resp->status = WORLD_SILENCE;
+		resp->status = SIM_SILENCE;
 	else if (after > 0)
 		fl_sleep(after);
 }
 
-void world_state_serve(struct world_end from, const struct fl_request *req,
-                       struct fl_response *resp)
+void sim_state_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp)
 {
 	cJSON *o;
 
@@ -448,7 +447,7 @@
 	cJSON_Delete(o);
 }
 
-int world_leader(void)
+int sim_leader(void)
 {
 	struct key *k = find("c/lead");
 	cJSON *v = k ? fl_json_parse(k->value, strlen(k->value)) : NULL;
@@ -456,22 +455,22 @@
 	int at = -1;
 
 	if (fl_json_str(v, "node", name, sizeof(name)) == FL_FIELD_OK)
-		for (int i = 0; i < world.n_nodes; i++)
-			if (strcmp(world.config[i].node, name) == 0)
+		for (int i = 0; i < sim.n_nodes; i++)
+			if (strcmp(sim.config[i].node, name) == 0)
 				at = i;
 	cJSON_Delete(v);
 	return at;
 }
 
-void world_state_begin(void)
+void sim_state_begin(void)
 {
 	st.calls = rps;
 	st.writes = write_rps;
 	st.counted = fl_now();
-	world_spawn(0, hold_duty, NULL);
+	sim_spawn(0, hold_duty, NULL);
 }
 
-void world_state_end(void)
+void sim_state_end(void)
 {
 	struct key *k, *tmp;
 
--- a/tests/world_time.c
+++ b/tests/sim_time.c
@@ -1,5 +1,5 @@
 /* Virtual time: the clocks, and the routines that the controllers' code runs in. */
-#include "world.h"
+#include "sim.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -38,7 +38,7 @@
 	struct fl_routine *next_ready, *prev, *next;
 	struct fl_routine *sig_prev, *sig_next;
 	struct fl_signal *sig;
-	struct world_timer timer;
+	struct sim_timer timer;
 	void *fake_stack;
 	int result;
 	bool parked, ready, cancelled, finished, urgent;
@@ -51,7 +51,7 @@
 static struct {
 	double now;
 	uint64_t seq;
-	struct world_timer **heap; /* from 1 */
+	struct sim_timer **heap; /* from 1 */
 	int n, cap;
 	struct fl_routine *all, *current;
 	struct queue ready, urgent;
@@ -64,7 +64,7 @@
 	size_t main_size;
 } rt;
 
-void world_must(bool holds)
+void sim_must(bool holds)
 {
 	if (!holds)
 		abort();
@@ -81,12 +81,12 @@
 
 /* ---- timers ---- */
 
-static bool before(const struct world_timer *a, const struct world_timer *b)
+static bool before(const struct sim_timer *a, const struct sim_timer *b)
 {
 	return a->when < b->when || (a->when == b->when && a->seq < b->seq);
 }
 
-static void heap_set(int at, struct world_timer *t)
+static void heap_set(int at, struct sim_timer *t)
 {
 	rt.heap[at] = t;
 	t->at = at;
@@ -94,7 +94,7 @@
 
 static void heap_up(int at)
 {
-	struct world_timer *t = rt.heap[at];
+	struct sim_timer *t = rt.heap[at];
 
 	for (; at > 1 && before(t, rt.heap[at / 2]); at /= 2)
 		heap_set(at, rt.heap[at / 2]);
@@ -103,7 +103,7 @@
 
 static void heap_down(int at)
 {
-	struct world_timer *t = rt.heap[at];
+	struct sim_timer *t = rt.heap[at];
 
 	for (;;) {
 		int child = 2 * at;
@@ -120,13 +120,13 @@
 	heap_set(at, t);
 }
 
-void world_timer_arm(struct world_timer *t, double seconds)
+void sim_timer_arm(struct sim_timer *t, double seconds)
 {
-	world_must(t->at == 0);
+	sim_must(t->at == 0);
 	if (rt.n + 1 >= rt.cap) {
 		rt.cap = rt.cap ? 2 * rt.cap : 256;
 		rt.heap = realloc(rt.heap, (size_t)rt.cap * sizeof(*rt.heap));
-		world_must(rt.heap != NULL);
+		sim_must(rt.heap != NULL);
 	}
 	/* No span is shorter than this: a remainder lost in rounding would be slept for ever. */
 	if (seconds > 0 && seconds < tick)
@@ -138,10 +138,10 @@
 	heap_up(rt.n);
 }
 
-static void disarm(struct world_timer *t)
+static void disarm(struct sim_timer *t)
 {
 	int at = t->at;
-	struct world_timer *last;
+	struct sim_timer *last;
 
 	if (!at)
 		return;
@@ -229,7 +229,7 @@
 		return rt.spare[--rt.spares];
 	p = mmap(NULL, STACK, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE,
 	         -1, 0);
-	world_must(p != MAP_FAILED);
+	sim_must(p != MAP_FAILED);
 	return p;
 }
 
@@ -288,11 +288,11 @@
 
 static bool dying(int process) { return process && process == rt.dying; }
 
-struct fl_routine *world_spawn(int process, void (*fn)(void *), void *arg)
+struct fl_routine *sim_spawn(int process, void (*fn)(void *), void *arg)
 {
 	struct fl_routine *r = calloc(1, sizeof(*r));
 
-	world_must(r != NULL);
+	sim_must(r != NULL);
 	r->stack = stack_get();
 	r->fn = fn;
 	r->arg = arg;
@@ -310,9 +310,9 @@
 	return r;
 }
 
-int world_process(void) { return rt.current ? rt.current->process : 0; }
+int sim_process(void) { return rt.current ? rt.current->process : 0; }
 
-void world_process_cancel(int process)
+void sim_process_cancel(int process)
 {
 	rt.dying = process;
 	for (struct fl_routine *r = rt.all; r; r = r->next)
@@ -320,7 +320,7 @@
 			fl_cancel(r);
 }
 
-int world_process_routines(int process)
+int sim_process_routines(int process)
 {
 	int n = 0;
 
@@ -329,12 +329,12 @@
 	return n;
 }
 
-void world_time_begin(void) { rt.now = steady_begin; }
+void sim_time_begin(void) { rt.now = steady_begin; }
 
-void world_time_run(double until)
+void sim_time_run(double until)
 {
 	for (;;) {
-		struct world_timer *t;
+		struct sim_timer *t;
 
 		drain();
 		if (rt.n == 0 || rt.heap[1]->when > until)
@@ -347,14 +347,14 @@
 	rt.now = until;
 }
 
-void world_time_end(void (*drop)(struct world_timer *t))
+void sim_time_end(void (*drop)(struct sim_timer *t))
 {
 	while (rt.all || rt.n > 0) {
 		for (struct fl_routine *r = rt.all; r; r = r->next)
 			fl_cancel(r);
 		drain();
 		while (rt.n > 0) {
-			struct world_timer *t = rt.heap[1];
+			struct sim_timer *t = rt.heap[1];
 
 			disarm(t);
 			drop(t);
@@ -370,7 +370,7 @@
 
 struct fl_routine *fl_spawn(void (*fn)(void *), void *arg)
 {
-	return world_spawn(world_process(), fn, arg);
+	return sim_spawn(sim_process(), fn, arg);
 }
 
 void fl_cancel(struct fl_routine *r)
@@ -394,7 +394,7 @@
 
 	if (r->cancelled)
 		return -ECANCELED;
-	world_timer_arm(&r->timer, seconds);
+	sim_timer_arm(&r->timer, seconds);
 	rc = park();
 	return rc == -ETIMEDOUT ? 0 : rc;
 }
@@ -412,7 +412,7 @@
 		sig->first->sig_prev = r;
 	sig->first = r;
 	if (timeout_s >= 0)
-		world_timer_arm(&r->timer, timeout_s);
+		sim_timer_arm(&r->timer, timeout_s);
 	return park();
 }
 
--- a/tests/world_workers.c
+++ b/tests/sim_workers.c
@@ -1,5 +1,5 @@
 /* Machines: reports, leases, commands, and tasks that run, save, end, hang and go on. */
-#include "world.h"
+#include "sim.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -19,9 +19,9 @@
 	double notice_s;   /* s of a spot machine's notice */
 } rule = {4.0, 1.0, 0.5, 0.05, 20.0};
 
-static int index_of(const struct world_machine *m) { return (int)(m - world.machine); }
+static int index_of(const struct sim_machine *m) { return (int)(m - sim.machine); }
 
-static void change(struct world_machine *m)
+static void change(struct sim_machine *m)
 {
 	m->changed = true;
 	fl_signal_wake(&m->work);
@@ -29,14 +29,14 @@
 
 /* ---- tasks ---- */
 
-static void leave(struct world_task *t)
+static void leave(struct sim_task *t)
 {
 	if (t->counted)
-		world_check_left(t->job, t->part.index);
+		sim_check_left(t->job, t->part.index);
 	t->counted = false;
 }
 
-static void end_task(struct world_machine *m, struct world_task *t, enum fl_exit why)
+static void end_task(struct sim_machine *m, struct sim_task *t, enum fl_exit why)
 {
 	leave(t);
 	t->part.state = FL_ENDED;
@@ -44,12 +44,12 @@
 	change(m);
 }
 
-static double done_so_far(const struct world_task *t)
+static double done_so_far(const struct sim_task *t)
 {
 	return t->job->progress[t->part.index] + fl_now() - t->began;
 }
 
-static void keep_progress(struct world_task *t, bool saved)
+static void keep_progress(struct sim_task *t, bool saved)
 {
 	double every = t->job->run.snapshot_every_s, done = done_so_far(t);
 
@@ -59,15 +59,15 @@
 		t->job->progress[t->part.index] = (double)(int)(done / every) * every;
 }
 
-static void begin(struct world_machine *m, struct world_task *t)
+static void begin(struct sim_machine *m, struct sim_task *t)
 {
-	struct world_job *job = t->job;
+	struct sim_job *job = t->job;
 	uint32_t i = t->part.index;
 
 	t->part.state = FL_EXECUTING;
 	t->began = fl_now();
 	t->counted = true;
-	world_check_started(job, i, index_of(m));
+	sim_check_started(job, i, index_of(m));
 	t->until = job->run.kind == FL_STANDING ? -1 : fl_now() + job->real_s[i] - job->progress[i];
 	if (job->completed[i])
 		end_task(m, t, FL_EXIT_DONE);
@@ -75,7 +75,7 @@
 		change(m);
 }
 
-static bool has_bundle(const struct world_machine *m, const char *bundle)
+static bool has_bundle(const struct sim_machine *m, const char *bundle)
 {
 	for (int i = 0; i < 4 && i < m->n_bundles; i++)
 		if (strcmp(m->bundles[i], bundle) == 0)
@@ -83,33 +83,33 @@
 	return false;
 }
 
-static void fetched(struct world_machine *m, struct world_task *t)
+static void fetched(struct sim_machine *m, struct sim_task *t)
 {
 	if (!has_bundle(m, t->job->run.bundle))
 		strcpy(m->bundles[m->n_bundles++ % 4], t->job->run.bundle);
 	begin(m, t);
 }
 
-static void completed(struct world_machine *m, struct world_task *t)
+static void completed(struct sim_machine *m, struct sim_task *t)
 {
-	struct world_job *job = t->job;
-	const struct world_trouble *end = world_troubled(CANCEL_AT_END, -1);
+	struct sim_job *job = t->job;
+	const struct sim_trouble *end = sim_troubled(CANCEL_AT_END, -1);
 	bool last = true;
 
 	job->completed[t->part.index] = true;
-	world.completions++;
+	sim.completions++;
 	end_task(m, t, FL_EXIT_DONE);
 	for (uint32_t i = 0; i < job->run.parts; i++)
 		last = last && job->completed[i];
 	if (last && end)
-		world_user_asks(job);
-	if (last && end && world_chance(end->much)) {
-		world_user_cancels(job);
-		world_user_repeats(job);
+		sim_user_asks(job);
+	if (last && end && sim_chance(end->much)) {
+		sim_user_cancels(job);
+		sim_user_repeats(job);
 	}
 }
 
-static void look_at(struct world_machine *m, struct world_task *t)
+static void look_at(struct sim_machine *m, struct sim_task *t)
 {
 	if (t->part.state == FL_ENDED || t->until < 0 || fl_now() < t->until)
 		return;
@@ -124,9 +124,9 @@
 }
 
 /* The lease has run out: everything goes, and a new session begins. */
-static void lapse(struct world_machine *m)
+static void lapse(struct sim_machine *m)
 {
-	if (fl_now() <= m->lease_from + world.lease_s)
+	if (fl_now() <= m->lease_from + sim.lease_s)
 		return;
 	for (int i = 0; i < m->n_tasks; i++) {
 		if (m->task[i].used)
@@ -138,22 +138,22 @@
 	change(m);
 }
 
-static void tick(struct world_machine *m)
+static void tick(struct sim_machine *m)
 {
 	lapse(m);
 	for (int i = 0; i < m->n_tasks; i++)
 		if (m->task[i].used)
 			look_at(m, &m->task[i]);
 	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at)
-		world_machine_ends(index_of(m));
+		sim_machine_ends(index_of(m));
 }
 
 static void tick_duty(void *arg)
 {
 	(void)arg;
 	while (fl_sleep(rule.tick_s) == 0)
-		for (int i = 0; i < world.n_machines; i++) {
-			struct world_machine *m = &world.machine[i];
+		for (int i = 0; i < sim.n_machines; i++) {
+			struct sim_machine *m = &sim.machine[i];
 
 			if (m->up && !m->gone && !m->hung)
 				tick(m);
@@ -162,10 +162,10 @@
 
 /* ---- orders ---- */
 
-static struct world_task *find(struct world_machine *m, const struct fl_part *p, bool attempt)
+static struct sim_task *find(struct sim_machine *m, const struct fl_part *p, bool attempt)
 {
 	for (int i = 0; i < m->n_tasks; i++) {
-		struct world_task *t = &m->task[i];
+		struct sim_task *t = &m->task[i];
 
 		if (t->used && t->part.index == p->index && strcmp(t->part.ref, p->ref) == 0 &&
 		    (attempt ? t->part.attempt == p->attempt : t->part.state != FL_ENDED))
@@ -174,13 +174,13 @@
 	return NULL;
 }
 
-static bool has_room(const struct world_machine *m, const struct world_job *job)
+static bool has_room(const struct sim_machine *m, const struct sim_job *job)
 {
-	const struct world_host_kind *k = &world_kinds[m->kind];
+	const struct sim_host_kind *k = &sim_kinds[m->kind];
 	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
 
 	for (int i = 0; i < m->n_tasks; i++) {
-		const struct world_task *t = &m->task[i];
+		const struct sim_task *t = &m->task[i];
 
 		if (!t->used || t->part.state == FL_ENDED)
 			continue;
@@ -191,24 +191,24 @@
 	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
 }
 
-static struct world_task *new_task(struct world_machine *m, const struct fl_part *p)
+static struct sim_task *new_task(struct sim_machine *m, const struct fl_part *p)
 {
-	for (int i = 0; i < WORLD_TASKS; i++) {
+	for (int i = 0; i < SIM_TASKS; i++) {
 		if (m->task[i].used)
 			continue;
 		if (i >= m->n_tasks)
 			m->n_tasks = i + 1;
-		m->task[i] = (struct world_task){.used = true, .part = *p};
+		m->task[i] = (struct sim_task){.used = true, .part = *p};
 		return &m->task[i];
 	}
 	abort();
 }
 
-static void launch(struct world_machine *m, const struct fl_part *p)
+static void launch(struct sim_machine *m, const struct fl_part *p)
 {
-	struct world_job *job = world_job_find(p->ref);
+	struct sim_job *job = sim_job_find(p->ref);
 	enum fl_exit refusal = FL_EXIT_OTHER;
-	struct world_task *t;
+	struct sim_task *t;
 
 	if (find(m, p, true))
 		return;
@@ -225,14 +225,13 @@
 		return;
 	}
 	t->part.state = FL_PULLING;
-	t->until =
-		fl_now() +
-		(has_bundle(m, job->run.bundle) ? 0 : job->run.image_gb * world_between(0.8, 1.3));
+	t->until = fl_now() +
+	           (has_bundle(m, job->run.bundle) ? 0 : job->run.image_gb * sim_between(0.8, 1.3));
 	change(m);
 	look_at(m, t);
 }
 
-static void stop(struct world_machine *m, struct world_task *t, double wind_down_s)
+static void stop(struct sim_machine *m, struct sim_task *t, double wind_down_s)
 {
 	const struct fl_run *run = &t->job->run;
 
@@ -254,13 +253,13 @@
 	end_task(m, t, FL_EXIT_STOPPED);
 }
 
-static void order(struct world_machine *m, const cJSON *e)
+static void order(struct sim_machine *m, const cJSON *e)
 {
 	struct fl_part p = {0};
 	char verb[16] = "", name[64] = "";
 	uint64_t attempt = 0;
 	double wind_down_s = 0;
-	struct world_task *t;
+	struct sim_task *t;
 	char *slash;
 
 	fl_json_str(e, "Verb", verb, sizeof(verb));
@@ -268,7 +267,7 @@
 	fl_json_count(e, "Try", &attempt);
 	fl_json_amount(e, "WindDownS", &wind_down_s);
 	slash = strchr(name, '/');
-	world_must(slash);
+	sim_must(slash);
 	*slash = 0;
 	snprintf(p.ref, sizeof(p.ref), "%.*s", (int)sizeof(p.ref) - 1, name);
 	p.index = (uint32_t)strtoul(slash + 1, NULL, 10);
@@ -282,18 +281,18 @@
 		t->used = false;
 }
 
-static void see_epoch(struct world_machine *m, uint64_t epoch)
+static void see_epoch(struct sim_machine *m, uint64_t epoch)
 {
 	if (epoch <= m->epoch)
 		return;
 	m->epoch = epoch;
-	if (fl_now() < m->epoch_told + world.lease_s / 2)
+	if (fl_now() < m->epoch_told + sim.lease_s / 2)
 		return;
 	m->epoch_told = fl_now();
 	change(m);
 }
 
-static void orders(struct world_machine *m, const cJSON *o)
+static void orders(struct sim_machine *m, const cJSON *o)
 {
 	const cJSON *e;
 
@@ -303,9 +302,9 @@
 
 /* ---- reports ---- */
 
-static char *report_text(struct world_machine *m)
+static char *report_text(struct sim_machine *m)
 {
-	struct fl_part parts[WORLD_TASKS];
+	struct fl_part parts[SIM_TASKS];
 	struct fl_report r = {.tenure = m->tenure,
 	                      .serial = ++m->serial,
 	                      .epoch = m->epoch,
@@ -314,9 +313,9 @@
 	                      .parts = parts};
 
 	strcpy(r.host, m->name);
-	world_address((struct world_end){END_WORKER, index_of(m)}, r.endpoint);
-	strcpy(r.kind, world_kinds[m->kind].name);
-	strcpy(r.site, world.config[0].zones[m->zone]);
+	sim_address((struct sim_end){END_WORKER, index_of(m)}, r.endpoint);
+	strcpy(r.kind, sim_kinds[m->kind].name);
+	strcpy(r.site, sim.config[0].zones[m->zone]);
 	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at - rule.notice_s)
 		r.reclaim_in_s = m->reclaim_at > fl_now() ? m->reclaim_at - fl_now() : 0;
 	for (int i = 0; i < m->n_tasks; i++)
@@ -336,29 +335,28 @@
 	struct fl_reply reply;
 
 	/* From 2 s to well over a lease later, in any order, and nobody reads the answer. */
-	if (fl_sleep(world_between(2, 2.5 * world.lease_s)) == 0 &&
-	    world_call((struct world_end){END_WORKER, c->machine},
-	               (struct world_end){END_NODE, c->node}, "POST", "/hello", c->text, 4,
-	               &reply) == 0)
+	if (fl_sleep(sim_between(2, 2.5 * sim.lease_s)) == 0 &&
+	    sim_call((struct sim_end){END_WORKER, c->machine}, (struct sim_end){END_NODE, c->node},
+	             "POST", "/hello", c->text, 4, &reply) == 0)
 		fl_buf_free(&reply.body);
 	free(c->text);
 	free(c);
 }
 
-static void copy_later(const struct world_machine *m, const char *text)
+static void copy_later(const struct sim_machine *m, const char *text)
 {
-	const struct world_trouble *late = world_troubled(LATE_REPORTS, -1);
+	const struct sim_trouble *late = sim_troubled(LATE_REPORTS, -1);
 	struct copy *c;
 
-	if (!late || !world_chance(late->much))
+	if (!late || !sim_chance(late->much))
 		return;
 	c = malloc(sizeof(*c));
-	world_must(c != NULL);
-	*c = (struct copy){strdup(text), index_of(m), world_pick(world.n_nodes)};
-	world_spawn(0, copy_routine, c);
+	sim_must(c != NULL);
+	*c = (struct copy){strdup(text), index_of(m), sim_pick(sim.n_nodes)};
+	sim_spawn(0, copy_routine, c);
 }
 
-static void heed(struct world_machine *m, double sent, uint64_t tenure, const cJSON *o)
+static void heed(struct sim_machine *m, double sent, uint64_t tenure, const cJSON *o)
 {
 	uint64_t epoch = 0;
 
@@ -371,7 +369,7 @@
 }
 
 /* Where to next, and in how many seconds. */
-static double move_on(struct world_machine *m, const struct fl_reply *reply, int rc)
+static double move_on(struct sim_machine *m, const struct fl_reply *reply, int rc)
 {
 	cJSON *o = rc == 0 && reply->status == 421
 	                   ? fl_json_parse(reply->body.data, reply->body.len)
@@ -381,19 +379,19 @@
 
 	fl_json_str(o, "Steward", name, sizeof(name));
 	cJSON_Delete(o);
-	for (int i = 0; i < world.n_nodes; i++)
-		if (strcmp(world.config[i].node, name) == 0)
+	for (int i = 0; i < sim.n_nodes; i++)
+		if (strcmp(sim.config[i].node, name) == 0)
 			to = i;
 	if (to >= 0 && to != m->node) {
 		m->node = to;
-		return world_chance(0.5) ? 0 : world_between(0, 0.5);
+		return sim_chance(0.5) ? 0 : sim_between(0, 0.5);
 	}
-	m->node = (m->node + 1) % world.n_nodes;
+	m->node = (m->node + 1) % sim.n_nodes;
 	return rule.next_s;
 }
 
 /* Standing still: what comes meanwhile waits. False if the machine has ended. */
-static bool goes_on(struct world_machine *m)
+static bool goes_on(struct sim_machine *m)
 {
 	while (m->hung && !m->gone)
 		if (fl_signal_wait(&m->goes_on, -1) == -ECANCELED)
@@ -402,7 +400,7 @@
 }
 
 /* s until the next report may be due; < 0: as usual. */
-static double report(struct world_machine *m)
+static double report(struct sim_machine *m)
 {
 	double sent = fl_now(), pause = -1;
 	uint64_t tenure = m->tenure;
@@ -411,13 +409,13 @@
 	int rc;
 
 	if (strlen(text) > BODY_MOST)
-		world_broken("too_large", "%s has to report %d tasks", m->name, m->n_tasks);
+		sim_broken("too_large", "%s has to report %d tasks", m->name, m->n_tasks);
 	m->last_sent = sent;
 	m->changed = false;
 	copy_later(m, text);
-	rc = world_call((struct world_end){END_WORKER, index_of(m)},
-	                (struct world_end){END_NODE, m->node}, "POST", "/hello", text,
-	                rule.patience_s, &reply);
+	rc = sim_call((struct sim_end){END_WORKER, index_of(m)},
+	              (struct sim_end){END_NODE, m->node}, "POST", "/hello", text, rule.patience_s,
+	              &reply);
 	free(text);
 	if (goes_on(m)) {
 		if (rc == 0 && fl_now() > sent + rule.patience_s) {
@@ -439,7 +437,7 @@
 	return pause;
 }
 
-static double due_in(const struct world_machine *m, double due)
+static double due_in(const struct sim_machine *m, double due)
 {
 	double soonest = m->last_sent + rule.gap_s;
 
@@ -450,7 +448,7 @@
 
 static void worker(void *arg)
 {
-	struct world_machine *m = arg;
+	struct sim_machine *m = arg;
 	double due, wait, pause;
 
 	if (m->never_up || fl_sleep(m->ready - fl_now()) != 0 || m->gone)
@@ -458,7 +456,7 @@
 	m->up = true;
 	m->tenure = 1;
 	m->lease_from = fl_now();
-	m->node = world_pick(world.n_nodes);
+	m->node = sim_pick(sim.n_nodes);
 	m->last_sent = -1;
 	due = fl_now();
 	while (!m->gone) {
@@ -471,29 +469,28 @@
 		pause = report(m);
 		if (pause > 0 && fl_sleep(pause) != 0)
 			return;
-		due = pause >= 0 ? fl_now()
-		                 : m->last_sent + world.report_s * world_between(0.75, 1.25);
+		due = pause >= 0 ? fl_now() : m->last_sent + sim.report_s * sim_between(0.75, 1.25);
 	}
 }
 
 /* ---- direct commands ---- */
 
-static void say_report(struct world_machine *m, struct fl_response *resp, int status)
+static void say_report(struct sim_machine *m, struct fl_response *resp, int status)
 {
 	resp->status = status;
 	resp->body = report_text(m);
 }
 
-void world_worker_serve(struct world_end from, int process, int machine,
-                        const struct fl_request *req, struct fl_response *resp)
+void sim_worker_serve(struct sim_end from, int process, int machine, const struct fl_request *req,
+                      struct fl_response *resp)
 {
-	struct world_machine *m = &world.machine[machine];
+	struct sim_machine *m = &sim.machine[machine];
 	uint64_t epoch = 0, tenure = 0;
 	cJSON *o;
 
 	(void)from;
 	if (!goes_on(m)) {
-		resp->status = WORLD_SILENCE;
+		resp->status = SIM_SILENCE;
 		return;
 	}
 	lapse(m);
@@ -506,10 +503,10 @@
 	    fl_json_count(o, "Tenure", &tenure) != FL_FIELD_OK) {
 		resp->status = 400;
 	} else if (epoch < m->epoch || tenure != m->tenure) {
-		world_check_epoch(epoch, process);
+		sim_check_epoch(epoch, process);
 		say_report(m, resp, 409);
 	} else {
-		world_check_epoch(epoch, process);
+		sim_check_epoch(epoch, process);
 		see_epoch(m, epoch);
 		orders(m, o);
 		say_report(m, resp, 200);
@@ -519,11 +516,11 @@
 
 /* ---- their comings and goings ---- */
 
-void world_worker_boot(int machine) { world_spawn(0, worker, &world.machine[machine]); }
+void sim_worker_boot(int machine) { sim_spawn(0, worker, &sim.machine[machine]); }
 
-void world_machine_ends(int machine)
+void sim_machine_ends(int machine)
 {
-	struct world_machine *m = &world.machine[machine];
+	struct sim_machine *m = &sim.machine[machine];
 
 	if (m->gone)
 		return;
@@ -538,9 +535,9 @@
 	fl_signal_wake(&m->goes_on);
 }
 
-void world_machine_hangs(int machine, bool hangs)
+void sim_machine_hangs(int machine, bool hangs)
 {
-	struct world_machine *m = &world.machine[machine];
+	struct sim_machine *m = &sim.machine[machine];
 
 	if (m->hung == hangs || m->gone)
 		return;
@@ -550,7 +547,7 @@
 		return;
 	}
 	for (int i = 0; i < m->n_tasks; i++) {
-		struct world_task *t = &m->task[i];
+		struct sim_task *t = &m->task[i];
 
 		if (!t->used)
 			continue;
@@ -562,4 +559,4 @@
 	fl_signal_wake(&m->goes_on);
 }
 
-void world_workers_begin(void) { world_spawn(0, tick_duty, NULL); }
+void sim_workers_begin(void) { sim_spawn(0, tick_duty, NULL); }
--- a/tests/test_hearing.c
+++ b/tests/test_reachability.c
@@ -15,11 +15,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 #include "coordination/node.h"
 #include "coordination/reconcile.h"
-#include "coordination/record.h"
-#include "coordination/silence.h"
+#include "coordination/record_writer.h"
+#include "coordination/failure_detector.h"
 #include "transport/clock.h"
 
 enum { EPOCH = 7 };
@@ -35,9 +35,9 @@
 {
 	struct fl_node *n = &f->node;
 
-	fl_books_forget_tasks(&n->books);
+	fl_cluster_forget_tasks(&n->cluster);
 	memset(&n->lead, 0, sizeof(n->lead));
-	n->books.leading = n->lead.active = true;
+	n->cluster.leading = n->lead.active = true;
 	n->lease.held = true;
 	n->lease.valid_until = fl_now() + 1e6;
 	n->lease.epoch = n->lead.first_epoch = n->epoch = epoch;
@@ -56,10 +56,10 @@
 	                     .n_host_kinds = -1,
 	                     .due_s = -1};
 	struct fixture *f = calloc(1, sizeof(*f));
-	struct fl_books *b;
+	struct fl_cluster *b;
 
 	assert_non_null(f);
-	b = &f->node.books;
+	b = &f->node.cluster;
 	f->node.config = &f->config;
 	f->config.lease_s = 10;
 	f->config.report_s = 2;
@@ -87,18 +87,18 @@
 	struct fixture *f = *state;
 	struct fl_kept *k, *tmp;
 
-	HASH_ITER (hh, f->node.keeper.kept, k, tmp) {
-		HASH_DEL(f->node.keeper.kept, k);
+	HASH_ITER (hh, f->node.standby.kept, k, tmp) {
+		HASH_DEL(f->node.standby.kept, k);
 		free(k->text);
 		free(k);
 	}
-	while (f->node.keeper.guests) {
-		struct fl_guest *g = f->node.keeper.guests;
+	while (f->node.standby.guests) {
+		struct fl_guest *g = f->node.standby.guests;
 
-		HASH_DEL(f->node.keeper.guests, g);
+		HASH_DEL(f->node.standby.guests, g);
 		free(g);
 	}
-	fl_books_free(&f->node.books);
+	fl_cluster_free(&f->node.cluster);
 	free(f);
 	return 0;
 }
@@ -135,7 +135,7 @@
 
 static struct fl_machine *machine(struct fixture *f)
 {
-	return fl_machine_find(&f->node.books.machines, "m-000001");
+	return fl_machine_find(&f->node.cluster.machines, "m-000001");
 }
 
 /* The machine has waited: its last answer was given so long ago. */
@@ -143,7 +143,7 @@
 
 static struct fl_task *place(struct fixture *f, uint32_t index)
 {
-	assert_int_equal(fl_task_place(&f->node.books, f->job, index, machine(f),
+	assert_int_equal(fl_task_place(&f->node.cluster, f->job, index, machine(f),
 	                               f->node.lease.epoch, fl_now()),
 	                 0);
 	fl_job_chunk(f->job, 0)->saved_gen = fl_job_chunk(f->job, 0)->gen;
@@ -172,9 +172,9 @@
 		launches += hear(f, report(1, serial, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
 	assert_int_equal(launches, 3);
-	assert_true(fl_hearing_doubted(machine(f)));
+	assert_true(fl_reachability_doubted(machine(f)));
 	/* Silence counts from the first unheard answer, though it reported a moment ago. */
-	assert_true(fl_hearing_lost_at(machine(f)) < fl_now() - 4);
+	assert_true(fl_reachability_lost_at(machine(f)) < fl_now() - 4);
 	/* Its attempt may have been launched all the same: only a proof frees it. */
 	assert_int_equal(t->phase, FL_TASK_PLACED);
 	assert_int_equal(f->job->n_waiting, 3);
@@ -182,7 +182,7 @@
 	assert_int_equal(hear(f, report(2, 5, EPOCH, NULL, 0), FL_WAY_REPORT), 0);
 	assert_int_equal(t->phase, FL_TASK_WAITING);
 	assert_int_equal(f->job->n_waiting, 4);
-	assert_true(fl_hearing_doubted(machine(f)));
+	assert_true(fl_reachability_doubted(machine(f)));
 	/* Gone for good: its work is free once, and a later report changes nothing. */
 	fl_reconcile_gone(&f->node, machine(f), "returned");
 	assert_int_equal(hear(f, report(2, 6, EPOCH, NULL, 0), FL_WAY_REPORT), -ENOENT);
@@ -195,19 +195,19 @@
 	struct fixture *f = *state;
 
 	assert_int_equal(hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT), 0);
-	assert_false(fl_hearing_doubted(machine(f)));
+	assert_false(fl_reachability_doubted(machine(f)));
 	/* A worker that had its answer reports within seconds; this one waited it out. */
 	ago(f, 5);
 	hear(f, report(1, 2, EPOCH, NULL, 0), FL_WAY_REPORT);
-	assert_true(fl_hearing_doubted(machine(f)));
+	assert_true(fl_reachability_doubted(machine(f)));
 	for (uint64_t tenure = 2; tenure < 4; tenure++) {
 		ago(f, 5);
 		hear(f, report(tenure, 10 * tenure, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
-	assert_true(fl_hearing_lost_at(machine(f)) < INFINITY);
+	assert_true(fl_reachability_lost_at(machine(f)) < INFINITY);
 	/* Once it answers a command itself, all is well again. */
 	hear(f, report(3, 31, EPOCH, NULL, 0), FL_WAY_COMMAND);
-	assert_true(fl_hearing_lost_at(machine(f)) == INFINITY);
+	assert_true(fl_reachability_lost_at(machine(f)) == INFINITY);
 }
 
 /* However prompt its reports: a launch, or a higher epoch, that shows no effect twice is enough. */
@@ -221,9 +221,9 @@
 		ago(f, 1);
 		hear(f, report(1, serial, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
-	assert_true(fl_hearing_doubted(machine(f)));
+	assert_true(fl_reachability_doubted(machine(f)));
 	hear(f, report(1, 5, EPOCH, NULL, 0), FL_WAY_COMMAND);
-	assert_false(fl_hearing_doubted(machine(f)));
+	assert_false(fl_reachability_doubted(machine(f)));
 	fl_task_peek(f->job, 0)->told = false;
 	f->node.lease.epoch++;
 	for (uint64_t serial = 6; serial < 9; serial++) {
@@ -231,10 +231,10 @@
 		fl_task_peek(f->job, 0)->stop = FL_STOP_PREEMPT;
 		hear(f, report(1, serial, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
-	assert_true(fl_hearing_doubted(machine(f)));
+	assert_true(fl_reachability_doubted(machine(f)));
 	ago(f, 1);
 	hear(f, report(1, 9, EPOCH + 1, NULL, 0), FL_WAY_REPORT);
-	assert_false(fl_hearing_doubted(machine(f)));
+	assert_false(fl_reachability_doubted(machine(f)));
 }
 
 static void one_lost_answer_is_no_deafness(void **state)
@@ -248,7 +248,7 @@
 	assert_int_equal(hear(f, report(1, 2, EPOCH, NULL, 0), FL_WAY_REPORT), 1);
 	ago(f, 1);
 	assert_int_equal(hear(f, report(1, 3, EPOCH, NULL, 0), FL_WAY_REPORT), 1);
-	assert_false(fl_hearing_doubted(machine(f)));
+	assert_false(fl_reachability_doubted(machine(f)));
 	ago(f, 1);
 	hear(f, report(1, 4, EPOCH, &p, 1), FL_WAY_REPORT);
 	assert_int_equal(machine(f)->unheard, 0);
@@ -256,10 +256,10 @@
 	/* A longer pause, as after an outage, is over with the next prompt report. */
 	ago(f, 6);
 	hear(f, report(1, 5, EPOCH, &p, 1), FL_WAY_REPORT);
-	assert_true(fl_hearing_doubted(machine(f)));
+	assert_true(fl_reachability_doubted(machine(f)));
 	ago(f, 2);
 	hear(f, report(1, 6, EPOCH, &p, 1), FL_WAY_REPORT);
-	assert_false(fl_hearing_doubted(machine(f)));
+	assert_false(fl_reachability_doubted(machine(f)));
 }
 
 /*
@@ -277,7 +277,7 @@
 		/* To another node it comes when it has waited its answer out, or was sent. */
 		for (int i = 0; i < 3; i++) {
 			hear(f, r, FL_WAY_REPORT);
-			assert_int_equal(fl_hearing_doubted(machine(f)), r.via > 1 && i == 0);
+			assert_int_equal(fl_reachability_doubted(machine(f)), r.via > 1 && i == 0);
 			ago(f, 6);
 			r.serial++;
 		}
@@ -285,17 +285,17 @@
 	/* Even then its own answer to a command, or a launch that shows, ends the doubt. */
 	r.via = 1;
 	hear(f, r, FL_WAY_REPORT);
-	assert_true(fl_hearing_doubted(machine(f)));
+	assert_true(fl_reachability_doubted(machine(f)));
 	r.serial++;
 	hear(f, r, FL_WAY_COMMAND);
-	assert_false(fl_hearing_doubted(machine(f)));
+	assert_false(fl_reachability_doubted(machine(f)));
 	/* Where there is no other node, only a launch without effect can tell. */
 	f->node.n_peers = 0;
 	for (int i = 0; i < 3; i++) {
 		ago(f, 6);
 		r.serial++;
 		hear(f, r, FL_WAY_REPORT);
-		assert_false(fl_hearing_doubted(machine(f)));
+		assert_false(fl_reachability_doubted(machine(f)));
 	}
 }
 
@@ -312,11 +312,11 @@
 	assert_int_equal(hear(f, report(1, 50, EPOCH - 1, &p, 1), FL_WAY_HEARSAY), 0);
 	assert_null(machine(f));
 	/* One that is known from a record: the copy neither shows life nor what is absent. */
-	fl_books_describe(&f->node.books,
-	                  fl_machine_get(&f->node.books.machines, "m-000001", fl_now()), 0, 0,
-	                  false, "x");
-	assert_int_equal(fl_task_restore(&f->node.books, f->job, 1, 3, machine(f), 1, 0, fl_now()),
-	                 0);
+	fl_cluster_describe(&f->node.cluster,
+	                    fl_machine_get(&f->node.cluster.machines, "m-000001", fl_now()), 0, 0,
+	                    false, "x");
+	assert_int_equal(
+		fl_task_restore(&f->node.cluster, f->job, 1, 3, machine(f), 1, 0, fl_now()), 0);
 	t = fl_task_peek(f->job, 1);
 	t->stop = FL_STOP_PREEMPT;
 	assert_int_equal(hear(f, report(9, 50, EPOCH - 1, &p, 1), FL_WAY_REPORT), 0);
@@ -378,7 +378,7 @@
 {
 	struct fl_node *n = &f->node;
 
-	n->lease.held = n->lead.active = n->books.leading = false;
+	n->lease.held = n->lead.active = n->cluster.leading = false;
 	n->kinds_known = n->jobs_known = true;
 	strcpy(n->leader, "n1");
 	n->n_peers = peers;
@@ -426,8 +426,8 @@
 	return resp.status;
 }
 
-/* A copy that comes to a keeper late takes no newer report's place, nor makes it look fresh. */
-static void a_keeper_keeps_the_newest_report(void **state)
+/* A copy that comes to a standby late takes no newer report's place, nor makes it look fresh. */
+static void a_standby_keeps_the_newest_report(void **state)
 {
 	struct fixture *f = *state;
 	struct fl_part p = running(0, 1);
@@ -436,7 +436,7 @@
 
 	follow(f, 0);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 200);
-	k = f->node.keeper.kept;
+	k = f->node.standby.kept;
 	assert_non_null(k);
 	k->at = at = fl_now() - 9;
 	k->stored = true;
@@ -452,7 +452,7 @@
 {
 	struct fl_run run;
 
-	fl_job_describe(&f->node.books, f->job, &run);
+	fl_job_describe(&f->node.cluster, f->job, &run);
 	return fl_job_record_cancelled(&run, 1, fl_wall() - seconds);
 }
 
@@ -461,7 +461,7 @@
 {
 	cJSON *v = cancelled_record(f, seconds);
 
-	assert_null(fl_books_apply(&f->node.books, f->job->ref, v, 9));
+	assert_null(fl_cluster_apply(&f->node.cluster, f->job->ref, v, 9));
 	cJSON_Delete(v);
 }
 
@@ -480,7 +480,7 @@
 	/* One more lease still ends before the tasks must be gone. */
 	hear_of_cancel(f, keep - 2);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 200);
-	final = fl_final_find(&f->node.books, p.ref);
+	final = fl_final_find(&f->node.cluster, p.ref);
 	assert_non_null(final);
 	final->cancelled_at -= 3;
 	assert_int_equal(send_report(f, report(1, 21, EPOCH, &p, 1), NULL), 503);
@@ -499,13 +499,13 @@
 /* One exchange between two controllers, asked so long ago. */
 static void gossip(struct fixture *from, int peer, struct fixture *to, double ago_s)
 {
-	char *ask = fl_keeper_ask(&from->node);
+	char *ask = fl_standby_gossip_request(&from->node);
 	struct fl_response resp = {0};
 
-	fl_keeper_gossip(&to->node, ask, strlen(ask), &resp);
+	fl_standby_gossip(&to->node, ask, strlen(ask), &resp);
 	assert_int_equal(resp.status, 200);
-	fl_keeper_told(&from->node, &from->node.peers[peer], resp.body, strlen(resp.body),
-	               fl_now() - ago_s);
+	fl_standby_gossip_answer(&from->node, &from->node.peers[peer], resp.body, strlen(resp.body),
+	                         fl_now() - ago_s);
 	free(resp.body);
 	free(ask);
 }
@@ -568,25 +568,25 @@
 	b->node.jobs_known = true;
 	gossip(f, 1, b, 2.0); /* it stood still between the question and its sending */
 	assert_true(f->node.jobs_at <= old);
-	b->node.books.finals_lost_at = fl_now(); /* something learned is not held any more */
+	b->node.cluster.finals_lost_at = fl_now(); /* something learned is not held any more */
 	gossip(f, 1, b, 0.1);
 	assert_true(f->node.jobs_at <= old);
-	b->node.books.finals_lost_at = -1e9;
+	b->node.cluster.finals_lost_at = -1e9;
 	for (int i = 0; i <= FL_GOSSIP_CANCELLED_MAX; i++) {
 		char ref[FL_REF_MAX];
 
 		snprintf(ref, sizeof(ref), "run-%06d", 1000 + i);
-		fl_final_add(&b->node.books, ref, FL_ABORTED, 1, fl_now());
+		fl_final_add(&b->node.cluster, ref, FL_ABORTED, 1, fl_now());
 	}
 	gossip(f, 1, b, 0.1);
 	assert_true(f->node.jobs_at <= old);
-	for (struct fl_final *e = b->node.books.finals; e; e = e->hh.next)
+	for (struct fl_final *e = b->node.cluster.finals; e; e = e->hh.next)
 		e->learned_at = old - 9; /* known before what the asker knows: not told again */
 	/* The last thing that it learned, and the only one that is told. */
-	fl_final_add(&b->node.books, "run-000001", FL_ABORTED, 1, fl_now());
+	fl_final_add(&b->node.cluster, "run-000001", FL_ABORTED, 1, fl_now());
 	gossip(f, 1, b, 0.1);
 	assert_true(f->node.jobs_at > fl_now() - 1 && f->node.jobs_at < fl_now());
-	assert_int_equal(HASH_COUNT(f->node.books.finals), 1);
+	assert_int_equal(HASH_COUNT(f->node.cluster.finals), 1);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, NULL, 0), NULL), 200);
 	/* This node itself has not read since it started. */
 	f->node.jobs_at = old;
@@ -607,7 +607,7 @@
 
 	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
 	p.attempt = place(f, 0)->attempt;
-	assert_non_null(fl_books_apply(&f->node.books, f->job->ref, v, 9));
+	assert_non_null(fl_cluster_apply(&f->node.cluster, f->job->ref, v, 9));
 	cJSON_Delete(v);
 	for (int i = 0; i < 2; i++) {
 		assert_int_equal(send_report(f, report(1, 2, EPOCH, &p, 1), NULL), 200);
@@ -663,7 +663,7 @@
 	struct fl_part p = running(0, 1);
 	double keep = f->config.cancel_s - f->config.lease_s - 1;
 
-	f->node.books.leading = false;
+	f->node.cluster.leading = false;
 	hear_of_cancel(f, keep + 2);
 	lead(f, EPOCH + 1);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 503);
@@ -686,18 +686,18 @@
 	f->job->unsure = true;
 	v = cancelled_record(f, 3);
 	assert_int_equal(fl_job_record_decode(v, f->job->ref, &rec), 0);
-	fl_record_heard(&f->node, f->job, &rec, 9);
+	fl_record_writer_heard(&f->node, f->job, &rec, 9);
 	assert_true(f->job->aborted && !f->job->unsure && f->job->rev == 9);
-	/* Or while it still loads its books, and its lease may be another's already. */
+	/* Or while it still loads its cluster state, and its lease may be another's already. */
 	f->job->aborted = f->node.lead.active = false;
-	final = f->node.books.finals;
-	HASH_DEL(f->node.books.finals, final);
+	final = f->node.cluster.finals;
+	HASH_DEL(f->node.cluster.finals, final);
 	free(final);
-	assert_ptr_equal(fl_books_apply(&f->node.books, f->job->ref, v, 10), f->job);
+	assert_ptr_equal(fl_cluster_apply(&f->node.cluster, f->job->ref, v, 10), f->job);
 	cJSON_Delete(v);
 	assert_true(f->job->aborted && f->job->rev == 10);
 	assert_true(fabs(f->job->aborted_at - (fl_now() - 3)) < 1);
-	assert_non_null(fl_final_find(&f->node.books, f->job->ref));
+	assert_non_null(fl_final_find(&f->node.cluster, f->job->ref));
 }
 
 /* A new leader goes on counting: else one that leads briefly would never give a machine up. */
@@ -775,7 +775,7 @@
 /* The workers have been here for a while. */
 static void settled(struct fixture *f)
 {
-	for (struct fl_guest *g = f->node.keeper.guests; g; g = g->hh.next)
+	for (struct fl_guest *g = f->node.standby.guests; g; g = g->hh.next)
 		g->came -= f->config.report_s;
 }
 
@@ -788,7 +788,7 @@
 
 	follow(f, 4);
 	lose_all(f, 3);
-	assert_true(fl_keeper_alone(&f->node));
+	assert_true(fl_standby_alone(&f->node));
 	/* One that has come but now may have little left of its lease: it is answered first. */
 	assert_int_equal(send_report(f, r, NULL), 200);
 	strcpy(r.host, "m-000002");
@@ -805,7 +805,7 @@
 	assert_int_equal(send_report(f, r, NULL), 200);
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	lose_all(f, f->config.cancel_s - f->config.lease_s);
-	f->node.keeper.refreshed_at = fl_now();
+	f->node.standby.refreshed_at = fl_now();
 	r.serial++;
 	assert_int_equal(send_report(f, r, NULL), 503);
 }
@@ -831,7 +831,7 @@
 	assert_int_equal(send_report(f, r, NULL), 200);
 	/* An outage alone, with peers in reach, is not being alone. */
 	f->node.peers[2].up = true;
-	assert_false(fl_keeper_alone(&f->node));
+	assert_false(fl_standby_alone(&f->node));
 }
 
 /*
@@ -890,7 +890,7 @@
 		free(resp.body);
 	}
 	/* What is over is known for good, by any node. */
-	fl_final_add(&f->node.books, "run-000050", FL_DONE, 2, 0);
+	fl_final_add(&f->node.cluster, "run-000050", FL_DONE, 2, 0);
 	resp = call(f, FL_CALL_POLL, "run-000050", NULL);
 	assert_int_equal(resp.status, 200);
 	free(resp.body);
@@ -918,8 +918,8 @@
 {
 	double leases[FL_ZONES_MAX];
 
-	fl_silence_leases(&f->node, fl_now(), leases);
-	return fl_silence_lasts(&f->node, machine(f), fl_now(), leases);
+	fl_failure_detector_leases(&f->node, fl_now(), leases);
+	return fl_failure_detector_expired(&f->node, machine(f), fl_now(), leases);
 }
 
 /* Alone it is given up after a lease; with its zone's controllers, when these must stop keeping. */
@@ -968,8 +968,8 @@
 	struct fl_machine *m;
 
 	snprintf(name, sizeof(name), "m-%06d", i);
-	m = fl_machine_get(&f->node.books.machines, name, fl_now() - 100);
-	fl_books_describe(&f->node.books, m, 0, zone, spot, "x");
+	m = fl_machine_get(&f->node.cluster.machines, name, fl_now() - 100);
+	fl_cluster_describe(&f->node.cluster, m, 0, zone, spot, "x");
 	m->up = true;
 	m->heard = fl_now();
 	return m;
@@ -997,9 +997,9 @@
 	/* A wave of cheap machines says nothing of the links. */
 	silent_for(f, 11);
 	for (int i = 30; i < 33; i++)
-		fl_machine_find(&f->node.books.machines, i == 30   ? "m-000030"
-		                                         : i == 31 ? "m-000031"
-		                                                   : "m-000032")
+		fl_machine_find(&f->node.cluster.machines, i == 30   ? "m-000030"
+		                                           : i == 31 ? "m-000031"
+		                                                     : "m-000032")
 			->spot = true;
 	assert_true(given_up(f));
 }
@@ -1059,7 +1059,7 @@
 		T(a_late_copy_after_a_takeover_is_answered_and_nothing_else),
 		T(a_late_copy_within_a_leadership_changes_nothing),
 		T(a_reply_that_overtakes_an_answer_proves_no_absence),
-		T(a_keeper_keeps_the_newest_report),
+		T(a_standby_keeps_the_newest_report),
 		T(what_was_cancelled_is_not_kept_past_its_time),
 		T(what_came_up_during_a_wait_counts),
 		T(what_one_controller_knows_another_learns),
--- a/tests/test_reconcile.c
+++ b/tests/test_reconcile.c
@@ -1,7 +1,7 @@
 /*
  * Jobs, attempts and records under random interleavings: reports late or repeated, answers and
  * commands lost, late or carried out twice, leaders that end and are followed by others. A plain
- * world of workers watches that no task is ever on two machines, no team above its limit, no
+ * simulation of workers watches that no task is ever on two machines, no team above its limit, no
  * finished job run again, and that what is called done is done.
  */
 #include <setjmp.h>
@@ -38,7 +38,7 @@
 	bool command;
 };
 
-struct world {
+struct sim {
 	struct fl_node node;
 	struct fl_config config;
 	struct worker worker[W];
@@ -53,7 +53,7 @@
 	int calm; /* the larger, the rarer a new epoch: late commands stay dangerous for longer */
 };
 
-static int pick(struct world *w, int n) { return (int)gsl_rng_uniform_int(w->g, (unsigned long)n); }
+static int pick(struct sim *w, int n) { return (int)gsl_rng_uniform_int(w->g, (unsigned long)n); }
 
 static void ref_of(int job, char ref[FL_REF_MAX]) { snprintf(ref, FL_REF_MAX, "run-%06d", job); }
 
@@ -64,7 +64,7 @@
 
 /* ---- workers ---- */
 
-static char *report_text(struct world *w, int at)
+static char *report_text(struct sim *w, int at)
 {
 	struct worker *k = &w->worker[at];
 	struct fl_part parts[ON_MACHINE];
@@ -94,7 +94,7 @@
 	return n;
 }
 
-static void check_rules(struct world *w)
+static void check_rules(struct sim *w)
 {
 	for (int j = 0; j < JOBS; j++) {
 		char ref[FL_REF_MAX];
@@ -119,7 +119,7 @@
 	}
 }
 
-static void do_launch(struct world *w, struct worker *k, const struct fl_part *p)
+static void do_launch(struct sim *w, struct worker *k, const struct fl_part *p)
 {
 	int job = atoi(p->ref + 4);
 
@@ -156,7 +156,7 @@
 	return NULL;
 }
 
-static void execute(struct world *w, int at, const char *text, bool direct)
+static void execute(struct sim *w, int at, const char *text, bool direct)
 {
 	struct worker *k = &w->worker[at];
 	cJSON *o = fl_json_parse(text, strlen(text));
@@ -204,7 +204,7 @@
 
 /* ---- the leader ---- */
 
-static struct fl_job *add_job(struct world *w, int job)
+static struct fl_job *add_job(struct sim *w, int job)
 {
 	struct fl_run run = {.parts = PARTS,
 	                     .cpus = 1,
@@ -218,17 +218,17 @@
 	strcpy(run.owner, "team");
 	strcpy(run.job_class, "c");
 	strcpy(run.bundle, "i");
-	return fl_job_add(&w->node.books, &run, 0, 1);
+	return fl_job_add(&w->node.cluster, &run, 0, 1);
 }
 
-static void take_over(struct world *w)
+static void take_over(struct sim *w)
 {
 	struct fl_node *n = &w->node;
 	struct fl_log log = {0};
 
-	fl_books_forget_tasks(&n->books);
+	fl_cluster_forget_tasks(&n->cluster);
 	memset(&n->lead, 0, sizeof(n->lead));
-	n->books.leading = n->lead.active = true;
+	n->cluster.leading = n->lead.active = true;
 	n->lease.held = true;
 	n->lease.valid_until = 1e18;
 	n->lease.epoch = n->lead.first_epoch = ++w->epoch;
@@ -244,17 +244,17 @@
 		cJSON *v = w->record[j] ? fl_json_parse(w->record[j], strlen(w->record[j])) : NULL;
 
 		if (v || log.n > 0)
-			assert_int_equal(fl_chunk_restore(&n->books, job, 0, v, 1, &log, fl_now()),
-			                 0);
+			assert_int_equal(
+				fl_chunk_restore(&n->cluster, job, 0, v, 1, &log, fl_now()), 0);
 		cJSON_Delete(v);
 	}
 	fl_log_free(&log);
 	w->takeovers++;
 }
 
-static void place_some(struct world *w)
+static void place_some(struct sim *w)
 {
-	struct fl_books *b = &w->node.books;
+	struct fl_cluster *b = &w->node.cluster;
 	struct fl_job *job = HASH_COUNT(b->jobs) ? b->jobs : NULL;
 	struct fl_team *t = &b->teams.at[0];
 
@@ -272,7 +272,7 @@
 }
 
 /* All that no record holds, in one or two values. */
-static void save_log(struct world *w)
+static void save_log(struct sim *w)
 {
 	cJSON *value[2] = {fl_log_value_begin(), fl_log_value_begin()};
 	int values = 1 + pick(w, 2), n = 0;
@@ -282,8 +282,8 @@
 		struct fl_job *job;
 
 		ref_of(j, ref);
-		job = fl_job_find(&w->node.books, ref);
-		group = job ? fl_log_group_encode(&w->node.books, job, 0) : NULL;
+		job = fl_job_find(&w->node.cluster, ref);
+		group = job ? fl_log_group_encode(&w->node.cluster, job, 0) : NULL;
 		if (!group)
 			continue;
 		fl_log_value_add(value[n++ % values], group);
@@ -301,7 +301,7 @@
 	w->logs++;
 }
 
-static void save_records(struct world *w)
+static void save_records(struct sim *w)
 {
 	if (pick(w, 2)) {
 		save_log(w);
@@ -315,23 +315,23 @@
 		if (pick(w, 2))
 			continue;
 		ref_of(j, ref);
-		job = fl_job_find(&w->node.books, ref);
+		job = fl_job_find(&w->node.cluster, ref);
 		if (!job || !fl_job_chunk(job, 0))
 			continue;
 		free(w->record[j]);
-		w->record[j] = fl_json_take(fl_chunk_encode(&w->node.books, job, 0));
+		w->record[j] = fl_json_take(fl_chunk_encode(&w->node.cluster, job, 0));
 		fl_job_chunk(job, 0)->saved_gen = fl_job_chunk(job, 0)->gen;
 	}
 }
 
-static void check_done(struct world *w)
+static void check_done(struct sim *w)
 {
 	for (int j = 0; j < JOBS; j++) {
 		char ref[FL_REF_MAX];
 		struct fl_job *job;
 
 		ref_of(j, ref);
-		job = fl_job_find(&w->node.books, ref);
+		job = fl_job_find(&w->node.cluster, ref);
 		for (uint32_t p = 0; job && p < PARTS; p++) {
 			const struct fl_task *t = fl_task_peek(job, p);
 
@@ -341,7 +341,7 @@
 	}
 }
 
-static void leader_hears(struct world *w, int at, const char *text, enum fl_way way)
+static void leader_hears(struct sim *w, int at, const char *text, enum fl_way way)
 {
 	struct fl_orders orders;
 	struct fl_report r;
@@ -359,7 +359,7 @@
 	check_done(w);
 }
 
-static void post(struct world *w, int at, char *text, bool command)
+static void post(struct sim *w, int at, char *text, bool command)
 {
 	if (w->n_mail == MAIL) {
 		free(w->mail[0].text);
@@ -369,14 +369,14 @@
 	w->mail[w->n_mail++] = (struct mail){at, text, command};
 }
 
-static void command_directly(struct world *w, int at)
+static void command_directly(struct sim *w, int at)
 {
 	struct fl_orders orders;
 	char host[FL_NAME_MAX], *text;
 	struct fl_machine *m;
 
 	host_of(at, host);
-	m = fl_machine_find(&w->node.books.machines, host);
+	m = fl_machine_find(&w->node.cluster.machines, host);
 	if (!m || !m->up)
 		return;
 	fl_orders_init(&orders, w->node.lease.epoch);
@@ -399,7 +399,7 @@
 	post(w, at, text, true);
 }
 
-static void deliver_late(struct world *w)
+static void deliver_late(struct sim *w)
 {
 	struct mail *m;
 
@@ -414,7 +414,7 @@
 
 /* ---- what happens ---- */
 
-static void worker_reports(struct world *w, int at)
+static void worker_reports(struct sim *w, int at)
 {
 	struct worker *k = &w->worker[at];
 	char *text;
@@ -429,7 +429,7 @@
 	post(w, at, text, false);
 }
 
-static void something_ends(struct world *w, int at)
+static void something_ends(struct sim *w, int at)
 {
 	struct worker *k = &w->worker[at];
 	struct fl_part *p = &k->at[pick(w, ON_MACHINE)].part;
@@ -448,7 +448,7 @@
 	}
 }
 
-static void session_ends(struct world *w, int at)
+static void session_ends(struct sim *w, int at)
 {
 	struct worker *k = &w->worker[at];
 
@@ -457,7 +457,7 @@
 	drop_answer(k);
 }
 
-static void step(struct world *w)
+static void step(struct sim *w)
 {
 	int at = pick(w, W);
 
@@ -499,7 +499,7 @@
 	case 15: {
 		/* The scheduler stops something to make room. */
 		struct fl_machine *m =
-			w->node.books.machines.n ? w->node.books.machines.at[0] : NULL;
+			w->node.cluster.machines.n ? w->node.cluster.machines.at[0] : NULL;
 
 		if (m && m->n_slots > 0)
 			fl_task_peek(m->slots[0].job, m->slots[0].index)->stop = FL_STOP_PREEMPT;
@@ -511,7 +511,7 @@
 	check_rules(w);
 }
 
-static void set_up(struct world *w, unsigned long seed)
+static void set_up(struct sim *w, unsigned long seed)
 {
 	struct fl_host_kind kind = {.name = "g",
 	                            .cpus = 4,
@@ -521,7 +521,7 @@
 	                            .ready_s = 10,
 	                            .sites = {"a", "b"},
 	                            .n_sites = 2};
-	struct fl_books *b = &w->node.books;
+	struct fl_cluster *b = &w->node.cluster;
 
 	memset(w, 0, sizeof(*w));
 	w->g = gsl_rng_alloc(gsl_rng_mt19937);
@@ -539,7 +539,7 @@
 	take_over(w);
 }
 
-static void tear_down(struct world *w)
+static void tear_down(struct sim *w)
 {
 	for (int i = 0; i < w->n_mail; i++)
 		free(w->mail[i].text);
@@ -549,13 +549,13 @@
 		free(w->record[i]);
 	free(w->log[0]);
 	free(w->log[1]);
-	fl_books_free(&w->node.books);
+	fl_cluster_free(&w->node.cluster);
 	gsl_rng_free(w->g);
 }
 
 static void no_interleaving_breaks_a_rule(void **state)
 {
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	int launches = 0, dones = 0, takeovers = 0, finished = 0;
 
 	(void)state;
@@ -583,17 +583,17 @@
 /* A job cancelled before any task was placed has no chunks: it once ended the leader. */
 static void a_job_without_chunks_is_harmless(void **state)
 {
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	struct fl_job *job;
 
 	(void)state;
 	set_up(w, 1);
-	job = fl_job_find(&w->node.books, "run-000000");
+	job = fl_job_find(&w->node.cluster, "run-000000");
 	assert_null(fl_job_chunk(job, 0));
 	assert_true(fl_task_durable(job, 0));
 	assert_null(fl_task_peek(job, PARTS - 1));
-	fl_job_finalise(&w->node.books, job, FL_ABORTED);
-	assert_int_equal(fl_final_find(&w->node.books, "run-000000")->status, FL_ABORTED);
+	fl_job_finalise(&w->node.cluster, job, FL_ABORTED);
+	assert_int_equal(fl_final_find(&w->node.cluster, "run-000000")->status, FL_ABORTED);
 	tear_down(w);
 	free(w);
 }
@@ -602,14 +602,14 @@
 static void zones_are_counted_when_they_become_known(void **state)
 {
 	static const char record[] = "{\"d\":[[0,1]],\"t\":[[2,7]],\"m\":[[3,2,\"m-000009\",1]]}";
-	struct world *w = malloc(sizeof(*w));
-	struct fl_books *b;
+	struct sim *w = malloc(sizeof(*w));
+	struct fl_cluster *b;
 	struct fl_job *job;
 	cJSON *v;
 
 	(void)state;
 	set_up(w, 1);
-	b = &w->node.books;
+	b = &w->node.cluster;
 	job = fl_job_find(b, "run-000001");
 	v = fl_json_parse(record, strlen(record));
 	assert_int_equal(fl_chunk_restore(b, job, 0, v, 5, NULL, fl_now()), 0);
@@ -617,7 +617,7 @@
 	assert_int_equal(job->n_done, 2);
 	assert_int_equal(job->zone_unknown, 1);
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 7);
-	fl_books_describe(b, fl_machine_find(&b->machines, "m-000009"), 0, 1, false, "x");
+	fl_cluster_describe(b, fl_machine_find(&b->machines, "m-000009"), 0, 1, false, "x");
 	assert_int_equal(job->zone_unknown, 0);
 	assert_int_equal(job->zone_placed[1], 1);
 	fl_task_release(b, job, 3, 0);
@@ -643,15 +643,15 @@
 	static const char *const bad[] = {"{}", "{\"log\":[[\"x\",0,{}]]}",
 	                                  "{\"log\":[[\"run-000001\",-1,{}]]}",
 	                                  "{\"log\":[[\"run-000001\",0]]}"};
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	struct fl_log log = {0};
-	struct fl_books *b;
+	struct fl_cluster *b;
 	struct fl_job *job;
 	cJSON *v;
 
 	(void)state;
 	set_up(w, 1);
-	b = &w->node.books;
+	b = &w->node.cluster;
 	job = fl_job_find(b, "run-000001");
 	for (int i = 0; i < 2; i++) {
 		v = fl_json_parse(i ? newer : older, strlen(i ? newer : older));
@@ -689,13 +689,13 @@
 /* Hundreds of tasks of many jobs become durable in a few values, where records take one each. */
 static void the_log_holds_many_jobs_in_few_values(void **state)
 {
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	size_t bytes = 0;
 	int groups = 0;
 
 	(void)state;
 	set_up(w, 1);
-	w->node.books.teams.at[0].cpus_max = 0;
+	w->node.cluster.teams.at[0].cpus_max = 0;
 	for (int j = 100; j < 160; j++) {
 		struct fl_job *job = add_job(w, j);
 
@@ -704,13 +704,13 @@
 
 			host_of(1000 + j * 2 + (int)p % 2, host);
 			assert_int_equal(
-				fl_task_place(&w->node.books, job, p,
-			                      fl_machine_get(&w->node.books.machines, host, 0), 1,
+				fl_task_place(&w->node.cluster, job, p,
+			                      fl_machine_get(&w->node.cluster.machines, host, 0), 1,
 			                      0),
 				0);
 			if (p + 1 < PARTS)
 				continue;
-			group = fl_log_group_encode(&w->node.books, job, 0);
+			group = fl_log_group_encode(&w->node.cluster, job, 0);
 			assert_non_null(group);
 			bytes += strlen(group) + 1;
 			groups++;
@@ -727,38 +727,38 @@
 /* A watch lags: the submission of a job that was over before the takeover is heard after it. */
 static void a_late_word_brings_no_job_back(void **state)
 {
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	struct fl_run run = {.parts = 1, .cpus = 1, .n_host_kinds = -1, .due_s = -1};
-	struct fl_books *b;
+	struct fl_cluster *b;
 	cJSON *v;
 
 	(void)state;
 	set_up(w, 1);
-	b = &w->node.books;
+	b = &w->node.cluster;
 	strcpy(run.ref, "run-000077");
 	strcpy(run.owner, "team");
 	strcpy(run.job_class, "c");
 	strcpy(run.bundle, "i");
 	v = fl_job_record_live(&run, 5);
 	b->list_rev = 100;
-	assert_null(fl_books_apply(b, run.ref, v, 90));
-	assert_non_null(fl_books_apply(b, run.ref, v, 101));
+	assert_null(fl_cluster_apply(b, run.ref, v, 90));
+	assert_non_null(fl_cluster_apply(b, run.ref, v, 101));
 	/* Nor does a late word heard while the takeover lists: only its own list marks jobs. */
 	b->list_rev = 0;
-	fl_books_list_begin(b);
-	assert_non_null(fl_books_apply(b, run.ref, v, 102));
-	fl_books_list_end(b, 103);
+	fl_cluster_list_begin(b);
+	assert_non_null(fl_cluster_apply(b, run.ref, v, 102));
+	fl_cluster_list_end(b, 103);
 	assert_null(fl_job_find(b, run.ref));
-	assert_non_null(fl_books_apply(b, run.ref, v, 104));
+	assert_non_null(fl_cluster_apply(b, run.ref, v, 104));
 	/* A follower drops what is deleted, and what a new list no longer holds. */
 	b->leading = false;
-	assert_null(fl_books_apply(b, run.ref, NULL, 110));
+	assert_null(fl_cluster_apply(b, run.ref, NULL, 110));
 	assert_null(fl_job_find(b, run.ref));
-	assert_non_null(fl_books_apply(b, run.ref, v, 120));
-	fl_books_list_begin(b);
-	fl_books_list_end(b, 119);
+	assert_non_null(fl_cluster_apply(b, run.ref, v, 120));
+	fl_cluster_list_begin(b);
+	fl_cluster_list_end(b, 119);
 	assert_non_null(fl_job_find(b, run.ref));
-	fl_books_list_end(b, 120);
+	fl_cluster_list_end(b, 120);
 	assert_null(fl_job_find(b, run.ref));
 	cJSON_Delete(v);
 	tear_down(w);
@@ -768,12 +768,12 @@
 /* Final states are kept at hand up to a bound; the oldest are left to their records. */
 static void final_states_at_hand_are_bounded(void **state)
 {
-	struct world *w = malloc(sizeof(*w));
-	struct fl_books *b;
+	struct sim *w = malloc(sizeof(*w));
+	struct fl_cluster *b;
 
 	(void)state;
 	set_up(w, 1);
-	b = &w->node.books;
+	b = &w->node.cluster;
 	b->finals_most = 10;
 	for (int i = 0; i < 25; i++) {
 		char ref[FL_REF_MAX];
@@ -791,15 +791,15 @@
 /* A job that fails everywhere waits longer and longer, and does not make machines look faulty. */
 static void a_job_that_always_fails_does_not_spin(void **state)
 {
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	struct fl_machine *m;
-	struct fl_books *b;
+	struct fl_cluster *b;
 	struct fl_job *job;
 	double now = fl_now(), last = 0;
 
 	(void)state;
 	set_up(w, 1);
-	b = &w->node.books;
+	b = &w->node.cluster;
 	job = fl_job_find(b, "run-000000");
 	for (int i = 0; i < 12; i++) {
 		struct fl_report r = {.tenure = 1, .serial = 1, .epoch = 1, .reclaim_in_s = -1};
@@ -808,7 +808,7 @@
 
 		host_of(60 + i, r.host);
 		m = fl_machine_get(&b->machines, r.host, 0);
-		fl_books_describe(b, m, 0, 0, false, "x");
+		fl_cluster_describe(b, m, 0, 0, false, "x");
 		m->tenure = 1;
 		assert_int_equal(fl_task_place(b, job, p.index, m, 1, 0), 0);
 		strcpy(p.ref, job->ref);
@@ -826,27 +826,27 @@
 }
 
 /* A dropped tombstone gives its id to another machine, whose tasks must follow. */
-static void swept_machines_leave_the_books_whole(void **state)
+static void purged_machines_leave_the_cluster_whole(void **state)
 {
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	struct fl_machine *m[3];
-	struct fl_books *b;
+	struct fl_cluster *b;
 	struct fl_job *job;
 
 	(void)state;
 	set_up(w, 1);
-	b = &w->node.books;
+	b = &w->node.cluster;
 	job = fl_job_find(b, "run-000000");
 	for (int i = 0; i < 3; i++) {
 		char host[FL_NAME_MAX];
 
 		host_of(50 + i, host);
 		m[i] = fl_machine_get(&b->machines, host, 0);
-		fl_books_describe(b, m[i], 0, 0, false, "x");
+		fl_cluster_describe(b, m[i], 0, 0, false, "x");
 		assert_int_equal(fl_task_place(b, job, (uint32_t)i, m[i], 1, 0), 0);
 	}
 	fl_reconcile_gone(&w->node, m[0], "test");
-	fl_books_sweep(b, fl_now() + 1);
+	fl_cluster_sweep(b, fl_now() + 1);
 	assert_int_equal(b->machines.n, 2);
 	assert_null(fl_machine_find(&b->machines, "m-000050"));
 	assert_ptr_equal(b->machines.at[fl_task_peek(job, 2)->machine], m[2]);
@@ -862,7 +862,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_job_that_always_fails_does_not_spin),
-		cmocka_unit_test(swept_machines_leave_the_books_whole),
+		cmocka_unit_test(purged_machines_leave_the_cluster_whole),
 		cmocka_unit_test(log_and_record_say_the_later_of_two_things),
 		cmocka_unit_test(the_log_holds_many_jobs_in_few_values),
 		cmocka_unit_test(a_late_word_brings_no_job_back),
--- a/tests/test_schedule.c
+++ b/tests/test_schedule.c
@@ -18,7 +18,7 @@
 
 enum { J = 80, M = 300, R = 700, T = 3, Z = 3, STARTS = 1000 };
 
-struct world {
+struct sim {
 	struct fl_sched_job jobs[J];
 	struct fl_sched_machine machines[M];
 	int cache[M][FL_CACHE_NOTE];
@@ -30,7 +30,7 @@
 /* ---- the model ---- */
 
 struct model {
-	struct world w;
+	struct sim w;
 	bool stopped_now[R];
 	double later[M][3]; /* room that stops will free */
 	struct fl_sched_start starts[STARTS];
@@ -483,7 +483,7 @@
 
 static double pick(gsl_rng *g, int n) { return (double)gsl_rng_uniform_int(g, (unsigned long)n); }
 
-static void random_world(gsl_rng *g, struct world *w, int jobs, int machines, int tries)
+static void random_sim(gsl_rng *g, struct sim *w, int jobs, int machines, int tries)
 {
 	memset(w, 0, sizeof(*w));
 	w->n_jobs = 1 + (int)pick(g, jobs);
@@ -566,7 +566,7 @@
 	}
 }
 
-static void run_real(struct world *w, struct fl_sched_out *out)
+static void run_real(struct sim *w, struct fl_sched_out *out)
 {
 	struct fl_sched_in in = {
 		.params = &fl_sched_defaults,
@@ -587,7 +587,7 @@
 	long starts, stops, tops, looks, bound;
 };
 
-static void compare(struct model *m, struct world *w, struct tally *t)
+static void compare(struct model *m, struct sim *w, struct tally *t)
 {
 	struct fl_sched_out out;
 
@@ -632,20 +632,20 @@
 {
 	gsl_rng *g = gsl_rng_alloc(gsl_rng_mt19937);
 	struct model *m = malloc(sizeof(*m));
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	struct tally small = {0}, large = {0};
 
 	(void)state;
 	gsl_rng_set(g, 7);
 	for (int round = 0; round < 4000; round++) {
-		random_world(g, w, 14, 9, 24);
+		random_sim(g, w, 14, 9, 24);
 		compare(m, w, &small);
 	}
 	/* The snapshots must reach all of it. */
 	assert_true(small.starts > 4000 && small.stops > 400 && small.tops > 400);
 	/* Hundreds of machines: the same decisions, and no more work than starts times machines. */
 	for (int round = 0; round < 60; round++) {
-		random_world(g, w, J, M, R);
+		random_sim(g, w, J, M, R);
 		for (int t = 0; t < T; t++) {
 			w->teams[t].gpus *= 30;
 			w->teams[t].gpus_max *= 30;
@@ -660,8 +660,8 @@
 	gsl_rng_free(g);
 }
 
-/* Takes the model's starts into the world, as a leader would. */
-static long carry_on(struct world *w, const struct model *m)
+/* Takes the model's starts into the simulation, as a leader would. */
+static long carry_on(struct sim *w, const struct model *m)
 {
 	for (int i = 0; i < m->n_starts && w->n_runs < R; i++) {
 		struct fl_sched_job *j = &w->jobs[m->starts[i].job];
@@ -691,7 +691,7 @@
 }
 
 /* Some runs end: what was stopped, and of the rest one in so many. */
-static void let_end(gsl_rng *g, struct world *w, const struct model *m, int one_in)
+static void let_end(gsl_rng *g, struct sim *w, const struct model *m, int one_in)
 {
 	bool stopped[R] = {false};
 
@@ -720,15 +720,15 @@
 {
 	gsl_rng *g = gsl_rng_alloc(gsl_rng_mt19937);
 	struct model *m = malloc(sizeof(*m));
-	struct world *w = malloc(sizeof(*w)), *fresh = malloc(sizeof(*fresh));
-	struct world *before = malloc(sizeof(*before));
+	struct sim *w = malloc(sizeof(*w)), *fresh = malloc(sizeof(*fresh));
+	struct sim *before = malloc(sizeof(*before));
 	struct tally t = {0};
 	long started = 0;
 
 	(void)state;
 	gsl_rng_set(g, 11);
 	do
-		random_world(g, w, J, M, 0);
+		random_sim(g, w, J, M, 0);
 	while (w->n_jobs < J - 10 || w->n_machines < M - 20);
 	for (int i = 0; i < T; i++)
 		w->teams[i] = (struct fl_team){.gpus = 200 * i, .gpus_max = 600};
@@ -740,7 +740,7 @@
 		let_end(g, w, m, 3);
 		/* Those that have all they want make room for others; the rest wait on. */
 		do
-			random_world(g, fresh, J, M, 0);
+			random_sim(g, fresh, J, M, 0);
 		while (fresh->n_jobs < w->n_jobs);
 		for (int i = 0; i < w->n_jobs; i++) {
 			w->jobs[i].waited_s += 7;
@@ -794,7 +794,7 @@
 /* Two halves free in 10 s on two machines; a whole machine only in 100 s. */
 static void scattered_room_is_no_room(void **state)
 {
-	struct world w = {.n_jobs = 2, .n_machines = 2, .n_runs = 4};
+	struct sim w = {.n_jobs = 2, .n_machines = 2, .n_runs = 4};
 	struct fl_sched_out out;
 
 	(void)state;
@@ -817,7 +817,7 @@
 /* The window is remembered: it may shrink but not begin anew each pass. */
 static void a_burst_cannot_push_the_top_job_back_for_ever(void **state)
 {
-	struct world w = {.n_jobs = 2, .n_machines = 1, .n_runs = 1};
+	struct sim w = {.n_jobs = 2, .n_machines = 1, .n_runs = 1};
 	struct fl_sched_out out;
 
 	(void)state;
@@ -840,7 +840,7 @@
 
 static void an_ensemble_starts_whole_or_not_at_all(void **state)
 {
-	struct world w = {.n_jobs = 1, .n_machines = 2};
+	struct sim w = {.n_jobs = 1, .n_machines = 2};
 	struct fl_sched_out out;
 
 	(void)state;
@@ -922,7 +922,7 @@
 /* What was stopped and is not gone yet is room already promised: nothing more is stopped. */
 static void room_on_its_way_is_not_claimed_twice(void **state)
 {
-	struct world w = {.n_jobs = 1, .n_machines = 2, .n_runs = 2};
+	struct sim w = {.n_jobs = 1, .n_machines = 2, .n_runs = 2};
 	struct fl_sched_out out;
 
 	(void)state;
@@ -958,7 +958,7 @@
 /* A pass that runs out of time goes on where it stopped: every job is looked at in the end. */
 static void a_pass_goes_on_where_the_last_one_stopped(void **state)
 {
-	struct world w = {.n_jobs = 12, .n_machines = 1, .n_runs = 1};
+	struct sim w = {.n_jobs = 12, .n_machines = 1, .n_runs = 1};
 	bool started[J] = {false};
 	int resume = 0, passes = 0;
 
@@ -1001,7 +1001,7 @@
  */
 static void a_stop_is_for_whom_it_was_made(void **state)
 {
-	struct world w = {.n_jobs = 2, .n_machines = 2};
+	struct sim w = {.n_jobs = 2, .n_machines = 2};
 	int low = 0, high = 0, stops = 0;
 
 	(void)state;
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "bookkeeping/ledger.h"
+#include "storage/records.h"
 #include "coordination/node.h"
 #include "coordination/takeover.h"
 #include "transport/clock.h"
@@ -131,12 +131,12 @@
 	strcpy(f->config.node, "n0");
 	f->config.lease_s = 10;
 	f->config.cancel_s = 40;
-	fl_names_add(&n->books.zones, "a");
-	fl_names_add(&n->books.zones, "b");
-	fl_kinds_set(&n->books.machines, &n->books.zones, kinds, 3);
-	strcpy(n->books.teams.at[0].name, "t");
-	n->books.teams.at[0].cpus_max = 100;
-	n->books.teams.n = 1;
+	fl_names_add(&n->cluster.zones, "a");
+	fl_names_add(&n->cluster.zones, "b");
+	fl_kinds_set(&n->cluster.machines, &n->cluster.zones, kinds, 3);
+	strcpy(n->cluster.teams.at[0].name, "t");
+	n->cluster.teams.at[0].cpus_max = 100;
+	n->cluster.teams.n = 1;
 	f->state = fl_http_serve("127.0.0.1:0", 16, 90, on_state, f);
 	f->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, f);
 	assert_true(f->state && f->leader);
@@ -162,7 +162,7 @@
 	fl_http_client_close(&f->node.cloud.http);
 	fl_http_client_close(&f->node.peers[0].http);
 	fl_routines_shutdown();
-	fl_books_free(&f->node.books);
+	fl_cluster_free(&f->node.cluster);
 	free(f->state);
 	free(f->leader);
 	free(f);
@@ -326,16 +326,16 @@
 
 	f->node.lease.held = true;
 	f->record = RECORD("\"Apart\":true");
-	if (fl_takeover_load(&f->node) != 0 || !fl_job_find(&f->node.books, "run-000001"))
+	if (fl_takeover_load(&f->node) != 0 || !fl_job_find(&f->node.cluster, "run-000001"))
 		strcpy(f->failed, "a good record is not read");
 	half_lists(f);
 	for (size_t i = 0; i < sizeof(bad_records) / sizeof(bad_records[0]); i++) {
 		f->record = bad_records[i];
-		fl_books_free(&f->node.books);
-		f->node.books.jobs = NULL;
-		f->node.books.finals = NULL;
-		fl_names_add(&f->node.books.zones, "a");
-		if ((fl_takeover_load(&f->node) != -EPROTO || f->node.books.finals) &&
+		fl_cluster_free(&f->node.cluster);
+		f->node.cluster.jobs = NULL;
+		f->node.cluster.finals = NULL;
+		fl_names_add(&f->node.cluster.zones, "a");
+		if ((fl_takeover_load(&f->node) != -EPROTO || f->node.cluster.finals) &&
 		    !f->failed[0])
 			snprintf(f->failed, sizeof(f->failed), "is decided by: %s", f->record);
 	}
@@ -363,9 +363,9 @@
 		cJSON *v = fl_json_parse(bad_records[i], strlen(bad_records[i]));
 
 		assert_non_null(v);
-		assert_null(fl_books_apply(&f->node.books, "run-000001", v, 4));
-		assert_null(f->node.books.jobs);
-		assert_null(f->node.books.finals);
+		assert_null(fl_cluster_apply(&f->node.cluster, "run-000001", v, 4));
+		assert_null(f->node.cluster.jobs);
+		assert_null(f->node.cluster.finals);
 		cJSON_Delete(v);
 	}
 }
@@ -377,8 +377,8 @@
 	f->progress = progress;
 	if (fl_takeover_load(&f->node) != 0)
 		strcpy(f->failed, "a good record is not read");
-	return f->node.books.dirty &&
-	       f->node.books.dirty == fl_job_find(&f->node.books, "run-000001");
+	return f->node.cluster.dirty &&
+	       f->node.cluster.dirty == fl_job_find(&f->node.cluster, "run-000001");
 }
 
 static void take_over_what_is_over(void *arg)
@@ -466,7 +466,7 @@
 	f->node.kinds_known = f->node.jobs_known = true;
 	f->gated = true;
 	f->config.state_rps = 1000;
-	fl_inquiries_init(&f->node);
+	fl_job_lookups_init(&f->node);
 	for (int i = 0; i < ASKERS / 2; i++)
 		question(f, &q[i], "run-000001");
 	while (f->reads < 1)
@@ -497,7 +497,7 @@
 	f->reads = 0;
 	f->gated = false;
 	f->config.state_rps = 10;
-	fl_inquiries_init(&f->node);
+	fl_job_lookups_init(&f->node);
 	for (int i = 0; i < ASKERS; i++) {
 		snprintf(ref, sizeof(ref), "run-%06d", 100 + i);
 		question(f, &q[i], ref);
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -12,7 +12,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "bookkeeping/ledger.h"
+#include "storage/records.h"
 #include "config.h"
 #include "coordination/node.h"
 #include "transport/clock.h"
