--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -9,20 +9,20 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-static void say_final(struct fl_response *resp, const struct fl_final *f, bool counts)
+static void say_final(struct fl_response *resp, const struct fl_finished_job *f, bool counts)
 {
 	resp->status = 200;
 	resp->body = fl_status_encode(f->ref, (enum fl_status)f->status,
 	                              !counts                ? -1
-	                              : f->status == FL_DONE ? (int64_t)f->parts
+	                              : f->status == FL_DONE ? (int64_t)f->n_tasks
 	                                                     : 0,
 	                              0);
 }
 
-static void say_aborted(struct fl_response *resp, const char *ref)
+static void say_cancelled(struct fl_response *resp, const char *ref)
 {
 	resp->status = 200;
-	resp->body = fl_status_encode(ref, FL_ABORTED, -1, 0);
+	resp->body = fl_status_encode(ref, FL_CANCELLED, -1, 0);
 }
 
 static void say_job(struct fl_response *resp, const struct fl_job *job)
@@ -39,7 +39,7 @@
 	uint64_t rev;
 	cJSON *v = NULL;
 	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
-	const struct fl_final *f = fl_final_find(&n->cluster, ref);
+	const struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
 
 	if (f) {
 		/* It came to its end while the record was on its way here. */
@@ -53,11 +53,11 @@
 		if (job && v && rev > job->rev)
 			fl_record_writer_heard(n, job, &rec, rev);
 		else if (!job && v)
-			fl_final_add(&n->cluster, ref, rec.status, rec.parts,
-			             fl_since(rec.cancelled));
+			fl_finished_add(&n->cluster, ref, rec.status, rec.n_tasks,
+			                fl_since(rec.cancelled));
 		resp->status = 200;
-		resp->body =
-			fl_status_encode(ref, rec.status, rec.status == FL_DONE ? rec.parts : 0, 0);
+		resp->body = fl_status_encode(ref, rec.status,
+		                              rec.status == FL_DONE ? rec.n_tasks : 0, 0);
 	} else {
 		job = fl_cluster_apply(&n->cluster, ref, v, rev);
 		resp->status = 200;
@@ -69,7 +69,7 @@
 
 void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_final *f = fl_final_find(&n->cluster, ref);
+	struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
 	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
 
 	if (f)
@@ -98,7 +98,7 @@
 
 void fl_answer_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_final *f = fl_final_find(&n->cluster, ref);
+	struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
 	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
 	enum fl_status status;
 	struct fl_job_record rec = {.final = true, .cancelled = fl_wall()};
@@ -121,8 +121,8 @@
 	if (job->unsure && !job->finishing)
 		fl_record_writer_reread_job(n, ref, &done, &status);
 	job = fl_leading(n) ? fl_job_find(&n->cluster, ref) : NULL;
-	if (job && job->aborted) {
-		say_aborted(resp, ref);
+	if (job && job->cancelled) {
+		say_cancelled(resp, ref);
 		return;
 	}
 	if (!job || job->finishing || job->unsure) {
@@ -144,12 +144,12 @@
 	} else if (rc == 0) {
 		fl_cluster_told_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
 	}
-	f = fl_final_find(&n->cluster, ref);
+	f = fl_finished_find(&n->cluster, ref);
 	if (f)
 		say_final(resp, f, false);
 	else if (rc == 0)
 		/* Stored, though this node leads no more: the next leader stops its tasks. */
-		say_aborted(resp, ref);
+		say_cancelled(resp, ref);
 	else
 		fl_later(resp, "the cancellation could not be stored");
 }
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -29,7 +29,7 @@
 	if (!fl_leading(n) || !m->up || m->gone || !m->endpoint[0])
 		return;
 	fl_orders_init(&orders, n->lease.epoch);
-	fl_orders_tenure(&orders, m->tenure);
+	fl_orders_session(&orders, m->session);
 	if (!fl_reconcile_direct(n, m, &orders)) {
 		cJSON_Delete(orders.root);
 		return;
@@ -121,9 +121,9 @@
 			for (int k = 0; k < m->n_slots && !m->gone; k++) {
 				struct fl_job *job = m->slots[k].job;
 
-				if (!job->aborted)
+				if (!job->cancelled)
 					continue;
-				if (now > job->aborted_at +
+				if (now > job->cancelled_at +
 				                    choice.cancel_share * n->config->cancel_s &&
 				    !m->deleting) {
 					fl_info("workers", "%s does not let go of %s: returned",
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -11,7 +11,7 @@
 /* All machines that have, now that the records stand. */
 void fl_command_push_placed(struct fl_node *n);
 /* The job is cancelled: its tasks are stopped wherever they may be. */
-/* Of a job that the cluster state have as cancelled. */
+/* Of a job that the cluster state holds as cancelled. */
 void fl_command_stop_job(struct fl_node *n, struct fl_job *job);
 /* The routine of a leader, with its fl_node. */
 void fl_command_enforce_duty(void *node);
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -65,7 +65,7 @@
 	                : -EAGAIN;
 	/* It never changes again: who asks next is answered from memory. */
 	if (!q->rc && q->rec.final && !q->v && q->rec.status == FL_DONE)
-		fl_final_add(&n->cluster, q->ref, FL_DONE, q->rec.parts, 0);
+		fl_finished_add(&n->cluster, q->ref, FL_DONE, q->rec.n_tasks, 0);
 	HASH_DEL(n->job_lookups, q);
 	if (q->next)
 		enter(n, q->next);
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -17,7 +17,7 @@
 	double write_share; /* share of the state service's writes that the leader's records use */
 	double retry_s;     /* s after a failed read */
 	double hold_s;      /* s; length of a watch */
-	double finals_s;    /* s between two lists of what was done before */
+	double finished_s;  /* s between two lists of what was done before */
 } choice = {0.7, 0.2, 10.0, 0.5};
 
 bool fl_leading(const struct fl_node *n) { return n->lead.active && fl_lease_valid(n); }
@@ -67,14 +67,14 @@
 static void on_final(void *ctx, const struct fl_change *ch)
 {
 	struct fl_node *n = ctx;
-	const char *ref = ch->key + strlen(FL_PREFIX_FINALS);
+	const char *ref = ch->key + strlen(FL_PREFIX_FINISHED);
 	struct fl_job_record rec;
 
 	if (strlen(ref) >= FL_REF_MAX || !ch->value ||
 	    fl_job_record_decode(ch->value, ref, &rec) != 0 || rec.status != FL_DONE)
 		return;
-	if (!n->cluster.finals_most || HASH_COUNT(n->cluster.finals) < n->cluster.finals_most)
-		fl_final_add(&n->cluster, ref, rec.status, rec.parts, 0);
+	if (!n->cluster.finished_max || HASH_COUNT(n->cluster.finished) < n->cluster.finished_max)
+		fl_finished_add(&n->cluster, ref, rec.status, rec.n_tasks, 0);
 }
 
 /*
@@ -83,17 +83,17 @@
  * took longer than a minute. A list brings a thousand in one request; ten lists with a pause in
  * between, so that however many there are, others are served meanwhile.
  */
-static void finals_duty(void *arg)
+static void finished_duty(void *arg)
 {
 	struct fl_node *n = arg;
 	char prefix[FL_KEY_MAX];
 	uint64_t rev;
 	int digit = 0;
 
-	while (fl_sleep(choice.finals_s) == 0) {
+	while (fl_sleep(choice.finished_s) == 0) {
 		if (digit > 9 || !fl_leading(n))
 			continue;
-		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINALS FL_REF_BEGIN "%d", digit);
+		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
 		if (fl_state_list(&n->state, prefix, on_final, n, &rev) == 0)
 			digit++;
 	}
@@ -139,7 +139,7 @@
 	duty(n, fl_command_enforce_duty);
 	fl_provision_begin(n);
 	duty(n, fl_provision_duty);
-	duty(n, finals_duty);
+	duty(n, finished_duty);
 }
 
 void fl_leader_begin(struct fl_node *n)
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -10,8 +10,8 @@
 enum { FL_DUTIES_MAX = 8 };
 
 struct fl_leadership {
-	bool loading;         /* the cluster state are being loaded, by a routine of its own */
-	bool active;          /* duties run, cluster state are loaded */
+	bool loading;         /* the cluster state is being loaded, by a routine of its own */
+	bool active;          /* duties run, the cluster state is loaded */
 	uint64_t first_epoch; /* the epoch of the takeover; raised ones lie above it */
 	double since;         /* steady; since when machines could be heard without a break */
 	int running;          /* routines that use the leader's cluster state */
@@ -31,7 +31,7 @@
 	uint64_t passes;
 };
 
-/* Its cluster state are loaded and its lease holds. */
+/* Its the cluster state is loaded and its lease holds. */
 bool fl_leading(const struct fl_node *n);
 /*
  * Loads the cluster state and begins the duties, in a routine of its own: the lease must be renewed
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -230,7 +230,7 @@
 		} else {
 			if (n->lead.active)
 				fl_leader_end(n);
-			pause = n->kinds_known && n->jobs_known ? seek(n, place) : choice.retry_s;
+			pause = n->types_known && n->jobs_known ? seek(n, place) : choice.retry_s;
 		}
 		if (pause > 0 && fl_signal_wait(&n->control_changed, pause) == -ECANCELED)
 			break;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -14,19 +14,19 @@
 #include "transport/routine.h"
 
 static const struct {
-	double retry_s;       /* s between tries at what a node needs before it can serve */
-	double hold_s;        /* s; length of a watch, whose end shows that nothing was missed */
-	double relay_s;       /* s for a relayed poll; users wait 2 s for it */
-	double relay_write_s; /* s for a relayed cancel or submission; users wait 5 s */
-	int later_s;          /* s; Retry-After of a 503 */
-	double down_s;        /* s after a refusal in which the state service counts as down */
-	int peer_conns;       /* connections kept open to each peer */
-	double finals_share;  /* share of the memory for final states kept at hand */
-	int peer_users;       /* users' calls and gossip under way to one peer */
-	int own_conns;        /* connections to state service, cloud and machines at once */
-	double user_least;    /* share of all connections that users and workers have in any case */
-	double idle_reports;  /* report intervals after which a silent connection is closed */
-	double idle_least_s;  /* s for which it is kept in any case: users ask every 5 s */
+	double retry_s;        /* s between tries at what a node needs before it can serve */
+	double hold_s;         /* s; length of a watch, whose end shows that nothing was missed */
+	double relay_s;        /* s for a relayed poll; users wait 2 s for it */
+	double relay_write_s;  /* s for a relayed cancel or submission; users wait 5 s */
+	int later_s;           /* s; Retry-After of a 503 */
+	double down_s;         /* s after a refusal in which the state service counts as down */
+	int peer_conns;        /* connections kept open to each peer */
+	double finished_share; /* share of the memory for final states kept at hand */
+	int peer_users;        /* users' calls and gossip under way to one peer */
+	int own_conns;         /* connections to state service, cloud and machines at once */
+	double user_least;   /* share of all connections that users and workers have in any case */
+	double idle_reports; /* report intervals after which a silent connection is closed */
+	double idle_least_s; /* s for which it is kept in any case: users ask every 5 s */
 } choice = {0.5, 1.0, 1.2, 2.0, 1, 0.3, 6, 0.1, 24, 48, 0.6, 4.0, 20.0};
 
 void fl_refuse(struct fl_response *resp, int status, const char *fmt, ...)
@@ -57,12 +57,12 @@
 {
 	uint32_t zones = 0;
 
-	for (int i = 0; i < n->cluster.machines.n_kinds; i++) {
-		const struct fl_kind *k = &n->cluster.machines.kinds[i];
-		bool named = r->n_host_kinds < 0;
+	for (int i = 0; i < n->cluster.machines.n_types; i++) {
+		const struct fl_machine_type *k = &n->cluster.machines.types[i];
+		bool named = r->n_machine_types < 0;
 
-		for (int h = 0; h < r->n_host_kinds && !named; h++)
-			named = strcmp(r->host_kinds[h], k->name) == 0;
+		for (int h = 0; h < r->n_machine_types && !named; h++)
+			named = strcmp(r->machine_types[h], k->name) == 0;
 		if (named && r->cpus <= k->cpus && r->gpus <= k->gpus && r->ram_gb <= k->ram_gb)
 			zones |= k->zones;
 	}
@@ -72,9 +72,9 @@
 /* NULL, or why the job can never run. */
 static const char *never(const struct fl_node *n, const struct fl_run *r)
 {
-	int team = fl_teams_find(&n->cluster.teams, r->owner), zone;
-	bool at_once = r->kind != FL_SWEEP && r->parts > 1;
-	double tasks = at_once ? r->parts : 1;
+	int team = fl_teams_find(&n->cluster.teams, r->team), zone;
+	bool at_once = r->kind != FL_ARRAY && r->n_tasks > 1;
+	double tasks = at_once ? r->n_tasks : 1;
 	uint32_t zones = zones_for(n, r);
 	const struct fl_team *t;
 
@@ -82,8 +82,8 @@
 		return "Owner: unknown team";
 	if (r->cpus <= 0 && r->gpus <= 0 && r->ram_gb <= 0)
 		return "a task takes nothing of its machine";
-	if (r->has_site) {
-		zone = fl_names_find(&n->cluster.zones, r->site);
+	if (r->has_zone) {
+		zone = fl_names_find(&n->cluster.zones, r->zone);
 		if (zone < 0)
 			return "Site: unknown zone";
 		zones &= 1u << zone;
@@ -136,7 +136,7 @@
 	cJSON *v = NULL;
 	int rc;
 
-	if (!fl_final_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
+	if (!fl_finished_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
 		rc = state_is_down(n) ? -EAGAIN : fl_records_read(&n->state, ref, &rec, &v, &rev);
 		cJSON_Delete(v);
 		if (rc && rc != -ENOENT && !hop)
@@ -158,7 +158,7 @@
 	int rc;
 
 	fl_multi_init(&m);
-	fl_key_final(key, run->ref);
+	fl_key_finished(key, run->ref);
 	fl_multi_when(&m, key, 0);
 	fl_key_job(key, run->ref);
 	fl_multi_when(&m, key, 0);
@@ -166,7 +166,7 @@
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
 	if (rc)
 		return rc;
-	if (!fl_final_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
+	if (!fl_finished_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
 	    !(n->cluster.leading && rev <= n->cluster.list_rev)) {
 		job = fl_job_add(&n->cluster, run, submitted, rev);
 		if (job && n->lead.active) {
@@ -230,7 +230,7 @@
 		return;
 	}
 	/* A known job is answered with its state before anything else is judged. */
-	if (bad || !n->kinds_known || fl_final_find(&n->cluster, run.ref) ||
+	if (bad || !n->types_known || fl_finished_find(&n->cluster, run.ref) ||
 	    fl_job_find(&n->cluster, run.ref)) {
 		rc = answer_known(n, run.ref, hop, resp);
 		if (rc == 1)
@@ -261,7 +261,7 @@
 	rc = state_is_down(n) ? -EAGAIN : store_job(n, &run);
 	if (rc == 0) {
 		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", run.ref,
-		        run.job_class, run.owner, run.parts, run.cpus, run.gpus);
+		        run.job_class, run.team, run.n_tasks, run.cpus, run.gpus);
 		resp->status = 201;
 		resp->body = fl_status_encode(run.ref, FL_PENDING, -1, 0);
 		return;
@@ -310,8 +310,8 @@
 	}
 	if (rec.final) {
 		resp->status = 200;
-		resp->body =
-			fl_status_encode(ref, rec.status, rec.status == FL_DONE ? rec.parts : 0, 0);
+		resp->body = fl_status_encode(ref, rec.status,
+		                              rec.status == FL_DONE ? rec.n_tasks : 0, 0);
 		return;
 	}
 	if (!fl_job_lookup_affords(n, 1)) {
@@ -349,18 +349,18 @@
 static void poll_or_cancel(struct fl_node *n, enum fl_user_call call, const char *ref,
                            enum fl_hop hop, struct fl_response *resp)
 {
-	struct fl_final *f;
+	struct fl_finished_job *f;
 
 	if (!ref[0]) {
 		fl_refuse(resp, 404, "no such job");
 		return;
 	}
-	f = fl_final_find(&n->cluster, ref);
+	f = fl_finished_find(&n->cluster, ref);
 	if (f) {
 		resp->status = 200;
 		resp->body = fl_status_encode(ref, (enum fl_status)f->status,
 		                              call == FL_CALL_CANCEL ? -1
-		                              : f->status == FL_DONE ? (int64_t)f->parts
+		                              : f->status == FL_DONE ? (int64_t)f->n_tasks
 		                                                     : 0,
 		                              0);
 		return;
@@ -395,7 +395,7 @@
 		break;
 	case FL_CALL_READY:
 		n->probed_at = fl_now();
-		resp->status = n->kinds_known && n->jobs_known && !fl_standby_alone(n) ? 200 : 503;
+		resp->status = n->types_known && n->jobs_known && !fl_standby_alone(n) ? 200 : 503;
 		break;
 	default:
 		fl_refuse(resp, 404, "no such path");
@@ -463,11 +463,11 @@
 	if (strlen(ref) >= FL_REF_MAX)
 		return;
 	job = fl_job_find(&n->cluster, ref);
-	known = job && job->aborted;
+	known = job && job->cancelled;
 	job = fl_cluster_apply(&n->cluster, ref, ch->value, ch->rev);
 	if (!job || !n->lead.active)
 		return;
-	if (job->aborted && !known) {
+	if (job->cancelled && !known) {
 		fl_info("jobs", "%s is cancelled, says its record", ref);
 		fl_command_stop_job(n, job);
 	}
@@ -480,7 +480,7 @@
 	struct fl_node *n = arg;
 	uint64_t rev = 0;
 
-	while (!n->kinds_known)
+	while (!n->types_known)
 		if (fl_sleep(choice.retry_s / 5) != 0)
 			return;
 	while (!fl_cancelled()) {
@@ -515,32 +515,32 @@
  * From the record that a leader keeps of them, else from the cloud. Found on a day of our own: all
  * controllers ended while the cloud was out, and none of them could serve until it was back.
  */
-static int read_kinds(struct fl_node *n, struct fl_host_kind **kinds, int *count)
+static int read_types(struct fl_node *n, struct fl_offered_type **types, int *count)
 {
 	uint64_t rev;
 	cJSON *v = NULL;
-	int rc = fl_state_get(&n->state, FL_KEY_KINDS, &v, &rev, NULL);
+	int rc = fl_state_get(&n->state, FL_KEY_MACHINE_TYPES, &v, &rev, NULL);
 
 	if (!rc)
-		rc = fl_kinds_decode(v, kinds, count);
+		rc = fl_machine_types_decode(v, types, count);
 	cJSON_Delete(v);
-	return rc ? fl_cloud_kinds(&n->cloud, kinds, count) : 0;
+	return rc ? fl_cloud_machine_types(&n->cloud, types, count) : 0;
 }
 
-static void kinds_duty(void *arg)
+static void types_duty(void *arg)
 {
 	struct fl_node *n = arg;
 
-	while (!n->kinds_known) {
-		struct fl_host_kind *kinds;
-		int count, rc = read_kinds(n, &kinds, &count);
+	while (!n->types_known) {
+		struct fl_offered_type *types;
+		int count, rc = read_types(n, &types, &count);
 
 		if (rc == -EPROTO)
 			fl_error("cloud", "its machine types cannot be read");
 		if (rc == 0) {
-			fl_kinds_set(&n->cluster.machines, &n->cluster.zones, kinds, count);
-			free(kinds);
-			n->kinds_known = true;
+			fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, count);
+			free(types);
+			n->types_known = true;
 			return;
 		}
 		if (fl_sleep(choice.retry_s) != 0)
@@ -551,9 +551,9 @@
 static int set_up(struct fl_node *n, const struct fl_config *c)
 {
 	n->config = c;
-	n->cluster.finals_lost_at = -1e9;
-	n->cluster.finals_most =
-		(unsigned)(c->ram_mb * 1024 * 1024 * choice.finals_share / sizeof(struct fl_final));
+	n->cluster.finished_lost_at = -1e9;
+	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * choice.finished_share /
+	                                     sizeof(struct fl_finished_job));
 	snprintf(n->boot, sizeof(n->boot), "%s-%.6f", c->node, fl_wall());
 	for (int i = 0; i < c->n_zones; i++)
 		if (fl_names_add(&n->cluster.zones, c->zones[i]) < 0)
@@ -570,7 +570,7 @@
 	for (int i = 0; i < c->n_peers; i++) {
 		struct fl_peer *p = &n->peers[n->n_peers++];
 
-		p->owner = n;
+		p->node = n;
 		strcpy(p->name, c->peers[i].node);
 		strcpy(p->location, c->peers[i].location);
 		if (fl_http_client_init(&p->http, c->peers[i].addr, choice.peer_conns) != 0)
@@ -614,7 +614,7 @@
 	}
 	fl_lease_start(n);
 	fl_standby_start(n);
-	fl_spawn(kinds_duty, n);
+	fl_spawn(types_duty, n);
 	fl_spawn(jobs_duty, n);
 	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
 	return 0;
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -16,7 +16,7 @@
 #include "transport/http_server.h"
 
 struct fl_peer {
-	struct fl_node *owner;
+	struct fl_node *node;
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
@@ -34,7 +34,7 @@
 	struct fl_peer peers[FL_CONFIG_PEERS];
 	int n_peers;
 	char boot[96]; /* names this process, not only this node */
-	bool kinds_known, jobs_known;
+	bool types_known, jobs_known;
 	/*
 	 * Steady. Every cancellation that any user was told of, or any controller had learned of,
 	 * up to then is in the cluster state: see "Keeping" in docs/design.md.
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -33,19 +33,19 @@
 
 static uint32_t count_startable(struct fl_job *job, double now)
 {
-	uint32_t most = job->kind == FL_ENSEMBLE ? job->parts : (uint32_t)choice.waiting_most;
+	uint32_t most = job->kind == FL_GANG ? job->n_tasks : (uint32_t)choice.waiting_most;
 	uint32_t at = 0, count = 0;
 
 	if (job->not_before > now)
 		return 0;
-	/* An ensemble starts only whole: all that is not done, and none of it anywhere yet. */
-	if (job->kind == FL_ENSEMBLE && job->n_placed > 0)
+	/* A gang starts only whole: all that is not done, and none of it anywhere yet. */
+	if (job->kind == FL_GANG && job->n_placed > 0)
 		return 0;
-	while (count < most && (at = fl_task_next_waiting(job, at, now)) < job->parts) {
+	while (count < most && (at = fl_task_next_waiting(job, at, now)) < job->n_tasks) {
 		count++;
 		at++;
 	}
-	return job->kind == FL_ENSEMBLE && count < job->n_waiting ? 0 : count;
+	return job->kind == FL_GANG && count < job->n_waiting ? 0 : count;
 }
 
 static void snap_job(struct snapshot *s, struct fl_job *job, double now, double wall)
@@ -56,25 +56,25 @@
 	j->waiting = count_startable(job, now);
 	if (j->waiting == 0)
 		return;
-	j->tier = job->tier;
-	j->standing = job->kind == FL_STANDING;
-	j->whole = job->kind == FL_ENSEMBLE;
-	j->team = job->owner;
+	j->priority = job->priority;
+	j->service = job->kind == FL_SERVICE;
+	j->gang = job->kind == FL_GANG;
+	j->team = job->team;
 	j->waited_s = wall - job->submitted;
 	j->est_s = job->expected_s;
 	j->cpus = job->cpus;
 	j->gpus = job->gpus;
 	j->ram_gb = job->ram_gb;
 	j->image_gb = job->image_gb;
-	j->parts = job->parts;
-	j->kinds = job->kinds;
-	j->site = job->site;
+	j->n_tasks = job->n_tasks;
+	j->types = job->types;
+	j->zone = job->zone;
 	j->together = job->together;
 	j->apart = job->apart;
 	j->reclaimable = job->reclaimable;
 	memcpy(j->zone_placed, job->zone_placed, sizeof(j->zone_placed));
 	j->zone_unknown = job->zone_unknown;
-	j->bundle = job->bundle;
+	j->image = job->image;
 	j->owed = job->owed;
 	j->begun = job->n_placed > 0 || job->n_done > 0;
 	j->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
@@ -93,7 +93,7 @@
 {
 	double est = job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_est_s;
 
-	if (job->kind == FL_STANDING)
+	if (job->kind == FL_SERVICE)
 		return INFINITY;
 	if (t->sight == FL_SEEN_RUNNING || t->sight == FL_SEEN_FLUSHING)
 		est -= now - t->since;
@@ -110,10 +110,10 @@
 
 	memset(r, 0, sizeof(*r));
 	r->machine = at;
-	r->team = job->owner;
-	r->tier = job->tier;
-	r->standing = job->kind == FL_STANDING;
-	r->stopping = job->aborted || t->stop != FL_STOP_NONE;
+	r->team = job->team;
+	r->priority = job->priority;
+	r->service = job->kind == FL_SERVICE;
+	r->stopping = job->cancelled || t->stop != FL_STOP_NONE;
 	r->movable = !r->stopping;
 	r->owed = job->owed;
 	r->cpus = job->cpus;
@@ -121,9 +121,9 @@
 	r->ram_gb = job->ram_gb;
 	r->left_s = estimated_left(job, t, now);
 	r->lost_s = t->sight == FL_SEEN_RUNNING ? now - t->since : 0;
-	if (job->snapshot_every_s > 0)
-		r->lost_s = fmin(r->lost_s, job->snapshot_cost_s);
-	r->foothold = job->kind != FL_STANDING && job->n_placed == 1 &&
+	if (job->checkpoint_every_s > 0)
+		r->lost_s = fmin(r->lost_s, job->checkpoint_cost_s);
+	r->foothold = job->kind != FL_SERVICE && job->n_placed == 1 &&
 	              wall - job->submitted > s->in.params->patience_s;
 	s->runs[s->in.n_runs++] = *slot;
 }
@@ -152,15 +152,15 @@
 	size_t n = 0;
 
 	HASH_ITER (hh, b->jobs, job, tmp)
-		if (!job->aborted)
+		if (!job->cancelled)
 			scratch[n++] = job;
 	qsort(scratch, n, sizeof(*scratch), by_submission);
 	for (size_t i = 0; i < n; i++) {
 		job = scratch[i];
-		cpus[job->owner] += job->cpus * job->parts;
-		gpus[job->owner] += job->gpus * job->parts;
-		job->owed = fl_team_within_guarantee(&b->teams.at[job->owner], cpus[job->owner],
-		                                     gpus[job->owner]);
+		cpus[job->team] += job->cpus * job->n_tasks;
+		gpus[job->team] += job->gpus * job->n_tasks;
+		job->owed = fl_team_within_guarantee(&b->teams.at[job->team], cpus[job->team],
+		                                     gpus[job->team]);
 	}
 }
 
@@ -176,7 +176,7 @@
 		return (struct fl_promise){0};
 	return (struct fl_promise){.made = true,
 	                           .owed = m->claimed_owed,
-	                           .tier = (enum fl_tier)m->claimed_tier,
+	                           .priority = (enum fl_priority)m->claimed_priority,
 	                           .cpus = m->claimed_cpus,
 	                           .gpus = m->claimed_gpus,
 	                           .ram_gb = m->claimed_ram};
@@ -188,12 +188,12 @@
 		const struct fl_promise *c = &s->in.machines[i].claimed;
 
 		/* A lower job that counts on the rest of the room takes nothing from a promise. */
-		if (!c->made ||
-		    (s->in.machines[i].promised.made && s->in.machines[i].promised.tier > c->tier))
+		if (!c->made || (s->in.machines[i].promised.made &&
+		                 s->in.machines[i].promised.priority > c->priority))
 			continue;
 		s->machines[i]->claimed_at = now;
 		s->machines[i]->claimed_owed = c->owed;
-		s->machines[i]->claimed_tier = (uint8_t)c->tier;
+		s->machines[i]->claimed_priority = (uint8_t)c->priority;
 		s->machines[i]->claimed_cpus = c->cpus;
 		s->machines[i]->claimed_gpus = c->gpus;
 		s->machines[i]->claimed_ram = c->ram_gb;
@@ -224,16 +224,16 @@
 	memcpy(s->in.teams, b->teams.at, sizeof(b->teams.at));
 	mark_owed(b, s->jobs);
 	HASH_ITER (hh, b->jobs, job, tmp)
-		if (!job->aborted && job->n_waiting > 0)
+		if (!job->cancelled && job->n_waiting > 0)
 			snap_job(s, job, now, wall);
 	for (int i = 0; i < b->machines.n; i++) {
 		struct fl_machine *m = b->machines.at[i];
-		const struct fl_kind *k;
+		const struct fl_machine_type *k;
 		struct fl_sched_machine *sm;
 
 		if (!usable(n, m, now))
 			continue;
-		k = &b->machines.kinds[m->kind];
+		k = &b->machines.types[m->kind];
 		sm = &s->in.machines[s->in.n_machines];
 		*sm = (struct fl_sched_machine){.kind = m->kind,
 		                                .zone = m->zone,
@@ -246,7 +246,7 @@
 		                                .cache = m->cache};
 		for (int k2 = 0; k2 < m->n_slots; k2++) {
 			snap_run(s, s->in.n_machines, &m->slots[k2], now, wall);
-			sm->held = sm->held || m->slots[k2].job->kind == FL_STANDING;
+			sm->held = sm->held || m->slots[k2].job->kind == FL_SERVICE;
 		}
 		s->machines[s->in.n_machines++] = m;
 	}
@@ -276,12 +276,12 @@
 		struct fl_machine *m = s->machines[out->starts[i].machine];
 		uint32_t index = fl_task_next_waiting(job, 0, now);
 
-		if (index >= job->parts ||
+		if (index >= job->n_tasks ||
 		    fl_task_place(&n->cluster, job, index, m, n->lease.epoch, now) != 0)
 			continue;
-		fl_machine_note_bundle(m, job->bundle);
+		fl_machine_note_image(m, job->image);
 		/* What it was kept for has come; who still waits claims again in each pass. */
-		if ((uint8_t)job->tier >= m->claimed_tier)
+		if ((uint8_t)job->priority >= m->claimed_priority)
 			m->claimed_at = 0;
 		job->window_until = 0;
 		m->want_push = true;
@@ -346,10 +346,10 @@
 			struct fl_job *job = m->slots[k].job;
 			struct fl_task *t = fl_task_peek(job, m->slots[k].index);
 
-			if (t->stop != FL_STOP_NONE || job->aborted)
+			if (t->stop != FL_STOP_NONE || job->cancelled)
 				continue;
 			/* What cannot save runs on: it may yet end before the machine goes. */
-			if (job->kind == FL_STANDING || job->snapshot_every_s > 0) {
+			if (job->kind == FL_SERVICE || job->checkpoint_every_s > 0) {
 				t->stop = FL_STOP_DRAIN;
 				fl_command_push(n, m);
 			}
@@ -357,8 +357,8 @@
 	}
 }
 
-/* An ensemble that lost a part cannot go on: the rest is stopped, and it starts again whole. */
-static void stop_broken_ensembles(struct fl_node *n)
+/* A gang that lost a task cannot go on: the rest is stopped, and it starts again whole. */
+static void stop_broken_gangs(struct fl_node *n)
 {
 	for (int i = 0; i < n->cluster.machines.n; i++) {
 		struct fl_machine *m = n->cluster.machines.at[i];
@@ -367,8 +367,7 @@
 			struct fl_job *job = m->slots[k].job;
 			struct fl_task *t = fl_task_peek(job, m->slots[k].index);
 
-			if (job->kind != FL_ENSEMBLE || job->n_waiting == 0 ||
-			    t->stop != FL_STOP_NONE)
+			if (job->kind != FL_GANG || job->n_waiting == 0 || t->stop != FL_STOP_NONE)
 				continue;
 			t->stop = FL_STOP_DRAIN;
 			fl_command_push(n, m);
@@ -398,7 +397,7 @@
 			continue;
 		last = fl_now();
 		drain_reclaimed(n);
-		stop_broken_ensembles(n);
+		stop_broken_gangs(n);
 		pass(n);
 		gap = gap_after(fl_now() - last);
 		if (n->cluster.dirty)
--- a/src/coordination/pass.h
+++ b/src/coordination/pass.h
@@ -1,4 +1,4 @@
-/* Passes: a snapshot of the cluster state goes to the schedule, its decisions come back into them.
+/* Passes: a snapshot of the cluster state goes to the schedule, its decisions come back into it.
  */
 #ifndef FL_COORDINATION_PASS_H
 #define FL_COORDINATION_PASS_H
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -18,7 +18,7 @@
 static const struct {
 	double round_s;      /* s between two looks at the machines */
 	double list_s;       /* s between two lists */
-	double kinds_s;      /* s between two looks at prices */
+	double types_s;      /* s between two looks at prices */
 	double refused_s;    /* s for which a refused place is not asked again */
 	double doubt_cost;   /* times the price that a zone counts for while it cannot be reached */
 	double idle_boots;   /* boot times for which an idle machine is kept */
@@ -52,7 +52,7 @@
 
 static struct virtual *add_virtual(struct plan *p, int kind, int zone, bool spot, bool fresh)
 {
-	const struct fl_kind *k = &p->n->cluster.machines.kinds[kind];
+	const struct fl_machine_type *k = &p->n->cluster.machines.types[kind];
 
 	if (p->count == p->cap)
 		return NULL;
@@ -63,13 +63,13 @@
 
 static bool job_allows(const struct fl_job *job, int kind, int zone, bool spot)
 {
-	return (job->kinds >> kind & 1) && (job->site < 0 || job->site == zone) &&
+	return (job->types >> kind & 1) && (job->zone < 0 || job->zone == zone) &&
 	       (job->reclaimable || !spot);
 }
 
 static bool zone_allows(const struct fl_job *job, const uint32_t *placed, int zone)
 {
-	if (job->apart && placed[zone] + 1 > (job->parts + 1) / 2)
+	if (job->apart && placed[zone] + 1 > (job->n_tasks + 1) / 2)
 		return false;
 	for (int z = 0; job->together && z < FL_ZONES_MAX; z++)
 		if (z != zone && placed[z] > 0)
@@ -83,7 +83,7 @@
 	       v->ram + 1e-6 >= job->ram_gb;
 }
 
-static bool kind_fits(const struct fl_kind *k, const struct fl_job *job)
+static bool type_fits(const struct fl_machine_type *k, const struct fl_job *job)
 {
 	return k->cpus + 1e-6 >= job->cpus && k->gpus + 1e-6 >= job->gpus &&
 	       k->ram_gb + 1e-6 >= job->ram_gb;
@@ -96,7 +96,7 @@
 }
 
 /* Price a second of one task's share of the machine. */
-static double unit_price(const struct fl_kind *k, const struct fl_job *job, bool spot)
+static double unit_price(const struct fl_machine_type *k, const struct fl_job *job, bool spot)
 {
 	uint32_t n = tasks_fit(job, k->cpus, k->gpus, k->ram_gb);
 
@@ -113,18 +113,18 @@
 
 	if (p->fresh >= choice.machines_most)
 		return NULL;
-	for (int k = 0; k < ms->n_kinds; k++) {
+	for (int k = 0; k < ms->n_types; k++) {
 		for (int z = 0; z < p->n->cluster.zones.n && z < FL_ZONES_MAX; z++) {
 			for (int s = 0; s < 2; s++) {
 				double cost;
 
-				if ((only >= 0 && z != only) || !(ms->kinds[k].zones >> z & 1) ||
-				    !kind_fits(&ms->kinds[k], job) || !job_allows(job, k, z, s) ||
+				if ((only >= 0 && z != only) || !(ms->types[k].zones >> z & 1) ||
+				    !type_fits(&ms->types[k], job) || !job_allows(job, k, z, s) ||
 				    !zone_allows(job, placed, z) ||
 				    p->n->provision.refused_until[k][z][s] > p->now)
 					continue;
 				/* Among equal prices, the zone that holds the least. */
-				cost = unit_price(&ms->kinds[k], job, s) *
+				cost = unit_price(&ms->types[k], job, s) *
 				       (1 + 1e-4 * p->zone_machines[z] +
 				        (job->apart ? 0.1 * placed[z] : 0));
 				/* A machine that cannot report is paid for nothing. */
@@ -170,7 +170,7 @@
 /* More than the team's limit lets run at once need no machine. */
 static uint32_t cap_by_team(const struct fl_node *n, const struct fl_job *job, uint32_t want)
 {
-	const struct fl_team *t = &n->cluster.teams.at[job->owner];
+	const struct fl_team *t = &n->cluster.teams.at[job->team];
 	double most = want;
 
 	if (t->gpus_max > 0 && job->gpus > 0)
@@ -186,7 +186,7 @@
 
 	memcpy(placed, job->zone_placed, sizeof(placed));
 	want = cap_by_team(p->n, job, want);
-	while (want > 0 && job->kind == FL_SWEEP && p->soon >= 1) {
+	while (want > 0 && job->kind == FL_ARRAY && p->soon >= 1) {
 		p->soon -= 1;
 		want--;
 	}
@@ -206,15 +206,15 @@
 		p->zone_machines[m->zone]++;
 		/* Some boot for minutes and a few for ever: what waits must not wait for those. */
 		if (!m->up && !m->deleting && m->n_slots == 0 &&
-		    p->now - m->created < choice.boot_late * b->machines.kinds[m->kind].ready_s)
+		    p->now - m->created < choice.boot_late * b->machines.types[m->kind].ready_s)
 			add_virtual(p, m->kind, m->zone, m->spot, false);
 		for (int k = 0; m->up && k < m->n_slots; k++) {
 			const struct fl_job *job = m->slots[k].job;
 			const struct fl_task *t = fl_task_peek(job, m->slots[k].index);
 
-			if (job->kind == FL_SWEEP && t->sight == FL_SEEN_RUNNING &&
+			if (job->kind == FL_ARRAY && t->sight == FL_SEEN_RUNNING &&
 			    job->expected_s - (p->now - t->since) <
-			            choice.soon_boots * b->machines.kinds[m->kind].ready_s)
+			            choice.soon_boots * b->machines.types[m->kind].ready_s)
 				p->soon += 1;
 		}
 	}
@@ -224,7 +224,7 @@
 static uint32_t room_on(const struct fl_node *n, const struct fl_machine *m,
                         const struct fl_job *like)
 {
-	const struct fl_kind *k = &n->cluster.machines.kinds[m->kind];
+	const struct fl_machine_type *k = &n->cluster.machines.types[m->kind];
 	double cpus = k->cpus, gpus = k->gpus, ram = k->ram_gb;
 
 	if (m->spot || m->deleting || !job_allows(like, m->kind, m->zone, m->spot))
@@ -232,7 +232,7 @@
 	for (int i = 0; i < m->n_slots; i++) {
 		const struct fl_job *job = m->slots[i].job;
 
-		if (job->tier < like->tier)
+		if (job->priority < like->priority)
 			continue;
 		cpus -= job->cpus;
 		gpus -= job->gpus;
@@ -252,38 +252,38 @@
 	struct fl_job *job, *tmp;
 	double tasks = 0, need, have[FL_ZONES_MAX] = {0};
 	uint32_t none[FL_ZONES_MAX] = {0};
-	int parts;
+	int shares;
 
 	HASH_ITER (hh, b->jobs, job, tmp) {
-		if (job->kind != FL_STANDING || job->tier < FL_URGENT ||
+		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
 		    p->wall - job->submitted > choice.learn_s)
 			continue;
-		tasks += job->parts;
+		tasks += job->n_tasks;
 		if (!like || job->submitted > like->submitted)
 			like = job;
 	}
-	p->n->provision.spare_parts = 0;
-	if (!like || b->machines.n_kinds == 0)
+	p->n->provision.spare_shares = 0;
+	if (!like || b->machines.n_types == 0)
 		return;
 	/* What must be apart needs room in each zone, also to replace what is lost in one. */
-	parts = like->apart ? b->zones.n : 1;
-	p->n->provision.spare_parts = parts;
-	need = tasks / choice.learn_s * b->machines.kinds[0].ready_s;
-	need = ceil((need + choice.reserve_sd * sqrt(need)) / parts);
+	shares = like->apart ? b->zones.n : 1;
+	p->n->provision.spare_shares = shares;
+	need = tasks / choice.learn_s * b->machines.types[0].ready_s;
+	need = ceil((need + choice.reserve_sd * sqrt(need)) / shares);
 	for (int i = 0; i < b->machines.n; i++) {
 		const struct fl_machine *m = b->machines.at[i];
 
 		if (!m->gone && m->described && m->up)
-			have[m->zone % parts] += room_on(p->n, m, like);
+			have[m->zone % shares] += room_on(p->n, m, like);
 	}
-	for (int z = 0; z < parts; z++)
+	for (int z = 0; z < shares; z++)
 		p->n->provision.spare[z] = (int)(have[z] - need);
 	for (int i = 0; i < p->count; i++)
 		if (!p->at[i].spot)
-			have[p->at[i].zone % parts] +=
+			have[p->at[i].zone % shares] +=
 				tasks_fit(like, p->at[i].cpus, p->at[i].gpus, p->at[i].ram);
-	for (int z = 0; z < parts; z++)
-		while (have[z] < need && rent_for(p, like, none, parts > 1 ? z : -1))
+	for (int z = 0; z < shares; z++)
+		while (have[z] < need && rent_for(p, like, none, shares > 1 ? z : -1))
 			have[z] += fmax(1, tasks_fit(like, p->at[p->count - 1].cpus,
 			                             p->at[p->count - 1].gpus,
 			                             p->at[p->count - 1].ram));
@@ -326,9 +326,9 @@
 	if (!p.at)
 		return;
 	note_machines(&p);
-	for (int tier = FL_CRITICAL; tier >= FL_BEST_EFFORT; tier--)
+	for (int priority = FL_CRITICAL; priority >= FL_BEST_EFFORT; priority--)
 		for (int i = 0; i < count; i++)
-			if ((int)jobs[i]->tier == tier && short_of[i] > 0)
+			if ((int)jobs[i]->priority == priority && short_of[i] > 0)
 				plan_job(&p, jobs[i], short_of[i]);
 	plan_reserve(&p);
 	keep_want(&n->provision, &p);
@@ -347,7 +347,7 @@
 
 static int rent(struct fl_node *n, const struct fl_want *w)
 {
-	const char *kind = n->cluster.machines.kinds[w->kind].name;
+	const char *kind = n->cluster.machines.types[w->kind].name;
 	const char *zone = fl_names_at(&n->cluster.zones, w->zone);
 	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
 	int got = 0, rc = -EAGAIN;
@@ -407,8 +407,8 @@
 
 	if (!m)
 		return;
-	fl_cluster_describe(&n->cluster, m, fl_kind_find(&n->cluster.machines, l->kind),
-	                    fl_names_find(&n->cluster.zones, l->site), l->spot, l->endpoint);
+	fl_cluster_describe(&n->cluster, m, fl_machine_type_find(&n->cluster.machines, l->kind),
+	                    fl_names_find(&n->cluster.zones, l->zone), l->spot, l->endpoint);
 	if (m->id < *seen)
 		m->listed = true;
 	if (l->status == FL_HOST_FAILED && !m->gone)
@@ -469,7 +469,7 @@
 static const char *why_return(struct fl_node *n, struct fl_machine *m, double now,
                               const double leases[FL_ZONES_MAX])
 {
-	const struct fl_kind *k = m->kind >= 0 ? &n->cluster.machines.kinds[m->kind] : NULL;
+	const struct fl_machine_type *k = m->kind >= 0 ? &n->cluster.machines.types[m->kind] : NULL;
 	bool empty = m->n_slots == 0 && m->foreign == 0;
 
 	if (m->deleting)
@@ -495,8 +495,8 @@
 	if (m->spot)
 		return "idle";
 	/* An ordinary machine may be part of the reserve for services. */
-	if (n->provision.spare_parts > 0) {
-		int *spare = &n->provision.spare[m->zone % n->provision.spare_parts];
+	if (n->provision.spare_shares > 0) {
+		int *spare = &n->provision.spare[m->zone % n->provision.spare_shares];
 
 		if (*spare < k->gpus)
 			return NULL;
@@ -542,8 +542,8 @@
 	return rc;
 }
 
-/* For controllers that start while the cloud is out: see read_kinds in node.c. */
-static void store_kinds(struct fl_node *n, const struct fl_host_kind *kinds, int count)
+/* For controllers that start while the cloud is out: see read_types in node.c. */
+static void store_types(struct fl_node *n, const struct fl_offered_type *types, int count)
 {
 	struct fl_multi m;
 	uint64_t rev;
@@ -552,21 +552,21 @@
 		return; /* launches need the writes: the next look will do */
 	fl_multi_init(&m);
 	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
-	fl_multi_put(&m, FL_KEY_KINDS, fl_kinds_encode(kinds, count), 0);
+	fl_multi_put(&m, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
 	if (fl_state_multi(&n->state, &m, &rev, NULL) != 0)
 		fl_debug("cloud", "machine types not stored");
 }
 
-static void refresh_kinds(struct fl_node *n)
+static void refresh_types(struct fl_node *n)
 {
-	struct fl_host_kind *kinds;
+	struct fl_offered_type *types;
 	int count;
 
-	if (spend_call(n) != 0 || fl_cloud_kinds(&n->cloud, &kinds, &count) != 0)
+	if (spend_call(n) != 0 || fl_cloud_machine_types(&n->cloud, &types, &count) != 0)
 		return;
-	fl_kinds_set(&n->cluster.machines, &n->cluster.zones, kinds, count);
-	store_kinds(n, kinds, count);
-	free(kinds);
+	fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, count);
+	store_types(n, types, count);
+	free(types);
 }
 
 double fl_provision_spot_loss(const struct fl_node *n)
@@ -592,7 +592,7 @@
 	double now = fl_now();
 
 	memset(&n->provision, 0, sizeof(n->provision));
-	n->provision.kinds_at = -1e9; /* what was read from a record may be old */
+	n->provision.types_at = -1e9; /* what was read from a record may be old */
 	fl_budget_init(&n->provision.calls, n->config->cloud_rps * 0.8,
 	               2 * n->config->cloud_rps * 0.8, now);
 }
@@ -605,15 +605,15 @@
 		if (!fl_lease_valid(n))
 			continue;
 		/* Here nothing of this duty is under way, and pushes keep their machines. */
-		fl_cluster_sweep(&n->cluster, fl_now() - choice.tombstone_s);
+		fl_cluster_purge(&n->cluster, fl_now() - choice.tombstone_s);
 		count_spot(n);
 		return_machines(n);
 		rent_wanted(n);
 		if (fl_now() > n->provision.listed_at + choice.list_s)
 			list_all(n);
-		if (fl_now() > n->provision.kinds_at + choice.kinds_s) {
-			n->provision.kinds_at = fl_now();
-			refresh_kinds(n);
+		if (fl_now() > n->provision.types_at + choice.types_s) {
+			n->provision.types_at = fl_now();
+			refresh_types(n);
 		}
 	}
 	n->lead.running--;
--- a/src/coordination/provision.h
+++ b/src/coordination/provision.h
@@ -22,15 +22,15 @@
 	int n_want;
 	bool busy; /* a rental is under way: what is short is not known till it is answered */
 	uint64_t rentals; /* names given out in this epoch */
-	double refused_until[FL_KINDS_KNOWN_MAX][FL_ZONES_MAX][2];
+	double refused_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX][2];
 	double doubted_until[FL_ZONES_MAX]; /* too many machines of the zone fell silent */
-	double listed_at, kinds_at;
+	double listed_at, types_at;
 	struct fl_budget calls;
 	double spot_lost, spot_s; /* cheap machines taken back, and the time that such were up */
 	double counted_at;        /* steady */
 	/* Tasks of services for which ordinary machines may be returned without cutting into the
-	 * reserve: by zone, or in all if there is one part; with no part there is no reserve. */
-	int spare[FL_ZONES_MAX], spare_parts;
+	 * reserve: by zone, or in all if there is one share; with none there is no reserve. */
+	int spare[FL_ZONES_MAX], spare_shares;
 };
 
 void fl_provision_begin(struct fl_node *n);
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -46,10 +46,10 @@
 
 		if (!t->told)
 			continue;
-		for (int k = 0; k < r->n_parts && !there; k++)
-			there = r->parts[k].index == m->slots[i].index &&
-			        r->parts[k].attempt == t->attempt &&
-			        strcmp(r->parts[k].ref, job->ref) == 0;
+		for (int k = 0; k < r->n_tasks && !there; k++)
+			there = r->tasks[k].index == m->slots[i].index &&
+			        r->tasks[k].attempt == t->attempt &&
+			        strcmp(r->tasks[k].ref, job->ref) == 0;
 		if (!there)
 			return false;
 	}
@@ -68,7 +68,7 @@
 	if (m->answered <= 0)
 		return;
 	/* Had it heard the last answer, its lease could not have ended by now. */
-	session_lost = r->tenure > m->tenure && m->tenure > 0 &&
+	session_lost = r->session > m->session && m->session > 0 &&
 	               gap < n->config->lease_s - choice.patience_s;
 	missed = r->epoch < m->answered_epoch || session_lost ||
 	         (m->answered_launch && !launch_shows(m, r));
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -18,12 +18,12 @@
 	double avoid_s;      /* s for which it is avoided */
 } choice = {1.0, 2.0, 60.0, 4, 2, 120.0};
 
-/* Newer by tenure, then serial; the first report heard is always newer. */
+/* Newer by session, then sequence number; the first report heard is always newer. */
 static bool newer(const struct fl_machine *m, const struct fl_report *r)
 {
 	if (m->heard <= 0)
 		return true;
-	return r->tenure > m->tenure || (r->tenure == m->tenure && r->serial > m->serial);
+	return r->session > m->session || (r->session == m->session && r->seq > m->seq);
 }
 
 /*
@@ -53,14 +53,14 @@
 
 static bool wanted(const struct fl_job *job, const struct fl_task *t)
 {
-	return !job->aborted && t->stop == FL_STOP_NONE;
+	return !job->cancelled && t->stop == FL_STOP_NONE;
 }
 
 static double wind_down(const struct fl_job *job, const struct fl_task *t)
 {
-	if (job->aborted || job->snapshot_every_s <= 0 || t->sight == FL_SEEN_FLUSHING)
+	if (job->cancelled || job->checkpoint_every_s <= 0 || t->sight == FL_SEEN_FLUSHING)
 		return 0;
-	return job->snapshot_cost_s + 1;
+	return job->checkpoint_cost_s + 1;
 }
 
 static double backoff(uint32_t failures)
@@ -85,7 +85,7 @@
 }
 
 static void ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job, uint32_t index,
-                  struct fl_task *t, const struct fl_part *p, double now)
+                  struct fl_task *t, const struct fl_task_report *p, double now)
 {
 	double pause = 0;
 
@@ -118,7 +118,7 @@
 	fl_signal_wake(&n->lead.work);
 }
 
-static enum fl_sight sight_of(enum fl_part_state s)
+static enum fl_sight sight_of(enum fl_task_state s)
 {
 	switch (s) {
 	case FL_PULLING:
@@ -133,7 +133,8 @@
 
 /* An entry that is no current attempt: stop it if it lives, have it forgotten when that is safe. */
 static void stray(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
-                  const struct fl_part *p, const struct fl_report *r, struct fl_orders *orders)
+                  const struct fl_task_report *p, const struct fl_report *r,
+                  struct fl_orders *orders)
 {
 	if (p->state != FL_ENDED) {
 		m->foreign++;
@@ -142,8 +143,8 @@
 		return;
 	}
 	/* Completed is completed, whichever attempt it was. */
-	if (p->exit == FL_EXIT_DONE && job && !job->aborted && p->index < job->parts &&
-	    job->kind == FL_SWEEP) {
+	if (p->exit == FL_EXIT_DONE && job && !job->cancelled && p->index < job->n_tasks &&
+	    job->kind == FL_ARRAY) {
 		struct fl_task *t = fl_task_get(job, p->index);
 
 		if (t && t->phase == FL_TASK_WAITING) {
@@ -153,21 +154,21 @@
 	}
 	if (!may_forget(m, r))
 		n->lead.unforgotten++;
-	else if (orders && (!job || p->index >= job->parts || fl_task_durable(job, p->index)))
+	else if (orders && (!job || p->index >= job->n_tasks || fl_task_durable(job, p->index)))
 		fl_orders_add(orders, FL_FORGET, p->ref, p->index, p->attempt, 0);
 }
 
-static void reported_part(struct fl_node *n, struct fl_machine *m, const struct fl_part *p,
+static void reported_task(struct fl_node *n, struct fl_machine *m, const struct fl_task_report *p,
                           const struct fl_report *r, struct fl_orders *orders, double now)
 {
 	struct fl_job *job = fl_job_find(&n->cluster, p->ref);
-	struct fl_task *t = job && p->index < job->parts ? fl_task_peek(job, p->index) : NULL;
+	struct fl_task *t = job && p->index < job->n_tasks ? fl_task_peek(job, p->index) : NULL;
 
 	if (!t || t->phase != FL_TASK_PLACED || t->machine != m->id || t->attempt != p->attempt) {
 		stray(n, m, job, p, r, orders);
 		return;
 	}
-	fl_machine_note_bundle(m, job->bundle);
+	fl_machine_note_image(m, job->image);
 	if (p->state == FL_ENDED) {
 		ended(n, m, job, p->index, t, p, now);
 		return;
@@ -188,9 +189,9 @@
 static bool in_report(const struct fl_report *r, const struct fl_job *job, uint32_t index,
                       uint32_t attempt)
 {
-	for (int i = 0; i < r->n_parts; i++)
-		if (r->parts[i].index == index && r->parts[i].attempt == attempt &&
-		    strcmp(r->parts[i].ref, job->ref) == 0)
+	for (int i = 0; i < r->n_tasks; i++)
+		if (r->tasks[i].index == index && r->tasks[i].attempt == attempt &&
+		    strcmp(r->tasks[i].ref, job->ref) == 0)
 			return true;
 	return false;
 }
@@ -199,7 +200,7 @@
  * Attempts that should be here and were not reported: launch, or conclude that they are not. True
  * if a launch is ordered.
  */
-static bool missing_parts(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+static bool missing_tasks(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
                           struct fl_orders *orders, enum fl_way way, double now)
 {
 	bool launches = false;
@@ -211,7 +212,7 @@
 
 		if (in_report(r, job, index, t->attempt))
 			continue;
-		if (t->tenure < r->tenure) {
+		if (t->session < r->session) {
 			/* The session in which it was placed is over, and so is the attempt. */
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
 			        m->name);
@@ -242,8 +243,8 @@
 
 static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *r)
 {
-	int kind = fl_kind_find(&n->cluster.machines, r->kind);
-	int zone = fl_names_find(&n->cluster.zones, r->site);
+	int kind = fl_machine_type_find(&n->cluster.machines, r->kind);
+	int zone = fl_names_find(&n->cluster.zones, r->zone);
 
 	fl_cluster_describe(&n->cluster, m, kind, zone, r->spot, r->endpoint);
 }
@@ -264,8 +265,8 @@
 	bool fresh = !m->up;
 
 	describe(n, m, r);
-	m->tenure = r->tenure;
-	m->serial = r->serial;
+	m->session = r->session;
+	m->seq = r->seq;
 	m->heard = now;
 	m->up = true;
 	m->foreign = 0;
@@ -304,9 +305,9 @@
 	take_in(n, m, r, now);
 	if (way != FL_WAY_HEARSAY)
 		m->reached = now;
-	for (int i = 0; i < r->n_parts; i++)
-		reported_part(n, m, &r->parts[i], r, orders, now);
-	launches = missing_parts(n, m, r, orders, way, now);
+	for (int i = 0; i < r->n_tasks; i++)
+		reported_task(n, m, &r->tasks[i], r, orders, now);
+	launches = missing_tasks(n, m, r, orders, way, now);
 	if (way == FL_WAY_REPORT)
 		fl_reachability_answered(n, m, launches, now);
 	return 0;
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -108,14 +108,14 @@
 	}
 	if (!fl_job_is_over(job))
 		return 0;
-	status = job->aborted ? FL_ABORTED : FL_DONE;
+	status = job->cancelled ? FL_CANCELLED : FL_DONE;
 	fl_multi_init(&m);
 	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
 	fl_key_job(key, job->ref);
 	fl_multi_when(&m, key, job->rev);
 	fl_multi_delete(&m, key);
-	fl_key_final(key, job->ref);
-	fl_multi_put(&m, key, fl_job_record_final(status, job->parts), 0);
+	fl_key_finished(key, job->ref);
+	fl_multi_put(&m, key, fl_job_record_final(status, job->n_tasks), 0);
 	for (; rest < job->n_chunks && m.n_apply < n->config->txn_ops; rest++) {
 		if (!has_record(fl_job_chunk(job, rest)))
 			continue;
@@ -480,16 +480,16 @@
 
 static int write_all(struct fl_node *n)
 {
-	int rc = write_urgent(n), finals;
+	int rc = write_urgent(n), finished;
 
 	if (rc)
 		return rc;
 	fl_command_push_placed(n);
-	finals = finalise_one(n);
+	finished = finalise_one(n);
 	rc = fl_leading(n) ? write_rest(n) : -EAGAIN;
 	if (!rc)
 		undirty(n);
-	return rc ? rc : finals;
+	return rc ? rc : finished;
 }
 
 /* Nothing can be written before the budget allows, but something urgent may come up. */
--- a/src/coordination/schedule.c
+++ b/src/coordination/schedule.c
@@ -8,11 +8,11 @@
 	.alpha = 1,    /* a job rises as it waits */
 	.beta = -1,    /* short ones first */
 	.gamma = -0.5, /* narrow ones first: users count jobs, and wide ones hold many back */
-	.r = 10,       /* one tier is worth ten times the wait */
+	.r = 10,       /* one priority is worth ten times the wait */
 	.omega = 4,    /* the finite value that did best in the paper's tables */
 	.default_est_s = 3600,
 	.patience_s = 120, /* half of what users grant the largest job before it begins */
-	.impatience = 4,   /* power; at twice the patience it outweighs all but the tier */
+	.impatience = 4,   /* power; at twice the patience it outweighs all but the priority */
 };
 
 static const struct {
@@ -49,7 +49,7 @@
 {
 	double wait = j->waited_s > choice.min_wait_s ? j->waited_s : choice.min_wait_s;
 	double est = j->est_s > 0 ? j->est_s : p->default_est_s;
-	double n = j->cpus * j->parts;
+	double n = j->cpus * j->n_tasks;
 
 	if (n <= 0)
 		n = 1;
@@ -59,11 +59,11 @@
 	 * grows.
 	 */
 	return pow(wait / 3600, p->alpha) * (1 + pow(wait / p->patience_s, p->impatience)) *
-	       pow(est / 3600, p->beta) * pow(n / 32, p->gamma) * pow(p->r, (int)j->tier - 1);
+	       pow(est / 3600, p->beta) * pow(n / 32, p->gamma) * pow(p->r, (int)j->priority - 1);
 }
 
 /* A service that may stop others goes ahead of them: placing it first saves the stop. */
-static bool ahead(const struct fl_sched_job *j) { return j->standing && j->tier >= FL_URGENT; }
+static bool ahead(const struct fl_sched_job *j) { return j->service && j->priority >= FL_URGENT; }
 
 /*
  * Nothing is passed over without end, however hostile what comes after it: an array that has not
@@ -72,7 +72,7 @@
  */
 static bool overdue(const struct fl_sched_params *p, const struct fl_sched_job *j)
 {
-	return !j->standing && !j->begun && j->waited_s > p->patience_s;
+	return !j->service && !j->begun && j->waited_s > p->patience_s;
 }
 
 /*
@@ -98,7 +98,7 @@
 
 static bool allowed(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
-	return (j->kinds >> m->kind & 1) && (j->site < 0 || j->site == m->zone) &&
+	return (j->types >> m->kind & 1) && (j->zone < 0 || j->zone == m->zone) &&
 	       (j->reclaimable || !m->spot);
 }
 
@@ -110,7 +110,7 @@
 
 static bool zone_ok(const struct fl_sched_job *j, int zone)
 {
-	uint32_t half = (j->parts + 1) / 2;
+	uint32_t half = (j->n_tasks + 1) / 2;
 
 	if (j->apart && j->zone_placed[zone] + j->zone_unknown + 1 > half)
 		return false;
@@ -140,7 +140,7 @@
 {
 	double est = j->est_s > 0 ? j->est_s : in->params->default_est_s;
 
-	if (j->standing || j->waited_s <= in->params->patience_s)
+	if (j->service || j->waited_s <= in->params->patience_s)
 		return 0;
 	return fmin(1, in->spot_loss * est) * (est / 2 + choice.again_s);
 }
@@ -148,7 +148,7 @@
 static double fetch_s(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
 	for (int i = 0; i < FL_CACHE_NOTE && m->cache; i++)
-		if (m->cache[i] == j->bundle)
+		if (m->cache[i] == j->image)
 			return 0;
 	return j->image_gb / (m->pull_gb_s > 0 ? m->pull_gb_s : 1);
 }
@@ -170,9 +170,10 @@
 
 /*
  * What a stop has freed belongs to whom it was made for. By the product alone a job that has waited
- * goes before one of a higher tier, which may stop it: found with idle-time arrays of 288 tasks,
- * which took the room again in every other pass and were stopped 80,000 times in ten minutes. Nor
- * does a pass that goes on in the middle of the order give away what its head waits for.
+ * goes before one of a higher priority, which may stop it: found with idle-time arrays of 288
+ * tasks, which took the room again in every other pass and were stopped 80,000 times in ten
+ * minutes. Nor does a pass that goes on in the middle of the order give away what its head waits
+ * for.
  */
 static struct fl_amounts kept_from(const struct pass *p, const struct fl_sched_job *j,
                                    const struct fl_sched_machine *m)
@@ -183,10 +184,10 @@
 	if (!was->made)
 		return (struct fl_amounts){0};
 	/* Services too: an urgent one goes before a critical array, which may stop it. */
-	if (j->tier >= was->tier && (ahead(j) || (!p->resumed && (!was->owed || j->owed))))
+	if (j->priority >= was->priority && (ahead(j) || (!p->resumed && (!was->owed || j->owed))))
 		return (struct fl_amounts){0};
 	/* What it was made for has claimed again in this pass is off the free room already. */
-	if (now->made && now->tier >= was->tier) {
+	if (now->made && now->priority >= was->priority) {
 		kept.cpus = fmax(0, kept.cpus - now->cpus);
 		kept.gpus = fmax(0, kept.gpus - now->gpus);
 		kept.ram_gb = fmax(0, kept.ram_gb - now->ram_gb);
@@ -329,21 +330,21 @@
 	}
 }
 
-/* May `j` stop `r`? By tier, or to get its team's guarantee from a team beyond its own. */
+/* May `j` stop `r`? By priority, or to get its team's guarantee from a team beyond its own. */
 static bool may_stop(const struct pass *p, const struct fl_sched_job *j,
                      const struct fl_sched_run *r, bool owed)
 {
 	const struct fl_team *t;
 
-	if (r->stopping || !r->movable || (r->foothold && j->tier < FL_URGENT))
+	if (r->stopping || !r->movable || (r->foothold && j->priority < FL_URGENT))
 		return false;
-	if (r->tier < j->tier)
+	if (r->priority < j->priority)
 		return true;
 	/*
 	 * Nor what is itself within a guarantee, though its team has more besides: found in the
 	 * simulated fault combinations, it went first in the next pass, and was stopped again.
 	 */
-	if (!owed || r->team == j->team || r->standing || r->owed)
+	if (!owed || r->team == j->team || r->service || r->owed)
 		return false;
 	t = &p->in->teams[r->team];
 	return !fl_team_within_guarantee(t, t->used_cpus, t->used_gpus);
@@ -448,7 +449,8 @@
 	m->ram_gb -= j->ram_gb;
 	j->zone_placed[m->zone]++;
 	if (!m->claimed.made)
-		m->claimed = (struct fl_promise){.made = true, .owed = t.owed, .tier = j->tier};
+		m->claimed =
+			(struct fl_promise){.made = true, .owed = t.owed, .priority = j->priority};
 	m->claimed.cpus += j->cpus;
 	m->claimed.gpus += j->gpus;
 	m->claimed.ram_gb += j->ram_gb;
@@ -470,7 +472,7 @@
 
 	struct terms t = {.image = true};
 
-	if (!ahead(j) || j->whole || fetch <= choice.fetch_wait_s || j->waited_s >= fetch)
+	if (!ahead(j) || j->gang || fetch <= choice.fetch_wait_s || j->waited_s >= fetch)
 		return false;
 	rate_claims(p, j, t);
 	return claim_one(p, j, t);
@@ -480,7 +482,7 @@
 {
 	struct fl_sched_job *j = &p->in->jobs[job];
 	int zone = pick_zone(p->in, j);
-	uint32_t leave = overdue(p->in->params, j) && !j->whole ? j->waiting - 1 : 0;
+	uint32_t leave = overdue(p->in->params, j) && !j->gang ? j->waiting - 1 : 0;
 
 	p->held = 0;
 	rate_starts(p, j, zone, ends_by);
@@ -512,7 +514,7 @@
 	int before = p->out->n_starts;
 	bool no_room = start_each(p, job, ends_by);
 
-	if (p->in->jobs[job].whole && p->in->jobs[job].waiting > 0)
+	if (p->in->jobs[job].gang && p->in->jobs[job].waiting > 0)
 		undo_starts(p, before);
 	return no_room;
 }
@@ -526,12 +528,12 @@
 	struct terms terms = {.ends_by = ends_by};
 	bool rated = false;
 
-	/* An ensemble claims nothing: stops for a part of it would free room it cannot use yet. */
-	while (claimed < j->waiting - p->held && !j->whole && !p->failed) {
+	/* A gang claims nothing: stops for a part of it would free room it cannot use yet. */
+	while (claimed < j->waiting - p->held && !j->gang && !p->failed) {
 		bool owed = j->owed && fl_team_within_guarantee(t, t->used_cpus + j->cpus,
 		                                                t->used_gpus + j->gpus);
 
-		if (!team_ok(p->in, j) || (!owed && j->tier == FL_BEST_EFFORT))
+		if (!team_ok(p->in, j) || (!owed && j->priority == FL_BEST_EFFORT))
 			break;
 		/* One machine's claim changes no other's cost: all are rated once a job. */
 		if (!rated || terms.owed != owed) {
@@ -590,8 +592,8 @@
 	return INFINITY;
 }
 
-/* Time until a whole ensemble fits, counted in tasks that each machine can really hold. */
-static double wait_whole(const struct pass *p, const struct fl_sched_job *j, struct end *ends)
+/* Time until a whole gang fits, counted in tasks that each machine can really hold. */
+static double wait_gang(const struct pass *p, const struct fl_sched_job *j, struct end *ends)
 {
 	const struct fl_sched_in *in = p->in;
 	size_t n_m = (size_t)in->n_machines + 1;
@@ -653,9 +655,9 @@
 		p->failed = true;
 		return;
 	}
-	if (j->whole)
-		hpwait = wait_whole(p, j, ends);
-	for (int i = 0; i < p->in->n_machines && !j->whole; i++)
+	if (j->gang)
+		hpwait = wait_gang(p, j, ends);
+	for (int i = 0; i < p->in->n_machines && !j->gang; i++)
 		if (allowed(j, &p->in->machines[i]) && zone_ok(j, p->in->machines[i].zone))
 			hpwait = fmin(hpwait, wait_on(p, j, i, ends));
 	free(ends);
@@ -676,12 +678,12 @@
 }
 
 /*
- * The window keeps lower jobs from delaying the top one. A job of a higher tier than the top's may
- * stop what the top runs: an array that has waited long must not hold it back by being on top.
+ * The window keeps lower jobs from delaying the top one. A job of a higher priority than the top's
+ * may stop what the top runs: an array that has waited long must not hold it back by being on top.
  */
 static bool bound_by_top(const struct pass *p, const struct fl_sched_job *j)
 {
-	return !ahead(j) && j->tier <= p->in->jobs[p->out->top].tier;
+	return !ahead(j) && j->priority <= p->in->jobs[p->out->top].priority;
 }
 
 static void run_order(struct pass *p)
@@ -721,7 +723,7 @@
 		bound = backfill && bound_by_top(p, j) ? ends_by : NULL;
 		/* A service never ends: from the top, or where the top cannot go. */
 		if (bound && est <= 0)
-			j->est_s = j->standing ? INFINITY : in->params->default_est_s;
+			j->est_s = j->service ? INFINITY : in->params->default_est_s;
 		if (start_fitting(p, job, bound))
 			p->out->short_of[job] = j->waiting - p->held - claim(p, job, bound);
 		j->est_s = est;
--- a/src/coordination/schedule.h
+++ b/src/coordination/schedule.h
@@ -22,20 +22,20 @@
 extern const struct fl_sched_params fl_sched_defaults;
 
 struct fl_sched_job {
-	enum fl_tier tier;
-	bool standing;
-	bool whole; /* an ensemble: all that wait start at once, or none */
+	enum fl_priority priority;
+	bool service;
+	bool gang; /* a gang: all that wait start at once, or none */
 	int team;
 	double waited_s, est_s;
 	double cpus, gpus, ram_gb, image_gb;
-	uint32_t parts, waiting; /* waiting: startable now */
-	uint32_t kinds;
-	int site;
+	uint32_t n_tasks, waiting; /* waiting: startable now */
+	uint32_t types;
+	int zone;
 	bool together, apart, reclaimable;
 	bool owed;  /* fits its team's guarantee together with the team's earlier jobs */
 	bool begun; /* some task of it runs, or is done */
 	uint32_t zone_placed[FL_ZONES_MAX], zone_unknown;
-	int bundle;
+	int image;
 	double window_left; /* remembered backfill window, s; < 0: none yet */
 };
 
@@ -45,7 +45,7 @@
  */
 struct fl_promise {
 	bool made, owed;
-	enum fl_tier tier;
+	enum fl_priority priority;
 	double cpus, gpus, ram_gb; /* what is waited for; the rest of the machine is anybody's */
 };
 
@@ -56,15 +56,15 @@
 	struct fl_promise promised, claimed; /* by passes before, and by this one */
 	double cpus, gpus, ram_gb;           /* free */
 	double pull_gb_s;
-	const int *cache; /* FL_CACHE_NOTE bundles */
+	const int *cache; /* FL_CACHE_NOTE images */
 };
 
 /* An attempt that may be on a machine. */
 struct fl_sched_run {
 	int machine, team;
-	enum fl_tier tier;
-	bool standing, stopping, movable; /* movable: may be chosen as a victim at all */
-	bool owed;                        /* of a job within its team's guarantee */
+	enum fl_priority priority;
+	bool service, stopping, movable; /* movable: may be chosen as a victim at all */
+	bool owed;                       /* of a job within its team's guarantee */
 	bool foothold; /* all that a job past its patience has: only urgent work stops it */
 	double cpus, gpus, ram_gb;
 	double left_s; /* by its estimate; INFINITY for a service */
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -93,7 +93,7 @@
 	char *text;
 
 	HASH_FIND_STR(n->standby.kept, r->host, k);
-	if (k && (r->tenure < k->tenure || (r->tenure == k->tenure && r->serial <= k->serial)))
+	if (k && (r->session < k->session || (r->session == k->session && r->seq <= k->seq)))
 		return;
 	text = fl_kept_encode(r);
 	if (!text)
@@ -109,8 +109,8 @@
 	}
 	free(k->text);
 	k->text = text;
-	k->tenure = r->tenure;
-	k->serial = r->serial;
+	k->session = r->session;
+	k->seq = r->seq;
 	k->at = fl_now();
 	k->stored = false;
 }
@@ -163,10 +163,10 @@
 {
 	double before = fl_now() - fl_standby_renewal_s(n);
 
-	for (int i = 0; i < r->n_parts; i++) {
-		const struct fl_final *f = fl_final_find(&n->cluster, r->parts[i].ref);
+	for (int i = 0; i < r->n_tasks; i++) {
+		const struct fl_finished_job *f = fl_finished_find(&n->cluster, r->tasks[i].ref);
 
-		if (r->parts[i].state != FL_ENDED && f && f->status == FL_ABORTED &&
+		if (r->tasks[i].state != FL_ENDED && f && f->status == FL_CANCELLED &&
 		    f->cancelled_at < before)
 			return true;
 	}
@@ -181,11 +181,11 @@
 static void stop_cancelled(const struct fl_node *n, const struct fl_report *r,
                            struct fl_orders *orders)
 {
-	for (int i = 0; i < r->n_parts; i++) {
-		const struct fl_part *p = &r->parts[i];
-		const struct fl_final *f = fl_final_find(&n->cluster, p->ref);
+	for (int i = 0; i < r->n_tasks; i++) {
+		const struct fl_task_report *p = &r->tasks[i];
+		const struct fl_finished_job *f = fl_finished_find(&n->cluster, p->ref);
 
-		if (p->state != FL_ENDED && f && f->status == FL_ABORTED)
+		if (p->state != FL_ENDED && f && f->status == FL_CANCELLED)
 			fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, 0);
 	}
 }
@@ -312,12 +312,12 @@
 {
 	double now = fl_now();
 
-	if (strcmp(r->site, n->config->location) == 0)
+	if (strcmp(r->zone, n->config->location) == 0)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
 		const struct fl_peer *p = &n->peers[i];
 
-		if (strcmp(p->location, r->site) == 0 && p->up && now > p->up_since + choice.home_s)
+		if (strcmp(p->location, r->zone) == 0 && p->up && now > p->up_since + choice.home_s)
 			return may_send(n, r->host) ? p : NULL;
 	}
 	return NULL;
@@ -441,7 +441,7 @@
 		const struct fl_cancelled *c = &g->cancelled[i];
 		struct fl_job *job;
 
-		if (fl_final_find(&n->cluster, c->ref))
+		if (fl_finished_find(&n->cluster, c->ref))
 			continue;
 		fl_cluster_told_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
 		job = n->lead.active ? fl_job_find(&n->cluster, c->ref) : NULL;
@@ -464,7 +464,7 @@
 
 	learn_cancelled(n, g);
 	/* Standing still after it was said how old our knowledge is, we were told too little. */
-	if (!g->whole || !n->jobs_known ||
+	if (!g->complete || !n->jobs_known ||
 	    fl_now() > sent + choice.gossip_wait_s + choice.gossip_slack_s / 2)
 		return;
 	p->told_at = sent;
@@ -499,15 +499,15 @@
 /* What this node has learned since `since`, for an answer that can be relied on. */
 static void tell_cancelled(const struct fl_node *n, double since, struct fl_gossip *g)
 {
-	const struct fl_final *list[FL_GOSSIP_CANCELLED_MAX];
-	int count = fl_finals_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
+	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
+	int count = fl_finished_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
 
 	if (!n->jobs_known || count < 0)
 		return;
 	g->cancelled = calloc((size_t)count + 1, sizeof(*g->cancelled));
 	if (!g->cancelled)
 		return;
-	g->whole = true;
+	g->complete = true;
 	g->n_cancelled = count;
 	for (int i = 0; i < count; i++) {
 		strcpy(g->cancelled[i].ref, list[i]->ref);
@@ -574,7 +574,7 @@
 static void gossip_duty(void *arg)
 {
 	struct fl_peer *p = arg;
-	struct fl_node *n = p->owner;
+	struct fl_node *n = p->node;
 
 	while (fl_sleep(choice.gossip_s) == 0) {
 		double sent = fl_now();
--- a/src/coordination/standby.h
+++ b/src/coordination/standby.h
@@ -27,7 +27,7 @@
 struct fl_kept {
 	UT_hash_handle hh;
 	char host[FL_NAME_MAX];
-	uint64_t tenure, serial;
+	uint64_t session, seq;
 	char *text; /* the newest report, as it goes into a digest */
 	double at;
 	bool stored; /* went into a digest already */
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -46,11 +46,11 @@
 		return;
 	/* A cancelled job whose tasks may still be about stays, to be stopped and counted. */
 	if (rec.has_run) {
-		job->aborted = true;
+		job->cancelled = true;
 		/* Each new leader counting anew, one that leads briefly stops nothing. */
-		job->aborted_at = fl_since(rec.cancelled);
+		job->cancelled_at = fl_since(rec.cancelled);
 	}
-	fl_final_add(b, ref, rec.status, rec.parts, fl_since(rec.cancelled));
+	fl_finished_add(b, ref, rec.status, rec.n_tasks, fl_since(rec.cancelled));
 }
 
 static void load_chunk(void *ctx, const struct fl_change *ch)
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -29,16 +29,16 @@
 	return rc;
 }
 
-static int decode_kind(const cJSON *e, struct fl_host_kind *k)
+static int decode_kind(const cJSON *e, struct fl_offered_type *k)
 {
-	const cJSON *sites = fl_json_get(e, "Sites"), *s;
+	const cJSON *zones = fl_json_get(e, "Sites"), *s;
 
 	if (fl_json_str(e, "Name", k->name, sizeof(k->name)) != FL_FIELD_OK ||
 	    fl_json_amount(e, "Vcpus", &k->cpus) != FL_FIELD_OK ||
 	    fl_json_amount(e, "Accelerators", &k->gpus) != FL_FIELD_OK ||
 	    fl_json_amount(e, "RamGb", &k->ram_gb) != FL_FIELD_OK ||
 	    fl_json_amount(e, "Price", &k->price) != FL_FIELD_OK ||
-	    fl_json_amount(e, "ReadyS", &k->ready_s) != FL_FIELD_OK || !cJSON_IsArray(sites))
+	    fl_json_amount(e, "ReadyS", &k->ready_s) != FL_FIELD_OK || !cJSON_IsArray(zones))
 		return -EPROTO;
 	k->spot_price = k->price;
 	k->pull_gb_s = 1.0;
@@ -48,16 +48,16 @@
 		return -EPROTO;
 	if (k->pull_gb_s <= 0)
 		k->pull_gb_s = 1.0;
-	cJSON_ArrayForEach (s, sites) {
+	cJSON_ArrayForEach (s, zones) {
 		if (!cJSON_IsString(s) || strlen(s->valuestring) >= FL_NAME_MAX ||
-		    k->n_sites == FL_SITES_MAX)
+		    k->n_zones == FL_TYPE_ZONES_MAX)
 			return -EPROTO;
-		strcpy(k->sites[k->n_sites++], s->valuestring);
+		strcpy(k->zones[k->n_zones++], s->valuestring);
 	}
 	return 0;
 }
 
-int fl_kinds_decode(const cJSON *o, struct fl_host_kind **out, int *n)
+int fl_machine_types_decode(const cJSON *o, struct fl_offered_type **out, int *n)
 {
 	const cJSON *list = fl_json_get(o, "HostKinds"), *e;
 	int rc = 0;
@@ -83,13 +83,13 @@
 	return rc;
 }
 
-cJSON *fl_kinds_encode(const struct fl_host_kind *kinds, int n)
+cJSON *fl_machine_types_encode(const struct fl_offered_type *types, int n)
 {
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "HostKinds");
 
 	for (int i = 0; i < n; i++) {
-		const struct fl_host_kind *k = &kinds[i];
-		cJSON *e = cJSON_CreateObject(), *sites;
+		const struct fl_offered_type *k = &types[i];
+		cJSON *e = cJSON_CreateObject(), *zones;
 
 		cJSON_AddStringToObject(e, "Name", k->name);
 		cJSON_AddNumberToObject(e, "Vcpus", k->cpus);
@@ -100,15 +100,15 @@
 		cJSON_AddNumberToObject(e, "Price", k->price);
 		cJSON_AddNumberToObject(e, "SpotPrice", k->spot_price);
 		cJSON_AddNumberToObject(e, "ReadyS", k->ready_s);
-		sites = cJSON_AddArrayToObject(e, "Sites");
-		for (int z = 0; z < k->n_sites; z++)
-			cJSON_AddItemToArray(sites, cJSON_CreateString(k->sites[z]));
+		zones = cJSON_AddArrayToObject(e, "Sites");
+		for (int z = 0; z < k->n_zones; z++)
+			cJSON_AddItemToArray(zones, cJSON_CreateString(k->zones[z]));
 		cJSON_AddItemToArray(list, e);
 	}
 	return o;
 }
 
-int fl_cloud_kinds(struct fl_cloud *c, struct fl_host_kind **out, int *n)
+int fl_cloud_machine_types(struct fl_cloud *c, struct fl_offered_type **out, int *n)
 {
 	cJSON *o = NULL;
 	int status, rc = call(c, "GET", "/machine_types", NULL, &o, &status);
@@ -116,12 +116,12 @@
 	*out = NULL;
 	*n = 0;
 	if (!rc)
-		rc = fl_kinds_decode(o, out, n);
+		rc = fl_machine_types_decode(o, out, n);
 	cJSON_Delete(o);
 	return rc;
 }
 
-int fl_cloud_rent(struct fl_cloud *c, const char *request, const char *kind, const char *site,
+int fl_cloud_rent(struct fl_cloud *c, const char *request, const char *kind, const char *zone,
                   bool spot, int count, char (**hosts)[FL_NAME_MAX], int *n)
 {
 	cJSON *body = cJSON_CreateObject(), *o = NULL, *e;
@@ -132,7 +132,7 @@
 	*n = 0;
 	cJSON_AddStringToObject(body, "Rental", request);
 	cJSON_AddStringToObject(body, "HostKind", kind);
-	cJSON_AddStringToObject(body, "Site", site);
+	cJSON_AddStringToObject(body, "Site", zone);
 	cJSON_AddBoolToObject(body, "Reclaimable", spot);
 	cJSON_AddNumberToObject(body, "Count", count);
 	rc = call(c, "POST", "/rentals", body, &o, &status);
@@ -180,7 +180,7 @@
 
 	if (fl_json_str(e, "Ref", l->host, sizeof(l->host)) != FL_FIELD_OK || !l->host[0] ||
 	    fl_json_str(e, "HostKind", l->kind, sizeof(l->kind)) != FL_FIELD_OK ||
-	    fl_json_str(e, "Site", l->site, sizeof(l->site)) != FL_FIELD_OK ||
+	    fl_json_str(e, "Site", l->zone, sizeof(l->zone)) != FL_FIELD_OK ||
 	    fl_json_bool(e, "Reclaimable", &l->spot) != FL_FIELD_OK ||
 	    fl_json_str(e, "Status", status, sizeof(status)) != FL_FIELD_OK)
 		return -EPROTO;
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -5,19 +5,19 @@
 #include "protocol/users.h"
 #include "transport/http_client.h"
 
-enum { FL_RENT_MAX = 50, FL_DELETE_MAX = 100, FL_LIST_PAGE = 500, FL_SITES_MAX = 8 };
+enum { FL_RENT_MAX = 50, FL_DELETE_MAX = 100, FL_LIST_PAGE = 500, FL_TYPE_ZONES_MAX = 8 };
 
-struct fl_host_kind {
+struct fl_offered_type {
 	char name[FL_NAME_MAX];
 	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price, ready_s;
-	char sites[FL_SITES_MAX][FL_NAME_MAX];
-	int n_sites;
+	char zones[FL_TYPE_ZONES_MAX][FL_NAME_MAX];
+	int n_zones;
 };
 
 enum fl_host_status { FL_HOST_BOOTING, FL_HOST_RUNNING, FL_HOST_FAILED };
 
 struct fl_listed {
-	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], kind[FL_NAME_MAX], site[FL_NAME_MAX];
+	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], kind[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
 	enum fl_host_status status;
 	double age_s;
@@ -28,13 +28,13 @@
 };
 
 /* Machine types as the cloud says them, for a record too. 0, or an errno with nothing held. */
-int fl_kinds_decode(const cJSON *o, struct fl_host_kind **out, int *n);
-cJSON *fl_kinds_encode(const struct fl_host_kind *kinds, int n);
+int fl_machine_types_decode(const cJSON *o, struct fl_offered_type **out, int *n);
+cJSON *fl_machine_types_encode(const struct fl_offered_type *types, int n);
 
 /* All return 0 on success, -EAGAIN when refused for now (429, 503), other errnos when unknown. */
-int fl_cloud_kinds(struct fl_cloud *c, struct fl_host_kind **out, int *n);
+int fl_cloud_machine_types(struct fl_cloud *c, struct fl_offered_type **out, int *n);
 /* -ENOSPC: no capacity. On success `*hosts` holds `*n` names to free. */
-int fl_cloud_rent(struct fl_cloud *c, const char *request, const char *kind, const char *site,
+int fl_cloud_rent(struct fl_cloud *c, const char *request, const char *kind, const char *zone,
                   bool spot, int count, char (**hosts)[FL_NAME_MAX], int *n);
 int fl_cloud_delete(struct fl_cloud *c, const char *const *hosts, int n);
 int fl_cloud_list(struct fl_cloud *c, const char *from, struct fl_listed **out, int *n, bool *more);
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -14,7 +14,7 @@
 	cJSON_AddNumberToObject(o, "proof_age_s", g->proof_age_s);
 	cJSON_AddBoolToObject(o, "leads", g->leads);
 	cJSON_AddNumberToObject(o, "known_age_s", g->known_age_s);
-	cJSON_AddBoolToObject(o, "whole", g->whole);
+	cJSON_AddBoolToObject(o, "whole", g->complete);
 	list = cJSON_AddArrayToObject(o, "cancelled");
 	for (int i = 0; i < g->n_cancelled; i++) {
 		e = cJSON_CreateArray();
@@ -61,7 +61,7 @@
 	    fl_json_amount(o, "proof_age_s", &out->proof_age_s) != FL_FIELD_OK ||
 	    fl_json_bool(o, "leads", &out->leads) != FL_FIELD_OK ||
 	    fl_json_amount(o, "known_age_s", &out->known_age_s) != FL_FIELD_OK ||
-	    fl_json_bool(o, "whole", &out->whole) != FL_FIELD_OK)
+	    fl_json_bool(o, "whole", &out->complete) != FL_FIELD_OK)
 		rc = -EPROTO;
 	if (!rc)
 		rc = decode_cancelled(fl_json_get(o, "cancelled"), out);
@@ -132,18 +132,18 @@
 	r->tree = NULL;
 }
 
-/* [host,tenure,serial,epoch,reclaim_in,[[ref,index,attempt,state,exit],...]] */
+/* [host,session,sequence number,epoch,reclaim_in,[[ref,index,attempt,state,exit],...]] */
 char *fl_kept_encode(const struct fl_report *r)
 {
-	cJSON *e = cJSON_CreateArray(), *parts = cJSON_CreateArray();
+	cJSON *e = cJSON_CreateArray(), *tasks = cJSON_CreateArray();
 
 	cJSON_AddItemToArray(e, cJSON_CreateString(r->host));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->tenure));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->serial));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->session));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->seq));
 	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->epoch));
 	cJSON_AddItemToArray(e, cJSON_CreateNumber(r->reclaim_in_s));
-	for (int i = 0; i < r->n_parts; i++) {
-		const struct fl_part *p = &r->parts[i];
+	for (int i = 0; i < r->n_tasks; i++) {
+		const struct fl_task_report *p = &r->tasks[i];
 		cJSON *x = cJSON_CreateArray();
 
 		cJSON_AddItemToArray(x, cJSON_CreateString(p->ref));
@@ -152,20 +152,20 @@
 		cJSON_AddItemToArray(x, cJSON_CreateNumber(p->state));
 		if (p->state == FL_ENDED)
 			cJSON_AddItemToArray(x, cJSON_CreateNumber(p->exit));
-		cJSON_AddItemToArray(parts, x);
+		cJSON_AddItemToArray(tasks, x);
 	}
-	cJSON_AddItemToArray(e, parts);
+	cJSON_AddItemToArray(e, tasks);
 	return fl_json_take(e);
 }
 
-static int decode_kept_part(const cJSON *x, struct fl_part *p)
+static int decode_cached_task(const cJSON *x, struct fl_task_report *p)
 {
 	const cJSON *ref = cJSON_GetArrayItem(x, 0);
 	uint64_t index, attempt, state, why = FL_EXIT_OTHER;
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
 	    !fl_ref_ok(ref->valuestring) ||
-	    fl_json_item(x, 1, FL_PARTS_MAX - 1, &index) != FL_FIELD_OK ||
+	    fl_json_item(x, 1, FL_TASKS_MAX - 1, &index) != FL_FIELD_OK ||
 	    fl_json_item(x, 2, UINT32_MAX, &attempt) != FL_FIELD_OK ||
 	    fl_json_item(x, 3, FL_GATHERING, &state) != FL_FIELD_OK ||
 	    fl_json_item(x, 4, FL_EXIT_OTHER, &why) == FL_FIELD_BAD)
@@ -173,7 +173,7 @@
 	strcpy(p->ref, ref->valuestring);
 	p->index = (uint32_t)index;
 	p->attempt = (uint32_t)attempt;
-	p->state = (enum fl_part_state)state;
+	p->state = (enum fl_task_state)state;
 	p->exit = (enum fl_exit)why;
 	return 0;
 }
@@ -181,27 +181,27 @@
 int fl_kept_decode(const cJSON *e, struct fl_report *out)
 {
 	const cJSON *host = cJSON_GetArrayItem(e, 0), *notice = cJSON_GetArrayItem(e, 4);
-	const cJSON *parts = cJSON_GetArrayItem(e, 5), *x;
+	const cJSON *tasks = cJSON_GetArrayItem(e, 5), *x;
 
 	memset(out, 0, sizeof(*out));
 	if (!cJSON_IsString(host) || !host->valuestring[0] ||
 	    strlen(host->valuestring) >= sizeof(out->host) ||
-	    fl_json_item(e, 1, FL_COUNT_MAX, &out->tenure) != FL_FIELD_OK ||
-	    fl_json_item(e, 2, FL_COUNT_MAX, &out->serial) != FL_FIELD_OK ||
+	    fl_json_item(e, 1, FL_COUNT_MAX, &out->session) != FL_FIELD_OK ||
+	    fl_json_item(e, 2, FL_COUNT_MAX, &out->seq) != FL_FIELD_OK ||
 	    fl_json_item(e, 3, FL_COUNT_MAX, &out->epoch) != FL_FIELD_OK ||
-	    !cJSON_IsNumber(notice) || !cJSON_IsArray(parts))
+	    !cJSON_IsNumber(notice) || !cJSON_IsArray(tasks))
 		return -EPROTO;
 	strcpy(out->host, host->valuestring);
 	out->reclaim_in_s = notice->valuedouble >= 0 ? notice->valuedouble : -1;
-	out->parts = calloc((size_t)cJSON_GetArraySize(parts) + 1, sizeof(*out->parts));
-	if (!out->parts)
+	out->tasks = calloc((size_t)cJSON_GetArraySize(tasks) + 1, sizeof(*out->tasks));
+	if (!out->tasks)
 		return -ENOMEM;
-	cJSON_ArrayForEach (x, parts) {
-		if (decode_kept_part(x, &out->parts[out->n_parts]) != 0) {
+	cJSON_ArrayForEach (x, tasks) {
+		if (decode_cached_task(x, &out->tasks[out->n_tasks]) != 0) {
 			fl_report_free(out);
 			return -EPROTO;
 		}
-		out->n_parts++;
+		out->n_tasks++;
 	}
 	return 0;
 }
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -22,7 +22,7 @@
 	 * Of an answer: `cancelled` is all that the sender has learned since what the asker knows.
 	 * Else it is nothing to rely on.
 	 */
-	bool whole;
+	bool complete;
 	struct fl_cancelled *cancelled; /* owned; see fl_gossip_free */
 	int n_cancelled;
 };
@@ -53,7 +53,7 @@
  * counts against values and writes: what is on the machine, but not what is known of it anyway.
  */
 char *fl_kept_encode(const struct fl_report *r);
-/* Kind, site and endpoint stay empty. 0, or -EPROTO with nothing held. */
+/* Machine type, zone and endpoint stay empty. 0, or -EPROTO with nothing held. */
 int fl_kept_decode(const cJSON *e, struct fl_report *out);
 /* A record of kept reports: takes the texts of fl_kept_encode one by one. */
 cJSON *fl_digest_begin(uint64_t epoch);
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -3,7 +3,7 @@
 #include <ctype.h>
 #include <string.h>
 
-static const char *const tier_names[] = {"best_effort", "standard", "urgent", "critical"};
+static const char *const priority_names[] = {"best_effort", "standard", "urgent", "critical"};
 static const char *const kind_names[] = {"sweep", "standing", "ensemble"};
 static const char *const status_names[] = {"pending", "running", "done", "aborted"};
 
@@ -44,22 +44,22 @@
 	return fl_json_str(o, key, out, FL_NAME_MAX) == FL_FIELD_OK && name_ok(out);
 }
 
-static bool get_kinds(const cJSON *o, struct fl_run *out)
+static bool get_types(const cJSON *o, struct fl_run *out)
 {
 	const cJSON *v = fl_json_get(o, "HostKinds"), *e;
 
-	out->n_host_kinds = -1;
+	out->n_machine_types = -1;
 	if (!v)
 		return true;
-	if (!cJSON_IsArray(v) || cJSON_GetArraySize(v) > FL_KINDS_MAX)
+	if (!cJSON_IsArray(v) || cJSON_GetArraySize(v) > FL_ALLOWED_TYPES_MAX)
 		return false;
-	out->n_host_kinds = 0;
+	out->n_machine_types = 0;
 	cJSON_ArrayForEach (e, v) {
 		/* Control characters would be escaped sixfold, and the record outgrow its key. */
 		if (!cJSON_IsString(e) || strlen(e->valuestring) >= FL_NAME_MAX ||
 		    !name_ok(e->valuestring))
 			return false;
-		strcpy(out->host_kinds[out->n_host_kinds++], e->valuestring);
+		strcpy(out->machine_types[out->n_machine_types++], e->valuestring);
 	}
 	return true;
 }
@@ -75,8 +75,8 @@
 		{"RamGb", &out->ram_gb},
 		{"ImageGb", &out->image_gb},
 		{"ExpectedS", &out->expected_s},
-		{"SnapshotEveryS", &out->snapshot_every_s},
-		{"SnapshotCostS", &out->snapshot_cost_s},
+		{"SnapshotEveryS", &out->checkpoint_every_s},
+		{"SnapshotCostS", &out->checkpoint_cost_s},
 	};
 	enum fl_field f;
 
@@ -104,27 +104,27 @@
 	}
 	if (!get_name(o, "JobClass", out->job_class))
 		return "JobClass";
-	if (!get_name(o, "Owner", out->owner))
+	if (!get_name(o, "Owner", out->team))
 		return "Owner";
 	if (fl_json_str(o, "JobKind", word, sizeof(word)) != FL_FIELD_OK ||
 	    (k = pick(word, kind_names, 3)) < 0)
 		return "JobKind";
 	out->kind = (enum fl_job_kind)k;
 	if (fl_json_str(o, "Tier", word, sizeof(word)) != FL_FIELD_OK ||
-	    (k = pick(word, tier_names, 4)) < 0)
+	    (k = pick(word, priority_names, 4)) < 0)
 		return "Tier";
-	out->tier = (enum fl_tier)k;
-	if (fl_json_count(o, "Parts", &n) != FL_FIELD_OK || n < 1 || n > FL_PARTS_MAX)
+	out->priority = (enum fl_priority)k;
+	if (fl_json_count(o, "Parts", &n) != FL_FIELD_OK || n < 1 || n > FL_TASKS_MAX)
 		return "Parts";
-	out->parts = (uint32_t)n;
-	if (!get_name(o, "Bundle", out->bundle))
+	out->n_tasks = (uint32_t)n;
+	if (!get_name(o, "Bundle", out->image))
 		return "Bundle";
-	if (!get_kinds(o, out))
+	if (!get_types(o, out))
 		return "HostKinds";
-	f = fl_json_str(o, "Site", out->site, sizeof(out->site));
-	if (f == FL_FIELD_BAD || (f == FL_FIELD_OK && !name_ok(out->site)))
+	f = fl_json_str(o, "Site", out->zone, sizeof(out->zone));
+	if (f == FL_FIELD_BAD || (f == FL_FIELD_OK && !name_ok(out->zone)))
 		return "Site";
-	out->has_site = f == FL_FIELD_OK;
+	out->has_zone = f == FL_FIELD_OK;
 	if (fl_json_bool(o, "Together", &out->together) != FL_FIELD_OK)
 		return "Together";
 	if (fl_json_bool(o, "Apart", &out->apart) != FL_FIELD_OK)
@@ -136,32 +136,32 @@
 
 cJSON *fl_run_encode(const struct fl_run *r)
 {
-	cJSON *o = cJSON_CreateObject(), *kinds;
+	cJSON *o = cJSON_CreateObject(), *types;
 
 	cJSON_AddStringToObject(o, "Ref", r->ref);
 	cJSON_AddStringToObject(o, "JobClass", r->job_class);
-	cJSON_AddStringToObject(o, "Owner", r->owner);
+	cJSON_AddStringToObject(o, "Owner", r->team);
 	cJSON_AddStringToObject(o, "JobKind", kind_names[r->kind]);
-	cJSON_AddStringToObject(o, "Tier", tier_names[r->tier]);
-	cJSON_AddNumberToObject(o, "Parts", r->parts);
+	cJSON_AddStringToObject(o, "Tier", priority_names[r->priority]);
+	cJSON_AddNumberToObject(o, "Parts", r->n_tasks);
 	cJSON_AddNumberToObject(o, "Vcpus", r->cpus);
 	cJSON_AddNumberToObject(o, "Accelerators", r->gpus);
 	cJSON_AddNumberToObject(o, "RamGb", r->ram_gb);
-	cJSON_AddStringToObject(o, "Bundle", r->bundle);
+	cJSON_AddStringToObject(o, "Bundle", r->image);
 	cJSON_AddNumberToObject(o, "ImageGb", r->image_gb);
-	if (r->n_host_kinds >= 0) {
-		kinds = cJSON_AddArrayToObject(o, "HostKinds");
-		for (int i = 0; i < r->n_host_kinds; i++)
-			cJSON_AddItemToArray(kinds, cJSON_CreateString(r->host_kinds[i]));
+	if (r->n_machine_types >= 0) {
+		types = cJSON_AddArrayToObject(o, "HostKinds");
+		for (int i = 0; i < r->n_machine_types; i++)
+			cJSON_AddItemToArray(types, cJSON_CreateString(r->machine_types[i]));
 	}
-	if (r->has_site)
-		cJSON_AddStringToObject(o, "Site", r->site);
+	if (r->has_zone)
+		cJSON_AddStringToObject(o, "Site", r->zone);
 	cJSON_AddBoolToObject(o, "Together", r->together);
 	cJSON_AddBoolToObject(o, "Apart", r->apart);
 	cJSON_AddBoolToObject(o, "Reclaimable", r->reclaimable);
 	cJSON_AddNumberToObject(o, "ExpectedS", r->expected_s);
-	cJSON_AddNumberToObject(o, "SnapshotEveryS", r->snapshot_every_s);
-	cJSON_AddNumberToObject(o, "SnapshotCostS", r->snapshot_cost_s);
+	cJSON_AddNumberToObject(o, "SnapshotEveryS", r->checkpoint_every_s);
+	cJSON_AddNumberToObject(o, "SnapshotCostS", r->checkpoint_cost_s);
 	if (r->due_s >= 0)
 		cJSON_AddNumberToObject(o, "DueS", r->due_s);
 	return o;
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -6,25 +6,25 @@
 
 #define FL_REF_BEGIN "run-" /* of every job id; digits follow */
 
-enum { FL_NAME_MAX = 64, FL_REF_MAX = 24, FL_KINDS_MAX = 16, FL_PARTS_MAX = 100000 };
+enum { FL_NAME_MAX = 64, FL_REF_MAX = 24, FL_ALLOWED_TYPES_MAX = 16, FL_TASKS_MAX = 100000 };
 
-/* An ensemble (gang) starts only whole. */
-enum fl_job_kind { FL_SWEEP, FL_STANDING, FL_ENSEMBLE };
-/* In rising order; the exponent of the priority's queue factor is tier - 1. */
-enum fl_tier { FL_BEST_EFFORT, FL_STANDARD, FL_URGENT, FL_CRITICAL };
-enum fl_status { FL_PENDING, FL_RUNNING, FL_DONE, FL_ABORTED };
+/* A gang starts only whole. */
+enum fl_job_kind { FL_ARRAY, FL_SERVICE, FL_GANG };
+/* In rising order; the exponent of the priority's queue factor is priority - 1. */
+enum fl_priority { FL_BEST_EFFORT, FL_STANDARD, FL_URGENT, FL_CRITICAL };
+enum fl_status { FL_PENDING, FL_RUNNING, FL_DONE, FL_CANCELLED };
 
 struct fl_run {
 	char ref[FL_REF_MAX];
-	char job_class[FL_NAME_MAX], owner[FL_NAME_MAX], bundle[FL_NAME_MAX], site[FL_NAME_MAX];
-	char host_kinds[FL_KINDS_MAX][FL_NAME_MAX];
-	int n_host_kinds; /* -1: any */
+	char job_class[FL_NAME_MAX], team[FL_NAME_MAX], image[FL_NAME_MAX], zone[FL_NAME_MAX];
+	char machine_types[FL_ALLOWED_TYPES_MAX][FL_NAME_MAX];
+	int n_machine_types; /* -1: any */
 	enum fl_job_kind kind;
-	enum fl_tier tier;
-	uint32_t parts;
+	enum fl_priority priority;
+	uint32_t n_tasks;
 	double cpus, gpus, ram_gb, image_gb;
-	double expected_s, snapshot_every_s, snapshot_cost_s, due_s; /* due_s < 0: none */
-	bool has_site, together, apart, reclaimable;
+	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s; /* due_s < 0: none */
+	bool has_zone, together, apart, reclaimable;
 };
 
 bool fl_ref_ok(const char *ref);
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -19,7 +19,7 @@
 }
 
 /* "run-000412/3" */
-static int split_part(const char *name, struct fl_part *p)
+static int split_task(const char *name, struct fl_task_report *p)
 {
 	const char *slash = strchr(name, '/');
 	char *end;
@@ -30,19 +30,19 @@
 	memcpy(p->ref, name, (size_t)(slash - name));
 	p->ref[slash - name] = 0;
 	index = strtoul(slash + 1, &end, 10);
-	if (*end || index >= FL_PARTS_MAX || !fl_ref_ok(p->ref))
+	if (*end || index >= FL_TASKS_MAX || !fl_ref_ok(p->ref))
 		return -EPROTO;
 	p->index = (uint32_t)index;
 	return 0;
 }
 
-static int decode_part(const cJSON *e, struct fl_part *p)
+static int decode_task(const cJSON *e, struct fl_task_report *p)
 {
 	char name[FL_REF_MAX + 16], word[32];
 	uint64_t attempt;
 	int k;
 
-	if (fl_json_str(e, "Part", name, sizeof(name)) != FL_FIELD_OK || split_part(name, p) != 0)
+	if (fl_json_str(e, "Part", name, sizeof(name)) != FL_FIELD_OK || split_task(name, p) != 0)
 		return -EPROTO;
 	if (fl_json_count(e, "Try", &attempt) != FL_FIELD_OK || attempt > UINT32_MAX)
 		return -EPROTO;
@@ -52,7 +52,7 @@
 	k = find(word, state_names, 5);
 	if (k < 0)
 		return -EPROTO;
-	p->state = (enum fl_part_state)k;
+	p->state = (enum fl_task_state)k;
 	p->exit = FL_EXIT_OTHER;
 	if (fl_json_str(e, "ExitReason", word, sizeof(word)) == FL_FIELD_OK) {
 		k = find(word, exit_names, 8);
@@ -63,22 +63,22 @@
 	return 0;
 }
 
-static int decode_parts(const cJSON *list, struct fl_report *out)
+static int decode_tasks(const cJSON *list, struct fl_report *out)
 {
 	const cJSON *e;
 	int n = cJSON_GetArraySize(list);
 
 	if (n == 0)
 		return 0;
-	out->parts = calloc((size_t)n, sizeof(*out->parts));
-	if (!out->parts)
+	out->tasks = calloc((size_t)n, sizeof(*out->tasks));
+	if (!out->tasks)
 		return -ENOMEM;
 	cJSON_ArrayForEach (e, list) {
-		int rc = decode_part(e, &out->parts[out->n_parts]);
+		int rc = decode_task(e, &out->tasks[out->n_tasks]);
 
 		if (rc)
 			return rc;
-		out->n_parts++;
+		out->n_tasks++;
 	}
 	return 0;
 }
@@ -91,17 +91,17 @@
 	if (fl_json_str(o, "Host", out->host, sizeof(out->host)) != FL_FIELD_OK || !out->host[0] ||
 	    fl_json_str(o, "Endpoint", out->endpoint, sizeof(out->endpoint)) != FL_FIELD_OK ||
 	    fl_json_str(o, "HostKind", out->kind, sizeof(out->kind)) != FL_FIELD_OK ||
-	    fl_json_str(o, "Site", out->site, sizeof(out->site)) != FL_FIELD_OK ||
+	    fl_json_str(o, "Site", out->zone, sizeof(out->zone)) != FL_FIELD_OK ||
 	    fl_json_bool(o, "Reclaimable", &out->spot) != FL_FIELD_OK ||
-	    fl_json_count(o, "Tenure", &out->tenure) != FL_FIELD_OK ||
-	    fl_json_count(o, "Serial", &out->serial) != FL_FIELD_OK ||
+	    fl_json_count(o, "Tenure", &out->session) != FL_FIELD_OK ||
+	    fl_json_count(o, "Serial", &out->seq) != FL_FIELD_OK ||
 	    fl_json_count(o, "Epoch", &out->epoch) != FL_FIELD_OK)
 		return -EPROTO;
 	f = fl_json_amount(o, "ReclaimInS", &out->reclaim_in_s);
 	if (f != FL_FIELD_OK)
 		out->reclaim_in_s = -1;
 	/* Without its tasks a report would say that none is there, and each would start again. */
-	return cJSON_IsArray(list) ? decode_parts(list, out) : -EPROTO;
+	return cJSON_IsArray(list) ? decode_tasks(list, out) : -EPROTO;
 }
 
 int fl_report_decode(const char *body, size_t len, struct fl_report *out)
@@ -119,9 +119,9 @@
 
 void fl_report_free(struct fl_report *r)
 {
-	free(r->parts);
-	r->parts = NULL;
-	r->n_parts = 0;
+	free(r->tasks);
+	r->tasks = NULL;
+	r->n_tasks = 0;
 }
 
 static void add_part_name(cJSON *o, const char *ref, uint32_t index)
@@ -139,16 +139,16 @@
 	cJSON_AddStringToObject(o, "Host", r->host);
 	cJSON_AddStringToObject(o, "Endpoint", r->endpoint);
 	cJSON_AddStringToObject(o, "HostKind", r->kind);
-	cJSON_AddStringToObject(o, "Site", r->site);
+	cJSON_AddStringToObject(o, "Site", r->zone);
 	cJSON_AddBoolToObject(o, "Reclaimable", r->spot);
-	cJSON_AddNumberToObject(o, "Tenure", (double)r->tenure);
-	cJSON_AddNumberToObject(o, "Serial", (double)r->serial);
+	cJSON_AddNumberToObject(o, "Tenure", (double)r->session);
+	cJSON_AddNumberToObject(o, "Serial", (double)r->seq);
 	cJSON_AddNumberToObject(o, "Epoch", (double)r->epoch);
 	if (r->reclaim_in_s >= 0)
 		cJSON_AddNumberToObject(o, "ReclaimInS", r->reclaim_in_s);
 	list = cJSON_AddArrayToObject(o, "Parts");
-	for (int i = 0; i < r->n_parts; i++) {
-		const struct fl_part *p = &r->parts[i];
+	for (int i = 0; i < r->n_tasks; i++) {
+		const struct fl_task_report *p = &r->tasks[i];
 		cJSON *e = cJSON_CreateObject();
 
 		add_part_name(e, p->ref, p->index);
@@ -171,9 +171,9 @@
 	o->n = 0;
 }
 
-void fl_orders_tenure(struct fl_orders *o, uint64_t tenure)
+void fl_orders_session(struct fl_orders *o, uint64_t session)
 {
-	cJSON_AddNumberToObject(o->root, "Tenure", (double)tenure);
+	cJSON_AddNumberToObject(o->root, "Tenure", (double)session);
 }
 
 void fl_orders_add(struct fl_orders *o, enum fl_verb verb, const char *ref, uint32_t index,
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -5,8 +5,8 @@
 #include "protocol/users.h"
 #include "transport/http_client.h"
 
-/* Gathering: an ensemble's task that waits for the others to be there. */
-enum fl_part_state { FL_PULLING, FL_EXECUTING, FL_FLUSHING, FL_ENDED, FL_GATHERING };
+/* Gathering: a gang's task that waits for the others to be there. */
+enum fl_task_state { FL_PULLING, FL_EXECUTING, FL_FLUSHING, FL_ENDED, FL_GATHERING };
 enum fl_exit {
 	FL_EXIT_DONE,
 	FL_EXIT_STOPPED,
@@ -19,22 +19,22 @@
 	FL_EXIT_OTHER
 };
 
-struct fl_part {
+struct fl_task_report {
 	char ref[FL_REF_MAX];
 	uint32_t index;
 	uint32_t attempt;
-	enum fl_part_state state;
+	enum fl_task_state state;
 	enum fl_exit exit;
 	bool saved;
 };
 
 struct fl_report {
-	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], kind[FL_NAME_MAX], site[FL_NAME_MAX];
+	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], kind[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
-	uint64_t tenure, serial, epoch;
+	uint64_t session, seq, epoch;
 	double reclaim_in_s; /* < 0: no notice */
-	struct fl_part *parts;
-	int n_parts;
+	struct fl_task_report *tasks;
+	int n_tasks;
 	int via; /* not in the report: the node it was sent to, by an index; 0: not known */
 };
 
@@ -54,7 +54,7 @@
 void fl_orders_init(struct fl_orders *o, uint64_t epoch);
 void fl_orders_add(struct fl_orders *o, enum fl_verb verb, const char *ref, uint32_t index,
                    uint32_t attempt, double wind_down_s);
-void fl_orders_tenure(struct fl_orders *o, uint64_t tenure);
+void fl_orders_session(struct fl_orders *o, uint64_t session);
 char *fl_orders_take(struct fl_orders *o);
 
 /* POST /commands: the status, or a negative errno; `out` is filled on 200 and 409. */
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -15,53 +15,53 @@
 	return j;
 }
 
-struct fl_final *fl_final_find(const struct fl_cluster *b, const char *ref)
+struct fl_finished_job *fl_finished_find(const struct fl_cluster *b, const char *ref)
 {
-	struct fl_final *f;
+	struct fl_finished_job *f;
 
-	HASH_FIND_STR(b->finals, ref, f);
+	HASH_FIND_STR(b->finished, ref, f);
 	return f;
 }
 
-void fl_final_add(struct fl_cluster *b, const char *ref, enum fl_status status, uint32_t parts,
-                  double cancelled_at)
+void fl_finished_add(struct fl_cluster *b, const char *ref, enum fl_status status, uint32_t n_tasks,
+                     double cancelled_at)
 {
-	struct fl_final *f = fl_final_find(b, ref);
+	struct fl_finished_job *f = fl_finished_find(b, ref);
 
 	if (f)
 		return; /* a final state never changes */
 	f = calloc(1, sizeof(*f));
 	if (!f) {
-		b->finals_lost_at = fl_now();
+		b->finished_lost_at = fl_now();
 		return;
 	}
 	strcpy(f->ref, ref);
 	f->status = (uint8_t)status;
-	f->parts = parts;
+	f->n_tasks = n_tasks;
 	f->cancelled_at = cancelled_at;
 	f->learned_at = fl_now();
-	HASH_ADD_STR(b->finals, ref, f);
-	if (b->finals_most > 0 && HASH_COUNT(b->finals) > b->finals_most) {
-		struct fl_final *oldest = b->finals;
+	HASH_ADD_STR(b->finished, ref, f);
+	if (b->finished_max > 0 && HASH_COUNT(b->finished) > b->finished_max) {
+		struct fl_finished_job *oldest = b->finished;
 
-		HASH_DEL(b->finals, oldest);
-		b->finals_lost_at = oldest->learned_at;
+		HASH_DEL(b->finished, oldest);
+		b->finished_lost_at = oldest->learned_at;
 		free(oldest);
 	}
 }
 
-int fl_finals_cancelled_since(const struct fl_cluster *b, double since, const struct fl_final **out,
-                              int most)
+int fl_finished_cancelled_since(const struct fl_cluster *b, double since,
+                                const struct fl_finished_job **out, int most)
 {
-	const struct fl_final *f = NULL;
+	const struct fl_finished_job *f = NULL;
 	int n = 0;
 
-	if (b->finals_lost_at > since)
+	if (b->finished_lost_at > since)
 		return -E2BIG;
-	if (b->finals)
-		f = ELMT_FROM_HH(b->finals->hh.tbl, b->finals->hh.tbl->tail);
+	if (b->finished)
+		f = ELMT_FROM_HH(b->finished->hh.tbl, b->finished->hh.tbl->tail);
 	for (; f && f->learned_at >= since; f = f->hh.prev) {
-		if (f->status != FL_ABORTED)
+		if (f->status != FL_CANCELLED)
 			continue;
 		if (n == most)
 			return -E2BIG;
@@ -74,30 +74,30 @@
 {
 	struct fl_job *job = fl_job_find(b, ref);
 
-	if (fl_final_find(b, ref))
+	if (fl_finished_find(b, ref))
 		return;
 	if (!job) {
-		fl_final_add(b, ref, FL_ABORTED, 0, cancelled_at);
+		fl_finished_add(b, ref, FL_CANCELLED, 0, cancelled_at);
 		return;
 	}
-	job->aborted_at = cancelled_at;
+	job->cancelled_at = cancelled_at;
 	if (!b->leading) {
-		fl_job_finalise(b, job, FL_ABORTED);
+		fl_job_finalise(b, job, FL_CANCELLED);
 		return;
 	}
 	/* A leader that is cut off: it still has the tasks to count, and reads the record later. */
-	job->aborted = true;
-	fl_final_add(b, ref, FL_ABORTED, job->parts, cancelled_at);
+	job->cancelled = true;
+	fl_finished_add(b, ref, FL_CANCELLED, job->n_tasks, cancelled_at);
 }
 
-static uint32_t kinds_mask(const struct fl_cluster *b, const struct fl_run *run)
+static uint32_t types_mask(const struct fl_cluster *b, const struct fl_run *run)
 {
 	uint32_t mask = 0;
 
-	if (run->n_host_kinds < 0)
+	if (run->n_machine_types < 0)
 		return UINT32_MAX;
-	for (int i = 0; i < run->n_host_kinds; i++) {
-		int k = fl_kind_find(&b->machines, run->host_kinds[i]);
+	for (int i = 0; i < run->n_machine_types; i++) {
+		int k = fl_machine_type_find(&b->machines, run->machine_types[i]);
 
 		if (k >= 0)
 			mask |= 1u << k;
@@ -109,39 +109,39 @@
                           uint64_t rev)
 {
 	struct fl_job *j = fl_job_find(b, run->ref);
-	int owner = fl_teams_find(&b->teams, run->owner);
-	int site = run->has_site ? fl_names_find(&b->zones, run->site) : -1;
+	int team = fl_teams_find(&b->teams, run->team);
+	int zone = run->has_zone ? fl_names_find(&b->zones, run->zone) : -1;
 
 	/* A zone that is not known must not pass for any zone. */
-	if (j || owner < 0 || (run->has_site && site < 0))
+	if (j || team < 0 || (run->has_zone && zone < 0))
 		return j;
 	j = calloc(1, sizeof(*j));
 	if (!j)
 		return NULL;
 	strcpy(j->ref, run->ref);
 	j->job_class = fl_names_add(&b->classes, run->job_class);
-	j->bundle = fl_names_add(&b->bundles, run->bundle);
-	j->owner = owner;
-	j->site = site;
+	j->image = fl_names_add(&b->images, run->image);
+	j->team = team;
+	j->zone = zone;
 	j->kind = run->kind;
-	j->tier = run->tier;
-	j->parts = run->parts;
+	j->priority = run->priority;
+	j->n_tasks = run->n_tasks;
 	j->cpus = run->cpus;
 	j->gpus = run->gpus;
 	j->ram_gb = run->ram_gb;
 	j->image_gb = run->image_gb;
 	j->expected_s = run->expected_s;
-	j->snapshot_every_s = run->snapshot_every_s;
-	j->snapshot_cost_s = run->snapshot_cost_s;
+	j->checkpoint_every_s = run->checkpoint_every_s;
+	j->checkpoint_cost_s = run->checkpoint_cost_s;
 	j->due_s = run->due_s;
-	j->kinds = kinds_mask(b, run);
+	j->types = types_mask(b, run);
 	j->together = run->together;
 	j->apart = run->apart;
 	j->reclaimable = run->reclaimable;
 	j->submitted = submitted;
 	j->rev = rev;
-	j->n_waiting = run->parts;
-	j->n_chunks = (run->parts + FL_CHUNK - 1) / FL_CHUNK;
+	j->n_waiting = run->n_tasks;
+	j->n_chunks = (run->n_tasks + FL_CHUNK - 1) / FL_CHUNK;
 	HASH_ADD_STR(b->jobs, ref, j);
 	return j;
 }
@@ -175,7 +175,7 @@
 
 void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_status status)
 {
-	fl_final_add(b, job->ref, status, job->parts, job->aborted_at);
+	fl_finished_add(b, job->ref, status, job->n_tasks, job->cancelled_at);
 	fl_job_drop(b, job);
 }
 
@@ -229,7 +229,7 @@
 
 bool fl_job_is_over(const struct fl_job *job)
 {
-	return job->aborted ? job->n_placed == 0 : job->n_done == job->parts;
+	return job->cancelled ? job->n_placed == 0 : job->n_done == job->n_tasks;
 }
 
 void fl_task_touch(struct fl_cluster *b, struct fl_job *job, uint32_t index)
@@ -245,7 +245,7 @@
 	uint32_t i = from > job->scan_from ? from : job->scan_from;
 	bool lowest = i == job->scan_from;
 
-	for (; i < job->parts; i++) {
+	for (; i < job->n_tasks; i++) {
 		const struct fl_task *t = fl_task_peek(job, i);
 
 		if (t && t->phase != FL_TASK_WAITING) {
@@ -257,12 +257,12 @@
 		if (!t || t->not_before <= now)
 			return i;
 	}
-	return job->parts;
+	return job->n_tasks;
 }
 
 static int occupy(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m)
 {
-	struct fl_team *team = &b->teams.at[job->owner];
+	struct fl_team *team = &b->teams.at[job->team];
 
 	if (fl_machine_add_slot(m, job, index) != 0)
 		return -1;
@@ -282,7 +282,7 @@
 static void vacate(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_task *t)
 {
 	struct fl_machine *m = b->machines.at[t->machine];
-	struct fl_team *team = &b->teams.at[job->owner];
+	struct fl_team *team = &b->teams.at[job->team];
 
 	fl_machine_drop_slot(m, job, index);
 	m->used_cpus -= job->cpus;
@@ -316,7 +316,7 @@
 	t->phase = FL_TASK_PLACED;
 	t->attempt++;
 	t->machine = m->id;
-	t->tenure = m->tenure;
+	t->session = m->session;
 	t->epoch = epoch;
 	t->sight = FL_UNSEEN;
 	t->stop = FL_STOP_NONE;
@@ -328,7 +328,7 @@
 }
 
 int fl_task_restore(struct fl_cluster *b, struct fl_job *job, uint32_t index, uint32_t attempt,
-                    struct fl_machine *m, uint64_t tenure, double placed, double now)
+                    struct fl_machine *m, uint64_t session, double placed, double now)
 {
 	struct fl_task *t = fl_task_get(job, index);
 
@@ -337,7 +337,7 @@
 	t->phase = FL_TASK_PLACED;
 	t->attempt = attempt;
 	t->machine = m->id;
-	t->tenure = tenure;
+	t->session = session;
 	t->placed = placed;
 	/* Placed by an earlier leader: what it has run since would be lost by stopping it. */
 	t->since = fmin(now, fl_since(placed));
@@ -345,7 +345,7 @@
 	 * Its image is there, and stays when the task is lost with its worker's session: after an
 	 * end of all controllers hundreds of tasks start again, and best where they ran.
 	 */
-	fl_machine_note_bundle(m, job->bundle);
+	fl_machine_note_image(m, job->image);
 	job->n_waiting--;
 	return 0;
 }
@@ -418,7 +418,7 @@
 	}
 }
 
-void fl_cluster_sweep(struct fl_cluster *b, double before)
+void fl_cluster_purge(struct fl_cluster *b, double before)
 {
 	for (int i = b->machines.n - 1; i >= 0; i--) {
 		struct fl_machine *m = b->machines.at[i], *moved;
@@ -434,8 +434,8 @@
 
 enum fl_status fl_job_status(const struct fl_job *job)
 {
-	if (job->aborted)
-		return FL_ABORTED;
+	if (job->cancelled)
+		return FL_CANCELLED;
 	return job->n_running > 0 ? FL_RUNNING : FL_PENDING;
 }
 
@@ -445,14 +445,14 @@
 
 	HASH_ITER (hh, b->jobs, j, tmp) {
 		free_chunks(j);
-		j->n_waiting = j->parts;
+		j->n_waiting = j->n_tasks;
 		j->n_placed = j->n_running = j->n_done = 0;
 		memset(j->zone_placed, 0, sizeof(j->zone_placed));
 		j->zone_unknown = j->scan_from = 0;
 		j->queued_dirty = j->finishing = j->unsure = false;
 		j->not_before = j->window_until = 0;
-		if (j->aborted)
-			fl_job_finalise(b, j, FL_ABORTED);
+		if (j->cancelled)
+			fl_job_finalise(b, j, FL_CANCELLED);
 	}
 	b->dirty = NULL;
 	for (int i = 0; i < b->teams.n; i++)
@@ -462,7 +462,7 @@
 
 void fl_cluster_free(struct fl_cluster *b)
 {
-	struct fl_final *f, *ftmp;
+	struct fl_finished_job *f, *ftmp;
 	struct fl_job *j, *jtmp;
 
 	HASH_ITER (hh, b->jobs, j, jtmp) {
@@ -470,12 +470,12 @@
 		free_chunks(j);
 		free(j);
 	}
-	HASH_ITER (hh, b->finals, f, ftmp) {
-		HASH_DEL(b->finals, f);
+	HASH_ITER (hh, b->finished, f, ftmp) {
+		HASH_DEL(b->finished, f);
 		free(f);
 	}
 	fl_machines_clear(&b->machines);
 	fl_names_free(&b->classes);
-	fl_names_free(&b->bundles);
+	fl_names_free(&b->images);
 	fl_names_free(&b->zones);
 }
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -22,7 +22,7 @@
 	bool told;         /* an answer ordered its launch, and no report has shown it yet */
 	uint32_t attempt;  /* the last one used; 0: none yet */
 	int32_t machine;   /* id, while PLACED */
-	uint64_t tenure;   /* of the machine, at placement */
+	uint64_t session;  /* of the machine, at placement */
 	uint64_t epoch;    /* in which this leader placed it; 0: read from a record */
 	uint64_t gen;      /* of the chunk, when this task last changed */
 	double since;      /* placed; or, when running, began to run */
@@ -42,20 +42,21 @@
 struct fl_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
-	int job_class, owner, bundle, site; /* site -1: any */
+	int job_class, team, image, zone; /* zone -1: any */
 	enum fl_job_kind kind;
-	enum fl_tier tier;
-	uint32_t parts;
-	double cpus, gpus, ram_gb, image_gb, expected_s, snapshot_every_s, snapshot_cost_s, due_s;
-	uint32_t kinds; /* bit per allowed machine type */
+	enum fl_priority priority;
+	uint32_t n_tasks;
+	double cpus, gpus, ram_gb, image_gb, expected_s, checkpoint_every_s, checkpoint_cost_s,
+		due_s;
+	uint32_t types; /* bit per allowed machine type */
 	bool together, apart, reclaimable;
-	bool owed;         /* fits its team's guarantee, after the team's earlier jobs */
-	double submitted;  /* wall time */
-	uint64_t rev;      /* KeyRev of the job record */
-	bool aborted;      /* its final record says so; tasks may still have to go */
-	double aborted_at; /* steady; when its user was told, or before */
-	bool finishing;    /* its final record is being written */
-	bool unsure;       /* a final write went unanswered: only the record knows */
+	bool owed;           /* fits its team's guarantee, after the team's earlier jobs */
+	double submitted;    /* wall time */
+	uint64_t rev;        /* KeyRev of the job record */
+	bool cancelled;      /* its final record says so; tasks may still have to go */
+	double cancelled_at; /* steady; when its user was told, or before */
+	bool finishing;      /* its final record is being written */
+	bool unsure;         /* a final write went unanswered: only the record knows */
 	uint32_t n_waiting, n_placed, n_running, n_done;
 	uint32_t zone_placed[FL_ZONES_MAX];
 	uint32_t zone_unknown; /* placed on machines whose zone is not known yet */
@@ -71,30 +72,31 @@
 };
 
 /* What is kept at hand of a job that is over; its record is kept for ever. */
-struct fl_final {
+struct fl_finished_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
 	uint8_t status; /* fl_status */
-	uint32_t parts;
-	double cancelled_at; /* steady, of one that is ABORTED: its tasks must be gone in time */
+	uint32_t n_tasks;
+	double cancelled_at; /* steady, of one that is CANCELLED: its tasks must be gone in time */
 	double learned_at;   /* steady; since when this process knows it */
 };
 
 struct fl_cluster {
-	struct fl_names classes, bundles, zones;
+	struct fl_names classes, images, zones;
 	struct fl_teams teams;
 	struct fl_machines machines;
-	struct fl_job *jobs;     /* live, by ref */
-	struct fl_final *finals; /* by ref, oldest first */
-	unsigned finals_most;    /* the oldest beyond it are left to the records; 0: no limit */
-	double finals_lost_at; /* steady; the newest of what was learned and is not held any more */
-	struct fl_job *dirty;  /* jobs with unsaved chunks */
-	uint64_t list_rev;     /* of the list that the leadership began with */
-	bool leading;          /* tasks and machines are held here, not only descriptions */
+	struct fl_job *jobs;              /* live, by ref */
+	struct fl_finished_job *finished; /* by ref, oldest first */
+	unsigned finished_max;   /* the oldest beyond it are left to the records; 0: no limit */
+	double finished_lost_at; /* steady; the newest of what was learned and is not held any more
+	                          */
+	struct fl_job *dirty;    /* jobs with unsaved chunks */
+	uint64_t list_rev;       /* of the list that the leadership began with */
+	bool leading;            /* tasks and machines are held here, not only descriptions */
 };
 
 struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref);
-struct fl_final *fl_final_find(const struct fl_cluster *b, const char *ref);
+struct fl_finished_job *fl_finished_find(const struct fl_cluster *b, const char *ref);
 /* Adds a live job from its description; NULL if it cannot be read here (unknown team). */
 struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_run *run, double submitted,
                           uint64_t rev);
@@ -102,14 +104,14 @@
 void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_status status);
 /* Forgets a live job; its tasks must hold no machine. */
 void fl_job_drop(struct fl_cluster *b, struct fl_job *job);
-void fl_final_add(struct fl_cluster *b, const char *ref, enum fl_status status, uint32_t parts,
-                  double cancelled_at);
+void fl_finished_add(struct fl_cluster *b, const char *ref, enum fl_status status, uint32_t n_tasks,
+                     double cancelled_at);
 /*
  * Every cancellation that this process has learned of since then, newest first: how many, or -E2BIG
  * if there are more than `most` or some are not held any more.
  */
-int fl_finals_cancelled_since(const struct fl_cluster *b, double since, const struct fl_final **out,
-                              int most);
+int fl_finished_cancelled_since(const struct fl_cluster *b, double since,
+                                const struct fl_finished_job **out, int most);
 /* Another controller says that this job is cancelled; what the record says comes later. */
 void fl_cluster_told_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at);
 
@@ -130,7 +132,7 @@
 bool fl_job_is_over(const struct fl_job *job);
 /* Marks the chunk as changed and the job as dirty. */
 void fl_task_touch(struct fl_cluster *b, struct fl_job *job, uint32_t index);
-/* Next WAITING task at or after `from` that may start at `now`; parts if none. */
+/* Next WAITING task at or after `from` that may start at `now`; n_tasks if none. */
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now);
 
 /* WAITING -> PLACED with a new attempt. */
@@ -138,7 +140,7 @@
                   uint64_t epoch, double now);
 /* Puts an attempt read from a record on its machine. */
 int fl_task_restore(struct fl_cluster *b, struct fl_job *job, uint32_t index, uint32_t attempt,
-                    struct fl_machine *m, uint64_t tenure, double placed, double now);
+                    struct fl_machine *m, uint64_t session, double placed, double now);
 /* PLACED -> WAITING: the attempt is proven not to be on its machine. */
 void fl_task_release(struct fl_cluster *b, struct fl_job *job, uint32_t index, double not_before);
 /* Any -> DONE. */
@@ -149,7 +151,7 @@
 void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int kind, int zone, bool spot,
                          const char *endpoint);
 /* Drops tombstones older than `before`. Only where no machine or id is held across a wait. */
-void fl_cluster_sweep(struct fl_cluster *b, double before);
+void fl_cluster_purge(struct fl_cluster *b, double before);
 enum fl_status fl_job_status(const struct fl_job *job);
 /* Everything that only a leader knows goes: tasks, machines, usage. */
 void fl_cluster_forget_tasks(struct fl_cluster *b);
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -6,28 +6,28 @@
 
 #include "transport/log.h"
 
-int fl_kind_find(const struct fl_machines *ms, const char *name)
+int fl_machine_type_find(const struct fl_machines *ms, const char *name)
 {
-	for (int i = 0; i < ms->n_kinds; i++)
-		if (strcmp(ms->kinds[i].name, name) == 0)
+	for (int i = 0; i < ms->n_types; i++)
+		if (strcmp(ms->types[i].name, name) == 0)
 			return i;
 	return -1;
 }
 
-void fl_kinds_set(struct fl_machines *ms, const struct fl_names *zones,
-                  const struct fl_host_kind *kinds, int n)
+void fl_machine_types_set(struct fl_machines *ms, const struct fl_names *zones,
+                          const struct fl_offered_type *types, int n)
 {
 	for (int i = 0; i < n; i++) {
-		const struct fl_host_kind *h = &kinds[i];
-		int at = fl_kind_find(ms, h->name);
-		struct fl_kind *k;
+		const struct fl_offered_type *h = &types[i];
+		int at = fl_machine_type_find(ms, h->name);
+		struct fl_machine_type *k;
 
-		if (at < 0 && ms->n_kinds == FL_KINDS_KNOWN_MAX) {
+		if (at < 0 && ms->n_types == FL_MACHINE_TYPES_MAX) {
 			fl_error("cloud", "more than %d machine types: %s is not used",
-			         FL_KINDS_KNOWN_MAX, h->name);
+			         FL_MACHINE_TYPES_MAX, h->name);
 			continue;
 		}
-		k = &ms->kinds[at >= 0 ? at : ms->n_kinds++];
+		k = &ms->types[at >= 0 ? at : ms->n_types++];
 		memset(k, 0, sizeof(*k));
 		strcpy(k->name, h->name);
 		k->cpus = h->cpus;
@@ -38,8 +38,8 @@
 		k->price = h->price;
 		k->spot_price = h->spot_price;
 		k->ready_s = h->ready_s;
-		for (int z = 0; z < h->n_sites; z++) {
-			int zone = fl_names_find(zones, h->sites[z]);
+		for (int z = 0; z < h->n_zones; z++) {
+			int zone = fl_names_find(zones, h->zones[z]);
 
 			if (zone >= 0 && zone < FL_ZONES_MAX)
 				k->zones |= 1u << zone;
@@ -123,14 +123,14 @@
 	}
 }
 
-void fl_machine_note_bundle(struct fl_machine *m, int bundle)
+void fl_machine_note_image(struct fl_machine *m, int image)
 {
 	int i = 0;
 
-	while (i < FL_CACHE_NOTE - 1 && m->cache[i] != bundle)
+	while (i < FL_CACHE_NOTE - 1 && m->cache[i] != image)
 		i++;
 	memmove(m->cache + 1, m->cache, (size_t)i * sizeof(m->cache[0]));
-	m->cache[0] = bundle;
+	m->cache[0] = image;
 }
 
 uint32_t fl_tasks_fit(struct fl_amounts need, struct fl_amounts room)
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -7,9 +7,9 @@
 #include "storage/names.h"
 #include "protocol/cloud.h"
 
-enum { FL_KINDS_KNOWN_MAX = 32, FL_ZONES_MAX = 8, FL_CACHE_NOTE = 16 };
+enum { FL_MACHINE_TYPES_MAX = 32, FL_ZONES_MAX = 8, FL_CACHE_NOTE = 16 };
 
-struct fl_kind {
+struct fl_machine_type {
 	char name[FL_NAME_MAX];
 	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price, ready_s;
 	uint32_t zones; /* bit per zone index */
@@ -25,7 +25,7 @@
 struct fl_machine {
 	UT_hash_handle hh;
 	char name[FL_NAME_MAX], endpoint[FL_NAME_MAX];
-	int id; /* dense; changes only in fl_cluster_sweep */
+	int id; /* dense; changes only in fl_cluster_purge */
 	int kind, zone;
 	bool spot;
 	bool described; /* kind, zone and endpoint are known */
@@ -38,13 +38,13 @@
 	/* Of the job that waits for room here: struct fl_promise in schedule.h. */
 	double claimed_at; /* steady; when it last did; 0: never */
 	double claimed_cpus, claimed_gpus, claimed_ram;
-	uint8_t claimed_tier;
+	uint8_t claimed_priority;
 	bool claimed_owed;
-	bool pushing;            /* a direct command is under way */
-	bool want_push;          /* something for a direct command has come up */
-	uint64_t tenure, serial; /* of the newest report */
-	uint64_t direct_epoch;   /* highest epoch of a direct launch sent here; 0: none */
-	double heard;            /* steady time of the newest report */
+	bool pushing;          /* a direct command is under way */
+	bool want_push;        /* something for a direct command has come up */
+	uint64_t session, seq; /* of the newest report */
+	uint64_t direct_epoch; /* highest epoch of a direct launch sent here; 0: none */
+	double heard;          /* steady time of the newest report */
 	double reached; /* and of the newest that orders could answer, or came by a command */
 	/* Whether it hears us, which the arrival of its reports does not show: reachability.h. */
 	double answered;         /* steady; of the newest answer to a report; 0: none */
@@ -63,27 +63,27 @@
 	struct fl_slot *slots; /* attempts that may be on the machine */
 	int n_slots, cap_slots;
 	double used_cpus, used_gpus, used_ram;
-	int cache[FL_CACHE_NOTE]; /* bundles lately here, newest first; -1: none */
+	int cache[FL_CACHE_NOTE]; /* images lately here, newest first; -1: none */
 };
 
 struct fl_machines {
-	struct fl_kind kinds[FL_KINDS_KNOWN_MAX];
-	int n_kinds;
+	struct fl_machine_type types[FL_MACHINE_TYPES_MAX];
+	int n_types;
 	struct fl_machine *table;
 	struct fl_machine **at; /* by id */
 	int n, cap;
 };
 
-int fl_kind_find(const struct fl_machines *ms, const char *name);
-/* Replaces what is known of the kinds; indices of known names stay. */
-void fl_kinds_set(struct fl_machines *ms, const struct fl_names *zones,
-                  const struct fl_host_kind *kinds, int n);
+int fl_machine_type_find(const struct fl_machines *ms, const char *name);
+/* Replaces what is known of the types; indices of known names stay. */
+void fl_machine_types_set(struct fl_machines *ms, const struct fl_names *zones,
+                          const struct fl_offered_type *types, int n);
 struct fl_machine *fl_machine_find(const struct fl_machines *ms, const char *name);
 struct fl_machine *fl_machine_get(struct fl_machines *ms, const char *name, double now);
 void fl_machine_describe(struct fl_machine *m, int kind, int zone, bool spot, const char *endpoint);
 int fl_machine_add_slot(struct fl_machine *m, struct fl_job *job, uint32_t index);
 void fl_machine_drop_slot(struct fl_machine *m, const struct fl_job *job, uint32_t index);
-void fl_machine_note_bundle(struct fl_machine *m, int bundle);
+void fl_machine_note_image(struct fl_machine *m, int image);
 /* How many tasks of `need` there is room for in `room`: cpus, accelerators, GB of memory each. */
 struct fl_amounts {
 	double cpus, gpus, ram_gb;
--- a/src/storage/records.c
+++ b/src/storage/records.c
@@ -14,9 +14,9 @@
 	snprintf(key, FL_KEY_MAX, FL_PREFIX_JOBS "%s", ref);
 }
 
-void fl_key_final(char key[FL_KEY_MAX], const char *ref)
+void fl_key_finished(char key[FL_KEY_MAX], const char *ref)
 {
-	snprintf(key, FL_KEY_MAX, FL_PREFIX_FINALS "%s", ref);
+	snprintf(key, FL_KEY_MAX, FL_PREFIX_FINISHED "%s", ref);
 }
 
 void fl_key_chunk(char key[FL_KEY_MAX], const char *ref, uint32_t chunk)
@@ -49,21 +49,21 @@
 	return o;
 }
 
-static cJSON *add_final(cJSON *o, enum fl_status status, uint32_t parts)
+static cJSON *add_final(cJSON *o, enum fl_status status, uint32_t n_tasks)
 {
 	cJSON_AddStringToObject(o, "final", fl_status_name(status));
-	cJSON_AddNumberToObject(o, "parts", parts);
+	cJSON_AddNumberToObject(o, "parts", n_tasks);
 	return o;
 }
 
-cJSON *fl_job_record_final(enum fl_status status, uint32_t parts)
+cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks)
 {
-	return add_final(cJSON_CreateObject(), status, parts);
+	return add_final(cJSON_CreateObject(), status, n_tasks);
 }
 
 cJSON *fl_job_record_cancelled(const struct fl_run *run, double submitted, double cancelled)
 {
-	cJSON *o = add_final(fl_job_record_live(run, submitted), FL_ABORTED, run->parts);
+	cJSON *o = add_final(fl_job_record_live(run, submitted), FL_CANCELLED, run->n_tasks);
 
 	cJSON_AddNumberToObject(o, "cancelled", cancelled);
 	return o;
@@ -74,24 +74,25 @@
 	memset(out, 0, sizeof(*out));
 	strcpy(out->ref, job->ref);
 	strcpy(out->job_class, fl_names_at(&b->classes, job->job_class));
-	strcpy(out->owner, b->teams.at[job->owner].name);
-	strcpy(out->bundle, fl_names_at(&b->bundles, job->bundle));
-	out->has_site = job->site >= 0;
-	strcpy(out->site, fl_names_at(&b->zones, job->site));
-	out->n_host_kinds = job->kinds == UINT32_MAX ? -1 : 0;
-	for (int k = 0; out->n_host_kinds >= 0 && k < b->machines.n_kinds; k++)
-		if ((job->kinds >> k & 1) && out->n_host_kinds < FL_KINDS_MAX)
-			strcpy(out->host_kinds[out->n_host_kinds++], b->machines.kinds[k].name);
+	strcpy(out->team, b->teams.at[job->team].name);
+	strcpy(out->image, fl_names_at(&b->images, job->image));
+	out->has_zone = job->zone >= 0;
+	strcpy(out->zone, fl_names_at(&b->zones, job->zone));
+	out->n_machine_types = job->types == UINT32_MAX ? -1 : 0;
+	for (int k = 0; out->n_machine_types >= 0 && k < b->machines.n_types; k++)
+		if ((job->types >> k & 1) && out->n_machine_types < FL_ALLOWED_TYPES_MAX)
+			strcpy(out->machine_types[out->n_machine_types++],
+			       b->machines.types[k].name);
 	out->kind = job->kind;
-	out->tier = job->tier;
-	out->parts = job->parts;
+	out->priority = job->priority;
+	out->n_tasks = job->n_tasks;
 	out->cpus = job->cpus;
 	out->gpus = job->gpus;
 	out->ram_gb = job->ram_gb;
 	out->image_gb = job->image_gb;
 	out->expected_s = job->expected_s;
-	out->snapshot_every_s = job->snapshot_every_s;
-	out->snapshot_cost_s = job->snapshot_cost_s;
+	out->checkpoint_every_s = job->checkpoint_every_s;
+	out->checkpoint_cost_s = job->checkpoint_cost_s;
 	out->due_s = job->due_s;
 	out->together = job->together;
 	out->apart = job->apart;
@@ -100,17 +101,17 @@
 
 static int decode_final(const cJSON *v, const char *word, struct fl_job_record *out)
 {
-	uint64_t parts;
+	uint64_t n_tasks;
 
 	if (strcmp(word, fl_status_name(FL_DONE)) == 0)
 		out->status = FL_DONE;
-	else if (strcmp(word, fl_status_name(FL_ABORTED)) == 0)
-		out->status = FL_ABORTED;
+	else if (strcmp(word, fl_status_name(FL_CANCELLED)) == 0)
+		out->status = FL_CANCELLED;
 	else
 		return -EPROTO;
-	if (fl_json_count(v, "parts", &parts) != FL_FIELD_OK || parts > FL_PARTS_MAX)
+	if (fl_json_count(v, "parts", &n_tasks) != FL_FIELD_OK || n_tasks > FL_TASKS_MAX)
 		return -EPROTO;
-	out->parts = (uint32_t)parts;
+	out->n_tasks = (uint32_t)n_tasks;
 	return fl_json_amount(v, "cancelled", &out->cancelled) == FL_FIELD_BAD ? -EPROTO : 0;
 }
 
@@ -133,7 +134,7 @@
 	if (fl_run_decode(v, &out->run) != NULL || strcmp(out->run.ref, ref) != 0)
 		return -EPROTO;
 	if (!out->final)
-		out->parts = out->run.parts;
+		out->n_tasks = out->run.n_tasks;
 	return fl_json_amount(v, "submitted", &out->submitted) == FL_FIELD_OK ? 0 : -EPROTO;
 }
 
@@ -148,7 +149,7 @@
 	rc = fl_state_get(s, key, v, rev, NULL);
 	if (rc != -ENOENT)
 		return rc ? rc : fl_job_record_decode(*v, ref, rec);
-	fl_key_final(key, ref);
+	fl_key_finished(key, ref);
 	rc = fl_state_get(s, key, &final, rev, NULL);
 	if (!rc)
 		rc = fl_job_record_decode(final, ref, rec);
@@ -179,11 +180,11 @@
 {
 	job->rev = rev;
 	job->unsure = false;
-	if (!rec->final || job->aborted)
+	if (!rec->final || job->cancelled)
 		return false;
-	job->aborted = true;
-	job->aborted_at = fl_since(rec->cancelled);
-	fl_final_add(b, job->ref, FL_ABORTED, job->parts, job->aborted_at);
+	job->cancelled = true;
+	job->cancelled_at = fl_since(rec->cancelled);
+	fl_finished_add(b, job->ref, FL_CANCELLED, job->n_tasks, job->cancelled_at);
 	return true;
 }
 
@@ -201,7 +202,7 @@
 		job->listed = true;
 	if (job && !value && !b->leading && rev > job->rev)
 		fl_job_drop(b, job);
-	if (!value || fl_final_find(b, ref))
+	if (!value || fl_finished_find(b, ref))
 		return NULL;
 	/*
 	 * A watch may lag behind the list that a leader began with: what the list no longer held is
@@ -234,17 +235,17 @@
 		return job;
 	}
 	if (job) {
-		job->aborted_at = fl_since(rec.cancelled);
+		job->cancelled_at = fl_since(rec.cancelled);
 		fl_job_finalise(b, job, rec.status);
 	} else {
-		fl_final_add(b, ref, rec.status, rec.parts, fl_since(rec.cancelled));
+		fl_finished_add(b, ref, rec.status, rec.n_tasks, fl_since(rec.cancelled));
 	}
 	return NULL;
 }
 
 /*
  * {"d":[[first,last],...],"t":[[index,attempt],...],
- *  "m":[[index,attempt,machine,tenure,placed],...]}:
+ *  "m":[[index,attempt,machine,session,placed],...]}:
  * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
  */
 static cJSON *encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk,
@@ -257,7 +258,7 @@
 	d = cJSON_AddArrayToObject(o, "d");
 	w = cJSON_AddArrayToObject(o, "t");
 	m = cJSON_AddArrayToObject(o, "m");
-	for (uint32_t i = 0; i < FL_CHUNK && base + i < job->parts; i++) {
+	for (uint32_t i = 0; i < FL_CHUNK && base + i < job->n_tasks; i++) {
 		const struct fl_task *t = &c->task[i];
 
 		if (unsaved_only && fl_task_saved(c, t))
@@ -279,7 +280,7 @@
 			cJSON_AddItemToArray(e, cJSON_CreateNumber(t->attempt));
 			cJSON_AddItemToArray(e,
 			                     cJSON_CreateString(b->machines.at[t->machine]->name));
-			cJSON_AddItemToArray(e, cJSON_CreateNumber((double)t->tenure));
+			cJSON_AddItemToArray(e, cJSON_CreateNumber((double)t->session));
 			cJSON_AddItemToArray(e, cJSON_CreateNumber(round(t->placed)));
 			cJSON_AddItemToArray(m, e);
 		} else if (t->attempt > 0) {
@@ -334,7 +335,7 @@
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
 	    !fl_ref_ok(ref->valuestring) ||
-	    fl_json_item(e, 1, FL_PARTS_MAX / FL_CHUNK + 1, &chunk) != FL_FIELD_OK ||
+	    fl_json_item(e, 1, FL_TASKS_MAX / FL_CHUNK + 1, &chunk) != FL_FIELD_OK ||
 	    !cJSON_IsObject(changes))
 		return -EPROTO;
 	if (log->n == log->cap) {
@@ -381,7 +382,7 @@
 	enum fl_phase phase;
 	uint32_t attempt;
 	const char *machine; /* in the value it was read from */
-	uint64_t tenure;
+	uint64_t session;
 	double placed;
 	bool logged; /* the log says so, and no record */
 };
@@ -400,7 +401,7 @@
                 const struct said *what)
 {
 	if (index < (uint64_t)chunk * FL_CHUNK || index >= (uint64_t)(chunk + 1) * FL_CHUNK ||
-	    index >= job->parts)
+	    index >= job->n_tasks)
 		return -EPROTO;
 	if (later(what, &said[index % FL_CHUNK]))
 		said[index % FL_CHUNK] = *what;
@@ -412,9 +413,9 @@
 	const cJSON *name = cJSON_GetArrayItem(e, 2);
 	uint64_t attempt, placed = 0;
 
-	if (fl_json_item(e, 0, FL_PARTS_MAX, index) != FL_FIELD_OK ||
+	if (fl_json_item(e, 0, FL_TASKS_MAX, index) != FL_FIELD_OK ||
 	    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK ||
-	    fl_json_item(e, 3, FL_COUNT_MAX, &out->tenure) != FL_FIELD_OK ||
+	    fl_json_item(e, 3, FL_COUNT_MAX, &out->session) != FL_FIELD_OK ||
 	    /* Records of earlier versions have no time: it counts as placed now. */
 	    fl_json_item(e, 4, FL_COUNT_MAX, &placed) == FL_FIELD_BAD || !cJSON_IsString(name) ||
 	    strlen(name->valuestring) >= FL_NAME_MAX)
@@ -435,8 +436,8 @@
 	cJSON_ArrayForEach (e, fl_json_get(v, "d")) {
 		struct said s = {.phase = FL_TASK_DONE, .logged = logged};
 
-		if (fl_json_item(e, 0, FL_PARTS_MAX, &first) != FL_FIELD_OK ||
-		    fl_json_item(e, 1, FL_PARTS_MAX, &last) != FL_FIELD_OK)
+		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
+		    fl_json_item(e, 1, FL_TASKS_MAX, &last) != FL_FIELD_OK)
 			return -EPROTO;
 		for (uint64_t i = first; i <= last && !rc; i++)
 			rc = hear(job, chunk, said, i, &s);
@@ -444,7 +445,7 @@
 	cJSON_ArrayForEach (e, fl_json_get(v, "t")) {
 		struct said s = {.phase = FL_TASK_WAITING, .logged = logged};
 
-		if (fl_json_item(e, 0, FL_PARTS_MAX, &first) != FL_FIELD_OK ||
+		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
 		    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK)
 			return -EPROTO;
 		s.attempt = (uint32_t)attempt;
@@ -473,7 +474,7 @@
 	if (s->phase == FL_TASK_PLACED) {
 		m = fl_machine_get(&b->machines, s->machine, now);
 		if (!m ||
-		    fl_task_restore(b, job, index, s->attempt, m, s->tenure, s->placed, now) != 0)
+		    fl_task_restore(b, job, index, s->attempt, m, s->session, s->placed, now) != 0)
 			return -ENOMEM;
 	} else if (s->phase == FL_TASK_DONE) {
 		t->phase = FL_TASK_DONE;
@@ -520,8 +521,8 @@
 	const cJSON *e;
 
 	cJSON_ArrayForEach (e, fl_json_get(v, "d")) {
-		if (fl_json_item(e, 0, FL_PARTS_MAX, &first) != FL_FIELD_OK ||
-		    fl_json_item(e, 1, FL_PARTS_MAX, &last) != FL_FIELD_OK || last < first)
+		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
+		    fl_json_item(e, 1, FL_TASKS_MAX, &last) != FL_FIELD_OK || last < first)
 			return -EPROTO;
 		*done += (uint32_t)(last - first) + 1;
 	}
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -8,16 +8,16 @@
 #define FL_KEY_LEAD "c/lead"
 #define FL_KEY_EPOCH "c/epoch"
 #define FL_PREFIX_CONTROL "c/"
-#define FL_KEY_KINDS "m/kinds"
+#define FL_KEY_MACHINE_TYPES "m/kinds"
 #define FL_PREFIX_JOBS "j/"
-#define FL_PREFIX_FINALS "f/"
+#define FL_PREFIX_FINISHED "f/"
 #define FL_PREFIX_PROGRESS "p/"
 #define FL_PREFIX_KEPT "k/"
 #define FL_PREFIX_LOG "w/"
 #define FL_KEY_LOG "w/0" /* in every write of the log */
 
 void fl_key_job(char key[FL_KEY_MAX], const char *ref);
-void fl_key_final(char key[FL_KEY_MAX], const char *ref);
+void fl_key_finished(char key[FL_KEY_MAX], const char *ref);
 void fl_key_chunk(char key[FL_KEY_MAX], const char *ref, uint32_t chunk);
 /* "p/run-000412/3" taken apart. */
 int fl_key_chunk_parse(const char *key, char ref[FL_REF_MAX], uint32_t *chunk);
@@ -26,7 +26,7 @@
 struct fl_job_record {
 	bool final;
 	enum fl_status status; /* when final */
-	uint32_t parts;
+	uint32_t n_tasks;
 	bool has_run; /* a cancelled job keeps its description until its tasks are gone */
 	struct fl_run run;
 	double submitted;
@@ -42,7 +42,7 @@
                     uint64_t *rev);
 
 cJSON *fl_job_record_live(const struct fl_run *run, double submitted);
-cJSON *fl_job_record_final(enum fl_status status, uint32_t parts);
+cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks);
 /* A job that its user has cancelled and whose tasks have still to go. */
 cJSON *fl_job_record_cancelled(const struct fl_run *run, double submitted, double cancelled);
 void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_run *out);
@@ -51,7 +51,7 @@
 /*
  * Takes a change of a job record into the cluster state; returns the live job, if it is one. A
  * deletion (no value) means that the job is over: only a leader keeps it, to finish what it is
- * doing. One that is cancelled it keeps as `aborted`, until its tasks are gone.
+ * doing. One that is cancelled it keeps as `cancelled`, until its tasks are gone.
  */
 struct fl_job *fl_cluster_apply(struct fl_cluster *b, const char *ref, const cJSON *value,
                                 uint64_t rev);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -19,10 +19,10 @@
 enum {
 	SIM_NODES = 5,
 	SIM_ZONES = 3,
-	SIM_KINDS = 2,
+	SIM_MACHINE_TYPES = 2,
 	SIM_MACHINES = 160,
 	SIM_JOBS = 96,
-	SIM_PARTS = 32,
+	SIM_JOB_TASKS = 32,
 	SIM_TASKS = 1024,
 	SIM_TROUBLES = 64
 };
@@ -142,11 +142,11 @@
 
 /* ---- counterparts ---- */
 
-struct sim_host_kind {
+struct sim_machine_type {
 	const char *name;
 	double cpus, gpus, ram_gb, price, ready_s;
 };
-extern const struct sim_host_kind sim_kinds[SIM_KINDS];
+extern const struct sim_machine_type sim_machine_types[SIM_MACHINE_TYPES];
 
 struct sim_team {
 	const char *name;
@@ -161,22 +161,22 @@
 	bool bad;      /* must be refused */
 	double submit; /* s from the beginning */
 	double cancel; /* the same; < 0: never */
-	double real_s[SIM_PARTS];
+	double real_s[SIM_JOB_TASKS];
 	/* What its tasks did. */
-	double progress[SIM_PARTS];
-	bool completed[SIM_PARTS];
-	int on[SIM_PARTS];   /* machines on which it is, at any moment */
-	int host[SIM_PARTS]; /* the latest of them */
+	double progress[SIM_JOB_TASKS];
+	bool completed[SIM_JOB_TASKS];
+	int on[SIM_JOB_TASKS];   /* machines on which it is, at any moment */
+	int host[SIM_JOB_TASKS]; /* the latest of them */
 	/* What its user did and was told; times of day of the simulation, 0: not yet. */
-	double sent, accepted, refused, cancel_sent, told_aborted, told_done, answered;
+	double sent, accepted, refused, cancel_sent, told_cancelled, told_done, answered;
 	bool cancelling, repeating, said_overdue, said_waiting;
 	double waits_since;
-	int starts, late_starts, begun[SIM_PARTS];
+	int starts, late_starts, begun[SIM_JOB_TASKS];
 };
 
 struct sim_task {
 	struct sim_job *job;
-	struct fl_part part;
+	struct fl_task_report report;
 	bool used;
 	bool counted; /* it is on the machine, as the checker counts */
 	double until; /* of what it is doing now; < 0: without end */
@@ -188,7 +188,7 @@
 	int kind, zone;
 	bool spot, up, gone, failed, never_up, listed, hung;
 	double rented, ready, gone_at, hung_since, reclaim_at;
-	uint64_t tenure, serial, epoch;
+	uint64_t session, seq, epoch;
 	double lease_from; /* when the last answered report was sent */
 	double epoch_told, last_sent;
 	bool changed;
@@ -196,8 +196,8 @@
 	int node;
 	struct sim_task task[SIM_TASKS];
 	int n_tasks; /* places ever used */
-	char bundles[4][FL_NAME_MAX];
-	int n_bundles;
+	char images[4][FL_NAME_MAX];
+	int n_images;
 };
 
 struct sim {
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -44,7 +44,7 @@
 static const struct sim_team *team_of(const struct sim_job *job)
 {
 	for (int i = 0; i < SIM_TEAMS; i++)
-		if (strcmp(sim_teams[i].name, job->run.owner) == 0)
+		if (strcmp(sim_teams[i].name, job->run.team) == 0)
 			return &sim_teams[i];
 	abort();
 }
@@ -57,26 +57,26 @@
 
 		if (team_of(job) != team)
 			continue;
-		for (uint32_t k = 0; k < job->run.parts; k++) {
+		for (uint32_t k = 0; k < job->run.n_tasks; k++) {
 			*cpus += job->on[k] * job->run.cpus;
 			*gpus += job->on[k] * job->run.gpus;
 		}
 	}
 }
 
-static bool kind_allowed(const struct fl_run *r, const char *kind)
+static bool type_allowed(const struct fl_run *r, const char *kind)
 {
-	for (int i = 0; i < r->n_host_kinds; i++)
-		if (strcmp(r->host_kinds[i], kind) == 0)
+	for (int i = 0; i < r->n_machine_types; i++)
+		if (strcmp(r->machine_types[i], kind) == 0)
 			return true;
-	return r->n_host_kinds < 0;
+	return r->n_machine_types < 0;
 }
 
 /* Where the other tasks of the job are: those in this zone, and those elsewhere. */
 static void spread(const struct sim_job *job, int zone, int *here, int *away)
 {
 	*here = *away = 0;
-	for (uint32_t k = 0; k < job->run.parts; k++) {
+	for (uint32_t k = 0; k < job->run.n_tasks; k++) {
 		if (job->on[k] == 0)
 			continue;
 		if (sim.machine[job->host[k]].zone == zone)
@@ -93,22 +93,22 @@
 	int here, away;
 
 	spread(job, m->zone, &here, &away);
-	if (!kind_allowed(r, sim_kinds[m->kind].name))
+	if (!type_allowed(r, sim_machine_types[m->kind].name))
 		return "type";
-	if (r->has_site && strcmp(r->site, sim.config[0].zones[m->zone]) != 0)
+	if (r->has_zone && strcmp(r->zone, sim.config[0].zones[m->zone]) != 0)
 		return "zone";
 	if (m->spot && !r->reclaimable)
 		return "spot";
 	if (r->together && away > 0)
 		return "not together";
-	if (r->apart && here + 1 > ((int)r->parts + 1) / 2)
+	if (r->apart && here + 1 > ((int)r->n_tasks + 1) / 2)
 		return "not apart";
 	return NULL;
 }
 
 static bool overdue(const struct sim_job *job)
 {
-	return job->told_aborted > 0 && fl_now() > job->told_aborted + sim.cancel_s;
+	return job->told_cancelled > 0 && fl_now() > job->told_cancelled + sim.cancel_s;
 }
 
 void sim_check_started(struct sim_job *job, uint32_t index, int machine)
@@ -135,8 +135,8 @@
 		           job->run.ref, index);
 	if (overdue(job))
 		sim_broken("ran_cancelled", "%s/%u begins on %s, %.1f s after its user was told",
-		           job->run.ref, index, m->name, fl_now() - job->told_aborted);
-	else if (job->told_aborted > 0)
+		           job->run.ref, index, m->name, fl_now() - job->told_cancelled);
+	else if (job->told_cancelled > 0)
 		job->late_starts++, sim.late_starts++;
 	if (job->bad)
 		sim_broken("accepted", "%s cannot run and begins", job->run.ref);
@@ -158,8 +158,8 @@
 				continue;
 			sim_broken("ran_cancelled",
 			           "%s/%u is on %s, %.1f s after its user was told",
-			           t->job->run.ref, t->part.index, m->name,
-			           fl_now() - t->job->told_aborted);
+			           t->job->run.ref, t->report.index, m->name,
+			           fl_now() - t->job->told_cancelled);
 			t->job->said_overdue = true;
 		}
 	}
@@ -169,10 +169,10 @@
 
 static bool all_completed(const struct sim_job *job)
 {
-	for (uint32_t i = 0; i < job->run.parts; i++)
+	for (uint32_t i = 0; i < job->run.n_tasks; i++)
 		if (!job->completed[i])
 			return false;
-	return job->run.kind != FL_STANDING;
+	return job->run.kind != FL_SERVICE;
 }
 
 /* Only an answer to a question asked after it shows that something was taken back. */
@@ -180,26 +180,26 @@
 {
 	cJSON *o = fl_json_parse(body, strlen(body));
 	char status[32] = "", ref[FL_REF_MAX] = "";
-	bool aborted, done;
+	bool cancelled, done;
 
 	fl_json_str(o, "Status", status, sizeof(status));
 	fl_json_str(o, "Ref", ref, sizeof(ref));
 	cJSON_Delete(o);
-	aborted = strcmp(status, "aborted") == 0;
+	cancelled = strcmp(status, "aborted") == 0;
 	done = strcmp(status, "done") == 0;
 	if (strcmp(ref, job->run.ref) != 0)
 		sim_broken("answer", "%s of %s tells of '%s'", how, job->run.ref, ref);
 	if (job->told_done > 0 && sent > job->told_done && !done)
 		sim_broken("went_back", "%s was done and is '%s' (%s)", job->run.ref, status, how);
-	if (job->told_aborted > 0 && sent > job->told_aborted && !aborted)
-		sim_broken("went_back", "%s was aborted and is '%s' (%s)", job->run.ref, status,
+	if (job->told_cancelled > 0 && sent > job->told_cancelled && !cancelled)
+		sim_broken("went_back", "%s was cancelled and is '%s' (%s)", job->run.ref, status,
 		           how);
-	if (aborted && job->cancel_sent == 0)
-		sim_broken("went_back", "%s is aborted and nobody cancelled it", job->run.ref);
+	if (cancelled && job->cancel_sent == 0)
+		sim_broken("went_back", "%s is cancelled and nobody cancelled it", job->run.ref);
 	if (done && !all_completed(job))
 		sim_broken("not_done", "%s is called done (%s)", job->run.ref, how);
-	if (aborted && job->told_aborted == 0)
-		job->told_aborted = fl_now();
+	if (cancelled && job->told_cancelled == 0)
+		job->told_cancelled = fl_now();
 	if (done && job->told_done == 0)
 		job->told_done = fl_now();
 }
@@ -276,13 +276,13 @@
 
 static bool has_room(const struct sim_machine *m, const struct sim_job *job)
 {
-	const struct sim_host_kind *k = &sim_kinds[m->kind];
+	const struct sim_machine_type *k = &sim_machine_types[m->kind];
 	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
 
 	if (!m->up || m->gone || m->hung || m->reclaim_at > 0 || misplaced(job, m))
 		return false;
 	for (int i = 0; i < m->n_tasks; i++)
-		if (m->task[i].used && m->task[i].part.state != FL_ENDED) {
+		if (m->task[i].used && m->task[i].report.state != FL_ENDED) {
 			cpus += m->task[i].job->run.cpus;
 			gpus += m->task[i].job->run.gpus;
 			ram += m->task[i].job->run.ram_gb;
@@ -297,7 +297,7 @@
 
 	if (job->accepted == 0 || job->bad || job->cancelling || all_completed(job))
 		return false;
-	for (uint32_t k = 0; k < job->run.parts; k++)
+	for (uint32_t k = 0; k < job->run.n_tasks; k++)
 		if (job->on[k] > 0)
 			return false;
 	team_use(team, &cpus, &gpus);
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -10,7 +10,7 @@
 
 enum { RENTALS = 512, CAPACITY = 3 };
 
-const struct sim_host_kind sim_kinds[SIM_KINDS] = {
+const struct sim_machine_type sim_machine_types[SIM_MACHINE_TYPES] = {
 	{"c32", 32, 0, 128, 4.0, 6},
 	{"g4", 32, 4, 256, 12.0, 8},
 };
@@ -41,9 +41,9 @@
 {
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "HostKinds");
 
-	for (int i = 0; i < SIM_KINDS; i++) {
-		const struct sim_host_kind *k = &sim_kinds[i];
-		cJSON *e = cJSON_CreateObject(), *sites;
+	for (int i = 0; i < SIM_MACHINE_TYPES; i++) {
+		const struct sim_machine_type *k = &sim_machine_types[i];
+		cJSON *e = cJSON_CreateObject(), *zones;
 
 		cJSON_AddStringToObject(e, "Name", k->name);
 		cJSON_AddNumberToObject(e, "Vcpus", k->cpus);
@@ -54,9 +54,9 @@
 		cJSON_AddNumberToObject(e, "Price", k->price);
 		cJSON_AddNumberToObject(e, "SpotPrice", k->price * 0.4);
 		cJSON_AddNumberToObject(e, "ReadyS", k->ready_s);
-		sites = cJSON_AddArrayToObject(e, "Sites");
+		zones = cJSON_AddArrayToObject(e, "Sites");
 		for (int z = 0; z < sim.n_zones; z++)
-			cJSON_AddItemToArray(sites, cJSON_CreateString(sim.config[0].zones[z]));
+			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
 		cJSON_AddItemToArray(list, e);
 	}
 	say(resp, 200, o);
@@ -64,8 +64,8 @@
 
 static int kind_of(const char *name)
 {
-	for (int i = 0; i < SIM_KINDS; i++)
-		if (strcmp(sim_kinds[i].name, name) == 0)
+	for (int i = 0; i < SIM_MACHINE_TYPES; i++)
+		if (strcmp(sim_machine_types[i].name, name) == 0)
 			return i;
 	return -1;
 }
@@ -103,8 +103,9 @@
 	m->rented = fl_now();
 	m->never_up = sim_chance(0.04);
 	/* At times up within a second or two: long before it is listed. */
-	m->ready = fl_now() + (sim_chance(0.2) ? sim_between(0.5, 2)
-	                                       : sim_between(0.6, 1.5) * sim_kinds[kind].ready_s);
+	m->ready = fl_now() + (sim_chance(0.2)
+	                               ? sim_between(0.5, 2)
+	                               : sim_between(0.6, 1.5) * sim_machine_types[kind].ready_s);
 	if (spot && sim_chance(0.15))
 		m->reclaim_at = fl_now() + sim_between(30, 120);
 	sim_worker_boot(sim.n_machines++);
@@ -122,19 +123,19 @@
 static void rent(int process, const struct fl_request *req, struct fl_response *resp)
 {
 	cJSON *o = fl_json_parse(req->body, req->body_len);
-	char name[64] = "", kind[64] = "", site[64] = "";
+	char name[64] = "", kind[64] = "", zone[64] = "";
 	double count = 0;
 	bool spot = false;
 	int k, z, room;
 
 	fl_json_str(o, "Rental", name, sizeof(name));
 	fl_json_str(o, "HostKind", kind, sizeof(kind));
-	fl_json_str(o, "Site", site, sizeof(site));
+	fl_json_str(o, "Site", zone, sizeof(zone));
 	fl_json_bool(o, "Reclaimable", &spot);
 	fl_json_amount(o, "Count", &count);
 	cJSON_Delete(o);
 	k = kind_of(kind);
-	z = zone_of(site);
+	z = zone_of(zone);
 	if (!name[0] || k < 0 || z < 0 || count < 1 || count > 50) {
 		say(resp, 400, NULL);
 		return;
@@ -215,7 +216,7 @@
 		sim_address((struct sim_end){END_WORKER, i}, addr);
 		cJSON_AddStringToObject(e, "Ref", m->name);
 		cJSON_AddStringToObject(e, "Endpoint", addr);
-		cJSON_AddStringToObject(e, "HostKind", sim_kinds[m->kind].name);
+		cJSON_AddStringToObject(e, "HostKind", sim_machine_types[m->kind].name);
 		cJSON_AddStringToObject(e, "Site", sim.config[0].zones[m->zone]);
 		cJSON_AddBoolToObject(e, "Reclaimable", m->spot);
 		cJSON_AddStringToObject(e, "Status",
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -127,7 +127,7 @@
 			return;
 	}
 	while (job->accepted > 0) {
-		bool over = job->told_done > 0 || job->told_aborted > 0;
+		bool over = job->told_done > 0 || job->told_cancelled > 0;
 
 		if (fl_sleep((over ? rule.later_s : rule.every_s) * sim_between(0.9, 1.1)) != 0)
 			return;
@@ -255,23 +255,23 @@
 
 static void shape(struct fl_run *r)
 {
-	r->kind = sim_chance(0.3) ? FL_STANDING : FL_SWEEP;
-	r->tier = (enum fl_tier)sim_pick(4);
-	r->parts = 1 + (uint32_t)sim_pick(r->kind == FL_STANDING ? 4 : 6);
+	r->kind = sim_chance(0.3) ? FL_SERVICE : FL_ARRAY;
+	r->priority = (enum fl_priority)sim_pick(4);
+	r->n_tasks = 1 + (uint32_t)sim_pick(r->kind == FL_SERVICE ? 4 : 6);
 	r->cpus = 4 * (1 + sim_pick(3));
 	r->gpus = sim_chance(0.3) ? 1 : 0;
 	r->ram_gb = 8 * (1 + sim_pick(3));
 	r->image_gb = sim_between(0.5, 4);
-	r->n_host_kinds = -1;
+	r->n_machine_types = -1;
 	if (sim_chance(0.25)) {
-		r->n_host_kinds = 1;
-		strcpy(r->host_kinds[0], sim_kinds[r->gpus > 0 ? 1 : sim_pick(2)].name);
+		r->n_machine_types = 1;
+		strcpy(r->machine_types[0], sim_machine_types[r->gpus > 0 ? 1 : sim_pick(2)].name);
 	}
-	r->has_site = sim_chance(0.3);
-	if (r->has_site)
-		strcpy(r->site, sim.config[0].zones[sim_pick(sim.n_zones)]);
+	r->has_zone = sim_chance(0.3);
+	if (r->has_zone)
+		strcpy(r->zone, sim.config[0].zones[sim_pick(sim.n_zones)]);
 	r->together = sim_chance(0.15);
-	r->apart = !r->together && !r->has_site && sim_chance(0.25);
+	r->apart = !r->together && !r->has_zone && sim_chance(0.25);
 	r->reclaimable = sim_chance(0.5);
 }
 
@@ -284,24 +284,24 @@
 	memset(job, 0, sizeof(*job));
 	shape(r);
 	snprintf(r->ref, sizeof(r->ref), "run-%06d", 1000 + (sim.n_jobs * 7919) % 90000);
-	strcpy(r->job_class, r->kind == FL_STANDING ? "serve" : "train");
-	strcpy(r->owner, sim_teams[sim_pick(SIM_TEAMS)].name);
-	snprintf(r->bundle, sizeof(r->bundle), "img-%02d", sim_pick(8));
+	strcpy(r->job_class, r->kind == FL_SERVICE ? "serve" : "train");
+	strcpy(r->team, sim_teams[sim_pick(SIM_TEAMS)].name);
+	snprintf(r->image, sizeof(r->image), "img-%02d", sim_pick(8));
 	r->due_s = -1;
-	if (r->kind == FL_SWEEP) {
+	if (r->kind == FL_ARRAY) {
 		r->expected_s = sim_between(8, 70);
 		if (sim_chance(0.6)) {
-			r->snapshot_every_s = sim_between(4, 10);
-			r->snapshot_cost_s = sim_between(0.5, 2);
+			r->checkpoint_every_s = sim_between(4, 10);
+			r->checkpoint_cost_s = sim_between(0.5, 2);
 		}
 	}
-	for (uint32_t i = 0; i < SIM_PARTS; i++) {
+	for (uint32_t i = 0; i < SIM_JOB_TASKS; i++) {
 		job->real_s[i] = r->expected_s * sim_between(0.5, 1.6);
 		job->host[i] = -1;
 	}
 	job->submit = submit;
 	job->cancel = -1;
-	if (r->kind == FL_STANDING ? sim_chance(0.5) : sim_chance(0.15))
+	if (r->kind == FL_SERVICE ? sim_chance(0.5) : sim_chance(0.15))
 		job->cancel = submit + sim_between(20, 90);
 	job->text = fl_json_take(fl_run_encode(r));
 	sim.n_jobs++;
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -32,61 +32,61 @@
 static void leave(struct sim_task *t)
 {
 	if (t->counted)
-		sim_check_left(t->job, t->part.index);
+		sim_check_left(t->job, t->report.index);
 	t->counted = false;
 }
 
 static void end_task(struct sim_machine *m, struct sim_task *t, enum fl_exit why)
 {
 	leave(t);
-	t->part.state = FL_ENDED;
-	t->part.exit = why;
+	t->report.state = FL_ENDED;
+	t->report.exit = why;
 	change(m);
 }
 
 static double done_so_far(const struct sim_task *t)
 {
-	return t->job->progress[t->part.index] + fl_now() - t->began;
+	return t->job->progress[t->report.index] + fl_now() - t->began;
 }
 
 static void keep_progress(struct sim_task *t, bool saved)
 {
-	double every = t->job->run.snapshot_every_s, done = done_so_far(t);
+	double every = t->job->run.checkpoint_every_s, done = done_so_far(t);
 
 	if (saved)
-		t->job->progress[t->part.index] = done;
+		t->job->progress[t->report.index] = done;
 	else if (every > 0)
-		t->job->progress[t->part.index] = (double)(int)(done / every) * every;
+		t->job->progress[t->report.index] = (double)(int)(done / every) * every;
 }
 
 static void begin(struct sim_machine *m, struct sim_task *t)
 {
 	struct sim_job *job = t->job;
-	uint32_t i = t->part.index;
+	uint32_t i = t->report.index;
 
-	t->part.state = FL_EXECUTING;
+	t->report.state = FL_EXECUTING;
 	t->began = fl_now();
 	t->counted = true;
 	sim_check_started(job, i, index_of(m));
-	t->until = job->run.kind == FL_STANDING ? -1 : fl_now() + job->real_s[i] - job->progress[i];
+	t->until = job->run.kind == FL_SERVICE ? -1 : fl_now() + job->real_s[i] - job->progress[i];
 	if (job->completed[i])
 		end_task(m, t, FL_EXIT_DONE);
 	else
 		change(m);
 }
 
-static bool has_bundle(const struct sim_machine *m, const char *bundle)
+static bool has_image(const struct sim_machine *m, const char *image)
 {
-	for (int i = 0; i < 4 && i < m->n_bundles; i++)
-		if (strcmp(m->bundles[i], bundle) == 0)
+	for (int i = 0; i < 4 && i < m->n_images; i++)
+		if (strcmp(m->images[i], image) == 0)
 			return true;
 	return false;
 }
 
 static void fetched(struct sim_machine *m, struct sim_task *t)
 {
-	if (!has_bundle(m, t->job->run.bundle))
-		strcpy(m->bundles[m->n_bundles++ % 4], t->job->run.bundle);
+	if (!has_image(m, t->job->run.image))
+		strcpy(m->images[m->n_images++ % 4], t->job->run.image);
 	begin(m, t);
 }
 
@@ -96,10 +96,10 @@
 	const struct sim_trouble *end = sim_troubled(CANCEL_AT_END, -1);
 	bool last = true;
 
-	job->completed[t->part.index] = true;
+	job->completed[t->report.index] = true;
 	sim.completions++;
 	end_task(m, t, FL_EXIT_DONE);
-	for (uint32_t i = 0; i < job->run.parts; i++)
+	for (uint32_t i = 0; i < job->run.n_tasks; i++)
 		last = last && job->completed[i];
 	if (last && end)
 		sim_user_asks(job);
@@ -111,14 +111,14 @@
 
 static void look_at(struct sim_machine *m, struct sim_task *t)
 {
-	if (t->part.state == FL_ENDED || t->until < 0 || fl_now() < t->until)
+	if (t->report.state == FL_ENDED || t->until < 0 || fl_now() < t->until)
 		return;
-	if (t->part.state == FL_PULLING) {
+	if (t->report.state == FL_PULLING) {
 		fetched(m, t);
-	} else if (t->part.state == FL_EXECUTING) {
+	} else if (t->report.state == FL_EXECUTING) {
 		completed(m, t);
 	} else {
-		t->part.saved = true;
+		t->report.saved = true;
 		end_task(m, t, FL_EXIT_STOPPED);
 	}
 }
@@ -133,7 +133,7 @@
 			leave(&m->task[i]);
 		m->task[i].used = false;
 	}
-	m->tenure++;
+	m->session++;
 	m->lease_from = fl_now();
 	change(m);
 }
@@ -162,13 +162,13 @@
 
 /* ---- orders ---- */
 
-static struct sim_task *find(struct sim_machine *m, const struct fl_part *p, bool attempt)
+static struct sim_task *find(struct sim_machine *m, const struct fl_task_report *p, bool attempt)
 {
 	for (int i = 0; i < m->n_tasks; i++) {
 		struct sim_task *t = &m->task[i];
 
-		if (t->used && t->part.index == p->index && strcmp(t->part.ref, p->ref) == 0 &&
-		    (attempt ? t->part.attempt == p->attempt : t->part.state != FL_ENDED))
+		if (t->used && t->report.index == p->index && strcmp(t->report.ref, p->ref) == 0 &&
+		    (attempt ? t->report.attempt == p->attempt : t->report.state != FL_ENDED))
 			return t;
 	}
 	return NULL;
@@ -176,13 +176,13 @@
 
 static bool has_room(const struct sim_machine *m, const struct sim_job *job)
 {
-	const struct sim_host_kind *k = &sim_kinds[m->kind];
+	const struct sim_machine_type *k = &sim_machine_types[m->kind];
 	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
 
 	for (int i = 0; i < m->n_tasks; i++) {
 		const struct sim_task *t = &m->task[i];
 
-		if (!t->used || t->part.state == FL_ENDED)
+		if (!t->used || t->report.state == FL_ENDED)
 			continue;
 		cpus += t->job->run.cpus;
 		gpus += t->job->run.gpus;
@@ -191,20 +191,20 @@
 	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
 }
 
-static struct sim_task *new_task(struct sim_machine *m, const struct fl_part *p)
+static struct sim_task *new_task(struct sim_machine *m, const struct fl_task_report *p)
 {
 	for (int i = 0; i < SIM_TASKS; i++) {
 		if (m->task[i].used)
 			continue;
 		if (i >= m->n_tasks)
 			m->n_tasks = i + 1;
-		m->task[i] = (struct sim_task){.used = true, .part = *p};
+		m->task[i] = (struct sim_task){.used = true, .report = *p};
 		return &m->task[i];
 	}
 	abort();
 }
 
-static void launch(struct sim_machine *m, const struct fl_part *p)
+static void launch(struct sim_machine *m, const struct fl_task_report *p)
 {
 	struct sim_job *job = sim_job_find(p->ref);
 	enum fl_exit refusal = FL_EXIT_OTHER;
@@ -212,7 +212,7 @@
 
 	if (find(m, p, true))
 		return;
-	if (!job || job->sent == 0 || p->index >= job->run.parts)
+	if (!job || job->sent == 0 || p->index >= job->run.n_tasks)
 		refusal = FL_EXIT_NO_SUCH;
 	else if (find(m, p, false))
 		refusal = FL_EXIT_BUSY;
@@ -224,9 +224,9 @@
 		end_task(m, t, refusal);
 		return;
 	}
-	t->part.state = FL_PULLING;
+	t->report.state = FL_PULLING;
 	t->until = fl_now() +
-	           (has_bundle(m, job->run.bundle) ? 0 : job->run.image_gb * sim_between(0.8, 1.3));
+	           (has_image(m, job->run.image) ? 0 : job->run.image_gb * sim_between(0.8, 1.3));
 	change(m);
 	look_at(m, t);
 }
@@ -235,27 +235,27 @@
 {
 	const struct fl_run *run = &t->job->run;
 
-	if (t->part.state == FL_FLUSHING) {
+	if (t->report.state == FL_FLUSHING) {
 		if (wind_down_s <= 0)
 			end_task(m, t, FL_EXIT_STOPPED);
 		return;
 	}
-	if (t->part.state == FL_EXECUTING && run->snapshot_every_s > 0 &&
-	    wind_down_s >= run->snapshot_cost_s) {
+	if (t->report.state == FL_EXECUTING && run->checkpoint_every_s > 0 &&
+	    wind_down_s >= run->checkpoint_cost_s) {
 		keep_progress(t, true);
-		t->part.state = FL_FLUSHING;
-		t->until = fl_now() + run->snapshot_cost_s;
+		t->report.state = FL_FLUSHING;
+		t->until = fl_now() + run->checkpoint_cost_s;
 		change(m);
 		return;
 	}
-	if (t->part.state == FL_EXECUTING)
+	if (t->report.state == FL_EXECUTING)
 		keep_progress(t, false);
 	end_task(m, t, FL_EXIT_STOPPED);
 }
 
 static void order(struct sim_machine *m, const cJSON *e)
 {
-	struct fl_part p = {0};
+	struct fl_task_report p = {0};
 	char verb[16] = "", name[64] = "";
 	uint64_t attempt = 0;
 	double wind_down_s = 0;
@@ -275,9 +275,9 @@
 	t = find(m, &p, true);
 	if (strcmp(verb, "launch") == 0)
 		launch(m, &p);
-	else if (strcmp(verb, "kill") == 0 && t && t->part.state != FL_ENDED)
+	else if (strcmp(verb, "kill") == 0 && t && t->report.state != FL_ENDED)
 		stop(m, t, wind_down_s);
-	else if (strcmp(verb, "forget") == 0 && t && t->part.state == FL_ENDED)
+	else if (strcmp(verb, "forget") == 0 && t && t->report.state == FL_ENDED)
 		t->used = false;
 }
 
@@ -304,23 +304,23 @@
 
 static char *report_text(struct sim_machine *m)
 {
-	struct fl_part parts[SIM_TASKS];
-	struct fl_report r = {.tenure = m->tenure,
-	                      .serial = ++m->serial,
+	struct fl_task_report tasks[SIM_TASKS];
+	struct fl_report r = {.session = m->session,
+	                      .seq = ++m->seq,
 	                      .epoch = m->epoch,
 	                      .spot = m->spot,
 	                      .reclaim_in_s = -1,
-	                      .parts = parts};
+	                      .tasks = tasks};
 
 	strcpy(r.host, m->name);
 	sim_address((struct sim_end){END_WORKER, index_of(m)}, r.endpoint);
-	strcpy(r.kind, sim_kinds[m->kind].name);
-	strcpy(r.site, sim.config[0].zones[m->zone]);
+	strcpy(r.kind, sim_machine_types[m->kind].name);
+	strcpy(r.zone, sim.config[0].zones[m->zone]);
 	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at - rule.notice_s)
 		r.reclaim_in_s = m->reclaim_at > fl_now() ? m->reclaim_at - fl_now() : 0;
 	for (int i = 0; i < m->n_tasks; i++)
 		if (m->task[i].used)
-			parts[r.n_parts++] = m->task[i].part;
+			tasks[r.n_tasks++] = m->task[i].report;
 	return fl_report_encode(&r);
 }
 
@@ -356,12 +356,12 @@
 	sim_spawn(0, copy_routine, c);
 }
 
-static void heed(struct sim_machine *m, double sent, uint64_t tenure, const cJSON *o)
+static void heed(struct sim_machine *m, double sent, uint64_t session, const cJSON *o)
 {
 	uint64_t epoch = 0;
 
 	if (fl_json_count(o, "Epoch", &epoch) != FL_FIELD_OK || epoch < m->epoch ||
-	    tenure != m->tenure)
+	    session != m->session)
 		return; /* dropped: it stays here while its lease runs out */
 	see_epoch(m, epoch);
 	m->lease_from = sent;
@@ -403,7 +403,7 @@
 static double report(struct sim_machine *m)
 {
 	double sent = fl_now(), pause = -1;
-	uint64_t tenure = m->tenure;
+	uint64_t session = m->session;
 	char *text = report_text(m);
 	struct fl_reply reply;
 	int rc;
@@ -426,7 +426,7 @@
 		if (rc == 0 && reply.status == 200) {
 			cJSON *o = fl_json_parse(reply.body.data, reply.body.len);
 
-			heed(m, sent, tenure, o);
+			heed(m, sent, session, o);
 			cJSON_Delete(o);
 		} else {
 			pause = move_on(m, &reply, rc);
@@ -454,7 +454,7 @@
 	if (m->never_up || fl_sleep(m->ready - fl_now()) != 0 || m->gone)
 		return;
 	m->up = true;
-	m->tenure = 1;
+	m->session = 1;
 	m->lease_from = fl_now();
 	m->node = sim_pick(sim.n_nodes);
 	m->last_sent = -1;
@@ -485,7 +485,7 @@
                       struct fl_response *resp)
 {
 	struct sim_machine *m = &sim.machine[machine];
-	uint64_t epoch = 0, tenure = 0;
+	uint64_t epoch = 0, session = 0;
 	cJSON *o;
 
 	(void)from;
@@ -500,9 +500,9 @@
 	}
 	o = fl_json_parse(req->body, req->body_len);
 	if (fl_json_count(o, "Epoch", &epoch) != FL_FIELD_OK ||
-	    fl_json_count(o, "Tenure", &tenure) != FL_FIELD_OK) {
+	    fl_json_count(o, "Tenure", &session) != FL_FIELD_OK) {
 		resp->status = 400;
-	} else if (epoch < m->epoch || tenure != m->tenure) {
+	} else if (epoch < m->epoch || session != m->session) {
 		sim_check_epoch(epoch, process);
 		say_report(m, resp, 409);
 	} else {
--- a/tests/standins.c
+++ b/tests/standins.c
@@ -381,15 +381,15 @@
 enum { TASKS = 64, MACHINES = 512 };
 
 struct task {
-	struct fl_part part;
+	struct fl_task_report report;
 	double until;
-	bool used, standing;
+	bool used, service;
 };
 
 struct machine {
 	char name[64], addr[32];
 	bool gone;
-	uint64_t tenure, serial, epoch;
+	uint64_t session, seq, epoch;
 	double answered;
 	struct task at[TASKS];
 	int node;
@@ -435,7 +435,7 @@
 static int n_machines;
 static unsigned commands;
 
-static bool kind_standing(const char *ref)
+static bool kind_service(const char *ref)
 {
 	char name[64];
 	struct key *k;
@@ -447,28 +447,28 @@
 
 static char *report_of(struct machine *m)
 {
-	struct fl_part parts[TASKS];
-	struct fl_report r = {.tenure = m->tenure,
-	                      .serial = ++m->serial,
+	struct fl_task_report tasks[TASKS];
+	struct fl_report r = {.session = m->session,
+	                      .seq = ++m->seq,
 	                      .epoch = m->epoch,
 	                      .reclaim_in_s = -1,
-	                      .parts = parts};
+	                      .tasks = tasks};
 
 	strcpy(r.host, m->name);
 	strcpy(r.endpoint, m->addr);
 	strcpy(r.kind, "small");
-	strcpy(r.site, "a");
+	strcpy(r.zone, "a");
 	for (int i = 0; i < TASKS; i++) {
 		struct task *t = &m->at[i];
 
 		if (!t->used)
 			continue;
-		if (t->part.state != FL_ENDED && !t->standing && fl_now() > t->until) {
-			t->part.state = FL_ENDED;
-			t->part.exit = FL_EXIT_DONE;
+		if (t->report.state != FL_ENDED && !t->service && fl_now() > t->until) {
+			t->report.state = FL_ENDED;
+			t->report.exit = FL_EXIT_DONE;
 			standins.completed++;
 		}
-		parts[r.n_parts++] = t->part;
+		tasks[r.n_tasks++] = t->report;
 	}
 	return fl_report_encode(&r);
 }
@@ -479,32 +479,32 @@
 
 	for (int m = 0; m < n_machines; m++)
 		for (int i = 0; i < TASKS && !machines[m]->gone; i++)
-			n += machines[m]->at[i].used && machines[m]->at[i].part.state != FL_ENDED &&
-			     strcmp(machines[m]->at[i].part.ref, ref) == 0;
+			n += machines[m]->at[i].used &&
+			     machines[m]->at[i].report.state != FL_ENDED &&
+			     strcmp(machines[m]->at[i].report.ref, ref) == 0;
 	return n;
 }
 
-static void launch(struct machine *m, const struct fl_part *p)
+static void launch(struct machine *m, const struct fl_task_report *p)
 {
 	standins.launched_gone += m->gone;
 	for (int k = 0; k < n_machines; k++) {
 		for (int i = 0; i < TASKS && !machines[k]->gone; i++) {
 			const struct task *t = &machines[k]->at[i];
 
-			if (!t->used || t->part.index != p->index ||
-			    strcmp(t->part.ref, p->ref) != 0)
+			if (!t->used || t->report.index != p->index ||
+			    strcmp(t->report.ref, p->ref) != 0)
 				continue;
-			if (machines[k] == m && t->part.attempt == p->attempt)
+			if (machines[k] == m && t->report.attempt == p->attempt)
 				return;
-			standins.twice += t->part.state != FL_ENDED;
+			standins.twice += t->report.state != FL_ENDED;
 		}
 	}
 	for (int i = 0; i < TASKS; i++) {
 		if (m->at[i].used)
 			continue;
-		m->at[i] =
-			(struct task){*p, fl_now() + standins.run_s, true, kind_standing(p->ref)};
-		m->at[i].part.state = FL_EXECUTING;
+		m->at[i] = (struct task){*p, fl_now() + standins.run_s, true, kind_service(p->ref)};
+		m->at[i].report.state = FL_EXECUTING;
 		standins.launches++;
 		return;
 	}
@@ -516,7 +516,7 @@
 
 	cJSON_ArrayForEach (e, fl_json_get(o, "Orders")) {
 		char verb[16] = "", name[48] = "/";
-		struct fl_part p = {0};
+		struct fl_task_report p = {0};
 		uint64_t attempt = 0;
 
 		fl_json_str(e, "Verb", verb, sizeof(verb));
@@ -531,14 +531,14 @@
 		for (int i = 0; i < TASKS && strcmp(verb, "launch") != 0; i++) {
 			struct task *t = &m->at[i];
 
-			if (!t->used || t->part.index != p.index || t->part.attempt != p.attempt ||
-			    strcmp(t->part.ref, p.ref) != 0)
+			if (!t->used || t->report.index != p.index ||
+			    t->report.attempt != p.attempt || strcmp(t->report.ref, p.ref) != 0)
 				continue;
-			if (strcmp(verb, "forget") == 0 && t->part.state == FL_ENDED)
+			if (strcmp(verb, "forget") == 0 && t->report.state == FL_ENDED)
 				t->used = false;
-			if (strcmp(verb, "kill") == 0 && t->part.state != FL_ENDED) {
-				t->part.state = FL_ENDED;
-				t->part.exit = FL_EXIT_STOPPED;
+			if (strcmp(verb, "kill") == 0 && t->report.state != FL_ENDED) {
+				t->report.state = FL_ENDED;
+				t->report.exit = FL_EXIT_STOPPED;
 			}
 		}
 	}
@@ -547,12 +547,12 @@
 static bool take_command(struct machine *m, const char *body)
 {
 	cJSON *o = fl_json_parse(body, strlen(body));
-	uint64_t epoch = 0, tenure = 0;
+	uint64_t epoch = 0, session = 0;
 	bool good;
 
 	fl_json_count(o, "Epoch", &epoch);
-	fl_json_count(o, "Tenure", &tenure);
-	good = epoch >= m->epoch && tenure == m->tenure;
+	fl_json_count(o, "Tenure", &session);
+	good = epoch >= m->epoch && session == m->session;
 	if (good) {
 		m->epoch = epoch;
 		carry_out(m, o);
@@ -632,7 +632,7 @@
 	while (!m->gone && fl_sleep(standins.report_s) == 0) {
 		if (fl_now() > m->answered + standins.lease_s) {
 			memset(m->at, 0, sizeof(m->at));
-			m->tenure++;
+			m->session++;
 			m->answered = fl_now();
 		}
 		report_once(m);
@@ -651,7 +651,7 @@
 
 	assert(n_machines < MACHINES);
 	snprintf(m->name, sizeof(m->name), "m-%06d", n_machines);
-	m->tenure = 1;
+	m->session = 1;
 	m->node = n_machines;
 	m->deaf = standins.deaf > 0 && standins.deaf--;
 	machines[n_machines++] = m;
@@ -710,7 +710,7 @@
 
 static void on_cloud(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
-	static const char kinds[] =
+	static const char types[] =
 		"{\"HostKinds\":[{\"Name\":\"small\",\"Vcpus\":4,\"Accelerators\":0,\"RamGb\":16,"
 		"\"LocalGb\":50,\"PullGbPerS\":1.0,\"Price\":1.0,\"SpotPrice\":0.4,\"ReadyS\":1,"
 		"\"Sites\":[\"a\"]}]}";
@@ -726,7 +726,7 @@
 	}
 	if (strcmp(req->path, "/machine_types") == 0) {
 		cJSON_Delete(o);
-		say(resp, 200, fl_json_parse(kinds, strlen(kinds)));
+		say(resp, 200, fl_json_parse(types, strlen(types)));
 		return;
 	}
 	list = cJSON_AddArrayToObject(o, "Hosts");
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -58,9 +58,9 @@
 	(void)state;
 	assert_null(decode(good, &run));
 	assert_string_equal(run.ref, "run-000412");
-	assert_int_equal(run.parts, 16);
-	assert_int_equal(run.tier, FL_URGENT);
-	assert_false(run.has_site);
+	assert_int_equal(run.n_tasks, 16);
+	assert_int_equal(run.priority, FL_URGENT);
+	assert_false(run.has_zone);
 	text = fl_json_take(fl_run_encode(&run));
 	assert_null(decode(text, &again));
 	assert_memory_equal(&run, &again, sizeof(run));
@@ -167,9 +167,9 @@
 
 	(void)state;
 	assert_int_equal(fl_report_decode(report, strlen(report), &r), 0);
-	assert_int_equal(r.n_parts, 2);
-	assert_int_equal(r.parts[0].index, 3);
-	assert_int_equal(r.parts[1].exit, FL_EXIT_DONE);
+	assert_int_equal(r.n_tasks, 2);
+	assert_int_equal(r.tasks[0].index, 3);
+	assert_int_equal(r.tasks[1].exit, FL_EXIT_DONE);
 	assert_true(r.reclaim_in_s < 0);
 	fl_report_free(&r);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
@@ -178,28 +178,28 @@
 
 static void machine_types_survive_their_record(void **state)
 {
-	struct fl_host_kind k = {.name = "g8",
-	                         .cpus = 96,
-	                         .gpus = 8,
-	                         .ram_gb = 768,
-	                         .cache_gb = 200,
-	                         .pull_gb_s = 0.5,
-	                         .price = 12,
-	                         .spot_price = 4.5,
-	                         .ready_s = 45,
-	                         .sites = {"a", "b"},
-	                         .n_sites = 2},
-			    *back;
-	cJSON *o = fl_kinds_encode(&k, 1), *none = fl_kinds_encode(&k, 0);
+	struct fl_offered_type k = {.name = "g8",
+	                            .cpus = 96,
+	                            .gpus = 8,
+	                            .ram_gb = 768,
+	                            .cache_gb = 200,
+	                            .pull_gb_s = 0.5,
+	                            .price = 12,
+	                            .spot_price = 4.5,
+	                            .ready_s = 45,
+	                            .zones = {"a", "b"},
+	                            .n_zones = 2},
+			       *back;
+	cJSON *o = fl_machine_types_encode(&k, 1), *none = fl_machine_types_encode(&k, 0);
 	int n;
 
 	(void)state;
-	assert_int_equal(fl_kinds_decode(o, &back, &n), 0);
+	assert_int_equal(fl_machine_types_decode(o, &back, &n), 0);
 	assert_int_equal(n, 1);
 	assert_memory_equal(back, &k, sizeof(k));
 	free(back);
 	/* Without any, nothing could be decided: it is no record of them. */
-	assert_int_not_equal(fl_kinds_decode(none, &back, &n), 0);
+	assert_int_not_equal(fl_machine_types_decode(none, &back, &n), 0);
 	assert_null(back);
 	cJSON_Delete(o);
 	cJSON_Delete(none);
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -106,13 +106,14 @@
 {
 	const struct fl_run *r = &job->run;
 
-	print_message("  %s %s %s tier %d, %u x %g cpus %g gpus %g GB, %s%s%s%s%s, cancel %g, "
+	print_message("  %s %s %s priority %d, %u x %g cpus %g gpus %g GB, %s%s%s%s%s, cancel %g, "
 	              "%d starts\n",
-	              r->ref, r->owner, r->kind == FL_STANDING ? "service" : "array", (int)r->tier,
-	              r->parts, r->cpus, r->gpus, r->ram_gb,
-	              r->n_host_kinds > 0 ? r->host_kinds[0] : "any", r->has_site ? " in " : "",
-	              r->has_site ? r->site : "", r->together ? " together" : "",
-	              r->apart ? " apart" : "", job->cancel, job->starts);
+	              r->ref, r->team, r->kind == FL_SERVICE ? "service" : "array",
+	              (int)r->priority, r->n_tasks, r->cpus, r->gpus, r->ram_gb,
+	              r->n_machine_types > 0 ? r->machine_types[0] : "any",
+	              r->has_zone ? " in " : "", r->has_zone ? r->zone : "",
+	              r->together ? " together" : "", r->apart ? " apart" : "", job->cancel,
+	              job->starts);
 }
 
 static void describe_troubles(void)
@@ -256,8 +257,8 @@
 	for (int i = 0; i < sim.n_jobs; i++) {
 		struct sim_job *job = &sim.job[i];
 
-		job->cancel = job->run.kind == FL_STANDING ? job->cancel : -1;
-		for (uint32_t k = 0; k < job->run.parts; k++)
+		job->cancel = job->run.kind == FL_SERVICE ? job->cancel : -1;
+		for (uint32_t k = 0; k < job->run.n_tasks; k++)
 			job->real_s[k] = k == 0 ? sim_between(3, 15) : sim_between(40, 110);
 	}
 	for (int i = 0; i < 2 + variant % 2; i++)
@@ -271,10 +272,10 @@
 	for (int i = 0; i < sim.n_jobs; i++) {
 		struct fl_run *r = &sim.job[i].run;
 
-		if (r->kind != FL_SWEEP)
+		if (r->kind != FL_ARRAY)
 			continue;
-		r->snapshot_every_s = 2;
-		r->snapshot_cost_s = sim_between(3, 8);
+		r->checkpoint_every_s = 2;
+		r->checkpoint_cost_s = sim_between(3, 8);
 		free(sim.job[i].text);
 		sim.job[i].text = fl_json_take(fl_run_encode(r));
 	}
@@ -364,7 +365,7 @@
 }
 
 /* Jobs bound to one zone, arrays too, lose machines. */
-static void site_loses(int variant)
+static void zone_loses(int variant)
 {
 	double t = sim_between(40, 55);
 
@@ -373,8 +374,8 @@
 
 		if (i % 2 || r->apart)
 			continue;
-		r->has_site = true;
-		strcpy(r->site, sim.config[0].zones[i % sim.n_zones]);
+		r->has_zone = true;
+		strcpy(r->zone, sim.config[0].zones[i % sim.n_zones]);
 		free(sim.job[i].text);
 		sim.job[i].text = fl_json_take(fl_run_encode(r));
 	}
@@ -450,13 +451,13 @@
 /* A leader ends while machines with long tasks cannot be reached, or do not hear the new one. */
 static void leader_ends_unheard(int variant)
 {
-	static const enum sim_trouble_kind kinds[] = {DEAF, MUTE, HANG};
+	static const enum sim_trouble_kind types[] = {DEAF, MUTE, HANG};
 	double t = sim_between(45, 55);
 
 	for (int i = 0; i < sim.n_jobs; i++)
-		for (uint32_t k = 0; k < SIM_PARTS; k++)
+		for (uint32_t k = 0; k < SIM_JOB_TASKS; k++)
 			sim.job[i].real_s[k] *= 2;
-	sim_trouble(kinds[variant % 3], t - sim_between(0, 4), sim_between(6, 40), 0, 0.6, 0);
+	sim_trouble(types[variant % 3], t - sim_between(0, 4), sim_between(6, 40), 0, 0.6, 0);
 	leader_down(t, sim_between(2, 30));
 	if (variant % 2)
 		cancel(t + sim_between(-1, 6), 5, 0);
@@ -533,7 +534,7 @@
 	{"at_limit", "jobs.c: what may be on a machine counts; reconcile.c", 3, at_limit, 0},
 	{"at_limit", "reconcile.c: from_before", 3, at_limit, 25},
 	{"held_report", "reconcile.c: from_before, newer", 3, held_report, 0},
-	{"site_loses", "schedule.c, provision.c: places; reconcile.c: gone", 3, site_loses, 0},
+	{"zone_loses", "schedule.c, provision.c: places; reconcile.c: gone", 3, zone_loses, 0},
 	{"hand_over", "lease.c: epochs; takeover.c", 3, hand_over, 0},
 	{"overload", "schedule.c: limits, promises; record_writer.c: the log", 3, overload, 0},
 	{"held_command", "reconcile.c: absence_proves, may_forget", 3, held_command, 0},
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -28,7 +28,7 @@
 	struct fl_node node;
 	struct fl_config config;
 	struct fl_job *job;
-	uint64_t serial;
+	uint64_t seq;
 };
 
 static void lead(struct fixture *f, uint64_t epoch)
@@ -47,13 +47,13 @@
 
 static int set_up(void **state)
 {
-	struct fl_host_kind kind = {
-		.name = "g", .cpus = 8, .ram_gb = 64, .sites = {"a", "b"}, .n_sites = 2};
-	struct fl_run run = {.parts = 4,
+	struct fl_offered_type kind = {
+		.name = "g", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .n_zones = 2};
+	struct fl_run run = {.n_tasks = 4,
 	                     .cpus = 1,
 	                     .ram_gb = 1,
-	                     .tier = FL_STANDARD,
-	                     .n_host_kinds = -1,
+	                     .priority = FL_STANDARD,
+	                     .n_machine_types = -1,
 	                     .due_s = -1};
 	struct fixture *f = calloc(1, sizeof(*f));
 	struct fl_cluster *b;
@@ -69,13 +69,13 @@
 	strcpy(f->config.location, "a");
 	fl_names_add(&b->zones, "a");
 	fl_names_add(&b->zones, "b");
-	fl_kinds_set(&b->machines, &b->zones, &kind, 1);
+	fl_machine_types_set(&b->machines, &b->zones, &kind, 1);
 	strcpy(b->teams.at[0].name, "team");
 	b->teams.n = 1;
 	strcpy(run.ref, "run-000001");
-	strcpy(run.owner, "team");
+	strcpy(run.team, "team");
 	strcpy(run.job_class, "c");
-	strcpy(run.bundle, "i");
+	strcpy(run.image, "i");
 	f->job = fl_job_add(b, &run, 0, 1);
 	lead(f, EPOCH);
 	*state = f;
@@ -103,20 +103,20 @@
 	return 0;
 }
 
-static struct fl_report report(uint64_t tenure, uint64_t serial, uint64_t epoch,
-                               struct fl_part *parts, int n)
+static struct fl_report report(uint64_t session, uint64_t seq, uint64_t epoch,
+                               struct fl_task_report *tasks, int n)
 {
-	struct fl_report r = {.tenure = tenure,
-	                      .serial = serial,
+	struct fl_report r = {.session = session,
+	                      .seq = seq,
 	                      .epoch = epoch,
 	                      .reclaim_in_s = -1,
-	                      .parts = parts,
-	                      .n_parts = n};
+	                      .tasks = tasks,
+	                      .n_tasks = n};
 
 	strcpy(r.host, "m-000001");
 	strcpy(r.endpoint, "127.0.0.1:1");
 	strcpy(r.kind, "g");
-	strcpy(r.site, "a");
+	strcpy(r.zone, "a");
 	return r;
 }
 
@@ -150,9 +150,9 @@
 	return fl_task_peek(f->job, index);
 }
 
-static struct fl_part running(uint32_t index, uint32_t attempt)
+static struct fl_task_report running(uint32_t index, uint32_t attempt)
 {
-	struct fl_part p = {.index = index, .attempt = attempt, .state = FL_EXECUTING};
+	struct fl_task_report p = {.index = index, .attempt = attempt, .state = FL_EXECUTING};
 
 	strcpy(p.ref, "run-000001");
 	return p;
@@ -167,9 +167,9 @@
 
 	assert_int_equal(hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT), 0);
 	t = place(f, 0);
-	for (uint64_t serial = 2; serial < 5; serial++) {
+	for (uint64_t seq = 2; seq < 5; seq++) {
 		ago(f, 5);
-		launches += hear(f, report(1, serial, EPOCH, NULL, 0), FL_WAY_REPORT);
+		launches += hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
 	assert_int_equal(launches, 3);
 	assert_true(fl_reachability_doubted(machine(f)));
@@ -200,9 +200,9 @@
 	ago(f, 5);
 	hear(f, report(1, 2, EPOCH, NULL, 0), FL_WAY_REPORT);
 	assert_true(fl_reachability_doubted(machine(f)));
-	for (uint64_t tenure = 2; tenure < 4; tenure++) {
+	for (uint64_t session = 2; session < 4; session++) {
 		ago(f, 5);
-		hear(f, report(tenure, 10 * tenure, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(session, 10 * session, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
 	assert_true(fl_reachability_lost_at(machine(f)) < INFINITY);
 	/* Once it answers a command itself, all is well again. */
@@ -217,19 +217,19 @@
 
 	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
 	place(f, 0);
-	for (uint64_t serial = 2; serial < 5; serial++) {
+	for (uint64_t seq = 2; seq < 5; seq++) {
 		ago(f, 1);
-		hear(f, report(1, serial, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
 	assert_true(fl_reachability_doubted(machine(f)));
 	hear(f, report(1, 5, EPOCH, NULL, 0), FL_WAY_COMMAND);
 	assert_false(fl_reachability_doubted(machine(f)));
 	fl_task_peek(f->job, 0)->told = false;
 	f->node.lease.epoch++;
-	for (uint64_t serial = 6; serial < 9; serial++) {
+	for (uint64_t seq = 6; seq < 9; seq++) {
 		ago(f, 1);
 		fl_task_peek(f->job, 0)->stop = FL_STOP_PREEMPT;
-		hear(f, report(1, serial, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
 	assert_true(fl_reachability_doubted(machine(f)));
 	ago(f, 1);
@@ -240,7 +240,7 @@
 static void one_lost_answer_is_no_deafness(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	struct fl_task *t;
 
 	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
@@ -279,21 +279,21 @@
 			hear(f, r, FL_WAY_REPORT);
 			assert_int_equal(fl_reachability_doubted(machine(f)), r.via > 1 && i == 0);
 			ago(f, 6);
-			r.serial++;
+			r.seq++;
 		}
 	}
 	/* Even then its own answer to a command, or a launch that shows, ends the doubt. */
 	r.via = 1;
 	hear(f, r, FL_WAY_REPORT);
 	assert_true(fl_reachability_doubted(machine(f)));
-	r.serial++;
+	r.seq++;
 	hear(f, r, FL_WAY_COMMAND);
 	assert_false(fl_reachability_doubted(machine(f)));
 	/* Where there is no other node, only a launch without effect can tell. */
 	f->node.n_peers = 0;
 	for (int i = 0; i < 3; i++) {
 		ago(f, 6);
-		r.serial++;
+		r.seq++;
 		hear(f, r, FL_WAY_REPORT);
 		assert_false(fl_reachability_doubted(machine(f)));
 	}
@@ -303,7 +303,7 @@
 static void a_late_copy_after_a_takeover_is_answered_and_nothing_else(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	struct fl_task *t;
 
 	/* A machine that the leader before returned: no record, no list names it any more. */
@@ -332,7 +332,7 @@
 static void a_late_copy_within_a_leadership_changes_nothing(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	double heard;
 
 	hear(f, report(2, 10, EPOCH, NULL, 0), FL_WAY_REPORT);
@@ -379,7 +379,7 @@
 	struct fl_node *n = &f->node;
 
 	n->lease.held = n->lead.active = n->cluster.leading = false;
-	n->kinds_known = n->jobs_known = true;
+	n->types_known = n->jobs_known = true;
 	strcpy(n->leader, "n1");
 	n->n_peers = peers;
 	for (int i = 0; i < peers; i++) {
@@ -430,7 +430,7 @@
 static void a_standby_keeps_the_newest_report(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	struct fl_kept *k;
 	double at;
 
@@ -442,9 +442,9 @@
 	k->stored = true;
 	assert_int_equal(send_report(f, report(1, 19, EPOCH, NULL, 0), NULL), 200);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 200);
-	assert_true(k->serial == 20 && k->at == at && k->stored);
+	assert_true(k->seq == 20 && k->at == at && k->stored);
 	assert_int_equal(send_report(f, report(2, 3, EPOCH, NULL, 0), NULL), 200);
-	assert_true(k->tenure == 2 && k->serial == 3 && !k->stored);
+	assert_true(k->session == 2 && k->seq == 3 && !k->stored);
 }
 
 /* The record of the job, cancelled so long ago. */
@@ -473,14 +473,14 @@
 {
 	struct fixture *f = *state;
 	double keep = f->config.cancel_s - f->config.lease_s - 1;
-	struct fl_part p = running(0, 1);
-	struct fl_final *final;
+	struct fl_task_report p = running(0, 1);
+	struct fl_finished_job *final;
 
 	follow(f, 0);
 	/* One more lease still ends before the tasks must be gone. */
 	hear_of_cancel(f, keep - 2);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 200);
-	final = fl_final_find(&f->node.cluster, p.ref);
+	final = fl_finished_find(&f->node.cluster, p.ref);
 	assert_non_null(final);
 	final->cancelled_at -= 3;
 	assert_int_equal(send_report(f, report(1, 21, EPOCH, &p, 1), NULL), 503);
@@ -518,7 +518,7 @@
 static void what_one_controller_knows_another_learns(void **state)
 {
 	struct fixture *f = *state, *other;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	double keep = f->config.cancel_s - f->config.lease_s - 1;
 
 	set_up((void **)&other);
@@ -568,25 +568,25 @@
 	b->node.jobs_known = true;
 	gossip(f, 1, b, 2.0); /* it stood still between the question and its sending */
 	assert_true(f->node.jobs_at <= old);
-	b->node.cluster.finals_lost_at = fl_now(); /* something learned is not held any more */
+	b->node.cluster.finished_lost_at = fl_now(); /* something learned is not held any more */
 	gossip(f, 1, b, 0.1);
 	assert_true(f->node.jobs_at <= old);
-	b->node.cluster.finals_lost_at = -1e9;
+	b->node.cluster.finished_lost_at = -1e9;
 	for (int i = 0; i <= FL_GOSSIP_CANCELLED_MAX; i++) {
 		char ref[FL_REF_MAX];
 
 		snprintf(ref, sizeof(ref), "run-%06d", 1000 + i);
-		fl_final_add(&b->node.cluster, ref, FL_ABORTED, 1, fl_now());
+		fl_finished_add(&b->node.cluster, ref, FL_CANCELLED, 1, fl_now());
 	}
 	gossip(f, 1, b, 0.1);
 	assert_true(f->node.jobs_at <= old);
-	for (struct fl_final *e = b->node.cluster.finals; e; e = e->hh.next)
+	for (struct fl_finished_job *e = b->node.cluster.finished; e; e = e->hh.next)
 		e->learned_at = old - 9; /* known before what the asker knows: not told again */
 	/* The last thing that it learned, and the only one that is told. */
-	fl_final_add(&b->node.cluster, "run-000001", FL_ABORTED, 1, fl_now());
+	fl_finished_add(&b->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
 	gossip(f, 1, b, 0.1);
 	assert_true(f->node.jobs_at > fl_now() - 1 && f->node.jobs_at < fl_now());
-	assert_int_equal(HASH_COUNT(f->node.cluster.finals), 1);
+	assert_int_equal(HASH_COUNT(f->node.cluster.finished), 1);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, NULL, 0), NULL), 200);
 	/* This node itself has not read since it started. */
 	f->node.jobs_at = old;
@@ -602,7 +602,7 @@
 static void a_report_that_comes_twice_is_answered_with_the_stop_twice(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	cJSON *v = cancelled_record(f, 1);
 
 	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
@@ -635,7 +635,7 @@
 static void what_came_up_during_a_wait_counts(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	struct waiting_report w = {.f = f, .r = report(1, 20, EPOCH, &p, 1)};
 	struct ev_loop *loop = ev_loop_new(0);
 
@@ -660,7 +660,7 @@
 static void a_new_leader_does_not_keep_it_either(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_part p = running(0, 1);
+	struct fl_task_report p = running(0, 1);
 	double keep = f->config.cancel_s - f->config.lease_s - 1;
 
 	f->node.cluster.leading = false;
@@ -679,7 +679,7 @@
 static void a_leader_hears_of_a_cancellation_from_the_record(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_final *final;
+	struct fl_finished_job *final;
 	struct fl_job_record rec;
 	cJSON *v;
 
@@ -687,17 +687,17 @@
 	v = cancelled_record(f, 3);
 	assert_int_equal(fl_job_record_decode(v, f->job->ref, &rec), 0);
 	fl_record_writer_heard(&f->node, f->job, &rec, 9);
-	assert_true(f->job->aborted && !f->job->unsure && f->job->rev == 9);
+	assert_true(f->job->cancelled && !f->job->unsure && f->job->rev == 9);
 	/* Or while it still loads its cluster state, and its lease may be another's already. */
-	f->job->aborted = f->node.lead.active = false;
-	final = f->node.cluster.finals;
-	HASH_DEL(f->node.cluster.finals, final);
+	f->job->cancelled = f->node.lead.active = false;
+	final = f->node.cluster.finished;
+	HASH_DEL(f->node.cluster.finished, final);
 	free(final);
 	assert_ptr_equal(fl_cluster_apply(&f->node.cluster, f->job->ref, v, 10), f->job);
 	cJSON_Delete(v);
-	assert_true(f->job->aborted && f->job->rev == 10);
-	assert_true(fabs(f->job->aborted_at - (fl_now() - 3)) < 1);
-	assert_non_null(fl_final_find(&f->node.cluster, f->job->ref));
+	assert_true(f->job->cancelled && f->job->rev == 10);
+	assert_true(fabs(f->job->cancelled_at - (fl_now() - 3)) < 1);
+	assert_non_null(fl_finished_find(&f->node.cluster, f->job->ref));
 }
 
 /* A new leader goes on counting: else one that leads briefly would never give a machine up. */
@@ -710,7 +710,7 @@
 	v = cancelled_record(f, 20);
 	assert_int_equal(fl_job_record_decode(v, f->job->ref, &rec), 0);
 	cJSON_Delete(v);
-	assert_true(rec.final && rec.has_run && rec.status == FL_ABORTED);
+	assert_true(rec.final && rec.has_run && rec.status == FL_CANCELLED);
 	assert_true(fabs(fl_since(rec.cancelled) - (fl_now() - 20)) < 1);
 	/* Records of earlier versions do not say: they count from now. */
 	assert_true(fabs(fl_since(0) - fl_now()) < 1);
@@ -727,24 +727,24 @@
 	                                  "[\"\",1,2,3,-1,[]]",
 	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
 	                                  "{\"m\":1}"};
-	struct fl_part parts[2] = {running(3, 2), running(1, 1)};
-	struct fl_report r = report(4, 5, 6, parts, 2), back;
+	struct fl_task_report tasks[2] = {running(3, 2), running(1, 1)};
+	struct fl_report r = report(4, 5, 6, tasks, 2), back;
 	char *text;
 	cJSON *e;
 
 	(void)state;
-	parts[1].state = FL_ENDED;
-	parts[1].exit = FL_EXIT_DONE;
+	tasks[1].state = FL_ENDED;
+	tasks[1].exit = FL_EXIT_DONE;
 	r.reclaim_in_s = 12.5;
 	text = fl_kept_encode(&r);
 	e = fl_json_parse(text, strlen(text));
 	assert_int_equal(fl_kept_decode(e, &back), 0);
 	assert_string_equal(back.host, r.host);
-	assert_true(back.tenure == 4 && back.serial == 5 && back.epoch == 6);
-	assert_true(back.reclaim_in_s == 12.5 && back.n_parts == 2);
-	assert_int_equal(back.parts[0].state, FL_EXECUTING);
-	assert_int_equal(back.parts[0].index, 3);
-	assert_int_equal(back.parts[1].exit, FL_EXIT_DONE);
+	assert_true(back.session == 4 && back.seq == 5 && back.epoch == 6);
+	assert_true(back.reclaim_in_s == 12.5 && back.n_tasks == 2);
+	assert_int_equal(back.tasks[0].state, FL_EXECUTING);
+	assert_int_equal(back.tasks[0].index, 3);
+	assert_int_equal(back.tasks[1].exit, FL_EXIT_DONE);
 	fl_report_free(&back);
 	cJSON_Delete(e);
 	/* Hundreds of machines share the writes: twenty must fit into the smallest value. */
@@ -795,18 +795,18 @@
 	assert_int_equal(send_report(f, r, NULL), 200);
 	settled(f);
 	/* The second worker goes elsewhere than the first: none of them is known to be well. */
-	r.serial++;
+	r.seq++;
 	assert_int_equal(send_report(f, r, first), 421);
 	strcpy(r.host, "m-000001");
 	assert_int_equal(send_report(f, r, second), 421);
 	assert_true(first[0] && second[0] && strcmp(first, second) != 0);
 	/* It found nobody there and is back within its lease: now it is kept. */
-	r.serial++;
+	r.seq++;
 	assert_int_equal(send_report(f, r, NULL), 200);
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	lose_all(f, f->config.cancel_s - f->config.lease_s);
 	f->node.standby.refreshed_at = fl_now();
-	r.serial++;
+	r.seq++;
 	assert_int_equal(send_report(f, r, NULL), 503);
 }
 
@@ -821,13 +821,13 @@
 	assert_int_equal(send_report(f, r, NULL), 200);
 	settled(f);
 	f->node.probed_at = fl_now() - 10;
-	r.serial++;
+	r.seq++;
 	assert_int_equal(send_report(f, r, NULL), 200);
 	/* The others died long before the state service failed. */
 	lose_all(f, 3);
 	for (int i = 0; i < 4; i++)
 		f->node.peers[i].heard_at -= 20;
-	r.serial++;
+	r.seq++;
 	assert_int_equal(send_report(f, r, NULL), 200);
 	/* An outage alone, with peers in reach, is not being alone. */
 	f->node.peers[2].up = true;
@@ -845,17 +845,17 @@
 	char to[FL_NAME_MAX];
 
 	follow(f, 1);
-	strcpy(r.site, "b");
+	strcpy(r.zone, "b");
 	strcpy(f->node.leader, "n9");
 	f->node.peers[0].up = true;
 	f->node.peers[0].up_since = fl_now() - 5;
 	assert_int_equal(send_report(f, r, NULL), 200);
 	settled(f);
-	r.serial++;
+	r.seq++;
 	assert_int_equal(send_report(f, r, to), 421);
 	assert_string_equal(to, "n1");
 	/* It is back, for whatever reason: it stays. */
-	r.serial++;
+	r.seq++;
 	assert_int_equal(send_report(f, r, NULL), 200);
 }
 
@@ -890,7 +890,7 @@
 		free(resp.body);
 	}
 	/* What is over is known for good, by any node. */
-	fl_final_add(&f->node.cluster, "run-000050", FL_DONE, 2, 0);
+	fl_finished_add(&f->node.cluster, "run-000050", FL_DONE, 2, 0);
 	resp = call(f, FL_CALL_POLL, "run-000050", NULL);
 	assert_int_equal(resp.status, 200);
 	free(resp.body);
@@ -1032,9 +1032,9 @@
 
 	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
 	place(f, 0);
-	for (uint64_t serial = 2; serial < 5; serial++) {
+	for (uint64_t seq = 2; seq < 5; seq++) {
 		ago(f, 12);
-		hear(f, report(1, serial, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
 	}
 	assert_true(given_up(f));
 	for (int i = 2; i < 6; i++) {
--- a/tests/test_reconcile.c
+++ b/tests/test_reconcile.c
@@ -19,15 +19,15 @@
 #include "coordination/reconcile.h"
 #include "transport/clock.h"
 
-enum { W = 4, JOBS = 3, PARTS = 5, MAIL = 400, ON_MACHINE = 64 };
+enum { W = 4, JOBS = 3, TASKS = 5, MAIL = 400, ON_MACHINE = 64 };
 
 struct entry {
-	struct fl_part part;
+	struct fl_task_report report;
 	bool used;
 };
 
 struct worker {
-	uint64_t tenure, serial, epoch;
+	uint64_t session, seq, epoch;
 	struct entry at[ON_MACHINE];
 	char *answer; /* to the newest report, on its way; gone with the next report */
 };
@@ -46,7 +46,7 @@
 	int n_mail;
 	char *record[JOBS]; /* progress records, as the state service holds them */
 	char *log[2]; /* and the log; a write need not fill both values, what was there stays */
-	bool really_done[JOBS][PARTS];
+	bool really_done[JOBS][TASKS];
 	gsl_rng *g;
 	uint64_t epoch;
 	int launches, dones, takeovers, logs;
@@ -67,20 +67,20 @@
 static char *report_text(struct sim *w, int at)
 {
 	struct worker *k = &w->worker[at];
-	struct fl_part parts[ON_MACHINE];
-	struct fl_report r = {.tenure = k->tenure,
-	                      .serial = ++k->serial,
+	struct fl_task_report tasks[ON_MACHINE];
+	struct fl_report r = {.session = k->session,
+	                      .seq = ++k->seq,
 	                      .epoch = k->epoch,
 	                      .reclaim_in_s = -1,
-	                      .parts = parts};
+	                      .tasks = tasks};
 
 	host_of(at, r.host);
 	strcpy(r.endpoint, "127.0.0.1:1");
 	strcpy(r.kind, "g");
-	strcpy(r.site, at % 2 ? "a" : "b");
+	strcpy(r.zone, at % 2 ? "a" : "b");
 	for (int i = 0; i < ON_MACHINE; i++)
 		if (k->at[i].used)
-			parts[r.n_parts++] = k->at[i].part;
+			tasks[r.n_tasks++] = k->at[i].report;
 	return fl_report_encode(&r);
 }
 
@@ -89,8 +89,8 @@
 	int n = 0;
 
 	for (int i = 0; i < ON_MACHINE; i++)
-		n += k->at[i].used && k->at[i].part.state != FL_ENDED &&
-		     k->at[i].part.index == index && strcmp(k->at[i].part.ref, ref) == 0;
+		n += k->at[i].used && k->at[i].report.state != FL_ENDED &&
+		     k->at[i].report.index == index && strcmp(k->at[i].report.ref, ref) == 0;
 	return n;
 }
 
@@ -100,7 +100,7 @@
 		char ref[FL_REF_MAX];
 
 		ref_of(j, ref);
-		for (uint32_t p = 0; p < PARTS; p++) {
+		for (uint32_t p = 0; p < TASKS; p++) {
 			int on = 0;
 
 			for (int k = 0; k < W; k++)
@@ -114,31 +114,32 @@
 		for (int k = 0; k < W; k++)
 			for (int i = 0; i < ON_MACHINE; i++)
 				live += w->worker[k].at[i].used &&
-				        w->worker[k].at[i].part.state != FL_ENDED;
+				        w->worker[k].at[i].report.state != FL_ENDED;
 		assert_in_range(live, 0, 6); /* quota: 6 cpus at most, one each */
 	}
 }
 
-static void do_launch(struct sim *w, struct worker *k, const struct fl_part *p)
+static void do_launch(struct sim *w, struct worker *k, const struct fl_task_report *p)
 {
 	int job = atoi(p->ref + 4);
 
 	for (int i = 0; i < ON_MACHINE; i++)
-		if (k->at[i].used && k->at[i].part.index == p->index &&
-		    k->at[i].part.attempt == p->attempt && strcmp(k->at[i].part.ref, p->ref) == 0)
+		if (k->at[i].used && k->at[i].report.index == p->index &&
+		    k->at[i].report.attempt == p->attempt &&
+		    strcmp(k->at[i].report.ref, p->ref) == 0)
 			return;
 	for (int i = 0; i < ON_MACHINE; i++) {
 		if (k->at[i].used)
 			continue;
 		k->at[i].used = true;
-		k->at[i].part = *p;
-		k->at[i].part.state = FL_EXECUTING;
+		k->at[i].report = *p;
+		k->at[i].report.state = FL_EXECUTING;
 		if (live_on(k, p->ref, p->index) > 1) {
-			k->at[i].part.state = FL_ENDED;
-			k->at[i].part.exit = FL_EXIT_BUSY;
+			k->at[i].report.state = FL_ENDED;
+			k->at[i].report.exit = FL_EXIT_BUSY;
 		} else if (w->really_done[job][p->index]) {
-			k->at[i].part.state = FL_ENDED;
-			k->at[i].part.exit = FL_EXIT_DONE;
+			k->at[i].report.state = FL_ENDED;
+			k->at[i].report.exit = FL_EXIT_DONE;
 		}
 		w->launches++;
 		check_rules(w);
@@ -147,11 +148,12 @@
 	fail_msg("a worker's table is full: nothing is ever forgotten");
 }
 
-static struct entry *entry_of(struct worker *k, const struct fl_part *p)
+static struct entry *entry_of(struct worker *k, const struct fl_task_report *p)
 {
 	for (int i = 0; i < ON_MACHINE; i++)
-		if (k->at[i].used && k->at[i].part.index == p->index &&
-		    k->at[i].part.attempt == p->attempt && strcmp(k->at[i].part.ref, p->ref) == 0)
+		if (k->at[i].used && k->at[i].report.index == p->index &&
+		    k->at[i].report.attempt == p->attempt &&
+		    strcmp(k->at[i].report.ref, p->ref) == 0)
 			return &k->at[i];
 	return NULL;
 }
@@ -160,18 +162,19 @@
 {
 	struct worker *k = &w->worker[at];
 	cJSON *o = fl_json_parse(text, strlen(text));
-	uint64_t epoch, tenure;
+	uint64_t epoch, session;
 	const cJSON *e;
 
 	assert_int_equal(fl_json_count(o, "Epoch", &epoch), FL_FIELD_OK);
 	if (epoch < k->epoch)
 		goto out;
-	if (direct && (fl_json_count(o, "Tenure", &tenure) != FL_FIELD_OK || tenure != k->tenure))
+	if (direct &&
+	    (fl_json_count(o, "Tenure", &session) != FL_FIELD_OK || session != k->session))
 		goto out;
 	k->epoch = epoch;
 	cJSON_ArrayForEach (e, fl_json_get(o, "Orders")) {
 		char verb[16], name[48];
-		struct fl_part p = {0};
+		struct fl_task_report p = {0};
 		struct entry *x;
 		uint64_t attempt;
 
@@ -185,10 +188,10 @@
 		x = entry_of(k, &p);
 		if (strcmp(verb, "launch") == 0) {
 			do_launch(w, k, &p);
-		} else if (strcmp(verb, "kill") == 0 && x && x->part.state != FL_ENDED) {
-			x->part.state = FL_ENDED;
-			x->part.exit = FL_EXIT_STOPPED;
-		} else if (strcmp(verb, "forget") == 0 && x && x->part.state == FL_ENDED) {
+		} else if (strcmp(verb, "kill") == 0 && x && x->report.state != FL_ENDED) {
+			x->report.state = FL_ENDED;
+			x->report.exit = FL_EXIT_STOPPED;
+		} else if (strcmp(verb, "forget") == 0 && x && x->report.state == FL_ENDED) {
 			x->used = false;
 		}
 	}
@@ -206,18 +209,18 @@
 
 static struct fl_job *add_job(struct sim *w, int job)
 {
-	struct fl_run run = {.parts = PARTS,
+	struct fl_run run = {.n_tasks = TASKS,
 	                     .cpus = 1,
 	                     .ram_gb = 1,
-	                     .tier = FL_STANDARD,
-	                     .n_host_kinds = -1,
+	                     .priority = FL_STANDARD,
+	                     .n_machine_types = -1,
 	                     .reclaimable = true,
 	                     .due_s = -1};
 
 	ref_of(job, run.ref);
-	strcpy(run.owner, "team");
+	strcpy(run.team, "team");
 	strcpy(run.job_class, "c");
-	strcpy(run.bundle, "i");
+	strcpy(run.image, "i");
 	return fl_job_add(&w->node.cluster, &run, 0, 1);
 }
 
@@ -264,7 +267,7 @@
 		struct fl_machine *m = b->machines.at[(i + pick(w, W)) % b->machines.n];
 		uint32_t index = fl_task_next_waiting(job, 0, 1e18);
 
-		if (index >= job->parts || !m->up || m->used_cpus >= 4 ||
+		if (index >= job->n_tasks || !m->up || m->used_cpus >= 4 ||
 		    !fl_team_within_max(t, t->used_cpus + 1, 0))
 			continue;
 		assert_int_equal(fl_task_place(b, job, index, m, w->node.lease.epoch, fl_now()), 0);
@@ -332,7 +335,7 @@
 
 		ref_of(j, ref);
 		job = fl_job_find(&w->node.cluster, ref);
-		for (uint32_t p = 0; job && p < PARTS; p++) {
+		for (uint32_t p = 0; job && p < TASKS; p++) {
 			const struct fl_task *t = fl_task_peek(job, p);
 
 			if (t && t->phase == FL_TASK_DONE)
@@ -380,7 +383,7 @@
 	if (!m || !m->up)
 		return;
 	fl_orders_init(&orders, w->node.lease.epoch);
-	fl_orders_tenure(&orders, m->tenure);
+	fl_orders_session(&orders, m->session);
 	if (!fl_reconcile_direct(&w->node, m, &orders)) {
 		cJSON_Delete(orders.root);
 		return;
@@ -432,12 +435,12 @@
 static void something_ends(struct sim *w, int at)
 {
 	struct worker *k = &w->worker[at];
-	struct fl_part *p = &k->at[pick(w, ON_MACHINE)].part;
+	struct fl_task_report *p = &k->at[pick(w, ON_MACHINE)].report;
 
 	for (int i = 0; i < ON_MACHINE; i++) {
-		if (!k->at[i].used || k->at[i].part.state == FL_ENDED || pick(w, 3))
+		if (!k->at[i].used || k->at[i].report.state == FL_ENDED || pick(w, 3))
 			continue;
-		p = &k->at[i].part;
+		p = &k->at[i].report;
 		p->state = FL_ENDED;
 		p->exit = pick(w, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
 		if (p->exit == FL_EXIT_DONE) {
@@ -453,7 +456,7 @@
 	struct worker *k = &w->worker[at];
 
 	memset(k->at, 0, sizeof(k->at));
-	k->tenure++;
+	k->session++;
 	drop_answer(k);
 }
 
@@ -513,14 +516,14 @@
 
 static void set_up(struct sim *w, unsigned long seed)
 {
-	struct fl_host_kind kind = {.name = "g",
-	                            .cpus = 4,
-	                            .ram_gb = 64,
-	                            .pull_gb_s = 1,
-	                            .price = 1,
-	                            .ready_s = 10,
-	                            .sites = {"a", "b"},
-	                            .n_sites = 2};
+	struct fl_offered_type kind = {.name = "g",
+	                               .cpus = 4,
+	                               .ram_gb = 64,
+	                               .pull_gb_s = 1,
+	                               .price = 1,
+	                               .ready_s = 10,
+	                               .zones = {"a", "b"},
+	                               .n_zones = 2};
 	struct fl_cluster *b = &w->node.cluster;
 
 	memset(w, 0, sizeof(*w));
@@ -530,12 +533,12 @@
 	w->calm = seed % 3 == 0 ? 1 : seed % 3 == 1 ? 8 : 40;
 	fl_names_add(&b->zones, "a");
 	fl_names_add(&b->zones, "b");
-	fl_kinds_set(&b->machines, &b->zones, &kind, 1);
+	fl_machine_types_set(&b->machines, &b->zones, &kind, 1);
 	strcpy(b->teams.at[0].name, "team");
 	b->teams.at[0].cpus_max = 6;
 	b->teams.n = 1;
 	for (int i = 0; i < W; i++)
-		w->worker[i].tenure = 1;
+		w->worker[i].session = 1;
 	take_over(w);
 }
 
@@ -569,7 +572,7 @@
 		for (int j = 0; j < JOBS; j++) {
 			bool all = true;
 
-			for (int p = 0; p < PARTS; p++)
+			for (int p = 0; p < TASKS; p++)
 				all = all && w->really_done[j][p];
 			finished += all;
 		}
@@ -591,9 +594,9 @@
 	job = fl_job_find(&w->node.cluster, "run-000000");
 	assert_null(fl_job_chunk(job, 0));
 	assert_true(fl_task_durable(job, 0));
-	assert_null(fl_task_peek(job, PARTS - 1));
-	fl_job_finalise(&w->node.cluster, job, FL_ABORTED);
-	assert_int_equal(fl_final_find(&w->node.cluster, "run-000000")->status, FL_ABORTED);
+	assert_null(fl_task_peek(job, TASKS - 1));
+	fl_job_finalise(&w->node.cluster, job, FL_CANCELLED);
+	assert_int_equal(fl_finished_find(&w->node.cluster, "run-000000")->status, FL_CANCELLED);
 	tear_down(w);
 	free(w);
 }
@@ -699,7 +702,7 @@
 	for (int j = 100; j < 160; j++) {
 		struct fl_job *job = add_job(w, j);
 
-		for (uint32_t p = 0; p < PARTS; p++) {
+		for (uint32_t p = 0; p < TASKS; p++) {
 			char host[FL_NAME_MAX], *group;
 
 			host_of(1000 + j * 2 + (int)p % 2, host);
@@ -708,7 +711,7 @@
 			                      fl_machine_get(&w->node.cluster.machines, host, 0), 1,
 			                      0),
 				0);
-			if (p + 1 < PARTS)
+			if (p + 1 < TASKS)
 				continue;
 			group = fl_log_group_encode(&w->node.cluster, job, 0);
 			assert_non_null(group);
@@ -728,7 +731,7 @@
 static void a_late_word_brings_no_job_back(void **state)
 {
 	struct sim *w = malloc(sizeof(*w));
-	struct fl_run run = {.parts = 1, .cpus = 1, .n_host_kinds = -1, .due_s = -1};
+	struct fl_run run = {.n_tasks = 1, .cpus = 1, .n_machine_types = -1, .due_s = -1};
 	struct fl_cluster *b;
 	cJSON *v;
 
@@ -736,9 +739,9 @@
 	set_up(w, 1);
 	b = &w->node.cluster;
 	strcpy(run.ref, "run-000077");
-	strcpy(run.owner, "team");
+	strcpy(run.team, "team");
 	strcpy(run.job_class, "c");
-	strcpy(run.bundle, "i");
+	strcpy(run.image, "i");
 	v = fl_job_record_live(&run, 5);
 	b->list_rev = 100;
 	assert_null(fl_cluster_apply(b, run.ref, v, 90));
@@ -774,16 +777,16 @@
 	(void)state;
 	set_up(w, 1);
 	b = &w->node.cluster;
-	b->finals_most = 10;
+	b->finished_max = 10;
 	for (int i = 0; i < 25; i++) {
 		char ref[FL_REF_MAX];
 
 		ref_of(1000 + i, ref);
-		fl_final_add(b, ref, FL_DONE, 1, 0);
+		fl_finished_add(b, ref, FL_DONE, 1, 0);
 	}
-	assert_int_equal(HASH_COUNT(b->finals), 10);
-	assert_null(fl_final_find(b, "run-001014"));
-	assert_non_null(fl_final_find(b, "run-001015"));
+	assert_int_equal(HASH_COUNT(b->finished), 10);
+	assert_null(fl_finished_find(b, "run-001014"));
+	assert_non_null(fl_finished_find(b, "run-001015"));
 	tear_down(w);
 	free(w);
 }
@@ -802,19 +805,19 @@
 	b = &w->node.cluster;
 	job = fl_job_find(b, "run-000000");
 	for (int i = 0; i < 12; i++) {
-		struct fl_report r = {.tenure = 1, .serial = 1, .epoch = 1, .reclaim_in_s = -1};
-		struct fl_part p = {
-			.index = (uint32_t)(i % PARTS), .state = FL_ENDED, .exit = FL_EXIT_ERROR};
+		struct fl_report r = {.session = 1, .seq = 1, .epoch = 1, .reclaim_in_s = -1};
+		struct fl_task_report p = {
+			.index = (uint32_t)(i % TASKS), .state = FL_ENDED, .exit = FL_EXIT_ERROR};
 
 		host_of(60 + i, r.host);
 		m = fl_machine_get(&b->machines, r.host, 0);
 		fl_cluster_describe(b, m, 0, 0, false, "x");
-		m->tenure = 1;
+		m->session = 1;
 		assert_int_equal(fl_task_place(b, job, p.index, m, 1, 0), 0);
 		strcpy(p.ref, job->ref);
 		p.attempt = fl_task_peek(job, p.index)->attempt;
-		r.parts = &p;
-		r.n_parts = 1;
+		r.tasks = &p;
+		r.n_tasks = 1;
 		assert_int_equal(fl_reconcile_report(&w->node, &r, NULL, FL_WAY_COMMAND), 0);
 		assert_true(m->avoid_until <= now);
 		assert_true(i < 4 || job->not_before >= last);
@@ -846,7 +849,7 @@
 		assert_int_equal(fl_task_place(b, job, (uint32_t)i, m[i], 1, 0), 0);
 	}
 	fl_reconcile_gone(&w->node, m[0], "test");
-	fl_cluster_sweep(b, fl_now() + 1);
+	fl_cluster_purge(b, fl_now() + 1);
 	assert_int_equal(b->machines.n, 2);
 	assert_null(fl_machine_find(&b->machines, "m-000050"));
 	assert_ptr_equal(b->machines.at[fl_task_peek(job, 2)->machine], m[2]);
