--- a/tests/test_schedule.c
+++ b/tests/test_schedule.c
@@ -42,9 +42,9 @@
 
 static bool m_allowed(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
-	if (!(j->kinds & (1u << m->kind)))
+	if (!(j->types & (1u << m->kind)))
 		return false;
-	if (j->site >= 0 && m->zone != j->site)
+	if (j->zone >= 0 && m->zone != j->zone)
 		return false;
 	return !m->spot || j->reclaimable;
 }
@@ -56,7 +56,7 @@
 
 static bool m_zone(const struct fl_sched_job *j, int zone)
 {
-	if (j->apart && j->zone_placed[zone] + j->zone_unknown >= (j->parts + 1) / 2)
+	if (j->apart && j->zone_placed[zone] + j->zone_unknown >= (j->n_tasks + 1) / 2)
 		return false;
 	if (j->together) {
 		if (j->zone_unknown)
@@ -90,13 +90,13 @@
 
 static bool m_ahead(const struct fl_sched_job *j)
 {
-	return j->standing && (j->tier == FL_URGENT || j->tier == FL_CRITICAL);
+	return j->service && (j->priority == FL_URGENT || j->priority == FL_CRITICAL);
 }
 
 static bool m_holds(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
 	for (int i = 0; i < FL_CACHE_NOTE; i++)
-		if (m->cache[i] == j->bundle)
+		if (m->cache[i] == j->image)
 			return true;
 	return false;
 }
@@ -106,13 +106,13 @@
 	double s = m->gpus - j->gpus, est = j->est_s > 0 ? j->est_s : 3600;
 	int at = 0;
 
-	while (at < FL_CACHE_NOTE && m->cache[at] != j->bundle)
+	while (at < FL_CACHE_NOTE && m->cache[at] != j->image)
 		at++;
 	if (at == FL_CACHE_NOTE)
 		s += j->image_gb / m->pull_gb_s * (m_ahead(j) ? 3 : 1);
 	if (!m->held)
 		s += j->reclaimable && !m->spot ? 16 : 8;
-	if (m->spot && !j->standing && j->waited_s > 120)
+	if (m->spot && !j->service && j->waited_s > 120)
 		s += fmin(loss * est, 1) * (30 + est / 2);
 	if (j->apart)
 		s += 1000.0 * j->zone_placed[m->zone];
@@ -165,11 +165,11 @@
 
 	if (r->stopping || !r->movable)
 		return false;
-	if (r->foothold && j->tier != FL_URGENT && j->tier != FL_CRITICAL)
+	if (r->foothold && j->priority != FL_URGENT && j->priority != FL_CRITICAL)
 		return false;
-	if (r->tier < j->tier)
+	if (r->priority < j->priority)
 		return true;
-	return owed && r->team != j->team && !r->standing && !r->owed &&
+	return owed && r->team != j->team && !r->service && !r->owed &&
 	       !m_in_guarantee(t, t->used_cpus, t->used_gpus);
 }
 
@@ -184,10 +184,10 @@
 	open[0] = k->cpus + m->later[i][0];
 	open[1] = k->gpus + m->later[i][1];
 	open[2] = k->ram_gb + m->later[i][2];
-	if (!p->made || (j->tier >= p->tier && (m_ahead(j) || !p->owed || j->owed)))
+	if (!p->made || (j->priority >= p->priority && (m_ahead(j) || !p->owed || j->owed)))
 		return;
 	for (int x = 0; x < 3; x++) {
-		if (k->claimed.made && k->claimed.tier >= p->tier)
+		if (k->claimed.made && k->claimed.priority >= p->priority)
 			kept[x] -= again[x];
 		if (kept[x] > 0)
 			open[x] -= kept[x];
@@ -275,7 +275,7 @@
 	if (!m->w.machines[best].claimed.made) {
 		m->w.machines[best].claimed.made = true;
 		m->w.machines[best].claimed.owed = owed;
-		m->w.machines[best].claimed.tier = j->tier;
+		m->w.machines[best].claimed.priority = j->priority;
 	}
 	m->w.machines[best].claimed.cpus += j->cpus;
 	m->w.machines[best].claimed.gpus += j->gpus;
@@ -289,11 +289,11 @@
 	struct fl_team saved = m->w.teams[j->team], *t = &m->w.teams[j->team];
 	uint32_t claimed = 0;
 
-	while (claimed + m->held < j->waiting && !j->whole) {
+	while (claimed + m->held < j->waiting && !j->gang) {
 		bool owed = j->owed &&
 		            m_in_guarantee(t, t->used_cpus + j->cpus, t->used_gpus + j->gpus);
 
-		if (!m_team(m, j) || (!owed && j->tier == FL_BEST_EFFORT) ||
+		if (!m_team(m, j) || (!owed && j->priority == FL_BEST_EFFORT) ||
 		    !m_claim_one(m, j, owed, false, until, est))
 			break;
 		t->used_cpus += j->cpus;
@@ -310,10 +310,10 @@
 	struct model *before = NULL;
 	int zone = m_zone_choice(m, j);
 	bool no_room = false;
-	bool one = !j->standing && !j->begun && j->waited_s > 120 && !j->whole;
+	bool one = !j->service && !j->begun && j->waited_s > 120 && !j->gang;
 
 	m->held = 0;
-	if (j->whole) {
+	if (j->gang) {
 		before = malloc(sizeof(*before));
 		*before = *m;
 	}
@@ -345,7 +345,7 @@
 		fetch = m_holds(j, &m->w.machines[best])
 		                ? 0
 		                : j->image_gb / m->w.machines[best].pull_gb_s;
-		if (m_ahead(j) && !j->whole && fetch > 4 && j->waited_s < fetch &&
+		if (m_ahead(j) && !j->gang && fetch > 4 && j->waited_s < fetch &&
 		    m_claim_one(m, j, false, true, NULL, 0)) {
 			m->held++;
 			continue;
@@ -385,15 +385,15 @@
 		}
 		if (!m_allowed(j, k))
 			continue;
-		if (!j->whole && !m_zone(j, k->zone))
+		if (!j->gang && !m_zone(j, k->zone))
 			continue;
 		n = m_count(j, c, g, r);
-		if (!j->whole && n > 0)
+		if (!j->gang && n > 0)
 			return true;
 		in_zone[k->zone] += n;
 		all += n;
 	}
-	if (!j->whole)
+	if (!j->gang)
 		return false;
 	for (int z = 0; j->together && z < Z; z++)
 		if (in_zone[z] >= (int)j->waiting)
@@ -436,15 +436,15 @@
 
 		for (int i = 0; i < m->w.n_jobs; i++) {
 			const struct fl_sched_job *c = &m->w.jobs[i];
-			int rank = c->standing && c->tier >= FL_URGENT              ? 3
-			           : !c->standing && !c->begun && c->waited_s > 120 ? 2
-			           : c->owed                                        ? 1
-			                                                            : 0;
+			int rank = c->service && c->priority >= FL_URGENT          ? 3
+			           : !c->service && !c->begun && c->waited_s > 120 ? 2
+			           : c->owed                                       ? 1
+			                                                           : 0;
 			double wait = fmax(c->waited_s, 0.1),
 			       takes = c->est_s > 0 ? c->est_s : 3600;
-			double tier[] = {0.1, 1, 10, 100};
+			double priority[] = {0.1, 1, 10, 100};
 			double p = wait / 3600 * (1 + pow(wait / 120, 4)) * (3600 / takes) *
-			           (1 / sqrt(c->cpus * c->parts / 32)) * tier[c->tier];
+			           (1 / sqrt(c->cpus * c->n_tasks / 32)) * priority[c->priority];
 
 			if (looked[i])
 				continue;
@@ -463,8 +463,8 @@
 		first = next_rank == 3;
 		backfill = m->top >= 0 && !first;
 		/* The top's window does not bind what may stop the top's tasks. */
-		bound = backfill && j->tier <= m->w.jobs[m->top].tier ? until : NULL;
-		est = j->est_s > 0 ? j->est_s : j->standing ? INFINITY : 3600;
+		bound = backfill && j->priority <= m->w.jobs[m->top].priority ? until : NULL;
+		est = j->est_s > 0 ? j->est_s : j->service ? INFINITY : 3600;
 		if (!m_start(m, next, bound, est))
 			continue;
 		m->short_of[next] = j->waiting - m->held - m_claim(m, next, bound, est);
@@ -507,7 +507,7 @@
 		                                           .cache = w->cache[i]};
 		w->machines[i].promised.made = pick(g, 4) == 0;
 		w->machines[i].promised.owed = pick(g, 2) > 0;
-		w->machines[i].promised.tier = (enum fl_tier)pick(g, 4);
+		w->machines[i].promised.priority = (enum fl_priority)pick(g, 4);
 		w->machines[i].promised.cpus = pick(g, 12);
 		w->machines[i].promised.gpus = pick(g, 3);
 		w->machines[i].promised.ram_gb = pick(g, 30);
@@ -519,16 +519,16 @@
 		r.machine = (int)pick(g, w->n_machines);
 		m = &w->machines[r.machine];
 		r.team = (int)pick(g, T);
-		r.tier = (enum fl_tier)pick(g, 4);
-		r.standing = pick(g, 3) == 0;
+		r.priority = (enum fl_priority)pick(g, 4);
+		r.service = pick(g, 3) == 0;
 		r.stopping = pick(g, 6) == 0;
 		r.movable = !r.stopping;
 		r.owed = pick(g, 3) == 0;
-		r.foothold = !r.standing && pick(g, 3) == 0;
+		r.foothold = !r.service && pick(g, 3) == 0;
 		r.cpus = 1 + pick(g, 6);
 		r.gpus = pick(g, 3);
 		r.ram_gb = 4 + pick(g, 12);
-		r.left_s = r.standing ? INFINITY : 1 + pick(g, 200);
+		r.left_s = r.service ? INFINITY : 1 + pick(g, 200);
 		r.lost_s = pick(g, 100) + 0.001 * i;
 		if (r.cpus > m->cpus || r.gpus > m->gpus || r.ram_gb > m->ram_gb)
 			continue;
@@ -542,26 +542,26 @@
 	for (int i = 0; i < w->n_jobs; i++) {
 		struct fl_sched_job *j = &w->jobs[i];
 
-		j->standing = pick(g, 3) == 0;
-		j->whole = !j->standing && pick(g, 4) == 0;
-		j->tier = (enum fl_tier)pick(g, 4);
+		j->service = pick(g, 3) == 0;
+		j->gang = !j->service && pick(g, 4) == 0;
+		j->priority = (enum fl_priority)pick(g, 4);
 		j->team = (int)pick(g, T);
 		j->owed = pick(g, 3) == 0;
 		j->begun = pick(g, 2) > 0;
 		j->waited_s = pick(g, 300) + 0.01 * i;
-		j->est_s = j->standing || pick(g, 8) == 0 ? 0 : 10 + pick(g, 300);
+		j->est_s = j->service || pick(g, 8) == 0 ? 0 : 10 + pick(g, 300);
 		j->cpus = 1 + pick(g, 6);
 		j->gpus = pick(g, 3);
 		j->ram_gb = 1 + pick(g, 16);
 		j->image_gb = pick(g, 10);
-		j->parts = 1 + (uint32_t)pick(g, 8);
-		j->waiting = 1 + (uint32_t)pick(g, (int)j->parts);
-		j->kinds = pick(g, 3) ? UINT32_MAX : 1u + (uint32_t)pick(g, 2);
-		j->site = pick(g, 5) ? -1 : (int)pick(g, Z);
+		j->n_tasks = 1 + (uint32_t)pick(g, 8);
+		j->waiting = 1 + (uint32_t)pick(g, (int)j->n_tasks);
+		j->types = pick(g, 3) ? UINT32_MAX : 1u + (uint32_t)pick(g, 2);
+		j->zone = pick(g, 5) ? -1 : (int)pick(g, Z);
 		j->together = pick(g, 5) == 0;
 		j->apart = !j->together && pick(g, 3) == 0;
 		j->reclaimable = pick(g, 2) > 0;
-		j->bundle = (int)pick(g, 5);
+		j->image = (int)pick(g, 5);
 		j->window_left = pick(g, 2) ? -1 : pick(g, 300);
 	}
 }
@@ -609,7 +609,7 @@
 
 		assert_int_equal(c->made, m->w.machines[i].claimed.made);
 		assert_int_equal(c->owed, m->w.machines[i].claimed.owed);
-		assert_int_equal(c->tier, m->w.machines[i].claimed.tier);
+		assert_int_equal(c->priority, m->w.machines[i].claimed.priority);
 		assert_true(fabs(c->cpus - m->w.machines[i].claimed.cpus) < 1e-6 &&
 		            fabs(c->gpus - m->w.machines[i].claimed.gpus) < 1e-6 &&
 		            fabs(c->ram_gb - m->w.machines[i].claimed.ram_gb) < 1e-6);
@@ -669,13 +669,13 @@
 
 		w->runs[w->n_runs] = (struct fl_sched_run){.machine = m->starts[i].machine,
 		                                           .team = j->team,
-		                                           .tier = j->tier,
-		                                           .standing = j->standing,
+		                                           .priority = j->priority,
+		                                           .service = j->service,
 		                                           .movable = true,
 		                                           .cpus = j->cpus,
 		                                           .gpus = j->gpus,
 		                                           .ram_gb = j->ram_gb,
-		                                           .left_s = j->standing ? INFINITY : 50,
+		                                           .left_s = j->service ? INFINITY : 50,
 		                                           .lost_s = 0.001 * w->n_runs};
 		w->n_runs++;
 		k->cpus -= j->cpus;
@@ -763,15 +763,15 @@
 
 static struct fl_sched_job plain_job(double cpus, uint32_t waiting, double est, double waited)
 {
-	return (struct fl_sched_job){.tier = FL_STANDARD,
+	return (struct fl_sched_job){.priority = FL_STANDARD,
 	                             .cpus = cpus,
 	                             .ram_gb = 1,
-	                             .parts = waiting,
+	                             .n_tasks = waiting,
 	                             .waiting = waiting,
 	                             .est_s = est,
 	                             .waited_s = waited,
-	                             .kinds = 1,
-	                             .site = -1,
+	                             .types = 1,
+	                             .zone = -1,
 	                             .window_left = -1};
 }
 
@@ -784,7 +784,7 @@
 static struct fl_sched_run plain_run(int machine, double cpus, double left)
 {
 	return (struct fl_sched_run){.machine = machine,
-	                             .tier = FL_STANDARD,
+	                             .priority = FL_STANDARD,
 	                             .movable = true,
 	                             .cpus = cpus,
 	                             .ram_gb = 1,
@@ -838,14 +838,14 @@
 	fl_sched_free(&out);
 }
 
-static void an_ensemble_starts_whole_or_not_at_all(void **state)
+static void a_gang_starts_whole_or_not_at_all(void **state)
 {
 	struct sim w = {.n_jobs = 1, .n_machines = 2};
 	struct fl_sched_out out;
 
 	(void)state;
 	w.jobs[0] = plain_job(4, 4, 60, 10);
-	w.jobs[0].whole = true;
+	w.jobs[0].gang = true;
 	w.machines[0] = plain_machine(8);
 	w.machines[1] = plain_machine(7);
 	run_real(&w, &out);
@@ -883,12 +883,12 @@
 	in.teams = &team;
 	for (int i = 0; i < FL_CACHE_NOTE; i++)
 		there[i] = i == 3 ? 5 : -1;
-	j.tier = FL_CRITICAL;
-	j.standing = true;
-	j.bundle = 5;
+	j.priority = FL_CRITICAL;
+	j.service = true;
+	j.image = 5;
 	j.image_gb = 10;
 	m[1].cache = m[2].cache = there;
-	runs[0].tier = runs[1].tier = FL_BEST_EFFORT;
+	runs[0].priority = runs[1].priority = FL_BEST_EFFORT;
 	runs[0].lost_s = 5;
 	runs[1].lost_s = 500;
 	/* One stop that loses little; the other would lose too much, so the free machine is taken.
@@ -927,8 +927,8 @@
 
 	(void)state;
 	w.jobs[0] = plain_job(4, 1, 0, 1);
-	w.jobs[0].standing = true;
-	w.jobs[0].tier = FL_CRITICAL;
+	w.jobs[0].service = true;
+	w.jobs[0].priority = FL_CRITICAL;
 	w.machines[0] = plain_machine(0);
 	w.machines[1] = plain_machine(0);
 	w.runs[0] = plain_run(0, 4, 50);
@@ -995,9 +995,9 @@
 }
 
 /*
- * An idle-time array that has waited long goes before one of a higher tier, which may stop it. Each
- * stop must be the higher one's start, in the next pass but one at most: found as 80,000 stops in
- * ten minutes, by which the higher array got nothing either.
+ * An idle-time array that has waited long goes before one of a higher priority, which may stop it.
+ * Each stop must be the higher one's start, in the next pass but one at most: found as 80,000 stops
+ * in ten minutes, by which the higher array got nothing either.
  */
 static void a_stop_is_for_whom_it_was_made(void **state)
 {
@@ -1006,7 +1006,7 @@
 
 	(void)state;
 	w.jobs[0] = plain_job(6, 40, 300, 600);
-	w.jobs[0].tier = FL_BEST_EFFORT;
+	w.jobs[0].priority = FL_BEST_EFFORT;
 	w.jobs[0].begun = true;
 	w.jobs[1] = plain_job(10, 6, 100, 10);
 	w.machines[0] = w.machines[1] = plain_machine(32);
@@ -1024,7 +1024,7 @@
 			const struct fl_sched_job *j = &w.jobs[out.starts[i].job];
 			struct fl_sched_run r = plain_run(out.starts[i].machine, j->cpus, j->est_s);
 
-			r.tier = j->tier;
+			r.priority = j->priority;
 			w.runs[w.n_runs++] = r;
 			*(out.starts[i].job ? &high : &low) += 1;
 		}
@@ -1051,10 +1051,10 @@
 enum { QUEUE = 800, SLOTS = 32, SECONDS = 900, CLASSES = 3 };
 
 struct stream {
-	enum fl_tier tier;
+	enum fl_priority priority;
 	int team;
 	bool owed;
-	uint32_t parts;
+	uint32_t n_tasks;
 	double est, every; /* s of a task; s between two jobs */
 };
 
@@ -1095,11 +1095,12 @@
 		for (int c = 0; c < CLASSES; c++) {
 			const struct stream *st = &streams[c];
 
-			for (; st->parts && next[c] <= now && s->n < QUEUE; next[c] += st->every) {
+			for (; st->n_tasks && next[c] <= now && s->n < QUEUE;
+			     next[c] += st->every) {
 				struct arrival *a = &s->arrival[s->n++];
 
-				a->job = plain_job(1, st->parts, st->est, 0);
-				a->job.tier = st->tier;
+				a->job = plain_job(1, st->n_tasks, st->est, 0);
+				a->job.priority = st->priority;
 				a->job.team = st->team;
 				a->job.owed = st->owed;
 				a->class = c;
@@ -1117,7 +1118,7 @@
 				continue;
 			machines[i].cpus = 0;
 			runs[in.n_runs] = plain_run(i, 1, s->until[i] - now);
-			runs[in.n_runs].tier = s->arrival[s->running[i]].job.tier;
+			runs[in.n_runs].priority = s->arrival[s->running[i]].job.priority;
 			runs[in.n_runs].team = s->arrival[s->running[i]].job.team;
 			runs[in.n_runs].lost_s = 1;
 			of_run[in.n_runs++] = i;
@@ -1188,7 +1189,7 @@
 		if (s->arrival[i].class != class || s->arrival[i].at > SECONDS - 240)
 			continue;
 		started += s->arrival[i].started;
-		all += s->arrival[i].job.parts;
+		all += s->arrival[i].job.n_tasks;
 	}
 	return all > 0 ? started / all : 1;
 }
@@ -1204,8 +1205,8 @@
 	static const struct stream owed_and_not[CLASSES] = {{FL_STANDARD, 0, true, 4, 30, 3},
 	                                                    {FL_STANDARD, 1, false, 10, 40, 120}};
 	/* Standard work fills all, and best effort may be stopped for it. */
-	static const struct stream tiers[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
-	                                             {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
+	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
+	                                                  {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
 	struct siege *s = malloc(sizeof(*s));
 
 	(void)state;
@@ -1217,7 +1218,7 @@
 	besiege(s, owed_and_not, teams);
 	assert_true(s->n < QUEUE);
 	check_begun(s);
-	besiege(s, tiers, teams);
+	besiege(s, priorities, teams);
 	check_begun(s);
 	free(s);
 }
@@ -1230,7 +1231,7 @@
 		cmocka_unit_test(hostile_arrivals_pass_nothing_over),
 		cmocka_unit_test(scattered_room_is_no_room),
 		cmocka_unit_test(a_burst_cannot_push_the_top_job_back_for_ever),
-		cmocka_unit_test(an_ensemble_starts_whole_or_not_at_all),
+		cmocka_unit_test(a_gang_starts_whole_or_not_at_all),
 		cmocka_unit_test(a_service_goes_where_its_image_lies),
 		cmocka_unit_test(room_on_its_way_is_not_claimed_twice),
 		cmocka_unit_test(a_pass_goes_on_where_the_last_one_stopped),
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -139,7 +139,7 @@
 	return false;
 }
 
-static bool submit(const char *ref, const char *kind, int parts, int first)
+static bool submit(const char *ref, const char *kind, int n_tasks, int first)
 {
 	char body[700], text[512];
 	double until = fl_now() + PATIENCE_S;
@@ -149,7 +149,7 @@
 	         "\"Tier\":\"standard\",\"Parts\":%d,\"Vcpus\":1,\"Accelerators\":0,\"RamGb\":1,"
 	         "\"Bundle\":\"img\",\"ImageGb\":1,\"Together\":false,\"Apart\":false,"
 	         "\"Reclaimable\":true,\"ExpectedS\":1,\"SnapshotEveryS\":0,\"SnapshotCostS\":0}",
-	         ref, kind, parts);
+	         ref, kind, n_tasks);
 	while (fl_now() < until) {
 		int status = ask(first++, "POST", "/v2/runs", body, text, sizeof(text));
 
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -118,10 +118,10 @@
 
 static int set_up(void **state)
 {
-	struct fl_host_kind kinds[] = {
-		{.name = "both", .cpus = 8, .ram_gb = 64, .sites = {"a", "b"}, .n_sites = 2},
-		{.name = "one", .cpus = 96, .ram_gb = 64, .sites = {"a"}, .n_sites = 1},
-		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .sites = {"y"}, .n_sites = 1},
+	struct fl_offered_type types[] = {
+		{.name = "both", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .n_zones = 2},
+		{.name = "one", .cpus = 96, .ram_gb = 64, .zones = {"a"}, .n_zones = 1},
+		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .zones = {"y"}, .n_zones = 1},
 	};
 	struct fixture *f = calloc(1, sizeof(*f));
 	struct fl_node *n = &f->node;
@@ -133,7 +133,7 @@
 	f->config.cancel_s = 40;
 	fl_names_add(&n->cluster.zones, "a");
 	fl_names_add(&n->cluster.zones, "b");
-	fl_kinds_set(&n->cluster.machines, &n->cluster.zones, kinds, 3);
+	fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, 3);
 	strcpy(n->cluster.teams.at[0].name, "t");
 	n->cluster.teams.at[0].cpus_max = 100;
 	n->cluster.teams.n = 1;
@@ -144,7 +144,7 @@
 	connect_to(&n->cloud.http, f->state);
 	n->state.last_ok = n->proof_at = n->jobs_at = fl_now();
 	n->state.last_refusal = -1e9;
-	n->kinds_known = n->jobs_known = true;
+	n->types_known = n->jobs_known = true;
 	strcpy(n->leader, "n1");
 	n->n_peers = 1;
 	strcpy(n->peers[0].name, "n1");
@@ -226,7 +226,7 @@
 	{"\"Parts\":101", 201, false},
 	{"\"Parts\":101,\"JobKind\":\"standing\"", 422, false},
 	{"\"Parts\":101,\"JobKind\":\"ensemble\"", 422, false},
-	/* Zones that half of a service or an ensemble can never get. */
+	/* Zones that half of a service or a gang can never get. */
 	{"\"Apart\":true,\"JobKind\":\"standing\"", 201, false},
 	{"\"Apart\":true,\"JobKind\":\"standing\",\"Site\":\"a\"", 422, false},
 	{"\"Apart\":true,\"JobKind\":\"ensemble\",\"Together\":true", 422, false},
@@ -275,7 +275,7 @@
 	for (int i = 0; i < CASES; i++)
 		if (!cases[i].unreadable)
 			expect(f, cases[i].fields, 503, "nobody can tell");
-	f->refused = f->node.kinds_known = false;
+	f->refused = f->node.types_known = false;
 	if (submit(f, "", &retry_after) != 503 || retry_after <= 0)
 		strcpy(f->failed, "machine types unknown");
 	ev_break(fl_loop(), EVBREAK_ALL);
@@ -333,9 +333,9 @@
 		f->record = bad_records[i];
 		fl_cluster_free(&f->node.cluster);
 		f->node.cluster.jobs = NULL;
-		f->node.cluster.finals = NULL;
+		f->node.cluster.finished = NULL;
 		fl_names_add(&f->node.cluster.zones, "a");
-		if ((fl_takeover_load(&f->node) != -EPROTO || f->node.cluster.finals) &&
+		if ((fl_takeover_load(&f->node) != -EPROTO || f->node.cluster.finished) &&
 		    !f->failed[0])
 			snprintf(f->failed, sizeof(f->failed), "is decided by: %s", f->record);
 	}
@@ -365,7 +365,7 @@
 		assert_non_null(v);
 		assert_null(fl_cluster_apply(&f->node.cluster, "run-000001", v, 4));
 		assert_null(f->node.cluster.jobs);
-		assert_null(f->node.cluster.finals);
+		assert_null(f->node.cluster.finished);
 		cJSON_Delete(v);
 	}
 }
@@ -463,7 +463,7 @@
 
 	/* Nobody leads: each poll is answered by the records, and twenty by one look at them. */
 	f->node.n_peers = 0;
-	f->node.kinds_known = f->node.jobs_known = true;
+	f->node.types_known = f->node.jobs_known = true;
 	f->gated = true;
 	f->config.state_rps = 1000;
 	fl_job_lookups_init(&f->node);
