--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -84,7 +84,7 @@
 static int write_cancel(struct fl_node *n, struct fl_job *job, double cancelled, uint64_t *rev)
 {
 	struct fl_multi m;
-	struct fl_run run;
+	struct fl_job_spec run;
 	char key[FL_KEY_MAX];
 
 	fl_key_job(key, job->ref);
@@ -142,7 +142,7 @@
 	} else if (job) {
 		fl_record_writer_reread_job(n, ref, &done, &status);
 	} else if (rc == 0) {
-		fl_cluster_told_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
+		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
 	}
 	f = fl_finished_find(&n->cluster, ref);
 	if (f)
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -39,7 +39,7 @@
 	free(body);
 	if (rc == 200 || rc == 409) {
 		if (fl_leading(n))
-			fl_reconcile_report(n, &r, NULL, FL_WAY_COMMAND);
+			fl_reconcile_report(n, &r, NULL, FL_SOURCE_COMMAND);
 		fl_report_free(&r);
 	}
 }
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -31,7 +31,7 @@
  * with. Its machines fall silent together with them, and until then their work is as good as ever:
  * given up early, it would all start again, on machines that are still to boot.
  */
-static double kept_by_zone(const struct fl_node *n, const struct fl_machine *m)
+static double renewed_by_zone(const struct fl_node *n, const struct fl_machine *m)
 {
 	double last = last_sign(n, m), slack = choice.with_zone_s;
 
@@ -49,7 +49,7 @@
 bool fl_failure_detector_expired(const struct fl_node *n, const struct fl_machine *m, double now,
                                  const double leases[FL_ZONES_MAX])
 {
-	double allowed, silent = now - last_sign(n, m) - choice.extra_s, kept;
+	double allowed, silent = now - last_sign(n, m) - choice.extra_s, renewed;
 
 	if (!m->up && m->n_slots == 0)
 		return false;
@@ -57,8 +57,8 @@
 	/* Thousands report in time; of the few others it is asked who may keep them. */
 	if (silent <= allowed)
 		return false;
-	kept = kept_by_zone(n, m);
-	return kept <= 0 || silent > n->config->lease_s + kept;
+	renewed = renewed_by_zone(n, m);
+	return renewed <= 0 || silent > n->config->lease_s + renewed;
 }
 
 struct share {
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -24,7 +24,7 @@
 
 /* ---- what other nodes kept and could not relay ---- */
 
-static void on_kept(void *ctx, const struct fl_change *ch)
+static void on_forwarded(void *ctx, const struct fl_change *ch)
 {
 	struct fl_node *n = ctx;
 	const cJSON *e;
@@ -34,25 +34,26 @@
 	cJSON_ArrayForEach (e, fl_digest_reports(ch->value)) {
 		struct fl_report r;
 
-		if (fl_kept_decode(e, &r) != 0) {
+		if (fl_cached_report_decode(e, &r) != 0) {
 			fl_error("standby", "%s holds what is no report", ch->key);
 			continue;
 		}
 		/* Heard of, but not to be reached: it is alive, and gets no new task. */
-		fl_reconcile_report(n, &r, NULL, FL_WAY_HEARSAY);
+		fl_reconcile_report(n, &r, NULL, FL_SOURCE_FORWARDED);
 		fl_report_free(&r);
 	}
 }
 
-static void kept_duty(void *arg)
+static void forwarded_duty(void *arg)
 {
 	struct fl_node *n = arg;
 	uint64_t rev = 0;
 
 	while (!fl_cancelled()) {
-		int rc = rev == 0 ? fl_state_list(&n->state, FL_PREFIX_KEPT, on_kept, n, &rev)
-		                  : fl_state_follow(&n->state, FL_PREFIX_KEPT, &rev, choice.hold_s,
-		                                    on_kept, n);
+		int rc = rev == 0
+		                 ? fl_state_list(&n->state, FL_PREFIX_CACHED, on_forwarded, n, &rev)
+		                 : fl_state_follow(&n->state, FL_PREFIX_CACHED, &rev, choice.hold_s,
+		                                   on_forwarded, n);
 		if (rc == -ERANGE)
 			rev = 0;
 		if (rc && fl_sleep(choice.retry_s) != 0)
@@ -135,7 +136,7 @@
 	fl_budget_init(&n->lead.writes, rate, rate, fl_now());
 	duty(n, fl_pass_duty);
 	duty(n, fl_record_writer_duty);
-	duty(n, kept_duty);
+	duty(n, forwarded_duty);
 	duty(n, fl_command_enforce_duty);
 	fl_provision_begin(n);
 	duty(n, fl_provision_duty);
@@ -144,7 +145,7 @@
 
 void fl_leader_begin(struct fl_node *n)
 {
-	fl_record_writer_free_trash(n);
+	fl_record_writer_free_pending(n);
 	memset(&n->lead, 0, sizeof(n->lead));
 	n->lead.loading = fl_spawn(begin, n) != NULL;
 	if (!n->lead.loading)
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -23,8 +23,9 @@
 	struct fl_budget writes;
 	uint64_t log_rev; /* KeyRev of the log's first value, which every write of it replaces */
 	bool log_known;
-	struct fl_trash *trash; /* records of jobs that are over, still to be deleted */
-	bool due;               /* a pass is wanted */
+	struct fl_pending_deletion
+		*pending_deletions; /* records of jobs that are over, still to be deleted */
+	bool due;                   /* a pass is wanted */
 	int resume;
 	int pushes;
 	int unforgotten; /* finished entries that only a higher epoch lets go */
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -58,8 +58,8 @@
 		return rc;
 	if (c->epoch >= n->epoch) {
 		n->epoch = c->epoch;
-		if (sent > n->proof_at)
-			n->proof_at = sent;
+		if (sent > n->leadership_confirmed_at)
+			n->leadership_confirmed_at = sent;
 		strcpy(n->leader, c->found ? c->leader : "");
 	}
 	return 0;
@@ -118,7 +118,7 @@
 	l->want_epoch = false;
 	l->raised_at = fl_now();
 	n->epoch = epoch;
-	n->proof_at = sent;
+	n->leadership_confirmed_at = sent;
 	strcpy(n->leader, n->config->node);
 	fl_info("lease", "%s leads with epoch %llu", n->config->node, (unsigned long long)epoch);
 }
@@ -168,8 +168,8 @@
 		if (fl_now() > l->valid_until)
 			n->lead.since = fl_now();
 		l->valid_until = sent + choice.ttl_s * (1 - choice.drift) - choice.margin_s;
-		if (sent > n->proof_at)
-			n->proof_at = sent;
+		if (sent > n->leadership_confirmed_at)
+			n->leadership_confirmed_at = sent;
 		if (l->want_epoch && fl_now() > l->raised_at + choice.epoch_gap_s)
 			raise_epoch(n);
 		return choice.renew_s;
@@ -270,8 +270,8 @@
 		if (rev == 0) {
 			rc = fl_state_list(&n->state, FL_PREFIX_CONTROL, on_control, n, &rev);
 			/* A read like any other: with it a node just started can keep at once. */
-			if (rc == 0 && sent > n->proof_at)
-				n->proof_at = sent;
+			if (rc == 0 && sent > n->leadership_confirmed_at)
+				n->leadership_confirmed_at = sent;
 		} else {
 			rc = fl_state_follow(&n->state, FL_PREFIX_CONTROL, &rev, choice.hold_s,
 			                     on_control, n);
@@ -285,7 +285,7 @@
 
 void fl_lease_start(struct fl_node *n)
 {
-	n->proof_at = n->jobs_at = -1e9;
+	n->leadership_confirmed_at = n->cancellations_known_until = -1e9;
 	fl_spawn(lease_duty, n);
 	fl_spawn(watch_duty, n);
 }
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -53,7 +53,7 @@
 /* ---- submissions ---- */
 
 /* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t zones_for(const struct fl_node *n, const struct fl_run *r)
+static uint32_t zones_for(const struct fl_node *n, const struct fl_job_spec *r)
 {
 	uint32_t zones = 0;
 
@@ -70,7 +70,7 @@
 }
 
 /* NULL, or why the job can never run. */
-static const char *never(const struct fl_node *n, const struct fl_run *r)
+static const char *never(const struct fl_node *n, const struct fl_job_spec *r)
 {
 	int team = fl_teams_find(&n->cluster.teams, r->team), zone;
 	bool at_once = r->kind != FL_ARRAY && r->n_tasks > 1;
@@ -148,7 +148,7 @@
 	return 1;
 }
 
-static int store_job(struct fl_node *n, const struct fl_run *run)
+static int store_job(struct fl_node *n, const struct fl_job_spec *run)
 {
 	double submitted = fl_wall();
 	struct fl_multi m;
@@ -181,7 +181,8 @@
  * The state service may refuse this node alone, or be cut from it: the leader has it. What was
  * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
  */
-static bool submit_by_leader(struct fl_node *n, const struct fl_run *run, struct fl_response *resp)
+static bool submit_by_leader(struct fl_node *n, const struct fl_job_spec *run,
+                             struct fl_response *resp)
 {
 	struct fl_reply reply;
 	char *text;
@@ -189,7 +190,7 @@
 
 	if (fl_lease_valid(n))
 		return false;
-	text = fl_json_take(fl_run_encode(run));
+	text = fl_json_take(fl_job_spec_encode(run));
 	rc = fl_relay(n, FL_CALL_SUBMIT, NULL, NULL, text, FL_FIRST_HOP, choice.relay_write_s,
 	              &reply);
 	free(text);
@@ -209,7 +210,7 @@
 {
 	cJSON *o = fl_json_parse(body, len);
 	const char *bad, *why;
-	struct fl_run run;
+	struct fl_job_spec run;
 	bool relayed_first;
 	int rc;
 
@@ -218,7 +219,7 @@
 		fl_refuse(resp, 400, "the body must be a JSON object");
 		return;
 	}
-	bad = fl_run_decode(o, &run);
+	bad = fl_job_spec_decode(o, &run);
 	cJSON_Delete(o);
 	if (!run.ref[0]) {
 		fl_refuse(resp, 400, "Ref: missing or invalid");
@@ -298,7 +299,7 @@
 
 	/* What a user is told here, the other controllers must hear from here. */
 	if (rc == 0 && rec.final && v)
-		fl_cluster_told_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
+		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
 	cJSON_Delete(v);
 	if (rc == -ENOENT) {
 		fl_refuse(resp, 404, "no such job");
@@ -439,7 +440,7 @@
 		fl_refuse(resp, 400, "not a relayed call");
 		return;
 	}
-	hop = r.adrift ? FL_LAST_HOP_ADRIFT : FL_LAST_HOP;
+	hop = r.disconnected ? FL_LAST_HOP_DISCONNECTED : FL_LAST_HOP;
 	len = r.body ? strlen(r.body) : 0;
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
 	if (!leads && (r.last_hop || strcmp(n->leader, n->config->node) == 0))
@@ -498,7 +499,7 @@
 			                     n);
 		}
 		if (rc == 0)
-			n->jobs_at = fmax(n->jobs_at, sent);
+			n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
 		if (rc == 0 && !n->jobs_known) {
 			n->jobs_known = true;
 			fl_signal_wake(&n->jobs_listed);
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -20,9 +20,9 @@
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
-	double up_since; /* steady; while up */
-	double heard_at; /* steady; of the last exchange that came back */
-	double told_at;  /* steady; of our sending of the last one that told us all it knows */
+	double up_since;    /* steady; while up */
+	double heard_at;    /* steady; of the last exchange that came back */
+	double sent_all_at; /* steady; of our sending of the last one that told us all it knows */
 	bool up;
 };
 
@@ -39,13 +39,13 @@
 	 * Steady. Every cancellation that any user was told of, or any controller had learned of,
 	 * up to then is in the cluster state: see "Keeping" in docs/design.md.
 	 */
-	double jobs_at;
+	double cancellations_known_until;
 	struct fl_signal jobs_listed; /* the first list of them has come */
 
 	/* What is known of leadership, with the steady time at which it was surely true. */
 	char leader[FL_NAME_MAX];
 	uint64_t epoch;
-	double proof_at;
+	double leadership_confirmed_at;
 	struct fl_signal control_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
 	struct fl_budget poll_reads;
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -20,7 +20,7 @@
 	int waiting_most;     /* tasks of one job looked at in one pass */
 	double fresh_reports; /* report intervals after which a silent machine gets no new task */
 	double forget_s;      /* s; finished entries wait this long for a higher epoch */
-	double promise_s;     /* s for which room is kept for whom something was stopped there */
+	double reservation_s; /* s for which room is kept for whom something was stopped there */
 } choice = {0.1, 1.0, 0.1, 0.03, 256, 3, 40.0, 3.0};
 
 struct snapshot {
@@ -75,7 +75,7 @@
 	memcpy(j->zone_placed, job->zone_placed, sizeof(j->zone_placed));
 	j->zone_unknown = job->zone_unknown;
 	j->image = job->image;
-	j->owed = job->owed;
+	j->within_guarantee = job->within_guarantee;
 	j->begun = job->n_placed > 0 || job->n_done > 0;
 	j->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
 	s->jobs[s->in.n_jobs++] = job;
@@ -95,7 +95,7 @@
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
-	if (t->sight == FL_SEEN_RUNNING || t->sight == FL_SEEN_FLUSHING)
+	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING)
 		est -= now - t->since;
 	/* Past its estimate: it counts as ending by the next pass. */
 	return fmax(est, choice.most_s);
@@ -115,16 +115,16 @@
 	r->service = job->kind == FL_SERVICE;
 	r->stopping = job->cancelled || t->stop != FL_STOP_NONE;
 	r->movable = !r->stopping;
-	r->owed = job->owed;
+	r->within_guarantee = job->within_guarantee;
 	r->cpus = job->cpus;
 	r->gpus = job->gpus;
 	r->ram_gb = job->ram_gb;
 	r->left_s = estimated_left(job, t, now);
-	r->lost_s = t->sight == FL_SEEN_RUNNING ? now - t->since : 0;
+	r->lost_s = t->observed == FL_OBSERVED_RUNNING ? now - t->since : 0;
 	if (job->checkpoint_every_s > 0)
 		r->lost_s = fmin(r->lost_s, job->checkpoint_cost_s);
-	r->foothold = job->kind != FL_SERVICE && job->n_placed == 1 &&
-	              wall - job->submitted > s->in.params->patience_s;
+	r->last_running_task = job->kind != FL_SERVICE && job->n_placed == 1 &&
+	                       wall - job->submitted > s->in.params->patience_s;
 	s->runs[s->in.n_runs++] = *slot;
 }
 
@@ -145,7 +145,7 @@
 }
 
 /* Which jobs fit their team's guarantee together with the team's earlier ones not yet over. */
-static void mark_owed(struct fl_cluster *b, struct fl_job **scratch)
+static void mark_within_guarantee(struct fl_cluster *b, struct fl_job **scratch)
 {
 	double cpus[FL_TEAMS_MAX] = {0}, gpus[FL_TEAMS_MAX] = {0};
 	struct fl_job *job, *tmp;
@@ -159,44 +159,45 @@
 		job = scratch[i];
 		cpus[job->team] += job->cpus * job->n_tasks;
 		gpus[job->team] += job->gpus * job->n_tasks;
-		job->owed = fl_team_within_guarantee(&b->teams.at[job->team], cpus[job->team],
-		                                     gpus[job->team]);
+		job->within_guarantee = fl_team_within_guarantee(&b->teams.at[job->team],
+		                                                 cpus[job->team], gpus[job->team]);
 	}
 }
 
 /*
  * A stopped task is gone when its machine says so, some passes later, and until then the job may
- * claim elsewhere, where something looks better meanwhile. Found in the simulated fault
+ * preemption elsewhere, where something looks better meanwhile. Found in the simulated fault
  * combinations: the room then went to what had been stopped, which was stopped again, every second
  * for minutes.
  */
-static struct fl_promise promise_of(const struct fl_machine *m, double now)
+static struct fl_reservation reservation_of(const struct fl_machine *m, double now)
 {
-	if (m->claimed_at <= 0 || now > m->claimed_at + choice.promise_s)
-		return (struct fl_promise){0};
-	return (struct fl_promise){.made = true,
-	                           .owed = m->claimed_owed,
-	                           .priority = (enum fl_priority)m->claimed_priority,
-	                           .cpus = m->claimed_cpus,
-	                           .gpus = m->claimed_gpus,
-	                           .ram_gb = m->claimed_ram};
+	if (m->reserved_at <= 0 || now > m->reserved_at + choice.reservation_s)
+		return (struct fl_reservation){0};
+	return (struct fl_reservation){.made = true,
+	                               .within_guarantee = m->reserved_within_guarantee,
+	                               .priority = (enum fl_priority)m->reserved_priority,
+	                               .cpus = m->reserved_cpus,
+	                               .gpus = m->reserved_gpus,
+	                               .ram_gb = m->reserved_ram};
 }
 
-static void note_claims(const struct snapshot *s, double now)
+static void note_reservations(const struct snapshot *s, double now)
 {
 	for (int i = 0; i < s->in.n_machines; i++) {
-		const struct fl_promise *c = &s->in.machines[i].claimed;
+		const struct fl_reservation *c = &s->in.machines[i].requested;
 
-		/* A lower job that counts on the rest of the room takes nothing from a promise. */
-		if (!c->made || (s->in.machines[i].promised.made &&
-		                 s->in.machines[i].promised.priority > c->priority))
+		/* A lower job that counts on the rest of the room takes nothing from a reservation.
+		 */
+		if (!c->made || (s->in.machines[i].reserved.made &&
+		                 s->in.machines[i].reserved.priority > c->priority))
 			continue;
-		s->machines[i]->claimed_at = now;
-		s->machines[i]->claimed_owed = c->owed;
-		s->machines[i]->claimed_priority = (uint8_t)c->priority;
-		s->machines[i]->claimed_cpus = c->cpus;
-		s->machines[i]->claimed_gpus = c->gpus;
-		s->machines[i]->claimed_ram = c->ram_gb;
+		s->machines[i]->reserved_at = now;
+		s->machines[i]->reserved_within_guarantee = c->within_guarantee;
+		s->machines[i]->reserved_priority = (uint8_t)c->priority;
+		s->machines[i]->reserved_cpus = c->cpus;
+		s->machines[i]->reserved_gpus = c->gpus;
+		s->machines[i]->reserved_ram = c->ram_gb;
 	}
 }
 
@@ -222,7 +223,7 @@
 		return -ENOMEM;
 	s->in.params = &fl_sched_defaults;
 	memcpy(s->in.teams, b->teams.at, sizeof(b->teams.at));
-	mark_owed(b, s->jobs);
+	mark_within_guarantee(b, s->jobs);
 	HASH_ITER (hh, b->jobs, job, tmp)
 		if (!job->cancelled && job->n_waiting > 0)
 			snap_job(s, job, now, wall);
@@ -233,12 +234,12 @@
 
 		if (!usable(n, m, now))
 			continue;
-		k = &b->machines.types[m->kind];
+		k = &b->machines.types[m->type];
 		sm = &s->in.machines[s->in.n_machines];
-		*sm = (struct fl_sched_machine){.kind = m->kind,
+		*sm = (struct fl_sched_machine){.type = m->type,
 		                                .zone = m->zone,
 		                                .spot = m->spot,
-		                                .promised = promise_of(m, now),
+		                                .reserved = reservation_of(m, now),
 		                                .cpus = k->cpus - m->used_cpus,
 		                                .gpus = k->gpus - m->used_gpus,
 		                                .ram_gb = k->ram_gb - m->used_ram,
@@ -280,9 +281,9 @@
 		    fl_task_place(&n->cluster, job, index, m, n->lease.epoch, now) != 0)
 			continue;
 		fl_machine_note_image(m, job->image);
-		/* What it was kept for has come; who still waits claims again in each pass. */
-		if ((uint8_t)job->priority >= m->claimed_priority)
-			m->claimed_at = 0;
+		/* What it was kept for has come; who still waits requests it again in each pass. */
+		if ((uint8_t)job->priority >= m->reserved_priority)
+			m->reserved_at = 0;
 		job->window_until = 0;
 		m->want_push = true;
 		fl_info("schedule", "%s/%u try %u on %s", job->ref, index,
@@ -322,7 +323,7 @@
 	if (out.resume)
 		n->lead.due = true;
 	apply(n, &s, &out, now);
-	note_claims(&s, now);
+	note_reservations(&s, now);
 	fl_provision_shortage(n, s.jobs, out.short_of, s.in.n_jobs);
 	n->lead.passes++;
 	fl_debug("schedule", "pass %llu: %d jobs, %d machines, %d starts, %d stops, %.1f ms%s",
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -36,7 +36,7 @@
 /* A machine that is booting or about to be rented, filled in thought. */
 struct virtual
 {
-	int kind, zone;
+	int type, zone;
 	bool spot, fresh;
 	double cpus, gpus, ram;
 };
@@ -50,20 +50,20 @@
 	double now, wall;
 };
 
-static struct virtual *add_virtual(struct plan *p, int kind, int zone, bool spot, bool fresh)
+static struct virtual *add_virtual(struct plan *p, int type, int zone, bool spot, bool fresh)
 {
-	const struct fl_machine_type *k = &p->n->cluster.machines.types[kind];
+	const struct fl_machine_type *k = &p->n->cluster.machines.types[type];
 
 	if (p->count == p->cap)
 		return NULL;
-	p->at[p->count] = (struct virtual){kind, zone, spot, fresh, k->cpus, k->gpus, k->ram_gb};
+	p->at[p->count] = (struct virtual){type, zone, spot, fresh, k->cpus, k->gpus, k->ram_gb};
 	p->fresh += fresh;
 	return &p->at[p->count++];
 }
 
-static bool job_allows(const struct fl_job *job, int kind, int zone, bool spot)
+static bool job_allows(const struct fl_job *job, int type, int zone, bool spot)
 {
-	return (job->types >> kind & 1) && (job->zone < 0 || job->zone == zone) &&
+	return (job->types >> type & 1) && (job->zone < 0 || job->zone == zone) &&
 	       (job->reclaimable || !spot);
 }
 
@@ -109,7 +109,7 @@
 {
 	const struct fl_machines *ms = &p->n->cluster.machines;
 	double best_cost = INFINITY;
-	int kind = -1, zone = -1, spot = 0;
+	int type = -1, zone = -1, spot = 0;
 
 	if (p->fresh >= choice.machines_most)
 		return NULL;
@@ -132,17 +132,17 @@
 					cost *= choice.doubt_cost;
 				if (cost < best_cost) {
 					best_cost = cost;
-					kind = k;
+					type = k;
 					zone = z;
 					spot = s;
 				}
 			}
 		}
 	}
-	if (kind < 0)
+	if (type < 0)
 		return NULL;
 	p->zone_machines[zone]++;
-	return add_virtual(p, kind, zone, spot, true);
+	return add_virtual(p, type, zone, spot, true);
 }
 
 static bool place_in_thought(struct plan *p, const struct fl_job *job, uint32_t *placed)
@@ -152,7 +152,7 @@
 	for (int i = 0; i < p->count && !v; i++) {
 		struct virtual *c = &p->at[i];
 
-		if (job_allows(job, c->kind, c->zone, c->spot) && room_for(c, job) &&
+		if (job_allows(job, c->type, c->zone, c->spot) && room_for(c, job) &&
 		    zone_allows(job, placed, c->zone))
 			v = c;
 	}
@@ -206,15 +206,15 @@
 		p->zone_machines[m->zone]++;
 		/* Some boot for minutes and a few for ever: what waits must not wait for those. */
 		if (!m->up && !m->deleting && m->n_slots == 0 &&
-		    p->now - m->created < choice.boot_late * b->machines.types[m->kind].ready_s)
-			add_virtual(p, m->kind, m->zone, m->spot, false);
+		    p->now - m->created < choice.boot_late * b->machines.types[m->type].ready_s)
+			add_virtual(p, m->type, m->zone, m->spot, false);
 		for (int k = 0; m->up && k < m->n_slots; k++) {
 			const struct fl_job *job = m->slots[k].job;
 			const struct fl_task *t = fl_task_peek(job, m->slots[k].index);
 
-			if (job->kind == FL_ARRAY && t->sight == FL_SEEN_RUNNING &&
+			if (job->kind == FL_ARRAY && t->observed == FL_OBSERVED_RUNNING &&
 			    job->expected_s - (p->now - t->since) <
-			            choice.soon_boots * b->machines.types[m->kind].ready_s)
+			            choice.soon_boots * b->machines.types[m->type].ready_s)
 				p->soon += 1;
 		}
 	}
@@ -224,10 +224,10 @@
 static uint32_t room_on(const struct fl_node *n, const struct fl_machine *m,
                         const struct fl_job *like)
 {
-	const struct fl_machine_type *k = &n->cluster.machines.types[m->kind];
+	const struct fl_machine_type *k = &n->cluster.machines.types[m->type];
 	double cpus = k->cpus, gpus = k->gpus, ram = k->ram_gb;
 
-	if (m->spot || m->deleting || !job_allows(like, m->kind, m->zone, m->spot))
+	if (m->spot || m->deleting || !job_allows(like, m->type, m->zone, m->spot))
 		return 0;
 	for (int i = 0; i < m->n_slots; i++) {
 		const struct fl_job *job = m->slots[i].job;
@@ -289,7 +289,7 @@
 			                             p->at[p->count - 1].ram));
 }
 
-static void keep_want(struct fl_provision *pr, const struct plan *p)
+static void store_want(struct fl_provision *pr, const struct plan *p)
 {
 	pr->n_want = 0;
 	for (int i = 0; i < p->count; i++) {
@@ -300,7 +300,7 @@
 			continue;
 		/* A rental that is full already: the rest goes into another. */
 		while (k < pr->n_want &&
-		       !(pr->want[k].kind == v->kind && pr->want[k].zone == v->zone &&
+		       !(pr->want[k].type == v->type && pr->want[k].zone == v->zone &&
 		         pr->want[k].spot == v->spot && pr->want[k].count < FL_RENT_MAX))
 			k++;
 		if (k == pr->n_want) {
@@ -308,7 +308,7 @@
 				fl_debug("cloud", "more than %d rentals: the rest next time", k);
 				break;
 			}
-			pr->want[pr->n_want++] = (struct fl_want){v->kind, v->zone, 0, v->spot};
+			pr->want[pr->n_want++] = (struct fl_want){v->type, v->zone, 0, v->spot};
 		}
 		pr->want[k].count++;
 	}
@@ -331,7 +331,7 @@
 			if ((int)jobs[i]->priority == priority && short_of[i] > 0)
 				plan_job(&p, jobs[i], short_of[i]);
 	plan_reserve(&p);
-	keep_want(&n->provision, &p);
+	store_want(&n->provision, &p);
 	free(p.at);
 }
 
@@ -347,7 +347,7 @@
 
 static int rent(struct fl_node *n, const struct fl_want *w)
 {
-	const char *kind = n->cluster.machines.types[w->kind].name;
+	const char *type = n->cluster.machines.types[w->type].name;
 	const char *zone = fl_names_at(&n->cluster.zones, w->zone);
 	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
 	int got = 0, rc = -EAGAIN;
@@ -360,7 +360,7 @@
 
 		if (rc_call)
 			return rc_call;
-		rc = fl_cloud_rent(&n->cloud, name, kind, zone, w->spot, w->count, &hosts, &got);
+		rc = fl_cloud_rent(&n->cloud, name, type, zone, w->spot, w->count, &hosts, &got);
 		if (rc == 0 || rc == -ENOSPC || rc == -EAGAIN || rc == -ECANCELED)
 			break;
 	}
@@ -369,18 +369,18 @@
 
 		if (!m)
 			continue;
-		fl_cluster_describe(&n->cluster, m, w->kind, w->zone, w->spot, NULL);
+		fl_cluster_describe(&n->cluster, m, w->type, w->zone, w->spot, NULL);
 		fl_debug("cloud", "%s is %s", m->name, w->spot ? "reclaimable" : "ordinary");
 	}
 	free(hosts);
 	if (rc == 0)
 		fl_info("cloud", "rented %d of %d %s%s in %s", got, w->count,
-		        w->spot ? "reclaimable " : "", kind, zone);
+		        w->spot ? "reclaimable " : "", type, zone);
 	else
-		fl_info("cloud", "no %s%s in %s: %s", w->spot ? "reclaimable " : "", kind, zone,
+		fl_info("cloud", "no %s%s in %s: %s", w->spot ? "reclaimable " : "", type, zone,
 		        strerror(-rc));
 	if (rc == -ENOSPC || (rc == 0 && got < w->count))
-		n->provision.refused_until[w->kind][w->zone][w->spot] = fl_now() + choice.refused_s;
+		n->provision.refused_until[w->type][w->zone][w->spot] = fl_now() + choice.refused_s;
 	return rc == -ENOSPC ? 0 : rc;
 }
 
@@ -407,7 +407,7 @@
 
 	if (!m)
 		return;
-	fl_cluster_describe(&n->cluster, m, fl_machine_type_find(&n->cluster.machines, l->kind),
+	fl_cluster_describe(&n->cluster, m, fl_machine_type_find(&n->cluster.machines, l->type),
 	                    fl_names_find(&n->cluster.zones, l->zone), l->spot, l->endpoint);
 	if (m->id < *seen)
 		m->listed = true;
@@ -469,7 +469,7 @@
 static const char *why_return(struct fl_node *n, struct fl_machine *m, double now,
                               const double leases[FL_ZONES_MAX])
 {
-	const struct fl_machine_type *k = m->kind >= 0 ? &n->cluster.machines.types[m->kind] : NULL;
+	const struct fl_machine_type *k = m->type >= 0 ? &n->cluster.machines.types[m->type] : NULL;
 	bool empty = m->n_slots == 0 && m->foreign == 0;
 
 	if (m->deleting)
--- a/src/coordination/provision.h
+++ b/src/coordination/provision.h
@@ -13,7 +13,7 @@
 enum { FL_WANT_MAX = 32 };
 
 struct fl_want {
-	int kind, zone, count;
+	int type, zone, count;
 	bool spot;
 };
 
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -44,7 +44,7 @@
 		const struct fl_task *t = fl_task_peek(job, m->slots[i].index);
 		bool there = false;
 
-		if (!t->told)
+		if (!t->launch_sent)
 			continue;
 		for (int k = 0; k < r->n_tasks && !there; k++)
 			there = r->tasks[k].index == m->slots[i].index &&
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -10,12 +10,12 @@
 #include "transport/log.h"
 
 static const struct {
-	double refused_s;    /* s before a refused start is tried again */
-	double error_s;      /* s after the first failure of a task, doubled each time */
-	double error_most_s; /* s; the most that a failing task waits */
-	uint32_t strikes;    /* failures of a job in a row before all of it waits */
-	int faults;          /* failures on a machine before it is avoided */
-	double avoid_s;      /* s for which it is avoided */
+	double refused_s;              /* s before a refused start is tried again */
+	double error_s;                /* s after the first failure of a task, doubled each time */
+	double error_most_s;           /* s; the most that a failing task waits */
+	uint32_t consecutive_failures; /* failures of a job in a row before all of it waits */
+	int faults;                    /* failures on a machine before it is avoided */
+	double avoid_s;                /* s for which it is avoided */
 } choice = {1.0, 2.0, 60.0, 4, 2, 120.0};
 
 /* Newer by session, then sequence number; the first report heard is always newer. */
@@ -34,9 +34,9 @@
  * which is on its way to the worker until that sends its next report of its own.
  */
 static bool absence_proves(const struct fl_machine *m, const struct fl_task *t,
-                           const struct fl_report *r, enum fl_way way)
+                           const struct fl_report *r, enum fl_report_source source)
 {
-	if (t->told && way == FL_WAY_COMMAND)
+	if (t->launch_sent && source == FL_SOURCE_COMMAND)
 		return false;
 	/* An answer's launch is carried out before the worker's next report or never. */
 	return m->direct_epoch == 0 || r->epoch > m->direct_epoch;
@@ -58,7 +58,7 @@
 
 static double wind_down(const struct fl_job *job, const struct fl_task *t)
 {
-	if (job->cancelled || job->checkpoint_every_s <= 0 || t->sight == FL_SEEN_FLUSHING)
+	if (job->cancelled || job->checkpoint_every_s <= 0 || t->observed == FL_OBSERVED_FLUSHING)
 		return 0;
 	return job->checkpoint_cost_s + 1;
 }
@@ -72,16 +72,17 @@
 {
 	if (t->fails < 16)
 		t->fails++;
-	job->strikes++;
+	job->consecutive_failures++;
 	m->faults++;
 	/* A job submitted with a mistake fails everywhere, each of its tasks for the first time. */
-	if (job->strikes > choice.strikes)
-		job->not_before = now + backoff(job->strikes - choice.strikes);
+	if (job->consecutive_failures > choice.consecutive_failures)
+		job->not_before =
+			now + backoff(job->consecutive_failures - choice.consecutive_failures);
 	/* A job that fails everywhere must not make every machine look faulty. */
-	if (m->faults >= choice.faults && job->strikes <= 2 * (uint32_t)choice.faults)
+	if (m->faults >= choice.faults && job->consecutive_failures <= 2 * (uint32_t)choice.faults)
 		m->avoid_until = now + choice.avoid_s;
 	fl_info("workers", "%s failed on %s (machine faults %d, job strikes %u)", job->ref, m->name,
-	        m->faults, job->strikes);
+	        m->faults, job->consecutive_failures);
 }
 
 static void ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job, uint32_t index,
@@ -93,7 +94,7 @@
 	case FL_EXIT_DONE:
 		fl_debug("workers", "%s/%u done on %s after %.1f s of %.1f", job->ref, index,
 		         m->name, now - t->since, job->expected_s);
-		job->strikes = 0;
+		job->consecutive_failures = 0;
 		job->not_before = 0;
 		m->faults = 0;
 		fl_task_done(&n->cluster, job, index);
@@ -118,16 +119,16 @@
 	fl_signal_wake(&n->lead.work);
 }
 
-static enum fl_sight sight_of(enum fl_task_state s)
+static enum fl_observed_state observed_of(enum fl_task_state s)
 {
 	switch (s) {
 	case FL_PULLING:
 	case FL_GATHERING:
-		return FL_SEEN_PULLING;
+		return FL_OBSERVED_PULLING;
 	case FL_FLUSHING:
-		return FL_SEEN_FLUSHING;
+		return FL_OBSERVED_FLUSHING;
 	default:
-		return FL_SEEN_RUNNING;
+		return FL_OBSERVED_RUNNING;
 	}
 }
 
@@ -173,13 +174,13 @@
 		ended(n, m, job, p->index, t, p, now);
 		return;
 	}
-	if (t->sight != sight_of(p->state)) {
+	if (t->observed != observed_of(p->state)) {
 		fl_debug("workers", "%s/%u is %s on %s after %.1f s", job->ref, p->index,
-		         sight_of(p->state) == FL_SEEN_RUNNING   ? "running"
-		         : sight_of(p->state) == FL_SEEN_PULLING ? "pulling"
-		                                                 : "saving",
+		         observed_of(p->state) == FL_OBSERVED_RUNNING   ? "running"
+		         : observed_of(p->state) == FL_OBSERVED_PULLING ? "pulling"
+		                                                        : "saving",
 		         m->name, now - t->since);
-		fl_task_sighted(job, t, sight_of(p->state), now);
+		fl_task_observe(job, t, observed_of(p->state), now);
 		fl_signal_wake(&n->lead.work);
 	}
 	if (!wanted(job, t) && orders)
@@ -201,7 +202,7 @@
  * if a launch is ordered.
  */
 static bool missing_tasks(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
-                          struct fl_orders *orders, enum fl_way way, double now)
+                          struct fl_orders *orders, enum fl_report_source source, double now)
 {
 	bool launches = false;
 
@@ -220,13 +221,13 @@
 			fl_signal_wake(&n->lead.work);
 			continue;
 		}
-		if (t->sight != FL_UNSEEN) {
+		if (t->observed != FL_OBSERVED_NONE) {
 			/* Was seen in this session, was never forgotten, and is no more. */
 			fl_error("workers", "%s/%u vanished from %s", job->ref, index, m->name);
-			fl_task_sighted(job, t, FL_UNSEEN, now);
+			fl_task_observe(job, t, FL_OBSERVED_NONE, now);
 		}
 		if (!wanted(job, t)) {
-			if (absence_proves(m, t, r, way)) {
+			if (absence_proves(m, t, r, source)) {
 				fl_task_release(&n->cluster, job, index, 0);
 				fl_signal_wake(&n->lead.work);
 			} else if (m->direct_epoch >= r->epoch && m->direct_epoch > 0) {
@@ -234,7 +235,7 @@
 			}
 		} else if (orders && fl_task_durable(job, index)) {
 			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
-			t->told = true;
+			t->launch_sent = true;
 			launches = true;
 		}
 	}
@@ -243,10 +244,10 @@
 
 static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *r)
 {
-	int kind = fl_machine_type_find(&n->cluster.machines, r->kind);
+	int type = fl_machine_type_find(&n->cluster.machines, r->type);
 	int zone = fl_names_find(&n->cluster.zones, r->zone);
 
-	fl_cluster_describe(&n->cluster, m, kind, zone, r->spot, r->endpoint);
+	fl_cluster_describe(&n->cluster, m, type, zone, r->spot, r->endpoint);
 }
 
 /*
@@ -280,7 +281,7 @@
 }
 
 int fl_reconcile_report(struct fl_node *n, const struct fl_report *r, struct fl_orders *orders,
-                        enum fl_way way)
+                        enum fl_report_source source)
 {
 	double now = fl_now();
 	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
@@ -298,22 +299,22 @@
 		return -ENOENT;
 	if (!newer(m, r))
 		return 0;
-	if (way == FL_WAY_COMMAND)
+	if (source == FL_SOURCE_COMMAND)
 		fl_reachability_proven(m);
-	else if (way == FL_WAY_REPORT)
+	else if (source == FL_SOURCE_REPORT)
 		fl_reachability_report(n, m, r, now);
 	take_in(n, m, r, now);
-	if (way != FL_WAY_HEARSAY)
+	if (source != FL_SOURCE_FORWARDED)
 		m->reached = now;
 	for (int i = 0; i < r->n_tasks; i++)
 		reported_task(n, m, &r->tasks[i], r, orders, now);
-	launches = missing_tasks(n, m, r, orders, way, now);
-	if (way == FL_WAY_REPORT)
+	launches = missing_tasks(n, m, r, orders, source, now);
+	if (source == FL_SOURCE_REPORT)
 		fl_reachability_answered(n, m, launches, now);
 	return 0;
 }
 
-void fl_reconcile_kept(struct fl_node *n, const struct fl_report *r)
+void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *r)
 {
 	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
 
@@ -333,7 +334,7 @@
 		if (!wanted(job, t)) {
 			fl_orders_add(orders, FL_KILL, job->ref, index, t->attempt,
 			              wind_down(job, t));
-		} else if (t->sight == FL_UNSEEN && fl_task_durable(job, index)) {
+		} else if (t->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
 			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
 			launched = true;
 		}
--- a/src/coordination/reconcile.h
+++ b/src/coordination/reconcile.h
@@ -8,20 +8,20 @@
 struct fl_machine;
 
 /* How a report came. */
-enum fl_way {
-	FL_WAY_REPORT,  /* from the worker, to be answered now */
-	FL_WAY_COMMAND, /* as the reply to a direct command */
-	FL_WAY_HEARSAY  /* by a digest: the machine lives, but orders do not reach it */
+enum fl_report_source {
+	FL_SOURCE_REPORT,   /* from the worker, to be answered now */
+	FL_SOURCE_COMMAND,  /* as the reply to a direct command */
+	FL_SOURCE_FORWARDED /* by a digest: the machine lives, but orders do not reach it */
 };
 
 /*
- * Takes a report in; with FL_WAY_REPORT orders are added to its answer, else `orders` is NULL.
+ * Takes a report in; with FL_SOURCE_REPORT orders are added to its answer, else `orders` is NULL.
  * -ENOENT: the machine is proven gone.
  */
 int fl_reconcile_report(struct fl_node *n, const struct fl_report *r, struct fl_orders *orders,
-                        enum fl_way way);
+                        enum fl_report_source source);
 /* A leader whose lease is in doubt has answered a report, with no orders. */
-void fl_reconcile_kept(struct fl_node *n, const struct fl_report *r);
+void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *r);
 /* Orders for a direct command; false if there are none. */
 bool fl_reconcile_direct(struct fl_node *n, struct fl_machine *m, struct fl_orders *orders);
 /* The machine is proven gone: so is all that was on it. */
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -408,35 +408,35 @@
 	}
 }
 
-struct fl_trash {
-	struct fl_trash *next;
+struct fl_pending_deletion {
+	struct fl_pending_deletion *next;
 	char key[FL_KEY_MAX];
 };
 
 void fl_record_writer_discard(struct fl_node *n, const char *key)
 {
-	struct fl_trash *t = malloc(sizeof(*t));
+	struct fl_pending_deletion *t = malloc(sizeof(*t));
 
 	if (!t)
 		return; /* it costs a record's room, nothing else */
 	strcpy(t->key, key);
-	t->next = n->lead.trash;
-	n->lead.trash = t;
+	t->next = n->lead.pending_deletions;
+	n->lead.pending_deletions = t;
 }
 
-void fl_record_writer_free_trash(struct fl_node *n)
+void fl_record_writer_free_pending(struct fl_node *n)
 {
-	while (n->lead.trash) {
-		struct fl_trash *t = n->lead.trash;
+	while (n->lead.pending_deletions) {
+		struct fl_pending_deletion *t = n->lead.pending_deletions;
 
-		n->lead.trash = t->next;
+		n->lead.pending_deletions = t->next;
 		free(t);
 	}
 }
 
-static int empty_trash(struct fl_node *n)
+static int delete_pending(struct fl_node *n)
 {
-	struct fl_trash *t = n->lead.trash;
+	struct fl_pending_deletion *t = n->lead.pending_deletions;
 	struct fl_multi m;
 	uint64_t rev;
 	int rc;
@@ -451,10 +451,10 @@
 		return rc ? rc : -EAGAIN;
 	}
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
-	while (rc == 0 && n->lead.trash != t) {
-		struct fl_trash *gone = n->lead.trash;
+	while (rc == 0 && n->lead.pending_deletions != t) {
+		struct fl_pending_deletion *gone = n->lead.pending_deletions;
 
-		n->lead.trash = gone->next;
+		n->lead.pending_deletions = gone->next;
 		free(gone);
 	}
 	return rc;
@@ -509,8 +509,8 @@
 
 	while (!fl_cancelled()) {
 		if (!fl_leading(n) || !n->cluster.dirty) {
-			if (fl_leading(n) && n->lead.trash)
-				empty_trash(n);
+			if (fl_leading(n) && n->lead.pending_deletions)
+				delete_pending(n);
 			if (fl_signal_wait(&n->lead.dirty, 0.5) == -ECANCELED)
 				break;
 			continue;
--- a/src/coordination/record_writer.h
+++ b/src/coordination/record_writer.h
@@ -10,7 +10,7 @@
 
 /* A progress record that nothing needs any more. */
 void fl_record_writer_discard(struct fl_node *n, const char *key);
-void fl_record_writer_free_trash(struct fl_node *n);
+void fl_record_writer_free_pending(struct fl_node *n);
 /*
  * What the record of a live job says, however it was come by. Found with slow controllers: the
  * write of a cancellation went unanswered and so did the read after it. The record told the user,
--- a/src/coordination/schedule.c
+++ b/src/coordination/schedule.c
@@ -35,10 +35,10 @@
 	double *priority;
 	/* The runs of machine i are run_of[first[i]] up to run_of[first[i + 1]]. */
 	int *first, *run_of;
-	/* Room that stops under way will free and that is not promised yet, per machine. */
+	/* Room that stops under way will free and that is not reserved yet, per machine. */
 	double *coming_cpus, *coming_gpus, *coming_ram;
-	/* Of the job in hand, per machine: how well a start or a claim would do there. */
-	double *start_score, *claim_cost;
+	/* Of the job in hand, per machine: how well a start or a preemption would do there. */
+	double *start_score, *preemption_cost;
 	int *victims;  /* room for the runs of any machine */
 	bool resumed;  /* the jobs in hand were not looked at in the order from its head */
 	uint32_t held; /* tasks of the job in hand that wait for room where their image lies */
@@ -81,7 +81,7 @@
  */
 static int rank_of(const struct fl_sched_params *p, const struct fl_sched_job *j)
 {
-	return ahead(j) ? 3 : overdue(p, j) ? 2 : j->owed;
+	return ahead(j) ? 3 : overdue(p, j) ? 2 : j->within_guarantee;
 }
 
 static int by_priority(const void *pa, const void *pb, void *ctx)
@@ -98,7 +98,7 @@
 
 static bool allowed(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
-	return (j->types >> m->kind & 1) && (j->zone < 0 || j->zone == m->zone) &&
+	return (j->types >> m->type & 1) && (j->zone < 0 || j->zone == m->zone) &&
 	       (j->reclaimable || !m->spot);
 }
 
@@ -175,35 +175,36 @@
  * minutes. Nor does a pass that goes on in the middle of the order give away what its head waits
  * for.
  */
-static struct fl_amounts kept_from(const struct pass *p, const struct fl_sched_job *j,
-                                   const struct fl_sched_machine *m)
+static struct fl_amounts reserved_from(const struct pass *p, const struct fl_sched_job *j,
+                                       const struct fl_sched_machine *m)
 {
-	const struct fl_promise *was = &m->promised, *now = &m->claimed;
-	struct fl_amounts kept = {was->cpus, was->gpus, was->ram_gb};
+	const struct fl_reservation *was = &m->reserved, *now = &m->requested;
+	struct fl_amounts withheld = {was->cpus, was->gpus, was->ram_gb};
 
 	if (!was->made)
 		return (struct fl_amounts){0};
 	/* Services too: an urgent one goes before a critical array, which may stop it. */
-	if (j->priority >= was->priority && (ahead(j) || (!p->resumed && (!was->owed || j->owed))))
+	if (j->priority >= was->priority &&
+	    (ahead(j) || (!p->resumed && (!was->within_guarantee || j->within_guarantee))))
 		return (struct fl_amounts){0};
-	/* What it was made for has claimed again in this pass is off the free room already. */
+	/* What it was made for has requested again in this pass is off the free room already. */
 	if (now->made && now->priority >= was->priority) {
-		kept.cpus = fmax(0, kept.cpus - now->cpus);
-		kept.gpus = fmax(0, kept.gpus - now->gpus);
-		kept.ram_gb = fmax(0, kept.ram_gb - now->ram_gb);
+		withheld.cpus = fmax(0, withheld.cpus - now->cpus);
+		withheld.gpus = fmax(0, withheld.gpus - now->gpus);
+		withheld.ram_gb = fmax(0, withheld.ram_gb - now->ram_gb);
 	}
-	return kept;
+	return withheld;
 }
 
 /* What is or will be free on a machine for this job. */
 static struct fl_amounts room_for(const struct pass *p, const struct fl_sched_job *j, int machine)
 {
 	const struct fl_sched_machine *m = &p->in->machines[machine];
-	struct fl_amounts kept = kept_from(p, j, m);
+	struct fl_amounts withheld = reserved_from(p, j, m);
 
-	return (struct fl_amounts){m->cpus + p->coming_cpus[machine] - kept.cpus,
-	                           m->gpus + p->coming_gpus[machine] - kept.gpus,
-	                           m->ram_gb + p->coming_ram[machine] - kept.ram_gb};
+	return (struct fl_amounts){m->cpus + p->coming_cpus[machine] - withheld.cpus,
+	                           m->gpus + p->coming_gpus[machine] - withheld.gpus,
+	                           m->ram_gb + p->coming_ram[machine] - withheld.ram_gb};
 }
 
 static double rate_start(const struct pass *p, const struct fl_sched_job *j, int zone,
@@ -332,11 +333,11 @@
 
 /* May `j` stop `r`? By priority, or to get its team's guarantee from a team beyond its own. */
 static bool may_stop(const struct pass *p, const struct fl_sched_job *j,
-                     const struct fl_sched_run *r, bool owed)
+                     const struct fl_sched_run *r, bool within_guarantee)
 {
 	const struct fl_team *t;
 
-	if (r->stopping || !r->movable || (r->foothold && j->priority < FL_URGENT))
+	if (r->stopping || !r->movable || (r->last_running_task && j->priority < FL_URGENT))
 		return false;
 	if (r->priority < j->priority)
 		return true;
@@ -344,7 +345,7 @@
 	 * Nor what is itself within a guarantee, though its team has more besides: found in the
 	 * simulated fault combinations, it went first in the next pass, and was stopped again.
 	 */
-	if (!owed || r->team == j->team || r->service || r->owed)
+	if (!within_guarantee || r->team == j->team || r->service || r->within_guarantee)
 		return false;
 	t = &p->in->teams[r->team];
 	return !fl_team_within_guarantee(t, t->used_cpus, t->used_gpus);
@@ -362,15 +363,15 @@
 }
 
 /* Cheapest set of victims on one machine that makes room; INFINITY if none does. */
-static double victims_on(struct pass *p, const struct fl_sched_job *j, int machine, bool owed,
-                         int *n_set)
+static double victims_on(struct pass *p, const struct fl_sched_job *j, int machine,
+                         bool within_guarantee, int *n_set)
 {
 	struct fl_amounts room = room_for(p, j, machine);
 	double cpus = room.cpus, gpus = room.gpus, ram = room.ram_gb, cost = 0;
 	int n = 0, used = 0, *set = p->victims;
 
 	for (int k = p->first[machine]; k < p->first[machine + 1]; k++)
-		if (may_stop(p, j, &p->in->runs[p->run_of[k]], owed))
+		if (may_stop(p, j, &p->in->runs[p->run_of[k]], within_guarantee))
 			set[n++] = p->run_of[k];
 	qsort_r(set, (size_t)n, sizeof(*set), by_loss, p->in);
 	while (used < n && !fits(j, cpus, gpus, ram)) {
@@ -401,13 +402,14 @@
 	p->coming_ram[r->machine] += r->ram_gb;
 }
 
-/* How a claim is made: for the guarantee; only where the image lies; under whose window. */
+/* How a request is made: for the guarantee; only where the image lies; under whose window. */
 struct terms {
-	bool owed, image;
+	bool within_guarantee, image;
 	const double *ends_by; /* NULL: none */
 };
 
-static double rate_claim(struct pass *p, const struct fl_sched_job *j, struct terms t, int machine)
+static double rate_preemption(struct pass *p, const struct fl_sched_job *j, struct terms t,
+                              int machine)
 {
 	const struct fl_sched_machine *m = &p->in->machines[machine];
 	double cost;
@@ -417,30 +419,30 @@
 	if (!allowed(j, m) || !zone_ok(j, m->zone) || (t.image && fetch_s(j, m) > 0) ||
 	    (t.ends_by && t.ends_by[machine] < j->est_s))
 		return INFINITY;
-	cost = victims_on(p, j, machine, t.owed, &n_set);
+	cost = victims_on(p, j, machine, t.within_guarantee, &n_set);
 	return t.image && cost > choice.swap_s ? INFINITY : cost + score(p->in, j, m);
 }
 
-static void rate_claims(struct pass *p, const struct fl_sched_job *j, struct terms t)
+static void rate_preemptions(struct pass *p, const struct fl_sched_job *j, struct terms t)
 {
 	p->out->looks += p->in->n_machines;
 	for (int i = 0; i < p->in->n_machines; i++)
-		p->claim_cost[i] = rate_claim(p, j, t, i);
+		p->preemption_cost[i] = rate_preemption(p, j, t, i);
 }
 
 /*
  * Promises room to one more task, on the machine rated best: what is coming free already, else the
  * cheapest victims. The task starts in a later pass, when the stopped ones are proven gone.
  */
-static bool claim_one(struct pass *p, struct fl_sched_job *j, struct terms t)
+static bool request_preemption(struct pass *p, struct fl_sched_job *j, struct terms t)
 {
-	int best = least(p->claim_cost, p->in->n_machines), n_set;
+	int best = least(p->preemption_cost, p->in->n_machines), n_set;
 	struct fl_sched_machine *m;
 
 	if (best < 0)
 		return false;
 	m = &p->in->machines[best];
-	victims_on(p, j, best, t.owed, &n_set);
+	victims_on(p, j, best, t.within_guarantee, &n_set);
 	for (int k = 0; k < n_set; k++)
 		stop_run(p, p->victims[k]);
 	/* Nobody else in this pass may count on it, free part included. */
@@ -448,16 +450,17 @@
 	m->gpus -= j->gpus;
 	m->ram_gb -= j->ram_gb;
 	j->zone_placed[m->zone]++;
-	if (!m->claimed.made)
-		m->claimed =
-			(struct fl_promise){.made = true, .owed = t.owed, .priority = j->priority};
-	m->claimed.cpus += j->cpus;
-	m->claimed.gpus += j->gpus;
-	m->claimed.ram_gb += j->ram_gb;
+	if (!m->requested.made)
+		m->requested = (struct fl_reservation){.made = true,
+		                                       .within_guarantee = t.within_guarantee,
+		                                       .priority = j->priority};
+	m->requested.cpus += j->cpus;
+	m->requested.gpus += j->gpus;
+	m->requested.ram_gb += j->ram_gb;
 	if (looks_at_zones(j))
-		rate_claims(p, j, t);
+		rate_preemptions(p, j, t);
 	else
-		p->claim_cost[best] = rate_claim(p, j, t, best);
+		p->preemption_cost[best] = rate_preemption(p, j, t, best);
 	return true;
 }
 
@@ -474,8 +477,8 @@
 
 	if (!ahead(j) || j->gang || fetch <= choice.fetch_wait_s || j->waited_s >= fetch)
 		return false;
-	rate_claims(p, j, t);
-	return claim_one(p, j, t);
+	rate_preemptions(p, j, t);
+	return request_preemption(p, j, t);
 }
 
 static bool start_each(struct pass *p, int job, const double *ends_by)
@@ -519,37 +522,38 @@
 	return no_room;
 }
 
-static uint32_t claim(struct pass *p, int job, const double *ends_by)
+static uint32_t request_preemptions(struct pass *p, int job, const double *ends_by)
 {
 	struct fl_sched_job *j = &p->in->jobs[job];
 	struct fl_team *t = &p->in->teams[j->team];
 	double cpus = t->used_cpus, gpus = t->used_gpus;
-	uint32_t claimed = 0;
+	uint32_t requested = 0;
 	struct terms terms = {.ends_by = ends_by};
 	bool rated = false;
 
-	/* A gang claims nothing: stops for a part of it would free room it cannot use yet. */
-	while (claimed < j->waiting - p->held && !j->gang && !p->failed) {
-		bool owed = j->owed && fl_team_within_guarantee(t, t->used_cpus + j->cpus,
-		                                                t->used_gpus + j->gpus);
+	/* A gang requests nothing: stops for a part of it would free room it cannot use yet. */
+	while (requested < j->waiting - p->held && !j->gang && !p->failed) {
+		bool within_guarantee =
+			j->within_guarantee &&
+			fl_team_within_guarantee(t, t->used_cpus + j->cpus, t->used_gpus + j->gpus);
 
-		if (!team_ok(p->in, j) || (!owed && j->priority == FL_BEST_EFFORT))
+		if (!team_ok(p->in, j) || (!within_guarantee && j->priority == FL_BEST_EFFORT))
 			break;
-		/* One machine's claim changes no other's cost: all are rated once a job. */
-		if (!rated || terms.owed != owed) {
-			terms.owed = owed;
-			rate_claims(p, j, terms);
+		/* One machine's request changes no other's cost: all are rated once a job. */
+		if (!rated || terms.within_guarantee != within_guarantee) {
+			terms.within_guarantee = within_guarantee;
+			rate_preemptions(p, j, terms);
 		}
 		rated = true;
-		if (!claim_one(p, j, terms))
+		if (!request_preemption(p, j, terms))
 			break;
 		t->used_cpus += j->cpus;
 		t->used_gpus += j->gpus;
-		claimed++;
+		requested++;
 	}
 	t->used_cpus = cpus;
 	t->used_gpus = gpus;
-	return claimed;
+	return requested;
 }
 
 struct end {
@@ -725,7 +729,8 @@
 		if (bound && est <= 0)
 			j->est_s = j->service ? INFINITY : in->params->default_est_s;
 		if (start_fitting(p, job, bound))
-			p->out->short_of[job] = j->waiting - p->held - claim(p, job, bound);
+			p->out->short_of[job] =
+				j->waiting - p->held - request_preemptions(p, job, bound);
 		j->est_s = est;
 		if (p->out->short_of[job] > 0 && !backfill) {
 			set_window(p, job);
@@ -777,7 +782,7 @@
 	}
 	p.coming_gpus = p.coming_cpus + n_m;
 	p.coming_ram = p.coming_gpus + n_m;
-	p.claim_cost = p.start_score + n_m;
+	p.preemption_cost = p.start_score + n_m;
 	index_runs(&p);
 	for (int i = 0; i < in->n_runs; i++) {
 		const struct fl_sched_run *r = &in->runs[i];
--- a/src/coordination/schedule.h
+++ b/src/coordination/schedule.h
@@ -32,8 +32,8 @@
 	uint32_t types;
 	int zone;
 	bool together, apart, reclaimable;
-	bool owed;  /* fits its team's guarantee together with the team's earlier jobs */
-	bool begun; /* some task of it runs, or is done */
+	bool within_guarantee; /* fits its team's guarantee together with the team's earlier jobs */
+	bool begun;            /* some task of it runs, or is done */
 	uint32_t zone_placed[FL_ZONES_MAX], zone_unknown;
 	int image;
 	double window_left; /* remembered backfill window, s; < 0: none yet */
@@ -43,18 +43,18 @@
  * Room on a machine that a job waits for, be it for others to be stopped there: only such as this
  * one or better may start there meanwhile.
  */
-struct fl_promise {
-	bool made, owed;
+struct fl_reservation {
+	bool made, within_guarantee;
 	enum fl_priority priority;
 	double cpus, gpus, ram_gb; /* what is waited for; the rest of the machine is anybody's */
 };
 
 struct fl_sched_machine {
-	int kind, zone;
+	int type, zone;
 	bool spot;
 	bool held; /* a service runs here, so that it stays up in any case */
-	struct fl_promise promised, claimed; /* by passes before, and by this one */
-	double cpus, gpus, ram_gb;           /* free */
+	struct fl_reservation reserved, requested; /* by passes before, and by this one */
+	double cpus, gpus, ram_gb;                 /* free */
 	double pull_gb_s;
 	const int *cache; /* FL_CACHE_NOTE images */
 };
@@ -64,8 +64,9 @@
 	int machine, team;
 	enum fl_priority priority;
 	bool service, stopping, movable; /* movable: may be chosen as a victim at all */
-	bool owed;                       /* of a job within its team's guarantee */
-	bool foothold; /* all that a job past its patience has: only urgent work stops it */
+	bool within_guarantee;           /* of a job within its team's guarantee */
+	bool last_running_task; /* all that a job past its patience has: only urgent work stops it
+	                         */
 	double cpus, gpus, ram_gb;
 	double left_s; /* by its estimate; INFINITY for a service */
 	double lost_s; /* work that a stop would lose */
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -22,7 +22,7 @@
 	double refresh_s;      /* s; least time between two reads for a fresher proof */
 	double refresh_wait_s; /* s for which a report waits for such a read */
 	double digest_s;       /* s between two digests in the state service */
-	double margin_s;       /* s off the keeping time, for drift and late timers */
+	double margin_s;       /* s off the renewal time, for drift and late timers */
 	double home_s;         /* s that a worker's own zone's node must have been up */
 	double home_leases;    /* leases between two times that one worker is sent home */
 	double settle_reports; /* report intervals that it is served here before */
@@ -87,15 +87,15 @@
  * A copy of a report may come long after it, also to a node that has kept newer ones: it is no
  * sign of life, and takes nothing's place.
  */
-static void keep(struct fl_node *n, const struct fl_report *r)
+static void cache_report(struct fl_node *n, const struct fl_report *r)
 {
-	struct fl_kept *k;
+	struct fl_cached_report *k;
 	char *text;
 
-	HASH_FIND_STR(n->standby.kept, r->host, k);
+	HASH_FIND_STR(n->standby.cached, r->host, k);
 	if (k && (r->session < k->session || (r->session == k->session && r->seq <= k->seq)))
 		return;
-	text = fl_kept_encode(r);
+	text = fl_cached_report_encode(r);
 	if (!text)
 		return;
 	if (!k) {
@@ -105,7 +105,7 @@
 			return;
 		}
 		strcpy(k->host, r->host);
-		HASH_ADD_STR(n->standby.kept, host, k);
+		HASH_ADD_STR(n->standby.cached, host, k);
 	}
 	free(k->text);
 	k->text = text;
@@ -115,9 +115,9 @@
 	k->stored = false;
 }
 
-static void unkeep(struct fl_node *n, struct fl_kept *k)
+static void uncache(struct fl_node *n, struct fl_cached_report *k)
 {
-	HASH_DEL(n->standby.kept, k);
+	HASH_DEL(n->standby.cached, k);
 	free(k->text);
 	free(k);
 }
@@ -145,7 +145,7 @@
 
 static bool knows_jobs(const struct fl_node *n)
 {
-	return fl_now() - n->jobs_at <= fl_standby_renewal_s(n);
+	return fl_now() - n->cancellations_known_until <= fl_standby_renewal_s(n);
 }
 
 static bool has_proof(const struct fl_node *n, uint64_t epoch)
@@ -194,7 +194,7 @@
  * A node that has just started is asked by many workers at once and has no proof yet. One read
  * serves them all: a worker refused meanwhile loses seconds of its lease on nodes that are down.
  */
-static bool may_keep(struct fl_node *n, uint64_t epoch)
+static bool may_renew(struct fl_node *n, uint64_t epoch)
 {
 	struct fl_standby *k = &n->standby;
 
@@ -215,14 +215,14 @@
 	return has_proof(n, epoch);
 }
 
-static void answer_kept(struct fl_node *n, const struct fl_report *r, struct fl_response *resp)
+static void answer_renewal(struct fl_node *n, const struct fl_report *r, struct fl_response *resp)
 {
 	struct fl_orders orders;
 
-	if (!may_keep(n, r->epoch)) {
+	if (!may_renew(n, r->epoch)) {
 		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
 		         r->host, (unsigned long long)r->epoch, (unsigned long long)n->epoch,
-		         fl_now() - n->jobs_at);
+		         fl_now() - n->cancellations_known_until);
 		fl_refuse(resp, 503, "no proof of the epoch");
 		return;
 	}
@@ -236,9 +236,9 @@
 	stop_cancelled(n, r, &orders);
 	resp->status = 200;
 	resp->body = fl_orders_take(&orders);
-	keep(n, r);
+	cache_report(n, r);
 	if (n->lead.active)
-		fl_reconcile_kept(n, r);
+		fl_reconcile_renewed(n, r);
 }
 
 /* Beyond so many under way the leader is stalled: waiting for it helps nobody. */
@@ -255,8 +255,8 @@
 	return rc;
 }
 
-static void relay_or_keep(struct fl_node *n, const struct fl_report *r, const char *body,
-                          enum fl_hop hop, const char *via, struct fl_response *resp)
+static void relay_or_renew(struct fl_node *n, const struct fl_report *r, const char *body,
+                           enum fl_hop hop, const char *via, struct fl_response *resp)
 {
 	struct fl_reply reply;
 
@@ -269,12 +269,12 @@
 		fl_buf_free(&reply.body);
 	}
 	if (!hop) {
-		answer_kept(n, r, resp);
+		answer_renewal(n, r, resp);
 		return;
 	}
 	/* The sender is cut from the state service too: its report goes with our digest. */
-	if (hop == FL_LAST_HOP_ADRIFT)
-		keep(n, r);
+	if (hop == FL_LAST_HOP_DISCONNECTED)
+		cache_report(n, r);
 	resp->status = 421;
 }
 
@@ -286,16 +286,16 @@
 static bool may_send(struct fl_node *n, const char *host)
 {
 	double now = fl_now();
-	struct fl_guest *g;
+	struct fl_misplaced_worker *g;
 
-	HASH_FIND_STR(n->standby.guests, host, g);
+	HASH_FIND_STR(n->standby.misplaced, host, g);
 	if (!g) {
 		g = calloc(1, sizeof(*g));
 		if (!g)
 			return false;
 		strcpy(g->host, host);
 		g->came = now;
-		HASH_ADD_STR(n->standby.guests, host, g);
+		HASH_ADD_STR(n->standby.misplaced, host, g);
 	}
 	if (now < g->came + choice.settle_reports * n->config->report_s ||
 	    (g->sent > 0 && now < g->sent + choice.home_leases * n->config->lease_s))
@@ -379,7 +379,7 @@
 	int rc;
 
 	fl_orders_init(&orders, n->lease.epoch);
-	rc = fl_reconcile_report(n, r, &orders, FL_WAY_REPORT);
+	rc = fl_reconcile_report(n, r, &orders, FL_SOURCE_REPORT);
 	/* What is only answered, not taken in, gets no stop either: see holds_overdue. */
 	if (rc == 0 && knows_jobs(n) && (orders.n > 0 || !holds_overdue(n, r))) {
 		/* The same report relayed twice, or from before this leadership. */
@@ -430,7 +430,7 @@
 	} else if (fl_leading(n)) {
 		answer_leading(n, &r, resp);
 	} else {
-		relay_or_keep(n, &r, body, hop, via, resp);
+		relay_or_renew(n, &r, body, hop, via, resp);
 	}
 	fl_report_free(&r);
 }
@@ -443,7 +443,7 @@
 
 		if (fl_finished_find(&n->cluster, c->ref))
 			continue;
-		fl_cluster_told_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
+		fl_cluster_learn_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
 		job = n->lead.active ? fl_job_find(&n->cluster, c->ref) : NULL;
 		if (job)
 			fl_command_stop_job(n, job);
@@ -467,10 +467,11 @@
 	if (!g->complete || !n->jobs_known ||
 	    fl_now() > sent + choice.gossip_wait_s + choice.gossip_slack_s / 2)
 		return;
-	p->told_at = sent;
+	p->sent_all_at = sent;
 	for (int i = 0; i < n->n_peers; i++)
-		all = fmin(all, n->peers[i].told_at);
-	n->jobs_at = fmax(n->jobs_at, fmax(all, sent - g->known_age_s));
+		all = fmin(all, n->peers[i].sent_all_at);
+	n->cancellations_known_until =
+		fmax(n->cancellations_known_until, fmax(all, sent - g->known_age_s));
 }
 
 static void hear(struct fl_node *n, const struct fl_gossip *g, double sent)
@@ -479,18 +480,19 @@
 
 	if (g->epoch < n->epoch || g->epoch == 0)
 		return;
-	/* A valid lease needs no hearsay: the higher epoch is its own, raised this moment. */
+	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
+	 */
 	if (g->epoch > n->epoch && n->lease.held) {
 		if (fl_lease_valid(n) || strcmp(g->leader, n->config->node) == 0)
 			return;
 		fl_lease_lost(n, "a peer knows a higher epoch");
 	}
-	if (g->epoch > n->epoch || proof > n->proof_at) {
+	if (g->epoch > n->epoch || proof > n->leadership_confirmed_at) {
 		n->epoch = g->epoch;
 		if (g->leader[0])
 			strcpy(n->leader, g->leader);
-		if (proof > n->proof_at)
-			n->proof_at = proof;
+		if (proof > n->leadership_confirmed_at)
+			n->leadership_confirmed_at = proof;
 	}
 }
 
@@ -521,8 +523,8 @@
 	strcpy(g->node, n->config->node);
 	strcpy(g->leader, n->leader);
 	g->epoch = n->epoch;
-	g->proof_age_s = age(n->proof_at);
-	g->known_age_s = age(n->jobs_at);
+	g->proof_age_s = age(n->leadership_confirmed_at);
+	g->known_age_s = age(n->cancellations_known_until);
 	g->leads = fl_lease_valid(n);
 }
 
@@ -612,7 +614,7 @@
 	cJSON *v;
 	int rc = 0;
 
-	snprintf(key, sizeof(key), FL_PREFIX_KEPT "%s/%d", n->config->node, at);
+	snprintf(key, sizeof(key), FL_PREFIX_CACHED "%s/%d", n->config->node, at);
 	if (!d->known) {
 		rc = fl_state_get(&n->state, key, &v, &rev, NULL);
 		cJSON_Delete(v);
@@ -639,10 +641,10 @@
 static cJSON *fill_digest(struct fl_node *n, double since)
 {
 	size_t limit = (size_t)(n->config->value_kb * 1024 * choice.record_use), used = 0;
-	struct fl_kept *k, *tmp;
+	struct fl_cached_report *k, *tmp;
 	cJSON *digest = NULL;
 
-	HASH_ITER (hh, n->standby.kept, k, tmp) {
+	HASH_ITER (hh, n->standby.cached, k, tmp) {
 		size_t len = strlen(k->text) + 1;
 
 		if (k->stored || k->at < since || len > limit)
@@ -655,8 +657,8 @@
 		used += len;
 		k->stored = true;
 		/* Last in turn from now on: where writes are short, each machine gets its share. */
-		HASH_DEL(n->standby.kept, k);
-		HASH_ADD_STR(n->standby.kept, host, k);
+		HASH_DEL(n->standby.cached, k);
+		HASH_ADD_STR(n->standby.cached, host, k);
 	}
 	return digest;
 }
@@ -679,14 +681,14 @@
 	}
 }
 
-static void forget_guests(struct fl_node *n, double before)
+static void forget_misplaced(struct fl_node *n, double before)
 {
-	struct fl_guest *g, *tmp;
+	struct fl_misplaced_worker *g, *tmp;
 
-	HASH_ITER (hh, n->standby.guests, g, tmp) {
+	HASH_ITER (hh, n->standby.misplaced, g, tmp) {
 		if (g->came >= before || g->sent >= before)
 			continue;
-		HASH_DEL(n->standby.guests, g);
+		HASH_DEL(n->standby.misplaced, g);
 		free(g);
 	}
 }
@@ -697,13 +699,13 @@
 
 	while (fl_sleep(choice.digest_s) == 0) {
 		double now = fl_now();
-		struct fl_kept *k, *tmp;
+		struct fl_cached_report *k, *tmp;
 
-		forget_guests(n, now - choice.home_leases * n->config->lease_s);
-		HASH_ITER (hh, n->standby.kept, k, tmp)
+		forget_misplaced(n, now - choice.home_leases * n->config->lease_s);
+		HASH_ITER (hh, n->standby.cached, k, tmp)
 			if (k->at < now - 5 * choice.digest_s)
-				unkeep(n, k);
-		if (!n->standby.kept || fl_lease_valid(n) || !n->leader[0] ||
+				uncache(n, k);
+		if (!n->standby.cached || fl_lease_valid(n) || !n->leader[0] ||
 		    fl_state_in_doubt(&n->state))
 			continue;
 		digest(n, now - 2 * choice.digest_s);
@@ -716,7 +718,7 @@
 
 	fl_budget_init(&n->standby.writes, rate, rate * choice.digest_s, fl_now());
 	for (int i = 0; i < n->n_peers; i++) {
-		n->peers[i].heard_at = n->peers[i].told_at = -1e9;
+		n->peers[i].heard_at = n->peers[i].sent_all_at = -1e9;
 		fl_spawn(gossip_duty, &n->peers[i]);
 	}
 	fl_spawn(digest_duty, n);
--- a/src/coordination/standby.h
+++ b/src/coordination/standby.h
@@ -21,10 +21,10 @@
 enum fl_hop {
 	FL_FIRST_HOP,
 	FL_LAST_HOP,
-	FL_LAST_HOP_ADRIFT /* and whose sender has lost the state service too */
+	FL_LAST_HOP_DISCONNECTED /* and whose sender has lost the state service too */
 };
 
-struct fl_kept {
+struct fl_cached_report {
 	UT_hash_handle hh;
 	char host[FL_NAME_MAX];
 	uint64_t session, seq;
@@ -42,15 +42,15 @@
 };
 
 /* A worker that would be better off at another node. */
-struct fl_guest {
+struct fl_misplaced_worker {
 	UT_hash_handle hh;
 	char host[FL_NAME_MAX];
 	double came, sent; /* steady; sent: away from here, 0: not yet */
 };
 
 struct fl_standby {
-	struct fl_kept *kept;
-	struct fl_guest *guests;
+	struct fl_cached_report *cached;
+	struct fl_misplaced_worker *misplaced;
 	int relays; /* reports being relayed: a leader that stalls must not take all sockets */
 	int away;   /* whose turn it is to get a worker that is sent away */
 	struct fl_digest_slot digest[FL_DIGESTS_MAX];
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -125,7 +125,7 @@
 	if (!rc) {
 		fl_cluster_list_end(&n->cluster, rev);
 		n->cluster.list_rev = rev;
-		n->jobs_at = fmax(n->jobs_at, sent);
+		n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
 		rc = fl_state_list(&n->state, FL_PREFIX_LOG, load_log, &l, &rev);
 	}
 	if (!rc && !n->lease.held)
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -179,7 +179,7 @@
 	char status[32];
 
 	if (fl_json_str(e, "Ref", l->host, sizeof(l->host)) != FL_FIELD_OK || !l->host[0] ||
-	    fl_json_str(e, "HostKind", l->kind, sizeof(l->kind)) != FL_FIELD_OK ||
+	    fl_json_str(e, "HostKind", l->type, sizeof(l->type)) != FL_FIELD_OK ||
 	    fl_json_str(e, "Site", l->zone, sizeof(l->zone)) != FL_FIELD_OK ||
 	    fl_json_bool(e, "Reclaimable", &l->spot) != FL_FIELD_OK ||
 	    fl_json_str(e, "Status", status, sizeof(status)) != FL_FIELD_OK)
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -17,7 +17,7 @@
 enum fl_host_status { FL_HOST_BOOTING, FL_HOST_RUNNING, FL_HOST_FAILED };
 
 struct fl_listed {
-	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], kind[FL_NAME_MAX], zone[FL_NAME_MAX];
+	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], type[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
 	enum fl_host_status status;
 	double age_s;
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -78,14 +78,14 @@
 	g->n_cancelled = 0;
 }
 
-char *fl_relay_encode(enum fl_user_call call, bool last_hop, bool adrift, const char *ref,
+char *fl_relay_encode(enum fl_user_call call, bool last_hop, bool disconnected, const char *ref,
                       const char *via, const char *body)
 {
 	cJSON *o = cJSON_CreateObject();
 
 	cJSON_AddNumberToObject(o, "call", call);
 	cJSON_AddBoolToObject(o, "last_hop", last_hop);
-	if (adrift)
+	if (disconnected)
 		cJSON_AddBoolToObject(o, "adrift", true);
 	if (ref)
 		cJSON_AddStringToObject(o, "ref", ref);
@@ -114,7 +114,7 @@
 	body = fl_json_get(out->tree, "body");
 	if (fl_json_count(out->tree, "call", &call) != FL_FIELD_OK ||
 	    fl_json_bool(out->tree, "last_hop", &out->last_hop) != FL_FIELD_OK ||
-	    fl_json_bool(out->tree, "adrift", &out->adrift) == FL_FIELD_BAD ||
+	    fl_json_bool(out->tree, "adrift", &out->disconnected) == FL_FIELD_BAD ||
 	    fl_json_str(out->tree, "ref", out->ref, sizeof(out->ref)) == FL_FIELD_BAD ||
 	    fl_json_str(out->tree, "via", out->via, sizeof(out->via)) == FL_FIELD_BAD ||
 	    !relayable(call, out->ref, body)) {
@@ -133,7 +133,7 @@
 }
 
 /* [host,session,sequence number,epoch,reclaim_in,[[ref,index,attempt,state,exit],...]] */
-char *fl_kept_encode(const struct fl_report *r)
+char *fl_cached_report_encode(const struct fl_report *r)
 {
 	cJSON *e = cJSON_CreateArray(), *tasks = cJSON_CreateArray();
 
@@ -178,7 +178,7 @@
 	return 0;
 }
 
-int fl_kept_decode(const cJSON *e, struct fl_report *out)
+int fl_cached_report_decode(const cJSON *e, struct fl_report *out)
 {
 	const cJSON *host = cJSON_GetArrayItem(e, 0), *notice = cJSON_GetArrayItem(e, 4);
 	const cJSON *tasks = cJSON_GetArrayItem(e, 5), *x;
@@ -215,10 +215,10 @@
 	return o;
 }
 
-void fl_digest_add(cJSON *digest, const char *kept)
+void fl_digest_add(cJSON *digest, const char *cached)
 {
 	cJSON_AddItemToArray(cJSON_GetObjectItemCaseSensitive(digest, "kept"),
-	                     cJSON_CreateRaw(kept));
+	                     cJSON_CreateRaw(cached));
 }
 
 const cJSON *fl_digest_reports(const cJSON *digest) { return fl_json_get(digest, "kept"); }
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -1,4 +1,4 @@
-/* What controllers exchange: hearsay about leader and proof, and relayed requests. */
+/* What controllers exchange: forwarded word about leader and proof, and relayed requests. */
 #ifndef FL_PROTOCOL_PEERS_H
 #define FL_PROTOCOL_PEERS_H
 
@@ -35,29 +35,30 @@
 /* Relayed requests travel as they came, wrapped with where they belong. */
 struct fl_relay {
 	enum fl_user_call call;
-	bool last_hop; /* must not be passed on again */
-	bool adrift;   /* the sender cannot reach the state service either: keep what it sends */
+	bool last_hop;     /* must not be passed on again */
+	bool disconnected; /* the sender cannot reach the state service either: keep what it sends
+	                    */
 	char ref[FL_REF_MAX];
 	char via[FL_NAME_MAX]; /* of a report: the node that the worker sent it to */
 	const char *body;      /* the report's text */
 	cJSON *tree;           /* keeps body alive */
 };
 
-char *fl_relay_encode(enum fl_user_call call, bool last_hop, bool adrift, const char *ref,
+char *fl_relay_encode(enum fl_user_call call, bool last_hop, bool disconnected, const char *ref,
                       const char *via, const char *body);
 int fl_relay_decode(const char *text, size_t len, struct fl_relay *out);
 void fl_relay_free(struct fl_relay *r);
 
 /*
- * A kept report as it goes through the state service, where every byte of hundreds of machines
+ * A cached report as it goes through the state service, where every byte of hundreds of machines
  * counts against values and writes: what is on the machine, but not what is known of it anyway.
  */
-char *fl_kept_encode(const struct fl_report *r);
+char *fl_cached_report_encode(const struct fl_report *r);
 /* Machine type, zone and endpoint stay empty. 0, or -EPROTO with nothing held. */
-int fl_kept_decode(const cJSON *e, struct fl_report *out);
-/* A record of kept reports: takes the texts of fl_kept_encode one by one. */
+int fl_cached_report_decode(const cJSON *e, struct fl_report *out);
+/* A record of cached reports: takes the texts of fl_cached_report_encode one by one. */
 cJSON *fl_digest_begin(uint64_t epoch);
-void fl_digest_add(cJSON *digest, const char *kept);
+void fl_digest_add(cJSON *digest, const char *cached);
 const cJSON *fl_digest_reports(const cJSON *digest);
 
 #endif
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -44,7 +44,7 @@
 	return fl_json_str(o, key, out, FL_NAME_MAX) == FL_FIELD_OK && name_ok(out);
 }
 
-static bool get_types(const cJSON *o, struct fl_run *out)
+static bool get_types(const cJSON *o, struct fl_job_spec *out)
 {
 	const cJSON *v = fl_json_get(o, "HostKinds"), *e;
 
@@ -64,7 +64,7 @@
 	return true;
 }
 
-static const char *decode_amounts(const cJSON *o, struct fl_run *out)
+static const char *decode_amounts(const cJSON *o, struct fl_job_spec *out)
 {
 	const struct {
 		const char *key;
@@ -89,7 +89,7 @@
 	return f == FL_FIELD_BAD ? "DueS" : NULL;
 }
 
-const char *fl_run_decode(const cJSON *o, struct fl_run *out)
+const char *fl_job_spec_decode(const cJSON *o, struct fl_job_spec *out)
 {
 	char word[FL_NAME_MAX];
 	enum fl_field f;
@@ -134,7 +134,7 @@
 	return decode_amounts(o, out);
 }
 
-cJSON *fl_run_encode(const struct fl_run *r)
+cJSON *fl_job_spec_encode(const struct fl_job_spec *r)
 {
 	cJSON *o = cJSON_CreateObject(), *types;
 
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -14,7 +14,7 @@
 enum fl_priority { FL_BEST_EFFORT, FL_STANDARD, FL_URGENT, FL_CRITICAL };
 enum fl_status { FL_PENDING, FL_RUNNING, FL_DONE, FL_CANCELLED };
 
-struct fl_run {
+struct fl_job_spec {
 	char ref[FL_REF_MAX];
 	char job_class[FL_NAME_MAX], team[FL_NAME_MAX], image[FL_NAME_MAX], zone[FL_NAME_MAX];
 	char machine_types[FL_ALLOWED_TYPES_MAX][FL_NAME_MAX];
@@ -29,8 +29,8 @@
 
 bool fl_ref_ok(const char *ref);
 /* Returns NULL, or the name of the first bad field. */
-const char *fl_run_decode(const cJSON *o, struct fl_run *out);
-cJSON *fl_run_encode(const struct fl_run *run);
+const char *fl_job_spec_decode(const cJSON *o, struct fl_job_spec *out);
+cJSON *fl_job_spec_encode(const struct fl_job_spec *run);
 char *fl_status_encode(const char *ref, enum fl_status status, int64_t done, int64_t running);
 const char *fl_status_name(enum fl_status status);
 
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -90,7 +90,7 @@
 
 	if (fl_json_str(o, "Host", out->host, sizeof(out->host)) != FL_FIELD_OK || !out->host[0] ||
 	    fl_json_str(o, "Endpoint", out->endpoint, sizeof(out->endpoint)) != FL_FIELD_OK ||
-	    fl_json_str(o, "HostKind", out->kind, sizeof(out->kind)) != FL_FIELD_OK ||
+	    fl_json_str(o, "HostKind", out->type, sizeof(out->type)) != FL_FIELD_OK ||
 	    fl_json_str(o, "Site", out->zone, sizeof(out->zone)) != FL_FIELD_OK ||
 	    fl_json_bool(o, "Reclaimable", &out->spot) != FL_FIELD_OK ||
 	    fl_json_count(o, "Tenure", &out->session) != FL_FIELD_OK ||
@@ -138,7 +138,7 @@
 
 	cJSON_AddStringToObject(o, "Host", r->host);
 	cJSON_AddStringToObject(o, "Endpoint", r->endpoint);
-	cJSON_AddStringToObject(o, "HostKind", r->kind);
+	cJSON_AddStringToObject(o, "HostKind", r->type);
 	cJSON_AddStringToObject(o, "Site", r->zone);
 	cJSON_AddBoolToObject(o, "Reclaimable", r->spot);
 	cJSON_AddNumberToObject(o, "Tenure", (double)r->session);
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -29,7 +29,7 @@
 };
 
 struct fl_report {
-	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], kind[FL_NAME_MAX], zone[FL_NAME_MAX];
+	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], type[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
 	uint64_t session, seq, epoch;
 	double reclaim_in_s; /* < 0: no notice */
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -70,7 +70,7 @@
 	return n;
 }
 
-void fl_cluster_told_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at)
+void fl_cluster_learn_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at)
 {
 	struct fl_job *job = fl_job_find(b, ref);
 
@@ -90,7 +90,7 @@
 	fl_finished_add(b, ref, FL_CANCELLED, job->n_tasks, cancelled_at);
 }
 
-static uint32_t types_mask(const struct fl_cluster *b, const struct fl_run *run)
+static uint32_t types_mask(const struct fl_cluster *b, const struct fl_job_spec *run)
 {
 	uint32_t mask = 0;
 
@@ -105,7 +105,7 @@
 	return mask;
 }
 
-struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_run *run, double submitted,
+struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *run, double submitted,
                           uint64_t rev)
 {
 	struct fl_job *j = fl_job_find(b, run->ref);
@@ -297,10 +297,10 @@
 	else
 		job->zone_unknown--;
 	job->n_placed--;
-	if (t->sight == FL_SEEN_RUNNING || t->sight == FL_SEEN_FLUSHING)
+	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING)
 		job->n_running--;
-	t->sight = FL_UNSEEN;
-	t->told = false;
+	t->observed = FL_OBSERVED_NONE;
+	t->launch_sent = false;
 	t->stop = FL_STOP_NONE;
 	t->machine = -1;
 	t->epoch = 0;
@@ -318,7 +318,7 @@
 	t->machine = m->id;
 	t->session = m->session;
 	t->epoch = epoch;
-	t->sight = FL_UNSEEN;
+	t->observed = FL_OBSERVED_NONE;
 	t->stop = FL_STOP_NONE;
 	t->since = now;
 	t->placed = fl_wall();
@@ -380,10 +380,11 @@
 	fl_task_touch(b, job, index);
 }
 
-void fl_task_sighted(struct fl_job *job, struct fl_task *t, enum fl_sight sight, double now)
+void fl_task_observe(struct fl_job *job, struct fl_task *t, enum fl_observed_state observed,
+                     double now)
 {
-	bool was = t->sight == FL_SEEN_RUNNING || t->sight == FL_SEEN_FLUSHING;
-	bool is = sight == FL_SEEN_RUNNING || sight == FL_SEEN_FLUSHING;
+	bool was = t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING;
+	bool is = observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_FLUSHING;
 
 	if (is && !was) {
 		job->n_running++;
@@ -392,16 +393,16 @@
 		 * placement. Counted from now, every new leader would take old work for fresh, and
 		 * stop what is nearly done to make room.
 		 */
-		if (t->epoch != 0 || t->sight != FL_UNSEEN)
+		if (t->epoch != 0 || t->observed != FL_OBSERVED_NONE)
 			t->since = now;
 	} else if (was && !is) {
 		job->n_running--;
 	}
-	t->sight = (uint8_t)sight;
-	t->told = false;
+	t->observed = (uint8_t)observed;
+	t->launch_sent = false;
 }
 
-void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int kind, int zone, bool spot,
+void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int type, int zone, bool spot,
                          const char *endpoint)
 {
 	bool was_known = m->zone >= 0;
@@ -409,7 +410,7 @@
 	(void)b;
 	if (zone >= FL_ZONES_MAX)
 		return;
-	fl_machine_describe(m, kind, zone, spot, endpoint);
+	fl_machine_describe(m, type, zone, spot, endpoint);
 	if (was_known || m->zone < 0)
 		return;
 	for (int i = 0; i < m->n_slots; i++) {
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -14,12 +14,17 @@
 enum { FL_CHUNK = 64 }; /* tasks in one record: stays well within 4 KiB a value */
 
 enum fl_phase { FL_TASK_WAITING, FL_TASK_PLACED, FL_TASK_DONE };
-enum fl_sight { FL_UNSEEN, FL_SEEN_PULLING, FL_SEEN_RUNNING, FL_SEEN_FLUSHING };
+enum fl_observed_state {
+	FL_OBSERVED_NONE,
+	FL_OBSERVED_PULLING,
+	FL_OBSERVED_RUNNING,
+	FL_OBSERVED_FLUSHING
+};
 enum fl_stop { FL_STOP_NONE, FL_STOP_PREEMPT, FL_STOP_DRAIN };
 
 struct fl_task {
-	uint8_t phase, sight, stop, fails;
-	bool told;         /* an answer ordered its launch, and no report has shown it yet */
+	uint8_t phase, observed, stop, fails;
+	bool launch_sent;  /* an answer ordered its launch, and no report has shown it yet */
 	uint32_t attempt;  /* the last one used; 0: none yet */
 	int32_t machine;   /* id, while PLACED */
 	uint64_t session;  /* of the machine, at placement */
@@ -50,21 +55,21 @@
 		due_s;
 	uint32_t types; /* bit per allowed machine type */
 	bool together, apart, reclaimable;
-	bool owed;           /* fits its team's guarantee, after the team's earlier jobs */
-	double submitted;    /* wall time */
-	uint64_t rev;        /* KeyRev of the job record */
-	bool cancelled;      /* its final record says so; tasks may still have to go */
-	double cancelled_at; /* steady; when its user was told, or before */
-	bool finishing;      /* its final record is being written */
-	bool unsure;         /* a final write went unanswered: only the record knows */
+	bool within_guarantee; /* fits its team's guarantee, after the team's earlier jobs */
+	double submitted;      /* wall time */
+	uint64_t rev;          /* KeyRev of the job record */
+	bool cancelled;        /* its final record says so; tasks may still have to go */
+	double cancelled_at;   /* steady; when its user was told, or before */
+	bool finishing;        /* its final record is being written */
+	bool unsure;           /* a final write went unanswered: only the record knows */
 	uint32_t n_waiting, n_placed, n_running, n_done;
 	uint32_t zone_placed[FL_ZONES_MAX];
 	uint32_t zone_unknown; /* placed on machines whose zone is not known yet */
 	uint32_t scan_from;    /* no task below it is WAITING */
 	uint32_t n_chunks;
-	struct fl_chunk **chunks; /* NULL entry: all its tasks wait and never ran */
-	double not_before;        /* job-wide backoff after faults on several machines */
-	uint32_t strikes;         /* error exits in a row, on any machine */
+	struct fl_chunk **chunks;      /* NULL entry: all its tasks wait and never ran */
+	double not_before;             /* job-wide backoff after faults on several machines */
+	uint32_t consecutive_failures; /* error exits in a row, on any machine */
 	double window_until; /* steady; backfill window while this job is the top one; 0: not set */
 	bool listed;         /* was in the list of job records being read */
 	bool queued_dirty;
@@ -98,7 +103,7 @@
 struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref);
 struct fl_finished_job *fl_finished_find(const struct fl_cluster *b, const char *ref);
 /* Adds a live job from its description; NULL if it cannot be read here (unknown team). */
-struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_run *run, double submitted,
+struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *run, double submitted,
                           uint64_t rev);
 /* Turns a live job into its final state; its tasks must hold no machine. */
 void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_status status);
@@ -113,7 +118,7 @@
 int fl_finished_cancelled_since(const struct fl_cluster *b, double since,
                                 const struct fl_finished_job **out, int most);
 /* Another controller says that this job is cancelled; what the record says comes later. */
-void fl_cluster_told_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at);
+void fl_cluster_learn_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at);
 
 /*
  * NULL for a chunk that was never touched. A job that was cancelled before any of its tasks was
@@ -145,10 +150,11 @@
 void fl_task_release(struct fl_cluster *b, struct fl_job *job, uint32_t index, double not_before);
 /* Any -> DONE. */
 void fl_task_done(struct fl_cluster *b, struct fl_job *job, uint32_t index);
-void fl_task_sighted(struct fl_job *job, struct fl_task *t, enum fl_sight sight, double now);
+void fl_task_observe(struct fl_job *job, struct fl_task *t, enum fl_observed_state observed,
+                     double now);
 
 /* A machine's place becomes known: its attempts now count in their zone. */
-void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int kind, int zone, bool spot,
+void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int type, int zone, bool spot,
                          const char *endpoint);
 /* Drops tombstones older than `before`. Only where no machine or id is held across a wait. */
 void fl_cluster_purge(struct fl_cluster *b, double before);
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -75,7 +75,7 @@
 		return NULL;
 	strncpy(m->name, name, sizeof(m->name) - 1);
 	m->id = ms->n;
-	m->kind = m->zone = -1;
+	m->type = m->zone = -1;
 	m->created = now;
 	for (int i = 0; i < FL_CACHE_NOTE; i++)
 		m->cache[i] = -1;
@@ -84,12 +84,12 @@
 	return m;
 }
 
-void fl_machine_describe(struct fl_machine *m, int kind, int zone, bool spot, const char *endpoint)
+void fl_machine_describe(struct fl_machine *m, int type, int zone, bool spot, const char *endpoint)
 {
-	if (kind < 0 || zone < 0)
+	if (type < 0 || zone < 0)
 		return;
 	if (!m->described) {
-		m->kind = kind;
+		m->type = type;
 		m->zone = zone;
 		m->spot = spot;
 		m->described = true;
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -26,20 +26,20 @@
 	UT_hash_handle hh;
 	char name[FL_NAME_MAX], endpoint[FL_NAME_MAX];
 	int id; /* dense; changes only in fl_cluster_purge */
-	int kind, zone;
+	int type, zone;
 	bool spot;
-	bool described; /* kind, zone and endpoint are known */
+	bool described; /* type, zone and endpoint are known */
 	bool up;        /* has reported to this leader */
 	bool deleting;  /* is to be returned; nothing more is placed here */
 	bool returned;  /* the cloud has taken it back */
 	bool listed;    /* was in the list being read */
 	bool gone;      /* proven gone: a tombstone against late reports */
 	double gone_at;
-	/* Of the job that waits for room here: struct fl_promise in schedule.h. */
-	double claimed_at; /* steady; when it last did; 0: never */
-	double claimed_cpus, claimed_gpus, claimed_ram;
-	uint8_t claimed_priority;
-	bool claimed_owed;
+	/* Of the job that waits for room here: struct fl_reservation in schedule.h. */
+	double reserved_at; /* steady; when it last did; 0: never */
+	double reserved_cpus, reserved_gpus, reserved_ram;
+	uint8_t reserved_priority;
+	bool reserved_within_guarantee;
 	bool pushing;          /* a direct command is under way */
 	bool want_push;        /* something for a direct command has come up */
 	uint64_t session, seq; /* of the newest report */
@@ -80,7 +80,7 @@
                           const struct fl_offered_type *types, int n);
 struct fl_machine *fl_machine_find(const struct fl_machines *ms, const char *name);
 struct fl_machine *fl_machine_get(struct fl_machines *ms, const char *name, double now);
-void fl_machine_describe(struct fl_machine *m, int kind, int zone, bool spot, const char *endpoint);
+void fl_machine_describe(struct fl_machine *m, int type, int zone, bool spot, const char *endpoint);
 int fl_machine_add_slot(struct fl_machine *m, struct fl_job *job, uint32_t index);
 void fl_machine_drop_slot(struct fl_machine *m, const struct fl_job *job, uint32_t index);
 void fl_machine_note_image(struct fl_machine *m, int image);
--- a/src/storage/records.c
+++ b/src/storage/records.c
@@ -41,9 +41,9 @@
 	return *end || !fl_ref_ok(ref) ? -EPROTO : 0;
 }
 
-cJSON *fl_job_record_live(const struct fl_run *run, double submitted)
+cJSON *fl_job_record_live(const struct fl_job_spec *run, double submitted)
 {
-	cJSON *o = fl_run_encode(run);
+	cJSON *o = fl_job_spec_encode(run);
 
 	cJSON_AddNumberToObject(o, "submitted", submitted);
 	return o;
@@ -61,7 +61,7 @@
 	return add_final(cJSON_CreateObject(), status, n_tasks);
 }
 
-cJSON *fl_job_record_cancelled(const struct fl_run *run, double submitted, double cancelled)
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *run, double submitted, double cancelled)
 {
 	cJSON *o = add_final(fl_job_record_live(run, submitted), FL_CANCELLED, run->n_tasks);
 
@@ -69,7 +69,7 @@
 	return o;
 }
 
-void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_run *out)
+void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out)
 {
 	memset(out, 0, sizeof(*out));
 	strcpy(out->ref, job->ref);
@@ -131,7 +131,7 @@
 	out->has_run = !out->final || fl_json_get(v, "Ref");
 	if (!out->has_run)
 		return 0;
-	if (fl_run_decode(v, &out->run) != NULL || strcmp(out->run.ref, ref) != 0)
+	if (fl_job_spec_decode(v, &out->run) != NULL || strcmp(out->run.ref, ref) != 0)
 		return -EPROTO;
 	if (!out->final)
 		out->n_tasks = out->run.n_tasks;
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -12,7 +12,7 @@
 #define FL_PREFIX_JOBS "j/"
 #define FL_PREFIX_FINISHED "f/"
 #define FL_PREFIX_PROGRESS "p/"
-#define FL_PREFIX_KEPT "k/"
+#define FL_PREFIX_CACHED "k/"
 #define FL_PREFIX_LOG "w/"
 #define FL_KEY_LOG "w/0" /* in every write of the log */
 
@@ -28,7 +28,7 @@
 	enum fl_status status; /* when final */
 	uint32_t n_tasks;
 	bool has_run; /* a cancelled job keeps its description until its tasks are gone */
-	struct fl_run run;
+	struct fl_job_spec run;
 	double submitted;
 	double cancelled; /* wall; 0: not, or not said */
 };
@@ -41,11 +41,11 @@
 int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
                     uint64_t *rev);
 
-cJSON *fl_job_record_live(const struct fl_run *run, double submitted);
+cJSON *fl_job_record_live(const struct fl_job_spec *run, double submitted);
 cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks);
 /* A job that its user has cancelled and whose tasks have still to go. */
-cJSON *fl_job_record_cancelled(const struct fl_run *run, double submitted, double cancelled);
-void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_run *out);
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *run, double submitted, double cancelled);
+void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out);
 /* Of the job with this id; -EPROTO if any of it cannot be read. */
 int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out);
 /*
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -74,7 +74,8 @@
 /*
  * Why a request cannot be served, or NULL. All is said with 400: users try again whatever they are
  * told otherwise, and this will not become better. A request that its length does not fit is one
- * too, when its caller has closed or sends no more; a caller that sent nothing is owed nothing.
+ * too, when its caller has closed or sends no more; a caller that sent nothing is within its
+ * guarantee nothing.
  */
 static const char *broken(const struct fl_msg *msg, int rc)
 {
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -156,7 +156,7 @@
 extern const struct sim_team sim_teams[SIM_TEAMS];
 
 struct sim_job {
-	struct fl_run run;
+	struct fl_job_spec run;
 	char *text;    /* as it is submitted */
 	bool bad;      /* must be refused */
 	double submit; /* s from the beginning */
@@ -185,7 +185,7 @@
 
 struct sim_machine {
 	char name[32];
-	int kind, zone;
+	int type, zone;
 	bool spot, up, gone, failed, never_up, listed, hung;
 	double rented, ready, gone_at, hung_since, reclaim_at;
 	uint64_t session, seq, epoch;
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -64,7 +64,7 @@
 	}
 }
 
-static bool type_allowed(const struct fl_run *r, const char *kind)
+static bool type_allowed(const struct fl_job_spec *r, const char *kind)
 {
 	for (int i = 0; i < r->n_machine_types; i++)
 		if (strcmp(r->machine_types[i], kind) == 0)
@@ -89,11 +89,11 @@
 /* NULL, or why no further task of the job may begin here. */
 static const char *misplaced(const struct sim_job *job, const struct sim_machine *m)
 {
-	const struct fl_run *r = &job->run;
+	const struct fl_job_spec *r = &job->run;
 	int here, away;
 
 	spread(job, m->zone, &here, &away);
-	if (!type_allowed(r, sim_machine_types[m->kind].name))
+	if (!type_allowed(r, sim_machine_types[m->type].name))
 		return "type";
 	if (r->has_zone && strcmp(r->zone, sim.config[0].zones[m->zone]) != 0)
 		return "zone";
@@ -276,7 +276,7 @@
 
 static bool has_room(const struct sim_machine *m, const struct sim_job *job)
 {
-	const struct sim_machine_type *k = &sim_machine_types[m->kind];
+	const struct sim_machine_type *k = &sim_machine_types[m->type];
 	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
 
 	if (!m->up || m->gone || m->hung || m->reclaim_at > 0 || misplaced(job, m))
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -62,7 +62,7 @@
 	say(resp, 200, o);
 }
 
-static int kind_of(const char *name)
+static int type_of(const char *name)
 {
 	for (int i = 0; i < SIM_MACHINE_TYPES; i++)
 		if (strcmp(sim_machine_types[i].name, name) == 0)
@@ -78,26 +78,26 @@
 	return -1;
 }
 
-static int rented(int kind, int zone, bool spot)
+static int rented(int type, int zone, bool spot)
 {
 	int n = 0;
 
 	for (int i = 0; i < sim.n_machines; i++) {
 		const struct sim_machine *m = &sim.machine[i];
 
-		n += !m->gone && m->kind == kind && m->zone == zone && m->spot == spot;
+		n += !m->gone && m->type == type && m->zone == zone && m->spot == spot;
 	}
 	return n;
 }
 
-static void rent_one(int kind, int zone, bool spot)
+static void rent_one(int type, int zone, bool spot)
 {
 	struct sim_machine *m = &sim.machine[sim.n_machines];
 
 	sim_must(sim.n_machines < SIM_MACHINES);
 	memset(m, 0, sizeof(*m));
 	snprintf(m->name, sizeof(m->name), "m-%06d", sim.n_machines + 1);
-	m->kind = kind;
+	m->type = type;
 	m->zone = zone;
 	m->spot = spot;
 	m->rented = fl_now();
@@ -105,7 +105,7 @@
 	/* At times up within a second or two: long before it is listed. */
 	m->ready = fl_now() + (sim_chance(0.2)
 	                               ? sim_between(0.5, 2)
-	                               : sim_between(0.6, 1.5) * sim_machine_types[kind].ready_s);
+	                               : sim_between(0.6, 1.5) * sim_machine_types[type].ready_s);
 	if (spot && sim_chance(0.15))
 		m->reclaim_at = fl_now() + sim_between(30, 120);
 	sim_worker_boot(sim.n_machines++);
@@ -123,18 +123,18 @@
 static void rent(int process, const struct fl_request *req, struct fl_response *resp)
 {
 	cJSON *o = fl_json_parse(req->body, req->body_len);
-	char name[64] = "", kind[64] = "", zone[64] = "";
+	char name[64] = "", type[64] = "", zone[64] = "";
 	double count = 0;
 	bool spot = false;
 	int k, z, room;
 
 	fl_json_str(o, "Rental", name, sizeof(name));
-	fl_json_str(o, "HostKind", kind, sizeof(kind));
+	fl_json_str(o, "HostKind", type, sizeof(type));
 	fl_json_str(o, "Site", zone, sizeof(zone));
 	fl_json_bool(o, "Reclaimable", &spot);
 	fl_json_amount(o, "Count", &count);
 	cJSON_Delete(o);
-	k = kind_of(kind);
+	k = type_of(type);
 	z = zone_of(zone);
 	if (!name[0] || k < 0 || z < 0 || count < 1 || count > 50) {
 		say(resp, 400, NULL);
@@ -216,7 +216,7 @@
 		sim_address((struct sim_end){END_WORKER, i}, addr);
 		cJSON_AddStringToObject(e, "Ref", m->name);
 		cJSON_AddStringToObject(e, "Endpoint", addr);
-		cJSON_AddStringToObject(e, "HostKind", sim_machine_types[m->kind].name);
+		cJSON_AddStringToObject(e, "HostKind", sim_machine_types[m->type].name);
 		cJSON_AddStringToObject(e, "Site", sim.config[0].zones[m->zone]);
 		cJSON_AddBoolToObject(e, "Reclaimable", m->spot);
 		cJSON_AddStringToObject(e, "Status",
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -262,17 +262,17 @@
 
 static void free_standby(struct fl_standby *k)
 {
-	struct fl_kept *kept, *tmp;
-	struct fl_guest *guest, *next;
+	struct fl_cached_report *cached, *tmp;
+	struct fl_misplaced_worker *worker, *next;
 
-	HASH_ITER (hh, k->kept, kept, tmp) {
-		HASH_DEL(k->kept, kept);
-		free(kept->text);
-		free(kept);
+	HASH_ITER (hh, k->cached, cached, tmp) {
+		HASH_DEL(k->cached, cached);
+		free(cached->text);
+		free(cached);
 	}
-	HASH_ITER (hh, k->guests, guest, next) {
-		HASH_DEL(k->guests, guest);
-		free(guest);
+	HASH_ITER (hh, k->misplaced, worker, next) {
+		HASH_DEL(k->misplaced, worker);
+		free(worker);
 	}
 }
 
@@ -282,7 +282,7 @@
 
 	if (!n)
 		return;
-	fl_record_writer_free_trash(n);
+	fl_record_writer_free_pending(n);
 	free_standby(&n->standby);
 	fl_cluster_free(&n->cluster);
 	free(n);
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -243,7 +243,7 @@
 			job->bad = true;
 			free(job->text);
 			job->run.cpus = 500;
-			job->text = fl_json_take(fl_run_encode(&job->run));
+			job->text = fl_json_take(fl_job_spec_encode(&job->run));
 			if (sim_chance(0.5))
 				job->text[strlen(job->text) / 2] = 0;
 			sim_spawn(0, user, job);
@@ -253,7 +253,7 @@
 
 /* ---- the day's jobs ---- */
 
-static void shape(struct fl_run *r)
+static void shape(struct fl_job_spec *r)
 {
 	r->kind = sim_chance(0.3) ? FL_SERVICE : FL_ARRAY;
 	r->priority = (enum fl_priority)sim_pick(4);
@@ -278,7 +278,7 @@
 struct sim_job *sim_job_add(double submit)
 {
 	struct sim_job *job = &sim.job[sim.n_jobs];
-	struct fl_run *r = &job->run;
+	struct fl_job_spec *r = &job->run;
 
 	sim_must(sim.n_jobs < SIM_JOBS);
 	memset(job, 0, sizeof(*job));
@@ -303,7 +303,7 @@
 	job->cancel = -1;
 	if (r->kind == FL_SERVICE ? sim_chance(0.5) : sim_chance(0.15))
 		job->cancel = submit + sim_between(20, 90);
-	job->text = fl_json_take(fl_run_encode(r));
+	job->text = fl_json_take(fl_job_spec_encode(r));
 	sim.n_jobs++;
 	return job;
 }
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -176,7 +176,7 @@
 
 static bool has_room(const struct sim_machine *m, const struct sim_job *job)
 {
-	const struct sim_machine_type *k = &sim_machine_types[m->kind];
+	const struct sim_machine_type *k = &sim_machine_types[m->type];
 	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
 
 	for (int i = 0; i < m->n_tasks; i++) {
@@ -233,7 +233,7 @@
 
 static void stop(struct sim_machine *m, struct sim_task *t, double wind_down_s)
 {
-	const struct fl_run *run = &t->job->run;
+	const struct fl_job_spec *run = &t->job->run;
 
 	if (t->report.state == FL_FLUSHING) {
 		if (wind_down_s <= 0)
@@ -314,7 +314,7 @@
 
 	strcpy(r.host, m->name);
 	sim_address((struct sim_end){END_WORKER, index_of(m)}, r.endpoint);
-	strcpy(r.kind, sim_machine_types[m->kind].name);
+	strcpy(r.type, sim_machine_types[m->type].name);
 	strcpy(r.zone, sim.config[0].zones[m->zone]);
 	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at - rule.notice_s)
 		r.reclaim_in_s = m->reclaim_at > fl_now() ? m->reclaim_at - fl_now() : 0;
--- a/tests/standins.c
+++ b/tests/standins.c
@@ -456,7 +456,7 @@
 
 	strcpy(r.host, m->name);
 	strcpy(r.endpoint, m->addr);
-	strcpy(r.kind, "small");
+	strcpy(r.type, "small");
 	strcpy(r.zone, "a");
 	for (int i = 0; i < TASKS; i++) {
 		struct task *t = &m->at[i];
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -21,13 +21,13 @@
 	"\"Together\":true,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":240.0,"
 	"\"SnapshotEveryS\":30.0,\"SnapshotCostS\":4.0,\"DueS\":900.0,\"Later\":[1]}";
 
-static const char *decode(const char *text, struct fl_run *run)
+static const char *decode(const char *text, struct fl_job_spec *run)
 {
 	cJSON *o = fl_json_parse(text, strlen(text));
 	const char *bad;
 
 	assert_non_null(o);
-	bad = fl_run_decode(o, run);
+	bad = fl_job_spec_decode(o, run);
 	cJSON_Delete(o);
 	return bad;
 }
@@ -35,7 +35,7 @@
 /* The good body with one field's value replaced. */
 static const char *with(const char *field, const char *value)
 {
-	static struct fl_run run;
+	static struct fl_job_spec run;
 	cJSON *o = fl_json_parse(good, strlen(good)), *v = fl_json_parse(value, strlen(value));
 	const char *bad;
 	char *text;
@@ -52,7 +52,7 @@
 
 static void a_good_run_is_read_and_written_back(void **state)
 {
-	struct fl_run run, again;
+	struct fl_job_spec run, again;
 	char *text;
 
 	(void)state;
@@ -61,7 +61,7 @@
 	assert_int_equal(run.n_tasks, 16);
 	assert_int_equal(run.priority, FL_URGENT);
 	assert_false(run.has_zone);
-	text = fl_json_take(fl_run_encode(&run));
+	text = fl_json_take(fl_job_spec_encode(&run));
 	assert_null(decode(text, &again));
 	assert_memory_equal(&run, &again, sizeof(run));
 	free(text);
@@ -221,7 +221,7 @@
 	(void)state;
 	assert_int_equal(fl_relay_decode(text, strlen(text), &r), 0);
 	assert_int_equal(r.call, FL_CALL_REPORT);
-	assert_true(r.last_hop && r.adrift && !r.ref[0]);
+	assert_true(r.last_hop && r.disconnected && !r.ref[0]);
 	assert_string_equal(r.via, "host-3");
 	assert_string_equal(r.body, "{}");
 	fl_relay_free(&r);
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -104,7 +104,7 @@
 
 static void describe(const struct sim_job *job)
 {
-	const struct fl_run *r = &job->run;
+	const struct fl_job_spec *r = &job->run;
 
 	print_message("  %s %s %s priority %d, %u x %g cpus %g gpus %g GB, %s%s%s%s%s, cancel %g, "
 	              "%d starts\n",
@@ -270,14 +270,14 @@
 {
 	/* Tasks that are long in saving: a report from before their launch may come meanwhile. */
 	for (int i = 0; i < sim.n_jobs; i++) {
-		struct fl_run *r = &sim.job[i].run;
+		struct fl_job_spec *r = &sim.job[i].run;
 
 		if (r->kind != FL_ARRAY)
 			continue;
 		r->checkpoint_every_s = 2;
 		r->checkpoint_cost_s = sim_between(3, 8);
 		free(sim.job[i].text);
-		sim.job[i].text = fl_json_take(fl_run_encode(r));
+		sim.job[i].text = fl_json_take(fl_job_spec_encode(r));
 	}
 	sim_trouble(LATE_REPORTS, 5, 90, 0, 0.9, 0);
 	sim_trouble(MORE_JOBS, 25, 1, 0, 0, 10);
@@ -370,14 +370,14 @@
 	double t = sim_between(40, 55);
 
 	for (int i = 0; i < sim.n_jobs; i++) {
-		struct fl_run *r = &sim.job[i].run;
+		struct fl_job_spec *r = &sim.job[i].run;
 
 		if (i % 2 || r->apart)
 			continue;
 		r->has_zone = true;
 		strcpy(r->zone, sim.config[0].zones[i % sim.n_zones]);
 		free(sim.job[i].text);
-		sim.job[i].text = fl_json_take(fl_run_encode(r));
+		sim.job[i].text = fl_json_take(fl_job_spec_encode(r));
 	}
 	sim_trouble(TAKE_MACHINES, t, 1, 0, 0.5, 0);
 	if (variant % 2)
@@ -536,7 +536,7 @@
 	{"held_report", "reconcile.c: from_before, newer", 3, held_report, 0},
 	{"zone_loses", "schedule.c, provision.c: places; reconcile.c: gone", 3, zone_loses, 0},
 	{"hand_over", "lease.c: epochs; takeover.c", 3, hand_over, 0},
-	{"overload", "schedule.c: limits, promises; record_writer.c: the log", 3, overload, 0},
+	{"overload", "schedule.c: limits, reservations; record_writer.c: the log", 3, overload, 0},
 	{"held_command", "reconcile.c: absence_proves, may_forget", 3, held_command, 0},
 	{"ten_leaders", "lease.c: epochs; takeover.c; record_writer.c", 3, ten_leaders, 0},
 	{"cancel_at_end", "answer.c: finishing, unsure; record_writer.c: finalise", 4,
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -41,7 +41,7 @@
 	n->lease.held = true;
 	n->lease.valid_until = fl_now() + 1e6;
 	n->lease.epoch = n->lead.first_epoch = n->epoch = epoch;
-	n->proof_at = n->jobs_at = fl_now();
+	n->leadership_confirmed_at = n->cancellations_known_until = fl_now();
 	strcpy(n->leader, "n0");
 }
 
@@ -49,12 +49,12 @@
 {
 	struct fl_offered_type kind = {
 		.name = "g", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .n_zones = 2};
-	struct fl_run run = {.n_tasks = 4,
-	                     .cpus = 1,
-	                     .ram_gb = 1,
-	                     .priority = FL_STANDARD,
-	                     .n_machine_types = -1,
-	                     .due_s = -1};
+	struct fl_job_spec run = {.n_tasks = 4,
+	                          .cpus = 1,
+	                          .ram_gb = 1,
+	                          .priority = FL_STANDARD,
+	                          .n_machine_types = -1,
+	                          .due_s = -1};
 	struct fixture *f = calloc(1, sizeof(*f));
 	struct fl_cluster *b;
 
@@ -85,17 +85,17 @@
 static int tear_down(void **state)
 {
 	struct fixture *f = *state;
-	struct fl_kept *k, *tmp;
+	struct fl_cached_report *k, *tmp;
 
-	HASH_ITER (hh, f->node.standby.kept, k, tmp) {
-		HASH_DEL(f->node.standby.kept, k);
+	HASH_ITER (hh, f->node.standby.cached, k, tmp) {
+		HASH_DEL(f->node.standby.cached, k);
 		free(k->text);
 		free(k);
 	}
-	while (f->node.standby.guests) {
-		struct fl_guest *g = f->node.standby.guests;
+	while (f->node.standby.misplaced) {
+		struct fl_misplaced_worker *g = f->node.standby.misplaced;
 
-		HASH_DEL(f->node.standby.guests, g);
+		HASH_DEL(f->node.standby.misplaced, g);
 		free(g);
 	}
 	fl_cluster_free(&f->node.cluster);
@@ -115,19 +115,19 @@
 
 	strcpy(r.host, "m-000001");
 	strcpy(r.endpoint, "127.0.0.1:1");
-	strcpy(r.kind, "g");
+	strcpy(r.type, "g");
 	strcpy(r.zone, "a");
 	return r;
 }
 
 /* Hands a report in; the number of orders in its answer, or the refusal. */
-static int hear(struct fixture *f, struct fl_report r, enum fl_way way)
+static int hear(struct fixture *f, struct fl_report r, enum fl_report_source source)
 {
 	struct fl_orders orders;
 	int rc, n;
 
 	fl_orders_init(&orders, f->node.lease.epoch);
-	rc = fl_reconcile_report(&f->node, &r, way == FL_WAY_REPORT ? &orders : NULL, way);
+	rc = fl_reconcile_report(&f->node, &r, source == FL_SOURCE_REPORT ? &orders : NULL, source);
 	n = orders.n;
 	cJSON_Delete(orders.root);
 	return rc ? rc : n;
@@ -165,11 +165,11 @@
 	struct fl_task *t;
 	int launches = 0;
 
-	assert_int_equal(hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT), 0);
+	assert_int_equal(hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT), 0);
 	t = place(f, 0);
 	for (uint64_t seq = 2; seq < 5; seq++) {
 		ago(f, 5);
-		launches += hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
+		launches += hear(f, report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_int_equal(launches, 3);
 	assert_true(fl_reachability_doubted(machine(f)));
@@ -179,13 +179,13 @@
 	assert_int_equal(t->phase, FL_TASK_PLACED);
 	assert_int_equal(f->job->n_waiting, 3);
 	ago(f, 5);
-	assert_int_equal(hear(f, report(2, 5, EPOCH, NULL, 0), FL_WAY_REPORT), 0);
+	assert_int_equal(hear(f, report(2, 5, EPOCH, NULL, 0), FL_SOURCE_REPORT), 0);
 	assert_int_equal(t->phase, FL_TASK_WAITING);
 	assert_int_equal(f->job->n_waiting, 4);
 	assert_true(fl_reachability_doubted(machine(f)));
 	/* Gone for good: its work is free once, and a later report changes nothing. */
 	fl_reconcile_gone(&f->node, machine(f), "returned");
-	assert_int_equal(hear(f, report(2, 6, EPOCH, NULL, 0), FL_WAY_REPORT), -ENOENT);
+	assert_int_equal(hear(f, report(2, 6, EPOCH, NULL, 0), FL_SOURCE_REPORT), -ENOENT);
 	assert_int_equal(f->job->n_waiting, 4);
 }
 
@@ -194,19 +194,19 @@
 {
 	struct fixture *f = *state;
 
-	assert_int_equal(hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT), 0);
+	assert_int_equal(hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT), 0);
 	assert_false(fl_reachability_doubted(machine(f)));
 	/* A worker that had its answer reports within seconds; this one waited it out. */
 	ago(f, 5);
-	hear(f, report(1, 2, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 2, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	assert_true(fl_reachability_doubted(machine(f)));
 	for (uint64_t session = 2; session < 4; session++) {
 		ago(f, 5);
-		hear(f, report(session, 10 * session, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(session, 10 * session, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_true(fl_reachability_lost_at(machine(f)) < INFINITY);
 	/* Once it answers a command itself, all is well again. */
-	hear(f, report(3, 31, EPOCH, NULL, 0), FL_WAY_COMMAND);
+	hear(f, report(3, 31, EPOCH, NULL, 0), FL_SOURCE_COMMAND);
 	assert_true(fl_reachability_lost_at(machine(f)) == INFINITY);
 }
 
@@ -215,25 +215,25 @@
 {
 	struct fixture *f = *state;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place(f, 0);
 	for (uint64_t seq = 2; seq < 5; seq++) {
 		ago(f, 1);
-		hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_true(fl_reachability_doubted(machine(f)));
-	hear(f, report(1, 5, EPOCH, NULL, 0), FL_WAY_COMMAND);
+	hear(f, report(1, 5, EPOCH, NULL, 0), FL_SOURCE_COMMAND);
 	assert_false(fl_reachability_doubted(machine(f)));
-	fl_task_peek(f->job, 0)->told = false;
+	fl_task_peek(f->job, 0)->launch_sent = false;
 	f->node.lease.epoch++;
 	for (uint64_t seq = 6; seq < 9; seq++) {
 		ago(f, 1);
 		fl_task_peek(f->job, 0)->stop = FL_STOP_PREEMPT;
-		hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_true(fl_reachability_doubted(machine(f)));
 	ago(f, 1);
-	hear(f, report(1, 9, EPOCH + 1, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 9, EPOCH + 1, NULL, 0), FL_SOURCE_REPORT);
 	assert_false(fl_reachability_doubted(machine(f)));
 }
 
@@ -243,22 +243,22 @@
 	struct fl_task_report p = running(0, 1);
 	struct fl_task *t;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	t = place(f, 0);
-	assert_int_equal(hear(f, report(1, 2, EPOCH, NULL, 0), FL_WAY_REPORT), 1);
+	assert_int_equal(hear(f, report(1, 2, EPOCH, NULL, 0), FL_SOURCE_REPORT), 1);
 	ago(f, 1);
-	assert_int_equal(hear(f, report(1, 3, EPOCH, NULL, 0), FL_WAY_REPORT), 1);
+	assert_int_equal(hear(f, report(1, 3, EPOCH, NULL, 0), FL_SOURCE_REPORT), 1);
 	assert_false(fl_reachability_doubted(machine(f)));
 	ago(f, 1);
-	hear(f, report(1, 4, EPOCH, &p, 1), FL_WAY_REPORT);
+	hear(f, report(1, 4, EPOCH, &p, 1), FL_SOURCE_REPORT);
 	assert_int_equal(machine(f)->unheard, 0);
-	assert_int_equal(t->sight, FL_SEEN_RUNNING);
+	assert_int_equal(t->observed, FL_OBSERVED_RUNNING);
 	/* A longer pause, as after an outage, is over with the next prompt report. */
 	ago(f, 6);
-	hear(f, report(1, 5, EPOCH, &p, 1), FL_WAY_REPORT);
+	hear(f, report(1, 5, EPOCH, &p, 1), FL_SOURCE_REPORT);
 	assert_true(fl_reachability_doubted(machine(f)));
 	ago(f, 2);
-	hear(f, report(1, 6, EPOCH, &p, 1), FL_WAY_REPORT);
+	hear(f, report(1, 6, EPOCH, &p, 1), FL_SOURCE_REPORT);
 	assert_false(fl_reachability_doubted(machine(f)));
 }
 
@@ -276,7 +276,7 @@
 	for (r.via = 1; r.via <= 3; r.via++) {
 		/* To another node it comes when it has waited its answer out, or was sent. */
 		for (int i = 0; i < 3; i++) {
-			hear(f, r, FL_WAY_REPORT);
+			hear(f, r, FL_SOURCE_REPORT);
 			assert_int_equal(fl_reachability_doubted(machine(f)), r.via > 1 && i == 0);
 			ago(f, 6);
 			r.seq++;
@@ -284,17 +284,17 @@
 	}
 	/* Even then its own answer to a command, or a launch that shows, ends the doubt. */
 	r.via = 1;
-	hear(f, r, FL_WAY_REPORT);
+	hear(f, r, FL_SOURCE_REPORT);
 	assert_true(fl_reachability_doubted(machine(f)));
 	r.seq++;
-	hear(f, r, FL_WAY_COMMAND);
+	hear(f, r, FL_SOURCE_COMMAND);
 	assert_false(fl_reachability_doubted(machine(f)));
 	/* Where there is no other node, only a launch without effect can tell. */
 	f->node.n_peers = 0;
 	for (int i = 0; i < 3; i++) {
 		ago(f, 6);
 		r.seq++;
-		hear(f, r, FL_WAY_REPORT);
+		hear(f, r, FL_SOURCE_REPORT);
 		assert_false(fl_reachability_doubted(machine(f)));
 	}
 }
@@ -307,9 +307,9 @@
 	struct fl_task *t;
 
 	/* A machine that the leader before returned: no record, no list names it any more. */
-	assert_int_equal(hear(f, report(1, 50, EPOCH - 1, &p, 1), FL_WAY_REPORT), 0);
+	assert_int_equal(hear(f, report(1, 50, EPOCH - 1, &p, 1), FL_SOURCE_REPORT), 0);
 	assert_null(machine(f));
-	assert_int_equal(hear(f, report(1, 50, EPOCH - 1, &p, 1), FL_WAY_HEARSAY), 0);
+	assert_int_equal(hear(f, report(1, 50, EPOCH - 1, &p, 1), FL_SOURCE_FORWARDED), 0);
 	assert_null(machine(f));
 	/* One that is known from a record: the copy neither shows life nor what is absent. */
 	fl_cluster_describe(&f->node.cluster,
@@ -319,12 +319,12 @@
 		fl_task_restore(&f->node.cluster, f->job, 1, 3, machine(f), 1, 0, fl_now()), 0);
 	t = fl_task_peek(f->job, 1);
 	t->stop = FL_STOP_PREEMPT;
-	assert_int_equal(hear(f, report(9, 50, EPOCH - 1, &p, 1), FL_WAY_REPORT), 0);
+	assert_int_equal(hear(f, report(9, 50, EPOCH - 1, &p, 1), FL_SOURCE_REPORT), 0);
 	assert_false(machine(f)->up);
 	assert_true(machine(f)->heard == 0);
 	assert_int_equal(t->phase, FL_TASK_PLACED);
 	/* The worker itself has seen the answer and reports with the epoch: now it counts. */
-	assert_int_equal(hear(f, report(1, 70, EPOCH, NULL, 0), FL_WAY_REPORT), 0);
+	assert_int_equal(hear(f, report(1, 70, EPOCH, NULL, 0), FL_SOURCE_REPORT), 0);
 	assert_true(machine(f)->up);
 	assert_int_equal(t->phase, FL_TASK_WAITING);
 }
@@ -335,20 +335,23 @@
 	struct fl_task_report p = running(0, 1);
 	double heard;
 
-	hear(f, report(2, 10, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(2, 10, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place(f, 0);
-	hear(f, report(2, 12, EPOCH, &p, 1), FL_WAY_REPORT);
+	hear(f, report(2, 12, EPOCH, &p, 1), FL_SOURCE_REPORT);
 	machine(f)->heard = machine(f)->reached = heard = fl_now() - 30;
-	for (int way = FL_WAY_REPORT; way <= FL_WAY_HEARSAY; way++) {
+	for (int source = FL_SOURCE_REPORT; source <= FL_SOURCE_FORWARDED; source++) {
 		/* Older, of the same number, and of an earlier session with a higher number. */
-		assert_int_equal(hear(f, report(2, 11, EPOCH, NULL, 0), (enum fl_way)way), 0);
-		assert_int_equal(hear(f, report(2, 12, EPOCH, &p, 1), (enum fl_way)way), 0);
-		assert_int_equal(hear(f, report(1, 99, EPOCH, NULL, 0), (enum fl_way)way), 0);
+		assert_int_equal(
+			hear(f, report(2, 11, EPOCH, NULL, 0), (enum fl_report_source)source), 0);
+		assert_int_equal(
+			hear(f, report(2, 12, EPOCH, &p, 1), (enum fl_report_source)source), 0);
+		assert_int_equal(
+			hear(f, report(1, 99, EPOCH, NULL, 0), (enum fl_report_source)source), 0);
 	}
 	assert_true(machine(f)->heard == heard && machine(f)->reached == heard);
 	assert_int_equal(f->job->n_placed, 1);
 	fl_reconcile_gone(&f->node, machine(f), "test");
-	assert_int_equal(hear(f, report(2, 13, EPOCH, &p, 1), FL_WAY_REPORT), -ENOENT);
+	assert_int_equal(hear(f, report(2, 13, EPOCH, &p, 1), FL_SOURCE_REPORT), -ENOENT);
 	assert_true(machine(f)->gone && !machine(f)->up);
 }
 
@@ -361,14 +364,14 @@
 	struct fixture *f = *state;
 	struct fl_task *t;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	t = place(f, 0);
-	assert_int_equal(hear(f, report(1, 2, EPOCH, NULL, 0), FL_WAY_REPORT), 1);
+	assert_int_equal(hear(f, report(1, 2, EPOCH, NULL, 0), FL_SOURCE_REPORT), 1);
 	t->stop = FL_STOP_PREEMPT;
-	hear(f, report(1, 3, EPOCH, NULL, 0), FL_WAY_COMMAND);
+	hear(f, report(1, 3, EPOCH, NULL, 0), FL_SOURCE_COMMAND);
 	assert_int_equal(t->phase, FL_TASK_PLACED);
 	/* Its own next report is sent when the answer has been carried out or dropped. */
-	hear(f, report(1, 4, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 4, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	assert_int_equal(t->phase, FL_TASK_WAITING);
 }
 
@@ -385,9 +388,9 @@
 	for (int i = 0; i < peers; i++) {
 		snprintf(n->peers[i].name, sizeof(n->peers[i].name), "n%d", i + 1);
 		strcpy(n->peers[i].location, "b");
-		n->peers[i].heard_at = n->peers[i].told_at = -1e9;
+		n->peers[i].heard_at = n->peers[i].sent_all_at = -1e9;
 	}
-	n->jobs_at = n->state.last_ok = fl_now();
+	n->cancellations_known_until = n->state.last_ok = fl_now();
 	n->state.last_refusal = -1e9;
 }
 
@@ -431,12 +434,12 @@
 {
 	struct fixture *f = *state;
 	struct fl_task_report p = running(0, 1);
-	struct fl_kept *k;
+	struct fl_cached_report *k;
 	double at;
 
 	follow(f, 0);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 200);
-	k = f->node.standby.kept;
+	k = f->node.standby.cached;
 	assert_non_null(k);
 	k->at = at = fl_now() - 9;
 	k->stored = true;
@@ -450,7 +453,7 @@
 /* The record of the job, cancelled so long ago. */
 static cJSON *cancelled_record(struct fixture *f, double seconds)
 {
-	struct fl_run run;
+	struct fl_job_spec run;
 
 	fl_job_describe(&f->node.cluster, f->job, &run);
 	return fl_job_record_cancelled(&run, 1, fl_wall() - seconds);
@@ -469,16 +472,16 @@
  * Found with controllers eight times slower: nobody led for long enough to stop anything, and all
  * kept what had been cancelled, with fresh proofs, past the time in which it must be gone.
  */
-static void what_was_cancelled_is_not_kept_past_its_time(void **state)
+static void what_was_cancelled_is_not_renewed_past_its_time(void **state)
 {
 	struct fixture *f = *state;
-	double keep = f->config.cancel_s - f->config.lease_s - 1;
+	double cache_report = f->config.cancel_s - f->config.lease_s - 1;
 	struct fl_task_report p = running(0, 1);
 	struct fl_finished_job *final;
 
 	follow(f, 0);
 	/* One more lease still ends before the tasks must be gone. */
-	hear_of_cancel(f, keep - 2);
+	hear_of_cancel(f, cache_report - 2);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 200);
 	final = fl_finished_find(&f->node.cluster, p.ref);
 	assert_non_null(final);
@@ -491,7 +494,7 @@
 	p.state = FL_ENDED;
 	assert_int_equal(send_report(f, report(1, 23, EPOCH, &p, 1), NULL), 200);
 	/* With the jobs not heard of for so long, any may have been cancelled. */
-	f->node.jobs_at = fl_now() - keep - 1;
+	f->node.cancellations_known_until = fl_now() - cache_report - 1;
 	f->node.jobs_known = true;
 	assert_int_equal(send_report(f, report(1, 24, EPOCH, NULL, 0), NULL), 503);
 }
@@ -519,18 +522,19 @@
 {
 	struct fixture *f = *state, *other;
 	struct fl_task_report p = running(0, 1);
-	double keep = f->config.cancel_s - f->config.lease_s - 1;
+	double cache_report = f->config.cancel_s - f->config.lease_s - 1;
 
 	set_up((void **)&other);
 	follow(f, 2);
 	follow(other, 2);
-	f->node.jobs_at = fl_now() - keep - 1;
+	f->node.cancellations_known_until = fl_now() - cache_report - 1;
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 503);
 	/* The other has read the records 3 s ago, and a job has been cancelled since. */
 	hear_of_cancel(other, 1);
-	other->node.jobs_at = fl_now() - 3;
+	other->node.cancellations_known_until = fl_now() - 3;
 	gossip(f, 0, other, 0.01);
-	assert_true(f->node.jobs_at > fl_now() - 4 && f->node.jobs_at < fl_now() - 3);
+	assert_true(f->node.cancellations_known_until > fl_now() - 4 &&
+	            f->node.cancellations_known_until < fl_now() - 3);
 	assert_int_equal(send_report(f, report(1, 21, EPOCH, &p, 1), NULL), 200);
 	assert_int_equal(kills_in_answer, 1);
 	/* What has ended needs no stop, and what is not cancelled gets none. */
@@ -552,25 +556,26 @@
 static void what_all_controllers_know_is_as_good_as_a_read(void **state)
 {
 	struct fixture *f = *state, *a, *b;
-	double keep = f->config.cancel_s - f->config.lease_s - 1, old;
+	double cache_report = f->config.cancel_s - f->config.lease_s - 1, old;
 
 	set_up((void **)&a);
 	set_up((void **)&b);
 	follow(f, 2);
 	follow(a, 2);
 	follow(b, 2);
-	old = f->node.jobs_at = a->node.jobs_at = b->node.jobs_at = fl_now() - keep - 1;
+	old = f->node.cancellations_known_until = a->node.cancellations_known_until =
+		b->node.cancellations_known_until = fl_now() - cache_report - 1;
 	gossip(f, 0, a, 0.1);
-	assert_true(f->node.jobs_at <= old);
+	assert_true(f->node.cancellations_known_until <= old);
 	b->node.jobs_known = false; /* back since a moment ago: what did the one before it say? */
 	gossip(f, 1, b, 0.1);
-	assert_true(f->node.jobs_at <= old);
+	assert_true(f->node.cancellations_known_until <= old);
 	b->node.jobs_known = true;
 	gossip(f, 1, b, 2.0); /* it stood still between the question and its sending */
-	assert_true(f->node.jobs_at <= old);
+	assert_true(f->node.cancellations_known_until <= old);
 	b->node.cluster.finished_lost_at = fl_now(); /* something learned is not held any more */
 	gossip(f, 1, b, 0.1);
-	assert_true(f->node.jobs_at <= old);
+	assert_true(f->node.cancellations_known_until <= old);
 	b->node.cluster.finished_lost_at = -1e9;
 	for (int i = 0; i <= FL_GOSSIP_CANCELLED_MAX; i++) {
 		char ref[FL_REF_MAX];
@@ -579,21 +584,22 @@
 		fl_finished_add(&b->node.cluster, ref, FL_CANCELLED, 1, fl_now());
 	}
 	gossip(f, 1, b, 0.1);
-	assert_true(f->node.jobs_at <= old);
+	assert_true(f->node.cancellations_known_until <= old);
 	for (struct fl_finished_job *e = b->node.cluster.finished; e; e = e->hh.next)
 		e->learned_at = old - 9; /* known before what the asker knows: not told again */
 	/* The last thing that it learned, and the only one that is told. */
 	fl_finished_add(&b->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
 	gossip(f, 1, b, 0.1);
-	assert_true(f->node.jobs_at > fl_now() - 1 && f->node.jobs_at < fl_now());
+	assert_true(f->node.cancellations_known_until > fl_now() - 1 &&
+	            f->node.cancellations_known_until < fl_now());
 	assert_int_equal(HASH_COUNT(f->node.cluster.finished), 1);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, NULL, 0), NULL), 200);
 	/* This node itself has not read since it started. */
-	f->node.jobs_at = old;
+	f->node.cancellations_known_until = old;
 	f->node.jobs_known = false;
 	gossip(f, 0, a, 0.1);
 	gossip(f, 1, b, 0.1);
-	assert_true(f->node.jobs_at <= old);
+	assert_true(f->node.cancellations_known_until <= old);
 	tear_down((void **)&a);
 	tear_down((void **)&b);
 }
@@ -605,7 +611,7 @@
 	struct fl_task_report p = running(0, 1);
 	cJSON *v = cancelled_record(f, 1);
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	p.attempt = place(f, 0)->attempt;
 	assert_non_null(fl_cluster_apply(&f->node.cluster, f->job->ref, v, 9));
 	cJSON_Delete(v);
@@ -641,13 +647,13 @@
 
 	fl_routines_init(loop);
 	follow(f, 0);
-	f->node.jobs_at = -1e9;
+	f->node.cancellations_known_until = -1e9;
 	f->node.jobs_known = false;
 	assert_non_null(fl_spawn(send_and_wait, &w));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(w.status, 0);
 	hear_of_cancel(f, f->config.cancel_s - f->config.lease_s + 1);
-	f->node.jobs_at = fl_now();
+	f->node.cancellations_known_until = fl_now();
 	f->node.jobs_known = true;
 	fl_signal_wake(&f->node.jobs_listed);
 	ev_run(loop, EVRUN_NOWAIT);
@@ -661,10 +667,10 @@
 {
 	struct fixture *f = *state;
 	struct fl_task_report p = running(0, 1);
-	double keep = f->config.cancel_s - f->config.lease_s - 1;
+	double cache_report = f->config.cancel_s - f->config.lease_s - 1;
 
 	f->node.cluster.leading = false;
-	hear_of_cancel(f, keep + 2);
+	hear_of_cancel(f, cache_report + 2);
 	lead(f, EPOCH + 1);
 	assert_int_equal(send_report(f, report(1, 20, EPOCH, &p, 1), NULL), 503);
 	/* One that is taken in has its task stopped, and the answer may renew the lease. */
@@ -717,7 +723,7 @@
 }
 
 /* What goes through the state service says the same of a machine as its report did. */
-static void a_kept_report_survives_its_short_form(void **state)
+static void a_cached_report_survives_its_short_form(void **state)
 {
 	static const char *const bad[] = {"[]",
 	                                  "[\"m\",1,2,3,-1]",
@@ -736,9 +742,9 @@
 	tasks[1].state = FL_ENDED;
 	tasks[1].exit = FL_EXIT_DONE;
 	r.reclaim_in_s = 12.5;
-	text = fl_kept_encode(&r);
+	text = fl_cached_report_encode(&r);
 	e = fl_json_parse(text, strlen(text));
-	assert_int_equal(fl_kept_decode(e, &back), 0);
+	assert_int_equal(fl_cached_report_decode(e, &back), 0);
 	assert_string_equal(back.host, r.host);
 	assert_true(back.session == 4 && back.seq == 5 && back.epoch == 6);
 	assert_true(back.reclaim_in_s == 12.5 && back.n_tasks == 2);
@@ -753,7 +759,7 @@
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
 		e = fl_json_parse(bad[i], strlen(bad[i]));
 		assert_non_null(e);
-		assert_int_not_equal(fl_kept_decode(e, &back), 0);
+		assert_int_not_equal(fl_cached_report_decode(e, &back), 0);
 		cJSON_Delete(e);
 	}
 }
@@ -769,13 +775,13 @@
 		f->node.peers[i].heard_at = now - for_s;
 	}
 	f->node.probed_at = now;
-	f->node.proof_at = f->node.jobs_at = now - for_s;
+	f->node.leadership_confirmed_at = f->node.cancellations_known_until = now - for_s;
 }
 
 /* The workers have been here for a while. */
 static void settled(struct fixture *f)
 {
-	for (struct fl_guest *g = f->node.standby.guests; g; g = g->hh.next)
+	for (struct fl_misplaced_worker *g = f->node.standby.misplaced; g; g = g->hh.next)
 		g->came -= f->config.report_s;
 }
 
@@ -927,9 +933,9 @@
 {
 	struct fixture *f = *state;
 	struct fl_peer *p = &f->node.peers[0];
-	double keep = f->config.cancel_s - f->config.lease_s - 1;
+	double cache_report = f->config.cancel_s - f->config.lease_s - 1;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place(f, 0);
 	f->node.n_peers = 1;
 	strcpy(p->location, "a");
@@ -950,7 +956,7 @@
 	p->up = false;
 	p->heard_at = fl_now() - 12;
 	assert_false(given_up(f));
-	silent_for(f, f->config.lease_s + keep + 1);
+	silent_for(f, f->config.lease_s + cache_report + 1);
 	p->heard_at = machine(f)->heard;
 	assert_true(given_up(f));
 	/* Of another zone, or long before: it keeps nothing here. */
@@ -983,7 +989,7 @@
 {
 	struct fixture *f = *state;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place(f, 0);
 	for (int i = 2; i < 22; i++)
 		another(f, i, false, 1);
@@ -1012,7 +1018,7 @@
 {
 	struct fixture *f = *state;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place(f, 0);
 	for (int i = 2; i < 42; i++)
 		another(f, i, false, i % 2)->heard = fl_now() - (i < 7 ? 7 : 0);
@@ -1030,11 +1036,11 @@
 {
 	struct fixture *f = *state;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_WAY_REPORT);
+	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place(f, 0);
 	for (uint64_t seq = 2; seq < 5; seq++) {
 		ago(f, 12);
-		hear(f, report(1, seq, EPOCH, NULL, 0), FL_WAY_REPORT);
+		hear(f, report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_true(given_up(f));
 	for (int i = 2; i < 6; i++) {
@@ -1060,7 +1066,7 @@
 		T(a_late_copy_within_a_leadership_changes_nothing),
 		T(a_reply_that_overtakes_an_answer_proves_no_absence),
 		T(a_standby_keeps_the_newest_report),
-		T(what_was_cancelled_is_not_kept_past_its_time),
+		T(what_was_cancelled_is_not_renewed_past_its_time),
 		T(what_came_up_during_a_wait_counts),
 		T(what_one_controller_knows_another_learns),
 		T(what_all_controllers_know_is_as_good_as_a_read),
@@ -1068,7 +1074,7 @@
 		T(a_new_leader_does_not_keep_it_either),
 		T(a_leader_hears_of_a_cancellation_from_the_record),
 		T(a_cancellation_keeps_its_age_across_a_takeover),
-		T(a_kept_report_survives_its_short_form),
+		T(a_cached_report_survives_its_short_form),
 		T(a_node_alone_sends_its_workers_away_once),
 		T(a_node_cut_off_with_its_workers_keeps_them),
 		T(a_worker_is_answered_before_it_is_sent_home),
--- a/tests/test_reconcile.c
+++ b/tests/test_reconcile.c
@@ -76,7 +76,7 @@
 
 	host_of(at, r.host);
 	strcpy(r.endpoint, "127.0.0.1:1");
-	strcpy(r.kind, "g");
+	strcpy(r.type, "g");
 	strcpy(r.zone, at % 2 ? "a" : "b");
 	for (int i = 0; i < ON_MACHINE; i++)
 		if (k->at[i].used)
@@ -209,13 +209,13 @@
 
 static struct fl_job *add_job(struct sim *w, int job)
 {
-	struct fl_run run = {.n_tasks = TASKS,
-	                     .cpus = 1,
-	                     .ram_gb = 1,
-	                     .priority = FL_STANDARD,
-	                     .n_machine_types = -1,
-	                     .reclaimable = true,
-	                     .due_s = -1};
+	struct fl_job_spec run = {.n_tasks = TASKS,
+	                          .cpus = 1,
+	                          .ram_gb = 1,
+	                          .priority = FL_STANDARD,
+	                          .n_machine_types = -1,
+	                          .reclaimable = true,
+	                          .due_s = -1};
 
 	ref_of(job, run.ref);
 	strcpy(run.team, "team");
@@ -344,15 +344,16 @@
 	}
 }
 
-static void leader_hears(struct sim *w, int at, const char *text, enum fl_way way)
+static void leader_hears(struct sim *w, int at, const char *text, enum fl_report_source source)
 {
 	struct fl_orders orders;
 	struct fl_report r;
 
 	assert_int_equal(fl_report_decode(text, strlen(text), &r), 0);
 	fl_orders_init(&orders, w->node.lease.epoch);
-	if (fl_reconcile_report(&w->node, &r, way == FL_WAY_REPORT ? &orders : NULL, way) == 0 &&
-	    way == FL_WAY_REPORT) {
+	if (fl_reconcile_report(&w->node, &r, source == FL_SOURCE_REPORT ? &orders : NULL,
+	                        source) == 0 &&
+	    source == FL_SOURCE_REPORT) {
 		drop_answer(&w->worker[at]);
 		w->worker[at].answer = fl_orders_take(&orders);
 	} else {
@@ -394,7 +395,7 @@
 		if (pick(w, 2)) {
 			char *r = report_text(w, at);
 
-			leader_hears(w, at, r, FL_WAY_COMMAND);
+			leader_hears(w, at, r, FL_SOURCE_COMMAND);
 			free(r);
 		}
 	}
@@ -412,7 +413,7 @@
 	if (m->command)
 		execute(w, m->worker, m->text, true);
 	else
-		leader_hears(w, m->worker, m->text, FL_WAY_HEARSAY);
+		leader_hears(w, m->worker, m->text, FL_SOURCE_FORWARDED);
 }
 
 /* ---- what happens ---- */
@@ -428,7 +429,7 @@
 	drop_answer(k);
 	text = report_text(w, at);
 	if (pick(w, 5))
-		leader_hears(w, at, text, FL_WAY_REPORT);
+		leader_hears(w, at, text, FL_SOURCE_REPORT);
 	post(w, at, text, false);
 }
 
@@ -731,7 +732,7 @@
 static void a_late_word_brings_no_job_back(void **state)
 {
 	struct sim *w = malloc(sizeof(*w));
-	struct fl_run run = {.n_tasks = 1, .cpus = 1, .n_machine_types = -1, .due_s = -1};
+	struct fl_job_spec run = {.n_tasks = 1, .cpus = 1, .n_machine_types = -1, .due_s = -1};
 	struct fl_cluster *b;
 	cJSON *v;
 
@@ -818,7 +819,7 @@
 		p.attempt = fl_task_peek(job, p.index)->attempt;
 		r.tasks = &p;
 		r.n_tasks = 1;
-		assert_int_equal(fl_reconcile_report(&w->node, &r, NULL, FL_WAY_COMMAND), 0);
+		assert_int_equal(fl_reconcile_report(&w->node, &r, NULL, FL_SOURCE_COMMAND), 0);
 		assert_true(m->avoid_until <= now);
 		assert_true(i < 4 || job->not_before >= last);
 		last = job->not_before;
--- a/tests/test_schedule.c
+++ b/tests/test_schedule.c
@@ -37,12 +37,12 @@
 	int stops[R];
 	int n_starts, n_stops, top;
 	double window;
-	uint32_t short_of[J], held; /* held: of the job in hand, by m_claim_one with its image */
+	uint32_t short_of[J], held; /* held: of the job in hand, by m_request_one with its image */
 };
 
 static bool m_allowed(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
-	if (!(j->types & (1u << m->kind)))
+	if (!(j->types & (1u << m->type)))
 		return false;
 	if (j->zone >= 0 && m->zone != j->zone)
 		return false;
@@ -159,44 +159,45 @@
 }
 
 static bool m_victim(const struct model *m, const struct fl_sched_job *j,
-                     const struct fl_sched_run *r, bool owed)
+                     const struct fl_sched_run *r, bool within_guarantee)
 {
 	const struct fl_team *t = &m->w.teams[r->team];
 
 	if (r->stopping || !r->movable)
 		return false;
-	if (r->foothold && j->priority != FL_URGENT && j->priority != FL_CRITICAL)
+	if (r->last_running_task && j->priority != FL_URGENT && j->priority != FL_CRITICAL)
 		return false;
 	if (r->priority < j->priority)
 		return true;
-	return owed && r->team != j->team && !r->service && !r->owed &&
+	return within_guarantee && r->team != j->team && !r->service && !r->within_guarantee &&
 	       !m_in_guarantee(t, t->used_cpus, t->used_gpus);
 }
 
-/* Free or coming on a machine, less what is promised to one that `j` does not reach up to. */
+/* Free or coming on a machine, less what is reserved to one that `j` does not reach up to. */
 static void m_open(const struct model *m, const struct fl_sched_job *j, int i, double open[3])
 {
 	const struct fl_sched_machine *k = &m->w.machines[i];
-	const struct fl_promise *p = &k->promised;
-	double kept[3] = {p->cpus, p->gpus, p->ram_gb};
-	double again[3] = {k->claimed.cpus, k->claimed.gpus, k->claimed.ram_gb};
+	const struct fl_reservation *p = &k->reserved;
+	double withheld[3] = {p->cpus, p->gpus, p->ram_gb};
+	double again[3] = {k->requested.cpus, k->requested.gpus, k->requested.ram_gb};
 
 	open[0] = k->cpus + m->later[i][0];
 	open[1] = k->gpus + m->later[i][1];
 	open[2] = k->ram_gb + m->later[i][2];
-	if (!p->made || (j->priority >= p->priority && (m_ahead(j) || !p->owed || j->owed)))
+	if (!p->made || (j->priority >= p->priority &&
+	                 (m_ahead(j) || !p->within_guarantee || j->within_guarantee)))
 		return;
 	for (int x = 0; x < 3; x++) {
-		if (k->claimed.made && k->claimed.priority >= p->priority)
-			kept[x] -= again[x];
-		if (kept[x] > 0)
-			open[x] -= kept[x];
+		if (k->requested.made && k->requested.priority >= p->priority)
+			withheld[x] -= again[x];
+		if (withheld[x] > 0)
+			open[x] -= withheld[x];
 	}
 }
 
 /* Cost of making room for one task on a machine; the victims in `set`. */
-static double m_clear(const struct model *m, const struct fl_sched_job *j, int machine, bool owed,
-                      bool *set)
+static double m_clear(const struct model *m, const struct fl_sched_job *j, int machine,
+                      bool within_guarantee, bool *set)
 {
 	double open[3], c, g, r, cost = 0;
 
@@ -211,7 +212,8 @@
 		for (int i = 0; i < m->w.n_runs; i++) {
 			const struct fl_sched_run *v = &m->w.runs[i];
 
-			if (v->machine == machine && !set[i] && m_victim(m, j, v, owed) &&
+			if (v->machine == machine && !set[i] &&
+			    m_victim(m, j, v, within_guarantee) &&
 			    (cheapest < 0 || v->lost_s < m->w.runs[cheapest].lost_s))
 				cheapest = i;
 		}
@@ -226,9 +228,9 @@
 	return cost;
 }
 
-/* Room for one more task is promised; `image`: only where it lies, at 60 s of loss at most. */
-static bool m_claim_one(struct model *m, struct fl_sched_job *j, bool owed, bool image,
-                        const double *until, double est)
+/* Room for one more task is reserved; `image`: only where it lies, at 60 s of loss at most. */
+static bool m_request_one(struct model *m, struct fl_sched_job *j, bool within_guarantee,
+                          bool image, const double *until, double est)
 {
 	double best_cost = INFINITY;
 	bool set[R];
@@ -240,7 +242,7 @@
 
 		if (!m_allowed(j, k) || !m_zone(j, k->zone) || (until && est > until[i]))
 			continue;
-		cost = m_clear(m, j, i, owed, set);
+		cost = m_clear(m, j, i, within_guarantee, set);
 		if (image && (cost > 60 || (!m_holds(j, k) && j->image_gb > 0)))
 			continue;
 		cost += m_score(j, k);
@@ -251,7 +253,7 @@
 	}
 	if (best < 0)
 		return false;
-	m_clear(m, j, best, owed, set);
+	m_clear(m, j, best, within_guarantee, set);
 	/* Cheapest first, as they were chosen. */
 	for (;;) {
 		int next = -1;
@@ -272,36 +274,37 @@
 	m->w.machines[best].gpus -= j->gpus;
 	m->w.machines[best].ram_gb -= j->ram_gb;
 	j->zone_placed[m->w.machines[best].zone]++;
-	if (!m->w.machines[best].claimed.made) {
-		m->w.machines[best].claimed.made = true;
-		m->w.machines[best].claimed.owed = owed;
-		m->w.machines[best].claimed.priority = j->priority;
+	if (!m->w.machines[best].requested.made) {
+		m->w.machines[best].requested.made = true;
+		m->w.machines[best].requested.within_guarantee = within_guarantee;
+		m->w.machines[best].requested.priority = j->priority;
 	}
-	m->w.machines[best].claimed.cpus += j->cpus;
-	m->w.machines[best].claimed.gpus += j->gpus;
-	m->w.machines[best].claimed.ram_gb += j->ram_gb;
+	m->w.machines[best].requested.cpus += j->cpus;
+	m->w.machines[best].requested.gpus += j->gpus;
+	m->w.machines[best].requested.ram_gb += j->ram_gb;
 	return true;
 }
 
-static uint32_t m_claim(struct model *m, int job, const double *until, double est)
+static uint32_t m_request_all(struct model *m, int job, const double *until, double est)
 {
 	struct fl_sched_job *j = &m->w.jobs[job];
 	struct fl_team saved = m->w.teams[j->team], *t = &m->w.teams[j->team];
-	uint32_t claimed = 0;
+	uint32_t requested = 0;
 
-	while (claimed + m->held < j->waiting && !j->gang) {
-		bool owed = j->owed &&
-		            m_in_guarantee(t, t->used_cpus + j->cpus, t->used_gpus + j->gpus);
+	while (requested + m->held < j->waiting && !j->gang) {
+		bool within_guarantee =
+			j->within_guarantee &&
+			m_in_guarantee(t, t->used_cpus + j->cpus, t->used_gpus + j->gpus);
 
-		if (!m_team(m, j) || (!owed && j->priority == FL_BEST_EFFORT) ||
-		    !m_claim_one(m, j, owed, false, until, est))
+		if (!m_team(m, j) || (!within_guarantee && j->priority == FL_BEST_EFFORT) ||
+		    !m_request_one(m, j, within_guarantee, false, until, est))
 			break;
 		t->used_cpus += j->cpus;
 		t->used_gpus += j->gpus;
-		claimed++;
+		requested++;
 	}
 	*t = saved;
-	return claimed;
+	return requested;
 }
 
 static bool m_start(struct model *m, int job, const double *until, double est)
@@ -346,7 +349,7 @@
 		                ? 0
 		                : j->image_gb / m->w.machines[best].pull_gb_s;
 		if (m_ahead(j) && !j->gang && fetch > 4 && j->waited_s < fetch &&
-		    m_claim_one(m, j, false, true, NULL, 0)) {
+		    m_request_one(m, j, false, true, NULL, 0)) {
 			m->held++;
 			continue;
 		}
@@ -438,7 +441,7 @@
 			const struct fl_sched_job *c = &m->w.jobs[i];
 			int rank = c->service && c->priority >= FL_URGENT          ? 3
 			           : !c->service && !c->begun && c->waited_s > 120 ? 2
-			           : c->owed                                       ? 1
+			           : c->within_guarantee                           ? 1
 			                                                           : 0;
 			double wait = fmax(c->waited_s, 0.1),
 			       takes = c->est_s > 0 ? c->est_s : 3600;
@@ -467,7 +470,7 @@
 		est = j->est_s > 0 ? j->est_s : j->service ? INFINITY : 3600;
 		if (!m_start(m, next, bound, est))
 			continue;
-		m->short_of[next] = j->waiting - m->held - m_claim(m, next, bound, est);
+		m->short_of[next] = j->waiting - m->held - m_request_all(m, next, bound, est);
 		if (m->short_of[next] == 0 || m->top >= 0)
 			continue;
 		m->top = next;
@@ -496,7 +499,7 @@
 	for (int i = 0; i < w->n_machines; i++) {
 		for (int c = 0; c < FL_CACHE_NOTE; c++)
 			w->cache[i][c] = c < 2 ? (int)pick(g, 5) : -1;
-		w->machines[i] = (struct fl_sched_machine){.kind = (int)pick(g, 2),
+		w->machines[i] = (struct fl_sched_machine){.type = (int)pick(g, 2),
 		                                           .zone = (int)pick(g, Z),
 		                                           .spot = pick(g, 2) > 0,
 		                                           .held = pick(g, 2) > 0,
@@ -505,12 +508,12 @@
 		                                           .ram_gb = 64,
 		                                           .pull_gb_s = 0.5,
 		                                           .cache = w->cache[i]};
-		w->machines[i].promised.made = pick(g, 4) == 0;
-		w->machines[i].promised.owed = pick(g, 2) > 0;
-		w->machines[i].promised.priority = (enum fl_priority)pick(g, 4);
-		w->machines[i].promised.cpus = pick(g, 12);
-		w->machines[i].promised.gpus = pick(g, 3);
-		w->machines[i].promised.ram_gb = pick(g, 30);
+		w->machines[i].reserved.made = pick(g, 4) == 0;
+		w->machines[i].reserved.within_guarantee = pick(g, 2) > 0;
+		w->machines[i].reserved.priority = (enum fl_priority)pick(g, 4);
+		w->machines[i].reserved.cpus = pick(g, 12);
+		w->machines[i].reserved.gpus = pick(g, 3);
+		w->machines[i].reserved.ram_gb = pick(g, 30);
 	}
 	for (int i = 0; i < tries; i++) {
 		struct fl_sched_run r = {0};
@@ -523,8 +526,8 @@
 		r.service = pick(g, 3) == 0;
 		r.stopping = pick(g, 6) == 0;
 		r.movable = !r.stopping;
-		r.owed = pick(g, 3) == 0;
-		r.foothold = !r.service && pick(g, 3) == 0;
+		r.within_guarantee = pick(g, 3) == 0;
+		r.last_running_task = !r.service && pick(g, 3) == 0;
 		r.cpus = 1 + pick(g, 6);
 		r.gpus = pick(g, 3);
 		r.ram_gb = 4 + pick(g, 12);
@@ -546,7 +549,7 @@
 		j->gang = !j->service && pick(g, 4) == 0;
 		j->priority = (enum fl_priority)pick(g, 4);
 		j->team = (int)pick(g, T);
-		j->owed = pick(g, 3) == 0;
+		j->within_guarantee = pick(g, 3) == 0;
 		j->begun = pick(g, 2) > 0;
 		j->waited_s = pick(g, 300) + 0.01 * i;
 		j->est_s = j->service || pick(g, 8) == 0 ? 0 : 10 + pick(g, 300);
@@ -605,14 +608,14 @@
 	for (int i = 0; i < out.n_stops; i++)
 		assert_int_equal(out.stops[i], m->stops[i]);
 	for (int i = 0; i < w->n_machines; i++) {
-		const struct fl_promise *c = &w->machines[i].claimed;
-
-		assert_int_equal(c->made, m->w.machines[i].claimed.made);
-		assert_int_equal(c->owed, m->w.machines[i].claimed.owed);
-		assert_int_equal(c->priority, m->w.machines[i].claimed.priority);
-		assert_true(fabs(c->cpus - m->w.machines[i].claimed.cpus) < 1e-6 &&
-		            fabs(c->gpus - m->w.machines[i].claimed.gpus) < 1e-6 &&
-		            fabs(c->ram_gb - m->w.machines[i].claimed.ram_gb) < 1e-6);
+		const struct fl_reservation *c = &w->machines[i].requested;
+
+		assert_int_equal(c->made, m->w.machines[i].requested.made);
+		assert_int_equal(c->within_guarantee, m->w.machines[i].requested.within_guarantee);
+		assert_int_equal(c->priority, m->w.machines[i].requested.priority);
+		assert_true(fabs(c->cpus - m->w.machines[i].requested.cpus) < 1e-6 &&
+		            fabs(c->gpus - m->w.machines[i].requested.gpus) < 1e-6 &&
+		            fabs(c->ram_gb - m->w.machines[i].requested.ram_gb) < 1e-6);
 	}
 	assert_int_equal(out.top, m->top);
 	if (m->top >= 0)
@@ -623,7 +626,7 @@
 	t->stops += out.n_stops;
 	t->tops += out.top >= 0;
 	t->looks += out.looks;
-	/* Each start, each task promised room and each job that finds none looks once or twice. */
+	/* Each start, each task reserved room and each job that finds none looks once or twice. */
 	t->bound += (long)w->n_machines * (out.n_starts + 2 * w->n_jobs + 2 * out.n_stops);
 	fl_sched_free(&out);
 }
@@ -919,8 +922,8 @@
 	fl_sched_free(&out);
 }
 
-/* What was stopped and is not gone yet is room already promised: nothing more is stopped. */
-static void room_on_its_way_is_not_claimed_twice(void **state)
+/* What was stopped and is not gone yet is room already reserved: nothing more is stopped. */
+static void room_on_its_way_is_not_requested_twice(void **state)
 {
 	struct sim w = {.n_jobs = 1, .n_machines = 2, .n_runs = 2};
 	struct fl_sched_out out;
@@ -1012,11 +1015,11 @@
 	w.machines[0] = w.machines[1] = plain_machine(32);
 	for (int passes = 0; passes < 40; passes++) {
 		struct fl_sched_out out;
-		int kept = 0;
+		int withheld = 0;
 
 		for (int i = 0; i < 2; i++) {
-			w.machines[i].promised = w.machines[i].claimed;
-			w.machines[i].claimed = (struct fl_promise){0};
+			w.machines[i].reserved = w.machines[i].requested;
+			w.machines[i].requested = (struct fl_reservation){0};
 		}
 		run_real(&w, &out);
 		stops += out.n_stops;
@@ -1031,10 +1034,10 @@
 		/* What is stopped is gone by the next pass; room is counted anew. */
 		for (int i = 0; i < w.n_runs; i++)
 			if (!w.runs[i].stopping)
-				w.runs[kept++] = w.runs[i];
+				w.runs[withheld++] = w.runs[i];
 			else
 				w.jobs[0].waiting++;
-		w.n_runs = kept;
+		w.n_runs = withheld;
 		for (int i = 0; i < 2; i++)
 			w.machines[i].cpus = 32;
 		for (int i = 0; i < w.n_runs; i++)
@@ -1053,7 +1056,7 @@
 struct stream {
 	enum fl_priority priority;
 	int team;
-	bool owed;
+	bool within_guarantee;
 	uint32_t n_tasks;
 	double est, every; /* s of a task; s between two jobs */
 };
@@ -1102,7 +1105,7 @@
 				a->job = plain_job(1, st->n_tasks, st->est, 0);
 				a->job.priority = st->priority;
 				a->job.team = st->team;
-				a->job.owed = st->owed;
+				a->job.within_guarantee = st->within_guarantee;
 				a->class = c;
 				a->at = next[c];
 				a->begun = -1;
@@ -1138,7 +1141,8 @@
 
 			for (int i = 0; i < SLOTS; i++)
 				held += s->running[i] == s->running[of_run[r]];
-			runs[r].foothold = held == 1 && now - a->at > fl_sched_defaults.patience_s;
+			runs[r].last_running_task =
+				held == 1 && now - a->at > fl_sched_defaults.patience_s;
 		}
 		assert_int_equal(fl_schedule(&in, &out), 0);
 		for (int k = 0; k < out.n_starts; k++) {
@@ -1202,8 +1206,8 @@
 	static const struct stream small_and_wide[CLASSES] = {
 		{FL_STANDARD, 1, false, 2, 20, 1.35}, {FL_STANDARD, 2, false, 60, 100, 300}};
 	/* One team within its guarantee fills all; another has none. */
-	static const struct stream owed_and_not[CLASSES] = {{FL_STANDARD, 0, true, 4, 30, 3},
-	                                                    {FL_STANDARD, 1, false, 10, 40, 120}};
+	static const struct stream within_guarantee_and_not[CLASSES] = {
+		{FL_STANDARD, 0, true, 4, 30, 3}, {FL_STANDARD, 1, false, 10, 40, 120}};
 	/* Standard work fills all, and best effort may be stopped for it. */
 	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
 	                                                  {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
@@ -1215,7 +1219,7 @@
 	check_begun(s);
 	for (int c = 0; c < CLASSES; c++)
 		assert_true(served(s, c) >= 0.5);
-	besiege(s, owed_and_not, teams);
+	besiege(s, within_guarantee_and_not, teams);
 	assert_true(s->n < QUEUE);
 	check_begun(s);
 	besiege(s, priorities, teams);
@@ -1233,7 +1237,7 @@
 		cmocka_unit_test(a_burst_cannot_push_the_top_job_back_for_ever),
 		cmocka_unit_test(a_gang_starts_whole_or_not_at_all),
 		cmocka_unit_test(a_service_goes_where_its_image_lies),
-		cmocka_unit_test(room_on_its_way_is_not_claimed_twice),
+		cmocka_unit_test(room_on_its_way_is_not_requested_twice),
 		cmocka_unit_test(a_pass_goes_on_where_the_last_one_stopped),
 		cmocka_unit_test(a_stop_is_for_whom_it_was_made),
 	};
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -90,7 +90,7 @@
 static void on_leader(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
 	struct fixture *f = ctx;
-	struct fl_run run;
+	struct fl_job_spec run;
 	struct fl_relay r;
 	cJSON *o;
 
@@ -99,7 +99,7 @@
 		return;
 	if (r.call == FL_CALL_SUBMIT) {
 		o = fl_json_parse(r.body, strlen(r.body));
-		resp->status = fl_run_decode(o, &run) ? 400 : 201;
+		resp->status = fl_job_spec_decode(o, &run) ? 400 : 201;
 		cJSON_Delete(o);
 	} else {
 		resp->status = f->known ? 200 : 404;
@@ -142,7 +142,7 @@
 	assert_true(f->state && f->leader);
 	connect_to(&n->state.http, f->state);
 	connect_to(&n->cloud.http, f->state);
-	n->state.last_ok = n->proof_at = n->jobs_at = fl_now();
+	n->state.last_ok = n->leadership_confirmed_at = n->cancellations_known_until = fl_now();
 	n->state.last_refusal = -1e9;
 	n->types_known = n->jobs_known = true;
 	strcpy(n->leader, "n1");
