--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -8,10 +8,13 @@
 #include "transport/log.h"
 
 static const struct {
-	int at_once;         /* direct commands under way */
-	double wait_s;       /* s for a direct command */
-	double cancel_share; /* share of cancel_s after which a machine is given up for a task */
-} choice = {24, 2.0, 0.45};
+	int at_once;
+	double wait_s, cancel_share;
+} tunables = {
+	.at_once = 24,        /* direct commands under way */
+	.wait_s = 2.0,        /* s for a direct command */
+	.cancel_share = 0.45, /* share of cancel_s after which a machine is given up for a task */
+};
 
 struct push {
 	struct fl_node *n;
@@ -35,7 +38,7 @@
 		return;
 	}
 	body = fl_orders_take(&orders);
-	rc = fl_worker_command(m->endpoint, body, choice.wait_s, &r);
+	rc = fl_worker_command(m->endpoint, body, tunables.wait_s, &r);
 	free(body);
 	if (rc == 200 || rc == 409) {
 		if (fl_leading(n))
@@ -63,7 +66,7 @@
 	struct push *p;
 
 	m->want_push = true;
-	if (m->pushing || n->lead.pushes >= choice.at_once)
+	if (m->pushing || n->lead.pushes >= tunables.at_once)
 		return; /* the worker's next report brings the orders all the same */
 	p = malloc(sizeof(*p));
 	if (!p)
@@ -124,7 +127,7 @@
 				if (!job->cancelled)
 					continue;
 				if (now > job->cancelled_at +
-				                    choice.cancel_share * n->config->cancel_s &&
+				                    tunables.cancel_share * n->config->cancel_s &&
 				    !m->deleting) {
 					fl_info("workers", "%s does not let go of %s: returned",
 					        m->name, job->ref);
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -7,16 +7,21 @@
 #include "coordination/node.h"
 
 static const struct {
-	double extra_s;      /* s beyond a worker's lease before a silent machine is given up */
-	int few;             /* machines that may be silent at once in any case */
-	double quiet_leases; /* leases of silence from which on a machine counts as quiet */
-	double mass_share;   /* share of all machines quiet at once that points at links */
-	double zone_share;   /* the same of one zone's */
-	double calm_share;   /* the same up to which the machines must be the cause */
-	double calm_leases;  /* leases of silence if so, and nothing else is amiss */
-	double mass_leases;  /* leases of silence after which they are given up all the same */
-	double with_zone_s;  /* s within which a machine and its zone's controller fall silent */
-} choice = {0.5, 2, 0.6, 0.4, 0.6, 0.15, 0.7, 3.0, 5.0};
+	double extra_s;
+	int few;
+	double quiet_leases, mass_share, zone_share, calm_share, calm_leases, mass_leases,
+		with_zone_s;
+} tunables = {
+	.extra_s = 0.5,      /* s beyond a worker's lease before a silent machine is given up */
+	.few = 2,            /* machines that may be silent at once in any case */
+	.quiet_leases = 0.6, /* leases of silence from which on a machine counts as quiet */
+	.mass_share = 0.4,   /* share of all machines quiet at once that points at links */
+	.zone_share = 0.6,   /* the same of one zone's */
+	.calm_share = 0.15,  /* the same up to which the machines must be the cause */
+	.calm_leases = 0.7,  /* leases of silence if so, and nothing else is amiss */
+	.mass_leases = 3.0,  /* leases of silence after which they are given up all the same */
+	.with_zone_s = 5.0,  /* s within which a machine and its zone's controller fall silent */
+};
 
 static double last_sign(const struct fl_node *n, const struct fl_machine *m)
 {
@@ -33,7 +38,7 @@
  */
 static double renewed_by_zone(const struct fl_node *n, const struct fl_machine *m)
 {
-	double last = last_sign(n, m), slack = choice.with_zone_s;
+	double last = last_sign(n, m), slack = tunables.with_zone_s;
 
 	for (int i = 0; i < n->n_peers; i++) {
 		const struct fl_peer *p = &n->peers[i];
@@ -49,7 +54,7 @@
 bool fl_failure_detector_expired(const struct fl_node *n, const struct fl_machine *m, double now,
                                  const double leases[FL_ZONES_MAX])
 {
-	double allowed, silent = now - last_sign(n, m) - choice.extra_s, renewed;
+	double allowed, silent = now - last_sign(n, m) - tunables.extra_s, renewed;
 
 	if (!m->up && m->n_slots == 0)
 		return false;
@@ -67,7 +72,7 @@
 
 static bool too_many(struct share s, double most)
 {
-	return s.quiet > choice.few && s.quiet > most * s.all;
+	return s.quiet > tunables.few && s.quiet > most * s.all;
 }
 
 /*
@@ -99,7 +104,7 @@
 
 		if (m->gone || m->deleting || m->spot || (!m->up && m->n_slots == 0))
 			continue;
-		quiet = now - last_sign(n, m) > choice.quiet_leases * n->config->lease_s;
+		quiet = now - last_sign(n, m) > tunables.quiet_leases * n->config->lease_s;
 		all.all++;
 		all.quiet += quiet;
 		if (m->zone < 0)
@@ -109,9 +114,9 @@
 	}
 	for (int z = 0; z < FL_ZONES_MAX; z++) {
 		leases[z] = 1;
-		if (too_many(all, choice.mass_share) || too_many(zone[z], choice.zone_share))
-			leases[z] = choice.mass_leases;
-		else if (!too_many(all, choice.calm_share) && calm(n, now))
-			leases[z] = choice.calm_leases;
+		if (too_many(all, tunables.mass_share) || too_many(zone[z], tunables.zone_share))
+			leases[z] = tunables.mass_leases;
+		else if (!too_many(all, tunables.calm_share) && calm(n, now))
+			leases[z] = tunables.calm_leases;
 	}
 }
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -8,17 +8,19 @@
 #include "transport/clock.h"
 
 static const struct {
-	double share;   /* of the state service's requests, for the polls of all controllers */
-	double burst_s; /* s of that share that may be asked at once */
-	double reads;   /* requests of one look at the records: the live one, then the final one */
-	double patience_s; /* s that a question waits for another's read; users wait 2 s */
-} choice = {0.4, 2.0, 2, 1.8};
+	double share, burst_s, reads, patience_s;
+} tunables = {
+	.share = 0.4,   /* of the state service's requests, for the polls of all controllers */
+	.burst_s = 2.0, /* s of that share that may be asked at once */
+	.reads = 2,     /* requests of one look at the records: the live one, then the final one */
+	.patience_s = 1.8, /* s that a question waits for another's read; users wait 2 s */
+};
 
 void fl_job_lookups_init(struct fl_node *n)
 {
-	double rate = n->config->state_rps * choice.share / (n->n_peers + 1);
+	double rate = n->config->state_rps * tunables.share / (n->n_peers + 1);
 
-	fl_budget_init(&n->poll_reads, rate, rate * choice.burst_s, fl_now());
+	fl_budget_init(&n->poll_reads, rate, rate * tunables.burst_s, fl_now());
 }
 
 /*
@@ -60,7 +62,7 @@
 
 static void read_records(struct fl_node *n, struct fl_job_lookup *q)
 {
-	q->rc = fl_job_lookup_affords(n, choice.reads)
+	q->rc = fl_job_lookup_affords(n, tunables.reads)
 	                ? fl_records_read(&n->state, q->ref, &q->rec, &q->v, &q->rev)
 	                : -EAGAIN;
 	/* It never changes again: who asks next is answered from memory. */
@@ -79,7 +81,7 @@
 {
 	before->next = q;
 	before->users++;
-	while (!before->over && fl_signal_wait(&before->done, choice.patience_s) == 0)
+	while (!before->over && fl_signal_wait(&before->done, tunables.patience_s) == 0)
 		;
 	if (before->over) {
 		read_records(n, q);
@@ -110,7 +112,7 @@
 	} else if (!sent->next) {
 		read_after(n, sent, q);
 	} else {
-		while (!q->over && fl_signal_wait(&q->done, choice.patience_s) == 0)
+		while (!q->over && fl_signal_wait(&q->done, tunables.patience_s) == 0)
 			;
 	}
 	rc = q->over ? q->rc : -EAGAIN;
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -14,11 +14,13 @@
 #include "transport/log.h"
 
 static const struct {
-	double write_share; /* share of the state service's writes that the leader's records use */
-	double retry_s;     /* s after a failed read */
-	double hold_s;      /* s; length of a watch */
-	double finished_s;  /* s between two lists of what was done before */
-} choice = {0.7, 0.2, 10.0, 0.5};
+	double write_share, retry_s, hold_s, finished_s;
+} tunables = {
+	.write_share = 0.7, /* share of the state service's writes that the leader's records use */
+	.retry_s = 0.2,     /* s after a failed read */
+	.hold_s = 10.0,     /* s; length of a watch */
+	.finished_s = 0.5,  /* s between two lists of what was done before */
+};
 
 bool fl_leading(const struct fl_node *n) { return n->lead.active && fl_lease_valid(n); }
 
@@ -52,11 +54,11 @@
 	while (!fl_cancelled()) {
 		int rc = rev == 0
 		                 ? fl_state_list(&n->state, FL_PREFIX_CACHED, on_forwarded, n, &rev)
-		                 : fl_state_follow(&n->state, FL_PREFIX_CACHED, &rev, choice.hold_s,
-		                                   on_forwarded, n);
+		                 : fl_state_follow(&n->state, FL_PREFIX_CACHED, &rev,
+		                                   tunables.hold_s, on_forwarded, n);
 		if (rc == -ERANGE)
 			rev = 0;
-		if (rc && fl_sleep(choice.retry_s) != 0)
+		if (rc && fl_sleep(tunables.retry_s) != 0)
 			break;
 	}
 	n->lead.running--;
@@ -91,7 +93,7 @@
 	uint64_t rev;
 	int digit = 0;
 
-	while (fl_sleep(choice.finished_s) == 0) {
+	while (fl_sleep(tunables.finished_s) == 0) {
 		if (digit > 9 || !fl_leading(n))
 			continue;
 		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
@@ -119,7 +121,7 @@
 static void begin(void *arg)
 {
 	struct fl_node *n = arg;
-	double rate = n->config->state_write_rps * choice.write_share;
+	double rate = n->config->state_write_rps * tunables.write_share;
 	uint64_t grant = n->lease.grant;
 	int rc = fl_takeover_load(n);
 
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -9,16 +9,18 @@
 #include "transport/routine.h"
 
 static const struct {
-	double ttl_s;       /* s; a dead leader is missed for at most this long */
-	double renew_s;     /* s; three tries before the lease ends */
-	double drift;       /* share; twice what the platform allows between two clocks */
-	double margin_s;    /* s; for a timer that fires late */
-	double poll_s;      /* s; how often others read who leads, which is also their proof */
-	double retry_s;     /* s; after a refusal */
-	double stagger_s;   /* s a node; so that not all try for the lease at once */
-	double hold_s;      /* s; length of a watch */
-	double epoch_gap_s; /* s; least time between two raised epochs */
-} choice = {3.0, 0.8, 0.001, 0.1, 1.0, 0.3, 0.05, 10.0, 4.0};
+	double ttl_s, renew_s, drift, margin_s, poll_s, retry_s, stagger_s, hold_s, epoch_gap_s;
+} tunables = {
+	.ttl_s = 3.0,       /* s; a dead leader is missed for at most this long */
+	.renew_s = 0.8,     /* s; three tries before the lease ends */
+	.drift = 0.001,     /* share; twice what the platform allows between two clocks */
+	.margin_s = 0.1,    /* s; for a timer that fires late */
+	.poll_s = 1.0,      /* s; how often others read who leads, which is also their proof */
+	.retry_s = 0.3,     /* s; after a refusal */
+	.stagger_s = 0.05,  /* s a node; so that not all try for the lease at once */
+	.hold_s = 10.0,     /* s; length of a watch */
+	.epoch_gap_s = 4.0, /* s; least time between two raised epochs */
+};
 
 bool fl_lease_valid(const struct fl_node *n)
 {
@@ -90,7 +92,7 @@
 	double sent = fl_now();
 	struct fl_multi m;
 	cJSON *lead, *e;
-	int rc = fl_state_hold(&n->state, choice.ttl_s, &grant);
+	int rc = fl_state_hold(&n->state, tunables.ttl_s, &grant);
 
 	if (rc)
 		return;
@@ -113,7 +115,7 @@
 	l->grant = grant;
 	l->lead_rev = l->epoch_rev = rev;
 	l->epoch = epoch;
-	l->valid_until = sent + choice.ttl_s * (1 - choice.drift) - choice.margin_s;
+	l->valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
 	l->held = true;
 	l->want_epoch = false;
 	l->raised_at = fl_now();
@@ -159,7 +161,7 @@
 	struct fl_lease *l = &n->lease;
 	uint64_t grant = l->grant;
 	double sent = fl_now();
-	int rc = fl_state_extend(&n->state, grant, choice.renew_s);
+	int rc = fl_state_extend(&n->state, grant, tunables.renew_s);
 
 	if (!l->held || l->grant != grant)
 		return 0;
@@ -167,12 +169,12 @@
 		/* While the lease was in doubt no digest could come: silence counts from now. */
 		if (fl_now() > l->valid_until)
 			n->lead.since = fl_now();
-		l->valid_until = sent + choice.ttl_s * (1 - choice.drift) - choice.margin_s;
+		l->valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
 		if (sent > n->leadership_confirmed_at)
 			n->leadership_confirmed_at = sent;
-		if (l->want_epoch && fl_now() > l->raised_at + choice.epoch_gap_s)
+		if (l->want_epoch && fl_now() > l->raised_at + tunables.epoch_gap_s)
 			raise_epoch(n);
-		return choice.renew_s;
+		return tunables.renew_s;
 	}
 	if (rc == -ENOENT) {
 		fl_lease_lost(n, "the lease has ended");
@@ -180,7 +182,7 @@
 	}
 	if (fl_now() > l->valid_until)
 		fl_debug("lease", "cannot renew (%s): keeping only", strerror(-rc));
-	return choice.retry_s;
+	return tunables.retry_s;
 }
 
 static double seek(struct fl_node *n, int place)
@@ -190,9 +192,9 @@
 	cJSON *v;
 
 	if (look(n, &c) != 0)
-		return choice.retry_s;
+		return tunables.retry_s;
 	if (c.found && strcmp(c.leader, n->config->node) != 0)
-		return choice.poll_s;
+		return tunables.poll_s;
 	if (c.found && strcmp(c.boot, n->boot) != 0) {
 		/* An earlier process of this node; it is dead, or this one would not run. */
 		if (fl_state_get(&n->state, FL_KEY_LEAD, &v, &rev, &grant) == 0) {
@@ -203,11 +205,11 @@
 		return 0;
 	}
 	if (c.found)
-		return choice.retry_s; /* our own, given up, and about to end */
-	if (fl_sleep(choice.stagger_s * place) != 0)
+		return tunables.retry_s; /* our own, given up, and about to end */
+	if (fl_sleep(tunables.stagger_s * place) != 0)
 		return 0;
 	acquire(n, &c);
-	return n->lease.held ? 0 : choice.retry_s;
+	return n->lease.held ? 0 : tunables.retry_s;
 }
 
 static void lease_duty(void *arg)
@@ -226,11 +228,11 @@
 				fl_leader_begin(n);
 			pause = renew(n);
 		} else if (n->lead.loading) {
-			pause = choice.retry_s; /* it sees that the lease is lost, and ends */
+			pause = tunables.retry_s; /* it sees that the lease is lost, and ends */
 		} else {
 			if (n->lead.active)
 				fl_leader_end(n);
-			pause = n->types_known && n->jobs_known ? seek(n, place) : choice.retry_s;
+			pause = n->types_known && n->jobs_known ? seek(n, place) : tunables.retry_s;
 		}
 		if (pause > 0 && fl_signal_wait(&n->control_changed, pause) == -ECANCELED)
 			break;
@@ -273,12 +275,12 @@
 			if (rc == 0 && sent > n->leadership_confirmed_at)
 				n->leadership_confirmed_at = sent;
 		} else {
-			rc = fl_state_follow(&n->state, FL_PREFIX_CONTROL, &rev, choice.hold_s,
+			rc = fl_state_follow(&n->state, FL_PREFIX_CONTROL, &rev, tunables.hold_s,
 			                     on_control, n);
 		}
 		if (rc == -ERANGE)
 			rev = 0;
-		if (rc && fl_sleep(choice.retry_s) != 0)
+		if (rc && fl_sleep(tunables.retry_s) != 0)
 			break;
 	}
 }
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -14,20 +14,28 @@
 #include "transport/routine.h"
 
 static const struct {
-	double retry_s;        /* s between tries at what a node needs before it can serve */
-	double hold_s;         /* s; length of a watch, whose end shows that nothing was missed */
-	double relay_s;        /* s for a relayed poll; users wait 2 s for it */
-	double relay_write_s;  /* s for a relayed cancel or submission; users wait 5 s */
-	int later_s;           /* s; Retry-After of a 503 */
-	double down_s;         /* s after a refusal in which the state service counts as down */
-	int peer_conns;        /* connections kept open to each peer */
-	double finished_share; /* share of the memory for final states kept at hand */
-	int peer_users;        /* users' calls and gossip under way to one peer */
-	int own_conns;         /* connections to state service, cloud and machines at once */
-	double user_least;   /* share of all connections that users and workers have in any case */
-	double idle_reports; /* report intervals after which a silent connection is closed */
-	double idle_least_s; /* s for which it is kept in any case: users ask every 5 s */
-} choice = {0.5, 1.0, 1.2, 2.0, 1, 0.3, 6, 0.1, 24, 48, 0.6, 4.0, 20.0};
+	double retry_s, hold_s, relay_s, relay_write_s;
+	int later_s;
+	double down_s;
+	int peer_conns;
+	double finished_share;
+	int peer_users, own_conns;
+	double user_least, idle_reports, idle_least_s;
+} tunables = {
+	.retry_s = 0.5,        /* s between tries at what a node needs before it can serve */
+	.hold_s = 1.0,         /* s; length of a watch, whose end shows that nothing was missed */
+	.relay_s = 1.2,        /* s for a relayed poll; users wait 2 s for it */
+	.relay_write_s = 2.0,  /* s for a relayed cancel or submission; users wait 5 s */
+	.later_s = 1,          /* s; Retry-After of a 503 */
+	.down_s = 0.3,         /* s after a refusal in which the state service counts as down */
+	.peer_conns = 6,       /* connections kept open to each peer */
+	.finished_share = 0.1, /* share of the memory for final states kept at hand */
+	.peer_users = 24,      /* users' calls and gossip under way to one peer */
+	.own_conns = 48,       /* connections to state service, cloud and machines at once */
+	.user_least = 0.6,    /* share of all connections that users and workers have in any case */
+	.idle_reports = 4.0,  /* report intervals after which a silent connection is closed */
+	.idle_least_s = 20.0, /* s for which it is kept in any case: users ask every 5 s */
+};
 
 void fl_refuse(struct fl_response *resp, int status, const char *fmt, ...)
 {
@@ -45,7 +53,7 @@
 void fl_later(struct fl_response *resp, const char *why)
 {
 	fl_refuse(resp, 503, "%s", why);
-	resp->retry_after_s = choice.later_s;
+	resp->retry_after_s = tunables.later_s;
 	/* The balancer may find a better node for the next try than this one. */
 	resp->close = true;
 }
@@ -103,7 +111,7 @@
 
 static bool state_is_down(const struct fl_node *n)
 {
-	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < choice.down_s;
+	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < tunables.down_s;
 }
 
 /* Likewise, by the leader. */
@@ -112,7 +120,7 @@
 	struct fl_reply reply;
 
 	if (fl_lease_valid(n) ||
-	    fl_relay(n, FL_CALL_POLL, ref, NULL, NULL, FL_FIRST_HOP, choice.relay_s, &reply) != 0)
+	    fl_relay(n, FL_CALL_POLL, ref, NULL, NULL, FL_FIRST_HOP, tunables.relay_s, &reply) != 0)
 		return -EAGAIN;
 	if (reply.status == 200) {
 		resp->status = 200;
@@ -191,7 +199,7 @@
 	if (fl_lease_valid(n))
 		return false;
 	text = fl_json_take(fl_job_spec_encode(run));
-	rc = fl_relay(n, FL_CALL_SUBMIT, NULL, NULL, text, FL_FIRST_HOP, choice.relay_write_s,
+	rc = fl_relay(n, FL_CALL_SUBMIT, NULL, NULL, text, FL_FIRST_HOP, tunables.relay_write_s,
 	              &reply);
 	free(text);
 	if (rc != 0)
@@ -328,7 +336,7 @@
 static void relayed(struct fl_node *n, enum fl_user_call call, const char *ref, enum fl_hop hop,
                     struct fl_response *resp)
 {
-	double patience = call == FL_CALL_POLL ? choice.relay_s : choice.relay_write_s;
+	double patience = call == FL_CALL_POLL ? tunables.relay_s : tunables.relay_write_s;
 	struct fl_reply reply;
 
 	if (fl_relay(n, call, ref, NULL, NULL, hop, patience, &reply) == 0) {
@@ -482,7 +490,7 @@
 	uint64_t rev = 0;
 
 	while (!n->types_known)
-		if (fl_sleep(choice.retry_s / 5) != 0)
+		if (fl_sleep(tunables.retry_s / 5) != 0)
 			return;
 	while (!fl_cancelled()) {
 		double sent = fl_now();
@@ -495,8 +503,8 @@
 			if (rc == 0 && !n->cluster.leading)
 				fl_cluster_list_end(&n->cluster, rev);
 		} else {
-			rc = fl_state_follow(&n->state, FL_PREFIX_JOBS, &rev, choice.hold_s, on_job,
-			                     n);
+			rc = fl_state_follow(&n->state, FL_PREFIX_JOBS, &rev, tunables.hold_s,
+			                     on_job, n);
 		}
 		if (rc == 0)
 			n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
@@ -507,7 +515,7 @@
 		}
 		if (rc == -ERANGE)
 			rev = 0;
-		if (rc && fl_sleep(choice.retry_s) != 0)
+		if (rc && fl_sleep(tunables.retry_s) != 0)
 			return;
 	}
 }
@@ -544,7 +552,7 @@
 			n->types_known = true;
 			return;
 		}
-		if (fl_sleep(choice.retry_s) != 0)
+		if (fl_sleep(tunables.retry_s) != 0)
 			return;
 	}
 }
@@ -553,7 +561,7 @@
 {
 	n->config = c;
 	n->cluster.finished_lost_at = -1e9;
-	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * choice.finished_share /
+	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * tunables.finished_share /
 	                                     sizeof(struct fl_finished_job));
 	snprintf(n->boot, sizeof(n->boot), "%s-%.6f", c->node, fl_wall());
 	for (int i = 0; i < c->n_zones; i++)
@@ -574,7 +582,7 @@
 		p->node = n;
 		strcpy(p->name, c->peers[i].node);
 		strcpy(p->location, c->peers[i].location);
-		if (fl_http_client_init(&p->http, c->peers[i].addr, choice.peer_conns) != 0)
+		if (fl_http_client_init(&p->http, c->peers[i].addr, tunables.peer_conns) != 0)
 			return -EINVAL;
 	}
 	fl_job_lookups_init(n);
@@ -589,9 +597,9 @@
  */
 int fl_node_public_conns(const struct fl_config *c)
 {
-	int peer = FL_RELAYS_MAX + choice.peer_users;
-	int rest = c->max_connections - (c->n_peers + 1) * peer - choice.own_conns;
-	int least = (int)(c->max_connections * choice.user_least);
+	int peer = FL_RELAYS_MAX + tunables.peer_users;
+	int rest = c->max_connections - (c->n_peers + 1) * peer - tunables.own_conns;
+	int least = (int)(c->max_connections * tunables.user_least);
 
 	return rest > least ? rest : least;
 }
@@ -600,8 +608,8 @@
 {
 	struct fl_node *n = calloc(1, sizeof(*n));
 	int conns = fl_node_public_conns(config);
-	double idle_s = fmax(choice.idle_least_s, choice.idle_reports * config->report_s);
-	int allowed = fl_sockets_allow(config->max_connections + choice.own_conns);
+	double idle_s = fmax(tunables.idle_least_s, tunables.idle_reports * config->report_s);
+	int allowed = fl_sockets_allow(config->max_connections + tunables.own_conns);
 
 	if (allowed < config->max_connections)
 		fl_error("node", "max_connections is %d, but the system allows %d open files",
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -13,15 +13,19 @@
 #include "transport/log.h"
 
 static const struct {
-	double gap_s;         /* s between two passes at least: many reports, one pass */
-	double most_s;        /* s between two passes at most */
-	double share;         /* of the time for passes at most, however slow this controller is */
-	double budget_s;      /* s of a pass before it stops and goes on next time */
-	int waiting_most;     /* tasks of one job looked at in one pass */
-	double fresh_reports; /* report intervals after which a silent machine gets no new task */
-	double forget_s;      /* s; finished entries wait this long for a higher epoch */
-	double reservation_s; /* s for which room is kept for whom something was stopped there */
-} choice = {0.1, 1.0, 0.1, 0.03, 256, 3, 40.0, 3.0};
+	double gap_s, most_s, share, budget_s;
+	int waiting_most;
+	double fresh_reports, forget_s, reservation_s;
+} tunables = {
+	.gap_s = 0.1,         /* s between two passes at least: many reports, one pass */
+	.most_s = 1.0,        /* s between two passes at most */
+	.share = 0.1,         /* of the time for passes at most, however slow this controller is */
+	.budget_s = 0.03,     /* s of a pass before it stops and goes on next time */
+	.waiting_most = 256,  /* tasks of one job looked at in one pass */
+	.fresh_reports = 3,   /* report intervals after which a silent machine gets no new task */
+	.forget_s = 40.0,     /* s; finished entries wait this long for a higher epoch */
+	.reservation_s = 3.0, /* s for which room is kept for whom something was stopped there */
+};
 
 struct snapshot {
 	struct fl_sched_in in;
@@ -33,7 +37,7 @@
 
 static uint32_t count_startable(struct fl_job *job, double now)
 {
-	uint32_t most = job->kind == FL_GANG ? job->n_tasks : (uint32_t)choice.waiting_most;
+	uint32_t most = job->kind == FL_GANG ? job->n_tasks : (uint32_t)tunables.waiting_most;
 	uint32_t at = 0, count = 0;
 
 	if (job->not_before > now)
@@ -85,7 +89,7 @@
 {
 	return m && m->up && m->described && !m->deleting && !m->gone && m->foreign == 0 &&
 	       m->reclaim_at == 0 && m->avoid_until <= now &&
-	       now - m->reached < choice.fresh_reports * n->config->report_s &&
+	       now - m->reached < tunables.fresh_reports * n->config->report_s &&
 	       !fl_reachability_doubted(m);
 }
 
@@ -98,7 +102,7 @@
 	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING)
 		est -= now - t->since;
 	/* Past its estimate: it counts as ending by the next pass. */
-	return fmax(est, choice.most_s);
+	return fmax(est, tunables.most_s);
 }
 
 static void snap_run(struct snapshot *s, int at, const struct fl_slot *slot, double now,
@@ -172,7 +176,7 @@
  */
 static struct fl_reservation reservation_of(const struct fl_machine *m, double now)
 {
-	if (m->reserved_at <= 0 || now > m->reserved_at + choice.reservation_s)
+	if (m->reserved_at <= 0 || now > m->reserved_at + tunables.reservation_s)
 		return (struct fl_reservation){0};
 	return (struct fl_reservation){.made = true,
 	                               .within_guarantee = m->reserved_within_guarantee,
@@ -255,7 +259,7 @@
 	s->in.resume = n->lead.resume;
 	s->in.out_of_time = late;
 	s->in.ctx = s;
-	s->until = now + choice.budget_s;
+	s->until = now + tunables.budget_s;
 	return 0;
 }
 
@@ -379,16 +383,16 @@
 /* A slow controller passes seldom rather than leave workers and users unanswered. */
 static double gap_after(double took)
 {
-	return fmin(choice.most_s, fmax(choice.gap_s, took / choice.share));
+	return fmin(tunables.most_s, fmax(tunables.gap_s, took / tunables.share));
 }
 
 void fl_pass_duty(void *arg)
 {
 	struct fl_node *n = arg;
-	double last = 0, gap = choice.gap_s;
+	double last = 0, gap = tunables.gap_s;
 
 	while (!fl_cancelled()) {
-		double wait = n->lead.due ? choice.gap_s : choice.most_s;
+		double wait = n->lead.due ? tunables.gap_s : tunables.most_s;
 
 		if (fl_signal_wait(&n->lead.work, wait) == -ECANCELED)
 			break;
@@ -403,7 +407,7 @@
 		gap = gap_after(fl_now() - last);
 		if (n->cluster.dirty)
 			fl_signal_wake(&n->lead.dirty);
-		if (n->lead.unforgotten > 0 && last > n->lease.raised_at + choice.forget_s)
+		if (n->lead.unforgotten > 0 && last > n->lease.raised_at + tunables.forget_s)
 			n->lease.want_epoch = true;
 		n->lead.unforgotten = 0;
 	}
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -16,22 +16,27 @@
 #include "transport/routine.h"
 
 static const struct {
-	double round_s;      /* s between two looks at the machines */
-	double list_s;       /* s between two lists */
-	double types_s;      /* s between two looks at prices */
-	double refused_s;    /* s for which a refused place is not asked again */
-	double doubt_cost;   /* times the price that a zone counts for while it cannot be reached */
-	double idle_boots;   /* boot times for which an idle machine is kept */
-	double boot_late;    /* boot times after which a booting machine is no longer counted on */
-	double boot_most;    /* boot times after which a booting machine is given up */
-	double soon_boots;   /* boot times within which an ending task's room is waited for */
-	double learn_s;      /* s over which the arrival of services is counted */
-	double reserve_sd;   /* spreads of the arrivals expected while a machine boots, on top */
-	double tombstone_s;  /* s; messages may arrive minutes late */
-	double spot_prior_s; /* machine-seconds without a loss that are taken for seen at first */
-	int machines_most;   /* rented in one round */
-	int tries;           /* of one rental that goes unanswered */
-} choice = {0.5, 3.0, 30.0, 20.0, 2.0, 0.4, 1.6, 3.0, 0.7, 300.0, 2.0, 900.0, 3600.0, 400, 3};
+	double round_s, list_s, types_s, refused_s, doubt_cost, idle_boots, boot_late, boot_most,
+		soon_boots, learn_s, reserve_sd, tombstone_s, spot_prior_s;
+	int machines_most, tries;
+} tunables = {
+	.round_s = 0.5,    /* s between two looks at the machines */
+	.list_s = 3.0,     /* s between two lists */
+	.types_s = 30.0,   /* s between two looks at prices */
+	.refused_s = 20.0, /* s for which a refused place is not asked again */
+	.doubt_cost = 2.0, /* times the price that a zone counts for while it cannot be reached */
+	.idle_boots = 0.4, /* boot times for which an idle machine is kept */
+	.boot_late = 1.6,  /* boot times after which a booting machine is no longer counted on */
+	.boot_most = 3.0,  /* boot times after which a booting machine is given up */
+	.soon_boots = 0.7, /* boot times within which an ending task's room is waited for */
+	.learn_s = 300.0,  /* s over which the arrival of services is counted */
+	.reserve_sd = 2.0, /* spreads of the arrivals expected while a machine boots, on top */
+	.tombstone_s = 900.0, /* s; messages may arrive minutes late */
+	.spot_prior_s =
+		3600.0,       /* machine-seconds without a loss that are taken for seen at first */
+	.machines_most = 400, /* rented in one round */
+	.tries = 3,           /* of one rental that goes unanswered */
+};
 
 /* A machine that is booting or about to be rented, filled in thought. */
 struct virtual
@@ -111,7 +116,7 @@
 	double best_cost = INFINITY;
 	int type = -1, zone = -1, spot = 0;
 
-	if (p->fresh >= choice.machines_most)
+	if (p->fresh >= tunables.machines_most)
 		return NULL;
 	for (int k = 0; k < ms->n_types; k++) {
 		for (int z = 0; z < p->n->cluster.zones.n && z < FL_ZONES_MAX; z++) {
@@ -129,7 +134,7 @@
 				        (job->apart ? 0.1 * placed[z] : 0));
 				/* A machine that cannot report is paid for nothing. */
 				if (p->n->provision.doubted_until[z] > p->now)
-					cost *= choice.doubt_cost;
+					cost *= tunables.doubt_cost;
 				if (cost < best_cost) {
 					best_cost = cost;
 					type = k;
@@ -206,7 +211,7 @@
 		p->zone_machines[m->zone]++;
 		/* Some boot for minutes and a few for ever: what waits must not wait for those. */
 		if (!m->up && !m->deleting && m->n_slots == 0 &&
-		    p->now - m->created < choice.boot_late * b->machines.types[m->type].ready_s)
+		    p->now - m->created < tunables.boot_late * b->machines.types[m->type].ready_s)
 			add_virtual(p, m->type, m->zone, m->spot, false);
 		for (int k = 0; m->up && k < m->n_slots; k++) {
 			const struct fl_job *job = m->slots[k].job;
@@ -214,7 +219,7 @@
 
 			if (job->kind == FL_ARRAY && t->observed == FL_OBSERVED_RUNNING &&
 			    job->expected_s - (p->now - t->since) <
-			            choice.soon_boots * b->machines.types[m->type].ready_s)
+			            tunables.soon_boots * b->machines.types[m->type].ready_s)
 				p->soon += 1;
 		}
 	}
@@ -256,7 +261,7 @@
 
 	HASH_ITER (hh, b->jobs, job, tmp) {
 		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
-		    p->wall - job->submitted > choice.learn_s)
+		    p->wall - job->submitted > tunables.learn_s)
 			continue;
 		tasks += job->n_tasks;
 		if (!like || job->submitted > like->submitted)
@@ -268,8 +273,8 @@
 	/* What must be apart needs room in each zone, also to replace what is lost in one. */
 	shares = like->apart ? b->zones.n : 1;
 	p->n->provision.spare_shares = shares;
-	need = tasks / choice.learn_s * b->machines.types[0].ready_s;
-	need = ceil((need + choice.reserve_sd * sqrt(need)) / shares);
+	need = tasks / tunables.learn_s * b->machines.types[0].ready_s;
+	need = ceil((need + tunables.reserve_sd * sqrt(need)) / shares);
 	for (int i = 0; i < b->machines.n; i++) {
 		const struct fl_machine *m = b->machines.at[i];
 
@@ -321,7 +326,7 @@
 
 	if (n->provision.busy)
 		return;
-	p.cap = n->cluster.machines.n + choice.machines_most + 1;
+	p.cap = n->cluster.machines.n + tunables.machines_most + 1;
 	p.at = malloc((size_t)p.cap * sizeof(*p.at));
 	if (!p.at)
 		return;
@@ -355,7 +360,7 @@
 	/* The epoch of the takeover makes the name this leader's own; it is never used again. */
 	snprintf(name, sizeof(name), "r-%llu-%llu", (unsigned long long)n->lead.first_epoch,
 	         (unsigned long long)++n->provision.rentals);
-	for (int i = 0; i < choice.tries; i++) {
+	for (int i = 0; i < tunables.tries; i++) {
 		int rc_call = spend_call(n);
 
 		if (rc_call)
@@ -380,7 +385,8 @@
 		fl_info("cloud", "no %s%s in %s: %s", w->spot ? "reclaimable " : "", type, zone,
 		        strerror(-rc));
 	if (rc == -ENOSPC || (rc == 0 && got < w->count))
-		n->provision.refused_until[w->type][w->zone][w->spot] = fl_now() + choice.refused_s;
+		n->provision.refused_until[w->type][w->zone][w->spot] =
+			fl_now() + tunables.refused_s;
 	return rc == -ENOSPC ? 0 : rc;
 }
 
@@ -480,7 +486,7 @@
 		return fl_reachability_lost_at(m) < INFINITY ? "does not hear us" : "silent";
 	if (!k)
 		return NULL;
-	if (!m->up && m->n_slots == 0 && now - m->created > choice.boot_most * k->ready_s + 5)
+	if (!m->up && m->n_slots == 0 && now - m->created > tunables.boot_most * k->ready_s + 5)
 		return "never came up";
 	if (!m->up || !empty) {
 		m->idle_since = 0;
@@ -490,7 +496,7 @@
 		m->idle_since = now;
 	if (m->avoid_until > now && m->faults > 2)
 		return "faulty";
-	if (now - m->idle_since <= choice.idle_boots * k->ready_s)
+	if (now - m->idle_since <= tunables.idle_boots * k->ready_s)
 		return NULL;
 	if (m->spot)
 		return "idle";
@@ -515,7 +521,7 @@
 	fl_failure_detector_leases(n, now, leases);
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (leases[z] > 1)
-			n->provision.doubted_until[z] = now + choice.refused_s;
+			n->provision.doubted_until[z] = now + tunables.refused_s;
 
 	for (int i = 0; i < n->cluster.machines.n && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *m = n->cluster.machines.at[i];
@@ -571,7 +577,7 @@
 
 double fl_provision_spot_loss(const struct fl_node *n)
 {
-	return n->provision.spot_lost / (n->provision.spot_s + choice.spot_prior_s);
+	return n->provision.spot_lost / (n->provision.spot_s + tunables.spot_prior_s);
 }
 
 static void count_spot(struct fl_node *n)
@@ -601,17 +607,17 @@
 {
 	struct fl_node *n = arg;
 
-	while (fl_sleep(choice.round_s) == 0) {
+	while (fl_sleep(tunables.round_s) == 0) {
 		if (!fl_lease_valid(n))
 			continue;
 		/* Here nothing of this duty is under way, and pushes keep their machines. */
-		fl_cluster_purge(&n->cluster, fl_now() - choice.tombstone_s);
+		fl_cluster_purge(&n->cluster, fl_now() - tunables.tombstone_s);
 		count_spot(n);
 		return_machines(n);
 		rent_wanted(n);
-		if (fl_now() > n->provision.listed_at + choice.list_s)
+		if (fl_now() > n->provision.listed_at + tunables.list_s)
 			list_all(n);
-		if (fl_now() > n->provision.types_at + choice.types_s) {
+		if (fl_now() > n->provision.types_at + tunables.types_s) {
 			n->provision.types_at = fl_now();
 			refresh_types(n);
 		}
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -7,10 +7,13 @@
 #include "transport/log.h"
 
 static const struct {
-	int doubts;         /* answers without effect before nothing more is placed */
-	double patience_s;  /* s that a worker waits for an answer before it tries another node */
-	double report_most; /* report intervals between two reports at most */
-} choice = {2, 4.0, 1.25};
+	int doubts;
+	double patience_s, report_most;
+} tunables = {
+	.doubts = 2,         /* answers without effect before nothing more is placed */
+	.patience_s = 4.0,   /* s that a worker waits for an answer before it tries another node */
+	.report_most = 1.25, /* report intervals between two reports at most */
+};
 
 void fl_reachability_proven(struct fl_machine *m)
 {
@@ -29,11 +32,11 @@
 static bool waited_out(const struct fl_node *n, const struct fl_machine *m,
                        const struct fl_report *r, double gap)
 {
-	if (gap < choice.patience_s)
+	if (gap < tunables.patience_s)
 		return false;
 	if (r->via && m->via && n->n_peers > 0)
 		return r->via != m->via;
-	return choice.report_most * n->config->report_s < choice.patience_s;
+	return tunables.report_most * n->config->report_s < tunables.patience_s;
 }
 
 /* An attempt that the last answer ordered must show, be it as refused. */
@@ -69,13 +72,13 @@
 		return;
 	/* Had it heard the last answer, its lease could not have ended by now. */
 	session_lost = r->session > m->session && m->session > 0 &&
-	               gap < n->config->lease_s - choice.patience_s;
+	               gap < n->config->lease_s - tunables.patience_s;
 	missed = r->epoch < m->answered_epoch || session_lost ||
 	         (m->answered_launch && !launch_shows(m, r));
 	if (missed) {
 		if (m->unheard++ == 0)
 			m->unheard_since = m->answered;
-		if (m->unheard == choice.doubts)
+		if (m->unheard == tunables.doubts)
 			fl_info("workers", "%s does not seem to hear us: nothing new is placed",
 			        m->name);
 		return;
@@ -94,10 +97,10 @@
 
 bool fl_reachability_doubted(const struct fl_machine *m)
 {
-	return m->unheard >= choice.doubts || m->waited;
+	return m->unheard >= tunables.doubts || m->waited;
 }
 
 double fl_reachability_lost_at(const struct fl_machine *m)
 {
-	return m->unheard >= choice.doubts ? m->unheard_since : INFINITY;
+	return m->unheard >= tunables.doubts ? m->unheard_since : INFINITY;
 }
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -10,13 +10,18 @@
 #include "transport/log.h"
 
 static const struct {
-	double refused_s;              /* s before a refused start is tried again */
-	double error_s;                /* s after the first failure of a task, doubled each time */
-	double error_most_s;           /* s; the most that a failing task waits */
-	uint32_t consecutive_failures; /* failures of a job in a row before all of it waits */
-	int faults;                    /* failures on a machine before it is avoided */
-	double avoid_s;                /* s for which it is avoided */
-} choice = {1.0, 2.0, 60.0, 4, 2, 120.0};
+	double refused_s, error_s, error_most_s;
+	uint32_t consecutive_failures;
+	int faults;
+	double avoid_s;
+} tunables = {
+	.refused_s = 1.0,          /* s before a refused start is tried again */
+	.error_s = 2.0,            /* s after the first failure of a task, doubled each time */
+	.error_most_s = 60.0,      /* s; the most that a failing task waits */
+	.consecutive_failures = 4, /* failures of a job in a row before all of it waits */
+	.faults = 2,               /* failures on a machine before it is avoided */
+	.avoid_s = 120.0,          /* s for which it is avoided */
+};
 
 /* Newer by session, then sequence number; the first report heard is always newer. */
 static bool newer(const struct fl_machine *m, const struct fl_report *r)
@@ -65,7 +70,7 @@
 
 static double backoff(uint32_t failures)
 {
-	return fmin(choice.error_most_s, choice.error_s * pow(2, fmin(failures, 16) - 1));
+	return fmin(tunables.error_most_s, tunables.error_s * pow(2, fmin(failures, 16) - 1));
 }
 
 static void note_error(struct fl_machine *m, struct fl_job *job, struct fl_task *t, double now)
@@ -75,12 +80,13 @@
 	job->consecutive_failures++;
 	m->faults++;
 	/* A job submitted with a mistake fails everywhere, each of its tasks for the first time. */
-	if (job->consecutive_failures > choice.consecutive_failures)
+	if (job->consecutive_failures > tunables.consecutive_failures)
 		job->not_before =
-			now + backoff(job->consecutive_failures - choice.consecutive_failures);
+			now + backoff(job->consecutive_failures - tunables.consecutive_failures);
 	/* A job that fails everywhere must not make every machine look faulty. */
-	if (m->faults >= choice.faults && job->consecutive_failures <= 2 * (uint32_t)choice.faults)
-		m->avoid_until = now + choice.avoid_s;
+	if (m->faults >= tunables.faults &&
+	    job->consecutive_failures <= 2 * (uint32_t)tunables.faults)
+		m->avoid_until = now + tunables.avoid_s;
 	fl_info("workers", "%s failed on %s (machine faults %d, job strikes %u)", job->ref, m->name,
 	        m->faults, job->consecutive_failures);
 }
@@ -106,7 +112,7 @@
 		break;
 	case FL_EXIT_NO_ROOM:
 	case FL_EXIT_BUSY:
-		pause = choice.refused_s;
+		pause = tunables.refused_s;
 		fl_info("workers", "%s refused %s/%u (%s)", m->name, job->ref, index,
 		        p->exit == FL_EXIT_BUSY ? "busy" : "no room");
 		break;
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -11,11 +11,15 @@
 #include "transport/log.h"
 
 static const struct {
-	double retry_s;     /* s after a refused write */
-	double batch_bytes; /* bytes of records in one transaction, of 64 KiB */
-	int log_from;       /* records that launches wait for, from which on the log is used */
-	double record_use;  /* share of a value's limit that the log fills */
-} choice = {0.2, 40000, 3, 0.85};
+	double retry_s, batch_bytes;
+	int log_from;
+	double record_use;
+} tunables = {
+	.retry_s = 0.2,       /* s after a refused write */
+	.batch_bytes = 40000, /* bytes of records in one transaction, of 64 KiB */
+	.log_from = 3,        /* records that launches wait for, from which on the log is used */
+	.record_use = 0.85,   /* share of a value's limit that the log fills */
+};
 
 struct batch_item {
 	struct fl_job *job;
@@ -188,7 +192,7 @@
 			if (!c || c->gen <= c->saved_gen || (only_urgent && !urgent(c)))
 				continue;
 			if (*count >= most || *count >= n->config->txn_ops || *count >= BATCH_MAX ||
-			    *count * n->config->value_kb * 1024 > choice.batch_bytes)
+			    *count * n->config->value_kb * 1024 > tunables.batch_bytes)
 				return 0;
 			if (c->rev_unknown)
 				return 1; /* must be read first; the caller does so */
@@ -259,13 +263,13 @@
 /* Everything unsaved, in as few values as it fits into; how many, or -E2BIG. */
 static int fill_log(struct fl_node *n, struct fl_multi *m, struct batch_item **items, int *count)
 {
-	size_t limit = (size_t)(n->config->value_kb * 1024 * choice.record_use), used = 0;
+	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
 	int most = n->config->txn_ops, values = 0, cap = 0;
 	cJSON *value = NULL;
 	char key[FL_KEY_MAX];
 
-	if (most > choice.batch_bytes / (double)limit)
-		most = (int)(choice.batch_bytes / (double)limit);
+	if (most > tunables.batch_bytes / (double)limit)
+		most = (int)(tunables.batch_bytes / (double)limit);
 	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
 			char *group = fl_log_group_encode(&n->cluster, job, i);
@@ -373,7 +377,7 @@
 
 	if (count == 0)
 		return 0;
-	if (count >= choice.log_from)
+	if (count >= tunables.log_from)
 		rc = write_log(n);
 	return rc == -E2BIG ? write_batch(n, n->config->txn_ops, true) : rc;
 }
@@ -515,7 +519,7 @@
 				break;
 			continue;
 		}
-		if (write_all(n) != 0 ? fl_sleep(choice.retry_s) != 0 : pause_for(n) != 0)
+		if (write_all(n) != 0 ? fl_sleep(tunables.retry_s) != 0 : pause_for(n) != 0)
 			break;
 	}
 	n->lead.running--;
--- a/src/coordination/schedule.c
+++ b/src/coordination/schedule.c
@@ -16,17 +16,20 @@
 };
 
 static const struct {
-	double eps;          /* amounts are sums of decimal fractions */
-	double zone_weight;  /* s per replica already in the zone: spreading beats a fetch */
-	double hold_weight;  /* s; a machine that no service holds: empty, it could be returned */
-	double odd_weight;   /* s; such a machine, and dear, for a job that may use a cheap one */
-	double pack_weight;  /* s per free accelerator left: fill machines, so that others empty */
-	double again_s;      /* s to start over what was lost, beside the work itself */
-	double fetch_ahead;  /* times that a fetch counts for a service which goes ahead */
-	double fetch_wait_s; /* s; a longer fetch of such a service is worth a stop elsewhere */
-	double swap_s;       /* s of work that such a stop may lose at most */
-	double min_wait_s;   /* s; so that jobs just submitted are ordered by the other factors */
-} choice = {1e-6, 1000, 8, 8, 1, 30, 3, 4, 60, 0.1};
+	double eps, zone_weight, hold_weight, odd_weight, pack_weight, again_s, fetch_ahead,
+		fetch_wait_s, swap_s, min_wait_s;
+} tunables = {
+	.eps = 1e-6,         /* amounts are sums of decimal fractions */
+	.zone_weight = 1000, /* s per replica already in the zone: spreading beats a fetch */
+	.hold_weight = 8,    /* s; a machine that no service holds: empty, it could be returned */
+	.odd_weight = 8,     /* s; such a machine, and dear, for a job that may use a cheap one */
+	.pack_weight = 1,    /* s per free accelerator left: fill machines, so that others empty */
+	.again_s = 30,       /* s to start over what was lost, beside the work itself */
+	.fetch_ahead = 3,    /* times that a fetch counts for a service which goes ahead */
+	.fetch_wait_s = 4,   /* s; a longer fetch of such a service is worth a stop elsewhere */
+	.swap_s = 60,        /* s of work that such a stop may lose at most */
+	.min_wait_s = 0.1,   /* s; so that jobs just submitted are ordered by the other factors */
+};
 
 struct pass {
 	struct fl_sched_in *in;
@@ -47,7 +50,7 @@
 
 double fl_sched_priority(const struct fl_sched_params *p, const struct fl_sched_job *j)
 {
-	double wait = j->waited_s > choice.min_wait_s ? j->waited_s : choice.min_wait_s;
+	double wait = j->waited_s > tunables.min_wait_s ? j->waited_s : tunables.min_wait_s;
 	double est = j->est_s > 0 ? j->est_s : p->default_est_s;
 	double n = j->cpus * j->n_tasks;
 
@@ -104,8 +107,8 @@
 
 static bool fits(const struct fl_sched_job *j, double cpus, double gpus, double ram)
 {
-	return j->cpus <= cpus + choice.eps && j->gpus <= gpus + choice.eps &&
-	       j->ram_gb <= ram + choice.eps;
+	return j->cpus <= cpus + tunables.eps && j->gpus <= gpus + tunables.eps &&
+	       j->ram_gb <= ram + tunables.eps;
 }
 
 static bool zone_ok(const struct fl_sched_job *j, int zone)
@@ -142,7 +145,7 @@
 
 	if (j->service || j->waited_s <= in->params->patience_s)
 		return 0;
-	return fmin(1, in->spot_loss * est) * (est / 2 + choice.again_s);
+	return fmin(1, in->spot_loss * est) * (est / 2 + tunables.again_s);
 }
 
 static double fetch_s(const struct fl_sched_job *j, const struct fl_sched_machine *m)
@@ -156,15 +159,15 @@
 static double score(const struct fl_sched_in *in, const struct fl_sched_job *j,
                     const struct fl_sched_machine *m)
 {
-	double s = choice.pack_weight * (m->gpus - j->gpus);
+	double s = tunables.pack_weight * (m->gpus - j->gpus);
 
-	s += fetch_s(j, m) * (ahead(j) ? choice.fetch_ahead : 1);
+	s += fetch_s(j, m) * (ahead(j) ? tunables.fetch_ahead : 1);
 	if (!m->held)
-		s += choice.hold_weight + (j->reclaimable && !m->spot ? choice.odd_weight : 0);
+		s += tunables.hold_weight + (j->reclaimable && !m->spot ? tunables.odd_weight : 0);
 	if (m->spot)
 		s += risk(in, j);
 	if (j->apart)
-		s += choice.zone_weight * j->zone_placed[m->zone];
+		s += tunables.zone_weight * j->zone_placed[m->zone];
 	return s;
 }
 
@@ -420,7 +423,7 @@
 	    (t.ends_by && t.ends_by[machine] < j->est_s))
 		return INFINITY;
 	cost = victims_on(p, j, machine, t.within_guarantee, &n_set);
-	return t.image && cost > choice.swap_s ? INFINITY : cost + score(p->in, j, m);
+	return t.image && cost > tunables.swap_s ? INFINITY : cost + score(p->in, j, m);
 }
 
 static void rate_preemptions(struct pass *p, const struct fl_sched_job *j, struct terms t)
@@ -475,7 +478,7 @@
 
 	struct terms t = {.image = true};
 
-	if (!ahead(j) || j->gang || fetch <= choice.fetch_wait_s || j->waited_s >= fetch)
+	if (!ahead(j) || j->gang || fetch <= tunables.fetch_wait_s || j->waited_s >= fetch)
 		return false;
 	rate_preemptions(p, j, t);
 	return request_preemption(p, j, t);
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -14,24 +14,28 @@
 #include "transport/routine.h"
 
 static const struct {
-	double patience_s;     /* s for a report; the worker gives up after 4 */
-	double direct_s;       /* s of it for the straight way, if there is another */
-	double gossip_s;       /* s between two exchanges with each peer */
-	double gossip_wait_s;  /* s; a link that takes longer counts as down */
-	double gossip_slack_s; /* s; told once more, for clocks that drift apart */
-	double refresh_s;      /* s; least time between two reads for a fresher proof */
-	double refresh_wait_s; /* s for which a report waits for such a read */
-	double digest_s;       /* s between two digests in the state service */
-	double margin_s;       /* s off the renewal time, for drift and late timers */
-	double home_s;         /* s that a worker's own zone's node must have been up */
-	double home_leases;    /* leases between two times that one worker is sent home */
-	double settle_reports; /* report intervals that it is served here before */
-	double record_use;     /* share of a value's limit that a digest fills */
-	double write_share;    /* share of the state service's writes for one node's digests */
-	double alone_s;        /* s without any word before a node counts as alone */
-	double probe_s;        /* s; the balancer asks about once a second */
-	double at_once_s;      /* s within which links that fail together fail for one reason */
-} choice = {1.5, 0.7, 1.0, 1.0, 1.0, 0.5, 1.5, 2.0, 1.0, 1.0, 1.5, 1.0, 0.85, 0.12, 1.5, 2.5, 4.0};
+	double patience_s, direct_s, gossip_s, gossip_wait_s, gossip_slack_s, refresh_s,
+		refresh_wait_s, digest_s, margin_s, home_s, home_leases, settle_reports, record_use,
+		write_share, alone_s, probe_s, at_once_s;
+} tunables = {
+	.patience_s = 1.5,     /* s for a report; the worker gives up after 4 */
+	.direct_s = 0.7,       /* s of it for the straight way, if there is another */
+	.gossip_s = 1.0,       /* s between two exchanges with each peer */
+	.gossip_wait_s = 1.0,  /* s; a link that takes longer counts as down */
+	.gossip_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
+	.refresh_s = 0.5,      /* s; least time between two reads for a fresher proof */
+	.refresh_wait_s = 1.5, /* s for which a report waits for such a read */
+	.digest_s = 2.0,       /* s between two digests in the state service */
+	.margin_s = 1.0,       /* s off the renewal time, for drift and late timers */
+	.home_s = 1.0,         /* s that a worker's own zone's node must have been up */
+	.home_leases = 1.5,    /* leases between two times that one worker is sent home */
+	.settle_reports = 1.0, /* report intervals that it is served here before */
+	.record_use = 0.85,    /* share of a value's limit that a digest fills */
+	.write_share = 0.12,   /* share of the state service's writes for one node's digests */
+	.alone_s = 1.5,        /* s without any word before a node counts as alone */
+	.probe_s = 2.5,        /* s; the balancer asks about once a second */
+	.at_once_s = 4.0,      /* s within which links that fail together fail for one reason */
+};
 
 static struct fl_peer *find_peer(struct fl_node *n, const char *name)
 {
@@ -67,7 +71,7 @@
 		return rc;
 	if (lead->up || n->n_peers == 1) {
 		text = fl_relay_encode(call, true, false, ref, via, body);
-		rc = relay_via(lead, text, hop ? patience_s : choice.direct_s, out);
+		rc = relay_via(lead, text, hop ? patience_s : tunables.direct_s, out);
 		free(text);
 	}
 	if (rc == 0 || hop)
@@ -130,7 +134,7 @@
 {
 	const struct fl_config *c = n->config;
 
-	return c->cancel_s - c->lease_s - choice.margin_s;
+	return c->cancel_s - c->lease_s - tunables.margin_s;
 }
 
 /*
@@ -202,10 +206,10 @@
 		return true;
 	if (has_epoch(n, epoch)) {
 		if (!n->jobs_known)
-			fl_signal_wait(&n->jobs_listed, choice.refresh_wait_s);
+			fl_signal_wait(&n->jobs_listed, tunables.refresh_wait_s);
 	} else if (k->refreshing) {
-		fl_signal_wait(&k->refreshed, choice.refresh_wait_s);
-	} else if (fl_now() > k->refreshed_at + choice.refresh_s) {
+		fl_signal_wait(&k->refreshed, tunables.refresh_wait_s);
+	} else if (fl_now() > k->refreshed_at + tunables.refresh_s) {
 		k->refreshing = true;
 		fl_lease_refresh(n);
 		k->refreshing = false;
@@ -250,7 +254,7 @@
 	if (n->standby.relays >= FL_RELAYS_MAX)
 		return -EBUSY;
 	n->standby.relays++;
-	rc = fl_relay(n, FL_CALL_REPORT, NULL, via, body, hop, choice.patience_s, reply);
+	rc = fl_relay(n, FL_CALL_REPORT, NULL, via, body, hop, tunables.patience_s, reply);
 	n->standby.relays--;
 	return rc;
 }
@@ -297,8 +301,8 @@
 		g->came = now;
 		HASH_ADD_STR(n->standby.misplaced, host, g);
 	}
-	if (now < g->came + choice.settle_reports * n->config->report_s ||
-	    (g->sent > 0 && now < g->sent + choice.home_leases * n->config->lease_s))
+	if (now < g->came + tunables.settle_reports * n->config->report_s ||
+	    (g->sent > 0 && now < g->sent + tunables.home_leases * n->config->lease_s))
 		return false;
 	g->sent = now;
 	return true;
@@ -317,7 +321,8 @@
 	for (int i = 0; i < n->n_peers; i++) {
 		const struct fl_peer *p = &n->peers[i];
 
-		if (strcmp(p->location, r->zone) == 0 && p->up && now > p->up_since + choice.home_s)
+		if (strcmp(p->location, r->zone) == 0 && p->up &&
+		    now > p->up_since + tunables.home_s)
 			return may_send(n, r->host) ? p : NULL;
 	}
 	return NULL;
@@ -344,7 +349,7 @@
 			return false;
 	if (n->state.last_ok > last)
 		last = n->state.last_ok;
-	return fl_now() > last + choice.alone_s;
+	return fl_now() > last + tunables.alone_s;
 }
 
 /*
@@ -359,15 +364,15 @@
 {
 	double last = last_peer_word(n), now = fl_now();
 
-	if (!fl_standby_alone(n) || now > n->probed_at + choice.probe_s ||
-	    last < n->state.last_ok - choice.at_once_s ||
-	    last > n->state.last_ok + choice.at_once_s)
+	if (!fl_standby_alone(n) || now > n->probed_at + tunables.probe_s ||
+	    last < n->state.last_ok - tunables.at_once_s ||
+	    last > n->state.last_ok + tunables.at_once_s)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
 		const struct fl_peer *p = &n->peers[n->standby.away++ % n->n_peers];
 
 		/* Not to one that was lost before. */
-		if (p->heard_at > last - choice.at_once_s)
+		if (p->heard_at > last - tunables.at_once_s)
 			return may_send(n, r->host) ? p : NULL;
 	}
 	return NULL;
@@ -465,7 +470,7 @@
 	learn_cancelled(n, g);
 	/* Standing still after it was said how old our knowledge is, we were told too little. */
 	if (!g->complete || !n->jobs_known ||
-	    fl_now() > sent + choice.gossip_wait_s + choice.gossip_slack_s / 2)
+	    fl_now() > sent + tunables.gossip_wait_s + tunables.gossip_slack_s / 2)
 		return;
 	p->sent_all_at = sent;
 	for (int i = 0; i < n->n_peers; i++)
@@ -542,7 +547,7 @@
 	 * No proof from here: a request may have been held back on its way for minutes. But then
 	 * nobody waits for the answer any more, so the asker's age was this at most a wait ago.
 	 */
-	since = fl_now() - g.known_age_s - choice.gossip_wait_s - choice.gossip_slack_s;
+	since = fl_now() - g.known_age_s - tunables.gossip_wait_s - tunables.gossip_slack_s;
 	fl_gossip_free(&g);
 	say(n, &g);
 	tell_cancelled(n, since, &g);
@@ -578,13 +583,14 @@
 	struct fl_peer *p = arg;
 	struct fl_node *n = p->node;
 
-	while (fl_sleep(choice.gossip_s) == 0) {
+	while (fl_sleep(tunables.gossip_s) == 0) {
 		double sent = fl_now();
 		struct fl_reply reply;
 		char *text = fl_standby_gossip_request(n);
 		int rc;
 
-		rc = fl_http_call(&p->http, "POST", "/gossip", text, choice.gossip_wait_s, &reply);
+		rc = fl_http_call(&p->http, "POST", "/gossip", text, tunables.gossip_wait_s,
+		                  &reply);
 		free(text);
 		if (rc == 0) {
 			p->heard_at = fl_now();
@@ -640,7 +646,7 @@
 /* What fits into one record, of what no digest holds yet. NULL: nothing is left. */
 static cJSON *fill_digest(struct fl_node *n, double since)
 {
-	size_t limit = (size_t)(n->config->value_kb * 1024 * choice.record_use), used = 0;
+	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
 	struct fl_cached_report *k, *tmp;
 	cJSON *digest = NULL;
 
@@ -697,26 +703,26 @@
 {
 	struct fl_node *n = arg;
 
-	while (fl_sleep(choice.digest_s) == 0) {
+	while (fl_sleep(tunables.digest_s) == 0) {
 		double now = fl_now();
 		struct fl_cached_report *k, *tmp;
 
-		forget_misplaced(n, now - choice.home_leases * n->config->lease_s);
+		forget_misplaced(n, now - tunables.home_leases * n->config->lease_s);
 		HASH_ITER (hh, n->standby.cached, k, tmp)
-			if (k->at < now - 5 * choice.digest_s)
+			if (k->at < now - 5 * tunables.digest_s)
 				uncache(n, k);
 		if (!n->standby.cached || fl_lease_valid(n) || !n->leader[0] ||
 		    fl_state_in_doubt(&n->state))
 			continue;
-		digest(n, now - 2 * choice.digest_s);
+		digest(n, now - 2 * tunables.digest_s);
 	}
 }
 
 void fl_standby_start(struct fl_node *n)
 {
-	double rate = n->config->state_write_rps * choice.write_share;
+	double rate = n->config->state_write_rps * tunables.write_share;
 
-	fl_budget_init(&n->standby.writes, rate, rate * choice.digest_s, fl_now());
+	fl_budget_init(&n->standby.writes, rate, rate * tunables.digest_s, fl_now());
 	for (int i = 0; i < n->n_peers; i++) {
 		n->peers[i].heard_at = n->peers[i].sent_all_at = -1e9;
 		fl_spawn(gossip_duty, &n->peers[i]);
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -6,15 +6,17 @@
 #include <string.h>
 
 static const struct {
-	double timeout_s; /* s; the cloud is slow at times, and a rental may be carried out late */
-} choice = {4.0};
+	double timeout_s;
+} tunables = {
+	.timeout_s = 4.0, /* s; the cloud is slow at times, and a rental may be carried out late */
+};
 
 static int call(struct fl_cloud *c, const char *method, const char *path, cJSON *body, cJSON **out,
                 int *status)
 {
 	char *text = body ? fl_json_take(body) : NULL;
 	struct fl_reply reply;
-	int rc = fl_http_call(&c->http, method, path, text, choice.timeout_s, &reply);
+	int rc = fl_http_call(&c->http, method, path, text, tunables.timeout_s, &reply);
 
 	free(text);
 	if (rc)
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -6,8 +6,10 @@
 #include <string.h>
 
 static const struct {
-	int depth; /* levels; cJSON recurses, and a routine's stack is small */
-} choice = {32};
+	int depth;
+} tunables = {
+	.depth = 32, /* levels; cJSON recurses, and a routine's stack is small */
+};
 
 static bool shallow(const char *s, size_t len)
 {
@@ -28,7 +30,7 @@
 		} else if (c == '"') {
 			in_string = true;
 		} else if (c == '[' || c == '{') {
-			if (++depth > choice.depth)
+			if (++depth > tunables.depth)
 				return false;
 		} else if (c == ']' || c == '}') {
 			depth--;
--- a/src/protocol/state.c
+++ b/src/protocol/state.c
@@ -8,10 +8,13 @@
 #include "transport/clock.h"
 
 static const struct {
-	double timeout_s; /* s; answers take 10 ms, at times a few hundred */
-	double slack_s;   /* s; what a watch may take beyond its hold */
-	int page;         /* items; the service's own most */
-} choice = {1.0, 2.0, 1000};
+	double timeout_s, slack_s;
+	int page;
+} tunables = {
+	.timeout_s = 1.0, /* s; answers take 10 ms, at times a few hundred */
+	.slack_s = 2.0,   /* s; what a watch may take beyond its hold */
+	.page = 1000,     /* items; the service's own most */
+};
 
 int fl_state_init(struct fl_state *s, const char *addr)
 {
@@ -80,7 +83,7 @@
 
 	*value = NULL;
 	snprintf(path, sizeof(path), "/keys/%s", key);
-	rc = call(s, &s->http, "GET", path, NULL, choice.timeout_s, &o);
+	rc = call(s, &s->http, "GET", path, NULL, tunables.timeout_s, &o);
 	if (!rc && fl_json_count(o, "KeyRev", rev) != FL_FIELD_OK)
 		rc = -EPROTO;
 	if (!rc) {
@@ -125,8 +128,8 @@
 		int rc;
 
 		snprintf(path, sizeof(path), "/keys?Prefix=%s%s%s&Page=%d", prefix,
-		         last[0] ? "&From=" : "", last, choice.page);
-		rc = call(s, &s->http, "GET", path, NULL, 2 * choice.timeout_s, &o);
+		         last[0] ? "&From=" : "", last, tunables.page);
+		rc = call(s, &s->http, "GET", path, NULL, 2 * tunables.timeout_s, &o);
 		if (!rc) {
 			items = fl_json_get(o, "Items");
 			more = false;
@@ -181,7 +184,7 @@
 
 	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", prefix,
 	         (unsigned long long)*rev, (int)(hold_s * 1000));
-	rc = call(s, &s->watch, "GET", path, NULL, hold_s + choice.slack_s, &o);
+	rc = call(s, &s->watch, "GET", path, NULL, hold_s + tunables.slack_s, &o);
 	if (!rc) {
 		log = fl_json_get(o, "Log");
 		if (fl_json_count(o, "LedgerRev", &at) != FL_FIELD_OK ||
@@ -247,7 +250,7 @@
 	int rc;
 
 	m->root = NULL;
-	rc = call(s, &s->http, "POST", "/multi", text, choice.timeout_s, &o);
+	rc = call(s, &s->http, "POST", "/multi", text, tunables.timeout_s, &o);
 	free(text);
 	if (!rc && fl_json_count(o, "LedgerRev", rev) != FL_FIELD_OK)
 		rc = -EPROTO;
@@ -269,7 +272,7 @@
 	int rc;
 
 	snprintf(body, sizeof(body), "{\"TtlMs\":%d}", (int)(ttl_s * 1000));
-	rc = call(s, &s->http, "POST", "/holds", body, choice.timeout_s, &o);
+	rc = call(s, &s->http, "POST", "/holds", body, tunables.timeout_s, &o);
 	if (!rc && fl_json_count(o, "Grant", grant) != FL_FIELD_OK)
 		rc = -EPROTO;
 	cJSON_Delete(o);
@@ -296,7 +299,7 @@
 	int rc;
 
 	snprintf(path, sizeof(path), "/holds/%llu", (unsigned long long)grant);
-	rc = call(s, &s->http, "DELETE", path, NULL, choice.timeout_s, &o);
+	rc = call(s, &s->http, "DELETE", path, NULL, tunables.timeout_s, &o);
 	cJSON_Delete(o);
 	return rc == -EPROTO ? 0 : rc;
 }
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -9,8 +9,10 @@
 #include "transport/routine.h"
 
 static const struct {
-	size_t max_body; /* bytes; a full page of the state service and some to spare */
-} choice = {8 * 1024 * 1024};
+	size_t max_body;
+} tunables = {
+	.max_body = 8 * 1024 * 1024, /* bytes; a full page of the state service and some to spare */
+};
 
 int fl_http_client_init(struct fl_http_client *c, const char *addr, int max_idle)
 {
@@ -66,7 +68,7 @@
 	int fd, rc;
 
 	memset(out, 0, sizeof(*out));
-	fl_msg_init(&msg, HTTP_RESPONSE, choice.max_body);
+	fl_msg_init(&msg, HTTP_RESPONSE, tunables.max_body);
 	rc = fl_buf_printf(&req,
 	                   "%s %s HTTP/1.1\r\nHost: fawnlead\r\nContent-Type: application/json\r\n"
 	                   "Content-Length: %zu\r\n\r\n%s",
@@ -76,7 +78,7 @@
 	do {
 		/* A parser that has seen an end cannot read another connection. */
 		fl_msg_free(&msg);
-		fl_msg_init(&msg, HTTP_RESPONSE, choice.max_body);
+		fl_msg_init(&msg, HTTP_RESPONSE, tunables.max_body);
 		reused = c->idles > 0;
 		fd = reused ? c->idle[--c->idles] : open_conn(c, until - fl_now());
 		if (fd < 0) {
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -11,12 +11,17 @@
 #include "transport/routine.h"
 
 static const struct {
-	double write_s;  /* s; users wait 2 to 5 s, so a longer write helps nobody */
-	size_t max_body; /* bytes; the protocol's limit */
-	double pause_s;  /* s; wait after a failed accept, so that it does not spin */
-	double rest_s;   /* s for the rest of a request; no caller waits longer for its answer */
-	int nearly;      /* part (one in so many) of the connections that is for one answer each */
-} choice = {5.0, 64 * 1024, 0.05, 4.0, 32};
+	double write_s;
+	size_t max_body;
+	double pause_s, rest_s;
+	int nearly;
+} tunables = {
+	.write_s = 5.0,        /* s; users wait 2 to 5 s, so a longer write helps nobody */
+	.max_body = 64 * 1024, /* bytes; the protocol's limit */
+	.pause_s = 0.05,       /* s; wait after a failed accept, so that it does not spin */
+	.rest_s = 4.0, /* s for the rest of a request; no caller waits longer for its answer */
+	.nearly = 32,  /* part (one in so many) of the connections that is for one answer each */
+};
 
 struct fl_http_server {
 	int fd;
@@ -46,7 +51,7 @@
 	if (!rc)
 		rc = fl_buf_printf(&out, "Content-Length: %zu\r\n\r\n%s", strlen(body), body);
 	if (!rc)
-		rc = fl_write_all(fd, out.data, out.len, choice.write_s);
+		rc = fl_write_all(fd, out.data, out.len, tunables.write_s);
 	fl_buf_free(&out);
 	return rc;
 }
@@ -57,7 +62,7 @@
  */
 static bool nearly_full(const struct fl_http_server *s)
 {
-	return s->conns > s->max_conns - s->max_conns / choice.nearly;
+	return s->conns > s->max_conns - s->max_conns / tunables.nearly;
 }
 
 /*
@@ -120,8 +125,8 @@
 	char *query;
 	int rc;
 
-	fl_msg_init(&msg, HTTP_REQUEST, choice.max_body);
-	msg.rest_s = choice.rest_s;
+	fl_msg_init(&msg, HTTP_REQUEST, tunables.max_body);
+	msg.rest_s = tunables.rest_s;
 	rc = fl_msg_read(&msg, c->fd, c->server->idle_s);
 	why = broken(&msg, rc);
 	if (why)
@@ -168,7 +173,7 @@
 
 		if (fd < 0) {
 			int rc = errno == EAGAIN ? fl_wait_io(s->fd, EV_READ, -1)
-			                         : fl_sleep(choice.pause_s);
+			                         : fl_sleep(tunables.pause_s);
 			if (rc == -ECANCELED)
 				break;
 			continue;
--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -27,11 +27,15 @@
 extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(struct transfer));
 
 static const struct {
-	size_t stack;  /* bytes; deep JSON plus room for a signal handler's frame */
-	size_t guard;  /* bytes; an overrun faults instead of corrupting */
-	int spare;     /* stacks kept for reuse; each has a few touched pages */
-	double turn_s; /* s for which ordinary routines run before new events are looked for */
-} choice = {256 * 1024, 4096, 32, 0.005};
+	size_t stack, guard;
+	int spare;
+	double turn_s;
+} tunables = {
+	.stack = 256 * 1024, /* bytes; deep JSON plus room for a signal handler's frame */
+	.guard = 4096,       /* bytes; an overrun faults instead of corrupting */
+	.spare = 32,         /* stacks kept for reuse; each has a few touched pages */
+	.turn_s = 0.005, /* s for which ordinary routines run before new events are looked for */
+};
 
 struct fl_routine {
 	fcontext_t ctx;
@@ -75,12 +79,12 @@
 
 	if (rt.spares > 0)
 		return rt.spare[--rt.spares];
-	p = mmap(NULL, choice.stack + choice.guard, PROT_READ | PROT_WRITE,
+	p = mmap(NULL, tunables.stack + tunables.guard, PROT_READ | PROT_WRITE,
 	         MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE, -1, 0);
 	if (p == MAP_FAILED)
 		return NULL;
-	if (mprotect(p, choice.guard, PROT_NONE) != 0) {
-		munmap(p, choice.stack + choice.guard);
+	if (mprotect(p, tunables.guard, PROT_NONE) != 0) {
+		munmap(p, tunables.stack + tunables.guard);
 		return NULL;
 	}
 	return p;
@@ -88,10 +92,10 @@
 
 static void stack_put(char *p)
 {
-	if (rt.spares < choice.spare)
+	if (rt.spares < tunables.spare)
 		rt.spare[rt.spares++] = p;
 	else
-		munmap(p, choice.stack + choice.guard);
+		munmap(p, tunables.stack + tunables.guard);
 }
 
 static void make_ready(struct fl_routine *r, int result)
@@ -178,7 +182,7 @@
 
 	rt.current = r;
 	r->parked = false;
-	FIBER_START(&rt.main_fake, r->stack + choice.guard, choice.stack);
+	FIBER_START(&rt.main_fake, r->stack + tunables.guard, tunables.stack);
 	t = jump_fcontext(r->ctx, r);
 	FIBER_FINISH(rt.main_fake, NULL, NULL);
 	rt.current = NULL;
@@ -216,7 +220,7 @@
  */
 static void drain(void)
 {
-	double until = fl_now() + choice.turn_s;
+	double until = fl_now() + tunables.turn_s;
 	struct fl_routine *r;
 
 	while ((r = take_ready(&rt.urgent)) || (r = take_ready(&rt.ready))) {
@@ -266,7 +270,7 @@
 	ev_prepare_stop(rt.loop, &rt.prepare);
 	ev_idle_stop(rt.loop, &rt.more);
 	while (rt.spares > 0)
-		munmap(rt.spare[--rt.spares], choice.stack + choice.guard);
+		munmap(rt.spare[--rt.spares], tunables.stack + tunables.guard);
 }
 
 struct fl_routine *fl_spawn(void (*fn)(void *), void *arg)
@@ -282,7 +286,7 @@
 	}
 	r->fn = fn;
 	r->arg = arg;
-	r->ctx = make_fcontext(r->stack + choice.guard + choice.stack, choice.stack, entry);
+	r->ctx = make_fcontext(r->stack + tunables.guard + tunables.stack, tunables.stack, entry);
 	ev_init(&r->io, on_io);
 	/* After a standstill both are due: what has come was not missed. */
 	ev_set_priority(&r->io, EV_MAXPRI);
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -527,7 +527,7 @@
 	{"old_report", "reconcile.c: newer, from_before", 3, old_report, 0},
 	{"mute", "failure_detector.c, command.c: direct launches; reconcile.c: absence_proves", 3,
          mute, 0},
-	{"zone_cut", "standby.c: keep_s, digests; failure_detector.c", 3, zone_cut, 0},
+	{"zone_cut", "standby.c: renewal_s, digests; failure_detector.c", 3, zone_cut, 0},
 	{"late_write", "record_writer.c: rev_unknown, conditions on the leader's key", 3,
          late_write, 0},
 	{"all_away", "takeover.c; lease.c; node.c: read_kinds", 3, all_away, 0},
