--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -32,7 +32,7 @@
 }
 
 /*
- * A zone that is cut off goes on working inside, as long as its controllers have a proof to keep
+ * A zone that is cut off goes on working inside, as long as its controllers have a proof to renew
  * with. Its machines fall silent together with them, and until then their work is as good as ever:
  * given up early, it would all start again, on machines that are still to boot.
  */
@@ -59,7 +59,7 @@
 	if (!m->up && m->n_slots == 0)
 		return false;
 	allowed = (m->zone >= 0 ? leases[m->zone] : 1) * n->config->lease_s;
-	/* Thousands report in time; of the few others it is asked who may keep them. */
+	/* Thousands report in time; of the few others it is asked who may renew them. */
 	if (silent <= allowed)
 		return false;
 	renewed = renewed_by_zone(n, m);
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -24,7 +24,7 @@
 
 bool fl_leading(const struct fl_node *n) { return n->lead.active && fl_lease_valid(n); }
 
-/* ---- what other nodes kept and could not relay ---- */
+/* ---- what other nodes cached and could not relay ---- */
 
 static void on_forwarded(void *ctx, const struct fl_change *ch)
 {
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -181,7 +181,7 @@
 		return 0;
 	}
 	if (fl_now() > l->valid_until)
-		fl_debug("lease", "cannot renew (%s): keeping only", strerror(-rc));
+		fl_debug("lease", "cannot renew (%s): renewing worker leases only", strerror(-rc));
 	return tunables.retry_s;
 }
 
@@ -271,7 +271,7 @@
 
 		if (rev == 0) {
 			rc = fl_state_list(&n->state, FL_PREFIX_CONTROL, on_control, n, &rev);
-			/* A read like any other: with it a node just started can keep at once. */
+			/* A read like any other: with it a node just started can renew at once. */
 			if (rc == 0 && sent > n->leadership_confirmed_at)
 				n->leadership_confirmed_at = sent;
 		} else {
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -37,7 +37,8 @@
 	bool types_known, jobs_known;
 	/*
 	 * Steady. Every cancellation that any user was told of, or any controller had learned of,
-	 * up to then is in the cluster state: see "Keeping" in docs/design.md.
+	 * up to then is in the cluster state: see "Standby renewal of worker leases" in
+	 * docs/design.md.
 	 */
 	double cancellations_known_until;
 	struct fl_signal jobs_listed; /* the first list of them has come */
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -285,7 +285,8 @@
 		    fl_task_place(&n->cluster, job, index, m, n->lease.epoch, now) != 0)
 			continue;
 		fl_machine_note_image(m, job->image);
-		/* What it was kept for has come; who still waits requests it again in each pass. */
+		/* What it was reserved for has come; who still waits requests it again in each
+		 * pass. */
 		if ((uint8_t)job->priority >= m->reserved_priority)
 			m->reserved_at = 0;
 		job->window_until = 0;
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -87,8 +87,8 @@
 	if (m->faults >= tunables.faults &&
 	    job->consecutive_failures <= 2 * (uint32_t)tunables.faults)
 		m->avoid_until = now + tunables.avoid_s;
-	fl_info("workers", "%s failed on %s (machine faults %d, job strikes %u)", job->ref, m->name,
-	        m->faults, job->consecutive_failures);
+	fl_info("workers", "%s failed on %s (machine faults %d, job consecutive failures %u)",
+	        job->ref, m->name, m->faults, job->consecutive_failures);
 }
 
 static void ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job, uint32_t index,
--- a/src/coordination/schedule.c
+++ b/src/coordination/schedule.c
@@ -250,7 +250,7 @@
 
 static uint32_t tasks_in(const struct fl_sched_job *j, double cpus, double gpus, double ram)
 {
-	/* Promised room can make an amount negative that the job itself needs none of. */
+	/* Reserved room can make an amount negative that the job itself needs none of. */
 	if (!fits(j, cpus, gpus, ram))
 		return 0;
 	return fl_tasks_fit((struct fl_amounts){j->cpus, j->gpus, j->ram_gb},
@@ -434,7 +434,7 @@
 }
 
 /*
- * Promises room to one more task, on the machine rated best: what is coming free already, else the
+ * Reserves room for one more task, on the machine rated best: what is coming free already, else the
  * cheapest victims. The task starts in a later pass, when the stopped ones are proven gone.
  */
 static bool request_preemption(struct pass *p, struct fl_sched_job *j, struct terms t)
@@ -534,7 +534,7 @@
 	struct terms terms = {.ends_by = ends_by};
 	bool rated = false;
 
-	/* A gang requests nothing: stops for a part of it would free room it cannot use yet. */
+	/* A gang requests nothing: stops for some of it would free room it cannot use yet. */
 	while (requested < j->waiting - p->held && !j->gang && !p->failed) {
 		bool within_guarantee =
 			j->within_guarantee &&
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -88,7 +88,7 @@
 }
 
 /*
- * A copy of a report may come long after it, also to a node that has kept newer ones: it is no
+ * A copy of a report may come long after it, also to a node that has cached newer ones: it is no
  * sign of life, and takes nothing's place.
  */
 static void cache_report(struct fl_node *n, const struct fl_report *r)
@@ -159,8 +159,8 @@
 
 /*
  * Found with controllers eight times slower: none led for long, none got a stop through, and all
- * of them kept with fresh proofs what had been cancelled a minute ago. What was cancelled so long
- * ago that it may outlive its time with another lease is therefore nobody's to keep; and a
+ * of them renewed with fresh proofs what had been cancelled a minute ago. What was cancelled so
+ * long ago that it may outlive its time with another lease is therefore nobody's to renew; and a
  * cancellation that this node has not heard of is younger than what it knows of the jobs.
  */
 static bool holds_overdue(const struct fl_node *n, const struct fl_report *r)
@@ -178,9 +178,9 @@
 }
 
 /*
- * What is known to be cancelled is stopped by whoever answers, not only no longer kept: the final
- * state is stored, so the stop is right whichever node orders it, and comes with the answer that
- * renews the lease, or neither does.
+ * What is known to be cancelled is stopped by whoever answers, not only no longer renewed: the
+ * final state is stored, so the stop is right whichever node orders it, and comes with the answer
+ * that renews the lease, or neither does.
  */
 static void stop_cancelled(const struct fl_node *n, const struct fl_report *r,
                            struct fl_orders *orders)
@@ -309,7 +309,7 @@
 }
 
 /*
- * A worker is best kept by a node of its own zone. One that reports across zones when they are
+ * A worker is best renewed by a node of its own zone. One that reports across zones when they are
  * cut apart tries node after node for 5 s each, and its lease ends before it comes to its own.
  */
 static const struct fl_peer *home_of(struct fl_node *n, const struct fl_report *r)
@@ -353,11 +353,11 @@
 }
 
 /*
- * Where to send the workers of a node that is alone. It could keep them, but the leader, which
+ * Where to send the workers of a node that is alone. It could renew them, but the leader, which
  * hears nothing of them, would give their machines up after a lease. They are better off elsewhere
  * if it is this node's own links that are cut: the users' balancer still asks for it, so that the
  * region is in reach, and state service and controllers were lost at once. A node cut off together
- * with its zone keeps its workers, since they too can reach nobody else; so does the last node
+ * with its zone renews its workers, since they too can reach nobody else; so does the last node
  * alive in an outage. Each worker is sent once in more than a lease, to the nodes in turn.
  */
 static const struct fl_peer *away_from_here(struct fl_node *n, const struct fl_report *r)
@@ -670,7 +670,7 @@
 }
 
 /*
- * The leader must not take machines for dead that are kept here and that it cannot hear. Their
+ * The leader must not take machines for dead that are renewed here and that it cannot hear. Their
  * reports travel through the state service, many to a record, within a share of its writes: the
  * leader's own records and the users' submissions need the rest.
  */
--- a/src/coordination/standby.h
+++ b/src/coordination/standby.h
@@ -1,5 +1,5 @@
 /*
- * Keeping: any node may renew a worker's lease for the leader, since nothing here is ever
+ * Standby renewal: any node may renew a worker's lease for the leader, since nothing here is ever
  * concluded from a lease having run out. Only a proof that is not too old bounds it, so that a
  * cancelled job's tasks end in time even where no leader can reach them.
  */
@@ -67,7 +67,7 @@
 /* Passes a call to the leader, direct or through a third node: 0 and the answer, or an errno. */
 int fl_relay(struct fl_node *n, enum fl_user_call call, const char *ref, const char *via,
              const char *body, enum fl_hop hop, double patience_s, struct fl_reply *out);
-/* s after a proof for which a node keeps workers with it. */
+/* s after a proof for which a node renews worker leases with it. */
 double fl_standby_renewal_s(const struct fl_node *n);
 /*
  * This node hears neither the state service nor any other controller: it can decide nothing, pass
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -36,7 +36,7 @@
 struct fl_relay {
 	enum fl_user_call call;
 	bool last_hop;     /* must not be passed on again */
-	bool disconnected; /* the sender cannot reach the state service either: keep what it sends
+	bool disconnected; /* the sender cannot reach the state service either: renew what it sends
 	                    */
 	char ref[FL_REF_MAX];
 	char via[FL_NAME_MAX]; /* of a report: the node that the worker sent it to */
