--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -5,24 +5,24 @@
 
 #include "coordination/command.h"
 #include "coordination/node.h"
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
-static void say_final(struct fl_response *resp, const struct fl_final *f, bool counts)
+static void say_final(struct fl_response *resp, const struct fl_finished_job *f, bool counts)
 {
 	resp->status = 200;
 	resp->body = fl_status_encode(f->ref, (enum fl_status)f->status,
 	                              !counts                ? -1
-	                              : f->status == FL_DONE ? (int64_t)f->parts
+	                              : f->status == FL_DONE ? (int64_t)f->n_tasks
 	                                                     : 0,
 	                              0);
 }
 
-static void say_aborted(struct fl_response *resp, const char *ref)
+static void say_cancelled(struct fl_response *resp, const char *ref)
 {
 	resp->status = 200;
-	resp->body = fl_status_encode(ref, FL_ABORTED, -1, 0);
+	resp->body = fl_status_encode(ref, FL_CANCELLED, -1, 0);
 }
 
 static void say_job(struct fl_response *resp, const struct fl_job *job)
@@ -38,8 +38,8 @@
 	struct fl_job *job;
 	uint64_t rev;
 	cJSON *v = NULL;
-	int rc = fl_inquire(n, ref, &rec, &v, &rev);
-	const struct fl_final *f = fl_final_find(&n->books, ref);
+	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
+	const struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
 
 	if (f) {
 		/* It came to its end while the record was on its way here. */
@@ -49,17 +49,17 @@
 	} else if (rc != 0) {
 		fl_later(resp, "the state service does not answer");
 	} else if (rec.final) {
-		job = n->lead.active ? fl_job_find(&n->books, ref) : NULL;
+		job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
 		if (job && v && rev > job->rev)
-			fl_record_heard(n, job, &rec, rev);
+			fl_record_writer_heard(n, job, &rec, rev);
 		else if (!job && v)
-			fl_final_add(&n->books, ref, rec.status, rec.parts,
-			             fl_since(rec.cancelled));
+			fl_finished_add(&n->cluster, ref, rec.status, rec.n_tasks,
+			                fl_since(rec.cancelled));
 		resp->status = 200;
-		resp->body =
-			fl_status_encode(ref, rec.status, rec.status == FL_DONE ? rec.parts : 0, 0);
+		resp->body = fl_status_encode(ref, rec.status,
+		                              rec.status == FL_DONE ? rec.n_tasks : 0, 0);
 	} else {
-		job = fl_books_apply(&n->books, ref, v, rev);
+		job = fl_cluster_apply(&n->cluster, ref, v, rev);
 		resp->status = 200;
 		resp->body = fl_status_encode(ref, job ? fl_job_status(job) : FL_PENDING,
 		                              job ? job->n_done : 0, job ? job->n_running : 0);
@@ -69,8 +69,8 @@
 
 void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_final *f = fl_final_find(&n->books, ref);
-	struct fl_job *job = f ? NULL : fl_job_find(&n->books, ref);
+	struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
+	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
 
 	if (f)
 		say_final(resp, f, true);
@@ -84,11 +84,11 @@
 static int write_cancel(struct fl_node *n, struct fl_job *job, double cancelled, uint64_t *rev)
 {
 	struct fl_multi m;
-	struct fl_run run;
+	struct fl_job_spec run;
 	char key[FL_KEY_MAX];
 
 	fl_key_job(key, job->ref);
-	fl_job_describe(&n->books, job, &run);
+	fl_job_describe(&n->cluster, job, &run);
 	fl_multi_init(&m);
 	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
 	fl_multi_when(&m, key, job->rev);
@@ -98,8 +98,8 @@
 
 void fl_answer_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_final *f = fl_final_find(&n->books, ref);
-	struct fl_job *job = f ? NULL : fl_job_find(&n->books, ref);
+	struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
+	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
 	enum fl_status status;
 	struct fl_job_record rec = {.final = true, .cancelled = fl_wall()};
 	uint64_t rev;
@@ -108,7 +108,7 @@
 
 	if (!f && !job) {
 		poll_record(n, ref, resp);
-		job = fl_job_find(&n->books, ref);
+		job = fl_job_find(&n->cluster, ref);
 		if (resp->status != 200 || !job)
 			return;
 		free(resp->body);
@@ -119,10 +119,10 @@
 		return;
 	}
 	if (job->unsure && !job->finishing)
-		fl_record_reread_job(n, ref, &done, &status);
-	job = fl_leading(n) ? fl_job_find(&n->books, ref) : NULL;
-	if (job && job->aborted) {
-		say_aborted(resp, ref);
+		fl_record_writer_reread_job(n, ref, &done, &status);
+	job = fl_leading(n) ? fl_job_find(&n->cluster, ref) : NULL;
+	if (job && job->cancelled) {
+		say_cancelled(resp, ref);
 		return;
 	}
 	if (!job || job->finishing || job->unsure) {
@@ -132,24 +132,24 @@
 	/* Till this is answered, only the record knows: see fl_answer_poll. */
 	job->unsure = true;
 	rc = write_cancel(n, job, rec.cancelled, &rev);
-	job = n->lead.active ? fl_job_find(&n->books, ref) : NULL;
+	job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && rc == 0) {
-		fl_books_cancelled(&n->books, job, &rec, rev);
+		fl_cluster_cancelled(&n->cluster, job, &rec, rev);
 		fl_command_stop_job(n, job);
 		fl_info("jobs", "%s is cancelled", ref);
 	} else if (job && rc == -EAGAIN) {
 		job->unsure = false;
 	} else if (job) {
-		fl_record_reread_job(n, ref, &done, &status);
+		fl_record_writer_reread_job(n, ref, &done, &status);
 	} else if (rc == 0) {
-		fl_books_told_cancelled(&n->books, ref, fl_since(rec.cancelled));
+		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
 	}
-	f = fl_final_find(&n->books, ref);
+	f = fl_finished_find(&n->cluster, ref);
 	if (f)
 		say_final(resp, f, false);
 	else if (rc == 0)
 		/* Stored, though this node leads no more: the next leader stops its tasks. */
-		say_aborted(resp, ref);
+		say_cancelled(resp, ref);
 	else
 		fl_later(resp, "the cancellation could not be stored");
 }
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -8,10 +8,13 @@
 #include "transport/log.h"
 
 static const struct {
-	int at_once;         /* direct commands under way */
-	double wait_s;       /* s for a direct command */
-	double cancel_share; /* share of cancel_s after which a machine is given up for a task */
-} choice = {24, 2.0, 0.45};
+	int at_once;
+	double wait_s, cancel_share;
+} tunables = {
+	.at_once = 24,        /* direct commands under way */
+	.wait_s = 2.0,        /* s for a direct command */
+	.cancel_share = 0.45, /* share of cancel_s after which a machine is given up for a task */
+};
 
 struct push {
 	struct fl_node *n;
@@ -29,17 +32,17 @@
 	if (!fl_leading(n) || !m->up || m->gone || !m->endpoint[0])
 		return;
 	fl_orders_init(&orders, n->lease.epoch);
-	fl_orders_tenure(&orders, m->tenure);
+	fl_orders_session(&orders, m->session);
 	if (!fl_reconcile_direct(n, m, &orders)) {
 		cJSON_Delete(orders.root);
 		return;
 	}
 	body = fl_orders_take(&orders);
-	rc = fl_worker_command(m->endpoint, body, choice.wait_s, &r);
+	rc = fl_worker_command(m->endpoint, body, tunables.wait_s, &r);
 	free(body);
 	if (rc == 200 || rc == 409) {
 		if (fl_leading(n))
-			fl_reconcile_report(n, &r, NULL, FL_WAY_COMMAND);
+			fl_reconcile_report(n, &r, NULL, FL_SOURCE_COMMAND);
 		fl_report_free(&r);
 	}
 }
@@ -63,7 +66,7 @@
 	struct push *p;
 
 	m->want_push = true;
-	if (m->pushing || n->lead.pushes >= choice.at_once)
+	if (m->pushing || n->lead.pushes >= tunables.at_once)
 		return; /* the worker's next report brings the orders all the same */
 	p = malloc(sizeof(*p));
 	if (!p)
@@ -80,8 +83,8 @@
 
 void fl_command_push_placed(struct fl_node *n)
 {
-	for (int i = 0; i < n->books.machines.n; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
 
 		if (m->want_push && m->up && !m->gone)
 			fl_command_push(n, m);
@@ -90,8 +93,8 @@
 
 void fl_command_stop_job(struct fl_node *n, struct fl_job *job)
 {
-	for (int i = 0; i < n->books.machines.n; i++) {
-		struct fl_machine *m = n->books.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.n; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
 
 		for (int k = 0; k < m->n_slots; k++) {
 			if (m->slots[k].job == job) {
@@ -100,7 +103,7 @@
 			}
 		}
 	}
-	fl_job_mark_dirty(&n->books, job);
+	fl_job_mark_dirty(&n->cluster, job);
 	fl_signal_wake(&n->lead.dirty);
 	fl_signal_wake(&n->lead.work);
 }
@@ -115,16 +118,16 @@
 
 		if (!fl_leading(n))
 			continue;
-		for (int i = 0; i < n->books.machines.n; i++) {
-			struct fl_machine *m = n->books.machines.at[i];
+		for (int i = 0; i < n->cluster.machines.n; i++) {
+			struct fl_machine *m = n->cluster.machines.at[i];
 
 			for (int k = 0; k < m->n_slots && !m->gone; k++) {
 				struct fl_job *job = m->slots[k].job;
 
-				if (!job->aborted)
+				if (!job->cancelled)
 					continue;
-				if (now > job->aborted_at +
-				                    choice.cancel_share * n->config->cancel_s &&
+				if (now > job->cancelled_at +
+				                    tunables.cancel_share * n->config->cancel_s &&
 				    !m->deleting) {
 					fl_info("workers", "%s does not let go of %s: returned",
 					        m->name, job->ref);
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -8,23 +8,25 @@
 #include "coordination/node.h"
 #include "coordination/pass.h"
 #include "coordination/reconcile.h"
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 #include "coordination/takeover.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
 static const struct {
-	double write_share; /* share of the state service's writes that the leader's records use */
-	double retry_s;     /* s after a failed read */
-	double hold_s;      /* s; length of a watch */
-	double finals_s;    /* s between two lists of what was done before */
-} choice = {0.7, 0.2, 10.0, 0.5};
+	double write_share, retry_s, hold_s, finished_s;
+} tunables = {
+	.write_share = 0.7, /* share of the state service's writes that the leader's records use */
+	.retry_s = 0.2,     /* s after a failed read */
+	.hold_s = 10.0,     /* s; length of a watch */
+	.finished_s = 0.5,  /* s between two lists of what was done before */
+};
 
 bool fl_leading(const struct fl_node *n) { return n->lead.active && fl_lease_valid(n); }
 
-/* ---- what other nodes kept and could not relay ---- */
+/* ---- what other nodes cached and could not relay ---- */
 
-static void on_kept(void *ctx, const struct fl_change *ch)
+static void on_forwarded(void *ctx, const struct fl_change *ch)
 {
 	struct fl_node *n = ctx;
 	const cJSON *e;
@@ -34,28 +36,29 @@
 	cJSON_ArrayForEach (e, fl_digest_reports(ch->value)) {
 		struct fl_report r;
 
-		if (fl_kept_decode(e, &r) != 0) {
-			fl_error("keeper", "%s holds what is no report", ch->key);
+		if (fl_cached_report_decode(e, &r) != 0) {
+			fl_error("standby", "%s holds what is no report", ch->key);
 			continue;
 		}
 		/* Heard of, but not to be reached: it is alive, and gets no new task. */
-		fl_reconcile_report(n, &r, NULL, FL_WAY_HEARSAY);
+		fl_reconcile_report(n, &r, NULL, FL_SOURCE_FORWARDED);
 		fl_report_free(&r);
 	}
 }
 
-static void kept_duty(void *arg)
+static void forwarded_duty(void *arg)
 {
 	struct fl_node *n = arg;
 	uint64_t rev = 0;
 
 	while (!fl_cancelled()) {
-		int rc = rev == 0 ? fl_state_list(&n->state, FL_PREFIX_KEPT, on_kept, n, &rev)
-		                  : fl_state_follow(&n->state, FL_PREFIX_KEPT, &rev, choice.hold_s,
-		                                    on_kept, n);
+		int rc = rev == 0
+		                 ? fl_state_list(&n->state, FL_PREFIX_CACHED, on_forwarded, n, &rev)
+		                 : fl_state_follow(&n->state, FL_PREFIX_CACHED, &rev,
+		                                   tunables.hold_s, on_forwarded, n);
 		if (rc == -ERANGE)
 			rev = 0;
-		if (rc && fl_sleep(choice.retry_s) != 0)
+		if (rc && fl_sleep(tunables.retry_s) != 0)
 			break;
 	}
 	n->lead.running--;
@@ -67,14 +70,14 @@
 static void on_final(void *ctx, const struct fl_change *ch)
 {
 	struct fl_node *n = ctx;
-	const char *ref = ch->key + strlen(FL_PREFIX_FINALS);
+	const char *ref = ch->key + strlen(FL_PREFIX_FINISHED);
 	struct fl_job_record rec;
 
 	if (strlen(ref) >= FL_REF_MAX || !ch->value ||
 	    fl_job_record_decode(ch->value, ref, &rec) != 0 || rec.status != FL_DONE)
 		return;
-	if (!n->books.finals_most || HASH_COUNT(n->books.finals) < n->books.finals_most)
-		fl_final_add(&n->books, ref, rec.status, rec.parts, 0);
+	if (!n->cluster.finished_max || HASH_COUNT(n->cluster.finished) < n->cluster.finished_max)
+		fl_finished_add(&n->cluster, ref, rec.status, rec.n_tasks, 0);
 }
 
 /*
@@ -83,17 +86,17 @@
  * took longer than a minute. A list brings a thousand in one request; ten lists with a pause in
  * between, so that however many there are, others are served meanwhile.
  */
-static void finals_duty(void *arg)
+static void finished_duty(void *arg)
 {
 	struct fl_node *n = arg;
 	char prefix[FL_KEY_MAX];
 	uint64_t rev;
 	int digit = 0;
 
-	while (fl_sleep(choice.finals_s) == 0) {
+	while (fl_sleep(tunables.finished_s) == 0) {
 		if (digit > 9 || !fl_leading(n))
 			continue;
-		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINALS FL_REF_BEGIN "%d", digit);
+		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
 		if (fl_state_list(&n->state, prefix, on_final, n, &rev) == 0)
 			digit++;
 	}
@@ -118,14 +121,14 @@
 static void begin(void *arg)
 {
 	struct fl_node *n = arg;
-	double rate = n->config->state_write_rps * choice.write_share;
+	double rate = n->config->state_write_rps * tunables.write_share;
 	uint64_t grant = n->lease.grant;
 	int rc = fl_takeover_load(n);
 
 	n->lead.loading = false;
 	if (rc != 0 || !fl_lease_valid(n) || n->lease.grant != grant) {
-		fl_books_forget_tasks(&n->books);
-		n->books.leading = false;
+		fl_cluster_forget_tasks(&n->cluster);
+		n->cluster.leading = false;
 		return;
 	}
 	n->lead.first_epoch = n->lease.epoch;
@@ -134,17 +137,17 @@
 	n->lead.due = true;
 	fl_budget_init(&n->lead.writes, rate, rate, fl_now());
 	duty(n, fl_pass_duty);
-	duty(n, fl_record_duty);
-	duty(n, kept_duty);
+	duty(n, fl_record_writer_duty);
+	duty(n, forwarded_duty);
 	duty(n, fl_command_enforce_duty);
 	fl_provision_begin(n);
 	duty(n, fl_provision_duty);
-	duty(n, finals_duty);
+	duty(n, finished_duty);
 }
 
 void fl_leader_begin(struct fl_node *n)
 {
-	fl_record_free_trash(n);
+	fl_record_writer_free_pending(n);
 	memset(&n->lead, 0, sizeof(n->lead));
 	n->lead.loading = fl_spawn(begin, n) != NULL;
 	if (!n->lead.loading)
@@ -159,7 +162,7 @@
 	n->lead.n_duties = 0;
 	while (n->lead.running > 0 && fl_signal_wait(&n->lead.ended, 1.0) != -ECANCELED)
 		;
-	fl_books_forget_tasks(&n->books);
-	n->books.leading = false;
+	fl_cluster_forget_tasks(&n->cluster);
+	n->cluster.leading = false;
 	fl_info("leader", "%s has laid down the lead", n->config->node);
 }
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -14,20 +14,28 @@
 #include "transport/routine.h"
 
 static const struct {
-	double retry_s;       /* s between tries at what a node needs before it can serve */
-	double hold_s;        /* s; length of a watch, whose end shows that nothing was missed */
-	double relay_s;       /* s for a relayed poll; users wait 2 s for it */
-	double relay_write_s; /* s for a relayed cancel or submission; users wait 5 s */
-	int later_s;          /* s; Retry-After of a 503 */
-	double down_s;        /* s after a refusal in which the state service counts as down */
-	int peer_conns;       /* connections kept open to each peer */
-	double finals_share;  /* share of the memory for final states kept at hand */
-	int peer_users;       /* users' calls and gossip under way to one peer */
-	int own_conns;        /* connections to state service, cloud and machines at once */
-	double user_least;    /* share of all connections that users and workers have in any case */
-	double idle_reports;  /* report intervals after which a silent connection is closed */
-	double idle_least_s;  /* s for which it is kept in any case: users ask every 5 s */
-} choice = {0.5, 1.0, 1.2, 2.0, 1, 0.3, 6, 0.1, 24, 48, 0.6, 4.0, 20.0};
+	double retry_s, hold_s, relay_s, relay_write_s;
+	int later_s;
+	double down_s;
+	int peer_conns;
+	double finished_share;
+	int peer_users, own_conns;
+	double user_least, idle_reports, idle_least_s;
+} tunables = {
+	.retry_s = 0.5,        /* s between tries at what a node needs before it can serve */
+	.hold_s = 1.0,         /* s; length of a watch, whose end shows that nothing was missed */
+	.relay_s = 1.2,        /* s for a relayed poll; users wait 2 s for it */
+	.relay_write_s = 2.0,  /* s for a relayed cancel or submission; users wait 5 s */
+	.later_s = 1,          /* s; Retry-After of a 503 */
+	.down_s = 0.3,         /* s after a refusal in which the state service counts as down */
+	.peer_conns = 6,       /* connections kept open to each peer */
+	.finished_share = 0.1, /* share of the memory for final states kept at hand */
+	.peer_users = 24,      /* users' calls and gossip under way to one peer */
+	.own_conns = 48,       /* connections to state service, cloud and machines at once */
+	.user_least = 0.6,    /* share of all connections that users and workers have in any case */
+	.idle_reports = 4.0,  /* report intervals after which a silent connection is closed */
+	.idle_least_s = 20.0, /* s for which it is kept in any case: users ask every 5 s */
+};
 
 void fl_refuse(struct fl_response *resp, int status, const char *fmt, ...)
 {
@@ -45,7 +53,7 @@
 void fl_later(struct fl_response *resp, const char *why)
 {
 	fl_refuse(resp, 503, "%s", why);
-	resp->retry_after_s = choice.later_s;
+	resp->retry_after_s = tunables.later_s;
 	/* The balancer may find a better node for the next try than this one. */
 	resp->close = true;
 }
@@ -53,16 +61,16 @@
 /* ---- submissions ---- */
 
 /* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t zones_for(const struct fl_node *n, const struct fl_run *r)
+static uint32_t zones_for(const struct fl_node *n, const struct fl_job_spec *r)
 {
 	uint32_t zones = 0;
 
-	for (int i = 0; i < n->books.machines.n_kinds; i++) {
-		const struct fl_kind *k = &n->books.machines.kinds[i];
-		bool named = r->n_host_kinds < 0;
+	for (int i = 0; i < n->cluster.machines.n_types; i++) {
+		const struct fl_machine_type *k = &n->cluster.machines.types[i];
+		bool named = r->n_machine_types < 0;
 
-		for (int h = 0; h < r->n_host_kinds && !named; h++)
-			named = strcmp(r->host_kinds[h], k->name) == 0;
+		for (int h = 0; h < r->n_machine_types && !named; h++)
+			named = strcmp(r->machine_types[h], k->name) == 0;
 		if (named && r->cpus <= k->cpus && r->gpus <= k->gpus && r->ram_gb <= k->ram_gb)
 			zones |= k->zones;
 	}
@@ -70,11 +78,11 @@
 }
 
 /* NULL, or why the job can never run. */
-static const char *never(const struct fl_node *n, const struct fl_run *r)
+static const char *never(const struct fl_node *n, const struct fl_job_spec *r)
 {
-	int team = fl_teams_find(&n->books.teams, r->owner), zone;
-	bool at_once = r->kind != FL_SWEEP && r->parts > 1;
-	double tasks = at_once ? r->parts : 1;
+	int team = fl_teams_find(&n->cluster.teams, r->team), zone;
+	bool at_once = r->kind != FL_ARRAY && r->n_tasks > 1;
+	double tasks = at_once ? r->n_tasks : 1;
 	uint32_t zones = zones_for(n, r);
 	const struct fl_team *t;
 
@@ -82,8 +90,8 @@
 		return "Owner: unknown team";
 	if (r->cpus <= 0 && r->gpus <= 0 && r->ram_gb <= 0)
 		return "a task takes nothing of its machine";
-	if (r->has_site) {
-		zone = fl_names_find(&n->books.zones, r->site);
+	if (r->has_zone) {
+		zone = fl_names_find(&n->cluster.zones, r->zone);
 		if (zone < 0)
 			return "Site: unknown zone";
 		zones &= 1u << zone;
@@ -95,7 +103,7 @@
 	 */
 	if (at_once && r->apart && (r->together || !(zones & (zones - 1))))
 		return "Apart: half of the tasks fit no allowed machine type";
-	t = &n->books.teams.at[team];
+	t = &n->cluster.teams.at[team];
 	if (!fl_team_within_max(t, r->cpus * tasks, r->gpus * tasks))
 		return "more than the team's limit";
 	return NULL;
@@ -103,7 +111,7 @@
 
 static bool state_is_down(const struct fl_node *n)
 {
-	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < choice.down_s;
+	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < tunables.down_s;
 }
 
 /* Likewise, by the leader. */
@@ -112,7 +120,7 @@
 	struct fl_reply reply;
 
 	if (fl_lease_valid(n) ||
-	    fl_relay(n, FL_CALL_POLL, ref, NULL, NULL, FL_FIRST_HOP, choice.relay_s, &reply) != 0)
+	    fl_relay(n, FL_CALL_POLL, ref, NULL, NULL, FL_FIRST_HOP, tunables.relay_s, &reply) != 0)
 		return -EAGAIN;
 	if (reply.status == 200) {
 		resp->status = 200;
@@ -136,8 +144,8 @@
 	cJSON *v = NULL;
 	int rc;
 
-	if (!fl_final_find(&n->books, ref) && !fl_job_find(&n->books, ref)) {
-		rc = state_is_down(n) ? -EAGAIN : fl_ledger_read(&n->state, ref, &rec, &v, &rev);
+	if (!fl_finished_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
+		rc = state_is_down(n) ? -EAGAIN : fl_records_read(&n->state, ref, &rec, &v, &rev);
 		cJSON_Delete(v);
 		if (rc && rc != -ENOENT && !hop)
 			return known_to_leader(n, ref, resp);
@@ -148,7 +156,7 @@
 	return 1;
 }
 
-static int store_job(struct fl_node *n, const struct fl_run *run)
+static int store_job(struct fl_node *n, const struct fl_job_spec *run)
 {
 	double submitted = fl_wall();
 	struct fl_multi m;
@@ -158,7 +166,7 @@
 	int rc;
 
 	fl_multi_init(&m);
-	fl_key_final(key, run->ref);
+	fl_key_finished(key, run->ref);
 	fl_multi_when(&m, key, 0);
 	fl_key_job(key, run->ref);
 	fl_multi_when(&m, key, 0);
@@ -166,9 +174,9 @@
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
 	if (rc)
 		return rc;
-	if (!fl_final_find(&n->books, run->ref) && !fl_job_find(&n->books, run->ref) &&
-	    !(n->books.leading && rev <= n->books.list_rev)) {
-		job = fl_job_add(&n->books, run, submitted, rev);
+	if (!fl_finished_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
+	    !(n->cluster.leading && rev <= n->cluster.list_rev)) {
+		job = fl_job_add(&n->cluster, run, submitted, rev);
 		if (job && n->lead.active) {
 			n->lead.due = true;
 			fl_signal_wake(&n->lead.work);
@@ -181,7 +189,8 @@
  * The state service may refuse this node alone, or be cut from it: the leader has it. What was
  * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
  */
-static bool submit_by_leader(struct fl_node *n, const struct fl_run *run, struct fl_response *resp)
+static bool submit_by_leader(struct fl_node *n, const struct fl_job_spec *run,
+                             struct fl_response *resp)
 {
 	struct fl_reply reply;
 	char *text;
@@ -189,8 +198,8 @@
 
 	if (fl_lease_valid(n))
 		return false;
-	text = fl_json_take(fl_run_encode(run));
-	rc = fl_relay(n, FL_CALL_SUBMIT, NULL, NULL, text, FL_FIRST_HOP, choice.relay_write_s,
+	text = fl_json_take(fl_job_spec_encode(run));
+	rc = fl_relay(n, FL_CALL_SUBMIT, NULL, NULL, text, FL_FIRST_HOP, tunables.relay_write_s,
 	              &reply);
 	free(text);
 	if (rc != 0)
@@ -209,7 +218,7 @@
 {
 	cJSON *o = fl_json_parse(body, len);
 	const char *bad, *why;
-	struct fl_run run;
+	struct fl_job_spec run;
 	bool relayed_first;
 	int rc;
 
@@ -218,20 +227,20 @@
 		fl_refuse(resp, 400, "the body must be a JSON object");
 		return;
 	}
-	bad = fl_run_decode(o, &run);
+	bad = fl_job_spec_decode(o, &run);
 	cJSON_Delete(o);
 	if (!run.ref[0]) {
 		fl_refuse(resp, 400, "Ref: missing or invalid");
 		return;
 	}
-	if (fl_keeper_alone(n)) {
+	if (fl_standby_alone(n)) {
 		/* At once: every try at either would cost the user seconds in vain. */
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
 	/* A known job is answered with its state before anything else is judged. */
-	if (bad || !n->kinds_known || fl_final_find(&n->books, run.ref) ||
-	    fl_job_find(&n->books, run.ref)) {
+	if (bad || !n->types_known || fl_finished_find(&n->cluster, run.ref) ||
+	    fl_job_find(&n->cluster, run.ref)) {
 		rc = answer_known(n, run.ref, hop, resp);
 		if (rc == 1)
 			return;
@@ -261,7 +270,7 @@
 	rc = state_is_down(n) ? -EAGAIN : store_job(n, &run);
 	if (rc == 0) {
 		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", run.ref,
-		        run.job_class, run.owner, run.parts, run.cpus, run.gpus);
+		        run.job_class, run.team, run.n_tasks, run.cpus, run.gpus);
 		resp->status = 201;
 		resp->body = fl_status_encode(run.ref, FL_PENDING, -1, 0);
 		return;
@@ -294,11 +303,11 @@
 	char key[FL_KEY_MAX];
 	uint64_t rev;
 	cJSON *v = NULL;
-	int rc = fl_inquire(n, ref, &rec, &v, &rev);
+	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
 
 	/* What a user is told here, the other controllers must hear from here. */
 	if (rc == 0 && rec.final && v)
-		fl_books_told_cancelled(&n->books, ref, fl_since(rec.cancelled));
+		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
 	cJSON_Delete(v);
 	if (rc == -ENOENT) {
 		fl_refuse(resp, 404, "no such job");
@@ -310,11 +319,11 @@
 	}
 	if (rec.final) {
 		resp->status = 200;
-		resp->body =
-			fl_status_encode(ref, rec.status, rec.status == FL_DONE ? rec.parts : 0, 0);
+		resp->body = fl_status_encode(ref, rec.status,
+		                              rec.status == FL_DONE ? rec.n_tasks : 0, 0);
 		return;
 	}
-	if (!fl_inquiry_affords(n, 1)) {
+	if (!fl_job_lookup_affords(n, 1)) {
 		fl_later(resp, "there are too many questions at the moment");
 		return;
 	}
@@ -327,7 +336,7 @@
 static void relayed(struct fl_node *n, enum fl_user_call call, const char *ref, enum fl_hop hop,
                     struct fl_response *resp)
 {
-	double patience = call == FL_CALL_POLL ? choice.relay_s : choice.relay_write_s;
+	double patience = call == FL_CALL_POLL ? tunables.relay_s : tunables.relay_write_s;
 	struct fl_reply reply;
 
 	if (fl_relay(n, call, ref, NULL, NULL, hop, patience, &reply) == 0) {
@@ -349,18 +358,18 @@
 static void poll_or_cancel(struct fl_node *n, enum fl_user_call call, const char *ref,
                            enum fl_hop hop, struct fl_response *resp)
 {
-	struct fl_final *f;
+	struct fl_finished_job *f;
 
 	if (!ref[0]) {
 		fl_refuse(resp, 404, "no such job");
 		return;
 	}
-	f = fl_final_find(&n->books, ref);
+	f = fl_finished_find(&n->cluster, ref);
 	if (f) {
 		resp->status = 200;
 		resp->body = fl_status_encode(ref, (enum fl_status)f->status,
 		                              call == FL_CALL_CANCEL ? -1
-		                              : f->status == FL_DONE ? (int64_t)f->parts
+		                              : f->status == FL_DONE ? (int64_t)f->n_tasks
 		                                                     : 0,
 		                              0);
 		return;
@@ -372,7 +381,7 @@
 			fl_answer_cancel(n, ref, resp);
 		return;
 	}
-	if (fl_keeper_alone(n)) {
+	if (fl_standby_alone(n)) {
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
@@ -391,11 +400,11 @@
 		poll_or_cancel(n, call, ref, hop, resp);
 		break;
 	case FL_CALL_REPORT:
-		fl_keeper_report(n, body, len, hop, n->config->node, resp);
+		fl_standby_report(n, body, len, hop, n->config->node, resp);
 		break;
 	case FL_CALL_READY:
 		n->probed_at = fl_now();
-		resp->status = n->kinds_known && n->jobs_known && !fl_keeper_alone(n) ? 200 : 503;
+		resp->status = n->types_known && n->jobs_known && !fl_standby_alone(n) ? 200 : 503;
 		break;
 	default:
 		fl_refuse(resp, 404, "no such path");
@@ -427,7 +436,7 @@
 	size_t len;
 
 	if (strcmp(req->path, "/gossip") == 0) {
-		fl_keeper_gossip(n, req->body, req->body_len, resp);
+		fl_standby_gossip(n, req->body, req->body_len, resp);
 		return;
 	}
 	if (strcmp(req->path, "/relay") != 0) {
@@ -439,13 +448,13 @@
 		fl_refuse(resp, 400, "not a relayed call");
 		return;
 	}
-	hop = r.adrift ? FL_LAST_HOP_ADRIFT : FL_LAST_HOP;
+	hop = r.disconnected ? FL_LAST_HOP_DISCONNECTED : FL_LAST_HOP;
 	len = r.body ? strlen(r.body) : 0;
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
 	if (!leads && (r.last_hop || strcmp(n->leader, n->config->node) == 0))
 		fl_refuse(resp, 421, "not the leader");
 	else if (r.call == FL_CALL_REPORT)
-		fl_keeper_report(n, r.body, len, hop, r.via, resp);
+		fl_standby_report(n, r.body, len, hop, r.via, resp);
 	else
 		fl_node_user_call(n, r.call, r.ref, r.body, len, hop, resp);
 	fl_relay_free(&r);
@@ -462,12 +471,12 @@
 
 	if (strlen(ref) >= FL_REF_MAX)
 		return;
-	job = fl_job_find(&n->books, ref);
-	known = job && job->aborted;
-	job = fl_books_apply(&n->books, ref, ch->value, ch->rev);
+	job = fl_job_find(&n->cluster, ref);
+	known = job && job->cancelled;
+	job = fl_cluster_apply(&n->cluster, ref, ch->value, ch->rev);
 	if (!job || !n->lead.active)
 		return;
-	if (job->aborted && !known) {
+	if (job->cancelled && !known) {
 		fl_info("jobs", "%s is cancelled, says its record", ref);
 		fl_command_stop_job(n, job);
 	}
@@ -480,25 +489,25 @@
 	struct fl_node *n = arg;
 	uint64_t rev = 0;
 
-	while (!n->kinds_known)
-		if (fl_sleep(choice.retry_s / 5) != 0)
+	while (!n->types_known)
+		if (fl_sleep(tunables.retry_s / 5) != 0)
 			return;
 	while (!fl_cancelled()) {
 		double sent = fl_now();
 		int rc;
 
 		if (rev == 0) {
-			if (!n->books.leading)
-				fl_books_list_begin(&n->books);
+			if (!n->cluster.leading)
+				fl_cluster_list_begin(&n->cluster);
 			rc = fl_state_list(&n->state, FL_PREFIX_JOBS, on_job, n, &rev);
-			if (rc == 0 && !n->books.leading)
-				fl_books_list_end(&n->books, rev);
+			if (rc == 0 && !n->cluster.leading)
+				fl_cluster_list_end(&n->cluster, rev);
 		} else {
-			rc = fl_state_follow(&n->state, FL_PREFIX_JOBS, &rev, choice.hold_s, on_job,
-			                     n);
+			rc = fl_state_follow(&n->state, FL_PREFIX_JOBS, &rev, tunables.hold_s,
+			                     on_job, n);
 		}
 		if (rc == 0)
-			n->jobs_at = fmax(n->jobs_at, sent);
+			n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
 		if (rc == 0 && !n->jobs_known) {
 			n->jobs_known = true;
 			fl_signal_wake(&n->jobs_listed);
@@ -506,7 +515,7 @@
 		}
 		if (rc == -ERANGE)
 			rev = 0;
-		if (rc && fl_sleep(choice.retry_s) != 0)
+		if (rc && fl_sleep(tunables.retry_s) != 0)
 			return;
 	}
 }
@@ -515,35 +524,35 @@
  * From the record that a leader keeps of them, else from the cloud. Found on a day of our own: all
  * controllers ended while the cloud was out, and none of them could serve until it was back.
  */
-static int read_kinds(struct fl_node *n, struct fl_host_kind **kinds, int *count)
+static int read_types(struct fl_node *n, struct fl_offered_type **types, int *count)
 {
 	uint64_t rev;
 	cJSON *v = NULL;
-	int rc = fl_state_get(&n->state, FL_KEY_KINDS, &v, &rev, NULL);
+	int rc = fl_state_get(&n->state, FL_KEY_MACHINE_TYPES, &v, &rev, NULL);
 
 	if (!rc)
-		rc = fl_kinds_decode(v, kinds, count);
+		rc = fl_machine_types_decode(v, types, count);
 	cJSON_Delete(v);
-	return rc ? fl_cloud_kinds(&n->cloud, kinds, count) : 0;
+	return rc ? fl_cloud_machine_types(&n->cloud, types, count) : 0;
 }
 
-static void kinds_duty(void *arg)
+static void types_duty(void *arg)
 {
 	struct fl_node *n = arg;
 
-	while (!n->kinds_known) {
-		struct fl_host_kind *kinds;
-		int count, rc = read_kinds(n, &kinds, &count);
+	while (!n->types_known) {
+		struct fl_offered_type *types;
+		int count, rc = read_types(n, &types, &count);
 
 		if (rc == -EPROTO)
 			fl_error("cloud", "its machine types cannot be read");
 		if (rc == 0) {
-			fl_kinds_set(&n->books.machines, &n->books.zones, kinds, count);
-			free(kinds);
-			n->kinds_known = true;
+			fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, count);
+			free(types);
+			n->types_known = true;
 			return;
 		}
-		if (fl_sleep(choice.retry_s) != 0)
+		if (fl_sleep(tunables.retry_s) != 0)
 			return;
 	}
 }
@@ -551,15 +560,15 @@
 static int set_up(struct fl_node *n, const struct fl_config *c)
 {
 	n->config = c;
-	n->books.finals_lost_at = -1e9;
-	n->books.finals_most =
-		(unsigned)(c->ram_mb * 1024 * 1024 * choice.finals_share / sizeof(struct fl_final));
+	n->cluster.finished_lost_at = -1e9;
+	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * tunables.finished_share /
+	                                     sizeof(struct fl_finished_job));
 	snprintf(n->boot, sizeof(n->boot), "%s-%.6f", c->node, fl_wall());
 	for (int i = 0; i < c->n_zones; i++)
-		if (fl_names_add(&n->books.zones, c->zones[i]) < 0)
+		if (fl_names_add(&n->cluster.zones, c->zones[i]) < 0)
 			return -ENOMEM;
 	for (int i = 0; i < c->n_teams; i++) {
-		struct fl_team *t = &n->books.teams.at[n->books.teams.n++];
+		struct fl_team *t = &n->cluster.teams.at[n->cluster.teams.n++];
 
 		strcpy(t->name, c->teams[i].name);
 		t->cpus = c->teams[i].cpus;
@@ -570,13 +579,13 @@
 	for (int i = 0; i < c->n_peers; i++) {
 		struct fl_peer *p = &n->peers[n->n_peers++];
 
-		p->owner = n;
+		p->node = n;
 		strcpy(p->name, c->peers[i].node);
 		strcpy(p->location, c->peers[i].location);
-		if (fl_http_client_init(&p->http, c->peers[i].addr, choice.peer_conns) != 0)
+		if (fl_http_client_init(&p->http, c->peers[i].addr, tunables.peer_conns) != 0)
 			return -EINVAL;
 	}
-	fl_inquiries_init(n);
+	fl_job_lookups_init(n);
 	if (fl_state_init(&n->state, c->state) != 0)
 		return -EINVAL;
 	return fl_http_client_init(&n->cloud.http, c->cloud, 2);
@@ -588,9 +597,9 @@
  */
 int fl_node_public_conns(const struct fl_config *c)
 {
-	int peer = FL_RELAYS_MAX + choice.peer_users;
-	int rest = c->max_connections - (c->n_peers + 1) * peer - choice.own_conns;
-	int least = (int)(c->max_connections * choice.user_least);
+	int peer = FL_RELAYS_MAX + tunables.peer_users;
+	int rest = c->max_connections - (c->n_peers + 1) * peer - tunables.own_conns;
+	int least = (int)(c->max_connections * tunables.user_least);
 
 	return rest > least ? rest : least;
 }
@@ -599,8 +608,8 @@
 {
 	struct fl_node *n = calloc(1, sizeof(*n));
 	int conns = fl_node_public_conns(config);
-	double idle_s = fmax(choice.idle_least_s, choice.idle_reports * config->report_s);
-	int allowed = fl_sockets_allow(config->max_connections + choice.own_conns);
+	double idle_s = fmax(tunables.idle_least_s, tunables.idle_reports * config->report_s);
+	int allowed = fl_sockets_allow(config->max_connections + tunables.own_conns);
 
 	if (allowed < config->max_connections)
 		fl_error("node", "max_connections is %d, but the system allows %d open files",
@@ -613,8 +622,8 @@
 		return -1;
 	}
 	fl_lease_start(n);
-	fl_keeper_start(n);
-	fl_spawn(kinds_duty, n);
+	fl_standby_start(n);
+	fl_spawn(types_duty, n);
 	fl_spawn(jobs_duty, n);
 	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
 	return 0;
--- a/src/coordination/hearing.c
+++ b/src/coordination/reachability.c
@@ -1,4 +1,4 @@
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 
 #include <math.h>
 #include <string.h>
@@ -7,12 +7,15 @@
 #include "transport/log.h"
 
 static const struct {
-	int doubts;         /* answers without effect before nothing more is placed */
-	double patience_s;  /* s that a worker waits for an answer before it tries another node */
-	double report_most; /* report intervals between two reports at most */
-} choice = {2, 4.0, 1.25};
+	int doubts;
+	double patience_s, report_most;
+} tunables = {
+	.doubts = 2,         /* answers without effect before nothing more is placed */
+	.patience_s = 4.0,   /* s that a worker waits for an answer before it tries another node */
+	.report_most = 1.25, /* report intervals between two reports at most */
+};
 
-void fl_hearing_proven(struct fl_machine *m)
+void fl_reachability_proven(struct fl_machine *m)
 {
 	m->unheard = 0;
 	m->unheard_since = 0;
@@ -29,11 +32,11 @@
 static bool waited_out(const struct fl_node *n, const struct fl_machine *m,
                        const struct fl_report *r, double gap)
 {
-	if (gap < choice.patience_s)
+	if (gap < tunables.patience_s)
 		return false;
 	if (r->via && m->via && n->n_peers > 0)
 		return r->via != m->via;
-	return choice.report_most * n->config->report_s < choice.patience_s;
+	return tunables.report_most * n->config->report_s < tunables.patience_s;
 }
 
 /* An attempt that the last answer ordered must show, be it as refused. */
@@ -44,20 +47,20 @@
 		const struct fl_task *t = fl_task_peek(job, m->slots[i].index);
 		bool there = false;
 
-		if (!t->told)
+		if (!t->launch_sent)
 			continue;
-		for (int k = 0; k < r->n_parts && !there; k++)
-			there = r->parts[k].index == m->slots[i].index &&
-			        r->parts[k].attempt == t->attempt &&
-			        strcmp(r->parts[k].ref, job->ref) == 0;
+		for (int k = 0; k < r->n_tasks && !there; k++)
+			there = r->tasks[k].index == m->slots[i].index &&
+			        r->tasks[k].attempt == t->attempt &&
+			        strcmp(r->tasks[k].ref, job->ref) == 0;
 		if (!there)
 			return false;
 	}
 	return true;
 }
 
-void fl_hearing_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
-                       double now)
+void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+                            double now)
 {
 	bool session_lost, missed;
 	double gap;
@@ -68,36 +71,36 @@
 	if (m->answered <= 0)
 		return;
 	/* Had it heard the last answer, its lease could not have ended by now. */
-	session_lost = r->tenure > m->tenure && m->tenure > 0 &&
-	               gap < n->config->lease_s - choice.patience_s;
+	session_lost = r->session > m->session && m->session > 0 &&
+	               gap < n->config->lease_s - tunables.patience_s;
 	missed = r->epoch < m->answered_epoch || session_lost ||
 	         (m->answered_launch && !launch_shows(m, r));
 	if (missed) {
 		if (m->unheard++ == 0)
 			m->unheard_since = m->answered;
-		if (m->unheard == choice.doubts)
+		if (m->unheard == tunables.doubts)
 			fl_info("workers", "%s does not seem to hear us: nothing new is placed",
 			        m->name);
 		return;
 	}
 	/* An answer with nothing to show proves nothing, unless it was not waited out. */
 	if (m->answered_launch || !m->waited)
-		fl_hearing_proven(m);
+		fl_reachability_proven(m);
 }
 
-void fl_hearing_answered(struct fl_node *n, struct fl_machine *m, bool launch, double now)
+void fl_reachability_answered(struct fl_node *n, struct fl_machine *m, bool launch, double now)
 {
 	m->answered = now;
 	m->answered_epoch = n->lease.epoch;
 	m->answered_launch = launch;
 }
 
-bool fl_hearing_doubted(const struct fl_machine *m)
+bool fl_reachability_doubted(const struct fl_machine *m)
 {
-	return m->unheard >= choice.doubts || m->waited;
+	return m->unheard >= tunables.doubts || m->waited;
 }
 
-double fl_hearing_lost_at(const struct fl_machine *m)
+double fl_reachability_lost_at(const struct fl_machine *m)
 {
-	return m->unheard >= choice.doubts ? m->unheard_since : INFINITY;
+	return m->unheard >= tunables.doubts ? m->unheard_since : INFINITY;
 }
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -4,26 +4,31 @@
 #include <math.h>
 #include <string.h>
 
-#include "coordination/hearing.h"
+#include "coordination/reachability.h"
 #include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
 static const struct {
-	double refused_s;    /* s before a refused start is tried again */
-	double error_s;      /* s after the first failure of a task, doubled each time */
-	double error_most_s; /* s; the most that a failing task waits */
-	uint32_t strikes;    /* failures of a job in a row before all of it waits */
-	int faults;          /* failures on a machine before it is avoided */
-	double avoid_s;      /* s for which it is avoided */
-} choice = {1.0, 2.0, 60.0, 4, 2, 120.0};
-
-/* Newer by tenure, then serial; the first report heard is always newer. */
+	double refused_s, error_s, error_most_s;
+	uint32_t consecutive_failures;
+	int faults;
+	double avoid_s;
+} tunables = {
+	.refused_s = 1.0,          /* s before a refused start is tried again */
+	.error_s = 2.0,            /* s after the first failure of a task, doubled each time */
+	.error_most_s = 60.0,      /* s; the most that a failing task waits */
+	.consecutive_failures = 4, /* failures of a job in a row before all of it waits */
+	.faults = 2,               /* failures on a machine before it is avoided */
+	.avoid_s = 120.0,          /* s for which it is avoided */
+};
+
+/* Newer by session, then sequence number; the first report heard is always newer. */
 static bool newer(const struct fl_machine *m, const struct fl_report *r)
 {
 	if (m->heard <= 0)
 		return true;
-	return r->tenure > m->tenure || (r->tenure == m->tenure && r->serial > m->serial);
+	return r->session > m->session || (r->session == m->session && r->seq > m->seq);
 }
 
 /*
@@ -34,9 +39,9 @@
  * which is on its way to the worker until that sends its next report of its own.
  */
 static bool absence_proves(const struct fl_machine *m, const struct fl_task *t,
-                           const struct fl_report *r, enum fl_way way)
+                           const struct fl_report *r, enum fl_report_source source)
 {
-	if (t->told && way == FL_WAY_COMMAND)
+	if (t->launch_sent && source == FL_SOURCE_COMMAND)
 		return false;
 	/* An answer's launch is carried out before the worker's next report or never. */
 	return m->direct_epoch == 0 || r->epoch > m->direct_epoch;
@@ -53,39 +58,41 @@
 
 static bool wanted(const struct fl_job *job, const struct fl_task *t)
 {
-	return !job->aborted && t->stop == FL_STOP_NONE;
+	return !job->cancelled && t->stop == FL_STOP_NONE;
 }
 
 static double wind_down(const struct fl_job *job, const struct fl_task *t)
 {
-	if (job->aborted || job->snapshot_every_s <= 0 || t->sight == FL_SEEN_FLUSHING)
+	if (job->cancelled || job->checkpoint_every_s <= 0 || t->observed == FL_OBSERVED_FLUSHING)
 		return 0;
-	return job->snapshot_cost_s + 1;
+	return job->checkpoint_cost_s + 1;
 }
 
 static double backoff(uint32_t failures)
 {
-	return fmin(choice.error_most_s, choice.error_s * pow(2, fmin(failures, 16) - 1));
+	return fmin(tunables.error_most_s, tunables.error_s * pow(2, fmin(failures, 16) - 1));
 }
 
 static void note_error(struct fl_machine *m, struct fl_job *job, struct fl_task *t, double now)
 {
 	if (t->fails < 16)
 		t->fails++;
-	job->strikes++;
+	job->consecutive_failures++;
 	m->faults++;
 	/* A job submitted with a mistake fails everywhere, each of its tasks for the first time. */
-	if (job->strikes > choice.strikes)
-		job->not_before = now + backoff(job->strikes - choice.strikes);
+	if (job->consecutive_failures > tunables.consecutive_failures)
+		job->not_before =
+			now + backoff(job->consecutive_failures - tunables.consecutive_failures);
 	/* A job that fails everywhere must not make every machine look faulty. */
-	if (m->faults >= choice.faults && job->strikes <= 2 * (uint32_t)choice.faults)
-		m->avoid_until = now + choice.avoid_s;
-	fl_info("workers", "%s failed on %s (machine faults %d, job strikes %u)", job->ref, m->name,
-	        m->faults, job->strikes);
+	if (m->faults >= tunables.faults &&
+	    job->consecutive_failures <= 2 * (uint32_t)tunables.faults)
+		m->avoid_until = now + tunables.avoid_s;
+	fl_info("workers", "%s failed on %s (machine faults %d, job consecutive failures %u)",
+	        job->ref, m->name, m->faults, job->consecutive_failures);
 }
 
 static void ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job, uint32_t index,
-                  struct fl_task *t, const struct fl_part *p, double now)
+                  struct fl_task *t, const struct fl_task_report *p, double now)
 {
 	double pause = 0;
 
@@ -93,10 +100,10 @@
 	case FL_EXIT_DONE:
 		fl_debug("workers", "%s/%u done on %s after %.1f s of %.1f", job->ref, index,
 		         m->name, now - t->since, job->expected_s);
-		job->strikes = 0;
+		job->consecutive_failures = 0;
 		job->not_before = 0;
 		m->faults = 0;
-		fl_task_done(&n->books, job, index);
+		fl_task_done(&n->cluster, job, index);
 		fl_signal_wake(&n->lead.work);
 		return;
 	case FL_EXIT_STOPPED:
@@ -105,7 +112,7 @@
 		break;
 	case FL_EXIT_NO_ROOM:
 	case FL_EXIT_BUSY:
-		pause = choice.refused_s;
+		pause = tunables.refused_s;
 		fl_info("workers", "%s refused %s/%u (%s)", m->name, job->ref, index,
 		        p->exit == FL_EXIT_BUSY ? "busy" : "no room");
 		break;
@@ -114,26 +121,27 @@
 		pause = backoff(t->fails);
 		break;
 	}
-	fl_task_release(&n->books, job, index, pause > 0 ? now + pause : 0);
+	fl_task_release(&n->cluster, job, index, pause > 0 ? now + pause : 0);
 	fl_signal_wake(&n->lead.work);
 }
 
-static enum fl_sight sight_of(enum fl_part_state s)
+static enum fl_observed_state observed_of(enum fl_task_state s)
 {
 	switch (s) {
 	case FL_PULLING:
 	case FL_GATHERING:
-		return FL_SEEN_PULLING;
+		return FL_OBSERVED_PULLING;
 	case FL_FLUSHING:
-		return FL_SEEN_FLUSHING;
+		return FL_OBSERVED_FLUSHING;
 	default:
-		return FL_SEEN_RUNNING;
+		return FL_OBSERVED_RUNNING;
 	}
 }
 
 /* An entry that is no current attempt: stop it if it lives, have it forgotten when that is safe. */
 static void stray(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
-                  const struct fl_part *p, const struct fl_report *r, struct fl_orders *orders)
+                  const struct fl_task_report *p, const struct fl_report *r,
+                  struct fl_orders *orders)
 {
 	if (p->state != FL_ENDED) {
 		m->foreign++;
@@ -142,43 +150,43 @@
 		return;
 	}
 	/* Completed is completed, whichever attempt it was. */
-	if (p->exit == FL_EXIT_DONE && job && !job->aborted && p->index < job->parts &&
-	    job->kind == FL_SWEEP) {
+	if (p->exit == FL_EXIT_DONE && job && !job->cancelled && p->index < job->n_tasks &&
+	    job->kind == FL_ARRAY) {
 		struct fl_task *t = fl_task_get(job, p->index);
 
 		if (t && t->phase == FL_TASK_WAITING) {
-			fl_task_done(&n->books, job, p->index);
+			fl_task_done(&n->cluster, job, p->index);
 			fl_signal_wake(&n->lead.work);
 		}
 	}
 	if (!may_forget(m, r))
 		n->lead.unforgotten++;
-	else if (orders && (!job || p->index >= job->parts || fl_task_durable(job, p->index)))
+	else if (orders && (!job || p->index >= job->n_tasks || fl_task_durable(job, p->index)))
 		fl_orders_add(orders, FL_FORGET, p->ref, p->index, p->attempt, 0);
 }
 
-static void reported_part(struct fl_node *n, struct fl_machine *m, const struct fl_part *p,
+static void reported_task(struct fl_node *n, struct fl_machine *m, const struct fl_task_report *p,
                           const struct fl_report *r, struct fl_orders *orders, double now)
 {
-	struct fl_job *job = fl_job_find(&n->books, p->ref);
-	struct fl_task *t = job && p->index < job->parts ? fl_task_peek(job, p->index) : NULL;
+	struct fl_job *job = fl_job_find(&n->cluster, p->ref);
+	struct fl_task *t = job && p->index < job->n_tasks ? fl_task_peek(job, p->index) : NULL;
 
 	if (!t || t->phase != FL_TASK_PLACED || t->machine != m->id || t->attempt != p->attempt) {
 		stray(n, m, job, p, r, orders);
 		return;
 	}
-	fl_machine_note_bundle(m, job->bundle);
+	fl_machine_note_image(m, job->image);
 	if (p->state == FL_ENDED) {
 		ended(n, m, job, p->index, t, p, now);
 		return;
 	}
-	if (t->sight != sight_of(p->state)) {
+	if (t->observed != observed_of(p->state)) {
 		fl_debug("workers", "%s/%u is %s on %s after %.1f s", job->ref, p->index,
-		         sight_of(p->state) == FL_SEEN_RUNNING   ? "running"
-		         : sight_of(p->state) == FL_SEEN_PULLING ? "pulling"
-		                                                 : "saving",
+		         observed_of(p->state) == FL_OBSERVED_RUNNING   ? "running"
+		         : observed_of(p->state) == FL_OBSERVED_PULLING ? "pulling"
+		                                                        : "saving",
 		         m->name, now - t->since);
-		fl_task_sighted(job, t, sight_of(p->state), now);
+		fl_task_observe(job, t, observed_of(p->state), now);
 		fl_signal_wake(&n->lead.work);
 	}
 	if (!wanted(job, t) && orders)
@@ -188,9 +196,9 @@
 static bool in_report(const struct fl_report *r, const struct fl_job *job, uint32_t index,
                       uint32_t attempt)
 {
-	for (int i = 0; i < r->n_parts; i++)
-		if (r->parts[i].index == index && r->parts[i].attempt == attempt &&
-		    strcmp(r->parts[i].ref, job->ref) == 0)
+	for (int i = 0; i < r->n_tasks; i++)
+		if (r->tasks[i].index == index && r->tasks[i].attempt == attempt &&
+		    strcmp(r->tasks[i].ref, job->ref) == 0)
 			return true;
 	return false;
 }
@@ -199,8 +207,8 @@
  * Attempts that should be here and were not reported: launch, or conclude that they are not. True
  * if a launch is ordered.
  */
-static bool missing_parts(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
-                          struct fl_orders *orders, enum fl_way way, double now)
+static bool missing_tasks(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+                          struct fl_orders *orders, enum fl_report_source source, double now)
 {
 	bool launches = false;
 
@@ -211,29 +219,29 @@
 
 		if (in_report(r, job, index, t->attempt))
 			continue;
-		if (t->tenure < r->tenure) {
+		if (t->session < r->session) {
 			/* The session in which it was placed is over, and so is the attempt. */
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
 			        m->name);
-			fl_task_release(&n->books, job, index, 0);
+			fl_task_release(&n->cluster, job, index, 0);
 			fl_signal_wake(&n->lead.work);
 			continue;
 		}
-		if (t->sight != FL_UNSEEN) {
+		if (t->observed != FL_OBSERVED_NONE) {
 			/* Was seen in this session, was never forgotten, and is no more. */
 			fl_error("workers", "%s/%u vanished from %s", job->ref, index, m->name);
-			fl_task_sighted(job, t, FL_UNSEEN, now);
+			fl_task_observe(job, t, FL_OBSERVED_NONE, now);
 		}
 		if (!wanted(job, t)) {
-			if (absence_proves(m, t, r, way)) {
-				fl_task_release(&n->books, job, index, 0);
+			if (absence_proves(m, t, r, source)) {
+				fl_task_release(&n->cluster, job, index, 0);
 				fl_signal_wake(&n->lead.work);
 			} else if (m->direct_epoch >= r->epoch && m->direct_epoch > 0) {
 				n->lease.want_epoch = true;
 			}
 		} else if (orders && fl_task_durable(job, index)) {
 			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
-			t->told = true;
+			t->launch_sent = true;
 			launches = true;
 		}
 	}
@@ -242,10 +250,10 @@
 
 static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *r)
 {
-	int kind = fl_kind_find(&n->books.machines, r->kind);
-	int zone = fl_names_find(&n->books.zones, r->site);
+	int type = fl_machine_type_find(&n->cluster.machines, r->type);
+	int zone = fl_names_find(&n->cluster.zones, r->zone);
 
-	fl_books_describe(&n->books, m, kind, zone, r->spot, r->endpoint);
+	fl_cluster_describe(&n->cluster, m, type, zone, r->spot, r->endpoint);
 }
 
 /*
@@ -264,8 +272,8 @@
 	bool fresh = !m->up;
 
 	describe(n, m, r);
-	m->tenure = r->tenure;
-	m->serial = r->serial;
+	m->session = r->session;
+	m->seq = r->seq;
 	m->heard = now;
 	m->up = true;
 	m->foreign = 0;
@@ -279,10 +287,10 @@
 }
 
 int fl_reconcile_report(struct fl_node *n, const struct fl_report *r, struct fl_orders *orders,
-                        enum fl_way way)
+                        enum fl_report_source source)
 {
 	double now = fl_now();
-	struct fl_machine *m = fl_machine_find(&n->books.machines, r->host);
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
 	bool launches;
 
 	if (m && m->gone)
@@ -292,32 +300,32 @@
 	if (from_before(n, r))
 		return 0;
 	if (!m)
-		m = fl_machine_get(&n->books.machines, r->host, now);
+		m = fl_machine_get(&n->cluster.machines, r->host, now);
 	if (!m)
 		return -ENOENT;
 	if (!newer(m, r))
 		return 0;
-	if (way == FL_WAY_COMMAND)
-		fl_hearing_proven(m);
-	else if (way == FL_WAY_REPORT)
-		fl_hearing_report(n, m, r, now);
+	if (source == FL_SOURCE_COMMAND)
+		fl_reachability_proven(m);
+	else if (source == FL_SOURCE_REPORT)
+		fl_reachability_report(n, m, r, now);
 	take_in(n, m, r, now);
-	if (way != FL_WAY_HEARSAY)
+	if (source != FL_SOURCE_FORWARDED)
 		m->reached = now;
-	for (int i = 0; i < r->n_parts; i++)
-		reported_part(n, m, &r->parts[i], r, orders, now);
-	launches = missing_parts(n, m, r, orders, way, now);
-	if (way == FL_WAY_REPORT)
-		fl_hearing_answered(n, m, launches, now);
+	for (int i = 0; i < r->n_tasks; i++)
+		reported_task(n, m, &r->tasks[i], r, orders, now);
+	launches = missing_tasks(n, m, r, orders, source, now);
+	if (source == FL_SOURCE_REPORT)
+		fl_reachability_answered(n, m, launches, now);
 	return 0;
 }
 
-void fl_reconcile_kept(struct fl_node *n, const struct fl_report *r)
+void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *r)
 {
-	struct fl_machine *m = fl_machine_find(&n->books.machines, r->host);
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
 
 	if (m && m->up && newer(m, r))
-		fl_hearing_answered(n, m, false, fl_now());
+		fl_reachability_answered(n, m, false, fl_now());
 }
 
 bool fl_reconcile_direct(struct fl_node *n, struct fl_machine *m, struct fl_orders *orders)
@@ -332,7 +340,7 @@
 		if (!wanted(job, t)) {
 			fl_orders_add(orders, FL_KILL, job->ref, index, t->attempt,
 			              wind_down(job, t));
-		} else if (t->sight == FL_UNSEEN && fl_task_durable(job, index)) {
+		} else if (t->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
 			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
 			launched = true;
 		}
@@ -351,6 +359,6 @@
 	m->gone_at = fl_now();
 	m->up = false;
 	while (m->n_slots > 0)
-		fl_task_release(&n->books, m->slots[0].job, m->slots[0].index, 0);
+		fl_task_release(&n->cluster, m->slots[0].job, m->slots[0].index, 0);
 	fl_signal_wake(&n->lead.work);
 }
--- a/src/coordination/record.c
+++ b/src/coordination/record_writer.c
@@ -1,4 +1,4 @@
-#include "coordination/record.h"
+#include "coordination/record_writer.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -11,11 +11,15 @@
 #include "transport/log.h"
 
 static const struct {
-	double retry_s;     /* s after a refused write */
-	double batch_bytes; /* bytes of records in one transaction, of 64 KiB */
-	int log_from;       /* records that launches wait for, from which on the log is used */
-	double record_use;  /* share of a value's limit that the log fills */
-} choice = {0.2, 40000, 3, 0.85};
+	double retry_s, batch_bytes;
+	int log_from;
+	double record_use;
+} tunables = {
+	.retry_s = 0.2,       /* s after a refused write */
+	.batch_bytes = 40000, /* bytes of records in one transaction, of 64 KiB */
+	.log_from = 3,        /* records that launches wait for, from which on the log is used */
+	.record_use = 0.85,   /* share of a value's limit that the log fills */
+};
 
 struct batch_item {
 	struct fl_job *job;
@@ -44,10 +48,10 @@
 	return 0;
 }
 
-void fl_record_heard(struct fl_node *n, struct fl_job *job, const struct fl_job_record *rec,
-                     uint64_t rev)
+void fl_record_writer_heard(struct fl_node *n, struct fl_job *job, const struct fl_job_record *rec,
+                            uint64_t rev)
 {
-	if (!fl_books_cancelled(&n->books, job, rec, rev))
+	if (!fl_cluster_cancelled(&n->cluster, job, rec, rev))
 		return;
 	fl_command_stop_job(n, job);
 	fl_info("jobs", "%s is cancelled, says its record", job->ref);
@@ -58,19 +62,20 @@
  * gone when the answer comes. Only the writing routine may let go of it, so if it turns out to be
  * over it stays unsure, and `*over` is told.
  */
-int fl_record_reread_job(struct fl_node *n, const char *ref, bool *over, enum fl_status *status)
+int fl_record_writer_reread_job(struct fl_node *n, const char *ref, bool *over,
+                                enum fl_status *status)
 {
 	struct fl_job_record rec;
 	struct fl_job *job;
 	uint64_t rev = 0;
 	cJSON *v = NULL;
-	int rc = fl_ledger_read(&n->state, ref, &rec, &v, &rev);
+	int rc = fl_records_read(&n->state, ref, &rec, &v, &rev);
 
 	*over = rc == 0 && v == NULL;
 	*status = rec.status;
-	job = n->lead.active ? fl_job_find(&n->books, ref) : NULL;
+	job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (rc == 0 && v && job)
-		fl_record_heard(n, job, &rec, rev);
+		fl_record_writer_heard(n, job, &rec, rev);
 	cJSON_Delete(v);
 	return rc;
 }
@@ -98,23 +103,23 @@
 	uint32_t rest = 0; /* the first chunk whose record does not go with this write */
 	int rc;
 
-	if (job->unsure && (rc = fl_record_reread_job(n, job->ref, &done, &status)) != 0)
+	if (job->unsure && (rc = fl_record_writer_reread_job(n, job->ref, &done, &status)) != 0)
 		return rc;
 	if (done) {
 		fl_info("jobs", "%s is %s", job->ref, fl_status_name(status));
-		fl_job_finalise(&n->books, job, status);
+		fl_job_finalise(&n->cluster, job, status);
 		return 0;
 	}
 	if (!fl_job_is_over(job))
 		return 0;
-	status = job->aborted ? FL_ABORTED : FL_DONE;
+	status = job->cancelled ? FL_CANCELLED : FL_DONE;
 	fl_multi_init(&m);
 	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
 	fl_key_job(key, job->ref);
 	fl_multi_when(&m, key, job->rev);
 	fl_multi_delete(&m, key);
-	fl_key_final(key, job->ref);
-	fl_multi_put(&m, key, fl_job_record_final(status, job->parts), 0);
+	fl_key_finished(key, job->ref);
+	fl_multi_put(&m, key, fl_job_record_final(status, job->n_tasks), 0);
 	for (; rest < job->n_chunks && m.n_apply < n->config->txn_ops; rest++) {
 		if (!has_record(fl_job_chunk(job, rest)))
 			continue;
@@ -133,10 +138,10 @@
 			if (!has_record(fl_job_chunk(job, rest)))
 				continue;
 			fl_key_chunk(key, job->ref, rest);
-			fl_record_discard(n, key);
+			fl_record_writer_discard(n, key);
 		}
 		fl_info("jobs", "%s is %s", job->ref, fl_status_name(status));
-		fl_job_finalise(&n->books, job, status);
+		fl_job_finalise(&n->cluster, job, status);
 		return 0;
 	}
 	job->finishing = false;
@@ -163,7 +168,7 @@
 {
 	int count = 0;
 
-	for (const struct fl_job *job = n->books.dirty; job; job = job->next_dirty)
+	for (const struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
 			const struct fl_chunk *c = fl_job_chunk(job, i);
 
@@ -179,7 +184,7 @@
 	char key[FL_KEY_MAX];
 
 	*count = 0;
-	for (job = n->books.dirty; job; job = next) {
+	for (job = n->cluster.dirty; job; job = next) {
 		next = job->next_dirty;
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
 			struct fl_chunk *c = fl_job_chunk(job, i);
@@ -187,13 +192,13 @@
 			if (!c || c->gen <= c->saved_gen || (only_urgent && !urgent(c)))
 				continue;
 			if (*count >= most || *count >= n->config->txn_ops || *count >= BATCH_MAX ||
-			    *count * n->config->value_kb * 1024 > choice.batch_bytes)
+			    *count * n->config->value_kb * 1024 > tunables.batch_bytes)
 				return 0;
 			if (c->rev_unknown)
 				return 1; /* must be read first; the caller does so */
 			fl_key_chunk(key, job->ref, i);
 			fl_multi_when(m, key, c->rev);
-			fl_multi_put(m, key, fl_chunk_encode(&n->books, job, i), 0);
+			fl_multi_put(m, key, fl_chunk_encode(&n->cluster, job, i), 0);
 			items[(*count)++] = (struct batch_item){job, i, c->gen};
 		}
 	}
@@ -202,7 +207,7 @@
 
 static int reread_unknown(struct fl_node *n)
 {
-	for (struct fl_job *job = n->books.dirty; job; job = job->next_dirty)
+	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
 			const struct fl_chunk *c = fl_job_chunk(job, i);
 
@@ -258,16 +263,16 @@
 /* Everything unsaved, in as few values as it fits into; how many, or -E2BIG. */
 static int fill_log(struct fl_node *n, struct fl_multi *m, struct batch_item **items, int *count)
 {
-	size_t limit = (size_t)(n->config->value_kb * 1024 * choice.record_use), used = 0;
+	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
 	int most = n->config->txn_ops, values = 0, cap = 0;
 	cJSON *value = NULL;
 	char key[FL_KEY_MAX];
 
-	if (most > choice.batch_bytes / (double)limit)
-		most = (int)(choice.batch_bytes / (double)limit);
-	for (struct fl_job *job = n->books.dirty; job; job = job->next_dirty)
+	if (most > tunables.batch_bytes / (double)limit)
+		most = (int)(tunables.batch_bytes / (double)limit);
+	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->n_chunks; i++) {
-			char *group = fl_log_group_encode(&n->books, job, i);
+			char *group = fl_log_group_encode(&n->cluster, job, i);
 			size_t len = group ? strlen(group) + 1 : 0;
 
 			if (!group)
@@ -372,7 +377,7 @@
 
 	if (count == 0)
 		return 0;
-	if (count >= choice.log_from)
+	if (count >= tunables.log_from)
 		rc = write_log(n);
 	return rc == -E2BIG ? write_batch(n, n->config->txn_ops, true) : rc;
 }
@@ -387,7 +392,7 @@
 
 static void undirty(struct fl_node *n)
 {
-	struct fl_job **at = &n->books.dirty;
+	struct fl_job **at = &n->cluster.dirty;
 
 	while (*at) {
 		struct fl_job *job = *at;
@@ -407,35 +412,35 @@
 	}
 }
 
-struct fl_trash {
-	struct fl_trash *next;
+struct fl_pending_deletion {
+	struct fl_pending_deletion *next;
 	char key[FL_KEY_MAX];
 };
 
-void fl_record_discard(struct fl_node *n, const char *key)
+void fl_record_writer_discard(struct fl_node *n, const char *key)
 {
-	struct fl_trash *t = malloc(sizeof(*t));
+	struct fl_pending_deletion *t = malloc(sizeof(*t));
 
 	if (!t)
 		return; /* it costs a record's room, nothing else */
 	strcpy(t->key, key);
-	t->next = n->lead.trash;
-	n->lead.trash = t;
+	t->next = n->lead.pending_deletions;
+	n->lead.pending_deletions = t;
 }
 
-void fl_record_free_trash(struct fl_node *n)
+void fl_record_writer_free_pending(struct fl_node *n)
 {
-	while (n->lead.trash) {
-		struct fl_trash *t = n->lead.trash;
+	while (n->lead.pending_deletions) {
+		struct fl_pending_deletion *t = n->lead.pending_deletions;
 
-		n->lead.trash = t->next;
+		n->lead.pending_deletions = t->next;
 		free(t);
 	}
 }
 
-static int empty_trash(struct fl_node *n)
+static int delete_pending(struct fl_node *n)
 {
-	struct fl_trash *t = n->lead.trash;
+	struct fl_pending_deletion *t = n->lead.pending_deletions;
 	struct fl_multi m;
 	uint64_t rev;
 	int rc;
@@ -450,10 +455,10 @@
 		return rc ? rc : -EAGAIN;
 	}
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
-	while (rc == 0 && n->lead.trash != t) {
-		struct fl_trash *gone = n->lead.trash;
+	while (rc == 0 && n->lead.pending_deletions != t) {
+		struct fl_pending_deletion *gone = n->lead.pending_deletions;
 
-		n->lead.trash = gone->next;
+		n->lead.pending_deletions = gone->next;
 		free(gone);
 	}
 	return rc;
@@ -465,7 +470,7 @@
 	struct fl_job *job, *next;
 	int rc = 0;
 
-	for (job = n->books.dirty; job; job = next) {
+	for (job = n->cluster.dirty; job; job = next) {
 		/* Only this routine takes jobs off the list, so the next one stays on it. */
 		next = job->next_dirty;
 		if (!fl_job_is_over(job))
@@ -479,16 +484,16 @@
 
 static int write_all(struct fl_node *n)
 {
-	int rc = write_urgent(n), finals;
+	int rc = write_urgent(n), finished;
 
 	if (rc)
 		return rc;
 	fl_command_push_placed(n);
-	finals = finalise_one(n);
+	finished = finalise_one(n);
 	rc = fl_leading(n) ? write_rest(n) : -EAGAIN;
 	if (!rc)
 		undirty(n);
-	return rc ? rc : finals;
+	return rc ? rc : finished;
 }
 
 /* Nothing can be written before the budget allows, but something urgent may come up. */
@@ -496,25 +501,25 @@
 {
 	double left = fl_budget_left(&n->lead.writes, fl_now());
 
-	if (!n->books.dirty || left >= 1)
+	if (!n->cluster.dirty || left >= 1)
 		return 0;
 	return fl_signal_wait(&n->lead.dirty, (1 - left) / n->lead.writes.rate) == -ECANCELED ? -1
 	                                                                                      : 0;
 }
 
-void fl_record_duty(void *arg)
+void fl_record_writer_duty(void *arg)
 {
 	struct fl_node *n = arg;
 
 	while (!fl_cancelled()) {
-		if (!fl_leading(n) || !n->books.dirty) {
-			if (fl_leading(n) && n->lead.trash)
-				empty_trash(n);
+		if (!fl_leading(n) || !n->cluster.dirty) {
+			if (fl_leading(n) && n->lead.pending_deletions)
+				delete_pending(n);
 			if (fl_signal_wait(&n->lead.dirty, 0.5) == -ECANCELED)
 				break;
 			continue;
 		}
-		if (write_all(n) != 0 ? fl_sleep(choice.retry_s) != 0 : pause_for(n) != 0)
+		if (write_all(n) != 0 ? fl_sleep(tunables.retry_s) != 0 : pause_for(n) != 0)
 			break;
 	}
 	n->lead.running--;
--- a/src/coordination/schedule.c
+++ b/src/coordination/schedule.c
@@ -8,25 +8,28 @@
 	.alpha = 1,    /* a job rises as it waits */
 	.beta = -1,    /* short ones first */
 	.gamma = -0.5, /* narrow ones first: users count jobs, and wide ones hold many back */
-	.r = 10,       /* one tier is worth ten times the wait */
+	.r = 10,       /* one priority is worth ten times the wait */
 	.omega = 4,    /* the finite value that did best in the paper's tables */
 	.default_est_s = 3600,
 	.patience_s = 120, /* half of what users grant the largest job before it begins */
-	.impatience = 4,   /* power; at twice the patience it outweighs all but the tier */
+	.impatience = 4,   /* power; at twice the patience it outweighs all but the priority */
 };
 
 static const struct {
-	double eps;          /* amounts are sums of decimal fractions */
-	double zone_weight;  /* s per replica already in the zone: spreading beats a fetch */
-	double hold_weight;  /* s; a machine that no service holds: empty, it could be returned */
-	double odd_weight;   /* s; such a machine, and dear, for a job that may use a cheap one */
-	double pack_weight;  /* s per free accelerator left: fill machines, so that others empty */
-	double again_s;      /* s to start over what was lost, beside the work itself */
-	double fetch_ahead;  /* times that a fetch counts for a service which goes ahead */
-	double fetch_wait_s; /* s; a longer fetch of such a service is worth a stop elsewhere */
-	double swap_s;       /* s of work that such a stop may lose at most */
-	double min_wait_s;   /* s; so that jobs just submitted are ordered by the other factors */
-} choice = {1e-6, 1000, 8, 8, 1, 30, 3, 4, 60, 0.1};
+	double eps, zone_weight, hold_weight, odd_weight, pack_weight, again_s, fetch_ahead,
+		fetch_wait_s, swap_s, min_wait_s;
+} tunables = {
+	.eps = 1e-6,         /* amounts are sums of decimal fractions */
+	.zone_weight = 1000, /* s per replica already in the zone: spreading beats a fetch */
+	.hold_weight = 8,    /* s; a machine that no service holds: empty, it could be returned */
+	.odd_weight = 8,     /* s; such a machine, and dear, for a job that may use a cheap one */
+	.pack_weight = 1,    /* s per free accelerator left: fill machines, so that others empty */
+	.again_s = 30,       /* s to start over what was lost, beside the work itself */
+	.fetch_ahead = 3,    /* times that a fetch counts for a service which goes ahead */
+	.fetch_wait_s = 4,   /* s; a longer fetch of such a service is worth a stop elsewhere */
+	.swap_s = 60,        /* s of work that such a stop may lose at most */
+	.min_wait_s = 0.1,   /* s; so that jobs just submitted are ordered by the other factors */
+};
 
 struct pass {
 	struct fl_sched_in *in;
@@ -35,10 +38,10 @@
 	double *priority;
 	/* The runs of machine i are run_of[first[i]] up to run_of[first[i + 1]]. */
 	int *first, *run_of;
-	/* Room that stops under way will free and that is not promised yet, per machine. */
+	/* Room that stops under way will free and that is not reserved yet, per machine. */
 	double *coming_cpus, *coming_gpus, *coming_ram;
-	/* Of the job in hand, per machine: how well a start or a claim would do there. */
-	double *start_score, *claim_cost;
+	/* Of the job in hand, per machine: how well a start or a preemption would do there. */
+	double *start_score, *preemption_cost;
 	int *victims;  /* room for the runs of any machine */
 	bool resumed;  /* the jobs in hand were not looked at in the order from its head */
 	uint32_t held; /* tasks of the job in hand that wait for room where their image lies */
@@ -47,9 +50,9 @@
 
 double fl_sched_priority(const struct fl_sched_params *p, const struct fl_sched_job *j)
 {
-	double wait = j->waited_s > choice.min_wait_s ? j->waited_s : choice.min_wait_s;
+	double wait = j->waited_s > tunables.min_wait_s ? j->waited_s : tunables.min_wait_s;
 	double est = j->est_s > 0 ? j->est_s : p->default_est_s;
-	double n = j->cpus * j->parts;
+	double n = j->cpus * j->n_tasks;
 
 	if (n <= 0)
 		n = 1;
@@ -59,11 +62,11 @@
 	 * grows.
 	 */
 	return pow(wait / 3600, p->alpha) * (1 + pow(wait / p->patience_s, p->impatience)) *
-	       pow(est / 3600, p->beta) * pow(n / 32, p->gamma) * pow(p->r, (int)j->tier - 1);
+	       pow(est / 3600, p->beta) * pow(n / 32, p->gamma) * pow(p->r, (int)j->priority - 1);
 }
 
 /* A service that may stop others goes ahead of them: placing it first saves the stop. */
-static bool ahead(const struct fl_sched_job *j) { return j->standing && j->tier >= FL_URGENT; }
+static bool ahead(const struct fl_sched_job *j) { return j->service && j->priority >= FL_URGENT; }
 
 /*
  * Nothing is passed over without end, however hostile what comes after it: an array that has not
@@ -72,7 +75,7 @@
  */
 static bool overdue(const struct fl_sched_params *p, const struct fl_sched_job *j)
 {
-	return !j->standing && !j->begun && j->waited_s > p->patience_s;
+	return !j->service && !j->begun && j->waited_s > p->patience_s;
 }
 
 /*
@@ -81,7 +84,7 @@
  */
 static int rank_of(const struct fl_sched_params *p, const struct fl_sched_job *j)
 {
-	return ahead(j) ? 3 : overdue(p, j) ? 2 : j->owed;
+	return ahead(j) ? 3 : overdue(p, j) ? 2 : j->within_guarantee;
 }
 
 static int by_priority(const void *pa, const void *pb, void *ctx)
@@ -98,19 +101,19 @@
 
 static bool allowed(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
-	return (j->kinds >> m->kind & 1) && (j->site < 0 || j->site == m->zone) &&
+	return (j->types >> m->type & 1) && (j->zone < 0 || j->zone == m->zone) &&
 	       (j->reclaimable || !m->spot);
 }
 
 static bool fits(const struct fl_sched_job *j, double cpus, double gpus, double ram)
 {
-	return j->cpus <= cpus + choice.eps && j->gpus <= gpus + choice.eps &&
-	       j->ram_gb <= ram + choice.eps;
+	return j->cpus <= cpus + tunables.eps && j->gpus <= gpus + tunables.eps &&
+	       j->ram_gb <= ram + tunables.eps;
 }
 
 static bool zone_ok(const struct fl_sched_job *j, int zone)
 {
-	uint32_t half = (j->parts + 1) / 2;
+	uint32_t half = (j->n_tasks + 1) / 2;
 
 	if (j->apart && j->zone_placed[zone] + j->zone_unknown + 1 > half)
 		return false;
@@ -140,15 +143,15 @@
 {
 	double est = j->est_s > 0 ? j->est_s : in->params->default_est_s;
 
-	if (j->standing || j->waited_s <= in->params->patience_s)
+	if (j->service || j->waited_s <= in->params->patience_s)
 		return 0;
-	return fmin(1, in->spot_loss * est) * (est / 2 + choice.again_s);
+	return fmin(1, in->spot_loss * est) * (est / 2 + tunables.again_s);
 }
 
 static double fetch_s(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
 	for (int i = 0; i < FL_CACHE_NOTE && m->cache; i++)
-		if (m->cache[i] == j->bundle)
+		if (m->cache[i] == j->image)
 			return 0;
 	return j->image_gb / (m->pull_gb_s > 0 ? m->pull_gb_s : 1);
 }
@@ -156,53 +159,55 @@
 static double score(const struct fl_sched_in *in, const struct fl_sched_job *j,
                     const struct fl_sched_machine *m)
 {
-	double s = choice.pack_weight * (m->gpus - j->gpus);
+	double s = tunables.pack_weight * (m->gpus - j->gpus);
 
-	s += fetch_s(j, m) * (ahead(j) ? choice.fetch_ahead : 1);
+	s += fetch_s(j, m) * (ahead(j) ? tunables.fetch_ahead : 1);
 	if (!m->held)
-		s += choice.hold_weight + (j->reclaimable && !m->spot ? choice.odd_weight : 0);
+		s += tunables.hold_weight + (j->reclaimable && !m->spot ? tunables.odd_weight : 0);
 	if (m->spot)
 		s += risk(in, j);
 	if (j->apart)
-		s += choice.zone_weight * j->zone_placed[m->zone];
+		s += tunables.zone_weight * j->zone_placed[m->zone];
 	return s;
 }
 
 /*
  * What a stop has freed belongs to whom it was made for. By the product alone a job that has waited
- * goes before one of a higher tier, which may stop it: found with idle-time arrays of 288 tasks,
- * which took the room again in every other pass and were stopped 80,000 times in ten minutes. Nor
- * does a pass that goes on in the middle of the order give away what its head waits for.
+ * goes before one of a higher priority, which may stop it: found with idle-time arrays of 288
+ * tasks, which took the room again in every other pass and were stopped 80,000 times in ten
+ * minutes. Nor does a pass that goes on in the middle of the order give away what its head waits
+ * for.
  */
-static struct fl_amounts kept_from(const struct pass *p, const struct fl_sched_job *j,
-                                   const struct fl_sched_machine *m)
+static struct fl_amounts reserved_from(const struct pass *p, const struct fl_sched_job *j,
+                                       const struct fl_sched_machine *m)
 {
-	const struct fl_promise *was = &m->promised, *now = &m->claimed;
-	struct fl_amounts kept = {was->cpus, was->gpus, was->ram_gb};
+	const struct fl_reservation *was = &m->reserved, *now = &m->requested;
+	struct fl_amounts withheld = {was->cpus, was->gpus, was->ram_gb};
 
 	if (!was->made)
 		return (struct fl_amounts){0};
 	/* Services too: an urgent one goes before a critical array, which may stop it. */
-	if (j->tier >= was->tier && (ahead(j) || (!p->resumed && (!was->owed || j->owed))))
+	if (j->priority >= was->priority &&
+	    (ahead(j) || (!p->resumed && (!was->within_guarantee || j->within_guarantee))))
 		return (struct fl_amounts){0};
-	/* What it was made for has claimed again in this pass is off the free room already. */
-	if (now->made && now->tier >= was->tier) {
-		kept.cpus = fmax(0, kept.cpus - now->cpus);
-		kept.gpus = fmax(0, kept.gpus - now->gpus);
-		kept.ram_gb = fmax(0, kept.ram_gb - now->ram_gb);
+	/* What it was made for has requested again in this pass is off the free room already. */
+	if (now->made && now->priority >= was->priority) {
+		withheld.cpus = fmax(0, withheld.cpus - now->cpus);
+		withheld.gpus = fmax(0, withheld.gpus - now->gpus);
+		withheld.ram_gb = fmax(0, withheld.ram_gb - now->ram_gb);
 	}
-	return kept;
+	return withheld;
 }
 
 /* What is or will be free on a machine for this job. */
 static struct fl_amounts room_for(const struct pass *p, const struct fl_sched_job *j, int machine)
 {
 	const struct fl_sched_machine *m = &p->in->machines[machine];
-	struct fl_amounts kept = kept_from(p, j, m);
+	struct fl_amounts withheld = reserved_from(p, j, m);
 
-	return (struct fl_amounts){m->cpus + p->coming_cpus[machine] - kept.cpus,
-	                           m->gpus + p->coming_gpus[machine] - kept.gpus,
-	                           m->ram_gb + p->coming_ram[machine] - kept.ram_gb};
+	return (struct fl_amounts){m->cpus + p->coming_cpus[machine] - withheld.cpus,
+	                           m->gpus + p->coming_gpus[machine] - withheld.gpus,
+	                           m->ram_gb + p->coming_ram[machine] - withheld.ram_gb};
 }
 
 static double rate_start(const struct pass *p, const struct fl_sched_job *j, int zone,
@@ -245,7 +250,7 @@
 
 static uint32_t tasks_in(const struct fl_sched_job *j, double cpus, double gpus, double ram)
 {
-	/* Promised room can make an amount negative that the job itself needs none of. */
+	/* Reserved room can make an amount negative that the job itself needs none of. */
 	if (!fits(j, cpus, gpus, ram))
 		return 0;
 	return fl_tasks_fit((struct fl_amounts){j->cpus, j->gpus, j->ram_gb},
@@ -329,21 +334,21 @@
 	}
 }
 
-/* May `j` stop `r`? By tier, or to get its team's guarantee from a team beyond its own. */
+/* May `j` stop `r`? By priority, or to get its team's guarantee from a team beyond its own. */
 static bool may_stop(const struct pass *p, const struct fl_sched_job *j,
-                     const struct fl_sched_run *r, bool owed)
+                     const struct fl_sched_run *r, bool within_guarantee)
 {
 	const struct fl_team *t;
 
-	if (r->stopping || !r->movable || (r->foothold && j->tier < FL_URGENT))
+	if (r->stopping || !r->movable || (r->last_running_task && j->priority < FL_URGENT))
 		return false;
-	if (r->tier < j->tier)
+	if (r->priority < j->priority)
 		return true;
 	/*
 	 * Nor what is itself within a guarantee, though its team has more besides: found in the
-	 * play of meetings, it went first in the next pass, and was stopped again.
+	 * simulated fault combinations, it went first in the next pass, and was stopped again.
 	 */
-	if (!owed || r->team == j->team || r->standing || r->owed)
+	if (!within_guarantee || r->team == j->team || r->service || r->within_guarantee)
 		return false;
 	t = &p->in->teams[r->team];
 	return !fl_team_within_guarantee(t, t->used_cpus, t->used_gpus);
@@ -361,15 +366,15 @@
 }
 
 /* Cheapest set of victims on one machine that makes room; INFINITY if none does. */
-static double victims_on(struct pass *p, const struct fl_sched_job *j, int machine, bool owed,
-                         int *n_set)
+static double victims_on(struct pass *p, const struct fl_sched_job *j, int machine,
+                         bool within_guarantee, int *n_set)
 {
 	struct fl_amounts room = room_for(p, j, machine);
 	double cpus = room.cpus, gpus = room.gpus, ram = room.ram_gb, cost = 0;
 	int n = 0, used = 0, *set = p->victims;
 
 	for (int k = p->first[machine]; k < p->first[machine + 1]; k++)
-		if (may_stop(p, j, &p->in->runs[p->run_of[k]], owed))
+		if (may_stop(p, j, &p->in->runs[p->run_of[k]], within_guarantee))
 			set[n++] = p->run_of[k];
 	qsort_r(set, (size_t)n, sizeof(*set), by_loss, p->in);
 	while (used < n && !fits(j, cpus, gpus, ram)) {
@@ -400,13 +405,14 @@
 	p->coming_ram[r->machine] += r->ram_gb;
 }
 
-/* How a claim is made: for the guarantee; only where the image lies; under whose window. */
+/* How a request is made: for the guarantee; only where the image lies; under whose window. */
 struct terms {
-	bool owed, image;
+	bool within_guarantee, image;
 	const double *ends_by; /* NULL: none */
 };
 
-static double rate_claim(struct pass *p, const struct fl_sched_job *j, struct terms t, int machine)
+static double rate_preemption(struct pass *p, const struct fl_sched_job *j, struct terms t,
+                              int machine)
 {
 	const struct fl_sched_machine *m = &p->in->machines[machine];
 	double cost;
@@ -416,30 +422,30 @@
 	if (!allowed(j, m) || !zone_ok(j, m->zone) || (t.image && fetch_s(j, m) > 0) ||
 	    (t.ends_by && t.ends_by[machine] < j->est_s))
 		return INFINITY;
-	cost = victims_on(p, j, machine, t.owed, &n_set);
-	return t.image && cost > choice.swap_s ? INFINITY : cost + score(p->in, j, m);
+	cost = victims_on(p, j, machine, t.within_guarantee, &n_set);
+	return t.image && cost > tunables.swap_s ? INFINITY : cost + score(p->in, j, m);
 }
 
-static void rate_claims(struct pass *p, const struct fl_sched_job *j, struct terms t)
+static void rate_preemptions(struct pass *p, const struct fl_sched_job *j, struct terms t)
 {
 	p->out->looks += p->in->n_machines;
 	for (int i = 0; i < p->in->n_machines; i++)
-		p->claim_cost[i] = rate_claim(p, j, t, i);
+		p->preemption_cost[i] = rate_preemption(p, j, t, i);
 }
 
 /*
- * Promises room to one more task, on the machine rated best: what is coming free already, else the
+ * Reserves room for one more task, on the machine rated best: what is coming free already, else the
  * cheapest victims. The task starts in a later pass, when the stopped ones are proven gone.
  */
-static bool claim_one(struct pass *p, struct fl_sched_job *j, struct terms t)
+static bool request_preemption(struct pass *p, struct fl_sched_job *j, struct terms t)
 {
-	int best = least(p->claim_cost, p->in->n_machines), n_set;
+	int best = least(p->preemption_cost, p->in->n_machines), n_set;
 	struct fl_sched_machine *m;
 
 	if (best < 0)
 		return false;
 	m = &p->in->machines[best];
-	victims_on(p, j, best, t.owed, &n_set);
+	victims_on(p, j, best, t.within_guarantee, &n_set);
 	for (int k = 0; k < n_set; k++)
 		stop_run(p, p->victims[k]);
 	/* Nobody else in this pass may count on it, free part included. */
@@ -447,15 +453,17 @@
 	m->gpus -= j->gpus;
 	m->ram_gb -= j->ram_gb;
 	j->zone_placed[m->zone]++;
-	if (!m->claimed.made)
-		m->claimed = (struct fl_promise){.made = true, .owed = t.owed, .tier = j->tier};
-	m->claimed.cpus += j->cpus;
-	m->claimed.gpus += j->gpus;
-	m->claimed.ram_gb += j->ram_gb;
+	if (!m->requested.made)
+		m->requested = (struct fl_reservation){.made = true,
+		                                       .within_guarantee = t.within_guarantee,
+		                                       .priority = j->priority};
+	m->requested.cpus += j->cpus;
+	m->requested.gpus += j->gpus;
+	m->requested.ram_gb += j->ram_gb;
 	if (looks_at_zones(j))
-		rate_claims(p, j, t);
+		rate_preemptions(p, j, t);
 	else
-		p->claim_cost[best] = rate_claim(p, j, t, best);
+		p->preemption_cost[best] = rate_preemption(p, j, t, best);
 	return true;
 }
 
@@ -470,17 +478,17 @@
 
 	struct terms t = {.image = true};
 
-	if (!ahead(j) || j->whole || fetch <= choice.fetch_wait_s || j->waited_s >= fetch)
+	if (!ahead(j) || j->gang || fetch <= tunables.fetch_wait_s || j->waited_s >= fetch)
 		return false;
-	rate_claims(p, j, t);
-	return claim_one(p, j, t);
+	rate_preemptions(p, j, t);
+	return request_preemption(p, j, t);
 }
 
 static bool start_each(struct pass *p, int job, const double *ends_by)
 {
 	struct fl_sched_job *j = &p->in->jobs[job];
 	int zone = pick_zone(p->in, j);
-	uint32_t leave = overdue(p->in->params, j) && !j->whole ? j->waiting - 1 : 0;
+	uint32_t leave = overdue(p->in->params, j) && !j->gang ? j->waiting - 1 : 0;
 
 	p->held = 0;
 	rate_starts(p, j, zone, ends_by);
@@ -512,42 +520,43 @@
 	int before = p->out->n_starts;
 	bool no_room = start_each(p, job, ends_by);
 
-	if (p->in->jobs[job].whole && p->in->jobs[job].waiting > 0)
+	if (p->in->jobs[job].gang && p->in->jobs[job].waiting > 0)
 		undo_starts(p, before);
 	return no_room;
 }
 
-static uint32_t claim(struct pass *p, int job, const double *ends_by)
+static uint32_t request_preemptions(struct pass *p, int job, const double *ends_by)
 {
 	struct fl_sched_job *j = &p->in->jobs[job];
 	struct fl_team *t = &p->in->teams[j->team];
 	double cpus = t->used_cpus, gpus = t->used_gpus;
-	uint32_t claimed = 0;
+	uint32_t requested = 0;
 	struct terms terms = {.ends_by = ends_by};
 	bool rated = false;
 
-	/* An ensemble claims nothing: stops for a part of it would free room it cannot use yet. */
-	while (claimed < j->waiting - p->held && !j->whole && !p->failed) {
-		bool owed = j->owed && fl_team_within_guarantee(t, t->used_cpus + j->cpus,
-		                                                t->used_gpus + j->gpus);
+	/* A gang requests nothing: stops for some of it would free room it cannot use yet. */
+	while (requested < j->waiting - p->held && !j->gang && !p->failed) {
+		bool within_guarantee =
+			j->within_guarantee &&
+			fl_team_within_guarantee(t, t->used_cpus + j->cpus, t->used_gpus + j->gpus);
 
-		if (!team_ok(p->in, j) || (!owed && j->tier == FL_BEST_EFFORT))
+		if (!team_ok(p->in, j) || (!within_guarantee && j->priority == FL_BEST_EFFORT))
 			break;
-		/* One machine's claim changes no other's cost: all are rated once a job. */
-		if (!rated || terms.owed != owed) {
-			terms.owed = owed;
-			rate_claims(p, j, terms);
+		/* One machine's request changes no other's cost: all are rated once a job. */
+		if (!rated || terms.within_guarantee != within_guarantee) {
+			terms.within_guarantee = within_guarantee;
+			rate_preemptions(p, j, terms);
 		}
 		rated = true;
-		if (!claim_one(p, j, terms))
+		if (!request_preemption(p, j, terms))
 			break;
 		t->used_cpus += j->cpus;
 		t->used_gpus += j->gpus;
-		claimed++;
+		requested++;
 	}
 	t->used_cpus = cpus;
 	t->used_gpus = gpus;
-	return claimed;
+	return requested;
 }
 
 struct end {
@@ -590,8 +599,8 @@
 	return INFINITY;
 }
 
-/* Time until a whole ensemble fits, counted in tasks that each machine can really hold. */
-static double wait_whole(const struct pass *p, const struct fl_sched_job *j, struct end *ends)
+/* Time until a whole gang fits, counted in tasks that each machine can really hold. */
+static double wait_gang(const struct pass *p, const struct fl_sched_job *j, struct end *ends)
 {
 	const struct fl_sched_in *in = p->in;
 	size_t n_m = (size_t)in->n_machines + 1;
@@ -653,9 +662,9 @@
 		p->failed = true;
 		return;
 	}
-	if (j->whole)
-		hpwait = wait_whole(p, j, ends);
-	for (int i = 0; i < p->in->n_machines && !j->whole; i++)
+	if (j->gang)
+		hpwait = wait_gang(p, j, ends);
+	for (int i = 0; i < p->in->n_machines && !j->gang; i++)
 		if (allowed(j, &p->in->machines[i]) && zone_ok(j, p->in->machines[i].zone))
 			hpwait = fmin(hpwait, wait_on(p, j, i, ends));
 	free(ends);
@@ -676,12 +685,12 @@
 }
 
 /*
- * The window keeps lower jobs from delaying the top one. A job of a higher tier than the top's may
- * stop what the top runs: an array that has waited long must not hold it back by being on top.
+ * The window keeps lower jobs from delaying the top one. A job of a higher priority than the top's
+ * may stop what the top runs: an array that has waited long must not hold it back by being on top.
  */
 static bool bound_by_top(const struct pass *p, const struct fl_sched_job *j)
 {
-	return !ahead(j) && j->tier <= p->in->jobs[p->out->top].tier;
+	return !ahead(j) && j->priority <= p->in->jobs[p->out->top].priority;
 }
 
 static void run_order(struct pass *p)
@@ -721,9 +730,10 @@
 		bound = backfill && bound_by_top(p, j) ? ends_by : NULL;
 		/* A service never ends: from the top, or where the top cannot go. */
 		if (bound && est <= 0)
-			j->est_s = j->standing ? INFINITY : in->params->default_est_s;
+			j->est_s = j->service ? INFINITY : in->params->default_est_s;
 		if (start_fitting(p, job, bound))
-			p->out->short_of[job] = j->waiting - p->held - claim(p, job, bound);
+			p->out->short_of[job] =
+				j->waiting - p->held - request_preemptions(p, job, bound);
 		j->est_s = est;
 		if (p->out->short_of[job] > 0 && !backfill) {
 			set_window(p, job);
@@ -775,7 +785,7 @@
 	}
 	p.coming_gpus = p.coming_cpus + n_m;
 	p.coming_ram = p.coming_gpus + n_m;
-	p.claim_cost = p.start_score + n_m;
+	p.preemption_cost = p.start_score + n_m;
 	index_runs(&p);
 	for (int i = 0; i < in->n_runs; i++) {
 		const struct fl_sched_run *r = &in->runs[i];
--- a/src/coordination/keeper.c
+++ b/src/coordination/standby.c
@@ -1,4 +1,4 @@
-#include "coordination/keeper.h"
+#include "coordination/standby.h"
 
 #include <errno.h>
 #include <math.h>
@@ -14,24 +14,28 @@
 #include "transport/routine.h"
 
 static const struct {
-	double patience_s;     /* s for a report; the worker gives up after 4 */
-	double direct_s;       /* s of it for the straight way, if there is another */
-	double gossip_s;       /* s between two exchanges with each peer */
-	double gossip_wait_s;  /* s; a link that takes longer counts as down */
-	double gossip_slack_s; /* s; told once more, for clocks that drift apart */
-	double refresh_s;      /* s; least time between two reads for a fresher proof */
-	double refresh_wait_s; /* s for which a report waits for such a read */
-	double digest_s;       /* s between two digests in the state service */
-	double margin_s;       /* s off the keeping time, for drift and late timers */
-	double home_s;         /* s that a worker's own zone's node must have been up */
-	double home_leases;    /* leases between two times that one worker is sent home */
-	double settle_reports; /* report intervals that it is served here before */
-	double record_use;     /* share of a value's limit that a digest fills */
-	double write_share;    /* share of the state service's writes for one node's digests */
-	double alone_s;        /* s without any word before a node counts as alone */
-	double probe_s;        /* s; the balancer asks about once a second */
-	double at_once_s;      /* s within which links that fail together fail for one reason */
-} choice = {1.5, 0.7, 1.0, 1.0, 1.0, 0.5, 1.5, 2.0, 1.0, 1.0, 1.5, 1.0, 0.85, 0.12, 1.5, 2.5, 4.0};
+	double patience_s, direct_s, gossip_s, gossip_wait_s, gossip_slack_s, refresh_s,
+		refresh_wait_s, digest_s, margin_s, home_s, home_leases, settle_reports, record_use,
+		write_share, alone_s, probe_s, at_once_s;
+} tunables = {
+	.patience_s = 1.5,     /* s for a report; the worker gives up after 4 */
+	.direct_s = 0.7,       /* s of it for the straight way, if there is another */
+	.gossip_s = 1.0,       /* s between two exchanges with each peer */
+	.gossip_wait_s = 1.0,  /* s; a link that takes longer counts as down */
+	.gossip_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
+	.refresh_s = 0.5,      /* s; least time between two reads for a fresher proof */
+	.refresh_wait_s = 1.5, /* s for which a report waits for such a read */
+	.digest_s = 2.0,       /* s between two digests in the state service */
+	.margin_s = 1.0,       /* s off the renewal time, for drift and late timers */
+	.home_s = 1.0,         /* s that a worker's own zone's node must have been up */
+	.home_leases = 1.5,    /* leases between two times that one worker is sent home */
+	.settle_reports = 1.0, /* report intervals that it is served here before */
+	.record_use = 0.85,    /* share of a value's limit that a digest fills */
+	.write_share = 0.12,   /* share of the state service's writes for one node's digests */
+	.alone_s = 1.5,        /* s without any word before a node counts as alone */
+	.probe_s = 2.5,        /* s; the balancer asks about once a second */
+	.at_once_s = 4.0,      /* s within which links that fail together fail for one reason */
+};
 
 static struct fl_peer *find_peer(struct fl_node *n, const char *name)
 {
@@ -67,7 +71,7 @@
 		return rc;
 	if (lead->up || n->n_peers == 1) {
 		text = fl_relay_encode(call, true, false, ref, via, body);
-		rc = relay_via(lead, text, hop ? patience_s : choice.direct_s, out);
+		rc = relay_via(lead, text, hop ? patience_s : tunables.direct_s, out);
 		free(text);
 	}
 	if (rc == 0 || hop)
@@ -84,18 +88,18 @@
 }
 
 /*
- * A copy of a report may come long after it, also to a node that has kept newer ones: it is no
+ * A copy of a report may come long after it, also to a node that has cached newer ones: it is no
  * sign of life, and takes nothing's place.
  */
-static void keep(struct fl_node *n, const struct fl_report *r)
+static void cache_report(struct fl_node *n, const struct fl_report *r)
 {
-	struct fl_kept *k;
+	struct fl_cached_report *k;
 	char *text;
 
-	HASH_FIND_STR(n->keeper.kept, r->host, k);
-	if (k && (r->tenure < k->tenure || (r->tenure == k->tenure && r->serial <= k->serial)))
+	HASH_FIND_STR(n->standby.cached, r->host, k);
+	if (k && (r->session < k->session || (r->session == k->session && r->seq <= k->seq)))
 		return;
-	text = fl_kept_encode(r);
+	text = fl_cached_report_encode(r);
 	if (!text)
 		return;
 	if (!k) {
@@ -105,32 +109,32 @@
 			return;
 		}
 		strcpy(k->host, r->host);
-		HASH_ADD_STR(n->keeper.kept, host, k);
+		HASH_ADD_STR(n->standby.cached, host, k);
 	}
 	free(k->text);
 	k->text = text;
-	k->tenure = r->tenure;
-	k->serial = r->serial;
+	k->session = r->session;
+	k->seq = r->seq;
 	k->at = fl_now();
 	k->stored = false;
 }
 
-static void unkeep(struct fl_node *n, struct fl_kept *k)
+static void uncache(struct fl_node *n, struct fl_cached_report *k)
 {
-	HASH_DEL(n->keeper.kept, k);
+	HASH_DEL(n->standby.cached, k);
 	free(k->text);
 	free(k);
 }
 
 /*
  * A cancellation is answered only after it is stored, so a proof read before it is at most this
- * old when the last keeper refuses; then the worker's own lease ends the tasks within cancel_s.
+ * old when the last standby refuses; then the worker's own lease ends the tasks within cancel_s.
  */
-double fl_keeper_keep_s(const struct fl_node *n)
+double fl_standby_renewal_s(const struct fl_node *n)
 {
 	const struct fl_config *c = n->config;
 
-	return c->cancel_s - c->lease_s - choice.margin_s;
+	return c->cancel_s - c->lease_s - tunables.margin_s;
 }
 
 /*
@@ -145,7 +149,7 @@
 
 static bool knows_jobs(const struct fl_node *n)
 {
-	return fl_now() - n->jobs_at <= fl_keeper_keep_s(n);
+	return fl_now() - n->cancellations_known_until <= fl_standby_renewal_s(n);
 }
 
 static bool has_proof(const struct fl_node *n, uint64_t epoch)
@@ -155,18 +159,18 @@
 
 /*
  * Found with controllers eight times slower: none led for long, none got a stop through, and all
- * of them kept with fresh proofs what had been cancelled a minute ago. What was cancelled so long
- * ago that it may outlive its time with another lease is therefore nobody's to keep; and a
+ * of them renewed with fresh proofs what had been cancelled a minute ago. What was cancelled so
+ * long ago that it may outlive its time with another lease is therefore nobody's to renew; and a
  * cancellation that this node has not heard of is younger than what it knows of the jobs.
  */
 static bool holds_overdue(const struct fl_node *n, const struct fl_report *r)
 {
-	double before = fl_now() - fl_keeper_keep_s(n);
+	double before = fl_now() - fl_standby_renewal_s(n);
 
-	for (int i = 0; i < r->n_parts; i++) {
-		const struct fl_final *f = fl_final_find(&n->books, r->parts[i].ref);
+	for (int i = 0; i < r->n_tasks; i++) {
+		const struct fl_finished_job *f = fl_finished_find(&n->cluster, r->tasks[i].ref);
 
-		if (r->parts[i].state != FL_ENDED && f && f->status == FL_ABORTED &&
+		if (r->tasks[i].state != FL_ENDED && f && f->status == FL_CANCELLED &&
 		    f->cancelled_at < before)
 			return true;
 	}
@@ -174,18 +178,18 @@
 }
 
 /*
- * What is known to be cancelled is stopped by whoever answers, not only no longer kept: the final
- * state is stored, so the stop is right whichever node orders it, and comes with the answer that
- * renews the lease, or neither does.
+ * What is known to be cancelled is stopped by whoever answers, not only no longer renewed: the
+ * final state is stored, so the stop is right whichever node orders it, and comes with the answer
+ * that renews the lease, or neither does.
  */
 static void stop_cancelled(const struct fl_node *n, const struct fl_report *r,
                            struct fl_orders *orders)
 {
-	for (int i = 0; i < r->n_parts; i++) {
-		const struct fl_part *p = &r->parts[i];
-		const struct fl_final *f = fl_final_find(&n->books, p->ref);
+	for (int i = 0; i < r->n_tasks; i++) {
+		const struct fl_task_report *p = &r->tasks[i];
+		const struct fl_finished_job *f = fl_finished_find(&n->cluster, p->ref);
 
-		if (p->state != FL_ENDED && f && f->status == FL_ABORTED)
+		if (p->state != FL_ENDED && f && f->status == FL_CANCELLED)
 			fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, 0);
 	}
 }
@@ -194,18 +198,18 @@
  * A node that has just started is asked by many workers at once and has no proof yet. One read
  * serves them all: a worker refused meanwhile loses seconds of its lease on nodes that are down.
  */
-static bool may_keep(struct fl_node *n, uint64_t epoch)
+static bool may_renew(struct fl_node *n, uint64_t epoch)
 {
-	struct fl_keeper *k = &n->keeper;
+	struct fl_standby *k = &n->standby;
 
 	if (has_proof(n, epoch))
 		return true;
 	if (has_epoch(n, epoch)) {
 		if (!n->jobs_known)
-			fl_signal_wait(&n->jobs_listed, choice.refresh_wait_s);
+			fl_signal_wait(&n->jobs_listed, tunables.refresh_wait_s);
 	} else if (k->refreshing) {
-		fl_signal_wait(&k->refreshed, choice.refresh_wait_s);
-	} else if (fl_now() > k->refreshed_at + choice.refresh_s) {
+		fl_signal_wait(&k->refreshed, tunables.refresh_wait_s);
+	} else if (fl_now() > k->refreshed_at + tunables.refresh_s) {
 		k->refreshing = true;
 		fl_lease_refresh(n);
 		k->refreshing = false;
@@ -215,20 +219,20 @@
 	return has_proof(n, epoch);
 }
 
-static void answer_kept(struct fl_node *n, const struct fl_report *r, struct fl_response *resp)
+static void answer_renewal(struct fl_node *n, const struct fl_report *r, struct fl_response *resp)
 {
 	struct fl_orders orders;
 
-	if (!may_keep(n, r->epoch)) {
-		fl_debug("keeper", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
+	if (!may_renew(n, r->epoch)) {
+		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
 		         r->host, (unsigned long long)r->epoch, (unsigned long long)n->epoch,
-		         fl_now() - n->jobs_at);
+		         fl_now() - n->cancellations_known_until);
 		fl_refuse(resp, 503, "no proof of the epoch");
 		return;
 	}
 	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
 	if (holds_overdue(n, r)) {
-		fl_debug("keeper", "%s is refused: it holds what is cancelled", r->host);
+		fl_debug("standby", "%s is refused: it holds what is cancelled", r->host);
 		fl_refuse(resp, 503, "a cancelled job's task is there");
 		return;
 	}
@@ -236,9 +240,9 @@
 	stop_cancelled(n, r, &orders);
 	resp->status = 200;
 	resp->body = fl_orders_take(&orders);
-	keep(n, r);
+	cache_report(n, r);
 	if (n->lead.active)
-		fl_reconcile_kept(n, r);
+		fl_reconcile_renewed(n, r);
 }
 
 /* Beyond so many under way the leader is stalled: waiting for it helps nobody. */
@@ -247,16 +251,16 @@
 {
 	int rc;
 
-	if (n->keeper.relays >= FL_RELAYS_MAX)
+	if (n->standby.relays >= FL_RELAYS_MAX)
 		return -EBUSY;
-	n->keeper.relays++;
-	rc = fl_relay(n, FL_CALL_REPORT, NULL, via, body, hop, choice.patience_s, reply);
-	n->keeper.relays--;
+	n->standby.relays++;
+	rc = fl_relay(n, FL_CALL_REPORT, NULL, via, body, hop, tunables.patience_s, reply);
+	n->standby.relays--;
 	return rc;
 }
 
-static void relay_or_keep(struct fl_node *n, const struct fl_report *r, const char *body,
-                          enum fl_hop hop, const char *via, struct fl_response *resp)
+static void relay_or_renew(struct fl_node *n, const struct fl_report *r, const char *body,
+                           enum fl_hop hop, const char *via, struct fl_response *resp)
 {
 	struct fl_reply reply;
 
@@ -269,12 +273,12 @@
 		fl_buf_free(&reply.body);
 	}
 	if (!hop) {
-		answer_kept(n, r, resp);
+		answer_renewal(n, r, resp);
 		return;
 	}
 	/* The sender is cut from the state service too: its report goes with our digest. */
-	if (hop == FL_LAST_HOP_ADRIFT)
-		keep(n, r);
+	if (hop == FL_LAST_HOP_DISCONNECTED)
+		cache_report(n, r);
 	resp->status = 421;
 }
 
@@ -286,38 +290,39 @@
 static bool may_send(struct fl_node *n, const char *host)
 {
 	double now = fl_now();
-	struct fl_guest *g;
+	struct fl_misplaced_worker *g;
 
-	HASH_FIND_STR(n->keeper.guests, host, g);
+	HASH_FIND_STR(n->standby.misplaced, host, g);
 	if (!g) {
 		g = calloc(1, sizeof(*g));
 		if (!g)
 			return false;
 		strcpy(g->host, host);
 		g->came = now;
-		HASH_ADD_STR(n->keeper.guests, host, g);
+		HASH_ADD_STR(n->standby.misplaced, host, g);
 	}
-	if (now < g->came + choice.settle_reports * n->config->report_s ||
-	    (g->sent > 0 && now < g->sent + choice.home_leases * n->config->lease_s))
+	if (now < g->came + tunables.settle_reports * n->config->report_s ||
+	    (g->sent > 0 && now < g->sent + tunables.home_leases * n->config->lease_s))
 		return false;
 	g->sent = now;
 	return true;
 }
 
 /*
- * A worker is best kept by a node of its own zone. One that reports across zones when they are
+ * A worker is best renewed by a node of its own zone. One that reports across zones when they are
  * cut apart tries node after node for 5 s each, and its lease ends before it comes to its own.
  */
 static const struct fl_peer *home_of(struct fl_node *n, const struct fl_report *r)
 {
 	double now = fl_now();
 
-	if (strcmp(r->site, n->config->location) == 0)
+	if (strcmp(r->zone, n->config->location) == 0)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
 		const struct fl_peer *p = &n->peers[i];
 
-		if (strcmp(p->location, r->site) == 0 && p->up && now > p->up_since + choice.home_s)
+		if (strcmp(p->location, r->zone) == 0 && p->up &&
+		    now > p->up_since + tunables.home_s)
 			return may_send(n, r->host) ? p : NULL;
 	}
 	return NULL;
@@ -333,7 +338,7 @@
 	return last;
 }
 
-bool fl_keeper_alone(const struct fl_node *n)
+bool fl_standby_alone(const struct fl_node *n)
 {
 	double last = last_peer_word(n);
 
@@ -344,30 +349,30 @@
 			return false;
 	if (n->state.last_ok > last)
 		last = n->state.last_ok;
-	return fl_now() > last + choice.alone_s;
+	return fl_now() > last + tunables.alone_s;
 }
 
 /*
- * Where to send the workers of a node that is alone. It could keep them, but the leader, which
+ * Where to send the workers of a node that is alone. It could renew them, but the leader, which
  * hears nothing of them, would give their machines up after a lease. They are better off elsewhere
  * if it is this node's own links that are cut: the users' balancer still asks for it, so that the
  * region is in reach, and state service and controllers were lost at once. A node cut off together
- * with its zone keeps its workers, since they too can reach nobody else; so does the last node
+ * with its zone renews its workers, since they too can reach nobody else; so does the last node
  * alive in an outage. Each worker is sent once in more than a lease, to the nodes in turn.
  */
 static const struct fl_peer *away_from_here(struct fl_node *n, const struct fl_report *r)
 {
 	double last = last_peer_word(n), now = fl_now();
 
-	if (!fl_keeper_alone(n) || now > n->probed_at + choice.probe_s ||
-	    last < n->state.last_ok - choice.at_once_s ||
-	    last > n->state.last_ok + choice.at_once_s)
+	if (!fl_standby_alone(n) || now > n->probed_at + tunables.probe_s ||
+	    last < n->state.last_ok - tunables.at_once_s ||
+	    last > n->state.last_ok + tunables.at_once_s)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
-		const struct fl_peer *p = &n->peers[n->keeper.away++ % n->n_peers];
+		const struct fl_peer *p = &n->peers[n->standby.away++ % n->n_peers];
 
 		/* Not to one that was lost before. */
-		if (p->heard_at > last - choice.at_once_s)
+		if (p->heard_at > last - tunables.at_once_s)
 			return may_send(n, r->host) ? p : NULL;
 	}
 	return NULL;
@@ -379,7 +384,7 @@
 	int rc;
 
 	fl_orders_init(&orders, n->lease.epoch);
-	rc = fl_reconcile_report(n, r, &orders, FL_WAY_REPORT);
+	rc = fl_reconcile_report(n, r, &orders, FL_SOURCE_REPORT);
 	/* What is only answered, not taken in, gets no stop either: see holds_overdue. */
 	if (rc == 0 && knows_jobs(n) && (orders.n > 0 || !holds_overdue(n, r))) {
 		/* The same report relayed twice, or from before this leadership. */
@@ -408,8 +413,8 @@
 	return p ? 2 + (int)(p - n->peers) : 0;
 }
 
-void fl_keeper_report(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
-                      const char *via, struct fl_response *resp)
+void fl_standby_report(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
+                       const char *via, struct fl_response *resp)
 {
 	const struct fl_peer *home;
 	struct fl_report r;
@@ -424,13 +429,13 @@
 	if (!home && !hop)
 		home = away_from_here(n, &r);
 	if (home) {
-		fl_debug("keeper", "%s is sent to %s", r.host, home->name);
+		fl_debug("standby", "%s is sent to %s", r.host, home->name);
 		resp->status = 421;
 		resp->body = fl_steward_encode(home->name);
 	} else if (fl_leading(n)) {
 		answer_leading(n, &r, resp);
 	} else {
-		relay_or_keep(n, &r, body, hop, via, resp);
+		relay_or_renew(n, &r, body, hop, via, resp);
 	}
 	fl_report_free(&r);
 }
@@ -441,10 +446,10 @@
 		const struct fl_cancelled *c = &g->cancelled[i];
 		struct fl_job *job;
 
-		if (fl_final_find(&n->books, c->ref))
+		if (fl_finished_find(&n->cluster, c->ref))
 			continue;
-		fl_books_told_cancelled(&n->books, c->ref, fl_now() - c->age_s);
-		job = n->lead.active ? fl_job_find(&n->books, c->ref) : NULL;
+		fl_cluster_learn_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
+		job = n->lead.active ? fl_job_find(&n->cluster, c->ref) : NULL;
 		if (job)
 			fl_command_stop_job(n, job);
 		fl_info("jobs", "%s is cancelled, says %s", c->ref, g->node);
@@ -464,13 +469,14 @@
 
 	learn_cancelled(n, g);
 	/* Standing still after it was said how old our knowledge is, we were told too little. */
-	if (!g->whole || !n->jobs_known ||
-	    fl_now() > sent + choice.gossip_wait_s + choice.gossip_slack_s / 2)
+	if (!g->complete || !n->jobs_known ||
+	    fl_now() > sent + tunables.gossip_wait_s + tunables.gossip_slack_s / 2)
 		return;
-	p->told_at = sent;
+	p->sent_all_at = sent;
 	for (int i = 0; i < n->n_peers; i++)
-		all = fmin(all, n->peers[i].told_at);
-	n->jobs_at = fmax(n->jobs_at, fmax(all, sent - g->known_age_s));
+		all = fmin(all, n->peers[i].sent_all_at);
+	n->cancellations_known_until =
+		fmax(n->cancellations_known_until, fmax(all, sent - g->known_age_s));
 }
 
 static void hear(struct fl_node *n, const struct fl_gossip *g, double sent)
@@ -479,18 +485,19 @@
 
 	if (g->epoch < n->epoch || g->epoch == 0)
 		return;
-	/* A valid lease needs no hearsay: the higher epoch is its own, raised this moment. */
+	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
+	 */
 	if (g->epoch > n->epoch && n->lease.held) {
 		if (fl_lease_valid(n) || strcmp(g->leader, n->config->node) == 0)
 			return;
 		fl_lease_lost(n, "a peer knows a higher epoch");
 	}
-	if (g->epoch > n->epoch || proof > n->proof_at) {
+	if (g->epoch > n->epoch || proof > n->leadership_confirmed_at) {
 		n->epoch = g->epoch;
 		if (g->leader[0])
 			strcpy(n->leader, g->leader);
-		if (proof > n->proof_at)
-			n->proof_at = proof;
+		if (proof > n->leadership_confirmed_at)
+			n->leadership_confirmed_at = proof;
 	}
 }
 
@@ -499,15 +506,15 @@
 /* What this node has learned since `since`, for an answer that can be relied on. */
 static void tell_cancelled(const struct fl_node *n, double since, struct fl_gossip *g)
 {
-	const struct fl_final *list[FL_GOSSIP_CANCELLED_MAX];
-	int count = fl_finals_cancelled_since(&n->books, since, list, FL_GOSSIP_CANCELLED_MAX);
+	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
+	int count = fl_finished_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
 
 	if (!n->jobs_known || count < 0)
 		return;
 	g->cancelled = calloc((size_t)count + 1, sizeof(*g->cancelled));
 	if (!g->cancelled)
 		return;
-	g->whole = true;
+	g->complete = true;
 	g->n_cancelled = count;
 	for (int i = 0; i < count; i++) {
 		strcpy(g->cancelled[i].ref, list[i]->ref);
@@ -521,12 +528,12 @@
 	strcpy(g->node, n->config->node);
 	strcpy(g->leader, n->leader);
 	g->epoch = n->epoch;
-	g->proof_age_s = age(n->proof_at);
-	g->known_age_s = age(n->jobs_at);
+	g->proof_age_s = age(n->leadership_confirmed_at);
+	g->known_age_s = age(n->cancellations_known_until);
 	g->leads = fl_lease_valid(n);
 }
 
-void fl_keeper_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
 {
 	struct fl_gossip g;
 	double since;
@@ -540,7 +547,7 @@
 	 * No proof from here: a request may have been held back on its way for minutes. But then
 	 * nobody waits for the answer any more, so the asker's age was this at most a wait ago.
 	 */
-	since = fl_now() - g.known_age_s - choice.gossip_wait_s - choice.gossip_slack_s;
+	since = fl_now() - g.known_age_s - tunables.gossip_wait_s - tunables.gossip_slack_s;
 	fl_gossip_free(&g);
 	say(n, &g);
 	tell_cancelled(n, since, &g);
@@ -549,7 +556,7 @@
 	fl_gossip_free(&g);
 }
 
-char *fl_keeper_ask(struct fl_node *n)
+char *fl_standby_gossip_request(struct fl_node *n)
 {
 	struct fl_gossip mine;
 
@@ -557,7 +564,8 @@
 	return fl_gossip_encode(&mine);
 }
 
-void fl_keeper_told(struct fl_node *n, struct fl_peer *p, const char *body, size_t len, double sent)
+void fl_standby_gossip_answer(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
+                              double sent)
 {
 	struct fl_gossip theirs;
 
@@ -573,20 +581,22 @@
 static void gossip_duty(void *arg)
 {
 	struct fl_peer *p = arg;
-	struct fl_node *n = p->owner;
+	struct fl_node *n = p->node;
 
-	while (fl_sleep(choice.gossip_s) == 0) {
+	while (fl_sleep(tunables.gossip_s) == 0) {
 		double sent = fl_now();
 		struct fl_reply reply;
-		char *text = fl_keeper_ask(n);
+		char *text = fl_standby_gossip_request(n);
 		int rc;
 
-		rc = fl_http_call(&p->http, "POST", "/gossip", text, choice.gossip_wait_s, &reply);
+		rc = fl_http_call(&p->http, "POST", "/gossip", text, tunables.gossip_wait_s,
+		                  &reply);
 		free(text);
 		if (rc == 0) {
 			p->heard_at = fl_now();
 			if (reply.status == 200)
-				fl_keeper_told(n, p, reply.body.data, reply.body.len, sent);
+				fl_standby_gossip_answer(n, p, reply.body.data, reply.body.len,
+				                         sent);
 			fl_buf_free(&reply.body);
 		}
 		if (p->up != (rc == 0)) {
@@ -603,14 +613,14 @@
  */
 static int write_digest(struct fl_node *n, int at, cJSON *digest)
 {
-	struct fl_digest_slot *d = &n->keeper.digest[at];
+	struct fl_digest_slot *d = &n->standby.digest[at];
 	char key[FL_KEY_MAX];
 	struct fl_multi m;
 	uint64_t rev = 0;
 	cJSON *v;
 	int rc = 0;
 
-	snprintf(key, sizeof(key), FL_PREFIX_KEPT "%s/%d", n->config->node, at);
+	snprintf(key, sizeof(key), FL_PREFIX_CACHED "%s/%d", n->config->node, at);
 	if (!d->known) {
 		rc = fl_state_get(&n->state, key, &v, &rev, NULL);
 		cJSON_Delete(v);
@@ -629,18 +639,18 @@
 		d->rev = rev;
 	else if (rc != -EAGAIN)
 		d->known = false;
-	fl_debug("keeper", "digest %d: %s", at, rc ? strerror(-rc) : "stored");
+	fl_debug("standby", "digest %d: %s", at, rc ? strerror(-rc) : "stored");
 	return rc;
 }
 
 /* What fits into one record, of what no digest holds yet. NULL: nothing is left. */
 static cJSON *fill_digest(struct fl_node *n, double since)
 {
-	size_t limit = (size_t)(n->config->value_kb * 1024 * choice.record_use), used = 0;
-	struct fl_kept *k, *tmp;
+	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
+	struct fl_cached_report *k, *tmp;
 	cJSON *digest = NULL;
 
-	HASH_ITER (hh, n->keeper.kept, k, tmp) {
+	HASH_ITER (hh, n->standby.cached, k, tmp) {
 		size_t len = strlen(k->text) + 1;
 
 		if (k->stored || k->at < since || len > limit)
@@ -653,14 +663,14 @@
 		used += len;
 		k->stored = true;
 		/* Last in turn from now on: where writes are short, each machine gets its share. */
-		HASH_DEL(n->keeper.kept, k);
-		HASH_ADD_STR(n->keeper.kept, host, k);
+		HASH_DEL(n->standby.cached, k);
+		HASH_ADD_STR(n->standby.cached, host, k);
 	}
 	return digest;
 }
 
 /*
- * The leader must not take machines for dead that are kept here and that it cannot hear. Their
+ * The leader must not take machines for dead that are renewed here and that it cannot hear. Their
  * reports travel through the state service, many to a record, within a share of its writes: the
  * leader's own records and the users' submissions need the rest.
  */
@@ -669,7 +679,7 @@
 	for (int at = 0; at < FL_DIGESTS_MAX; at++) {
 		cJSON *digest;
 
-		if (fl_budget_take(&n->keeper.writes, 1, fl_now()) > 0)
+		if (fl_budget_take(&n->standby.writes, 1, fl_now()) > 0)
 			return;
 		digest = fill_digest(n, since);
 		if (!digest || write_digest(n, at, digest) != 0)
@@ -677,14 +687,14 @@
 	}
 }
 
-static void forget_guests(struct fl_node *n, double before)
+static void forget_misplaced(struct fl_node *n, double before)
 {
-	struct fl_guest *g, *tmp;
+	struct fl_misplaced_worker *g, *tmp;
 
-	HASH_ITER (hh, n->keeper.guests, g, tmp) {
+	HASH_ITER (hh, n->standby.misplaced, g, tmp) {
 		if (g->came >= before || g->sent >= before)
 			continue;
-		HASH_DEL(n->keeper.guests, g);
+		HASH_DEL(n->standby.misplaced, g);
 		free(g);
 	}
 }
@@ -693,28 +703,28 @@
 {
 	struct fl_node *n = arg;
 
-	while (fl_sleep(choice.digest_s) == 0) {
+	while (fl_sleep(tunables.digest_s) == 0) {
 		double now = fl_now();
-		struct fl_kept *k, *tmp;
+		struct fl_cached_report *k, *tmp;
 
-		forget_guests(n, now - choice.home_leases * n->config->lease_s);
-		HASH_ITER (hh, n->keeper.kept, k, tmp)
-			if (k->at < now - 5 * choice.digest_s)
-				unkeep(n, k);
-		if (!n->keeper.kept || fl_lease_valid(n) || !n->leader[0] ||
+		forget_misplaced(n, now - tunables.home_leases * n->config->lease_s);
+		HASH_ITER (hh, n->standby.cached, k, tmp)
+			if (k->at < now - 5 * tunables.digest_s)
+				uncache(n, k);
+		if (!n->standby.cached || fl_lease_valid(n) || !n->leader[0] ||
 		    fl_state_in_doubt(&n->state))
 			continue;
-		digest(n, now - 2 * choice.digest_s);
+		digest(n, now - 2 * tunables.digest_s);
 	}
 }
 
-void fl_keeper_start(struct fl_node *n)
+void fl_standby_start(struct fl_node *n)
 {
-	double rate = n->config->state_write_rps * choice.write_share;
+	double rate = n->config->state_write_rps * tunables.write_share;
 
-	fl_budget_init(&n->keeper.writes, rate, rate * choice.digest_s, fl_now());
+	fl_budget_init(&n->standby.writes, rate, rate * tunables.digest_s, fl_now());
 	for (int i = 0; i < n->n_peers; i++) {
-		n->peers[i].heard_at = n->peers[i].told_at = -1e9;
+		n->peers[i].heard_at = n->peers[i].sent_all_at = -1e9;
 		fl_spawn(gossip_duty, &n->peers[i]);
 	}
 	fl_spawn(digest_duty, n);
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -21,13 +21,13 @@
 	"\"Together\":true,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":240.0,"
 	"\"SnapshotEveryS\":30.0,\"SnapshotCostS\":4.0,\"DueS\":900.0,\"Later\":[1]}";
 
-static const char *decode(const char *text, struct fl_run *run)
+static const char *decode(const char *text, struct fl_job_spec *run)
 {
 	cJSON *o = fl_json_parse(text, strlen(text));
 	const char *bad;
 
 	assert_non_null(o);
-	bad = fl_run_decode(o, run);
+	bad = fl_job_spec_decode(o, run);
 	cJSON_Delete(o);
 	return bad;
 }
@@ -35,7 +35,7 @@
 /* The good body with one field's value replaced. */
 static const char *with(const char *field, const char *value)
 {
-	static struct fl_run run;
+	static struct fl_job_spec run;
 	cJSON *o = fl_json_parse(good, strlen(good)), *v = fl_json_parse(value, strlen(value));
 	const char *bad;
 	char *text;
@@ -52,16 +52,16 @@
 
 static void a_good_run_is_read_and_written_back(void **state)
 {
-	struct fl_run run, again;
+	struct fl_job_spec run, again;
 	char *text;
 
 	(void)state;
 	assert_null(decode(good, &run));
 	assert_string_equal(run.ref, "run-000412");
-	assert_int_equal(run.parts, 16);
-	assert_int_equal(run.tier, FL_URGENT);
-	assert_false(run.has_site);
-	text = fl_json_take(fl_run_encode(&run));
+	assert_int_equal(run.n_tasks, 16);
+	assert_int_equal(run.priority, FL_URGENT);
+	assert_false(run.has_zone);
+	text = fl_json_take(fl_job_spec_encode(&run));
 	assert_null(decode(text, &again));
 	assert_memory_equal(&run, &again, sizeof(run));
 	free(text);
@@ -167,9 +167,9 @@
 
 	(void)state;
 	assert_int_equal(fl_report_decode(report, strlen(report), &r), 0);
-	assert_int_equal(r.n_parts, 2);
-	assert_int_equal(r.parts[0].index, 3);
-	assert_int_equal(r.parts[1].exit, FL_EXIT_DONE);
+	assert_int_equal(r.n_tasks, 2);
+	assert_int_equal(r.tasks[0].index, 3);
+	assert_int_equal(r.tasks[1].exit, FL_EXIT_DONE);
 	assert_true(r.reclaim_in_s < 0);
 	fl_report_free(&r);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
@@ -178,28 +178,28 @@
 
 static void machine_types_survive_their_record(void **state)
 {
-	struct fl_host_kind k = {.name = "g8",
-	                         .cpus = 96,
-	                         .gpus = 8,
-	                         .ram_gb = 768,
-	                         .cache_gb = 200,
-	                         .pull_gb_s = 0.5,
-	                         .price = 12,
-	                         .spot_price = 4.5,
-	                         .ready_s = 45,
-	                         .sites = {"a", "b"},
-	                         .n_sites = 2},
-			    *back;
-	cJSON *o = fl_kinds_encode(&k, 1), *none = fl_kinds_encode(&k, 0);
+	struct fl_offered_type k = {.name = "g8",
+	                            .cpus = 96,
+	                            .gpus = 8,
+	                            .ram_gb = 768,
+	                            .cache_gb = 200,
+	                            .pull_gb_s = 0.5,
+	                            .price = 12,
+	                            .spot_price = 4.5,
+	                            .ready_s = 45,
+	                            .zones = {"a", "b"},
+	                            .n_zones = 2},
+			       *back;
+	cJSON *o = fl_machine_types_encode(&k, 1), *none = fl_machine_types_encode(&k, 0);
 	int n;
 
 	(void)state;
-	assert_int_equal(fl_kinds_decode(o, &back, &n), 0);
+	assert_int_equal(fl_machine_types_decode(o, &back, &n), 0);
 	assert_int_equal(n, 1);
 	assert_memory_equal(back, &k, sizeof(k));
 	free(back);
 	/* Without any, nothing could be decided: it is no record of them. */
-	assert_int_not_equal(fl_kinds_decode(none, &back, &n), 0);
+	assert_int_not_equal(fl_machine_types_decode(none, &back, &n), 0);
 	assert_null(back);
 	cJSON_Delete(o);
 	cJSON_Delete(none);
@@ -221,7 +221,7 @@
 	(void)state;
 	assert_int_equal(fl_relay_decode(text, strlen(text), &r), 0);
 	assert_int_equal(r.call, FL_CALL_REPORT);
-	assert_true(r.last_hop && r.adrift && !r.ref[0]);
+	assert_true(r.last_hop && r.disconnected && !r.ref[0]);
 	assert_string_equal(r.via, "host-3");
 	assert_string_equal(r.body, "{}");
 	fl_relay_free(&r);
--- a/tests/test_schedule.c
+++ b/tests/test_schedule.c
@@ -18,7 +18,7 @@
 
 enum { J = 80, M = 300, R = 700, T = 3, Z = 3, STARTS = 1000 };
 
-struct world {
+struct sim {
 	struct fl_sched_job jobs[J];
 	struct fl_sched_machine machines[M];
 	int cache[M][FL_CACHE_NOTE];
@@ -30,21 +30,21 @@
 /* ---- the model ---- */
 
 struct model {
-	struct world w;
+	struct sim w;
 	bool stopped_now[R];
 	double later[M][3]; /* room that stops will free */
 	struct fl_sched_start starts[STARTS];
 	int stops[R];
 	int n_starts, n_stops, top;
 	double window;
-	uint32_t short_of[J], held; /* held: of the job in hand, by m_claim_one with its image */
+	uint32_t short_of[J], held; /* held: of the job in hand, by m_request_one with its image */
 };
 
 static bool m_allowed(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
-	if (!(j->kinds & (1u << m->kind)))
+	if (!(j->types & (1u << m->type)))
 		return false;
-	if (j->site >= 0 && m->zone != j->site)
+	if (j->zone >= 0 && m->zone != j->zone)
 		return false;
 	return !m->spot || j->reclaimable;
 }
@@ -56,7 +56,7 @@
 
 static bool m_zone(const struct fl_sched_job *j, int zone)
 {
-	if (j->apart && j->zone_placed[zone] + j->zone_unknown >= (j->parts + 1) / 2)
+	if (j->apart && j->zone_placed[zone] + j->zone_unknown >= (j->n_tasks + 1) / 2)
 		return false;
 	if (j->together) {
 		if (j->zone_unknown)
@@ -90,13 +90,13 @@
 
 static bool m_ahead(const struct fl_sched_job *j)
 {
-	return j->standing && (j->tier == FL_URGENT || j->tier == FL_CRITICAL);
+	return j->service && (j->priority == FL_URGENT || j->priority == FL_CRITICAL);
 }
 
 static bool m_holds(const struct fl_sched_job *j, const struct fl_sched_machine *m)
 {
 	for (int i = 0; i < FL_CACHE_NOTE; i++)
-		if (m->cache[i] == j->bundle)
+		if (m->cache[i] == j->image)
 			return true;
 	return false;
 }
@@ -106,13 +106,13 @@
 	double s = m->gpus - j->gpus, est = j->est_s > 0 ? j->est_s : 3600;
 	int at = 0;
 
-	while (at < FL_CACHE_NOTE && m->cache[at] != j->bundle)
+	while (at < FL_CACHE_NOTE && m->cache[at] != j->image)
 		at++;
 	if (at == FL_CACHE_NOTE)
 		s += j->image_gb / m->pull_gb_s * (m_ahead(j) ? 3 : 1);
 	if (!m->held)
 		s += j->reclaimable && !m->spot ? 16 : 8;
-	if (m->spot && !j->standing && j->waited_s > 120)
+	if (m->spot && !j->service && j->waited_s > 120)
 		s += fmin(loss * est, 1) * (30 + est / 2);
 	if (j->apart)
 		s += 1000.0 * j->zone_placed[m->zone];
@@ -159,44 +159,45 @@
 }
 
 static bool m_victim(const struct model *m, const struct fl_sched_job *j,
-                     const struct fl_sched_run *r, bool owed)
+                     const struct fl_sched_run *r, bool within_guarantee)
 {
 	const struct fl_team *t = &m->w.teams[r->team];
 
 	if (r->stopping || !r->movable)
 		return false;
-	if (r->foothold && j->tier != FL_URGENT && j->tier != FL_CRITICAL)
+	if (r->last_running_task && j->priority != FL_URGENT && j->priority != FL_CRITICAL)
 		return false;
-	if (r->tier < j->tier)
+	if (r->priority < j->priority)
 		return true;
-	return owed && r->team != j->team && !r->standing && !r->owed &&
+	return within_guarantee && r->team != j->team && !r->service && !r->within_guarantee &&
 	       !m_in_guarantee(t, t->used_cpus, t->used_gpus);
 }
 
-/* Free or coming on a machine, less what is promised to one that `j` does not reach up to. */
+/* Free or coming on a machine, less what is reserved to one that `j` does not reach up to. */
 static void m_open(const struct model *m, const struct fl_sched_job *j, int i, double open[3])
 {
 	const struct fl_sched_machine *k = &m->w.machines[i];
-	const struct fl_promise *p = &k->promised;
-	double kept[3] = {p->cpus, p->gpus, p->ram_gb};
-	double again[3] = {k->claimed.cpus, k->claimed.gpus, k->claimed.ram_gb};
+	const struct fl_reservation *p = &k->reserved;
+	double withheld[3] = {p->cpus, p->gpus, p->ram_gb};
+	double again[3] = {k->requested.cpus, k->requested.gpus, k->requested.ram_gb};
 
 	open[0] = k->cpus + m->later[i][0];
 	open[1] = k->gpus + m->later[i][1];
 	open[2] = k->ram_gb + m->later[i][2];
-	if (!p->made || (j->tier >= p->tier && (m_ahead(j) || !p->owed || j->owed)))
+	if (!p->made || (j->priority >= p->priority &&
+	                 (m_ahead(j) || !p->within_guarantee || j->within_guarantee)))
 		return;
 	for (int x = 0; x < 3; x++) {
-		if (k->claimed.made && k->claimed.tier >= p->tier)
-			kept[x] -= again[x];
-		if (kept[x] > 0)
-			open[x] -= kept[x];
+		if (k->requested.made && k->requested.priority >= p->priority)
+			withheld[x] -= again[x];
+		if (withheld[x] > 0)
+			open[x] -= withheld[x];
 	}
 }
 
 /* Cost of making room for one task on a machine; the victims in `set`. */
-static double m_clear(const struct model *m, const struct fl_sched_job *j, int machine, bool owed,
-                      bool *set)
+static double m_clear(const struct model *m, const struct fl_sched_job *j, int machine,
+                      bool within_guarantee, bool *set)
 {
 	double open[3], c, g, r, cost = 0;
 
@@ -211,7 +212,8 @@
 		for (int i = 0; i < m->w.n_runs; i++) {
 			const struct fl_sched_run *v = &m->w.runs[i];
 
-			if (v->machine == machine && !set[i] && m_victim(m, j, v, owed) &&
+			if (v->machine == machine && !set[i] &&
+			    m_victim(m, j, v, within_guarantee) &&
 			    (cheapest < 0 || v->lost_s < m->w.runs[cheapest].lost_s))
 				cheapest = i;
 		}
@@ -226,9 +228,9 @@
 	return cost;
 }
 
-/* Room for one more task is promised; `image`: only where it lies, at 60 s of loss at most. */
-static bool m_claim_one(struct model *m, struct fl_sched_job *j, bool owed, bool image,
-                        const double *until, double est)
+/* Room for one more task is reserved; `image`: only where it lies, at 60 s of loss at most. */
+static bool m_request_one(struct model *m, struct fl_sched_job *j, bool within_guarantee,
+                          bool image, const double *until, double est)
 {
 	double best_cost = INFINITY;
 	bool set[R];
@@ -240,7 +242,7 @@
 
 		if (!m_allowed(j, k) || !m_zone(j, k->zone) || (until && est > until[i]))
 			continue;
-		cost = m_clear(m, j, i, owed, set);
+		cost = m_clear(m, j, i, within_guarantee, set);
 		if (image && (cost > 60 || (!m_holds(j, k) && j->image_gb > 0)))
 			continue;
 		cost += m_score(j, k);
@@ -251,7 +253,7 @@
 	}
 	if (best < 0)
 		return false;
-	m_clear(m, j, best, owed, set);
+	m_clear(m, j, best, within_guarantee, set);
 	/* Cheapest first, as they were chosen. */
 	for (;;) {
 		int next = -1;
@@ -272,36 +274,37 @@
 	m->w.machines[best].gpus -= j->gpus;
 	m->w.machines[best].ram_gb -= j->ram_gb;
 	j->zone_placed[m->w.machines[best].zone]++;
-	if (!m->w.machines[best].claimed.made) {
-		m->w.machines[best].claimed.made = true;
-		m->w.machines[best].claimed.owed = owed;
-		m->w.machines[best].claimed.tier = j->tier;
+	if (!m->w.machines[best].requested.made) {
+		m->w.machines[best].requested.made = true;
+		m->w.machines[best].requested.within_guarantee = within_guarantee;
+		m->w.machines[best].requested.priority = j->priority;
 	}
-	m->w.machines[best].claimed.cpus += j->cpus;
-	m->w.machines[best].claimed.gpus += j->gpus;
-	m->w.machines[best].claimed.ram_gb += j->ram_gb;
+	m->w.machines[best].requested.cpus += j->cpus;
+	m->w.machines[best].requested.gpus += j->gpus;
+	m->w.machines[best].requested.ram_gb += j->ram_gb;
 	return true;
 }
 
-static uint32_t m_claim(struct model *m, int job, const double *until, double est)
+static uint32_t m_request_all(struct model *m, int job, const double *until, double est)
 {
 	struct fl_sched_job *j = &m->w.jobs[job];
 	struct fl_team saved = m->w.teams[j->team], *t = &m->w.teams[j->team];
-	uint32_t claimed = 0;
+	uint32_t requested = 0;
 
-	while (claimed + m->held < j->waiting && !j->whole) {
-		bool owed = j->owed &&
-		            m_in_guarantee(t, t->used_cpus + j->cpus, t->used_gpus + j->gpus);
+	while (requested + m->held < j->waiting && !j->gang) {
+		bool within_guarantee =
+			j->within_guarantee &&
+			m_in_guarantee(t, t->used_cpus + j->cpus, t->used_gpus + j->gpus);
 
-		if (!m_team(m, j) || (!owed && j->tier == FL_BEST_EFFORT) ||
-		    !m_claim_one(m, j, owed, false, until, est))
+		if (!m_team(m, j) || (!within_guarantee && j->priority == FL_BEST_EFFORT) ||
+		    !m_request_one(m, j, within_guarantee, false, until, est))
 			break;
 		t->used_cpus += j->cpus;
 		t->used_gpus += j->gpus;
-		claimed++;
+		requested++;
 	}
 	*t = saved;
-	return claimed;
+	return requested;
 }
 
 static bool m_start(struct model *m, int job, const double *until, double est)
@@ -310,10 +313,10 @@
 	struct model *before = NULL;
 	int zone = m_zone_choice(m, j);
 	bool no_room = false;
-	bool one = !j->standing && !j->begun && j->waited_s > 120 && !j->whole;
+	bool one = !j->service && !j->begun && j->waited_s > 120 && !j->gang;
 
 	m->held = 0;
-	if (j->whole) {
+	if (j->gang) {
 		before = malloc(sizeof(*before));
 		*before = *m;
 	}
@@ -345,8 +348,8 @@
 		fetch = m_holds(j, &m->w.machines[best])
 		                ? 0
 		                : j->image_gb / m->w.machines[best].pull_gb_s;
-		if (m_ahead(j) && !j->whole && fetch > 4 && j->waited_s < fetch &&
-		    m_claim_one(m, j, false, true, NULL, 0)) {
+		if (m_ahead(j) && !j->gang && fetch > 4 && j->waited_s < fetch &&
+		    m_request_one(m, j, false, true, NULL, 0)) {
 			m->held++;
 			continue;
 		}
@@ -385,15 +388,15 @@
 		}
 		if (!m_allowed(j, k))
 			continue;
-		if (!j->whole && !m_zone(j, k->zone))
+		if (!j->gang && !m_zone(j, k->zone))
 			continue;
 		n = m_count(j, c, g, r);
-		if (!j->whole && n > 0)
+		if (!j->gang && n > 0)
 			return true;
 		in_zone[k->zone] += n;
 		all += n;
 	}
-	if (!j->whole)
+	if (!j->gang)
 		return false;
 	for (int z = 0; j->together && z < Z; z++)
 		if (in_zone[z] >= (int)j->waiting)
@@ -436,15 +439,15 @@
 
 		for (int i = 0; i < m->w.n_jobs; i++) {
 			const struct fl_sched_job *c = &m->w.jobs[i];
-			int rank = c->standing && c->tier >= FL_URGENT              ? 3
-			           : !c->standing && !c->begun && c->waited_s > 120 ? 2
-			           : c->owed                                        ? 1
-			                                                            : 0;
+			int rank = c->service && c->priority >= FL_URGENT          ? 3
+			           : !c->service && !c->begun && c->waited_s > 120 ? 2
+			           : c->within_guarantee                           ? 1
+			                                                           : 0;
 			double wait = fmax(c->waited_s, 0.1),
 			       takes = c->est_s > 0 ? c->est_s : 3600;
-			double tier[] = {0.1, 1, 10, 100};
+			double priority[] = {0.1, 1, 10, 100};
 			double p = wait / 3600 * (1 + pow(wait / 120, 4)) * (3600 / takes) *
-			           (1 / sqrt(c->cpus * c->parts / 32)) * tier[c->tier];
+			           (1 / sqrt(c->cpus * c->n_tasks / 32)) * priority[c->priority];
 
 			if (looked[i])
 				continue;
@@ -463,11 +466,11 @@
 		first = next_rank == 3;
 		backfill = m->top >= 0 && !first;
 		/* The top's window does not bind what may stop the top's tasks. */
-		bound = backfill && j->tier <= m->w.jobs[m->top].tier ? until : NULL;
-		est = j->est_s > 0 ? j->est_s : j->standing ? INFINITY : 3600;
+		bound = backfill && j->priority <= m->w.jobs[m->top].priority ? until : NULL;
+		est = j->est_s > 0 ? j->est_s : j->service ? INFINITY : 3600;
 		if (!m_start(m, next, bound, est))
 			continue;
-		m->short_of[next] = j->waiting - m->held - m_claim(m, next, bound, est);
+		m->short_of[next] = j->waiting - m->held - m_request_all(m, next, bound, est);
 		if (m->short_of[next] == 0 || m->top >= 0)
 			continue;
 		m->top = next;
@@ -483,7 +486,7 @@
 
 static double pick(gsl_rng *g, int n) { return (double)gsl_rng_uniform_int(g, (unsigned long)n); }
 
-static void random_world(gsl_rng *g, struct world *w, int jobs, int machines, int tries)
+static void random_sim(gsl_rng *g, struct sim *w, int jobs, int machines, int tries)
 {
 	memset(w, 0, sizeof(*w));
 	w->n_jobs = 1 + (int)pick(g, jobs);
@@ -496,7 +499,7 @@
 	for (int i = 0; i < w->n_machines; i++) {
 		for (int c = 0; c < FL_CACHE_NOTE; c++)
 			w->cache[i][c] = c < 2 ? (int)pick(g, 5) : -1;
-		w->machines[i] = (struct fl_sched_machine){.kind = (int)pick(g, 2),
+		w->machines[i] = (struct fl_sched_machine){.type = (int)pick(g, 2),
 		                                           .zone = (int)pick(g, Z),
 		                                           .spot = pick(g, 2) > 0,
 		                                           .held = pick(g, 2) > 0,
@@ -505,12 +508,12 @@
 		                                           .ram_gb = 64,
 		                                           .pull_gb_s = 0.5,
 		                                           .cache = w->cache[i]};
-		w->machines[i].promised.made = pick(g, 4) == 0;
-		w->machines[i].promised.owed = pick(g, 2) > 0;
-		w->machines[i].promised.tier = (enum fl_tier)pick(g, 4);
-		w->machines[i].promised.cpus = pick(g, 12);
-		w->machines[i].promised.gpus = pick(g, 3);
-		w->machines[i].promised.ram_gb = pick(g, 30);
+		w->machines[i].reserved.made = pick(g, 4) == 0;
+		w->machines[i].reserved.within_guarantee = pick(g, 2) > 0;
+		w->machines[i].reserved.priority = (enum fl_priority)pick(g, 4);
+		w->machines[i].reserved.cpus = pick(g, 12);
+		w->machines[i].reserved.gpus = pick(g, 3);
+		w->machines[i].reserved.ram_gb = pick(g, 30);
 	}
 	for (int i = 0; i < tries; i++) {
 		struct fl_sched_run r = {0};
@@ -519,16 +522,16 @@
 		r.machine = (int)pick(g, w->n_machines);
 		m = &w->machines[r.machine];
 		r.team = (int)pick(g, T);
-		r.tier = (enum fl_tier)pick(g, 4);
-		r.standing = pick(g, 3) == 0;
+		r.priority = (enum fl_priority)pick(g, 4);
+		r.service = pick(g, 3) == 0;
 		r.stopping = pick(g, 6) == 0;
 		r.movable = !r.stopping;
-		r.owed = pick(g, 3) == 0;
-		r.foothold = !r.standing && pick(g, 3) == 0;
+		r.within_guarantee = pick(g, 3) == 0;
+		r.last_running_task = !r.service && pick(g, 3) == 0;
 		r.cpus = 1 + pick(g, 6);
 		r.gpus = pick(g, 3);
 		r.ram_gb = 4 + pick(g, 12);
-		r.left_s = r.standing ? INFINITY : 1 + pick(g, 200);
+		r.left_s = r.service ? INFINITY : 1 + pick(g, 200);
 		r.lost_s = pick(g, 100) + 0.001 * i;
 		if (r.cpus > m->cpus || r.gpus > m->gpus || r.ram_gb > m->ram_gb)
 			continue;
@@ -542,31 +545,31 @@
 	for (int i = 0; i < w->n_jobs; i++) {
 		struct fl_sched_job *j = &w->jobs[i];
 
-		j->standing = pick(g, 3) == 0;
-		j->whole = !j->standing && pick(g, 4) == 0;
-		j->tier = (enum fl_tier)pick(g, 4);
+		j->service = pick(g, 3) == 0;
+		j->gang = !j->service && pick(g, 4) == 0;
+		j->priority = (enum fl_priority)pick(g, 4);
 		j->team = (int)pick(g, T);
-		j->owed = pick(g, 3) == 0;
+		j->within_guarantee = pick(g, 3) == 0;
 		j->begun = pick(g, 2) > 0;
 		j->waited_s = pick(g, 300) + 0.01 * i;
-		j->est_s = j->standing || pick(g, 8) == 0 ? 0 : 10 + pick(g, 300);
+		j->est_s = j->service || pick(g, 8) == 0 ? 0 : 10 + pick(g, 300);
 		j->cpus = 1 + pick(g, 6);
 		j->gpus = pick(g, 3);
 		j->ram_gb = 1 + pick(g, 16);
 		j->image_gb = pick(g, 10);
-		j->parts = 1 + (uint32_t)pick(g, 8);
-		j->waiting = 1 + (uint32_t)pick(g, (int)j->parts);
-		j->kinds = pick(g, 3) ? UINT32_MAX : 1u + (uint32_t)pick(g, 2);
-		j->site = pick(g, 5) ? -1 : (int)pick(g, Z);
+		j->n_tasks = 1 + (uint32_t)pick(g, 8);
+		j->waiting = 1 + (uint32_t)pick(g, (int)j->n_tasks);
+		j->types = pick(g, 3) ? UINT32_MAX : 1u + (uint32_t)pick(g, 2);
+		j->zone = pick(g, 5) ? -1 : (int)pick(g, Z);
 		j->together = pick(g, 5) == 0;
 		j->apart = !j->together && pick(g, 3) == 0;
 		j->reclaimable = pick(g, 2) > 0;
-		j->bundle = (int)pick(g, 5);
+		j->image = (int)pick(g, 5);
 		j->window_left = pick(g, 2) ? -1 : pick(g, 300);
 	}
 }
 
-static void run_real(struct world *w, struct fl_sched_out *out)
+static void run_real(struct sim *w, struct fl_sched_out *out)
 {
 	struct fl_sched_in in = {
 		.params = &fl_sched_defaults,
@@ -587,7 +590,7 @@
 	long starts, stops, tops, looks, bound;
 };
 
-static void compare(struct model *m, struct world *w, struct tally *t)
+static void compare(struct model *m, struct sim *w, struct tally *t)
 {
 	struct fl_sched_out out;
 
@@ -605,14 +608,14 @@
 	for (int i = 0; i < out.n_stops; i++)
 		assert_int_equal(out.stops[i], m->stops[i]);
 	for (int i = 0; i < w->n_machines; i++) {
-		const struct fl_promise *c = &w->machines[i].claimed;
-
-		assert_int_equal(c->made, m->w.machines[i].claimed.made);
-		assert_int_equal(c->owed, m->w.machines[i].claimed.owed);
-		assert_int_equal(c->tier, m->w.machines[i].claimed.tier);
-		assert_true(fabs(c->cpus - m->w.machines[i].claimed.cpus) < 1e-6 &&
-		            fabs(c->gpus - m->w.machines[i].claimed.gpus) < 1e-6 &&
-		            fabs(c->ram_gb - m->w.machines[i].claimed.ram_gb) < 1e-6);
+		const struct fl_reservation *c = &w->machines[i].requested;
+
+		assert_int_equal(c->made, m->w.machines[i].requested.made);
+		assert_int_equal(c->within_guarantee, m->w.machines[i].requested.within_guarantee);
+		assert_int_equal(c->priority, m->w.machines[i].requested.priority);
+		assert_true(fabs(c->cpus - m->w.machines[i].requested.cpus) < 1e-6 &&
+		            fabs(c->gpus - m->w.machines[i].requested.gpus) < 1e-6 &&
+		            fabs(c->ram_gb - m->w.machines[i].requested.ram_gb) < 1e-6);
 	}
 	assert_int_equal(out.top, m->top);
 	if (m->top >= 0)
@@ -623,7 +626,7 @@
 	t->stops += out.n_stops;
 	t->tops += out.top >= 0;
 	t->looks += out.looks;
-	/* Each start, each task promised room and each job that finds none looks once or twice. */
+	/* Each start, each task reserved room and each job that finds none looks once or twice. */
 	t->bound += (long)w->n_machines * (out.n_starts + 2 * w->n_jobs + 2 * out.n_stops);
 	fl_sched_free(&out);
 }
@@ -632,20 +635,20 @@
 {
 	gsl_rng *g = gsl_rng_alloc(gsl_rng_mt19937);
 	struct model *m = malloc(sizeof(*m));
-	struct world *w = malloc(sizeof(*w));
+	struct sim *w = malloc(sizeof(*w));
 	struct tally small = {0}, large = {0};
 
 	(void)state;
 	gsl_rng_set(g, 7);
 	for (int round = 0; round < 4000; round++) {
-		random_world(g, w, 14, 9, 24);
+		random_sim(g, w, 14, 9, 24);
 		compare(m, w, &small);
 	}
 	/* The snapshots must reach all of it. */
 	assert_true(small.starts > 4000 && small.stops > 400 && small.tops > 400);
 	/* Hundreds of machines: the same decisions, and no more work than starts times machines. */
 	for (int round = 0; round < 60; round++) {
-		random_world(g, w, J, M, R);
+		random_sim(g, w, J, M, R);
 		for (int t = 0; t < T; t++) {
 			w->teams[t].gpus *= 30;
 			w->teams[t].gpus_max *= 30;
@@ -660,8 +663,8 @@
 	gsl_rng_free(g);
 }
 
-/* Takes the model's starts into the world, as a leader would. */
-static long carry_on(struct world *w, const struct model *m)
+/* Takes the model's starts into the simulation, as a leader would. */
+static long carry_on(struct sim *w, const struct model *m)
 {
 	for (int i = 0; i < m->n_starts && w->n_runs < R; i++) {
 		struct fl_sched_job *j = &w->jobs[m->starts[i].job];
@@ -669,13 +672,13 @@
 
 		w->runs[w->n_runs] = (struct fl_sched_run){.machine = m->starts[i].machine,
 		                                           .team = j->team,
-		                                           .tier = j->tier,
-		                                           .standing = j->standing,
+		                                           .priority = j->priority,
+		                                           .service = j->service,
 		                                           .movable = true,
 		                                           .cpus = j->cpus,
 		                                           .gpus = j->gpus,
 		                                           .ram_gb = j->ram_gb,
-		                                           .left_s = j->standing ? INFINITY : 50,
+		                                           .left_s = j->service ? INFINITY : 50,
 		                                           .lost_s = 0.001 * w->n_runs};
 		w->n_runs++;
 		k->cpus -= j->cpus;
@@ -691,7 +694,7 @@
 }
 
 /* Some runs end: what was stopped, and of the rest one in so many. */
-static void let_end(gsl_rng *g, struct world *w, const struct model *m, int one_in)
+static void let_end(gsl_rng *g, struct sim *w, const struct model *m, int one_in)
 {
 	bool stopped[R] = {false};
 
@@ -720,15 +723,15 @@
 {
 	gsl_rng *g = gsl_rng_alloc(gsl_rng_mt19937);
 	struct model *m = malloc(sizeof(*m));
-	struct world *w = malloc(sizeof(*w)), *fresh = malloc(sizeof(*fresh));
-	struct world *before = malloc(sizeof(*before));
+	struct sim *w = malloc(sizeof(*w)), *fresh = malloc(sizeof(*fresh));
+	struct sim *before = malloc(sizeof(*before));
 	struct tally t = {0};
 	long started = 0;
 
 	(void)state;
 	gsl_rng_set(g, 11);
 	do
-		random_world(g, w, J, M, 0);
+		random_sim(g, w, J, M, 0);
 	while (w->n_jobs < J - 10 || w->n_machines < M - 20);
 	for (int i = 0; i < T; i++)
 		w->teams[i] = (struct fl_team){.gpus = 200 * i, .gpus_max = 600};
@@ -740,7 +743,7 @@
 		let_end(g, w, m, 3);
 		/* Those that have all they want make room for others; the rest wait on. */
 		do
-			random_world(g, fresh, J, M, 0);
+			random_sim(g, fresh, J, M, 0);
 		while (fresh->n_jobs < w->n_jobs);
 		for (int i = 0; i < w->n_jobs; i++) {
 			w->jobs[i].waited_s += 7;
@@ -763,15 +766,15 @@
 
 static struct fl_sched_job plain_job(double cpus, uint32_t waiting, double est, double waited)
 {
-	return (struct fl_sched_job){.tier = FL_STANDARD,
+	return (struct fl_sched_job){.priority = FL_STANDARD,
 	                             .cpus = cpus,
 	                             .ram_gb = 1,
-	                             .parts = waiting,
+	                             .n_tasks = waiting,
 	                             .waiting = waiting,
 	                             .est_s = est,
 	                             .waited_s = waited,
-	                             .kinds = 1,
-	                             .site = -1,
+	                             .types = 1,
+	                             .zone = -1,
 	                             .window_left = -1};
 }
 
@@ -784,7 +787,7 @@
 static struct fl_sched_run plain_run(int machine, double cpus, double left)
 {
 	return (struct fl_sched_run){.machine = machine,
-	                             .tier = FL_STANDARD,
+	                             .priority = FL_STANDARD,
 	                             .movable = true,
 	                             .cpus = cpus,
 	                             .ram_gb = 1,
@@ -794,7 +797,7 @@
 /* Two halves free in 10 s on two machines; a whole machine only in 100 s. */
 static void scattered_room_is_no_room(void **state)
 {
-	struct world w = {.n_jobs = 2, .n_machines = 2, .n_runs = 4};
+	struct sim w = {.n_jobs = 2, .n_machines = 2, .n_runs = 4};
 	struct fl_sched_out out;
 
 	(void)state;
@@ -817,7 +820,7 @@
 /* The window is remembered: it may shrink but not begin anew each pass. */
 static void a_burst_cannot_push_the_top_job_back_for_ever(void **state)
 {
-	struct world w = {.n_jobs = 2, .n_machines = 1, .n_runs = 1};
+	struct sim w = {.n_jobs = 2, .n_machines = 1, .n_runs = 1};
 	struct fl_sched_out out;
 
 	(void)state;
@@ -838,14 +841,14 @@
 	fl_sched_free(&out);
 }
 
-static void an_ensemble_starts_whole_or_not_at_all(void **state)
+static void a_gang_starts_whole_or_not_at_all(void **state)
 {
-	struct world w = {.n_jobs = 1, .n_machines = 2};
+	struct sim w = {.n_jobs = 1, .n_machines = 2};
 	struct fl_sched_out out;
 
 	(void)state;
 	w.jobs[0] = plain_job(4, 4, 60, 10);
-	w.jobs[0].whole = true;
+	w.jobs[0].gang = true;
 	w.machines[0] = plain_machine(8);
 	w.machines[1] = plain_machine(7);
 	run_real(&w, &out);
@@ -883,12 +886,12 @@
 	in.teams = &team;
 	for (int i = 0; i < FL_CACHE_NOTE; i++)
 		there[i] = i == 3 ? 5 : -1;
-	j.tier = FL_CRITICAL;
-	j.standing = true;
-	j.bundle = 5;
+	j.priority = FL_CRITICAL;
+	j.service = true;
+	j.image = 5;
 	j.image_gb = 10;
 	m[1].cache = m[2].cache = there;
-	runs[0].tier = runs[1].tier = FL_BEST_EFFORT;
+	runs[0].priority = runs[1].priority = FL_BEST_EFFORT;
 	runs[0].lost_s = 5;
 	runs[1].lost_s = 500;
 	/* One stop that loses little; the other would lose too much, so the free machine is taken.
@@ -919,16 +922,16 @@
 	fl_sched_free(&out);
 }
 
-/* What was stopped and is not gone yet is room already promised: nothing more is stopped. */
-static void room_on_its_way_is_not_claimed_twice(void **state)
+/* What was stopped and is not gone yet is room already reserved: nothing more is stopped. */
+static void room_on_its_way_is_not_requested_twice(void **state)
 {
-	struct world w = {.n_jobs = 1, .n_machines = 2, .n_runs = 2};
+	struct sim w = {.n_jobs = 1, .n_machines = 2, .n_runs = 2};
 	struct fl_sched_out out;
 
 	(void)state;
 	w.jobs[0] = plain_job(4, 1, 0, 1);
-	w.jobs[0].standing = true;
-	w.jobs[0].tier = FL_CRITICAL;
+	w.jobs[0].service = true;
+	w.jobs[0].priority = FL_CRITICAL;
 	w.machines[0] = plain_machine(0);
 	w.machines[1] = plain_machine(0);
 	w.runs[0] = plain_run(0, 4, 50);
@@ -958,7 +961,7 @@
 /* A pass that runs out of time goes on where it stopped: every job is looked at in the end. */
 static void a_pass_goes_on_where_the_last_one_stopped(void **state)
 {
-	struct world w = {.n_jobs = 12, .n_machines = 1, .n_runs = 1};
+	struct sim w = {.n_jobs = 12, .n_machines = 1, .n_runs = 1};
 	bool started[J] = {false};
 	int resume = 0, passes = 0;
 
@@ -995,28 +998,28 @@
 }
 
 /*
- * An idle-time array that has waited long goes before one of a higher tier, which may stop it. Each
- * stop must be the higher one's start, in the next pass but one at most: found as 80,000 stops in
- * ten minutes, by which the higher array got nothing either.
+ * An idle-time array that has waited long goes before one of a higher priority, which may stop it.
+ * Each stop must be the higher one's start, in the next pass but one at most: found as 80,000 stops
+ * in ten minutes, by which the higher array got nothing either.
  */
 static void a_stop_is_for_whom_it_was_made(void **state)
 {
-	struct world w = {.n_jobs = 2, .n_machines = 2};
+	struct sim w = {.n_jobs = 2, .n_machines = 2};
 	int low = 0, high = 0, stops = 0;
 
 	(void)state;
 	w.jobs[0] = plain_job(6, 40, 300, 600);
-	w.jobs[0].tier = FL_BEST_EFFORT;
+	w.jobs[0].priority = FL_BEST_EFFORT;
 	w.jobs[0].begun = true;
 	w.jobs[1] = plain_job(10, 6, 100, 10);
 	w.machines[0] = w.machines[1] = plain_machine(32);
 	for (int passes = 0; passes < 40; passes++) {
 		struct fl_sched_out out;
-		int kept = 0;
+		int withheld = 0;
 
 		for (int i = 0; i < 2; i++) {
-			w.machines[i].promised = w.machines[i].claimed;
-			w.machines[i].claimed = (struct fl_promise){0};
+			w.machines[i].reserved = w.machines[i].requested;
+			w.machines[i].requested = (struct fl_reservation){0};
 		}
 		run_real(&w, &out);
 		stops += out.n_stops;
@@ -1024,17 +1027,17 @@
 			const struct fl_sched_job *j = &w.jobs[out.starts[i].job];
 			struct fl_sched_run r = plain_run(out.starts[i].machine, j->cpus, j->est_s);
 
-			r.tier = j->tier;
+			r.priority = j->priority;
 			w.runs[w.n_runs++] = r;
 			*(out.starts[i].job ? &high : &low) += 1;
 		}
 		/* What is stopped is gone by the next pass; room is counted anew. */
 		for (int i = 0; i < w.n_runs; i++)
 			if (!w.runs[i].stopping)
-				w.runs[kept++] = w.runs[i];
+				w.runs[withheld++] = w.runs[i];
 			else
 				w.jobs[0].waiting++;
-		w.n_runs = kept;
+		w.n_runs = withheld;
 		for (int i = 0; i < 2; i++)
 			w.machines[i].cpus = 32;
 		for (int i = 0; i < w.n_runs; i++)
@@ -1051,10 +1054,10 @@
 enum { QUEUE = 800, SLOTS = 32, SECONDS = 900, CLASSES = 3 };
 
 struct stream {
-	enum fl_tier tier;
+	enum fl_priority priority;
 	int team;
-	bool owed;
-	uint32_t parts;
+	bool within_guarantee;
+	uint32_t n_tasks;
 	double est, every; /* s of a task; s between two jobs */
 };
 
@@ -1095,13 +1098,14 @@
 		for (int c = 0; c < CLASSES; c++) {
 			const struct stream *st = &streams[c];
 
-			for (; st->parts && next[c] <= now && s->n < QUEUE; next[c] += st->every) {
+			for (; st->n_tasks && next[c] <= now && s->n < QUEUE;
+			     next[c] += st->every) {
 				struct arrival *a = &s->arrival[s->n++];
 
-				a->job = plain_job(1, st->parts, st->est, 0);
-				a->job.tier = st->tier;
+				a->job = plain_job(1, st->n_tasks, st->est, 0);
+				a->job.priority = st->priority;
 				a->job.team = st->team;
-				a->job.owed = st->owed;
+				a->job.within_guarantee = st->within_guarantee;
 				a->class = c;
 				a->at = next[c];
 				a->begun = -1;
@@ -1117,7 +1121,7 @@
 				continue;
 			machines[i].cpus = 0;
 			runs[in.n_runs] = plain_run(i, 1, s->until[i] - now);
-			runs[in.n_runs].tier = s->arrival[s->running[i]].job.tier;
+			runs[in.n_runs].priority = s->arrival[s->running[i]].job.priority;
 			runs[in.n_runs].team = s->arrival[s->running[i]].job.team;
 			runs[in.n_runs].lost_s = 1;
 			of_run[in.n_runs++] = i;
@@ -1137,7 +1141,8 @@
 
 			for (int i = 0; i < SLOTS; i++)
 				held += s->running[i] == s->running[of_run[r]];
-			runs[r].foothold = held == 1 && now - a->at > fl_sched_defaults.patience_s;
+			runs[r].last_running_task =
+				held == 1 && now - a->at > fl_sched_defaults.patience_s;
 		}
 		assert_int_equal(fl_schedule(&in, &out), 0);
 		for (int k = 0; k < out.n_starts; k++) {
@@ -1188,7 +1193,7 @@
 		if (s->arrival[i].class != class || s->arrival[i].at > SECONDS - 240)
 			continue;
 		started += s->arrival[i].started;
-		all += s->arrival[i].job.parts;
+		all += s->arrival[i].job.n_tasks;
 	}
 	return all > 0 ? started / all : 1;
 }
@@ -1201,11 +1206,11 @@
 	static const struct stream small_and_wide[CLASSES] = {
 		{FL_STANDARD, 1, false, 2, 20, 1.35}, {FL_STANDARD, 2, false, 60, 100, 300}};
 	/* One team within its guarantee fills all; another has none. */
-	static const struct stream owed_and_not[CLASSES] = {{FL_STANDARD, 0, true, 4, 30, 3},
-	                                                    {FL_STANDARD, 1, false, 10, 40, 120}};
+	static const struct stream within_guarantee_and_not[CLASSES] = {
+		{FL_STANDARD, 0, true, 4, 30, 3}, {FL_STANDARD, 1, false, 10, 40, 120}};
 	/* Standard work fills all, and best effort may be stopped for it. */
-	static const struct stream tiers[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
-	                                             {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
+	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
+	                                                  {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
 	struct siege *s = malloc(sizeof(*s));
 
 	(void)state;
@@ -1214,10 +1219,10 @@
 	check_begun(s);
 	for (int c = 0; c < CLASSES; c++)
 		assert_true(served(s, c) >= 0.5);
-	besiege(s, owed_and_not, teams);
+	besiege(s, within_guarantee_and_not, teams);
 	assert_true(s->n < QUEUE);
 	check_begun(s);
-	besiege(s, tiers, teams);
+	besiege(s, priorities, teams);
 	check_begun(s);
 	free(s);
 }
@@ -1230,9 +1235,9 @@
 		cmocka_unit_test(hostile_arrivals_pass_nothing_over),
 		cmocka_unit_test(scattered_room_is_no_room),
 		cmocka_unit_test(a_burst_cannot_push_the_top_job_back_for_ever),
-		cmocka_unit_test(an_ensemble_starts_whole_or_not_at_all),
+		cmocka_unit_test(a_gang_starts_whole_or_not_at_all),
 		cmocka_unit_test(a_service_goes_where_its_image_lies),
-		cmocka_unit_test(room_on_its_way_is_not_claimed_twice),
+		cmocka_unit_test(room_on_its_way_is_not_requested_twice),
 		cmocka_unit_test(a_pass_goes_on_where_the_last_one_stopped),
 		cmocka_unit_test(a_stop_is_for_whom_it_was_made),
 	};
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "bookkeeping/ledger.h"
+#include "storage/records.h"
 #include "coordination/node.h"
 #include "coordination/takeover.h"
 #include "transport/clock.h"
@@ -90,7 +90,7 @@
 static void on_leader(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
 	struct fixture *f = ctx;
-	struct fl_run run;
+	struct fl_job_spec run;
 	struct fl_relay r;
 	cJSON *o;
 
@@ -99,7 +99,7 @@
 		return;
 	if (r.call == FL_CALL_SUBMIT) {
 		o = fl_json_parse(r.body, strlen(r.body));
-		resp->status = fl_run_decode(o, &run) ? 400 : 201;
+		resp->status = fl_job_spec_decode(o, &run) ? 400 : 201;
 		cJSON_Delete(o);
 	} else {
 		resp->status = f->known ? 200 : 404;
@@ -118,10 +118,10 @@
 
 static int set_up(void **state)
 {
-	struct fl_host_kind kinds[] = {
-		{.name = "both", .cpus = 8, .ram_gb = 64, .sites = {"a", "b"}, .n_sites = 2},
-		{.name = "one", .cpus = 96, .ram_gb = 64, .sites = {"a"}, .n_sites = 1},
-		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .sites = {"y"}, .n_sites = 1},
+	struct fl_offered_type types[] = {
+		{.name = "both", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .n_zones = 2},
+		{.name = "one", .cpus = 96, .ram_gb = 64, .zones = {"a"}, .n_zones = 1},
+		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .zones = {"y"}, .n_zones = 1},
 	};
 	struct fixture *f = calloc(1, sizeof(*f));
 	struct fl_node *n = &f->node;
@@ -131,20 +131,20 @@
 	strcpy(f->config.node, "n0");
 	f->config.lease_s = 10;
 	f->config.cancel_s = 40;
-	fl_names_add(&n->books.zones, "a");
-	fl_names_add(&n->books.zones, "b");
-	fl_kinds_set(&n->books.machines, &n->books.zones, kinds, 3);
-	strcpy(n->books.teams.at[0].name, "t");
-	n->books.teams.at[0].cpus_max = 100;
-	n->books.teams.n = 1;
+	fl_names_add(&n->cluster.zones, "a");
+	fl_names_add(&n->cluster.zones, "b");
+	fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, 3);
+	strcpy(n->cluster.teams.at[0].name, "t");
+	n->cluster.teams.at[0].cpus_max = 100;
+	n->cluster.teams.n = 1;
 	f->state = fl_http_serve("127.0.0.1:0", 16, 90, on_state, f);
 	f->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, f);
 	assert_true(f->state && f->leader);
 	connect_to(&n->state.http, f->state);
 	connect_to(&n->cloud.http, f->state);
-	n->state.last_ok = n->proof_at = n->jobs_at = fl_now();
+	n->state.last_ok = n->leadership_confirmed_at = n->cancellations_known_until = fl_now();
 	n->state.last_refusal = -1e9;
-	n->kinds_known = n->jobs_known = true;
+	n->types_known = n->jobs_known = true;
 	strcpy(n->leader, "n1");
 	n->n_peers = 1;
 	strcpy(n->peers[0].name, "n1");
@@ -162,7 +162,7 @@
 	fl_http_client_close(&f->node.cloud.http);
 	fl_http_client_close(&f->node.peers[0].http);
 	fl_routines_shutdown();
-	fl_books_free(&f->node.books);
+	fl_cluster_free(&f->node.cluster);
 	free(f->state);
 	free(f->leader);
 	free(f);
@@ -226,7 +226,7 @@
 	{"\"Parts\":101", 201, false},
 	{"\"Parts\":101,\"JobKind\":\"standing\"", 422, false},
 	{"\"Parts\":101,\"JobKind\":\"ensemble\"", 422, false},
-	/* Zones that half of a service or an ensemble can never get. */
+	/* Zones that half of a service or a gang can never get. */
 	{"\"Apart\":true,\"JobKind\":\"standing\"", 201, false},
 	{"\"Apart\":true,\"JobKind\":\"standing\",\"Site\":\"a\"", 422, false},
 	{"\"Apart\":true,\"JobKind\":\"ensemble\",\"Together\":true", 422, false},
@@ -275,7 +275,7 @@
 	for (int i = 0; i < CASES; i++)
 		if (!cases[i].unreadable)
 			expect(f, cases[i].fields, 503, "nobody can tell");
-	f->refused = f->node.kinds_known = false;
+	f->refused = f->node.types_known = false;
 	if (submit(f, "", &retry_after) != 503 || retry_after <= 0)
 		strcpy(f->failed, "machine types unknown");
 	ev_break(fl_loop(), EVBREAK_ALL);
@@ -326,16 +326,16 @@
 
 	f->node.lease.held = true;
 	f->record = RECORD("\"Apart\":true");
-	if (fl_takeover_load(&f->node) != 0 || !fl_job_find(&f->node.books, "run-000001"))
+	if (fl_takeover_load(&f->node) != 0 || !fl_job_find(&f->node.cluster, "run-000001"))
 		strcpy(f->failed, "a good record is not read");
 	half_lists(f);
 	for (size_t i = 0; i < sizeof(bad_records) / sizeof(bad_records[0]); i++) {
 		f->record = bad_records[i];
-		fl_books_free(&f->node.books);
-		f->node.books.jobs = NULL;
-		f->node.books.finals = NULL;
-		fl_names_add(&f->node.books.zones, "a");
-		if ((fl_takeover_load(&f->node) != -EPROTO || f->node.books.finals) &&
+		fl_cluster_free(&f->node.cluster);
+		f->node.cluster.jobs = NULL;
+		f->node.cluster.finished = NULL;
+		fl_names_add(&f->node.cluster.zones, "a");
+		if ((fl_takeover_load(&f->node) != -EPROTO || f->node.cluster.finished) &&
 		    !f->failed[0])
 			snprintf(f->failed, sizeof(f->failed), "is decided by: %s", f->record);
 	}
@@ -363,9 +363,9 @@
 		cJSON *v = fl_json_parse(bad_records[i], strlen(bad_records[i]));
 
 		assert_non_null(v);
-		assert_null(fl_books_apply(&f->node.books, "run-000001", v, 4));
-		assert_null(f->node.books.jobs);
-		assert_null(f->node.books.finals);
+		assert_null(fl_cluster_apply(&f->node.cluster, "run-000001", v, 4));
+		assert_null(f->node.cluster.jobs);
+		assert_null(f->node.cluster.finished);
 		cJSON_Delete(v);
 	}
 }
@@ -377,8 +377,8 @@
 	f->progress = progress;
 	if (fl_takeover_load(&f->node) != 0)
 		strcpy(f->failed, "a good record is not read");
-	return f->node.books.dirty &&
-	       f->node.books.dirty == fl_job_find(&f->node.books, "run-000001");
+	return f->node.cluster.dirty &&
+	       f->node.cluster.dirty == fl_job_find(&f->node.cluster, "run-000001");
 }
 
 static void take_over_what_is_over(void *arg)
@@ -463,10 +463,10 @@
 
 	/* Nobody leads: each poll is answered by the records, and twenty by one look at them. */
 	f->node.n_peers = 0;
-	f->node.kinds_known = f->node.jobs_known = true;
+	f->node.types_known = f->node.jobs_known = true;
 	f->gated = true;
 	f->config.state_rps = 1000;
-	fl_inquiries_init(&f->node);
+	fl_job_lookups_init(&f->node);
 	for (int i = 0; i < ASKERS / 2; i++)
 		question(f, &q[i], "run-000001");
 	while (f->reads < 1)
@@ -497,7 +497,7 @@
 	f->reads = 0;
 	f->gated = false;
 	f->config.state_rps = 10;
-	fl_inquiries_init(&f->node);
+	fl_job_lookups_init(&f->node);
 	for (int i = 0; i < ASKERS; i++) {
 		snprintf(ref, sizeof(ref), "run-%06d", 100 + i);
 		question(f, &q[i], ref);
