--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -25,12 +25,6 @@
 	resp->body = fl_status_encode(ref, FL_CANCELLED, -1, 0);
 }
 
-static void say_job(struct fl_response *resp, const struct fl_job *job)
-{
-	resp->status = 200;
-	resp->body = fl_status_encode(job->ref, fl_job_status(job), job->n_done, job->n_running);
-}
-
 /* The record decides: for what this leader has not heard of, or has written and not confirmed. */
 static void poll_record(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
@@ -67,18 +61,34 @@
 	cJSON_Delete(v);
 }
 
-void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
+struct fl_job_state fl_answer_from_memory(const struct fl_node *n, const char *ref)
 {
-	struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
-	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
+	const struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
+	const struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
 
 	if (f)
-		say_final(resp, f, true);
+		return (struct fl_job_state){.known = true,
+		                             .status = (enum fl_status)f->status,
+		                             .done = f->status == FL_DONE ? f->n_tasks : 0};
 	/* While a final write is under way, another node may already know its outcome. */
-	else if (job && !job->finishing && !job->unsure)
-		say_job(resp, job);
-	else
+	if (!job || job->finishing || job->unsure)
+		return (struct fl_job_state){0};
+	return (struct fl_job_state){.known = true,
+	                             .status = fl_job_status(job),
+	                             .done = job->n_done,
+	                             .running = job->n_running};
+}
+
+void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
+{
+	struct fl_job_state state = fl_answer_from_memory(n, ref);
+
+	if (!state.known) {
 		poll_record(n, ref, resp);
+		return;
+	}
+	resp->status = 200;
+	resp->body = fl_status_encode(ref, state.status, state.done, state.running);
 }
 
 static int write_cancel(struct fl_node *n, struct fl_job *job, double cancelled, uint64_t *rev)
--- a/src/coordination/answer.h
+++ b/src/coordination/answer.h
@@ -2,10 +2,13 @@
 #ifndef FL_COORDINATION_ANSWER_H
 #define FL_COORDINATION_ANSWER_H
 
+#include "protocol/job_states.h"
 #include "transport/http_server.h"
 
 struct fl_node;
 
+/* What this leader knows of a job without a wait; not `known` if only its record can tell. */
+struct fl_job_state fl_answer_from_memory(const struct fl_node *n, const char *ref);
 void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp);
 void fl_answer_cancel(struct fl_node *n, const char *ref, struct fl_response *resp);
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -114,13 +114,34 @@
 	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < tunables.down_s;
 }
 
+/* Polls leave half of the places to cancellations and submissions. */
+static bool may_relay(const struct fl_node *n, enum fl_user_call call)
+{
+	int most = call == FL_CALL_POLL ? tunables.peer_users / 2 : tunables.peer_users;
+
+	return n->relayed_calls < most;
+}
+
+static int relay_call(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
+                      enum fl_hop hop, double patience_s, struct fl_reply *reply)
+{
+	int rc;
+
+	if (!may_relay(n, call))
+		return -EBUSY;
+	n->relayed_calls++;
+	rc = fl_relay(n, call, ref, NULL, body, hop, patience_s, reply);
+	n->relayed_calls--;
+	return rc;
+}
+
 /* Likewise, by the leader. */
 static int known_to_leader(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
 	struct fl_reply reply;
 
 	if (fl_lease_valid(n) ||
-	    fl_relay(n, FL_CALL_POLL, ref, NULL, NULL, FL_FIRST_HOP, tunables.relay_s, &reply) != 0)
+	    relay_call(n, FL_CALL_POLL, ref, NULL, FL_FIRST_HOP, tunables.relay_s, &reply) != 0)
 		return -EAGAIN;
 	if (reply.status == 200) {
 		resp->status = 200;
@@ -199,8 +220,8 @@
 	if (fl_lease_valid(n))
 		return false;
 	text = fl_json_take(fl_job_spec_encode(run));
-	rc = fl_relay(n, FL_CALL_SUBMIT, NULL, NULL, text, FL_FIRST_HOP, tunables.relay_write_s,
-	              &reply);
+	rc = relay_call(n, FL_CALL_SUBMIT, NULL, text, FL_FIRST_HOP, tunables.relay_write_s,
+	                &reply);
 	free(text);
 	if (rc != 0)
 		return false;
@@ -333,25 +354,60 @@
 	resp->body = fl_status_encode(ref, p.placed ? FL_RUNNING : FL_PENDING, p.done, p.placed);
 }
 
-static void relayed(struct fl_node *n, enum fl_user_call call, const char *ref, enum fl_hop hop,
-                    struct fl_response *resp)
+/* Takes a relayed call's answer over; false if there is none that a user can be given. */
+static bool take_reply(int rc, struct fl_reply *reply, struct fl_response *resp)
 {
-	double patience = call == FL_CALL_POLL ? tunables.relay_s : tunables.relay_write_s;
+	if (rc != 0)
+		return false;
+	if (reply->status == 200 || reply->status == 404) {
+		resp->status = reply->status;
+		resp->body = reply->body.data;
+		return true;
+	}
+	fl_buf_free(&reply->body);
+	return false;
+}
+
+static void answer_relayed_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
+{
+	double came = fl_now(), left;
 	struct fl_reply reply;
 
-	if (fl_relay(n, call, ref, NULL, NULL, hop, patience, &reply) == 0) {
-		if (reply.status == 200 || reply.status == 404) {
-			resp->status = reply.status;
-			resp->body = reply.body.data;
-			return;
-		}
-		fl_buf_free(&reply.body);
+	switch (fl_status_query(n, ref, resp)) {
+	case FL_QUERY_ANSWERED:
+		return;
+	case FL_QUERY_OVERLOADED:
+		fl_later(resp, "there are too many questions at the moment");
+		return;
+	case FL_QUERY_UNSETTLED:
+	case FL_QUERY_FAILED:
+		break;
 	}
-	if (hop)
-		fl_refuse(resp, 421, "not the leader");
-	else if (call == FL_CALL_POLL)
+	left = came + tunables.relay_s - fl_now();
+	if (left <= 0 ||
+	    !take_reply(relay_call(n, FL_CALL_POLL, ref, NULL, FL_FIRST_HOP, left, &reply), &reply,
+	                resp))
 		poll_records(n, ref, resp);
-	else
+}
+
+/* For another controller: only the leader answers, so this is passed on once at most. */
+static void answer_for_peer(struct fl_node *n, enum fl_user_call call, const char *ref,
+                            enum fl_hop hop, struct fl_response *resp)
+{
+	double patience = call == FL_CALL_POLL ? tunables.relay_s : tunables.relay_write_s;
+	struct fl_reply reply;
+
+	if (!take_reply(relay_call(n, call, ref, NULL, hop, patience, &reply), &reply, resp))
+		fl_refuse(resp, 421, "not the leader");
+}
+
+static void answer_relayed_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
+{
+	struct fl_reply reply;
+	int rc = relay_call(n, FL_CALL_CANCEL, ref, NULL, FL_FIRST_HOP, tunables.relay_write_s,
+	                    &reply);
+
+	if (!take_reply(rc, &reply, resp))
 		fl_later(resp, "there is no leader at the moment");
 }
 
@@ -385,7 +441,12 @@
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
-	relayed(n, call, ref, hop, resp);
+	if (hop)
+		answer_for_peer(n, call, ref, hop, resp);
+	else if (call == FL_CALL_POLL)
+		answer_relayed_poll(n, ref, resp);
+	else
+		answer_relayed_cancel(n, ref, resp);
 }
 
 void fl_node_user_call(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
@@ -439,6 +500,10 @@
 		fl_standby_gossip(n, req->body, req->body_len, resp);
 		return;
 	}
+	if (strcmp(req->path, FL_PATH_STATUS) == 0) {
+		fl_status_query_serve(n, req->body, req->body_len, resp);
+		return;
+	}
 	if (strcmp(req->path, "/relay") != 0) {
 		fl_refuse(resp, 404, "no such path");
 		return;
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -10,6 +10,7 @@
 #include "coordination/leader.h"
 #include "coordination/lease.h"
 #include "coordination/provision.h"
+#include "coordination/status_query.h"
 #include "protocol/cloud.h"
 #include "protocol/peers.h"
 #include "protocol/state.h"
@@ -50,6 +51,8 @@
 	struct fl_signal control_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
 	struct fl_budget poll_reads;
+	struct fl_status_queries status_queries;
+	int relayed_calls; /* users' calls under way to other controllers, one by one */
 	double probed_at; /* steady; when the users' balancer last asked for /ready */
 
 	struct fl_lease lease;
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -71,7 +71,8 @@
 		return rc;
 	if (lead->up || n->n_peers == 1) {
 		text = fl_relay_encode(call, true, false, ref, via, body);
-		rc = relay_via(lead, text, hop ? patience_s : tunables.direct_s, out);
+		rc = relay_via(lead, text, hop ? patience_s : fmin(tunables.direct_s, patience_s),
+		               out);
 		free(text);
 	}
 	if (rc == 0 || hop)
--- /dev/null
+++ b/src/coordination/status_query.h
@@ -0,0 +1,35 @@
+/*
+ * Status queries that only the leader can answer, on their way to it: those that arrive while a
+ * request is under way share the next one. A query rests only on a request sent after it came.
+ */
+#ifndef FL_COORDINATION_STATUS_QUERY_H
+#define FL_COORDINATION_STATUS_QUERY_H
+
+#include <stddef.h>
+
+#include "transport/http_server.h"
+#include "transport/routine.h"
+
+struct fl_node;
+struct fl_status_batch;
+
+struct fl_status_queries {
+	struct fl_status_batch *filling; /* collects queries until a request may be sent */
+	int in_flight;
+	struct fl_signal landed; /* a request has come back */
+};
+
+enum fl_query_result {
+	FL_QUERY_ANSWERED,  /* the response is filled in */
+	FL_QUERY_UNSETTLED, /* the leader has to look into the records for this job */
+	FL_QUERY_FAILED,    /* the leader cannot be reached, or leads no more */
+	FL_QUERY_OVERLOADED /* too many queries are waiting */
+};
+
+/* Asks the leader, together with the other queries of this moment. */
+enum fl_query_result fl_status_query(struct fl_node *n, const char *ref, struct fl_response *resp);
+/* Answers another controller's request for many jobs, from memory alone. */
+void fl_status_query_serve(struct fl_node *n, const char *body, size_t len,
+                           struct fl_response *resp);
+
+#endif
--- /dev/null
+++ b/src/protocol/job_states.c
@@ -0,0 +1,88 @@
+#include "protocol/job_states.h"
+
+#include <errno.h>
+#include <string.h>
+
+/* {"refs":["run-000412",...]} */
+char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count)
+{
+	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "refs");
+
+	for (int i = 0; i < count; i++)
+		cJSON_AddItemToArray(list, cJSON_CreateString(refs[i]));
+	return fl_json_take(o);
+}
+
+int fl_status_query_decode(const char *text, size_t len, char (*refs)[FL_REF_MAX])
+{
+	cJSON *o = fl_json_parse(text, len);
+	const cJSON *list = fl_json_get(o, "refs"), *e;
+	int count = cJSON_IsArray(list) ? 0 : -EPROTO;
+
+	if (cJSON_GetArraySize(list) > FL_STATUS_QUERY_MAX)
+		count = -EPROTO;
+	if (count == 0) {
+		cJSON_ArrayForEach (e, list) {
+			if (!cJSON_IsString(e) || strlen(e->valuestring) >= FL_REF_MAX ||
+			    !fl_ref_ok(e->valuestring)) {
+				count = -EPROTO;
+				break;
+			}
+			memcpy(refs[count++], e->valuestring, strlen(e->valuestring) + 1);
+		}
+	}
+	cJSON_Delete(o);
+	return count;
+}
+
+/* {"jobs":[[status,done,running],null,...]} */
+char *fl_status_answer_encode(const struct fl_job_state *states, int count)
+{
+	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "jobs");
+
+	for (int i = 0; i < count; i++) {
+		const struct fl_job_state *s = &states[i];
+		double values[] = {s->status, s->done, s->running};
+
+		cJSON_AddItemToArray(list, s->known ? cJSON_CreateDoubleArray(values, 3)
+		                                    : cJSON_CreateNull());
+	}
+	return fl_json_take(o);
+}
+
+static int decode_state(const cJSON *e, struct fl_job_state *out)
+{
+	uint64_t status, done, running;
+
+	*out = (struct fl_job_state){0};
+	if (cJSON_IsNull(e))
+		return 0;
+	if (fl_json_item(e, 0, FL_CANCELLED, &status) != FL_FIELD_OK ||
+	    fl_json_item(e, 1, FL_TASKS_MAX, &done) != FL_FIELD_OK ||
+	    fl_json_item(e, 2, FL_TASKS_MAX, &running) != FL_FIELD_OK)
+		return -EPROTO;
+	*out = (struct fl_job_state){.known = true,
+	                             .status = (enum fl_status)status,
+	                             .done = (uint32_t)done,
+	                             .running = (uint32_t)running};
+	return 0;
+}
+
+int fl_status_answer_decode(const char *text, size_t len, struct fl_job_state *states, int count)
+{
+	cJSON *o = fl_json_parse(text, len);
+	const cJSON *list = fl_json_get(o, "jobs"), *e;
+	int at = 0, rc = 0;
+
+	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) != count)
+		rc = -EPROTO;
+	if (rc == 0) {
+		cJSON_ArrayForEach (e, list) {
+			rc = decode_state(e, &states[at++]);
+			if (rc)
+				break;
+		}
+	}
+	cJSON_Delete(o);
+	return rc;
+}
--- /dev/null
+++ b/tests/test_status_query.c
@@ -0,0 +1,292 @@
+/*
+ * Status queries on their way to the leader: how many requests they cost, and that none is
+ * answered by a request that was sent before it came. Virtual time, and a link made here.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <cmocka.h>
+
+#include <errno.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/node.h"
+#include "coordination/status_query.h"
+#include "protocol/job_states.h"
+#include "sim.h"
+#include "transport/clock.h"
+
+enum { QUERIES = 300 };
+static const double way_s = 0.005; /* s each way of a request */
+
+struct sim sim;
+
+static struct {
+	struct fl_node follower, leader;
+	int requests;
+	bool link_down;
+} world;
+
+struct query {
+	char ref[FL_REF_MAX];
+	double at; /* s from the beginning */
+	enum fl_query_result result;
+	struct fl_response resp;
+	bool over;
+	double took;
+};
+
+int fl_http_client_init(struct fl_http_client *c, const char *addr, int max_idle)
+{
+	(void)c, (void)addr, (void)max_idle;
+	return 0;
+}
+
+void fl_http_client_close(struct fl_http_client *c) { (void)c; }
+
+/* The link between the two: the leader answers half-way, by what it knows at that moment. */
+int fl_http_call(struct fl_http_client *c, const char *method, const char *path, const char *body,
+                 double timeout_s, struct fl_reply *out)
+{
+	struct fl_response resp = {0};
+
+	(void)c, (void)method;
+	assert_string_equal(path, FL_PATH_STATUS);
+	world.requests++;
+	if (world.link_down) {
+		fl_sleep(timeout_s);
+		return -ETIMEDOUT;
+	}
+	fl_sleep(way_s);
+	fl_status_query_serve(&world.leader, body, strlen(body), &resp);
+	fl_sleep(way_s);
+	memset(out, 0, sizeof(*out));
+	out->status = resp.status;
+	fl_buf_add(&out->body, resp.body, strlen(resp.body));
+	free(resp.body);
+	return 0;
+}
+
+static void ask(void *arg)
+{
+	struct query *q = arg;
+	double came;
+
+	if (fl_sleep(q->at) != 0)
+		return;
+	came = fl_now();
+	q->result = fl_status_query(&world.follower, q->ref, &q->resp);
+	q->took = fl_now() - came;
+	q->over = true;
+}
+
+static void drop_timer(struct sim_timer *t) { (void)t; }
+
+static void run(struct query *queries, int count)
+{
+	for (int i = 0; i < count; i++)
+		sim_spawn(0, ask, &queries[i]);
+	sim_time_run(fl_now() + 10);
+	sim_time_end(drop_timer);
+	for (int i = 0; i < count; i++)
+		assert_true(queries[i].over);
+}
+
+static void ref_of(char ref[FL_REF_MAX], int at) { snprintf(ref, FL_REF_MAX, "run-%06d", at); }
+
+static int set_up(void **state)
+{
+	struct fl_job_spec spec = {.n_tasks = 8, .n_machine_types = -1, .kind = FL_ARRAY};
+
+	(void)state;
+	memset(&world, 0, sizeof(world));
+	sim_time_begin();
+	snprintf(world.follower.leader, sizeof(world.follower.leader), "host-2");
+	world.follower.n_peers = 2;
+	world.follower.peers[1].up = true;
+	snprintf(world.follower.peers[1].name, sizeof(world.follower.peers[1].name), "host-2");
+	world.leader.lead.active = true;
+	world.leader.lease.held = true;
+	world.leader.lease.valid_until = fl_now() + 1000;
+	world.leader.cluster.teams.n = 1;
+	snprintf(world.leader.cluster.teams.at[0].name, FL_NAME_MAX, "vision");
+	snprintf(spec.team, sizeof(spec.team), "vision");
+	for (int i = 0; i < QUERIES; i++) {
+		ref_of(spec.ref, i);
+		assert_non_null(fl_job_add(&world.leader.cluster, &spec, 0, 1));
+	}
+	return 0;
+}
+
+static int tear_down(void **state)
+{
+	(void)state;
+	fl_cluster_free(&world.leader.cluster);
+	return 0;
+}
+
+static void free_answers(struct query *queries, int count)
+{
+	for (int i = 0; i < count; i++)
+		free(queries[i].resp.body);
+	free(queries);
+}
+
+/* Found with 1,918 jobs asked about eight times as often: a connection to the leader for each. */
+static void many_queries_cost_few_requests(void **state)
+{
+	struct query *queries = calloc(QUERIES, sizeof(*queries));
+	int answered = 0, overloaded = 0;
+
+	(void)state;
+	for (int i = 0; i < QUERIES; i++)
+		ref_of(queries[i].ref, i);
+	run(queries, QUERIES);
+	for (int i = 0; i < QUERIES; i++) {
+		answered += queries[i].result == FL_QUERY_ANSWERED;
+		overloaded += queries[i].result == FL_QUERY_OVERLOADED;
+	}
+	/* Two that went at once, one each, and a full request after them. */
+	assert_int_equal(world.requests, 3);
+	assert_int_equal(answered, 2 + FL_STATUS_QUERY_MAX);
+	assert_int_equal(overloaded, QUERIES - answered);
+	free_answers(queries, QUERIES);
+}
+
+static void finish_job(void *arg)
+{
+	/* Between the leader's answer to the first query and the arrival of that answer. */
+	fl_sleep(way_s * 1.5);
+	fl_job_finalise(&world.leader.cluster, fl_job_find(&world.leader.cluster, arg), FL_DONE);
+}
+
+/* Another controller may have said `done` meanwhile, so no earlier answer will do. */
+static void a_query_rests_on_a_request_sent_after_it(void **state)
+{
+	struct query *queries = calloc(2, sizeof(*queries));
+
+	(void)state;
+	ref_of(queries[0].ref, 7);
+	ref_of(queries[1].ref, 7);
+	queries[1].at = way_s * 1.6;
+	assert_non_null(sim_spawn(0, finish_job, queries[0].ref));
+	run(queries, 2);
+	assert_int_equal(queries[0].result, FL_QUERY_ANSWERED);
+	assert_non_null(strstr(queries[0].resp.body, "pending"));
+	assert_int_equal(queries[1].result, FL_QUERY_ANSWERED);
+	assert_non_null(strstr(queries[1].resp.body, "done"));
+	free_answers(queries, 2);
+}
+
+static void what_memory_does_not_settle_is_not_answered(void **state)
+{
+	struct query *queries = calloc(3, sizeof(*queries));
+
+	(void)state;
+	ref_of(queries[0].ref, QUERIES + 1);
+	ref_of(queries[1].ref, 1);
+	ref_of(queries[2].ref, 2);
+	fl_job_find(&world.leader.cluster, queries[1].ref)->finishing = true;
+	fl_job_find(&world.leader.cluster, queries[2].ref)->unsure = true;
+	run(queries, 3);
+	for (int i = 0; i < 3; i++) {
+		assert_int_equal(queries[i].result, FL_QUERY_UNSETTLED);
+		assert_null(queries[i].resp.body);
+	}
+	free_answers(queries, 3);
+}
+
+static void who_leads_no_more_answers_nothing(void **state)
+{
+	struct query *queries = calloc(1, sizeof(*queries));
+
+	(void)state;
+	ref_of(queries[0].ref, 1);
+	world.leader.lease.valid_until = fl_now();
+	run(queries, 1);
+	assert_int_equal(queries[0].result, FL_QUERY_FAILED);
+	free_answers(queries, 1);
+}
+
+/* A user waits 2 s, and the records may still have to answer. */
+static void a_silent_leader_holds_nobody_up(void **state)
+{
+	struct query *queries = calloc(QUERIES, sizeof(*queries));
+
+	(void)state;
+	world.link_down = true;
+	for (int i = 0; i < QUERIES; i++) {
+		ref_of(queries[i].ref, i);
+		queries[i].at = i * 0.002;
+	}
+	run(queries, QUERIES);
+	for (int i = 0; i < QUERIES; i++) {
+		assert_int_not_equal(queries[i].result, FL_QUERY_ANSWERED);
+		assert_true(queries[i].took <= 1.7);
+	}
+	free_answers(queries, QUERIES);
+}
+
+static int decode_query(const char *text)
+{
+	char refs[FL_STATUS_QUERY_MAX][FL_REF_MAX];
+
+	return fl_status_query_decode(text, strlen(text), refs);
+}
+
+static int decode_answer(const char *text, int count)
+{
+	struct fl_job_state states[4];
+
+	return fl_status_answer_decode(text, strlen(text), states, count);
+}
+
+static void malformed_messages_decide_nothing(void **state)
+{
+	char refs[2][FL_REF_MAX] = {"run-000001", "run-000412"},
+	     back[FL_STATUS_QUERY_MAX][FL_REF_MAX];
+	struct fl_job_state states[2] = {{true, FL_RUNNING, 3, 13}, {0}}, got[2];
+	char *text = fl_status_query_encode(refs, 2);
+
+	(void)state;
+	assert_int_equal(fl_status_query_decode(text, strlen(text), back), 2);
+	assert_string_equal(back[1], refs[1]);
+	free(text);
+	assert_int_equal(decode_query("{}"), -EPROTO);
+	assert_int_equal(decode_query("{\"refs\":[\"run-1\"]}"), -EPROTO);
+	assert_int_equal(decode_query("{\"refs\":[\"../../etc\"]}"), -EPROTO);
+	assert_int_equal(decode_query("{\"refs\":[7]}"), -EPROTO);
+	assert_int_equal(decode_query("{\"refs\":{}}"), -EPROTO);
+	text = fl_status_answer_encode(states, 2);
+	assert_int_equal(fl_status_answer_decode(text, strlen(text), got, 2), 0);
+	assert_true(got[0].known && got[0].status == FL_RUNNING);
+	assert_int_equal(got[0].done, 3);
+	assert_int_equal(got[0].running, 13);
+	assert_false(got[1].known);
+	free(text);
+	assert_int_equal(decode_answer("{\"jobs\":[null]}", 2), -EPROTO);
+	assert_int_equal(decode_answer("{\"jobs\":[[9,0,0]]}", 1), -EPROTO);
+	assert_int_equal(decode_answer("{\"jobs\":[[1,0]]}", 1), -EPROTO);
+	assert_int_equal(decode_answer("{\"jobs\":[[1,-1,0]]}", 1), -EPROTO);
+	assert_int_equal(decode_answer("{\"jobs\":[true]}", 1), -EPROTO);
+	assert_int_equal(decode_answer("", 0), -EPROTO);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test_setup_teardown(many_queries_cost_few_requests, set_up, tear_down),
+		cmocka_unit_test_setup_teardown(a_query_rests_on_a_request_sent_after_it, set_up,
+	                                        tear_down),
+		cmocka_unit_test_setup_teardown(what_memory_does_not_settle_is_not_answered, set_up,
+	                                        tear_down),
+		cmocka_unit_test_setup_teardown(who_leads_no_more_answers_nothing, set_up,
+	                                        tear_down),
+		cmocka_unit_test_setup_teardown(a_silent_leader_holds_nobody_up, set_up, tear_down),
+		cmocka_unit_test(malformed_messages_decide_nothing),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
