--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -19,7 +19,7 @@
 	double down_s;
 	int peer_conns;
 	double finished_share;
-	int peer_users, own_conns;
+	int peer_users, own_conns, polls_waiting;
 	double user_least, idle_reports, idle_least_s;
 } tunables = {
 	.retry_s = 0.5,        /* s between tries at what a node needs before it can serve */
@@ -32,6 +32,7 @@
 	.finished_share = 0.1, /* share of the memory for final states kept at hand */
 	.peer_users = 24,      /* users' calls and gossip under way to one peer */
 	.own_conns = 48,       /* connections to state service, cloud and machines at once */
+	.polls_waiting = 64,   /* polls that wait for a slow controller; answered within a second */
 	.user_least = 0.6,    /* share of all connections that users and workers have in any case */
 	.idle_reports = 4.0,  /* report intervals after which a silent connection is closed */
 	.idle_least_s = 20.0, /* s for which it is kept in any case: users ask every 5 s */
@@ -485,6 +486,15 @@
 		resp->close = true;
 		return;
 	}
+	/*
+	 * A controller that is behind answers probes, submissions, cancellations and reports first.
+	 * A poll comes again in any case, and one that is turned away at once may find a better
+	 * node. Where enough are answered, none goes without for long: one a turn always is.
+	 */
+	if (call == FL_CALL_POLL && !fl_defer(tunables.polls_waiting)) {
+		fl_later(resp, "there are too many questions at the moment");
+		return;
+	}
 	fl_node_user_call(ctx, call, ref, req->body, req->body_len, FL_FIRST_HOP, resp);
 }
 
--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -63,6 +63,8 @@
 	struct ev_idle more; /* active: some are still ready, so the loop must not sleep */
 	struct fl_routine *all, *current;
 	struct queue ready, urgent;
+	struct queue deferred; /* run when nothing else is ready, and one at the end of a turn */
+	int n_deferred;
 	char *spare[64];
 	int spares;
 	fcontext_t main_ctx;
@@ -98,12 +100,8 @@
 		munmap(p, tunables.stack + tunables.guard);
 }
 
-static void make_ready(struct fl_routine *r, int result)
+static void enqueue(struct queue *q, struct fl_routine *r, int result)
 {
-	struct queue *q = r->urgent ? &rt.urgent : &rt.ready;
-
-	if (r->ready)
-		return;
 	r->ready = true;
 	r->result = result;
 	r->next_ready = NULL;
@@ -114,6 +112,12 @@
 	q->tail = r;
 }
 
+static void make_ready(struct fl_routine *r, int result)
+{
+	if (!r->ready)
+		enqueue(r->urgent ? &rt.urgent : &rt.ready, r, result);
+}
+
 static struct fl_routine *take_ready(struct queue *q)
 {
 	struct fl_routine *r = q->head;
@@ -127,6 +131,14 @@
 	return r;
 }
 
+static struct fl_routine *take_deferred(void)
+{
+	struct fl_routine *r = take_ready(&rt.deferred);
+
+	rt.n_deferred -= r != NULL;
+	return r;
+}
+
 static void sig_unlink(struct fl_routine *r)
 {
 	if (!r->sig)
@@ -216,19 +228,25 @@
 /*
  * Found with controllers several times slower: one turn over all that was ready took seconds, and
  * the lease, whose answer had long come, ended. So the urgent go first, and a turn of the others
- * ends after a while, to look for what has come meanwhile.
+ * ends after a while, to look for what has come meanwhile. What was deferred runs when nothing else
+ * is ready, or else one a turn, so that it is late but not for ever.
  */
 static void drain(void)
 {
 	double until = fl_now() + tunables.turn_s;
 	struct fl_routine *r;
 
-	while ((r = take_ready(&rt.urgent)) || (r = take_ready(&rt.ready))) {
+	while ((r = take_ready(&rt.urgent)) || (r = take_ready(&rt.ready)) ||
+	       (r = take_deferred())) {
 		resume(r);
-		if (!rt.urgent.head && rt.ready.head && fl_now() > until)
+		if (!rt.urgent.head && (rt.ready.head || rt.deferred.head) && fl_now() > until) {
+			r = rt.ready.head ? take_deferred() : NULL;
+			if (r)
+				resume(r);
 			break;
+		}
 	}
-	if (rt.ready.head)
+	if (rt.ready.head || rt.deferred.head)
 		ev_idle_start(rt.loop, &rt.more);
 	else
 		ev_idle_stop(rt.loop, &rt.more);
@@ -309,6 +327,17 @@
 
 void fl_urgent(void) { rt.current->urgent = true; }
 
+bool fl_defer(int max_waiting)
+{
+	struct fl_routine *r = rt.current;
+
+	if (r->cancelled || rt.n_deferred >= max_waiting)
+		return false;
+	enqueue(&rt.deferred, r, 0);
+	rt.n_deferred++;
+	return park() == 0;
+}
+
 bool fl_routines_behind(void) { return ev_is_active(&rt.more); }
 
 bool fl_cancelled(void) { return rt.current && rt.current->cancelled; }
--- a/src/transport/routine.h
+++ b/src/transport/routine.h
@@ -29,6 +29,11 @@
 bool fl_cancelled(void);
 /* From now on this routine goes before all that are not urgent: for what must not come late. */
 void fl_urgent(void);
+/*
+ * Lets all else that is ready go first, for work that may come late. False at once if `max_waiting`
+ * routines are waiting like that already, or this one is cancelled.
+ */
+bool fl_defer(int max_waiting);
 /* More is ready than one turn could run: what comes in now waits. */
 bool fl_routines_behind(void);
 
--- a/tests/sim_time.c
+++ b/tests/sim_time.c
@@ -387,6 +387,9 @@
 /* Work takes no virtual time: nobody is ever behind. */
 bool fl_routines_behind(void) { return false; }
 
+/* Computing takes no time here: nothing is ever behind. */
+bool fl_defer(int max_waiting) { return max_waiting > 0; }
+
 int fl_sleep(double seconds)
 {
 	struct fl_routine *r = rt.current;
