--- a/src/config.c
+++ b/src/config.c
@@ -9,6 +9,7 @@
 
 #include "toml.h"
 #include "transport/http.h"
+#include "transport/text.h"
 
 struct reader {
 	const char *file;
@@ -56,7 +57,7 @@
 	else if (strlen(v->valuestring) >= FL_CONFIG_NAME)
 		complain(r, "%s%s: longer than %d characters", where, key, FL_CONFIG_NAME - 1);
 	else
-		strcpy(out, v->valuestring);
+		fl_copy_string(out, FL_CONFIG_NAME, v->valuestring);
 }
 
 static void get_addr(struct reader *r, const cJSON *o, const char *where, const char *key,
@@ -154,7 +155,7 @@
 			complain(r, "settings.zones: must hold names");
 			return;
 		}
-		strcpy(c->zones[c->n_zones++], e->valuestring);
+		fl_copy_string(c->zones[c->n_zones++], FL_CONFIG_NAME, e->valuestring);
 	}
 	if (c->n_zones == 0)
 		complain(r, "settings.zones: must name at least one zone");
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -6,6 +6,7 @@
 
 #include "coordination/node.h"
 #include "transport/clock.h"
+#include "transport/text.h"
 
 static const struct {
 	double share, burst_s, reads, patience_s;
@@ -41,13 +42,14 @@
 	struct fl_job_lookup *q = calloc(1, sizeof(*q));
 
 	if (q)
-		strcpy(q->ref, ref);
+		fl_copy_string(q->ref, sizeof(q->ref), ref);
 	return q;
 }
 
-static void let_go(struct fl_job_lookup *q)
+static void release(struct fl_job_lookup *q, int held)
 {
-	if (--q->users > 0)
+	q->users -= held;
+	if (q->users > 0)
 		return;
 	cJSON_Delete(q->v);
 	free(q);
@@ -60,6 +62,7 @@
 	q->users++;
 }
 
+/* The table's hold on it passes to the caller. */
 static void read_records(struct fl_node *n, struct fl_job_lookup *q)
 {
 	q->rc = fl_job_lookup_affords(n, tunables.reads)
@@ -73,32 +76,38 @@
 		enter(n, q->next);
 	q->over = true;
 	fl_signal_wake(&q->done);
-	let_go(q);
 }
 
-/* The first of those that came after the sending reads for all of them. */
-static void read_after(struct fl_node *n, struct fl_job_lookup *before, struct fl_job_lookup *q)
+/*
+ * The first of those that came after the sending reads for all of them. Returns how often the
+ * caller holds `q` then.
+ */
+static int read_after(struct fl_node *n, struct fl_job_lookup *before, struct fl_job_lookup *q)
 {
+	int held = 1;
+
 	before->next = q;
 	before->users++;
 	while (!before->over && fl_signal_wait(&before->done, tunables.patience_s) == 0)
 		;
 	if (before->over) {
 		read_records(n, q);
+		held++;
 	} else {
 		before->next = NULL;
 		q->rc = -EAGAIN;
 		q->over = true;
 		fl_signal_wake(&q->done);
 	}
-	let_go(before);
+	release(before, 1);
+	return held;
 }
 
 int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *rec, cJSON **v,
                        uint64_t *rev)
 {
 	struct fl_job_lookup *q, *sent;
-	int rc;
+	int rc, held = 1;
 
 	*v = NULL;
 	HASH_FIND_STR(n->job_lookups, ref, sent);
@@ -109,8 +118,9 @@
 	if (!sent) {
 		enter(n, q);
 		read_records(n, q);
+		held++;
 	} else if (!sent->next) {
-		read_after(n, sent, q);
+		held = read_after(n, sent, q);
 	} else {
 		while (!q->over && fl_signal_wait(&q->done, tunables.patience_s) == 0)
 			;
@@ -123,6 +133,6 @@
 		if (q->v && !*v)
 			rc = -ENOMEM;
 	}
-	let_go(q);
+	release(q, held);
 	return rc;
 }
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -9,6 +9,7 @@
 #include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/log.h"
+#include "transport/text.h"
 
 static const struct {
 	double retry_s, batch_bytes;
@@ -260,6 +261,22 @@
 	snprintf(key, FL_KEY_MAX, FL_PREFIX_LOG "%d", at);
 }
 
+/* Room for one item more; false without memory. */
+static bool reserve_item(struct batch_item **items, int count, int *cap)
+{
+	int wanted = *cap ? 2 * *cap : 64;
+	struct batch_item *p;
+
+	if (count < *cap)
+		return true;
+	p = realloc(*items, (size_t)wanted * sizeof(*p));
+	if (!p)
+		return false;
+	*items = p;
+	*cap = wanted;
+	return true;
+}
+
 /* Everything unsaved, in as few values as it fits into; how many, or -E2BIG. */
 static int fill_log(struct fl_node *n, struct fl_multi *m, struct batch_item **items, int *count)
 {
@@ -277,22 +294,13 @@
 
 			if (!group)
 				continue;
-			if (*count == cap) {
-				struct batch_item *p;
-
-				cap = cap ? 2 * cap : 64;
-				p = realloc(*items, (size_t)cap * sizeof(*p));
-				if (p)
-					*items = p;
-				else
-					len = limit + 1;
-			}
 			if (value && used + len > limit) {
 				log_key(key, values++);
 				fl_multi_put(m, key, value, 0);
 				value = NULL;
 			}
-			if (len > limit || (!value && values == most)) {
+			if (len > limit || (!value && values == most) ||
+			    !reserve_item(items, *count, &cap)) {
 				free(group);
 				cJSON_Delete(value);
 				return -E2BIG;
@@ -423,7 +431,7 @@
 
 	if (!t)
 		return; /* it costs a record's room, nothing else */
-	strcpy(t->key, key);
+	fl_copy_string(t->key, sizeof(t->key), key);
 	t->next = n->lead.pending_deletions;
 	n->lead.pending_deletions = t;
 }
--- a/src/coordination/record_writer.h
+++ b/src/coordination/record_writer.h
@@ -22,6 +22,6 @@
 int fl_record_writer_reread_job(struct fl_node *n, const char *ref, bool *over,
                                 enum fl_status *status);
 /* The routine of a leader, with its fl_node. */
-void fl_record_writer_duty(void *node);
+void fl_record_writer_duty(void *arg);
 
 #endif
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "transport/text.h"
+
 static const struct {
 	double timeout_s;
 } tunables = {
@@ -54,7 +56,7 @@
 		if (!cJSON_IsString(s) || strlen(s->valuestring) >= FL_NAME_MAX ||
 		    k->n_zones == FL_TYPE_ZONES_MAX)
 			return -EPROTO;
-		strcpy(k->zones[k->n_zones++], s->valuestring);
+		fl_copy_string(k->zones[k->n_zones++], FL_NAME_MAX, s->valuestring);
 	}
 	return 0;
 }
@@ -159,7 +161,7 @@
 	}
 	cJSON_ArrayForEach (e, list)
 		if (cJSON_IsString(e) && strlen(e->valuestring) < FL_NAME_MAX)
-			strcpy((*hosts)[(*n)++], e->valuestring);
+			fl_copy_string((*hosts)[(*n)++], FL_NAME_MAX, e->valuestring);
 out:
 	cJSON_Delete(o);
 	return rc;
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -5,6 +5,8 @@
 #include <stdio.h>
 #include <string.h>
 
+#include "transport/text.h"
+
 static const struct {
 	int depth;
 } tunables = {
@@ -94,7 +96,7 @@
 		return FL_FIELD_ABSENT;
 	if (!cJSON_IsString(v) || strlen(v->valuestring) >= cap)
 		return FL_FIELD_BAD;
-	strcpy(out, v->valuestring);
+	fl_copy_string(out, cap, v->valuestring);
 	return FL_FIELD_OK;
 }
 
--- a/src/protocol/state.c
+++ b/src/protocol/state.c
@@ -6,6 +6,7 @@
 #include <string.h>
 
 #include "transport/clock.h"
+#include "transport/text.h"
 
 static const struct {
 	double timeout_s, slack_s;
@@ -111,7 +112,7 @@
 		ch.key = key;
 		ch.value = fl_json_get(e, "V");
 		fn(ctx, &ch);
-		strcpy(last, key);
+		fl_copy_string(last, FL_KEY_MAX, key);
 	}
 	return 0;
 }
@@ -259,7 +260,7 @@
 
 		failed[0] = 0;
 		if (cJSON_IsString(first) && strlen(first->valuestring) < FL_KEY_MAX)
-			strcpy(failed, first->valuestring);
+			fl_copy_string(failed, FL_KEY_MAX, first->valuestring);
 	}
 	cJSON_Delete(o);
 	return rc;
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -3,6 +3,8 @@
 #include <ctype.h>
 #include <string.h>
 
+#include "transport/text.h"
+
 static const char *const priority_names[] = {"best_effort", "standard", "urgent", "critical"};
 static const char *const kind_names[] = {"sweep", "standing", "ensemble"};
 static const char *const status_names[] = {"pending", "running", "done", "aborted"};
@@ -59,7 +61,8 @@
 		if (!cJSON_IsString(e) || strlen(e->valuestring) >= FL_NAME_MAX ||
 		    !name_ok(e->valuestring))
 			return false;
-		strcpy(out->machine_types[out->n_machine_types++], e->valuestring);
+		fl_copy_string(out->machine_types[out->n_machine_types++], FL_NAME_MAX,
+		               e->valuestring);
 	}
 	return true;
 }
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -6,6 +6,7 @@
 #include <string.h>
 
 #include "transport/clock.h"
+#include "transport/text.h"
 
 struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref)
 {
@@ -35,7 +36,7 @@
 		b->finished_lost_at = fl_now();
 		return;
 	}
-	strcpy(f->ref, ref);
+	fl_copy_string(f->ref, sizeof(f->ref), ref);
 	f->status = (uint8_t)status;
 	f->n_tasks = n_tasks;
 	f->cancelled_at = cancelled_at;
@@ -118,7 +119,7 @@
 	j = calloc(1, sizeof(*j));
 	if (!j)
 		return NULL;
-	strcpy(j->ref, run->ref);
+	fl_copy_string(j->ref, sizeof(j->ref), run->ref);
 	j->job_class = fl_names_add(&b->classes, run->job_class);
 	j->image = fl_names_add(&b->images, run->image);
 	j->team = team;
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -5,6 +5,7 @@
 #include <string.h>
 
 #include "transport/log.h"
+#include "transport/text.h"
 
 int fl_machine_type_find(const struct fl_machines *ms, const char *name)
 {
@@ -29,7 +30,7 @@
 		}
 		k = &ms->types[at >= 0 ? at : ms->n_types++];
 		memset(k, 0, sizeof(*k));
-		strcpy(k->name, h->name);
+		fl_copy_string(k->name, sizeof(k->name), h->name);
 		k->cpus = h->cpus;
 		k->gpus = h->gpus;
 		k->ram_gb = h->ram_gb;
--- a/src/storage/records.c
+++ b/src/storage/records.c
@@ -8,6 +8,7 @@
 
 #include "transport/clock.h"
 #include "transport/log.h"
+#include "transport/text.h"
 
 void fl_key_job(char key[FL_KEY_MAX], const char *ref)
 {
@@ -72,17 +73,18 @@
 void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out)
 {
 	memset(out, 0, sizeof(*out));
-	strcpy(out->ref, job->ref);
-	strcpy(out->job_class, fl_names_at(&b->classes, job->job_class));
-	strcpy(out->team, b->teams.at[job->team].name);
-	strcpy(out->image, fl_names_at(&b->images, job->image));
+	fl_copy_string(out->ref, sizeof(out->ref), job->ref);
+	fl_copy_string(out->job_class, sizeof(out->job_class),
+	               fl_names_at(&b->classes, job->job_class));
+	fl_copy_string(out->team, sizeof(out->team), b->teams.at[job->team].name);
+	fl_copy_string(out->image, sizeof(out->image), fl_names_at(&b->images, job->image));
 	out->has_zone = job->zone >= 0;
-	strcpy(out->zone, fl_names_at(&b->zones, job->zone));
+	fl_copy_string(out->zone, sizeof(out->zone), fl_names_at(&b->zones, job->zone));
 	out->n_machine_types = job->types == UINT32_MAX ? -1 : 0;
 	for (int k = 0; out->n_machine_types >= 0 && k < b->machines.n_types; k++)
 		if ((job->types >> k & 1) && out->n_machine_types < FL_ALLOWED_TYPES_MAX)
-			strcpy(out->machine_types[out->n_machine_types++],
-			       b->machines.types[k].name);
+			fl_copy_string(out->machine_types[out->n_machine_types++], FL_NAME_MAX,
+			               b->machines.types[k].name);
 	out->kind = job->kind;
 	out->priority = job->priority;
 	out->n_tasks = job->n_tasks;
@@ -349,7 +351,7 @@
 	}
 	g = &log->at[log->n++];
 	*g = (struct fl_log_group){.chunk = (uint32_t)chunk};
-	strcpy(g->ref, ref->valuestring);
+	fl_copy_string(g->ref, sizeof(g->ref), ref->valuestring);
 	g->changes = cJSON_Duplicate(changes, true);
 	return g->changes ? 0 : -ENOMEM;
 }
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -11,7 +11,8 @@
 static const struct {
 	size_t max_body;
 } tunables = {
-	.max_body = 8 * 1024 * 1024, /* bytes; a full page of the state service and some to spare */
+	.max_body =
+		8UL * 1024 * 1024, /* bytes; a full page of the state service and some to spare */
 };
 
 int fl_http_client_init(struct fl_http_client *c, const char *addr, int max_idle)
