--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -31,8 +31,8 @@
 		l->bad++;
 		return;
 	}
-	if (rec.has_run) {
-		job = fl_job_add(b, &rec.run, rec.submitted, ch->rev);
+	if (rec.has_spec) {
+		job = fl_job_add(b, &rec.spec, rec.submitted, ch->rev);
 		if (!job) {
 			/* Its progress would pass for left behind, and be deleted. */
 			fl_error("takeover", "%s: names what is unknown here", ch->key);
@@ -45,7 +45,7 @@
 	if (!rec.final)
 		return;
 	/* A cancelled job whose tasks may still be about stays, to be stopped and counted. */
-	if (rec.has_run) {
+	if (rec.has_spec) {
 		job->cancelled = true;
 		/* Each new leader counting anew, one that leads briefly stops nothing. */
 		job->cancelled_at = fl_since(rec.cancelled);
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -30,7 +30,7 @@
 bool fl_ref_ok(const char *ref);
 /* Returns NULL, or the name of the first bad field. */
 const char *fl_job_spec_decode(const cJSON *o, struct fl_job_spec *out);
-cJSON *fl_job_spec_encode(const struct fl_job_spec *run);
+cJSON *fl_job_spec_encode(const struct fl_job_spec *spec);
 char *fl_status_encode(const char *ref, enum fl_status status, int64_t done, int64_t running);
 const char *fl_status_name(enum fl_status status);
 
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -91,14 +91,14 @@
 	fl_finished_add(b, ref, FL_CANCELLED, job->n_tasks, cancelled_at);
 }
 
-static uint32_t types_mask(const struct fl_cluster *b, const struct fl_job_spec *run)
+static uint32_t types_mask(const struct fl_cluster *b, const struct fl_job_spec *spec)
 {
 	uint32_t mask = 0;
 
-	if (run->n_machine_types < 0)
+	if (spec->n_machine_types < 0)
 		return UINT32_MAX;
-	for (int i = 0; i < run->n_machine_types; i++) {
-		int k = fl_machine_type_find(&b->machines, run->machine_types[i]);
+	for (int i = 0; i < spec->n_machine_types; i++) {
+		int k = fl_machine_type_find(&b->machines, spec->machine_types[i]);
 
 		if (k >= 0)
 			mask |= 1u << k;
@@ -106,43 +106,43 @@
 	return mask;
 }
 
-struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *run, double submitted,
+struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *spec, double submitted,
                           uint64_t rev)
 {
-	struct fl_job *j = fl_job_find(b, run->ref);
-	int team = fl_teams_find(&b->teams, run->team);
-	int zone = run->has_zone ? fl_names_find(&b->zones, run->zone) : -1;
+	struct fl_job *j = fl_job_find(b, spec->ref);
+	int team = fl_teams_find(&b->teams, spec->team);
+	int zone = spec->has_zone ? fl_names_find(&b->zones, spec->zone) : -1;
 
 	/* A zone that is not known must not pass for any zone. */
-	if (j || team < 0 || (run->has_zone && zone < 0))
+	if (j || team < 0 || (spec->has_zone && zone < 0))
 		return j;
 	j = calloc(1, sizeof(*j));
 	if (!j)
 		return NULL;
-	fl_copy_string(j->ref, sizeof(j->ref), run->ref);
-	j->job_class = fl_names_add(&b->classes, run->job_class);
-	j->image = fl_names_add(&b->images, run->image);
+	fl_copy_string(j->ref, sizeof(j->ref), spec->ref);
+	j->job_class = fl_names_add(&b->classes, spec->job_class);
+	j->image = fl_names_add(&b->images, spec->image);
 	j->team = team;
 	j->zone = zone;
-	j->kind = run->kind;
-	j->priority = run->priority;
-	j->n_tasks = run->n_tasks;
-	j->cpus = run->cpus;
-	j->gpus = run->gpus;
-	j->ram_gb = run->ram_gb;
-	j->image_gb = run->image_gb;
-	j->expected_s = run->expected_s;
-	j->checkpoint_every_s = run->checkpoint_every_s;
-	j->checkpoint_cost_s = run->checkpoint_cost_s;
-	j->due_s = run->due_s;
-	j->types = types_mask(b, run);
-	j->together = run->together;
-	j->apart = run->apart;
-	j->reclaimable = run->reclaimable;
+	j->kind = spec->kind;
+	j->priority = spec->priority;
+	j->n_tasks = spec->n_tasks;
+	j->cpus = spec->cpus;
+	j->gpus = spec->gpus;
+	j->ram_gb = spec->ram_gb;
+	j->image_gb = spec->image_gb;
+	j->expected_s = spec->expected_s;
+	j->checkpoint_every_s = spec->checkpoint_every_s;
+	j->checkpoint_cost_s = spec->checkpoint_cost_s;
+	j->due_s = spec->due_s;
+	j->types = types_mask(b, spec);
+	j->together = spec->together;
+	j->apart = spec->apart;
+	j->reclaimable = spec->reclaimable;
 	j->submitted = submitted;
 	j->rev = rev;
-	j->n_waiting = run->n_tasks;
-	j->n_chunks = (run->n_tasks + FL_CHUNK - 1) / FL_CHUNK;
+	j->n_waiting = spec->n_tasks;
+	j->n_chunks = (spec->n_tasks + FL_CHUNK - 1) / FL_CHUNK;
 	HASH_ADD_STR(b->jobs, ref, j);
 	return j;
 }
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -103,7 +103,7 @@
 struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref);
 struct fl_finished_job *fl_finished_find(const struct fl_cluster *b, const char *ref);
 /* Adds a live job from its description; NULL if it cannot be read here (unknown team). */
-struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *run, double submitted,
+struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *spec, double submitted,
                           uint64_t rev);
 /* Turns a live job into its final state; its tasks must hold no machine. */
 void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_status status);
--- a/src/storage/records.c
+++ b/src/storage/records.c
@@ -42,9 +42,9 @@
 	return *end || !fl_ref_ok(ref) ? -EPROTO : 0;
 }
 
-cJSON *fl_job_record_live(const struct fl_job_spec *run, double submitted)
+cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted)
 {
-	cJSON *o = fl_job_spec_encode(run);
+	cJSON *o = fl_job_spec_encode(spec);
 
 	cJSON_AddNumberToObject(o, "submitted", submitted);
 	return o;
@@ -62,9 +62,9 @@
 	return add_final(cJSON_CreateObject(), status, n_tasks);
 }
 
-cJSON *fl_job_record_cancelled(const struct fl_job_spec *run, double submitted, double cancelled)
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled)
 {
-	cJSON *o = add_final(fl_job_record_live(run, submitted), FL_CANCELLED, run->n_tasks);
+	cJSON *o = add_final(fl_job_record_live(spec, submitted), FL_CANCELLED, spec->n_tasks);
 
 	cJSON_AddNumberToObject(o, "cancelled", cancelled);
 	return o;
@@ -130,13 +130,13 @@
 	if (out->final && decode_final(v, word, out) != 0)
 		return -EPROTO;
 	/* One that is cancelled and cannot be read has tasks that nobody would count or stop. */
-	out->has_run = !out->final || fl_json_get(v, "Ref");
-	if (!out->has_run)
+	out->has_spec = !out->final || fl_json_get(v, "Ref");
+	if (!out->has_spec)
 		return 0;
-	if (fl_job_spec_decode(v, &out->run) != NULL || strcmp(out->run.ref, ref) != 0)
+	if (fl_job_spec_decode(v, &out->spec) != NULL || strcmp(out->spec.ref, ref) != 0)
 		return -EPROTO;
 	if (!out->final)
-		out->n_tasks = out->run.n_tasks;
+		out->n_tasks = out->spec.n_tasks;
 	return fl_json_amount(v, "submitted", &out->submitted) == FL_FIELD_OK ? 0 : -EPROTO;
 }
 
@@ -220,7 +220,7 @@
 	}
 	if (!rec.final) {
 		if (!job)
-			job = fl_job_add(b, &rec.run, rec.submitted, rev);
+			job = fl_job_add(b, &rec.spec, rec.submitted, rev);
 		if (!job)
 			fl_error("jobs", "the record of %s names what is unknown here", ref);
 		if (job && !b->leading)
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -27,8 +27,8 @@
 	bool final;
 	enum fl_status status; /* when final */
 	uint32_t n_tasks;
-	bool has_run; /* a cancelled job keeps its description until its tasks are gone */
-	struct fl_job_spec run;
+	bool has_spec; /* a cancelled job keeps its description until its tasks are gone */
+	struct fl_job_spec spec;
 	double submitted;
 	double cancelled; /* wall; 0: not, or not said */
 };
@@ -41,10 +41,10 @@
 int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
                     uint64_t *rev);
 
-cJSON *fl_job_record_live(const struct fl_job_spec *run, double submitted);
+cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted);
 cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks);
 /* A job that its user has cancelled and whose tasks have still to go. */
-cJSON *fl_job_record_cancelled(const struct fl_job_spec *run, double submitted, double cancelled);
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled);
 void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out);
 /* Of the job with this id; -EPROTO if any of it cannot be read. */
 int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -716,7 +716,7 @@
 	v = cancelled_record(f, 20);
 	assert_int_equal(fl_job_record_decode(v, f->job->ref, &rec), 0);
 	cJSON_Delete(v);
-	assert_true(rec.final && rec.has_run && rec.status == FL_CANCELLED);
+	assert_true(rec.final && rec.has_spec && rec.status == FL_CANCELLED);
 	assert_true(fabs(fl_since(rec.cancelled) - (fl_now() - 20)) < 1);
 	/* Records of earlier versions do not say: they count from now. */
 	assert_true(fabs(fl_since(0) - fl_now()) < 1);
