--- /dev/null
+++ b/src/storage/job_records.c
@@ -0,0 +1,124 @@
+#include "storage/job_records.h"
+
+#include <errno.h>
+#include <string.h>
+
+#include "storage/keys.h"
+#include "transport/text.h"
+
+cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted)
+{
+	cJSON *o = fl_job_spec_encode(spec);
+
+	cJSON_AddNumberToObject(o, "submitted", submitted);
+	return o;
+}
+
+static cJSON *add_final(cJSON *o, enum fl_status status, uint32_t n_tasks)
+{
+	cJSON_AddStringToObject(o, "final", fl_status_name(status));
+	cJSON_AddNumberToObject(o, "parts", n_tasks);
+	return o;
+}
+
+cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks)
+{
+	return add_final(cJSON_CreateObject(), status, n_tasks);
+}
+
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled)
+{
+	cJSON *o = add_final(fl_job_record_live(spec, submitted), FL_CANCELLED, spec->n_tasks);
+
+	cJSON_AddNumberToObject(o, "cancelled", cancelled);
+	return o;
+}
+
+void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out)
+{
+	memset(out, 0, sizeof(*out));
+	fl_copy_string(out->ref, sizeof(out->ref), job->ref);
+	fl_copy_string(out->job_class, sizeof(out->job_class),
+	               fl_names_at(&b->classes, job->job_class));
+	fl_copy_string(out->team, sizeof(out->team), b->teams.at[job->team].name);
+	fl_copy_string(out->image, sizeof(out->image), fl_names_at(&b->images, job->image));
+	out->has_zone = job->zone >= 0;
+	fl_copy_string(out->zone, sizeof(out->zone), fl_names_at(&b->zones, job->zone));
+	out->n_machine_types = job->types == UINT32_MAX ? -1 : 0;
+	for (int k = 0; out->n_machine_types >= 0 && k < b->machines.n_types; k++)
+		if ((job->types >> k & 1) && out->n_machine_types < FL_ALLOWED_TYPES_MAX)
+			fl_copy_string(out->machine_types[out->n_machine_types++], FL_NAME_MAX,
+			               b->machines.types[k].name);
+	out->kind = job->kind;
+	out->priority = job->priority;
+	out->n_tasks = job->n_tasks;
+	out->cpus = job->cpus;
+	out->gpus = job->gpus;
+	out->ram_gb = job->ram_gb;
+	out->image_gb = job->image_gb;
+	out->expected_s = job->expected_s;
+	out->checkpoint_every_s = job->checkpoint_every_s;
+	out->checkpoint_cost_s = job->checkpoint_cost_s;
+	out->due_s = job->due_s;
+	out->together = job->together;
+	out->apart = job->apart;
+	out->reclaimable = job->reclaimable;
+}
+
+static int decode_final(const cJSON *v, const char *word, struct fl_job_record *out)
+{
+	uint64_t n_tasks;
+
+	if (strcmp(word, fl_status_name(FL_DONE)) == 0)
+		out->status = FL_DONE;
+	else if (strcmp(word, fl_status_name(FL_CANCELLED)) == 0)
+		out->status = FL_CANCELLED;
+	else
+		return -EPROTO;
+	if (fl_json_count(v, "parts", &n_tasks) != FL_FIELD_OK || n_tasks > FL_TASKS_MAX)
+		return -EPROTO;
+	out->n_tasks = (uint32_t)n_tasks;
+	return fl_json_amount(v, "cancelled", &out->cancelled) == FL_FIELD_BAD ? -EPROTO : 0;
+}
+
+int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out)
+{
+	enum fl_field final;
+	char word[16];
+
+	memset(out, 0, sizeof(*out));
+	final = fl_json_str(v, "final", word, sizeof(word));
+	if (final == FL_FIELD_BAD)
+		return -EPROTO;
+	out->final = final == FL_FIELD_OK;
+	if (out->final && decode_final(v, word, out) != 0)
+		return -EPROTO;
+	/* One that is cancelled and cannot be read has tasks that nobody would count or stop. */
+	out->has_spec = !out->final || fl_json_get(v, "Ref");
+	if (!out->has_spec)
+		return 0;
+	if (fl_job_spec_decode(v, &out->spec) != NULL || strcmp(out->spec.ref, ref) != 0)
+		return -EPROTO;
+	if (!out->final)
+		out->n_tasks = out->spec.n_tasks;
+	return fl_json_amount(v, "submitted", &out->submitted) == FL_FIELD_OK ? 0 : -EPROTO;
+}
+
+int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
+                    uint64_t *rev)
+{
+	char key[FL_KEY_MAX];
+	cJSON *final = NULL;
+	int rc;
+
+	fl_key_job(key, ref);
+	rc = fl_state_get(s, key, v, rev, NULL);
+	if (rc != -ENOENT)
+		return rc ? rc : fl_job_record_decode(*v, ref, rec);
+	fl_key_finished(key, ref);
+	rc = fl_state_get(s, key, &final, rev, NULL);
+	if (!rc)
+		rc = fl_job_record_decode(final, ref, rec);
+	cJSON_Delete(final);
+	return rc;
+}
--- /dev/null
+++ b/src/storage/job_records.h
@@ -0,0 +1,38 @@
+/* Job records: their shape, and how one is read from the state service. */
+#ifndef FL_STORAGE_JOB_RECORDS_H
+#define FL_STORAGE_JOB_RECORDS_H
+
+#include "storage/jobs.h"
+#include "protocol/state.h"
+
+/* A job record: either the description or the final state. */
+struct fl_job_record {
+	bool final;
+	enum fl_status status; /* when final */
+	uint32_t n_tasks;
+	bool has_spec; /* a cancelled job keeps its description until its tasks are gone */
+	struct fl_job_spec spec;
+	double submitted;
+	double cancelled; /* wall time; 0: not cancelled, or not known */
+};
+
+/*
+ * What the records say of a job: its live record, or the final one that took its place in one
+ * transaction, so that reading them in this order misses neither. `*v` is the live record's value,
+ * owned by the caller, or NULL. -ENOENT: no such job.
+ */
+int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
+                    uint64_t *rev);
+
+/* The record of a live job. */
+cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted);
+/* The record of a job that is over. */
+cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks);
+/* A job that its user has cancelled and whose tasks have still to go. */
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled);
+/* The description that a job was submitted with, from its state here. */
+void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out);
+/* Decodes the record of the job with this id; -EPROTO if any of it cannot be read. */
+int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out);
+
+#endif
--- /dev/null
+++ b/src/storage/job_updates.h
@@ -0,0 +1,24 @@
+/* Takes job records, as a list or a watch delivers them, into the state of the cluster. */
+#ifndef FL_STORAGE_JOB_UPDATES_H
+#define FL_STORAGE_JOB_UPDATES_H
+
+#include "storage/job_records.h"
+
+/*
+ * Takes a change of a job record into the cluster state; returns the live job, if it is one. A
+ * deletion (no value) means that the job is over: only a leader keeps it, to finish what it is
+ * doing. One that is cancelled it keeps as `cancelled`, until its tasks are gone.
+ */
+struct fl_job *fl_cluster_apply(struct fl_cluster *b, const char *ref, const cJSON *value,
+                                uint64_t rev);
+
+/* Takes in what the record of a leader's live job says; true if it is news that it is cancelled. */
+bool fl_cluster_cancelled(struct fl_cluster *b, struct fl_job *job, const struct fl_job_record *rec,
+                          uint64_t rev);
+
+/* Called before a whole list of job records is read: no live job counts as listed yet. */
+void fl_cluster_list_begin(struct fl_cluster *b);
+/* Called after it, with the list's revision: live jobs that it no longer holds are dropped. */
+void fl_cluster_list_end(struct fl_cluster *b, uint64_t rev);
+
+#endif
--- /dev/null
+++ b/src/storage/keys.h
@@ -0,0 +1,29 @@
+/* The keys of all records in the state service. */
+#ifndef FL_STORAGE_KEYS_H
+#define FL_STORAGE_KEYS_H
+
+#include "protocol/state.h"
+#include "protocol/users.h"
+
+/* Keys, and the prefixes of keys that go on with a job's id or a number. */
+#define FL_KEY_LEAD "c/lead"
+#define FL_KEY_EPOCH "c/epoch"
+#define FL_PREFIX_CONTROL "c/"
+#define FL_KEY_MACHINE_TYPES "m/kinds"
+#define FL_PREFIX_JOBS "j/"
+#define FL_PREFIX_FINISHED "f/"
+#define FL_PREFIX_PROGRESS "p/"
+#define FL_PREFIX_CACHED "k/"
+#define FL_PREFIX_LOG "w/"
+#define FL_KEY_LOG "w/0" /* in every write of the log */
+
+/* The key of a live or cancelled job. */
+void fl_key_job(char key[FL_KEY_MAX], const char *ref);
+/* The key of a job's final record. */
+void fl_key_finished(char key[FL_KEY_MAX], const char *ref);
+/* The key of a progress record. */
+void fl_key_chunk(char key[FL_KEY_MAX], const char *ref, uint32_t chunk);
+/* Takes "p/run-000412/3" apart; -EPROTO if it is no such key. */
+int fl_key_chunk_parse(const char *key, char ref[FL_REF_MAX], uint32_t *chunk);
+
+#endif
--- /dev/null
+++ b/src/storage/progress.c
@@ -0,0 +1,234 @@
+#include "storage/progress.h"
+
+#include <errno.h>
+#include <math.h>
+#include <string.h>
+
+#include "storage/progress_log.h"
+
+/* Which tasks of a chunk are written. */
+enum scope { ALL_TASKS, UNSAVED_TASKS };
+
+/* A list of numbers: [a,b]. */
+static cJSON *pair(double a, double b)
+{
+	cJSON *e = cJSON_CreateArray();
+
+	cJSON_AddItemToArray(e, cJSON_CreateNumber(a));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber(b));
+	return e;
+}
+
+static cJSON *encode_placed(const struct fl_cluster *b, uint32_t index, const struct fl_task *t)
+{
+	cJSON *e = pair(index, t->attempt);
+
+	cJSON_AddItemToArray(e, cJSON_CreateString(b->machines.at[t->machine]->name));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)t->session));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber(round(t->placed)));
+	return e;
+}
+
+/*
+ * {"d":[[first,last],...],"t":[[index,attempt],...],
+ *  "m":[[index,attempt,machine,session,placed],...]}:
+ * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
+ */
+static cJSON *encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk,
+                     enum scope scope)
+{
+	const struct fl_chunk *c = job->chunks[chunk];
+	uint32_t base = chunk * FL_CHUNK;
+	cJSON *o = cJSON_CreateObject();
+	cJSON *done = cJSON_AddArrayToObject(o, "d"), *waiting = cJSON_AddArrayToObject(o, "t");
+	cJSON *placed = cJSON_AddArrayToObject(o, "m");
+
+	for (uint32_t i = 0; i < FL_CHUNK && base + i < job->n_tasks; i++) {
+		const struct fl_task *t = &c->task[i];
+
+		if (scope == UNSAVED_TASKS && fl_task_saved(c, t))
+			continue;
+		if (t->phase == FL_TASK_DONE) {
+			uint32_t last = i;
+
+			/* What is done and saved already may stand in the log once more. */
+			while (last + 1 < FL_CHUNK && c->task[last + 1].phase == FL_TASK_DONE)
+				last++;
+			cJSON_AddItemToArray(done, pair(base + i, base + last));
+			i = last;
+		} else if (t->phase == FL_TASK_PLACED) {
+			cJSON_AddItemToArray(placed, encode_placed(b, base + i, t));
+		} else if (t->attempt > 0) {
+			cJSON_AddItemToArray(waiting, pair(base + i, t->attempt));
+		}
+	}
+	return o;
+}
+
+cJSON *fl_chunk_encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk)
+{
+	return encode(b, job, chunk, ALL_TASKS);
+}
+
+cJSON *fl_chunk_encode_unsaved(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk)
+{
+	return encode(b, job, chunk, UNSAVED_TASKS);
+}
+
+/* Where a state of a task was read from. */
+enum source { FROM_RECORD, FROM_LOG };
+
+/* A task's state as written. Of two states of a task the newer one counts. */
+struct task_state {
+	enum fl_phase phase;
+	uint32_t attempt;
+	const char *machine; /* in the value it was read from */
+	uint64_t session;
+	double placed;
+	enum source source; /* FROM_LOG: the log alone has it, no record */
+};
+
+/* Done is for ever; attempts only rise; an attempt is placed first and released after. */
+static bool is_newer(const struct task_state *a, const struct task_state *b)
+{
+	if (a->phase == FL_TASK_DONE || b->phase == FL_TASK_DONE)
+		return b->phase != FL_TASK_DONE;
+	if (a->attempt != b->attempt)
+		return a->attempt > b->attempt;
+	return a->phase == FL_TASK_WAITING && b->phase == FL_TASK_PLACED;
+}
+
+/* Keeps the newer of a task's state so far and `s`; -EPROTO if the task is not in the chunk. */
+static int merge_task(const struct fl_job *job, uint32_t chunk, struct task_state *states,
+                      uint64_t index, const struct task_state *s)
+{
+	if (index < (uint64_t)chunk * FL_CHUNK || index >= (uint64_t)(chunk + 1) * FL_CHUNK ||
+	    index >= job->n_tasks)
+		return -EPROTO;
+	if (is_newer(s, &states[index % FL_CHUNK]))
+		states[index % FL_CHUNK] = *s;
+	return 0;
+}
+
+static int read_placed(const cJSON *e, struct task_state *out, uint64_t *index)
+{
+	const cJSON *name = cJSON_GetArrayItem(e, 2);
+	uint64_t attempt, placed = 0;
+
+	if (fl_json_item(e, 0, FL_TASKS_MAX, index) != FL_FIELD_OK ||
+	    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK ||
+	    fl_json_item(e, 3, FL_COUNT_MAX, &out->session) != FL_FIELD_OK ||
+	    /* Records of earlier versions have no time: it counts as placed now. */
+	    fl_json_item(e, 4, FL_COUNT_MAX, &placed) == FL_FIELD_BAD || !cJSON_IsString(name) ||
+	    strlen(name->valuestring) >= FL_NAME_MAX)
+		return -EPROTO;
+	out->attempt = (uint32_t)attempt;
+	out->machine = name->valuestring;
+	out->placed = (double)placed;
+	return 0;
+}
+
+/* Merges the states in a record, or in a group of the log, into the chunk's. */
+static int merge_record(const struct fl_job *job, uint32_t chunk, const cJSON *v,
+                        enum source source, struct task_state *states)
+{
+	uint64_t first, last, attempt;
+	const cJSON *e;
+	int rc = 0;
+
+	cJSON_ArrayForEach (e, fl_json_get(v, "d")) {
+		struct task_state s = {.phase = FL_TASK_DONE, .source = source};
+
+		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
+		    fl_json_item(e, 1, FL_TASKS_MAX, &last) != FL_FIELD_OK)
+			return -EPROTO;
+		for (uint64_t i = first; i <= last && !rc; i++)
+			rc = merge_task(job, chunk, states, i, &s);
+	}
+	cJSON_ArrayForEach (e, fl_json_get(v, "t")) {
+		struct task_state s = {.phase = FL_TASK_WAITING, .source = source};
+
+		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
+		    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK)
+			return -EPROTO;
+		s.attempt = (uint32_t)attempt;
+		if (!rc)
+			rc = merge_task(job, chunk, states, first, &s);
+	}
+	cJSON_ArrayForEach (e, fl_json_get(v, "m")) {
+		struct task_state s = {.phase = FL_TASK_PLACED, .source = source};
+
+		if (read_placed(e, &s, &first) != 0)
+			return -EPROTO;
+		if (!rc)
+			rc = merge_task(job, chunk, states, first, &s);
+	}
+	return rc;
+}
+
+static int restore_task(struct fl_cluster *b, struct fl_job *job, uint32_t index,
+                        const struct task_state *s, double now)
+{
+	struct fl_task *t = fl_task_get(job, index);
+	struct fl_machine *m;
+
+	if (!t || t->phase != FL_TASK_WAITING)
+		return -EPROTO;
+	if (s->phase == FL_TASK_PLACED) {
+		m = fl_machine_get(&b->machines, s->machine, now);
+		if (!m ||
+		    fl_task_restore(b, job, index, s->attempt, m, s->session, s->placed, now) != 0)
+			return -ENOMEM;
+	} else if (s->phase == FL_TASK_DONE) {
+		t->phase = FL_TASK_DONE;
+		job->n_waiting--;
+		job->n_done++;
+	} else {
+		t->attempt = s->attempt;
+	}
+	/* The next write of the log replaces this one: it must hold it, until the record does. */
+	if (s->source == FROM_LOG)
+		fl_task_touch(b, job, index);
+	return 0;
+}
+
+int fl_chunk_restore(struct fl_cluster *b, struct fl_job *job, uint32_t chunk, const cJSON *v,
+                     uint64_t rev, struct fl_log *log, double now)
+{
+	struct task_state states[FL_CHUNK];
+	uint32_t base = chunk * FL_CHUNK;
+	int rc;
+
+	memset(states, 0, sizeof(states));
+	if (chunk >= job->n_chunks || !fl_task_get(job, base))
+		return -EPROTO;
+	rc = merge_record(job, chunk, v, FROM_RECORD, states);
+	for (int i = 0; log && i < log->n && !rc; i++) {
+		struct fl_log_group *g = &log->at[i];
+
+		if (g->chunk != chunk || strcmp(g->ref, job->ref) != 0)
+			continue;
+		g->taken = true;
+		rc = merge_record(job, chunk, g->changes, FROM_LOG, states);
+	}
+	for (uint32_t i = 0; i < FL_CHUNK && !rc; i++)
+		if (states[i].phase != FL_TASK_WAITING || states[i].attempt > 0)
+			rc = restore_task(b, job, base + i, &states[i], now);
+	job->chunks[chunk]->rev = rev;
+	return rc;
+}
+
+int fl_chunk_count(const cJSON *v, uint32_t *done, uint32_t *placed)
+{
+	uint64_t first, last;
+	const cJSON *e;
+
+	cJSON_ArrayForEach (e, fl_json_get(v, "d")) {
+		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
+		    fl_json_item(e, 1, FL_TASKS_MAX, &last) != FL_FIELD_OK || last < first)
+			return -EPROTO;
+		*done += (uint32_t)(last - first) + 1;
+	}
+	*placed += (uint32_t)cJSON_GetArraySize(fl_json_get(v, "m"));
+	return 0;
+}
