--- a/src/coordination/record_writer.h
+++ b/src/coordination/record_writer.h
@@ -1,4 +1,7 @@
-/* The leader's records: batched, conditional, written before what follows from them is done. */
+/*
+ * Writes the leader's records: in transactions on condition that it still leads, and before the
+ * leader acts on what they say.
+ */
 #ifndef FL_COORDINATION_RECORD_WRITER_H
 #define FL_COORDINATION_RECORD_WRITER_H
 
@@ -8,20 +11,25 @@
 
 struct fl_node;
 
-/* A progress record that nothing needs any more. */
+/* Has a progress record that nothing needs any more deleted at some later time. */
 void fl_record_writer_discard(struct fl_node *n, const char *key);
+/* Forgets the deletions still to be made; a later leader finds those records left over. */
 void fl_record_writer_free_pending(struct fl_node *n);
 /*
- * What the record of a live job says, however it was come by. Found with slow controllers: the
- * write of a cancellation went unanswered and so did the read after it. The record told the user,
- * and the leader, which took only its own writes for news, stopped nothing.
+ * Takes in what the record of a live job says, from whichever read. Found with slow controllers:
+ * the write of a cancellation went unanswered and so did the read after it. The record told the
+ * user, and the leader, which took only its own writes for news, stopped nothing.
  */
 void fl_record_writer_heard(struct fl_node *n, struct fl_job *job, const struct fl_job_record *rec,
                             uint64_t rev);
-/* A final write went unanswered: what do the records say? See the definition. */
+/*
+ * A final write went unanswered: what do the records say? By ref, not by pointer: the job may be
+ * gone when the answer comes. Only the writing routine may drop the job, so if it turns out to be
+ * over it stays unsure, and `*over` is set.
+ */
 int fl_record_writer_reread_job(struct fl_node *n, const char *ref, bool *over,
                                 enum fl_status *status);
-/* The routine of a leader, with its fl_node. */
+/* The routine of a leader; its argument is the fl_node. */
 void fl_record_writer_duty(void *arg);
 
 #endif
--- /dev/null
+++ b/src/coordination/record_writer_final.c
@@ -0,0 +1,194 @@
+#include "coordination/record_writer.h"
+
+#include <errno.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/command.h"
+#include "coordination/record_writer_internal.h"
+#include "transport/log.h"
+#include "transport/text.h"
+
+void fl_record_writer_heard(struct fl_node *n, struct fl_job *job, const struct fl_job_record *rec,
+                            uint64_t rev)
+{
+	if (!fl_cluster_cancelled(&n->cluster, job, rec, rev))
+		return;
+	fl_command_stop_job(n, job);
+	fl_info("jobs", "%s is cancelled, says its record", job->ref);
+}
+
+int fl_record_writer_reread_job(struct fl_node *n, const char *ref, bool *over,
+                                enum fl_status *status)
+{
+	struct fl_job_record rec;
+	struct fl_job *job;
+	uint64_t rev = 0;
+	cJSON *v = NULL;
+	int rc = fl_records_read(&n->state, ref, &rec, &v, &rev);
+
+	*over = rc == 0 && v == NULL;
+	*status = rec.status;
+	job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
+	if (rc == 0 && v && job)
+		fl_record_writer_heard(n, job, &rec, rev);
+	cJSON_Delete(v);
+	return rc;
+}
+
+static bool has_record(const struct fl_chunk *c) { return c && (c->rev != 0 || c->rev_unknown); }
+
+/*
+ * Builds the transaction that replaces a job's record by its final one and deletes its progress
+ * records. Returns the first chunk whose record did not fit.
+ */
+static uint32_t build_final(const struct fl_node *n, const struct fl_job *job,
+                            enum fl_status status, struct fl_multi *m)
+{
+	char key[FL_KEY_MAX];
+	uint32_t rest = 0;
+
+	fl_multi_init(m);
+	fl_multi_when(m, FL_KEY_LEAD, n->lease.lead_rev);
+	fl_key_job(key, job->ref);
+	fl_multi_when(m, key, job->rev);
+	fl_multi_delete(m, key);
+	fl_key_finished(key, job->ref);
+	fl_multi_put(m, key, fl_job_record_final(status, job->n_tasks), 0);
+	for (; rest < job->n_chunks && m->n_apply < n->config->txn_ops; rest++) {
+		if (!has_record(fl_job_chunk(job, rest)))
+			continue;
+		fl_key_chunk(key, job->ref, rest);
+		fl_multi_delete(m, key);
+	}
+	return rest;
+}
+
+/* Marks the progress records from this chunk on for deletion. */
+static void discard_from(struct fl_node *n, const struct fl_job *job, uint32_t chunk)
+{
+	char key[FL_KEY_MAX];
+
+	for (; chunk < job->n_chunks; chunk++) {
+		if (!has_record(fl_job_chunk(job, chunk)))
+			continue;
+		fl_key_chunk(key, job->ref, chunk);
+		fl_record_writer_discard(n, key);
+	}
+}
+
+static void drop_finished(struct fl_node *n, struct fl_job *job, enum fl_status status)
+{
+	fl_info("jobs", "%s is %s", job->ref, fl_status_name(status));
+	fl_job_finalise(&n->cluster, job, status);
+}
+
+/* Writes the final state and removes the progress records, all at once if they are few. */
+static int finalise(struct fl_node *n, struct fl_job *job)
+{
+	enum fl_status status;
+	struct fl_multi m;
+	char failed[FL_KEY_MAX];
+	uint64_t rev;
+	bool done = false;
+	uint32_t rest;
+	int rc;
+
+	if (job->unsure && (rc = fl_record_writer_reread_job(n, job->ref, &done, &status)) != 0)
+		return rc;
+	if (done) {
+		drop_finished(n, job, status);
+		return 0;
+	}
+	if (!fl_job_is_over(job))
+		return 0;
+	status = job->cancelled ? FL_CANCELLED : FL_DONE;
+	rest = build_final(n, job, status, &m);
+	rc = fl_record_writer_await_budget(n, m.n_apply);
+	if (rc || !fl_leading(n)) {
+		fl_multi_free(&m);
+		return rc ? rc : -EAGAIN;
+	}
+	job->finishing = true;
+	rc = fl_state_multi(&n->state, &m, &rev, failed);
+	if (rc == 0) {
+		discard_from(n, job, rest);
+		drop_finished(n, job, status);
+		return 0;
+	}
+	job->finishing = false;
+	job->unsure = rc != -EAGAIN;
+	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEAD) == 0)
+		fl_lease_lost(n, "another leads");
+	return rc;
+}
+
+int fl_record_writer_finalise_one(struct fl_node *n)
+{
+	struct fl_job *job, *next;
+	int rc = 0;
+
+	for (job = n->cluster.dirty; job; job = next) {
+		/* Only this routine takes jobs off the list, so the next one stays on it. */
+		next = job->next_dirty;
+		if (!fl_job_is_over(job))
+			continue;
+		rc = finalise(n, job);
+		if (rc == 0 || rc == -ECANCELED || !fl_leading(n))
+			return rc;
+	}
+	return rc;
+}
+
+/* A progress record to delete when nothing else is to be written. */
+struct fl_pending_deletion {
+	struct fl_pending_deletion *next;
+	char key[FL_KEY_MAX];
+};
+
+void fl_record_writer_discard(struct fl_node *n, const char *key)
+{
+	struct fl_pending_deletion *t = malloc(sizeof(*t));
+
+	if (!t)
+		return; /* it costs a record's room, nothing else */
+	fl_copy_string(t->key, sizeof(t->key), key);
+	t->next = n->lead.pending_deletions;
+	n->lead.pending_deletions = t;
+}
+
+void fl_record_writer_free_pending(struct fl_node *n)
+{
+	while (n->lead.pending_deletions) {
+		struct fl_pending_deletion *t = n->lead.pending_deletions;
+
+		n->lead.pending_deletions = t->next;
+		free(t);
+	}
+}
+
+int fl_record_writer_delete_pending(struct fl_node *n)
+{
+	struct fl_pending_deletion *t = n->lead.pending_deletions;
+	struct fl_multi m;
+	uint64_t rev;
+	int rc;
+
+	fl_multi_init(&m);
+	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
+	for (; t && m.n_apply < n->config->txn_ops; t = t->next)
+		fl_multi_delete(&m, t->key);
+	rc = fl_record_writer_await_budget(n, m.n_apply);
+	if (rc || !fl_leading(n)) {
+		fl_multi_free(&m);
+		return rc ? rc : -EAGAIN;
+	}
+	rc = fl_state_multi(&n->state, &m, &rev, NULL);
+	while (rc == 0 && n->lead.pending_deletions != t) {
+		struct fl_pending_deletion *gone = n->lead.pending_deletions;
+
+		n->lead.pending_deletions = gone->next;
+		free(gone);
+	}
+	return rc;
+}
--- /dev/null
+++ b/src/coordination/record_writer_log.c
@@ -0,0 +1,135 @@
+#include "coordination/record_writer_internal.h"
+
+#include <errno.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "transport/log.h"
+
+static const struct {
+	double record_use;
+} tunables = {
+	.record_use = 0.85, /* share of a value's limit that the log fills */
+};
+
+static void log_key(char key[FL_KEY_MAX], int at)
+{
+	snprintf(key, FL_KEY_MAX, FL_PREFIX_LOG "%d", at);
+}
+
+/* Room for one item more; false without memory. */
+static bool reserve_item(struct fl_batch_item **items, int count, int *cap)
+{
+	int wanted = *cap ? 2 * *cap : 64;
+	struct fl_batch_item *p;
+
+	if (count < *cap)
+		return true;
+	p = realloc(*items, (size_t)wanted * sizeof(*p));
+	if (!p)
+		return false;
+	*items = p;
+	*cap = wanted;
+	return true;
+}
+
+/* Everything unsaved, in as few values as it fits into; how many, or -E2BIG. */
+static int fill_log(struct fl_node *n, struct fl_multi *m, struct fl_batch_item **items, int *count)
+{
+	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
+	int most = n->config->txn_ops, values = 0, cap = 0;
+	cJSON *value = NULL;
+	char key[FL_KEY_MAX];
+
+	if (most > FL_BATCH_BYTES / (double)limit)
+		most = (int)(FL_BATCH_BYTES / (double)limit);
+	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
+		for (uint32_t i = 0; i < job->n_chunks; i++) {
+			char *group = fl_log_group_encode(&n->cluster, job, i);
+			size_t len = group ? strlen(group) + 1 : 0;
+
+			if (!group)
+				continue;
+			if (value && used + len > limit) {
+				log_key(key, values++);
+				fl_multi_put(m, key, value, 0);
+				value = NULL;
+			}
+			if (len > limit || (!value && values == most) ||
+			    !reserve_item(items, *count, &cap)) {
+				free(group);
+				cJSON_Delete(value);
+				return -E2BIG;
+			}
+			if (!value) {
+				value = fl_log_value_begin();
+				used = 0;
+			}
+			fl_log_value_add(value, group);
+			used += len;
+			free(group);
+			(*items)[(*count)++] =
+				(struct fl_batch_item){job, i, fl_job_chunk(job, i)->gen};
+		}
+	if (value) {
+		log_key(key, values++);
+		fl_multi_put(m, key, value, 0);
+	}
+	return values;
+}
+
+/* Any write of the log replaces the one before it, so each is made over what surely stands. */
+static int read_log_revision(struct fl_node *n)
+{
+	uint64_t rev = 0;
+	cJSON *v;
+	int rc;
+
+	if (n->lead.log_known)
+		return 0;
+	rc = fl_state_get(&n->state, FL_KEY_LOG, &v, &rev, NULL);
+	cJSON_Delete(v);
+	if (rc && rc != -ENOENT)
+		return rc;
+	n->lead.log_rev = rc == -ENOENT ? 0 : rev;
+	n->lead.log_known = true;
+	return 0;
+}
+
+int fl_record_writer_write_log(struct fl_node *n)
+{
+	struct fl_batch_item *items = NULL;
+	char failed[FL_KEY_MAX] = "";
+	struct fl_multi m;
+	int count = 0, values, rc = read_log_revision(n);
+	uint64_t rev;
+
+	if (rc)
+		return rc;
+	fl_multi_init(&m);
+	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
+	fl_multi_when(&m, FL_KEY_LOG, n->lead.log_rev);
+	values = fill_log(n, &m, &items, &count);
+	rc = values < 0 ? values : fl_record_writer_await_budget(n, values);
+	if (rc || !fl_leading(n)) {
+		fl_multi_free(&m);
+		rc = rc ? rc : -EAGAIN;
+		goto out;
+	}
+	rc = fl_state_multi(&n->state, &m, &rev, failed);
+	fl_debug("record", "log of %d records in %d values: %s", count, values,
+	         rc ? strerror(-rc) : "stored");
+	if (rc == 0)
+		n->lead.log_rev = rev;
+	else if (rc != -EAGAIN)
+		n->lead.log_known = false;
+	/* Only this routine lets go of jobs: those it counted are still there. */
+	for (int i = 0; i < count && rc == 0; i++)
+		items[i].job->chunks[items[i].chunk]->logged_gen = items[i].gen;
+	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEAD) == 0)
+		fl_lease_lost(n, "another leads");
+out:
+	free(items);
+	return rc;
+}
