--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -137,36 +137,36 @@
 	return decode_amounts(o, out);
 }
 
-cJSON *fl_job_spec_encode(const struct fl_job_spec *r)
+cJSON *fl_job_spec_encode(const struct fl_job_spec *spec)
 {
 	cJSON *o = cJSON_CreateObject(), *types;
 
-	cJSON_AddStringToObject(o, "Ref", r->ref);
-	cJSON_AddStringToObject(o, "JobClass", r->job_class);
-	cJSON_AddStringToObject(o, "Owner", r->team);
-	cJSON_AddStringToObject(o, "JobKind", kind_names[r->kind]);
-	cJSON_AddStringToObject(o, "Tier", priority_names[r->priority]);
-	cJSON_AddNumberToObject(o, "Parts", r->n_tasks);
-	cJSON_AddNumberToObject(o, "Vcpus", r->cpus);
-	cJSON_AddNumberToObject(o, "Accelerators", r->gpus);
-	cJSON_AddNumberToObject(o, "RamGb", r->ram_gb);
-	cJSON_AddStringToObject(o, "Bundle", r->image);
-	cJSON_AddNumberToObject(o, "ImageGb", r->image_gb);
-	if (r->n_machine_types >= 0) {
+	cJSON_AddStringToObject(o, "Ref", spec->ref);
+	cJSON_AddStringToObject(o, "JobClass", spec->job_class);
+	cJSON_AddStringToObject(o, "Owner", spec->team);
+	cJSON_AddStringToObject(o, "JobKind", kind_names[spec->kind]);
+	cJSON_AddStringToObject(o, "Tier", priority_names[spec->priority]);
+	cJSON_AddNumberToObject(o, "Parts", spec->n_tasks);
+	cJSON_AddNumberToObject(o, "Vcpus", spec->cpus);
+	cJSON_AddNumberToObject(o, "Accelerators", spec->gpus);
+	cJSON_AddNumberToObject(o, "RamGb", spec->ram_gb);
+	cJSON_AddStringToObject(o, "Bundle", spec->image);
+	cJSON_AddNumberToObject(o, "ImageGb", spec->image_gb);
+	if (spec->n_machine_types >= 0) {
 		types = cJSON_AddArrayToObject(o, "HostKinds");
-		for (int i = 0; i < r->n_machine_types; i++)
-			cJSON_AddItemToArray(types, cJSON_CreateString(r->machine_types[i]));
+		for (int i = 0; i < spec->n_machine_types; i++)
+			cJSON_AddItemToArray(types, cJSON_CreateString(spec->machine_types[i]));
 	}
-	if (r->has_zone)
-		cJSON_AddStringToObject(o, "Site", r->zone);
-	cJSON_AddBoolToObject(o, "Together", r->together);
-	cJSON_AddBoolToObject(o, "Apart", r->apart);
-	cJSON_AddBoolToObject(o, "Reclaimable", r->reclaimable);
-	cJSON_AddNumberToObject(o, "ExpectedS", r->expected_s);
-	cJSON_AddNumberToObject(o, "SnapshotEveryS", r->checkpoint_every_s);
-	cJSON_AddNumberToObject(o, "SnapshotCostS", r->checkpoint_cost_s);
-	if (r->due_s >= 0)
-		cJSON_AddNumberToObject(o, "DueS", r->due_s);
+	if (spec->has_zone)
+		cJSON_AddStringToObject(o, "Site", spec->zone);
+	cJSON_AddBoolToObject(o, "Together", spec->together);
+	cJSON_AddBoolToObject(o, "Apart", spec->apart);
+	cJSON_AddBoolToObject(o, "Reclaimable", spec->reclaimable);
+	cJSON_AddNumberToObject(o, "ExpectedS", spec->expected_s);
+	cJSON_AddNumberToObject(o, "SnapshotEveryS", spec->checkpoint_every_s);
+	cJSON_AddNumberToObject(o, "SnapshotCostS", spec->checkpoint_cost_s);
+	if (spec->due_s >= 0)
+		cJSON_AddNumberToObject(o, "DueS", spec->due_s);
 	return o;
 }
 
