--- a/src/storage/progress.c
+++ b/src/storage/progress.c
@@ -203,13 +203,10 @@
 	if (chunk >= job->n_chunks || !fl_task_get(job, base))
 		return -EPROTO;
 	rc = merge_record(job, chunk, v, FROM_RECORD, states);
-	for (int i = 0; log && i < log->n && !rc; i++) {
-		struct fl_log_group *g = &log->at[i];
-
-		if (g->chunk != chunk || strcmp(g->ref, job->ref) != 0)
-			continue;
-		g->taken = true;
-		rc = merge_record(job, chunk, g->changes, FROM_LOG, states);
+	for (int i = log ? fl_log_first(log, job->ref, chunk) : -1; i >= 0 && !rc;
+	     i = log->at[i].next) {
+		log->at[i].taken = true;
+		rc = merge_record(job, chunk, log->at[i].changes, FROM_LOG, states);
 	}
 	for (uint32_t i = 0; i < FL_CHUNK && !rc; i++)
 		if (states[i].phase != FL_TASK_WAITING || states[i].attempt > 0)
--- a/src/storage/progress_log.c
+++ b/src/storage/progress_log.c
@@ -7,6 +7,18 @@
 #include "storage/progress.h"
 #include "transport/text.h"
 
+struct log_key {
+	char ref[FL_REF_MAX];
+	uint32_t chunk;
+};
+
+/* The groups of one chunk: a list through their `next`. */
+struct fl_log_chunk {
+	UT_hash_handle hh;
+	struct log_key key;
+	int first, last;
+};
+
 /* A group: ["run-000412",3,{...}] */
 char *fl_log_group_encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk)
 {
@@ -36,6 +48,47 @@
 	                     cJSON_CreateRaw(group));
 }
 
+/* The key is hashed and compared as bytes, so all of them are set. */
+static struct fl_log_chunk *find_chunk(const struct fl_log *log, const char *ref, uint32_t chunk)
+{
+	struct fl_log_chunk *c;
+	struct log_key key;
+
+	memset(&key, 0, sizeof(key));
+	fl_copy_string(key.ref, sizeof(key.ref), ref);
+	key.chunk = chunk;
+	HASH_FIND(hh, log->chunks, &key, sizeof(key), c);
+	return c;
+}
+
+/* Appends the group at this index to the list of its chunk. */
+static int index_group(struct fl_log *log, int at)
+{
+	struct fl_log_group *g = &log->at[at];
+	struct fl_log_chunk *c = find_chunk(log, g->ref, g->chunk);
+
+	if (c) {
+		log->at[c->last].next = at;
+		c->last = at;
+		return 0;
+	}
+	c = calloc(1, sizeof(*c));
+	if (!c)
+		return -ENOMEM;
+	fl_copy_string(c->key.ref, sizeof(c->key.ref), g->ref);
+	c->key.chunk = g->chunk;
+	c->first = c->last = at;
+	HASH_ADD(hh, log->chunks, key, sizeof(c->key), c);
+	return 0;
+}
+
+int fl_log_first(const struct fl_log *log, const char *ref, uint32_t chunk)
+{
+	const struct fl_log_chunk *c = find_chunk(log, ref, chunk);
+
+	return c ? c->first : -1;
+}
+
 static int read_group(struct fl_log *log, const cJSON *e)
 {
 	const cJSON *ref = cJSON_GetArrayItem(e, 0), *changes = cJSON_GetArrayItem(e, 2);
@@ -57,10 +110,10 @@
 		log->cap = cap;
 	}
 	g = &log->at[log->n++];
-	*g = (struct fl_log_group){.chunk = (uint32_t)chunk};
+	*g = (struct fl_log_group){.chunk = (uint32_t)chunk, .next = -1};
 	fl_copy_string(g->ref, sizeof(g->ref), ref->valuestring);
 	g->changes = cJSON_Duplicate(changes, true);
-	return g->changes ? 0 : -ENOMEM;
+	return g->changes ? index_group(log, log->n - 1) : -ENOMEM;
 }
 
 int fl_log_read(struct fl_log *log, const cJSON *value)
@@ -80,6 +133,12 @@
 
 void fl_log_free(struct fl_log *log)
 {
+	struct fl_log_chunk *c, *tmp;
+
+	HASH_ITER (hh, log->chunks, c, tmp) {
+		HASH_DEL(log->chunks, c);
+		free(c);
+	}
 	for (int i = 0; i < log->n; i++)
 		cJSON_Delete(log->at[i].changes);
 	free(log->at);
