--- a/src/config.h
+++ b/src/config.h
@@ -1,10 +1,11 @@
-/* The platform's settings file, checked. */
+/* The settings file, read and checked. */
 #ifndef FL_CONFIG_H
 #define FL_CONFIG_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
+/* Bytes of a name with its terminator, and entries of each list at most. */
 enum {
 	FL_CONFIG_NAME = 64,
 	FL_CONFIG_PEERS = 16,
@@ -13,20 +14,24 @@
 	FL_CONFIG_OBJECTIVES = 64
 };
 
+/* Another controller. */
 struct fl_config_peer {
 	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME], addr[FL_CONFIG_NAME];
 };
 
+/* A team: what it is guaranteed, and its limits; 0: none. */
 struct fl_config_team {
 	char name[FL_CONFIG_NAME];
 	double cpus, cpus_max, gpus, gpus_max;
 };
 
+/* A service objective: the share of jobs of a class that is to meet a time. */
 struct fl_config_objective {
 	char kind[FL_CONFIG_NAME], job_class[FL_CONFIG_NAME];
 	double within_s, share;
 };
 
+/* All settings. */
 struct fl_config {
 	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME];
 	char bind[FL_CONFIG_NAME], cluster_listen[FL_CONFIG_NAME];
@@ -47,7 +52,7 @@
 	int max_connections;
 };
 
-/* 0, or -1 with a message that names file, key and reason. */
+/* Reads and checks the file: 0, or -1 with a message that names file, key and reason. */
 int fl_config_read(const char *path, struct fl_config *out, char *error, size_t cap);
 
 #endif
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/job_lookup.h
@@ -1,4 +1,4 @@
-/* What the records say of a job that somebody asks about: one read for many questions. */
+/* Reads of job records for users' requests: requests for one job at a time share one read. */
 #ifndef FL_COORDINATION_JOB_LOOKUP_H
 #define FL_COORDINATION_JOB_LOOKUP_H
 
@@ -7,19 +7,21 @@
 
 struct fl_node;
 
+/* A read that is under way, or waits for the one before it. */
 struct fl_job_lookup {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
 	int users; /* routines that hold it, the table included */
 	bool over;
 	struct fl_signal done;
-	struct fl_job_lookup *next; /* what came after the sending waits for another read */
+	struct fl_job_lookup *next; /* requests since the sending wait for this read */
 	int rc;                     /* as of fl_records_read, and what it read */
 	struct fl_job_record rec;
 	cJSON *v;
 	uint64_t rev;
 };
 
+/* Sets up the budget of reads that polls may cause. */
 void fl_job_lookups_init(struct fl_node *n);
 /*
  * Like fl_records_read, of a read sent after the call. -EAGAIN also when polls have had their share
--- a/src/coordination/record_writer.h
+++ b/src/coordination/record_writer.h
@@ -16,7 +16,7 @@
 /* Forgets the deletions still to be made; a later leader finds those records left over. */
 void fl_record_writer_free_pending(struct fl_node *n);
 /*
- * Takes in what the record of a live job says, from whichever read. Found with slow controllers:
+ * Takes in the record of a live job, from whichever read. Found with slow controllers:
  * the write of a cancellation went unanswered and so did the read after it. The record told the
  * user, and the leader, which took only its own writes for news, stopped nothing.
  */
--- a/src/coordination/record_writer_final.c
+++ b/src/coordination/record_writer_final.c
@@ -185,10 +185,10 @@
 	}
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
 	while (rc == 0 && n->lead.pending_deletions != t) {
-		struct fl_pending_deletion *gone = n->lead.pending_deletions;
+		struct fl_pending_deletion *deleted = n->lead.pending_deletions;
 
-		n->lead.pending_deletions = gone->next;
-		free(gone);
+		n->lead.pending_deletions = deleted->next;
+		free(deleted);
 	}
 	return rc;
 }
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -129,7 +129,8 @@
 		rc = fl_state_list(&n->state, FL_PREFIX_LOG, load_log, &l, &rev);
 	}
 	if (!rc && !n->lease.held)
-		rc = -EAGAIN; /* lost meanwhile: the rest is no use, and half is no picture */
+		rc = -EAGAIN; /* lost meanwhile: the rest is no use, and half a state must not be
+		                 used */
 	if (!rc)
 		rc = fl_state_list(&n->state, FL_PREFIX_PROGRESS, load_chunk, &l, &rev);
 	if (!rc)
--- a/src/coordination/takeover.h
+++ b/src/coordination/takeover.h
@@ -1,4 +1,5 @@
-/* From records to a picture: what a new leader does before it decides anything. */
+/* How a new leader restores the state of the cluster from the records, before it decides anything.
+ */
 #ifndef FL_COORDINATION_TAKEOVER_H
 #define FL_COORDINATION_TAKEOVER_H
 
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -33,7 +33,7 @@
 	return rc;
 }
 
-static int decode_kind(const cJSON *e, struct fl_offered_type *k)
+static int decode_type(const cJSON *e, struct fl_offered_type *k)
 {
 	const cJSON *zones = fl_json_get(e, "Sites"), *s;
 
@@ -74,7 +74,7 @@
 	if (!*out)
 		return -ENOMEM;
 	cJSON_ArrayForEach (e, list) {
-		rc = decode_kind(e, &(*out)[*n]);
+		rc = decode_type(e, &(*out)[*n]);
 		if (rc)
 			break;
 		(*n)++;
@@ -224,7 +224,7 @@
 	}
 	cJSON_ArrayForEach (e, list) {
 		rc = decode_listed(e, &(*out)[*n]);
-		/* A list read in part would make machines look gone. */
+		/* A list read in part would make machines look returned. */
 		if (rc)
 			break;
 		(*n)++;
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -52,7 +52,7 @@
 		return NULL;
 	/*
 	 * A watch may lag behind the list that a leader began with: what the list no longer held is
-	 * over, and a late word of its submission must not bring it back to life.
+	 * over, and a late event of its submission must not make it live again.
 	 */
 	if (!job && b->leading && rev <= b->list_rev)
 		return NULL;
@@ -72,7 +72,7 @@
 		return job;
 	}
 	/*
-	 * A leader finalises when the tasks are gone. It must not take this for its own old news:
+	 * A leader finalises when the tasks are gone. It must not take this for its own write:
 	 * while it was still loading its cluster state, another may have led and cancelled, and
 	 * what was passed over then was kept as live by this node for ever.
 	 */
--- a/src/storage/job_updates.h
+++ b/src/storage/job_updates.h
@@ -12,7 +12,7 @@
 struct fl_job *fl_cluster_apply(struct fl_cluster *b, const char *ref, const cJSON *value,
                                 uint64_t rev);
 
-/* Takes in what the record of a leader's live job says; true if it is news that it is cancelled. */
+/* Takes in what the record of a leader's live job says; true if it is newly cancelled. */
 bool fl_cluster_cancelled(struct fl_cluster *b, struct fl_job *job, const struct fl_job_record *rec,
                           uint64_t rev);
 
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -7,8 +7,10 @@
 #include "storage/names.h"
 #include "protocol/cloud.h"
 
+/* Limits; FL_CACHE_NOTE: images noted of one machine. */
 enum { FL_MACHINE_TYPES_MAX = 32, FL_ZONES_MAX = 8, FL_CACHE_NOTE = 16 };
 
+/* A type of machine that the cloud offers. */
 struct fl_machine_type {
 	char name[FL_NAME_MAX];
 	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price, ready_s;
@@ -17,11 +19,13 @@
 
 struct fl_job;
 
+/* An attempt that may be on a machine. */
 struct fl_slot {
 	struct fl_job *job;
 	uint32_t index;
 };
 
+/* A machine, from its rental or its first report on. */
 struct fl_machine {
 	UT_hash_handle hh;
 	char name[FL_NAME_MAX], endpoint[FL_NAME_MAX];
@@ -66,6 +70,7 @@
 	int cache[FL_CACHE_NOTE]; /* images lately here, newest first; -1: none */
 };
 
+/* All machines and their types. Zero-initialised is empty. */
 struct fl_machines {
 	struct fl_machine_type types[FL_MACHINE_TYPES_MAX];
 	int n_types;
@@ -74,23 +79,32 @@
 	int n, cap;
 };
 
+/* Index of the type; -1: unknown. */
 int fl_machine_type_find(const struct fl_machines *ms, const char *name);
 /* Replaces what is known of the types; indices of known names stay. */
 void fl_machine_types_set(struct fl_machines *ms, const struct fl_names *zones,
                           const struct fl_offered_type *types, int n);
+/* NULL: no such machine. */
 struct fl_machine *fl_machine_find(const struct fl_machines *ms, const char *name);
+/* The machine, added if it is not known yet; NULL without memory. */
 struct fl_machine *fl_machine_get(struct fl_machines *ms, const char *name, double now);
+/* Sets type, zone and kind of rental, once, and the newest endpoint; -1 of either: not known. */
 void fl_machine_describe(struct fl_machine *m, int type, int zone, bool spot, const char *endpoint);
+/* Notes that an attempt may be on the machine; -1 without memory. */
 int fl_machine_add_slot(struct fl_machine *m, struct fl_job *job, uint32_t index);
+/* Undoes fl_machine_add_slot. */
 void fl_machine_drop_slot(struct fl_machine *m, const struct fl_job *job, uint32_t index);
+/* Notes that the image is on the machine; the one used longest ago is forgotten. */
 void fl_machine_note_image(struct fl_machine *m, int image);
-/* How many tasks of `need` there is room for in `room`: cpus, accelerators, GB of memory each. */
+/* Amounts of the three resources. */
 struct fl_amounts {
 	double cpus, gpus, ram_gb;
 };
+/* How many tasks that need `need` each there is room for in `room`. */
 uint32_t fl_tasks_fit(struct fl_amounts need, struct fl_amounts room);
 /* Forgets a machine with no slots; the last one takes its id. Returns that one, or NULL. */
 struct fl_machine *fl_machine_drop(struct fl_machines *ms, struct fl_machine *m);
+/* Forgets all machines; the types stay. */
 void fl_machines_clear(struct fl_machines *ms);
 
 #endif
--- a/src/storage/teams.h
+++ b/src/storage/teams.h
@@ -6,6 +6,7 @@
 
 enum { FL_TEAMS_MAX = 64 };
 
+/* A team, as configured, and what it uses. */
 struct fl_team {
 	char name[64];
 	double cpus, gpus;         /* guaranteed; 0: none */
@@ -13,11 +14,13 @@
 	double used_cpus, used_gpus;
 };
 
+/* All teams, by index. */
 struct fl_teams {
 	struct fl_team at[FL_TEAMS_MAX];
 	int n;
 };
 
+/* Index of the team; -1: unknown. */
 int fl_teams_find(const struct fl_teams *teams, const char *name);
 /* Would the team stay within its limit with this much in use? */
 bool fl_team_within_max(const struct fl_team *t, double cpus, double gpus);
--- a/src/toml.h
+++ b/src/toml.h
@@ -1,4 +1,4 @@
-/* The one door to the C++ TOML parser. */
+/* The C interface of the TOML parser, which is written in C++. */
 #ifndef FL_TOML_H
 #define FL_TOML_H
 
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -1,8 +1,10 @@
-/* The two clocks: steady for every span, wall only for what outlives a process. */
+/* The two clocks: steady for every duration, wall time only for what outlives a process. */
 #ifndef FL_TRANSPORT_CLOCK_H
 #define FL_TRANSPORT_CLOCK_H
 
+/* Seconds of the steady clock. */
 double fl_now(void);
+/* Seconds of the wall clock, since 1970. */
 double fl_wall(void);
 /* The steady time of a wall time past; a wall time of 0 is not known, and counts as now. */
 double fl_since(double wall);
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -1,4 +1,4 @@
-/* What server and client share: one message read by http-parser, and buffers. */
+/* What HTTP server and client share: reading one message, buffers, addresses and sockets. */
 #ifndef FL_TRANSPORT_HTTP_H
 #define FL_TRANSPORT_HTTP_H
 
@@ -7,15 +7,20 @@
 #include <stdbool.h>
 #include <stddef.h>
 
+/* Bytes that grow. Zero-initialised is empty. */
 struct fl_buf {
 	char *data; /* always NUL-terminated when not NULL */
 	size_t len, cap;
 };
 
+/* Appends bytes; 0 or -ENOMEM. */
 int fl_buf_add(struct fl_buf *b, const void *p, size_t n);
+/* Appends formatted text; 0 or -ENOMEM. */
 int fl_buf_printf(struct fl_buf *b, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+/* Frees the bytes; the buffer is empty then. */
 void fl_buf_free(struct fl_buf *b);
 
+/* A message as it is being read. */
 struct fl_msg {
 	http_parser parser;
 	struct fl_buf url, body;
@@ -25,15 +30,18 @@
 	bool keep_alive;
 };
 
+/* Prepares to read a request or a response with a body of at most `max_body` bytes. */
 void fl_msg_init(struct fl_msg *m, enum http_parser_type type, size_t max_body);
+/* Frees what the message holds. */
 void fl_msg_free(struct fl_msg *m);
 /* Reads one whole message: 0, or -ECONNRESET, -EPROTO, -EMSGSIZE, -ETIMEDOUT, -ECANCELED. */
 int fl_msg_read(struct fl_msg *m, int fd, double timeout_s);
 
 /* Writes everything before `timeout_s` is over. */
 int fl_write_all(int fd, const char *p, size_t n, double timeout_s);
-/* "1.2.3.4:80" only: there are no names on these networks. */
+/* Parses "1.2.3.4:80", no host names; 0 or -EINVAL. */
 int fl_parse_addr(const char *text, struct sockaddr_in *out);
+/* A TCP socket, non-blocking and without delay; -1: none to be had. */
 int fl_socket(void);
 /* Raises what the system allows to `n` open files, as far as may be; how many it allows then. */
 int fl_sockets_allow(int n);
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -4,8 +4,10 @@
 
 #include "transport/http.h"
 
+/* Connections kept at most. */
 enum { FL_IDLE_MAX = 8 };
 
+/* A client, and its connections that wait for the next request. */
 struct fl_http_client {
 	struct sockaddr_in addr;
 	int idle[FL_IDLE_MAX];
@@ -13,12 +15,15 @@
 	int max_idle;
 };
 
+/* A response. */
 struct fl_reply {
 	int status;
 	struct fl_buf body;
 };
 
+/* 0, or -EINVAL for an address that is none. */
 int fl_http_client_init(struct fl_http_client *c, const char *addr, int max_idle);
+/* Closes the kept connections. */
 void fl_http_client_close(struct fl_http_client *c);
 /*
  * One request, one reply: 0 and out filled (free out->body), or a negative errno. After a
--- a/src/transport/log.h
+++ b/src/transport/log.h
@@ -2,11 +2,15 @@
 #ifndef FL_TRANSPORT_LOG_H
 #define FL_TRANSPORT_LOG_H
 
+/* In rising order of detail. */
 enum fl_log_level { FL_LOG_ERROR, FL_LOG_INFO, FL_LOG_DEBUG };
 
-/* Returns 0, or -EINVAL for a level that does not exist. */
+/* Sets the level up to which lines are written. Returns 0, or -EINVAL for a level that does not
+ * exist. */
 int fl_log_set_level(const char *name);
+/* Are lines of this level written? */
 int fl_log_on(enum fl_log_level level);
+/* Writes a line; fl_error, fl_info and fl_debug are short for it. */
 void fl_log(enum fl_log_level level, const char *area, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
