--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -34,6 +34,39 @@
 	return true;
 }
 
+static struct fl_job *apply_live(struct fl_cluster *b, struct fl_job *job, const char *ref,
+                                 const struct fl_job_record *rec, uint64_t rev)
+{
+	if (!job)
+		job = fl_job_add(b, &rec->spec, rec->submitted, rev);
+	if (!job)
+		fl_error("jobs", "the record of %s names what is unknown here", ref);
+	if (job && !b->leading)
+		job->listed = true;
+	return job;
+}
+
+static struct fl_job *apply_final(struct fl_cluster *b, struct fl_job *job, const char *ref,
+                                  const struct fl_job_record *rec, uint64_t rev)
+{
+	/*
+	 * A leader finalises when the tasks are gone. It must not take this for its own write:
+	 * while it was still loading its cluster state, another may have led and cancelled, and
+	 * what was passed over then was kept as live by this node for ever.
+	 */
+	if (job && b->leading) {
+		fl_cluster_cancelled(b, job, rec, rev);
+		return job;
+	}
+	if (job) {
+		job->cancelled_at = fl_since(rec->cancelled);
+		fl_job_finalise(b, job, rec->status);
+	} else {
+		fl_finished_add(b, ref, rec->status, rec->n_tasks, fl_since(rec->cancelled));
+	}
+	return NULL;
+}
+
 struct fl_job *fl_cluster_apply(struct fl_cluster *b, const char *ref, const cJSON *value,
                                 uint64_t rev)
 {
@@ -62,29 +95,5 @@
 		fl_error("jobs", "the record of %s cannot be read", ref);
 		return NULL;
 	}
-	if (!rec.final) {
-		if (!job)
-			job = fl_job_add(b, &rec.spec, rec.submitted, rev);
-		if (!job)
-			fl_error("jobs", "the record of %s names what is unknown here", ref);
-		if (job && !b->leading)
-			job->listed = true;
-		return job;
-	}
-	/*
-	 * A leader finalises when the tasks are gone. It must not take this for its own write:
-	 * while it was still loading its cluster state, another may have led and cancelled, and
-	 * what was passed over then was kept as live by this node for ever.
-	 */
-	if (job && b->leading) {
-		fl_cluster_cancelled(b, job, &rec, rev);
-		return job;
-	}
-	if (job) {
-		job->cancelled_at = fl_since(rec.cancelled);
-		fl_job_finalise(b, job, rec.status);
-	} else {
-		fl_finished_add(b, ref, rec.status, rec.n_tasks, fl_since(rec.cancelled));
-	}
-	return NULL;
+	return rec.final ? apply_final(b, job, ref, &rec, rev) : apply_live(b, job, ref, &rec, rev);
 }
--- a/src/storage/teams.h
+++ b/src/storage/teams.h
@@ -4,6 +4,7 @@
 
 #include <stdbool.h>
 
+/* Teams at most. */
 enum { FL_TEAMS_MAX = 64 };
 
 /* A team, as configured, and what it uses. */
