--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "transport/text.h"
+
 static const struct {
 	double timeout_s;
 } tunables = {
@@ -31,7 +33,7 @@
 	return rc;
 }
 
-static int decode_kind(const cJSON *e, struct fl_offered_type *k)
+static int decode_type(const cJSON *e, struct fl_offered_type *k)
 {
 	const cJSON *zones = fl_json_get(e, "Sites"), *s;
 
@@ -54,7 +56,7 @@
 		if (!cJSON_IsString(s) || strlen(s->valuestring) >= FL_NAME_MAX ||
 		    k->n_zones == FL_TYPE_ZONES_MAX)
 			return -EPROTO;
-		strcpy(k->zones[k->n_zones++], s->valuestring);
+		fl_copy_string(k->zones[k->n_zones++], FL_NAME_MAX, s->valuestring);
 	}
 	return 0;
 }
@@ -72,7 +74,7 @@
 	if (!*out)
 		return -ENOMEM;
 	cJSON_ArrayForEach (e, list) {
-		rc = decode_kind(e, &(*out)[*n]);
+		rc = decode_type(e, &(*out)[*n]);
 		if (rc)
 			break;
 		(*n)++;
@@ -159,7 +161,7 @@
 	}
 	cJSON_ArrayForEach (e, list)
 		if (cJSON_IsString(e) && strlen(e->valuestring) < FL_NAME_MAX)
-			strcpy((*hosts)[(*n)++], e->valuestring);
+			fl_copy_string((*hosts)[(*n)++], FL_NAME_MAX, e->valuestring);
 out:
 	cJSON_Delete(o);
 	return rc;
@@ -222,7 +224,7 @@
 	}
 	cJSON_ArrayForEach (e, list) {
 		rc = decode_listed(e, &(*out)[*n]);
-		/* A list read in part would make machines look gone. */
+		/* A list read in part would make machines look returned. */
 		if (rc)
 			break;
 		(*n)++;
