--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -10,6 +10,7 @@
 #include "coordination/leader.h"
 #include "coordination/lease.h"
 #include "coordination/provision.h"
+#include "coordination/status_query.h"
 #include "protocol/cloud.h"
 #include "protocol/peers.h"
 #include "protocol/state.h"
@@ -35,6 +36,8 @@
 	int n_peers;
 	char boot[96]; /* names this process, not only this node */
 	bool types_known, jobs_known;
+	/* Indices below it are of the classes for which the settings name an objective. */
+	int n_expected_classes;
 	/*
 	 * Steady. Every cancellation that any user was told of, or any controller had learned of,
 	 * up to then is in the cluster state: see "Standby renewal of worker leases" in
@@ -50,6 +53,8 @@
 	struct fl_signal control_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
 	struct fl_budget poll_reads;
+	struct fl_status_queries status_queries;
+	int relayed_calls; /* users' calls under way to other controllers, one by one */
 	double probed_at; /* steady; when the users' balancer last asked for /ready */
 
 	struct fl_lease lease;
