--- /dev/null
+++ b/src/coordination/provision_plan.c
@@ -0,0 +1,255 @@
+/* The plan of rentals: the tasks without room are placed on machines that boot or could be rented.
+ */
+#include "coordination/provision_internal.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "transport/clock.h"
+#include "transport/log.h"
+
+static const struct {
+	double suspected_cost, boot_late, soon_boots, zone_balance, spread_weight, epsilon;
+	int rentals_most;
+} tunables = {
+	.suspected_cost = 2.0, /* times the price that a zone counts for while it is cut off */
+	.boot_late = 1.6,      /* boot times after which a booting machine is not counted on */
+	.soon_boots = 0.7,     /* boot times within which an ending task's room is waited for */
+	.zone_balance = 1e-4,  /* of the price, per machine in the zone: decides between equals */
+	.spread_weight = 0.1,  /* of the price, per task in the zone, of a job to be kept apart */
+	.epsilon = 1e-6,       /* amounts are sums of decimal fractions */
+	.rentals_most = 400,   /* machines rented by one plan */
+};
+
+static struct fl_planned_machine *add_planned(struct fl_provision_plan *plan, int type, int zone,
+                                              bool spot, enum fl_planned_origin origin)
+{
+	const struct fl_machine_type *kind = &plan->n->cluster.machines.types[type];
+
+	if (plan->count == plan->capacity)
+		return NULL;
+	plan->machines[plan->count] = (struct fl_planned_machine){
+		type, zone, spot, origin, kind->cpus, kind->gpus, kind->ram_gb};
+	plan->rentals += origin == FL_PLANNED_RENTAL;
+	return &plan->machines[plan->count++];
+}
+
+bool fl_provision_job_allows(const struct fl_job *job, int type, int zone, bool spot)
+{
+	return (job->types >> type & 1) && (job->zone < 0 || job->zone == zone) &&
+	       (job->reclaimable || !spot);
+}
+
+static bool zone_allows(const struct fl_job *job, const uint32_t *placed, int zone)
+{
+	if (job->apart && placed[zone] + 1 > (job->n_tasks + 1) / 2)
+		return false;
+	for (int z = 0; job->together && z < FL_ZONES_MAX; z++)
+		if (z != zone && placed[z] > 0)
+			return false;
+	return true;
+}
+
+static bool task_fits(const struct fl_job *job, double cpus, double gpus, double ram_gb)
+{
+	return cpus + tunables.epsilon >= job->cpus && gpus + tunables.epsilon >= job->gpus &&
+	       ram_gb + tunables.epsilon >= job->ram_gb;
+}
+
+uint32_t fl_provision_tasks_fit(const struct fl_job *job, double cpus, double gpus, double ram_gb)
+{
+	return fl_tasks_fit((struct fl_amounts){job->cpus, job->gpus, job->ram_gb},
+	                    (struct fl_amounts){cpus, gpus, ram_gb});
+}
+
+/* Price a second of one task's share of the machine. */
+static double unit_price(const struct fl_machine_type *kind, const struct fl_job *job, bool spot)
+{
+	uint32_t tasks = fl_provision_tasks_fit(job, kind->cpus, kind->gpus, kind->ram_gb);
+
+	return (spot ? kind->spot_price : kind->price) / (tasks > 0 ? tasks : 1);
+}
+
+/* What a rental counts for in the choice; INFINITY: it cannot be, or was refused lately. */
+static double rental_cost(const struct fl_provision_plan *plan, const struct fl_job *job,
+                          const uint32_t *placed, int type, int zone, bool spot)
+{
+	const struct fl_machine_type *kind = &plan->n->cluster.machines.types[type];
+	const struct fl_provision *provision = &plan->n->provision;
+	double cost;
+
+	if (!(kind->zones >> zone & 1) || !task_fits(job, kind->cpus, kind->gpus, kind->ram_gb) ||
+	    !fl_provision_job_allows(job, type, zone, spot) || !zone_allows(job, placed, zone) ||
+	    provision->refused_until[type][zone][spot] > plan->now)
+		return INFINITY;
+	/* Among equal prices, the zone with the fewest machines. */
+	cost = unit_price(kind, job, spot) *
+	       (1 + tunables.zone_balance * plan->zone_machines[zone] +
+	        (job->apart ? tunables.spread_weight * placed[zone] : 0));
+	/* A machine that cannot report is paid for nothing. */
+	if (provision->suspected_until[zone] > plan->now)
+		cost *= tunables.suspected_cost;
+	return cost;
+}
+
+struct fl_planned_machine *fl_provision_plan_rental(struct fl_provision_plan *plan,
+                                                    const struct fl_job *job,
+                                                    const uint32_t *placed, int only_zone)
+{
+	const struct fl_cluster *cluster = &plan->n->cluster;
+	double best_cost = INFINITY;
+	int type = -1, zone = -1, spot = 0;
+
+	if (plan->rentals >= tunables.rentals_most)
+		return NULL;
+	for (int k = 0; k < cluster->machines.n_types; k++) {
+		for (int z = 0; z < cluster->zones.n && z < FL_ZONES_MAX; z++) {
+			for (int s = 0; s < 2 && (only_zone < 0 || z == only_zone); s++) {
+				double cost = rental_cost(plan, job, placed, k, z, s);
+
+				if (cost < best_cost) {
+					best_cost = cost;
+					type = k;
+					zone = z;
+					spot = s;
+				}
+			}
+		}
+	}
+	if (type < 0)
+		return NULL;
+	plan->zone_machines[zone]++;
+	return add_planned(plan, type, zone, spot, FL_PLANNED_RENTAL);
+}
+
+/* Places a task on a planned machine, a further rental if need be; false if there is none. */
+static bool place_task(struct fl_provision_plan *plan, const struct fl_job *job, uint32_t *placed)
+{
+	struct fl_planned_machine *chosen = NULL;
+
+	for (int i = 0; i < plan->count && !chosen; i++) {
+		struct fl_planned_machine *machine = &plan->machines[i];
+
+		if (fl_provision_job_allows(job, machine->type, machine->zone, machine->spot) &&
+		    task_fits(job, machine->cpus, machine->gpus, machine->ram_gb) &&
+		    zone_allows(job, placed, machine->zone))
+			chosen = machine;
+	}
+	if (!chosen)
+		chosen = fl_provision_plan_rental(plan, job, placed, -1);
+	if (!chosen)
+		return false;
+	chosen->cpus -= job->cpus;
+	chosen->gpus -= job->gpus;
+	chosen->ram_gb -= job->ram_gb;
+	placed[chosen->zone]++;
+	return true;
+}
+
+/* Of `count` tasks, how many the maximum of the job's team lets run: more need no machine. */
+static uint32_t limit_by_team(const struct fl_node *n, const struct fl_job *job, uint32_t count)
+{
+	const struct fl_team *team = &n->cluster.teams.at[job->team];
+	double most = count;
+
+	if (team->gpus_max > 0 && job->gpus > 0)
+		most = fmin(most, floor((team->gpus_max - team->used_gpus) / job->gpus +
+		                        tunables.epsilon));
+	if (team->cpus_max > 0 && job->cpus > 0)
+		most = fmin(most, floor((team->cpus_max - team->used_cpus) / job->cpus +
+		                        tunables.epsilon));
+	return most > 0 ? (uint32_t)most : 0;
+}
+
+static void plan_job(struct fl_provision_plan *plan, const struct fl_job *job, uint32_t count)
+{
+	uint32_t placed[FL_ZONES_MAX];
+
+	memcpy(placed, job->zone_placed, sizeof(placed));
+	count = limit_by_team(plan->n, job, count);
+	while (count > 0 && job->kind == FL_ARRAY && plan->ending_soon >= 1) {
+		plan->ending_soon -= 1;
+		count--;
+	}
+	while (count > 0 && place_task(plan, job, placed))
+		count--;
+}
+
+/* Takes in the machines there are: those that boot, and the tasks that end soon. */
+static void add_existing(struct fl_provision_plan *plan)
+{
+	struct fl_machines *machines = &plan->n->cluster.machines;
+
+	for (int i = 0; i < machines->n; i++) {
+		struct fl_machine *m = machines->at[i];
+		double boot_s;
+
+		if (m->gone || !m->described)
+			continue;
+		boot_s = machines->types[m->type].ready_s;
+		plan->zone_machines[m->zone]++;
+		/* Some boot for minutes and a few never end: nothing must wait for those. */
+		if (!m->up && !m->deleting && m->n_slots == 0 &&
+		    plan->now - m->created < tunables.boot_late * boot_s)
+			add_planned(plan, m->type, m->zone, m->spot, FL_PLANNED_BOOTING);
+		for (int k = 0; m->up && k < m->n_slots; k++) {
+			const struct fl_job *job = m->slots[k].job;
+			const struct fl_task *task = fl_task_peek(job, m->slots[k].index);
+
+			if (job->kind == FL_ARRAY && task->observed == FL_OBSERVED_RUNNING &&
+			    job->expected_s - (plan->now - task->since) <
+			            tunables.soon_boots * boot_s)
+				plan->ending_soon += 1;
+		}
+	}
+}
+
+/* Puts the planned rentals of one kind together into requests. */
+static void store_requests(struct fl_provision *provision, const struct fl_provision_plan *plan)
+{
+	provision->n_requests = 0;
+	for (int i = 0; i < plan->count; i++) {
+		const struct fl_planned_machine *planned = &plan->machines[i];
+		struct fl_rental_request *request = provision->requests;
+		int k = 0;
+
+		if (planned->origin != FL_PLANNED_RENTAL)
+			continue;
+		/* Past a request that is full already, the rest goes into another. */
+		while (k < provision->n_requests &&
+		       !(request[k].type == planned->type && request[k].zone == planned->zone &&
+		         request[k].spot == planned->spot && request[k].count < FL_RENT_MAX))
+			k++;
+		if (k == provision->n_requests) {
+			if (k == FL_RENTAL_REQUESTS_MAX) {
+				fl_debug("cloud", "more than %d rentals: the rest next time", k);
+				break;
+			}
+			request[provision->n_requests++] = (struct fl_rental_request){
+				planned->type, planned->zone, 0, planned->spot};
+		}
+		request[k].count++;
+	}
+}
+
+void fl_provision_shortage(struct fl_node *n, struct fl_job **jobs, const uint32_t *short_of,
+                           int count)
+{
+	struct fl_provision_plan plan = {.n = n, .now = fl_now(), .wall = fl_wall()};
+
+	if (n->provision.renting)
+		return;
+	plan.capacity = n->cluster.machines.n + tunables.rentals_most + 1;
+	plan.machines = malloc((size_t)plan.capacity * sizeof(*plan.machines));
+	if (!plan.machines)
+		return;
+	add_existing(&plan);
+	for (int priority = FL_CRITICAL; priority >= FL_BEST_EFFORT; priority--)
+		for (int i = 0; i < count; i++)
+			if ((int)jobs[i]->priority == priority && short_of[i] > 0)
+				plan_job(&plan, jobs[i], short_of[i]);
+	fl_provision_plan_reserve(&plan);
+	store_requests(&n->provision, &plan);
+	free(plan.machines);
+}
--- /dev/null
+++ b/src/coordination/provision_rent.c
@@ -0,0 +1,77 @@
+/* The rentals that the last plan asked for. */
+#include "coordination/provision_internal.h"
+
+#include <errno.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "transport/clock.h"
+#include "transport/log.h"
+
+static const struct {
+	double refused_s;
+	int tries;
+} tunables = {
+	.refused_s = 20.0, /* s for which a refused kind of machine is not asked for again */
+	.tries = 3,        /* of one rental that goes unanswered */
+};
+
+static int rent(struct fl_node *n, const struct fl_rental_request *request)
+{
+	const char *type = n->cluster.machines.types[request->type].name;
+	const char *zone = fl_names_at(&n->cluster.zones, request->zone);
+	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
+	int got = 0, rc = -EAGAIN;
+
+	/* With the epoch of the takeover in it no other leader uses the name, ever. */
+	snprintf(name, sizeof(name), "r-%llu-%llu", (unsigned long long)n->lead.first_epoch,
+	         (unsigned long long)++n->provision.rental_names);
+	for (int i = 0; i < tunables.tries; i++) {
+		int rc_call = fl_provision_spend_call(n);
+
+		if (rc_call)
+			return rc_call;
+		rc = fl_cloud_rent(&n->cloud, name, type, zone, request->spot, request->count,
+		                   &hosts, &got);
+		if (rc == 0 || rc == -ENOSPC || rc == -EAGAIN || rc == -ECANCELED)
+			break;
+	}
+	for (int i = 0; i < got; i++) {
+		struct fl_machine *m = fl_machine_get(&n->cluster.machines, hosts[i], fl_now());
+
+		if (!m)
+			continue;
+		fl_cluster_describe(&n->cluster, m, request->type, request->zone, request->spot,
+		                    NULL);
+		fl_debug("cloud", "%s is %s", m->name, request->spot ? "reclaimable" : "ordinary");
+	}
+	free(hosts);
+	if (rc == 0)
+		fl_info("cloud", "rented %d of %d %s%s in %s", got, request->count,
+		        request->spot ? "reclaimable " : "", type, zone);
+	else
+		fl_info("cloud", "no %s%s in %s: %s", request->spot ? "reclaimable " : "", type,
+		        zone, strerror(-rc));
+	if (rc == -ENOSPC || (rc == 0 && got < request->count))
+		n->provision.refused_until[request->type][request->zone][request->spot] =
+			fl_now() + tunables.refused_s;
+	return rc == -ENOSPC ? 0 : rc;
+}
+
+int fl_provision_rent_requested(struct fl_node *n)
+{
+	struct fl_rental_request requests[FL_RENTAL_REQUESTS_MAX];
+	int count = n->provision.n_requests, rc = 0;
+
+	if (count == 0)
+		return 0;
+	memcpy(requests, n->provision.requests, sizeof(requests));
+	n->provision.renting = true;
+	n->provision.n_requests = 0;
+	for (int i = 0; i < count && rc == 0; i++)
+		rc = rent(n, &requests[i]);
+	n->provision.renting = false;
+	fl_signal_wake(&n->lead.work);
+	return rc;
+}
--- /dev/null
+++ b/src/coordination/provision_reserve.c
@@ -0,0 +1,107 @@
+/* The reserve: room on ordinary machines that lets services start without waiting for a boot. */
+#include "coordination/provision_internal.h"
+
+#include <math.h>
+
+static const struct {
+	double learn_s, spread;
+} tunables = {
+	.learn_s = 300.0, /* s over which the arrival of services is counted */
+	.spread = 2.0,    /* standard deviations of the arrivals while a machine boots, on top */
+};
+
+/* Room that a service could have at once: free, or used by what it may preempt. */
+static uint32_t room_on(const struct fl_node *n, const struct fl_machine *m,
+                        const struct fl_job *service)
+{
+	const struct fl_machine_type *kind = &n->cluster.machines.types[m->type];
+	double cpus = kind->cpus, gpus = kind->gpus, ram_gb = kind->ram_gb;
+
+	if (m->spot || m->deleting || !fl_provision_job_allows(service, m->type, m->zone, m->spot))
+		return 0;
+	for (int i = 0; i < m->n_slots; i++) {
+		const struct fl_job *job = m->slots[i].job;
+
+		if (job->priority < service->priority)
+			continue;
+		cpus -= job->cpus;
+		gpus -= job->gpus;
+		ram_gb -= job->ram_gb;
+	}
+	return fl_provision_tasks_fit(service, cpus, gpus, ram_gb);
+}
+
+/* The newest of the services that came lately, the model for those to come; NULL: none came. */
+static const struct fl_job *recent_services(const struct fl_provision_plan *plan, double *tasks)
+{
+	const struct fl_job *newest = NULL;
+	struct fl_job *job, *tmp;
+
+	*tasks = 0;
+	HASH_ITER (hh, plan->n->cluster.jobs, job, tmp) {
+		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
+		    plan->wall - job->submitted > tunables.learn_s)
+			continue;
+		*tasks += job->n_tasks;
+		if (!newest || job->submitted > newest->submitted)
+			newest = job;
+	}
+	return newest;
+}
+
+/* Rents until each share has room for `need` tasks; `room`: what each share has so far. */
+static void rent_reserve(struct fl_provision_plan *plan, const struct fl_job *service, double *room,
+                         double need, int shares)
+{
+	static const uint32_t none_placed[FL_ZONES_MAX];
+
+	for (int z = 0; z < shares; z++) {
+		while (room[z] < need) {
+			const struct fl_planned_machine *rented = fl_provision_plan_rental(
+				plan, service, none_placed, shares > 1 ? z : -1);
+
+			if (!rented)
+				break;
+			room[z] += fmax(1, fl_provision_tasks_fit(service, rented->cpus,
+			                                          rented->gpus, rented->ram_gb));
+		}
+	}
+}
+
+/*
+ * A service should not wait for a machine to boot. As many tasks as lately came in one boot time,
+ * and a spread more, must find room at once on machines that are up, be it by preempting arrays.
+ */
+void fl_provision_plan_reserve(struct fl_provision_plan *plan)
+{
+	struct fl_provision *provision = &plan->n->provision;
+	const struct fl_machines *machines = &plan->n->cluster.machines;
+	double tasks, need, room[FL_ZONES_MAX] = {0};
+	const struct fl_job *service = recent_services(plan, &tasks);
+	int shares;
+
+	provision->reserve_shares = 0;
+	if (!service || machines->n_types == 0)
+		return;
+	/* What must be apart needs room in each zone, also to replace what is lost in one. */
+	shares = service->apart ? plan->n->cluster.zones.n : 1;
+	provision->reserve_shares = shares;
+	need = tasks / tunables.learn_s * machines->types[0].ready_s;
+	need = ceil((need + tunables.spread * sqrt(need)) / shares);
+	for (int i = 0; i < machines->n; i++) {
+		const struct fl_machine *m = machines->at[i];
+
+		if (!m->gone && m->described && m->up)
+			room[m->zone % shares] += room_on(plan->n, m, service);
+	}
+	for (int z = 0; z < shares; z++)
+		provision->reserve_surplus[z] = (int)(room[z] - need);
+	for (int i = 0; i < plan->count; i++) {
+		const struct fl_planned_machine *planned = &plan->machines[i];
+
+		if (!planned->spot)
+			room[planned->zone % shares] += fl_provision_tasks_fit(
+				service, planned->cpus, planned->gpus, planned->ram_gb);
+	}
+	rent_reserve(plan, service, room, need, shares);
+}
--- /dev/null
+++ b/src/coordination/provision_return.c
@@ -0,0 +1,179 @@
+/* Listing the machines of the cloud, and returning those that are of no use. */
+#include "coordination/provision_internal.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/failure_detector.h"
+#include "coordination/reachability.h"
+#include "coordination/reconcile.h"
+#include "transport/clock.h"
+#include "transport/log.h"
+#include "transport/text.h"
+
+static const struct {
+	double suspected_s, idle_boots, boot_most, boot_slack_s, list_lags, list_slack_s;
+	int faults_most;
+} tunables = {
+	.suspected_s = 20.0, /* s for which a zone with too many silent machines costs more */
+	.idle_boots = 0.4,   /* boot times for which an idle machine is kept */
+	.boot_most = 3.0,    /* boot times after which a booting machine is given up */
+	.boot_slack_s = 5.0, /* s beyond them, for types that boot in no time */
+	.list_lags = 2.0,    /* lags of a list by which it may be out of date */
+	.list_slack_s = 1.0, /* s beyond them, for the call itself */
+	.faults_most = 2,    /* failures on a machine that is avoided before it is returned */
+};
+
+static void take_listed(struct fl_node *n, const struct fl_listed *listed, double now, int known)
+{
+	struct fl_machine *m = fl_machine_get(&n->cluster.machines, listed->host, now);
+
+	if (!m)
+		return;
+	fl_cluster_describe(
+		&n->cluster, m, fl_machine_type_find(&n->cluster.machines, listed->type),
+		fl_names_find(&n->cluster.zones, listed->zone), listed->spot, listed->endpoint);
+	if (m->id < known)
+		m->listed = true;
+	if (listed->status == FL_HOST_FAILED && !m->gone)
+		fl_reconcile_gone(n, m, "it failed");
+	if (listed->status == FL_HOST_FAILED)
+		m->deleting = true;
+}
+
+/*
+ * Missing from a list proves a machine gone only if that list, which may be twice the lag old,
+ * must have been made after the machine was there.
+ */
+static void conclude_missing(struct fl_node *n, double sent, int known)
+{
+	double age_s = tunables.list_lags * n->config->list_lag_s + tunables.list_slack_s;
+
+	for (int i = 0; i < known; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
+
+		if (m->gone || m->listed || sent <= m->created + age_s)
+			continue;
+		n->provision.spot_lost += m->spot;
+		fl_reconcile_gone(n, m, "no longer listed");
+	}
+}
+
+int fl_provision_list_machines(struct fl_node *n)
+{
+	double sent = fl_now();
+	int known = n->cluster.machines.n, rc;
+	char from[FL_NAME_MAX] = "";
+	bool more = true;
+
+	for (int i = 0; i < known; i++)
+		n->cluster.machines.at[i]->listed = false;
+	while (more) {
+		struct fl_listed *listed;
+		int count;
+
+		rc = fl_provision_spend_call(n);
+		if (!rc)
+			rc = fl_cloud_list(&n->cloud, from, &listed, &count, &more);
+		if (rc)
+			return rc;
+		for (int i = 0; i < count; i++)
+			take_listed(n, &listed[i], fl_now(), known);
+		if (count > 0)
+			fl_copy_string(from, sizeof(from), listed[count - 1].host);
+		else
+			more = false;
+		free(listed);
+	}
+	n->provision.listed_at = sent;
+	conclude_missing(n, sent, known);
+	return 0;
+}
+
+/* Whether an ordinary machine may go without cutting into the reserve for services. */
+static bool take_surplus(struct fl_provision *provision, const struct fl_machine *m,
+                         const struct fl_machine_type *kind)
+{
+	int *surplus;
+
+	if (provision->reserve_shares == 0)
+		return true;
+	surplus = &provision->reserve_surplus[m->zone % provision->reserve_shares];
+	if (*surplus < kind->gpus)
+		return false;
+	*surplus -= (int)kind->gpus;
+	return true;
+}
+
+/* Why a machine is to be returned; NULL: it is kept. */
+static const char *why_return(struct fl_node *n, struct fl_machine *m, double now,
+                              const double leases[FL_ZONES_MAX])
+{
+	const struct fl_machine_type *kind =
+		m->type >= 0 ? &n->cluster.machines.types[m->type] : NULL;
+	bool empty = m->n_slots == 0 && m->foreign == 0;
+
+	if (m->deleting)
+		return "given up";
+	if (m->gone)
+		return NULL;
+	if (fl_failure_detector_expired(n, m, now, leases))
+		return fl_reachability_lost_at(m) < INFINITY ? "does not hear us" : "silent";
+	if (!kind)
+		return NULL;
+	if (!m->up && m->n_slots == 0 &&
+	    now - m->created > tunables.boot_most * kind->ready_s + tunables.boot_slack_s)
+		return "never came up";
+	if (!m->up || !empty) {
+		m->idle_since = 0;
+		return NULL;
+	}
+	if (m->idle_since <= 0)
+		m->idle_since = now;
+	if (m->avoid_until > now && m->faults > tunables.faults_most)
+		return "faulty";
+	if (now - m->idle_since <= tunables.idle_boots * kind->ready_s)
+		return NULL;
+	if (m->spot)
+		return "idle";
+	return take_surplus(&n->provision, m, kind) ? "idle" : NULL;
+}
+
+int fl_provision_return_machines(struct fl_node *n)
+{
+	const char *names[FL_DELETE_MAX];
+	struct fl_machine *returning[FL_DELETE_MAX];
+	double now = fl_now(), leases[FL_ZONES_MAX];
+	int count = 0, rc;
+
+	fl_failure_detector_leases(n, now, leases);
+	for (int z = 0; z < FL_ZONES_MAX; z++)
+		if (leases[z] > 1)
+			n->provision.suspected_until[z] = now + tunables.suspected_s;
+
+	for (int i = 0; i < n->cluster.machines.n && count < FL_DELETE_MAX; i++) {
+		struct fl_machine *m = n->cluster.machines.at[i];
+		const char *why = m->returned ? NULL : why_return(n, m, now, leases);
+
+		if (!why)
+			continue;
+		fl_info("cloud", "returning %s: %s", m->name, why);
+		/* Half of those that are reclaimed give no notice: their silence is the first sign.
+		 */
+		n->provision.spot_lost += m->spot && strcmp(why, "silent") == 0;
+		m->deleting = true;
+		returning[count] = m;
+		names[count++] = m->name;
+	}
+	if (count == 0)
+		return 0;
+	rc = fl_provision_spend_call(n);
+	if (!rc)
+		rc = fl_cloud_delete(&n->cloud, names, count);
+	for (int i = 0; i < count && rc == 0; i++) {
+		returning[i]->returned = true;
+		fl_reconcile_gone(n, returning[i], "returned");
+	}
+	return rc;
+}
