--- /dev/null
+++ b/src/coordination/pass_snapshot.c
@@ -0,0 +1,249 @@
+#include "coordination/pass_snapshot.h"
+
+#include <errno.h>
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/node.h"
+#include "coordination/provision.h"
+#include "coordination/reachability.h"
+#include "transport/clock.h"
+
+static const struct {
+	int waiting_most;
+	double fresh_reports, reservation_s, overdue_left_s;
+} tunables = {
+	.waiting_most = 256,   /* tasks of one job considered in one pass */
+	.fresh_reports = 3,    /* report intervals after which a silent machine gets no new task */
+	.reservation_s = 3.0,  /* s for which room is reserved for whom a task was stopped there */
+	.overdue_left_s = 1.0, /* s left of a task past its estimate: until the next pass at most */
+};
+
+static uint32_t count_startable(struct fl_job *job, double now)
+{
+	uint32_t most = job->kind == FL_GANG ? job->n_tasks : (uint32_t)tunables.waiting_most;
+	uint32_t at = 0, count = 0;
+
+	if (job->not_before > now)
+		return 0;
+	/* A gang starts only whole: all that is not done, and none of it anywhere yet. */
+	if (job->kind == FL_GANG && job->n_placed > 0)
+		return 0;
+	while (count < most && (at = fl_task_next_waiting(job, at, now)) < job->n_tasks) {
+		count++;
+		at++;
+	}
+	return job->kind == FL_GANG && count < job->n_waiting ? 0 : count;
+}
+
+/* Urgent work and services count by their priority alone. */
+static bool is_background(const struct fl_node *n, const struct fl_job *job)
+{
+	return n->n_expected_classes > 0 && job->job_class >= n->n_expected_classes &&
+	       job->kind == FL_ARRAY && job->priority < FL_URGENT;
+}
+
+static void add_job(const struct fl_node *n, struct fl_snapshot *snapshot, struct fl_job *job,
+                    double now, double wall)
+{
+	struct fl_sched_job *to = &snapshot->in.jobs[snapshot->in.n_jobs];
+
+	memset(to, 0, sizeof(*to));
+	to->waiting = count_startable(job, now);
+	if (to->waiting == 0)
+		return;
+	to->priority = job->priority;
+	to->service = job->kind == FL_SERVICE;
+	to->gang = job->kind == FL_GANG;
+	to->team = job->team;
+	to->waited_s = wall - job->submitted;
+	to->est_s = job->expected_s;
+	to->cpus = job->cpus;
+	to->gpus = job->gpus;
+	to->ram_gb = job->ram_gb;
+	to->image_gb = job->image_gb;
+	to->n_tasks = job->n_tasks;
+	to->types = job->types;
+	to->zone = job->zone;
+	to->together = job->together;
+	to->apart = job->apart;
+	to->reclaimable = job->reclaimable;
+	memcpy(to->zone_placed, job->zone_placed, sizeof(to->zone_placed));
+	to->zone_unknown = job->zone_unknown;
+	to->image = job->image;
+	to->within_guarantee = job->within_guarantee;
+	to->background = is_background(n, job);
+	to->begun = job->n_placed > 0 || job->n_done > 0;
+	to->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
+	snapshot->jobs[snapshot->in.n_jobs++] = job;
+}
+
+static bool usable(const struct fl_node *n, const struct fl_machine *m, double now)
+{
+	return m && m->up && m->described && !m->deleting && !m->gone && m->foreign == 0 &&
+	       m->reclaim_at == 0 && m->avoid_until <= now &&
+	       now - m->reached < tunables.fresh_reports * n->config->report_s &&
+	       !fl_reachability_doubted(m);
+}
+
+static double estimated_left(const struct fl_job *job, const struct fl_task *t, double now)
+{
+	double estimate_s = job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_est_s;
+
+	if (job->kind == FL_SERVICE)
+		return INFINITY;
+	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING)
+		estimate_s -= now - t->since;
+	/* Past its estimate: it counts as ending by the next pass. */
+	return fmax(estimate_s, tunables.overdue_left_s);
+}
+
+static void add_run(struct fl_snapshot *snapshot, int machine_index, const struct fl_slot *slot,
+                    double now, double wall)
+{
+	struct fl_sched_run *to = &snapshot->in.runs[snapshot->in.n_runs];
+	struct fl_job *job = slot->job;
+	const struct fl_task *task = fl_task_peek(job, slot->index);
+
+	memset(to, 0, sizeof(*to));
+	to->machine = machine_index;
+	to->team = job->team;
+	to->priority = job->priority;
+	to->service = job->kind == FL_SERVICE;
+	to->stopping = job->cancelled || task->stop != FL_STOP_NONE;
+	to->movable = !to->stopping;
+	to->within_guarantee = job->within_guarantee;
+	to->cpus = job->cpus;
+	to->gpus = job->gpus;
+	to->ram_gb = job->ram_gb;
+	to->left_s = estimated_left(job, task, now);
+	to->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->since : 0;
+	if (job->checkpoint_every_s > 0)
+		to->lost_s = fmin(to->lost_s, job->checkpoint_cost_s);
+	to->last_running_task = job->kind != FL_SERVICE && job->n_placed == 1 &&
+	                        wall - job->submitted > snapshot->in.params->patience_s;
+	snapshot->runs[snapshot->in.n_runs++] = *slot;
+}
+
+static int compare_submissions(const void *pa, const void *pb)
+{
+	const struct fl_job *a = *(struct fl_job *const *)pa, *b = *(struct fl_job *const *)pb;
+
+	if (a->submitted != b->submitted)
+		return a->submitted < b->submitted ? -1 : 1;
+	return strcmp(a->ref, b->ref);
+}
+
+/* Which jobs fit their team's guarantee together with the team's earlier ones not yet over. */
+static void mark_within_guarantee(struct fl_cluster *cluster, struct fl_job **scratch)
+{
+	double cpus[FL_TEAMS_MAX] = {0}, gpus[FL_TEAMS_MAX] = {0};
+	struct fl_job *job, *tmp;
+	size_t count = 0;
+
+	HASH_ITER (hh, cluster->jobs, job, tmp)
+		if (!job->cancelled)
+			scratch[count++] = job;
+	qsort(scratch, count, sizeof(*scratch), compare_submissions);
+	for (size_t i = 0; i < count; i++) {
+		job = scratch[i];
+		cpus[job->team] += job->cpus * job->n_tasks;
+		gpus[job->team] += job->gpus * job->n_tasks;
+		job->within_guarantee = fl_team_within_guarantee(&cluster->teams.at[job->team],
+		                                                 cpus[job->team], gpus[job->team]);
+	}
+}
+
+/*
+ * A stopped task is gone when its machine says so, some passes later, and until then the job may
+ * request room elsewhere, where something looks better meanwhile. Found in the simulated fault
+ * combinations: the room then went to what had been stopped, which was stopped again, every second
+ * for minutes.
+ */
+static struct fl_reservation reservation_of(const struct fl_machine *m, double now)
+{
+	if (m->reserved_at <= 0 || now > m->reserved_at + tunables.reservation_s)
+		return (struct fl_reservation){0};
+	return (struct fl_reservation){.made = true,
+	                               .within_guarantee = m->reserved_within_guarantee,
+	                               .priority = (enum fl_priority)m->reserved_priority,
+	                               .cpus = m->reserved_cpus,
+	                               .gpus = m->reserved_gpus,
+	                               .ram_gb = m->reserved_ram};
+}
+
+static void add_machine(struct fl_node *n, struct fl_snapshot *snapshot, struct fl_machine *m,
+                        double now, double wall)
+{
+	const struct fl_machine_type *type = &n->cluster.machines.types[m->type];
+	int machine_index = snapshot->in.n_machines++;
+	struct fl_sched_machine *to = &snapshot->in.machines[machine_index];
+
+	*to = (struct fl_sched_machine){.type = m->type,
+	                                .zone = m->zone,
+	                                .spot = m->spot,
+	                                .reserved = reservation_of(m, now),
+	                                .cpus = type->cpus - m->used_cpus,
+	                                .gpus = type->gpus - m->used_gpus,
+	                                .ram_gb = type->ram_gb - m->used_ram,
+	                                .pull_gb_s = type->pull_gb_s,
+	                                .cache = m->cache};
+	for (int k = 0; k < m->n_slots; k++) {
+		add_run(snapshot, machine_index, &m->slots[k], now, wall);
+		to->held = to->held || m->slots[k].job->kind == FL_SERVICE;
+	}
+	snapshot->machines[machine_index] = m;
+}
+
+static bool allocate(struct fl_snapshot *snapshot, const struct fl_cluster *cluster)
+{
+	size_t n_jobs = HASH_COUNT(cluster->jobs) + 1;
+	size_t n_machines = (size_t)cluster->machines.n + 1, n_runs = 1;
+
+	for (int i = 0; i < cluster->machines.n; i++)
+		n_runs += (size_t)cluster->machines.at[i]->n_slots;
+	snapshot->jobs = malloc(n_jobs * sizeof(*snapshot->jobs));
+	snapshot->machines = malloc(n_machines * sizeof(*snapshot->machines));
+	snapshot->runs = malloc(n_runs * sizeof(*snapshot->runs));
+	snapshot->in.jobs = malloc(n_jobs * sizeof(*snapshot->in.jobs));
+	snapshot->in.machines = malloc(n_machines * sizeof(*snapshot->in.machines));
+	snapshot->in.runs = malloc(n_runs * sizeof(*snapshot->in.runs));
+	snapshot->in.teams = malloc(sizeof(cluster->teams.at));
+	return snapshot->jobs && snapshot->machines && snapshot->runs && snapshot->in.jobs &&
+	       snapshot->in.machines && snapshot->in.runs && snapshot->in.teams;
+}
+
+int fl_snapshot_take(struct fl_node *n, struct fl_snapshot *snapshot, double now)
+{
+	struct fl_cluster *cluster = &n->cluster;
+	double wall = fl_wall();
+	struct fl_job *job, *tmp;
+
+	memset(snapshot, 0, sizeof(*snapshot));
+	if (!allocate(snapshot, cluster))
+		return -ENOMEM;
+	snapshot->in.params = &fl_sched_defaults;
+	memcpy(snapshot->in.teams, cluster->teams.at, sizeof(cluster->teams.at));
+	mark_within_guarantee(cluster, snapshot->jobs);
+	HASH_ITER (hh, cluster->jobs, job, tmp)
+		if (!job->cancelled && job->n_waiting > 0)
+			add_job(n, snapshot, job, now, wall);
+	for (int i = 0; i < cluster->machines.n; i++)
+		if (usable(n, cluster->machines.at[i], now))
+			add_machine(n, snapshot, cluster->machines.at[i], now, wall);
+	snapshot->in.spot_loss = fl_provision_spot_loss(n);
+	snapshot->in.resume = n->lead.resume;
+	return 0;
+}
+
+void fl_snapshot_free(struct fl_snapshot *snapshot)
+{
+	free(snapshot->jobs);
+	free(snapshot->machines);
+	free(snapshot->runs);
+	free(snapshot->in.jobs);
+	free(snapshot->in.machines);
+	free(snapshot->in.runs);
+	free(snapshot->in.teams);
+}
--- /dev/null
+++ b/src/coordination/pass_snapshot.h
@@ -0,0 +1,24 @@
+/* The snapshot of the cluster state that a pass works on. */
+#ifndef FL_COORDINATION_PASS_SNAPSHOT_H
+#define FL_COORDINATION_PASS_SNAPSHOT_H
+
+#include "coordination/schedule.h"
+#include "storage/jobs.h"
+#include "storage/machines.h"
+
+struct fl_node;
+
+/* The input of the schedule, and what its indices stand for. */
+struct fl_snapshot {
+	struct fl_sched_in in;
+	struct fl_job **jobs;
+	struct fl_machine **machines;
+	struct fl_slot *runs;
+};
+
+/* Takes a snapshot; -ENOMEM without memory. Free it in any case. */
+int fl_snapshot_take(struct fl_node *n, struct fl_snapshot *snapshot, double now);
+/* Frees what a snapshot consists of. */
+void fl_snapshot_free(struct fl_snapshot *snapshot);
+
+#endif
