--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -8,19 +8,22 @@
 #include "transport/log.h"
 
 static const struct {
-	int at_once;
-	double wait_s, cancel_share;
+	int concurrent_most;
+	double timeout_s, cancel_share, enforce_s;
 } tunables = {
-	.at_once = 24,        /* direct commands under way */
-	.wait_s = 2.0,        /* s for a direct command */
-	.cancel_share = 0.45, /* share of cancel_s after which a machine is given up for a task */
+	.concurrent_most = 24, /* direct commands under way; reports bring the other orders */
+	.timeout_s = 2.0,      /* s for a direct command */
+	.cancel_share = 0.45,  /* share of cancel_s after which a machine is returned for a task */
+	.enforce_s = 1.0,      /* s between two looks for tasks of cancelled jobs */
 };
 
+/* The argument of a routine that sends commands to one machine. */
 struct push {
 	struct fl_node *n;
 	struct fl_machine *m;
 };
 
+/* Sends one command, and takes in the report that answers it. */
 static void push_once(struct fl_node *n, struct fl_machine *m)
 {
 	struct fl_orders orders;
@@ -38,7 +41,7 @@
 		return;
 	}
 	body = fl_orders_take(&orders);
-	rc = fl_worker_command(m->endpoint, body, tunables.wait_s, &r);
+	rc = fl_worker_command(m->endpoint, body, tunables.timeout_s, &r);
 	free(body);
 	if (rc == 200 || rc == 409) {
 		if (fl_leading(n))
@@ -66,7 +69,7 @@
 	struct push *p;
 
 	m->want_push = true;
-	if (m->pushing || n->lead.pushes >= tunables.at_once)
+	if (m->pushing || n->lead.pushes >= tunables.concurrent_most)
 		return; /* the worker's next report brings the orders all the same */
 	p = malloc(sizeof(*p));
 	if (!p)
@@ -108,34 +111,34 @@
 	fl_signal_wake(&n->lead.work);
 }
 
-/* Cancelled jobs must be gone in time. */
+/* Stops the tasks of cancelled jobs on one machine, or returns the machine when time is short. */
+static void enforce_cancellations(struct fl_node *n, struct fl_machine *m, double now)
+{
+	for (int k = 0; k < m->n_slots && !m->gone; k++) {
+		struct fl_job *job = m->slots[k].job;
+
+		if (!job->cancelled)
+			continue;
+		if (now > job->cancelled_at + tunables.cancel_share * n->config->cancel_s &&
+		    !m->deleting) {
+			fl_info("workers", "%s does not let go of %s: returned", m->name, job->ref);
+			m->deleting = true;
+		}
+		fl_command_push(n, m);
+	}
+}
+
 void fl_command_enforce_duty(void *arg)
 {
 	struct fl_node *n = arg;
 
-	while (fl_sleep(1.0) == 0) {
+	while (fl_sleep(tunables.enforce_s) == 0) {
 		double now = fl_now();
 
 		if (!fl_leading(n))
 			continue;
-		for (int i = 0; i < n->cluster.machines.n; i++) {
-			struct fl_machine *m = n->cluster.machines.at[i];
-
-			for (int k = 0; k < m->n_slots && !m->gone; k++) {
-				struct fl_job *job = m->slots[k].job;
-
-				if (!job->cancelled)
-					continue;
-				if (now > job->cancelled_at +
-				                    tunables.cancel_share * n->config->cancel_s &&
-				    !m->deleting) {
-					fl_info("workers", "%s does not let go of %s: returned",
-					        m->name, job->ref);
-					m->deleting = true;
-				}
-				fl_command_push(n, m);
-			}
-		}
+		for (int i = 0; i < n->cluster.machines.n; i++)
+			enforce_cancellations(n, n->cluster.machines.at[i], now);
 	}
 	n->lead.running--;
 	fl_signal_wake(&n->lead.ended);
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -1,4 +1,4 @@
-/* Direct commands to machines, and that cancelled jobs are gone from them in time. */
+/* Direct commands to machines, and the deadline by which cancelled jobs must have ended. */
 #ifndef FL_COORDINATION_COMMAND_H
 #define FL_COORDINATION_COMMAND_H
 
@@ -6,14 +6,13 @@
 struct fl_job;
 struct fl_machine;
 
-/* A machine has something for a direct command. */
+/* Sends the machine its orders with a direct command, unless one is under way. */
 void fl_command_push(struct fl_node *n, struct fl_machine *m);
-/* All machines that have, now that the records stand. */
+/* The same for all machines with new tasks, now that their records are written. */
 void fl_command_push_placed(struct fl_node *n);
-/* The job is cancelled: its tasks are stopped wherever they may be. */
-/* Of a job that the cluster state holds as cancelled. */
+/* Stops the tasks of a job that the cluster state has as cancelled, on all machines. */
 void fl_command_stop_job(struct fl_node *n, struct fl_job *job);
 /* The routine of a leader, with its fl_node. */
-void fl_command_enforce_duty(void *node);
+void fl_command_enforce_duty(void *arg);
 
 #endif
