--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -7,38 +7,40 @@
 #include "coordination/node.h"
 
 static const struct {
-	double extra_s;
-	int few;
-	double quiet_leases, mass_share, zone_share, calm_share, calm_leases, mass_leases,
-		with_zone_s;
+	double margin_s;
+	int silent_few;
+	double silent_leases, network_share, network_zone_share, machine_share, machine_leases,
+		network_leases, zone_slack_s;
 } tunables = {
-	.extra_s = 0.5,      /* s beyond a worker's lease before a silent machine is given up */
-	.few = 2,            /* machines that may be silent at once in any case */
-	.quiet_leases = 0.6, /* leases of silence from which on a machine counts as quiet */
-	.mass_share = 0.4,   /* share of all machines quiet at once that points at links */
-	.zone_share = 0.6,   /* the same of one zone's */
-	.calm_share = 0.15,  /* the same up to which the machines must be the cause */
-	.calm_leases = 0.7,  /* leases of silence if so, and nothing else is amiss */
-	.mass_leases = 3.0,  /* leases of silence after which they are given up all the same */
-	.with_zone_s = 5.0,  /* s within which a machine and its zone's controller fall silent */
+	.margin_s = 0.5,      /* s beyond a worker's lease before its machine is lost */
+	.silent_few = 2,      /* machines that may be silent at once in any case */
+	.silent_leases = 0.6, /* leases without contact after which a machine is silent */
+	.network_share = 0.4, /* share of all machines silent at once that blames the network */
+	.network_zone_share = 0.6, /* the same of the machines of one zone */
+	.machine_share = 0.15,     /* share up to which the machines themselves are blamed */
+	.machine_leases = 0.7,     /* leases allowed then, if all controllers are stable */
+	.network_leases = 3.0,     /* leases allowed if the network is blamed */
+	.zone_slack_s = 5.0, /* s within which a machine and its zone's controller fall silent */
 };
 
-static double last_sign(const struct fl_node *n, const struct fl_machine *m)
+/* The last time at which the machine was surely in contact both ways. */
+static double last_contact(const struct fl_node *n, const struct fl_machine *m)
 {
 	double heard = fmax(fmax(m->heard, n->lead.since), m->created);
 
-	/* Reports of one that does not hear us are no sign that it can be used. */
+	/* Reports from a machine that our answers do not reach do not count. */
 	return fmin(heard, fl_reachability_lost_at(m));
 }
 
 /*
- * A zone that is cut off goes on working inside, as long as its controllers have a proof to renew
- * with. Its machines fall silent together with them, and until then their work is as good as ever:
- * given up early, it would all start again, on machines that are still to boot.
+ * For how long the controllers of the machine's zone may renew its lease without us; 0: not at all.
+ * A zone that is partitioned goes on working inside, as long as its controllers have a recent proof
+ * of the leadership. Its machines fall silent together with them, and until then their work is
+ * valid: considered lost early, it would all start again, on machines that are still to boot.
  */
-static double renewed_by_zone(const struct fl_node *n, const struct fl_machine *m)
+static double renewal_by_zone_s(const struct fl_node *n, const struct fl_machine *m)
 {
-	double last = last_sign(n, m), slack = tunables.with_zone_s;
+	double last = last_contact(n, m), slack = tunables.zone_slack_s;
 
 	for (int i = 0; i < n->n_peers; i++) {
 		const struct fl_peer *p = &n->peers[i];
@@ -54,33 +56,35 @@
 bool fl_failure_detector_expired(const struct fl_node *n, const struct fl_machine *m, double now,
                                  const double leases[FL_ZONES_MAX])
 {
-	double allowed, silent = now - last_sign(n, m) - tunables.extra_s, renewed;
+	double allowed, silent = now - last_contact(n, m) - tunables.margin_s, renewed;
 
 	if (!m->up && m->n_slots == 0)
 		return false;
 	allowed = (m->zone >= 0 ? leases[m->zone] : 1) * n->config->lease_s;
-	/* Thousands report in time; of the few others it is asked who may renew them. */
+	/* Thousands report in time; only for the few others the zone's controllers are looked up.
+	 */
 	if (silent <= allowed)
 		return false;
-	renewed = renewed_by_zone(n, m);
+	renewed = renewal_by_zone_s(n, m);
 	return renewed <= 0 || silent > n->config->lease_s + renewed;
 }
 
-struct share {
-	int quiet, all;
+/* Of a set of machines, how many are silent. */
+struct silent_count {
+	int silent, total;
 };
 
-static bool too_many(struct share s, double most)
+static bool exceeds(struct silent_count count, double share)
 {
-	return s.quiet > tunables.few && s.quiet > most * s.all;
+	return count.silent > tunables.silent_few && count.silent > share * count.total;
 }
 
 /*
- * Every controller has been there for a lease, so that no worker is looking for a new one: a
- * machine that is silent now is dead or cut off by itself, and its tasks end with its lease in any
+ * Whether every controller has been up for a lease, so that no worker is looking for a new one: a
+ * machine that is silent now is dead or partitioned alone, and its tasks end with its lease in any
  * case.
  */
-static bool calm(const struct fl_node *n, double now)
+static bool controllers_stable(const struct fl_node *n, double now)
 {
 	for (int i = 0; i < n->n_peers; i++)
 		if (!n->peers[i].up || now < n->peers[i].up_since + n->config->lease_s)
@@ -89,34 +93,35 @@
 }
 
 /*
- * Many silent at once point at our links to them, or theirs to us, rather than at each of them:
- * then it takes much longer to give them up. That must show before the first of them is due, or
- * they go by twos and threes. Cheap machines are taken in waves, so ordinary ones are the measure,
+ * Many silent at once point at the network rather than at each of them: then it takes much longer
+ * until they are considered lost. That must be detected before the first of them is due, or they
+ * are lost by twos and threes. Spot machines are reclaimed in waves, so ordinary ones are counted,
  * in all and in each zone.
  */
 void fl_failure_detector_leases(const struct fl_node *n, double now, double leases[FL_ZONES_MAX])
 {
-	struct share all = {0}, zone[FL_ZONES_MAX] = {{0}};
+	struct silent_count all = {0}, by_zone[FL_ZONES_MAX] = {{0}};
 
 	for (int i = 0; i < n->cluster.machines.n; i++) {
 		const struct fl_machine *m = n->cluster.machines.at[i];
-		bool quiet;
+		bool silent;
 
 		if (m->gone || m->deleting || m->spot || (!m->up && m->n_slots == 0))
 			continue;
-		quiet = now - last_sign(n, m) > tunables.quiet_leases * n->config->lease_s;
-		all.all++;
-		all.quiet += quiet;
+		silent = now - last_contact(n, m) > tunables.silent_leases * n->config->lease_s;
+		all.total++;
+		all.silent += silent;
 		if (m->zone < 0)
 			continue;
-		zone[m->zone].all++;
-		zone[m->zone].quiet += quiet;
+		by_zone[m->zone].total++;
+		by_zone[m->zone].silent += silent;
 	}
 	for (int z = 0; z < FL_ZONES_MAX; z++) {
 		leases[z] = 1;
-		if (too_many(all, tunables.mass_share) || too_many(zone[z], tunables.zone_share))
-			leases[z] = tunables.mass_leases;
-		else if (!too_many(all, tunables.calm_share) && calm(n, now))
-			leases[z] = tunables.calm_leases;
+		if (exceeds(all, tunables.network_share) ||
+		    exceeds(by_zone[z], tunables.network_zone_share))
+			leases[z] = tunables.network_leases;
+		else if (!exceeds(all, tunables.machine_share) && controllers_stable(n, now))
+			leases[z] = tunables.machine_leases;
 	}
 }
--- a/src/coordination/failure_detector.h
+++ b/src/coordination/failure_detector.h
@@ -1,4 +1,7 @@
-/* When a machine that is not heard of, or does not hear us, is given up. */
+/*
+ * The failure detector: when a machine whose reports do not arrive, or that our answers do not
+ * reach, is considered lost.
+ */
 #ifndef FL_COORDINATION_FAILURE_DETECTOR_H
 #define FL_COORDINATION_FAILURE_DETECTOR_H
 
@@ -8,9 +11,12 @@
 
 struct fl_node;
 
-/* Leases of silence to be allowed now, by zone: more where too many are silent at once. */
+/*
+ * How long machines may be silent now, by zone, in worker leases: longer where many are silent at
+ * once, shorter where single machines must be the cause.
+ */
 void fl_failure_detector_leases(const struct fl_node *n, double now, double leases[FL_ZONES_MAX]);
-/* The machine has been silent for longer than is allowed. */
+/* Whether the machine has been silent for longer than that. */
 bool fl_failure_detector_expired(const struct fl_node *n, const struct fl_machine *m, double now,
                                  const double leases[FL_ZONES_MAX]);
 
