--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -207,9 +207,9 @@
 		gap = gap_after(fl_now() - last);
 		if (n->cluster.dirty)
 			fl_signal_wake(&n->lead.dirty);
-		if (n->lead.unforgotten > 0 && last > n->lease.raised_at + tunables.forget_s)
+		if (n->lead.retained_entries > 0 && last > n->lease.raised_at + tunables.forget_s)
 			n->lease.want_epoch = true;
-		n->lead.unforgotten = 0;
+		n->lead.retained_entries = 0;
 	}
 	n->lead.running--;
 	fl_signal_wake(&n->lead.ended);
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -8,10 +8,10 @@
 
 static const struct {
 	int doubts;
-	double patience_s, report_most;
+	double timeout_s, report_most;
 } tunables = {
 	.doubts = 2,         /* answers without effect before nothing more is placed */
-	.patience_s = 4.0,   /* s that a worker waits for an answer before it tries another node */
+	.timeout_s = 4.0,    /* s that a worker waits for an answer before it tries another node */
 	.report_most = 1.25, /* report intervals between two reports at most */
 };
 
@@ -23,37 +23,38 @@
 }
 
 /*
- * A worker stays at a node that answers it, and goes on to the next one when it has waited an
- * answer out. So the same node twice shows that the answer came. Found at the size at which
- * workers report every 4 to 6 s: the time between two reports alone made nearly every machine that
- * nothing was ordered on look deaf, and nine in ten got no new work. Where only one node is known,
- * the time tells if reports come sooner than patience ends.
+ * Whether the worker timed out on the last answer. A worker stays at a node that answers it, and
+ * goes on to the next one after a timeout, so that two reports to the same node show that the
+ * answer arrived. Found at the size at which workers report every 4 to 6 s: by the time between
+ * two reports alone nearly every machine without an order seemed unreachable, and nine in ten got
+ * no new work. Where only one node is known, the time decides, if reports are more frequent than
+ * the timeout.
  */
-static bool waited_out(const struct fl_node *n, const struct fl_machine *m,
-                       const struct fl_report *r, double gap)
+static bool timed_out(const struct fl_node *n, const struct fl_machine *m,
+                      const struct fl_report *r, double gap)
 {
-	if (gap < tunables.patience_s)
+	if (gap < tunables.timeout_s)
 		return false;
 	if (r->via && m->via && n->n_peers > 0)
 		return r->via != m->via;
-	return tunables.report_most * n->config->report_s < tunables.patience_s;
+	return tunables.report_most * n->config->report_s < tunables.timeout_s;
 }
 
-/* An attempt that the last answer ordered must show, be it as refused. */
-static bool launch_shows(const struct fl_machine *m, const struct fl_report *r)
+/* Whether the report has every attempt that the last answer ordered, be it as refused. */
+static bool launches_reported(const struct fl_machine *m, const struct fl_report *r)
 {
 	for (int i = 0; i < m->n_slots; i++) {
 		const struct fl_job *job = m->slots[i].job;
 		const struct fl_task *t = fl_task_peek(job, m->slots[i].index);
-		bool there = false;
+		bool found = false;
 
 		if (!t->launch_sent)
 			continue;
-		for (int k = 0; k < r->n_tasks && !there; k++)
-			there = r->tasks[k].index == m->slots[i].index &&
+		for (int k = 0; k < r->n_tasks && !found; k++)
+			found = r->tasks[k].index == m->slots[i].index &&
 			        r->tasks[k].attempt == t->attempt &&
 			        strcmp(r->tasks[k].ref, job->ref) == 0;
-		if (!there)
+		if (!found)
 			return false;
 	}
 	return true;
@@ -62,20 +63,19 @@
 void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
                             double now)
 {
-	bool session_lost, missed;
-	double gap;
+	bool session_lost, no_effect;
+	double gap = m->answered > 0 ? now - m->answered : 0;
 
-	gap = m->answered > 0 ? now - m->answered : 0;
-	m->waited = waited_out(n, m, r, gap);
+	m->waited = timed_out(n, m, r, gap);
 	m->via = r->via;
 	if (m->answered <= 0)
 		return;
-	/* Had it heard the last answer, its lease could not have ended by now. */
+	/* Had the last answer arrived, the lease could not have ended by now. */
 	session_lost = r->session > m->session && m->session > 0 &&
-	               gap < n->config->lease_s - tunables.patience_s;
-	missed = r->epoch < m->answered_epoch || session_lost ||
-	         (m->answered_launch && !launch_shows(m, r));
-	if (missed) {
+	               gap < n->config->lease_s - tunables.timeout_s;
+	no_effect = r->epoch < m->answered_epoch || session_lost ||
+	            (m->answered_launch && !launches_reported(m, r));
+	if (no_effect) {
 		if (m->unheard++ == 0)
 			m->unheard_since = m->answered;
 		if (m->unheard == tunables.doubts)
@@ -83,16 +83,17 @@
 			        m->name);
 		return;
 	}
-	/* An answer with nothing to show proves nothing, unless it was not waited out. */
+	/* An answer without an order proves nothing, unless the worker did not time out. */
 	if (m->answered_launch || !m->waited)
 		fl_reachability_proven(m);
 }
 
-void fl_reachability_answered(struct fl_node *n, struct fl_machine *m, bool launch, double now)
+void fl_reachability_answered(struct fl_node *n, struct fl_machine *m, enum fl_answer_kind kind,
+                              double now)
 {
 	m->answered = now;
 	m->answered_epoch = n->lease.epoch;
-	m->answered_launch = launch;
+	m->answered_launch = kind == FL_ANSWER_WITH_LAUNCH;
 }
 
 bool fl_reachability_doubted(const struct fl_machine *m)
--- a/src/coordination/reachability.h
+++ b/src/coordination/reachability.h
@@ -1,8 +1,8 @@
 /*
- * Whether a machine hears us. Reports may arrive from a machine that neither answers nor commands
- * reach: to place work there would be to lose it. What shows that it hears is the effect of an
- * answer in the next report: the epoch it has seen, a launch that was carried out, a session that
- * did not end, and that it did not wait out its patience before it reported again.
+ * Whether our messages reach a machine. Reports may arrive from a machine that neither answers nor
+ * commands reach: work placed there would be lost. That an answer has arrived shows by its effect
+ * on the next report: the epoch the worker has seen, a launch that was carried out, a session that
+ * did not end, and that the worker did not time out before it reported again.
  */
 #ifndef FL_COORDINATION_REACHABILITY_H
 #define FL_COORDINATION_REACHABILITY_H
@@ -14,17 +14,23 @@
 
 struct fl_node;
 
-/* A newer report has come over the way that answers go; before it is taken into the cluster state.
+/*
+ * A newer report has come on a connection that is answered. To be called before the report changes
+ * the cluster state.
  */
 void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
                             double now);
-/* It is being answered. */
-void fl_reachability_answered(struct fl_node *n, struct fl_machine *m, bool launch, double now);
-/* A command was answered by the machine itself. */
+/* Whether an answer orders a launch, whose effect the next report must show. */
+enum fl_answer_kind { FL_ANSWER_WITHOUT_LAUNCH, FL_ANSWER_WITH_LAUNCH };
+
+/* The report is being answered. */
+void fl_reachability_answered(struct fl_node *n, struct fl_machine *m, enum fl_answer_kind kind,
+                              double now);
+/* The machine itself has answered a command. */
 void fl_reachability_proven(struct fl_machine *m);
-/* Nothing new is placed on a machine in doubt. */
+/* Whether the machine is in doubt, so that nothing new is placed there. */
 bool fl_reachability_doubted(const struct fl_machine *m);
-/* The last time at which it surely heard us, if it does not now; else INFINITY. */
+/* The last time at which our messages surely reached it, if they do not now; else INFINITY. */
 double fl_reachability_lost_at(const struct fl_machine *m);
 
 #endif
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -10,20 +10,23 @@
 #include "transport/log.h"
 
 static const struct {
-	double refused_s, error_s, error_most_s;
-	uint32_t consecutive_failures;
-	int faults;
-	double avoid_s;
+	double refused_s, backoff_s, backoff_most_s;
+	uint32_t doublings_most, consecutive_failures;
+	int faults, blamed_failures;
+	double avoid_s, checkpoint_margin_s;
 } tunables = {
-	.refused_s = 1.0,          /* s before a refused start is tried again */
-	.error_s = 2.0,            /* s after the first failure of a task, doubled each time */
-	.error_most_s = 60.0,      /* s; the most that a failing task waits */
-	.consecutive_failures = 4, /* failures of a job in a row before all of it waits */
-	.faults = 2,               /* failures on a machine before it is avoided */
-	.avoid_s = 120.0,          /* s for which it is avoided */
+	.refused_s = 1.0,           /* s before a refused start is tried again */
+	.backoff_s = 2.0,           /* s after the first failure of a task, doubled each time */
+	.backoff_most_s = 60.0,     /* s; the most that a failing task waits */
+	.doublings_most = 16,       /* failures counted: far beyond backoff_most_s */
+	.consecutive_failures = 4,  /* failures of a job in a row before all of it waits */
+	.faults = 2,                /* failures on a machine before it is avoided */
+	.blamed_failures = 4,       /* failures of a job in a row that still blame the machine */
+	.avoid_s = 120.0,           /* s for which it is avoided */
+	.checkpoint_margin_s = 1.0, /* s that a stop may take beside the checkpoint itself */
 };
 
-/* Newer by session, then sequence number; the first report heard is always newer. */
+/* Newer by session, then sequence number; the first report received is always newer. */
 static bool newer(const struct fl_machine *m, const struct fl_report *r)
 {
 	if (m->heard <= 0)
@@ -32,18 +35,18 @@
 }
 
 /*
- * Does the absence of an attempt from this report prove it is not there? Not if the report may
- * have been sent before an older leader's answer was executed, nor if a direct launch may still
- * arrive: both are ruled out once the worker has seen a higher epoch than they carry. Nor if it is
- * the reply to a command and an answer has ordered the launch: the reply may overtake the answer,
- * which is on its way to the worker until that sends its next report of its own.
+ * Whether the absence of an attempt from this report proves that it is not on the machine. Not if
+ * the report may have been sent before an older leader's answer was executed, nor if a direct
+ * launch may still arrive: both are ruled out once the worker has seen a higher epoch than they
+ * carry. Nor if the report replies to a command and an answer has ordered the launch: the reply may
+ * overtake the answer, which may be under way until the worker sends its next report of its own.
  */
 static bool absence_proves(const struct fl_machine *m, const struct fl_task *t,
                            const struct fl_report *r, enum fl_report_source source)
 {
 	if (t->launch_sent && source == FL_SOURCE_COMMAND)
 		return false;
-	/* An answer's launch is carried out before the worker's next report or never. */
+	/* The launch of an answer is executed before the worker's next report or never. */
 	return m->direct_epoch == 0 || r->epoch > m->direct_epoch;
 }
 
@@ -56,26 +59,30 @@
 	return r->epoch > m->direct_epoch;
 }
 
-static bool wanted(const struct fl_job *job, const struct fl_task *t)
+/* Whether the attempt is to run on, rather than be stopped. */
+static bool should_run(const struct fl_job *job, const struct fl_task *t)
 {
 	return !job->cancelled && t->stop == FL_STOP_NONE;
 }
 
-static double wind_down(const struct fl_job *job, const struct fl_task *t)
+/* Time that a stopped attempt gets to write its checkpoint. */
+static double stop_grace_s(const struct fl_job *job, const struct fl_task *t)
 {
 	if (job->cancelled || job->checkpoint_every_s <= 0 || t->observed == FL_OBSERVED_FLUSHING)
 		return 0;
-	return job->checkpoint_cost_s + 1;
+	return job->checkpoint_cost_s + tunables.checkpoint_margin_s;
 }
 
+/* Time before the next attempt after so many failures. */
 static double backoff(uint32_t failures)
 {
-	return fmin(tunables.error_most_s, tunables.error_s * pow(2, fmin(failures, 16) - 1));
+	return fmin(tunables.backoff_most_s,
+	            tunables.backoff_s * pow(2, fmin(failures, tunables.doublings_most) - 1));
 }
 
-static void note_error(struct fl_machine *m, struct fl_job *job, struct fl_task *t, double now)
+static void record_failure(struct fl_machine *m, struct fl_job *job, struct fl_task *t, double now)
 {
-	if (t->fails < 16)
+	if (t->fails < tunables.doublings_most)
 		t->fails++;
 	job->consecutive_failures++;
 	m->faults++;
@@ -85,14 +92,15 @@
 			now + backoff(job->consecutive_failures - tunables.consecutive_failures);
 	/* A job that fails everywhere must not make every machine look faulty. */
 	if (m->faults >= tunables.faults &&
-	    job->consecutive_failures <= 2 * (uint32_t)tunables.faults)
+	    job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
 		m->avoid_until = now + tunables.avoid_s;
 	fl_info("workers", "%s failed on %s (machine faults %d, job consecutive failures %u)",
 	        job->ref, m->name, m->faults, job->consecutive_failures);
 }
 
-static void ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job, uint32_t index,
-                  struct fl_task *t, const struct fl_task_report *p, double now)
+static void handle_ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
+                         uint32_t index, struct fl_task *t, const struct fl_task_report *p,
+                         double now)
 {
 	double pause = 0;
 
@@ -117,7 +125,7 @@
 		        p->exit == FL_EXIT_BUSY ? "busy" : "no room");
 		break;
 	default:
-		note_error(m, job, t, now);
+		record_failure(m, job, t, now);
 		pause = backoff(t->fails);
 		break;
 	}
@@ -138,10 +146,13 @@
 	}
 }
 
-/* An entry that is no current attempt: stop it if it lives, have it forgotten when that is safe. */
-static void stray(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
-                  const struct fl_task_report *p, const struct fl_report *r,
-                  struct fl_orders *orders)
+/*
+ * An entry that is not a current attempt: it is stopped if it runs, and forgotten by the worker
+ * when that is safe.
+ */
+static void handle_stale(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
+                         const struct fl_task_report *p, const struct fl_report *r,
+                         struct fl_orders *orders)
 {
 	if (p->state != FL_ENDED) {
 		m->foreign++;
@@ -160,24 +171,24 @@
 		}
 	}
 	if (!may_forget(m, r))
-		n->lead.unforgotten++;
+		n->lead.retained_entries++;
 	else if (orders && (!job || p->index >= job->n_tasks || fl_task_durable(job, p->index)))
 		fl_orders_add(orders, FL_FORGET, p->ref, p->index, p->attempt, 0);
 }
 
-static void reported_task(struct fl_node *n, struct fl_machine *m, const struct fl_task_report *p,
-                          const struct fl_report *r, struct fl_orders *orders, double now)
+static void handle_reported(struct fl_node *n, struct fl_machine *m, const struct fl_task_report *p,
+                            const struct fl_report *r, struct fl_orders *orders, double now)
 {
 	struct fl_job *job = fl_job_find(&n->cluster, p->ref);
 	struct fl_task *t = job && p->index < job->n_tasks ? fl_task_peek(job, p->index) : NULL;
 
 	if (!t || t->phase != FL_TASK_PLACED || t->machine != m->id || t->attempt != p->attempt) {
-		stray(n, m, job, p, r, orders);
+		handle_stale(n, m, job, p, r, orders);
 		return;
 	}
 	fl_machine_note_image(m, job->image);
 	if (p->state == FL_ENDED) {
-		ended(n, m, job, p->index, t, p, now);
+		handle_ended(n, m, job, p->index, t, p, now);
 		return;
 	}
 	if (t->observed != observed_of(p->state)) {
@@ -189,8 +200,8 @@
 		fl_task_observe(job, t, observed_of(p->state), now);
 		fl_signal_wake(&n->lead.work);
 	}
-	if (!wanted(job, t) && orders)
-		fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, wind_down(job, t));
+	if (!should_run(job, t) && orders)
+		fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, stop_grace_s(job, t));
 }
 
 static bool in_report(const struct fl_report *r, const struct fl_job *job, uint32_t index,
@@ -204,13 +215,14 @@
 }
 
 /*
- * Attempts that should be here and were not reported: launch, or conclude that they are not. True
- * if a launch is ordered.
+ * The attempts that are placed on the machine and were not reported: each is launched, or concluded
+ * to be gone.
  */
-static bool missing_tasks(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
-                          struct fl_orders *orders, enum fl_report_source source, double now)
+static enum fl_answer_kind handle_missing(struct fl_node *n, struct fl_machine *m,
+                                          const struct fl_report *r, struct fl_orders *orders,
+                                          enum fl_report_source source, double now)
 {
-	bool launches = false;
+	enum fl_answer_kind kind = FL_ANSWER_WITHOUT_LAUNCH;
 
 	for (int i = m->n_slots - 1; i >= 0; i--) {
 		struct fl_job *job = m->slots[i].job;
@@ -232,7 +244,7 @@
 			fl_error("workers", "%s/%u vanished from %s", job->ref, index, m->name);
 			fl_task_observe(job, t, FL_OBSERVED_NONE, now);
 		}
-		if (!wanted(job, t)) {
+		if (!should_run(job, t)) {
 			if (absence_proves(m, t, r, source)) {
 				fl_task_release(&n->cluster, job, index, 0);
 				fl_signal_wake(&n->lead.work);
@@ -242,10 +254,10 @@
 		} else if (orders && fl_task_durable(job, index)) {
 			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
 			t->launch_sent = true;
-			launches = true;
+			kind = FL_ANSWER_WITH_LAUNCH;
 		}
 	}
-	return launches;
+	return kind;
 }
 
 static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *r)
@@ -257,19 +269,20 @@
 }
 
 /*
- * A report that carries no epoch of this leadership was sent before its worker heard of it, maybe
- * long before: after a takeover nothing is known yet that would show a late copy to be old. It is
- * answered, and nothing else: no sign of life, no machine back from the dead. A worker that hears
- * the answer reports again at once, with the epoch.
+ * Whether a report was sent before its worker knew of this leadership, maybe long before: after a
+ * takeover nothing is known yet that would show a late copy to be old. Such a report is answered,
+ * and does not count as contact. A worker that receives the answer reports again at once, with the
+ * epoch.
  */
-static bool from_before(const struct fl_node *n, const struct fl_report *r)
+static bool predates_leadership(const struct fl_node *n, const struct fl_report *r)
 {
 	return r->epoch < n->lead.first_epoch;
 }
 
-static void take_in(struct fl_node *n, struct fl_machine *m, const struct fl_report *r, double now)
+static void record_contact(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+                           double now)
 {
-	bool fresh = !m->up;
+	bool changed = !m->up;
 
 	describe(n, m, r);
 	m->session = r->session;
@@ -280,9 +293,9 @@
 	if (r->reclaim_in_s >= 0 && m->reclaim_at == 0) {
 		m->reclaim_at = now + r->reclaim_in_s;
 		fl_info("cloud", "%s will be taken back in %.0f s", m->name, r->reclaim_in_s);
-		fresh = true;
+		changed = true;
 	}
-	if (fresh)
+	if (changed)
 		fl_signal_wake(&n->lead.work);
 }
 
@@ -291,13 +304,13 @@
 {
 	double now = fl_now();
 	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
-	bool launches;
+	enum fl_answer_kind kind;
 
 	if (m && m->gone)
 		return -ENOENT;
 	if (r->epoch > n->lease.epoch)
-		return -ENOENT; /* our own epoch, being raised: the next report will do */
-	if (from_before(n, r))
+		return -ENOENT; /* our own epoch, being raised: the next report is taken */
+	if (predates_leadership(n, r))
 		return 0;
 	if (!m)
 		m = fl_machine_get(&n->cluster.machines, r->host, now);
@@ -309,14 +322,14 @@
 		fl_reachability_proven(m);
 	else if (source == FL_SOURCE_REPORT)
 		fl_reachability_report(n, m, r, now);
-	take_in(n, m, r, now);
+	record_contact(n, m, r, now);
 	if (source != FL_SOURCE_FORWARDED)
 		m->reached = now;
 	for (int i = 0; i < r->n_tasks; i++)
-		reported_task(n, m, &r->tasks[i], r, orders, now);
-	launches = missing_tasks(n, m, r, orders, source, now);
+		handle_reported(n, m, &r->tasks[i], r, orders, now);
+	kind = handle_missing(n, m, r, orders, source, now);
 	if (source == FL_SOURCE_REPORT)
-		fl_reachability_answered(n, m, launches, now);
+		fl_reachability_answered(n, m, kind, now);
 	return 0;
 }
 
@@ -325,27 +338,27 @@
 	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
 
 	if (m && m->up && newer(m, r))
-		fl_reachability_answered(n, m, false, fl_now());
+		fl_reachability_answered(n, m, FL_ANSWER_WITHOUT_LAUNCH, fl_now());
 }
 
 bool fl_reconcile_direct(struct fl_node *n, struct fl_machine *m, struct fl_orders *orders)
 {
-	bool launched = false;
+	bool launches = false;
 
 	for (int i = 0; i < m->n_slots; i++) {
 		struct fl_job *job = m->slots[i].job;
 		uint32_t index = m->slots[i].index;
 		struct fl_task *t = fl_task_peek(job, index);
 
-		if (!wanted(job, t)) {
+		if (!should_run(job, t)) {
 			fl_orders_add(orders, FL_KILL, job->ref, index, t->attempt,
-			              wind_down(job, t));
+			              stop_grace_s(job, t));
 		} else if (t->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
 			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
-			launched = true;
+			launches = true;
 		}
 	}
-	if (launched)
+	if (launches)
 		m->direct_epoch = n->lease.epoch;
 	return orders->n > 0;
 }
