--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -14,17 +14,18 @@
 #include "transport/log.h"
 
 static const struct {
-	double write_share, retry_s, hold_s, finished_s;
+	double write_share, retry_s, watch_s, finished_s, end_wait_s;
 } tunables = {
 	.write_share = 0.7, /* share of the state service's writes that the leader's records use */
 	.retry_s = 0.2,     /* s after a failed read */
-	.hold_s = 10.0,     /* s; length of a watch */
-	.finished_s = 0.5,  /* s between two lists of what was done before */
+	.watch_s = 10.0,    /* s; length of a watch */
+	.finished_s = 0.5,  /* s between two lists of jobs done before */
+	.end_wait_s = 1.0,  /* s between two looks whether the routines have ended */
 };
 
 bool fl_leading(const struct fl_node *n) { return n->lead.active && fl_lease_valid(n); }
 
-/* ---- what other nodes cached and could not relay ---- */
+/* ---- reports that other nodes cached and could not relay ---- */
 
 static void on_forwarded(void *ctx, const struct fl_change *ch)
 {
@@ -40,7 +41,7 @@
 			fl_error("standby", "%s holds what is no report", ch->key);
 			continue;
 		}
-		/* Heard of, but not to be reached: it is alive, and gets no new task. */
+		/* The machine is alive, but not reachable from here: it gets no new task. */
 		fl_reconcile_report(n, &r, NULL, FL_SOURCE_FORWARDED);
 		fl_report_free(&r);
 	}
@@ -55,7 +56,7 @@
 		int rc = rev == 0
 		                 ? fl_state_list(&n->state, FL_PREFIX_CACHED, on_forwarded, n, &rev)
 		                 : fl_state_follow(&n->state, FL_PREFIX_CACHED, &rev,
-		                                   tunables.hold_s, on_forwarded, n);
+		                                   tunables.watch_s, on_forwarded, n);
 		if (rc == -ERANGE)
 			rev = 0;
 		if (rc && fl_sleep(tunables.retry_s) != 0)
@@ -65,9 +66,9 @@
 	fl_signal_wake(&n->lead.ended);
 }
 
-/* ---- what was done before ---- */
+/* ---- jobs that were done before this leadership ---- */
 
-static void on_final(void *ctx, const struct fl_change *ch)
+static void on_finished(void *ctx, const struct fl_change *ch)
 {
 	struct fl_node *n = ctx;
 	const char *ref = ch->key + strlen(FL_PREFIX_FINISHED);
@@ -81,10 +82,11 @@
 }
 
 /*
- * Found with thousands of jobs of one task and an end of all controllers: each user of a job that
- * was done before asked until it was read from its record, two requests a job, and for many that
- * took longer than a minute. A list brings a thousand in one request; ten lists with a pause in
- * between, so that however many there are, others are served meanwhile.
+ * Lists the finished jobs. Found with thousands of jobs of one task and an outage of all
+ * controllers: each user of a job that was done before asked until it was read from its record, two
+ * requests a job, and for many that took longer than a minute. A list returns a thousand in one
+ * request; there are ten lists, by the first digit, with a pause in between, so that however many
+ * jobs there are, others are served meanwhile.
  */
 static void finished_duty(void *arg)
 {
@@ -97,16 +99,17 @@
 		if (digit > 9 || !fl_leading(n))
 			continue;
 		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
-		if (fl_state_list(&n->state, prefix, on_final, n, &rev) == 0)
+		if (fl_state_list(&n->state, prefix, on_finished, n, &rev) == 0)
 			digit++;
 	}
 	n->lead.running--;
 	fl_signal_wake(&n->lead.ended);
 }
 
-/* ---- coming and going ---- */
+/* ---- start and end ---- */
 
-static void duty(struct fl_node *n, void (*fn)(void *))
+/* Starts one of the leader's routines, which are ended with the leadership. */
+static void start_duty(struct fl_node *n, void (*fn)(void *))
 {
 	struct fl_routine *r = fl_spawn(fn, n);
 
@@ -118,6 +121,7 @@
 	n->lead.running++;
 }
 
+/* The routine that loads the cluster state and starts the others. */
 static void begin(void *arg)
 {
 	struct fl_node *n = arg;
@@ -136,13 +140,13 @@
 	n->lead.active = true;
 	n->lead.due = true;
 	fl_budget_init(&n->lead.writes, rate, rate, fl_now());
-	duty(n, fl_pass_duty);
-	duty(n, fl_record_writer_duty);
-	duty(n, forwarded_duty);
-	duty(n, fl_command_enforce_duty);
+	start_duty(n, fl_pass_duty);
+	start_duty(n, fl_record_writer_duty);
+	start_duty(n, forwarded_duty);
+	start_duty(n, fl_command_enforce_duty);
 	fl_provision_begin(n);
-	duty(n, fl_provision_duty);
-	duty(n, finished_duty);
+	start_duty(n, fl_provision_duty);
+	start_duty(n, finished_duty);
 }
 
 void fl_leader_begin(struct fl_node *n)
@@ -160,7 +164,8 @@
 	for (int i = 0; i < n->lead.n_duties; i++)
 		fl_cancel(n->lead.duty[i]);
 	n->lead.n_duties = 0;
-	while (n->lead.running > 0 && fl_signal_wait(&n->lead.ended, 1.0) != -ECANCELED)
+	while (n->lead.running > 0 &&
+	       fl_signal_wait(&n->lead.ended, tunables.end_wait_s) != -ECANCELED)
 		;
 	fl_cluster_forget_tasks(&n->cluster);
 	n->cluster.leading = false;
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -7,18 +7,19 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/routine.h"
+#include "transport/text.h"
 
 static const struct {
-	double ttl_s, renew_s, drift, margin_s, poll_s, retry_s, stagger_s, hold_s, epoch_gap_s;
+	double ttl_s, renew_s, drift, margin_s, poll_s, retry_s, stagger_s, watch_s, epoch_gap_s;
 } tunables = {
-	.ttl_s = 3.0,       /* s; a dead leader is missed for at most this long */
+	.ttl_s = 3.0,       /* s; for at most so long a dead leader is not replaced */
 	.renew_s = 0.8,     /* s; three tries before the lease ends */
 	.drift = 0.001,     /* share; twice what the platform allows between two clocks */
 	.margin_s = 0.1,    /* s; for a timer that fires late */
-	.poll_s = 1.0,      /* s; how often others read who leads, which is also their proof */
+	.poll_s = 1.0,      /* s; how often others read who leads, which confirms the leadership */
 	.retry_s = 0.3,     /* s; after a refusal */
 	.stagger_s = 0.05,  /* s a node; so that not all try for the lease at once */
-	.hold_s = 10.0,     /* s; length of a watch */
+	.watch_s = 10.0,    /* s; length of a watch */
 	.epoch_gap_s = 4.0, /* s; least time between two raised epochs */
 };
 
@@ -27,6 +28,10 @@
 	return n->lease.held && fl_now() < n->lease.valid_until;
 }
 
+/* A steady time before any other. */
+#define LONG_AGO (-1e9)
+
+/* What the state service says of the leadership. */
 struct control {
 	char leader[FL_NAME_MAX], boot[96];
 	uint64_t lead_rev, epoch, epoch_rev;
@@ -48,7 +53,8 @@
 	}
 }
 
-static int look(struct fl_node *n, struct control *c)
+/* Reads who leads. If the epoch is not outdated, it confirms the leadership. */
+static int read_leadership(struct fl_node *n, struct control *c)
 {
 	double sent = fl_now();
 	uint64_t rev;
@@ -62,7 +68,7 @@
 		n->epoch = c->epoch;
 		if (sent > n->leadership_confirmed_at)
 			n->leadership_confirmed_at = sent;
-		strcpy(n->leader, c->found ? c->leader : "");
+		fl_copy_string(n->leader, sizeof(n->leader), c->found ? c->leader : "");
 	}
 	return 0;
 }
@@ -71,7 +77,7 @@
 {
 	struct control c;
 
-	return look(n, &c);
+	return read_leadership(n, &c);
 }
 
 void fl_lease_lost(struct fl_node *n, const char *why)
@@ -85,13 +91,14 @@
 	fl_signal_wake(&n->control_changed);
 }
 
+/* Tries to become the leader, with the next epoch. */
 static void acquire(struct fl_node *n, const struct control *c)
 {
 	struct fl_lease *l = &n->lease;
 	uint64_t grant, rev, epoch = c->epoch + 1;
 	double sent = fl_now();
 	struct fl_multi m;
-	cJSON *lead, *e;
+	cJSON *lead, *epoch_value;
 	int rc = fl_state_hold(&n->state, tunables.ttl_s, &grant);
 
 	if (rc)
@@ -99,13 +106,13 @@
 	lead = cJSON_CreateObject();
 	cJSON_AddStringToObject(lead, "node", n->config->node);
 	cJSON_AddStringToObject(lead, "boot", n->boot);
-	e = cJSON_CreateObject();
-	cJSON_AddNumberToObject(e, "epoch", (double)epoch);
+	epoch_value = cJSON_CreateObject();
+	cJSON_AddNumberToObject(epoch_value, "epoch", (double)epoch);
 	fl_multi_init(&m);
 	fl_multi_when(&m, FL_KEY_LEAD, 0);
 	fl_multi_when(&m, FL_KEY_EPOCH, c->epoch_rev);
 	fl_multi_put(&m, FL_KEY_LEAD, lead, grant);
-	fl_multi_put(&m, FL_KEY_EPOCH, e, 0);
+	fl_multi_put(&m, FL_KEY_EPOCH, epoch_value, 0);
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
 	if (rc) {
 		/* If it was, or will yet be, carried out: the key goes with its lease. */
@@ -121,25 +128,26 @@
 	l->raised_at = fl_now();
 	n->epoch = epoch;
 	n->leadership_confirmed_at = sent;
-	strcpy(n->leader, n->config->node);
+	fl_copy_string(n->leader, sizeof(n->leader), n->config->node);
 	fl_info("lease", "%s leads with epoch %llu", n->config->node, (unsigned long long)epoch);
 }
 
+/* Raises the epoch of a leader, so that what carries the old one is fenced. */
 static void raise_epoch(struct fl_node *n)
 {
 	struct fl_lease *l = &n->lease;
 	uint64_t rev, grant = l->grant;
 	struct fl_multi m;
 	struct control c;
-	cJSON *e = cJSON_CreateObject();
+	cJSON *epoch_value = cJSON_CreateObject();
 	int rc;
 
 	l->raised_at = fl_now();
-	cJSON_AddNumberToObject(e, "epoch", (double)(l->epoch + 1));
+	cJSON_AddNumberToObject(epoch_value, "epoch", (double)(l->epoch + 1));
 	fl_multi_init(&m);
 	fl_multi_when(&m, FL_KEY_LEAD, l->lead_rev);
 	fl_multi_when(&m, FL_KEY_EPOCH, l->epoch_rev);
-	fl_multi_put(&m, FL_KEY_EPOCH, e, 0);
+	fl_multi_put(&m, FL_KEY_EPOCH, epoch_value, 0);
 	rc = fl_state_multi(&n->state, &m, &rev, NULL);
 	if (!l->held || l->grant != grant)
 		return;
@@ -147,8 +155,8 @@
 		l->epoch++;
 		l->epoch_rev = rev;
 		l->want_epoch = false;
-	} else if (look(n, &c) == 0 && l->held && c.lead_rev == l->lead_rev) {
-		/* It went unanswered: what stands now is what counts. */
+	} else if (read_leadership(n, &c) == 0 && l->held && c.lead_rev == l->lead_rev) {
+		/* The result is unknown: what is stored now counts. */
 		l->epoch = c.epoch;
 		l->epoch_rev = c.epoch_rev;
 	}
@@ -156,6 +164,7 @@
 		n->epoch = l->epoch;
 }
 
+/* Renews the lease; returns the time until the next renewal. */
 static double renew(struct fl_node *n)
 {
 	struct fl_lease *l = &n->lease;
@@ -166,7 +175,8 @@
 	if (!l->held || l->grant != grant)
 		return 0;
 	if (rc == 0) {
-		/* While the lease was in doubt no digest could come: silence counts from now. */
+		/* While the lease was in doubt no digest could come: silence is counted from now.
+		 */
 		if (fl_now() > l->valid_until)
 			n->lead.since = fl_now();
 		l->valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
@@ -185,13 +195,14 @@
 	return tunables.retry_s;
 }
 
+/* Tries for the lease if nobody has it; returns the time until the next try. */
 static double seek(struct fl_node *n, int place)
 {
 	struct control c;
 	uint64_t rev, grant = 0;
 	cJSON *v;
 
-	if (look(n, &c) != 0)
+	if (read_leadership(n, &c) != 0)
 		return tunables.retry_s;
 	if (c.found && strcmp(c.leader, n->config->node) != 0)
 		return tunables.poll_s;
@@ -205,7 +216,7 @@
 		return 0;
 	}
 	if (c.found)
-		return tunables.retry_s; /* our own, given up, and about to end */
+		return tunables.retry_s; /* our own key, given up, about to expire */
 	if (fl_sleep(tunables.stagger_s * place) != 0)
 		return 0;
 	acquire(n, &c);
@@ -228,7 +239,8 @@
 				fl_leader_begin(n);
 			pause = renew(n);
 		} else if (n->lead.loading) {
-			pause = tunables.retry_s; /* it sees that the lease is lost, and ends */
+			pause = tunables.retry_s; /* the loading ends by itself, as the lease is
+			                             lost */
 		} else {
 			if (n->lead.active)
 				fl_leader_end(n);
@@ -258,7 +270,7 @@
 	}
 }
 
-/* Hears of a leader's end within milliseconds, where reading alone would take a second. */
+/* Learns of a leader's end within milliseconds, where polling alone would take a second. */
 static void watch_duty(void *arg)
 {
 	struct fl_node *n = arg;
@@ -275,7 +287,7 @@
 			if (rc == 0 && sent > n->leadership_confirmed_at)
 				n->leadership_confirmed_at = sent;
 		} else {
-			rc = fl_state_follow(&n->state, FL_PREFIX_CONTROL, &rev, tunables.hold_s,
+			rc = fl_state_follow(&n->state, FL_PREFIX_CONTROL, &rev, tunables.watch_s,
 			                     on_control, n);
 		}
 		if (rc == -ERANGE)
@@ -287,7 +299,7 @@
 
 void fl_lease_start(struct fl_node *n)
 {
-	n->leadership_confirmed_at = n->cancellations_known_until = -1e9;
+	n->leadership_confirmed_at = n->cancellations_known_until = LONG_AGO;
 	fl_spawn(lease_duty, n);
 	fl_spawn(watch_duty, n);
 }
