--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -27,7 +27,7 @@
 static void push_once(struct fl_node *n, struct fl_machine *m)
 {
 	struct fl_orders orders;
-	struct fl_report r;
+	struct fl_report report;
 	char *body;
 	int rc;
 
@@ -41,42 +41,42 @@
 		return;
 	}
 	body = fl_orders_take(&orders);
-	rc = fl_worker_command(m->endpoint, body, tunables.timeout_s, &r);
+	rc = fl_worker_command(m->endpoint, body, tunables.timeout_s, &report);
 	free(body);
 	if (rc == 200 || rc == 409) {
 		if (fl_leading(n))
-			fl_reconcile_report(n, &r, NULL, FL_SOURCE_COMMAND);
-		fl_report_free(&r);
+			fl_reconcile_report(n, &report, NULL, FL_SOURCE_COMMAND);
+		fl_report_free(&report);
 	}
 }
 
 static void push_routine(void *arg)
 {
-	struct push *p = arg;
-	struct fl_node *n = p->n;
+	struct push *push = arg;
+	struct fl_node *n = push->n;
 
-	while (p->m->want_push && !fl_cancelled())
-		push_once(n, p->m);
-	p->m->pushing = false;
+	while (push->m->want_push && !fl_cancelled())
+		push_once(n, push->m);
+	push->m->pushing = false;
 	n->lead.pushes--;
 	n->lead.running--;
 	fl_signal_wake(&n->lead.ended);
-	free(p);
+	free(push);
 }
 
 void fl_command_push(struct fl_node *n, struct fl_machine *m)
 {
-	struct push *p;
+	struct push *push;
 
 	m->want_push = true;
 	if (m->pushing || n->lead.pushes >= tunables.concurrent_most)
 		return; /* the worker's next report brings the orders all the same */
-	p = malloc(sizeof(*p));
-	if (!p)
+	push = malloc(sizeof(*push));
+	if (!push)
 		return;
-	*p = (struct push){n, m};
-	if (!fl_spawn(push_routine, p)) {
-		free(p);
+	*push = (struct push){n, m};
+	if (!fl_spawn(push_routine, push)) {
+		free(push);
 		return;
 	}
 	m->pushing = true;
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -38,46 +38,46 @@
 	bool found;
 };
 
-static void read_control(void *ctx, const struct fl_change *ch)
+static void read_control(void *ctx, const struct fl_change *change)
 {
-	struct control *c = ctx;
+	struct control *control = ctx;
 
-	if (strcmp(ch->key, FL_KEY_LEAD) == 0 && ch->value) {
-		c->found =
-			fl_json_str(ch->value, "node", c->leader, sizeof(c->leader)) == FL_FIELD_OK;
-		fl_json_str(ch->value, "boot", c->boot, sizeof(c->boot));
-		c->lead_rev = ch->rev;
-	} else if (strcmp(ch->key, FL_KEY_EPOCH) == 0 && ch->value) {
-		fl_json_count(ch->value, "epoch", &c->epoch);
-		c->epoch_rev = ch->rev;
+	if (strcmp(change->key, FL_KEY_LEAD) == 0 && change->value) {
+		control->found = fl_json_str(change->value, "node", control->leader,
+		                             sizeof(control->leader)) == FL_FIELD_OK;
+		fl_json_str(change->value, "boot", control->boot, sizeof(control->boot));
+		control->lead_rev = change->rev;
+	} else if (strcmp(change->key, FL_KEY_EPOCH) == 0 && change->value) {
+		fl_json_count(change->value, "epoch", &control->epoch);
+		control->epoch_rev = change->rev;
 	}
 }
 
 /* Reads who leads. If the epoch is not outdated, it confirms the leadership. */
-static int read_leadership(struct fl_node *n, struct control *c)
+static int read_leadership(struct fl_node *n, struct control *control)
 {
 	double sent = fl_now();
 	uint64_t rev;
 	int rc;
 
-	memset(c, 0, sizeof(*c));
-	rc = fl_state_list(&n->state, FL_PREFIX_CONTROL, read_control, c, &rev);
+	memset(control, 0, sizeof(*control));
+	rc = fl_state_list(&n->state, FL_PREFIX_CONTROL, read_control, control, &rev);
 	if (rc)
 		return rc;
-	if (c->epoch >= n->epoch) {
-		n->epoch = c->epoch;
+	if (control->epoch >= n->epoch) {
+		n->epoch = control->epoch;
 		if (sent > n->leadership_confirmed_at)
 			n->leadership_confirmed_at = sent;
-		fl_copy_string(n->leader, sizeof(n->leader), c->found ? c->leader : "");
+		fl_copy_string(n->leader, sizeof(n->leader), control->found ? control->leader : "");
 	}
 	return 0;
 }
 
 int fl_lease_refresh(struct fl_node *n)
 {
-	struct control c;
+	struct control control;
 
-	return read_leadership(n, &c);
+	return read_leadership(n, &control);
 }
 
 void fl_lease_lost(struct fl_node *n, const char *why)
@@ -92,12 +92,12 @@
 }
 
 /* Tries to become the leader, with the next epoch. */
-static void acquire(struct fl_node *n, const struct control *c)
+static void acquire(struct fl_node *n, const struct control *control)
 {
-	struct fl_lease *l = &n->lease;
-	uint64_t grant, rev, epoch = c->epoch + 1;
+	struct fl_lease *lease = &n->lease;
+	uint64_t grant, rev, epoch = control->epoch + 1;
 	double sent = fl_now();
-	struct fl_multi m;
+	struct fl_multi writes;
 	cJSON *lead, *epoch_value;
 	int rc = fl_state_hold(&n->state, tunables.ttl_s, &grant);
 
@@ -108,24 +108,24 @@
 	cJSON_AddStringToObject(lead, "boot", n->boot);
 	epoch_value = cJSON_CreateObject();
 	cJSON_AddNumberToObject(epoch_value, "epoch", (double)epoch);
-	fl_multi_init(&m);
-	fl_multi_when(&m, FL_KEY_LEAD, 0);
-	fl_multi_when(&m, FL_KEY_EPOCH, c->epoch_rev);
-	fl_multi_put(&m, FL_KEY_LEAD, lead, grant);
-	fl_multi_put(&m, FL_KEY_EPOCH, epoch_value, 0);
-	rc = fl_state_multi(&n->state, &m, &rev, NULL);
+	fl_multi_init(&writes);
+	fl_multi_when(&writes, FL_KEY_LEAD, 0);
+	fl_multi_when(&writes, FL_KEY_EPOCH, control->epoch_rev);
+	fl_multi_put(&writes, FL_KEY_LEAD, lead, grant);
+	fl_multi_put(&writes, FL_KEY_EPOCH, epoch_value, 0);
+	rc = fl_state_multi(&n->state, &writes, &rev, NULL);
 	if (rc) {
 		/* If it was, or will yet be, carried out: the key goes with its lease. */
 		fl_state_release(&n->state, grant);
 		return;
 	}
-	l->grant = grant;
-	l->lead_rev = l->epoch_rev = rev;
-	l->epoch = epoch;
-	l->valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
-	l->held = true;
-	l->want_epoch = false;
-	l->raised_at = fl_now();
+	lease->grant = grant;
+	lease->lead_rev = lease->epoch_rev = rev;
+	lease->epoch = epoch;
+	lease->valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
+	lease->held = true;
+	lease->want_epoch = false;
+	lease->raised_at = fl_now();
 	n->epoch = epoch;
 	n->leadership_confirmed_at = sent;
 	fl_copy_string(n->leader, sizeof(n->leader), n->config->node);
@@ -135,54 +135,56 @@
 /* Raises the epoch of a leader, so that what carries the old one is fenced. */
 static void raise_epoch(struct fl_node *n)
 {
-	struct fl_lease *l = &n->lease;
-	uint64_t rev, grant = l->grant;
-	struct fl_multi m;
-	struct control c;
+	struct fl_lease *lease = &n->lease;
+	uint64_t rev, grant = lease->grant;
+	struct fl_multi writes;
+	struct control control;
 	cJSON *epoch_value = cJSON_CreateObject();
 	int rc;
 
-	l->raised_at = fl_now();
-	cJSON_AddNumberToObject(epoch_value, "epoch", (double)(l->epoch + 1));
-	fl_multi_init(&m);
-	fl_multi_when(&m, FL_KEY_LEAD, l->lead_rev);
-	fl_multi_when(&m, FL_KEY_EPOCH, l->epoch_rev);
-	fl_multi_put(&m, FL_KEY_EPOCH, epoch_value, 0);
-	rc = fl_state_multi(&n->state, &m, &rev, NULL);
-	if (!l->held || l->grant != grant)
+	lease->raised_at = fl_now();
+	cJSON_AddNumberToObject(epoch_value, "epoch", (double)(lease->epoch + 1));
+	fl_multi_init(&writes);
+	fl_multi_when(&writes, FL_KEY_LEAD, lease->lead_rev);
+	fl_multi_when(&writes, FL_KEY_EPOCH, lease->epoch_rev);
+	fl_multi_put(&writes, FL_KEY_EPOCH, epoch_value, 0);
+	rc = fl_state_multi(&n->state, &writes, &rev, NULL);
+	if (!lease->held || lease->grant != grant)
 		return;
 	if (!rc) {
-		l->epoch++;
-		l->epoch_rev = rev;
-		l->want_epoch = false;
-	} else if (read_leadership(n, &c) == 0 && l->held && c.lead_rev == l->lead_rev) {
+		lease->epoch++;
+		lease->epoch_rev = rev;
+		lease->want_epoch = false;
+	} else if (read_leadership(n, &control) == 0 && lease->held &&
+	           control.lead_rev == lease->lead_rev) {
 		/* The result is unknown: what is stored now counts. */
-		l->epoch = c.epoch;
-		l->epoch_rev = c.epoch_rev;
+		lease->epoch = control.epoch;
+		lease->epoch_rev = control.epoch_rev;
 	}
-	if (l->held)
-		n->epoch = l->epoch;
+	if (lease->held)
+		n->epoch = lease->epoch;
 }
 
 /* Renews the lease; returns the time until the next renewal. */
 static double renew(struct fl_node *n)
 {
-	struct fl_lease *l = &n->lease;
-	uint64_t grant = l->grant;
+	struct fl_lease *lease = &n->lease;
+	uint64_t grant = lease->grant;
 	double sent = fl_now();
 	int rc = fl_state_extend(&n->state, grant, tunables.renew_s);
 
-	if (!l->held || l->grant != grant)
+	if (!lease->held || lease->grant != grant)
 		return 0;
 	if (rc == 0) {
 		/* While the lease was in doubt no digest could come: silence is counted from now.
 		 */
-		if (fl_now() > l->valid_until)
+		if (fl_now() > lease->valid_until)
 			n->lead.since = fl_now();
-		l->valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
+		lease->valid_until =
+			sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
 		if (sent > n->leadership_confirmed_at)
 			n->leadership_confirmed_at = sent;
-		if (l->want_epoch && fl_now() > l->raised_at + tunables.epoch_gap_s)
+		if (lease->want_epoch && fl_now() > lease->raised_at + tunables.epoch_gap_s)
 			raise_epoch(n);
 		return tunables.renew_s;
 	}
@@ -190,7 +192,7 @@
 		fl_lease_lost(n, "the lease has ended");
 		return 0;
 	}
-	if (fl_now() > l->valid_until)
+	if (fl_now() > lease->valid_until)
 		fl_debug("lease", "cannot renew (%s): renewing worker leases only", strerror(-rc));
 	return tunables.retry_s;
 }
@@ -198,28 +200,28 @@
 /* Tries for the lease if nobody has it; returns the time until the next try. */
 static double seek(struct fl_node *n, int place)
 {
-	struct control c;
+	struct control control;
 	uint64_t rev, grant = 0;
-	cJSON *v;
+	cJSON *value;
 
-	if (read_leadership(n, &c) != 0)
+	if (read_leadership(n, &control) != 0)
 		return tunables.retry_s;
-	if (c.found && strcmp(c.leader, n->config->node) != 0)
+	if (control.found && strcmp(control.leader, n->config->node) != 0)
 		return tunables.poll_s;
-	if (c.found && strcmp(c.boot, n->boot) != 0) {
+	if (control.found && strcmp(control.boot, n->boot) != 0) {
 		/* An earlier process of this node; it is dead, or this one would not run. */
-		if (fl_state_get(&n->state, FL_KEY_LEAD, &v, &rev, &grant) == 0) {
-			cJSON_Delete(v);
-			if (grant && rev == c.lead_rev)
+		if (fl_state_get(&n->state, FL_KEY_LEAD, &value, &rev, &grant) == 0) {
+			cJSON_Delete(value);
+			if (grant && rev == control.lead_rev)
 				fl_state_release(&n->state, grant);
 		}
 		return 0;
 	}
-	if (c.found)
+	if (control.found)
 		return tunables.retry_s; /* our own key, given up, about to expire */
 	if (fl_sleep(tunables.stagger_s * place) != 0)
 		return 0;
-	acquire(n, &c);
+	acquire(n, &control);
 	return n->lease.held ? 0 : tunables.retry_s;
 }
 
@@ -251,20 +253,20 @@
 	}
 }
 
-static void on_control(void *ctx, const struct fl_change *ch)
+static void on_control(void *ctx, const struct fl_change *change)
 {
 	struct fl_node *n = ctx;
 	uint64_t epoch;
 
-	if (strcmp(ch->key, FL_KEY_LEAD) == 0) {
-		if (!ch->value)
+	if (strcmp(change->key, FL_KEY_LEAD) == 0) {
+		if (!change->value)
 			n->leader[0] = 0;
 		else
-			fl_json_str(ch->value, "node", n->leader, sizeof(n->leader));
+			fl_json_str(change->value, "node", n->leader, sizeof(n->leader));
 		if (!n->lease.held)
 			fl_signal_wake(&n->control_changed);
-	} else if (strcmp(ch->key, FL_KEY_EPOCH) == 0 && ch->value &&
-	           fl_json_count(ch->value, "epoch", &epoch) == FL_FIELD_OK) {
+	} else if (strcmp(change->key, FL_KEY_EPOCH) == 0 && change->value &&
+	           fl_json_count(change->value, "epoch", &epoch) == FL_FIELD_OK) {
 		if (epoch > n->epoch)
 			n->epoch = epoch;
 	}
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -31,50 +31,50 @@
  * the timeout.
  */
 static bool timed_out(const struct fl_node *n, const struct fl_machine *m,
-                      const struct fl_report *r, double gap)
+                      const struct fl_report *report, double gap)
 {
 	if (gap < tunables.timeout_s)
 		return false;
-	if (r->via && m->via && n->n_peers > 0)
-		return r->via != m->via;
+	if (report->via && m->via && n->n_peers > 0)
+		return report->via != m->via;
 	return tunables.report_most * n->config->report_s < tunables.timeout_s;
 }
 
 /* Whether the report has every attempt that the last answer ordered, be it as refused. */
-static bool launches_reported(const struct fl_machine *m, const struct fl_report *r)
+static bool launches_reported(const struct fl_machine *m, const struct fl_report *report)
 {
 	for (int i = 0; i < m->n_slots; i++) {
 		const struct fl_job *job = m->slots[i].job;
-		const struct fl_task *t = fl_task_peek(job, m->slots[i].index);
+		const struct fl_task *task = fl_task_peek(job, m->slots[i].index);
 		bool found = false;
 
-		if (!t->launch_sent)
+		if (!task->launch_sent)
 			continue;
-		for (int k = 0; k < r->n_tasks && !found; k++)
-			found = r->tasks[k].index == m->slots[i].index &&
-			        r->tasks[k].attempt == t->attempt &&
-			        strcmp(r->tasks[k].ref, job->ref) == 0;
+		for (int k = 0; k < report->n_tasks && !found; k++)
+			found = report->tasks[k].index == m->slots[i].index &&
+			        report->tasks[k].attempt == task->attempt &&
+			        strcmp(report->tasks[k].ref, job->ref) == 0;
 		if (!found)
 			return false;
 	}
 	return true;
 }
 
-void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *report,
                             double now)
 {
 	bool session_lost, no_effect;
 	double gap = m->answered > 0 ? now - m->answered : 0;
 
-	m->waited = timed_out(n, m, r, gap);
-	m->via = r->via;
+	m->waited = timed_out(n, m, report, gap);
+	m->via = report->via;
 	if (m->answered <= 0)
 		return;
 	/* Had the last answer arrived, the lease could not have ended by now. */
-	session_lost = r->session > m->session && m->session > 0 &&
+	session_lost = report->session > m->session && m->session > 0 &&
 	               gap < n->config->lease_s - tunables.timeout_s;
-	no_effect = r->epoch < m->answered_epoch || session_lost ||
-	            (m->answered_launch && !launches_reported(m, r));
+	no_effect = report->epoch < m->answered_epoch || session_lost ||
+	            (m->answered_launch && !launches_reported(m, report));
 	if (no_effect) {
 		if (m->unheard++ == 0)
 			m->unheard_since = m->answered;
--- a/src/coordination/reachability.h
+++ b/src/coordination/reachability.h
@@ -18,7 +18,7 @@
  * A newer report has come on a connection that is answered. To be called before the report changes
  * the cluster state.
  */
-void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *report,
                             double now);
 /* Whether an answer orders a launch, whose effect the next report must show. */
 enum fl_answer_kind { FL_ANSWER_WITHOUT_LAUNCH, FL_ANSWER_WITH_LAUNCH };
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -27,11 +27,12 @@
 };
 
 /* Newer by session, then sequence number; the first report received is always newer. */
-static bool newer(const struct fl_machine *m, const struct fl_report *r)
+static bool newer(const struct fl_machine *m, const struct fl_report *report)
 {
 	if (m->heard <= 0)
 		return true;
-	return r->session > m->session || (r->session == m->session && r->seq > m->seq);
+	return report->session > m->session ||
+	       (report->session == m->session && report->seq > m->seq);
 }
 
 /*
@@ -41,34 +42,35 @@
  * carry. Nor if the report replies to a command and an answer has ordered the launch: the reply may
  * overtake the answer, which may be under way until the worker sends its next report of its own.
  */
-static bool absence_proves(const struct fl_machine *m, const struct fl_task *t,
-                           const struct fl_report *r, enum fl_report_source source)
+static bool absence_proves(const struct fl_machine *m, const struct fl_task *task,
+                           const struct fl_report *report, enum fl_report_source source)
 {
-	if (t->launch_sent && source == FL_SOURCE_COMMAND)
+	if (task->launch_sent && source == FL_SOURCE_COMMAND)
 		return false;
 	/* The launch of an answer is executed before the worker's next report or never. */
-	return m->direct_epoch == 0 || r->epoch > m->direct_epoch;
+	return m->direct_epoch == 0 || report->epoch > m->direct_epoch;
 }
 
 /*
  * A finished entry may be dropped by the worker only when no late launch can restart it. One of an
  * older leader cannot: a report that counts carries this leadership's epoch.
  */
-static bool may_forget(const struct fl_machine *m, const struct fl_report *r)
+static bool may_forget(const struct fl_machine *m, const struct fl_report *report)
 {
-	return r->epoch > m->direct_epoch;
+	return report->epoch > m->direct_epoch;
 }
 
 /* Whether the attempt is to run on, rather than be stopped. */
-static bool should_run(const struct fl_job *job, const struct fl_task *t)
+static bool should_run(const struct fl_job *job, const struct fl_task *task)
 {
-	return !job->cancelled && t->stop == FL_STOP_NONE;
+	return !job->cancelled && task->stop == FL_STOP_NONE;
 }
 
 /* Time that a stopped attempt gets to write its checkpoint. */
-static double stop_grace_s(const struct fl_job *job, const struct fl_task *t)
+static double stop_grace_s(const struct fl_job *job, const struct fl_task *task)
 {
-	if (job->cancelled || job->checkpoint_every_s <= 0 || t->observed == FL_OBSERVED_FLUSHING)
+	if (job->cancelled || job->checkpoint_every_s <= 0 ||
+	    task->observed == FL_OBSERVED_FLUSHING)
 		return 0;
 	return job->checkpoint_cost_s + tunables.checkpoint_margin_s;
 }
@@ -80,10 +82,11 @@
 	            tunables.backoff_s * pow(2, fmin(failures, tunables.doublings_most) - 1));
 }
 
-static void record_failure(struct fl_machine *m, struct fl_job *job, struct fl_task *t, double now)
+static void record_failure(struct fl_machine *m, struct fl_job *job, struct fl_task *task,
+                           double now)
 {
-	if (t->fails < tunables.doublings_most)
-		t->fails++;
+	if (task->fails < tunables.doublings_most)
+		task->fails++;
 	job->consecutive_failures++;
 	m->faults++;
 	/* A job submitted with a mistake fails everywhere, each of its tasks for the first time. */
@@ -99,15 +102,15 @@
 }
 
 static void handle_ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
-                         uint32_t index, struct fl_task *t, const struct fl_task_report *p,
+                         uint32_t index, struct fl_task *task, const struct fl_task_report *entry,
                          double now)
 {
 	double pause = 0;
 
-	switch (p->exit) {
+	switch (entry->exit) {
 	case FL_EXIT_DONE:
 		fl_debug("workers", "%s/%u done on %s after %.1f s of %.1f", job->ref, index,
-		         m->name, now - t->since, job->expected_s);
+		         m->name, now - task->since, job->expected_s);
 		job->consecutive_failures = 0;
 		job->not_before = 0;
 		m->faults = 0;
@@ -122,11 +125,11 @@
 	case FL_EXIT_BUSY:
 		pause = tunables.refused_s;
 		fl_info("workers", "%s refused %s/%u (%s)", m->name, job->ref, index,
-		        p->exit == FL_EXIT_BUSY ? "busy" : "no room");
+		        entry->exit == FL_EXIT_BUSY ? "busy" : "no room");
 		break;
 	default:
-		record_failure(m, job, t, now);
-		pause = backoff(t->fails);
+		record_failure(m, job, task, now);
+		pause = backoff(task->fails);
 		break;
 	}
 	fl_task_release(&n->cluster, job, index, pause > 0 ? now + pause : 0);
@@ -151,65 +154,70 @@
  * when that is safe.
  */
 static void handle_stale(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
-                         const struct fl_task_report *p, const struct fl_report *r,
+                         const struct fl_task_report *entry, const struct fl_report *report,
                          struct fl_orders *orders)
 {
-	if (p->state != FL_ENDED) {
+	if (entry->state != FL_ENDED) {
 		m->foreign++;
 		if (orders)
-			fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, 0);
+			fl_orders_add(orders, FL_KILL, entry->ref, entry->index, entry->attempt, 0);
 		return;
 	}
 	/* Completed is completed, whichever attempt it was. */
-	if (p->exit == FL_EXIT_DONE && job && !job->cancelled && p->index < job->n_tasks &&
+	if (entry->exit == FL_EXIT_DONE && job && !job->cancelled && entry->index < job->n_tasks &&
 	    job->kind == FL_ARRAY) {
-		struct fl_task *t = fl_task_get(job, p->index);
+		struct fl_task *task = fl_task_get(job, entry->index);
 
-		if (t && t->phase == FL_TASK_WAITING) {
-			fl_task_done(&n->cluster, job, p->index);
+		if (task && task->phase == FL_TASK_WAITING) {
+			fl_task_done(&n->cluster, job, entry->index);
 			fl_signal_wake(&n->lead.work);
 		}
 	}
-	if (!may_forget(m, r))
+	if (!may_forget(m, report))
 		n->lead.retained_entries++;
-	else if (orders && (!job || p->index >= job->n_tasks || fl_task_durable(job, p->index)))
-		fl_orders_add(orders, FL_FORGET, p->ref, p->index, p->attempt, 0);
+	else if (orders &&
+	         (!job || entry->index >= job->n_tasks || fl_task_durable(job, entry->index)))
+		fl_orders_add(orders, FL_FORGET, entry->ref, entry->index, entry->attempt, 0);
 }
 
-static void handle_reported(struct fl_node *n, struct fl_machine *m, const struct fl_task_report *p,
-                            const struct fl_report *r, struct fl_orders *orders, double now)
+static void handle_reported(struct fl_node *n, struct fl_machine *m,
+                            const struct fl_task_report *entry, const struct fl_report *report,
+                            struct fl_orders *orders, double now)
 {
-	struct fl_job *job = fl_job_find(&n->cluster, p->ref);
-	struct fl_task *t = job && p->index < job->n_tasks ? fl_task_peek(job, p->index) : NULL;
+	struct fl_job *job = fl_job_find(&n->cluster, entry->ref);
+	struct fl_task *task =
+		job && entry->index < job->n_tasks ? fl_task_peek(job, entry->index) : NULL;
 
-	if (!t || t->phase != FL_TASK_PLACED || t->machine != m->id || t->attempt != p->attempt) {
-		handle_stale(n, m, job, p, r, orders);
+	if (!task || task->phase != FL_TASK_PLACED || task->machine != m->id ||
+	    task->attempt != entry->attempt) {
+		handle_stale(n, m, job, entry, report, orders);
 		return;
 	}
 	fl_machine_note_image(m, job->image);
-	if (p->state == FL_ENDED) {
-		handle_ended(n, m, job, p->index, t, p, now);
+	if (entry->state == FL_ENDED) {
+		handle_ended(n, m, job, entry->index, task, entry, now);
 		return;
 	}
-	if (t->observed != observed_of(p->state)) {
-		fl_debug("workers", "%s/%u is %s on %s after %.1f s", job->ref, p->index,
-		         observed_of(p->state) == FL_OBSERVED_RUNNING   ? "running"
-		         : observed_of(p->state) == FL_OBSERVED_PULLING ? "pulling"
-		                                                        : "saving",
-		         m->name, now - t->since);
-		fl_task_observe(job, t, observed_of(p->state), now);
+	if (task->observed != observed_of(entry->state)) {
+		fl_debug("workers", "%s/%u is %s on %s after %.1f s", job->ref, entry->index,
+		         observed_of(entry->state) == FL_OBSERVED_RUNNING   ? "running"
+		         : observed_of(entry->state) == FL_OBSERVED_PULLING ? "pulling"
+		                                                            : "saving",
+		         m->name, now - task->since);
+		fl_task_observe(job, task, observed_of(entry->state), now);
 		fl_signal_wake(&n->lead.work);
 	}
-	if (!should_run(job, t) && orders)
-		fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, stop_grace_s(job, t));
+	if (!should_run(job, task) && orders)
+		fl_orders_add(orders, FL_KILL, entry->ref, entry->index, entry->attempt,
+		              stop_grace_s(job, task));
 }
 
-static bool in_report(const struct fl_report *r, const struct fl_job *job, uint32_t index,
+static bool in_report(const struct fl_report *report, const struct fl_job *job, uint32_t index,
                       uint32_t attempt)
 {
-	for (int i = 0; i < r->n_tasks; i++)
-		if (r->tasks[i].index == index && r->tasks[i].attempt == attempt &&
-		    strcmp(r->tasks[i].ref, job->ref) == 0)
+	for (int i = 0; i < report->n_tasks; i++)
+		if (report->tasks[i].index == index && report->tasks[i].attempt == attempt &&
+		    strcmp(report->tasks[i].ref, job->ref) == 0)
 			return true;
 	return false;
 }
@@ -219,7 +227,7 @@
  * to be gone.
  */
 static enum fl_answer_kind handle_missing(struct fl_node *n, struct fl_machine *m,
-                                          const struct fl_report *r, struct fl_orders *orders,
+                                          const struct fl_report *report, struct fl_orders *orders,
                                           enum fl_report_source source, double now)
 {
 	enum fl_answer_kind kind = FL_ANSWER_WITHOUT_LAUNCH;
@@ -227,11 +235,11 @@
 	for (int i = m->n_slots - 1; i >= 0; i--) {
 		struct fl_job *job = m->slots[i].job;
 		uint32_t index = m->slots[i].index;
-		struct fl_task *t = fl_task_peek(job, index);
+		struct fl_task *task = fl_task_peek(job, index);
 
-		if (in_report(r, job, index, t->attempt))
+		if (in_report(report, job, index, task->attempt))
 			continue;
-		if (t->session < r->session) {
+		if (task->session < report->session) {
 			/* The session in which it was placed is over, and so is the attempt. */
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
 			        m->name);
@@ -239,33 +247,33 @@
 			fl_signal_wake(&n->lead.work);
 			continue;
 		}
-		if (t->observed != FL_OBSERVED_NONE) {
+		if (task->observed != FL_OBSERVED_NONE) {
 			/* Was seen in this session, was never forgotten, and is no more. */
 			fl_error("workers", "%s/%u vanished from %s", job->ref, index, m->name);
-			fl_task_observe(job, t, FL_OBSERVED_NONE, now);
+			fl_task_observe(job, task, FL_OBSERVED_NONE, now);
 		}
-		if (!should_run(job, t)) {
-			if (absence_proves(m, t, r, source)) {
+		if (!should_run(job, task)) {
+			if (absence_proves(m, task, report, source)) {
 				fl_task_release(&n->cluster, job, index, 0);
 				fl_signal_wake(&n->lead.work);
-			} else if (m->direct_epoch >= r->epoch && m->direct_epoch > 0) {
+			} else if (m->direct_epoch >= report->epoch && m->direct_epoch > 0) {
 				n->lease.want_epoch = true;
 			}
 		} else if (orders && fl_task_durable(job, index)) {
-			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
-			t->launch_sent = true;
+			fl_orders_add(orders, FL_LAUNCH, job->ref, index, task->attempt, 0);
+			task->launch_sent = true;
 			kind = FL_ANSWER_WITH_LAUNCH;
 		}
 	}
 	return kind;
 }
 
-static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *r)
+static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *report)
 {
-	int type = fl_machine_type_find(&n->cluster.machines, r->type);
-	int zone = fl_names_find(&n->cluster.zones, r->zone);
+	int type = fl_machine_type_find(&n->cluster.machines, report->type);
+	int zone = fl_names_find(&n->cluster.zones, report->zone);
 
-	fl_cluster_describe(&n->cluster, m, type, zone, r->spot, r->endpoint);
+	fl_cluster_describe(&n->cluster, m, type, zone, report->spot, report->endpoint);
 }
 
 /*
@@ -274,70 +282,70 @@
  * and does not count as contact. A worker that receives the answer reports again at once, with the
  * epoch.
  */
-static bool predates_leadership(const struct fl_node *n, const struct fl_report *r)
+static bool predates_leadership(const struct fl_node *n, const struct fl_report *report)
 {
-	return r->epoch < n->lead.first_epoch;
+	return report->epoch < n->lead.first_epoch;
 }
 
-static void record_contact(struct fl_node *n, struct fl_machine *m, const struct fl_report *r,
+static void record_contact(struct fl_node *n, struct fl_machine *m, const struct fl_report *report,
                            double now)
 {
 	bool changed = !m->up;
 
-	describe(n, m, r);
-	m->session = r->session;
-	m->seq = r->seq;
+	describe(n, m, report);
+	m->session = report->session;
+	m->seq = report->seq;
 	m->heard = now;
 	m->up = true;
 	m->foreign = 0;
-	if (r->reclaim_in_s >= 0 && m->reclaim_at == 0) {
-		m->reclaim_at = now + r->reclaim_in_s;
-		fl_info("cloud", "%s will be taken back in %.0f s", m->name, r->reclaim_in_s);
+	if (report->reclaim_in_s >= 0 && m->reclaim_at == 0) {
+		m->reclaim_at = now + report->reclaim_in_s;
+		fl_info("cloud", "%s will be taken back in %.0f s", m->name, report->reclaim_in_s);
 		changed = true;
 	}
 	if (changed)
 		fl_signal_wake(&n->lead.work);
 }
 
-int fl_reconcile_report(struct fl_node *n, const struct fl_report *r, struct fl_orders *orders,
+int fl_reconcile_report(struct fl_node *n, const struct fl_report *report, struct fl_orders *orders,
                         enum fl_report_source source)
 {
 	double now = fl_now();
-	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, report->host);
 	enum fl_answer_kind kind;
 
 	if (m && m->gone)
 		return -ENOENT;
-	if (r->epoch > n->lease.epoch)
+	if (report->epoch > n->lease.epoch)
 		return -ENOENT; /* our own epoch, being raised: the next report is taken */
-	if (predates_leadership(n, r))
+	if (predates_leadership(n, report))
 		return 0;
 	if (!m)
-		m = fl_machine_get(&n->cluster.machines, r->host, now);
+		m = fl_machine_get(&n->cluster.machines, report->host, now);
 	if (!m)
 		return -ENOENT;
-	if (!newer(m, r))
+	if (!newer(m, report))
 		return 0;
 	if (source == FL_SOURCE_COMMAND)
 		fl_reachability_proven(m);
 	else if (source == FL_SOURCE_REPORT)
-		fl_reachability_report(n, m, r, now);
-	record_contact(n, m, r, now);
+		fl_reachability_report(n, m, report, now);
+	record_contact(n, m, report, now);
 	if (source != FL_SOURCE_FORWARDED)
 		m->reached = now;
-	for (int i = 0; i < r->n_tasks; i++)
-		handle_reported(n, m, &r->tasks[i], r, orders, now);
-	kind = handle_missing(n, m, r, orders, source, now);
+	for (int i = 0; i < report->n_tasks; i++)
+		handle_reported(n, m, &report->tasks[i], report, orders, now);
+	kind = handle_missing(n, m, report, orders, source, now);
 	if (source == FL_SOURCE_REPORT)
 		fl_reachability_answered(n, m, kind, now);
 	return 0;
 }
 
-void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *r)
+void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *report)
 {
-	struct fl_machine *m = fl_machine_find(&n->cluster.machines, r->host);
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, report->host);
 
-	if (m && m->up && newer(m, r))
+	if (m && m->up && newer(m, report))
 		fl_reachability_answered(n, m, FL_ANSWER_WITHOUT_LAUNCH, fl_now());
 }
 
@@ -348,13 +356,13 @@
 	for (int i = 0; i < m->n_slots; i++) {
 		struct fl_job *job = m->slots[i].job;
 		uint32_t index = m->slots[i].index;
-		struct fl_task *t = fl_task_peek(job, index);
+		struct fl_task *task = fl_task_peek(job, index);
 
-		if (!should_run(job, t)) {
-			fl_orders_add(orders, FL_KILL, job->ref, index, t->attempt,
-			              stop_grace_s(job, t));
-		} else if (t->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
-			fl_orders_add(orders, FL_LAUNCH, job->ref, index, t->attempt, 0);
+		if (!should_run(job, task)) {
+			fl_orders_add(orders, FL_KILL, job->ref, index, task->attempt,
+			              stop_grace_s(job, task));
+		} else if (task->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
+			fl_orders_add(orders, FL_LAUNCH, job->ref, index, task->attempt, 0);
 			launches = true;
 		}
 	}
--- a/src/coordination/reconcile.h
+++ b/src/coordination/reconcile.h
@@ -23,10 +23,10 @@
  * Applies a report to the cluster state; with FL_SOURCE_REPORT orders are added to its answer, else
  * `orders` is NULL. -ENOENT: the machine is proven gone.
  */
-int fl_reconcile_report(struct fl_node *n, const struct fl_report *r, struct fl_orders *orders,
+int fl_reconcile_report(struct fl_node *n, const struct fl_report *report, struct fl_orders *orders,
                         enum fl_report_source source);
 /* To be called when a leader whose lease is in doubt has answered a report, without orders. */
-void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *r);
+void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *report);
 /* Collects the orders for a direct command; false if there are none. */
 bool fl_reconcile_direct(struct fl_node *n, struct fl_machine *m, struct fl_orders *orders);
 /* The machine is proven gone, for the reason `why`: so is all that was on it. */
