--- /dev/null
+++ b/tests/schedule_fixture.c
@@ -0,0 +1,57 @@
+#include "schedule_fixture.h"
+
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+
+static int no_cache[FL_CACHE_NOTE];
+
+void run_schedule(struct snapshot *snapshot, struct fl_sched_out *out)
+{
+	struct fl_sched_in in = {
+		.params = &fl_sched_defaults,
+		.jobs = snapshot->jobs,
+		.n_jobs = snapshot->n_jobs,
+		.machines = snapshot->machines,
+		.n_machines = snapshot->n_machines,
+		.runs = snapshot->runs,
+		.n_runs = snapshot->n_runs,
+		.teams = snapshot->teams,
+		.spot_loss = snapshot->spot_loss,
+	};
+
+	assert_int_equal(fl_schedule(&in, out), 0);
+}
+
+struct fl_sched_job plain_job(double cpus, uint32_t waiting, double est, double waited)
+{
+	return (struct fl_sched_job){.priority = FL_STANDARD,
+	                             .cpus = cpus,
+	                             .ram_gb = 1,
+	                             .n_tasks = waiting,
+	                             .waiting = waiting,
+	                             .est_s = est,
+	                             .waited_s = waited,
+	                             .types = 1,
+	                             .zone = -1,
+	                             .window_left = -1};
+}
+
+struct fl_sched_machine plain_machine(double cpus)
+{
+	return (struct fl_sched_machine){
+		.cpus = cpus, .ram_gb = 64, .pull_gb_s = 1, .cache = no_cache};
+}
+
+struct fl_sched_run plain_run(int machine, double cpus, double left)
+{
+	return (struct fl_sched_run){.machine = machine,
+	                             .priority = FL_STANDARD,
+	                             .movable = true,
+	                             .cpus = cpus,
+	                             .ram_gb = 1,
+	                             .left_s = left};
+}
--- /dev/null
+++ b/tests/test_schedule_model.c
@@ -0,0 +1,309 @@
+/*
+ * The scheduling pass against the slow, plain model of the same rules: on random snapshots, and
+ * over many passes in which each continues from the decisions of the one before.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <gsl/gsl_rng.h>
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "schedule_model.h"
+
+static double pick(gsl_rng *rng, int n)
+{
+	return (double)gsl_rng_uniform_int(rng, (unsigned long)n);
+}
+
+static void random_machines(gsl_rng *rng, struct snapshot *snapshot)
+{
+	for (int i = 0; i < snapshot->n_machines; i++) {
+		for (int c = 0; c < FL_CACHE_NOTE; c++)
+			snapshot->cache[i][c] = c < 2 ? (int)pick(rng, 5) : -1;
+		snapshot->machines[i] = (struct fl_sched_machine){.type = (int)pick(rng, 2),
+		                                                  .zone = (int)pick(rng, ZONES),
+		                                                  .spot = pick(rng, 2) > 0,
+		                                                  .held = pick(rng, 2) > 0,
+		                                                  .cpus = 16,
+		                                                  .gpus = 4,
+		                                                  .ram_gb = 64,
+		                                                  .pull_gb_s = 0.5,
+		                                                  .cache = snapshot->cache[i]};
+		snapshot->machines[i].reserved.made = pick(rng, 4) == 0;
+		snapshot->machines[i].reserved.within_guarantee = pick(rng, 2) > 0;
+		snapshot->machines[i].reserved.priority = (enum fl_priority)pick(rng, 4);
+		snapshot->machines[i].reserved.cpus = pick(rng, 12);
+		snapshot->machines[i].reserved.gpus = pick(rng, 3);
+		snapshot->machines[i].reserved.ram_gb = pick(rng, 30);
+	}
+}
+
+static void random_runs(gsl_rng *rng, struct snapshot *snapshot, int tries)
+{
+	for (int i = 0; i < tries; i++) {
+		struct fl_sched_run run = {0};
+		struct fl_sched_machine *machine;
+
+		run.machine = (int)pick(rng, snapshot->n_machines);
+		machine = &snapshot->machines[run.machine];
+		run.team = (int)pick(rng, TEAMS);
+		run.priority = (enum fl_priority)pick(rng, 4);
+		run.service = pick(rng, 3) == 0;
+		run.stopping = pick(rng, 6) == 0;
+		run.movable = !run.stopping;
+		run.within_guarantee = pick(rng, 3) == 0;
+		run.last_running_task = !run.service && pick(rng, 3) == 0;
+		run.cpus = 1 + pick(rng, 6);
+		run.gpus = pick(rng, 3);
+		run.ram_gb = 4 + pick(rng, 12);
+		run.left_s = run.service ? INFINITY : 1 + pick(rng, 200);
+		run.lost_s = pick(rng, 100) + 0.001 * i;
+		if (run.cpus > machine->cpus || run.gpus > machine->gpus ||
+		    run.ram_gb > machine->ram_gb)
+			continue;
+		machine->cpus -= run.cpus;
+		machine->gpus -= run.gpus;
+		machine->ram_gb -= run.ram_gb;
+		snapshot->teams[run.team].used_cpus += run.cpus;
+		snapshot->teams[run.team].used_gpus += run.gpus;
+		snapshot->runs[snapshot->n_runs++] = run;
+	}
+}
+
+static void random_jobs(gsl_rng *rng, struct snapshot *snapshot)
+{
+	for (int i = 0; i < snapshot->n_jobs; i++) {
+		struct fl_sched_job *job = &snapshot->jobs[i];
+
+		job->service = pick(rng, 3) == 0;
+		job->gang = !job->service && pick(rng, 4) == 0;
+		job->priority = (enum fl_priority)pick(rng, 4);
+		job->team = (int)pick(rng, TEAMS);
+		job->within_guarantee = pick(rng, 3) == 0;
+		job->begun = pick(rng, 2) > 0;
+		job->waited_s = pick(rng, 300) + 0.01 * i;
+		job->est_s = job->service || pick(rng, 8) == 0 ? 0 : 10 + pick(rng, 300);
+		job->cpus = 1 + pick(rng, 6);
+		job->gpus = pick(rng, 3);
+		job->ram_gb = 1 + pick(rng, 16);
+		job->image_gb = pick(rng, 10);
+		job->n_tasks = 1 + (uint32_t)pick(rng, 8);
+		job->waiting = 1 + (uint32_t)pick(rng, (int)job->n_tasks);
+		job->types = pick(rng, 3) ? UINT32_MAX : 1u + (uint32_t)pick(rng, 2);
+		job->zone = pick(rng, 5) ? -1 : (int)pick(rng, ZONES);
+		job->together = pick(rng, 5) == 0;
+		job->apart = !job->together && pick(rng, 3) == 0;
+		job->reclaimable = pick(rng, 2) > 0;
+		job->image = (int)pick(rng, 5);
+		job->window_left = pick(rng, 2) ? -1 : pick(rng, 300);
+	}
+}
+
+static void random_snapshot(gsl_rng *rng, struct snapshot *snapshot, int jobs, int machines,
+                            int tries)
+{
+	memset(snapshot, 0, sizeof(*snapshot));
+	snapshot->n_jobs = 1 + (int)pick(rng, jobs);
+	snapshot->n_machines = 1 + (int)pick(rng, machines);
+	for (int t = 0; t < TEAMS; t++) {
+		snapshot->teams[t].gpus = pick(rng, 2) ? pick(rng, 9) : 0;
+		snapshot->teams[t].gpus_max = pick(rng, 2) ? 4 + pick(rng, 20) : 0;
+		snapshot->teams[t].cpus_max = pick(rng, 3) ? 0 : 20 + pick(rng, 60);
+	}
+	random_machines(rng, snapshot);
+	random_runs(rng, snapshot, tries);
+	random_jobs(rng, snapshot);
+}
+
+struct counts {
+	long starts, stops, tops, looks, bound;
+};
+
+static void compare(struct model *model, struct snapshot *snapshot, struct counts *counts)
+{
+	struct fl_sched_out out;
+
+	memset(model, 0, sizeof(*model));
+	snapshot->spot_loss = snapshot->n_machines % 2 * 0.002;
+	model->snapshot = *snapshot;
+	model_pass(model);
+	run_schedule(snapshot, &out);
+	assert_int_equal(out.n_starts, model->n_starts);
+	for (int i = 0; i < out.n_starts; i++) {
+		assert_int_equal(out.starts[i].job, model->starts[i].job);
+		assert_int_equal(out.starts[i].machine, model->starts[i].machine);
+	}
+	assert_int_equal(out.n_stops, model->n_stops);
+	for (int i = 0; i < out.n_stops; i++)
+		assert_int_equal(out.stops[i], model->stops[i]);
+	for (int i = 0; i < snapshot->n_machines; i++) {
+		const struct fl_reservation *c = &snapshot->machines[i].requested;
+
+		assert_int_equal(c->made, model->snapshot.machines[i].requested.made);
+		assert_int_equal(c->within_guarantee,
+		                 model->snapshot.machines[i].requested.within_guarantee);
+		assert_int_equal(c->priority, model->snapshot.machines[i].requested.priority);
+		assert_true(fabs(c->cpus - model->snapshot.machines[i].requested.cpus) < 1e-6 &&
+		            fabs(c->gpus - model->snapshot.machines[i].requested.gpus) < 1e-6 &&
+		            fabs(c->ram_gb - model->snapshot.machines[i].requested.ram_gb) < 1e-6);
+	}
+	assert_int_equal(out.top, model->top);
+	if (model->top >= 0)
+		assert_true(out.window_s == model->window ||
+		            fabs(out.window_s - model->window) < 1e-6);
+	for (int i = 0; i < snapshot->n_jobs; i++)
+		assert_int_equal(out.short_of[i], model->short_of[i]);
+	counts->starts += out.n_starts;
+	counts->stops += out.n_stops;
+	counts->tops += out.top >= 0;
+	counts->looks += out.looks;
+	/* Each start, each task reserved room and each job that finds none looks once or twice. */
+	counts->bound += (long)snapshot->n_machines *
+	                 (out.n_starts + 2 * snapshot->n_jobs + 2 * out.n_stops);
+	fl_sched_free(&out);
+}
+
+static void the_pass_decides_like_the_model(void **state)
+{
+	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
+	struct model *model = malloc(sizeof(*model));
+	struct snapshot *snapshot = malloc(sizeof(*snapshot));
+	struct counts small = {0}, large = {0};
+
+	(void)state;
+	gsl_rng_set(rng, 7);
+	for (int round = 0; round < 4000; round++) {
+		random_snapshot(rng, snapshot, 14, 9, 24);
+		compare(model, snapshot, &small);
+	}
+	/* The snapshots must reach all of it. */
+	assert_true(small.starts > 4000 && small.stops > 400 && small.tops > 400);
+	/* Hundreds of machines: the same decisions, and no more work than starts times machines. */
+	for (int round = 0; round < 60; round++) {
+		random_snapshot(rng, snapshot, JOBS, MACHINES, RUNS);
+		for (int t = 0; t < TEAMS; t++) {
+			snapshot->teams[t].gpus *= 30;
+			snapshot->teams[t].gpus_max *= 30;
+			snapshot->teams[t].cpus_max *= 30;
+		}
+		compare(model, snapshot, &large);
+	}
+	assert_true(large.starts > 500 && large.stops > 50);
+	assert_true(large.looks <= large.bound);
+	free(model);
+	free(snapshot);
+	gsl_rng_free(rng);
+}
+
+/* Applies the model's starts to the snapshot, as a leader would. */
+static long apply_starts(struct snapshot *snapshot, const struct model *model)
+{
+	for (int i = 0; i < model->n_starts && snapshot->n_runs < RUNS; i++) {
+		struct fl_sched_job *job = &snapshot->jobs[model->starts[i].job];
+		struct fl_sched_machine *machine = &snapshot->machines[model->starts[i].machine];
+
+		snapshot->runs[snapshot->n_runs] =
+			(struct fl_sched_run){.machine = model->starts[i].machine,
+		                              .team = job->team,
+		                              .priority = job->priority,
+		                              .service = job->service,
+		                              .movable = true,
+		                              .cpus = job->cpus,
+		                              .gpus = job->gpus,
+		                              .ram_gb = job->ram_gb,
+		                              .left_s = job->service ? INFINITY : 50,
+		                              .lost_s = 0.001 * snapshot->n_runs};
+		snapshot->n_runs++;
+		machine->cpus -= job->cpus;
+		machine->gpus -= job->gpus;
+		machine->ram_gb -= job->ram_gb;
+		snapshot->teams[job->team].used_cpus += job->cpus;
+		snapshot->teams[job->team].used_gpus += job->gpus;
+		job->zone_placed[machine->zone]++;
+		job->waiting--;
+		job->begun = true;
+	}
+	return model->n_starts;
+}
+
+/* Some runs end: what was stopped, and of the rest one in so many. */
+static void end_runs(gsl_rng *rng, struct snapshot *snapshot, const struct model *model, int one_in)
+{
+	bool stopped[RUNS] = {false};
+
+	for (int i = 0; i < model->n_stops; i++)
+		stopped[model->stops[i]] = true;
+	for (int i = snapshot->n_runs - 1; i >= 0; i--) {
+		const struct fl_sched_run *run = &snapshot->runs[i];
+		struct fl_sched_machine *machine = &snapshot->machines[run->machine];
+
+		if (!stopped[i] && pick(rng, one_in) != 0)
+			continue;
+		machine->cpus += run->cpus;
+		machine->gpus += run->gpus;
+		machine->ram_gb += run->ram_gb;
+		snapshot->teams[run->team].used_cpus -= run->cpus;
+		snapshot->teams[run->team].used_gpus -= run->gpus;
+		snapshot->runs[i] = snapshot->runs[--snapshot->n_runs];
+	}
+}
+
+/*
+ * Hundreds of machines and thousands of tasks over many passes: the decisions are
+ * the plain model's all along, and the work stays in proportion to what is started.
+ */
+static void the_model_agrees_over_many_passes_on_hundreds_of_machines(void **state)
+{
+	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
+	struct model *model = malloc(sizeof(*model));
+	struct snapshot *snapshot = malloc(sizeof(*snapshot)), *fresh = malloc(sizeof(*fresh));
+	struct snapshot *before = malloc(sizeof(*before));
+	struct counts counts = {0};
+	long started = 0;
+
+	(void)state;
+	gsl_rng_set(rng, 11);
+	do
+		random_snapshot(rng, snapshot, JOBS, MACHINES, 0);
+	while (snapshot->n_jobs < JOBS - 10 || snapshot->n_machines < MACHINES - 20);
+	for (int i = 0; i < TEAMS; i++)
+		snapshot->teams[i] = (struct fl_team){.gpus = 200 * i, .gpus_max = 600};
+	for (int pass = 0; pass < 30; pass++) {
+		*before = *snapshot;
+		compare(model, snapshot, &counts);
+		*snapshot = *before;
+		started += apply_starts(snapshot, model);
+		end_runs(rng, snapshot, model, 3);
+		/* Jobs without waiting tasks are replaced by others; the rest wait on. */
+		do
+			random_snapshot(rng, fresh, JOBS, MACHINES, 0);
+		while (fresh->n_jobs < snapshot->n_jobs);
+		for (int i = 0; i < snapshot->n_jobs; i++) {
+			snapshot->jobs[i].waited_s += 7;
+			if (snapshot->jobs[i].waiting == 0)
+				snapshot->jobs[i] = fresh->jobs[i];
+		}
+	}
+	assert_true(started > 2000);
+	assert_true(counts.looks <= counts.bound);
+	free(model);
+	free(snapshot);
+	free(fresh);
+	free(before);
+	gsl_rng_free(rng);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(the_pass_decides_like_the_model),
+		cmocka_unit_test(the_model_agrees_over_many_passes_on_hundreds_of_machines),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_schedule_placement.c
@@ -0,0 +1,100 @@
+/* Placement by the scheduling pass: gangs as a whole, and services where their image is cached. */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <string.h>
+
+#include "schedule_fixture.h"
+
+static void a_gang_starts_whole_or_not_at_all(void **state)
+{
+	struct snapshot snapshot = {.n_jobs = 1, .n_machines = 2};
+	struct fl_sched_out out;
+
+	(void)state;
+	snapshot.jobs[0] = plain_job(4, 4, 60, 10);
+	snapshot.jobs[0].gang = true;
+	snapshot.machines[0] = plain_machine(8);
+	snapshot.machines[1] = plain_machine(7);
+	run_schedule(&snapshot, &out);
+	assert_int_equal(out.n_starts, 0);
+	assert_true(snapshot.machines[0].cpus == 8 && snapshot.machines[1].cpus == 7);
+	fl_sched_free(&out);
+	snapshot.jobs[0].waiting = 4;
+	snapshot.machines[1] = plain_machine(8);
+	run_schedule(&snapshot, &out);
+	assert_int_equal(out.n_starts, 4);
+	fl_sched_free(&out);
+}
+
+/*
+ * Found at a thousand machines: a quarter of the services' tasks were late by their fetch alone,
+ * on free machines, while others that held the image ran arrays begun a moment ago.
+ */
+static void a_service_is_placed_where_its_image_is_cached(void **state)
+{
+	int there[FL_CACHE_NOTE];
+	struct fl_sched_job job = plain_job(4, 2, 0, 1);
+	struct fl_sched_machine machine[3] = {plain_machine(4), plain_machine(0), plain_machine(0)};
+	struct fl_sched_run runs[2] = {plain_run(1, 4, 60), plain_run(2, 4, 60)};
+	struct fl_sched_in in = {.params = &fl_sched_defaults,
+	                         .jobs = &job,
+	                         .n_jobs = 1,
+	                         .machines = machine,
+	                         .n_machines = 3,
+	                         .runs = runs,
+	                         .n_runs = 2};
+	struct fl_team team = {.name = "t"};
+	struct fl_sched_out out;
+
+	(void)state;
+	in.teams = &team;
+	for (int i = 0; i < FL_CACHE_NOTE; i++)
+		there[i] = i == 3 ? 5 : -1;
+	job.priority = FL_CRITICAL;
+	job.service = true;
+	job.image = 5;
+	job.image_gb = 10;
+	machine[1].cache = machine[2].cache = there;
+	runs[0].priority = runs[1].priority = FL_BEST_EFFORT;
+	runs[0].lost_s = 5;
+	runs[1].lost_s = 500;
+	/* One stop that loses little; the other loses too much, so the free machine is taken. */
+	assert_int_equal(fl_schedule(&in, &out), 0);
+	assert_int_equal(out.n_stops, 1);
+	assert_int_equal(out.stops[0], 0);
+	assert_int_equal(out.n_starts, 1);
+	assert_int_equal(out.starts[0].machine, 0);
+	assert_int_equal(out.short_of[0], 0);
+	fl_sched_free(&out);
+	/* Capacity about to become free is not requested again, and no other is used. */
+	job.waiting = 1;
+	memset(job.zone_placed, 0, sizeof(job.zone_placed));
+	machine[0].cpus = 4;
+	machine[1].cpus = 0;
+	runs[0].stopping = true;
+	assert_int_equal(fl_schedule(&in, &out), 0);
+	assert_int_equal(out.n_stops + out.n_starts, 0);
+	fl_sched_free(&out);
+	/* It has not become free in the time that a fetch takes. */
+	job.waited_s = 11;
+	machine[0].cpus = 4;
+	machine[1].cpus = 0;
+	assert_int_equal(fl_schedule(&in, &out), 0);
+	assert_int_equal(out.n_starts, 1);
+	assert_int_equal(out.starts[0].machine, 0);
+	fl_sched_free(&out);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(a_gang_starts_whole_or_not_at_all),
+		cmocka_unit_test(a_service_is_placed_where_its_image_is_cached),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_schedule_starvation.c
@@ -0,0 +1,275 @@
+/*
+ * Starvation: under adversarial streams of jobs every job begins in bounded time, and a pass that
+ * runs out of time continues with the jobs that the last one did not reach.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "schedule_fixture.h"
+
+static int allowance;
+
+static bool allowance_spent(void *ctx)
+{
+	(void)ctx;
+	return allowance-- <= 0;
+}
+
+/* A pass that runs out of time is resumed where it ended: every job is looked at in the end. */
+static void a_pass_resumes_where_the_last_one_ran_out_of_time(void **state)
+{
+	struct snapshot snapshot = {.n_jobs = 12, .n_machines = 1, .n_runs = 1};
+	bool started[JOBS] = {false};
+	int resume = 0, passes = 0;
+
+	(void)state;
+	snapshot.jobs[0] = plain_job(64, 1, 60, 5000);
+	for (int i = 1; i < snapshot.n_jobs; i++)
+		snapshot.jobs[i] = plain_job(1, 1, 10, 100 - i);
+	snapshot.machines[0] = plain_machine(32);
+	snapshot.runs[0] = plain_run(0, 60, 1000);
+	do {
+		struct fl_sched_in in = {.params = &fl_sched_defaults,
+		                         .jobs = snapshot.jobs,
+		                         .n_jobs = snapshot.n_jobs,
+		                         .machines = snapshot.machines,
+		                         .n_machines = 1,
+		                         .runs = snapshot.runs,
+		                         .n_runs = 1,
+		                         .teams = snapshot.teams,
+		                         .resume = resume,
+		                         .out_of_time = allowance_spent};
+		struct fl_sched_out out;
+
+		allowance = 3;
+		assert_int_equal(fl_schedule(&in, &out), 0);
+		for (int i = 0; i < out.n_starts; i++)
+			started[out.starts[i].job] = true;
+		resume = out.resume;
+		fl_sched_free(&out);
+		passes++;
+	} while (resume != 0 && passes < 20);
+	assert_true(passes > 2 && passes < 20);
+	for (int i = 1; i < snapshot.n_jobs; i++)
+		assert_true(started[i]);
+}
+
+enum { QUEUE = 800, SLOTS = 32, SECONDS = 900, CLASSES = 3 };
+
+struct stream {
+	enum fl_priority priority;
+	int team;
+	bool within_guarantee;
+	uint32_t n_tasks;
+	double est, every; /* s of a task; s between two jobs */
+};
+
+struct arrival {
+	struct fl_sched_job job;
+	int class;
+	double at, begun; /* begun < 0: not yet */
+	uint32_t started;
+};
+
+struct load {
+	struct arrival arrival[QUEUE];
+	int n, running[SLOTS]; /* the job that holds each slot, -1: none */
+	double until[SLOTS];
+};
+
+/* The input of one pass, and the arrival or slot of each of its jobs and runs. */
+static struct {
+	struct fl_sched_machine machines[SLOTS];
+	struct fl_sched_run runs[SLOTS];
+	struct fl_sched_job jobs[QUEUE];
+	int of_job[QUEUE], of_run[SLOTS];
+	struct fl_team used[TEAMS];
+} pass_input;
+
+static void add_arrivals(struct load *load, const struct stream *streams, double *next, int now)
+{
+	for (int c = 0; c < CLASSES; c++) {
+		const struct stream *stream = &streams[c];
+
+		for (; stream->n_tasks && next[c] <= now && load->n < QUEUE;
+		     next[c] += stream->every) {
+			struct arrival *arrival = &load->arrival[load->n++];
+
+			arrival->job = plain_job(1, stream->n_tasks, stream->est, 0);
+			arrival->job.priority = stream->priority;
+			arrival->job.team = stream->team;
+			arrival->job.within_guarantee = stream->within_guarantee;
+			arrival->class = c;
+			arrival->at = next[c];
+			arrival->begun = -1;
+		}
+	}
+}
+
+/* The machines, and the tasks on them that have not ended yet. */
+static void fill_machines(struct load *load, struct fl_sched_in *in, int now)
+{
+	for (int i = 0; i < SLOTS; i++) {
+		struct fl_sched_run *run = &pass_input.runs[in->n_runs];
+
+		pass_input.machines[i] = plain_machine(1);
+		if (load->running[i] >= 0 && load->until[i] <= now)
+			load->running[i] = -1;
+		if (load->running[i] < 0)
+			continue;
+		pass_input.machines[i].cpus = 0;
+		*run = plain_run(i, 1, load->until[i] - now);
+		run->priority = load->arrival[load->running[i]].job.priority;
+		run->team = load->arrival[load->running[i]].job.team;
+		run->lost_s = 1;
+		pass_input.of_run[in->n_runs++] = i;
+		pass_input.used[run->team].used_cpus += 1;
+	}
+}
+
+static void fill_jobs(const struct load *load, struct fl_sched_in *in, int now)
+{
+	for (int i = 0; i < load->n; i++) {
+		struct fl_sched_job *job = &pass_input.jobs[in->n_jobs];
+
+		if (load->arrival[i].job.waiting == 0)
+			continue;
+		*job = load->arrival[i].job;
+		job->waited_s = now - load->arrival[i].at;
+		job->begun = load->arrival[i].started > 0;
+		pass_input.of_job[in->n_jobs++] = i;
+	}
+	for (int r = 0; r < in->n_runs; r++) {
+		int at = load->running[pass_input.of_run[r]], held = 0;
+
+		for (int i = 0; i < SLOTS; i++)
+			held += load->running[i] == at;
+		pass_input.runs[r].last_running_task =
+			held == 1 && now - load->arrival[at].at > fl_sched_defaults.patience_s;
+	}
+}
+
+static void apply_decisions(struct load *load, const struct fl_sched_out *out, int now)
+{
+	for (int k = 0; k < out->n_starts; k++) {
+		struct arrival *arrival = &load->arrival[pass_input.of_job[out->starts[k].job]];
+		int slot = out->starts[k].machine;
+
+		assert_int_equal(load->running[slot], -1);
+		load->running[slot] = pass_input.of_job[out->starts[k].job];
+		load->until[slot] = now + arrival->job.est_s;
+		arrival->job.waiting--;
+		arrival->started++;
+		if (arrival->begun < 0)
+			arrival->begun = now;
+	}
+	for (int k = 0; k < out->n_stops; k++) {
+		int slot = pass_input.of_run[out->stops[k]];
+		struct arrival *arrival = &load->arrival[load->running[slot]];
+
+		arrival->job.waiting++;
+		arrival->started--;
+		load->running[slot] = -1;
+	}
+}
+
+/* Runs `SLOTS` one-task machines under the streams; each job's begin and starts are noted. */
+static void play_load(struct load *load, const struct stream *streams, const struct fl_team *teams)
+{
+	double next[CLASSES] = {0};
+
+	memset(load, 0, sizeof(*load));
+	for (int i = 0; i < SLOTS; i++)
+		load->running[i] = -1;
+	for (int now = 0; now < SECONDS; now++) {
+		struct fl_sched_in in = {.params = &fl_sched_defaults,
+		                         .jobs = pass_input.jobs,
+		                         .machines = pass_input.machines,
+		                         .n_machines = SLOTS,
+		                         .runs = pass_input.runs,
+		                         .teams = pass_input.used};
+		struct fl_sched_out out;
+
+		add_arrivals(load, streams, next, now);
+		memcpy(pass_input.used, teams, sizeof(pass_input.used));
+		fill_machines(load, &in, now);
+		fill_jobs(load, &in, now);
+		assert_int_equal(fl_schedule(&in, &out), 0);
+		apply_decisions(load, &out, now);
+		fl_sched_free(&out);
+	}
+}
+
+/* Every job that arrived early enough has begun within four minutes. */
+static void check_begun(const struct load *load)
+{
+	for (int i = 0; i < load->n; i++) {
+		const struct arrival *arrival = &load->arrival[i];
+
+		if (arrival->at > SECONDS - 240)
+			continue;
+		assert_true(arrival->begun >= 0);
+		assert_true(arrival->begun - arrival->at <= 240);
+		/* And what it began with was not preempted for ever. */
+		assert_true(arrival->started > 0);
+	}
+}
+
+/* Share of the tasks of a class that were started, of those that came before the last minutes. */
+static double started_share(const struct load *load, int class)
+{
+	double started = 0, all = 0;
+
+	for (int i = 0; i < load->n; i++) {
+		if (load->arrival[i].class != class || load->arrival[i].at > SECONDS - 240)
+			continue;
+		started += load->arrival[i].started;
+		all += load->arrival[i].job.n_tasks;
+	}
+	return all > 0 ? started / all : 1;
+}
+
+static void adversarial_arrivals_starve_no_job(void **state)
+{
+	static const struct fl_team teams[TEAMS] = {{.cpus = 64}, {.cpus_max = 0}, {.cpus_max = 0}};
+	/* 32 slots. A stream of small jobs that fills nearly all of them, and ever more wide ones.
+	 */
+	static const struct stream small_and_wide[CLASSES] = {
+		{FL_STANDARD, 1, false, 2, 20, 1.35}, {FL_STANDARD, 2, false, 60, 100, 300}};
+	/* One team within its guarantee fills all; another has none. */
+	static const struct stream within_guarantee_and_not[CLASSES] = {
+		{FL_STANDARD, 0, true, 4, 30, 3}, {FL_STANDARD, 1, false, 10, 40, 120}};
+	/* Standard work fills all, and best effort may be stopped for it. */
+	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
+	                                                  {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
+	struct load *load = malloc(sizeof(*load));
+
+	(void)state;
+	play_load(load, small_and_wide, teams);
+	assert_true(load->n < QUEUE);
+	check_begun(load);
+	for (int c = 0; c < CLASSES; c++)
+		assert_true(started_share(load, c) >= 0.5);
+	play_load(load, within_guarantee_and_not, teams);
+	assert_true(load->n < QUEUE);
+	check_begun(load);
+	play_load(load, priorities, teams);
+	check_begun(load);
+	free(load);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(adversarial_arrivals_starve_no_job),
+		cmocka_unit_test(a_pass_resumes_where_the_last_one_ran_out_of_time),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
