--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -14,72 +14,74 @@
 
 static void on_state(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
-	struct fixture *f = ctx;
-	struct fl_buf b = {0};
+	struct fixture *fixture = ctx;
+	struct fl_buf body = {0};
 
 	resp->status = 503;
-	if (f->refused)
+	if (fixture->refused)
 		return;
 	resp->status = 200;
 	if (strcmp(req->path, "/multi") == 0) {
-		f->writes++;
-		fl_buf_printf(&b, "{\"LedgerRev\":9}");
+		fixture->writes++;
+		fl_buf_printf(&body, "{\"LedgerRev\":9}");
 	} else if (strcmp(req->path, "/keys") == 0) {
-		if (f->record && strstr(req->query, "Prefix=" FL_PREFIX_JOBS))
-			fl_buf_printf(&b,
+		if (fixture->record && strstr(req->query, "Prefix=" FL_PREFIX_JOBS))
+			fl_buf_printf(&body,
 			              "{\"Items\":[{\"Key\":\"j/run-000001\",\"V\":%s,"
 			              "\"KeyRev\":3}],\"More\":false,\"LedgerRev\":9}",
-			              f->record);
-		else if (f->progress && strstr(req->query, "Prefix=" FL_PREFIX_PROGRESS))
-			fl_buf_printf(&b,
+			              fixture->record);
+		else if (fixture->progress && strstr(req->query, "Prefix=" FL_PREFIX_PROGRESS))
+			fl_buf_printf(&body,
 			              "{\"Items\":[{\"Key\":\"p/run-000001/0\",\"V\":%s,"
 			              "\"KeyRev\":4}],\"More\":false,\"LedgerRev\":9}",
-			              f->progress);
+			              fixture->progress);
 		else
-			fl_buf_printf(&b, "{\"Items\":[],%s\"LedgerRev\":9}",
-			              f->no_more ? "" : "\"More\":false,");
+			fl_buf_printf(&body, "{\"Items\":[],%s\"LedgerRev\":9}",
+			              fixture->without_more ? "" : "\"More\":false,");
 	} else if (strcmp(req->path, "/rentals") == 0) {
-		fl_buf_printf(&b, "{%s\"Hosts\":[]}", f->no_more ? "" : "\"More\":false,");
-	} else if ((f->gated ? f->seen : f->known) && strncmp(req->path, "/keys/f/", 8) == 0) {
-		f->reads++;
-		fl_buf_printf(&b, "{\"V\":{\"final\":\"done\",\"parts\":4},\"KeyRev\":3}");
+		fl_buf_printf(&body, "{%s\"Hosts\":[]}",
+		              fixture->without_more ? "" : "\"More\":false,");
+	} else if ((fixture->gated ? fixture->seen : fixture->known) &&
+	           strncmp(req->path, "/keys/f/", 8) == 0) {
+		fixture->reads++;
+		fl_buf_printf(&body, "{\"V\":{\"final\":\"done\",\"parts\":4},\"KeyRev\":3}");
 	} else {
-		f->reads++;
-		f->seen = f->known;
-		if (f->gated)
-			fl_signal_wait(&f->gate, -1);
+		fixture->reads++;
+		fixture->seen = fixture->known;
+		if (fixture->gated)
+			fl_signal_wait(&fixture->gate, -1);
 		resp->status = 404;
 	}
-	resp->body = b.data;
+	resp->body = body.data;
 }
 
 static void on_leader(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
-	struct fixture *f = ctx;
+	struct fixture *fixture = ctx;
 	struct fl_job_spec run;
-	struct fl_relay r;
-	cJSON *o;
+	struct fl_relay relay;
+	cJSON *object;
 
 	resp->status = 400;
-	if (fl_relay_decode(req->body, req->body_len, &r) != 0)
+	if (fl_relay_decode(req->body, req->body_len, &relay) != 0)
 		return;
-	if (r.call == FL_CALL_SUBMIT) {
-		o = fl_json_parse(r.body, strlen(r.body));
-		resp->status = fl_job_spec_decode(o, &run) ? 400 : 201;
-		cJSON_Delete(o);
+	if (relay.call == FL_CALL_SUBMIT) {
+		object = fl_json_parse(relay.body, strlen(relay.body));
+		resp->status = fl_job_spec_decode(object, &run) ? 400 : 201;
+		cJSON_Delete(object);
 	} else {
-		resp->status = f->known ? 200 : 404;
+		resp->status = fixture->known ? 200 : 404;
 	}
 	resp->body = strdup("{\"Status\":\"done\"}");
-	fl_relay_free(&r);
+	fl_relay_free(&relay);
 }
 
-static void connect_to(struct fl_http_client *c, const struct fl_http_server *s)
+static void connect_client(struct fl_http_client *client, const struct fl_http_server *server)
 {
 	char addr[32];
 
-	snprintf(addr, sizeof(addr), "127.0.0.1:%d", fl_http_server_port(s));
-	assert_int_equal(fl_http_client_init(c, addr, 1), 0);
+	snprintf(addr, sizeof(addr), "127.0.0.1:%d", fl_http_server_port(server));
+	assert_int_equal(fl_http_client_init(client, addr, 1), 0);
 }
 
 int set_up(void **state)
@@ -89,48 +91,49 @@
 		{.name = "one", .cpus = 96, .ram_gb = 64, .zones = {"a"}, .n_zones = 1},
 		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .zones = {"y"}, .n_zones = 1},
 	};
-	struct fixture *f = calloc(1, sizeof(*f));
-	struct fl_node *n = &f->node;
+	struct fixture *fixture = calloc(1, sizeof(*fixture));
+	struct fl_node *node = &fixture->node;
 
 	fl_routines_init(ev_default_loop(0));
-	n->config = &f->config;
-	strcpy(f->config.node, "n0");
-	f->config.lease_s = 10;
-	f->config.cancel_s = 40;
-	fl_names_add(&n->cluster.zones, "a");
-	fl_names_add(&n->cluster.zones, "b");
-	fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, 3);
-	strcpy(n->cluster.teams.at[0].name, "t");
-	n->cluster.teams.at[0].cpus_max = 100;
-	n->cluster.teams.n = 1;
-	f->state = fl_http_serve("127.0.0.1:0", 16, 90, on_state, f);
-	f->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, f);
-	assert_true(f->state && f->leader);
-	connect_to(&n->state.http, f->state);
-	connect_to(&n->cloud.http, f->state);
-	n->state.last_ok = n->leadership_confirmed_at = n->cancellations_known_until = fl_now();
-	n->state.last_refusal = -1e9;
-	n->types_known = n->jobs_known = true;
-	strcpy(n->leader, "n1");
-	n->n_peers = 1;
-	strcpy(n->peers[0].name, "n1");
-	n->peers[0].up = true;
-	connect_to(&n->peers[0].http, f->leader);
-	*state = f;
+	node->config = &fixture->config;
+	strcpy(fixture->config.node, "n0");
+	fixture->config.lease_s = 10;
+	fixture->config.cancel_s = 40;
+	fl_names_add(&node->cluster.zones, "a");
+	fl_names_add(&node->cluster.zones, "b");
+	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, 3);
+	strcpy(node->cluster.teams.at[0].name, "t");
+	node->cluster.teams.at[0].cpus_max = 100;
+	node->cluster.teams.n = 1;
+	fixture->state = fl_http_serve("127.0.0.1:0", 16, 90, on_state, fixture);
+	fixture->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, fixture);
+	assert_true(fixture->state && fixture->leader);
+	connect_client(&node->state.http, fixture->state);
+	connect_client(&node->cloud.http, fixture->state);
+	node->state.last_ok = node->leadership_confirmed_at = node->cancellations_known_until =
+		fl_now();
+	node->state.last_refusal = -1e9;
+	node->types_known = node->jobs_known = true;
+	strcpy(node->leader, "n1");
+	node->n_peers = 1;
+	strcpy(node->peers[0].name, "n1");
+	node->peers[0].up = true;
+	connect_client(&node->peers[0].http, fixture->leader);
+	*state = fixture;
 	return 0;
 }
 
 int tear_down(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	fl_http_client_close(&f->node.state.http);
-	fl_http_client_close(&f->node.cloud.http);
-	fl_http_client_close(&f->node.peers[0].http);
+	fl_http_client_close(&fixture->node.state.http);
+	fl_http_client_close(&fixture->node.cloud.http);
+	fl_http_client_close(&fixture->node.peers[0].http);
 	fl_routines_shutdown();
-	fl_cluster_free(&f->node.cluster);
-	free(f->state);
-	free(f->leader);
-	free(f);
+	fl_cluster_free(&fixture->node.cluster);
+	free(fixture->state);
+	free(fixture->leader);
+	free(fixture);
 	return 0;
 }
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -18,7 +18,7 @@
 	bool known;           /* the job was accepted before */
 	const char *record;   /* the only job record there is, of run-000001 */
 	const char *progress; /* and that of its progress */
-	bool no_more;         /* a list does not say whether there is more of it */
+	bool without_more;    /* a list does not say whether there is more of it */
 	int writes, reads;    /* of job records */
 	bool gated;           /* a read of one waits for the gate */
 	struct fl_signal gate;
@@ -35,6 +35,8 @@
 	"\"Together\":false,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":1,"                 \
 	"\"SnapshotEveryS\":0,\"SnapshotCostS\":0"
 
+/* Before and after each test: a node that follows n1, three machine types in zones a and b, team t.
+ */
 int set_up(void **state);
 
 int tear_down(void **state);
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -12,18 +12,18 @@
 
 #include "transport/clock.h"
 
-void lead(struct fixture *f, uint64_t epoch)
+void become_leader(struct fixture *fixture, uint64_t epoch)
 {
-	struct fl_node *n = &f->node;
-
-	fl_cluster_forget_tasks(&n->cluster);
-	memset(&n->lead, 0, sizeof(n->lead));
-	n->cluster.leading = n->lead.active = true;
-	n->lease.held = true;
-	n->lease.valid_until = fl_now() + 1e6;
-	n->lease.epoch = n->lead.first_epoch = n->epoch = epoch;
-	n->leadership_confirmed_at = n->cancellations_known_until = fl_now();
-	strcpy(n->leader, "n0");
+	struct fl_node *node = &fixture->node;
+
+	fl_cluster_forget_tasks(&node->cluster);
+	memset(&node->lead, 0, sizeof(node->lead));
+	node->cluster.leading = node->lead.active = true;
+	node->lease.held = true;
+	node->lease.valid_until = fl_now() + 1e6;
+	node->lease.epoch = node->lead.first_epoch = node->epoch = epoch;
+	node->leadership_confirmed_at = node->cancellations_known_until = fl_now();
+	strcpy(node->leader, "n0");
 }
 
 int set_up(void **state)
@@ -36,171 +36,177 @@
 	                          .priority = FL_STANDARD,
 	                          .n_machine_types = -1,
 	                          .due_s = -1};
-	struct fixture *f = calloc(1, sizeof(*f));
-	struct fl_cluster *b;
-
-	assert_non_null(f);
-	b = &f->node.cluster;
-	f->node.config = &f->config;
-	f->config.lease_s = 10;
-	f->config.report_s = 2;
-	f->config.cancel_s = 40;
-	f->config.value_kb = 4;
-	strcpy(f->config.node, "n0");
-	strcpy(f->config.location, "a");
-	fl_names_add(&b->zones, "a");
-	fl_names_add(&b->zones, "b");
-	fl_machine_types_set(&b->machines, &b->zones, &kind, 1);
-	strcpy(b->teams.at[0].name, "team");
-	b->teams.n = 1;
+	struct fixture *fixture = calloc(1, sizeof(*fixture));
+	struct fl_cluster *cluster;
+
+	assert_non_null(fixture);
+	cluster = &fixture->node.cluster;
+	fixture->node.config = &fixture->config;
+	fixture->config.lease_s = 10;
+	fixture->config.report_s = 2;
+	fixture->config.cancel_s = 40;
+	fixture->config.value_kb = 4;
+	strcpy(fixture->config.node, "n0");
+	strcpy(fixture->config.location, "a");
+	fl_names_add(&cluster->zones, "a");
+	fl_names_add(&cluster->zones, "b");
+	fl_machine_types_set(&cluster->machines, &cluster->zones, &kind, 1);
+	strcpy(cluster->teams.at[0].name, "team");
+	cluster->teams.n = 1;
 	strcpy(run.ref, "run-000001");
 	strcpy(run.team, "team");
 	strcpy(run.job_class, "c");
 	strcpy(run.image, "i");
-	f->job = fl_job_add(b, &run, 0, 1);
-	lead(f, EPOCH);
-	*state = f;
+	fixture->job = fl_job_add(cluster, &run, 0, 1);
+	become_leader(fixture, EPOCH);
+	*state = fixture;
 	return 0;
 }
 
 int tear_down(void **state)
 {
-	struct fixture *f = *state;
-	struct fl_cached_report *k, *tmp;
+	struct fixture *fixture = *state;
+	struct fl_cached_report *cached, *tmp;
 
-	HASH_ITER (hh, f->node.standby.cached, k, tmp) {
-		HASH_DEL(f->node.standby.cached, k);
-		free(k->text);
-		free(k);
+	HASH_ITER (hh, fixture->node.standby.cached, cached, tmp) {
+		HASH_DEL(fixture->node.standby.cached, cached);
+		free(cached->text);
+		free(cached);
 	}
-	while (f->node.standby.misplaced) {
-		struct fl_misplaced_worker *g = f->node.standby.misplaced;
+	while (fixture->node.standby.misplaced) {
+		struct fl_misplaced_worker *worker = fixture->node.standby.misplaced;
 
-		HASH_DEL(f->node.standby.misplaced, g);
-		free(g);
+		HASH_DEL(fixture->node.standby.misplaced, worker);
+		free(worker);
 	}
-	fl_cluster_free(&f->node.cluster);
-	free(f);
+	fl_cluster_free(&fixture->node.cluster);
+	free(fixture);
 	return 0;
 }
 
-struct fl_report report(uint64_t session, uint64_t seq, uint64_t epoch,
-                        struct fl_task_report *tasks, int n)
+struct fl_report make_report(uint64_t session, uint64_t seq, uint64_t epoch,
+                             struct fl_task_report *tasks, int n)
 {
-	struct fl_report r = {.session = session,
-	                      .seq = seq,
-	                      .epoch = epoch,
-	                      .reclaim_in_s = -1,
-	                      .tasks = tasks,
-	                      .n_tasks = n};
-
-	strcpy(r.host, "m-000001");
-	strcpy(r.endpoint, "127.0.0.1:1");
-	strcpy(r.type, "g");
-	strcpy(r.zone, "a");
-	return r;
+	struct fl_report report = {.session = session,
+	                           .seq = seq,
+	                           .epoch = epoch,
+	                           .reclaim_in_s = -1,
+	                           .tasks = tasks,
+	                           .n_tasks = n};
+
+	strcpy(report.host, "m-000001");
+	strcpy(report.endpoint, "127.0.0.1:1");
+	strcpy(report.type, "g");
+	strcpy(report.zone, "a");
+	return report;
 }
 
-int hear(struct fixture *f, struct fl_report r, enum fl_report_source source)
+int deliver_report(struct fixture *fixture, struct fl_report report, enum fl_report_source source)
 {
 	struct fl_orders orders;
 	int rc, n;
 
-	fl_orders_init(&orders, f->node.lease.epoch);
-	rc = fl_reconcile_report(&f->node, &r, source == FL_SOURCE_REPORT ? &orders : NULL, source);
+	fl_orders_init(&orders, fixture->node.lease.epoch);
+	rc = fl_reconcile_report(&fixture->node, &report,
+	                         source == FL_SOURCE_REPORT ? &orders : NULL, source);
 	n = orders.n;
 	cJSON_Delete(orders.root);
 	return rc ? rc : n;
 }
 
-struct fl_machine *machine(struct fixture *f)
+struct fl_machine *only_machine(struct fixture *fixture)
 {
-	return fl_machine_find(&f->node.cluster.machines, "m-000001");
+	return fl_machine_find(&fixture->node.cluster.machines, "m-000001");
 }
 
-void ago(struct fixture *f, double seconds) { machine(f)->answered = fl_now() - seconds; }
+void answered_ago(struct fixture *fixture, double seconds)
+{
+	only_machine(fixture)->answered = fl_now() - seconds;
+}
 
-struct fl_task *place(struct fixture *f, uint32_t index)
+struct fl_task *place_task(struct fixture *fixture, uint32_t index)
 {
-	assert_int_equal(fl_task_place(&f->node.cluster, f->job, index, machine(f),
-	                               f->node.lease.epoch, fl_now()),
+	assert_int_equal(fl_task_place(&fixture->node.cluster, fixture->job, index,
+	                               only_machine(fixture), fixture->node.lease.epoch, fl_now()),
 	                 0);
-	fl_job_chunk(f->job, 0)->saved_gen = fl_job_chunk(f->job, 0)->gen;
-	return fl_task_peek(f->job, index);
+	fl_job_chunk(fixture->job, 0)->saved_gen = fl_job_chunk(fixture->job, 0)->gen;
+	return fl_task_peek(fixture->job, index);
 }
 
-struct fl_task_report running(uint32_t index, uint32_t attempt)
+struct fl_task_report running_task(uint32_t index, uint32_t attempt)
 {
-	struct fl_task_report p = {.index = index, .attempt = attempt, .state = FL_EXECUTING};
+	struct fl_task_report task_report = {
+		.index = index, .attempt = attempt, .state = FL_EXECUTING};
 
-	strcpy(p.ref, "run-000001");
-	return p;
+	strcpy(task_report.ref, "run-000001");
+	return task_report;
 }
 
-void follow(struct fixture *f, int peers)
+void become_follower(struct fixture *fixture, int peers)
 {
-	struct fl_node *n = &f->node;
+	struct fl_node *node = &fixture->node;
 
-	n->lease.held = n->lead.active = n->cluster.leading = false;
-	n->types_known = n->jobs_known = true;
-	strcpy(n->leader, "n1");
-	n->n_peers = peers;
+	node->lease.held = node->lead.active = node->cluster.leading = false;
+	node->types_known = node->jobs_known = true;
+	strcpy(node->leader, "n1");
+	node->n_peers = peers;
 	for (int i = 0; i < peers; i++) {
-		snprintf(n->peers[i].name, sizeof(n->peers[i].name), "n%d", i + 1);
-		strcpy(n->peers[i].location, "b");
-		n->peers[i].heard_at = n->peers[i].sent_all_at = -1e9;
+		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
+		strcpy(node->peers[i].location, "b");
+		node->peers[i].heard_at = node->peers[i].sent_all_at = -1e9;
 	}
-	n->cancellations_known_until = n->state.last_ok = fl_now();
-	n->state.last_refusal = -1e9;
+	node->cancellations_known_until = node->state.last_ok = fl_now();
+	node->state.last_refusal = -1e9;
 }
 
-struct fl_response call(struct fixture *f, enum fl_user_call what, const char *ref,
-                        const char *body)
+struct fl_response user_call(struct fixture *fixture, enum fl_user_call what, const char *ref,
+                             const char *body)
 {
 	struct fl_response resp = {.status = 500};
 
-	fl_node_user_call(&f->node, what, ref, body, body ? strlen(body) : 0, FL_FIRST_HOP, &resp);
+	fl_node_user_call(&fixture->node, what, ref, body, body ? strlen(body) : 0, FL_FIRST_HOP,
+	                  &resp);
 	return resp;
 }
 
 int kills_in_answer;
 
-int send_report(struct fixture *f, struct fl_report r, char *to)
+int send_report(struct fixture *fixture, struct fl_report report, char *to)
 {
-	char *text = fl_report_encode(&r);
-	struct fl_response resp = call(f, FL_CALL_REPORT, NULL, text);
-	cJSON *o = resp.body ? fl_json_parse(resp.body, strlen(resp.body)) : NULL;
-	const cJSON *e;
+	char *text = fl_report_encode(&report);
+	struct fl_response resp = user_call(fixture, FL_CALL_REPORT, NULL, text);
+	cJSON *object = resp.body ? fl_json_parse(resp.body, strlen(resp.body)) : NULL;
+	const cJSON *element;
 
 	kills_in_answer = 0;
-	cJSON_ArrayForEach (e, fl_json_get(o, "Orders")) {
+	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16];
 
-		fl_json_str(e, "Verb", verb, sizeof(verb));
+		fl_json_str(element, "Verb", verb, sizeof(verb));
 		assert_string_not_equal(verb, "launch");
 		kills_in_answer += strcmp(verb, "kill") == 0;
 	}
 
-	if (to && fl_json_str(o, "Steward", to, FL_NAME_MAX) != FL_FIELD_OK)
+	if (to && fl_json_str(object, "Steward", to, FL_NAME_MAX) != FL_FIELD_OK)
 		to[0] = 0;
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	free(resp.body);
 	free(text);
 	return resp.status;
 }
 
-cJSON *cancelled_record(struct fixture *f, double seconds)
+cJSON *cancelled_record(struct fixture *fixture, double seconds)
 {
 	struct fl_job_spec run;
 
-	fl_job_describe(&f->node.cluster, f->job, &run);
+	fl_job_describe(&fixture->node.cluster, fixture->job, &run);
 	return fl_job_record_cancelled(&run, 1, fl_wall() - seconds);
 }
 
-void hear_of_cancel(struct fixture *f, double seconds)
+void apply_cancellation(struct fixture *fixture, double seconds)
 {
-	cJSON *v = cancelled_record(f, seconds);
+	cJSON *record = cancelled_record(fixture, seconds);
 
-	assert_null(fl_cluster_apply(&f->node.cluster, f->job->ref, v, 9));
-	cJSON_Delete(v);
+	assert_null(fl_cluster_apply(&fixture->node.cluster, fixture->job->ref, record, 9));
+	cJSON_Delete(record);
 }
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,6 +1,6 @@
 /*
- * One node without connections, for the tests of what it does with reports: these are handed in,
- * and its answers looked at.
+ * One node without connections, for the tests of what it does with reports: these are delivered
+ * directly, and its answers examined.
  */
 #ifndef FL_TESTS_NODE_FIXTURE_H
 #define FL_TESTS_NODE_FIXTURE_H
@@ -18,41 +18,49 @@
 	uint64_t seq;
 };
 
-void lead(struct fixture *f, uint64_t epoch);
+/* The node leads from now on, with this epoch and without placed tasks. */
+void become_leader(struct fixture *fixture, uint64_t epoch);
 
+/* Before and after each test: a node with two zones, one machine type, team and job. */
 int set_up(void **state);
 
 int tear_down(void **state);
 
-struct fl_report report(uint64_t session, uint64_t seq, uint64_t epoch,
-                        struct fl_task_report *tasks, int n);
+/* Of the machine m-000001. */
+struct fl_report make_report(uint64_t session, uint64_t seq, uint64_t epoch,
+                             struct fl_task_report *tasks, int n);
 
-/* Hands a report in; the number of orders in its answer, or the refusal. */
-int hear(struct fixture *f, struct fl_report r, enum fl_report_source source);
+/* Delivers a report; the number of orders in its answer, or the negative error. */
+int deliver_report(struct fixture *fixture, struct fl_report report, enum fl_report_source source);
 
-struct fl_machine *machine(struct fixture *f);
+/* That machine, or NULL. */
+struct fl_machine *only_machine(struct fixture *fixture);
 
-/* The machine has waited: its last answer was given so long ago. */
-void ago(struct fixture *f, double seconds);
+/* Sets the time since the last answer to the machine. */
+void answered_ago(struct fixture *fixture, double seconds);
 
-struct fl_task *place(struct fixture *f, uint32_t index);
+/* Places a task of the job on it, as if its record were written. */
+struct fl_task *place_task(struct fixture *fixture, uint32_t index);
 
-struct fl_task_report running(uint32_t index, uint32_t attempt);
+/* For a report: this attempt of a task of the job is running. */
+struct fl_task_report running_task(uint32_t index, uint32_t attempt);
 
-void follow(struct fixture *f, int peers);
+/* Another node leads, and this one is in contact with the state service. */
+void become_follower(struct fixture *fixture, int peers);
 
-struct fl_response call(struct fixture *f, enum fl_user_call what, const char *ref,
-                        const char *body);
+struct fl_response user_call(struct fixture *fixture, enum fl_user_call what, const char *ref,
+                             const char *body);
 
 extern int kills_in_answer; /* of the report sent last */
 
-int send_report(struct fixture *f, struct fl_report r, char *to);
+/* Makes the call of a worker; the status, and in `to`, if given, the node it is redirected to. */
+int send_report(struct fixture *fixture, struct fl_report report, char *to);
 
 /* The record of the job, cancelled so long ago. */
-cJSON *cancelled_record(struct fixture *f, double seconds);
+cJSON *cancelled_record(struct fixture *fixture, double seconds);
 
-/* As every node hears of it. */
-void hear_of_cancel(struct fixture *f, double seconds);
+/* Applies that record, as every node does when it is written. */
+void apply_cancellation(struct fixture *fixture, double seconds);
 
 /* A test entry with a node of its own. */
 #define NODE_TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
--- a/tests/reconcile_sim.h
+++ b/tests/reconcile_sim.h
@@ -12,7 +12,7 @@
 #include "coordination/node.h"
 #include "coordination/reconcile.h"
 
-enum { W = 4, JOBS = 3, TASKS = 5, MAIL = 400, ON_MACHINE = 64 };
+enum { WORKERS = 4, JOBS = 3, TASKS = 5, MESSAGES = 400, ENTRIES = 64 };
 
 struct entry {
 	struct fl_task_report report;
@@ -21,63 +21,74 @@
 
 struct worker {
 	uint64_t session, seq, epoch;
-	struct entry at[ON_MACHINE];
-	char *answer; /* to the newest report, on its way; gone with the next report */
+	struct entry at[ENTRIES];
+	char *answer; /* to the newest report, in flight; dropped with the next report */
 };
 
-struct mail {
+struct message {
 	int worker;
 	char *text; /* a report, or the body of a direct command */
 	bool command;
 };
 
-struct sim {
+struct simulation {
 	struct fl_node node;
 	struct fl_config config;
-	struct worker worker[W];
-	struct mail mail[MAIL];
-	int n_mail;
+	struct worker worker[WORKERS];
+	struct message messages[MESSAGES];
+	int n_messages;
 	char *record[JOBS]; /* progress records, as the state service holds them */
 	char *log[2]; /* and the log; a write need not fill both values, what was there stays */
-	bool really_done[JOBS][TASKS];
-	gsl_rng *g;
+	bool actually_done[JOBS][TASKS];
+	gsl_rng *rng;
 	uint64_t epoch;
 	int launches, dones, takeovers, logs;
-	int calm; /* the larger, the rarer a new epoch: late commands stay dangerous for longer */
+	int calm; /* the larger, the rarer a new epoch: late commands stay valid for longer */
 };
 
-int pick(struct sim *w, int n);
+/* A random number from 0 to n - 1, of the case's stream. */
+int random_below(struct simulation *sim, int n);
 
-void ref_of(int job, char ref[FL_REF_MAX]);
+void format_ref(int job, char ref[FL_REF_MAX]);
 
-void host_of(int worker, char host[FL_NAME_MAX]);
+void format_host(int worker, char host[FL_NAME_MAX]);
 
-char *report_text(struct sim *w, int at);
+/* The next report of a worker, encoded. */
+char *report_text(struct simulation *sim, int at);
 
-void check_rules(struct sim *w);
+/* No task runs twice, and no team is above its limit. */
+void check_invariants(struct simulation *sim);
 
-void execute(struct sim *w, int at, const char *text, bool direct);
+/* What a worker does with an answer or, if `direct`, with a command. */
+void execute_orders(struct simulation *sim, int at, const char *text, bool direct);
 
-void drop_answer(struct worker *k);
+void drop_answer(struct worker *worker);
 
-struct fl_job *add_job(struct sim *w, int job);
+struct fl_job *add_job(struct simulation *sim, int job);
 
-void take_over(struct sim *w);
+/* Another leader begins, with what the log and the records hold. */
+void take_over(struct simulation *sim);
 
-void place_some(struct sim *w);
+/* Places tasks of a random job. */
+void place_some(struct simulation *sim);
 
-void save_records(struct sim *w);
+/* Writes the log, or some of the records. */
+void save_some(struct simulation *sim);
 
-void leader_hears(struct sim *w, int at, const char *text, enum fl_report_source source);
+/* The leader takes a report in, and its answer is in flight. */
+void deliver_report(struct simulation *sim, int at, const char *text, enum fl_report_source source);
 
-void post(struct sim *w, int at, char *text, bool command);
+/* For deliver_late(), any number of times. */
+void queue_message(struct simulation *sim, int at, char *text, bool command);
 
-void command_directly(struct sim *w, int at);
+/* The leader sends a command; it may arrive now, and late. */
+void command_directly(struct simulation *sim, int at);
 
-void deliver_late(struct sim *w);
+void deliver_late(struct simulation *sim);
 
-void set_up(struct sim *w, unsigned long seed);
+/* The case of this seed. */
+void set_up(struct simulation *sim, unsigned long seed);
 
-void tear_down(struct sim *w);
+void tear_down(struct simulation *sim);
 
 #endif
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -12,153 +12,154 @@
 #include "node_fixture.h"
 #include "transport/clock.h"
 
-static void silent_for(struct fixture *f, double seconds)
+static void set_silence(struct fixture *fixture, double seconds)
 {
-	struct fl_machine *m = machine(f);
+	struct fl_machine *machine = only_machine(fixture);
 
-	m->heard = m->reached = m->created = fl_now() - seconds;
-	f->node.lead.since = fl_now() - 1000;
+	machine->heard = machine->reached = machine->created = fl_now() - seconds;
+	fixture->node.lead.since = fl_now() - 1000;
 }
 
-static bool given_up(struct fixture *f)
+static bool is_expired(struct fixture *fixture)
 {
 	double leases[FL_ZONES_MAX];
 
-	fl_failure_detector_leases(&f->node, fl_now(), leases);
-	return fl_failure_detector_expired(&f->node, machine(f), fl_now(), leases);
+	fl_failure_detector_leases(&fixture->node, fl_now(), leases);
+	return fl_failure_detector_expired(&fixture->node, only_machine(fixture), fl_now(), leases);
 }
 
-/* Alone it is given up after a lease; with its zone's controllers, when these must stop keeping. */
-static void a_zone_that_falls_silent_keeps_its_machines(void **state)
+/* Alone it expires after a lease; with its zone's controllers, when these must stop renewing. */
+static void machines_of_a_silent_zone_expire_later(void **state)
 {
-	struct fixture *f = *state;
-	struct fl_peer *p = &f->node.peers[0];
-	double cache_report = f->config.cancel_s - f->config.lease_s - 1;
-
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
-	place(f, 0);
-	f->node.n_peers = 1;
-	strcpy(p->location, "a");
-	p->up = true;
-	/* All controllers well for long: nothing but the machine is amiss, and less is allowed. */
-	p->up_since = fl_now() - 100;
-	silent_for(f, 7);
-	assert_false(given_up(f));
-	silent_for(f, 8);
-	assert_true(given_up(f));
+	struct fixture *fixture = *state;
+	struct fl_peer *peer = &fixture->node.peers[0];
+	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
+
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	place_task(fixture, 0);
+	fixture->node.n_peers = 1;
+	strcpy(peer->location, "a");
+	peer->up = true;
+	/* All controllers well for long: only the machine can be faulty, and a shorter silence is
+	 * enough. */
+	peer->up_since = fl_now() - 100;
+	set_silence(fixture, 7);
+	assert_false(is_expired(fixture));
+	set_silence(fixture, 8);
+	assert_true(is_expired(fixture));
 	/* One came up lately: workers may still be looking for a node. */
-	p->up_since = fl_now() - 5;
-	silent_for(f, 9);
-	assert_false(given_up(f));
-	silent_for(f, 11);
-	assert_true(given_up(f));
+	peer->up_since = fl_now() - 5;
+	set_silence(fixture, 9);
+	assert_false(is_expired(fixture));
+	set_silence(fixture, 11);
+	assert_true(is_expired(fixture));
 	/* The controller of its zone fell silent at the same time. */
-	p->up = false;
-	p->heard_at = fl_now() - 12;
-	assert_false(given_up(f));
-	silent_for(f, f->config.lease_s + cache_report + 1);
-	p->heard_at = machine(f)->heard;
-	assert_true(given_up(f));
-	/* Of another zone, or long before: it keeps nothing here. */
-	silent_for(f, 11);
-	p->heard_at = fl_now() - 30;
-	assert_true(given_up(f));
-	p->heard_at = machine(f)->heard;
-	strcpy(p->location, "b");
-	assert_true(given_up(f));
+	peer->up = false;
+	peer->heard_at = fl_now() - 12;
+	assert_false(is_expired(fixture));
+	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
+	peer->heard_at = only_machine(fixture)->heard;
+	assert_true(is_expired(fixture));
+	/* Of another zone, or silent long before: it delays nothing here. */
+	set_silence(fixture, 11);
+	peer->heard_at = fl_now() - 30;
+	assert_true(is_expired(fixture));
+	peer->heard_at = only_machine(fixture)->heard;
+	strcpy(peer->location, "b");
+	assert_true(is_expired(fixture));
 }
 
-static struct fl_machine *another(struct fixture *f, int i, bool spot, int zone)
+static struct fl_machine *add_machine(struct fixture *fixture, int i, bool spot, int zone)
 {
 	char name[FL_NAME_MAX];
-	struct fl_machine *m;
+	struct fl_machine *machine;
 
 	snprintf(name, sizeof(name), "m-%06d", i);
-	m = fl_machine_get(&f->node.cluster.machines, name, fl_now() - 100);
-	fl_cluster_describe(&f->node.cluster, m, 0, zone, spot, "x");
-	m->up = true;
-	m->heard = fl_now();
-	return m;
+	machine = fl_machine_get(&fixture->node.cluster.machines, name, fl_now() - 100);
+	fl_cluster_describe(&fixture->node.cluster, machine, 0, zone, spot, "x");
+	machine->up = true;
+	machine->heard = fl_now();
+	return machine;
 }
 
 /*
- * Found on a standard day: a zone apart, whose controller had just ended, went by twos and threes,
- * each time too few to look like a fault of the links, until all of it was returned.
+ * Found on a standard day: a zone apart, whose controller had just ended, expired a few machines
+ * at a time, each time too few to look like a partition, until all of it was returned.
  */
-static void a_zone_does_not_go_by_twos_and_threes(void **state)
+static void a_zone_is_not_expired_a_few_machines_at_a_time(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
-	place(f, 0);
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	place_task(fixture, 0);
 	for (int i = 2; i < 22; i++)
-		another(f, i, false, 1);
-	/* This one is due; three more of its zone are on their way there, of four. */
+		add_machine(fixture, i, false, 1);
+	/* This one is due; three more of the four of its zone are silent too. */
 	for (int i = 30; i < 33; i++)
-		another(f, i, false, 0)->heard = fl_now() - 7;
-	silent_for(f, 11);
-	assert_false(given_up(f));
-	silent_for(f, 31);
-	assert_true(given_up(f));
-	/* A wave of cheap machines says nothing of the links. */
-	silent_for(f, 11);
+		add_machine(fixture, i, false, 0)->heard = fl_now() - 7;
+	set_silence(fixture, 11);
+	assert_false(is_expired(fixture));
+	set_silence(fixture, 31);
+	assert_true(is_expired(fixture));
+	/* Many reclaimed spot machines are no sign of a partition. */
+	set_silence(fixture, 11);
 	for (int i = 30; i < 33; i++)
-		fl_machine_find(&f->node.cluster.machines, i == 30   ? "m-000030"
-		                                           : i == 31 ? "m-000031"
-		                                                     : "m-000032")
+		fl_machine_find(&fixture->node.cluster.machines, i == 30   ? "m-000030"
+		                                                 : i == 31 ? "m-000031"
+		                                                           : "m-000032")
 			->spot = true;
-	assert_true(given_up(f));
+	assert_true(is_expired(fixture));
 }
 
 /*
- * Found at a thousand machines: dozens that died at once were waited for as if it were two links
- * that had failed, since more than two were silent. How many is many depends on how many there are.
+ * Found at a thousand machines: dozens that failed at once were waited for as in a partition of two
+ * links, since more than two were silent. How many are many depends on the number of machines.
  */
-static void a_few_of_many_machines_are_given_up_early(void **state)
+static void a_few_of_many_machines_expire_early(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
-	place(f, 0);
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	place_task(fixture, 0);
 	for (int i = 2; i < 42; i++)
-		another(f, i, false, i % 2)->heard = fl_now() - (i < 7 ? 7 : 0);
-	silent_for(f, 8);
-	assert_true(given_up(f));
+		add_machine(fixture, i, false, i % 2)->heard = fl_now() - (i < 7 ? 7 : 0);
+	set_silence(fixture, 8);
+	assert_true(is_expired(fixture));
 	for (int i = 43; i < 46; i++)
-		another(f, i, false, i % 2)->heard = fl_now() - 7;
-	assert_false(given_up(f));
-	silent_for(f, 11);
-	assert_true(given_up(f));
+		add_machine(fixture, i, false, i % 2)->heard = fl_now() - 7;
+	assert_false(is_expired(fixture));
+	set_silence(fixture, 11);
+	assert_true(is_expired(fixture));
 }
 
-/* A deaf machine is given up like a silent one, though it reports; many at once point at us. */
-static void deafness_counts_as_silence_but_not_of_all_at_once(void **state)
+/* An unreachable machine expires like a silent one; many at once point at this node. */
+static void unreachability_counts_as_silence_unless_many_at_once(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	hear(f, report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
-	place(f, 0);
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	place_task(fixture, 0);
 	for (uint64_t seq = 2; seq < 5; seq++) {
-		ago(f, 12);
-		hear(f, report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+		answered_ago(fixture, 12);
+		deliver_report(fixture, make_report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
-	assert_true(given_up(f));
+	assert_true(is_expired(fixture));
 	for (int i = 2; i < 6; i++) {
-		struct fl_machine *m = another(f, i, false, 0);
+		struct fl_machine *machine = add_machine(fixture, i, false, 0);
 
-		m->unheard = 3;
-		m->unheard_since = fl_now() - 12;
+		machine->unheard = 3;
+		machine->unheard_since = fl_now() - 12;
 	}
-	assert_false(given_up(f));
+	assert_false(is_expired(fixture));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		NODE_TEST(a_zone_that_falls_silent_keeps_its_machines),
-		NODE_TEST(a_zone_does_not_go_by_twos_and_threes),
-		NODE_TEST(a_few_of_many_machines_are_given_up_early),
-		NODE_TEST(deafness_counts_as_silence_but_not_of_all_at_once),
+		NODE_TEST(machines_of_a_silent_zone_expire_later),
+		NODE_TEST(a_zone_is_not_expired_a_few_machines_at_a_time),
+		NODE_TEST(a_few_of_many_machines_expire_early),
+		NODE_TEST(unreachability_counts_as_silence_unless_many_at_once),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -1,5 +1,5 @@
 /*
- * Polls without a leader: questions for one job share a read of its record, and the reads stay
+ * Polls without a leader: those for one job share a read of its record, and the reads stay
  * within the node's share of the state service.
  */
 #include <setjmp.h>
@@ -16,7 +16,7 @@
 #include "frontend_fixture.h"
 
 struct question {
-	struct fixture *f;
+	struct fixture *fixture;
 	char ref[FL_REF_MAX];
 	struct fl_response resp;
 	bool answered;
@@ -24,112 +24,117 @@
 
 static void ask(void *arg)
 {
-	struct question *q = arg;
+	struct question *question = arg;
 
-	fl_node_user_call(&q->f->node, FL_CALL_POLL, q->ref, NULL, 0, FL_FIRST_HOP, &q->resp);
-	free(q->resp.body);
-	q->answered = true;
+	fl_node_user_call(&question->fixture->node, FL_CALL_POLL, question->ref, NULL, 0,
+	                  FL_FIRST_HOP, &question->resp);
+	free(question->resp.body);
+	question->answered = true;
 }
 
 enum { ASKERS = 40 };
 
-static int answered_with(const struct question *q, int from, int to, int status)
+static int answered_with(const struct question *question, int from, int to, int status)
 {
 	int count = 0;
 
 	for (int i = from; i < to; i++)
-		count += q[i].answered && q[i].resp.status == status;
+		count += question[i].answered && question[i].resp.status == status;
 	return count;
 }
 
-static bool answered_by_all(const struct question *q)
+static bool answered_by_all(const struct question *question)
 {
 	for (int i = 0; i < ASKERS; i++)
-		if (!q[i].answered)
+		if (!question[i].answered)
 			return false;
 	return true;
 }
 
-static void question(struct fixture *f, struct question *q, const char *ref)
+static void spawn_question(struct fixture *fixture, struct question *question, const char *ref)
 {
-	memset(q, 0, sizeof(*q));
-	q->f = f;
-	copy_text(q->ref, sizeof(q->ref), ref);
-	fl_spawn(ask, q);
+	memset(question, 0, sizeof(*question));
+	question->fixture = fixture;
+	copy_text(question->ref, sizeof(question->ref), ref);
+	fl_spawn(ask, question);
 }
 
-static void storm(void *arg)
+static void ask_many(void *arg)
 {
-	static struct question q[ASKERS];
-	struct fixture *f = arg;
+	static struct question question[ASKERS];
+	struct fixture *fixture = arg;
 	char ref[FL_REF_MAX];
 
-	/* Nobody leads: each poll is answered by the records, and twenty by one look at them. */
-	f->node.n_peers = 0;
-	f->node.types_known = f->node.jobs_known = true;
-	f->gated = true;
-	f->config.state_rps = 1000;
-	fl_job_lookups_init(&f->node);
+	/* Nobody leads: each poll is answered from the records, and twenty by one read of them. */
+	fixture->node.n_peers = 0;
+	fixture->node.types_known = fixture->node.jobs_known = true;
+	fixture->gated = true;
+	fixture->config.state_rps = 1000;
+	fl_job_lookups_init(&fixture->node);
 	for (int i = 0; i < ASKERS / 2; i++)
-		question(f, &q[i], "run-000001");
-	while (f->reads < 1)
+		spawn_question(fixture, &question[i], "run-000001");
+	while (fixture->reads < 1)
 		fl_sleep(0.01);
-	/* The first look is on its way, and sees nothing of what is accepted now. */
-	f->known = true;
+	/* The first read is in flight, and does not see what is accepted now. */
+	fixture->known = true;
 	for (int i = ASKERS / 2; i < ASKERS; i++)
-		question(f, &q[i], "run-000001");
+		spawn_question(fixture, &question[i], "run-000001");
 	fl_sleep(0.01);
-	while (!answered_by_all(q)) {
-		fl_signal_wake(&f->gate);
+	while (!answered_by_all(question)) {
+		fl_signal_wake(&fixture->gate);
 		fl_sleep(0.01);
 	}
-	if (answered_with(q, 0, 1, 404) != 1 || answered_with(q, 1, ASKERS, 200) != ASKERS - 1)
-		strcpy(f->failed, "a question is answered by an older read");
-	if (f->reads != 4)
-		snprintf(f->failed, sizeof(f->failed), "%d reads for one job", f->reads);
+	if (answered_with(question, 0, 1, 404) != 1 ||
+	    answered_with(question, 1, ASKERS, 200) != ASKERS - 1)
+		strcpy(fixture->failed, "a question is answered by an older read");
+	if (fixture->reads != 4)
+		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads for one job",
+		         fixture->reads);
 	/* What is done stays so: one read serves all that ask later. */
-	f->gated = false;
-	f->reads = 0;
-	question(f, &q[0], "run-000001");
-	while (!q[0].answered)
+	fixture->gated = false;
+	fixture->reads = 0;
+	spawn_question(fixture, &question[0], "run-000001");
+	while (!question[0].answered)
 		fl_sleep(0.01);
-	if (f->reads != 0 || q[0].resp.status != 200)
-		strcpy(f->failed, "what is done is read again");
-	/* Many jobs: what goes beyond the share of the state service is told so at once. */
-	f->known = false;
-	f->reads = 0;
-	f->gated = false;
-	f->config.state_rps = 10;
-	fl_job_lookups_init(&f->node);
+	if (fixture->reads != 0 || question[0].resp.status != 200)
+		strcpy(fixture->failed, "what is done is read again");
+	/* Many jobs: polls beyond the share of the state service are refused at once. */
+	fixture->known = false;
+	fixture->reads = 0;
+	fixture->gated = false;
+	fixture->config.state_rps = 10;
+	fl_job_lookups_init(&fixture->node);
 	for (int i = 0; i < ASKERS; i++) {
 		snprintf(ref, sizeof(ref), "run-%06d", 100 + i);
-		question(f, &q[i], ref);
+		spawn_question(fixture, &question[i], ref);
 	}
-	while (!answered_by_all(q))
+	while (!answered_by_all(question))
 		fl_sleep(0.01);
-	if (f->reads < 4 || f->reads > 12 || answered_with(q, 0, ASKERS, 404) * 2 != f->reads ||
-	    answered_with(q, 0, ASKERS, 503) + f->reads / 2 != ASKERS)
-		snprintf(f->failed, sizeof(f->failed), "%d reads of 10 a second", f->reads);
+	if (fixture->reads < 4 || fixture->reads > 12 ||
+	    answered_with(question, 0, ASKERS, 404) * 2 != fixture->reads ||
+	    answered_with(question, 0, ASKERS, 503) + fixture->reads / 2 != ASKERS)
+		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads of 10 a second",
+		         fixture->reads);
 	for (int i = 0; i < ASKERS; i++)
-		if (q[i].resp.status == 503 && q[i].resp.retry_after_s <= 0)
-			strcpy(f->failed, "not told when to come again");
+		if (question[i].resp.status == 503 && question[i].resp.retry_after_s <= 0)
+			strcpy(fixture->failed, "no time is given for the next try");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void many_questions_leave_the_state_service_to_others(void **state)
+static void many_polls_stay_within_the_share_of_the_state_service(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	fl_spawn(storm, f);
+	fl_spawn(ask_many, fixture);
 	fl_routines_run();
-	if (f->failed[0])
-		fail_msg("%s", f->failed);
+	if (fixture->failed[0])
+		fail_msg("%s", fixture->failed);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(many_questions_leave_the_state_service_to_others),
+		FRONTEND_TEST(many_polls_stay_within_the_share_of_the_state_service),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_reconcile.c
+++ b/tests/test_reconcile.c
@@ -16,174 +16,177 @@
 #include "reconcile_sim.h"
 #include "transport/clock.h"
 
-static void worker_reports(struct sim *w, int at)
+static void send_report(struct simulation *sim, int at)
 {
-	struct worker *k = &w->worker[at];
+	struct worker *worker = &sim->worker[at];
 	char *text;
 
-	/* An answer still on its way is carried out before the next report or never. */
-	if (k->answer && pick(w, 4))
-		execute(w, at, k->answer, false);
-	drop_answer(k);
-	text = report_text(w, at);
-	if (pick(w, 5))
-		leader_hears(w, at, text, FL_SOURCE_REPORT);
-	post(w, at, text, false);
+	/* An answer in flight is carried out before the next report or never. */
+	if (worker->answer && random_below(sim, 4))
+		execute_orders(sim, at, worker->answer, false);
+	drop_answer(worker);
+	text = report_text(sim, at);
+	if (random_below(sim, 5))
+		deliver_report(sim, at, text, FL_SOURCE_REPORT);
+	queue_message(sim, at, text, false);
 }
 
-static void something_ends(struct sim *w, int at)
+static void end_some_task(struct simulation *sim, int at)
 {
-	struct worker *k = &w->worker[at];
-	struct fl_task_report *p;
-
-	/* Drawn and not used: the seeds play the same cases as before this was found. */
-	(void)pick(w, ON_MACHINE);
-	for (int i = 0; i < ON_MACHINE; i++) {
-		if (!k->at[i].used || k->at[i].report.state == FL_ENDED || pick(w, 3))
+	struct worker *worker = &sim->worker[at];
+	struct fl_task_report *task_report;
+
+	/* Not used, but drawn so that each seed still plays the same case. */
+	(void)random_below(sim, ENTRIES);
+	for (int i = 0; i < ENTRIES; i++) {
+		if (!worker->at[i].used || worker->at[i].report.state == FL_ENDED ||
+		    random_below(sim, 3))
 			continue;
-		p = &k->at[i].report;
-		p->state = FL_ENDED;
-		p->exit = pick(w, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
-		if (p->exit == FL_EXIT_DONE) {
-			w->really_done[atoi(p->ref + 4)][p->index] = true;
-			w->dones++;
+		task_report = &worker->at[i].report;
+		task_report->state = FL_ENDED;
+		task_report->exit = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
+		if (task_report->exit == FL_EXIT_DONE) {
+			sim->actually_done[atoi(task_report->ref + 4)][task_report->index] = true;
+			sim->dones++;
 		}
 		return;
 	}
 }
 
-static void session_ends(struct sim *w, int at)
+static void end_session(struct simulation *sim, int at)
 {
-	struct worker *k = &w->worker[at];
+	struct worker *worker = &sim->worker[at];
 
-	memset(k->at, 0, sizeof(k->at));
-	k->session++;
-	drop_answer(k);
+	memset(worker->at, 0, sizeof(worker->at));
+	worker->session++;
+	drop_answer(worker);
 }
 
-static void step(struct sim *w)
+static void step(struct simulation *sim)
 {
-	int at = pick(w, W);
+	int at = random_below(sim, WORKERS);
 
-	switch (pick(w, 24)) {
+	switch (random_below(sim, 24)) {
 	case 0:
-		if (pick(w, 4) == 0)
-			session_ends(w, at);
+		if (random_below(sim, 4) == 0)
+			end_session(sim, at);
 		break;
 	case 1:
-		if (pick(w, 4 * w->calm) == 0)
-			take_over(w);
+		if (random_below(sim, 4 * sim->calm) == 0)
+			take_over(sim);
 		break;
 	case 2:
-		if (pick(w, 3 * w->calm) == 0)
-			w->node.lease.epoch = ++w->epoch;
+		if (random_below(sim, 3 * sim->calm) == 0)
+			sim->node.lease.epoch = ++sim->epoch;
 		break;
 	case 3:
 	case 4:
 	case 5:
-		deliver_late(w);
+		deliver_late(sim);
 		break;
 	case 6:
 	case 7:
-		command_directly(w, at);
+		command_directly(sim, at);
 		break;
 	case 8:
 	case 9:
-		something_ends(w, at);
+		end_some_task(sim, at);
 		break;
 	case 10:
 	case 11:
 	case 12:
-		save_records(w);
+		save_some(sim);
 		break;
 	case 13:
 	case 14:
-		place_some(w);
+		place_some(sim);
 		break;
 	case 15: {
 		/* The scheduler stops something to make room. */
-		struct fl_machine *m =
-			w->node.cluster.machines.n ? w->node.cluster.machines.at[0] : NULL;
+		struct fl_machine *machine =
+			sim->node.cluster.machines.n ? sim->node.cluster.machines.at[0] : NULL;
 
-		if (m && m->n_slots > 0)
-			fl_task_peek(m->slots[0].job, m->slots[0].index)->stop = FL_STOP_PREEMPT;
+		if (machine && machine->n_slots > 0)
+			fl_task_peek(machine->slots[0].job, machine->slots[0].index)->stop =
+				FL_STOP_PREEMPT;
 		break;
 	}
 	default:
-		worker_reports(w, at);
+		send_report(sim, at);
 	}
-	check_rules(w);
+	check_invariants(sim);
 }
 
-static void no_interleaving_breaks_a_rule(void **state)
+static void no_interleaving_violates_an_invariant(void **state)
 {
-	struct sim *w = malloc(sizeof(*w));
+	struct simulation *sim = malloc(sizeof(*sim));
 	int launches = 0, dones = 0, takeovers = 0, finished = 0;
 
 	(void)state;
 	for (unsigned long seed = 1; seed <= 150; seed++) {
-		set_up(w, seed);
+		set_up(sim, seed);
 		for (int i = 0; i < 1500; i++)
-			step(w);
-		launches += w->launches;
-		dones += w->dones;
-		takeovers += w->takeovers;
+			step(sim);
+		launches += sim->launches;
+		dones += sim->dones;
+		takeovers += sim->takeovers;
 		for (int j = 0; j < JOBS; j++) {
 			bool all = true;
 
 			for (int p = 0; p < TASKS; p++)
-				all = all && w->really_done[j][p];
+				all = all && sim->actually_done[j][p];
 			finished += all;
 		}
-		tear_down(w);
+		tear_down(sim);
 	}
-	/* The walk must get somewhere: jobs finish, leaders change. */
+	/* The random walk must make progress: jobs finish, leaders change. */
 	assert_true(launches > 4000 && dones > 600 && takeovers > 500 && finished > 10);
-	free(w);
+	free(sim);
 }
 
 /* A job that fails everywhere waits longer and longer, and does not make machines look faulty. */
-static void a_job_that_always_fails_does_not_spin(void **state)
+static void a_job_that_always_fails_backs_off(void **state)
 {
-	struct sim *w = malloc(sizeof(*w));
-	struct fl_machine *m;
-	struct fl_cluster *b;
+	struct simulation *sim = malloc(sizeof(*sim));
+	struct fl_machine *machine;
+	struct fl_cluster *cluster;
 	struct fl_job *job;
 	double now = fl_now(), last = 0;
 
 	(void)state;
-	set_up(w, 1);
-	b = &w->node.cluster;
-	job = fl_job_find(b, "run-000000");
+	set_up(sim, 1);
+	cluster = &sim->node.cluster;
+	job = fl_job_find(cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
-		struct fl_report r = {.session = 1, .seq = 1, .epoch = 1, .reclaim_in_s = -1};
-		struct fl_task_report p = {
+		struct fl_report report = {.session = 1, .seq = 1, .epoch = 1, .reclaim_in_s = -1};
+		struct fl_task_report task_report = {
 			.index = (uint32_t)(i % TASKS), .state = FL_ENDED, .exit = FL_EXIT_ERROR};
 
-		host_of(60 + i, r.host);
-		m = fl_machine_get(&b->machines, r.host, 0);
-		fl_cluster_describe(b, m, 0, 0, false, "x");
-		m->session = 1;
-		assert_int_equal(fl_task_place(b, job, p.index, m, 1, 0), 0);
-		copy_text(p.ref, sizeof(p.ref), job->ref);
-		p.attempt = fl_task_peek(job, p.index)->attempt;
-		r.tasks = &p;
-		r.n_tasks = 1;
-		assert_int_equal(fl_reconcile_report(&w->node, &r, NULL, FL_SOURCE_COMMAND), 0);
-		assert_true(m->avoid_until <= now);
+		format_host(60 + i, report.host);
+		machine = fl_machine_get(&cluster->machines, report.host, 0);
+		fl_cluster_describe(cluster, machine, 0, 0, false, "x");
+		machine->session = 1;
+		assert_int_equal(fl_task_place(cluster, job, task_report.index, machine, 1, 0), 0);
+		copy_text(task_report.ref, sizeof(task_report.ref), job->ref);
+		task_report.attempt = fl_task_peek(job, task_report.index)->attempt;
+		report.tasks = &task_report;
+		report.n_tasks = 1;
+		assert_int_equal(fl_reconcile_report(&sim->node, &report, NULL, FL_SOURCE_COMMAND),
+		                 0);
+		assert_true(machine->avoid_until <= now);
 		assert_true(i < 4 || job->not_before >= last);
 		last = job->not_before;
 	}
 	assert_true(job->not_before > now + 30 && job->not_before < now + 90);
-	tear_down(w);
-	free(w);
+	tear_down(sim);
+	free(sim);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_job_that_always_fails_does_not_spin),
-		cmocka_unit_test(no_interleaving_breaks_a_rule),
+		cmocka_unit_test(a_job_that_always_fails_backs_off),
+		cmocka_unit_test(no_interleaving_violates_an_invariant),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -14,28 +14,29 @@
 
 #include "frontend_fixture.h"
 
-static int submit(struct fixture *f, const char *fields, int *retry_after)
+static int submit(struct fixture *fixture, const char *fields, int *retry_after)
 {
 	struct fl_response resp = {.status = 500};
-	struct fl_buf b = {0};
+	struct fl_buf body = {0};
 
-	fl_buf_printf(&b, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "", ++f->ref,
-	              BASE);
-	fl_node_user_call(&f->node, FL_CALL_SUBMIT, "", b.data, b.len, FL_FIRST_HOP, &resp);
-	fl_buf_free(&b);
+	fl_buf_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
+	              ++fixture->ref, BASE);
+	fl_node_user_call(&fixture->node, FL_CALL_SUBMIT, "", body.data, body.len, FL_FIRST_HOP,
+	                  &resp);
+	fl_buf_free(&body);
 	free(resp.body);
 	if (retry_after)
 		*retry_after = resp.retry_after_s;
 	return resp.status;
 }
 
-static void expect(struct fixture *f, const char *fields, int want, const char *where)
+static void expect_status(struct fixture *fixture, const char *fields, int want, const char *where)
 {
-	int got = submit(f, fields, NULL);
+	int got = submit(fixture, fields, NULL);
 
-	if (got != want && !f->failed[0])
-		snprintf(f->failed, sizeof(f->failed), "%d instead of %d, %s: %.200s", got, want,
-		         where, fields);
+	if (got != want && !fixture->failed[0])
+		snprintf(fixture->failed, sizeof(fixture->failed), "%d instead of %d, %s: %.200s",
+		         got, want, where, fields);
 }
 
 static const struct {
@@ -82,18 +83,19 @@
 
 enum { CASES = sizeof(cases) / sizeof(cases[0]) };
 
-static void judge(void *arg)
+static void check_verdicts(void *arg)
 {
-	struct fixture *f = arg;
+	struct fixture *fixture = arg;
 	int retry_after;
 	char *large;
 
 	for (int i = 0; i < CASES; i++)
-		expect(f, cases[i].fields, cases[i].status, "all is well");
-	f->refused = true;
+		expect_status(fixture, cases[i].fields, cases[i].status, "all is well");
+	fixture->refused = true;
 	for (int i = 0; i < CASES; i++)
-		expect(f, cases[i].fields, cases[i].status, "refused by the state service");
-	/* What the leader gets is what was read: this, escaped once more, would be too large. */
+		expect_status(fixture, cases[i].fields, cases[i].status,
+		              "refused by the state service");
+	/* The leader gets the decoded job: this body, escaped once more, would be too large. */
 	large = malloc(50001);
 	memset(large, ' ', 50000);
 	for (size_t i = 0; i < 20000; i++)
@@ -101,45 +103,45 @@
 	memcpy(large, "\"Later\":", 8);
 	memcpy(large + 49990, "[7]", 3);
 	large[50000] = 0;
-	expect(f, large, 201, "large");
+	expect_status(fixture, large, 201, "large");
 	free(large);
 	/* A repeat gets the job's state, whatever its body says. */
-	f->known = true;
+	fixture->known = true;
 	for (int refused = 0; refused < 2; refused++) {
-		f->refused = refused;
+		fixture->refused = refused;
 		for (int i = 0; i < CASES; i++)
 			if (cases[i].status != 201)
-				expect(f, cases[i].fields, cases[i].unreadable ? 400 : 200,
-				       "known");
+				expect_status(fixture, cases[i].fields,
+				              cases[i].unreadable ? 400 : 200, "known");
 	}
-	/* Nobody can tell: neither accepted nor refused. */
-	f->known = false;
-	f->refused = true;
-	f->node.peers[0].up = false;
-	f->node.n_peers = 0;
+	/* Not known by any node: neither accepted nor refused. */
+	fixture->known = false;
+	fixture->refused = true;
+	fixture->node.peers[0].up = false;
+	fixture->node.n_peers = 0;
 	for (int i = 0; i < CASES; i++)
 		if (!cases[i].unreadable)
-			expect(f, cases[i].fields, 503, "nobody can tell");
-	f->refused = f->node.types_known = false;
-	if (submit(f, "", &retry_after) != 503 || retry_after <= 0)
-		strcpy(f->failed, "machine types unknown");
+			expect_status(fixture, cases[i].fields, 503, "nobody can tell");
+	fixture->refused = fixture->node.types_known = false;
+	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
+		strcpy(fixture->failed, "machine types unknown");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void a_verdict_is_the_same_wherever_it_is_asked(void **state)
+static void a_verdict_does_not_depend_on_what_is_reachable(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	fl_spawn(judge, f);
+	fl_spawn(check_verdicts, fixture);
 	fl_routines_run();
-	if (f->failed[0])
-		fail_msg("%s", f->failed);
+	if (fixture->failed[0])
+		fail_msg("%s", fixture->failed);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(a_verdict_is_the_same_wherever_it_is_asked),
+		FRONTEND_TEST(a_verdict_does_not_depend_on_what_is_reachable),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -28,121 +28,124 @@
 	"{\"final\":\"aborted\"}",
 };
 
-/* What a list lacks is taken for gone: it must say that it is whole. */
-static void half_lists(struct fixture *f)
+/* What a list lacks counts as deleted: it must say that it is complete. */
+static void check_partial_lists(struct fixture *fixture)
 {
 	struct fl_listed *hosts;
 	bool more;
 	int n;
 
-	if (fl_cloud_list(&f->node.cloud, NULL, &hosts, &n, &more) != 0)
-		strcpy(f->failed, "a good list is not read");
+	if (fl_cloud_list(&fixture->node.cloud, NULL, &hosts, &n, &more) != 0)
+		strcpy(fixture->failed, "a good list is not read");
 	free(hosts);
-	f->no_more = true;
-	if (fl_takeover_load(&f->node) == 0 ||
-	    fl_cloud_list(&f->node.cloud, NULL, &hosts, &n, &more) == 0)
-		strcpy(f->failed, "half a list passes for a whole one");
-	f->no_more = false;
+	fixture->without_more = true;
+	if (fl_takeover_load(&fixture->node) == 0 ||
+	    fl_cloud_list(&fixture->node.cloud, NULL, &hosts, &n, &more) == 0)
+		strcpy(fixture->failed, "half a list passes for a whole one");
+	fixture->without_more = false;
 }
 
-static void take_over(void *arg)
+static void load_bad_records(void *arg)
 {
-	struct fixture *f = arg;
-
-	f->node.lease.held = true;
-	f->record = RECORD("\"Apart\":true");
-	if (fl_takeover_load(&f->node) != 0 || !fl_job_find(&f->node.cluster, "run-000001"))
-		strcpy(f->failed, "a good record is not read");
-	half_lists(f);
+	struct fixture *fixture = arg;
+
+	fixture->node.lease.held = true;
+	fixture->record = RECORD("\"Apart\":true");
+	if (fl_takeover_load(&fixture->node) != 0 ||
+	    !fl_job_find(&fixture->node.cluster, "run-000001"))
+		strcpy(fixture->failed, "a good record is not read");
+	check_partial_lists(fixture);
 	for (size_t i = 0; i < sizeof(bad_records) / sizeof(bad_records[0]); i++) {
-		f->record = bad_records[i];
-		fl_cluster_free(&f->node.cluster);
-		f->node.cluster.jobs = NULL;
-		f->node.cluster.finished = NULL;
-		fl_names_add(&f->node.cluster.zones, "a");
-		if ((fl_takeover_load(&f->node) != -EPROTO || f->node.cluster.finished) &&
-		    !f->failed[0])
-			snprintf(f->failed, sizeof(f->failed), "is decided by: %s", f->record);
+		fixture->record = bad_records[i];
+		fl_cluster_free(&fixture->node.cluster);
+		fixture->node.cluster.jobs = NULL;
+		fixture->node.cluster.finished = NULL;
+		fl_names_add(&fixture->node.cluster.zones, "a");
+		if ((fl_takeover_load(&fixture->node) != -EPROTO ||
+		     fixture->node.cluster.finished) &&
+		    !fixture->failed[0])
+			snprintf(fixture->failed, sizeof(fixture->failed), "is decided by: %s",
+			         fixture->record);
 	}
-	if (f->writes)
-		strcpy(f->failed, "something is written");
+	if (fixture->writes)
+		strcpy(fixture->failed, "something is written");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
 static void a_new_leader_decides_nothing_over_a_bad_record(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	fl_spawn(take_over, f);
+	fl_spawn(load_bad_records, fixture);
 	fl_routines_run();
-	if (f->failed[0])
-		fail_msg("%s", f->failed);
+	if (fixture->failed[0])
+		fail_msg("%s", fixture->failed);
 }
 
-/* Nor does a node that hears of it in its watch: it neither runs nor is over. */
-static void a_follower_takes_in_no_bad_record(void **state)
+/* Nor does a node whose watch reports it: the job neither runs nor is over. */
+static void a_follower_applies_no_bad_record(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
 	for (size_t i = 0; i < sizeof(bad_records) / sizeof(bad_records[0]); i++) {
-		cJSON *v = fl_json_parse(bad_records[i], strlen(bad_records[i]));
+		cJSON *record = fl_json_parse(bad_records[i], strlen(bad_records[i]));
 
-		assert_non_null(v);
-		assert_null(fl_cluster_apply(&f->node.cluster, "run-000001", v, 4));
-		assert_null(f->node.cluster.jobs);
-		assert_null(f->node.cluster.finished);
-		cJSON_Delete(v);
+		assert_non_null(record);
+		assert_null(fl_cluster_apply(&fixture->node.cluster, "run-000001", record, 4));
+		assert_null(fixture->node.cluster.jobs);
+		assert_null(fixture->node.cluster.finished);
+		cJSON_Delete(record);
 	}
 }
 
 /* Loads one job with this progress; is its final state to be written? */
-static bool is_to_be_finished(struct fixture *f, const char *record, const char *progress)
+static bool is_to_be_finished(struct fixture *fixture, const char *record, const char *progress)
 {
-	f->record = record;
-	f->progress = progress;
-	if (fl_takeover_load(&f->node) != 0)
-		strcpy(f->failed, "a good record is not read");
-	return f->node.cluster.dirty &&
-	       f->node.cluster.dirty == fl_job_find(&f->node.cluster, "run-000001");
+	fixture->record = record;
+	fixture->progress = progress;
+	if (fl_takeover_load(&fixture->node) != 0)
+		strcpy(fixture->failed, "a good record is not read");
+	return fixture->node.cluster.dirty &&
+	       fixture->node.cluster.dirty == fl_job_find(&fixture->node.cluster, "run-000001");
 }
 
-static void take_over_what_is_over(void *arg)
+static void load_finished_jobs(void *arg)
 {
 	static const char cancelled[] = RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
-	struct fixture *f = arg;
-
-	f->node.lease.held = true;
-	if (is_to_be_finished(f, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
-		strcpy(f->failed, "one task is still to run");
-	if (!is_to_be_finished(f, RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
-		strcpy(f->failed, "all its tasks are done");
-	if (!is_to_be_finished(f, cancelled, "{\"d\":[[0,2]]}"))
-		strcpy(f->failed, "it is cancelled, and nothing of it is anywhere");
-	if (is_to_be_finished(f, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
-		strcpy(f->failed, "it is cancelled, and a task may still be about");
+	struct fixture *fixture = arg;
+
+	fixture->node.lease.held = true;
+	if (is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
+		strcpy(fixture->failed, "one task is still to run");
+	if (!is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
+		strcpy(fixture->failed, "all its tasks are done");
+	if (!is_to_be_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
+		strcpy(fixture->failed, "it is cancelled, and nothing of it is anywhere");
+	if (is_to_be_finished(fixture, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
+		strcpy(fixture->failed, "it is cancelled, and a task may still be about");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
 /*
- * The leader before ended between the record of the last task and that of the job. Nothing of the
+ * The previous leader ended between the record of the last task and that of the job. Nothing of the
  * job changes any more: found as a job that stayed pending for ever with all its tasks done.
  */
-static void a_new_leader_finishes_what_is_over(void **state)
+static void a_new_leader_finishes_jobs_that_are_over(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	fl_spawn(take_over_what_is_over, f);
+	fl_spawn(load_finished_jobs, fixture);
 	fl_routines_run();
-	if (f->failed[0])
-		fail_msg("%s", f->failed);
+	if (fixture->failed[0])
+		fail_msg("%s", fixture->failed);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		FRONTEND_TEST(a_new_leader_decides_nothing_over_a_bad_record),
-		FRONTEND_TEST(a_follower_takes_in_no_bad_record),
-		FRONTEND_TEST(a_new_leader_finishes_what_is_over),
+		FRONTEND_TEST(a_follower_applies_no_bad_record),
+		FRONTEND_TEST(a_new_leader_finishes_jobs_that_are_over),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
