--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -1,4 +1,4 @@
-/* Decoders on good and bad input: what comes in from outside is checked where it enters. */
+/* The decoders of the protocols on good and bad input, and that their encoders agree with them. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -23,12 +23,12 @@
 
 static const char *decode(const char *text, struct fl_job_spec *run)
 {
-	cJSON *o = fl_json_parse(text, strlen(text));
+	cJSON *object = fl_json_parse(text, strlen(text));
 	const char *bad;
 
-	assert_non_null(o);
-	bad = fl_job_spec_decode(o, run);
-	cJSON_Delete(o);
+	assert_non_null(object);
+	bad = fl_job_spec_decode(object, run);
+	cJSON_Delete(object);
 	return bad;
 }
 
@@ -36,21 +36,21 @@
 static const char *with(const char *field, const char *value)
 {
 	static struct fl_job_spec run;
-	cJSON *o = fl_json_parse(good, strlen(good)), *v = fl_json_parse(value, strlen(value));
+	cJSON *object = fl_json_parse(good, strlen(good)), *v = fl_json_parse(value, strlen(value));
 	const char *bad;
 	char *text;
 
 	if (v)
-		cJSON_ReplaceItemInObjectCaseSensitive(o, field, v);
+		cJSON_ReplaceItemInObjectCaseSensitive(object, field, v);
 	else
-		cJSON_DeleteItemFromObjectCaseSensitive(o, field);
-	text = fl_json_take(o);
+		cJSON_DeleteItemFromObjectCaseSensitive(object, field);
+	text = fl_json_take(object);
 	bad = decode(text, &run);
 	free(text);
 	return bad;
 }
 
-static void a_good_run_is_read_and_written_back(void **state)
+static void a_good_job_is_decoded_and_encoded_again(void **state)
 {
 	struct fl_job_spec run, again;
 	char *text;
@@ -117,10 +117,10 @@
 }
 
 /* Guards the small stacks of routines: cJSON recurses once a level. */
-static void what_is_no_good_json_is_refused(void **state)
+static void malformed_json_is_refused(void **state)
 {
 	char text[4001];
-	cJSON *o;
+	cJSON *object;
 
 	(void)state;
 	memset(text, '[', 2000);
@@ -131,17 +131,17 @@
 	assert_null(fl_json_parse("{} x", 4));
 	assert_null(fl_json_parse("", 0));
 	assert_null(fl_json_parse(NULL, 0));
-	/* An escaped NUL ends a string early just so; bytes that are no UTF-8 are no JSON. */
+	/* An escaped NUL would end a string early; bytes that are not UTF-8 are not JSON. */
 	assert_null(fl_json_parse("[\"\\u0000\"]", 10));
 	assert_null(fl_json_parse("[\"\xff\"]", 5));
 	assert_null(fl_json_parse("[\"\xc0\xaf\"]", 6));
 	assert_null(fl_json_parse("[\"\xe2\x82\"]", 6));
-	o = fl_json_parse("[\"\xe2\x82\xac\\\\u0000\"]", 14);
-	assert_non_null(o);
-	cJSON_Delete(o);
+	object = fl_json_parse("[\"\xe2\x82\xac\\\\u0000\"]", 14);
+	assert_non_null(object);
+	cJSON_Delete(object);
 }
 
-static void reports_are_read_and_bad_ones_refused(void **state)
+static void good_reports_are_decoded_and_bad_ones_refused(void **state)
 {
 	static const char report[] =
 		"{\"Host\":\"m-000231\",\"Endpoint\":\"10.1.0.232:9000\",\"HostKind\":\"g8\","
@@ -163,49 +163,50 @@
 		"{\"Host\":\"m-1\",\"Endpoint\":\"\",\"HostKind\":\"g\",\"Site\":\"a\","
 		"\"Reclaimable\":false,\"Tenure\":1,\"Serial\":1,\"Epoch\":1}",
 	};
-	struct fl_report r;
+	struct fl_report decoded;
 
 	(void)state;
-	assert_int_equal(fl_report_decode(report, strlen(report), &r), 0);
-	assert_int_equal(r.n_tasks, 2);
-	assert_int_equal(r.tasks[0].index, 3);
-	assert_int_equal(r.tasks[1].exit, FL_EXIT_DONE);
-	assert_true(r.reclaim_in_s < 0);
-	fl_report_free(&r);
+	assert_int_equal(fl_report_decode(report, strlen(report), &decoded), 0);
+	assert_int_equal(decoded.n_tasks, 2);
+	assert_int_equal(decoded.tasks[0].index, 3);
+	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
+	assert_true(decoded.reclaim_in_s < 0);
+	fl_report_free(&decoded);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_not_equal(fl_report_decode(bad[i], strlen(bad[i]), &r), 0);
+		assert_int_not_equal(fl_report_decode(bad[i], strlen(bad[i]), &decoded), 0);
 }
 
-static void machine_types_survive_their_record(void **state)
+static void machine_types_are_restored_from_their_record(void **state)
 {
-	struct fl_offered_type k = {.name = "g8",
-	                            .cpus = 96,
-	                            .gpus = 8,
-	                            .ram_gb = 768,
-	                            .cache_gb = 200,
-	                            .pull_gb_s = 0.5,
-	                            .price = 12,
-	                            .spot_price = 4.5,
-	                            .ready_s = 45,
-	                            .zones = {"a", "b"},
-	                            .n_zones = 2},
+	struct fl_offered_type type = {.name = "g8",
+	                               .cpus = 96,
+	                               .gpus = 8,
+	                               .ram_gb = 768,
+	                               .cache_gb = 200,
+	                               .pull_gb_s = 0.5,
+	                               .price = 12,
+	                               .spot_price = 4.5,
+	                               .ready_s = 45,
+	                               .zones = {"a", "b"},
+	                               .n_zones = 2},
 			       *back;
-	cJSON *o = fl_machine_types_encode(&k, 1), *none = fl_machine_types_encode(&k, 0);
+	cJSON *object = fl_machine_types_encode(&type, 1),
+	      *none = fl_machine_types_encode(&type, 0);
 	int n;
 
 	(void)state;
-	assert_int_equal(fl_machine_types_decode(o, &back, &n), 0);
+	assert_int_equal(fl_machine_types_decode(object, &back, &n), 0);
 	assert_int_equal(n, 1);
-	assert_memory_equal(back, &k, sizeof(k));
+	assert_memory_equal(back, &type, sizeof(type));
 	free(back);
-	/* Without any, nothing could be decided: it is no record of them. */
+	/* A record without any is refused: no job could be placed by it. */
 	assert_int_not_equal(fl_machine_types_decode(none, &back, &n), 0);
 	assert_null(back);
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	cJSON_Delete(none);
 }
 
-static void a_relayed_call_says_where_it_came_in(void **state)
+static void a_relayed_call_names_the_node_that_received_it(void **state)
 {
 	static const char *const bad[] = {
 		"{\"call\":5,\"last_hop\":true,\"via\":7,\"body\":\"{}\"}",
@@ -216,21 +217,21 @@
 		"{\"call\":4,\"last_hop\":true}",
 	};
 	char *text = fl_relay_encode(FL_CALL_REPORT, true, true, NULL, "host-3", "{}");
-	struct fl_relay r;
+	struct fl_relay relay;
 
 	(void)state;
-	assert_int_equal(fl_relay_decode(text, strlen(text), &r), 0);
-	assert_int_equal(r.call, FL_CALL_REPORT);
-	assert_true(r.last_hop && r.disconnected && !r.ref[0]);
-	assert_string_equal(r.via, "host-3");
-	assert_string_equal(r.body, "{}");
-	fl_relay_free(&r);
+	assert_int_equal(fl_relay_decode(text, strlen(text), &relay), 0);
+	assert_int_equal(relay.call, FL_CALL_REPORT);
+	assert_true(relay.last_hop && relay.disconnected && !relay.ref[0]);
+	assert_string_equal(relay.via, "host-3");
+	assert_string_equal(relay.body, "{}");
+	fl_relay_free(&relay);
 	free(text);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_not_equal(fl_relay_decode(bad[i], strlen(bad[i]), &r), 0);
+		assert_int_not_equal(fl_relay_decode(bad[i], strlen(bad[i]), &relay), 0);
 }
 
-static void paths_are_taken_apart(void **state)
+static void paths_are_parsed(void **state)
 {
 	char ref[FL_REF_MAX];
 
@@ -250,14 +251,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_good_run_is_read_and_written_back),
+		cmocka_unit_test(a_good_job_is_decoded_and_encoded_again),
 		cmocka_unit_test(a_bad_field_is_named),
 		cmocka_unit_test(null_equals_missing),
-		cmocka_unit_test(what_is_no_good_json_is_refused),
-		cmocka_unit_test(reports_are_read_and_bad_ones_refused),
-		cmocka_unit_test(machine_types_survive_their_record),
-		cmocka_unit_test(a_relayed_call_says_where_it_came_in),
-		cmocka_unit_test(paths_are_taken_apart),
+		cmocka_unit_test(malformed_json_is_refused),
+		cmocka_unit_test(good_reports_are_decoded_and_bad_ones_refused),
+		cmocka_unit_test(machine_types_are_restored_from_their_record),
+		cmocka_unit_test(a_relayed_call_names_the_node_that_received_it),
+		cmocka_unit_test(paths_are_parsed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -1,4 +1,4 @@
-/* Routines, HTTP and settings: what every other part stands on. */
+/* Routines and their scheduling, HTTP client and server, addresses, settings, the write budget. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -28,7 +28,7 @@
 	bool finished;
 } seen;
 
-static void waiter(void *arg)
+static void wait_for_signal(void *arg)
 {
 	int rc = fl_signal_wait(&seen.signal, -1);
 
@@ -43,14 +43,14 @@
 	}
 }
 
-static void conductor(void *arg)
+static void cancel_one_waiter(void *arg)
 {
 	struct fl_routine *victim;
 
 	(void)arg;
-	fl_spawn(waiter, NULL);
-	fl_spawn(waiter, NULL);
-	victim = fl_spawn(waiter, NULL);
+	fl_spawn(wait_for_signal, NULL);
+	fl_spawn(wait_for_signal, NULL);
+	victim = fl_spawn(wait_for_signal, NULL);
 	fl_sleep(0);
 	fl_cancel(victim);
 	fl_sleep(0);
@@ -66,7 +66,7 @@
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
 	fl_routines_init(ev_default_loop(0));
-	fl_spawn(conductor, NULL);
+	fl_spawn(cancel_one_waiter, NULL);
 	fl_routines_run();
 	assert_true(seen.finished);
 	assert_int_equal(seen.woken, 2);
@@ -82,53 +82,53 @@
 	char order[8];
 };
 
-static void burner(void *arg)
+static void spin(void *arg)
 {
-	struct turns *t = arg;
+	struct turns *turns = arg;
 	double until = fl_now() + 0.02; /* longer than a turn, however fast the machine */
 
-	if (t->n == 0)
-		assert_int_equal(write(t->pipe[1], "x", 1), 1);
-	t->order[t->n++] = 'b';
+	if (turns->n == 0)
+		assert_int_equal(write(turns->pipe[1], "x", 1), 1);
+	turns->order[turns->n++] = 'b';
 	while (fl_now() < until)
 		;
-	if (t->n == 4)
+	if (turns->n == 4)
 		ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void urgent(void *arg)
+static void wait_urgently(void *arg)
 {
-	struct turns *t = arg;
+	struct turns *turns = arg;
 
 	fl_urgent();
 	for (int i = 0; i < 3; i++)
-		fl_spawn(burner, t);
-	assert_int_equal(fl_wait_io(t->pipe[0], EV_READ, 10), 0);
-	t->order[t->n++] = 'u';
+		fl_spawn(spin, turns);
+	assert_int_equal(fl_wait_io(turns->pipe[0], EV_READ, 10), 0);
+	turns->order[turns->n++] = 'u';
 	/* After a standstill the answer and the end of its time come at once: it was not missed. */
-	assert_int_equal(fl_wait_io(t->pipe[0], EV_READ, 0), 0);
+	assert_int_equal(fl_wait_io(turns->pipe[0], EV_READ, 0), 0);
 }
 
 /*
  * Found with controllers eight times slower: whatever was ready ran to its end before the answer
  * to a renewal was looked at, and the lease, which had been renewed in time, was lost.
  */
-static void what_is_urgent_does_not_wait_for_the_rest(void **state)
+static void urgent_routines_run_before_others(void **state)
 {
-	struct turns t = {0};
+	struct turns turns = {0};
 
 	(void)state;
-	assert_int_equal(pipe(t.pipe), 0);
+	assert_int_equal(pipe(turns.pipe), 0);
 	fl_routines_init(ev_default_loop(0));
-	fl_spawn(urgent, &t);
+	fl_spawn(wait_urgently, &turns);
 	fl_routines_run();
-	assert_string_equal(t.order, "bubb");
+	assert_string_equal(turns.order, "bubb");
 	fl_routines_shutdown();
-	close(t.pipe[0]);
-	close(t.pipe[1]);
+	close(turns.pipe[0]);
+	close(turns.pipe[1]);
 }
 
-static void echo(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void on_request(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
 	(void)ctx;
 	seen.served++;
@@ -140,34 +140,35 @@
 		fl_sleep(5);
 }
 
-static void caller(void *arg)
+static void make_calls(void *arg)
 {
 	struct fl_http_client c;
-	struct fl_reply r;
+	struct fl_reply reply;
 	char *big = malloc(70000);
 
 	(void)arg;
 	assert_int_equal(fl_http_client_init(&c, seen.addr, 2), 0);
 	for (int i = 0; i < 3; i++) {
 		assert_int_equal(
-			fl_http_call(&c, "POST", i == 1 ? "/close" : "/x", "{\"a\":1}", 5, &r), 0);
-		assert_int_equal(r.status, 200);
-		assert_string_equal(r.body.data, "{\"a\":1}");
-		fl_buf_free(&r.body);
+			fl_http_call(&c, "POST", i == 1 ? "/close" : "/x", "{\"a\":1}", 5, &reply),
+			0);
+		assert_int_equal(reply.status, 200);
+		assert_string_equal(reply.body.data, "{\"a\":1}");
+		fl_buf_free(&reply.body);
 	}
-	/* A kept connection that the other side has closed must not fail the next call. */
+	/* An idle connection that the other side has closed must not fail the next call. */
 	assert_int_equal(c.idles, 1);
 	shutdown(c.idle[0], SHUT_RDWR);
-	assert_int_equal(fl_http_call(&c, "POST", "/x", "{}", 5, &r), 0);
-	assert_int_equal(r.status, 200);
-	fl_buf_free(&r.body);
+	assert_int_equal(fl_http_call(&c, "POST", "/x", "{}", 5, &reply), 0);
+	assert_int_equal(reply.status, 200);
+	fl_buf_free(&reply.body);
 	memset(big, 'x', 69999);
 	big[69999] = 0;
-	assert_int_equal(fl_http_call(&c, "POST", "/x", big, 5, &r), 0);
-	/* Not 413: users try again whatever they are told other than 400 and 422. */
-	assert_int_equal(r.status, 400);
-	fl_buf_free(&r.body);
-	assert_int_equal(fl_http_call(&c, "POST", "/slow", "{}", 0.05, &r), -ETIMEDOUT);
+	assert_int_equal(fl_http_call(&c, "POST", "/x", big, 5, &reply), 0);
+	/* Not 413: users repeat a call after any status other than 400 and 422. */
+	assert_int_equal(reply.status, 400);
+	fl_buf_free(&reply.body);
+	assert_int_equal(fl_http_call(&c, "POST", "/slow", "{}", 0.05, &reply), -ETIMEDOUT);
 	free(big);
 	fl_http_client_close(&c);
 	seen.finished = true;
@@ -175,16 +176,17 @@
 }
 
 /* Sends the head of a longer body; what comes back in the first line, or an empty string. */
-static void send_short(bool end, char *line, size_t cap)
+static void send_short_body(bool end, char *line, size_t cap)
 {
 	static const char text[] = "POST /x HTTP/1.1\r\nContent-Length: 50\r\n\r\n{}";
-	struct sockaddr_in sa;
+	struct sockaddr_in address;
 	int fd = fl_socket();
 	ssize_t n;
 
 	line[0] = 0;
-	assert_int_equal(fl_parse_addr(seen.addr, &sa), 0);
-	assert_true(connect(fd, (struct sockaddr *)&sa, sizeof(sa)) == 0 || errno == EINPROGRESS);
+	assert_int_equal(fl_parse_addr(seen.addr, &address), 0);
+	assert_true(connect(fd, (struct sockaddr *)&address, sizeof(address)) == 0 ||
+	            errno == EINPROGRESS);
 	assert_int_equal(fl_wait_io(fd, EV_WRITE, 1), 0);
 	assert_int_equal(fl_write_all(fd, text, sizeof(text) - 1, 1), 0);
 	if (end)
@@ -196,13 +198,13 @@
 	close(fd);
 }
 
-static void short_caller(void *arg)
+static void send_short_bodies(void *arg)
 {
 	char ended[200], waits[200];
 
 	(void)arg;
-	send_short(true, ended, sizeof(ended));
-	send_short(false, waits, sizeof(waits));
+	send_short_body(true, ended, sizeof(ended));
+	send_short_body(false, waits, sizeof(waits));
 	seen.finished =
 		strncmp(ended, "HTTP/1.1 400", 12) == 0 && strncmp(waits, "HTTP/1.1 400", 12) == 0;
 	ev_break(fl_loop(), EVBREAK_ALL);
@@ -211,79 +213,79 @@
 /* Its caller would wait 5 s for nothing and try again for a minute. */
 static void a_body_shorter_than_its_length_is_refused(void **state)
 {
-	struct fl_http_server *s;
+	struct fl_http_server *server;
 
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
 	fl_routines_init(ev_default_loop(0));
-	s = fl_http_serve("127.0.0.1:0", 16, 90, echo, NULL);
-	assert_non_null(s);
-	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(s));
-	fl_spawn(short_caller, NULL);
+	server = fl_http_serve("127.0.0.1:0", 16, 90, on_request, NULL);
+	assert_non_null(server);
+	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(server));
+	fl_spawn(send_short_bodies, NULL);
 	fl_routines_run();
 	assert_true(seen.finished);
 	assert_int_equal(seen.served, 0);
 	fl_routines_shutdown();
-	free(s);
+	free(server);
 }
 
-static void calls_are_answered_kept_alive_and_bounded(void **state)
+static void calls_are_answered_reuse_connections_and_are_bounded(void **state)
 {
-	struct fl_http_server *s;
+	struct fl_http_server *server;
 
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
 	fl_routines_init(ev_default_loop(0));
-	s = fl_http_serve("127.0.0.1:0", 16, 90, echo, NULL);
-	assert_non_null(s);
-	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(s));
-	fl_spawn(caller, NULL);
+	server = fl_http_serve("127.0.0.1:0", 16, 90, on_request, NULL);
+	assert_non_null(server);
+	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(server));
+	fl_spawn(make_calls, NULL);
 	fl_routines_run();
 	assert_true(seen.finished);
 	assert_int_equal(seen.served, 5);
 	fl_routines_shutdown();
-	free(s);
+	free(server);
 }
 
-enum { CROWD = 32 };
+enum { CLIENTS = 32 };
 
-static void crowd(void *arg)
+static void fill_server(void *arg)
 {
-	struct fl_http_client c[CROWD + 1];
-	struct fl_reply r;
+	struct fl_http_client c[CLIENTS + 1];
+	struct fl_reply reply;
 
 	(void)arg;
-	/* All stay but the last, which is answered and let go: so there is a place for one more. */
-	for (int i = 0; i <= CROWD; i++) {
+	/* All stay open but the last, closed once answered, so that one more can connect. */
+	for (int i = 0; i <= CLIENTS; i++) {
 		assert_int_equal(fl_http_client_init(&c[i], seen.addr, 1), 0);
-		assert_int_equal(fl_http_call(&c[i], "POST", "/x", "{}", 5, &r), 0);
-		assert_int_equal(r.status, 200);
-		assert_int_equal(c[i].idles, i < CROWD - 1);
-		fl_buf_free(&r.body);
+		assert_int_equal(fl_http_call(&c[i], "POST", "/x", "{}", 5, &reply), 0);
+		assert_int_equal(reply.status, 200);
+		assert_int_equal(c[i].idles, i < CLIENTS - 1);
+		fl_buf_free(&reply.body);
 	}
-	for (int i = 0; i <= CROWD; i++)
+	for (int i = 0; i <= CLIENTS; i++)
 		fl_http_client_close(&c[i]);
 	seen.finished = true;
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-/* Found with 2,000 workers on one controller: their kept connections left none for users. */
-static void a_server_nearly_full_has_a_turn_for_everybody(void **state)
+/* Found with 2,000 workers on one controller: their idle connections left none for users. */
+static void a_nearly_full_server_closes_answered_connections(void **state)
 {
 	struct fl_config c = {.max_connections = 3565, .n_peers = 4};
-	struct fl_http_server *s;
+	struct fl_http_server *server;
 
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
 	fl_routines_init(ev_default_loop(0));
-	s = fl_http_serve("127.0.0.1:0", CROWD, 90, echo, NULL);
-	assert_non_null(s);
-	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(s));
-	fl_spawn(crowd, NULL);
+	server = fl_http_serve("127.0.0.1:0", CLIENTS, 90, on_request, NULL);
+	assert_non_null(server);
+	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(server));
+	fl_spawn(fill_server, NULL);
 	fl_routines_run();
 	assert_true(seen.finished);
 	fl_routines_shutdown();
-	free(s);
+	free(server);
 	/* What is set aside for peers grows with them, and not with the machines. */
 	assert_true(fl_node_public_conns(&c) >= 3000);
 	c.max_connections = 16;
@@ -292,14 +294,14 @@
 
 static void addresses_are_checked(void **state)
 {
-	struct sockaddr_in sa;
+	struct sockaddr_in address;
 
 	(void)state;
-	assert_int_equal(fl_parse_addr("10.0.0.1:8080", &sa), 0);
-	assert_int_not_equal(fl_parse_addr("host:8080", &sa), 0);
-	assert_int_not_equal(fl_parse_addr("10.0.0.1", &sa), 0);
-	assert_int_not_equal(fl_parse_addr("10.0.0.1:99999", &sa), 0);
-	assert_int_not_equal(fl_parse_addr("10.0.0.1:", &sa), 0);
+	assert_int_equal(fl_parse_addr("10.0.0.1:8080", &address), 0);
+	assert_int_not_equal(fl_parse_addr("host:8080", &address), 0);
+	assert_int_not_equal(fl_parse_addr("10.0.0.1", &address), 0);
+	assert_int_not_equal(fl_parse_addr("10.0.0.1:99999", &address), 0);
+	assert_int_not_equal(fl_parse_addr("10.0.0.1:", &address), 0);
 }
 
 static const char good_settings[] =
@@ -373,13 +375,13 @@
 
 static void the_write_budget_holds_its_rate(void **state)
 {
-	struct fl_budget b;
+	struct fl_budget budget;
 	double now = 0, spent = 0;
 
 	(void)state;
-	fl_budget_init(&b, 10, 10, now);
+	fl_budget_init(&budget, 10, 10, now);
 	while (now < 60) {
-		double wait = fl_budget_take(&b, 3, now);
+		double wait = fl_budget_take(&budget, 3, now);
 
 		if (wait == 0)
 			spent += 3;
@@ -392,10 +394,10 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_cancelled_routine_unwinds_by_itself),
-		cmocka_unit_test(what_is_urgent_does_not_wait_for_the_rest),
-		cmocka_unit_test(calls_are_answered_kept_alive_and_bounded),
+		cmocka_unit_test(urgent_routines_run_before_others),
+		cmocka_unit_test(calls_are_answered_reuse_connections_and_are_bounded),
 		cmocka_unit_test(a_body_shorter_than_its_length_is_refused),
-		cmocka_unit_test(a_server_nearly_full_has_a_turn_for_everybody),
+		cmocka_unit_test(a_nearly_full_server_closes_answered_connections),
 		cmocka_unit_test(addresses_are_checked),
 		cmocka_unit_test(bad_settings_are_named),
 		cmocka_unit_test(the_write_budget_holds_its_rate),
