--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -1,3 +1,4 @@
+/* One node on loopback: the answers of its state service and its leader, and its set-up. */
 #include "frontend_fixture.h"
 
 #include <setjmp.h>
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -1,3 +1,4 @@
+/* One node without connections: its set-up, its roles, and the reports delivered to it. */
 #include "node_fixture.h"
 
 #include <setjmp.h>
--- a/tests/reconcile_sim.c
+++ b/tests/reconcile_sim.c
@@ -1,3 +1,4 @@
+/* The simulation of a leader and its workers, and the invariants that it checks. */
 #include "reconcile_sim.h"
 
 #include <setjmp.h>
--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -1,3 +1,4 @@
+/* Plain entries for snapshots, and a pass of the real scheduler on one. */
 #include "schedule_fixture.h"
 
 #include <setjmp.h>
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -1,3 +1,5 @@
+/* The model's pass: the order of the jobs, their starts, and the stops that free capacity for them.
+ */
 #include "schedule_model.h"
 
 #include <math.h>
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -1,3 +1,4 @@
+/* The rules of the model: where a task may run, at what score, and what may be stopped for it. */
 #include "schedule_model.h"
 
 #include <math.h>
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -238,7 +238,7 @@
 }
 
 /*
- * Found by the random walk: an answer with a launch is on its way when the task is stopped. The
+ * Found by the random walk: an answer with a launch is in flight when the task is stopped. The
  * reply to the stop lacks the task, since the worker has not had the answer yet.
  */
 static void a_reply_that_overtakes_an_answer_proves_no_absence(void **state)
