--- /dev/null
+++ b/tests/node_fixture.h
@@ -0,0 +1,68 @@
+/*
+ * One node without connections, for the tests of what it does with reports: these are delivered
+ * directly, and its answers examined.
+ */
+#ifndef FL_TESTS_NODE_FIXTURE_H
+#define FL_TESTS_NODE_FIXTURE_H
+
+#include "coordination/node.h"
+#include "coordination/reconcile.h"
+#include "protocol/workers.h"
+
+enum { EPOCH = 7 };
+
+struct fixture {
+	struct fl_node node;
+	struct fl_config config;
+	struct fl_job *job;
+	uint64_t seq;
+};
+
+/* The node leads from now on, with this epoch and without placed tasks. */
+void become_leader(struct fixture *fixture, uint64_t epoch);
+
+/* Before and after each test: a node with two zones, one machine type, team and job. */
+int set_up(void **state);
+
+int tear_down(void **state);
+
+/* Of the machine m-000001. */
+struct fl_report make_report(uint64_t session, uint64_t seq, uint64_t epoch,
+                             struct fl_task_report *tasks, int n);
+
+/* Delivers a report; the number of orders in its answer, or the negative error. */
+int deliver_report(struct fixture *fixture, struct fl_report report, enum fl_report_source source);
+
+/* That machine, or NULL. */
+struct fl_machine *only_machine(struct fixture *fixture);
+
+/* Sets the time since the last answer to the machine. */
+void answered_ago(struct fixture *fixture, double seconds);
+
+/* Places a task of the job on it, as if its record were written. */
+struct fl_task *place_task(struct fixture *fixture, uint32_t index);
+
+/* For a report: this attempt of a task of the job is running. */
+struct fl_task_report running_task(uint32_t index, uint32_t attempt);
+
+/* Another node leads, and this one is in contact with the state service. */
+void become_follower(struct fixture *fixture, int peers);
+
+struct fl_response user_call(struct fixture *fixture, enum fl_user_call what, const char *ref,
+                             const char *body);
+
+extern int kills_in_answer; /* of the report sent last */
+
+/* Makes the call of a worker; the status, and in `to`, if given, the node it is redirected to. */
+int send_report(struct fixture *fixture, struct fl_report report, char *to);
+
+/* The record of the job, cancelled so long ago. */
+cJSON *cancelled_record(struct fixture *fixture, double seconds);
+
+/* Applies that record, as every node does when it is written. */
+void apply_cancellation(struct fixture *fixture, double seconds);
+
+/* A test entry with a node of its own. */
+#define NODE_TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
+
+#endif
--- /dev/null
+++ b/tests/reconcile_sim.c
@@ -0,0 +1,436 @@
+/* The simulation of a leader and its workers, and the invariants that it checks. */
+#include "reconcile_sim.h"
+
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "copy_text.h"
+#include "transport/clock.h"
+
+int random_below(struct simulation *sim, int n)
+{
+	return (int)gsl_rng_uniform_int(sim->rng, (unsigned long)n);
+}
+
+void format_ref(int job, char ref[FL_REF_MAX]) { snprintf(ref, FL_REF_MAX, "run-%06d", job); }
+
+void format_host(int worker, char host[FL_NAME_MAX])
+{
+	snprintf(host, FL_NAME_MAX, "m-%06d", worker);
+}
+
+char *report_text(struct simulation *sim, int at)
+{
+	struct worker *worker = &sim->worker[at];
+	struct fl_task_report tasks[ENTRIES];
+	struct fl_report report = {.session = worker->session,
+	                           .seq = ++worker->seq,
+	                           .epoch = worker->epoch,
+	                           .reclaim_in_s = -1,
+	                           .tasks = tasks};
+
+	format_host(at, report.host);
+	strcpy(report.endpoint, "127.0.0.1:1");
+	strcpy(report.type, "g");
+	copy_text(report.zone, sizeof(report.zone), at % 2 ? "a" : "b");
+	for (int i = 0; i < ENTRIES; i++)
+		if (worker->at[i].used)
+			tasks[report.n_tasks++] = worker->at[i].report;
+	return fl_report_encode(&report);
+}
+
+static int live_on(const struct worker *worker, const char *ref, uint32_t index)
+{
+	int n = 0;
+
+	for (int i = 0; i < ENTRIES; i++)
+		n += worker->at[i].used && worker->at[i].report.state != FL_ENDED &&
+		     worker->at[i].report.index == index &&
+		     strcmp(worker->at[i].report.ref, ref) == 0;
+	return n;
+}
+
+void check_invariants(struct simulation *sim)
+{
+	for (int j = 0; j < JOBS; j++) {
+		char ref[FL_REF_MAX];
+
+		format_ref(j, ref);
+		for (uint32_t p = 0; p < TASKS; p++) {
+			int on = 0;
+
+			for (int k = 0; k < WORKERS; k++)
+				on += live_on(&sim->worker[k], ref, p);
+			assert_in_range(on, 0, 1); /* ran_twice */
+		}
+	}
+	for (int t = 0; t < 1; t++) {
+		int live = 0;
+
+		for (int k = 0; k < WORKERS; k++)
+			for (int i = 0; i < ENTRIES; i++)
+				live += sim->worker[k].at[i].used &&
+				        sim->worker[k].at[i].report.state != FL_ENDED;
+		assert_in_range(live, 0, 6); /* quota: 6 cpus at most, one each */
+	}
+}
+
+static void launch_task(struct simulation *sim, struct worker *worker,
+                        const struct fl_task_report *task_report)
+{
+	int job = atoi(task_report->ref + 4);
+
+	for (int i = 0; i < ENTRIES; i++)
+		if (worker->at[i].used && worker->at[i].report.index == task_report->index &&
+		    worker->at[i].report.attempt == task_report->attempt &&
+		    strcmp(worker->at[i].report.ref, task_report->ref) == 0)
+			return;
+	for (int i = 0; i < ENTRIES; i++) {
+		if (worker->at[i].used)
+			continue;
+		worker->at[i].used = true;
+		worker->at[i].report = *task_report;
+		worker->at[i].report.state = FL_EXECUTING;
+		if (live_on(worker, task_report->ref, task_report->index) > 1) {
+			worker->at[i].report.state = FL_ENDED;
+			worker->at[i].report.exit = FL_EXIT_BUSY;
+		} else if (sim->actually_done[job][task_report->index]) {
+			worker->at[i].report.state = FL_ENDED;
+			worker->at[i].report.exit = FL_EXIT_DONE;
+		}
+		sim->launches++;
+		check_invariants(sim);
+		return;
+	}
+	fail_msg("a worker's table is full: no entry is ever removed");
+}
+
+static struct entry *entry_of(struct worker *worker, const struct fl_task_report *task_report)
+{
+	for (int i = 0; i < ENTRIES; i++)
+		if (worker->at[i].used && worker->at[i].report.index == task_report->index &&
+		    worker->at[i].report.attempt == task_report->attempt &&
+		    strcmp(worker->at[i].report.ref, task_report->ref) == 0)
+			return &worker->at[i];
+	return NULL;
+}
+
+void execute_orders(struct simulation *sim, int at, const char *text, bool direct)
+{
+	struct worker *worker = &sim->worker[at];
+	cJSON *object = fl_json_parse(text, strlen(text));
+	uint64_t epoch, session;
+	const cJSON *element;
+
+	assert_int_equal(fl_json_count(object, "Epoch", &epoch), FL_FIELD_OK);
+	if (epoch < worker->epoch)
+		goto out;
+	if (direct && (fl_json_count(object, "Tenure", &session) != FL_FIELD_OK ||
+	               session != worker->session))
+		goto out;
+	worker->epoch = epoch;
+	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
+		char verb[16], name[48];
+		struct fl_task_report task_report = {0};
+		struct entry *entry;
+		uint64_t attempt;
+
+		fl_json_str(element, "Verb", verb, sizeof(verb));
+		fl_json_str(element, "Part", name, sizeof(name));
+		fl_json_count(element, "Try", &attempt);
+		task_report.attempt = (uint32_t)attempt;
+		task_report.index = (uint32_t)atoi(strchr(name, '/') + 1);
+		*strchr(name, '/') = 0;
+		copy_text(task_report.ref, sizeof(task_report.ref), name);
+		entry = entry_of(worker, &task_report);
+		if (strcmp(verb, "launch") == 0) {
+			launch_task(sim, worker, &task_report);
+		} else if (strcmp(verb, "kill") == 0 && entry && entry->report.state != FL_ENDED) {
+			entry->report.state = FL_ENDED;
+			entry->report.exit = FL_EXIT_STOPPED;
+		} else if (strcmp(verb, "forget") == 0 && entry &&
+		           entry->report.state == FL_ENDED) {
+			entry->used = false;
+		}
+	}
+out:
+	cJSON_Delete(object);
+}
+
+void drop_answer(struct worker *worker)
+{
+	free(worker->answer);
+	worker->answer = NULL;
+}
+
+struct fl_job *add_job(struct simulation *sim, int job)
+{
+	struct fl_job_spec run = {.n_tasks = TASKS,
+	                          .cpus = 1,
+	                          .ram_gb = 1,
+	                          .priority = FL_STANDARD,
+	                          .n_machine_types = -1,
+	                          .reclaimable = true,
+	                          .due_s = -1};
+
+	format_ref(job, run.ref);
+	strcpy(run.team, "team");
+	strcpy(run.job_class, "c");
+	strcpy(run.image, "i");
+	return fl_job_add(&sim->node.cluster, &run, 0, 1);
+}
+
+void take_over(struct simulation *sim)
+{
+	struct fl_node *node = &sim->node;
+	struct fl_log log = {0};
+
+	fl_cluster_forget_tasks(&node->cluster);
+	memset(&node->lead, 0, sizeof(node->lead));
+	node->cluster.leading = node->lead.active = true;
+	node->lease.held = true;
+	node->lease.valid_until = 1e18;
+	node->lease.epoch = node->lead.first_epoch = ++sim->epoch;
+	for (int i = 0; i < 2; i++) {
+		cJSON *record =
+			sim->log[i] ? fl_json_parse(sim->log[i], strlen(sim->log[i])) : NULL;
+
+		if (record)
+			assert_int_equal(fl_log_read(&log, record), 0);
+		cJSON_Delete(record);
+	}
+	for (int j = 0; j < JOBS; j++) {
+		struct fl_job *job = add_job(sim, j);
+		cJSON *record = sim->record[j]
+		                        ? fl_json_parse(sim->record[j], strlen(sim->record[j]))
+		                        : NULL;
+
+		if (record || log.n > 0)
+			assert_int_equal(
+				fl_chunk_restore(&node->cluster, job, 0, record, 1, &log, fl_now()),
+				0);
+		cJSON_Delete(record);
+	}
+	fl_log_free(&log);
+	sim->takeovers++;
+}
+
+void place_some(struct simulation *sim)
+{
+	struct fl_cluster *cluster = &sim->node.cluster;
+	struct fl_job *job = HASH_COUNT(cluster->jobs) ? cluster->jobs : NULL;
+	struct fl_team *team = &cluster->teams.at[0];
+
+	for (int skip = random_below(sim, JOBS); job && skip > 0; skip--)
+		job = job->hh.next;
+	for (int i = 0; job && i < cluster->machines.n; i++) {
+		struct fl_machine *machine =
+			cluster->machines
+				.at[(i + random_below(sim, WORKERS)) % cluster->machines.n];
+		uint32_t index = fl_task_next_waiting(job, 0, 1e18);
+
+		if (index >= job->n_tasks || !machine->up || machine->used_cpus >= 4 ||
+		    !fl_team_within_max(team, team->used_cpus + 1, 0))
+			continue;
+		assert_int_equal(fl_task_place(cluster, job, index, machine, sim->node.lease.epoch,
+		                               fl_now()),
+		                 0);
+	}
+}
+
+/* All that no record holds, in one or two values. */
+static void save_log(struct simulation *sim)
+{
+	cJSON *value[2] = {fl_log_value_begin(), fl_log_value_begin()};
+	int values = 1 + random_below(sim, 2), n = 0;
+
+	for (int j = 0; j < JOBS; j++) {
+		char ref[FL_REF_MAX], *group;
+		struct fl_job *job;
+
+		format_ref(j, ref);
+		job = fl_job_find(&sim->node.cluster, ref);
+		group = job ? fl_log_group_encode(&sim->node.cluster, job, 0) : NULL;
+		if (!group)
+			continue;
+		fl_log_value_add(value[n++ % values], group);
+		free(group);
+		fl_job_chunk(job, 0)->logged_gen = fl_job_chunk(job, 0)->gen;
+	}
+	for (int i = 0; i < 2; i++) {
+		if (i >= values) {
+			cJSON_Delete(value[i]);
+			continue;
+		}
+		free(sim->log[i]);
+		sim->log[i] = fl_json_take(value[i]);
+	}
+	sim->logs++;
+}
+
+void save_some(struct simulation *sim)
+{
+	if (random_below(sim, 2)) {
+		save_log(sim);
+		return;
+	}
+	for (int j = 0; j < JOBS; j++) {
+		char ref[FL_REF_MAX];
+		struct fl_job *job;
+
+		/* Records follow one by one, in any order. */
+		if (random_below(sim, 2))
+			continue;
+		format_ref(j, ref);
+		job = fl_job_find(&sim->node.cluster, ref);
+		if (!job || !fl_job_chunk(job, 0))
+			continue;
+		free(sim->record[j]);
+		sim->record[j] = fl_json_take(fl_chunk_encode(&sim->node.cluster, job, 0));
+		fl_job_chunk(job, 0)->saved_gen = fl_job_chunk(job, 0)->gen;
+	}
+}
+
+static void check_done(struct simulation *sim)
+{
+	for (int j = 0; j < JOBS; j++) {
+		char ref[FL_REF_MAX];
+		struct fl_job *job;
+
+		format_ref(j, ref);
+		job = fl_job_find(&sim->node.cluster, ref);
+		for (uint32_t p = 0; job && p < TASKS; p++) {
+			const struct fl_task *task = fl_task_peek(job, p);
+
+			if (task && task->phase == FL_TASK_DONE)
+				assert_true(sim->actually_done[j][p]);
+		}
+	}
+}
+
+void deliver_report(struct simulation *sim, int at, const char *text, enum fl_report_source source)
+{
+	struct fl_orders orders;
+	struct fl_report report;
+
+	assert_int_equal(fl_report_decode(text, strlen(text), &report), 0);
+	fl_orders_init(&orders, sim->node.lease.epoch);
+	if (fl_reconcile_report(&sim->node, &report, source == FL_SOURCE_REPORT ? &orders : NULL,
+	                        source) == 0 &&
+	    source == FL_SOURCE_REPORT) {
+		drop_answer(&sim->worker[at]);
+		sim->worker[at].answer = fl_orders_take(&orders);
+	} else {
+		cJSON_Delete(orders.root);
+	}
+	fl_report_free(&report);
+	check_done(sim);
+}
+
+void queue_message(struct simulation *sim, int at, char *text, bool command)
+{
+	struct message *message;
+
+	if (sim->n_messages == MESSAGES) {
+		free(sim->messages[0].text);
+		memmove(sim->messages, sim->messages + 1,
+		        sizeof(sim->messages[0]) * (MESSAGES - 1));
+		sim->n_messages--;
+	}
+	message = &sim->messages[sim->n_messages++];
+	message->worker = at;
+	message->text = text;
+	message->command = command;
+}
+
+void command_directly(struct simulation *sim, int at)
+{
+	struct fl_orders orders;
+	char host[FL_NAME_MAX], *text;
+	struct fl_machine *machine;
+
+	format_host(at, host);
+	machine = fl_machine_find(&sim->node.cluster.machines, host);
+	if (!machine || !machine->up)
+		return;
+	fl_orders_init(&orders, sim->node.lease.epoch);
+	fl_orders_session(&orders, machine->session);
+	if (!fl_reconcile_direct(&sim->node, machine, &orders)) {
+		cJSON_Delete(orders.root);
+		return;
+	}
+	text = fl_orders_take(&orders);
+	if (random_below(sim, 2)) {
+		execute_orders(sim, at, text, true);
+		if (random_below(sim, 2)) {
+			char *reply = report_text(sim, at);
+
+			deliver_report(sim, at, reply, FL_SOURCE_COMMAND);
+			free(reply);
+		}
+	}
+	/* Late, or once more after it was carried out. */
+	queue_message(sim, at, text, true);
+}
+
+void deliver_late(struct simulation *sim)
+{
+	struct message *message;
+
+	if (sim->n_messages == 0)
+		return;
+	message = &sim->messages[random_below(sim, sim->n_messages)];
+	if (message->command)
+		execute_orders(sim, message->worker, message->text, true);
+	else
+		deliver_report(sim, message->worker, message->text, FL_SOURCE_FORWARDED);
+}
+
+void set_up(struct simulation *sim, unsigned long seed)
+{
+	struct fl_offered_type kind = {.name = "g",
+	                               .cpus = 4,
+	                               .ram_gb = 64,
+	                               .pull_gb_s = 1,
+	                               .price = 1,
+	                               .ready_s = 10,
+	                               .zones = {"a", "b"},
+	                               .n_zones = 2};
+	struct fl_cluster *cluster = &sim->node.cluster;
+
+	memset(sim, 0, sizeof(*sim));
+	sim->rng = gsl_rng_alloc(gsl_rng_mt19937);
+	gsl_rng_set(sim->rng, seed);
+	sim->node.config = &sim->config;
+	sim->calm = seed % 3 == 0 ? 1 : seed % 3 == 1 ? 8 : 40;
+	fl_names_add(&cluster->zones, "a");
+	fl_names_add(&cluster->zones, "b");
+	fl_machine_types_set(&cluster->machines, &cluster->zones, &kind, 1);
+	strcpy(cluster->teams.at[0].name, "team");
+	cluster->teams.at[0].cpus_max = 6;
+	cluster->teams.n = 1;
+	for (int i = 0; i < WORKERS; i++)
+		sim->worker[i].session = 1;
+	take_over(sim);
+}
+
+void tear_down(struct simulation *sim)
+{
+	for (int i = 0; i < sim->n_messages; i++)
+		free(sim->messages[i].text);
+	for (int i = 0; i < WORKERS; i++)
+		drop_answer(&sim->worker[i]);
+	for (int i = 0; i < JOBS; i++)
+		free(sim->record[i]);
+	free(sim->log[0]);
+	free(sim->log[1]);
+	fl_cluster_free(&sim->node.cluster);
+	gsl_rng_free(sim->rng);
+}
--- /dev/null
+++ b/tests/test_standby.c
@@ -0,0 +1,241 @@
+/*
+ * A node that does not lead: the reports that it caches, and what it does with its workers and
+ * users when it is disconnected from the state service and the other controllers.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "node_fixture.h"
+#include "transport/clock.h"
+
+/* A late copy neither replaces a newer report in the cache nor makes it look fresh. */
+static void a_standby_caches_the_newest_report(void **state)
+{
+	struct fixture *fixture = *state;
+	struct fl_task_report task_report = running_task(0, 1);
+	struct fl_cached_report *cached;
+	double at;
+
+	become_follower(fixture, 0);
+	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
+	                 200);
+	cached = fixture->node.standby.cached;
+	assert_non_null(cached);
+	cached->at = at = fl_now() - 9;
+	cached->stored = true;
+	assert_int_equal(send_report(fixture, make_report(1, 19, EPOCH, NULL, 0), NULL), 200);
+	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
+	                 200);
+	assert_true(cached->seq == 20 && cached->at == at && cached->stored);
+	assert_int_equal(send_report(fixture, make_report(2, 3, EPOCH, NULL, 0), NULL), 200);
+	assert_true(cached->session == 2 && cached->seq == 3 && !cached->stored);
+}
+
+/* What passes through the state service is the same as in the report. */
+static void a_cached_report_is_restored_from_its_short_form(void **state)
+{
+	static const char *const bad[] = {"[]",
+	                                  "[\"m\",1,2,3,-1]",
+	                                  "[\"m\",1,2,-3,-1,[]]",
+	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",0,1]]]",
+	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",0,1,9]]]",
+	                                  "[\"\",1,2,3,-1,[]]",
+	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
+	                                  "{\"m\":1}"};
+	struct fl_task_report tasks[2] = {running_task(3, 2), running_task(1, 1)};
+	struct fl_report report = make_report(4, 5, 6, tasks, 2), back;
+	char *text;
+	cJSON *element;
+
+	(void)state;
+	tasks[1].state = FL_ENDED;
+	tasks[1].exit = FL_EXIT_DONE;
+	report.reclaim_in_s = 12.5;
+	text = fl_cached_report_encode(&report);
+	element = fl_json_parse(text, strlen(text));
+	assert_int_equal(fl_cached_report_decode(element, &back), 0);
+	assert_string_equal(back.host, report.host);
+	assert_true(back.session == 4 && back.seq == 5 && back.epoch == 6);
+	assert_true(back.reclaim_in_s == 12.5 && back.n_tasks == 2);
+	assert_int_equal(back.tasks[0].state, FL_EXECUTING);
+	assert_int_equal(back.tasks[0].index, 3);
+	assert_int_equal(back.tasks[1].exit, FL_EXIT_DONE);
+	fl_report_free(&back);
+	cJSON_Delete(element);
+	/* Hundreds of machines share the writes: twenty must fit into the smallest value. */
+	assert_in_range(strlen(text), 1, 150);
+	free(text);
+	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
+		element = fl_json_parse(bad[i], strlen(bad[i]));
+		assert_non_null(element);
+		assert_int_not_equal(fl_cached_report_decode(element, &back), 0);
+		cJSON_Delete(element);
+	}
+}
+
+static void disconnect(struct fixture *fixture, double for_s)
+{
+	double now = fl_now();
+
+	fixture->node.state.last_ok = now - for_s;
+	fixture->node.state.last_refusal = now;
+	for (int i = 0; i < fixture->node.n_peers; i++) {
+		fixture->node.peers[i].up = false;
+		fixture->node.peers[i].heard_at = now - for_s;
+	}
+	fixture->node.probed_at = now;
+	fixture->node.leadership_confirmed_at = fixture->node.cancellations_known_until =
+		now - for_s;
+}
+
+/* As if the workers had come a report interval earlier. */
+static void age_misplaced_workers(struct fixture *fixture)
+{
+	for (struct fl_misplaced_worker *worker = fixture->node.standby.misplaced; worker;
+	     worker = worker->hh.next)
+		worker->came -= fixture->config.report_s;
+}
+
+/* The state service and the other controllers are unreachable, the workers are not. */
+static void an_isolated_node_redirects_its_workers_once(void **state)
+{
+	struct fixture *fixture = *state;
+	char first[FL_NAME_MAX], second[FL_NAME_MAX];
+	struct fl_report report = make_report(1, 20, EPOCH, NULL, 0);
+
+	become_follower(fixture, 4);
+	disconnect(fixture, 3);
+	assert_true(fl_standby_alone(&fixture->node));
+	/* One that has come but now may have little left of its lease: it is answered first. */
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+	strcpy(report.host, "m-000002");
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+	age_misplaced_workers(fixture);
+	/* The second worker goes elsewhere than the first: none of them is known to work. */
+	report.seq++;
+	assert_int_equal(send_report(fixture, report, first), 421);
+	strcpy(report.host, "m-000001");
+	assert_int_equal(send_report(fixture, report, second), 421);
+	assert_true(first[0] && second[0] && strcmp(first, second) != 0);
+	/* It reached nobody there and is back within its lease: now the lease is renewed. */
+	report.seq++;
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
+	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
+	fixture->node.standby.refreshed_at = fl_now();
+	report.seq++;
+	assert_int_equal(send_report(fixture, report, NULL), 503);
+}
+
+/* Partitioned with its zone, or the only one running: its workers have no other node. */
+static void a_node_isolated_with_its_workers_renews_their_leases(void **state)
+{
+	struct fixture *fixture = *state;
+	struct fl_report report = make_report(1, 20, EPOCH, NULL, 0);
+
+	become_follower(fixture, 4);
+	disconnect(fixture, 3);
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+	age_misplaced_workers(fixture);
+	fixture->node.probed_at = fl_now() - 10;
+	report.seq++;
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+	/* The others ended long before the state service failed. */
+	disconnect(fixture, 3);
+	for (int i = 0; i < 4; i++)
+		fixture->node.peers[i].heard_at -= 20;
+	report.seq++;
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+	/* An outage of the state service with peers in reach is no isolation. */
+	fixture->node.peers[2].up = true;
+	assert_false(fl_standby_alone(&fixture->node));
+}
+
+/*
+ * Found in an incident: all controllers had ended, and workers that came to one of the first back
+ * with the rest of their lease were redirected to their zone's, half a second away.
+ */
+static void a_worker_is_answered_before_it_is_redirected(void **state)
+{
+	struct fixture *fixture = *state;
+	struct fl_report report = make_report(1, 20, EPOCH, NULL, 0);
+	char to[FL_NAME_MAX];
+
+	become_follower(fixture, 1);
+	strcpy(report.zone, "b");
+	strcpy(fixture->node.leader, "n9");
+	fixture->node.peers[0].up = true;
+	fixture->node.peers[0].up_since = fl_now() - 5;
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+	age_misplaced_workers(fixture);
+	report.seq++;
+	assert_int_equal(send_report(fixture, report, to), 421);
+	assert_string_equal(to, "n1");
+	/* It is back, for whatever reason: it stays. */
+	report.seq++;
+	assert_int_equal(send_report(fixture, report, NULL), 200);
+}
+
+/* An isolated node refuses its users at once, and is not ready for the load balancer. */
+static void an_isolated_node_refuses_users_at_once(void **state)
+{
+	static const char job[] =
+		"{\"Ref\":\"run-000099\",\"JobClass\":\"c\",\"Owner\":\"team\",\"JobKind\":"
+		"\"sweep\","
+		"\"Tier\":\"standard\",\"Parts\":1,\"Vcpus\":1,\"Accelerators\":0,\"RamGb\":1,"
+		"\"Bundle\":\"i\",\"ImageGb\":1,\"HostKinds\":null,\"Site\":null,\"Together\":"
+		"false,"
+		"\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":1,\"SnapshotEveryS\":0,"
+		"\"SnapshotCostS\":0,\"DueS\":null}";
+	static const struct {
+		enum fl_user_call call;
+		const char *body;
+	} asks[] = {{FL_CALL_SUBMIT, job}, {FL_CALL_POLL, NULL}, {FL_CALL_CANCEL, NULL}};
+	struct fixture *fixture = *state;
+	struct fl_response resp;
+
+	become_follower(fixture, 4);
+	assert_int_equal(user_call(fixture, FL_CALL_READY, NULL, NULL).status, 200);
+	disconnect(fixture, 3);
+	assert_int_equal(user_call(fixture, FL_CALL_READY, NULL, NULL).status, 503);
+	for (size_t i = 0; i < sizeof(asks) / sizeof(asks[0]); i++) {
+		/* No routine runs here, so that a try to connect would fail the test. */
+		resp = user_call(fixture, asks[i].call, "run-000001", asks[i].body);
+		assert_int_equal(resp.status, 503);
+		assert_true(resp.retry_after_s > 0 && resp.close);
+		free(resp.body);
+	}
+	/* What is over is known for good, by any node. */
+	fl_finished_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
+	resp = user_call(fixture, FL_CALL_POLL, "run-000050", NULL);
+	assert_int_equal(resp.status, 200);
+	free(resp.body);
+	resp = user_call(fixture, FL_CALL_CANCEL, "run-000050", NULL);
+	assert_int_equal(resp.status, 200);
+	assert_non_null(strstr(resp.body, "\"done\""));
+	free(resp.body);
+	/* Connected again, it is ready. */
+	fixture->node.peers[0].up = true;
+	fixture->node.state.last_ok = fl_now() + 1;
+	assert_int_equal(user_call(fixture, FL_CALL_READY, NULL, NULL).status, 200);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		NODE_TEST(a_standby_caches_the_newest_report),
+		NODE_TEST(a_cached_report_is_restored_from_its_short_form),
+		NODE_TEST(an_isolated_node_redirects_its_workers_once),
+		NODE_TEST(a_node_isolated_with_its_workers_renews_their_leases),
+		NODE_TEST(a_worker_is_answered_before_it_is_redirected),
+		NODE_TEST(an_isolated_node_refuses_users_at_once),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
