--- a/tests/sim.h
+++ b/tests/sim.h
@@ -9,6 +9,7 @@
 
 #include <stdbool.h>
 #include <stdint.h>
+#include <stdlib.h>
 
 #include "config.h"
 #include "protocol/workers.h"
@@ -28,7 +29,14 @@
 };
 
 /* Holds in every build, also where assert() is compiled out. */
-void sim_must(bool holds);
+static inline void sim_must(bool holds)
+{
+	if (!holds)
+		abort();
+}
+
+/* Into an array of that size; a text that does not fit is a mistake of the test. */
+void sim_copy(char *out, size_t size, const char *text);
 
 /* ---- time and routines ---- */
 
@@ -240,7 +248,7 @@
 
 /* ---- the rules ---- */
 
-void sim_broken(const char *rule, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void sim_broken(const char *name, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 void sim_check_begin(void);
 void sim_check_started(struct sim_job *job, uint32_t index, int machine);
 void sim_check_left(struct sim_job *job, uint32_t index);
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -166,12 +166,10 @@
 	struct call *c = arg;
 	bool node = c->to.kind == END_NODE || c->to.kind == END_PEER;
 
-	if (net.over) {
-		release(c);
-	} else if (sim_holds(c->from, c->to)) {
+	if (!net.over && sim_holds(c->from, c->to)) {
 		/* Held back, and delivered when the link is there again. */
 		sim_timer_arm(&c->timer, 0.2);
-	} else if (sim_lost(c->from, c->to, false)) {
+	} else if (net.over || sim_lost(c->from, c->to, false)) {
 		release(c);
 	} else if (!is_up(c->to)) {
 		complete(c, -ECONNREFUSED);
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -86,7 +86,8 @@
 
 	if (!k) {
 		k = calloc(1, sizeof(*k));
-		sim_must(k != NULL);
+		if (!k)
+			abort();
 		snprintf(k->name, sizeof(k->name), "%s", name);
 		HASH_ADD_STR(st.keys, name, k);
 	}
--- a/tests/sim_time.c
+++ b/tests/sim_time.c
@@ -64,10 +64,12 @@
 	size_t main_size;
 } rt;
 
-void sim_must(bool holds)
+void sim_copy(char *out, size_t size, const char *text)
 {
-	if (!holds)
-		abort();
+	size_t length = strlen(text);
+
+	sim_must(length < size);
+	memcpy(out, text, length + 1);
 }
 
 double fl_now(void) { return rt.now; }
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -265,11 +265,12 @@
 	r->n_machine_types = -1;
 	if (sim_chance(0.25)) {
 		r->n_machine_types = 1;
-		strcpy(r->machine_types[0], sim_machine_types[r->gpus > 0 ? 1 : sim_pick(2)].name);
+		sim_copy(r->machine_types[0], sizeof(r->machine_types[0]),
+		         sim_machine_types[r->gpus > 0 ? 1 : sim_pick(2)].name);
 	}
 	r->has_zone = sim_chance(0.3);
 	if (r->has_zone)
-		strcpy(r->zone, sim.config[0].zones[sim_pick(sim.n_zones)]);
+		sim_copy(r->zone, sizeof(r->zone), sim.config[0].zones[sim_pick(sim.n_zones)]);
 	r->together = sim_chance(0.15);
 	r->apart = !r->together && !r->has_zone && sim_chance(0.25);
 	r->reclaimable = sim_chance(0.5);
@@ -284,8 +285,8 @@
 	memset(job, 0, sizeof(*job));
 	shape(r);
 	snprintf(r->ref, sizeof(r->ref), "run-%06d", 1000 + (sim.n_jobs * 7919) % 90000);
-	strcpy(r->job_class, r->kind == FL_SERVICE ? "serve" : "train");
-	strcpy(r->team, sim_teams[sim_pick(SIM_TEAMS)].name);
+	sim_copy(r->job_class, sizeof(r->job_class), r->kind == FL_SERVICE ? "serve" : "train");
+	sim_copy(r->team, sizeof(r->team), sim_teams[sim_pick(SIM_TEAMS)].name);
 	snprintf(r->image, sizeof(r->image), "img-%02d", sim_pick(8));
 	r->due_s = -1;
 	if (r->kind == FL_ARRAY) {
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -86,7 +86,7 @@
 static void fetched(struct sim_machine *m, struct sim_task *t)
 {
 	if (!has_image(m, t->job->run.image))
-		strcpy(m->images[m->n_images++ % 4], t->job->run.image);
+		sim_copy(m->images[m->n_images++ % 4], sizeof(m->images[0]), t->job->run.image);
 	begin(m, t);
 }
 
@@ -312,10 +312,10 @@
 	                      .reclaim_in_s = -1,
 	                      .tasks = tasks};
 
-	strcpy(r.host, m->name);
+	sim_copy(r.host, sizeof(r.host), m->name);
 	sim_address((struct sim_end){END_WORKER, index_of(m)}, r.endpoint);
-	strcpy(r.type, sim_machine_types[m->type].name);
-	strcpy(r.zone, sim.config[0].zones[m->zone]);
+	sim_copy(r.type, sizeof(r.type), sim_machine_types[m->type].name);
+	sim_copy(r.zone, sizeof(r.zone), sim.config[0].zones[m->zone]);
 	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at - rule.notice_s)
 		r.reclaim_in_s = m->reclaim_at > fl_now() ? m->reclaim_at - fl_now() : 0;
 	for (int i = 0; i < m->n_tasks; i++)
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -39,7 +39,7 @@
 
 	memset(c, 0, sizeof(*c));
 	snprintf(c->node, sizeof(c->node), "host-%d", node + 1);
-	strcpy(c->location, zones[sim_node_zone(node)]);
+	sim_copy(c->location, sizeof(c->location), zones[sim_node_zone(node)]);
 	sim_address((struct sim_end){END_NODE, node}, c->bind);
 	sim_address((struct sim_end){END_PEER, node}, c->cluster_listen);
 	sim_address((struct sim_end){END_STATE, 0}, c->state);
@@ -50,17 +50,17 @@
 		if (i == node)
 			continue;
 		snprintf(p->node, sizeof(p->node), "host-%d", i + 1);
-		strcpy(p->location, zones[sim_node_zone(i)]);
+		sim_copy(p->location, sizeof(p->location), zones[sim_node_zone(i)]);
 		sim_address((struct sim_end){END_PEER, i}, p->addr);
 		c->n_peers++;
 	}
 	for (c->n_zones = 0; c->n_zones < sim.n_zones; c->n_zones++)
-		strcpy(c->zones[c->n_zones], zones[c->n_zones]);
+		sim_copy(c->zones[c->n_zones], sizeof(c->zones[c->n_zones]), zones[c->n_zones]);
 	for (int i = 0; i < SIM_TEAMS; i++) {
 		const struct sim_team *t = &sim_teams[i];
 		struct fl_config_team *to = &c->teams[c->n_teams++];
 
-		strcpy(to->name, t->name);
+		sim_copy(to->name, sizeof(to->name), t->name);
 		to->cpus = t->cpus;
 		to->cpus_max = t->cpus_max;
 		to->gpus = t->gpus;
@@ -375,7 +375,7 @@
 		if (i % 2 || r->apart)
 			continue;
 		r->has_zone = true;
-		strcpy(r->zone, sim.config[0].zones[i % sim.n_zones]);
+		sim_copy(r->zone, sizeof(r->zone), sim.config[0].zones[i % sim.n_zones]);
 		free(sim.job[i].text);
 		sim.job[i].text = fl_json_take(fl_job_spec_encode(r));
 	}
@@ -413,13 +413,17 @@
 /* A command or its answer is held up for seconds, and the machine then goes on. */
 static void held_command(int variant)
 {
-	for (double t = 20; t < 70; t += sim_between(8, 14))
+	double t = 20;
+
+	while (t < 70) {
 		sim_trouble(HANG, t, sim_between(2, sim.lease_s + 2), 0, 0.5, 0);
+		t += sim_between(8, 14);
+	}
 	sim_trouble(LOST_ANSWERS, 20, 55, 0, variant % 2 ? 0.4 : 0.15, 0);
 	sim_trouble(MORE_JOBS, 30, 1, 0, 0, 10);
 	sim_trouble(SLOW_LINKS, 25, 45, 0, 0.8, 0);
-	for (double t = 28; t < 60; t += 3)
-		cancel(t, 1, 0);
+	for (int i = 0; i < 11; i++)
+		cancel(28 + 3 * i, 1, 0);
 	cancel(sim_between(40, 55), 4, sim_between(3, 9));
 	if (variant % 3 == 2)
 		leader_down(50, 10);
