--- a/tests/sim.h
+++ b/tests/sim.h
@@ -22,7 +22,8 @@
 	SIM_ZONES = 3,
 	SIM_MACHINE_TYPES = 2,
 	SIM_MACHINES = 160,
-	SIM_JOBS = 96,
+	SIM_JOBS = 400,
+	SIM_USUAL_JOBS = 96, /* what bursts and odd requests stop at */
 	SIM_JOB_TASKS = 32,
 	SIM_TASKS = 1024,
 	SIM_TROUBLES = 64
@@ -54,12 +55,24 @@
 /* Cancels every routine and drops every timer through `drop`. */
 void sim_time_end(void (*drop)(struct sim_timer *t));
 void sim_timer_arm(struct sim_timer *t, double seconds);
+void sim_timer_disarm(struct sim_timer *t);
+/* The first that is due by then, disarmed, with the clocks put to it; NULL: none. */
+struct sim_timer *sim_timer_next(double until);
+/* Any one, disarmed, and no clock moves. */
+struct sim_timer *sim_timer_any(void);
+void sim_clock_begin(void);
+void sim_clock_set(double now);
+void sim_clock_end(void);
 /* A process is a number above 0; 0 is whatever is no controller. */
 int sim_process(void);
 struct fl_routine *sim_spawn(int process, void (*fn)(void *), void *arg);
 /* Its routines unwind at this very moment: gone after the caller's next wait. */
 void sim_process_cancel(int process);
 int sim_process_routines(int process);
+/* Nothing of it runs before then, while its clocks run on: its timers fire late. */
+void sim_process_waits(int process, double until);
+/* It runs one piece of work: if it is slow now, the next has to wait. */
+void sim_process_computes(int process);
 
 /* ---- chance ---- */
 
@@ -119,9 +132,19 @@
 	CANCEL_AT_END, /* a share of jobs is called off as its last task ends */
 	ODD_REQUESTS,  /* repeated submissions, bad jobs, cancelled twice */
 	MORE_JOBS,     /* a burst of submissions */
+	/* From here on in the order in which the random pairs got to know them. */
+	LATE_COMMANDS,  /* a share of direct commands is carried out late, and not answered */
+	CLOSE_LOOKS,    /* users ask at all nodes within ms of whatever changed for them */
+	SLOW_NODES,     /* controllers compute for `much` s at each piece of work */
+	FROZEN,         /* controllers stand still, and their clocks run on */
+	SHARED_FETCHES, /* images that a machine fetches at once share its rate */
+	ODD_BOOTS,      /* a share of new machines is up at once, late or never */
+	POLL_STORM,     /* `much` times as many polls */
 	SIM_TROUBLE_KINDS
 };
 
+enum { SIM_FIRST_NEW_KIND = LATE_COMMANDS };
+
 /* Whom: a node, a zone, or one of these. */
 enum { THE_LEADER = -1, ANY_NODE = -2, ALL_NODES = -3, ANY_ZONE = -4 };
 
@@ -132,6 +155,8 @@
 	double much;      /* share or s */
 	int count;        /* machines or jobs; 0: all that there are */
 	double hang_s;    /* CANCEL_NOW: what the machines of those jobs do next */
+	bool at_once;     /* LATE_WRITES: carried out at once, and only the answer is lost */
+	bool for_next;    /* LATE_REPORTS: kept for the next leader, sent to every node then */
 	bool active, over;
 	uint8_t machine[SIM_MACHINES];
 };
@@ -198,6 +223,7 @@
 	double rented, ready, gone_at, hung_since, reclaim_at;
 	uint64_t session, seq, epoch;
 	double lease_from; /* when the last answered report was sent */
+	double looked;     /* when its fetches were last looked at */
 	double epoch_told, last_sent;
 	bool changed;
 	struct fl_signal work, goes_on;
@@ -233,6 +259,16 @@
 void sim_state_end(void);
 void sim_cloud_end(void);
 void sim_workers_begin(void);
+/* A new leader begins: what was kept for it arrives. */
+void sim_reports_for_leader(void);
+void sim_reports_end(void);
+/* It has something to report. */
+void sim_machine_changed(struct sim_machine *m);
+void sim_tasks_tick(struct sim_machine *m);
+/* All tasks are gone. */
+void sim_tasks_drop(struct sim_machine *m);
+void sim_tasks_stood_still(struct sim_machine *m, double seconds);
+void sim_tasks_command(struct sim_machine *m, const cJSON *body);
 void sim_worker_boot(int machine);
 /* The machine ends now, with all on it. */
 void sim_machine_ends(int machine);
@@ -244,6 +280,8 @@
 void sim_user_repeats(struct sim_job *job);
 /* Asks again and again for a while: what is told must not go back. */
 void sim_user_asks(struct sim_job *job);
+/* The last task has just ended. */
+void sim_user_sees_end(struct sim_job *job);
 struct sim_job *sim_job_find(const char *ref);
 
 /* ---- the rules ---- */
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -90,6 +90,26 @@
 	return n;
 }
 
+/* Up within a second or two, several times too late, or never. */
+static void odd_boot(struct sim_machine *m)
+{
+	const struct sim_trouble *odd = sim_troubled(ODD_BOOTS, -1);
+
+	if (!odd || !sim_chance(odd->much))
+		return;
+	switch (sim_pick(4)) {
+	case 0:
+		m->never_up = true;
+		break;
+	case 1:
+		m->ready = fl_now() + sim_between(2, 6) * sim_machine_types[m->type].ready_s;
+		break;
+	default:
+		m->ready = fl_now() + sim_between(0.2, 2);
+		break;
+	}
+}
+
 static void rent_one(int type, int zone, bool spot)
 {
 	struct sim_machine *m = &sim.machine[sim.n_machines];
@@ -106,6 +126,7 @@
 	m->ready = fl_now() + (sim_chance(0.2)
 	                               ? sim_between(0.5, 2)
 	                               : sim_between(0.6, 1.5) * sim_machine_types[type].ready_s);
+	odd_boot(m);
 	if (spot && sim_chance(0.15))
 		m->reclaim_at = fl_now() + sim_between(30, 120);
 	sim_worker_boot(sim.n_machines++);
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -84,6 +84,8 @@
 {
 	struct key *k = find(name);
 
+	if (!k && strcmp(name, "c/lead") == 0)
+		sim_reports_for_leader();
 	if (!k) {
 		k = calloc(1, sizeof(*k));
 		if (!k)
@@ -395,7 +397,8 @@
 		*after = sim_between(0, slow->much);
 	if (write && late && sim_chance(late->much)) {
 		*lost = true;
-		s = sim_between(2, 12);
+		if (!late->at_once)
+			s = sim_between(2, 12);
 	}
 	return fl_sleep(s);
 }
--- a/tests/sim_time.c
+++ b/tests/sim_time.c
@@ -1,4 +1,4 @@
-/* Virtual time: the clocks, and the routines that the controllers' code runs in. */
+/* The routines that the controllers' code runs in, and processes that are slow or stand still. */
 #include "sim.h"
 
 #include <errno.h>
@@ -25,10 +25,7 @@
 extern struct transfer jump_fcontext(fcontext_t to, void *vp);
 extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(struct transfer));
 
-enum { STACK = 256 * 1024, SPARE = 256 };
-/* Both clocks begin somewhere: nothing may take them for spans since a start. */
-static const double steady_begin = 5000, wall_begin = 1.7e9, tick = 1e-6;
-
+enum { STACK = 256 * 1024, SPARE = 256, PROCESSES = 256 };
 struct fl_routine {
 	fcontext_t ctx;
 	char *stack;
@@ -49,13 +46,16 @@
 };
 
 static struct {
-	double now;
-	uint64_t seq;
-	struct sim_timer **heap; /* from 1 */
-	int n, cap;
 	struct fl_routine *all, *current;
 	struct queue ready, urgent;
 	int dying; /* the last process that was cancelled */
+	bool ending;
+	/* What of a process has to wait until its computer has time for it again. */
+	struct waiting {
+		double until;
+		struct queue ready, urgent;
+		struct sim_timer timer;
+	} waiting[PROCESSES];
 	char *spare[SPARE];
 	int spares;
 	fcontext_t main_ctx;
@@ -72,106 +72,25 @@
 	memcpy(out, text, length + 1);
 }
 
-double fl_now(void) { return rt.now; }
-
-double fl_wall(void) { return rt.now - steady_begin + wall_begin; }
-
-double fl_since(double wall)
-{
-	return wall > 0 && wall < fl_wall() ? rt.now - (fl_wall() - wall) : rt.now;
-}
-
-/* ---- timers ---- */
-
-static bool before(const struct sim_timer *a, const struct sim_timer *b)
-{
-	return a->when < b->when || (a->when == b->when && a->seq < b->seq);
-}
-
-static void heap_set(int at, struct sim_timer *t)
-{
-	rt.heap[at] = t;
-	t->at = at;
-}
-
-static void heap_up(int at)
-{
-	struct sim_timer *t = rt.heap[at];
-
-	for (; at > 1 && before(t, rt.heap[at / 2]); at /= 2)
-		heap_set(at, rt.heap[at / 2]);
-	heap_set(at, t);
-}
-
-static void heap_down(int at)
-{
-	struct sim_timer *t = rt.heap[at];
-
-	for (;;) {
-		int child = 2 * at;
-
-		if (child > rt.n)
-			break;
-		if (child < rt.n && before(rt.heap[child + 1], rt.heap[child]))
-			child++;
-		if (!before(rt.heap[child], t))
-			break;
-		heap_set(at, rt.heap[child]);
-		at = child;
-	}
-	heap_set(at, t);
-}
-
-void sim_timer_arm(struct sim_timer *t, double seconds)
-{
-	sim_must(t->at == 0);
-	if (rt.n + 1 >= rt.cap) {
-		rt.cap = rt.cap ? 2 * rt.cap : 256;
-		rt.heap = realloc(rt.heap, (size_t)rt.cap * sizeof(*rt.heap));
-		sim_must(rt.heap != NULL);
-	}
-	/* No span is shorter than this: a remainder lost in rounding would be slept for ever. */
-	if (seconds > 0 && seconds < tick)
-		seconds = tick;
-	t->when = rt.now + (seconds > 0 ? seconds : 0);
-	t->seq = ++rt.seq;
-	rt.heap[++rt.n] = t;
-	t->at = rt.n;
-	heap_up(rt.n);
-}
+/* ---- routines ---- */
 
-static void disarm(struct sim_timer *t)
+static void append(struct queue *q, struct fl_routine *r)
 {
-	int at = t->at;
-	struct sim_timer *last;
-
-	if (!at)
-		return;
-	t->at = 0;
-	last = rt.heap[rt.n--];
-	if (last == t)
-		return;
-	heap_set(at, last);
-	heap_up(at);
-	heap_down(last->at);
+	r->next_ready = NULL;
+	if (q->tail)
+		q->tail->next_ready = r;
+	else
+		q->head = r;
+	q->tail = r;
 }
 
-/* ---- routines ---- */
-
 static void make_ready(struct fl_routine *r, int result)
 {
-	struct queue *q = r->urgent ? &rt.urgent : &rt.ready;
-
 	if (r->ready)
 		return;
 	r->ready = true;
 	r->result = result;
-	r->next_ready = NULL;
-	if (q->tail)
-		q->tail->next_ready = r;
-	else
-		q->head = r;
-	q->tail = r;
+	append(r->urgent ? &rt.urgent : &rt.ready, r);
 }
 
 static struct fl_routine *take_ready(struct queue *q)
@@ -183,7 +102,6 @@
 	q->head = r->next_ready;
 	if (!q->head)
 		q->tail = NULL;
-	r->ready = false;
 	return r;
 }
 
@@ -203,7 +121,7 @@
 
 static void wake(struct fl_routine *r, int result)
 {
-	disarm(&r->timer);
+	sim_timer_disarm(&r->timer);
 	sig_unlink(r);
 	make_ready(r, result);
 }
@@ -248,7 +166,7 @@
 	struct transfer t;
 
 	rt.current = r;
-	r->parked = false;
+	r->ready = r->parked = false;
 	FIBER_START(&rt.main_fake, r->stack, STACK);
 	t = jump_fcontext(r->ctx, r);
 	FIBER_FINISH(rt.main_fake, NULL, NULL);
@@ -280,12 +198,54 @@
 	return r->cancelled ? -ECANCELED : r->result;
 }
 
+/* ---- processes that are slow or stand still ---- */
+
+/* All that waited is ready, in its order; one that is slow runs one of them, and waits again. */
+static void goes_on(void *arg)
+{
+	struct waiting *w = arg;
+	struct fl_routine *r;
+
+	while ((r = take_ready(&w->urgent)))
+		append(&rt.urgent, r);
+	while ((r = take_ready(&w->ready)))
+		append(&rt.ready, r);
+}
+
+void sim_process_waits(int process, double until)
+{
+	struct waiting *w = &rt.waiting[process];
+
+	sim_must(process > 0 && process < PROCESSES);
+	if (until <= w->until)
+		return;
+	w->until = until;
+	sim_timer_disarm(&w->timer);
+	w->timer.fn = goes_on;
+	w->timer.arg = w;
+	sim_timer_arm(&w->timer, until - fl_now());
+}
+
+static bool has_to_wait(const struct fl_routine *r)
+{
+	return r->process && !r->cancelled && !rt.ending && rt.waiting[r->process].until > fl_now();
+}
+
 static void drain(void)
 {
 	struct fl_routine *r;
 
-	while ((r = take_ready(&rt.urgent)) || (r = take_ready(&rt.ready)))
+	while ((r = take_ready(&rt.urgent)) || (r = take_ready(&rt.ready))) {
+		struct waiting *w = &rt.waiting[r->process];
+
+		if (has_to_wait(r)) {
+			append(r->urgent ? &w->urgent : &w->ready, r);
+			continue;
+		}
+		if (r->process)
+			sim_process_computes(r->process);
 		resume(r);
+	}
 }
 
 static bool dying(int process) { return process && process == rt.dying; }
@@ -294,7 +254,7 @@
 {
 	struct fl_routine *r = calloc(1, sizeof(*r));
 
-	sim_must(r != NULL);
+	sim_must(r != NULL && process < PROCESSES);
 	r->stack = stack_get();
 	r->fn = fn;
 	r->arg = arg;
@@ -317,6 +277,7 @@
 void sim_process_cancel(int process)
 {
 	rt.dying = process;
+	goes_on(&rt.waiting[process]);
 	for (struct fl_routine *r = rt.all; r; r = r->next)
 		if (r->process == process)
 			fl_cancel(r);
@@ -331,7 +292,7 @@
 	return n;
 }
 
-void sim_time_begin(void) { rt.now = steady_begin; }
+void sim_time_begin(void) { sim_clock_begin(); }
 
 void sim_time_run(double until)
 {
@@ -339,32 +300,31 @@
 		struct sim_timer *t;
 
 		drain();
-		if (rt.n == 0 || rt.heap[1]->when > until)
+		t = sim_timer_next(until);
+		if (!t)
 			break;
-		t = rt.heap[1];
-		rt.now = t->when;
-		disarm(t);
 		t->fn(t->arg);
 	}
-	rt.now = until;
+	sim_clock_set(until);
 }
 
 void sim_time_end(void (*drop)(struct sim_timer *t))
 {
-	while (rt.all || rt.n > 0) {
+	struct sim_timer *t;
+
+	rt.ending = true;
+	for (int i = 0; i < PROCESSES; i++)
+		goes_on(&rt.waiting[i]);
+	do {
 		for (struct fl_routine *r = rt.all; r; r = r->next)
 			fl_cancel(r);
 		drain();
-		while (rt.n > 0) {
-			struct sim_timer *t = rt.heap[1];
-
-			disarm(t);
+		while ((t = sim_timer_any()))
 			drop(t);
-		}
-	}
+	} while (rt.all);
 	while (rt.spares > 0)
 		munmap(rt.spare[--rt.spares], STACK);
-	free(rt.heap);
+	sim_clock_end();
 	memset(&rt, 0, sizeof(rt));
 }
 
@@ -386,8 +346,8 @@
 
 void fl_urgent(void) { rt.current->urgent = true; }
 
-/* Work takes no virtual time: nobody is ever behind. */
-bool fl_routines_behind(void) { return false; }
+/* Work takes no virtual time, unless its process is made slow. */
+bool fl_routines_behind(void) { return rt.waiting[sim_process()].ready.head != NULL; }
 
 int fl_sleep(double seconds)
 {
--- a/tests/sim_troubles.c
+++ b/tests/sim_troubles.c
@@ -148,6 +148,25 @@
 			sim_machine_hangs(i, hangs);
 }
 
+static void freeze(const struct sim_trouble *t)
+{
+	for (int i = 0; i < sim.n_nodes; i++)
+		if ((t->whom == ALL_NODES || t->whom == i) && sim_node_alive(i))
+			sim_process_waits(sim_node_process(i), fl_now() + t->for_s);
+}
+
+void sim_process_computes(int process)
+{
+	for (int i = 0; i < sim.n_nodes && sim_troubled(SLOW_NODES, -1); i++) {
+		const struct sim_trouble *slow = sim_troubled(SLOW_NODES, i);
+
+		if (sim_node_process(i) != process || !slow)
+			continue;
+		/* Now and then one that takes long, as a pass over all jobs does. */
+		sim_process_waits(process, fl_now() + slow->much * (sim_chance(0.02) ? 30 : 1));
+	}
+}
+
 static void begin(struct sim_trouble *t)
 {
 	choose_whom(t);
@@ -160,13 +179,15 @@
 		cancel_now(t);
 	if (t->kind == HANG || t->kind == CANCEL_NOW)
 		hang_all(t, true);
+	if (t->kind == FROZEN)
+		freeze(t);
 	for (int i = 0; i < sim.n_machines && t->kind == TAKE_MACHINES; i++)
 		if (t->machine[i]) {
 			sim_machine_ends(i);
 			sim.machine[i].gone_at += 30; /* listed as running for so long */
 		}
 	for (int i = 0; i < t->count && t->kind == MORE_JOBS; i++)
-		if (sim.n_jobs < SIM_JOBS - 16)
+		if (sim.n_jobs < SIM_USUAL_JOBS - 16)
 			sim_user_submits(sim_job_add(sim_time() + sim_between(0, 2)));
 }
 
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -16,7 +16,8 @@
 	double retry_s;          /* s before a request is repeated */
 	double give_up_s;        /* s after which a submission is given up */
 	int asks;                /* polls in a row of one who cannot wait */
-} rule = {5.0, 2.0, 5.0, 15.0, 1.0, 60.0, 10};
+	int looks;               /* of one who looks at one node */
+} rule = {5.0, 2.0, 5.0, 15.0, 1.0, 60.0, 10, 4};
 
 const struct sim_team sim_teams[SIM_TEAMS] = {
 	{"vision", 64, 128, 4, 10},
@@ -86,8 +87,30 @@
 	return NULL;
 }
 
+static void close_looks(struct sim_job *job);
+
+/* What a user was told, and who looks again because of it. */
+struct news {
+	bool accepted, done, cancelled;
+};
+
+static struct news news_of(const struct sim_job *job)
+{
+	return (struct news){job->accepted > 0, job->told_done > 0, job->told_cancelled > 0};
+}
+
+static void look_if_new(struct sim_job *job, struct news before)
+{
+	struct news now = news_of(job);
+
+	if (now.accepted != before.accepted || now.done != before.done ||
+	    now.cancelled != before.cancelled)
+		close_looks(job);
+}
+
 static void submit_once(struct sim_job *job)
 {
+	struct news before = news_of(job);
 	double sent = fl_now();
 	struct fl_reply reply;
 
@@ -97,10 +120,12 @@
 		return;
 	sim_check_submitted(job, sent, reply.status, reply.body.data);
 	fl_buf_free(&reply.body);
+	look_if_new(job, before);
 }
 
 static void poll_once(struct sim_job *job)
 {
+	struct news before = news_of(job);
 	double sent = fl_now();
 	struct fl_reply reply;
 	char path[64];
@@ -111,6 +136,14 @@
 	sim.polls++;
 	sim_check_polled(job, sent, reply.status, reply.body.data);
 	fl_buf_free(&reply.body);
+	look_if_new(job, before);
+}
+
+static double storm(void)
+{
+	const struct sim_trouble *t = sim_troubled(POLL_STORM, -1);
+
+	return t ? t->much : 1;
 }
 
 static void user(void *arg)
@@ -129,7 +162,8 @@
 	while (job->accepted > 0) {
 		bool over = job->told_done > 0 || job->told_cancelled > 0;
 
-		if (fl_sleep((over ? rule.later_s : rule.every_s) * sim_between(0.9, 1.1)) != 0)
+		if (fl_sleep((over ? rule.later_s : rule.every_s) * sim_between(0.9, 1.1) /
+		             storm()) != 0)
 			return;
 		poll_once(job);
 	}
@@ -159,6 +193,7 @@
 	snprintf(path, sizeof(path), "/v2/runs/%s/cancel", job->run.ref);
 	job->cancel_sent = fl_now();
 	while (!answered) {
+		struct news before = news_of(job);
 		double sent = fl_now();
 		struct fl_reply reply;
 
@@ -166,6 +201,7 @@
 			answered = reply.status == 200;
 			sim_check_cancelled(job, sent, reply.status, reply.body.data);
 			fl_buf_free(&reply.body);
+			look_if_new(job, before);
 		}
 		if (!answered && fl_sleep(rule.retry_s * sim_between(1, 1.5)) != 0)
 			return;
@@ -197,6 +233,70 @@
 	sim_spawn(0, repeat_routine, job);
 }
 
+/* ---- looks at all nodes within milliseconds ---- */
+
+struct look {
+	struct sim_job *job;
+	int node;
+	bool repeat;
+};
+
+static void look_once(const struct look *l)
+{
+	double sent = fl_now();
+	struct fl_reply reply;
+	char path[64];
+
+	snprintf(path, sizeof(path), l->repeat ? "/v2/runs" : "/v2/runs/%s", l->job->run.ref);
+	if (sim_call((struct sim_end){END_USER, 0}, (struct sim_end){END_NODE, l->node},
+	             l->repeat ? "POST" : "GET", path, l->repeat ? l->job->text : NULL, rule.poll_s,
+	             &reply) != 0)
+		return;
+	sim.polls++;
+	if (l->repeat)
+		sim_check_submitted(l->job, sent, reply.status, reply.body.data);
+	else
+		sim_check_polled(l->job, sent, reply.status, reply.body.data);
+	fl_buf_free(&reply.body);
+}
+
+static void look_routine(void *arg)
+{
+	struct look *l = arg;
+
+	for (int i = 0; i < rule.looks; i++) {
+		if (fl_sleep(sim_between(0, i < 2 ? 0.004 : 0.3)) != 0)
+			break;
+		look_once(l);
+	}
+	free(l);
+}
+
+static void look_at_node(struct sim_job *job, int at, bool repeat)
+{
+	struct look *l = malloc(sizeof(*l));
+
+	sim_must(l != NULL);
+	*l = (struct look){job, at, repeat};
+	sim_spawn(0, look_routine, l);
+}
+
+/* At every node, by several users of a team at once; some repeat it, and some cancel at once. */
+static void close_looks(struct sim_job *job)
+{
+	if (!sim_troubled(CLOSE_LOOKS, -1) || job->bad)
+		return;
+	for (int i = 0; i < sim.n_nodes; i++) {
+		look_at_node(job, i, false);
+		if (sim_chance(0.4))
+			look_at_node(job, i, true);
+	}
+	if (sim_chance(0.2))
+		sim_user_cancels(job);
+}
+
+void sim_user_sees_end(struct sim_job *job) { close_looks(job); }
+
 static void cancel_duty(void *arg)
 {
 	struct sim_job *job = arg;
@@ -238,7 +338,7 @@
 		sim_user_repeats(job);
 		if (job->told_done > 0)
 			sim_user_cancels(job);
-		if (sim_chance(0.3) && sim.n_jobs < SIM_JOBS - 1) {
+		if (sim_chance(0.3) && sim.n_jobs < SIM_USUAL_JOBS - 1) {
 			job = sim_job_add(sim_time());
 			job->bad = true;
 			free(job->text);
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -1,4 +1,4 @@
-/* Machines: reports, leases, commands, and tasks that run, save, end, hang and go on. */
+/* Machines: reports, leases, direct commands, their comings and goings, and standstills. */
 #include "sim.h"
 
 #include <errno.h>
@@ -9,7 +9,7 @@
 #include "protocol/json.h"
 #include "transport/clock.h"
 
-enum { BODY_MOST = 64 * 1024 }; /* bytes of a request */
+enum { BODY_MOST = 64 * 1024 /* bytes of a request */, COPIES = 64 };
 
 static const struct {
 	double patience_s; /* s for an answer */
@@ -17,133 +17,33 @@
 	double gap_s;      /* s between two reports at least */
 	double tick_s;     /* s between two looks at the tasks */
 	double notice_s;   /* s of a spot machine's notice */
-} rule = {4.0, 1.0, 0.5, 0.05, 20.0};
+	/* s by which a command that is held up comes late */
+	double late_least_s, late_most_s;
+} rule = {4.0, 1.0, 0.5, 0.05, 20.0, 2.0, 16.0};
 
 static int index_of(const struct sim_machine *m) { return (int)(m - sim.machine); }
 
-static void change(struct sim_machine *m)
+void sim_machine_changed(struct sim_machine *m)
 {
 	m->changed = true;
 	fl_signal_wake(&m->work);
 }
 
-/* ---- tasks ---- */
-
-static void leave(struct sim_task *t)
-{
-	if (t->counted)
-		sim_check_left(t->job, t->report.index);
-	t->counted = false;
-}
-
-static void end_task(struct sim_machine *m, struct sim_task *t, enum fl_exit why)
-{
-	leave(t);
-	t->report.state = FL_ENDED;
-	t->report.exit = why;
-	change(m);
-}
-
-static double done_so_far(const struct sim_task *t)
-{
-	return t->job->progress[t->report.index] + fl_now() - t->began;
-}
-
-static void keep_progress(struct sim_task *t, bool saved)
-{
-	double every = t->job->run.checkpoint_every_s, done = done_so_far(t);
-
-	if (saved)
-		t->job->progress[t->report.index] = done;
-	else if (every > 0)
-		t->job->progress[t->report.index] = (double)(int)(done / every) * every;
-}
-
-static void begin(struct sim_machine *m, struct sim_task *t)
-{
-	struct sim_job *job = t->job;
-	uint32_t i = t->report.index;
-
-	t->report.state = FL_EXECUTING;
-	t->began = fl_now();
-	t->counted = true;
-	sim_check_started(job, i, index_of(m));
-	t->until = job->run.kind == FL_SERVICE ? -1 : fl_now() + job->real_s[i] - job->progress[i];
-	if (job->completed[i])
-		end_task(m, t, FL_EXIT_DONE);
-	else
-		change(m);
-}
-
-static bool has_image(const struct sim_machine *m, const char *image)
-{
-	for (int i = 0; i < 4 && i < m->n_images; i++)
-		if (strcmp(m->images[i], image) == 0)
-			return true;
-	return false;
-}
-
-static void fetched(struct sim_machine *m, struct sim_task *t)
-{
-	if (!has_image(m, t->job->run.image))
-		sim_copy(m->images[m->n_images++ % 4], sizeof(m->images[0]), t->job->run.image);
-	begin(m, t);
-}
-
-static void completed(struct sim_machine *m, struct sim_task *t)
-{
-	struct sim_job *job = t->job;
-	const struct sim_trouble *end = sim_troubled(CANCEL_AT_END, -1);
-	bool last = true;
-
-	job->completed[t->report.index] = true;
-	sim.completions++;
-	end_task(m, t, FL_EXIT_DONE);
-	for (uint32_t i = 0; i < job->run.n_tasks; i++)
-		last = last && job->completed[i];
-	if (last && end)
-		sim_user_asks(job);
-	if (last && end && sim_chance(end->much)) {
-		sim_user_cancels(job);
-		sim_user_repeats(job);
-	}
-}
-
-static void look_at(struct sim_machine *m, struct sim_task *t)
-{
-	if (t->report.state == FL_ENDED || t->until < 0 || fl_now() < t->until)
-		return;
-	if (t->report.state == FL_PULLING) {
-		fetched(m, t);
-	} else if (t->report.state == FL_EXECUTING) {
-		completed(m, t);
-	} else {
-		t->report.saved = true;
-		end_task(m, t, FL_EXIT_STOPPED);
-	}
-}
-
 /* The lease has run out: everything goes, and a new session begins. */
 static void lapse(struct sim_machine *m)
 {
 	if (fl_now() <= m->lease_from + sim.lease_s)
 		return;
-	for (int i = 0; i < m->n_tasks; i++) {
-		if (m->task[i].used)
-			leave(&m->task[i]);
-		m->task[i].used = false;
-	}
+	sim_tasks_drop(m);
 	m->session++;
 	m->lease_from = fl_now();
-	change(m);
+	sim_machine_changed(m);
 }
 
 static void tick(struct sim_machine *m)
 {
 	lapse(m);
-	for (int i = 0; i < m->n_tasks; i++)
-		if (m->task[i].used)
-			look_at(m, &m->task[i]);
+	sim_tasks_tick(m);
 	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at)
 		sim_machine_ends(index_of(m));
 }
@@ -160,127 +60,6 @@
 		}
 }
 
-/* ---- orders ---- */
-
-static struct sim_task *find(struct sim_machine *m, const struct fl_task_report *p, bool attempt)
-{
-	for (int i = 0; i < m->n_tasks; i++) {
-		struct sim_task *t = &m->task[i];
-
-		if (t->used && t->report.index == p->index && strcmp(t->report.ref, p->ref) == 0 &&
-		    (attempt ? t->report.attempt == p->attempt : t->report.state != FL_ENDED))
-			return t;
-	}
-	return NULL;
-}
-
-static bool has_room(const struct sim_machine *m, const struct sim_job *job)
-{
-	const struct sim_machine_type *k = &sim_machine_types[m->type];
-	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
-
-	for (int i = 0; i < m->n_tasks; i++) {
-		const struct sim_task *t = &m->task[i];
-
-		if (!t->used || t->report.state == FL_ENDED)
-			continue;
-		cpus += t->job->run.cpus;
-		gpus += t->job->run.gpus;
-		ram += t->job->run.ram_gb;
-	}
-	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
-}
-
-static struct sim_task *new_task(struct sim_machine *m, const struct fl_task_report *p)
-{
-	for (int i = 0; i < SIM_TASKS; i++) {
-		if (m->task[i].used)
-			continue;
-		if (i >= m->n_tasks)
-			m->n_tasks = i + 1;
-		m->task[i] = (struct sim_task){.used = true, .report = *p};
-		return &m->task[i];
-	}
-	abort();
-}
-
-static void launch(struct sim_machine *m, const struct fl_task_report *p)
-{
-	struct sim_job *job = sim_job_find(p->ref);
-	enum fl_exit refusal = FL_EXIT_OTHER;
-	struct sim_task *t;
-
-	if (find(m, p, true))
-		return;
-	if (!job || job->sent == 0 || p->index >= job->run.n_tasks)
-		refusal = FL_EXIT_NO_SUCH;
-	else if (find(m, p, false))
-		refusal = FL_EXIT_BUSY;
-	else if (!has_room(m, job))
-		refusal = FL_EXIT_NO_ROOM;
-	t = new_task(m, p);
-	t->job = job;
-	if (refusal != FL_EXIT_OTHER) {
-		end_task(m, t, refusal);
-		return;
-	}
-	t->report.state = FL_PULLING;
-	t->until = fl_now() +
-	           (has_image(m, job->run.image) ? 0 : job->run.image_gb * sim_between(0.8, 1.3));
-	change(m);
-	look_at(m, t);
-}
-
-static void stop(struct sim_machine *m, struct sim_task *t, double wind_down_s)
-{
-	const struct fl_job_spec *run = &t->job->run;
-
-	if (t->report.state == FL_FLUSHING) {
-		if (wind_down_s <= 0)
-			end_task(m, t, FL_EXIT_STOPPED);
-		return;
-	}
-	if (t->report.state == FL_EXECUTING && run->checkpoint_every_s > 0 &&
-	    wind_down_s >= run->checkpoint_cost_s) {
-		keep_progress(t, true);
-		t->report.state = FL_FLUSHING;
-		t->until = fl_now() + run->checkpoint_cost_s;
-		change(m);
-		return;
-	}
-	if (t->report.state == FL_EXECUTING)
-		keep_progress(t, false);
-	end_task(m, t, FL_EXIT_STOPPED);
-}
-
-static void order(struct sim_machine *m, const cJSON *e)
-{
-	struct fl_task_report p = {0};
-	char verb[16] = "", name[64] = "";
-	uint64_t attempt = 0;
-	double wind_down_s = 0;
-	struct sim_task *t;
-	char *slash;
-
-	fl_json_str(e, "Verb", verb, sizeof(verb));
-	fl_json_str(e, "Part", name, sizeof(name));
-	fl_json_count(e, "Try", &attempt);
-	fl_json_amount(e, "WindDownS", &wind_down_s);
-	slash = strchr(name, '/');
-	sim_must(slash);
-	*slash = 0;
-	snprintf(p.ref, sizeof(p.ref), "%.*s", (int)sizeof(p.ref) - 1, name);
-	p.index = (uint32_t)strtoul(slash + 1, NULL, 10);
-	p.attempt = (uint32_t)attempt;
-	t = find(m, &p, true);
-	if (strcmp(verb, "launch") == 0)
-		launch(m, &p);
-	else if (strcmp(verb, "kill") == 0 && t && t->report.state != FL_ENDED)
-		stop(m, t, wind_down_s);
-	else if (strcmp(verb, "forget") == 0 && t && t->report.state == FL_ENDED)
-		t->used = false;
-}
-
 static void see_epoch(struct sim_machine *m, uint64_t epoch)
 {
 	if (epoch <= m->epoch)
@@ -289,15 +68,7 @@
 	if (fl_now() < m->epoch_told + sim.lease_s / 2)
 		return;
 	m->epoch_told = fl_now();
-	change(m);
-}
-
-static void orders(struct sim_machine *m, const cJSON *o)
-{
-	const cJSON *e;
-
-	cJSON_ArrayForEach (e, fl_json_get(o, "Orders"))
-		order(m, e);
+	sim_machine_changed(m);
 }
 
 /* ---- reports ---- */
@@ -326,16 +97,25 @@
 
 struct copy {
 	char *text;
+	double after_s; /* < 0: from 2 s to well over a lease */
 	int machine, node;
 };
 
+/* Those that wait for the next leader. */
+static struct {
+	struct copy copy[COPIES];
+	int n;
+} kept;
+
 static void copy_routine(void *arg)
 {
 	struct copy *c = arg;
 	struct fl_reply reply;
 
-	/* From 2 s to well over a lease later, in any order, and nobody reads the answer. */
-	if (fl_sleep(sim_between(2, 2.5 * sim.lease_s)) == 0 &&
+	if (c->after_s < 0)
+		c->after_s = sim_between(2, 2.5 * sim.lease_s);
+	/* In any order, and nobody reads the answer. */
+	if (fl_sleep(c->after_s) == 0 &&
 	    sim_call((struct sim_end){END_WORKER, c->machine}, (struct sim_end){END_NODE, c->node},
 	             "POST", "/hello", c->text, 4, &reply) == 0)
 		fl_buf_free(&reply.body);
@@ -343,17 +123,58 @@
 	free(c);
 }
 
+static void send_copy(const char *text, int machine, int node, double after_s)
+{
+	struct copy *c = malloc(sizeof(*c));
+
+	sim_must(c != NULL);
+	*c = (struct copy){strdup(text), after_s, machine, node};
+	sim_spawn(0, copy_routine, c);
+}
+
+void sim_reports_for_leader(void)
+{
+	for (int i = 0; i < kept.n; i++) {
+		/* In the very moment, or while it takes over. */
+		double after_s = sim_between(0, sim_chance(0.5) ? 0.01 : 0.6);
+
+		for (int k = 0; k < sim.n_nodes; k++)
+			send_copy(kept.copy[i].text, kept.copy[i].machine, k, after_s);
+		free(kept.copy[i].text);
+	}
+	kept.n = 0;
+}
+
+void sim_reports_end(void)
+{
+	for (int i = 0; i < kept.n; i++)
+		free(kept.copy[i].text);
+	memset(&kept, 0, sizeof(kept));
+}
+
+static void keep_copy(const struct sim_machine *m, const char *text)
+{
+	int at = kept.n;
+
+	if (kept.n < COPIES) {
+		kept.n++;
+	} else {
+		at = sim_pick(COPIES);
+		free(kept.copy[at].text);
+	}
+	kept.copy[at] = (struct copy){.text = strdup(text), .machine = index_of(m)};
+}
+
 static void copy_later(const struct sim_machine *m, const char *text)
 {
 	const struct sim_trouble *late = sim_troubled(LATE_REPORTS, -1);
-	struct copy *c;
 
 	if (!late || !sim_chance(late->much))
 		return;
-	c = malloc(sizeof(*c));
-	sim_must(c != NULL);
-	*c = (struct copy){strdup(text), index_of(m), sim_pick(sim.n_nodes)};
-	sim_spawn(0, copy_routine, c);
+	if (late->for_next)
+		keep_copy(m, text);
+	else
+		send_copy(text, index_of(m), sim_pick(sim.n_nodes), -1);
 }
 
 static void heed(struct sim_machine *m, double sent, uint64_t session, const cJSON *o)
@@ -365,7 +186,7 @@
 		return; /* dropped: it stays here while its lease runs out */
 	see_epoch(m, epoch);
 	m->lease_from = sent;
-	orders(m, o);
+	sim_tasks_command(m, o);
 }
 
 /* Where to next, and in how many seconds. */
@@ -481,24 +302,12 @@
 	resp->body = report_text(m);
 }
 
-void sim_worker_serve(struct sim_end from, int process, int machine, const struct fl_request *req,
-                      struct fl_response *resp)
+static void command(struct sim_machine *m, int process, const struct fl_request *req,
+                    struct fl_response *resp)
 {
-	struct sim_machine *m = &sim.machine[machine];
+	cJSON *o = fl_json_parse(req->body, req->body_len);
 	uint64_t epoch = 0, session = 0;
-	cJSON *o;
 
-	(void)from;
-	if (!goes_on(m)) {
-		resp->status = SIM_SILENCE;
-		return;
-	}
-	lapse(m);
-	if (strcmp(req->path, "/show") == 0) {
-		say_report(m, resp, 200);
-		return;
-	}
-	o = fl_json_parse(req->body, req->body_len);
 	if (fl_json_count(o, "Epoch", &epoch) != FL_FIELD_OK ||
 	    fl_json_count(o, "Tenure", &session) != FL_FIELD_OK) {
 		resp->status = 400;
@@ -508,12 +317,44 @@
 	} else {
 		sim_check_epoch(epoch, process);
 		see_epoch(m, epoch);
-		orders(m, o);
+		sim_tasks_command(m, o);
 		say_report(m, resp, 200);
 	}
 	cJSON_Delete(o);
 }
 
+/* Is it to be held up on its way? Then nobody gets the answer, and it is carried out all the same.
+ */
+static bool held_up(void)
+{
+	const struct sim_trouble *late = sim_troubled(LATE_COMMANDS, -1);
+
+	return late && sim_chance(late->much);
+}
+
+void sim_worker_serve(struct sim_end from, int process, int machine, const struct fl_request *req,
+                      struct fl_response *resp)
+{
+	struct sim_machine *m = &sim.machine[machine];
+	bool show = strcmp(req->path, "/show") == 0, late = !show && held_up();
+
+	(void)from;
+	if (late)
+		fl_sleep(sim_between(rule.late_least_s, rule.late_most_s));
+	if (goes_on(m)) {
+		lapse(m);
+		if (show)
+			say_report(m, resp, 200);
+		else
+			command(m, process, req, resp);
+		if (!late)
+			return;
+	}
+	free(resp->body);
+	resp->body = NULL;
+	resp->status = SIM_SILENCE;
+}
+
 /* ---- their comings and goings ---- */
 
 void sim_worker_boot(int machine) { sim_spawn(0, worker, &sim.machine[machine]); }
@@ -526,11 +367,7 @@
 		return;
 	m->gone = true;
 	m->gone_at = fl_now();
-	for (int i = 0; i < m->n_tasks; i++) {
-		if (m->task[i].used)
-			leave(&m->task[i]);
-		m->task[i].used = false;
-	}
+	sim_tasks_drop(m);
 	fl_signal_wake(&m->work);
 	fl_signal_wake(&m->goes_on);
 }
@@ -546,15 +383,8 @@
 		m->hung_since = fl_now();
 		return;
 	}
-	for (int i = 0; i < m->n_tasks; i++) {
-		struct sim_task *t = &m->task[i];
-
-		if (!t->used)
-			continue;
-		t->began += fl_now() - m->hung_since;
-		if (t->until >= 0)
-			t->until += fl_now() - m->hung_since;
-	}
+	sim_tasks_stood_still(m, fl_now() - m->hung_since);
+	m->looked = fl_now();
 	lapse(m);
 	fl_signal_wake(&m->goes_on);
 }
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -168,6 +168,7 @@
 	sim_net_end();
 	sim_state_end();
 	sim_cloud_end();
+	sim_reports_end();
 	for (int i = 0; i < sim.n_jobs; i++)
 		free(sim.job[i].text);
 }
@@ -515,7 +516,7 @@
 	double t = sim_between(30, 50);
 
 	for (int i = 0; i < 2 + variant % 2; i++) {
-		enum sim_trouble_kind kind = (enum sim_trouble_kind)sim_pick(SIM_TROUBLE_KINDS);
+		enum sim_trouble_kind kind = (enum sim_trouble_kind)sim_pick(SIM_FIRST_NEW_KIND);
 		bool rate = kind == STATE_SLOW || kind == SLOW_LINKS;
 
 		sim_trouble(kind, t + sim_between(0, 10), sim_between(3, 55),
