--- /dev/null
+++ b/tests/fault_combinations.c
@@ -0,0 +1,370 @@
+/*
+ * Combinations of faults, one function each: who is cut off, hung, killed or refused, and when. The
+ * variant of a play chooses among its forms.
+ */
+#include "fault_combinations.h"
+
+#include "sim.h"
+
+void play_cancel(double at, int count, double hang_s)
+{
+	sim_trouble(CANCEL_NOW, at, 0, 0, 0, count)->hang_s = hang_s;
+}
+
+void play_leader_down(double at, double for_s)
+{
+	sim_trouble(NODE_DOWN, at, for_s, THE_LEADER, 0, 0);
+}
+
+/* What keeps the leader's stops from the machines at that moment. */
+static void stops_fail(double at, double for_s)
+{
+	switch (sim_pick(3)) {
+	case 0:
+		sim_trouble(CUT_WORKERS, at, for_s, THE_LEADER, 0, 0);
+		break;
+	case 1:
+		play_leader_down(at + 0.01, for_s);
+		break;
+	default:
+		sim_trouble(DEAF, at, 5, 0, 0.7, 0);
+		break;
+	}
+}
+
+/*
+ * The state service refuses the leader alone; another leads and confirms cancellations; then it is
+ * out for all, for longer than cancel_s, while machines still report to the old leader.
+ */
+static void gap(int variant)
+{
+	double t = sim_between(48, 60), led = t + sim_between(3.5, 5);
+	double out = led + sim_between(0.2, 6);
+	double over = out + sim.cancel_s + sim_between(5, 15);
+
+	sim_trouble(STATE_REFUSES, t, over - t, THE_LEADER, 0, 0);
+	play_cancel(led, 3 + sim_pick(4), sim_chance(0.5) ? sim_between(2, 9) : 0);
+	play_cancel(sim_between(led, out), 2, 0);
+	sim_trouble(STATE_OUT, out, over - out, 0, 0, 0);
+	if (variant % 2)
+		sim_trouble(CUT_WORKERS, led - 0.1, over - led, THE_LEADER, 0, 0);
+	switch (variant / 2 % 6) {
+	case 1:
+		sim_trouble(LATE_WRITES, t, over - t, 0, 0.3, 0);
+		break;
+	case 2:
+		sim_trouble(STATE_SLOW, t, over - t, 0, 0.8, 0);
+		break;
+	case 3:
+		sim_trouble(sim_chance(0.5) ? HANG : MUTE, led, 15, 0, 0.4, 0);
+		break;
+	case 4:
+		play_leader_down(led + 0.1, over - led);
+		break;
+	case 5:
+		sim_trouble(CUT_PEERS, t, over - t, THE_LEADER, 0, 0);
+		break;
+	}
+}
+
+/* Jobs of two or three tasks end far apart across a change of leader. */
+static void ends_apart(int variant)
+{
+	for (int i = 0; i < sim.n_jobs; i++) {
+		struct sim_job *job = &sim.job[i];
+
+		job->cancel = job->run.kind == FL_SERVICE ? job->cancel : -1;
+		for (uint32_t k = 0; k < job->run.n_tasks; k++)
+			job->real_s[k] = k == 0 ? sim_between(3, 15) : sim_between(40, 110);
+	}
+	for (int i = 0; i < 2 + variant % 2; i++)
+		play_leader_down(45 + 25 * i + sim_between(0, 10), sim_between(4, 20));
+}
+
+/* An old report comes after newer ones, also from an earlier session or attempt. */
+static void old_report(int variant)
+{
+	/* Tasks that are long in saving: a report from before their launch may come meanwhile. */
+	for (int i = 0; i < sim.n_jobs; i++) {
+		struct fl_job_spec *r = &sim.job[i].run;
+
+		if (r->kind != FL_ARRAY)
+			continue;
+		r->checkpoint_every_s = 2;
+		r->checkpoint_cost_s = sim_between(3, 8);
+		sim_job_rewritten(&sim.job[i]);
+	}
+	sim_trouble(LATE_REPORTS, 5, 90, 0, 0.9, 0);
+	sim_trouble(MORE_JOBS, 25, 1, 0, 0, 10);
+	play_leader_down(sim_between(45, 55), sim_between(1, 20));
+	sim_trouble(MUTE, sim_between(50, 65), sim.lease_s + 4, 0, 0.4, 0);
+	if (variant % 2)
+		play_leader_down(sim_between(70, 85), 10);
+}
+
+/* Machines that reach no controller, while direct commands reach them. */
+static void mute(int variant)
+{
+	double t = sim_between(35, 55);
+
+	sim_trouble(MUTE, t, sim_between(5, 40), 0, variant % 2 ? 1 : 0.5, 0);
+	sim_trouble(MORE_JOBS, t + 2, 1, 0, 0, 8);
+	play_cancel(t + sim_between(1, 6), 4, 0);
+	if (variant % 3 == 2)
+		play_leader_down(t + 3, 15);
+}
+
+/* A zone with machines and a controller is cut off for longer than a lease. */
+static void zone_cut(int variant)
+{
+	double t = sim_between(40, 55), s = sim.lease_s * sim_between(1.2, 6);
+
+	sim_trouble(CUT_ZONE, t, s, variant % 2 ? THE_LEADER : ANY_ZONE, 0, 0);
+	play_cancel(t + sim_between(-1, 8), 4, 0);
+	play_cancel(t + s * 0.8, 2, 0);
+	if (variant % 3 == 2)
+		play_leader_down(t + 6, 10);
+}
+
+/* A transaction without an answer is carried out late, after newer ones of the same node. */
+static void late_write(int variant)
+{
+	double t = sim_between(10, 30);
+
+	sim_trouble(LATE_WRITES, t, 70, 0, variant % 2 ? 0.15 : 0.35, 0);
+	play_cancel(t + sim_between(25, 40), 4, 0);
+	if (variant % 3 == 1)
+		play_leader_down(t + sim_between(20, 40), 8);
+	if (variant % 3 == 2)
+		sim_trouble(STATE_REFUSES, t + 30, 12, THE_LEADER, 0, 0);
+}
+
+/* All controllers are away for longer than a lease. */
+static void all_away(int variant)
+{
+	double t = sim_between(40, 55);
+
+	sim_trouble(NODE_DOWN, t, sim.lease_s * sim_between(1.1, 2.5), ALL_NODES, 0, 0);
+	play_cancel(t - sim_between(0.02, 1), 4, variant % 2 ? sim.lease_s * 0.8 : 0);
+	if (variant % 3 == 2)
+		sim_trouble(CLOUD_OUT, t - 5, 50, 0, 0, 0);
+	if (variant % 2)
+		sim_trouble(LATE_REPORTS, t - 20, 40, 0, 0.4, 0);
+}
+
+/* A team at its limit, a new leader, machines that cannot be asked, a cancellation meanwhile. */
+static void at_limit(int variant)
+{
+	double t = sim_between(45, 55);
+
+	sim_trouble(MORE_JOBS, 20, 1, 0, 0, 24);
+	/* Copies from before the cancelled tasks began, which must free no room. */
+	sim_trouble(LATE_REPORTS, 15, 80, 0, 0.9, 0);
+	play_leader_down(t, sim_between(5, 30));
+	sim_trouble(variant % 2 ? DEAF : MUTE, t - 1, sim.lease_s + sim_between(-4, 20), 0, 0.5, 0);
+	sim_trouble(HANG, t - 2, sim_between(4, 25), 0, 0.3, 0);
+	play_cancel(t + sim_between(1, 8), 6, 0);
+}
+
+/* A report is held back until a new leader has acted, and comes there. */
+static void held_report(int variant)
+{
+	double t = sim_between(40, 55);
+
+	sim_trouble(HELD, t, sim_between(5, 30), variant % 2 ? ALL_NODES : ANY_NODE, 0, 0);
+	if (variant % 3 == 2)
+		sim_trouble(CUT_STATE, t + 1, 20, THE_LEADER, 0, 0);
+	else
+		play_leader_down(t + 1, 15);
+	play_cancel(t + sim_between(2, 8), 4, 0);
+}
+
+/* Jobs bound to one zone, arrays too, lose machines. */
+static void zone_loses(int variant)
+{
+	double t = sim_between(40, 55);
+
+	for (int i = 0; i < sim.n_jobs; i++) {
+		struct fl_job_spec *r = &sim.job[i].run;
+
+		if (i % 2 || r->apart)
+			continue;
+		r->has_zone = true;
+		sim_copy(r->zone, sizeof(r->zone), sim.config[0].zones[i % sim.n_zones]);
+		sim_job_rewritten(&sim.job[i]);
+	}
+	sim_trouble(TAKE_MACHINES, t, 1, 0, 0.5, 0);
+	if (variant % 2)
+		play_leader_down(t + 0.5, 10);
+	if (variant % 3 == 2)
+		sim_trouble(CLOUD_OUT, t, 15, 0, 0, 0);
+}
+
+/* Controllers hand over and back, all end, and one returns, also within a second. */
+static void hand_over(int variant)
+{
+	double t = 40;
+
+	for (int i = 0; i < 5; i++) {
+		play_leader_down(t, sim_between(0.1, variant % 2 ? 1 : 6));
+		t += sim_between(2, 9);
+	}
+	sim_trouble(NODE_DOWN, t, sim_between(0.3, 3), ALL_NODES, 0, 0);
+	play_cancel(t - 0.1, 4, 0);
+	play_leader_down(t + 9, 0.4);
+}
+
+/* More work than room, urgent and not, over slow links. */
+static void overload(int variant)
+{
+	sim_trouble(MORE_JOBS, 20, 1, 0, 0, 40);
+	sim_trouble(SLOW_LINKS, 15, 70, 0, variant % 2 ? 0.4 : 0.9, 0);
+	play_cancel(sim_between(40, 60), 8, 0);
+	if (variant % 3 == 2)
+		play_leader_down(50, 10);
+}
+
+/* A command or its answer is held up for seconds, and the machine then goes on. */
+static void held_command(int variant)
+{
+	double t = 20;
+
+	while (t < 70) {
+		sim_trouble(HANG, t, sim_between(2, sim.lease_s + 2), 0, 0.5, 0);
+		t += sim_between(8, 14);
+	}
+	sim_trouble(LOST_ANSWERS, 20, 55, 0, variant % 2 ? 0.4 : 0.15, 0);
+	sim_trouble(MORE_JOBS, 30, 1, 0, 0, 10);
+	sim_trouble(SLOW_LINKS, 25, 45, 0, 0.8, 0);
+	for (int i = 0; i < 11; i++)
+		play_cancel(28 + 3 * i, 1, 0);
+	play_cancel(sim_between(40, 55), 4, sim_between(3, 9));
+	if (variant % 3 == 2)
+		play_leader_down(50, 10);
+}
+
+/* Leaders change ten times in two minutes, also inside an outage. */
+static void ten_leaders(int variant)
+{
+	for (int i = 0; i < 10; i++)
+		play_leader_down(30 + 12 * i + sim_between(0, 5), sim_between(0.5, 8));
+	if (variant % 2)
+		sim_trouble(STATE_OUT, sim_between(50, 80), sim_between(8, 40), 0, 0, 0);
+	play_cancel(sim_between(50, 100), 4, variant % 3 ? 6 : 0);
+	sim_trouble(MORE_JOBS, 60, 1, 0, 0, 10);
+}
+
+/* A cancellation, a question, a repeated submission at the end of a job's last task. */
+static void cancel_at_end(int variant)
+{
+	/* By itself, and where what was written may be late, or heard of late. */
+	if (variant % 3 == 1)
+		sim_trouble(LATE_WRITES, 20, 90, 0, 0.4, 0);
+	if (variant % 3 == 2)
+		sim_trouble(STATE_SLOW, 20, 90, 0, 1.4, 0);
+	sim_trouble(CANCEL_AT_END, 10, 100, 0, 0.6, 0);
+	sim_trouble(ODD_REQUESTS, 20, 80, 0, 0, 0);
+}
+
+/* A leader ends while machines with long tasks cannot be reached, or do not hear the new one. */
+static void leader_ends_unheard(int variant)
+{
+	static const enum sim_trouble_kind types[] = {DEAF, MUTE, HANG};
+	double t = sim_between(45, 55);
+
+	for (int i = 0; i < sim.n_jobs; i++)
+		for (uint32_t k = 0; k < SIM_JOB_TASKS; k++)
+			sim.job[i].real_s[k] *= 2;
+	sim_trouble(types[variant % 3], t - sim_between(0, 4), sim_between(6, 40), 0, 0.6, 0);
+	play_leader_down(t, sim_between(2, 30));
+	if (variant % 2)
+		play_cancel(t + sim_between(-1, 6), 5, 0);
+}
+
+/* Cancelled at the very moment of the refusal, and out a second later. */
+static void refused_and_out(int variant)
+{
+	double t = sim_between(45, 60), s = sim.cancel_s + sim_between(3, 15);
+
+	sim_trouble(STATE_REFUSES, t, s, THE_LEADER, 0, 0);
+	play_cancel(t - 0.05 + 0.05 * (variant % 3), 5, variant % 2 ? sim_between(3, 9) : 0);
+	sim_trouble(STATE_OUT, t + 1, s - 1, 0, 0, 0);
+	if (variant % 2)
+		stops_fail(t, s);
+}
+
+/* A leader cut from state service and controllers, not from machines and users. */
+static void leader_cut(int variant)
+{
+	double t = sim_between(45, 55), s = sim_between(15, 80);
+
+	sim_trouble(CUT_STATE, t, s, THE_LEADER, 0, 0);
+	sim_trouble(CUT_PEERS, t, s, THE_LEADER, 0, 0);
+	play_cancel(t + sim_between(3, 7), 5, variant % 2 ? sim_between(3, 9) : 0);
+	play_cancel(t + 12, 2, 0);
+	if (variant % 3 == 2)
+		sim_trouble(CUT_WORKERS, t + 5, s - 5, THE_LEADER, 0, 0);
+}
+
+/* Slow, or refusing the leader and then everybody, while users cancel and ask. */
+static void slow_then_out(int variant)
+{
+	double t = sim_between(40, 50), s = sim.cancel_s + sim_between(3, 20);
+
+	if (variant % 2)
+		sim_trouble(STATE_REFUSES, t, 15, THE_LEADER, 0, 0);
+	else
+		sim_trouble(STATE_SLOW, t, 15, 0, sim_between(0.5, 1.6), 0);
+	sim_trouble(STATE_OUT, t + 15, s, 0, 0, 0);
+	sim_trouble(ODD_REQUESTS, t, 15 + s, 0, 0, 0);
+	play_cancel(t + sim_between(4, 14), 4, sim_chance(0.5) ? 8 : 0);
+	play_cancel(t + 14.9, 3, 0);
+	if (variant % 3 == 2)
+		stops_fail(t + 14.8, s);
+}
+
+/* Pairs and triples of troubles as they come. */
+static void chance_meeting(int variant)
+{
+	double t = sim_between(30, 50);
+
+	for (int i = 0; i < 2 + variant % 2; i++) {
+		enum sim_trouble_kind kind = (enum sim_trouble_kind)sim_pick(SIM_FIRST_NEW_KIND);
+		bool rate = kind == STATE_SLOW || kind == SLOW_LINKS;
+
+		sim_trouble(kind, t + sim_between(0, 10), sim_between(3, 55),
+		            kind == CUT_ZONE ? ANY_ZONE : THE_LEADER,
+		            rate ? 1 : sim_between(0.2, 0.8), kind >= CANCEL_NOW ? 6 : 0);
+	}
+	play_cancel(t + sim_between(0, 15), 4, 0);
+}
+
+const struct combination combinations[] = {
+	{"gap", "standby.c: learn, knows_jobs, stop_cancelled, holds_overdue", 12, gap, 0},
+	{"ends_apart", "takeover.c: load_chunk, load_rest_of_log", 3, ends_apart, 0},
+	{"old_report", "reconcile.c: newer, from_before", 3, old_report, 0},
+	{"mute", "failure_detector.c, command.c: direct launches; reconcile.c: absence_proves", 3,
+         mute, 0},
+	{"zone_cut", "standby.c: renewal_s, digests; failure_detector.c", 3, zone_cut, 0},
+	{"late_write", "record_writer.c: rev_unknown, conditions on the leader's key", 3,
+         late_write, 0},
+	{"all_away", "takeover.c; lease.c; node.c: read_kinds", 3, all_away, 0},
+	{"at_limit", "jobs.c: what may be on a machine counts; reconcile.c", 3, at_limit, 0},
+	{"at_limit", "reconcile.c: from_before", 3, at_limit, 25},
+	{"held_report", "reconcile.c: from_before, newer", 3, held_report, 0},
+	{"zone_loses", "schedule.c, provision.c: places; reconcile.c: gone", 3, zone_loses, 0},
+	{"hand_over", "lease.c: epochs; takeover.c", 3, hand_over, 0},
+	{"overload", "schedule.c: limits, reservations; record_writer.c: the log", 3, overload, 0},
+	{"held_command", "reconcile.c: absence_proves, may_forget", 3, held_command, 0},
+	{"ten_leaders", "lease.c: epochs; takeover.c; record_writer.c", 3, ten_leaders, 0},
+	{"cancel_at_end", "answer.c: finishing, unsure; record_writer.c: finalise", 4,
+         cancel_at_end, 0},
+	{"leader_ends_unheard", "reconcile.c: from_before; reachability.c", 3, leader_ends_unheard,
+         0},
+	{"refused_and_out", "standby.c: learn, knows_jobs", 4, refused_and_out, 0},
+	{"leader_cut", "standby.c: learn, knows_jobs; lease.c", 3, leader_cut, 0},
+	{"slow_then_out", "standby.c: knows_jobs; answer.c", 4, slow_then_out, 0},
+	{"chance", "all of them", 14, chance_meeting, 0},
+};
+
+const int n_combinations = sizeof(combinations) / sizeof(combinations[0]);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -275,6 +275,8 @@
 void sim_machine_hangs(int machine, bool hangs);
 void sim_users_begin(void);
 struct sim_job *sim_job_add(double submit);
+/* Its description was changed before it is submitted. */
+void sim_job_rewritten(struct sim_job *job);
 void sim_user_submits(struct sim_job *job);
 void sim_user_cancels(struct sim_job *job);
 void sim_user_repeats(struct sim_job *job);
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -341,9 +341,8 @@
 		if (sim_chance(0.3) && sim.n_jobs < SIM_USUAL_JOBS - 1) {
 			job = sim_job_add(sim_time());
 			job->bad = true;
-			free(job->text);
 			job->run.cpus = 500;
-			job->text = fl_json_take(fl_job_spec_encode(&job->run));
+			sim_job_rewritten(job);
 			if (sim_chance(0.5))
 				job->text[strlen(job->text) / 2] = 0;
 			sim_spawn(0, user, job);
@@ -409,6 +408,12 @@
 	return job;
 }
 
+void sim_job_rewritten(struct sim_job *job)
+{
+	free(job->text);
+	job->text = fl_json_take(fl_job_spec_encode(&job->run));
+}
+
 void sim_user_submits(struct sim_job *job)
 {
 	sim_spawn(0, user, job);
