--- a/tests/sim.h
+++ b/tests/sim.h
@@ -268,7 +268,7 @@
 /* All tasks are gone. */
 void sim_tasks_drop(struct sim_machine *m);
 void sim_tasks_stood_still(struct sim_machine *m, double seconds);
-void sim_tasks_command(struct sim_machine *m, const cJSON *body);
+void sim_tasks_command(struct sim_machine *m, const cJSON *o);
 void sim_worker_boot(int machine);
 /* The machine ends now, with all on it. */
 void sim_machine_ends(int machine);
@@ -282,8 +282,8 @@
 void sim_user_repeats(struct sim_job *job);
 /* Asks again and again for a while: what is told must not go back. */
 void sim_user_asks(struct sim_job *job);
-/* The last task has just ended. */
-void sim_user_sees_end(struct sim_job *job);
+/* Something new was said of it, or its last task has just ended. */
+void sim_user_looks(struct sim_job *job);
 struct sim_job *sim_job_find(const char *ref);
 
 /* ---- the rules ---- */
--- /dev/null
+++ b/tests/sim_store.c
@@ -0,0 +1,129 @@
+/* The keys of the simulated state service, their changes, and the leases they hang on. */
+#include "sim_store.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "transport/clock.h"
+
+struct sim_store sim_store;
+
+struct sim_key *sim_store_find(const char *name)
+{
+	struct sim_key *k;
+
+	HASH_FIND_STR(sim_store.keys, name, k);
+	return k;
+}
+
+static void note(const char *name, const char *value)
+{
+	struct sim_change *c;
+
+	if (sim_store.n_log == sim_store.cap_log) {
+		sim_store.cap_log = sim_store.cap_log ? 2 * sim_store.cap_log : 256;
+		sim_store.log =
+			realloc(sim_store.log, (size_t)sim_store.cap_log * sizeof(*sim_store.log));
+		sim_must(sim_store.log);
+	}
+	c = &sim_store.log[sim_store.n_log++];
+	snprintf(c->name, sizeof(c->name), "%s", name);
+	c->value = value ? strdup(value) : NULL;
+	c->rev = sim_store.rev;
+	fl_signal_wake(&sim_store.changed);
+}
+
+void sim_store_remove(struct sim_key *k)
+{
+	note(k->name, NULL);
+	HASH_DEL(sim_store.keys, k);
+	free(k->value);
+	free(k);
+}
+
+void sim_store_put(const char *name, char *value, uint64_t grant)
+{
+	struct sim_key *k = sim_store_find(name);
+
+	if (!k && strcmp(name, "c/lead") == 0)
+		sim_reports_for_leader();
+	if (!k) {
+		k = calloc(1, sizeof(*k));
+		if (!k)
+			abort();
+		snprintf(k->name, sizeof(k->name), "%s", name);
+		HASH_ADD_STR(sim_store.keys, name, k);
+	}
+	free(k->value);
+	k->value = value;
+	k->rev = sim_store.rev;
+	k->grant = grant;
+	note(name, value);
+}
+
+/* ---- holds ---- */
+
+int sim_store_hold(uint64_t grant)
+{
+	for (int i = 0; i < sim_store.n_holds; i++)
+		if (sim_store.hold[i].grant == grant)
+			return i;
+	return -1;
+}
+
+void sim_store_end_hold(int at)
+{
+	uint64_t grant = sim_store.hold[at].grant;
+	struct sim_key *k, *tmp;
+
+	sim_store.hold[at] = sim_store.hold[--sim_store.n_holds];
+	sim_store.rev++;
+	HASH_ITER (hh, sim_store.keys, k, tmp)
+		if (k->grant == grant)
+			sim_store_remove(k);
+}
+
+/* After an outage every lease has its full time again. */
+static void hold_duty(void *arg)
+{
+	bool was_out = false;
+
+	(void)arg;
+	while (fl_sleep(0.02) == 0) {
+		bool out = sim_troubled(STATE_OUT, -1) != NULL;
+
+		for (int i = sim_store.n_holds - 1; i >= 0; i--) {
+			if (was_out && !out)
+				sim_store.hold[i].until = fl_now() + sim_store.hold[i].ttl;
+			else if (!out && fl_now() > sim_store.hold[i].until)
+				sim_store_end_hold(i);
+		}
+		if (was_out && !out)
+			fl_signal_wake(&sim_store.changed);
+		was_out = out;
+	}
+}
+
+void sim_state_begin(void)
+{
+	sim_store.calls = SIM_STATE_RPS;
+	sim_store.writes = SIM_STATE_WRITE_RPS;
+	sim_store.counted = fl_now();
+	sim_spawn(0, hold_duty, NULL);
+}
+
+void sim_state_end(void)
+{
+	struct sim_key *k, *tmp;
+
+	HASH_ITER (hh, sim_store.keys, k, tmp) {
+		HASH_DEL(sim_store.keys, k);
+		free(k->value);
+		free(k);
+	}
+	for (int i = 0; i < sim_store.n_log; i++)
+		free(sim_store.log[i].value);
+	free(sim_store.log);
+	memset(&sim_store, 0, sizeof(sim_store));
+}
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -83,7 +83,7 @@
 	for (uint32_t i = 0; i < job->run.n_tasks; i++)
 		last = last && job->completed[i];
 	if (last)
-		sim_user_sees_end(job);
+		sim_user_looks(job);
 	if (last && end)
 		sim_user_asks(job);
 	if (last && end && sim_chance(end->much)) {
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -16,8 +16,7 @@
 	double retry_s;          /* s before a request is repeated */
 	double give_up_s;        /* s after which a submission is given up */
 	int asks;                /* polls in a row of one who cannot wait */
-	int looks;               /* of one who looks at one node */
-} rule = {5.0, 2.0, 5.0, 15.0, 1.0, 60.0, 10, 4};
+} rule = {5.0, 2.0, 5.0, 15.0, 1.0, 60.0, 10};
 
 const struct sim_team sim_teams[SIM_TEAMS] = {
 	{"vision", 64, 128, 4, 10},
@@ -87,8 +86,6 @@
 	return NULL;
 }
 
-static void close_looks(struct sim_job *job);
-
 /* What a user was told, and who looks again because of it. */
 struct news {
 	bool accepted, done, cancelled;
@@ -105,7 +102,7 @@
 
 	if (now.accepted != before.accepted || now.done != before.done ||
 	    now.cancelled != before.cancelled)
-		close_looks(job);
+		sim_user_looks(job);
 }
 
 static void submit_once(struct sim_job *job)
@@ -233,70 +230,6 @@
 	sim_spawn(0, repeat_routine, job);
 }
 
-/* ---- looks at all nodes within milliseconds ---- */
-
-struct look {
-	struct sim_job *job;
-	int node;
-	bool repeat;
-};
-
-static void look_once(const struct look *l)
-{
-	double sent = fl_now();
-	struct fl_reply reply;
-	char path[64];
-
-	snprintf(path, sizeof(path), l->repeat ? "/v2/runs" : "/v2/runs/%s", l->job->run.ref);
-	if (sim_call((struct sim_end){END_USER, 0}, (struct sim_end){END_NODE, l->node},
-	             l->repeat ? "POST" : "GET", path, l->repeat ? l->job->text : NULL, rule.poll_s,
-	             &reply) != 0)
-		return;
-	sim.polls++;
-	if (l->repeat)
-		sim_check_submitted(l->job, sent, reply.status, reply.body.data);
-	else
-		sim_check_polled(l->job, sent, reply.status, reply.body.data);
-	fl_buf_free(&reply.body);
-}
-
-static void look_routine(void *arg)
-{
-	struct look *l = arg;
-
-	for (int i = 0; i < rule.looks; i++) {
-		if (fl_sleep(sim_between(0, i < 2 ? 0.004 : 0.3)) != 0)
-			break;
-		look_once(l);
-	}
-	free(l);
-}
-
-static void look_at_node(struct sim_job *job, int at, bool repeat)
-{
-	struct look *l = malloc(sizeof(*l));
-
-	sim_must(l != NULL);
-	*l = (struct look){job, at, repeat};
-	sim_spawn(0, look_routine, l);
-}
-
-/* At every node, by several users of a team at once; some repeat it, and some cancel at once. */
-static void close_looks(struct sim_job *job)
-{
-	if (!sim_troubled(CLOSE_LOOKS, -1) || job->bad)
-		return;
-	for (int i = 0; i < sim.n_nodes; i++) {
-		look_at_node(job, i, false);
-		if (sim_chance(0.4))
-			look_at_node(job, i, true);
-	}
-	if (sim_chance(0.2))
-		sim_user_cancels(job);
-}
-
-void sim_user_sees_end(struct sim_job *job) { close_looks(job); }
-
 static void cancel_duty(void *arg)
 {
 	struct sim_job *job = arg;
