--- a/tests/sim.h
+++ b/tests/sim.h
@@ -9,6 +9,7 @@
 
 #include <stdbool.h>
 #include <stdint.h>
+#include <stdlib.h>
 
 #include "config.h"
 #include "protocol/workers.h"
@@ -21,14 +22,22 @@
 	SIM_ZONES = 3,
 	SIM_MACHINE_TYPES = 2,
 	SIM_MACHINES = 160,
-	SIM_JOBS = 96,
+	SIM_JOBS = 400,
+	SIM_USUAL_JOBS = 96, /* what bursts and odd requests stop at */
 	SIM_JOB_TASKS = 32,
 	SIM_TASKS = 1024,
 	SIM_TROUBLES = 64
 };
 
 /* Holds in every build, also where assert() is compiled out. */
-void sim_must(bool holds);
+static inline void sim_must(bool holds)
+{
+	if (!holds)
+		abort();
+}
+
+/* Into an array of that size; a text that does not fit is a mistake of the test. */
+void sim_copy(char *out, size_t size, const char *text);
 
 /* ---- time and routines ---- */
 
@@ -46,12 +55,24 @@
 /* Cancels every routine and drops every timer through `drop`. */
 void sim_time_end(void (*drop)(struct sim_timer *t));
 void sim_timer_arm(struct sim_timer *t, double seconds);
+void sim_timer_disarm(struct sim_timer *t);
+/* The first that is due by then, disarmed, with the clocks put to it; NULL: none. */
+struct sim_timer *sim_timer_next(double until);
+/* Any one, disarmed, and no clock moves. */
+struct sim_timer *sim_timer_any(void);
+void sim_clock_begin(void);
+void sim_clock_set(double now);
+void sim_clock_end(void);
 /* A process is a number above 0; 0 is whatever is no controller. */
 int sim_process(void);
 struct fl_routine *sim_spawn(int process, void (*fn)(void *), void *arg);
 /* Its routines unwind at this very moment: gone after the caller's next wait. */
 void sim_process_cancel(int process);
 int sim_process_routines(int process);
+/* Nothing of it runs before then, while its clocks run on: its timers fire late. */
+void sim_process_waits(int process, double until);
+/* It runs one piece of work: if it is slow now, the next has to wait. */
+void sim_process_computes(int process);
 
 /* ---- chance ---- */
 
@@ -111,9 +132,19 @@
 	CANCEL_AT_END, /* a share of jobs is called off as its last task ends */
 	ODD_REQUESTS,  /* repeated submissions, bad jobs, cancelled twice */
 	MORE_JOBS,     /* a burst of submissions */
+	/* From here on in the order in which the random pairs got to know them. */
+	LATE_COMMANDS,  /* a share of direct commands is carried out late, and not answered */
+	CLOSE_LOOKS,    /* users ask at all nodes within ms of whatever changed for them */
+	SLOW_NODES,     /* controllers compute for `much` s at each piece of work */
+	FROZEN,         /* controllers stand still, and their clocks run on */
+	SHARED_FETCHES, /* images that a machine fetches at once share its rate */
+	ODD_BOOTS,      /* a share of new machines is up at once, late or never */
+	POLL_STORM,     /* `much` times as many polls */
 	SIM_TROUBLE_KINDS
 };
 
+enum { SIM_FIRST_NEW_KIND = LATE_COMMANDS };
+
 /* Whom: a node, a zone, or one of these. */
 enum { THE_LEADER = -1, ANY_NODE = -2, ALL_NODES = -3, ANY_ZONE = -4 };
 
@@ -124,6 +155,8 @@
 	double much;      /* share or s */
 	int count;        /* machines or jobs; 0: all that there are */
 	double hang_s;    /* CANCEL_NOW: what the machines of those jobs do next */
+	bool at_once;     /* LATE_WRITES: carried out at once, and only the answer is lost */
+	bool for_next;    /* LATE_REPORTS: kept for the next leader, sent to every node then */
 	bool active, over;
 	uint8_t machine[SIM_MACHINES];
 };
@@ -190,6 +223,7 @@
 	double rented, ready, gone_at, hung_since, reclaim_at;
 	uint64_t session, seq, epoch;
 	double lease_from; /* when the last answered report was sent */
+	double looked;     /* when its fetches were last looked at */
 	double epoch_told, last_sent;
 	bool changed;
 	struct fl_signal work, goes_on;
@@ -225,22 +259,36 @@
 void sim_state_end(void);
 void sim_cloud_end(void);
 void sim_workers_begin(void);
+/* A new leader begins: what was kept for it arrives. */
+void sim_reports_for_leader(void);
+void sim_reports_end(void);
+/* It has something to report. */
+void sim_machine_changed(struct sim_machine *m);
+void sim_tasks_tick(struct sim_machine *m);
+/* All tasks are gone. */
+void sim_tasks_drop(struct sim_machine *m);
+void sim_tasks_stood_still(struct sim_machine *m, double seconds);
+void sim_tasks_command(struct sim_machine *m, const cJSON *o);
 void sim_worker_boot(int machine);
 /* The machine ends now, with all on it. */
 void sim_machine_ends(int machine);
 void sim_machine_hangs(int machine, bool hangs);
 void sim_users_begin(void);
 struct sim_job *sim_job_add(double submit);
+/* Its description was changed before it is submitted. */
+void sim_job_rewritten(struct sim_job *job);
 void sim_user_submits(struct sim_job *job);
 void sim_user_cancels(struct sim_job *job);
 void sim_user_repeats(struct sim_job *job);
 /* Asks again and again for a while: what is told must not go back. */
 void sim_user_asks(struct sim_job *job);
+/* Something new was said of it, or its last task has just ended. */
+void sim_user_looks(struct sim_job *job);
 struct sim_job *sim_job_find(const char *ref);
 
 /* ---- the rules ---- */
 
-void sim_broken(const char *rule, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void sim_broken(const char *name, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 void sim_check_begin(void);
 void sim_check_started(struct sim_job *job, uint32_t index, int machine);
 void sim_check_left(struct sim_job *job, uint32_t index);
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -86,8 +86,28 @@
 	return NULL;
 }
 
+/* What a user was told, and who looks again because of it. */
+struct news {
+	bool accepted, done, cancelled;
+};
+
+static struct news news_of(const struct sim_job *job)
+{
+	return (struct news){job->accepted > 0, job->told_done > 0, job->told_cancelled > 0};
+}
+
+static void look_if_new(struct sim_job *job, struct news before)
+{
+	struct news now = news_of(job);
+
+	if (now.accepted != before.accepted || now.done != before.done ||
+	    now.cancelled != before.cancelled)
+		sim_user_looks(job);
+}
+
 static void submit_once(struct sim_job *job)
 {
+	struct news before = news_of(job);
 	double sent = fl_now();
 	struct fl_reply reply;
 
@@ -97,10 +117,12 @@
 		return;
 	sim_check_submitted(job, sent, reply.status, reply.body.data);
 	fl_buf_free(&reply.body);
+	look_if_new(job, before);
 }
 
 static void poll_once(struct sim_job *job)
 {
+	struct news before = news_of(job);
 	double sent = fl_now();
 	struct fl_reply reply;
 	char path[64];
@@ -111,6 +133,14 @@
 	sim.polls++;
 	sim_check_polled(job, sent, reply.status, reply.body.data);
 	fl_buf_free(&reply.body);
+	look_if_new(job, before);
+}
+
+static double storm(void)
+{
+	const struct sim_trouble *t = sim_troubled(POLL_STORM, -1);
+
+	return t ? t->much : 1;
 }
 
 static void user(void *arg)
@@ -129,7 +159,8 @@
 	while (job->accepted > 0) {
 		bool over = job->told_done > 0 || job->told_cancelled > 0;
 
-		if (fl_sleep((over ? rule.later_s : rule.every_s) * sim_between(0.9, 1.1)) != 0)
+		if (fl_sleep((over ? rule.later_s : rule.every_s) * sim_between(0.9, 1.1) /
+		             storm()) != 0)
 			return;
 		poll_once(job);
 	}
@@ -159,6 +190,7 @@
 	snprintf(path, sizeof(path), "/v2/runs/%s/cancel", job->run.ref);
 	job->cancel_sent = fl_now();
 	while (!answered) {
+		struct news before = news_of(job);
 		double sent = fl_now();
 		struct fl_reply reply;
 
@@ -166,6 +198,7 @@
 			answered = reply.status == 200;
 			sim_check_cancelled(job, sent, reply.status, reply.body.data);
 			fl_buf_free(&reply.body);
+			look_if_new(job, before);
 		}
 		if (!answered && fl_sleep(rule.retry_s * sim_between(1, 1.5)) != 0)
 			return;
@@ -238,12 +271,11 @@
 		sim_user_repeats(job);
 		if (job->told_done > 0)
 			sim_user_cancels(job);
-		if (sim_chance(0.3) && sim.n_jobs < SIM_JOBS - 1) {
+		if (sim_chance(0.3) && sim.n_jobs < SIM_USUAL_JOBS - 1) {
 			job = sim_job_add(sim_time());
 			job->bad = true;
-			free(job->text);
 			job->run.cpus = 500;
-			job->text = fl_json_take(fl_job_spec_encode(&job->run));
+			sim_job_rewritten(job);
 			if (sim_chance(0.5))
 				job->text[strlen(job->text) / 2] = 0;
 			sim_spawn(0, user, job);
@@ -265,11 +297,12 @@
 	r->n_machine_types = -1;
 	if (sim_chance(0.25)) {
 		r->n_machine_types = 1;
-		strcpy(r->machine_types[0], sim_machine_types[r->gpus > 0 ? 1 : sim_pick(2)].name);
+		sim_copy(r->machine_types[0], sizeof(r->machine_types[0]),
+		         sim_machine_types[r->gpus > 0 ? 1 : sim_pick(2)].name);
 	}
 	r->has_zone = sim_chance(0.3);
 	if (r->has_zone)
-		strcpy(r->zone, sim.config[0].zones[sim_pick(sim.n_zones)]);
+		sim_copy(r->zone, sizeof(r->zone), sim.config[0].zones[sim_pick(sim.n_zones)]);
 	r->together = sim_chance(0.15);
 	r->apart = !r->together && !r->has_zone && sim_chance(0.25);
 	r->reclaimable = sim_chance(0.5);
@@ -284,8 +317,8 @@
 	memset(job, 0, sizeof(*job));
 	shape(r);
 	snprintf(r->ref, sizeof(r->ref), "run-%06d", 1000 + (sim.n_jobs * 7919) % 90000);
-	strcpy(r->job_class, r->kind == FL_SERVICE ? "serve" : "train");
-	strcpy(r->team, sim_teams[sim_pick(SIM_TEAMS)].name);
+	sim_copy(r->job_class, sizeof(r->job_class), r->kind == FL_SERVICE ? "serve" : "train");
+	sim_copy(r->team, sizeof(r->team), sim_teams[sim_pick(SIM_TEAMS)].name);
 	snprintf(r->image, sizeof(r->image), "img-%02d", sim_pick(8));
 	r->due_s = -1;
 	if (r->kind == FL_ARRAY) {
@@ -308,6 +341,12 @@
 	return job;
 }
 
+void sim_job_rewritten(struct sim_job *job)
+{
+	free(job->text);
+	job->text = fl_json_take(fl_job_spec_encode(&job->run));
+}
+
 void sim_user_submits(struct sim_job *job)
 {
 	sim_spawn(0, user, job);
