--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -12,7 +12,7 @@
 static const struct {
 	double refused_s, backoff_s, backoff_most_s;
 	uint32_t doublings_most, consecutive_failures;
-	int faults, blamed_failures;
+	int faults, unproven_faults, blamed_failures;
 	double avoid_s, checkpoint_margin_s;
 } tunables = {
 	.refused_s = 1.0,           /* s before a refused start is tried again */
@@ -21,6 +21,7 @@
 	.doublings_most = 16,       /* failures counted: far beyond backoff_most_s */
 	.consecutive_failures = 4,  /* failures of a job in a row before all of it waits */
 	.faults = 2,                /* failures on a machine before it is avoided */
+	.unproven_faults = 3,       /* the same, of a job no task of which ever completed */
 	.blamed_failures = 4,       /* failures of a job in a row that still blame the machine */
 	.avoid_s = 120.0,           /* s for which it is avoided */
 	.checkpoint_margin_s = 1.0, /* s that a stop may take beside the checkpoint itself */
@@ -85,6 +86,8 @@
 static void record_failure(struct fl_machine *m, struct fl_job *job, struct fl_task *task,
                            double now)
 {
+	int faults;
+
 	if (task->fails < tunables.doublings_most)
 		task->fails++;
 	job->consecutive_failures++;
@@ -93,9 +96,12 @@
 	if (job->consecutive_failures > tunables.consecutive_failures)
 		job->not_before =
 			now + backoff(job->consecutive_failures - tunables.consecutive_failures);
-	/* A job that fails everywhere must not make every machine look faulty. */
-	if (m->faults >= tunables.faults &&
-	    job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
+	/*
+	 * A job that fails everywhere must not make machines look faulty: two of its tasks on one
+	 * machine are no evidence, unless others of them have completed.
+	 */
+	faults = job->n_done > 0 ? tunables.faults : tunables.unproven_faults;
+	if (m->faults >= faults && job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
 		m->avoid_until = now + tunables.avoid_s;
 	fl_info("workers", "%s failed on %s (machine faults %d, job consecutive failures %u)",
 	        job->ref, m->name, m->faults, job->consecutive_failures);
--- a/tests/test_reconcile.c
+++ b/tests/test_reconcile.c
@@ -144,35 +144,42 @@
 	free(sim);
 }
 
+/* One task of the job is placed on the machine and fails there. */
+static struct fl_machine *fail_task(struct simulation *sim, struct fl_job *job, int host,
+                                    uint32_t index, uint64_t seq)
+{
+	struct fl_cluster *cluster = &sim->node.cluster;
+	struct fl_report report = {.session = 1, .seq = seq, .epoch = 1, .reclaim_in_s = -1};
+	struct fl_task_report task_report = {
+		.index = index, .state = FL_ENDED, .exit = FL_EXIT_ERROR};
+	struct fl_machine *machine;
+
+	format_host(host, report.host);
+	machine = fl_machine_get(&cluster->machines, report.host, 0);
+	fl_cluster_describe(cluster, machine, 0, 0, false, "x");
+	machine->session = 1;
+	assert_int_equal(fl_task_place(cluster, job, index, machine, 1, 0), 0);
+	copy_text(task_report.ref, sizeof(task_report.ref), job->ref);
+	task_report.attempt = fl_task_peek(job, index)->attempt;
+	report.tasks = &task_report;
+	report.n_tasks = 1;
+	assert_int_equal(fl_reconcile_report(&sim->node, &report, NULL, FL_SOURCE_COMMAND), 0);
+	return machine;
+}
+
 /* A job that fails everywhere waits longer and longer, and does not make machines look faulty. */
 static void a_job_that_always_fails_backs_off(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_machine *machine;
-	struct fl_cluster *cluster;
 	struct fl_job *job;
 	double now = fl_now(), last = 0;
 
 	(void)state;
 	set_up(sim, 1);
-	cluster = &sim->node.cluster;
-	job = fl_job_find(cluster, "run-000000");
+	job = fl_job_find(&sim->node.cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
-		struct fl_report report = {.session = 1, .seq = 1, .epoch = 1, .reclaim_in_s = -1};
-		struct fl_task_report task_report = {
-			.index = (uint32_t)(i % TASKS), .state = FL_ENDED, .exit = FL_EXIT_ERROR};
-
-		format_host(60 + i, report.host);
-		machine = fl_machine_get(&cluster->machines, report.host, 0);
-		fl_cluster_describe(cluster, machine, 0, 0, false, "x");
-		machine->session = 1;
-		assert_int_equal(fl_task_place(cluster, job, task_report.index, machine, 1, 0), 0);
-		copy_text(task_report.ref, sizeof(task_report.ref), job->ref);
-		task_report.attempt = fl_task_peek(job, task_report.index)->attempt;
-		report.tasks = &task_report;
-		report.n_tasks = 1;
-		assert_int_equal(fl_reconcile_report(&sim->node, &report, NULL, FL_SOURCE_COMMAND),
-		                 0);
+		machine = fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
 		assert_true(machine->avoid_until <= now);
 		assert_true(i < 4 || job->not_before >= last);
 		last = job->not_before;
@@ -182,10 +189,34 @@
 	free(sim);
 }
 
+/* Two tasks of a job of which nothing ever completed are no evidence against their machine. */
+static void a_machine_is_blamed_by_evidence(void **state)
+{
+	struct simulation *sim = malloc(sizeof(*sim));
+	struct fl_job *job;
+	double now = fl_now();
+
+	(void)state;
+	set_up(sim, 1);
+	job = fl_job_find(&sim->node.cluster, "run-000000");
+	assert_true(fail_task(sim, job, 60, 0, 1)->avoid_until <= now);
+	assert_true(fail_task(sim, job, 60, 1, 2)->avoid_until <= now);
+	/* A third in a row is: a service of one task must not go there again and again. */
+	assert_true(fail_task(sim, job, 60, 2, 3)->avoid_until > now);
+	/* Where a task of the job has completed, two are enough. */
+	job = fl_job_find(&sim->node.cluster, "run-000001");
+	fl_task_done(&sim->node.cluster, job, 0);
+	assert_true(fail_task(sim, job, 61, 1, 1)->avoid_until <= now);
+	assert_true(fail_task(sim, job, 61, 2, 2)->avoid_until > now);
+	tear_down(sim);
+	free(sim);
+}
+
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_job_that_always_fails_backs_off),
+		cmocka_unit_test(a_machine_is_blamed_by_evidence),
 		cmocka_unit_test(no_interleaving_violates_an_invariant),
 	};
 
