--- /dev/null
+++ b/tests/test_large_array.c
@@ -0,0 +1,191 @@
+/*
+ * An array of 100,000 tasks, the most that the protocol allows: what it costs in memory, records
+ * and the work of a pass, by counts.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <cmocka.h>
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/node.h"
+#include "coordination/pass_snapshot.h"
+#include "coordination/schedule.h"
+#include "storage/progress.h"
+#include "storage/progress_log.h"
+#include "transport/clock.h"
+
+enum {
+	MACHINES = 300,
+	TASKS_A_MACHINE = 48,
+	VALUE_LIMIT = 4096, /* bytes, of the smallest state service that is run */
+	PLACEMENT_BYTES = 48
+};
+
+struct site {
+	struct fl_node node;
+	struct fl_config config;
+	struct fl_job *job;
+	struct fl_machine *machine[MACHINES];
+};
+
+static int set_up(void **state)
+{
+	struct site *site = calloc(1, sizeof(*site));
+	struct fl_offered_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
+	struct fl_job_spec spec = {.ref = "run-471286",
+	                           .job_class = "whole",
+	                           .team = "guest",
+	                           .image = "i",
+	                           .kind = FL_ARRAY,
+	                           .n_tasks = FL_TASKS_MAX,
+	                           .n_machine_types = -1,
+	                           .cpus = 0.25,
+	                           .ram_gb = 1,
+	                           .expected_s = 4,
+	                           .reclaimable = true};
+	struct fl_cluster *cluster;
+
+	assert_non_null(site);
+	*state = site;
+	site->node.config = &site->config;
+	site->config.report_s = 2;
+	cluster = &site->node.cluster;
+	cluster->teams.n = 1;
+	snprintf(cluster->teams.at[0].name, FL_NAME_MAX, "guest");
+	assert_int_equal(fl_names_add(&cluster->zones, "a"), 0);
+	fl_machine_types_set(&cluster->machines, &cluster->zones, &type, 1);
+	site->job = fl_job_add(cluster, &spec, fl_wall(), 1);
+	assert_non_null(site->job);
+	for (int i = 0; i < MACHINES; i++) {
+		char name[FL_NAME_MAX];
+
+		snprintf(name, sizeof(name), "m-%06d", i);
+		site->machine[i] = fl_machine_get(&cluster->machines, name, fl_now());
+		fl_cluster_describe(cluster, site->machine[i], 0, 0, true, "x");
+		site->machine[i]->up = true;
+		site->machine[i]->session = 1;
+		site->machine[i]->reached = fl_now();
+	}
+	return 0;
+}
+
+static int tear_down(void **state)
+{
+	struct site *site = *state;
+
+	fl_cluster_forget_tasks(&site->node.cluster);
+	fl_cluster_free(&site->node.cluster);
+	free(site);
+	return 0;
+}
+
+static uint32_t chunks_held(const struct fl_job *job)
+{
+	uint32_t count = 0;
+
+	for (uint32_t i = 0; i < job->n_chunks; i++)
+		count += fl_job_chunk(job, i) != NULL;
+	return count;
+}
+
+/* The first tasks in order, as many as the machines hold. */
+static uint32_t fill_machines(struct site *site)
+{
+	uint32_t index = 0;
+
+	for (int i = 0; i < MACHINES; i++)
+		for (int k = 0; k < TASKS_A_MACHINE; k++, index++)
+			assert_int_equal(fl_task_place(&site->node.cluster, site->job, index,
+			                               site->machine[i], 7, fl_now()),
+			                 0);
+	return index;
+}
+
+static void memory_is_for_tasks_that_were_touched(void **state)
+{
+	struct site *site = *state;
+	uint32_t placed;
+
+	assert_int_equal(chunks_held(site->job), 0);
+	placed = fill_machines(site);
+	assert_int_equal(chunks_held(site->job), (placed + FL_CHUNK - 1) / FL_CHUNK);
+	assert_true(sizeof(struct fl_chunk) <= (size_t)FL_CHUNK * 80);
+}
+
+/* Its 100,000 waiting tasks are no more work than those that one pass may start. */
+static void a_pass_looks_at_few_of_its_tasks(void **state)
+{
+	struct site *site = *state;
+	struct fl_sched_out out;
+	struct fl_snapshot snapshot;
+
+	assert_int_equal(fl_snapshot_take(&site->node, &snapshot, fl_now()), 0);
+	assert_int_equal(snapshot.in.n_jobs, 1);
+	assert_int_equal(snapshot.in.n_machines, MACHINES);
+	assert_true(snapshot.in.jobs[0].waiting <= 256);
+	assert_int_equal(fl_schedule(&snapshot.in, &out), 0);
+	assert_int_equal(snapshot.in.jobs[0].waiting, 0);
+	assert_true(out.n_starts > 200);
+	assert_true(out.looks <= 2L * MACHINES);
+	fl_sched_free(&out);
+	fl_snapshot_free(&snapshot);
+	/* Nothing is allocated by looking. */
+	assert_int_equal(chunks_held(site->job), 0);
+}
+
+/* Every chunk fits into a value, and the log holds a placement in few bytes. */
+static void records_stay_small(void **state)
+{
+	struct site *site = *state;
+	struct fl_cluster *cluster = &site->node.cluster;
+	uint32_t placed = fill_machines(site), groups = 0;
+	size_t log_bytes = 0;
+
+	for (uint32_t i = 0; i < site->job->n_chunks; i++) {
+		char *group = fl_log_group_encode(cluster, site->job, i), *record;
+
+		if (!group)
+			continue;
+		groups++;
+		log_bytes += strlen(group);
+		free(group);
+		record = fl_json_take(fl_chunk_encode(cluster, site->job, i));
+		assert_true(strlen(record) < VALUE_LIMIT);
+		free(record);
+	}
+	assert_int_equal(groups, chunks_held(site->job));
+	assert_true(log_bytes <= (size_t)placed * PLACEMENT_BYTES);
+}
+
+/* What is done is ranges: a chunk that is done takes a few bytes, whatever it went through. */
+static void what_is_done_takes_a_range(void **state)
+{
+	struct site *site = *state;
+	struct fl_cluster *cluster = &site->node.cluster;
+	char *record;
+
+	fill_machines(site);
+	for (uint32_t i = 0; i < FL_CHUNK; i++)
+		fl_task_done(cluster, site->job, i);
+	record = fl_json_take(fl_chunk_encode(cluster, site->job, 0));
+	assert_true(strlen(record) <= 64);
+	free(record);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test_setup_teardown(memory_is_for_tasks_that_were_touched, set_up,
+	                                        tear_down),
+		cmocka_unit_test_setup_teardown(a_pass_looks_at_few_of_its_tasks, set_up,
+	                                        tear_down),
+		cmocka_unit_test_setup_teardown(records_stay_small, set_up, tear_down),
+		cmocka_unit_test_setup_teardown(what_is_done_takes_a_range, set_up, tear_down),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
