--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -12,6 +12,7 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/routine.h"
+#include "transport/text.h"
 
 static const struct {
 	double retry_s, hold_s, relay_s, relay_write_s;
@@ -235,14 +236,75 @@
 	return false;
 }
 
+/*
+ * Before the rest of a submission is judged: a known job is answered with its state, and what
+ * cannot be read is refused for `bad`, the field. False: to be judged on.
+ */
+static bool answer_first(struct fl_node *n, const struct fl_job_spec *run, const char *bad,
+                         enum fl_hop hop, struct fl_response *resp)
+{
+	int rc;
+
+	if (!bad && n->types_known && !fl_finished_find(&n->cluster, run->ref) &&
+	    !fl_job_find(&n->cluster, run->ref))
+		return false;
+	rc = answer_known(n, run->ref, hop, resp);
+	if (rc == 1)
+		return true;
+	if (rc < 0 || !bad) {
+		fl_later(resp, "cannot decide yet");
+	} else {
+		fl_refuse(resp, 400, "%s: missing or invalid", bad);
+		fl_info("jobs", "%s refused: %s", run->ref, bad);
+	}
+	return true;
+}
+
+/* Refuses a job that can never run, for the reason `why`, unless it is known. */
+static void refuse_never(struct fl_node *n, const struct fl_job_spec *run, const char *why,
+                         enum fl_hop hop, struct fl_response *resp)
+{
+	int rc = answer_known(n, run->ref, hop, resp);
+
+	if (rc < 0) {
+		fl_later(resp, "cannot decide yet");
+	} else if (rc == 0) {
+		fl_refuse(resp, 422, "%s", why);
+		fl_info("jobs", "%s refused: %s", run->ref, why);
+	}
+}
+
+/* Stores a job that may run, here or by the leader. */
+static void accept_job(struct fl_node *n, const struct fl_job_spec *run, enum fl_hop hop,
+                       struct fl_response *resp)
+{
+	/* A cut is silent: to try here first would cost the user a second. */
+	bool relayed_first = !hop && fl_state_in_doubt(&n->state);
+	int rc;
+
+	if (relayed_first && submit_by_leader(n, run, resp))
+		return;
+	rc = state_is_down(n) ? -EAGAIN : store_job(n, run);
+	if (rc == 0) {
+		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", run->ref,
+		        run->job_class, run->team, run->n_tasks, run->cpus, run->gpus);
+		resp->status = 201;
+		resp->body = fl_status_encode(run->ref, FL_PENDING, -1, 0);
+		return;
+	}
+	if (rc == -ESTALE && answer_known(n, run->ref, hop, resp) == 1)
+		return;
+	if (rc != -ESTALE && !hop && !relayed_first && submit_by_leader(n, run, resp))
+		return;
+	fl_later(resp, "the job could not be stored");
+}
+
 static void submit(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
                    struct fl_response *resp)
 {
 	cJSON *o = fl_json_parse(body, len);
 	const char *bad, *why;
 	struct fl_job_spec run;
-	bool relayed_first;
-	int rc;
 
 	if (!cJSON_IsObject(o)) {
 		cJSON_Delete(o);
@@ -260,48 +322,13 @@
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
-	/* A known job is answered with its state before anything else is judged. */
-	if (bad || !n->types_known || fl_finished_find(&n->cluster, run.ref) ||
-	    fl_job_find(&n->cluster, run.ref)) {
-		rc = answer_known(n, run.ref, hop, resp);
-		if (rc == 1)
-			return;
-		if (rc < 0 || !bad) {
-			fl_later(resp, "cannot decide yet");
-		} else {
-			fl_refuse(resp, 400, "%s: missing or invalid", bad);
-			fl_info("jobs", "%s refused: %s", run.ref, bad);
-		}
+	if (answer_first(n, &run, bad, hop, resp))
 		return;
-	}
 	why = never(n, &run);
-	if (why) {
-		rc = answer_known(n, run.ref, hop, resp);
-		if (rc < 0) {
-			fl_later(resp, "cannot decide yet");
-		} else if (rc == 0) {
-			fl_refuse(resp, 422, "%s", why);
-			fl_info("jobs", "%s refused: %s", run.ref, why);
-		}
-		return;
-	}
-	/* A cut is silent: to try here first would cost the user a second. */
-	relayed_first = !hop && fl_state_in_doubt(&n->state);
-	if (relayed_first && submit_by_leader(n, &run, resp))
-		return;
-	rc = state_is_down(n) ? -EAGAIN : store_job(n, &run);
-	if (rc == 0) {
-		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", run.ref,
-		        run.job_class, run.team, run.n_tasks, run.cpus, run.gpus);
-		resp->status = 201;
-		resp->body = fl_status_encode(run.ref, FL_PENDING, -1, 0);
-		return;
-	}
-	if (rc == -ESTALE && answer_known(n, run.ref, hop, resp) == 1)
-		return;
-	if (rc != -ESTALE && !hop && !relayed_first && submit_by_leader(n, &run, resp))
-		return;
-	fl_later(resp, "the job could not be stored");
+	if (why)
+		refuse_never(n, &run, why, hop, resp);
+	else
+		accept_job(n, &run, hop, resp);
 }
 
 /* ---- polls and cancellations ---- */
@@ -650,7 +677,7 @@
 	for (int i = 0; i < c->n_teams; i++) {
 		struct fl_team *t = &n->cluster.teams.at[n->cluster.teams.n++];
 
-		strcpy(t->name, c->teams[i].name);
+		fl_copy_string(t->name, sizeof(t->name), c->teams[i].name);
 		t->cpus = c->teams[i].cpus;
 		t->gpus = c->teams[i].gpus;
 		t->cpus_max = c->teams[i].cpus_max;
@@ -660,8 +687,8 @@
 		struct fl_peer *p = &n->peers[n->n_peers++];
 
 		p->node = n;
-		strcpy(p->name, c->peers[i].node);
-		strcpy(p->location, c->peers[i].location);
+		fl_copy_string(p->name, sizeof(p->name), c->peers[i].node);
+		fl_copy_string(p->location, sizeof(p->location), c->peers[i].location);
 		if (fl_http_client_init(&p->http, c->peers[i].addr, tunables.peer_conns) != 0)
 			return -EINVAL;
 	}
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -55,7 +55,7 @@
 	struct fl_budget poll_reads;
 	struct fl_status_queries status_queries;
 	int relayed_calls; /* users' calls under way to other controllers, one by one */
-	double probed_at; /* steady; when the users' balancer last asked for /ready */
+	double probed_at;  /* steady; when the users' balancer last asked for /ready */
 
 	struct fl_lease lease;
 	struct fl_leadership lead;
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -12,6 +12,7 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/routine.h"
+#include "transport/text.h"
 
 static const struct {
 	double patience_s, direct_s, gossip_s, gossip_wait_s, gossip_slack_s, refresh_s,
@@ -109,7 +110,7 @@
 			free(text);
 			return;
 		}
-		strcpy(k->host, r->host);
+		fl_copy_string(k->host, sizeof(k->host), r->host);
 		HASH_ADD_STR(n->standby.cached, host, k);
 	}
 	free(k->text);
@@ -298,7 +299,7 @@
 		g = calloc(1, sizeof(*g));
 		if (!g)
 			return false;
-		strcpy(g->host, host);
+		fl_copy_string(g->host, sizeof(g->host), host);
 		g->came = now;
 		HASH_ADD_STR(n->standby.misplaced, host, g);
 	}
@@ -496,7 +497,7 @@
 	if (g->epoch > n->epoch || proof > n->leadership_confirmed_at) {
 		n->epoch = g->epoch;
 		if (g->leader[0])
-			strcpy(n->leader, g->leader);
+			fl_copy_string(n->leader, sizeof(n->leader), g->leader);
 		if (proof > n->leadership_confirmed_at)
 			n->leadership_confirmed_at = proof;
 	}
@@ -518,7 +519,7 @@
 	g->complete = true;
 	g->n_cancelled = count;
 	for (int i = 0; i < count; i++) {
-		strcpy(g->cancelled[i].ref, list[i]->ref);
+		fl_copy_string(g->cancelled[i].ref, sizeof(g->cancelled[i].ref), list[i]->ref);
 		g->cancelled[i].age_s = age(list[i]->cancelled_at);
 	}
 }
@@ -526,8 +527,8 @@
 static void say(struct fl_node *n, struct fl_gossip *g)
 {
 	memset(g, 0, sizeof(*g));
-	strcpy(g->node, n->config->node);
-	strcpy(g->leader, n->leader);
+	fl_copy_string(g->node, sizeof(g->node), n->config->node);
+	fl_copy_string(g->leader, sizeof(g->leader), n->leader);
 	g->epoch = n->epoch;
 	g->proof_age_s = age(n->leadership_confirmed_at);
 	g->known_age_s = age(n->cancellations_known_until);
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -4,6 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "transport/text.h"
+
 char *fl_gossip_encode(const struct fl_gossip *g)
 {
 	cJSON *o = cJSON_CreateObject(), *list, *e;
@@ -43,7 +45,7 @@
 		    !fl_ref_ok(ref->valuestring) || !cJSON_IsNumber(age) ||
 		    !(age->valuedouble >= 0))
 			return -EPROTO;
-		strcpy(c->ref, ref->valuestring);
+		fl_copy_string(c->ref, sizeof(c->ref), ref->valuestring);
 		c->age_s = age->valuedouble;
 	}
 	return 0;
@@ -170,7 +172,7 @@
 	    fl_json_item(x, 3, FL_GATHERING, &state) != FL_FIELD_OK ||
 	    fl_json_item(x, 4, FL_EXIT_OTHER, &why) == FL_FIELD_BAD)
 		return -EPROTO;
-	strcpy(p->ref, ref->valuestring);
+	fl_copy_string(p->ref, sizeof(p->ref), ref->valuestring);
 	p->index = (uint32_t)index;
 	p->attempt = (uint32_t)attempt;
 	p->state = (enum fl_task_state)state;
@@ -191,7 +193,7 @@
 	    fl_json_item(e, 3, FL_COUNT_MAX, &out->epoch) != FL_FIELD_OK ||
 	    !cJSON_IsNumber(notice) || !cJSON_IsArray(tasks))
 		return -EPROTO;
-	strcpy(out->host, host->valuestring);
+	fl_copy_string(out->host, sizeof(out->host), host->valuestring);
 	out->reclaim_in_s = notice->valuedouble >= 0 ? notice->valuedouble : -1;
 	out->tasks = calloc((size_t)cJSON_GetArraySize(tasks) + 1, sizeof(*out->tasks));
 	if (!out->tasks)
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -16,9 +16,9 @@
 	double pause_s, rest_s;
 	int nearly;
 } tunables = {
-	.write_s = 5.0,        /* s; users wait 2 to 5 s, so a longer write helps nobody */
-	.max_body = 64 * 1024, /* bytes; the protocol's limit */
-	.pause_s = 0.05,       /* s; wait after a failed accept, so that it does not spin */
+	.write_s = 5.0,                /* s; users wait 2 to 5 s, so a longer write helps nobody */
+	.max_body = (size_t)64 * 1024, /* bytes; the protocol's limit */
+	.pause_s = 0.05,               /* s; wait after a failed accept, so that it does not spin */
 	.rest_s = 4.0, /* s for the rest of a request; no caller waits longer for its answer */
 	.nearly = 32,  /* part (one in so many) of the connections that is for one answer each */
 };
@@ -234,7 +234,7 @@
 
 int fl_http_server_port(const struct fl_http_server *s)
 {
-	struct sockaddr_in sa;
+	struct sockaddr_in sa = {0};
 	socklen_t len = sizeof(sa);
 
 	if (getsockname(s->fd, (struct sockaddr *)&sa, &len) != 0)
--- a/src/transport/routine.c
+++ b/src/transport/routine.c
@@ -31,9 +31,9 @@
 	int spare;
 	double turn_s;
 } tunables = {
-	.stack = 256 * 1024, /* bytes; deep JSON plus room for a signal handler's frame */
-	.guard = 4096,       /* bytes; an overrun faults instead of corrupting */
-	.spare = 32,         /* stacks kept for reuse; each has a few touched pages */
+	.stack = (size_t)256 * 1024, /* bytes; deep JSON plus room for a signal handler's frame */
+	.guard = 4096,               /* bytes; an overrun faults instead of corrupting */
+	.spare = 32,                 /* stacks kept for reuse; each has a few touched pages */
 	.turn_s = 0.005, /* s for which ordinary routines run before new events are looked for */
 };
 
--- a/tests/test_routine_order.c
+++ b/tests/test_routine_order.c
@@ -30,7 +30,13 @@
 	note(*(const char *)arg);
 }
 
-static void deferred(void *arg) { note(fl_defer(MAX_WAITING) ? *(const char *)arg : '-'); }
+static void deferred(void *arg)
+{
+	if (fl_defer(MAX_WAITING))
+		note(*(const char *)arg);
+	else
+		note('-');
+}
 
 static void urgent(void *arg)
 {
