--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -7,31 +7,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/answer.h"
 #include "coordination/command.h"
+#include "coordination/submission.h"
+#include "coordination/user_calls.h"
+#include "protocol/job_states.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/routine.h"
 #include "transport/text.h"
 
 static const struct {
-	double retry_s, hold_s, relay_s, relay_write_s;
-	int later_s;
-	double down_s;
-	int peer_conns;
+	double retry_s, hold_s;
+	int later_s, peer_conns;
 	double finished_share;
-	int peer_users, own_conns, polls_waiting;
+	int own_conns, polls_waiting;
 	double user_least, idle_reports, idle_least_s;
 } tunables = {
 	.retry_s = 0.5,        /* s between tries at what a node needs before it can serve */
 	.hold_s = 1.0,         /* s; length of a watch, whose end shows that nothing was missed */
-	.relay_s = 1.2,        /* s for a relayed poll; users wait 2 s for it */
-	.relay_write_s = 2.0,  /* s for a relayed cancel or submission; users wait 5 s */
 	.later_s = 1,          /* s; Retry-After of a 503 */
-	.down_s = 0.3,         /* s after a refusal in which the state service counts as down */
 	.peer_conns = 6,       /* connections kept open to each peer */
 	.finished_share = 0.1, /* share of the memory for final states kept at hand */
-	.peer_users = 24,      /* users' calls and gossip under way to one peer */
 	.own_conns = 48,       /* connections to state service, cloud and machines at once */
 	.polls_waiting = 64,   /* polls that wait for a slow controller; answered within a second */
 	.user_least = 0.6,    /* share of all connections that users and workers have in any case */
@@ -60,433 +56,18 @@
 	resp->close = true;
 }
 
-/* ---- submissions ---- */
-
-/* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t zones_for(const struct fl_node *n, const struct fl_job_spec *r)
-{
-	uint32_t zones = 0;
-
-	for (int i = 0; i < n->cluster.machines.n_types; i++) {
-		const struct fl_machine_type *k = &n->cluster.machines.types[i];
-		bool named = r->n_machine_types < 0;
-
-		for (int h = 0; h < r->n_machine_types && !named; h++)
-			named = strcmp(r->machine_types[h], k->name) == 0;
-		if (named && r->cpus <= k->cpus && r->gpus <= k->gpus && r->ram_gb <= k->ram_gb)
-			zones |= k->zones;
-	}
-	return zones;
-}
-
-/* NULL, or why the job can never run. */
-static const char *never(const struct fl_node *n, const struct fl_job_spec *r)
-{
-	int team = fl_teams_find(&n->cluster.teams, r->team), zone;
-	bool at_once = r->kind != FL_ARRAY && r->n_tasks > 1;
-	double tasks = at_once ? r->n_tasks : 1;
-	uint32_t zones = zones_for(n, r);
-	const struct fl_team *t;
-
-	if (team < 0)
-		return "Owner: unknown team";
-	if (r->cpus <= 0 && r->gpus <= 0 && r->ram_gb <= 0)
-		return "a task takes nothing of its machine";
-	if (r->has_zone) {
-		zone = fl_names_find(&n->cluster.zones, r->zone);
-		if (zone < 0)
-			return "Site: unknown zone";
-		zones &= 1u << zone;
-	}
-	/* A type that is offered in no zone of ours cannot be rented. */
-	if (!zones)
-		return "a task fits no allowed machine type";
-	/* An array's tasks can run one after the other; others would lack half of theirs for ever.
-	 */
-	if (at_once && r->apart && (r->together || !(zones & (zones - 1))))
-		return "Apart: half of the tasks fit no allowed machine type";
-	t = &n->cluster.teams.at[team];
-	if (!fl_team_within_max(t, r->cpus * tasks, r->gpus * tasks))
-		return "more than the team's limit";
-	return NULL;
-}
-
-static bool state_is_down(const struct fl_node *n)
-{
-	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < tunables.down_s;
-}
-
-/* Polls leave half of the places to cancellations and submissions. */
-static bool may_relay(const struct fl_node *n, enum fl_user_call call)
-{
-	int most = call == FL_CALL_POLL ? tunables.peer_users / 2 : tunables.peer_users;
-
-	return n->relayed_calls < most;
-}
-
-static int relay_call(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
-                      enum fl_hop hop, double patience_s, struct fl_reply *reply)
-{
-	int rc;
-
-	if (!may_relay(n, call))
-		return -EBUSY;
-	n->relayed_calls++;
-	rc = fl_relay(n, call, ref, NULL, body, hop, patience_s, reply);
-	n->relayed_calls--;
-	return rc;
-}
-
-/* Likewise, by the leader. */
-static int known_to_leader(struct fl_node *n, const char *ref, struct fl_response *resp)
-{
-	struct fl_reply reply;
-
-	if (fl_lease_valid(n) ||
-	    relay_call(n, FL_CALL_POLL, ref, NULL, FL_FIRST_HOP, tunables.relay_s, &reply) != 0)
-		return -EAGAIN;
-	if (reply.status == 200) {
-		resp->status = 200;
-		resp->body = reply.body.data;
-		return 1;
-	}
-	fl_buf_free(&reply.body);
-	return reply.status == 404 ? 0 : -EAGAIN;
-}
-
-/*
- * 1: known, and answered; 0: not known; <0: cannot be told now. What the state service refuses to
- * this node alone the leader can tell: else a bad submission would be told to come again, here
- * only, and its user would do so for a minute.
- */
-static int answer_known(struct fl_node *n, const char *ref, enum fl_hop hop,
-                        struct fl_response *resp)
-{
-	struct fl_job_record rec;
-	uint64_t rev;
-	cJSON *v = NULL;
-	int rc;
-
-	if (!fl_finished_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
-		rc = state_is_down(n) ? -EAGAIN : fl_records_read(&n->state, ref, &rec, &v, &rev);
-		cJSON_Delete(v);
-		if (rc && rc != -ENOENT && !hop)
-			return known_to_leader(n, ref, resp);
-		if (rc)
-			return rc == -ENOENT ? 0 : rc;
-	}
-	fl_node_user_call(n, FL_CALL_POLL, ref, NULL, 0, hop, resp);
-	return 1;
-}
-
-static int store_job(struct fl_node *n, const struct fl_job_spec *run)
-{
-	double submitted = fl_wall();
-	struct fl_multi m;
-	struct fl_job *job;
-	char key[FL_KEY_MAX];
-	uint64_t rev;
-	int rc;
-
-	fl_multi_init(&m);
-	fl_key_finished(key, run->ref);
-	fl_multi_when(&m, key, 0);
-	fl_key_job(key, run->ref);
-	fl_multi_when(&m, key, 0);
-	fl_multi_put(&m, key, fl_job_record_live(run, submitted), 0);
-	rc = fl_state_multi(&n->state, &m, &rev, NULL);
-	if (rc)
-		return rc;
-	if (!fl_finished_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
-	    !(n->cluster.leading && rev <= n->cluster.list_rev)) {
-		job = fl_job_add(&n->cluster, run, submitted, rev);
-		if (job && n->lead.active) {
-			n->lead.due = true;
-			fl_signal_wake(&n->lead.work);
-		}
-	}
-	return 0;
-}
-
-/*
- * The state service may refuse this node alone, or be cut from it: the leader has it. What was
- * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
- */
-static bool submit_by_leader(struct fl_node *n, const struct fl_job_spec *run,
-                             struct fl_response *resp)
-{
-	struct fl_reply reply;
-	char *text;
-	int rc;
-
-	if (fl_lease_valid(n))
-		return false;
-	text = fl_json_take(fl_job_spec_encode(run));
-	rc = relay_call(n, FL_CALL_SUBMIT, NULL, text, FL_FIRST_HOP, tunables.relay_write_s,
-	                &reply);
-	free(text);
-	if (rc != 0)
-		return false;
-	if (reply.status == 200 || reply.status == 201) {
-		resp->status = reply.status;
-		resp->body = reply.body.data;
-		return true;
-	}
-	fl_buf_free(&reply.body);
-	return false;
-}
-
-/*
- * Before the rest of a submission is judged: a known job is answered with its state, and what
- * cannot be read is refused for `bad`, the field. False: to be judged on.
- */
-static bool answer_first(struct fl_node *n, const struct fl_job_spec *run, const char *bad,
-                         enum fl_hop hop, struct fl_response *resp)
-{
-	int rc;
-
-	if (!bad && n->types_known && !fl_finished_find(&n->cluster, run->ref) &&
-	    !fl_job_find(&n->cluster, run->ref))
-		return false;
-	rc = answer_known(n, run->ref, hop, resp);
-	if (rc == 1)
-		return true;
-	if (rc < 0 || !bad) {
-		fl_later(resp, "cannot decide yet");
-	} else {
-		fl_refuse(resp, 400, "%s: missing or invalid", bad);
-		fl_info("jobs", "%s refused: %s", run->ref, bad);
-	}
-	return true;
-}
-
-/* Refuses a job that can never run, for the reason `why`, unless it is known. */
-static void refuse_never(struct fl_node *n, const struct fl_job_spec *run, const char *why,
-                         enum fl_hop hop, struct fl_response *resp)
-{
-	int rc = answer_known(n, run->ref, hop, resp);
-
-	if (rc < 0) {
-		fl_later(resp, "cannot decide yet");
-	} else if (rc == 0) {
-		fl_refuse(resp, 422, "%s", why);
-		fl_info("jobs", "%s refused: %s", run->ref, why);
-	}
-}
-
-/* Stores a job that may run, here or by the leader. */
-static void accept_job(struct fl_node *n, const struct fl_job_spec *run, enum fl_hop hop,
-                       struct fl_response *resp)
-{
-	/* A cut is silent: to try here first would cost the user a second. */
-	bool relayed_first = !hop && fl_state_in_doubt(&n->state);
-	int rc;
-
-	if (relayed_first && submit_by_leader(n, run, resp))
-		return;
-	rc = state_is_down(n) ? -EAGAIN : store_job(n, run);
-	if (rc == 0) {
-		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", run->ref,
-		        run->job_class, run->team, run->n_tasks, run->cpus, run->gpus);
-		resp->status = 201;
-		resp->body = fl_status_encode(run->ref, FL_PENDING, -1, 0);
-		return;
-	}
-	if (rc == -ESTALE && answer_known(n, run->ref, hop, resp) == 1)
-		return;
-	if (rc != -ESTALE && !hop && !relayed_first && submit_by_leader(n, run, resp))
-		return;
-	fl_later(resp, "the job could not be stored");
-}
-
-static void submit(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
-                   struct fl_response *resp)
-{
-	cJSON *o = fl_json_parse(body, len);
-	const char *bad, *why;
-	struct fl_job_spec run;
-
-	if (!cJSON_IsObject(o)) {
-		cJSON_Delete(o);
-		fl_refuse(resp, 400, "the body must be a JSON object");
-		return;
-	}
-	bad = fl_job_spec_decode(o, &run);
-	cJSON_Delete(o);
-	if (!run.ref[0]) {
-		fl_refuse(resp, 400, "Ref: missing or invalid");
-		return;
-	}
-	if (fl_standby_alone(n)) {
-		/* At once: every try at either would cost the user seconds in vain. */
-		fl_later(resp, "neither the state service nor another controller answers");
-		return;
-	}
-	if (answer_first(n, &run, bad, hop, resp))
-		return;
-	why = never(n, &run);
-	if (why)
-		refuse_never(n, &run, why, hop, resp);
-	else
-		accept_job(n, &run, hop, resp);
-}
-
-/* ---- polls and cancellations ---- */
-
-struct progress {
-	uint32_t done, placed;
-};
-
-static void count_progress(void *ctx, const struct fl_change *ch)
-{
-	struct progress *p = ctx;
-
-	fl_chunk_count(ch->value, &p->done, &p->placed);
-}
-
-/* Without a leader in reach, the records themselves answer: never older than what was told. */
-static void poll_records(struct fl_node *n, const char *ref, struct fl_response *resp)
-{
-	struct fl_job_record rec;
-	struct progress p = {0};
-	char key[FL_KEY_MAX];
-	uint64_t rev;
-	cJSON *v = NULL;
-	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
-
-	/* What a user is told here, the other controllers must hear from here. */
-	if (rc == 0 && rec.final && v)
-		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
-	cJSON_Delete(v);
-	if (rc == -ENOENT) {
-		fl_refuse(resp, 404, "no such job");
-		return;
-	}
-	if (rc) {
-		fl_later(resp, "neither the leader nor the state service answers");
-		return;
-	}
-	if (rec.final) {
-		resp->status = 200;
-		resp->body = fl_status_encode(ref, rec.status,
-		                              rec.status == FL_DONE ? rec.n_tasks : 0, 0);
-		return;
-	}
-	if (!fl_job_lookup_affords(n, 1)) {
-		fl_later(resp, "there are too many questions at the moment");
-		return;
-	}
-	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
-	fl_state_list(&n->state, key, count_progress, &p, &rev);
-	resp->status = 200;
-	resp->body = fl_status_encode(ref, p.placed ? FL_RUNNING : FL_PENDING, p.done, p.placed);
-}
-
-/* Takes a relayed call's answer over; false if there is none that a user can be given. */
-static bool take_reply(int rc, struct fl_reply *reply, struct fl_response *resp)
-{
-	if (rc != 0)
-		return false;
-	if (reply->status == 200 || reply->status == 404) {
-		resp->status = reply->status;
-		resp->body = reply->body.data;
-		return true;
-	}
-	fl_buf_free(&reply->body);
-	return false;
-}
-
-static void answer_relayed_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
-{
-	double came = fl_now(), left;
-	struct fl_reply reply;
-
-	switch (fl_status_query(n, ref, resp)) {
-	case FL_QUERY_ANSWERED:
-		return;
-	case FL_QUERY_OVERLOADED:
-		fl_later(resp, "there are too many questions at the moment");
-		return;
-	case FL_QUERY_UNSETTLED:
-	case FL_QUERY_FAILED:
-		break;
-	}
-	left = came + tunables.relay_s - fl_now();
-	if (left <= 0 ||
-	    !take_reply(relay_call(n, FL_CALL_POLL, ref, NULL, FL_FIRST_HOP, left, &reply), &reply,
-	                resp))
-		poll_records(n, ref, resp);
-}
-
-/* For another controller: only the leader answers, so this is passed on once at most. */
-static void answer_for_peer(struct fl_node *n, enum fl_user_call call, const char *ref,
-                            enum fl_hop hop, struct fl_response *resp)
-{
-	double patience = call == FL_CALL_POLL ? tunables.relay_s : tunables.relay_write_s;
-	struct fl_reply reply;
-
-	if (!take_reply(relay_call(n, call, ref, NULL, hop, patience, &reply), &reply, resp))
-		fl_refuse(resp, 421, "not the leader");
-}
-
-static void answer_relayed_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
-{
-	struct fl_reply reply;
-	int rc = relay_call(n, FL_CALL_CANCEL, ref, NULL, FL_FIRST_HOP, tunables.relay_write_s,
-	                    &reply);
-
-	if (!take_reply(rc, &reply, resp))
-		fl_later(resp, "there is no leader at the moment");
-}
-
-static void poll_or_cancel(struct fl_node *n, enum fl_user_call call, const char *ref,
-                           enum fl_hop hop, struct fl_response *resp)
-{
-	struct fl_finished_job *f;
-
-	if (!ref[0]) {
-		fl_refuse(resp, 404, "no such job");
-		return;
-	}
-	f = fl_finished_find(&n->cluster, ref);
-	if (f) {
-		resp->status = 200;
-		resp->body = fl_status_encode(ref, (enum fl_status)f->status,
-		                              call == FL_CALL_CANCEL ? -1
-		                              : f->status == FL_DONE ? (int64_t)f->n_tasks
-		                                                     : 0,
-		                              0);
-		return;
-	}
-	if (fl_leading(n)) {
-		if (call == FL_CALL_POLL)
-			fl_answer_poll(n, ref, resp);
-		else
-			fl_answer_cancel(n, ref, resp);
-		return;
-	}
-	if (fl_standby_alone(n)) {
-		fl_later(resp, "neither the state service nor another controller answers");
-		return;
-	}
-	if (hop)
-		answer_for_peer(n, call, ref, hop, resp);
-	else if (call == FL_CALL_POLL)
-		answer_relayed_poll(n, ref, resp);
-	else
-		answer_relayed_cancel(n, ref, resp);
-}
+/* ---- the two servers ---- */
 
 void fl_node_user_call(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
                        size_t len, enum fl_hop hop, struct fl_response *resp)
 {
 	switch (call) {
 	case FL_CALL_SUBMIT:
-		submit(n, body, len, hop, resp);
+		fl_submit(n, body, len, hop, resp);
 		break;
 	case FL_CALL_POLL:
 	case FL_CALL_CANCEL:
-		poll_or_cancel(n, call, ref, hop, resp);
+		fl_poll_or_cancel(n, call, ref, hop, resp);
 		break;
 	case FL_CALL_REPORT:
 		fl_standby_report(n, body, len, hop, n->config->node, resp);
@@ -704,7 +285,7 @@
  */
 int fl_node_public_conns(const struct fl_config *c)
 {
-	int peer = FL_RELAYS_MAX + tunables.peer_users;
+	int peer = FL_RELAYS_MAX + FL_PEER_CALLS_MAX;
 	int rest = c->max_connections - (c->n_peers + 1) * peer - tunables.own_conns;
 	int least = (int)(c->max_connections * tunables.user_least);
 
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -16,6 +16,7 @@
 #include "protocol/state.h"
 #include "transport/http_server.h"
 
+/* Another controller, and whether exchanges with it come back. */
 struct fl_peer {
 	struct fl_node *node;
 	char name[FL_NAME_MAX];
@@ -27,6 +28,7 @@
 	bool up;
 };
 
+/* One controller process. */
 struct fl_node {
 	const struct fl_config *config;
 	struct fl_cluster cluster;
@@ -63,6 +65,7 @@
 	struct fl_provision provision;
 };
 
+/* Starts a controller with its servers and routines; it is never freed. -1: it cannot serve. */
 int fl_node_start(const struct fl_config *config);
 /* How many of all connections users and workers may hold. */
 int fl_node_public_conns(const struct fl_config *c);
--- /dev/null
+++ b/src/coordination/submission.c
@@ -0,0 +1,265 @@
+#include "coordination/submission.h"
+
+#include <errno.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/node.h"
+#include "coordination/user_calls.h"
+#include "transport/clock.h"
+#include "transport/log.h"
+
+static const struct {
+	double down_s;
+} tunables = {
+	.down_s = 0.3, /* s after a refusal in which the state service counts as down */
+};
+
+/* A bit for each zone where an allowed machine type that a task fits is offered. */
+static uint32_t zones_for(const struct fl_node *n, const struct fl_job_spec *r)
+{
+	uint32_t zones = 0;
+
+	for (int i = 0; i < n->cluster.machines.n_types; i++) {
+		const struct fl_machine_type *k = &n->cluster.machines.types[i];
+		bool named = r->n_machine_types < 0;
+
+		for (int h = 0; h < r->n_machine_types && !named; h++)
+			named = strcmp(r->machine_types[h], k->name) == 0;
+		if (named && r->cpus <= k->cpus && r->gpus <= k->gpus && r->ram_gb <= k->ram_gb)
+			zones |= k->zones;
+	}
+	return zones;
+}
+
+/* NULL, or why the job can never run. */
+static const char *never(const struct fl_node *n, const struct fl_job_spec *r)
+{
+	int team = fl_teams_find(&n->cluster.teams, r->team), zone;
+	bool at_once = r->kind != FL_ARRAY && r->n_tasks > 1;
+	double tasks = at_once ? r->n_tasks : 1;
+	uint32_t zones = zones_for(n, r);
+	const struct fl_team *t;
+
+	if (team < 0)
+		return "Owner: unknown team";
+	if (r->cpus <= 0 && r->gpus <= 0 && r->ram_gb <= 0)
+		return "a task takes nothing of its machine";
+	if (r->has_zone) {
+		zone = fl_names_find(&n->cluster.zones, r->zone);
+		if (zone < 0)
+			return "Site: unknown zone";
+		zones &= 1u << zone;
+	}
+	/* A type that is offered in no zone of ours cannot be rented. */
+	if (!zones)
+		return "a task fits no allowed machine type";
+	/* An array's tasks can run one after the other; others would lack half of theirs for ever.
+	 */
+	if (at_once && r->apart && (r->together || !(zones & (zones - 1))))
+		return "Apart: half of the tasks fit no allowed machine type";
+	t = &n->cluster.teams.at[team];
+	if (!fl_team_within_max(t, r->cpus * tasks, r->gpus * tasks))
+		return "more than the team's limit";
+	return NULL;
+}
+
+static bool state_is_down(const struct fl_node *n)
+{
+	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < tunables.down_s;
+}
+
+/* Like answer_known, by asking the leader. */
+static int known_to_leader(struct fl_node *n, const char *ref, struct fl_response *resp)
+{
+	struct fl_reply reply;
+
+	if (fl_lease_valid(n) ||
+	    fl_user_call_relay(n, FL_CALL_POLL, ref, NULL, FL_FIRST_HOP,
+	                       fl_user_call_patience_s(FL_CALL_POLL), &reply) != 0)
+		return -EAGAIN;
+	if (reply.status == 200) {
+		resp->status = 200;
+		resp->body = reply.body.data;
+		return 1;
+	}
+	fl_buf_free(&reply.body);
+	return reply.status == 404 ? 0 : -EAGAIN;
+}
+
+/*
+ * 1: known, and answered; 0: not known; <0: cannot be told now. What the state service refuses to
+ * this node alone the leader can tell: else a bad submission would be told to come again, here
+ * only, and its user would do so for a minute.
+ */
+static int answer_known(struct fl_node *n, const char *ref, enum fl_hop hop,
+                        struct fl_response *resp)
+{
+	struct fl_job_record rec;
+	uint64_t rev;
+	cJSON *v = NULL;
+	int rc;
+
+	if (!fl_finished_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
+		rc = state_is_down(n) ? -EAGAIN : fl_records_read(&n->state, ref, &rec, &v, &rev);
+		cJSON_Delete(v);
+		if (rc && rc != -ENOENT && !hop)
+			return known_to_leader(n, ref, resp);
+		if (rc)
+			return rc == -ENOENT ? 0 : rc;
+	}
+	fl_poll_or_cancel(n, FL_CALL_POLL, ref, hop, resp);
+	return 1;
+}
+
+static int store_job(struct fl_node *n, const struct fl_job_spec *run)
+{
+	double submitted = fl_wall();
+	struct fl_multi m;
+	struct fl_job *job;
+	char key[FL_KEY_MAX];
+	uint64_t rev;
+	int rc;
+
+	fl_multi_init(&m);
+	fl_key_finished(key, run->ref);
+	fl_multi_when(&m, key, 0);
+	fl_key_job(key, run->ref);
+	fl_multi_when(&m, key, 0);
+	fl_multi_put(&m, key, fl_job_record_live(run, submitted), 0);
+	rc = fl_state_multi(&n->state, &m, &rev, NULL);
+	if (rc)
+		return rc;
+	if (!fl_finished_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
+	    !(n->cluster.leading && rev <= n->cluster.list_rev)) {
+		job = fl_job_add(&n->cluster, run, submitted, rev);
+		if (job && n->lead.active) {
+			n->lead.due = true;
+			fl_signal_wake(&n->lead.work);
+		}
+	}
+	return 0;
+}
+
+/*
+ * The state service may refuse this node alone, or be cut from it: the leader has it. What was
+ * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
+ */
+static bool submit_by_leader(struct fl_node *n, const struct fl_job_spec *run,
+                             struct fl_response *resp)
+{
+	struct fl_reply reply;
+	char *text;
+	int rc;
+
+	if (fl_lease_valid(n))
+		return false;
+	text = fl_json_take(fl_job_spec_encode(run));
+	rc = fl_user_call_relay(n, FL_CALL_SUBMIT, NULL, text, FL_FIRST_HOP,
+	                        fl_user_call_patience_s(FL_CALL_SUBMIT), &reply);
+	free(text);
+	if (rc != 0)
+		return false;
+	if (reply.status == 200 || reply.status == 201) {
+		resp->status = reply.status;
+		resp->body = reply.body.data;
+		return true;
+	}
+	fl_buf_free(&reply.body);
+	return false;
+}
+
+/*
+ * Before the rest of a submission is judged: a known job is answered with its state, and what
+ * cannot be read is refused for `bad`, the field. False: to be judged on.
+ */
+static bool answer_first(struct fl_node *n, const struct fl_job_spec *run, const char *bad,
+                         enum fl_hop hop, struct fl_response *resp)
+{
+	int rc;
+
+	if (!bad && n->types_known && !fl_finished_find(&n->cluster, run->ref) &&
+	    !fl_job_find(&n->cluster, run->ref))
+		return false;
+	rc = answer_known(n, run->ref, hop, resp);
+	if (rc == 1)
+		return true;
+	if (rc < 0 || !bad) {
+		fl_later(resp, "cannot decide yet");
+	} else {
+		fl_refuse(resp, 400, "%s: missing or invalid", bad);
+		fl_info("jobs", "%s refused: %s", run->ref, bad);
+	}
+	return true;
+}
+
+/* Refuses a job that can never run, for the reason `why`, unless it is known. */
+static void refuse_never(struct fl_node *n, const struct fl_job_spec *run, const char *why,
+                         enum fl_hop hop, struct fl_response *resp)
+{
+	int rc = answer_known(n, run->ref, hop, resp);
+
+	if (rc < 0) {
+		fl_later(resp, "cannot decide yet");
+	} else if (rc == 0) {
+		fl_refuse(resp, 422, "%s", why);
+		fl_info("jobs", "%s refused: %s", run->ref, why);
+	}
+}
+
+/* Stores a job that may run, here or by the leader. */
+static void accept_job(struct fl_node *n, const struct fl_job_spec *run, enum fl_hop hop,
+                       struct fl_response *resp)
+{
+	/* A cut is silent: to try here first would cost the user a second. */
+	bool relayed_first = !hop && fl_state_in_doubt(&n->state);
+	int rc;
+
+	if (relayed_first && submit_by_leader(n, run, resp))
+		return;
+	rc = state_is_down(n) ? -EAGAIN : store_job(n, run);
+	if (rc == 0) {
+		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", run->ref,
+		        run->job_class, run->team, run->n_tasks, run->cpus, run->gpus);
+		resp->status = 201;
+		resp->body = fl_status_encode(run->ref, FL_PENDING, -1, 0);
+		return;
+	}
+	if (rc == -ESTALE && answer_known(n, run->ref, hop, resp) == 1)
+		return;
+	if (rc != -ESTALE && !hop && !relayed_first && submit_by_leader(n, run, resp))
+		return;
+	fl_later(resp, "the job could not be stored");
+}
+
+void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
+               struct fl_response *resp)
+{
+	cJSON *o = fl_json_parse(body, len);
+	const char *bad, *why;
+	struct fl_job_spec run;
+
+	if (!cJSON_IsObject(o)) {
+		cJSON_Delete(o);
+		fl_refuse(resp, 400, "the body must be a JSON object");
+		return;
+	}
+	bad = fl_job_spec_decode(o, &run);
+	cJSON_Delete(o);
+	if (!run.ref[0]) {
+		fl_refuse(resp, 400, "Ref: missing or invalid");
+		return;
+	}
+	if (fl_standby_alone(n)) {
+		/* At once: every try at either would cost the user seconds in vain. */
+		fl_later(resp, "neither the state service nor another controller answers");
+		return;
+	}
+	if (answer_first(n, &run, bad, hop, resp))
+		return;
+	why = never(n, &run);
+	if (why)
+		refuse_never(n, &run, why, hop, resp);
+	else
+		accept_job(n, &run, hop, resp);
+}
--- /dev/null
+++ b/src/coordination/submission.h
@@ -0,0 +1,19 @@
+/*
+ * Submissions: validation of a job specification, and its storage in the state service, by this
+ * node or through the leader. A repeated submission is answered with the state of the job.
+ */
+#ifndef FL_COORDINATION_SUBMISSION_H
+#define FL_COORDINATION_SUBMISSION_H
+
+#include <stddef.h>
+
+#include "coordination/standby.h"
+#include "transport/http_server.h"
+
+struct fl_node;
+
+/* Answers a submission: 201 only once the job's record is stored. */
+void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
+               struct fl_response *resp);
+
+#endif
