--- /dev/null
+++ b/src/coordination/gossip.c
@@ -0,0 +1,206 @@
+#include "coordination/gossip.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/command.h"
+#include "coordination/node.h"
+#include "protocol/peers.h"
+#include "transport/clock.h"
+#include "transport/log.h"
+#include "transport/routine.h"
+#include "transport/text.h"
+
+static const struct {
+	double gossip_s, gossip_wait_s, gossip_slack_s;
+} tunables = {
+	.gossip_s = 1.0,       /* s between two exchanges with each peer */
+	.gossip_wait_s = 1.0,  /* s; a link that takes longer counts as down */
+	.gossip_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
+};
+
+double fl_gossip_last_heard(const struct fl_node *n)
+{
+	double last = -1e9;
+
+	for (int i = 0; i < n->n_peers; i++)
+		if (n->peers[i].heard_at > last)
+			last = n->peers[i].heard_at;
+	return last;
+}
+
+static void learn_cancelled(struct fl_node *n, const struct fl_gossip *g)
+{
+	for (int i = 0; i < g->n_cancelled; i++) {
+		const struct fl_cancelled *c = &g->cancelled[i];
+		struct fl_job *job;
+
+		if (fl_finished_find(&n->cluster, c->ref))
+			continue;
+		fl_cluster_learn_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
+		job = n->lead.active ? fl_job_find(&n->cluster, c->ref) : NULL;
+		if (job)
+			fl_command_stop_job(n, job);
+		fl_info("jobs", "%s is cancelled, says %s", c->ref, g->node);
+	}
+}
+
+/*
+ * What a peer has learned since what this node knows makes this node know as much as the peer. And
+ * no user hears of a cancellation but from a controller that has learned of it: if all of them have
+ * answered, nothing that anybody was told before the oldest of these questions is missing here,
+ * whatever the state service does meanwhile. A process that has not read the jobs itself since it
+ * started speaks for nobody: the one before it may have told a user.
+ */
+static void learn(struct fl_node *n, struct fl_peer *p, const struct fl_gossip *g, double sent)
+{
+	double all = sent;
+
+	learn_cancelled(n, g);
+	/* Standing still after it was said how old our knowledge is, we were told too little. */
+	if (!g->complete || !n->jobs_known ||
+	    fl_now() > sent + tunables.gossip_wait_s + tunables.gossip_slack_s / 2)
+		return;
+	p->sent_all_at = sent;
+	for (int i = 0; i < n->n_peers; i++)
+		all = fmin(all, n->peers[i].sent_all_at);
+	n->cancellations_known_until =
+		fmax(n->cancellations_known_until, fmax(all, sent - g->known_age_s));
+}
+
+static void learn_leadership(struct fl_node *n, const struct fl_gossip *g, double sent)
+{
+	double proof = sent - g->proof_age_s;
+
+	if (g->epoch < n->epoch || g->epoch == 0)
+		return;
+	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
+	 */
+	if (g->epoch > n->epoch && n->lease.held) {
+		if (fl_lease_valid(n) || strcmp(g->leader, n->config->node) == 0)
+			return;
+		fl_lease_lost(n, "a peer knows a higher epoch");
+	}
+	if (g->epoch > n->epoch || proof > n->leadership_confirmed_at) {
+		n->epoch = g->epoch;
+		if (g->leader[0])
+			fl_copy_string(n->leader, sizeof(n->leader), g->leader);
+		if (proof > n->leadership_confirmed_at)
+			n->leadership_confirmed_at = proof;
+	}
+}
+
+static double age(double at) { return fmin(1e6, fmax(0, fl_now() - at)); }
+
+/* What this node has learned since `since`, for an answer that can be relied on. */
+static void add_cancelled(const struct fl_node *n, double since, struct fl_gossip *g)
+{
+	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
+	int count = fl_finished_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
+
+	if (!n->jobs_known || count < 0)
+		return;
+	g->cancelled = calloc((size_t)count + 1, sizeof(*g->cancelled));
+	if (!g->cancelled)
+		return;
+	g->complete = true;
+	g->n_cancelled = count;
+	for (int i = 0; i < count; i++) {
+		fl_copy_string(g->cancelled[i].ref, sizeof(g->cancelled[i].ref), list[i]->ref);
+		g->cancelled[i].age_s = age(list[i]->cancelled_at);
+	}
+}
+
+static void describe_self(struct fl_node *n, struct fl_gossip *g)
+{
+	memset(g, 0, sizeof(*g));
+	fl_copy_string(g->node, sizeof(g->node), n->config->node);
+	fl_copy_string(g->leader, sizeof(g->leader), n->leader);
+	g->epoch = n->epoch;
+	g->proof_age_s = age(n->leadership_confirmed_at);
+	g->known_age_s = age(n->cancellations_known_until);
+	g->leads = fl_lease_valid(n);
+}
+
+void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+{
+	struct fl_gossip g;
+	double since;
+
+	if (fl_gossip_decode(body, len, &g) != 0) {
+		fl_error("peers", "a message that is not gossip");
+		fl_refuse(resp, 400, "not gossip");
+		return;
+	}
+	/*
+	 * No proof from here: a request may have been held back on its way for minutes. But then
+	 * nobody waits for the answer any more, so the asker's age was this at most a wait ago.
+	 */
+	since = fl_now() - g.known_age_s - tunables.gossip_wait_s - tunables.gossip_slack_s;
+	fl_gossip_free(&g);
+	describe_self(n, &g);
+	add_cancelled(n, since, &g);
+	resp->status = 200;
+	resp->body = fl_gossip_encode(&g);
+	fl_gossip_free(&g);
+}
+
+char *fl_standby_gossip_request(struct fl_node *n)
+{
+	struct fl_gossip mine;
+
+	describe_self(n, &mine);
+	return fl_gossip_encode(&mine);
+}
+
+void fl_standby_gossip_answer(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
+                              double sent)
+{
+	struct fl_gossip theirs;
+
+	if (fl_gossip_decode(body, len, &theirs) != 0) {
+		fl_error("peers", "%s answers what is not gossip", p->name);
+		return;
+	}
+	learn(n, p, &theirs, sent);
+	learn_leadership(n, &theirs, sent);
+	fl_gossip_free(&theirs);
+}
+
+static void gossip_duty(void *arg)
+{
+	struct fl_peer *p = arg;
+	struct fl_node *n = p->node;
+
+	while (fl_sleep(tunables.gossip_s) == 0) {
+		double sent = fl_now();
+		struct fl_reply reply;
+		char *text = fl_standby_gossip_request(n);
+		int rc;
+
+		rc = fl_http_call(&p->http, "POST", "/gossip", text, tunables.gossip_wait_s,
+		                  &reply);
+		free(text);
+		if (rc == 0) {
+			p->heard_at = fl_now();
+			if (reply.status == 200)
+				fl_standby_gossip_answer(n, p, reply.body.data, reply.body.len,
+				                         sent);
+			fl_buf_free(&reply.body);
+		}
+		if (p->up != (rc == 0)) {
+			p->up_since = fl_now();
+			fl_info("peers", "%s is %s", p->name, rc == 0 ? "up" : "not answering");
+		}
+		p->up = rc == 0;
+	}
+}
+
+void fl_gossip_start(struct fl_node *n)
+{
+	for (int i = 0; i < n->n_peers; i++) {
+		n->peers[i].heard_at = n->peers[i].sent_all_at = -1e9;
+		fl_spawn(gossip_duty, &n->peers[i]);
+	}
+}
--- /dev/null
+++ b/src/coordination/gossip.h
@@ -0,0 +1,27 @@
+/*
+ * Exchange between controllers, about once a second with each: who leads and since when that is
+ * known, and which jobs were cancelled. It also tells which controllers can be reached.
+ */
+#ifndef FL_COORDINATION_GOSSIP_H
+#define FL_COORDINATION_GOSSIP_H
+
+#include <stddef.h>
+
+#include "transport/http_server.h"
+
+struct fl_node;
+struct fl_peer;
+
+/* Starts a routine for each other controller, none of which counts as heard of yet. */
+void fl_gossip_start(struct fl_node *n);
+/* When an exchange with any other controller last came back (steady); long ago if none did. */
+double fl_gossip_last_heard(const struct fl_node *n);
+/* The text of a request; the caller frees it. */
+char *fl_standby_gossip_request(struct fl_node *n);
+/* Answers another controller's request. */
+void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
+/* Takes in the answer of `p` to a request that was sent at `sent` (steady). */
+void fl_standby_gossip_answer(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
+                              double sent);
+
+#endif
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -5,6 +5,7 @@
 #include "storage/jobs.h"
 #include "storage/records.h"
 #include "config.h"
+#include "coordination/gossip.h"
 #include "coordination/job_lookup.h"
 #include "coordination/standby.h"
 #include "coordination/leader.h"
--- a/src/coordination/user_calls.h
+++ b/src/coordination/user_calls.h
@@ -5,7 +5,7 @@
 #ifndef FL_COORDINATION_USER_CALLS_H
 #define FL_COORDINATION_USER_CALLS_H
 
-#include "coordination/standby.h"
+#include "coordination/relay.h"
 #include "protocol/users.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
--- /dev/null
+++ b/src/coordination/worker_steering.c
@@ -0,0 +1,110 @@
+#include "coordination/worker_steering.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/node.h"
+#include "transport/clock.h"
+#include "transport/text.h"
+
+static const struct {
+	double home_s, home_leases, settle_reports, probe_s, at_once_s;
+} tunables = {
+	.home_s = 1.0,         /* s that a worker's own zone's node must have been up */
+	.home_leases = 1.5,    /* leases between two times that one worker is sent home */
+	.settle_reports = 1.0, /* report intervals that it is served here before */
+	.probe_s = 2.5,        /* s; the balancer asks about once a second */
+	.at_once_s = 4.0,      /* s within which links that fail together fail for one reason */
+};
+
+/*
+ * A worker is sent away once in more than a lease, after that it is served where it is; and not
+ * before it was answered here: it may have looked for a living node until its lease is nearly over,
+ * and half a second more on its way would be its tasks' end.
+ */
+static bool may_send(struct fl_node *n, const char *host)
+{
+	double now = fl_now();
+	struct fl_misplaced_worker *g;
+
+	HASH_FIND_STR(n->standby.misplaced, host, g);
+	if (!g) {
+		g = calloc(1, sizeof(*g));
+		if (!g)
+			return false;
+		fl_copy_string(g->host, sizeof(g->host), host);
+		g->came = now;
+		HASH_ADD_STR(n->standby.misplaced, host, g);
+	}
+	if (now < g->came + tunables.settle_reports * n->config->report_s ||
+	    (g->sent > 0 && now < g->sent + tunables.home_leases * n->config->lease_s))
+		return false;
+	g->sent = now;
+	return true;
+}
+
+/*
+ * A worker is best renewed by a node of its own zone. One that reports across zones when they are
+ * cut apart tries node after node for 5 s each, and its lease ends before it comes to its own.
+ */
+static const struct fl_peer *home_of(struct fl_node *n, const struct fl_report *r)
+{
+	double now = fl_now();
+
+	if (strcmp(r->zone, n->config->location) == 0)
+		return NULL;
+	for (int i = 0; i < n->n_peers; i++) {
+		const struct fl_peer *p = &n->peers[i];
+
+		if (strcmp(p->location, r->zone) == 0 && p->up &&
+		    now > p->up_since + tunables.home_s)
+			return may_send(n, r->host) ? p : NULL;
+	}
+	return NULL;
+}
+
+/*
+ * Where to send the workers of a node that is alone. It could renew them, but the leader, which
+ * hears nothing of them, would give their machines up after a lease. They are better off elsewhere
+ * if it is this node's own links that are cut: the users' balancer still asks for it, so that the
+ * region is in reach, and state service and controllers were lost at once. A node cut off together
+ * with its zone renews its workers, since they too can reach nobody else; so does the last node
+ * alive in an outage. Each worker is sent once in more than a lease, to the nodes in turn.
+ */
+static const struct fl_peer *away_from_here(struct fl_node *n, const struct fl_report *r)
+{
+	double last = fl_gossip_last_heard(n), now = fl_now();
+
+	if (!fl_standby_alone(n) || now > n->probed_at + tunables.probe_s ||
+	    last < n->state.last_ok - tunables.at_once_s ||
+	    last > n->state.last_ok + tunables.at_once_s)
+		return NULL;
+	for (int i = 0; i < n->n_peers; i++) {
+		const struct fl_peer *p = &n->peers[n->standby.away++ % n->n_peers];
+
+		/* Not to one that was lost before. */
+		if (p->heard_at > last - tunables.at_once_s)
+			return may_send(n, r->host) ? p : NULL;
+	}
+	return NULL;
+}
+
+const struct fl_peer *fl_worker_steer(struct fl_node *n, const struct fl_report *r)
+{
+	const struct fl_peer *home = home_of(n, r);
+
+	return home ? home : away_from_here(n, r);
+}
+
+void fl_worker_steering_forget(struct fl_node *n, double now)
+{
+	double before = now - tunables.home_leases * n->config->lease_s;
+	struct fl_misplaced_worker *g, *tmp;
+
+	HASH_ITER (hh, n->standby.misplaced, g, tmp) {
+		if (g->came >= before || g->sent >= before)
+			continue;
+		HASH_DEL(n->standby.misplaced, g);
+		free(g);
+	}
+}
