--- a/src/coordination/status_query.h
+++ b/src/coordination/status_query.h
@@ -13,12 +13,14 @@
 struct fl_node;
 struct fl_status_batch;
 
+/* The queries of one node that are on their way. */
 struct fl_status_queries {
 	struct fl_status_batch *filling; /* collects queries until a request may be sent */
 	int in_flight;
 	struct fl_signal landed; /* a request has come back */
 };
 
+/* What came of a query. */
 enum fl_query_result {
 	FL_QUERY_ANSWERED,  /* the response is filled in */
 	FL_QUERY_UNSETTLED, /* the leader has to look into the records for this job */
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -1,4 +1,7 @@
-/* What controllers exchange: forwarded word about leader and proof, and relayed requests. */
+/*
+ * Messages between controllers: the regular exchange about leader and cancellations, relayed
+ * requests, and digests of cached reports.
+ */
 #ifndef FL_PROTOCOL_PEERS_H
 #define FL_PROTOCOL_PEERS_H
 
@@ -10,8 +13,10 @@
 	double age_s;
 };
 
+/* Most cancellations in one message. */
 enum { FL_GOSSIP_CANCELLED_MAX = 512 };
 
+/* A message of the regular exchange: a request, or the answer to one. */
 struct fl_gossip {
 	char node[FL_NAME_MAX], leader[FL_NAME_MAX]; /* leader empty: none known */
 	uint64_t epoch;
@@ -27,9 +32,11 @@
 	int n_cancelled;
 };
 
+/* The text of a message; the caller frees it. */
 char *fl_gossip_encode(const struct fl_gossip *g);
-/* 0, or -EPROTO with nothing held. */
+/* Reads a message: 0, or -EPROTO or -ENOMEM with nothing held. */
 int fl_gossip_decode(const char *body, size_t len, struct fl_gossip *out);
+/* Frees what a message holds, not the struct itself. */
 void fl_gossip_free(struct fl_gossip *g);
 
 /* Relayed requests travel as they came, wrapped with where they belong. */
@@ -44,9 +51,12 @@
 	cJSON *tree;           /* keeps body alive */
 };
 
+/* The text of a relayed request; `ref`, `via` and `body` may be NULL. The caller frees it. */
 char *fl_relay_encode(enum fl_user_call call, bool last_hop, bool disconnected, const char *ref,
                       const char *via, const char *body);
+/* Reads a relayed request: 0, or -EPROTO with nothing held. */
 int fl_relay_decode(const char *text, size_t len, struct fl_relay *out);
+/* Frees what a relayed request holds, its body included. */
 void fl_relay_free(struct fl_relay *r);
 
 /*
@@ -54,11 +64,13 @@
  * counts against values and writes: what is on the machine, but not what is known of it anyway.
  */
 char *fl_cached_report_encode(const struct fl_report *r);
-/* Machine type, zone and endpoint stay empty. 0, or -EPROTO with nothing held. */
+/* Machine type, zone and endpoint stay empty. 0, or -EPROTO or -ENOMEM with nothing held. */
 int fl_cached_report_decode(const cJSON *e, struct fl_report *out);
-/* A record of cached reports: takes the texts of fl_cached_report_encode one by one. */
+/* A new record of cached reports, without any. */
 cJSON *fl_digest_begin(uint64_t epoch);
+/* Adds a text of fl_cached_report_encode. */
 void fl_digest_add(cJSON *digest, const char *cached);
+/* The list of cached reports in a record that was read, still unchecked; NULL: there is none. */
 const cJSON *fl_digest_reports(const cJSON *digest);
 
 #endif
