--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -5,6 +5,7 @@
 #include "storage/jobs.h"
 #include "storage/records.h"
 #include "config.h"
+#include "coordination/gossip.h"
 #include "coordination/job_lookup.h"
 #include "coordination/standby.h"
 #include "coordination/leader.h"
@@ -16,6 +17,7 @@
 #include "protocol/state.h"
 #include "transport/http_server.h"
 
+/* Another controller, and whether exchanges with it come back. */
 struct fl_peer {
 	struct fl_node *node;
 	char name[FL_NAME_MAX];
@@ -27,6 +29,7 @@
 	bool up;
 };
 
+/* One controller process. */
 struct fl_node {
 	const struct fl_config *config;
 	struct fl_cluster cluster;
@@ -55,7 +58,7 @@
 	struct fl_budget poll_reads;
 	struct fl_status_queries status_queries;
 	int relayed_calls; /* users' calls under way to other controllers, one by one */
-	double probed_at; /* steady; when the users' balancer last asked for /ready */
+	double probed_at;  /* steady; when the users' balancer last asked for /ready */
 
 	struct fl_lease lease;
 	struct fl_leadership lead;
@@ -63,6 +66,7 @@
 	struct fl_provision provision;
 };
 
+/* Starts a controller with its servers and routines; it is never freed. -1: it cannot serve. */
 int fl_node_start(const struct fl_config *config);
 /* How many of all connections users and workers may hold. */
 int fl_node_public_conns(const struct fl_config *c);
