--- a/src/coordination/status_query.c
+++ b/src/coordination/status_query.c
@@ -1,7 +1,6 @@
 #include "coordination/status_query.h"
 
 #include <errno.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,6 +9,7 @@
 #include "protocol/job_states.h"
 #include "transport/clock.h"
 #include "transport/log.h"
+#include "transport/text.h"
 
 static const struct {
 	double patience_s; /* s for a request; users wait 2 s and may need another way after it */
@@ -58,10 +58,9 @@
 
 static struct fl_peer *leading_peer(struct fl_node *n)
 {
-	for (int i = 0; i < n->n_peers; i++)
-		if (strcmp(n->peers[i].name, n->leader) == 0)
-			return n->peers[i].up || n->n_peers == 1 ? &n->peers[i] : NULL;
-	return NULL;
+	struct fl_peer *leader = fl_peer_find(n, n->leader);
+
+	return leader && (leader->up || n->n_peers == 1) ? leader : NULL;
 }
 
 /* Sends the batch when a request may be sent; who comes later is in the next one. */
@@ -129,7 +128,7 @@
 		return FL_QUERY_OVERLOADED;
 	}
 	at = b->n++;
-	snprintf(b->ref[at], sizeof(b->ref[at]), "%s", ref);
+	fl_copy_string(b->ref[at], sizeof(b->ref[at]), ref);
 	b->users++;
 	if (first)
 		send_batch(n, b);
