--- /dev/null
+++ b/tests/contract_fixture.c
@@ -0,0 +1,177 @@
+/* The state that the literal texts tell of, made without reading them. */
+#include "contract_fixture.h"
+
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "transport/clock.h"
+
+const struct fl_job_spec live_spec = {
+	.ref = "run-000412",
+	.job_class = "nightly",
+	.team = "physics",
+	.image = "solver:7",
+	.zone = "north",
+	.machine_types = {"large", "small"},
+	.n_machine_types = 2,
+	.kind = FL_GANG,
+	.priority = FL_URGENT,
+	.n_tasks = 130,
+	.cpus = 1.5,
+	.gpus = 2,
+	.ram_gb = 3.25,
+	.image_gb = 4.5,
+	.expected_s = 5.5,
+	.checkpoint_every_s = 60.5,
+	.checkpoint_cost_s = 7.5,
+	.due_s = 88.5,
+	.has_zone = true,
+	.together = true,
+};
+
+const struct fl_report without_tasks = {
+	.host = "m-000013", .session = 105, .seq = 106, .epoch = 107, .reclaim_in_s = -1};
+
+cJSON *parse(const char *text)
+{
+	cJSON *tree = fl_json_parse(text, strlen(text));
+
+	assert_non_null(tree);
+	return tree;
+}
+
+void assert_text(cJSON *tree, const char *expected)
+{
+	char *text = fl_json_take(tree);
+
+	assert_string_equal(text, expected);
+	free(text);
+}
+
+void add_zones_and_teams(struct fl_cluster *cluster)
+{
+	fl_names_add(&cluster->zones, "south");
+	fl_names_add(&cluster->zones, "north");
+	cluster->teams.n = 2;
+	strcpy(cluster->teams.at[0].name, "biology");
+	strcpy(cluster->teams.at[1].name, "physics");
+}
+
+struct fl_job *add_job(struct fl_cluster *cluster)
+{
+	struct fl_job *job;
+	struct fl_offered_type *types;
+	cJSON *tree = parse(MACHINE_TYPES);
+	int count;
+
+	assert_int_equal(fl_machine_types_decode(tree, &types, &count), 0);
+	cJSON_Delete(tree);
+	add_zones_and_teams(cluster);
+	fl_machine_types_set(&cluster->machines, &cluster->zones, types, count);
+	free(types);
+	cluster->leading = true;
+	job = fl_job_add(cluster, &live_spec, 1700000100.25, 5);
+	assert_non_null(job);
+	return job;
+}
+
+static void place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index, uint32_t attempt,
+                  const char *machine, uint64_t session, double placed)
+{
+	struct fl_machine *at = fl_machine_get(&cluster->machines, machine, 1);
+
+	assert_non_null(at);
+	assert_int_equal(
+		fl_task_restore(cluster, job, index, attempt, at, session, placed, fl_now()), 0);
+	fl_task_touch(cluster, job, index);
+}
+
+static void wait_after(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                       uint32_t attempt)
+{
+	fl_task_get(job, index)->attempt = attempt;
+	fl_task_touch(cluster, job, index);
+}
+
+void make_progress(struct fl_cluster *cluster, struct fl_job *job)
+{
+	for (uint32_t index = 64; index <= 66; index++)
+		fl_task_done(cluster, job, index);
+	wait_after(cluster, job, 67, 2);
+	place(cluster, job, 68, 3, "m-000012", 101, 1700000123);
+	fl_task_done(cluster, job, 70);
+	wait_after(cluster, job, 72, 5);
+	place(cluster, job, 127, 4, "m-000013", 102, 1700000456);
+	wait_after(cluster, job, 128, 6);
+}
+
+void assert_task(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
+                 enum fl_phase phase, uint32_t attempt, const char *machine, uint64_t session,
+                 double placed)
+{
+	const struct fl_task *task = fl_task_peek(job, index);
+
+	assert_non_null(task);
+	assert_int_equal(task->phase, phase);
+	assert_int_equal(task->attempt, attempt);
+	if (phase != FL_TASK_PLACED)
+		return;
+	assert_string_equal(cluster->machines.at[task->machine]->name, machine);
+	assert_int_equal(task->session, session);
+	assert_true(task->placed == placed);
+}
+
+void assert_progress(const struct fl_cluster *cluster, const struct fl_job *job)
+{
+	for (uint32_t index = 64; index < 128; index++) {
+		if (index <= 66 || index == 70)
+			assert_task(cluster, job, index, FL_TASK_DONE, 0, NULL, 0, 0);
+		else if (index == 67)
+			assert_task(cluster, job, index, FL_TASK_WAITING, 2, NULL, 0, 0);
+		else if (index == 68)
+			assert_task(cluster, job, index, FL_TASK_PLACED, 3, "m-000012", 101,
+			            1700000123);
+		else if (index == 72)
+			assert_task(cluster, job, index, FL_TASK_WAITING, 5, NULL, 0, 0);
+		else if (index == 127)
+			assert_task(cluster, job, index, FL_TASK_PLACED, 4, "m-000013", 102,
+			            1700000456);
+		else
+			assert_task(cluster, job, index, FL_TASK_WAITING, 0, NULL, 0, 0);
+	}
+	assert_int_equal(job->n_done, 4);
+	assert_int_equal(job->n_placed, 2);
+	assert_int_equal(job->n_waiting, 124);
+}
+
+struct fl_report make_report(struct fl_task_report tasks[13])
+{
+	static const enum fl_task_state states[] = {FL_PULLING, FL_EXECUTING, FL_FLUSHING,
+	                                            FL_GATHERING};
+	static const enum fl_exit exits[] = {FL_EXIT_DONE,       FL_EXIT_STOPPED, FL_EXIT_ERROR,
+	                                     FL_EXIT_NO_ROOM,    FL_EXIT_BUSY,    FL_EXIT_NO_SUCH,
+	                                     FL_EXIT_MATES_GONE, FL_EXIT_ALONE,   FL_EXIT_OTHER};
+	struct fl_report report = {.host = "m-000012",
+	                           .session = 101,
+	                           .seq = 102,
+	                           .epoch = 103,
+	                           .reclaim_in_s = 104.5,
+	                           .tasks = tasks,
+	                           .n_tasks = 13};
+
+	for (uint32_t number = 0; number < CACHED_TASKS; number++) {
+		tasks[number] =
+			(struct fl_task_report){.index = 3 + number, .attempt = 21 + number};
+		snprintf(tasks[number].ref, sizeof(tasks[number].ref), "run-%06u", 412 + number);
+		tasks[number].state = number < 4 ? states[number] : FL_ENDED;
+		tasks[number].exit = number < 4 ? FL_EXIT_OTHER : exits[number - 4];
+	}
+	return report;
+}
--- /dev/null
+++ b/tests/test_contract_records.c
@@ -0,0 +1,397 @@
+/*
+ * The golden test of stored records and their keys: one literal text of each kind is read, where
+ * every field must get its value, and written from that state, byte for byte. A field, key or word
+ * that is renamed in what is stored fails here, also if both sides are.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "contract_fixture.h"
+#include "protocol/peers.h"
+
+/* ---- job records ---- */
+
+static struct fl_job_record read_record(const char *text, const char *ref)
+{
+	struct fl_job_record record;
+	cJSON *tree = parse(text);
+
+	assert_int_equal(fl_job_record_decode(tree, ref, &record), 0);
+	cJSON_Delete(tree);
+	return record;
+}
+
+static const struct fl_job_spec cancelled_spec = {
+	.ref = "run-000413",
+	.job_class = "hourly",
+	.team = "biology",
+	.image = "fold:2",
+	.n_machine_types = -1,
+	.kind = FL_SERVICE,
+	.priority = FL_CRITICAL,
+	.n_tasks = 9,
+	.cpus = 10.5,
+	.gpus = 11,
+	.ram_gb = 12.5,
+	.image_gb = 13.5,
+	.expected_s = 14.5,
+	.checkpoint_every_s = 15.5,
+	.checkpoint_cost_s = 16.5,
+	.due_s = -1,
+	.apart = true,
+};
+
+static const struct fl_job_spec reclaimable_spec = {
+	.ref = "run-000414",
+	.job_class = "hourly",
+	.team = "biology",
+	.image = "fold:3",
+	.kind = FL_ARRAY,
+	.priority = FL_BEST_EFFORT,
+	.n_tasks = 3,
+	.cpus = 1,
+	.ram_gb = 2,
+	.image_gb = 4,
+	.expected_s = 5,
+	.checkpoint_every_s = 6,
+	.checkpoint_cost_s = 7,
+	.reclaimable = true,
+};
+
+static const struct fl_job_spec standard_spec = {
+	.ref = "run-000415",
+	.job_class = "c",
+	.team = "biology",
+	.image = "i",
+	.n_machine_types = -1,
+	.kind = FL_ARRAY,
+	.priority = FL_STANDARD,
+	.n_tasks = 1,
+	.cpus = 1,
+	.ram_gb = 2,
+	.image_gb = 4,
+	.expected_s = 5,
+	.checkpoint_every_s = 6,
+	.checkpoint_cost_s = 7,
+	.due_s = -1,
+};
+
+static void assert_spec(const struct fl_job_spec *read, const struct fl_job_spec *expected)
+{
+	assert_string_equal(read->ref, expected->ref);
+	assert_string_equal(read->job_class, expected->job_class);
+	assert_string_equal(read->team, expected->team);
+	assert_string_equal(read->image, expected->image);
+	assert_string_equal(read->zone, expected->zone);
+	assert_int_equal(read->n_machine_types, expected->n_machine_types);
+	for (int number = 0; number < expected->n_machine_types; number++)
+		assert_string_equal(read->machine_types[number], expected->machine_types[number]);
+	assert_int_equal(read->kind, expected->kind);
+	assert_int_equal(read->priority, expected->priority);
+	assert_int_equal(read->n_tasks, expected->n_tasks);
+	assert_true(read->cpus == expected->cpus);
+	assert_true(read->gpus == expected->gpus);
+	assert_true(read->ram_gb == expected->ram_gb);
+	assert_true(read->image_gb == expected->image_gb);
+	assert_true(read->expected_s == expected->expected_s);
+	assert_true(read->checkpoint_every_s == expected->checkpoint_every_s);
+	assert_true(read->checkpoint_cost_s == expected->checkpoint_cost_s);
+	assert_true(read->due_s == expected->due_s);
+	assert_int_equal(read->has_zone, expected->has_zone);
+	assert_int_equal(read->together, expected->together);
+	assert_int_equal(read->apart, expected->apart);
+	assert_int_equal(read->reclaimable, expected->reclaimable);
+}
+
+static void assert_live(const char *text, const struct fl_job_spec *spec, double submitted)
+{
+	struct fl_job_record record = read_record(text, spec->ref);
+
+	assert_false(record.final);
+	assert_true(record.has_spec);
+	assert_int_equal(record.n_tasks, spec->n_tasks);
+	assert_true(record.submitted == submitted);
+	assert_true(record.cancelled == 0);
+	assert_spec(&record.spec, spec);
+	assert_text(fl_job_record_live(spec, submitted), text);
+}
+
+static void a_live_job_is_stored_with_every_field_of_its_description(void **state)
+{
+	(void)state;
+	assert_live(LIVE, &live_spec, 1700000100.25);
+	assert_live(RECLAIMABLE, &reclaimable_spec, 8);
+	assert_live(STANDARD, &standard_spec, 8);
+}
+
+static void a_cancelled_job_is_stored_with_its_description_and_end(void **state)
+{
+	struct fl_job_record record = read_record(CANCELLED, "run-000413");
+
+	(void)state;
+	assert_true(record.final);
+	assert_int_equal(record.status, FL_CANCELLED);
+	assert_true(record.has_spec);
+	assert_int_equal(record.n_tasks, 9);
+	assert_true(record.submitted == 1700000200.5);
+	assert_true(record.cancelled == 1700000300.75);
+	assert_spec(&record.spec, &cancelled_spec);
+	assert_text(fl_job_record_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
+	            CANCELLED);
+}
+
+static void assert_final(const char *text, enum fl_status status, uint32_t n_tasks)
+{
+	struct fl_job_record record = read_record(text, "run-000412");
+
+	assert_true(record.final);
+	assert_false(record.has_spec);
+	assert_int_equal(record.status, status);
+	assert_int_equal(record.n_tasks, n_tasks);
+	assert_text(fl_job_record_final(status, n_tasks), text);
+}
+
+static void a_job_that_is_over_is_stored_as_its_status_and_size(void **state)
+{
+	(void)state;
+	assert_final(FINAL_DONE, FL_DONE, 71);
+	assert_final(FINAL_CANCELLED, FL_CANCELLED, 72);
+}
+
+/* ---- machine types ---- */
+
+static void assert_large(const struct fl_offered_type *type)
+{
+	assert_string_equal(type->name, "large");
+	assert_true(type->cpus == 96);
+	assert_true(type->gpus == 8);
+	assert_true(type->ram_gb == 768.5);
+	assert_true(type->cache_gb == 900);
+	assert_true(type->pull_gb_s == 1.25);
+	assert_true(type->price == 9.5);
+	assert_true(type->spot_price == 3.5);
+	assert_true(type->ready_s == 45);
+	assert_int_equal(type->n_zones, 2);
+	assert_string_equal(type->zones[0], "north");
+	assert_string_equal(type->zones[1], "south");
+}
+
+static void machine_types_are_stored_with_every_field(void **state)
+{
+	struct fl_offered_type *types;
+	cJSON *tree = parse(MACHINE_TYPES);
+	int count;
+
+	(void)state;
+	assert_int_equal(fl_machine_types_decode(tree, &types, &count), 0);
+	cJSON_Delete(tree);
+	assert_int_equal(count, 2);
+	assert_large(&types[0]);
+	assert_string_equal(types[1].name, "small");
+	assert_text(fl_machine_types_encode(types, count), MACHINE_TYPES);
+	free(types);
+}
+
+/* ---- progress records and the log ---- */
+
+/* What a job was submitted with survives its stay in memory, where its record is written from. */
+static void a_job_read_from_its_record_is_written_as_it_was(void **state)
+{
+	struct fl_cluster cluster = {0};
+	struct fl_job *job = add_job(&cluster);
+	struct fl_job_spec spec;
+
+	(void)state;
+	fl_job_describe(&cluster, job, &spec);
+	assert_text(fl_job_record_live(&spec, job->submitted), LIVE);
+	fl_cluster_free(&cluster);
+}
+
+static void progress_is_stored_by_phase(void **state)
+{
+	struct fl_cluster read = {0}, made = {0};
+	struct fl_job *job = add_job(&read);
+	cJSON *tree = parse(PROGRESS);
+
+	(void)state;
+	assert_int_equal(fl_chunk_restore(&read, job, 1, tree, 6, NULL, 1), 0);
+	cJSON_Delete(tree);
+	assert_progress(&read, job);
+	assert_int_equal(job->chunks[1]->rev, 6);
+	assert_text(fl_chunk_encode(&read, job, 1), PROGRESS);
+	job = add_job(&made);
+	make_progress(&made, job);
+	assert_text(fl_chunk_encode(&made, job, 1), PROGRESS);
+	assert_text(fl_chunk_encode_unsaved(&made, job, 1), PROGRESS);
+	fl_cluster_free(&read);
+	fl_cluster_free(&made);
+}
+
+static void progress_is_counted_from_its_record(void **state)
+{
+	cJSON *tree = parse(PROGRESS);
+	uint32_t done = 10, placed = 20;
+
+	(void)state;
+	assert_int_equal(fl_chunk_count(tree, &done, &placed), 0);
+	cJSON_Delete(tree);
+	assert_int_equal(done, 14);
+	assert_int_equal(placed, 22);
+}
+
+static void the_log_is_written_as_groups_of_changes(void **state)
+{
+	struct fl_cluster cluster = {0};
+	struct fl_job *job = add_job(&cluster);
+	cJSON *value = fl_log_value_begin();
+	static const char *const expected[] = {NULL, GROUP, OTHER_GROUP};
+
+	(void)state;
+	make_progress(&cluster, job);
+	for (uint32_t chunk = 1; chunk <= 2; chunk++) {
+		char *group = fl_log_group_encode(&cluster, job, chunk);
+
+		assert_string_equal(group, expected[chunk]);
+		fl_log_value_add(value, group);
+		free(group);
+	}
+	assert_text(value, LOG);
+	fl_cluster_free(&cluster);
+}
+
+static void the_log_is_read_as_groups_of_changes(void **state)
+{
+	struct fl_cluster cluster = {0};
+	struct fl_job *job = add_job(&cluster);
+	cJSON *tree = parse(LOG);
+	struct fl_log log = {0};
+
+	(void)state;
+	assert_int_equal(fl_log_read(&log, tree), 0);
+	cJSON_Delete(tree);
+	assert_int_equal(log.n, 2);
+	assert_string_equal(log.at[0].ref, "run-000412");
+	assert_string_equal(log.at[1].ref, "run-000412");
+	assert_int_equal(log.at[0].chunk, 1);
+	assert_int_equal(log.at[1].chunk, 2);
+	assert_text(cJSON_Duplicate(log.at[0].changes, true), PROGRESS);
+	assert_int_equal(fl_chunk_restore(&cluster, job, 1, NULL, 0, &log, 1), 0);
+	assert_true(log.at[0].taken && !log.at[1].taken);
+	assert_progress(&cluster, job);
+	assert_false(fl_task_saved(fl_job_chunk(job, 1), fl_task_peek(job, 68)));
+	fl_log_free(&log);
+	fl_cluster_free(&cluster);
+}
+
+/* ---- cached reports ---- */
+
+static void assert_report(const struct fl_report *read, const struct fl_report *expected)
+{
+	assert_string_equal(read->host, expected->host);
+	assert_int_equal(read->session, expected->session);
+	assert_int_equal(read->seq, expected->seq);
+	assert_int_equal(read->epoch, expected->epoch);
+	assert_true(read->reclaim_in_s == expected->reclaim_in_s);
+	assert_int_equal(read->n_tasks, expected->n_tasks);
+	for (int number = 0; number < expected->n_tasks; number++) {
+		assert_string_equal(read->tasks[number].ref, expected->tasks[number].ref);
+		assert_int_equal(read->tasks[number].index, expected->tasks[number].index);
+		assert_int_equal(read->tasks[number].attempt, expected->tasks[number].attempt);
+		assert_int_equal(read->tasks[number].state, expected->tasks[number].state);
+		assert_int_equal(read->tasks[number].exit, expected->tasks[number].exit);
+	}
+}
+
+static void a_digest_is_written_as_cached_reports(void **state)
+{
+	struct fl_task_report tasks[CACHED_TASKS];
+	struct fl_report report = make_report(tasks);
+	char *cached = fl_cached_report_encode(&report);
+	cJSON *digest = fl_digest_begin(108);
+
+	(void)state;
+	assert_string_equal(cached, CACHED);
+	fl_digest_add(digest, cached);
+	free(cached);
+	cached = fl_cached_report_encode(&without_tasks);
+	assert_string_equal(cached, CACHED_WITHOUT_TASKS);
+	fl_digest_add(digest, cached);
+	free(cached);
+	assert_text(digest, DIGEST);
+}
+
+static void a_digest_is_read_as_cached_reports(void **state)
+{
+	struct fl_task_report tasks[CACHED_TASKS];
+	struct fl_report expected = make_report(tasks), read;
+	cJSON *digest = parse(DIGEST);
+	const cJSON *list = fl_digest_reports(digest);
+
+	(void)state;
+	assert_int_equal(cJSON_GetArraySize(list), 2);
+	assert_int_equal(fl_cached_report_decode(cJSON_GetArrayItem(list, 0), &read), 0);
+	assert_report(&read, &expected);
+	fl_report_free(&read);
+	assert_int_equal(fl_cached_report_decode(cJSON_GetArrayItem(list, 1), &read), 0);
+	assert_report(&read, &without_tasks);
+	fl_report_free(&read);
+	cJSON_Delete(digest);
+}
+
+/* ---- keys ---- */
+
+static void every_key_and_prefix_stays(void **state)
+{
+	char key[FL_KEY_MAX], ref[FL_REF_MAX];
+	uint32_t chunk;
+
+	(void)state;
+	assert_string_equal(FL_KEY_LEAD, "c/lead");
+	assert_string_equal(FL_KEY_EPOCH, "c/epoch");
+	assert_string_equal(FL_PREFIX_CONTROL, "c/");
+	assert_string_equal(FL_KEY_MACHINE_TYPES, "m/kinds");
+	assert_string_equal(FL_PREFIX_JOBS, "j/");
+	assert_string_equal(FL_PREFIX_FINISHED, "f/");
+	assert_string_equal(FL_PREFIX_PROGRESS, "p/");
+	assert_string_equal(FL_PREFIX_CACHED, "k/");
+	assert_string_equal(FL_PREFIX_LOG, "w/");
+	assert_string_equal(FL_KEY_LOG, "w/0");
+	assert_string_equal(FL_REF_BEGIN, "run-");
+	assert_int_equal(FL_CHUNK, 64);
+	fl_key_job(key, "run-000412");
+	assert_string_equal(key, "j/run-000412");
+	fl_key_finished(key, "run-000413");
+	assert_string_equal(key, "f/run-000413");
+	fl_key_chunk(key, "run-000414", 17);
+	assert_string_equal(key, "p/run-000414/17");
+	assert_int_equal(fl_key_chunk_parse("p/run-000415/18", ref, &chunk), 0);
+	assert_string_equal(ref, "run-000415");
+	assert_int_equal(chunk, 18);
+	assert_int_not_equal(fl_key_chunk_parse("j/run-000415/18", ref, &chunk), 0);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(a_live_job_is_stored_with_every_field_of_its_description),
+		cmocka_unit_test(a_cancelled_job_is_stored_with_its_description_and_end),
+		cmocka_unit_test(a_job_that_is_over_is_stored_as_its_status_and_size),
+		cmocka_unit_test(a_job_read_from_its_record_is_written_as_it_was),
+		cmocka_unit_test(machine_types_are_stored_with_every_field),
+		cmocka_unit_test(progress_is_stored_by_phase),
+		cmocka_unit_test(progress_is_counted_from_its_record),
+		cmocka_unit_test(the_log_is_written_as_groups_of_changes),
+		cmocka_unit_test(the_log_is_read_as_groups_of_changes),
+		cmocka_unit_test(a_digest_is_written_as_cached_reports),
+		cmocka_unit_test(a_digest_is_read_as_cached_reports),
+		cmocka_unit_test(every_key_and_prefix_stays),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_contract_settings.c
@@ -0,0 +1,200 @@
+/*
+ * The golden test of the settings file: every key that is read, with the field that it sets, and
+ * the refusal of a file that lacks it. Sites keep their files: whatever is renamed in the sources,
+ * these keys stay.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <unistd.h>
+
+#include "config.h"
+
+/* Each line as it can be taken out. */
+static const struct {
+	const char *line;
+	const char *refused; /* what is said without the line; NULL: nothing */
+} settings[] = {
+	{"node = \"host-1\"\n", "node: missing"},
+	{"location = \"north\"\n", "location: missing"},
+	{"bind = \"10.0.0.1:81\"\n", "bind: missing"},
+	{"cluster_listen = \"10.0.0.1:82\"\n", "cluster_listen: missing"},
+	{"[external]\n", "external: missing"},
+	{"cloud = \"10.0.0.2:83\"\n", "external.cloud: missing"},
+	{"state = \"10.0.0.3:84\"\n", "external.state: missing"},
+	{"[[known]]\n", NULL},
+	{"node = \"host-2\"\n", "known[0].node: missing"},
+	{"location = \"south\"\n", "known[0].location: missing"},
+	{"addr = \"10.0.0.4:85\"\n", "known[0].addr: missing"},
+	{"[settings]\n", NULL},
+	{"zones = [\"north\", \"south\"]\n", "settings.zones: missing"},
+	{"[[settings.teams]]\n", NULL},
+	{"name = \"physics\"\n", "settings.teams[0].name: missing"},
+	{"cpus = 11.5\n", "settings.teams[0].cpus: missing"},
+	{"cpus_max = 12.5\n", "settings.teams[0].cpus_max: missing"},
+	{"gpus = 13.5\n", "settings.teams[0].gpus: missing"},
+	{"gpus_max = 14.5\n", "settings.teams[0].gpus_max: missing"},
+	{"[[settings.objectives]]\n", NULL},
+	{"kind = \"wait\"\n", "settings.objectives[0].kind: missing"},
+	{"class = \"nightly\"\n", NULL},
+	{"within_s = 15.5\n", "settings.objectives[0].within_s: missing"},
+	{"share = 0.625\n", "settings.objectives[0].share: missing"},
+	{"[settings.workers]\n", "settings.workers: missing"},
+	{"report_s = 2.5\n", "settings.workers.report_s: missing"},
+	{"lease_s = 16.5\n", "settings.workers.lease_s: missing"},
+	{"cancel_s = 47.5\n", "settings.workers.cancel_s: missing"},
+	{"[settings.state]\n", "settings.state: missing"},
+	{"rps = 118.5\n", "settings.state.rps: missing"},
+	{"write_rps = 59.5\n", "settings.state.write_rps: missing"},
+	{"value_kb = 4.5\n", "settings.state.value_kb: missing"},
+	{"txn_ops = 65\n", "settings.state.txn_ops: missing"},
+	{"[settings.cloud]\n", "settings.cloud: missing"},
+	{"rps = 1.75\n", "settings.cloud.rps: missing"},
+	{"list_lag_s = 20.5\n", "settings.cloud.list_lag_s: missing"},
+	{"[settings.resources]\n", "settings.resources: missing"},
+	{"core_share = 0.375\n", "settings.resources.core_share: missing"},
+	{"ram_mb = 321.5\n", "settings.resources.ram_mb: missing"},
+	{"max_connections = 1234\n", "settings.resources.max_connections: missing"},
+};
+
+enum { SETTINGS = sizeof(settings) / sizeof(settings[0]), SETTINGS_TEXT_MAX = 4096 };
+
+/* Reads the text as a settings file; `error` begins after the file's name. */
+static int read_settings(const char *text, struct fl_config *config, char error[256])
+{
+	char path[] = P_tmpdir "/contract-settings-XXXXXX", said[320] = "";
+	int file = mkstemp(path), result;
+	size_t length = strlen(text);
+
+	assert_true(file >= 0);
+	assert_int_equal(write(file, text, length), (ssize_t)length);
+	close(file);
+	result = fl_config_read(path, config, said, sizeof(said));
+	unlink(path);
+	error[0] = 0;
+	if (result != 0) {
+		assert_memory_equal(said, path, strlen(path));
+		snprintf(error, 256, "%s", said + strlen(path) + strlen(": "));
+	}
+	return result;
+}
+
+/* The whole file without this line; a table's line gives way to that of a table not read. */
+static void settings_without(int without, char text[SETTINGS_TEXT_MAX])
+{
+	size_t length = 0;
+
+	text[0] = 0;
+	for (int number = 0; number < SETTINGS; number++) {
+		const char *line = settings[number].line;
+
+		if (number == without)
+			line = line[0] == '[' ? "[elsewhere]\n" : "";
+		length += (size_t)snprintf(text + length, SETTINGS_TEXT_MAX - length, "%s", line);
+	}
+	assert_true(length < SETTINGS_TEXT_MAX);
+}
+
+static void assert_lists(const struct fl_config *config)
+{
+	assert_int_equal(config->n_peers, 1);
+	assert_string_equal(config->peers[0].node, "host-2");
+	assert_string_equal(config->peers[0].location, "south");
+	assert_string_equal(config->peers[0].addr, "10.0.0.4:85");
+	assert_int_equal(config->n_zones, 2);
+	assert_string_equal(config->zones[0], "north");
+	assert_string_equal(config->zones[1], "south");
+	assert_int_equal(config->n_teams, 1);
+	assert_string_equal(config->teams[0].name, "physics");
+	assert_true(config->teams[0].cpus == 11.5);
+	assert_true(config->teams[0].cpus_max == 12.5);
+	assert_true(config->teams[0].gpus == 13.5);
+	assert_true(config->teams[0].gpus_max == 14.5);
+	assert_int_equal(config->n_objectives, 1);
+	assert_string_equal(config->objectives[0].kind, "wait");
+	assert_string_equal(config->objectives[0].job_class, "nightly");
+	assert_true(config->objectives[0].within_s == 15.5);
+	assert_true(config->objectives[0].share == 0.625);
+}
+
+static void every_setting_is_read_from_its_key(void **state)
+{
+	struct fl_config config;
+	char text[SETTINGS_TEXT_MAX], error[256];
+
+	(void)state;
+	settings_without(-1, text);
+	if (read_settings(text, &config, error) != 0)
+		fail_msg("%s", error);
+	assert_string_equal(config.node, "host-1");
+	assert_string_equal(config.location, "north");
+	assert_string_equal(config.bind, "10.0.0.1:81");
+	assert_string_equal(config.cluster_listen, "10.0.0.1:82");
+	assert_string_equal(config.cloud, "10.0.0.2:83");
+	assert_string_equal(config.state, "10.0.0.3:84");
+	assert_lists(&config);
+	assert_true(config.report_s == 2.5);
+	assert_true(config.lease_s == 16.5);
+	assert_true(config.cancel_s == 47.5);
+	assert_true(config.state_rps == 118.5);
+	assert_true(config.state_write_rps == 59.5);
+	assert_true(config.value_kb == 4.5);
+	assert_int_equal(config.txn_ops, 65);
+	assert_true(config.cloud_rps == 1.75);
+	assert_true(config.list_lag_s == 20.5);
+	assert_true(config.core_share == 0.375);
+	assert_true(config.ram_mb == 321.5);
+	assert_int_equal(config.max_connections, 1234);
+}
+
+static void a_settings_file_that_lacks_a_key_is_refused_by_its_name(void **state)
+{
+	struct fl_config config;
+	char text[SETTINGS_TEXT_MAX], error[256];
+
+	(void)state;
+	for (int number = 0; number < SETTINGS; number++) {
+		if (!settings[number].refused)
+			continue;
+		settings_without(number, text);
+		assert_int_equal(read_settings(text, &config, error), -1);
+		assert_string_equal(error, settings[number].refused);
+	}
+	settings_without(-1, text);
+	*strstr(text, "[settings]") = 0;
+	assert_int_equal(read_settings(text, &config, error), -1);
+	assert_string_equal(error, "settings: missing");
+}
+
+static void an_objective_without_a_class_is_for_all(void **state)
+{
+	struct fl_config config;
+	char text[SETTINGS_TEXT_MAX], error[256];
+
+	(void)state;
+	for (int number = 0; number < SETTINGS; number++) {
+		if (strncmp(settings[number].line, "class", 5) != 0)
+			continue;
+		settings_without(number, text);
+		assert_int_equal(read_settings(text, &config, error), 0);
+		assert_string_equal(config.objectives[0].job_class, "");
+		assert_string_equal(config.objectives[0].kind, "wait");
+	}
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(every_setting_is_read_from_its_key),
+		cmocka_unit_test(a_settings_file_that_lacks_a_key_is_refused_by_its_name),
+		cmocka_unit_test(an_objective_without_a_class_is_for_all),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
