--- a/tests/contract_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -1,5 +1,5 @@
 /* The state that the literal texts tell of, made without reading them. */
-#include "contract_fixture.h"
+#include "contract_records_fixture.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/contract_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -2,8 +2,8 @@
  * The literal texts of stored records: one of each kind, as it stands in the state service. Records
  * outlive the program that wrote them: whatever is renamed in the sources, these texts stay.
  */
-#ifndef FL_TESTS_CONTRACT_FIXTURE_H
-#define FL_TESTS_CONTRACT_FIXTURE_H
+#ifndef FL_TESTS_CONTRACT_RECORDS_FIXTURE_H
+#define FL_TESTS_CONTRACT_RECORDS_FIXTURE_H
 
 #include "protocol/workers.h"
 #include "storage/records.h"
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "contract_fixture.h"
+#include "contract_records_fixture.h"
 #include "protocol/peers.h"
 
 /* ---- job records ---- */
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "contract_fixture.h"
+#include "contract_records_fixture.h"
 #include "coordination/lease.h"
 #include "coordination/node.h"
 #include "coordination/record_writer_internal.h"
