--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -93,17 +93,17 @@
 
 static int write_cancel(struct fl_node *n, struct fl_job *job, double cancelled, uint64_t *rev)
 {
-	struct fl_multi m;
+	struct fl_kv_txn txn;
 	struct fl_job_spec run;
 	char key[FL_KEY_MAX];
 
 	fl_key_job(key, job->ref);
 	fl_job_describe(&n->cluster, job, &run);
-	fl_multi_init(&m);
-	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
-	fl_multi_when(&m, key, job->rev);
-	fl_multi_put(&m, key, fl_job_record_cancelled(&run, job->submitted, cancelled), 0);
-	return fl_state_multi(&n->state, &m, rev, NULL);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_expect_revision(&txn, key, job->rev);
+	fl_kv_txn_put(&txn, key, fl_job_record_cancelled(&run, job->submitted, cancelled), 0);
+	return fl_kv_txn_commit(&n->kv_store, &txn, rev, NULL);
 }
 
 void fl_answer_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -66,7 +66,7 @@
 static void read_records(struct fl_node *n, struct fl_job_lookup *q)
 {
 	q->rc = fl_job_lookup_affords(n, tunables.reads)
-	                ? fl_records_read(&n->state, q->ref, &q->rec, &q->v, &q->rev)
+	                ? fl_records_read(&n->kv_store, q->ref, &q->rec, &q->v, &q->rev)
 	                : -EAGAIN;
 	/* It never changes again: who asks next is answered from memory. */
 	if (!q->rc && q->rec.final && !q->v && q->rec.status == FL_DONE)
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -27,18 +27,18 @@
 
 /* ---- reports that other nodes cached and could not relay ---- */
 
-static void on_forwarded(void *ctx, const struct fl_change *ch)
+static void on_forwarded(void *ctx, const struct fl_kv_event *event)
 {
 	struct fl_node *n = ctx;
 	const cJSON *e;
 
-	if (!ch->value || !fl_leading(n))
+	if (!event->value || !fl_leading(n))
 		return;
-	cJSON_ArrayForEach (e, fl_digest_reports(ch->value)) {
+	cJSON_ArrayForEach (e, fl_digest_reports(event->value)) {
 		struct fl_report r;
 
 		if (fl_cached_report_decode(e, &r) != 0) {
-			fl_error("standby", "%s holds what is no report", ch->key);
+			fl_error("standby", "%s holds what is no report", event->key);
 			continue;
 		}
 		/* The machine is alive, but not reachable from here: it gets no new task. */
@@ -53,10 +53,10 @@
 	uint64_t rev = 0;
 
 	while (!fl_cancelled()) {
-		int rc = rev == 0
-		                 ? fl_state_list(&n->state, FL_PREFIX_CACHED, on_forwarded, n, &rev)
-		                 : fl_state_follow(&n->state, FL_PREFIX_CACHED, &rev,
-		                                   tunables.watch_s, on_forwarded, n);
+		int rc = rev == 0 ? fl_kv_list(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
+		                               on_forwarded, n, &rev)
+		                  : fl_kv_watch(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, &rev,
+		                                tunables.watch_s, on_forwarded, n);
 		if (rc == -ERANGE)
 			rev = 0;
 		if (rc && fl_sleep(tunables.retry_s) != 0)
@@ -68,14 +68,14 @@
 
 /* ---- jobs that were done before this leadership ---- */
 
-static void on_finished(void *ctx, const struct fl_change *ch)
+static void on_finished(void *ctx, const struct fl_kv_event *event)
 {
 	struct fl_node *n = ctx;
-	const char *ref = ch->key + strlen(FL_PREFIX_FINISHED);
+	const char *ref = event->key + strlen(FL_PREFIX_FINISHED);
 	struct fl_job_record rec;
 
-	if (strlen(ref) >= FL_REF_MAX || !ch->value ||
-	    fl_job_record_decode(ch->value, ref, &rec) != 0 || rec.status != FL_DONE)
+	if (strlen(ref) >= FL_REF_MAX || !event->value ||
+	    fl_job_record_decode(event->value, ref, &rec) != 0 || rec.status != FL_DONE)
 		return;
 	if (!n->cluster.finished_max || HASH_COUNT(n->cluster.finished) < n->cluster.finished_max)
 		fl_finished_add(&n->cluster, ref, rec.status, rec.n_tasks, 0);
@@ -99,7 +99,7 @@
 		if (digit > 9 || !fl_leading(n))
 			continue;
 		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
-		if (fl_state_list(&n->state, prefix, on_finished, n, &rev) == 0)
+		if (fl_kv_list(&n->kv_store, prefix, on_finished, n, &rev) == 0)
 			digit++;
 	}
 	n->lead.running--;
@@ -126,11 +126,11 @@
 {
 	struct fl_node *n = arg;
 	double rate = n->config->state_write_rps * tunables.write_share;
-	uint64_t grant = n->lease.grant;
+	uint64_t lease_id = n->lease.grant;
 	int rc = fl_takeover_load(n);
 
 	n->lead.loading = false;
-	if (rc != 0 || !fl_lease_valid(n) || n->lease.grant != grant) {
+	if (rc != 0 || !fl_lease_valid(n) || n->lease.grant != lease_id) {
 		fl_cluster_forget_tasks(&n->cluster);
 		n->cluster.leading = false;
 		return;
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -38,18 +38,18 @@
 	bool found;
 };
 
-static void read_control(void *ctx, const struct fl_change *change)
+static void read_control(void *ctx, const struct fl_kv_event *event)
 {
 	struct control *control = ctx;
 
-	if (strcmp(change->key, FL_KEY_LEAD) == 0 && change->value) {
-		control->found = fl_json_str(change->value, "node", control->leader,
+	if (strcmp(event->key, FL_KEY_LEADER) == 0 && event->value) {
+		control->found = fl_json_str(event->value, "node", control->leader,
 		                             sizeof(control->leader)) == FL_FIELD_OK;
-		fl_json_str(change->value, "boot", control->boot, sizeof(control->boot));
-		control->lead_rev = change->rev;
-	} else if (strcmp(change->key, FL_KEY_EPOCH) == 0 && change->value) {
-		fl_json_count(change->value, "epoch", &control->epoch);
-		control->epoch_rev = change->rev;
+		fl_json_str(event->value, "boot", control->boot, sizeof(control->boot));
+		control->lead_rev = event->mod_revision;
+	} else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value) {
+		fl_json_count(event->value, "epoch", &control->epoch);
+		control->epoch_rev = event->mod_revision;
 	}
 }
 
@@ -61,7 +61,7 @@
 	int rc;
 
 	memset(control, 0, sizeof(*control));
-	rc = fl_state_list(&n->state, FL_PREFIX_CONTROL, read_control, control, &rev);
+	rc = fl_kv_list(&n->kv_store, FL_PREFIX_ELECTION, read_control, control, &rev);
 	if (rc)
 		return rc;
 	if (control->epoch >= n->epoch) {
@@ -95,11 +95,11 @@
 static void acquire(struct fl_node *n, const struct control *control)
 {
 	struct fl_lease *lease = &n->lease;
-	uint64_t grant, rev, epoch = control->epoch + 1;
+	uint64_t lease_id, rev, epoch = control->epoch + 1;
 	double sent = fl_now();
-	struct fl_multi writes;
+	struct fl_kv_txn txn;
 	cJSON *lead, *epoch_value;
-	int rc = fl_state_hold(&n->state, tunables.ttl_s, &grant);
+	int rc = fl_kv_lease_grant(&n->kv_store, tunables.ttl_s, &lease_id);
 
 	if (rc)
 		return;
@@ -108,18 +108,18 @@
 	cJSON_AddStringToObject(lead, "boot", n->boot);
 	epoch_value = cJSON_CreateObject();
 	cJSON_AddNumberToObject(epoch_value, "epoch", (double)epoch);
-	fl_multi_init(&writes);
-	fl_multi_when(&writes, FL_KEY_LEAD, 0);
-	fl_multi_when(&writes, FL_KEY_EPOCH, control->epoch_rev);
-	fl_multi_put(&writes, FL_KEY_LEAD, lead, grant);
-	fl_multi_put(&writes, FL_KEY_EPOCH, epoch_value, 0);
-	rc = fl_state_multi(&n->state, &writes, &rev, NULL);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, 0);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_FENCING_TOKEN, control->epoch_rev);
+	fl_kv_txn_put(&txn, FL_KEY_LEADER, lead, lease_id);
+	fl_kv_txn_put(&txn, FL_KEY_FENCING_TOKEN, epoch_value, 0);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
 	if (rc) {
 		/* If it was, or will yet be, carried out: the key goes with its lease. */
-		fl_state_release(&n->state, grant);
+		fl_kv_lease_revoke(&n->kv_store, lease_id);
 		return;
 	}
-	lease->grant = grant;
+	lease->grant = lease_id;
 	lease->lead_rev = lease->epoch_rev = rev;
 	lease->epoch = epoch;
 	lease->valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
@@ -136,20 +136,20 @@
 static void raise_epoch(struct fl_node *n)
 {
 	struct fl_lease *lease = &n->lease;
-	uint64_t rev, grant = lease->grant;
-	struct fl_multi writes;
+	uint64_t rev, lease_id = lease->grant;
+	struct fl_kv_txn txn;
 	struct control control;
 	cJSON *epoch_value = cJSON_CreateObject();
 	int rc;
 
 	lease->raised_at = fl_now();
 	cJSON_AddNumberToObject(epoch_value, "epoch", (double)(lease->epoch + 1));
-	fl_multi_init(&writes);
-	fl_multi_when(&writes, FL_KEY_LEAD, lease->lead_rev);
-	fl_multi_when(&writes, FL_KEY_EPOCH, lease->epoch_rev);
-	fl_multi_put(&writes, FL_KEY_EPOCH, epoch_value, 0);
-	rc = fl_state_multi(&n->state, &writes, &rev, NULL);
-	if (!lease->held || lease->grant != grant)
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, lease->lead_rev);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_FENCING_TOKEN, lease->epoch_rev);
+	fl_kv_txn_put(&txn, FL_KEY_FENCING_TOKEN, epoch_value, 0);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
+	if (!lease->held || lease->grant != lease_id)
 		return;
 	if (!rc) {
 		lease->epoch++;
@@ -169,11 +169,11 @@
 static double renew(struct fl_node *n)
 {
 	struct fl_lease *lease = &n->lease;
-	uint64_t grant = lease->grant;
+	uint64_t lease_id = lease->grant;
 	double sent = fl_now();
-	int rc = fl_state_extend(&n->state, grant, tunables.renew_s);
+	int rc = fl_kv_lease_keep_alive(&n->kv_store, lease_id, tunables.renew_s);
 
-	if (!lease->held || lease->grant != grant)
+	if (!lease->held || lease->grant != lease_id)
 		return 0;
 	if (rc == 0) {
 		/* While the lease was in doubt no digest could come: silence is counted from now.
@@ -201,7 +201,7 @@
 static double seek(struct fl_node *n, int place)
 {
 	struct control control;
-	uint64_t rev, grant = 0;
+	uint64_t rev, lease_id = 0;
 	cJSON *value;
 
 	if (read_leadership(n, &control) != 0)
@@ -210,10 +210,10 @@
 		return tunables.poll_s;
 	if (control.found && strcmp(control.boot, n->boot) != 0) {
 		/* An earlier process of this node; it is dead, or this one would not run. */
-		if (fl_state_get(&n->state, FL_KEY_LEAD, &value, &rev, &grant) == 0) {
+		if (fl_kv_get(&n->kv_store, FL_KEY_LEADER, &value, &rev, &lease_id) == 0) {
 			cJSON_Delete(value);
-			if (grant && rev == control.lead_rev)
-				fl_state_release(&n->state, grant);
+			if (lease_id && rev == control.lead_rev)
+				fl_kv_lease_revoke(&n->kv_store, lease_id);
 		}
 		return 0;
 	}
@@ -253,20 +253,20 @@
 	}
 }
 
-static void on_control(void *ctx, const struct fl_change *change)
+static void on_control(void *ctx, const struct fl_kv_event *event)
 {
 	struct fl_node *n = ctx;
 	uint64_t epoch;
 
-	if (strcmp(change->key, FL_KEY_LEAD) == 0) {
-		if (!change->value)
+	if (strcmp(event->key, FL_KEY_LEADER) == 0) {
+		if (!event->value)
 			n->leader[0] = 0;
 		else
-			fl_json_str(change->value, "node", n->leader, sizeof(n->leader));
+			fl_json_str(event->value, "node", n->leader, sizeof(n->leader));
 		if (!n->lease.held)
 			fl_signal_wake(&n->control_changed);
-	} else if (strcmp(change->key, FL_KEY_EPOCH) == 0 && change->value &&
-	           fl_json_count(change->value, "epoch", &epoch) == FL_FIELD_OK) {
+	} else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value &&
+	           fl_json_count(event->value, "epoch", &epoch) == FL_FIELD_OK) {
 		if (epoch > n->epoch)
 			n->epoch = epoch;
 	}
@@ -284,13 +284,13 @@
 		int rc;
 
 		if (rev == 0) {
-			rc = fl_state_list(&n->state, FL_PREFIX_CONTROL, on_control, n, &rev);
+			rc = fl_kv_list(&n->kv_store, FL_PREFIX_ELECTION, on_control, n, &rev);
 			/* A read like any other: with it a node just started can renew at once. */
 			if (rc == 0 && sent > n->leadership_confirmed_at)
 				n->leadership_confirmed_at = sent;
 		} else {
-			rc = fl_state_follow(&n->state, FL_PREFIX_CONTROL, &rev, tunables.watch_s,
-			                     on_control, n);
+			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_ELECTION, &rev, tunables.watch_s,
+			                 on_control, n);
 		}
 		if (rc == -ERANGE)
 			rev = 0;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -148,10 +148,10 @@
 
 /* ---- what every node knows ---- */
 
-static void on_job(void *ctx, const struct fl_change *ch)
+static void on_job(void *ctx, const struct fl_kv_event *event)
 {
 	struct fl_node *n = ctx;
-	const char *ref = ch->key + strlen(FL_PREFIX_JOBS);
+	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job *job;
 	bool known;
 
@@ -159,7 +159,7 @@
 		return;
 	job = fl_job_find(&n->cluster, ref);
 	known = job && job->cancelled;
-	job = fl_cluster_apply(&n->cluster, ref, ch->value, ch->rev);
+	job = fl_cluster_apply(&n->cluster, ref, event->value, event->mod_revision);
 	if (!job || !n->lead.active)
 		return;
 	if (job->cancelled && !known) {
@@ -185,12 +185,12 @@
 		if (rev == 0) {
 			if (!n->cluster.leading)
 				fl_cluster_list_begin(&n->cluster);
-			rc = fl_state_list(&n->state, FL_PREFIX_JOBS, on_job, n, &rev);
+			rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, on_job, n, &rev);
 			if (rc == 0 && !n->cluster.leading)
 				fl_cluster_list_end(&n->cluster, rev);
 		} else {
-			rc = fl_state_follow(&n->state, FL_PREFIX_JOBS, &rev, tunables.hold_s,
-			                     on_job, n);
+			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_JOBS, &rev, tunables.hold_s,
+			                 on_job, n);
 		}
 		if (rc == 0)
 			n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
@@ -214,7 +214,7 @@
 {
 	uint64_t rev;
 	cJSON *v = NULL;
-	int rc = fl_state_get(&n->state, FL_KEY_MACHINE_TYPES, &v, &rev, NULL);
+	int rc = fl_kv_get(&n->kv_store, FL_KEY_MACHINE_TYPES, &v, &rev, NULL);
 
 	if (!rc)
 		rc = fl_machine_types_decode(v, types, count);
@@ -277,7 +277,7 @@
 			return -EINVAL;
 	}
 	fl_job_lookups_init(n);
-	if (fl_state_init(&n->state, c->state) != 0)
+	if (fl_kv_init(&n->kv_store, c->state) != 0)
 		return -EINVAL;
 	return fl_http_client_init(&n->cloud.http, c->cloud, 2);
 }
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -17,7 +17,7 @@
 #include "coordination/user_calls.h"
 #include "protocol/cloud.h"
 #include "protocol/peers.h"
-#include "protocol/state.h"
+#include "protocol/kv_store.h"
 #include "transport/http_server.h"
 
 /* Another controller, and whether exchanges with it come back. */
@@ -36,7 +36,7 @@
 struct fl_node {
 	const struct fl_config *config;
 	struct fl_cluster cluster;
-	struct fl_state state;
+	struct fl_kv_store kv_store;
 	struct fl_cloud cloud;
 	struct fl_peer peers[FL_CONFIG_PEERS];
 	int n_peers;
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -37,15 +37,15 @@
 /* For controllers that start while the cloud is out: see read_types in node.c. */
 static void store_types(struct fl_node *n, const struct fl_offered_type *types, int count)
 {
-	struct fl_multi write;
+	struct fl_kv_txn txn;
 	uint64_t rev;
 
 	if (fl_budget_take(&n->lead.writes, 1, fl_now()) > 0)
 		return; /* launches need the writes: the next look will do */
-	fl_multi_init(&write);
-	fl_multi_when(&write, FL_KEY_LEAD, n->lease.lead_rev);
-	fl_multi_put(&write, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
-	if (fl_state_multi(&n->state, &write, &rev, NULL) != 0)
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_put(&txn, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
+	if (fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL) != 0)
 		fl_debug("cloud", "machine types not stored");
 }
 
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -30,7 +30,7 @@
 	int rc;
 
 	fl_key_chunk(key, job->ref, chunk);
-	rc = fl_state_get(&n->state, key, &v, &rev, NULL);
+	rc = fl_kv_get(&n->kv_store, key, &v, &rev, NULL);
 	cJSON_Delete(v);
 	if (rc && rc != -ENOENT)
 		return rc;
@@ -76,8 +76,8 @@
 }
 
 /* Adds the chunks to write; 1: the record of one must be read first. */
-static int collect(struct fl_node *n, struct fl_multi *m, struct fl_batch_item *items, int *count,
-                   int most, enum scope scope)
+static int collect(struct fl_node *n, struct fl_kv_txn *txn, struct fl_batch_item *items,
+                   int *count, int most, enum scope scope)
 {
 	struct fl_job *job, *next;
 	char key[FL_KEY_MAX];
@@ -97,8 +97,8 @@
 			if (c->rev_unknown)
 				return 1; /* must be read first; the caller does so */
 			fl_key_chunk(key, job->ref, i);
-			fl_multi_when(m, key, c->rev);
-			fl_multi_put(m, key, fl_chunk_encode(&n->cluster, job, i), 0);
+			fl_kv_txn_expect_revision(txn, key, c->rev);
+			fl_kv_txn_put(txn, key, fl_chunk_encode(&n->cluster, job, i), 0);
 			items[(*count)++] = (struct fl_batch_item){job, i, c->gen};
 		}
 	}
@@ -121,23 +121,23 @@
 {
 	struct fl_batch_item items[BATCH_MAX];
 	char failed[FL_KEY_MAX];
-	struct fl_multi m;
+	struct fl_kv_txn txn;
 	uint64_t rev;
 	int count, rc;
 
-	fl_multi_init(&m);
-	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
-	rc = collect(n, &m, items, &count, most, scope);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	rc = collect(n, &txn, items, &count, most, scope);
 	if (rc || count == 0) {
-		fl_multi_free(&m);
+		fl_kv_txn_free(&txn);
 		return rc ? reread_unknown(n) : 0;
 	}
 	rc = fl_record_writer_await_budget(n, count);
 	if (rc || !fl_leading(n)) {
-		fl_multi_free(&m);
+		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
-	rc = fl_state_multi(&n->state, &m, &rev, failed);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, failed);
 	for (int i = 0; i < count; i++) {
 		struct fl_chunk *c = items[i].job->chunks[items[i].chunk];
 
@@ -148,7 +148,7 @@
 			c->rev_unknown = true;
 		}
 	}
-	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEAD) == 0)
+	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
 		fl_lease_lost(n, "another leads");
 	return rc;
 }
--- a/src/coordination/record_writer_final.c
+++ b/src/coordination/record_writer_final.c
@@ -25,7 +25,7 @@
 	struct fl_job *job;
 	uint64_t rev = 0;
 	cJSON *v = NULL;
-	int rc = fl_records_read(&n->state, ref, &rec, &v, &rev);
+	int rc = fl_records_read(&n->kv_store, ref, &rec, &v, &rev);
 
 	*over = rc == 0 && v == NULL;
 	*status = rec.status;
@@ -43,23 +43,23 @@
  * records. Returns the first chunk whose record did not fit.
  */
 static uint32_t build_final(const struct fl_node *n, const struct fl_job *job,
-                            enum fl_status status, struct fl_multi *m)
+                            enum fl_status status, struct fl_kv_txn *txn)
 {
 	char key[FL_KEY_MAX];
 	uint32_t rest = 0;
 
-	fl_multi_init(m);
-	fl_multi_when(m, FL_KEY_LEAD, n->lease.lead_rev);
+	fl_kv_txn_init(txn);
+	fl_kv_txn_expect_revision(txn, FL_KEY_LEADER, n->lease.lead_rev);
 	fl_key_job(key, job->ref);
-	fl_multi_when(m, key, job->rev);
-	fl_multi_delete(m, key);
+	fl_kv_txn_expect_revision(txn, key, job->rev);
+	fl_kv_txn_delete(txn, key);
 	fl_key_finished(key, job->ref);
-	fl_multi_put(m, key, fl_job_record_final(status, job->n_tasks), 0);
-	for (; rest < job->n_chunks && m->n_apply < n->config->txn_ops; rest++) {
+	fl_kv_txn_put(txn, key, fl_job_record_final(status, job->n_tasks), 0);
+	for (; rest < job->n_chunks && txn->operation_count < n->config->txn_ops; rest++) {
 		if (!has_record(fl_job_chunk(job, rest)))
 			continue;
 		fl_key_chunk(key, job->ref, rest);
-		fl_multi_delete(m, key);
+		fl_kv_txn_delete(txn, key);
 	}
 	return rest;
 }
@@ -87,7 +87,7 @@
 static int finalise(struct fl_node *n, struct fl_job *job)
 {
 	enum fl_status status;
-	struct fl_multi m;
+	struct fl_kv_txn txn;
 	char failed[FL_KEY_MAX];
 	uint64_t rev;
 	bool done = false;
@@ -103,14 +103,14 @@
 	if (!fl_job_is_over(job))
 		return 0;
 	status = job->cancelled ? FL_CANCELLED : FL_DONE;
-	rest = build_final(n, job, status, &m);
-	rc = fl_record_writer_await_budget(n, m.n_apply);
+	rest = build_final(n, job, status, &txn);
+	rc = fl_record_writer_await_budget(n, txn.operation_count);
 	if (rc || !fl_leading(n)) {
-		fl_multi_free(&m);
+		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
 	job->finishing = true;
-	rc = fl_state_multi(&n->state, &m, &rev, failed);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, failed);
 	if (rc == 0) {
 		discard_from(n, job, rest);
 		drop_finished(n, job, status);
@@ -118,7 +118,7 @@
 	}
 	job->finishing = false;
 	job->unsure = rc != -EAGAIN;
-	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEAD) == 0)
+	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
 		fl_lease_lost(n, "another leads");
 	return rc;
 }
@@ -170,20 +170,20 @@
 int fl_record_writer_delete_pending(struct fl_node *n)
 {
 	struct fl_pending_deletion *t = n->lead.pending_deletions;
-	struct fl_multi m;
+	struct fl_kv_txn txn;
 	uint64_t rev;
 	int rc;
 
-	fl_multi_init(&m);
-	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
-	for (; t && m.n_apply < n->config->txn_ops; t = t->next)
-		fl_multi_delete(&m, t->key);
-	rc = fl_record_writer_await_budget(n, m.n_apply);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	for (; t && txn.operation_count < n->config->txn_ops; t = t->next)
+		fl_kv_txn_delete(&txn, t->key);
+	rc = fl_record_writer_await_budget(n, txn.operation_count);
 	if (rc || !fl_leading(n)) {
-		fl_multi_free(&m);
+		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
-	rc = fl_state_multi(&n->state, &m, &rev, NULL);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
 	while (rc == 0 && n->lead.pending_deletions != t) {
 		struct fl_pending_deletion *deleted = n->lead.pending_deletions;
 
--- a/src/coordination/record_writer_log.c
+++ b/src/coordination/record_writer_log.c
@@ -15,7 +15,7 @@
 
 static void log_key(char key[FL_KEY_MAX], int at)
 {
-	snprintf(key, FL_KEY_MAX, FL_PREFIX_LOG "%d", at);
+	snprintf(key, FL_KEY_MAX, FL_PREFIX_WAL "%d", at);
 }
 
 /* Room for one item more; false without memory. */
@@ -35,7 +35,8 @@
 }
 
 /* Everything unsaved, in as few values as it fits into; how many, or -E2BIG. */
-static int fill_log(struct fl_node *n, struct fl_multi *m, struct fl_batch_item **items, int *count)
+static int fill_log(struct fl_node *n, struct fl_kv_txn *txn, struct fl_batch_item **items,
+                    int *count)
 {
 	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
 	int most = n->config->txn_ops, values = 0, cap = 0;
@@ -53,7 +54,7 @@
 				continue;
 			if (value && used + len > limit) {
 				log_key(key, values++);
-				fl_multi_put(m, key, value, 0);
+				fl_kv_txn_put(txn, key, value, 0);
 				value = NULL;
 			}
 			if (len > limit || (!value && values == most) ||
@@ -74,7 +75,7 @@
 		}
 	if (value) {
 		log_key(key, values++);
-		fl_multi_put(m, key, value, 0);
+		fl_kv_txn_put(txn, key, value, 0);
 	}
 	return values;
 }
@@ -88,7 +89,7 @@
 
 	if (n->lead.log_known)
 		return 0;
-	rc = fl_state_get(&n->state, FL_KEY_LOG, &v, &rev, NULL);
+	rc = fl_kv_get(&n->kv_store, FL_KEY_WAL, &v, &rev, NULL);
 	cJSON_Delete(v);
 	if (rc && rc != -ENOENT)
 		return rc;
@@ -101,23 +102,23 @@
 {
 	struct fl_batch_item *items = NULL;
 	char failed[FL_KEY_MAX] = "";
-	struct fl_multi m;
+	struct fl_kv_txn txn;
 	int count = 0, values, rc = read_log_revision(n);
 	uint64_t rev;
 
 	if (rc)
 		return rc;
-	fl_multi_init(&m);
-	fl_multi_when(&m, FL_KEY_LEAD, n->lease.lead_rev);
-	fl_multi_when(&m, FL_KEY_LOG, n->lead.log_rev);
-	values = fill_log(n, &m, &items, &count);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_WAL, n->lead.log_rev);
+	values = fill_log(n, &txn, &items, &count);
 	rc = values < 0 ? values : fl_record_writer_await_budget(n, values);
 	if (rc || !fl_leading(n)) {
-		fl_multi_free(&m);
+		fl_kv_txn_free(&txn);
 		rc = rc ? rc : -EAGAIN;
 		goto out;
 	}
-	rc = fl_state_multi(&n->state, &m, &rev, failed);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, failed);
 	fl_debug("record", "log of %d records in %d values: %s", count, values,
 	         rc ? strerror(-rc) : "stored");
 	if (rc == 0)
@@ -127,7 +128,7 @@
 	/* Only this routine lets go of jobs: those it counted are still there. */
 	for (int i = 0; i < count && rc == 0; i++)
 		items[i].job->chunks[items[i].chunk]->logged_gen = items[i].gen;
-	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEAD) == 0)
+	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
 		fl_lease_lost(n, "another leads");
 out:
 	free(items);
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -72,7 +72,7 @@
 	}
 	if (rc == 0 || hop)
 		return rc;
-	text = encode(ctx, false, fl_state_in_doubt(&n->state));
+	text = encode(ctx, false, fl_kv_is_unavailable(&n->kv_store));
 	for (int i = 0; i < n->n_peers && rc != 0; i++) {
 		struct fl_peer *p = &n->peers[i];
 
--- a/src/coordination/report_digest.c
+++ b/src/coordination/report_digest.c
@@ -65,14 +65,14 @@
 {
 	struct fl_digest_slot *d = &n->standby.digest[at];
 	char key[FL_KEY_MAX];
-	struct fl_multi m;
+	struct fl_kv_txn txn;
 	uint64_t rev = 0;
 	cJSON *v;
 	int rc = 0;
 
-	snprintf(key, sizeof(key), FL_PREFIX_CACHED "%s/%d", n->config->node, at);
+	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", n->config->node, at);
 	if (!d->known) {
-		rc = fl_state_get(&n->state, key, &v, &rev, NULL);
+		rc = fl_kv_get(&n->kv_store, key, &v, &rev, NULL);
 		cJSON_Delete(v);
 		d->known = rc == 0 || rc == -ENOENT;
 		d->rev = rc == 0 ? rev : 0;
@@ -81,10 +81,10 @@
 		cJSON_Delete(digest);
 		return rc;
 	}
-	fl_multi_init(&m);
-	fl_multi_when(&m, key, d->rev);
-	fl_multi_put(&m, key, digest, 0);
-	rc = fl_state_multi(&n->state, &m, &rev, NULL);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, key, d->rev);
+	fl_kv_txn_put(&txn, key, digest, 0);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
 	if (rc == 0)
 		d->rev = rev;
 	else if (rc != -EAGAIN)
@@ -152,7 +152,7 @@
 		if (k->at < now - 5 * interval_s)
 			uncache(n, k);
 	if (!n->standby.cached || fl_lease_valid(n) || !n->leader[0] ||
-	    fl_state_in_doubt(&n->state))
+	    fl_kv_is_unavailable(&n->kv_store))
 		return;
 	write_digests(n, now - 2 * interval_s);
 }
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -153,13 +153,13 @@
 {
 	double last = fl_gossip_last_heard(n);
 
-	if (n->n_peers == 0 || !fl_state_in_doubt(&n->state))
+	if (n->n_peers == 0 || !fl_kv_is_unavailable(&n->kv_store))
 		return false;
 	for (int i = 0; i < n->n_peers; i++)
 		if (n->peers[i].up)
 			return false;
-	if (n->state.last_ok > last)
-		last = n->state.last_ok;
+	if (n->kv_store.last_success_at > last)
+		last = n->kv_store.last_success_at;
 	return fl_now() > last + tunables.alone_s;
 }
 
--- a/src/coordination/submission.c
+++ b/src/coordination/submission.c
@@ -67,7 +67,8 @@
 
 static bool state_is_down(const struct fl_node *n)
 {
-	return fl_state_in_doubt(&n->state) && fl_now() - n->state.last_refusal < tunables.down_s;
+	return fl_kv_is_unavailable(&n->kv_store) &&
+	       fl_now() - n->kv_store.last_failure_at < tunables.down_s;
 }
 
 /* Like answer_known, by asking the leader. */
@@ -102,7 +103,8 @@
 	int rc;
 
 	if (!fl_finished_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
-		rc = state_is_down(n) ? -EAGAIN : fl_records_read(&n->state, ref, &rec, &v, &rev);
+		rc = state_is_down(n) ? -EAGAIN
+		                      : fl_records_read(&n->kv_store, ref, &rec, &v, &rev);
 		cJSON_Delete(v);
 		if (rc && rc != -ENOENT && !hop)
 			return known_to_leader(n, ref, resp);
@@ -116,19 +118,19 @@
 static int store_job(struct fl_node *n, const struct fl_job_spec *run)
 {
 	double submitted = fl_wall();
-	struct fl_multi m;
+	struct fl_kv_txn txn;
 	struct fl_job *job;
 	char key[FL_KEY_MAX];
 	uint64_t rev;
 	int rc;
 
-	fl_multi_init(&m);
+	fl_kv_txn_init(&txn);
 	fl_key_finished(key, run->ref);
-	fl_multi_when(&m, key, 0);
+	fl_kv_txn_expect_revision(&txn, key, 0);
 	fl_key_job(key, run->ref);
-	fl_multi_when(&m, key, 0);
-	fl_multi_put(&m, key, fl_job_record_live(run, submitted), 0);
-	rc = fl_state_multi(&n->state, &m, &rev, NULL);
+	fl_kv_txn_expect_revision(&txn, key, 0);
+	fl_kv_txn_put(&txn, key, fl_job_record_live(run, submitted), 0);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
 	if (rc)
 		return rc;
 	if (!fl_finished_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
@@ -223,7 +225,7 @@
                        struct fl_response *resp)
 {
 	/* A cut is silent: to try here first would cost the user a second. */
-	bool relayed_first = !hop && fl_state_in_doubt(&n->state);
+	bool relayed_first = !hop && fl_kv_is_unavailable(&n->kv_store);
 	int rc;
 
 	if (relayed_first && submit_by_leader(n, run, resp))
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -17,29 +17,29 @@
 	struct fl_log log;
 };
 
-static void load_job(void *ctx, const struct fl_change *ch)
+static void load_job(void *ctx, const struct fl_kv_event *event)
 {
 	struct load *l = ctx;
 	struct fl_cluster *b = &l->n->cluster;
-	const char *ref = ch->key + strlen(FL_PREFIX_JOBS);
+	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job_record rec;
 	struct fl_job *job;
 
-	if (strlen(ref) >= FL_REF_MAX || !ch->value ||
-	    fl_job_record_decode(ch->value, ref, &rec) != 0) {
-		fl_error("takeover", "%s: cannot be read", ch->key);
+	if (strlen(ref) >= FL_REF_MAX || !event->value ||
+	    fl_job_record_decode(event->value, ref, &rec) != 0) {
+		fl_error("takeover", "%s: cannot be read", event->key);
 		l->bad++;
 		return;
 	}
 	if (rec.has_spec) {
-		job = fl_job_add(b, &rec.spec, rec.submitted, ch->rev);
+		job = fl_job_add(b, &rec.spec, rec.submitted, event->mod_revision);
 		if (!job) {
 			/* Its progress would pass for left behind, and be deleted. */
-			fl_error("takeover", "%s: names what is unknown here", ch->key);
+			fl_error("takeover", "%s: names what is unknown here", event->key);
 			l->bad++;
 			return;
 		}
-		job->rev = ch->rev;
+		job->rev = event->mod_revision;
 		job->listed = true;
 	}
 	if (!rec.final)
@@ -53,14 +53,14 @@
 	fl_finished_add(b, ref, rec.status, rec.n_tasks, fl_since(rec.cancelled));
 }
 
-static void load_chunk(void *ctx, const struct fl_change *ch)
+static void load_chunk(void *ctx, const struct fl_kv_event *event)
 {
 	struct load *l = ctx;
 	char ref[FL_REF_MAX];
 	uint32_t chunk;
 	struct fl_job *job;
 
-	if (fl_key_chunk_parse(ch->key, ref, &chunk) != 0) {
+	if (fl_key_chunk_parse(event->key, ref, &chunk) != 0) {
 		l->bad++;
 		return;
 	}
@@ -68,27 +68,27 @@
 	if (!job) {
 		/* Left behind by a final write that had more to delete than fits in one. */
 		l->orphans++;
-		fl_record_writer_discard(l->n, ch->key);
+		fl_record_writer_discard(l->n, event->key);
 		return;
 	}
-	if (fl_chunk_restore(&l->n->cluster, job, chunk, ch->value, ch->rev, &l->log, l->now) !=
-	    0) {
-		fl_error("takeover", "%s: cannot be read", ch->key);
+	if (fl_chunk_restore(&l->n->cluster, job, chunk, event->value, event->mod_revision, &l->log,
+	                     l->now) != 0) {
+		fl_error("takeover", "%s: cannot be read", event->key);
 		l->bad++;
 	}
 	l->chunks++;
 }
 
-static void load_log(void *ctx, const struct fl_change *ch)
+static void load_log(void *ctx, const struct fl_kv_event *event)
 {
 	struct load *l = ctx;
 
-	if (fl_log_read(&l->log, ch->value) != 0) {
-		fl_error("takeover", "%s: cannot be read", ch->key);
+	if (fl_log_read(&l->log, event->value) != 0) {
+		fl_error("takeover", "%s: cannot be read", event->key);
 		l->bad++;
 	}
-	if (strcmp(ch->key, FL_KEY_LOG) == 0)
-		l->n->lead.log_rev = ch->rev;
+	if (strcmp(event->key, FL_KEY_WAL) == 0)
+		l->n->lead.log_rev = event->mod_revision;
 }
 
 /* Chunks that only the log tells of: their records were still to be made. */
@@ -121,18 +121,18 @@
 	fl_cluster_forget_tasks(&n->cluster);
 	n->cluster.leading = true;
 	fl_cluster_list_begin(&n->cluster);
-	rc = fl_state_list(&n->state, FL_PREFIX_JOBS, load_job, &l, &rev);
+	rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, load_job, &l, &rev);
 	if (!rc) {
 		fl_cluster_list_end(&n->cluster, rev);
 		n->cluster.list_rev = rev;
 		n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
-		rc = fl_state_list(&n->state, FL_PREFIX_LOG, load_log, &l, &rev);
+		rc = fl_kv_list(&n->kv_store, FL_PREFIX_WAL, load_log, &l, &rev);
 	}
 	if (!rc && !n->lease.held)
 		rc = -EAGAIN; /* lost meanwhile: the rest is no use, and half a state must not be
 		                 used */
 	if (!rc)
-		rc = fl_state_list(&n->state, FL_PREFIX_PROGRESS, load_chunk, &l, &rev);
+		rc = fl_kv_list(&n->kv_store, FL_PREFIX_PROGRESS, load_chunk, &l, &rev);
 	if (!rc)
 		load_rest_of_log(&l);
 	n->lead.log_known = rc == 0;
--- a/src/coordination/user_calls.c
+++ b/src/coordination/user_calls.c
@@ -60,11 +60,11 @@
 	uint32_t done, placed;
 };
 
-static void count_progress(void *ctx, const struct fl_change *ch)
+static void count_progress(void *ctx, const struct fl_kv_event *event)
 {
 	struct progress *p = ctx;
 
-	fl_chunk_count(ch->value, &p->done, &p->placed);
+	fl_chunk_count(event->value, &p->done, &p->placed);
 }
 
 /* Without a leader in reach, the records themselves answer: never older than what was told. */
@@ -100,7 +100,7 @@
 		return;
 	}
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
-	fl_state_list(&n->state, key, count_progress, &p, &rev);
+	fl_kv_list(&n->kv_store, key, count_progress, &p, &rev);
 	resp->status = 200;
 	resp->body = fl_status_encode(ref, p.placed ? FL_RUNNING : FL_PENDING, p.done, p.placed);
 }
--- a/src/coordination/worker_steering.c
+++ b/src/coordination/worker_steering.c
@@ -76,8 +76,8 @@
 	double last = fl_gossip_last_heard(n), now = fl_now();
 
 	if (!fl_standby_alone(n) || now > n->probed_at + tunables.probe_s ||
-	    last < n->state.last_ok - tunables.at_once_s ||
-	    last > n->state.last_ok + tunables.at_once_s)
+	    last < n->kv_store.last_success_at - tunables.at_once_s ||
+	    last > n->kv_store.last_success_at + tunables.at_once_s)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
 		const struct fl_peer *p = &n->peers[n->standby.away++ % n->n_peers];
--- a/src/protocol/state.c
+++ b/src/protocol/kv_store.c
@@ -1,4 +1,4 @@
-#include "protocol/state.h"
+#include "protocol/kv_store.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -17,17 +17,20 @@
 	.page = 1000,     /* items; the service's own most */
 };
 
-int fl_state_init(struct fl_state *s, const char *addr)
+int fl_kv_init(struct fl_kv_store *store, const char *addr)
 {
 	int rc;
 
-	memset(s, 0, sizeof(*s));
-	s->last_ok = s->last_refusal = -1e9;
-	rc = fl_http_client_init(&s->http, addr, 6);
-	return rc ? rc : fl_http_client_init(&s->watch, addr, 2);
+	memset(store, 0, sizeof(*store));
+	store->last_success_at = store->last_failure_at = -1e9;
+	rc = fl_http_client_init(&store->client, addr, 6);
+	return rc ? rc : fl_http_client_init(&store->watch_client, addr, 2);
 }
 
-bool fl_state_in_doubt(const struct fl_state *s) { return s->last_refusal > s->last_ok; }
+bool fl_kv_is_unavailable(const struct fl_kv_store *store)
+{
+	return store->last_failure_at > store->last_success_at;
+}
 
 static int to_errno(int status)
 {
@@ -50,7 +53,7 @@
 	}
 }
 
-static int call(struct fl_state *s, struct fl_http_client *http, const char *method,
+static int call(struct fl_kv_store *store, struct fl_http_client *http, const char *method,
                 const char *path, const char *body, double timeout_s, cJSON **out)
 {
 	double sent = fl_now();
@@ -60,13 +63,13 @@
 	*out = NULL;
 	if (rc) {
 		if (rc != -ECANCELED)
-			s->last_refusal = fl_now();
+			store->last_failure_at = fl_now();
 		return rc;
 	}
 	if (reply.status == 503)
-		s->last_refusal = fl_now();
-	else if (reply.status != 429 && sent > s->last_ok)
-		s->last_ok = sent;
+		store->last_failure_at = fl_now();
+	else if (reply.status != 429 && sent > store->last_success_at)
+		store->last_success_at = sent;
 	rc = to_errno(reply.status);
 	*out = fl_json_parse(reply.body.data, reply.body.len);
 	fl_buf_free(&reply.body);
@@ -75,7 +78,8 @@
 	return rc;
 }
 
-int fl_state_get(struct fl_state *s, const char *key, cJSON **value, uint64_t *rev, uint64_t *grant)
+int fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value, uint64_t *rev,
+              uint64_t *lease_id)
 {
 	char path[FL_KEY_MAX + 16];
 	uint64_t none;
@@ -84,40 +88,41 @@
 
 	*value = NULL;
 	snprintf(path, sizeof(path), "/keys/%s", key);
-	rc = call(s, &s->http, "GET", path, NULL, tunables.timeout_s, &o);
+	rc = call(store, &store->client, "GET", path, NULL, tunables.timeout_s, &o);
 	if (!rc && fl_json_count(o, "KeyRev", rev) != FL_FIELD_OK)
 		rc = -EPROTO;
 	if (!rc) {
-		if (!grant)
-			grant = &none;
-		if (fl_json_count(o, "Grant", grant) != FL_FIELD_OK)
-			*grant = 0;
+		if (!lease_id)
+			lease_id = &none;
+		if (fl_json_count(o, "Grant", lease_id) != FL_FIELD_OK)
+			*lease_id = 0;
 		*value = cJSON_DetachItemFromObjectCaseSensitive(o, "V");
 	}
 	cJSON_Delete(o);
 	return rc;
 }
 
-static int each_item(const cJSON *items, fl_change_fn fn, void *ctx, char last[FL_KEY_MAX])
+static int each_item(const cJSON *items, fl_kv_event_fn on_event, void *ctx, char last[FL_KEY_MAX])
 {
 	const cJSON *e;
 
 	cJSON_ArrayForEach (e, items) {
-		struct fl_change ch = {0};
+		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
 		if (fl_json_str(e, "Key", key, sizeof(key)) != FL_FIELD_OK ||
-		    fl_json_count(e, "KeyRev", &ch.rev) != FL_FIELD_OK)
+		    fl_json_count(e, "KeyRev", &event.mod_revision) != FL_FIELD_OK)
 			return -EPROTO;
-		ch.key = key;
-		ch.value = fl_json_get(e, "V");
-		fn(ctx, &ch);
+		event.key = key;
+		event.value = fl_json_get(e, "V");
+		on_event(ctx, &event);
 		fl_copy_string(last, FL_KEY_MAX, key);
 	}
 	return 0;
 }
 
-int fl_state_list(struct fl_state *s, const char *prefix, fl_change_fn fn, void *ctx, uint64_t *rev)
+int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event, void *ctx,
+               uint64_t *rev)
 {
 	char path[2 * FL_KEY_MAX + 64], last[FL_KEY_MAX] = "";
 	bool more = true, first = true;
@@ -130,7 +135,7 @@
 
 		snprintf(path, sizeof(path), "/keys?Prefix=%s%s%s&Page=%d", prefix,
 		         last[0] ? "&From=" : "", last, tunables.page);
-		rc = call(s, &s->http, "GET", path, NULL, 2 * tunables.timeout_s, &o);
+		rc = call(store, &store->client, "GET", path, NULL, 2 * tunables.timeout_s, &o);
 		if (!rc) {
 			items = fl_json_get(o, "Items");
 			more = false;
@@ -140,7 +145,7 @@
 			    fl_json_count(o, "LedgerRev", &at) != FL_FIELD_OK)
 				rc = -EPROTO;
 			else
-				rc = each_item(items, fn, ctx, last);
+				rc = each_item(items, on_event, ctx, last);
 			if (!rc && cJSON_GetArraySize(items) == 0)
 				more = false;
 			if (!rc && first)
@@ -154,28 +159,28 @@
 	return 0;
 }
 
-static int each_event(const cJSON *log, fl_change_fn fn, void *ctx)
+static int each_event(const cJSON *log, fl_kv_event_fn on_event, void *ctx)
 {
 	const cJSON *e;
 
 	cJSON_ArrayForEach (e, log) {
-		struct fl_change ch = {0};
+		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
-		if (fl_json_count(e, "KeyRev", &ch.rev) != FL_FIELD_OK)
+		if (fl_json_count(e, "KeyRev", &event.mod_revision) != FL_FIELD_OK)
 			return -EPROTO;
 		if (fl_json_str(e, "Put", key, sizeof(key)) == FL_FIELD_OK)
-			ch.value = fl_json_get(e, "V");
+			event.value = fl_json_get(e, "V");
 		else if (fl_json_str(e, "Delete", key, sizeof(key)) != FL_FIELD_OK)
 			return -EPROTO;
-		ch.key = key;
-		fn(ctx, &ch);
+		event.key = key;
+		on_event(ctx, &event);
 	}
 	return 0;
 }
 
-int fl_state_follow(struct fl_state *s, const char *prefix, uint64_t *rev, double hold_s,
-                    fl_change_fn fn, void *ctx)
+int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *rev, double timeout_s,
+                fl_kv_event_fn on_event, void *ctx)
 {
 	char path[FL_KEY_MAX + 128];
 	const cJSON *log;
@@ -184,15 +189,15 @@
 	int rc;
 
 	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", prefix,
-	         (unsigned long long)*rev, (int)(hold_s * 1000));
-	rc = call(s, &s->watch, "GET", path, NULL, hold_s + tunables.slack_s, &o);
+	         (unsigned long long)*rev, (int)(timeout_s * 1000));
+	rc = call(store, &store->watch_client, "GET", path, NULL, timeout_s + tunables.slack_s, &o);
 	if (!rc) {
 		log = fl_json_get(o, "Log");
 		if (fl_json_count(o, "LedgerRev", &at) != FL_FIELD_OK ||
 		    (log && !cJSON_IsArray(log)))
 			rc = -EPROTO;
 		else
-			rc = each_event(log, fn, ctx);
+			rc = each_event(log, on_event, ctx);
 		if (!rc && at > *rev)
 			*rev = at;
 	}
@@ -200,58 +205,59 @@
 	return rc;
 }
 
-void fl_multi_init(struct fl_multi *m)
+void fl_kv_txn_init(struct fl_kv_txn *txn)
 {
-	m->root = cJSON_CreateObject();
-	m->when = cJSON_AddArrayToObject(m->root, "When");
-	m->apply = cJSON_AddArrayToObject(m->root, "Apply");
-	m->n_apply = 0;
+	txn->root = cJSON_CreateObject();
+	txn->conditions = cJSON_AddArrayToObject(txn->root, "When");
+	txn->operations = cJSON_AddArrayToObject(txn->root, "Apply");
+	txn->operation_count = 0;
 }
 
-void fl_multi_free(struct fl_multi *m)
+void fl_kv_txn_free(struct fl_kv_txn *txn)
 {
-	cJSON_Delete(m->root);
-	m->root = NULL;
+	cJSON_Delete(txn->root);
+	txn->root = NULL;
 }
 
-void fl_multi_when(struct fl_multi *m, const char *key, uint64_t rev)
+void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t rev)
 {
 	cJSON *e = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(e, "Key", key);
 	cJSON_AddNumberToObject(e, "KeyRev", (double)rev);
-	cJSON_AddItemToArray(m->when, e);
+	cJSON_AddItemToArray(txn->conditions, e);
 }
 
-void fl_multi_put(struct fl_multi *m, const char *key, cJSON *value, uint64_t grant)
+void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id)
 {
 	cJSON *e = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(e, "Put", key);
 	cJSON_AddItemToObject(e, "V", value);
-	if (grant)
-		cJSON_AddNumberToObject(e, "Grant", (double)grant);
-	cJSON_AddItemToArray(m->apply, e);
-	m->n_apply++;
+	if (lease_id)
+		cJSON_AddNumberToObject(e, "Grant", (double)lease_id);
+	cJSON_AddItemToArray(txn->operations, e);
+	txn->operation_count++;
 }
 
-void fl_multi_delete(struct fl_multi *m, const char *key)
+void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key)
 {
 	cJSON *e = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(e, "Delete", key);
-	cJSON_AddItemToArray(m->apply, e);
-	m->n_apply++;
+	cJSON_AddItemToArray(txn->operations, e);
+	txn->operation_count++;
 }
 
-int fl_state_multi(struct fl_state *s, struct fl_multi *m, uint64_t *rev, char failed[FL_KEY_MAX])
+int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *rev,
+                     char failed[FL_KEY_MAX])
 {
-	char *text = fl_json_take(m->root);
+	char *text = fl_json_take(txn->root);
 	cJSON *o;
 	int rc;
 
-	m->root = NULL;
-	rc = call(s, &s->http, "POST", "/multi", text, tunables.timeout_s, &o);
+	txn->root = NULL;
+	rc = call(store, &store->client, "POST", "/multi", text, tunables.timeout_s, &o);
 	free(text);
 	if (!rc && fl_json_count(o, "LedgerRev", rev) != FL_FIELD_OK)
 		rc = -EPROTO;
@@ -266,41 +272,41 @@
 	return rc;
 }
 
-int fl_state_hold(struct fl_state *s, double ttl_s, uint64_t *grant)
+int fl_kv_lease_grant(struct fl_kv_store *store, double ttl_s, uint64_t *lease_id)
 {
 	char body[48];
 	cJSON *o;
 	int rc;
 
 	snprintf(body, sizeof(body), "{\"TtlMs\":%d}", (int)(ttl_s * 1000));
-	rc = call(s, &s->http, "POST", "/holds", body, tunables.timeout_s, &o);
-	if (!rc && fl_json_count(o, "Grant", grant) != FL_FIELD_OK)
+	rc = call(store, &store->client, "POST", "/holds", body, tunables.timeout_s, &o);
+	if (!rc && fl_json_count(o, "Grant", lease_id) != FL_FIELD_OK)
 		rc = -EPROTO;
 	cJSON_Delete(o);
 	return rc;
 }
 
-int fl_state_extend(struct fl_state *s, uint64_t grant, double timeout_s)
+int fl_kv_lease_keep_alive(struct fl_kv_store *store, uint64_t lease_id, double timeout_s)
 {
 	char path[64];
 	cJSON *o;
 	int rc;
 
-	snprintf(path, sizeof(path), "/holds/%llu/extend", (unsigned long long)grant);
-	rc = call(s, &s->http, "POST", path, "{}", timeout_s, &o);
+	snprintf(path, sizeof(path), "/holds/%llu/extend", (unsigned long long)lease_id);
+	rc = call(store, &store->client, "POST", path, "{}", timeout_s, &o);
 	cJSON_Delete(o);
 	/* A 200 with a body of any shape is a renewal. */
 	return rc == -EPROTO ? -EAGAIN : rc;
 }
 
-int fl_state_release(struct fl_state *s, uint64_t grant)
+int fl_kv_lease_revoke(struct fl_kv_store *store, uint64_t lease_id)
 {
 	char path[64];
 	cJSON *o;
 	int rc;
 
-	snprintf(path, sizeof(path), "/holds/%llu", (unsigned long long)grant);
-	rc = call(s, &s->http, "DELETE", path, NULL, tunables.timeout_s, &o);
+	snprintf(path, sizeof(path), "/holds/%llu", (unsigned long long)lease_id);
+	rc = call(store, &store->client, "DELETE", path, NULL, tunables.timeout_s, &o);
 	cJSON_Delete(o);
 	return rc == -EPROTO ? 0 : rc;
 }
--- /dev/null
+++ b/src/protocol/kv_store.h
@@ -0,0 +1,75 @@
+/* The client of the state service: conditional transactions, leases, lists and watches. */
+#ifndef FL_PROTOCOL_KV_STORE_H
+#define FL_PROTOCOL_KV_STORE_H
+
+#include "protocol/json.h"
+#include "transport/http_client.h"
+
+/* Bytes of a key with its terminator. */
+enum { FL_KEY_MAX = 96 };
+
+/*
+ * Results: 0 done; -ENOENT no such key or lease; -ESTALE a condition failed; -EAGAIN not executed
+ * (429, 503); -EINVAL refused as malformed or for its lease; anything else: it may have been
+ * executed, or may still be.
+ */
+struct fl_kv_store {
+	struct fl_http_client client;       /* short requests */
+	struct fl_http_client watch_client; /* one open watch, on a connection of its own */
+	double last_success_at; /* steady time of the sending of the last answered request */
+	double last_failure_at; /* of the last 503 or silence */
+};
+
+/* Builds a transaction: conditions, and the writes made if all of them hold. */
+struct fl_kv_txn {
+	cJSON *root, *conditions, *operations;
+	int operation_count;
+};
+
+/* A key in a list, or its change in a watch. */
+struct fl_kv_event {
+	const char *key;
+	const cJSON *value; /* NULL: deleted */
+	uint64_t mod_revision;
+};
+
+/* No answer since the last refusal or silence. */
+bool fl_kv_is_unavailable(const struct fl_kv_store *store);
+/* 0, or -EINVAL for an address that is none. */
+int fl_kv_init(struct fl_kv_store *store, const char *addr);
+/* Reads a key. `*value` is owned by the caller; `lease_id` (if not NULL) gets its lease, or 0. */
+int fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value, uint64_t *rev,
+              uint64_t *lease_id);
+
+/* Called for each change; it is valid during the call only. */
+typedef void (*fl_kv_event_fn)(void *ctx, const struct fl_kv_event *event);
+/* Every key under the prefix, page by page; `*mod_revision` is the revision of the first page. */
+int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event, void *ctx,
+               uint64_t *rev);
+/* One watch; -ERANGE: the revision is too old, list again. */
+int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *rev, double timeout_s,
+                fl_kv_event_fn on_event, void *ctx);
+
+/* An empty transaction. */
+void fl_kv_txn_init(struct fl_kv_txn *txn);
+/* Frees one that is not sent. */
+void fl_kv_txn_free(struct fl_kv_txn *txn);
+/* Condition: the key has this revision; 0: it does not exist. */
+void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t rev);
+/* Writes the key; takes the value over. With a lease, the key ends with it. */
+void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id);
+/* Deletes the key. */
+void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key);
+/* Sends the transaction and consumes the builder. On -ESTALE, `failed` (if not NULL) gets the first
+ * failed key. */
+int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *rev,
+                     char failed[FL_KEY_MAX]);
+
+/* Takes out a lease. */
+int fl_kv_lease_grant(struct fl_kv_store *store, double ttl_s, uint64_t *lease_id);
+/* Renews a lease. */
+int fl_kv_lease_keep_alive(struct fl_kv_store *store, uint64_t lease_id, double timeout_s);
+/* Ends a lease, and the keys that are bound to it. */
+int fl_kv_lease_revoke(struct fl_kv_store *store, uint64_t lease_id);
+
+#endif
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -104,19 +104,19 @@
 	return fl_json_amount(v, "submitted", &out->submitted) == FL_FIELD_OK ? 0 : -EPROTO;
 }
 
-int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
-                    uint64_t *rev)
+int fl_records_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *rec,
+                    cJSON **v, uint64_t *rev)
 {
 	char key[FL_KEY_MAX];
 	cJSON *final = NULL;
 	int rc;
 
 	fl_key_job(key, ref);
-	rc = fl_state_get(s, key, v, rev, NULL);
+	rc = fl_kv_get(store, key, v, rev, NULL);
 	if (rc != -ENOENT)
 		return rc ? rc : fl_job_record_decode(*v, ref, rec);
 	fl_key_finished(key, ref);
-	rc = fl_state_get(s, key, &final, rev, NULL);
+	rc = fl_kv_get(store, key, &final, rev, NULL);
 	if (!rc)
 		rc = fl_job_record_decode(final, ref, rec);
 	cJSON_Delete(final);
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -3,7 +3,7 @@
 #define FL_STORAGE_JOB_RECORDS_H
 
 #include "storage/jobs.h"
-#include "protocol/state.h"
+#include "protocol/kv_store.h"
 
 /* A job record: either the description or the final state. */
 struct fl_job_record {
@@ -21,8 +21,8 @@
  * transaction, so that reading them in this order misses neither. `*v` is the live record's value,
  * owned by the caller, or NULL. -ENOENT: no such job.
  */
-int fl_records_read(struct fl_state *s, const char *ref, struct fl_job_record *rec, cJSON **v,
-                    uint64_t *rev);
+int fl_records_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *rec,
+                    cJSON **v, uint64_t *rev);
 
 /* The record of a live job. */
 cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted);
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -2,20 +2,20 @@
 #ifndef FL_STORAGE_KEYS_H
 #define FL_STORAGE_KEYS_H
 
-#include "protocol/state.h"
+#include "protocol/kv_store.h"
 #include "protocol/users.h"
 
 /* Keys, and the prefixes of keys that go on with a job's id or a number. */
-#define FL_KEY_LEAD "c/lead"
-#define FL_KEY_EPOCH "c/epoch"
-#define FL_PREFIX_CONTROL "c/"
+#define FL_KEY_LEADER "c/lead"
+#define FL_KEY_FENCING_TOKEN "c/epoch"
+#define FL_PREFIX_ELECTION "c/"
 #define FL_KEY_MACHINE_TYPES "m/kinds"
 #define FL_PREFIX_JOBS "j/"
 #define FL_PREFIX_FINISHED "f/"
 #define FL_PREFIX_PROGRESS "p/"
-#define FL_PREFIX_CACHED "k/"
-#define FL_PREFIX_LOG "w/"
-#define FL_KEY_LOG "w/0" /* in every write of the log */
+#define FL_PREFIX_HEARTBEAT_DIGESTS "k/"
+#define FL_PREFIX_WAL "w/"
+#define FL_KEY_WAL "w/0" /* in every write of the log */
 
 /* The key of a live or cancelled job. */
 void fl_key_job(char key[FL_KEY_MAX], const char *ref);
--- a/src/storage/progress_log.h
+++ b/src/storage/progress_log.h
@@ -1,5 +1,5 @@
 /*
- * The write-ahead log, a few values under FL_PREFIX_LOG: the changes that no progress record holds
+ * The write-ahead log, a few values under FL_PREFIX_WAL: the changes that no progress record holds
  * yet, of many jobs in one write. Each write of it is complete, so the records can follow at
  * leisure. What older writes left in it does no harm: of two states of a task the later one counts,
  * and attempts only rise.
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -110,11 +110,11 @@
 	fixture->state = fl_http_serve("127.0.0.1:0", 16, 90, on_state, fixture);
 	fixture->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, fixture);
 	assert_true(fixture->state && fixture->leader);
-	connect_client(&node->state.http, fixture->state);
+	connect_client(&node->kv_store.client, fixture->state);
 	connect_client(&node->cloud.http, fixture->state);
-	node->state.last_ok = node->leadership_confirmed_at = node->cancellations_known_until =
-		fl_now();
-	node->state.last_refusal = -1e9;
+	node->kv_store.last_success_at = node->leadership_confirmed_at =
+		node->cancellations_known_until = fl_now();
+	node->kv_store.last_failure_at = -1e9;
 	node->types_known = node->jobs_known = true;
 	strcpy(node->leader, "n1");
 	node->n_peers = 1;
@@ -129,7 +129,7 @@
 {
 	struct fixture *fixture = *state;
 
-	fl_http_client_close(&fixture->node.state.http);
+	fl_http_client_close(&fixture->node.kv_store.client);
 	fl_http_client_close(&fixture->node.cloud.http);
 	fl_http_client_close(&fixture->node.peers[0].http);
 	fl_routines_shutdown();
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -156,8 +156,8 @@
 		strcpy(node->peers[i].location, "b");
 		node->peers[i].heard_at = node->peers[i].sent_all_at = -1e9;
 	}
-	node->cancellations_known_until = node->state.last_ok = fl_now();
-	node->state.last_refusal = -1e9;
+	node->cancellations_known_until = node->kv_store.last_success_at = fl_now();
+	node->kv_store.last_failure_at = -1e9;
 }
 
 struct fl_response user_call(struct fixture *fixture, enum fl_user_call what, const char *ref,
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -18,8 +18,9 @@
 
 static void holds(const struct fl_request *req, struct fl_response *resp)
 {
-	uint64_t grant = strtoull(req->path + strlen("/holds") + (req->path[6] == '/'), NULL, 10);
-	int at = sim_store_hold(grant);
+	uint64_t lease_id =
+		strtoull(req->path + strlen("/holds") + (req->path[6] == '/'), NULL, 10);
+	int at = sim_store_hold(lease_id);
 	cJSON *o, *in;
 	double ttl = 0;
 
@@ -175,10 +176,11 @@
 static bool no_such_lease(const cJSON *apply)
 {
 	const cJSON *e;
-	uint64_t grant;
+	uint64_t lease_id;
 
 	cJSON_ArrayForEach (e, apply)
-		if (fl_json_count(e, "Grant", &grant) == FL_FIELD_OK && sim_store_hold(grant) < 0)
+		if (fl_json_count(e, "Grant", &lease_id) == FL_FIELD_OK &&
+		    sim_store_hold(lease_id) < 0)
 			return true;
 	return false;
 }
@@ -206,15 +208,15 @@
 {
 	const cJSON *e;
 	char name[SIM_KEY];
-	uint64_t grant;
+	uint64_t lease_id;
 
 	if (cJSON_GetArraySize(ops) > 0)
 		sim_store.rev++;
 	cJSON_ArrayForEach (e, ops) {
 		if (fl_json_str(e, "Put", name, sizeof(name)) == FL_FIELD_OK) {
-			if (fl_json_count(e, "Grant", &grant) != FL_FIELD_OK)
-				grant = 0;
-			sim_store_put(name, cJSON_PrintUnformatted(fl_json_get(e, "V")), grant);
+			if (fl_json_count(e, "Grant", &lease_id) != FL_FIELD_OK)
+				lease_id = 0;
+			sim_store_put(name, cJSON_PrintUnformatted(fl_json_get(e, "V")), lease_id);
 		} else if (fl_json_str(e, "Delete", name, sizeof(name)) == FL_FIELD_OK) {
 			struct sim_key *k = sim_store_find(name);
 
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -43,7 +43,7 @@
 	free(k);
 }
 
-void sim_store_put(const char *name, char *value, uint64_t grant)
+void sim_store_put(const char *name, char *value, uint64_t lease_id)
 {
 	struct sim_key *k = sim_store_find(name);
 
@@ -59,30 +59,30 @@
 	free(k->value);
 	k->value = value;
 	k->rev = sim_store.rev;
-	k->grant = grant;
+	k->grant = lease_id;
 	sim.changes++;
 	note(name, value);
 }
 
 /* ---- holds ---- */
 
-int sim_store_hold(uint64_t grant)
+int sim_store_hold(uint64_t lease_id)
 {
 	for (int i = 0; i < sim_store.n_holds; i++)
-		if (sim_store.hold[i].grant == grant)
+		if (sim_store.hold[i].grant == lease_id)
 			return i;
 	return -1;
 }
 
 void sim_store_end_hold(int at)
 {
-	uint64_t grant = sim_store.hold[at].grant;
+	uint64_t lease_id = sim_store.hold[at].grant;
 	struct sim_key *k, *tmp;
 
 	sim_store.hold[at] = sim_store.hold[--sim_store.n_holds];
 	sim_store.rev++;
 	HASH_ITER (hh, sim_store.keys, k, tmp)
-		if (k->grant == grant)
+		if (k->grant == lease_id)
 			sim_store_remove(k);
 }
 
--- a/tests/standins_state.c
+++ b/tests/standins_state.c
@@ -76,7 +76,7 @@
 		standins.epochs_reused += epoch_of_value(old->value) >= epoch_of_value(value);
 }
 
-static void put_key(const char *name, char *value, uint64_t grant)
+static void put_key(const char *name, char *value, uint64_t lease_id)
 {
 	struct key *key = find_key(name);
 
@@ -90,26 +90,26 @@
 	free(key->value);
 	key->value = value;
 	key->rev = store.rev;
-	key->grant = grant;
+	key->grant = lease_id;
 	append_change(name, value);
 }
 
 static void end_hold(int at)
 {
-	uint64_t grant = store.holds[at].grant;
+	uint64_t lease_id = store.holds[at].grant;
 	struct key *key, *tmp;
 
 	store.holds[at] = store.holds[--store.n_holds];
 	store.rev++;
 	HASH_ITER (hh, store.keys, key, tmp)
-		if (key->grant == grant)
+		if (key->grant == lease_id)
 			delete_key(key);
 }
 
-static int find_hold(uint64_t grant)
+static int find_hold(uint64_t lease_id)
 {
 	for (int i = 0; i < store.n_holds; i++)
-		if (store.holds[i].grant == grant)
+		if (store.holds[i].grant == lease_id)
 			return i;
 	return -1;
 }
@@ -139,7 +139,7 @@
 	cJSON *object = fl_json_parse(body, len), *out = cJSON_CreateObject();
 	const cJSON *element, *failed = NULL;
 	char name[200];
-	uint64_t rev, grant;
+	uint64_t rev, lease_id;
 
 	cJSON_ArrayForEach (element, fl_json_get(object, "When")) {
 		struct key *key;
@@ -151,8 +151,8 @@
 			failed = element;
 	}
 	cJSON_ArrayForEach (element, fl_json_get(object, "Apply"))
-		if (fl_json_count(element, "Grant", &grant) == FL_FIELD_OK &&
-		    find_hold(grant) < 0) {
+		if (fl_json_count(element, "Grant", &lease_id) == FL_FIELD_OK &&
+		    find_hold(lease_id) < 0) {
 			respond(resp, 400, out);
 			cJSON_Delete(object);
 			return;
@@ -169,9 +169,9 @@
 	store.rev++;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Apply")) {
 		if (fl_json_str(element, "Put", name, sizeof(name)) == FL_FIELD_OK) {
-			if (fl_json_count(element, "Grant", &grant) != FL_FIELD_OK)
-				grant = 0;
-			put_key(name, cJSON_PrintUnformatted(fl_json_get(element, "V")), grant);
+			if (fl_json_count(element, "Grant", &lease_id) != FL_FIELD_OK)
+				lease_id = 0;
+			put_key(name, cJSON_PrintUnformatted(fl_json_get(element, "V")), lease_id);
 		} else if (fl_json_str(element, "Delete", name, sizeof(name)) == FL_FIELD_OK) {
 			struct key *key = find_key(name);
 
@@ -272,8 +272,9 @@
 
 static void holds(const struct fl_request *req, struct fl_response *resp)
 {
-	uint64_t grant = strtoull(req->path + strlen("/holds") + (req->path[6] == '/'), NULL, 10);
-	int at = find_hold(grant);
+	uint64_t lease_id =
+		strtoull(req->path + strlen("/holds") + (req->path[6] == '/'), NULL, 10);
+	int at = find_hold(lease_id);
 	cJSON *object, *in;
 	double ttl;
 
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -352,16 +352,16 @@
 	uint32_t chunk;
 
 	(void)state;
-	assert_string_equal(FL_KEY_LEAD, "c/lead");
-	assert_string_equal(FL_KEY_EPOCH, "c/epoch");
-	assert_string_equal(FL_PREFIX_CONTROL, "c/");
+	assert_string_equal(FL_KEY_LEADER, "c/lead");
+	assert_string_equal(FL_KEY_FENCING_TOKEN, "c/epoch");
+	assert_string_equal(FL_PREFIX_ELECTION, "c/");
 	assert_string_equal(FL_KEY_MACHINE_TYPES, "m/kinds");
 	assert_string_equal(FL_PREFIX_JOBS, "j/");
 	assert_string_equal(FL_PREFIX_FINISHED, "f/");
 	assert_string_equal(FL_PREFIX_PROGRESS, "p/");
-	assert_string_equal(FL_PREFIX_CACHED, "k/");
-	assert_string_equal(FL_PREFIX_LOG, "w/");
-	assert_string_equal(FL_KEY_LOG, "w/0");
+	assert_string_equal(FL_PREFIX_HEARTBEAT_DIGESTS, "k/");
+	assert_string_equal(FL_PREFIX_WAL, "w/");
+	assert_string_equal(FL_KEY_WAL, "w/0");
 	assert_string_equal(FL_REF_BEGIN, "run-");
 	assert_int_equal(FL_CHUNK, 64);
 	fl_key_job(key, "run-000412");
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -166,7 +166,7 @@
 	world.config.lease_s = 10;
 	world.config.cancel_s = 40;
 	node->types_known = node->jobs_known = true;
-	node->state.last_refusal = -1e9;
+	node->kv_store.last_failure_at = -1e9;
 	add_zones_and_teams(&node->cluster);
 	return node;
 }
@@ -373,9 +373,9 @@
 
 static void read_records(struct fl_node *node)
 {
-	live.result =
-		fl_records_read(&node->state, "run-000412", &live.record, &live.value, &live.rev);
-	final.result = fl_records_read(&node->state, "run-000414", &final.record, &final.value,
+	live.result = fl_records_read(&node->kv_store, "run-000412", &live.record, &live.value,
+	                              &live.rev);
+	final.result = fl_records_read(&node->kv_store, "run-000414", &final.record, &final.value,
 	                               &final.rev);
 }
 
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -20,7 +20,7 @@
 #include "protocol/job_states.h"
 #include "protocol/peer_reports.h"
 #include "protocol/peers.h"
-#include "protocol/state.h"
+#include "protocol/kv_store.h"
 #include "protocol/users.h"
 #include "protocol/workers.h"
 
@@ -804,14 +804,14 @@
 	char text[512];
 };
 
-static void note_change(void *context, const struct fl_change *change)
+static void note_change(void *context, const struct fl_kv_event *event)
 {
 	struct change_text *changes = context;
-	char *value = change->value ? cJSON_PrintUnformatted(change->value) : NULL;
+	char *value = event->value ? cJSON_PrintUnformatted(event->value) : NULL;
 	size_t used = strlen(changes->text);
 
-	snprintf(changes->text + used, sizeof(changes->text) - used, "%s %llu %s\n", change->key,
-	         (unsigned long long)change->rev, value ? value : "deleted");
+	snprintf(changes->text + used, sizeof(changes->text) - used, "%s %llu %s\n", event->key,
+	         (unsigned long long)event->mod_revision, value ? value : "deleted");
 	free(value);
 }
 
@@ -825,14 +825,14 @@
 {
 	static const char *const keys[] = {"a/b", "a/c", "a/none"};
 	struct get_results *got = results;
-	struct fl_state service;
+	struct fl_kv_store service;
 
-	fl_state_init(&service, address);
+	fl_kv_init(&service, address);
 	for (int i = 0; i < 3; i++)
-		got->rc[i] = fl_state_get(&service, keys[i], &got->value[i], &got->rev[i],
-		                          &got->grant[i]);
-	fl_http_client_close(&service.http);
-	fl_http_client_close(&service.watch);
+		got->rc[i] =
+			fl_kv_get(&service, keys[i], &got->value[i], &got->rev[i], &got->grant[i]);
+	fl_http_client_close(&service.client);
+	fl_http_client_close(&service.watch_client);
 }
 
 static void a_key_is_read_with_its_revision_and_lease(void **state)
@@ -868,12 +868,12 @@
 static void list_keys(const char *address, void *results)
 {
 	struct read_results *got = results;
-	struct fl_state service;
+	struct fl_kv_store service;
 
-	fl_state_init(&service, address);
-	got->rc[0] = fl_state_list(&service, "c/", note_change, &got->changes[0], &got->rev[0]);
-	fl_http_client_close(&service.http);
-	fl_http_client_close(&service.watch);
+	fl_kv_init(&service, address);
+	got->rc[0] = fl_kv_list(&service, "c/", note_change, &got->changes[0], &got->rev[0]);
+	fl_http_client_close(&service.client);
+	fl_http_client_close(&service.watch_client);
 }
 
 static void keys_are_listed_page_by_page(void **state)
@@ -899,14 +899,14 @@
 static void watch_keys(const char *address, void *results)
 {
 	struct read_results *got = results;
-	struct fl_state service;
+	struct fl_kv_store service;
 
-	fl_state_init(&service, address);
+	fl_kv_init(&service, address);
 	for (int i = 0; i < 2; i++)
-		got->rc[i] = fl_state_follow(&service, "c/", &got->rev[i], 2.5, note_change,
-		                             &got->changes[i]);
-	fl_http_client_close(&service.http);
-	fl_http_client_close(&service.watch);
+		got->rc[i] = fl_kv_watch(&service, "c/", &got->rev[i], 2.5, note_change,
+		                         &got->changes[i]);
+	fl_http_client_close(&service.client);
+	fl_http_client_close(&service.watch_client);
 }
 
 static void a_watch_brings_writes_and_deletions(void **state)
@@ -937,25 +937,25 @@
 static void send_transactions(const char *address, void *results)
 {
 	struct multi_results *got = results;
-	struct fl_state service;
-	struct fl_multi multi;
-
-	fl_state_init(&service, address);
-	fl_multi_init(&multi);
-	fl_multi_when(&multi, "a/b", 0);
-	fl_multi_when(&multi, "c/d", 412);
-	fl_multi_put(&multi, "a/b", cJSON_CreateString("leased"), 7);
-	fl_multi_put(&multi, "a/c", cJSON_CreateNumber(8.5), 0);
-	fl_multi_delete(&multi, "c/d");
-	got->rc[0] = fl_state_multi(&service, &multi, &got->rev[0], got->failed[0]);
-	fl_multi_init(&multi);
-	fl_multi_when(&multi, "c/d", 412);
-	got->rc[1] = fl_state_multi(&service, &multi, &got->rev[1], got->failed[1]);
-	fl_multi_init(&multi);
-	fl_multi_put(&multi, "a/b", cJSON_CreateTrue(), 6);
-	got->rc[2] = fl_state_multi(&service, &multi, &got->rev[2], got->failed[2]);
-	fl_http_client_close(&service.http);
-	fl_http_client_close(&service.watch);
+	struct fl_kv_store service;
+	struct fl_kv_txn multi;
+
+	fl_kv_init(&service, address);
+	fl_kv_txn_init(&multi);
+	fl_kv_txn_expect_revision(&multi, "a/b", 0);
+	fl_kv_txn_expect_revision(&multi, "c/d", 412);
+	fl_kv_txn_put(&multi, "a/b", cJSON_CreateString("leased"), 7);
+	fl_kv_txn_put(&multi, "a/c", cJSON_CreateNumber(8.5), 0);
+	fl_kv_txn_delete(&multi, "c/d");
+	got->rc[0] = fl_kv_txn_commit(&service, &multi, &got->rev[0], got->failed[0]);
+	fl_kv_txn_init(&multi);
+	fl_kv_txn_expect_revision(&multi, "c/d", 412);
+	got->rc[1] = fl_kv_txn_commit(&service, &multi, &got->rev[1], got->failed[1]);
+	fl_kv_txn_init(&multi);
+	fl_kv_txn_put(&multi, "a/b", cJSON_CreateTrue(), 6);
+	got->rc[2] = fl_kv_txn_commit(&service, &multi, &got->rev[2], got->failed[2]);
+	fl_http_client_close(&service.client);
+	fl_http_client_close(&service.watch_client);
 }
 
 static void a_transaction_has_conditions_writes_deletions_and_leases(void **state)
@@ -991,19 +991,19 @@
 static void use_leases(const char *address, void *results)
 {
 	struct lease_results *got = results;
-	struct fl_state service;
+	struct fl_kv_store service;
 	uint64_t none;
 
-	fl_state_init(&service, address);
-	got->rc[0] = fl_state_hold(&service, 5.25, &got->grant);
-	got->rc[1] = fl_state_hold(&service, 5, &none);
-	got->rc[2] = fl_state_extend(&service, 7, 5);
-	got->rc[3] = fl_state_extend(&service, 8, 5);
-	got->rc[4] = fl_state_extend(&service, 7, 5);
-	got->rc[5] = fl_state_release(&service, 7);
-	got->rc[6] = fl_state_release(&service, 8);
-	fl_http_client_close(&service.http);
-	fl_http_client_close(&service.watch);
+	fl_kv_init(&service, address);
+	got->rc[0] = fl_kv_lease_grant(&service, 5.25, &got->grant);
+	got->rc[1] = fl_kv_lease_grant(&service, 5, &none);
+	got->rc[2] = fl_kv_lease_keep_alive(&service, 7, 5);
+	got->rc[3] = fl_kv_lease_keep_alive(&service, 8, 5);
+	got->rc[4] = fl_kv_lease_keep_alive(&service, 7, 5);
+	got->rc[5] = fl_kv_lease_revoke(&service, 7);
+	got->rc[6] = fl_kv_lease_revoke(&service, 8);
+	fl_http_client_close(&service.client);
+	fl_http_client_close(&service.watch_client);
 }
 
 static void a_lease_is_taken_out_renewed_and_ended(void **state)
--- a/tests/test_report_relay.c
+++ b/tests/test_report_relay.c
@@ -150,8 +150,8 @@
 	c->lease_s = 14;
 	c->report_s = 2;
 	snprintf(n->leader, sizeof(n->leader), "host-1");
-	n->state.last_ok = fl_now();
-	n->state.last_refusal = -INFINITY;
+	n->kv_store.last_success_at = fl_now();
+	n->kv_store.last_failure_at = -INFINITY;
 }
 
 static void add_peer(struct fl_node *n, const char *name)
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -126,8 +126,8 @@
 {
 	double now = fl_now();
 
-	fixture->node.state.last_ok = now - for_s;
-	fixture->node.state.last_refusal = now;
+	fixture->node.kv_store.last_success_at = now - for_s;
+	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.n_peers; i++) {
 		fixture->node.peers[i].up = false;
 		fixture->node.peers[i].heard_at = now - for_s;
@@ -265,7 +265,7 @@
 	free(resp.body);
 	/* Connected again, it is ready. */
 	fixture->node.peers[0].up = true;
-	fixture->node.state.last_ok = fl_now() + 1;
+	fixture->node.kv_store.last_success_at = fl_now() + 1;
 	assert_int_equal(user_call(fixture, FL_CALL_READY, NULL, NULL).status, 200);
 }
 
