--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -43,7 +43,7 @@
 	} else if (rc != 0) {
 		fl_later(resp, "the state service does not answer");
 	} else if (rec.final) {
-		job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
+		job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 		if (job && v && rev > job->rev)
 			fl_record_writer_heard(n, job, &rec, rev);
 		else if (!job && v)
@@ -100,7 +100,7 @@
 	fl_key_job(key, job->ref);
 	fl_job_describe(&n->cluster, job, &run);
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	fl_kv_txn_expect_revision(&txn, key, job->rev);
 	fl_kv_txn_put(&txn, key, fl_job_record_cancelled(&run, job->submitted, cancelled), 0);
 	return fl_kv_txn_commit(&n->kv_store, &txn, rev, NULL);
@@ -130,7 +130,7 @@
 	}
 	if (job->unsure && !job->finishing)
 		fl_record_writer_reread_job(n, ref, &done, &status);
-	job = fl_leading(n) ? fl_job_find(&n->cluster, ref) : NULL;
+	job = fl_is_leader(n) ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && job->cancelled) {
 		say_cancelled(resp, ref);
 		return;
@@ -142,7 +142,7 @@
 	/* Till this is answered, only the record knows: see fl_answer_poll. */
 	job->unsure = true;
 	rc = write_cancel(n, job, rec.cancelled, &rev);
-	job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
+	job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && rc == 0) {
 		fl_cluster_cancelled(&n->cluster, job, &rec, rev);
 		fl_command_stop_job(n, job);
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -32,10 +32,10 @@
 	int rc;
 
 	m->want_push = false;
-	if (!fl_leading(n) || !m->up || m->gone || !m->endpoint[0])
+	if (!fl_is_leader(n) || !m->up || m->gone || !m->endpoint[0])
 		return;
-	fl_orders_init(&orders, n->lease.epoch);
-	fl_orders_session(&orders, m->session);
+	fl_orders_init(&orders, n->election.fencing_token);
+	fl_orders_session(&orders, m->incarnation);
 	if (!fl_reconcile_direct(n, m, &orders)) {
 		cJSON_Delete(orders.root);
 		return;
@@ -44,7 +44,7 @@
 	rc = fl_worker_command(m->endpoint, body, tunables.timeout_s, &report);
 	free(body);
 	if (rc == 200 || rc == 409) {
-		if (fl_leading(n))
+		if (fl_is_leader(n))
 			fl_reconcile_report(n, &report, NULL, FL_SOURCE_COMMAND);
 		fl_report_free(&report);
 	}
@@ -58,9 +58,9 @@
 	while (push->m->want_push && !fl_cancelled())
 		push_once(n, push->m);
 	push->m->pushing = false;
-	n->lead.pushes--;
-	n->lead.running--;
-	fl_signal_wake(&n->lead.ended);
+	n->leadership.commands_in_flight--;
+	n->leadership.coroutines_running--;
+	fl_signal_wake(&n->leadership.coroutine_ended);
 	free(push);
 }
 
@@ -69,7 +69,7 @@
 	struct push *push;
 
 	m->want_push = true;
-	if (m->pushing || n->lead.pushes >= tunables.concurrent_most)
+	if (m->pushing || n->leadership.commands_in_flight >= tunables.concurrent_most)
 		return; /* the worker's next report brings the orders all the same */
 	push = malloc(sizeof(*push));
 	if (!push)
@@ -80,8 +80,8 @@
 		return;
 	}
 	m->pushing = true;
-	n->lead.pushes++;
-	n->lead.running++;
+	n->leadership.commands_in_flight++;
+	n->leadership.coroutines_running++;
 }
 
 void fl_command_push_placed(struct fl_node *n)
@@ -107,8 +107,8 @@
 		}
 	}
 	fl_job_mark_dirty(&n->cluster, job);
-	fl_signal_wake(&n->lead.dirty);
-	fl_signal_wake(&n->lead.work);
+	fl_signal_wake(&n->leadership.writes_pending);
+	fl_signal_wake(&n->leadership.work_available);
 }
 
 /* Stops the tasks of cancelled jobs on one machine, or returns the machine when time is short. */
@@ -135,11 +135,11 @@
 	while (fl_sleep(tunables.enforce_s) == 0) {
 		double now = fl_now();
 
-		if (!fl_leading(n))
+		if (!fl_is_leader(n))
 			continue;
 		for (int i = 0; i < n->cluster.machines.n; i++)
 			enforce_cancellations(n, n->cluster.machines.at[i], now);
 	}
-	n->lead.running--;
-	fl_signal_wake(&n->lead.ended);
+	n->leadership.coroutines_running--;
+	fl_signal_wake(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/takeover.c
+++ b/src/coordination/failover.c
@@ -1,4 +1,4 @@
-#include "coordination/takeover.h"
+#include "coordination/failover.h"
 
 #include <errno.h>
 #include <math.h>
@@ -11,16 +11,16 @@
 #include "transport/log.h"
 
 struct load {
-	struct fl_node *n;
+	struct fl_node *node;
 	double now;
-	int chunks, orphans, bad;
-	struct fl_log log;
+	int progress_record_count, orphan_record_count, unreadable_record_count;
+	struct fl_log wal;
 };
 
 static void load_job(void *ctx, const struct fl_kv_event *event)
 {
-	struct load *l = ctx;
-	struct fl_cluster *b = &l->n->cluster;
+	struct load *load = ctx;
+	struct fl_cluster *b = &load->node->cluster;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job_record rec;
 	struct fl_job *job;
@@ -28,7 +28,7 @@
 	if (strlen(ref) >= FL_REF_MAX || !event->value ||
 	    fl_job_record_decode(event->value, ref, &rec) != 0) {
 		fl_error("takeover", "%s: cannot be read", event->key);
-		l->bad++;
+		load->unreadable_record_count++;
 		return;
 	}
 	if (rec.has_spec) {
@@ -36,7 +36,7 @@
 		if (!job) {
 			/* Its progress would pass for left behind, and be deleted. */
 			fl_error("takeover", "%s: names what is unknown here", event->key);
-			l->bad++;
+			load->unreadable_record_count++;
 			return;
 		}
 		job->rev = event->mod_revision;
@@ -53,66 +53,66 @@
 	fl_finished_add(b, ref, rec.status, rec.n_tasks, fl_since(rec.cancelled));
 }
 
-static void load_chunk(void *ctx, const struct fl_kv_event *event)
+static void load_progress_record(void *ctx, const struct fl_kv_event *event)
 {
-	struct load *l = ctx;
+	struct load *load = ctx;
 	char ref[FL_REF_MAX];
 	uint32_t chunk;
 	struct fl_job *job;
 
 	if (fl_key_chunk_parse(event->key, ref, &chunk) != 0) {
-		l->bad++;
+		load->unreadable_record_count++;
 		return;
 	}
-	job = fl_job_find(&l->n->cluster, ref);
+	job = fl_job_find(&load->node->cluster, ref);
 	if (!job) {
 		/* Left behind by a final write that had more to delete than fits in one. */
-		l->orphans++;
-		fl_record_writer_discard(l->n, event->key);
+		load->orphan_record_count++;
+		fl_record_writer_discard(load->node, event->key);
 		return;
 	}
-	if (fl_chunk_restore(&l->n->cluster, job, chunk, event->value, event->mod_revision, &l->log,
-	                     l->now) != 0) {
+	if (fl_chunk_restore(&load->node->cluster, job, chunk, event->value, event->mod_revision,
+	                     &load->wal, load->now) != 0) {
 		fl_error("takeover", "%s: cannot be read", event->key);
-		l->bad++;
+		load->unreadable_record_count++;
 	}
-	l->chunks++;
+	load->progress_record_count++;
 }
 
-static void load_log(void *ctx, const struct fl_kv_event *event)
+static void load_wal_value(void *ctx, const struct fl_kv_event *event)
 {
-	struct load *l = ctx;
+	struct load *load = ctx;
 
-	if (fl_log_read(&l->log, event->value) != 0) {
+	if (fl_log_read(&load->wal, event->value) != 0) {
 		fl_error("takeover", "%s: cannot be read", event->key);
-		l->bad++;
+		load->unreadable_record_count++;
 	}
 	if (strcmp(event->key, FL_KEY_WAL) == 0)
-		l->n->lead.log_rev = event->mod_revision;
+		load->node->leadership.wal_mod_revision = event->mod_revision;
 }
 
 /* Chunks that only the log tells of: their records were still to be made. */
-static void load_rest_of_log(struct load *l)
+static void restore_wal_only_blocks(struct load *load)
 {
-	struct fl_cluster *b = &l->n->cluster;
+	struct fl_cluster *b = &load->node->cluster;
 
-	for (int i = 0; i < l->log.n; i++) {
-		const struct fl_log_group *g = &l->log.at[i];
+	for (int i = 0; i < load->wal.n; i++) {
+		const struct fl_log_group *g = &load->wal.at[i];
 		struct fl_job *job = fl_job_find(b, g->ref);
 
 		/* No such job: it is over, and older writes of the log may stand for ever. */
 		if (g->taken || !job)
 			continue;
-		if (fl_chunk_restore(b, job, g->chunk, NULL, 0, &l->log, l->now) != 0) {
+		if (fl_chunk_restore(b, job, g->chunk, NULL, 0, &load->wal, load->now) != 0) {
 			fl_error("takeover", "the log's %s/%u: cannot be read", g->ref, g->chunk);
-			l->bad++;
+			load->unreadable_record_count++;
 		}
 	}
 }
 
-int fl_takeover_load(struct fl_node *n)
+int fl_failover_load(struct fl_node *n)
 {
-	struct load l = {.n = n, .now = fl_now()};
+	struct load load = {.node = n, .now = fl_now()};
 	struct fl_job *job, *tmp;
 	uint64_t rev;
 	int rc, jobs = 0;
@@ -121,27 +121,28 @@
 	fl_cluster_forget_tasks(&n->cluster);
 	n->cluster.leading = true;
 	fl_cluster_list_begin(&n->cluster);
-	rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, load_job, &l, &rev);
+	rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, load_job, &load, &rev);
 	if (!rc) {
 		fl_cluster_list_end(&n->cluster, rev);
 		n->cluster.list_rev = rev;
 		n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
-		rc = fl_kv_list(&n->kv_store, FL_PREFIX_WAL, load_log, &l, &rev);
+		rc = fl_kv_list(&n->kv_store, FL_PREFIX_WAL, load_wal_value, &load, &rev);
 	}
-	if (!rc && !n->lease.held)
+	if (!rc && !n->election.lease_held)
 		rc = -EAGAIN; /* lost meanwhile: the rest is no use, and half a state must not be
 		                 used */
 	if (!rc)
-		rc = fl_kv_list(&n->kv_store, FL_PREFIX_PROGRESS, load_chunk, &l, &rev);
+		rc = fl_kv_list(&n->kv_store, FL_PREFIX_PROGRESS, load_progress_record, &load,
+		                &rev);
 	if (!rc)
-		load_rest_of_log(&l);
-	n->lead.log_known = rc == 0;
-	fl_log_free(&l.log);
+		restore_wal_only_blocks(&load);
+	n->leadership.wal_revision_known = rc == 0;
+	fl_log_free(&load.wal);
 	if (rc)
 		return rc;
-	if (l.bad) {
+	if (load.unreadable_record_count) {
 		/* Something may be on a machine that could not be read: nothing may be decided. */
-		fl_error("takeover", "%d records cannot be read", l.bad);
+		fl_error("takeover", "%d records cannot be read", load.unreadable_record_count);
 		return -EPROTO;
 	}
 	HASH_ITER (hh, n->cluster.jobs, job, tmp) {
@@ -155,6 +156,6 @@
 			fl_job_mark_dirty(&n->cluster, job);
 	}
 	fl_info("takeover", "%d jobs, %d progress records, %d left over; took %.2f s", jobs,
-	        l.chunks, l.orphans, fl_now() - l.now);
+	        load.progress_record_count, load.orphan_record_count, fl_now() - load.now);
 	return 0;
 }
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -26,7 +26,7 @@
 /* The last time at which the machine was surely in contact both ways. */
 static double last_contact(const struct fl_node *n, const struct fl_machine *m)
 {
-	double heard = fmax(fmax(m->heard, n->lead.since), m->created);
+	double heard = fmax(fmax(m->heard, n->leadership.heartbeats_since), m->created);
 
 	/* Reports from a machine that our answers do not reach do not count. */
 	return fmin(heard, fl_reachability_lost_at(m));
@@ -89,7 +89,7 @@
 	for (int i = 0; i < n->n_peers; i++)
 		if (!n->peers[i].up || now < n->peers[i].up_since + n->config->lease_s)
 			return false;
-	return now > n->lead.since + n->config->lease_s;
+	return now > n->leadership.heartbeats_since + n->config->lease_s;
 }
 
 /*
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -39,7 +39,7 @@
 		if (fl_finished_find(&n->cluster, c->ref))
 			continue;
 		fl_cluster_learn_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
-		job = n->lead.active ? fl_job_find(&n->cluster, c->ref) : NULL;
+		job = n->leadership.active ? fl_job_find(&n->cluster, c->ref) : NULL;
 		if (job)
 			fl_command_stop_job(n, job);
 		fl_info("jobs", "%s is cancelled, says %s", c->ref, g->node);
@@ -73,19 +73,19 @@
 {
 	double proof = sent - g->proof_age_s;
 
-	if (g->epoch < n->epoch || g->epoch == 0)
+	if (g->fencing_token < n->fencing_token || g->fencing_token == 0)
 		return;
 	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
 	 */
-	if (g->epoch > n->epoch && n->lease.held) {
-		if (fl_lease_valid(n) || strcmp(g->leader, n->config->node) == 0)
+	if (g->fencing_token > n->fencing_token && n->election.lease_held) {
+		if (fl_election_lease_valid(n) || strcmp(g->leader, n->config->node) == 0)
 			return;
-		fl_lease_lost(n, "a peer knows a higher epoch");
+		fl_election_step_down(n, "a peer knows a higher epoch");
 	}
-	if (g->epoch > n->epoch || proof > n->leadership_confirmed_at) {
-		n->epoch = g->epoch;
+	if (g->fencing_token > n->fencing_token || proof > n->leadership_confirmed_at) {
+		n->fencing_token = g->fencing_token;
 		if (g->leader[0])
-			fl_copy_string(n->leader, sizeof(n->leader), g->leader);
+			fl_copy_string(n->leader_name, sizeof(n->leader_name), g->leader);
 		if (proof > n->leadership_confirmed_at)
 			n->leadership_confirmed_at = proof;
 	}
@@ -116,11 +116,11 @@
 {
 	memset(g, 0, sizeof(*g));
 	fl_copy_string(g->node, sizeof(g->node), n->config->node);
-	fl_copy_string(g->leader, sizeof(g->leader), n->leader);
-	g->epoch = n->epoch;
+	fl_copy_string(g->leader, sizeof(g->leader), n->leader_name);
+	g->fencing_token = n->fencing_token;
 	g->proof_age_s = age(n->leadership_confirmed_at);
 	g->known_age_s = age(n->cancellations_known_until);
-	g->leads = fl_lease_valid(n);
+	g->leads = fl_election_lease_valid(n);
 }
 
 void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -32,7 +32,7 @@
 bool fl_job_lookup_affords(struct fl_node *n, double requests)
 {
 	/* While one leads, the others pass their polls on to it, and ask nothing themselves. */
-	if (fl_leading(n))
+	if (fl_is_leader(n))
 		requests /= n->n_peers + 1;
 	return fl_budget_take(&n->poll_reads, requests, fl_now()) <= 0;
 }
--- a/src/coordination/leader.c
+++ b/src/coordination/leadership.c
@@ -1,4 +1,4 @@
-#include "coordination/leader.h"
+#include "coordination/leadership.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 #include "coordination/pass.h"
 #include "coordination/reconcile.h"
 #include "coordination/record_writer.h"
-#include "coordination/takeover.h"
+#include "coordination/failover.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
@@ -23,16 +23,19 @@
 	.end_wait_s = 1.0,  /* s between two looks whether the routines have ended */
 };
 
-bool fl_leading(const struct fl_node *n) { return n->lead.active && fl_lease_valid(n); }
+bool fl_is_leader(const struct fl_node *n)
+{
+	return n->leadership.active && fl_election_lease_valid(n);
+}
 
 /* ---- reports that other nodes cached and could not relay ---- */
 
-static void on_forwarded(void *ctx, const struct fl_kv_event *event)
+static void on_digest(void *ctx, const struct fl_kv_event *event)
 {
 	struct fl_node *n = ctx;
 	const cJSON *e;
 
-	if (!event->value || !fl_leading(n))
+	if (!event->value || !fl_is_leader(n))
 		return;
 	cJSON_ArrayForEach (e, fl_digest_reports(event->value)) {
 		struct fl_report r;
@@ -47,28 +50,28 @@
 	}
 }
 
-static void forwarded_duty(void *arg)
+static void digest_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 	uint64_t rev = 0;
 
 	while (!fl_cancelled()) {
-		int rc = rev == 0 ? fl_kv_list(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
-		                               on_forwarded, n, &rev)
+		int rc = rev == 0 ? fl_kv_list(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, on_digest,
+		                               n, &rev)
 		                  : fl_kv_watch(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, &rev,
-		                                tunables.watch_s, on_forwarded, n);
+		                                tunables.watch_s, on_digest, n);
 		if (rc == -ERANGE)
 			rev = 0;
 		if (rc && fl_sleep(tunables.retry_s) != 0)
 			break;
 	}
-	n->lead.running--;
-	fl_signal_wake(&n->lead.ended);
+	n->leadership.coroutines_running--;
+	fl_signal_wake(&n->leadership.coroutine_ended);
 }
 
 /* ---- jobs that were done before this leadership ---- */
 
-static void on_finished(void *ctx, const struct fl_kv_event *event)
+static void on_finished_job(void *ctx, const struct fl_kv_event *event)
 {
 	struct fl_node *n = ctx;
 	const char *ref = event->key + strlen(FL_PREFIX_FINISHED);
@@ -88,7 +91,7 @@
  * request; there are ten lists, by the first digit, with a pause in between, so that however many
  * jobs there are, others are served meanwhile.
  */
-static void finished_duty(void *arg)
+static void finished_jobs_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 	char prefix[FL_KEY_MAX];
@@ -96,20 +99,20 @@
 	int digit = 0;
 
 	while (fl_sleep(tunables.finished_s) == 0) {
-		if (digit > 9 || !fl_leading(n))
+		if (digit > 9 || !fl_is_leader(n))
 			continue;
 		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
-		if (fl_kv_list(&n->kv_store, prefix, on_finished, n, &rev) == 0)
+		if (fl_kv_list(&n->kv_store, prefix, on_finished_job, n, &rev) == 0)
 			digit++;
 	}
-	n->lead.running--;
-	fl_signal_wake(&n->lead.ended);
+	n->leadership.coroutines_running--;
+	fl_signal_wake(&n->leadership.coroutine_ended);
 }
 
 /* ---- start and end ---- */
 
 /* Starts one of the leader's routines, which are ended with the leadership. */
-static void start_duty(struct fl_node *n, void (*fn)(void *))
+static void start_coroutine(struct fl_node *n, void (*fn)(void *))
 {
 	struct fl_routine *r = fl_spawn(fn, n);
 
@@ -117,55 +120,55 @@
 		fl_error("leader", "no room for a routine");
 		return;
 	}
-	n->lead.duty[n->lead.n_duties++] = r;
-	n->lead.running++;
+	n->leadership.coroutines[n->leadership.coroutine_count++] = r;
+	n->leadership.coroutines_running++;
 }
 
 /* The routine that loads the cluster state and starts the others. */
-static void begin(void *arg)
+static void leadership_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 	double rate = n->config->state_write_rps * tunables.write_share;
-	uint64_t lease_id = n->lease.grant;
-	int rc = fl_takeover_load(n);
+	uint64_t lease_id = n->election.lease_id;
+	int rc = fl_failover_load(n);
 
-	n->lead.loading = false;
-	if (rc != 0 || !fl_lease_valid(n) || n->lease.grant != lease_id) {
+	n->leadership.loading = false;
+	if (rc != 0 || !fl_election_lease_valid(n) || n->election.lease_id != lease_id) {
 		fl_cluster_forget_tasks(&n->cluster);
 		n->cluster.leading = false;
 		return;
 	}
-	n->lead.first_epoch = n->lease.epoch;
-	n->lead.since = fl_now();
-	n->lead.active = true;
-	n->lead.due = true;
-	fl_budget_init(&n->lead.writes, rate, rate, fl_now());
-	start_duty(n, fl_pass_duty);
-	start_duty(n, fl_record_writer_duty);
-	start_duty(n, forwarded_duty);
-	start_duty(n, fl_command_enforce_duty);
+	n->leadership.first_fencing_token = n->election.fencing_token;
+	n->leadership.heartbeats_since = fl_now();
+	n->leadership.active = true;
+	n->leadership.cycle_due = true;
+	fl_budget_init(&n->leadership.write_budget, rate, rate, fl_now());
+	start_coroutine(n, fl_pass_duty);
+	start_coroutine(n, fl_record_writer_duty);
+	start_coroutine(n, digest_coroutine);
+	start_coroutine(n, fl_command_enforce_duty);
 	fl_provision_begin(n);
-	start_duty(n, fl_provision_duty);
-	start_duty(n, finished_duty);
+	start_coroutine(n, fl_provision_duty);
+	start_coroutine(n, finished_jobs_coroutine);
 }
 
-void fl_leader_begin(struct fl_node *n)
+void fl_leadership_begin(struct fl_node *n)
 {
 	fl_record_writer_free_pending(n);
-	memset(&n->lead, 0, sizeof(n->lead));
-	n->lead.loading = fl_spawn(begin, n) != NULL;
-	if (!n->lead.loading)
+	memset(&n->leadership, 0, sizeof(n->leadership));
+	n->leadership.loading = fl_spawn(leadership_coroutine, n) != NULL;
+	if (!n->leadership.loading)
 		fl_error("leader", "no room for a routine");
 }
 
-void fl_leader_end(struct fl_node *n)
+void fl_leadership_end(struct fl_node *n)
 {
-	n->lead.active = false;
-	for (int i = 0; i < n->lead.n_duties; i++)
-		fl_cancel(n->lead.duty[i]);
-	n->lead.n_duties = 0;
-	while (n->lead.running > 0 &&
-	       fl_signal_wait(&n->lead.ended, tunables.end_wait_s) != -ECANCELED)
+	n->leadership.active = false;
+	for (int i = 0; i < n->leadership.coroutine_count; i++)
+		fl_cancel(n->leadership.coroutines[i]);
+	n->leadership.coroutine_count = 0;
+	while (n->leadership.coroutines_running > 0 &&
+	       fl_signal_wait(&n->leadership.coroutine_ended, tunables.end_wait_s) != -ECANCELED)
 		;
 	fl_cluster_forget_tasks(&n->cluster);
 	n->cluster.leading = false;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -138,7 +138,7 @@
 		return;
 	}
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
-	if (!fl_leading(n) && fl_relay_ends_here(n, r.last_hop))
+	if (!fl_is_leader(n) && fl_relay_ends_here(n, r.last_hop))
 		fl_refuse(resp, 421, "not the leader");
 	else
 		fl_node_user_call(n, r.call, r.ref, r.body, r.body ? strlen(r.body) : 0,
@@ -160,14 +160,14 @@
 	job = fl_job_find(&n->cluster, ref);
 	known = job && job->cancelled;
 	job = fl_cluster_apply(&n->cluster, ref, event->value, event->mod_revision);
-	if (!job || !n->lead.active)
+	if (!job || !n->leadership.active)
 		return;
 	if (job->cancelled && !known) {
 		fl_info("jobs", "%s is cancelled, says its record", ref);
 		fl_command_stop_job(n, job);
 	}
-	n->lead.due = true;
-	fl_signal_wake(&n->lead.work);
+	n->leadership.cycle_due = true;
+	fl_signal_wake(&n->leadership.work_available);
 }
 
 static void jobs_duty(void *arg)
@@ -249,7 +249,7 @@
 	n->cluster.finished_lost_at = -1e9;
 	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * tunables.finished_share /
 	                                     sizeof(struct fl_finished_job));
-	snprintf(n->boot, sizeof(n->boot), "%s-%.6f", c->node, fl_wall());
+	snprintf(n->process_id, sizeof(n->process_id), "%s-%.6f", c->node, fl_wall());
 	for (int i = 0; i < c->n_zones; i++)
 		if (fl_names_add(&n->cluster.zones, c->zones[i]) < 0)
 			return -ENOMEM;
@@ -324,7 +324,7 @@
 		free(n);
 		return -1;
 	}
-	fl_lease_start(n);
+	fl_election_start(n);
 	fl_standby_start(n);
 	fl_spawn(types_duty, n);
 	fl_spawn(jobs_duty, n);
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -8,8 +8,8 @@
 #include "coordination/gossip.h"
 #include "coordination/job_lookup.h"
 #include "coordination/standby.h"
-#include "coordination/leader.h"
-#include "coordination/lease.h"
+#include "coordination/leadership.h"
+#include "coordination/election.h"
 #include "coordination/provision.h"
 #include "coordination/report_relay.h"
 #include "coordination/request_batch.h"
@@ -40,7 +40,7 @@
 	struct fl_cloud cloud;
 	struct fl_peer peers[FL_CONFIG_PEERS];
 	int n_peers;
-	char boot[96]; /* names this process, not only this node */
+	char process_id[96]; /* names this process, not only this node */
 	bool types_known, jobs_known;
 	/* Indices below it are of the classes for which the settings name an objective. */
 	int n_expected_classes;
@@ -53,10 +53,10 @@
 	struct fl_signal jobs_listed; /* the first list of them has come */
 
 	/* What is known of leadership, with the steady time at which it was surely true. */
-	char leader[FL_NAME_MAX];
-	uint64_t epoch;
+	char leader_name[FL_NAME_MAX];
+	uint64_t fencing_token;
 	double leadership_confirmed_at;
-	struct fl_signal control_changed;
+	struct fl_signal leadership_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
 	struct fl_budget poll_reads;
 	struct fl_batch_queue status_queries; /* for users' polls */
@@ -64,8 +64,8 @@
 	int relayed_calls; /* users' calls under way to other controllers, one by one */
 	double probed_at;  /* steady; when the users' balancer last asked for /ready */
 
-	struct fl_lease lease;
-	struct fl_leadership lead;
+	struct fl_election election;
+	struct fl_leadership leadership;
 	struct fl_standby standby;
 	struct fl_provision provision;
 };
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -55,7 +55,7 @@
 		uint32_t index = fl_task_next_waiting(job, 0, now);
 
 		if (index >= job->n_tasks ||
-		    fl_task_place(&n->cluster, job, index, m, n->lease.epoch, now) != 0)
+		    fl_task_place(&n->cluster, job, index, m, n->election.fencing_token, now) != 0)
 			continue;
 		fl_machine_note_image(m, job->image);
 		/* What it was reserved for has started; who still waits requests it again in each
@@ -131,7 +131,7 @@
 	struct fl_sched_out out = {0};
 	struct fl_snapshot snapshot;
 
-	n->lead.due = false;
+	n->leadership.cycle_due = false;
 	if (fl_snapshot_take(n, &snapshot, now) != 0)
 		goto out;
 	snapshot.in.out_of_time = out_of_time;
@@ -140,18 +140,18 @@
 		fl_error("schedule", "a pass failed for want of memory");
 		goto out;
 	}
-	n->lead.resume = out.resume;
+	n->leadership.resume_position = out.resume;
 	if (out.resume)
-		n->lead.due = true;
+		n->leadership.cycle_due = true;
 	apply(n, &snapshot, &out, now);
 	fl_provision_shortage(n, snapshot.jobs, out.short_of, snapshot.in.n_jobs);
-	n->lead.passes++;
+	n->leadership.cycle_count++;
 	fl_debug("schedule", "pass %llu: %d jobs, %d machines, %d starts, %d stops, %.1f ms%s",
-	         (unsigned long long)n->lead.passes, snapshot.in.n_jobs, snapshot.in.n_machines,
-	         out.n_starts, out.n_stops, (fl_now() - now) * 1000,
+	         (unsigned long long)n->leadership.cycle_count, snapshot.in.n_jobs,
+	         snapshot.in.n_machines, out.n_starts, out.n_stops, (fl_now() - now) * 1000,
 	         out.resume ? ", to be continued" : "");
 	if (n->cluster.dirty)
-		fl_signal_wake(&n->lead.dirty);
+		fl_signal_wake(&n->leadership.writes_pending);
 out:
 	fl_sched_free(&out);
 	fl_snapshot_free(&snapshot);
@@ -205,13 +205,13 @@
 	double last = 0, processor, gap = tunables.gap_s;
 
 	while (!fl_cancelled()) {
-		double wait = n->lead.due ? tunables.gap_s : tunables.most_s;
+		double wait = n->leadership.cycle_due ? tunables.gap_s : tunables.most_s;
 
-		if (fl_signal_wait(&n->lead.work, wait) == -ECANCELED)
+		if (fl_signal_wait(&n->leadership.work_available, wait) == -ECANCELED)
 			break;
 		if (fl_now() < last + gap && fl_sleep(last + gap - fl_now()) != 0)
 			break;
-		if (!fl_leading(n))
+		if (!fl_is_leader(n))
 			continue;
 		last = fl_now();
 		processor = fl_cpu_time();
@@ -221,11 +221,12 @@
 		gap = fl_pass_gap_s(n->config->core_share, fl_now() - last,
 		                    fl_cpu_time() - processor);
 		if (n->cluster.dirty)
-			fl_signal_wake(&n->lead.dirty);
-		if (n->lead.retained_entries > 0 && last > n->lease.raised_at + tunables.forget_s)
-			n->lease.want_epoch = true;
-		n->lead.retained_entries = 0;
+			fl_signal_wake(&n->leadership.writes_pending);
+		if (n->leadership.retained_exit_count > 0 &&
+		    last > n->election.token_raised_at + tunables.forget_s)
+			n->election.token_raise_wanted = true;
+		n->leadership.retained_exit_count = 0;
 	}
-	n->lead.running--;
-	fl_signal_wake(&n->lead.ended);
+	n->leadership.coroutines_running--;
+	fl_signal_wake(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/pass_snapshot.c
+++ b/src/coordination/pass_snapshot.c
@@ -250,7 +250,7 @@
 		if (usable(n, cluster->machines.at[i], now))
 			add_machine(n, snapshot, cluster->machines.at[i], now, wall);
 	snapshot->in.spot_loss = fl_provision_spot_loss(n);
-	snapshot->in.resume = n->lead.resume;
+	snapshot->in.resume = n->leadership.resume_position;
 	return 0;
 }
 
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -31,7 +31,7 @@
 	while ((wait = fl_budget_take(&n->provision.calls, 1, fl_now())) > 0)
 		if (fl_sleep(wait) != 0)
 			return -ECANCELED;
-	return fl_lease_valid(n) ? 0 : -EAGAIN;
+	return fl_election_lease_valid(n) ? 0 : -EAGAIN;
 }
 
 /* For controllers that start while the cloud is out: see read_types in node.c. */
@@ -40,10 +40,10 @@
 	struct fl_kv_txn txn;
 	uint64_t rev;
 
-	if (fl_budget_take(&n->lead.writes, 1, fl_now()) > 0)
+	if (fl_budget_take(&n->leadership.write_budget, 1, fl_now()) > 0)
 		return; /* launches need the writes: the next look will do */
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
 	if (fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL) != 0)
 		fl_debug("cloud", "machine types not stored");
@@ -95,7 +95,7 @@
 	struct fl_node *n = arg;
 
 	while (fl_sleep(tunables.round_s) == 0) {
-		if (!fl_lease_valid(n))
+		if (!fl_election_lease_valid(n))
 			continue;
 		/* No call of this duty is under way here, and machines with a command are kept. */
 		fl_cluster_purge(&n->cluster, fl_now() - tunables.tombstone_s);
@@ -109,6 +109,6 @@
 			refresh_types(n);
 		}
 	}
-	n->lead.running--;
-	fl_signal_wake(&n->lead.ended);
+	n->leadership.coroutines_running--;
+	fl_signal_wake(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/provision_rent.c
+++ b/src/coordination/provision_rent.c
@@ -25,7 +25,8 @@
 	int got = 0, rc = -EAGAIN;
 
 	/* With the epoch of the takeover in it no other leader uses the name, ever. */
-	snprintf(name, sizeof(name), "r-%llu-%llu", (unsigned long long)n->lead.first_epoch,
+	snprintf(name, sizeof(name), "r-%llu-%llu",
+	         (unsigned long long)n->leadership.first_fencing_token,
 	         (unsigned long long)++n->provision.rental_names);
 	for (int i = 0; i < tunables.tries; i++) {
 		int rc_call = fl_provision_spend_call(n);
@@ -72,6 +73,6 @@
 	for (int i = 0; i < count && rc == 0; i++)
 		rc = rent(n, &requests[i]);
 	n->provision.renting = false;
-	fl_signal_wake(&n->lead.work);
+	fl_signal_wake(&n->leadership.work_available);
 	return rc;
 }
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -63,7 +63,7 @@
 void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *report,
                             double now)
 {
-	bool session_lost, no_effect;
+	bool incarnation_lost, no_effect;
 	double gap = m->answered > 0 ? now - m->answered : 0;
 
 	m->waited = timed_out(n, m, report, gap);
@@ -71,9 +71,9 @@
 	if (m->answered <= 0)
 		return;
 	/* Had the last answer arrived, the lease could not have ended by now. */
-	session_lost = report->session > m->session && m->session > 0 &&
-	               gap < n->config->lease_s - tunables.timeout_s;
-	no_effect = report->epoch < m->answered_epoch || session_lost ||
+	incarnation_lost = report->incarnation > m->incarnation && m->incarnation > 0 &&
+	                   gap < n->config->lease_s - tunables.timeout_s;
+	no_effect = report->fencing_token < m->last_reply_token || incarnation_lost ||
 	            (m->answered_launch && !launches_reported(m, report));
 	if (no_effect) {
 		if (m->unheard++ == 0)
@@ -92,7 +92,7 @@
                               double now)
 {
 	m->answered = now;
-	m->answered_epoch = n->lease.epoch;
+	m->last_reply_token = n->election.fencing_token;
 	m->answered_launch = kind == FL_ANSWER_WITH_LAUNCH;
 }
 
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconcile.c
@@ -32,8 +32,8 @@
 {
 	if (m->heard <= 0)
 		return true;
-	return report->session > m->session ||
-	       (report->session == m->session && report->seq > m->seq);
+	return report->incarnation > m->incarnation ||
+	       (report->incarnation == m->incarnation && report->sequence > m->sequence);
 }
 
 /*
@@ -49,7 +49,7 @@
 	if (task->launch_sent && source == FL_SOURCE_COMMAND)
 		return false;
 	/* The launch of an answer is executed before the worker's next report or never. */
-	return m->direct_epoch == 0 || report->epoch > m->direct_epoch;
+	return m->direct_start_token == 0 || report->fencing_token > m->direct_start_token;
 }
 
 /*
@@ -58,7 +58,7 @@
  */
 static bool may_forget(const struct fl_machine *m, const struct fl_report *report)
 {
-	return report->epoch > m->direct_epoch;
+	return report->fencing_token > m->direct_start_token;
 }
 
 /* Whether the attempt is to run on, rather than be stopped. */
@@ -121,7 +121,7 @@
 		job->not_before = 0;
 		m->faults = 0;
 		fl_task_done(&n->cluster, job, index);
-		fl_signal_wake(&n->lead.work);
+		fl_signal_wake(&n->leadership.work_available);
 		return;
 	case FL_EXIT_STOPPED:
 	case FL_EXIT_MATES_GONE:
@@ -139,7 +139,7 @@
 		break;
 	}
 	fl_task_release(&n->cluster, job, index, pause > 0 ? now + pause : 0);
-	fl_signal_wake(&n->lead.work);
+	fl_signal_wake(&n->leadership.work_available);
 }
 
 static enum fl_observed_state observed_of(enum fl_task_state s)
@@ -176,11 +176,11 @@
 
 		if (task && task->phase == FL_TASK_WAITING) {
 			fl_task_done(&n->cluster, job, entry->index);
-			fl_signal_wake(&n->lead.work);
+			fl_signal_wake(&n->leadership.work_available);
 		}
 	}
 	if (!may_forget(m, report))
-		n->lead.retained_entries++;
+		n->leadership.retained_exit_count++;
 	else if (orders &&
 	         (!job || entry->index >= job->n_tasks || fl_task_durable(job, entry->index)))
 		fl_orders_add(orders, FL_FORGET, entry->ref, entry->index, entry->attempt, 0);
@@ -211,7 +211,7 @@
 		                                                            : "saving",
 		         m->name, now - task->since);
 		fl_task_observe(job, task, observed_of(entry->state), now);
-		fl_signal_wake(&n->lead.work);
+		fl_signal_wake(&n->leadership.work_available);
 	}
 	if (!should_run(job, task) && orders)
 		fl_orders_add(orders, FL_KILL, entry->ref, entry->index, entry->attempt,
@@ -245,12 +245,12 @@
 
 		if (in_report(report, job, index, task->attempt))
 			continue;
-		if (task->session < report->session) {
+		if (task->incarnation < report->incarnation) {
 			/* The session in which it was placed is over, and so is the attempt. */
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
 			        m->name);
 			fl_task_release(&n->cluster, job, index, 0);
-			fl_signal_wake(&n->lead.work);
+			fl_signal_wake(&n->leadership.work_available);
 			continue;
 		}
 		if (task->observed != FL_OBSERVED_NONE) {
@@ -261,9 +261,10 @@
 		if (!should_run(job, task)) {
 			if (absence_proves(m, task, report, source)) {
 				fl_task_release(&n->cluster, job, index, 0);
-				fl_signal_wake(&n->lead.work);
-			} else if (m->direct_epoch >= report->epoch && m->direct_epoch > 0) {
-				n->lease.want_epoch = true;
+				fl_signal_wake(&n->leadership.work_available);
+			} else if (m->direct_start_token >= report->fencing_token &&
+			           m->direct_start_token > 0) {
+				n->election.token_raise_wanted = true;
 			}
 		} else if (orders && fl_task_durable(job, index)) {
 			fl_orders_add(orders, FL_LAUNCH, job->ref, index, task->attempt, 0);
@@ -290,7 +291,7 @@
  */
 static bool predates_leadership(const struct fl_node *n, const struct fl_report *report)
 {
-	return report->epoch < n->lead.first_epoch;
+	return report->fencing_token < n->leadership.first_fencing_token;
 }
 
 static void record_contact(struct fl_node *n, struct fl_machine *m, const struct fl_report *report,
@@ -299,8 +300,8 @@
 	bool changed = !m->up;
 
 	describe(n, m, report);
-	m->session = report->session;
-	m->seq = report->seq;
+	m->incarnation = report->incarnation;
+	m->sequence = report->sequence;
 	m->heard = now;
 	m->up = true;
 	m->foreign = 0;
@@ -310,7 +311,7 @@
 		changed = true;
 	}
 	if (changed)
-		fl_signal_wake(&n->lead.work);
+		fl_signal_wake(&n->leadership.work_available);
 }
 
 int fl_reconcile_report(struct fl_node *n, const struct fl_report *report, struct fl_orders *orders,
@@ -322,7 +323,7 @@
 
 	if (m && m->gone)
 		return -ENOENT;
-	if (report->epoch > n->lease.epoch)
+	if (report->fencing_token > n->election.fencing_token)
 		return -ENOENT; /* our own epoch, being raised: the next report is taken */
 	if (predates_leadership(n, report))
 		return 0;
@@ -373,7 +374,7 @@
 		}
 	}
 	if (launches)
-		m->direct_epoch = n->lease.epoch;
+		m->direct_start_token = n->election.fencing_token;
 	return orders->n > 0;
 }
 
@@ -387,5 +388,5 @@
 	m->up = false;
 	while (m->n_slots > 0)
 		fl_task_release(&n->cluster, m->slots[0].job, m->slots[0].index, 0);
-	fl_signal_wake(&n->lead.work);
+	fl_signal_wake(&n->leadership.work_available);
 }
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -43,7 +43,7 @@
 {
 	double wait;
 
-	while ((wait = fl_budget_take(&n->lead.writes, writes, fl_now())) > 0)
+	while ((wait = fl_budget_take(&n->leadership.write_budget, writes, fl_now())) > 0)
 		if (fl_sleep(wait) != 0)
 			return -ECANCELED;
 	return 0;
@@ -126,14 +126,14 @@
 	int count, rc;
 
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	rc = collect(n, &txn, items, &count, most, scope);
 	if (rc || count == 0) {
 		fl_kv_txn_free(&txn);
 		return rc ? reread_unknown(n) : 0;
 	}
 	rc = fl_record_writer_await_budget(n, count);
-	if (rc || !fl_leading(n)) {
+	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
@@ -149,7 +149,7 @@
 		}
 	}
 	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
-		fl_lease_lost(n, "another leads");
+		fl_election_step_down(n, "another leads");
 	return rc;
 }
 
@@ -168,7 +168,7 @@
 /* The records follow as the budget allows, and leave room for what is urgent. */
 static int write_rest(struct fl_node *n)
 {
-	double left = fl_budget_left(&n->lead.writes, fl_now());
+	double left = fl_budget_left(&n->leadership.write_budget, fl_now());
 
 	return left < 1 ? 0 : write_batch(n, (int)left, UNSAVED_CHUNKS);
 }
@@ -204,7 +204,7 @@
 		return rc;
 	fl_command_push_placed(n);
 	finished = fl_record_writer_finalise_one(n);
-	rc = fl_leading(n) ? write_rest(n) : -EAGAIN;
+	rc = fl_is_leader(n) ? write_rest(n) : -EAGAIN;
 	if (!rc)
 		clear_saved(n);
 	return rc ? rc : finished;
@@ -213,12 +213,14 @@
 /* Nothing can be written before the budget allows, but something urgent may come up. */
 static int pause_for(struct fl_node *n)
 {
-	double left = fl_budget_left(&n->lead.writes, fl_now());
+	double left = fl_budget_left(&n->leadership.write_budget, fl_now());
 
 	if (!n->cluster.dirty || left >= 1)
 		return 0;
-	return fl_signal_wait(&n->lead.dirty, (1 - left) / n->lead.writes.rate) == -ECANCELED ? -1
-	                                                                                      : 0;
+	return fl_signal_wait(&n->leadership.writes_pending,
+	                      (1 - left) / n->leadership.write_budget.rate) == -ECANCELED
+	               ? -1
+	               : 0;
 }
 
 void fl_record_writer_duty(void *arg)
@@ -226,16 +228,16 @@
 	struct fl_node *n = arg;
 
 	while (!fl_cancelled()) {
-		if (!fl_leading(n) || !n->cluster.dirty) {
-			if (fl_leading(n) && n->lead.pending_deletions)
+		if (!fl_is_leader(n) || !n->cluster.dirty) {
+			if (fl_is_leader(n) && n->leadership.pending_deletions)
 				fl_record_writer_delete_pending(n);
-			if (fl_signal_wait(&n->lead.dirty, 0.5) == -ECANCELED)
+			if (fl_signal_wait(&n->leadership.writes_pending, 0.5) == -ECANCELED)
 				break;
 			continue;
 		}
 		if (write_all(n) != 0 ? fl_sleep(tunables.retry_s) != 0 : pause_for(n) != 0)
 			break;
 	}
-	n->lead.running--;
-	fl_signal_wake(&n->lead.ended);
+	n->leadership.coroutines_running--;
+	fl_signal_wake(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/record_writer_final.c
+++ b/src/coordination/record_writer_final.c
@@ -29,7 +29,7 @@
 
 	*over = rc == 0 && v == NULL;
 	*status = rec.status;
-	job = n->lead.active ? fl_job_find(&n->cluster, ref) : NULL;
+	job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (rc == 0 && v && job)
 		fl_record_writer_heard(n, job, &rec, rev);
 	cJSON_Delete(v);
@@ -49,7 +49,7 @@
 	uint32_t rest = 0;
 
 	fl_kv_txn_init(txn);
-	fl_kv_txn_expect_revision(txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_expect_revision(txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	fl_key_job(key, job->ref);
 	fl_kv_txn_expect_revision(txn, key, job->rev);
 	fl_kv_txn_delete(txn, key);
@@ -105,7 +105,7 @@
 	status = job->cancelled ? FL_CANCELLED : FL_DONE;
 	rest = build_final(n, job, status, &txn);
 	rc = fl_record_writer_await_budget(n, txn.operation_count);
-	if (rc || !fl_leading(n)) {
+	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
@@ -119,7 +119,7 @@
 	job->finishing = false;
 	job->unsure = rc != -EAGAIN;
 	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
-		fl_lease_lost(n, "another leads");
+		fl_election_step_down(n, "another leads");
 	return rc;
 }
 
@@ -134,7 +134,7 @@
 		if (!fl_job_is_over(job))
 			continue;
 		rc = finalise(n, job);
-		if (rc == 0 || rc == -ECANCELED || !fl_leading(n))
+		if (rc == 0 || rc == -ECANCELED || !fl_is_leader(n))
 			return rc;
 	}
 	return rc;
@@ -153,41 +153,41 @@
 	if (!t)
 		return; /* it costs a record's room, nothing else */
 	fl_copy_string(t->key, sizeof(t->key), key);
-	t->next = n->lead.pending_deletions;
-	n->lead.pending_deletions = t;
+	t->next = n->leadership.pending_deletions;
+	n->leadership.pending_deletions = t;
 }
 
 void fl_record_writer_free_pending(struct fl_node *n)
 {
-	while (n->lead.pending_deletions) {
-		struct fl_pending_deletion *t = n->lead.pending_deletions;
+	while (n->leadership.pending_deletions) {
+		struct fl_pending_deletion *t = n->leadership.pending_deletions;
 
-		n->lead.pending_deletions = t->next;
+		n->leadership.pending_deletions = t->next;
 		free(t);
 	}
 }
 
 int fl_record_writer_delete_pending(struct fl_node *n)
 {
-	struct fl_pending_deletion *t = n->lead.pending_deletions;
+	struct fl_pending_deletion *t = n->leadership.pending_deletions;
 	struct fl_kv_txn txn;
 	uint64_t rev;
 	int rc;
 
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	for (; t && txn.operation_count < n->config->txn_ops; t = t->next)
 		fl_kv_txn_delete(&txn, t->key);
 	rc = fl_record_writer_await_budget(n, txn.operation_count);
-	if (rc || !fl_leading(n)) {
+	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
 	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
-	while (rc == 0 && n->lead.pending_deletions != t) {
-		struct fl_pending_deletion *deleted = n->lead.pending_deletions;
+	while (rc == 0 && n->leadership.pending_deletions != t) {
+		struct fl_pending_deletion *deleted = n->leadership.pending_deletions;
 
-		n->lead.pending_deletions = deleted->next;
+		n->leadership.pending_deletions = deleted->next;
 		free(deleted);
 	}
 	return rc;
--- a/src/coordination/record_writer_log.c
+++ b/src/coordination/record_writer_log.c
@@ -87,14 +87,14 @@
 	cJSON *v;
 	int rc;
 
-	if (n->lead.log_known)
+	if (n->leadership.wal_revision_known)
 		return 0;
 	rc = fl_kv_get(&n->kv_store, FL_KEY_WAL, &v, &rev, NULL);
 	cJSON_Delete(v);
 	if (rc && rc != -ENOENT)
 		return rc;
-	n->lead.log_rev = rc == -ENOENT ? 0 : rev;
-	n->lead.log_known = true;
+	n->leadership.wal_mod_revision = rc == -ENOENT ? 0 : rev;
+	n->leadership.wal_revision_known = true;
 	return 0;
 }
 
@@ -109,11 +109,11 @@
 	if (rc)
 		return rc;
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->lease.lead_rev);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_WAL, n->lead.log_rev);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_WAL, n->leadership.wal_mod_revision);
 	values = fill_log(n, &txn, &items, &count);
 	rc = values < 0 ? values : fl_record_writer_await_budget(n, values);
-	if (rc || !fl_leading(n)) {
+	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		rc = rc ? rc : -EAGAIN;
 		goto out;
@@ -122,14 +122,14 @@
 	fl_debug("record", "log of %d records in %d values: %s", count, values,
 	         rc ? strerror(-rc) : "stored");
 	if (rc == 0)
-		n->lead.log_rev = rev;
+		n->leadership.wal_mod_revision = rev;
 	else if (rc != -EAGAIN)
-		n->lead.log_known = false;
+		n->leadership.wal_revision_known = false;
 	/* Only this routine lets go of jobs: those it counted are still there. */
 	for (int i = 0; i < count && rc == 0; i++)
 		items[i].job->chunks[items[i].chunk]->logged_gen = items[i].gen;
 	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
-		fl_lease_lost(n, "another leads");
+		fl_election_step_down(n, "another leads");
 out:
 	free(items);
 	return rc;
--- a/src/coordination/relay.c
+++ b/src/coordination/relay.c
@@ -36,7 +36,7 @@
 
 bool fl_relay_ends_here(const struct fl_node *n, bool last_hop)
 {
-	return last_hop || strcmp(n->leader, n->config->node) == 0;
+	return last_hop || strcmp(n->leader_name, n->config->node) == 0;
 }
 
 static int relay_via(struct fl_peer *p, const char *path, const char *text, double timeout_s,
@@ -57,7 +57,7 @@
 int fl_relay(struct fl_node *n, const char *path, fl_relay_encoder encode, const void *ctx,
              enum fl_hop hop, double patience_s, struct fl_reply *out)
 {
-	struct fl_peer *lead = fl_peer_find(n, n->leader);
+	struct fl_peer *lead = fl_peer_find(n, n->leader_name);
 	double until = fl_now() + patience_s;
 	int rc = -EHOSTUNREACH;
 	char *text;
--- a/src/coordination/report_digest.c
+++ b/src/coordination/report_digest.c
@@ -28,7 +28,8 @@
 	char *text;
 
 	HASH_FIND_STR(n->standby.cached, r->host, k);
-	if (k && (r->session < k->session || (r->session == k->session && r->seq <= k->seq)))
+	if (k && (r->incarnation < k->incarnation ||
+	          (r->incarnation == k->incarnation && r->sequence <= k->sequence)))
 		return;
 	text = fl_cached_report_encode(r);
 	if (!text)
@@ -44,8 +45,8 @@
 	}
 	free(k->text);
 	k->text = text;
-	k->session = r->session;
-	k->seq = r->seq;
+	k->incarnation = r->incarnation;
+	k->sequence = r->sequence;
 	k->at = fl_now();
 	k->stored = false;
 }
@@ -108,7 +109,7 @@
 		if (used + len > limit)
 			break;
 		if (!digest)
-			digest = fl_digest_begin(n->epoch);
+			digest = fl_digest_begin(n->fencing_token);
 		fl_digest_add(digest, k->text);
 		used += len;
 		k->stored = true;
@@ -151,7 +152,7 @@
 	HASH_ITER (hh, n->standby.cached, k, tmp)
 		if (k->at < now - 5 * interval_s)
 			uncache(n, k);
-	if (!n->standby.cached || fl_lease_valid(n) || !n->leader[0] ||
+	if (!n->standby.cached || fl_election_lease_valid(n) || !n->leader_name[0] ||
 	    fl_kv_is_unavailable(&n->kv_store))
 		return;
 	write_digests(n, now - 2 * interval_s);
--- a/src/coordination/report_digest.h
+++ b/src/coordination/report_digest.h
@@ -18,7 +18,7 @@
 struct fl_cached_report {
 	UT_hash_handle hh;
 	char host[FL_NAME_MAX];
-	uint64_t session, seq;
+	uint64_t incarnation, sequence;
 	char *text; /* the newest report, as it goes into a digest */
 	double at;
 	bool stored; /* went into a digest already */
--- a/src/coordination/report_relay.c
+++ b/src/coordination/report_relay.c
@@ -52,7 +52,7 @@
 	             ? -EHOSTUNREACH
 	             : fl_report_answers_decode(reply.body.data, reply.body.len, b->answer, b->n);
 	if (rc == -EPROTO)
-		fl_error("peers", "%s answers reports with what is no answer", n->leader);
+		fl_error("peers", "%s answers reports with what is no answer", n->leader_name);
 	fl_buf_free(&reply.body);
 	return rc;
 }
@@ -193,7 +193,7 @@
 		fl_refuse(resp, 400, "not reports");
 		return;
 	}
-	if (fl_leading(n))
+	if (fl_is_leader(n))
 		answer_all(n, &m, resp);
 	else if (fl_relay_ends_here(n, m.last_hop))
 		fl_refuse(resp, 421, "not the leader");
--- a/src/coordination/standby.c
+++ b/src/coordination/standby.c
@@ -36,9 +36,9 @@
  * does not matter: a lease renewed with an old epoch decides nothing, and a worker that has met a
  * newer one drops the answer.
  */
-static bool has_epoch(const struct fl_node *n, uint64_t epoch)
+static bool has_fencing_token(const struct fl_node *n, uint64_t fencing_token)
 {
-	return n->epoch > 0 && n->epoch >= epoch;
+	return n->fencing_token > 0 && n->fencing_token >= fencing_token;
 }
 
 static bool knows_jobs(const struct fl_node *n)
@@ -46,9 +46,9 @@
 	return fl_now() - n->cancellations_known_until <= fl_standby_renewal_s(n);
 }
 
-static bool has_proof(const struct fl_node *n, uint64_t epoch)
+static bool has_proof(const struct fl_node *n, uint64_t fencing_token)
 {
-	return has_epoch(n, epoch) && knows_jobs(n);
+	return has_fencing_token(n, fencing_token) && knows_jobs(n);
 }
 
 /*
@@ -89,7 +89,7 @@
 }
 
 /* Reads who leads; one read serves all that wait for it. */
-static void refresh_epoch(struct fl_node *n, double until)
+static void refresh_fencing_token(struct fl_node *n, double until)
 {
 	struct fl_standby *k = &n->standby;
 
@@ -97,7 +97,7 @@
 		fl_signal_wait(&k->refreshed, until - fl_now());
 	} else if (fl_now() > k->refreshed_at + tunables.refresh_s) {
 		k->refreshing = true;
-		fl_lease_refresh(n);
+		fl_election_refresh(n);
 		k->refreshing = false;
 		k->refreshed_at = fl_now();
 		fl_signal_wake(&k->refreshed);
@@ -110,26 +110,27 @@
  * nodes that are down. Found in logs of the return of all controllers: whoever had waited for the
  * epoch was refused because the jobs were not listed yet, some 50 workers each time.
  */
-static bool may_renew(struct fl_node *n, uint64_t epoch)
+static bool may_renew(struct fl_node *n, uint64_t fencing_token)
 {
 	double until = fl_now() + tunables.refresh_wait_s;
 
-	if (has_proof(n, epoch))
+	if (has_proof(n, fencing_token))
 		return true;
-	if (!has_epoch(n, epoch))
-		refresh_epoch(n, until);
-	if (has_epoch(n, epoch) && !n->jobs_known && fl_now() < until)
+	if (!has_fencing_token(n, fencing_token))
+		refresh_fencing_token(n, until);
+	if (has_fencing_token(n, fencing_token) && !n->jobs_known && fl_now() < until)
 		fl_signal_wait(&n->jobs_listed, until - fl_now());
-	return has_proof(n, epoch);
+	return has_proof(n, fencing_token);
 }
 
 static void answer_renewal(struct fl_node *n, const struct fl_report *r, struct fl_response *resp)
 {
 	struct fl_orders orders;
 
-	if (!may_renew(n, r->epoch)) {
+	if (!may_renew(n, r->fencing_token)) {
 		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
-		         r->host, (unsigned long long)r->epoch, (unsigned long long)n->epoch,
+		         r->host, (unsigned long long)r->fencing_token,
+		         (unsigned long long)n->fencing_token,
 		         fl_now() - n->cancellations_known_until);
 		fl_refuse(resp, 503, "no proof of the epoch");
 		return;
@@ -140,12 +141,12 @@
 		fl_refuse(resp, 503, "a cancelled job's task is there");
 		return;
 	}
-	fl_orders_init(&orders, n->epoch);
+	fl_orders_init(&orders, n->fencing_token);
 	stop_cancelled(n, r, &orders);
 	resp->status = 200;
 	resp->body = fl_orders_take(&orders);
 	fl_report_cache(n, r);
-	if (n->lead.active)
+	if (n->leadership.active)
 		fl_reconcile_renewed(n, r);
 }
 
@@ -169,7 +170,7 @@
 	struct fl_orders orders;
 	int rc;
 
-	fl_orders_init(&orders, n->lease.epoch);
+	fl_orders_init(&orders, n->election.fencing_token);
 	rc = fl_reconcile_report(n, r, &orders, FL_SOURCE_REPORT);
 	/* What is only answered, not taken in, gets no stop either: see holds_overdue. */
 	if (rc == 0 && knows_jobs(n) && (orders.n > 0 || !holds_overdue(n, r))) {
@@ -203,7 +204,7 @@
 		fl_debug("standby", "%s is sent to %s", r.host, home->name);
 		resp->status = 421;
 		resp->body = fl_steward_encode(home->name);
-	} else if (fl_leading(n)) {
+	} else if (fl_is_leader(n)) {
 		fl_standby_answer_leading(n, &r, resp);
 	} else if (fl_report_relay(n, body, len, resp) != 0) {
 		answer_renewal(n, &r, resp);
--- a/src/coordination/status_query.c
+++ b/src/coordination/status_query.c
@@ -35,7 +35,7 @@
 
 static struct fl_peer *leading_peer(struct fl_node *n)
 {
-	struct fl_peer *leader = fl_peer_find(n, n->leader);
+	struct fl_peer *leader = fl_peer_find(n, n->leader_name);
 
 	return leader && (leader->up || n->n_peers == 1) ? leader : NULL;
 }
@@ -121,7 +121,7 @@
 		fl_refuse(resp, 400, "not status queries");
 	} else if (count < 0) {
 		fl_later(resp, "no memory");
-	} else if (!fl_leading(n)) {
+	} else if (!fl_is_leader(n)) {
 		fl_refuse(resp, 421, "not the leader");
 	} else {
 		/* No wait from here on: all of it is said under the lease that was looked at. */
--- a/src/coordination/submission.c
+++ b/src/coordination/submission.c
@@ -76,7 +76,7 @@
 {
 	struct fl_reply reply;
 
-	if (fl_lease_valid(n) ||
+	if (fl_election_lease_valid(n) ||
 	    fl_user_call_relay(n, FL_CALL_POLL, ref, NULL, FL_FIRST_HOP,
 	                       fl_user_call_patience_s(FL_CALL_POLL), &reply) != 0)
 		return -EAGAIN;
@@ -136,9 +136,9 @@
 	if (!fl_finished_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
 	    !(n->cluster.leading && rev <= n->cluster.list_rev)) {
 		job = fl_job_add(&n->cluster, run, submitted, rev);
-		if (job && n->lead.active) {
-			n->lead.due = true;
-			fl_signal_wake(&n->lead.work);
+		if (job && n->leadership.active) {
+			n->leadership.cycle_due = true;
+			fl_signal_wake(&n->leadership.work_available);
 		}
 	}
 	return 0;
@@ -155,7 +155,7 @@
 	char *text;
 	int rc;
 
-	if (fl_lease_valid(n))
+	if (fl_election_lease_valid(n))
 		return false;
 	text = fl_json_take(fl_job_spec_encode(run));
 	rc = fl_user_call_relay(n, FL_CALL_SUBMIT, NULL, text, FL_FIRST_HOP,
--- a/src/coordination/user_calls.c
+++ b/src/coordination/user_calls.c
@@ -182,7 +182,7 @@
 		                              0);
 		return;
 	}
-	if (fl_leading(n)) {
+	if (fl_is_leader(n)) {
 		if (call == FL_CALL_POLL)
 			fl_answer_poll(n, ref, resp);
 		else
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -12,7 +12,7 @@
 
 	cJSON_AddStringToObject(o, "node", g->node);
 	cJSON_AddStringToObject(o, "leader", g->leader);
-	cJSON_AddNumberToObject(o, "epoch", (double)g->epoch);
+	cJSON_AddNumberToObject(o, "epoch", (double)g->fencing_token);
 	cJSON_AddNumberToObject(o, "proof_age_s", g->proof_age_s);
 	cJSON_AddBoolToObject(o, "leads", g->leads);
 	cJSON_AddNumberToObject(o, "known_age_s", g->known_age_s);
@@ -59,7 +59,7 @@
 	memset(out, 0, sizeof(*out));
 	if (fl_json_str(o, "node", out->node, sizeof(out->node)) != FL_FIELD_OK ||
 	    fl_json_str(o, "leader", out->leader, sizeof(out->leader)) != FL_FIELD_OK ||
-	    fl_json_count(o, "epoch", &out->epoch) != FL_FIELD_OK ||
+	    fl_json_count(o, "epoch", &out->fencing_token) != FL_FIELD_OK ||
 	    fl_json_amount(o, "proof_age_s", &out->proof_age_s) != FL_FIELD_OK ||
 	    fl_json_bool(o, "leads", &out->leads) != FL_FIELD_OK ||
 	    fl_json_amount(o, "known_age_s", &out->known_age_s) != FL_FIELD_OK ||
@@ -133,9 +133,9 @@
 	cJSON *e = cJSON_CreateArray(), *tasks = cJSON_CreateArray();
 
 	cJSON_AddItemToArray(e, cJSON_CreateString(r->host));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->session));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->seq));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->epoch));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->incarnation));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->sequence));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->fencing_token));
 	cJSON_AddItemToArray(e, cJSON_CreateNumber(r->reclaim_in_s));
 	for (int i = 0; i < r->n_tasks; i++) {
 		const struct fl_task_report *p = &r->tasks[i];
@@ -181,9 +181,9 @@
 	memset(out, 0, sizeof(*out));
 	if (!cJSON_IsString(host) || !host->valuestring[0] ||
 	    strlen(host->valuestring) >= sizeof(out->host) ||
-	    fl_json_item(e, 1, FL_COUNT_MAX, &out->session) != FL_FIELD_OK ||
-	    fl_json_item(e, 2, FL_COUNT_MAX, &out->seq) != FL_FIELD_OK ||
-	    fl_json_item(e, 3, FL_COUNT_MAX, &out->epoch) != FL_FIELD_OK ||
+	    fl_json_item(e, 1, FL_COUNT_MAX, &out->incarnation) != FL_FIELD_OK ||
+	    fl_json_item(e, 2, FL_COUNT_MAX, &out->sequence) != FL_FIELD_OK ||
+	    fl_json_item(e, 3, FL_COUNT_MAX, &out->fencing_token) != FL_FIELD_OK ||
 	    !cJSON_IsNumber(notice) || !cJSON_IsArray(tasks))
 		return -EPROTO;
 	fl_copy_string(out->host, sizeof(out->host), host->valuestring);
@@ -201,11 +201,11 @@
 	return 0;
 }
 
-cJSON *fl_digest_begin(uint64_t epoch)
+cJSON *fl_digest_begin(uint64_t fencing_token)
 {
 	cJSON *o = cJSON_CreateObject();
 
-	cJSON_AddNumberToObject(o, "epoch", (double)epoch);
+	cJSON_AddNumberToObject(o, "epoch", (double)fencing_token);
 	cJSON_AddArrayToObject(o, "kept");
 	return o;
 }
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -19,7 +19,7 @@
 /* A message of the regular exchange: a request, or the answer to one. */
 struct fl_gossip {
 	char node[FL_NAME_MAX], leader[FL_NAME_MAX]; /* leader empty: none known */
-	uint64_t epoch;
+	uint64_t fencing_token;
 	double proof_age_s; /* since the sending of the state read that leader and epoch rest on */
 	bool leads;         /* the sender holds a valid lease */
 	double known_age_s; /* since when the sender may lack a cancellation */
@@ -66,7 +66,7 @@
 /* Machine type, zone and endpoint stay empty. 0, or -EPROTO or -ENOMEM with nothing held. */
 int fl_cached_report_decode(const cJSON *e, struct fl_report *out);
 /* A new record of cached reports, without any. */
-cJSON *fl_digest_begin(uint64_t epoch);
+cJSON *fl_digest_begin(uint64_t fencing_token);
 /* Adds a text of fl_cached_report_encode. */
 void fl_digest_add(cJSON *digest, const char *cached);
 /* The list of cached reports in a record that was read, still unchecked; NULL: there is none. */
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -93,9 +93,9 @@
 	    fl_json_str(o, "HostKind", out->type, sizeof(out->type)) != FL_FIELD_OK ||
 	    fl_json_str(o, "Site", out->zone, sizeof(out->zone)) != FL_FIELD_OK ||
 	    fl_json_bool(o, "Reclaimable", &out->spot) != FL_FIELD_OK ||
-	    fl_json_count(o, "Tenure", &out->session) != FL_FIELD_OK ||
-	    fl_json_count(o, "Serial", &out->seq) != FL_FIELD_OK ||
-	    fl_json_count(o, "Epoch", &out->epoch) != FL_FIELD_OK)
+	    fl_json_count(o, "Tenure", &out->incarnation) != FL_FIELD_OK ||
+	    fl_json_count(o, "Serial", &out->sequence) != FL_FIELD_OK ||
+	    fl_json_count(o, "Epoch", &out->fencing_token) != FL_FIELD_OK)
 		return -EPROTO;
 	f = fl_json_amount(o, "ReclaimInS", &out->reclaim_in_s);
 	if (f != FL_FIELD_OK)
@@ -148,9 +148,9 @@
 	cJSON_AddStringToObject(o, "HostKind", r->type);
 	cJSON_AddStringToObject(o, "Site", r->zone);
 	cJSON_AddBoolToObject(o, "Reclaimable", r->spot);
-	cJSON_AddNumberToObject(o, "Tenure", (double)r->session);
-	cJSON_AddNumberToObject(o, "Serial", (double)r->seq);
-	cJSON_AddNumberToObject(o, "Epoch", (double)r->epoch);
+	cJSON_AddNumberToObject(o, "Tenure", (double)r->incarnation);
+	cJSON_AddNumberToObject(o, "Serial", (double)r->sequence);
+	cJSON_AddNumberToObject(o, "Epoch", (double)r->fencing_token);
 	if (r->reclaim_in_s >= 0)
 		cJSON_AddNumberToObject(o, "ReclaimInS", r->reclaim_in_s);
 	list = cJSON_AddArrayToObject(o, "Parts");
@@ -170,17 +170,17 @@
 	return fl_json_take(o);
 }
 
-void fl_orders_init(struct fl_orders *o, uint64_t epoch)
+void fl_orders_init(struct fl_orders *o, uint64_t fencing_token)
 {
 	o->root = cJSON_CreateObject();
-	cJSON_AddNumberToObject(o->root, "Epoch", (double)epoch);
+	cJSON_AddNumberToObject(o->root, "Epoch", (double)fencing_token);
 	o->list = cJSON_AddArrayToObject(o->root, "Orders");
 	o->n = 0;
 }
 
-void fl_orders_session(struct fl_orders *o, uint64_t session)
+void fl_orders_session(struct fl_orders *o, uint64_t incarnation)
 {
-	cJSON_AddNumberToObject(o->root, "Tenure", (double)session);
+	cJSON_AddNumberToObject(o->root, "Tenure", (double)incarnation);
 }
 
 void fl_orders_add(struct fl_orders *o, enum fl_verb verb, const char *ref, uint32_t index,
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -34,7 +34,7 @@
 struct fl_report {
 	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], type[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
-	uint64_t session, seq, epoch;
+	uint64_t incarnation, sequence, fencing_token;
 	double reclaim_in_s; /* < 0: no notice */
 	struct fl_task_report *tasks;
 	int n_tasks;
@@ -60,12 +60,12 @@
 char *fl_report_encode(const struct fl_report *r);
 
 /* Begins orders that carry this epoch. */
-void fl_orders_init(struct fl_orders *o, uint64_t epoch);
+void fl_orders_init(struct fl_orders *o, uint64_t fencing_token);
 /* Adds an order; `wind_down_s` is for FL_KILL. */
 void fl_orders_add(struct fl_orders *o, enum fl_verb verb, const char *ref, uint32_t index,
                    uint32_t attempt, double wind_down_s);
 /* Makes the orders valid for this session of the worker only, as a direct command must be. */
-void fl_orders_session(struct fl_orders *o, uint64_t session);
+void fl_orders_session(struct fl_orders *o, uint64_t incarnation);
 /* The body, to be freed; the builder is used up. */
 char *fl_orders_take(struct fl_orders *o);
 
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -28,15 +28,15 @@
 /* One task of a job. */
 struct fl_task {
 	uint8_t phase, observed, stop, fails;
-	bool launch_sent;  /* an answer ordered its launch, and no report has shown it yet */
-	uint32_t attempt;  /* the last one used; 0: none yet */
-	int32_t machine;   /* id, while PLACED */
-	uint64_t session;  /* of the machine, at placement */
-	uint64_t epoch;    /* in which this leader placed it; 0: read from a record */
-	uint64_t gen;      /* of the chunk, when this task last changed */
-	double since;      /* placed; or, when running, began to run */
-	double placed;     /* wall time of the placement, for the record */
-	double not_before; /* WAITING: backoff */
+	bool launch_sent;       /* an answer ordered its launch, and no report has shown it yet */
+	uint32_t attempt;       /* the last one used; 0: none yet */
+	int32_t machine;        /* id, while PLACED */
+	uint64_t incarnation;   /* of the machine, at placement */
+	uint64_t fencing_token; /* in which this leader placed it; 0: read from a record */
+	uint64_t gen;           /* of the chunk, when this task last changed */
+	double since;           /* placed; or, when running, began to run */
+	double placed;          /* wall time of the placement, for the record */
+	double not_before;      /* WAITING: backoff */
 };
 
 /* The tasks that share a progress record, FL_CHUNK of them. */
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -44,18 +44,18 @@
 	double reserved_cpus, reserved_gpus, reserved_ram;
 	uint8_t reserved_priority;
 	bool reserved_within_guarantee;
-	bool pushing;          /* a direct command is under way */
-	bool want_push;        /* something for a direct command has come up */
-	uint64_t session, seq; /* of the newest report */
-	uint64_t direct_epoch; /* highest epoch of a direct launch sent here; 0: none */
-	double heard;          /* steady time of the newest report */
+	bool pushing;                   /* a direct command is under way */
+	bool want_push;                 /* something for a direct command has come up */
+	uint64_t incarnation, sequence; /* of the newest report */
+	uint64_t direct_start_token;    /* highest epoch of a direct launch sent here; 0: none */
+	double heard;                   /* steady time of the newest report */
 	double reached; /* and of the newest that orders could answer, or came by a command */
 	/* Whether it hears us, which the arrival of its reports does not show: reachability.h. */
-	double answered;         /* steady; of the newest answer to a report; 0: none */
-	uint64_t answered_epoch; /* that the answer carried */
-	bool answered_launch;    /* the answer ordered a launch */
-	int unheard;             /* answers in a row that the next report showed no sign of */
-	double unheard_since;    /* steady; of the first of them */
+	double answered;           /* steady; of the newest answer to a report; 0: none */
+	uint64_t last_reply_token; /* that the answer carried */
+	bool answered_launch;      /* the answer ordered a launch */
+	int unheard;               /* answers in a row that the next report showed no sign of */
+	double unheard_since;      /* steady; of the first of them */
 	int via;        /* the node that its newest report was sent to, by an index; 0: not known */
 	bool waited;    /* that report came as one does whose last one went unanswered */
 	double created; /* steady time of rental or first sight */
--- a/src/storage/progress.c
+++ b/src/storage/progress.c
@@ -24,7 +24,7 @@
 	cJSON *e = pair(index, t->attempt);
 
 	cJSON_AddItemToArray(e, cJSON_CreateString(b->machines.at[t->machine]->name));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)t->session));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)t->incarnation));
 	cJSON_AddItemToArray(e, cJSON_CreateNumber(round(t->placed)));
 	return e;
 }
@@ -83,7 +83,7 @@
 	enum fl_phase phase;
 	uint32_t attempt;
 	const char *machine; /* in the value it was read from */
-	uint64_t session;
+	uint64_t incarnation;
 	double placed;
 	enum source source; /* FROM_LOG: the log alone has it, no record */
 };
@@ -117,7 +117,7 @@
 
 	if (fl_json_item(e, 0, FL_TASKS_MAX, index) != FL_FIELD_OK ||
 	    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK ||
-	    fl_json_item(e, 3, FL_COUNT_MAX, &out->session) != FL_FIELD_OK ||
+	    fl_json_item(e, 3, FL_COUNT_MAX, &out->incarnation) != FL_FIELD_OK ||
 	    /* Records of earlier versions have no time: it counts as placed now. */
 	    fl_json_item(e, 4, FL_COUNT_MAX, &placed) == FL_FIELD_BAD || !cJSON_IsString(name) ||
 	    strlen(name->valuestring) >= FL_NAME_MAX)
@@ -176,8 +176,8 @@
 		return -EPROTO;
 	if (s->phase == FL_TASK_PLACED) {
 		m = fl_machine_get(&b->machines, s->machine, now);
-		if (!m ||
-		    fl_task_restore(b, job, index, s->attempt, m, s->session, s->placed, now) != 0)
+		if (!m || fl_task_restore(b, job, index, s->attempt, m, s->incarnation, s->placed,
+		                          now) != 0)
 			return -ENOMEM;
 	} else if (s->phase == FL_TASK_DONE) {
 		t->phase = FL_TASK_DONE;
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -111,11 +111,11 @@
 	t->launch_sent = false;
 	t->stop = FL_STOP_NONE;
 	t->machine = -1;
-	t->epoch = 0;
+	t->fencing_token = 0;
 }
 
 int fl_task_place(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m,
-                  uint64_t epoch, double now)
+                  uint64_t fencing_token, double now)
 {
 	struct fl_task *t = fl_task_get(job, index);
 
@@ -124,8 +124,8 @@
 	t->phase = FL_TASK_PLACED;
 	t->attempt++;
 	t->machine = m->id;
-	t->session = m->session;
-	t->epoch = epoch;
+	t->incarnation = m->incarnation;
+	t->fencing_token = fencing_token;
 	t->observed = FL_OBSERVED_NONE;
 	t->stop = FL_STOP_NONE;
 	t->since = now;
@@ -136,7 +136,7 @@
 }
 
 int fl_task_restore(struct fl_cluster *b, struct fl_job *job, uint32_t index, uint32_t attempt,
-                    struct fl_machine *m, uint64_t session, double placed, double now)
+                    struct fl_machine *m, uint64_t incarnation, double placed, double now)
 {
 	struct fl_task *t = fl_task_get(job, index);
 
@@ -145,7 +145,7 @@
 	t->phase = FL_TASK_PLACED;
 	t->attempt = attempt;
 	t->machine = m->id;
-	t->session = session;
+	t->incarnation = incarnation;
 	t->placed = placed;
 	/* Placed by an earlier leader: what it has run since would be lost by stopping it. */
 	t->since = fmin(now, fl_since(placed));
@@ -201,7 +201,7 @@
 		 * placement. Counted from now, every new leader would take old work for fresh, and
 		 * stop what is nearly done to make room.
 		 */
-		if (t->epoch != 0 || t->observed != FL_OBSERVED_NONE)
+		if (t->fencing_token != 0 || t->observed != FL_OBSERVED_NONE)
 			t->since = now;
 	} else if (was && !is) {
 		job->n_running--;
--- a/src/storage/tasks.h
+++ b/src/storage/tasks.h
@@ -22,10 +22,10 @@
 
 /* WAITING -> PLACED with a new attempt. */
 int fl_task_place(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m,
-                  uint64_t epoch, double now);
+                  uint64_t fencing_token, double now);
 /* Puts an attempt read from a record on its machine. */
 int fl_task_restore(struct fl_cluster *b, struct fl_job *job, uint32_t index, uint32_t attempt,
-                    struct fl_machine *m, uint64_t session, double placed, double now);
+                    struct fl_machine *m, uint64_t incarnation, double placed, double now);
 /* PLACED -> WAITING: the attempt is proven not to be on its machine. */
 void fl_task_release(struct fl_cluster *b, struct fl_job *job, uint32_t index, double not_before);
 /* Any -> DONE. */
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -36,8 +36,11 @@
 	.together = true,
 };
 
-const struct fl_report without_tasks = {
-	.host = "m-000013", .session = 105, .seq = 106, .epoch = 107, .reclaim_in_s = -1};
+const struct fl_report without_tasks = {.host = "m-000013",
+                                        .incarnation = 105,
+                                        .sequence = 106,
+                                        .fencing_token = 107,
+                                        .reclaim_in_s = -1};
 
 cJSON *parse(const char *text)
 {
@@ -83,13 +86,14 @@
 }
 
 static void place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index, uint32_t attempt,
-                  const char *machine, uint64_t session, double placed)
+                  const char *machine, uint64_t incarnation, double placed)
 {
 	struct fl_machine *at = fl_machine_get(&cluster->machines, machine, 1);
 
 	assert_non_null(at);
 	assert_int_equal(
-		fl_task_restore(cluster, job, index, attempt, at, session, placed, fl_now()), 0);
+		fl_task_restore(cluster, job, index, attempt, at, incarnation, placed, fl_now()),
+		0);
 	fl_task_touch(cluster, job, index);
 }
 
@@ -113,7 +117,7 @@
 }
 
 void assert_task(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
-                 enum fl_phase phase, uint32_t attempt, const char *machine, uint64_t session,
+                 enum fl_phase phase, uint32_t attempt, const char *machine, uint64_t incarnation,
                  double placed)
 {
 	const struct fl_task *task = fl_task_peek(job, index);
@@ -124,7 +128,7 @@
 	if (phase != FL_TASK_PLACED)
 		return;
 	assert_string_equal(cluster->machines.at[task->machine]->name, machine);
-	assert_int_equal(task->session, session);
+	assert_int_equal(task->incarnation, incarnation);
 	assert_true(task->placed == placed);
 }
 
@@ -159,9 +163,9 @@
 	                                     FL_EXIT_NO_ROOM,    FL_EXIT_BUSY,    FL_EXIT_NO_SUCH,
 	                                     FL_EXIT_MATES_GONE, FL_EXIT_ALONE,   FL_EXIT_OTHER};
 	struct fl_report report = {.host = "m-000012",
-	                           .session = 101,
-	                           .seq = 102,
-	                           .epoch = 103,
+	                           .incarnation = 101,
+	                           .sequence = 102,
+	                           .fencing_token = 103,
 	                           .reclaim_in_s = 104.5,
 	                           .tasks = tasks,
 	                           .n_tasks = 13};
--- a/tests/fault_combinations_timing.c
+++ b/tests/fault_combinations_timing.c
@@ -276,12 +276,12 @@
 }
 
 const struct combination timing_combinations[] = {
-	{"old_command", "lease.c: epochs; reconcile.c: absence_proves", 2, old_command, 0},
+	{"old_command", "election.c: epochs; reconcile.c: absence_proves", 2, old_command, 0},
 	{"late_command", "reconcile.c: absence_proves, may_forget, direct_epoch", 2, late_command,
          1},
 	{"quick_machines", "tasks.c: fl_task_durable, before a launch", 1, quick_machines, 0},
 	{"quick_machines", "tasks.c: fl_task_durable, before a launch", 1, quick_machines, 141},
-	{"cancel_at_handover", "lease.c: fl_lease_valid", 1, cancel_at_handover, 3},
+	{"cancel_at_handover", "election.c: fl_election_lease_valid", 1, cancel_at_handover, 3},
 	{"cancel_at_handover", "answer.c: write_cancel's conditions", 1, cancel_at_handover, 236},
 	{"close_looks", "answer.c: unsure, finishing; job_lookup.c", 1, close_looks, 0},
 	{"close_looks", "answer.c: fl_answer_poll, what is unsure", 1, close_looks, 163},
@@ -291,10 +291,10 @@
 	{"small_jobs", "record_writer.c: the log, final writes", 1, small_jobs, 0},
 	{"report_for_next", "reconcile.c: predates_leadership", 1, report_for_next, 0},
 	{"report_for_next", "reconcile.c: predates_leadership", 1, report_for_next, 164},
-	{"one_returns", "takeover.c; lease.c; standby.c: knows_jobs", 1, one_returns, 0},
+	{"one_returns", "failover.c; election.c; standby.c: knows_jobs", 1, one_returns, 0},
 	{"frozen_leader", "gossip.c: learn; standby.c: knows_jobs", 1, frozen_leader, 1},
-	{"frozen_leader", "lease.c: fl_lease_valid", 1, frozen_leader, 114},
-	{"slow_controllers", "lease.c, standby.c: what is urgent and what is too late", 1,
+	{"frozen_leader", "election.c: fl_election_lease_valid", 1, frozen_leader, 114},
+	{"slow_controllers", "election.c, standby.c: what is urgent and what is too late", 1,
          slow_controllers, 1},
 	{"poll_storm", "job_lookup.c: fl_job_lookup_affords", 1, poll_storm, 0},
 	{"shared_fetches", "schedule.c, reconcile.c: what is pulling counts", 1, shared_fetches, 0},
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -116,7 +116,7 @@
 		node->cancellations_known_until = fl_now();
 	node->kv_store.last_failure_at = -1e9;
 	node->types_known = node->jobs_known = true;
-	strcpy(node->leader, "n1");
+	strcpy(node->leader_name, "n1");
 	node->n_peers = 1;
 	strcpy(node->peers[0].name, "n1");
 	node->peers[0].up = true;
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -13,18 +13,19 @@
 
 #include "transport/clock.h"
 
-void become_leader(struct fixture *fixture, uint64_t epoch)
+void become_leader(struct fixture *fixture, uint64_t fencing_token)
 {
 	struct fl_node *node = &fixture->node;
 
 	fl_cluster_forget_tasks(&node->cluster);
-	memset(&node->lead, 0, sizeof(node->lead));
-	node->cluster.leading = node->lead.active = true;
-	node->lease.held = true;
-	node->lease.valid_until = fl_now() + 1e6;
-	node->lease.epoch = node->lead.first_epoch = node->epoch = epoch;
+	memset(&node->leadership, 0, sizeof(node->leadership));
+	node->cluster.leading = node->leadership.active = true;
+	node->election.lease_held = true;
+	node->election.lease_valid_until = fl_now() + 1e6;
+	node->election.fencing_token = node->leadership.first_fencing_token = node->fencing_token =
+		fencing_token;
 	node->leadership_confirmed_at = node->cancellations_known_until = fl_now();
-	strcpy(node->leader, "n0");
+	strcpy(node->leader_name, "n0");
 }
 
 int set_up(void **state)
@@ -85,12 +86,12 @@
 	return 0;
 }
 
-struct fl_report make_report(uint64_t session, uint64_t seq, uint64_t epoch,
+struct fl_report make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
                              struct fl_task_report *tasks, int n)
 {
-	struct fl_report report = {.session = session,
-	                           .seq = seq,
-	                           .epoch = epoch,
+	struct fl_report report = {.incarnation = incarnation,
+	                           .sequence = sequence,
+	                           .fencing_token = fencing_token,
 	                           .reclaim_in_s = -1,
 	                           .tasks = tasks,
 	                           .n_tasks = n};
@@ -107,7 +108,7 @@
 	struct fl_orders orders;
 	int rc, n;
 
-	fl_orders_init(&orders, fixture->node.lease.epoch);
+	fl_orders_init(&orders, fixture->node.election.fencing_token);
 	rc = fl_reconcile_report(&fixture->node, &report,
 	                         source == FL_SOURCE_REPORT ? &orders : NULL, source);
 	n = orders.n;
@@ -128,7 +129,8 @@
 struct fl_task *place_task(struct fixture *fixture, uint32_t index)
 {
 	assert_int_equal(fl_task_place(&fixture->node.cluster, fixture->job, index,
-	                               only_machine(fixture), fixture->node.lease.epoch, fl_now()),
+	                               only_machine(fixture), fixture->node.election.fencing_token,
+	                               fl_now()),
 	                 0);
 	fl_job_chunk(fixture->job, 0)->saved_gen = fl_job_chunk(fixture->job, 0)->gen;
 	return fl_task_peek(fixture->job, index);
@@ -147,9 +149,9 @@
 {
 	struct fl_node *node = &fixture->node;
 
-	node->lease.held = node->lead.active = node->cluster.leading = false;
+	node->election.lease_held = node->leadership.active = node->cluster.leading = false;
 	node->types_known = node->jobs_known = true;
-	strcpy(node->leader, "n1");
+	strcpy(node->leader_name, "n1");
 	node->n_peers = peers;
 	for (int i = 0; i < peers; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -19,7 +19,7 @@
 };
 
 /* The node leads from now on, with this epoch and without placed tasks. */
-void become_leader(struct fixture *fixture, uint64_t epoch);
+void become_leader(struct fixture *fixture, uint64_t fencing_token);
 
 /* Before and after each test: a node with two zones, one machine type, team and job. */
 int set_up(void **state);
@@ -27,7 +27,7 @@
 int tear_down(void **state);
 
 /* Of the machine m-000001. */
-struct fl_report make_report(uint64_t session, uint64_t seq, uint64_t epoch,
+struct fl_report make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
                              struct fl_task_report *tasks, int n);
 
 /* Delivers a report; the number of orders in its answer, or the negative error. */
--- a/tests/reconcile_sim.c
+++ b/tests/reconcile_sim.c
@@ -30,9 +30,9 @@
 {
 	struct worker *worker = &sim->worker[at];
 	struct fl_task_report tasks[ENTRIES];
-	struct fl_report report = {.session = worker->session,
-	                           .seq = ++worker->seq,
-	                           .epoch = worker->epoch,
+	struct fl_report report = {.incarnation = worker->incarnation,
+	                           .sequence = ++worker->sequence,
+	                           .fencing_token = worker->fencing_token,
 	                           .reclaim_in_s = -1,
 	                           .tasks = tasks};
 
@@ -126,16 +126,16 @@
 {
 	struct worker *worker = &sim->worker[at];
 	cJSON *object = fl_json_parse(text, strlen(text));
-	uint64_t epoch, session;
+	uint64_t fencing_token, incarnation;
 	const cJSON *element;
 
-	assert_int_equal(fl_json_count(object, "Epoch", &epoch), FL_FIELD_OK);
-	if (epoch < worker->epoch)
+	assert_int_equal(fl_json_count(object, "Epoch", &fencing_token), FL_FIELD_OK);
+	if (fencing_token < worker->fencing_token)
 		goto out;
-	if (direct && (fl_json_count(object, "Tenure", &session) != FL_FIELD_OK ||
-	               session != worker->session))
+	if (direct && (fl_json_count(object, "Tenure", &incarnation) != FL_FIELD_OK ||
+	               incarnation != worker->incarnation))
 		goto out;
-	worker->epoch = epoch;
+	worker->fencing_token = fencing_token;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16], name[48];
 		struct fl_task_report task_report = {0};
@@ -193,11 +193,11 @@
 	struct fl_log log = {0};
 
 	fl_cluster_forget_tasks(&node->cluster);
-	memset(&node->lead, 0, sizeof(node->lead));
-	node->cluster.leading = node->lead.active = true;
-	node->lease.held = true;
-	node->lease.valid_until = 1e18;
-	node->lease.epoch = node->lead.first_epoch = ++sim->epoch;
+	memset(&node->leadership, 0, sizeof(node->leadership));
+	node->cluster.leading = node->leadership.active = true;
+	node->election.lease_held = true;
+	node->election.lease_valid_until = 1e18;
+	node->election.fencing_token = node->leadership.first_fencing_token = ++sim->fencing_token;
 	for (int i = 0; i < 2; i++) {
 		cJSON *record =
 			sim->log[i] ? fl_json_parse(sim->log[i], strlen(sim->log[i])) : NULL;
@@ -239,8 +239,8 @@
 		if (index >= job->n_tasks || !machine->up || machine->used_cpus >= 4 ||
 		    !fl_team_within_max(team, team->used_cpus + 1, 0))
 			continue;
-		assert_int_equal(fl_task_place(cluster, job, index, machine, sim->node.lease.epoch,
-		                               fl_now()),
+		assert_int_equal(fl_task_place(cluster, job, index, machine,
+		                               sim->node.election.fencing_token, fl_now()),
 		                 0);
 	}
 }
@@ -321,7 +321,7 @@
 	struct fl_report report;
 
 	assert_int_equal(fl_report_decode(text, strlen(text), &report), 0);
-	fl_orders_init(&orders, sim->node.lease.epoch);
+	fl_orders_init(&orders, sim->node.election.fencing_token);
 	if (fl_reconcile_report(&sim->node, &report, source == FL_SOURCE_REPORT ? &orders : NULL,
 	                        source) == 0 &&
 	    source == FL_SOURCE_REPORT) {
@@ -360,8 +360,8 @@
 	machine = fl_machine_find(&sim->node.cluster.machines, host);
 	if (!machine || !machine->up)
 		return;
-	fl_orders_init(&orders, sim->node.lease.epoch);
-	fl_orders_session(&orders, machine->session);
+	fl_orders_init(&orders, sim->node.election.fencing_token);
+	fl_orders_session(&orders, machine->incarnation);
 	if (!fl_reconcile_direct(&sim->node, machine, &orders)) {
 		cJSON_Delete(orders.root);
 		return;
@@ -417,7 +417,7 @@
 	cluster->teams.at[0].cpus_max = 6;
 	cluster->teams.n = 1;
 	for (int i = 0; i < WORKERS; i++)
-		sim->worker[i].session = 1;
+		sim->worker[i].incarnation = 1;
 	take_over(sim);
 }
 
--- a/tests/reconcile_sim.h
+++ b/tests/reconcile_sim.h
@@ -20,7 +20,7 @@
 };
 
 struct worker {
-	uint64_t session, seq, epoch;
+	uint64_t incarnation, sequence, fencing_token;
 	struct entry at[ENTRIES];
 	char *answer; /* to the newest report, in flight; dropped with the next report */
 };
@@ -41,7 +41,7 @@
 	char *log[2]; /* and the log; a write need not fill both values, what was there stays */
 	bool actually_done[JOBS][TASKS];
 	gsl_rng *rng;
-	uint64_t epoch;
+	uint64_t fencing_token;
 	int launches, dones, takeovers, logs;
 	int calm; /* the larger, the rarer a new epoch: late commands stay valid for longer */
 };
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -224,10 +224,10 @@
 	int type, zone;
 	bool spot, up, gone, failed, never_up, listed, hung;
 	double rented, ready, gone_at, hung_since, reclaim_at;
-	uint64_t session, seq, epoch;
+	uint64_t incarnation, sequence, fencing_token;
 	double lease_from; /* when the last answered report was sent */
 	double looked;     /* when its fetches were last looked at */
-	double epoch_told, last_sent;
+	double token_told_at, last_sent;
 	bool changed;
 	struct fl_signal work, goes_on;
 	int node;
@@ -309,7 +309,7 @@
 void sim_check_submitted(struct sim_job *job, double sent, int status, const char *body);
 void sim_check_polled(struct sim_job *job, double sent, int status, const char *body);
 void sim_check_cancelled(struct sim_job *job, double sent, int status, const char *body);
-void sim_check_epoch(uint64_t epoch, int process);
+void sim_check_epoch(uint64_t fencing_token, int process);
 void sim_check_rental(const char *name, int process);
 void sim_check_end(void);
 
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -21,8 +21,8 @@
 static struct {
 	char rental[NAMES][64];
 	int rental_by[NAMES], n_rentals;
-	uint64_t epoch[NAMES];
-	int epoch_by[NAMES], n_epochs;
+	uint64_t fencing_token[NAMES];
+	int token_holder[NAMES], token_count;
 } seen;
 
 double sim_time(void) { return fl_now() - sim.begin; }
@@ -246,19 +246,19 @@
 
 /* ---- names that belong to one process ---- */
 
-void sim_check_epoch(uint64_t epoch, int process)
+void sim_check_epoch(uint64_t fencing_token, int process)
 {
-	for (int i = 0; i < seen.n_epochs; i++)
-		if (seen.epoch[i] == epoch) {
-			if (seen.epoch_by[i] != process)
+	for (int i = 0; i < seen.token_count; i++)
+		if (seen.fencing_token[i] == fencing_token) {
+			if (seen.token_holder[i] != process)
 				sim_broken("epoch", "%llu is used by two processes",
-				           (unsigned long long)epoch);
+				           (unsigned long long)fencing_token);
 			return;
 		}
-	if (seen.n_epochs == NAMES)
+	if (seen.token_count == NAMES)
 		return;
-	seen.epoch[seen.n_epochs] = epoch;
-	seen.epoch_by[seen.n_epochs++] = process;
+	seen.fencing_token[seen.token_count] = fencing_token;
+	seen.token_holder[seen.token_count++] = process;
 }
 
 void sim_check_rental(const char *name, int process)
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -35,7 +35,7 @@
 	if (fl_now() <= m->lease_from + sim.lease_s)
 		return;
 	sim_tasks_drop(m);
-	m->session++;
+	m->incarnation++;
 	m->lease_from = fl_now();
 	sim_machine_changed(m);
 }
@@ -60,14 +60,14 @@
 		}
 }
 
-static void see_epoch(struct sim_machine *m, uint64_t epoch)
+static void see_epoch(struct sim_machine *m, uint64_t fencing_token)
 {
-	if (epoch <= m->epoch)
+	if (fencing_token <= m->fencing_token)
 		return;
-	m->epoch = epoch;
-	if (fl_now() < m->epoch_told + sim.lease_s / 2)
+	m->fencing_token = fencing_token;
+	if (fl_now() < m->token_told_at + sim.lease_s / 2)
 		return;
-	m->epoch_told = fl_now();
+	m->token_told_at = fl_now();
 	sim_machine_changed(m);
 }
 
@@ -76,9 +76,9 @@
 static char *report_text(struct sim_machine *m)
 {
 	struct fl_task_report tasks[SIM_TASKS];
-	struct fl_report r = {.session = m->session,
-	                      .seq = ++m->seq,
-	                      .epoch = m->epoch,
+	struct fl_report r = {.incarnation = m->incarnation,
+	                      .sequence = ++m->sequence,
+	                      .fencing_token = m->fencing_token,
 	                      .spot = m->spot,
 	                      .reclaim_in_s = -1,
 	                      .tasks = tasks};
@@ -177,14 +177,14 @@
 		send_copy(text, index_of(m), sim_pick(sim.n_nodes), -1);
 }
 
-static void heed(struct sim_machine *m, double sent, uint64_t session, const cJSON *o)
+static void heed(struct sim_machine *m, double sent, uint64_t incarnation, const cJSON *o)
 {
-	uint64_t epoch = 0;
+	uint64_t fencing_token = 0;
 
-	if (fl_json_count(o, "Epoch", &epoch) != FL_FIELD_OK || epoch < m->epoch ||
-	    session != m->session)
+	if (fl_json_count(o, "Epoch", &fencing_token) != FL_FIELD_OK ||
+	    fencing_token < m->fencing_token || incarnation != m->incarnation)
 		return; /* dropped: it stays here while its lease runs out */
-	see_epoch(m, epoch);
+	see_epoch(m, fencing_token);
 	m->lease_from = sent;
 	sim_tasks_command(m, o);
 }
@@ -224,7 +224,7 @@
 static double report(struct sim_machine *m)
 {
 	double sent = fl_now(), pause = -1;
-	uint64_t session = m->session;
+	uint64_t incarnation = m->incarnation;
 	char *text = report_text(m);
 	struct fl_reply reply;
 	int rc;
@@ -247,7 +247,7 @@
 		if (rc == 0 && reply.status == 200) {
 			cJSON *o = fl_json_parse(reply.body.data, reply.body.len);
 
-			heed(m, sent, session, o);
+			heed(m, sent, incarnation, o);
 			cJSON_Delete(o);
 		} else {
 			pause = move_on(m, &reply, rc);
@@ -275,7 +275,7 @@
 	if (m->never_up || fl_sleep(m->ready - fl_now()) != 0 || m->gone)
 		return;
 	m->up = true;
-	m->session = 1;
+	m->incarnation = 1;
 	m->lease_from = fl_now();
 	m->node = sim_pick(sim.n_nodes);
 	m->last_sent = -1;
@@ -306,17 +306,17 @@
                     struct fl_response *resp)
 {
 	cJSON *o = fl_json_parse(req->body, req->body_len);
-	uint64_t epoch = 0, session = 0;
+	uint64_t fencing_token = 0, incarnation = 0;
 
-	if (fl_json_count(o, "Epoch", &epoch) != FL_FIELD_OK ||
-	    fl_json_count(o, "Tenure", &session) != FL_FIELD_OK) {
+	if (fl_json_count(o, "Epoch", &fencing_token) != FL_FIELD_OK ||
+	    fl_json_count(o, "Tenure", &incarnation) != FL_FIELD_OK) {
 		resp->status = 400;
-	} else if (epoch < m->epoch || session != m->session) {
-		sim_check_epoch(epoch, process);
+	} else if (fencing_token < m->fencing_token || incarnation != m->incarnation) {
+		sim_check_epoch(fencing_token, process);
 		say_report(m, resp, 409);
 	} else {
-		sim_check_epoch(epoch, process);
-		see_epoch(m, epoch);
+		sim_check_epoch(fencing_token, process);
+		see_epoch(m, fencing_token);
 		sim_tasks_command(m, o);
 		say_report(m, resp, 200);
 	}
--- a/tests/standins.c
+++ b/tests/standins.c
@@ -32,7 +32,7 @@
 	UT_hash_handle hh;
 	char name[64];
 	cJSON *hosts;
-	uint64_t epoch; /* of the leader that asked for it */
+	uint64_t fencing_token; /* of the leader that asked for it */
 };
 
 static struct rental *rentals;
@@ -47,12 +47,12 @@
 	fl_json_str(in, "Rental", name, sizeof(name));
 	HASH_FIND_STR(rentals, name, rental);
 	if (rental) {
-		standins.names_reused += key && rental->epoch != key->rev;
+		standins.names_reused += key && rental->fencing_token != key->rev;
 		return rental;
 	}
 	rental = calloc(1, sizeof(*rental));
 	copy_text(rental->name, sizeof(rental->name), name);
-	rental->epoch = key ? key->rev : 0;
+	rental->fencing_token = key ? key->rev : 0;
 	rental->hosts = cJSON_CreateArray();
 	for (uint64_t i = 0; i < count && n_machines < MACHINES; i++)
 		cJSON_AddItemToArray(rental->hosts, cJSON_CreateString(add_machine()));
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -28,7 +28,7 @@
 	int launches, completed, twice, max_machines;
 	/* What must never happen: an epoch used again, a name of a rental given out by two leaders,
 	 * a launch on a machine that was returned to the cloud. */
-	int epochs_reused, names_reused, launched_gone;
+	int tokens_reused, names_reused, launched_gone;
 };
 
 extern struct standins standins;
--- a/tests/standins_internal.h
+++ b/tests/standins_internal.h
@@ -47,7 +47,7 @@
 struct machine {
 	char name[64], addr[32];
 	bool gone;
-	uint64_t session, seq, epoch;
+	uint64_t incarnation, sequence, fencing_token;
 	double answered;
 	struct task at[TASKS];
 	int node;
--- a/tests/standins_state.c
+++ b/tests/standins_state.c
@@ -35,11 +35,11 @@
 static uint64_t epoch_of_value(const char *value)
 {
 	cJSON *v = fl_json_parse(value, strlen(value));
-	uint64_t epoch = 0;
+	uint64_t fencing_token = 0;
 
-	fl_json_count(v, "epoch", &epoch);
+	fl_json_count(v, "epoch", &fencing_token);
 	cJSON_Delete(v);
-	return epoch;
+	return fencing_token;
 }
 
 static void append_change(const char *name, const char *value)
@@ -73,7 +73,7 @@
 static void check_epoch(const struct key *old, const char *name, const char *value)
 {
 	if (strcmp(name, "c/epoch") == 0 && old)
-		standins.epochs_reused += epoch_of_value(old->value) >= epoch_of_value(value);
+		standins.tokens_reused += epoch_of_value(old->value) >= epoch_of_value(value);
 }
 
 static void put_key(const char *name, char *value, uint64_t lease_id)
--- a/tests/standins_workers.c
+++ b/tests/standins_workers.c
@@ -61,9 +61,9 @@
 static char *next_report(struct machine *machine)
 {
 	struct fl_task_report tasks[TASKS];
-	struct fl_report report = {.session = machine->session,
-	                           .seq = ++machine->seq,
-	                           .epoch = machine->epoch,
+	struct fl_report report = {.incarnation = machine->incarnation,
+	                           .sequence = ++machine->sequence,
+	                           .fencing_token = machine->fencing_token,
 	                           .reclaim_in_s = -1,
 	                           .tasks = tasks};
 
@@ -162,14 +162,14 @@
 static bool take_command(struct machine *machine, const char *body)
 {
 	cJSON *object = fl_json_parse(body, strlen(body));
-	uint64_t epoch = 0, session = 0;
+	uint64_t fencing_token = 0, incarnation = 0;
 	bool good;
 
-	fl_json_count(object, "Epoch", &epoch);
-	fl_json_count(object, "Tenure", &session);
-	good = epoch >= machine->epoch && session == machine->session;
+	fl_json_count(object, "Epoch", &fencing_token);
+	fl_json_count(object, "Tenure", &incarnation);
+	good = fencing_token >= machine->fencing_token && incarnation == machine->incarnation;
 	if (good) {
-		machine->epoch = epoch;
+		machine->fencing_token = fencing_token;
 		execute_orders(machine, object);
 	}
 	cJSON_Delete(object);
@@ -203,7 +203,7 @@
 	struct fl_http_client client;
 	struct fl_reply reply;
 	double sent = fl_now();
-	uint64_t epoch = 0;
+	uint64_t fencing_token = 0;
 	char addr[32], *text = next_report(machine);
 	cJSON *object;
 
@@ -226,9 +226,10 @@
 		return;
 	}
 	object = fl_json_parse(reply.body.data, reply.body.len);
-	if (reply.status == 200 && fl_json_count(object, "Epoch", &epoch) == FL_FIELD_OK &&
-	    epoch >= machine->epoch && fl_now() < machine->answered + standins.lease_s) {
-		machine->epoch = epoch;
+	if (reply.status == 200 && fl_json_count(object, "Epoch", &fencing_token) == FL_FIELD_OK &&
+	    fencing_token >= machine->fencing_token &&
+	    fl_now() < machine->answered + standins.lease_s) {
+		machine->fencing_token = fencing_token;
 		machine->answered = sent;
 		execute_orders(machine, object);
 	} else if (reply.status != 200) {
@@ -247,7 +248,7 @@
 	while (!machine->gone && fl_sleep(standins.report_s) == 0) {
 		if (fl_now() > machine->answered + standins.lease_s) {
 			memset(machine->at, 0, sizeof(machine->at));
-			machine->session++;
+			machine->incarnation++;
 			machine->answered = fl_now();
 		}
 		report_once(machine);
@@ -266,7 +267,7 @@
 
 	assert(n_machines < MACHINES);
 	snprintf(machine->name, sizeof(machine->name), "m-%06d", n_machines);
-	machine->session = 1;
+	machine->incarnation = 1;
 	machine->node = n_machines;
 	machine->unreachable = standins.unreachable > 0 && standins.unreachable--;
 	machines[n_machines++] = machine;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -258,7 +258,7 @@
 	fl_record_writer_heard(&fixture->node, fixture->job, &rec, 9);
 	assert_true(fixture->job->cancelled && !fixture->job->unsure && fixture->job->rev == 9);
 	/* Or while it still loads its cluster state, and its lease may be another's already. */
-	fixture->job->cancelled = fixture->node.lead.active = false;
+	fixture->job->cancelled = fixture->node.leadership.active = false;
 	final = fixture->node.cluster.finished;
 	HASH_DEL(fixture->node.cluster.finished, final);
 	free(final);
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -294,9 +294,9 @@
 static void assert_report(const struct fl_report *read, const struct fl_report *expected)
 {
 	assert_string_equal(read->host, expected->host);
-	assert_int_equal(read->session, expected->session);
-	assert_int_equal(read->seq, expected->seq);
-	assert_int_equal(read->epoch, expected->epoch);
+	assert_int_equal(read->incarnation, expected->incarnation);
+	assert_int_equal(read->sequence, expected->sequence);
+	assert_int_equal(read->fencing_token, expected->fencing_token);
 	assert_true(read->reclaim_in_s == expected->reclaim_in_s);
 	assert_int_equal(read->n_tasks, expected->n_tasks);
 	for (int number = 0; number < expected->n_tasks; number++) {
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -15,11 +15,11 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
-#include "coordination/lease.h"
+#include "coordination/election.h"
 #include "coordination/node.h"
 #include "coordination/record_writer_internal.h"
 #include "coordination/report_digest.h"
-#include "coordination/takeover.h"
+#include "coordination/failover.h"
 #include "protocol/peers.h"
 #include "sim.h"
 #include "transport/clock.h"
@@ -155,7 +155,7 @@
 	sim_time_begin();
 	node->config = &world.config;
 	strcpy(world.config.node, "host-1");
-	strcpy(node->boot, "host-1-18.75");
+	strcpy(node->process_id, "host-1-18.75");
 	world.config.core_share = 1;
 	world.config.ram_mb = 64;
 	world.config.state_rps = world.config.state_write_rps = 100;
@@ -216,9 +216,9 @@
 
 static void acquires_and_raises_the_epoch(struct fl_node *node)
 {
-	fl_lease_start(node);
+	fl_election_start(node);
 	fl_sleep(8);
-	node->lease.want_epoch = true;
+	node->election.token_raise_wanted = true;
 	fl_sleep(2);
 }
 
@@ -229,7 +229,7 @@
 	(void)state;
 	store("c/epoch", EPOCH, 31, 0);
 	run(acquires_and_raises_the_epoch, 12);
-	assert_true(node->lease.held);
+	assert_true(node->election.lease_held);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":0},"
 	               "{\"Key\":\"c/epoch\",\"KeyRev\":31}],\"Apply\":[{\"Put\":\"c/"
 	               "lead\",\"V\":" OWN_LEADER
@@ -237,13 +237,13 @@
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92},"
 	               "{\"Key\":\"c/epoch\",\"KeyRev\":92}],"
 	               "\"Apply\":[{\"Put\":\"c/epoch\",\"V\":" RAISED_EPOCH "}]}");
-	assert_int_equal(node->epoch, 43);
+	assert_int_equal(node->fencing_token, 43);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92}],"
 	               "\"Apply\":[{\"Put\":\"m/kinds\",\"V\":" MACHINE_TYPES "}]}");
 	end_node();
 }
 
-static void refresh(struct fl_node *node) { world.result = fl_lease_refresh(node); }
+static void refresh(struct fl_node *node) { world.result = fl_election_refresh(node); }
 
 static void a_node_recognises_the_stored_leader_and_epoch(void **state)
 {
@@ -253,12 +253,12 @@
 	store("c/lead", LEADER, 32, 5);
 	store("c/epoch", EPOCH, 31, 0);
 	run(refresh, 1);
-	assert_string_equal(node->leader, "host-2");
-	assert_int_equal(node->epoch, 41);
-	run(fl_lease_start, 10);
-	assert_string_equal(node->leader, "host-2");
-	assert_int_equal(node->epoch, 41);
-	assert_false(node->lease.held);
+	assert_string_equal(node->leader_name, "host-2");
+	assert_int_equal(node->fencing_token, 41);
+	run(fl_election_start, 10);
+	assert_string_equal(node->leader_name, "host-2");
+	assert_int_equal(node->fencing_token, 41);
+	assert_false(node->election.lease_held);
 	assert_int_equal(world.holds, 0);
 	assert_int_equal(world.n_written, 0);
 	end_node();
@@ -271,15 +271,15 @@
 
 	(void)state;
 	store("c/lead", "{\"node\":\"host-9\",\"boot\":\"9\"}", 32, 5);
-	run(fl_lease_start, 2.5);
-	assert_string_equal(node->leader, "host-9");
-	assert_int_equal(node->epoch, 0);
+	run(fl_election_start, 2.5);
+	assert_string_equal(node->leader_name, "host-9");
+	assert_int_equal(node->fencing_token, 0);
 	world.lists_refused = true;
 	world.event = "{\"KeyRev\":93,\"Put\":\"c/lead\",\"V\":" LEADER "},"
 		      "{\"KeyRev\":93,\"Put\":\"c/epoch\",\"V\":" EPOCH "}";
 	sim_time_run(fl_now() + 3);
-	assert_string_equal(node->leader, "host-2");
-	assert_int_equal(node->epoch, 41);
+	assert_string_equal(node->leader_name, "host-2");
+	assert_int_equal(node->fencing_token, 41);
 	end_node();
 }
 
@@ -290,25 +290,25 @@
 	(void)state;
 	store("c/lead", LEADER_BEFORE, 32, 5);
 	store("c/epoch", EPOCH, 31, 0);
-	run(fl_lease_start, 3);
+	run(fl_election_start, 3);
 	assert_int_equal(world.released, 5);
-	assert_true(node->lease.held);
-	assert_int_equal(node->epoch, 42);
+	assert_true(node->election.lease_held);
+	assert_int_equal(node->fencing_token, 42);
 	end_node();
 	node = begin_node();
 	store("c/lead", OWN_LEADER, 32, 5);
-	run(fl_lease_start, 3);
+	run(fl_election_start, 3);
 	assert_int_equal(world.released, 0);
 	assert_int_equal(world.holds, 0);
-	assert_false(node->lease.held);
+	assert_false(node->election.lease_held);
 	end_node();
 }
 
 static void lead(struct fl_node *node)
 {
-	node->lease.held = node->lead.active = node->cluster.leading = true;
-	node->lease.valid_until = fl_now() + 1e6;
-	node->lease.lead_rev = 33;
+	node->election.lease_held = node->leadership.active = node->cluster.leading = true;
+	node->election.lease_valid_until = fl_now() + 1e6;
+	node->election.leader_mod_revision = 33;
 }
 
 static void write_log(struct fl_node *node)
@@ -325,7 +325,7 @@
 	(void)state;
 	store("w/0", "{\"log\":[]}", 34, 0);
 	make_progress(&node->cluster, job);
-	fl_budget_init(&node->lead.writes, 100, 100, fl_now());
+	fl_budget_init(&node->leadership.write_budget, 100, 100, fl_now());
 	run(write_log, 1);
 	assert_int_equal(world.n_written, 1);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":33},{\"Key\":\"w/0\","
@@ -335,8 +335,8 @@
 
 static void load(struct fl_node *node)
 {
-	node->lease.held = true;
-	world.result = fl_takeover_load(node);
+	node->election.lease_held = true;
+	world.result = fl_failover_load(node);
 }
 
 static void a_new_leader_loads_what_stands_under_the_keys(void **state)
@@ -356,7 +356,7 @@
 	assert_int_equal(job->rev, 35);
 	assert_progress(&node->cluster, job);
 	assert_task(&node->cluster, job, 128, FL_TASK_WAITING, 6, NULL, 0, 0);
-	assert_int_equal(node->lead.log_rev, 39);
+	assert_int_equal(node->leadership.wal_mod_revision, 39);
 	job = fl_job_find(&node->cluster, "run-000413");
 	assert_true(job && job->cancelled);
 	assert_task(&node->cluster, job, 8, FL_TASK_PLACED, 1, "m-000014", 103, 9);
@@ -404,8 +404,8 @@
 	struct fl_task_report tasks[CACHED_TASKS];
 	struct fl_report report = make_report(tasks);
 
-	strcpy(node->leader, "host-2");
-	node->epoch = 108;
+	strcpy(node->leader_name, "host-2");
+	node->fencing_token = 108;
 	fl_report_digest_init(node, 2);
 	fl_report_cache(node, &report);
 	fl_report_cache(node, &without_tasks);
@@ -433,12 +433,12 @@
 	store("c/epoch", "{\"epoch\":102}", 31, 0); /* the epoch of the first report is next */
 	store("f/run-000414", FINAL_DONE, 40, 0);
 	store("k/host-2/0", DIGEST, 41, 0);
-	run(fl_lease_start, 4);
-	assert_true(node->lead.active);
+	run(fl_election_start, 4);
+	assert_true(node->leadership.active);
 	machine = fl_machine_find(&node->cluster.machines, "m-000012");
 	assert_non_null(machine);
-	assert_int_equal(machine->session, 101);
-	assert_int_equal(machine->seq, 102);
+	assert_int_equal(machine->incarnation, 101);
+	assert_int_equal(machine->sequence, 102);
 	assert_non_null(fl_finished_find(&node->cluster, "run-000414"));
 	assert_int_equal(fl_finished_find(&node->cluster, "run-000414")->n_tasks, 71);
 	end_node();
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -388,9 +388,9 @@
 	                          .type = "g8",
 	                          .zone = "zone-a",
 	                          .spot = true,
-	                          .session = 3,
-	                          .seq = 4123456789,
-	                          .epoch = 912345678901234,
+	                          .incarnation = 3,
+	                          .sequence = 4123456789,
+	                          .fencing_token = 912345678901234,
 	                          .reclaim_in_s = 27.5,
 	                          .tasks = (struct fl_task_report *)reported_tasks,
 	                          .n_tasks = COUNT_OF(reported_tasks)};
@@ -415,9 +415,9 @@
 	assert_string_equal(got->type, expected->type);
 	assert_string_equal(got->zone, expected->zone);
 	assert_int_equal(got->spot, expected->spot);
-	assert_int_equal(got->session, expected->session);
-	assert_int_equal(got->seq, expected->seq);
-	assert_int_equal(got->epoch, expected->epoch);
+	assert_int_equal(got->incarnation, expected->incarnation);
+	assert_int_equal(got->sequence, expected->sequence);
+	assert_int_equal(got->fencing_token, expected->fencing_token);
 	assert_true(got->reclaim_in_s == expected->reclaim_in_s);
 	expect_tasks(got, expected);
 	for (int i = 0; i < expected->n_tasks; i++)
@@ -447,9 +447,9 @@
 
 	(void)state;
 	assert_int_equal(fl_report_decode(text, strlen(text), &got), 0);
-	assert_int_equal(got.session, 9007199254740990);
-	assert_int_equal(got.seq, 9007199254740991);
-	assert_int_equal(got.epoch, 9007199254740992);
+	assert_int_equal(got.incarnation, 9007199254740990);
+	assert_int_equal(got.sequence, 9007199254740991);
+	assert_int_equal(got.fencing_token, 9007199254740992);
 	fl_report_free(&got);
 }
 
@@ -463,9 +463,9 @@
                                              .endpoint = "10.1.0.233:9000",
                                              .type = "c32",
                                              .zone = "zone-b",
-                                             .session = 1,
-                                             .seq = 88,
-                                             .epoch = 41,
+                                             .incarnation = 1,
+                                             .sequence = 88,
+                                             .fencing_token = 41,
                                              .reclaim_in_s = -1};
 
 static void a_heartbeat_without_spot_notice_and_tasks_has_neither(void **state)
@@ -1040,7 +1040,7 @@
 	assert_int_equal(fl_gossip_decode(text, strlen(text), &got), 0);
 	assert_string_equal(got.node, expected->node);
 	assert_string_equal(got.leader, expected->leader);
-	assert_int_equal(got.epoch, expected->epoch);
+	assert_int_equal(got.fencing_token, expected->fencing_token);
 	assert_true(got.proof_age_s == expected->proof_age_s);
 	assert_int_equal(got.leads, expected->leads);
 	assert_true(got.known_age_s == expected->known_age_s);
@@ -1059,7 +1059,7 @@
 	struct fl_cancelled cancelled[] = {{"run-000412", 1.5}, {"run-000413", 20}};
 	const struct fl_gossip from_the_leader = {.node = "host-1",
 	                                          .leader = "host-1",
-	                                          .epoch = 41,
+	                                          .fencing_token = 41,
 	                                          .proof_age_s = 0.25,
 	                                          .leads = true,
 	                                          .known_age_s = 3.5,
@@ -1067,7 +1067,7 @@
 	                                          .n_cancelled = COUNT_OF(cancelled)};
 	const struct fl_gossip from_another = {.node = "host-2",
 	                                       .leader = "host-3",
-	                                       .epoch = 42,
+	                                       .fencing_token = 42,
 	                                       .proof_age_s = 5,
 	                                       .known_age_s = 6,
 	                                       .complete = true};
@@ -1241,9 +1241,9 @@
 	assert_string_equal(got.endpoint, "");
 	assert_string_equal(got.type, "");
 	assert_string_equal(got.zone, "");
-	assert_int_equal(got.session, expected->session);
-	assert_int_equal(got.seq, expected->seq);
-	assert_int_equal(got.epoch, expected->epoch);
+	assert_int_equal(got.incarnation, expected->incarnation);
+	assert_int_equal(got.sequence, expected->sequence);
+	assert_int_equal(got.fencing_token, expected->fencing_token);
 	assert_true(got.reclaim_in_s == expected->reclaim_in_s);
 	expect_tasks(&got, expected);
 	fl_report_free(&got);
--- a/tests/test_lease_priority.c
+++ b/tests/test_election_priority.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/lease.h"
+#include "coordination/election.h"
 #include "coordination/node.h"
 #include "sim.h"
 #include "transport/clock.h"
@@ -75,7 +75,7 @@
 static void start_lease(void *arg)
 {
 	(void)arg;
-	fl_lease_start(&world.node);
+	fl_election_start(&world.node);
 }
 
 /* Ready again as soon as it has run. */
@@ -107,13 +107,13 @@
 	n->types_known = n->jobs_known = true;
 	assert_non_null(sim_spawn(PROCESS, start_lease, NULL));
 	sim_time_run(fl_now() + begin_busy_s);
-	assert_true(n->lease.held);
+	assert_true(n->election.lease_held);
 	before = world.renewals;
 	world.busy = true;
 	for (int i = 0; i < BUSY_ROUTINES; i++)
 		assert_non_null(sim_spawn(PROCESS, busy, NULL));
 	sim_time_run(fl_now() + end_s);
-	assert_true(fl_lease_valid(n));
+	assert_true(fl_election_lease_valid(n));
 	assert_int_equal(world.holds, 1);
 	/* One each 0.8 s, and what the work before it takes. */
 	assert_true(world.renewals - before >= (int)end_s);
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -17,7 +17,7 @@
 	struct fl_machine *machine = only_machine(fixture);
 
 	machine->heard = machine->reached = machine->created = fl_now() - seconds;
-	fixture->node.lead.since = fl_now() - 1000;
+	fixture->node.leadership.heartbeats_since = fl_now() - 1000;
 }
 
 static bool is_expired(struct fixture *fixture)
@@ -139,9 +139,9 @@
 
 	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place_task(fixture, 0);
-	for (uint64_t seq = 2; seq < 5; seq++) {
+	for (uint64_t sequence = 2; sequence < 5; sequence++) {
 		answered_ago(fixture, 12);
-		deliver_report(fixture, make_report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+		deliver_report(fixture, make_report(1, sequence, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_true(is_expired(fixture));
 	for (int i = 2; i < 6; i++) {
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -148,8 +148,8 @@
 	                           .kind = FL_ARRAY};
 	struct fl_job *job;
 
-	node->lead.active = node->lease.held = node->cluster.leading = true;
-	node->lease.valid_until = fl_now() + 1000;
+	node->leadership.active = node->election.lease_held = node->cluster.leading = true;
+	node->election.lease_valid_until = fl_now() + 1000;
 	/* What is read has not seen the end: nothing stands there. */
 	fixture->known = false;
 	fixture->gated = true;
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -67,7 +67,7 @@
 		site->machine[i] = fl_machine_get(&cluster->machines, name, fl_now());
 		fl_cluster_describe(cluster, site->machine[i], 0, 0, true, "x");
 		site->machine[i]->up = true;
-		site->machine[i]->session = 1;
+		site->machine[i]->incarnation = 1;
 		site->machine[i]->reached = fl_now();
 	}
 	return 0;
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -143,7 +143,7 @@
 	assert_int_equal(machines_full(), MACHINES);
 	assert_int_equal(sim.starts, TASKS);
 	for (int i = 0; i < sim.n_machines; i++)
-		assert_int_equal(sim.machine[i].session, 1);
+		assert_int_equal(sim.machine[i].incarnation, 1);
 	sim_check_end();
 	if (sim.failures > 0)
 		fail_msg("%d rules broken\n%s", sim.failures, sim.report);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -26,9 +26,9 @@
 	assert_int_equal(
 		deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT), 0);
 	task = place_task(fixture, 0);
-	for (uint64_t seq = 2; seq < 5; seq++) {
+	for (uint64_t sequence = 2; sequence < 5; sequence++) {
 		answered_ago(fixture, 5);
-		launches += deliver_report(fixture, make_report(1, seq, EPOCH, NULL, 0),
+		launches += deliver_report(fixture, make_report(1, sequence, EPOCH, NULL, 0),
 		                           FL_SOURCE_REPORT);
 	}
 	assert_int_equal(launches, 3);
@@ -64,9 +64,9 @@
 	answered_ago(fixture, 5);
 	deliver_report(fixture, make_report(1, 2, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	assert_true(fl_reachability_doubted(only_machine(fixture)));
-	for (uint64_t session = 2; session < 4; session++) {
+	for (uint64_t incarnation = 2; incarnation < 4; incarnation++) {
 		answered_ago(fixture, 5);
-		deliver_report(fixture, make_report(session, 10 * session, EPOCH, NULL, 0),
+		deliver_report(fixture, make_report(incarnation, 10 * incarnation, EPOCH, NULL, 0),
 		               FL_SOURCE_REPORT);
 	}
 	assert_true(fl_reachability_lost_at(only_machine(fixture)) < INFINITY);
@@ -82,19 +82,19 @@
 
 	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	place_task(fixture, 0);
-	for (uint64_t seq = 2; seq < 5; seq++) {
+	for (uint64_t sequence = 2; sequence < 5; sequence++) {
 		answered_ago(fixture, 1);
-		deliver_report(fixture, make_report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+		deliver_report(fixture, make_report(1, sequence, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_true(fl_reachability_doubted(only_machine(fixture)));
 	deliver_report(fixture, make_report(1, 5, EPOCH, NULL, 0), FL_SOURCE_COMMAND);
 	assert_false(fl_reachability_doubted(only_machine(fixture)));
 	fl_task_peek(fixture->job, 0)->launch_sent = false;
-	fixture->node.lease.epoch++;
-	for (uint64_t seq = 6; seq < 9; seq++) {
+	fixture->node.election.fencing_token++;
+	for (uint64_t sequence = 6; sequence < 9; sequence++) {
 		answered_ago(fixture, 1);
 		fl_task_peek(fixture->job, 0)->stop = FL_STOP_PREEMPT;
-		deliver_report(fixture, make_report(1, seq, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+		deliver_report(fixture, make_report(1, sequence, EPOCH, NULL, 0), FL_SOURCE_REPORT);
 	}
 	assert_true(fl_reachability_doubted(only_machine(fixture)));
 	answered_ago(fixture, 1);
@@ -147,21 +147,21 @@
 			assert_int_equal(fl_reachability_doubted(only_machine(fixture)),
 			                 report.via > 1 && i == 0);
 			answered_ago(fixture, 6);
-			report.seq++;
+			report.sequence++;
 		}
 	}
 	/* Even then its own answer to a command, or a launch that shows, ends the doubt. */
 	report.via = 1;
 	deliver_report(fixture, report, FL_SOURCE_REPORT);
 	assert_true(fl_reachability_doubted(only_machine(fixture)));
-	report.seq++;
+	report.sequence++;
 	deliver_report(fixture, report, FL_SOURCE_COMMAND);
 	assert_false(fl_reachability_doubted(only_machine(fixture)));
 	/* Where there is no other node, only a launch without effect shows it. */
 	fixture->node.n_peers = 0;
 	for (int i = 0; i < 3; i++) {
 		answered_ago(fixture, 6);
-		report.seq++;
+		report.sequence++;
 		deliver_report(fixture, report, FL_SOURCE_REPORT);
 		assert_false(fl_reachability_doubted(only_machine(fixture)));
 	}
--- a/tests/test_reconcile.c
+++ b/tests/test_reconcile.c
@@ -58,7 +58,7 @@
 	struct worker *worker = &sim->worker[at];
 
 	memset(worker->at, 0, sizeof(worker->at));
-	worker->session++;
+	worker->incarnation++;
 	drop_answer(worker);
 }
 
@@ -77,7 +77,7 @@
 		break;
 	case 2:
 		if (random_below(sim, 3 * sim->calm) == 0)
-			sim->node.lease.epoch = ++sim->epoch;
+			sim->node.election.fencing_token = ++sim->fencing_token;
 		break;
 	case 3:
 	case 4:
@@ -146,10 +146,11 @@
 
 /* One task of the job is placed on the machine and fails there. */
 static struct fl_machine *fail_task(struct simulation *sim, struct fl_job *job, int host,
-                                    uint32_t index, uint64_t seq)
+                                    uint32_t index, uint64_t sequence)
 {
 	struct fl_cluster *cluster = &sim->node.cluster;
-	struct fl_report report = {.session = 1, .seq = seq, .epoch = 1, .reclaim_in_s = -1};
+	struct fl_report report = {
+		.incarnation = 1, .sequence = sequence, .fencing_token = 1, .reclaim_in_s = -1};
 	struct fl_task_report task_report = {
 		.index = index, .state = FL_ENDED, .exit = FL_EXIT_ERROR};
 	struct fl_machine *machine;
@@ -157,7 +158,7 @@
 	format_host(host, report.host);
 	machine = fl_machine_get(&cluster->machines, report.host, 0);
 	fl_cluster_describe(cluster, machine, 0, 0, false, "x");
-	machine->session = 1;
+	machine->incarnation = 1;
 	assert_int_equal(fl_task_place(cluster, job, index, machine, 1, 0), 0);
 	copy_text(task_report.ref, sizeof(task_report.ref), job->ref);
 	task_report.attempt = fl_task_peek(job, index)->attempt;
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -19,7 +19,7 @@
 	enum fl_phase phase;
 	uint32_t attempt;
 	int machine;
-	uint64_t session;
+	uint64_t incarnation;
 	bool logged;
 };
 
@@ -99,7 +99,7 @@
 			.phase = (enum fl_phase)pick(3),
 			.attempt = 1 + pick(3),
 			.machine = (int)pick(MACHINES),
-			.session = 1 + pick(9),
+			.incarnation = 1 + pick(9),
 		};
 	}
 }
@@ -125,7 +125,7 @@
 		if (c->phase == FL_TASK_PLACED) {
 			snprintf(name, sizeof(name), "host-%d", c->machine);
 			cJSON_AddItemToArray(e, cJSON_CreateString(name));
-			cJSON_AddItemToArray(e, cJSON_CreateNumber((double)c->session));
+			cJSON_AddItemToArray(e, cJSON_CreateNumber((double)c->incarnation));
 			cJSON_AddItemToArray(e, cJSON_CreateNumber(1000));
 		}
 		cJSON_AddItemToArray(c->phase == FL_TASK_DONE     ? done
@@ -240,7 +240,7 @@
 		return;
 	snprintf(name, sizeof(name), "host-%d", best.machine);
 	assert_string_equal(w->cluster.machines.at[t->machine]->name, name);
-	assert_int_equal(t->session, best.session);
+	assert_int_equal(t->incarnation, best.incarnation);
 }
 
 static void compare(const struct world *w)
--- a/tests/test_report_relay.c
+++ b/tests/test_report_relay.c
@@ -73,9 +73,9 @@
 static char *report_of(const struct worker *w)
 {
 	struct fl_task_report task = {.attempt = 1, .state = FL_EXECUTING};
-	struct fl_report r = {.session = 1,
-	                      .seq = 1,
-	                      .epoch = EPOCH,
+	struct fl_report r = {.incarnation = 1,
+	                      .sequence = 1,
+	                      .fencing_token = EPOCH,
 	                      .reclaim_in_s = -1,
 	                      .tasks = &task,
 	                      .n_tasks = 1};
@@ -149,7 +149,7 @@
 	c->cancel_s = 44;
 	c->lease_s = 14;
 	c->report_s = 2;
-	snprintf(n->leader, sizeof(n->leader), "host-1");
+	snprintf(n->leader_name, sizeof(n->leader_name), "host-1");
 	n->kv_store.last_success_at = fl_now();
 	n->kv_store.last_failure_at = -INFINITY;
 }
@@ -175,9 +175,10 @@
 	add_peer(&world.follower, "host-1");
 	add_peer(&world.follower, "host-3");
 	add_peer(&world.third, "host-1");
-	world.leader.lead.active = world.leader.lease.held = world.leader.jobs_known = true;
-	world.leader.lease.valid_until = fl_now() + 1000;
-	world.leader.lease.epoch = world.leader.lead.first_epoch = EPOCH;
+	world.leader.leadership.active = world.leader.election.lease_held =
+		world.leader.jobs_known = true;
+	world.leader.election.lease_valid_until = fl_now() + 1000;
+	world.leader.election.fencing_token = world.leader.leadership.first_fencing_token = EPOCH;
 	world.leader.cancellations_known_until = fl_now();
 	assert_int_equal(fl_names_add(&world.leader.cluster.zones, "a"), 0);
 	fl_machine_types_set(&world.leader.cluster.machines, &world.leader.cluster.zones, &type, 1);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -79,7 +79,7 @@
 
 struct load {
 	struct arrival arrival[QUEUE];
-	int n, running[SLOTS]; /* the job that holds each slot, -1: none */
+	int node, running[SLOTS]; /* the job that holds each slot, -1: none */
 	double until[SLOTS];
 };
 
@@ -97,9 +97,9 @@
 	for (int c = 0; c < CLASSES; c++) {
 		const struct stream *stream = &streams[c];
 
-		for (; stream->n_tasks && next[c] <= now && load->n < QUEUE;
+		for (; stream->n_tasks && next[c] <= now && load->node < QUEUE;
 		     next[c] += stream->every) {
-			struct arrival *arrival = &load->arrival[load->n++];
+			struct arrival *arrival = &load->arrival[load->node++];
 
 			arrival->job = plain_job(1, stream->n_tasks, stream->est, 0);
 			arrival->job.priority = stream->priority;
@@ -135,7 +135,7 @@
 
 static void fill_jobs(const struct load *load, struct fl_sched_in *in, int now)
 {
-	for (int i = 0; i < load->n; i++) {
+	for (int i = 0; i < load->node; i++) {
 		struct fl_sched_job *job = &pass_input.jobs[in->n_jobs];
 
 		if (load->arrival[i].job.waiting == 0)
@@ -209,7 +209,7 @@
 /* Every job that arrived early enough has begun within four minutes. */
 static void check_begun(const struct load *load)
 {
-	for (int i = 0; i < load->n; i++) {
+	for (int i = 0; i < load->node; i++) {
 		const struct arrival *arrival = &load->arrival[i];
 
 		if (arrival->at > SECONDS - 240)
@@ -226,7 +226,7 @@
 {
 	double started = 0, all = 0;
 
-	for (int i = 0; i < load->n; i++) {
+	for (int i = 0; i < load->node; i++) {
 		if (load->arrival[i].class != class || load->arrival[i].at > SECONDS - 240)
 			continue;
 		started += load->arrival[i].started;
@@ -252,12 +252,12 @@
 
 	(void)state;
 	play_load(load, small_and_wide, teams);
-	assert_true(load->n < QUEUE);
+	assert_true(load->node < QUEUE);
 	check_begun(load);
 	for (int c = 0; c < CLASSES; c++)
 		assert_true(started_share(load, c) >= 0.5);
 	play_load(load, within_guarantee_and_not, teams);
-	assert_true(load->n < QUEUE);
+	assert_true(load->node < QUEUE);
 	check_begun(load);
 	play_load(load, priorities, teams);
 	check_begun(load);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -339,7 +339,7 @@
 	EXPECT(standins.unreachable == 0);
 	EXPECT(standins_unreachable_left() == 0);
 	EXPECT(standins.twice == 0);
-	EXPECT(standins.epochs_reused == 0);
+	EXPECT(standins.tokens_reused == 0);
 	EXPECT(standins.names_reused == 0);
 	EXPECT(standins.launched_gone == 0);
 	return true;
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -32,9 +32,9 @@
 	assert_int_equal(send_report(fixture, make_report(1, 19, EPOCH, NULL, 0), NULL), 200);
 	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
 	                 200);
-	assert_true(cached->seq == 20 && cached->at == at && cached->stored);
+	assert_true(cached->sequence == 20 && cached->at == at && cached->stored);
 	assert_int_equal(send_report(fixture, make_report(2, 3, EPOCH, NULL, 0), NULL), 200);
-	assert_true(cached->session == 2 && cached->seq == 3 && !cached->stored);
+	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
 }
 
 /* What passes through the state service is the same as in the report. */
@@ -61,7 +61,7 @@
 	element = fl_json_parse(text, strlen(text));
 	assert_int_equal(fl_cached_report_decode(element, &back), 0);
 	assert_string_equal(back.host, report.host);
-	assert_true(back.session == 4 && back.seq == 5 && back.epoch == 6);
+	assert_true(back.incarnation == 4 && back.sequence == 5 && back.fencing_token == 6);
 	assert_true(back.reclaim_in_s == 12.5 && back.n_tasks == 2);
 	assert_int_equal(back.tasks[0].state, FL_EXECUTING);
 	assert_int_equal(back.tasks[0].index, 3);
@@ -102,13 +102,13 @@
 	become_follower(early.fixture, 0);
 	node->cancellations_known_until = -1e9;
 	node->jobs_known = false;
-	node->epoch = 0;
+	node->fencing_token = 0;
 	/* Another report has the epoch read already. */
 	node->standby.refreshing = true;
 	assert_non_null(fl_spawn(send_early, &early));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
-	node->epoch = EPOCH;
+	node->fencing_token = EPOCH;
 	node->standby.refreshing = false;
 	fl_signal_wake(&node->standby.refreshed);
 	ev_run(loop, EVRUN_NOWAIT);
@@ -161,18 +161,18 @@
 	assert_int_equal(send_report(fixture, report, NULL), 200);
 	age_misplaced_workers(fixture);
 	/* The second worker goes elsewhere than the first: none of them is known to work. */
-	report.seq++;
+	report.sequence++;
 	assert_int_equal(send_report(fixture, report, first), 421);
 	strcpy(report.host, "m-000001");
 	assert_int_equal(send_report(fixture, report, second), 421);
 	assert_true(first[0] && second[0] && strcmp(first, second) != 0);
 	/* It reached nobody there and is back within its lease: now the lease is renewed. */
-	report.seq++;
+	report.sequence++;
 	assert_int_equal(send_report(fixture, report, NULL), 200);
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
 	fixture->node.standby.refreshed_at = fl_now();
-	report.seq++;
+	report.sequence++;
 	assert_int_equal(send_report(fixture, report, NULL), 503);
 }
 
@@ -187,13 +187,13 @@
 	assert_int_equal(send_report(fixture, report, NULL), 200);
 	age_misplaced_workers(fixture);
 	fixture->node.probed_at = fl_now() - 10;
-	report.seq++;
+	report.sequence++;
 	assert_int_equal(send_report(fixture, report, NULL), 200);
 	/* The others ended long before the state service failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
 		fixture->node.peers[i].heard_at -= 20;
-	report.seq++;
+	report.sequence++;
 	assert_int_equal(send_report(fixture, report, NULL), 200);
 	/* An outage of the state service with peers in reach is no isolation. */
 	fixture->node.peers[2].up = true;
@@ -212,16 +212,16 @@
 
 	become_follower(fixture, 1);
 	strcpy(report.zone, "b");
-	strcpy(fixture->node.leader, "n9");
+	strcpy(fixture->node.leader_name, "n9");
 	fixture->node.peers[0].up = true;
 	fixture->node.peers[0].up_since = fl_now() - 5;
 	assert_int_equal(send_report(fixture, report, NULL), 200);
 	age_misplaced_workers(fixture);
-	report.seq++;
+	report.sequence++;
 	assert_int_equal(send_report(fixture, report, to), 421);
 	assert_string_equal(to, "n1");
 	/* It is back, for whatever reason: it stays. */
-	report.seq++;
+	report.sequence++;
 	assert_int_equal(send_report(fixture, report, NULL), 200);
 }
 
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -103,13 +103,13 @@
 	(void)state;
 	memset(&world, 0, sizeof(world));
 	sim_time_begin();
-	snprintf(world.follower.leader, sizeof(world.follower.leader), "host-2");
+	snprintf(world.follower.leader_name, sizeof(world.follower.leader_name), "host-2");
 	world.follower.n_peers = 2;
 	world.follower.peers[1].up = true;
 	snprintf(world.follower.peers[1].name, sizeof(world.follower.peers[1].name), "host-2");
-	world.leader.lead.active = true;
-	world.leader.lease.held = true;
-	world.leader.lease.valid_until = fl_now() + 1000;
+	world.leader.leadership.active = true;
+	world.leader.election.lease_held = true;
+	world.leader.election.lease_valid_until = fl_now() + 1000;
 	world.leader.cluster.teams.n = 1;
 	snprintf(world.leader.cluster.teams.at[0].name, FL_NAME_MAX, "vision");
 	snprintf(spec.team, sizeof(spec.team), "vision");
@@ -204,7 +204,7 @@
 
 	(void)state;
 	ref_of(queries[0].ref, 1);
-	world.leader.lease.valid_until = fl_now();
+	world.leader.election.lease_valid_until = fl_now();
 	run(queries, 1);
 	assert_int_equal(queries[0].result, FL_QUERY_FAILED);
 	free_answers(queries, 1);
