--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 #include "coordination/node.h"
-#include "coordination/reconcile.h"
+#include "coordination/reconciliation.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
@@ -18,79 +18,79 @@
 };
 
 /* The argument of a routine that sends commands to one machine. */
-struct push {
-	struct fl_node *n;
-	struct fl_machine *m;
+struct command_sender {
+	struct fl_node *node;
+	struct fl_machine *machine;
 };
 
 /* Sends one command, and takes in the report that answers it. */
-static void push_once(struct fl_node *n, struct fl_machine *m)
+static void send_once(struct fl_node *n, struct fl_machine *m)
 {
-	struct fl_orders orders;
-	struct fl_report report;
+	struct fl_command_list commands;
+	struct fl_heartbeat heartbeat;
 	char *body;
 	int rc;
 
-	m->want_push = false;
-	if (!fl_is_leader(n) || !m->up || m->gone || !m->endpoint[0])
+	m->command_pending = false;
+	if (!fl_is_leader(n) || !m->up || m->decommissioned || !m->endpoint[0])
 		return;
-	fl_orders_init(&orders, n->election.fencing_token);
-	fl_orders_session(&orders, m->incarnation);
-	if (!fl_reconcile_direct(n, m, &orders)) {
-		cJSON_Delete(orders.root);
+	fl_command_list_init(&commands, n->election.fencing_token);
+	fl_command_list_bind_incarnation(&commands, m->incarnation);
+	if (!fl_reconcile_collect_commands(n, m, &commands)) {
+		cJSON_Delete(commands.root);
 		return;
 	}
-	body = fl_orders_take(&orders);
-	rc = fl_worker_command(m->endpoint, body, tunables.timeout_s, &report);
+	body = fl_command_list_take(&commands);
+	rc = fl_worker_send_commands(m->endpoint, body, tunables.timeout_s, &heartbeat);
 	free(body);
 	if (rc == 200 || rc == 409) {
 		if (fl_is_leader(n))
-			fl_reconcile_report(n, &report, NULL, FL_SOURCE_COMMAND);
-		fl_report_free(&report);
+			fl_reconcile_heartbeat(n, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND);
+		fl_heartbeat_free(&heartbeat);
 	}
 }
 
-static void push_routine(void *arg)
+static void sender_coroutine(void *arg)
 {
-	struct push *push = arg;
-	struct fl_node *n = push->n;
+	struct command_sender *sender = arg;
+	struct fl_node *n = sender->node;
 
-	while (push->m->want_push && !fl_cancelled())
-		push_once(n, push->m);
-	push->m->pushing = false;
+	while (sender->machine->command_pending && !fl_cancelled())
+		send_once(n, sender->machine);
+	sender->machine->command_in_flight = false;
 	n->leadership.commands_in_flight--;
 	n->leadership.coroutines_running--;
 	fl_signal_wake(&n->leadership.coroutine_ended);
-	free(push);
+	free(sender);
 }
 
-void fl_command_push(struct fl_node *n, struct fl_machine *m)
+void fl_command_send(struct fl_node *n, struct fl_machine *m)
 {
-	struct push *push;
+	struct command_sender *sender;
 
-	m->want_push = true;
-	if (m->pushing || n->leadership.commands_in_flight >= tunables.concurrent_most)
+	m->command_pending = true;
+	if (m->command_in_flight || n->leadership.commands_in_flight >= tunables.concurrent_most)
 		return; /* the worker's next report brings the orders all the same */
-	push = malloc(sizeof(*push));
-	if (!push)
+	sender = malloc(sizeof(*sender));
+	if (!sender)
 		return;
-	*push = (struct push){n, m};
-	if (!fl_spawn(push_routine, push)) {
-		free(push);
+	*sender = (struct command_sender){n, m};
+	if (!fl_spawn(sender_coroutine, sender)) {
+		free(sender);
 		return;
 	}
-	m->pushing = true;
+	m->command_in_flight = true;
 	n->leadership.commands_in_flight++;
 	n->leadership.coroutines_running++;
 }
 
-void fl_command_push_placed(struct fl_node *n)
+void fl_command_send_pending(struct fl_node *n)
 {
 	for (int i = 0; i < n->cluster.machines.n; i++) {
 		struct fl_machine *m = n->cluster.machines.at[i];
 
-		if (m->want_push && m->up && !m->gone)
-			fl_command_push(n, m);
+		if (m->command_pending && m->up && !m->decommissioned)
+			fl_command_send(n, m);
 	}
 }
 
@@ -101,7 +101,7 @@
 
 		for (int k = 0; k < m->n_slots; k++) {
 			if (m->slots[k].job == job) {
-				fl_command_push(n, m);
+				fl_command_send(n, m);
 				break;
 			}
 		}
@@ -114,21 +114,21 @@
 /* Stops the tasks of cancelled jobs on one machine, or returns the machine when time is short. */
 static void enforce_cancellations(struct fl_node *n, struct fl_machine *m, double now)
 {
-	for (int k = 0; k < m->n_slots && !m->gone; k++) {
+	for (int k = 0; k < m->n_slots && !m->decommissioned; k++) {
 		struct fl_job *job = m->slots[k].job;
 
 		if (!job->cancelled)
 			continue;
 		if (now > job->cancelled_at + tunables.cancel_share * n->config->cancel_s &&
-		    !m->deleting) {
+		    !m->draining) {
 			fl_info("workers", "%s does not let go of %s: returned", m->name, job->ref);
-			m->deleting = true;
+			m->draining = true;
 		}
-		fl_command_push(n, m);
+		fl_command_send(n, m);
 	}
 }
 
-void fl_command_enforce_duty(void *arg)
+void fl_command_enforce_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -26,10 +26,11 @@
 /* The last time at which the machine was surely in contact both ways. */
 static double last_contact(const struct fl_node *n, const struct fl_machine *m)
 {
-	double heard = fmax(fmax(m->heard, n->leadership.heartbeats_since), m->created);
+	double heartbeat_at =
+		fmax(fmax(m->last_heartbeat_at, n->leadership.heartbeats_since), m->first_seen_at);
 
 	/* Reports from a machine that our answers do not reach do not count. */
-	return fmin(heard, fl_reachability_lost_at(m));
+	return fmin(heartbeat_at, fl_reachability_lost_since(m));
 }
 
 /*
@@ -43,12 +44,12 @@
 	double last = last_contact(n, m), slack = tunables.zone_slack_s;
 
 	for (int i = 0; i < n->n_peers; i++) {
-		const struct fl_peer *p = &n->peers[i];
+		const struct fl_peer *peer = &n->peers[i];
 
-		if (m->zone >= 0 && !p->up &&
-		    strcmp(p->location, fl_names_at(&n->cluster.zones, m->zone)) == 0 &&
-		    p->heard_at > last - slack && p->heard_at < last + slack)
-			return fl_standby_renewal_s(n);
+		if (m->zone >= 0 && !peer->up &&
+		    strcmp(peer->location, fl_names_at(&n->cluster.zones, m->zone)) == 0 &&
+		    peer->last_heard_at > last - slack && peer->last_heard_at < last + slack)
+			return fl_follower_renewal_window_s(n);
 	}
 	return 0;
 }
@@ -98,7 +99,7 @@
  * are lost by twos and threes. Spot machines are reclaimed in waves, so ordinary ones are counted,
  * in all and in each zone.
  */
-void fl_failure_detector_leases(const struct fl_node *n, double now, double leases[FL_ZONES_MAX])
+void fl_failure_detector_timeouts(const struct fl_node *n, double now, double leases[FL_ZONES_MAX])
 {
 	struct silent_count all = {0}, by_zone[FL_ZONES_MAX] = {{0}};
 
@@ -106,7 +107,7 @@
 		const struct fl_machine *m = n->cluster.machines.at[i];
 		bool silent;
 
-		if (m->gone || m->deleting || m->spot || (!m->up && m->n_slots == 0))
+		if (m->decommissioned || m->draining || m->spot || (!m->up && m->n_slots == 0))
 			continue;
 		silent = now - last_contact(n, m) > tunables.silent_leases * n->config->lease_s;
 		all.total++;
--- a/src/coordination/standby.c
+++ b/src/coordination/follower.c
@@ -1,11 +1,11 @@
-#include "coordination/standby.h"
+#include "coordination/follower.h"
 
 #include <errno.h>
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/reconcile.h"
-#include "coordination/report_relay.h"
+#include "coordination/reconciliation.h"
+#include "coordination/heartbeat_forwarding.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/routine.h"
@@ -24,7 +24,7 @@
  * A cancellation is answered only after it is stored, so a proof read before it is at most this
  * old when the last standby refuses; then the worker's own lease ends the tasks within cancel_s.
  */
-double fl_standby_renewal_s(const struct fl_node *n)
+double fl_follower_renewal_window_s(const struct fl_node *n)
 {
 	const struct fl_config *c = n->config;
 
@@ -43,7 +43,7 @@
 
 static bool knows_jobs(const struct fl_node *n)
 {
-	return fl_now() - n->cancellations_known_until <= fl_standby_renewal_s(n);
+	return fl_now() - n->cancellations_known_until <= fl_follower_renewal_window_s(n);
 }
 
 static bool has_proof(const struct fl_node *n, uint64_t fencing_token)
@@ -57,15 +57,16 @@
  * long ago that it may outlive its time with another lease is therefore nobody's to renew; and a
  * cancellation that this node has not heard of is younger than what it knows of the jobs.
  */
-static bool holds_overdue(const struct fl_node *n, const struct fl_report *r)
+static bool holds_overdue(const struct fl_node *n, const struct fl_heartbeat *heartbeat)
 {
-	double before = fl_now() - fl_standby_renewal_s(n);
+	double before = fl_now() - fl_follower_renewal_window_s(n);
 
-	for (int i = 0; i < r->n_tasks; i++) {
-		const struct fl_finished_job *f = fl_finished_find(&n->cluster, r->tasks[i].ref);
+	for (int i = 0; i < heartbeat->task_count; i++) {
+		const struct fl_finished_job *f =
+			fl_finished_find(&n->cluster, heartbeat->tasks[i].ref);
 
-		if (r->tasks[i].state != FL_ENDED && f && f->status == FL_CANCELLED &&
-		    f->cancelled_at < before)
+		if (heartbeat->tasks[i].state != FL_TASK_STATE_EXITED && f &&
+		    f->status == FL_CANCELLED && f->cancelled_at < before)
 			return true;
 	}
 	return false;
@@ -76,31 +77,32 @@
  * final state is stored, so the stop is right whichever node orders it, and comes with the answer
  * that renews the lease, or neither does.
  */
-static void stop_cancelled(const struct fl_node *n, const struct fl_report *r,
-                           struct fl_orders *orders)
+static void stop_cancelled(const struct fl_node *n, const struct fl_heartbeat *heartbeat,
+                           struct fl_command_list *commands)
 {
-	for (int i = 0; i < r->n_tasks; i++) {
-		const struct fl_task_report *p = &r->tasks[i];
-		const struct fl_finished_job *f = fl_finished_find(&n->cluster, p->ref);
+	for (int i = 0; i < heartbeat->task_count; i++) {
+		const struct fl_task_status *status = &heartbeat->tasks[i];
+		const struct fl_finished_job *f = fl_finished_find(&n->cluster, status->ref);
 
-		if (p->state != FL_ENDED && f && f->status == FL_CANCELLED)
-			fl_orders_add(orders, FL_KILL, p->ref, p->index, p->attempt, 0);
+		if (status->state != FL_TASK_STATE_EXITED && f && f->status == FL_CANCELLED)
+			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
+			                    status->attempt, 0);
 	}
 }
 
 /* Reads who leads; one read serves all that wait for it. */
 static void refresh_fencing_token(struct fl_node *n, double until)
 {
-	struct fl_standby *k = &n->standby;
+	struct fl_follower *follower = &n->follower;
 
-	if (k->refreshing) {
-		fl_signal_wait(&k->refreshed, until - fl_now());
-	} else if (fl_now() > k->refreshed_at + tunables.refresh_s) {
-		k->refreshing = true;
+	if (follower->refreshing) {
+		fl_signal_wait(&follower->refreshed, until - fl_now());
+	} else if (fl_now() > follower->refreshed_at + tunables.refresh_s) {
+		follower->refreshing = true;
 		fl_election_refresh(n);
-		k->refreshing = false;
-		k->refreshed_at = fl_now();
-		fl_signal_wake(&k->refreshed);
+		follower->refreshing = false;
+		follower->refreshed_at = fl_now();
+		fl_signal_wake(&follower->refreshed);
 	}
 }
 
@@ -123,34 +125,35 @@
 	return has_proof(n, fencing_token);
 }
 
-static void answer_renewal(struct fl_node *n, const struct fl_report *r, struct fl_response *resp)
+static void answer_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+                           struct fl_response *resp)
 {
-	struct fl_orders orders;
+	struct fl_command_list commands;
 
-	if (!may_renew(n, r->fencing_token)) {
+	if (!may_renew(n, heartbeat->fencing_token)) {
 		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
-		         r->host, (unsigned long long)r->fencing_token,
+		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
 		         (unsigned long long)n->fencing_token,
 		         fl_now() - n->cancellations_known_until);
 		fl_refuse(resp, 503, "no proof of the epoch");
 		return;
 	}
 	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
-	if (holds_overdue(n, r)) {
-		fl_debug("standby", "%s is refused: it holds what is cancelled", r->host);
+	if (holds_overdue(n, heartbeat)) {
+		fl_debug("standby", "%s is refused: it holds what is cancelled", heartbeat->host);
 		fl_refuse(resp, 503, "a cancelled job's task is there");
 		return;
 	}
-	fl_orders_init(&orders, n->fencing_token);
-	stop_cancelled(n, r, &orders);
+	fl_command_list_init(&commands, n->fencing_token);
+	stop_cancelled(n, heartbeat, &commands);
 	resp->status = 200;
-	resp->body = fl_orders_take(&orders);
-	fl_report_cache(n, r);
+	resp->body = fl_command_list_take(&commands);
+	fl_heartbeat_cache(n, heartbeat);
 	if (n->leadership.active)
-		fl_reconcile_renewed(n, r);
+		fl_reconcile_renewal(n, heartbeat);
 }
 
-bool fl_standby_alone(const struct fl_node *n)
+bool fl_follower_is_isolated(const struct fl_node *n)
 {
 	double last = fl_gossip_last_heard(n);
 
@@ -164,23 +167,23 @@
 	return fl_now() > last + tunables.alone_s;
 }
 
-void fl_standby_answer_leading(struct fl_node *n, const struct fl_report *r,
-                               struct fl_response *resp)
+void fl_follower_reply_as_leader(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+                                 struct fl_response *resp)
 {
-	struct fl_orders orders;
+	struct fl_command_list commands;
 	int rc;
 
-	fl_orders_init(&orders, n->election.fencing_token);
-	rc = fl_reconcile_report(n, r, &orders, FL_SOURCE_REPORT);
+	fl_command_list_init(&commands, n->election.fencing_token);
+	rc = fl_reconcile_heartbeat(n, heartbeat, &commands, FL_HEARTBEAT_FROM_WORKER);
 	/* What is only answered, not taken in, gets no stop either: see holds_overdue. */
-	if (rc == 0 && knows_jobs(n) && (orders.n > 0 || !holds_overdue(n, r))) {
+	if (rc == 0 && knows_jobs(n) && (commands.count > 0 || !holds_overdue(n, heartbeat))) {
 		/* The same report relayed twice, or from before this leadership. */
-		if (orders.n == 0)
-			stop_cancelled(n, r, &orders);
+		if (commands.count == 0)
+			stop_cancelled(n, heartbeat, &commands);
 		resp->status = 200;
-		resp->body = fl_orders_take(&orders);
+		resp->body = fl_command_list_take(&commands);
 	} else {
-		cJSON_Delete(orders.root);
+		cJSON_Delete(commands.root);
 		fl_refuse(resp, 503,
 		          rc               ? "this machine is not known any more"
 		          : !knows_jobs(n) ? "the jobs have not been heard of for too long"
@@ -188,46 +191,47 @@
 	}
 }
 
-void fl_standby_report(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+void fl_follower_handle_heartbeat(struct fl_node *n, const char *body, size_t len,
+                                  struct fl_response *resp)
 {
 	const struct fl_peer *home;
-	struct fl_report r;
+	struct fl_heartbeat heartbeat;
 
-	if (fl_report_decode(body, len, &r) != 0) {
+	if (fl_heartbeat_decode(body, len, &heartbeat) != 0) {
 		fl_error("workers", "what came by a worker's way is no report");
 		fl_refuse(resp, 400, "not a report");
 		return;
 	}
-	r.via = fl_node_index(n, n->config->node);
-	home = fl_worker_steer(n, &r);
+	heartbeat.entry_node = fl_node_index(n, n->config->node);
+	home = fl_redirect_target(n, &heartbeat);
 	if (home) {
-		fl_debug("standby", "%s is sent to %s", r.host, home->name);
+		fl_debug("standby", "%s is sent to %s", heartbeat.host, home->name);
 		resp->status = 421;
-		resp->body = fl_steward_encode(home->name);
+		resp->body = fl_redirect_encode(home->name);
 	} else if (fl_is_leader(n)) {
-		fl_standby_answer_leading(n, &r, resp);
-	} else if (fl_report_relay(n, body, len, resp) != 0) {
-		answer_renewal(n, &r, resp);
+		fl_follower_reply_as_leader(n, &heartbeat, resp);
+	} else if (fl_heartbeat_forward(n, body, len, resp) != 0) {
+		answer_renewal(n, &heartbeat, resp);
 	}
-	fl_report_free(&r);
+	fl_heartbeat_free(&heartbeat);
 }
 
 /* One routine for both: what is kept about workers is dropped before a digest is written. */
-static void upkeep_duty(void *arg)
+static void upkeep_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 
 	while (fl_sleep(tunables.digest_s) == 0) {
 		double now = fl_now();
 
-		fl_worker_steering_forget(n, now);
-		fl_report_digest_write(n, now, tunables.digest_s);
+		fl_redirect_forget(n, now);
+		fl_heartbeat_digest_write(n, now, tunables.digest_s);
 	}
 }
 
-void fl_standby_start(struct fl_node *n)
+void fl_follower_start(struct fl_node *n)
 {
-	fl_report_digest_init(n, tunables.digest_s);
+	fl_heartbeat_digest_init(n, tunables.digest_s);
 	fl_gossip_start(n);
-	fl_spawn(upkeep_duty, n);
+	fl_spawn(upkeep_coroutine, n);
 }
--- a/src/coordination/standby.h
+++ b/src/coordination/follower.h
@@ -3,12 +3,12 @@
  * concluded from a lease having run out. Only a proof that is not too old bounds it, so that a
  * cancelled job's tasks end in time even where no leader can reach them.
  */
-#ifndef FL_COORDINATION_STANDBY_H
-#define FL_COORDINATION_STANDBY_H
+#ifndef FL_COORDINATION_FOLLOWER_H
+#define FL_COORDINATION_FOLLOWER_H
 
-#include "coordination/relay.h"
-#include "coordination/report_digest.h"
-#include "coordination/worker_steering.h"
+#include "coordination/forwarding.h"
+#include "coordination/heartbeat_digest.h"
+#include "coordination/redirect.h"
 #include "storage/write_budget.h"
 #include "transport/http_server.h"
 #include "transport/routine.h"
@@ -16,33 +16,34 @@
 struct fl_node;
 
 /* What a node holds for the workers that report to it while it does not lead. */
-struct fl_standby {
-	struct fl_cached_report *cached;
-	struct fl_misplaced_worker *misplaced;
-	int away; /* whose turn it is to get a worker that is sent away */
-	struct fl_digest_slot digest[FL_DIGESTS_MAX];
-	struct fl_budget writes;
+struct fl_follower {
+	struct fl_cached_heartbeat *cached_heartbeats;
+	struct fl_misplaced_worker *misplaced_workers;
+	int redirect_cursor; /* whose turn it is to get a worker that is sent away */
+	struct fl_digest_slot digests[FL_DIGESTS_MAX];
+	struct fl_budget write_budget;
 	double refreshed_at;
 	bool refreshing;
 	struct fl_signal refreshed; /* the read for a fresher proof has come back */
 };
 
 /* Starts the routines of the exchange between controllers, and of the digests. */
-void fl_standby_start(struct fl_node *n);
+void fl_follower_start(struct fl_node *n);
 /*
  * Answers a worker's report: with orders from the leader, with a renewal, or with another node to
  * report to.
  */
-void fl_standby_report(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
+void fl_follower_handle_heartbeat(struct fl_node *n, const char *body, size_t len,
+                                  struct fl_response *resp);
 /* Answers a report with the leader's orders; this node leads. It does not wait. */
-void fl_standby_answer_leading(struct fl_node *n, const struct fl_report *r,
-                               struct fl_response *resp);
+void fl_follower_reply_as_leader(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+                                 struct fl_response *resp);
 /* s after a proof for which a node renews worker leases with it. */
-double fl_standby_renewal_s(const struct fl_node *n);
+double fl_follower_renewal_window_s(const struct fl_node *n);
 /*
  * This node hears neither the state service nor any other controller: it can decide nothing, pass
  * nothing on, and nobody can order its workers' machines through it.
  */
-bool fl_standby_alone(const struct fl_node *n);
+bool fl_follower_is_isolated(const struct fl_node *n);
 
 #endif
--- a/src/coordination/relay.c
+++ b/src/coordination/forwarding.c
@@ -1,4 +1,4 @@
-#include "coordination/relay.h"
+#include "coordination/forwarding.h"
 
 #include <errno.h>
 #include <math.h>
@@ -24,29 +24,29 @@
 
 int fl_node_index(struct fl_node *n, const char *name)
 {
-	const struct fl_peer *p;
+	const struct fl_peer *peer;
 
 	if (!name[0])
 		return 0;
 	if (strcmp(name, n->config->node) == 0)
 		return 1;
-	p = fl_peer_find(n, name);
-	return p ? 2 + (int)(p - n->peers) : 0;
+	peer = fl_peer_find(n, name);
+	return peer ? 2 + (int)(peer - n->peers) : 0;
 }
 
-bool fl_relay_ends_here(const struct fl_node *n, bool last_hop)
+bool fl_forward_ends_here(const struct fl_node *n, bool last_hop)
 {
 	return last_hop || strcmp(n->leader_name, n->config->node) == 0;
 }
 
-static int relay_via(struct fl_peer *p, const char *path, const char *text, double timeout_s,
-                     struct fl_reply *out)
+static int forward_via(struct fl_peer *peer, const char *path, const char *text, double timeout_s,
+                       struct fl_reply *out)
 {
 	int rc;
 
 	if (timeout_s <= 0)
 		return -ETIMEDOUT;
-	rc = fl_http_call(&p->http, "POST", path, text, timeout_s, out);
+	rc = fl_http_call(&peer->http, "POST", path, text, timeout_s, out);
 	if (rc == 0 && out->status == 421) {
 		fl_buf_free(&out->body);
 		return -EHOSTUNREACH;
@@ -54,30 +54,30 @@
 	return rc;
 }
 
-int fl_relay(struct fl_node *n, const char *path, fl_relay_encoder encode, const void *ctx,
-             enum fl_hop hop, double patience_s, struct fl_reply *out)
+int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *ctx,
+               enum fl_hop hop, double patience_s, struct fl_reply *out)
 {
-	struct fl_peer *lead = fl_peer_find(n, n->leader_name);
+	struct fl_peer *leader = fl_peer_find(n, n->leader_name);
 	double until = fl_now() + patience_s;
 	int rc = -EHOSTUNREACH;
 	char *text;
 
-	if (!lead)
+	if (!leader)
 		return rc;
-	if (lead->up || n->n_peers == 1) {
+	if (leader->up || n->n_peers == 1) {
 		text = encode(ctx, true, false);
-		rc = relay_via(lead, path, text,
-		               hop ? patience_s : fmin(tunables.direct_s, patience_s), out);
+		rc = forward_via(leader, path, text,
+		                 hop ? patience_s : fmin(tunables.direct_s, patience_s), out);
 		free(text);
 	}
 	if (rc == 0 || hop)
 		return rc;
 	text = encode(ctx, false, fl_kv_is_unavailable(&n->kv_store));
 	for (int i = 0; i < n->n_peers && rc != 0; i++) {
-		struct fl_peer *p = &n->peers[i];
+		struct fl_peer *peer = &n->peers[i];
 
-		if (p != lead && p->up)
-			rc = relay_via(p, path, text, until - fl_now(), out);
+		if (peer != leader && peer->up)
+			rc = forward_via(peer, path, text, until - fl_now(), out);
 	}
 	free(text);
 	return rc;
--- a/src/coordination/relay.h
+++ b/src/coordination/forwarding.h
@@ -2,8 +2,8 @@
  * Relaying of calls to the leader: directly, or through a third controller if the leader does not
  * answer this one.
  */
-#ifndef FL_COORDINATION_RELAY_H
-#define FL_COORDINATION_RELAY_H
+#ifndef FL_COORDINATION_FORWARDING_H
+#define FL_COORDINATION_FORWARDING_H
 
 #include "protocol/users.h"
 #include "transport/http_client.h"
@@ -18,16 +18,16 @@
  * Makes the text of a relayed message, to be freed. `last_hop`: the receiver must not pass it on;
  * `disconnected`: this node has lost the state service.
  */
-typedef char *(*fl_relay_encoder)(const void *ctx, bool last_hop, bool disconnected);
+typedef char *(*fl_forward_encoder)(const void *ctx, bool last_hop, bool disconnected);
 
 /* The other controller of this name, or NULL. */
 struct fl_peer *fl_peer_find(struct fl_node *n, const char *name);
 /* A small number for a controller's name: 1 this node, above it the others; 0: not known. */
 int fl_node_index(struct fl_node *n, const char *name);
 /* Whether a relayed message that this node cannot answer must not be passed on from here. */
-bool fl_relay_ends_here(const struct fl_node *n, bool last_hop);
+bool fl_forward_ends_here(const struct fl_node *n, bool last_hop);
 /* Passes a message to the leader, direct or through a third node: 0 and the answer, or an errno. */
-int fl_relay(struct fl_node *n, const char *path, fl_relay_encoder encode, const void *ctx,
-             enum fl_hop hop, double patience_s, struct fl_reply *out);
+int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *ctx,
+               enum fl_hop hop, double patience_s, struct fl_reply *out);
 
 #endif
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -25,8 +25,8 @@
 	double last = -1e9;
 
 	for (int i = 0; i < n->n_peers; i++)
-		if (n->peers[i].heard_at > last)
-			last = n->peers[i].heard_at;
+		if (n->peers[i].last_heard_at > last)
+			last = n->peers[i].last_heard_at;
 	return last;
 }
 
@@ -53,7 +53,7 @@
  * whatever the state service does meanwhile. A process that has not read the jobs itself since it
  * started speaks for nobody: the one before it may have told a user.
  */
-static void learn(struct fl_node *n, struct fl_peer *p, const struct fl_gossip *g, double sent)
+static void learn(struct fl_node *n, struct fl_peer *peer, const struct fl_gossip *g, double sent)
 {
 	double all = sent;
 
@@ -62,7 +62,7 @@
 	if (!g->complete || !n->jobs_known ||
 	    fl_now() > sent + tunables.gossip_wait_s + tunables.gossip_slack_s / 2)
 		return;
-	p->sent_all_at = sent;
+	peer->sent_all_at = sent;
 	for (int i = 0; i < n->n_peers; i++)
 		all = fmin(all, n->peers[i].sent_all_at);
 	n->cancellations_known_until =
@@ -123,7 +123,7 @@
 	g->leads = fl_election_lease_valid(n);
 }
 
-void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+void fl_gossip_serve(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
 {
 	struct fl_gossip g;
 	double since;
@@ -146,7 +146,7 @@
 	fl_gossip_free(&g);
 }
 
-char *fl_standby_gossip_request(struct fl_node *n)
+char *fl_gossip_request(struct fl_node *n)
 {
 	struct fl_gossip mine;
 
@@ -154,53 +154,53 @@
 	return fl_gossip_encode(&mine);
 }
 
-void fl_standby_gossip_answer(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
-                              double sent)
+void fl_gossip_handle_reply(struct fl_node *n, struct fl_peer *peer, const char *body, size_t len,
+                            double sent)
 {
 	struct fl_gossip theirs;
 
 	if (fl_gossip_decode(body, len, &theirs) != 0) {
-		fl_error("peers", "%s answers what is not gossip", p->name);
+		fl_error("peers", "%s answers what is not gossip", peer->name);
 		return;
 	}
-	learn(n, p, &theirs, sent);
+	learn(n, peer, &theirs, sent);
 	learn_leadership(n, &theirs, sent);
 	fl_gossip_free(&theirs);
 }
 
-static void gossip_duty(void *arg)
+static void gossip_coroutine(void *arg)
 {
-	struct fl_peer *p = arg;
-	struct fl_node *n = p->node;
+	struct fl_peer *peer = arg;
+	struct fl_node *n = peer->node;
 
 	while (fl_sleep(tunables.gossip_s) == 0) {
 		double sent = fl_now();
 		struct fl_reply reply;
-		char *text = fl_standby_gossip_request(n);
+		char *text = fl_gossip_request(n);
 		int rc;
 
-		rc = fl_http_call(&p->http, "POST", "/gossip", text, tunables.gossip_wait_s,
+		rc = fl_http_call(&peer->http, "POST", "/gossip", text, tunables.gossip_wait_s,
 		                  &reply);
 		free(text);
 		if (rc == 0) {
-			p->heard_at = fl_now();
+			peer->last_heard_at = fl_now();
 			if (reply.status == 200)
-				fl_standby_gossip_answer(n, p, reply.body.data, reply.body.len,
-				                         sent);
+				fl_gossip_handle_reply(n, peer, reply.body.data, reply.body.len,
+				                       sent);
 			fl_buf_free(&reply.body);
 		}
-		if (p->up != (rc == 0)) {
-			p->up_since = fl_now();
-			fl_info("peers", "%s is %s", p->name, rc == 0 ? "up" : "not answering");
+		if (peer->up != (rc == 0)) {
+			peer->up_since = fl_now();
+			fl_info("peers", "%s is %s", peer->name, rc == 0 ? "up" : "not answering");
 		}
-		p->up = rc == 0;
+		peer->up = rc == 0;
 	}
 }
 
 void fl_gossip_start(struct fl_node *n)
 {
 	for (int i = 0; i < n->n_peers; i++) {
-		n->peers[i].heard_at = n->peers[i].sent_all_at = -1e9;
-		fl_spawn(gossip_duty, &n->peers[i]);
+		n->peers[i].last_heard_at = n->peers[i].sent_all_at = -1e9;
+		fl_spawn(gossip_coroutine, &n->peers[i]);
 	}
 }
--- a/src/coordination/gossip.h
+++ b/src/coordination/gossip.h
@@ -17,11 +17,11 @@
 /* When an exchange with any other controller last came back (steady); long ago if none did. */
 double fl_gossip_last_heard(const struct fl_node *n);
 /* The text of a request; the caller frees it. */
-char *fl_standby_gossip_request(struct fl_node *n);
+char *fl_gossip_request(struct fl_node *n);
 /* Answers another controller's request. */
-void fl_standby_gossip(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
-/* Takes in the answer of `p` to a request that was sent at `sent` (steady). */
-void fl_standby_gossip_answer(struct fl_node *n, struct fl_peer *p, const char *body, size_t len,
-                              double sent);
+void fl_gossip_serve(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
+/* Takes in the answer of `peer` to a request that was sent at `sent` (steady). */
+void fl_gossip_handle_reply(struct fl_node *n, struct fl_peer *peer, const char *body, size_t len,
+                            double sent);
 
 #endif
--- a/src/coordination/report_digest.c
+++ b/src/coordination/heartbeat_digest.c
@@ -1,4 +1,4 @@
-#include "coordination/report_digest.h"
+#include "coordination/heartbeat_digest.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -22,40 +22,41 @@
  * A copy of a report may come long after it, also to a node that has cached newer ones: it is no
  * sign of life, and takes nothing's place.
  */
-void fl_report_cache(struct fl_node *n, const struct fl_report *r)
+void fl_heartbeat_cache(struct fl_node *n, const struct fl_heartbeat *heartbeat)
 {
-	struct fl_cached_report *k;
+	struct fl_cached_heartbeat *cached;
 	char *text;
 
-	HASH_FIND_STR(n->standby.cached, r->host, k);
-	if (k && (r->incarnation < k->incarnation ||
-	          (r->incarnation == k->incarnation && r->sequence <= k->sequence)))
+	HASH_FIND_STR(n->follower.cached_heartbeats, heartbeat->host, cached);
+	if (cached && (heartbeat->incarnation < cached->incarnation ||
+	               (heartbeat->incarnation == cached->incarnation &&
+	                heartbeat->sequence <= cached->sequence)))
 		return;
-	text = fl_cached_report_encode(r);
+	text = fl_cached_heartbeat_encode(heartbeat);
 	if (!text)
 		return;
-	if (!k) {
-		k = calloc(1, sizeof(*k));
-		if (!k) {
+	if (!cached) {
+		cached = calloc(1, sizeof(*cached));
+		if (!cached) {
 			free(text);
 			return;
 		}
-		fl_copy_string(k->host, sizeof(k->host), r->host);
-		HASH_ADD_STR(n->standby.cached, host, k);
+		fl_copy_string(cached->host, sizeof(cached->host), heartbeat->host);
+		HASH_ADD_STR(n->follower.cached_heartbeats, host, cached);
 	}
-	free(k->text);
-	k->text = text;
-	k->incarnation = r->incarnation;
-	k->sequence = r->sequence;
-	k->at = fl_now();
-	k->stored = false;
+	free(cached->text);
+	cached->text = text;
+	cached->incarnation = heartbeat->incarnation;
+	cached->sequence = heartbeat->sequence;
+	cached->at = fl_now();
+	cached->stored = false;
 }
 
-static void uncache(struct fl_node *n, struct fl_cached_report *k)
+static void uncache(struct fl_node *n, struct fl_cached_heartbeat *cached)
 {
-	HASH_DEL(n->standby.cached, k);
-	free(k->text);
-	free(k);
+	HASH_DEL(n->follower.cached_heartbeats, cached);
+	free(cached->text);
+	free(cached);
 }
 
 /*
@@ -64,7 +65,7 @@
  */
 static int write_digest(struct fl_node *n, int at, cJSON *digest)
 {
-	struct fl_digest_slot *d = &n->standby.digest[at];
+	struct fl_digest_slot *slot = &n->follower.digests[at];
 	char key[FL_KEY_MAX];
 	struct fl_kv_txn txn;
 	uint64_t rev = 0;
@@ -72,24 +73,24 @@
 	int rc = 0;
 
 	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", n->config->node, at);
-	if (!d->known) {
+	if (!slot->revision_known) {
 		rc = fl_kv_get(&n->kv_store, key, &v, &rev, NULL);
 		cJSON_Delete(v);
-		d->known = rc == 0 || rc == -ENOENT;
-		d->rev = rc == 0 ? rev : 0;
+		slot->revision_known = rc == 0 || rc == -ENOENT;
+		slot->mod_revision = rc == 0 ? rev : 0;
 	}
-	if (!d->known) {
+	if (!slot->revision_known) {
 		cJSON_Delete(digest);
 		return rc;
 	}
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, key, d->rev);
+	fl_kv_txn_expect_revision(&txn, key, slot->mod_revision);
 	fl_kv_txn_put(&txn, key, digest, 0);
 	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
 	if (rc == 0)
-		d->rev = rev;
+		slot->mod_revision = rev;
 	else if (rc != -EAGAIN)
-		d->known = false;
+		slot->revision_known = false;
 	fl_debug("standby", "digest %d: %s", at, rc ? strerror(-rc) : "stored");
 	return rc;
 }
@@ -98,24 +99,24 @@
 static cJSON *fill_digest(struct fl_node *n, double since)
 {
 	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
-	struct fl_cached_report *k, *tmp;
+	struct fl_cached_heartbeat *cached, *tmp;
 	cJSON *digest = NULL;
 
-	HASH_ITER (hh, n->standby.cached, k, tmp) {
-		size_t len = strlen(k->text) + 1;
+	HASH_ITER (hh, n->follower.cached_heartbeats, cached, tmp) {
+		size_t len = strlen(cached->text) + 1;
 
-		if (k->stored || k->at < since || len > limit)
+		if (cached->stored || cached->at < since || len > limit)
 			continue;
 		if (used + len > limit)
 			break;
 		if (!digest)
 			digest = fl_digest_begin(n->fencing_token);
-		fl_digest_add(digest, k->text);
+		fl_digest_add(digest, cached->text);
 		used += len;
-		k->stored = true;
+		cached->stored = true;
 		/* Last in turn from now on: where writes are short, each machine gets its share. */
-		HASH_DEL(n->standby.cached, k);
-		HASH_ADD_STR(n->standby.cached, host, k);
+		HASH_DEL(n->follower.cached_heartbeats, cached);
+		HASH_ADD_STR(n->follower.cached_heartbeats, host, cached);
 	}
 	return digest;
 }
@@ -130,7 +131,7 @@
 	for (int at = 0; at < FL_DIGESTS_MAX; at++) {
 		cJSON *digest;
 
-		if (fl_budget_take(&n->standby.writes, 1, fl_now()) > 0)
+		if (fl_budget_take(&n->follower.write_budget, 1, fl_now()) > 0)
 			return;
 		digest = fill_digest(n, since);
 		if (!digest || write_digest(n, at, digest) != 0)
@@ -138,21 +139,21 @@
 	}
 }
 
-void fl_report_digest_init(struct fl_node *n, double interval_s)
+void fl_heartbeat_digest_init(struct fl_node *n, double interval_s)
 {
 	double rate = n->config->state_write_rps * tunables.write_share;
 
-	fl_budget_init(&n->standby.writes, rate, rate * interval_s, fl_now());
+	fl_budget_init(&n->follower.write_budget, rate, rate * interval_s, fl_now());
 }
 
-void fl_report_digest_write(struct fl_node *n, double now, double interval_s)
+void fl_heartbeat_digest_write(struct fl_node *n, double now, double interval_s)
 {
-	struct fl_cached_report *k, *tmp;
+	struct fl_cached_heartbeat *cached, *tmp;
 
-	HASH_ITER (hh, n->standby.cached, k, tmp)
-		if (k->at < now - 5 * interval_s)
-			uncache(n, k);
-	if (!n->standby.cached || fl_election_lease_valid(n) || !n->leader_name[0] ||
+	HASH_ITER (hh, n->follower.cached_heartbeats, cached, tmp)
+		if (cached->at < now - 5 * interval_s)
+			uncache(n, cached);
+	if (!n->follower.cached_heartbeats || fl_election_lease_valid(n) || !n->leader_name[0] ||
 	    fl_kv_is_unavailable(&n->kv_store))
 		return;
 	write_digests(n, now - 2 * interval_s);
--- /dev/null
+++ b/src/coordination/heartbeat_forwarding.c
@@ -0,0 +1,207 @@
+#include "coordination/heartbeat_forwarding.h"
+
+#include <errno.h>
+#include <stdlib.h>
+
+#include "coordination/node.h"
+#include "protocol/peer_heartbeats.h"
+#include "transport/log.h"
+
+static const struct {
+	double wait_s, patience_s;
+	int in_flight;
+} tunables = {
+	.wait_s = 0.75,    /* s until a message is sent; then the worker is renewed from here */
+	.patience_s = 1.5, /* s for the leader's answers; the worker gives up after 4 */
+	.in_flight = FL_HEARTBEAT_REQUESTS_MAX, /* one that stalls must not hold up all */
+};
+
+/* The reports of one message, and their answers. */
+struct heartbeat_batch {
+	struct fl_batch batch;
+	cJSON *heartbeats;
+	size_t bytes;
+	int count;
+	struct fl_heartbeat_reply replies[FL_PEER_HEARTBEATS_MAX];
+};
+
+/* What a message is made of, for fl_forward. */
+struct message {
+	cJSON *heartbeats;
+	const char *entry_node;
+};
+
+static char *encode(const void *ctx, bool last_hop, bool disconnected)
+{
+	const struct message *message = ctx;
+
+	return fl_peer_heartbeats_encode(message->heartbeats, message->entry_node, last_hop,
+	                                 disconnected);
+}
+
+static int exchange(struct fl_node *n, struct fl_batch *batch)
+{
+	struct heartbeat_batch *b = (struct heartbeat_batch *)batch;
+	struct message message = {b->heartbeats, n->config->node};
+	struct fl_reply reply;
+	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &message, FL_FIRST_HOP,
+	                    tunables.patience_s, &reply);
+
+	if (rc)
+		return rc;
+	rc = reply.status != 200 ? -EHOSTUNREACH
+	                         : fl_heartbeat_replies_decode(reply.body.data, reply.body.len,
+	                                                       b->replies, b->count);
+	if (rc == -EPROTO)
+		fl_error("peers", "%s answers reports with what is no answer", n->leader_name);
+	fl_buf_free(&reply.body);
+	return rc;
+}
+
+static void free_batch(struct heartbeat_batch *batch)
+{
+	for (int i = 0; i < batch->count; i++)
+		free(batch->replies[i].body);
+	cJSON_Delete(batch->heartbeats);
+	free(batch);
+}
+
+/* The batch that this report goes into: the one being filled, or a new one. NULL: no memory. */
+static struct heartbeat_batch *batch_for(struct fl_batch_queue *q, size_t len, bool *began)
+{
+	struct heartbeat_batch *batch = (struct heartbeat_batch *)q->filling;
+
+	if (batch && (batch->count == FL_PEER_HEARTBEATS_MAX ||
+	              batch->bytes + len > FL_PEER_HEARTBEATS_BYTES)) {
+		fl_batch_close(q);
+		batch = NULL;
+	}
+	*began = !batch;
+	if (batch)
+		return batch;
+	batch = calloc(1, sizeof(*batch));
+	if (!batch)
+		return NULL;
+	batch->heartbeats = fl_heartbeat_list_begin();
+	fl_batch_begin(q, &batch->batch);
+	return batch;
+}
+
+static int take_reply(struct fl_heartbeat_reply *answer, struct fl_response *resp)
+{
+	if (answer->status != 200)
+		return -EHOSTUNREACH;
+	resp->status = answer->status;
+	resp->body = answer->body;
+	answer->body = NULL;
+	return 0;
+}
+
+int fl_heartbeat_forward(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+{
+	const struct fl_batch_terms terms = {tunables.in_flight, tunables.wait_s,
+	                                     tunables.patience_s, exchange};
+	struct fl_batch_queue *q = &n->heartbeat_forwards;
+	struct heartbeat_batch *batch;
+	bool began;
+	int at, rc;
+
+	if (len > FL_PEER_HEARTBEATS_BYTES)
+		return -EMSGSIZE;
+	batch = batch_for(q, len, &began);
+	if (!batch)
+		return -ENOMEM;
+	at = batch->count++;
+	batch->bytes += len;
+	fl_heartbeat_list_add(batch->heartbeats, body);
+	rc = fl_batch_settle(n, q, &batch->batch, began, &terms);
+	if (!rc)
+		rc = take_reply(&batch->replies[at], resp);
+	if (fl_batch_release(&batch->batch))
+		free_batch(batch);
+	return rc;
+}
+
+/* ---- for another controller ---- */
+
+/* No wait from here on: all of them are answered under the lease that was looked at. */
+static void answer_all(struct fl_node *n, const struct fl_peer_heartbeats *message,
+                       struct fl_response *resp)
+{
+	struct fl_heartbeat_reply answers[FL_PEER_HEARTBEATS_MAX] = {0};
+	int entry_node = fl_node_index(n, message->entry_node), count = 0;
+	const cJSON *e;
+
+	cJSON_ArrayForEach (e, message->list) {
+		struct fl_response one = {.status = 500};
+		struct fl_heartbeat heartbeat;
+
+		if (fl_heartbeat_decode_json(e, &heartbeat) == 0) {
+			heartbeat.entry_node = entry_node;
+			fl_follower_reply_as_leader(n, &heartbeat, &one);
+			fl_heartbeat_free(&heartbeat);
+		} else {
+			fl_error("peers", "what came by %s is no report", message->entry_node);
+			fl_refuse(&one, 400, "not a report");
+		}
+		answers[count++] = (struct fl_heartbeat_reply){one.status, one.body};
+	}
+	resp->status = 200;
+	resp->body = fl_heartbeat_replies_encode(answers, count);
+	for (int i = 0; i < count; i++)
+		free(answers[i].body);
+}
+
+/* The sender is cut from the state service too: its reports go with our digest. */
+static void cache_all(struct fl_node *n, const struct fl_peer_heartbeats *message)
+{
+	const cJSON *e;
+
+	cJSON_ArrayForEach (e, message->list) {
+		struct fl_heartbeat heartbeat;
+
+		if (fl_heartbeat_decode_json(e, &heartbeat) != 0)
+			continue;
+		fl_heartbeat_cache(n, &heartbeat);
+		fl_heartbeat_free(&heartbeat);
+	}
+}
+
+static void forward_again(struct fl_node *n, const struct fl_peer_heartbeats *message,
+                          struct fl_response *resp)
+{
+	struct message again = {(cJSON *)message->list, message->entry_node};
+	struct fl_reply reply;
+	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &again, FL_LAST_HOP, tunables.patience_s,
+	                    &reply);
+
+	if (rc == 0 && reply.status == 200) {
+		resp->status = 200;
+		resp->body = reply.body.data;
+		return;
+	}
+	if (rc == 0)
+		fl_buf_free(&reply.body);
+	if (message->disconnected)
+		cache_all(n, message);
+	fl_refuse(resp, 421, "not the leader");
+}
+
+void fl_heartbeat_forward_serve(struct fl_node *n, const char *body, size_t len,
+                                struct fl_response *resp)
+{
+	struct fl_peer_heartbeats message;
+
+	if (fl_peer_heartbeats_decode(body, len, &message) != 0) {
+		fl_error("peers", "what came as reports is none");
+		fl_refuse(resp, 400, "not reports");
+		return;
+	}
+	if (fl_is_leader(n))
+		answer_all(n, &message, resp);
+	else if (fl_forward_ends_here(n, message.last_hop))
+		fl_refuse(resp, 421, "not the leader");
+	else
+		forward_again(n, &message, resp);
+	fl_peer_heartbeats_free(&message);
+}
--- a/src/coordination/report_relay.h
+++ b/src/coordination/heartbeat_forwarding.h
@@ -3,8 +3,8 @@
  * the next one. A follower with hundreds of workers costs the leader a few messages, not one for
  * each report.
  */
-#ifndef FL_COORDINATION_REPORT_RELAY_H
-#define FL_COORDINATION_REPORT_RELAY_H
+#ifndef FL_COORDINATION_HEARTBEAT_FORWARDING_H
+#define FL_COORDINATION_HEARTBEAT_FORWARDING_H
 
 #include <stddef.h>
 
@@ -13,15 +13,15 @@
 struct fl_node;
 
 /* Messages of reports from one node that are under way at once, at most. */
-enum { FL_REPORT_REQUESTS_MAX = 2 };
+enum { FL_HEARTBEAT_REQUESTS_MAX = 2 };
 
 /*
  * Passes a report, which was read without error, to the leader: 0 with its answer in `resp`, or an
  * errno if there is none that the worker can be given.
  */
-int fl_report_relay(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
+int fl_heartbeat_forward(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
 /* Answers another controller's message: as the leader, or by passing it on once. */
-void fl_report_relay_serve(struct fl_node *n, const char *body, size_t len,
-                           struct fl_response *resp);
+void fl_heartbeat_forward_serve(struct fl_node *n, const char *body, size_t len,
+                                struct fl_response *resp);
 
 #endif
--- a/src/coordination/leadership.c
+++ b/src/coordination/leadership.c
@@ -7,7 +7,7 @@
 #include "coordination/command.h"
 #include "coordination/node.h"
 #include "coordination/pass.h"
-#include "coordination/reconcile.h"
+#include "coordination/reconciliation.h"
 #include "coordination/record_writer.h"
 #include "coordination/failover.h"
 #include "transport/clock.h"
@@ -37,16 +37,16 @@
 
 	if (!event->value || !fl_is_leader(n))
 		return;
-	cJSON_ArrayForEach (e, fl_digest_reports(event->value)) {
-		struct fl_report r;
+	cJSON_ArrayForEach (e, fl_digest_heartbeats(event->value)) {
+		struct fl_heartbeat heartbeat;
 
-		if (fl_cached_report_decode(e, &r) != 0) {
+		if (fl_cached_heartbeat_decode(e, &heartbeat) != 0) {
 			fl_error("standby", "%s holds what is no report", event->key);
 			continue;
 		}
 		/* The machine is alive, but not reachable from here: it gets no new task. */
-		fl_reconcile_report(n, &r, NULL, FL_SOURCE_FORWARDED);
-		fl_report_free(&r);
+		fl_reconcile_heartbeat(n, &heartbeat, NULL, FL_HEARTBEAT_FROM_DIGEST);
+		fl_heartbeat_free(&heartbeat);
 	}
 }
 
@@ -146,7 +146,7 @@
 	start_coroutine(n, fl_pass_duty);
 	start_coroutine(n, fl_record_writer_duty);
 	start_coroutine(n, digest_coroutine);
-	start_coroutine(n, fl_command_enforce_duty);
+	start_coroutine(n, fl_command_enforce_coroutine);
 	fl_provision_begin(n);
 	start_coroutine(n, fl_provision_duty);
 	start_coroutine(n, finished_jobs_coroutine);
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -9,11 +9,11 @@
 
 #include "coordination/admission.h"
 #include "coordination/command.h"
-#include "coordination/report_relay.h"
+#include "coordination/heartbeat_forwarding.h"
 #include "coordination/submission.h"
 #include "coordination/user_calls.h"
 #include "protocol/job_states.h"
-#include "protocol/peer_reports.h"
+#include "protocol/peer_heartbeats.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/routine.h"
@@ -73,11 +73,12 @@
 		fl_poll_or_cancel(n, call, ref, hop, resp);
 		break;
 	case FL_CALL_REPORT:
-		fl_standby_report(n, body, len, resp);
+		fl_follower_handle_heartbeat(n, body, len, resp);
 		break;
 	case FL_CALL_READY:
 		n->probed_at = fl_now();
-		resp->status = n->types_known && n->jobs_known && !fl_standby_alone(n) ? 200 : 503;
+		resp->status =
+			n->types_known && n->jobs_known && !fl_follower_is_isolated(n) ? 200 : 503;
 		break;
 	default:
 		fl_refuse(resp, 404, "no such path");
@@ -112,10 +113,10 @@
 static void on_peer(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
 	struct fl_node *n = ctx;
-	struct fl_relay r;
+	struct fl_forwarded_request r;
 
 	if (strcmp(req->path, "/gossip") == 0) {
-		fl_standby_gossip(n, req->body, req->body_len, resp);
+		fl_gossip_serve(n, req->body, req->body_len, resp);
 		return;
 	}
 	if (strcmp(req->path, FL_PATH_STATUS) == 0) {
@@ -124,26 +125,26 @@
 		fl_status_query_serve(n, req->body, req->body_len, resp);
 		return;
 	}
-	if (strcmp(req->path, FL_PATH_REPORTS) == 0) {
-		fl_report_relay_serve(n, req->body, req->body_len, resp);
+	if (strcmp(req->path, FL_PATH_HEARTBEATS) == 0) {
+		fl_heartbeat_forward_serve(n, req->body, req->body_len, resp);
 		return;
 	}
-	if (strcmp(req->path, FL_PATH_RELAY) != 0) {
+	if (strcmp(req->path, FL_PATH_FORWARD) != 0) {
 		fl_refuse(resp, 404, "no such path");
 		return;
 	}
-	if (fl_relay_decode(req->body, req->body_len, &r) != 0) {
+	if (fl_forwarded_request_decode(req->body, req->body_len, &r) != 0) {
 		fl_error("peers", "what came as a relayed call is none");
 		fl_refuse(resp, 400, "not a relayed call");
 		return;
 	}
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
-	if (!fl_is_leader(n) && fl_relay_ends_here(n, r.last_hop))
+	if (!fl_is_leader(n) && fl_forward_ends_here(n, r.last_hop))
 		fl_refuse(resp, 421, "not the leader");
 	else
 		fl_node_user_call(n, r.call, r.ref, r.body, r.body ? strlen(r.body) : 0,
 		                  FL_LAST_HOP, resp);
-	fl_relay_free(&r);
+	fl_forwarded_request_free(&r);
 }
 
 /* ---- what every node knows ---- */
@@ -268,12 +269,12 @@
 		t->gpus_max = c->teams[i].gpus_max;
 	}
 	for (int i = 0; i < c->n_peers; i++) {
-		struct fl_peer *p = &n->peers[n->n_peers++];
+		struct fl_peer *peer = &n->peers[n->n_peers++];
 
-		p->node = n;
-		fl_copy_string(p->name, sizeof(p->name), c->peers[i].node);
-		fl_copy_string(p->location, sizeof(p->location), c->peers[i].location);
-		if (fl_http_client_init(&p->http, c->peers[i].addr, tunables.peer_conns) != 0)
+		peer->node = n;
+		fl_copy_string(peer->name, sizeof(peer->name), c->peers[i].node);
+		fl_copy_string(peer->location, sizeof(peer->location), c->peers[i].location);
+		if (fl_http_client_init(&peer->http, c->peers[i].addr, tunables.peer_conns) != 0)
 			return -EINVAL;
 	}
 	fl_job_lookups_init(n);
@@ -325,7 +326,7 @@
 		return -1;
 	}
 	fl_election_start(n);
-	fl_standby_start(n);
+	fl_follower_start(n);
 	fl_spawn(types_duty, n);
 	fl_spawn(jobs_duty, n);
 	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -7,11 +7,11 @@
 #include "config.h"
 #include "coordination/gossip.h"
 #include "coordination/job_lookup.h"
-#include "coordination/standby.h"
+#include "coordination/follower.h"
 #include "coordination/leadership.h"
 #include "coordination/election.h"
 #include "coordination/provision.h"
-#include "coordination/report_relay.h"
+#include "coordination/heartbeat_forwarding.h"
 #include "coordination/request_batch.h"
 #include "coordination/status_query.h"
 #include "coordination/user_calls.h"
@@ -26,9 +26,9 @@
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
-	double up_since;    /* steady; while up */
-	double heard_at;    /* steady; of the last exchange that came back */
-	double sent_all_at; /* steady; of our sending of the last one that told us all it knows */
+	double up_since;      /* steady; while up */
+	double last_heard_at; /* steady; of the last exchange that came back */
+	double sent_all_at;   /* steady; of our sending of the last one that told us all it knows */
 	bool up;
 };
 
@@ -59,14 +59,14 @@
 	struct fl_signal leadership_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
 	struct fl_budget poll_reads;
-	struct fl_batch_queue status_queries; /* for users' polls */
-	struct fl_batch_queue report_relays;  /* workers' reports */
-	int relayed_calls; /* users' calls under way to other controllers, one by one */
-	double probed_at;  /* steady; when the users' balancer last asked for /ready */
+	struct fl_batch_queue status_queries;     /* for users' polls */
+	struct fl_batch_queue heartbeat_forwards; /* workers' reports */
+	int forwarded_requests; /* users' calls under way to other controllers, one by one */
+	double probed_at;       /* steady; when the users' balancer last asked for /ready */
 
 	struct fl_election election;
 	struct fl_leadership leadership;
-	struct fl_standby standby;
+	struct fl_follower follower;
 	struct fl_provision provision;
 };
 
@@ -74,7 +74,8 @@
 int fl_node_start(const struct fl_config *config);
 /* Connections that one controller opens to another at most; the last is for the exchange. */
 enum {
-	FL_PEER_CONNS_MAX = FL_REPORT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_CALLS_MAX + 1
+	FL_PEER_CONNS_MAX =
+		FL_HEARTBEAT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_CALLS_MAX + 1
 };
 
 /* How many of all connections users and workers may hold. */
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -63,7 +63,7 @@
 		if ((uint8_t)job->priority >= m->reserved_priority)
 			m->reserved_at = 0;
 		job->window_until = 0;
-		m->want_push = true;
+		m->command_pending = true;
 		fl_info("schedule", "%s/%u try %u on %s", job->ref, index,
 		        fl_task_peek(job, index)->attempt, m->name);
 	}
@@ -77,9 +77,9 @@
 		uint32_t index = snapshot->runs[out->stops[i]].index;
 		struct fl_task *task = fl_task_peek(job, index);
 
-		task->stop = FL_STOP_PREEMPT;
+		task->stop_reason = FL_STOP_PREEMPT;
 		fl_info("schedule", "%s/%u is stopped to make room", job->ref, index);
-		fl_command_push(n, n->cluster.machines.at[task->machine]);
+		fl_command_send(n, n->cluster.machines.at[task->machine]);
 	}
 }
 
@@ -163,18 +163,18 @@
 	for (int i = 0; i < n->cluster.machines.n; i++) {
 		struct fl_machine *m = n->cluster.machines.at[i];
 
-		if (m->gone || m->reclaim_at == 0)
+		if (m->decommissioned || m->interruption_at == 0)
 			continue;
 		for (int k = 0; k < m->n_slots; k++) {
 			struct fl_job *job = m->slots[k].job;
 			struct fl_task *task = fl_task_peek(job, m->slots[k].index);
 
-			if (task->stop != FL_STOP_NONE || job->cancelled)
+			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
 			/* What cannot save runs on: it may end before the machine is reclaimed. */
 			if (job->kind == FL_SERVICE || job->checkpoint_every_s > 0) {
-				task->stop = FL_STOP_DRAIN;
-				fl_command_push(n, m);
+				task->stop_reason = FL_STOP_DRAIN;
+				fl_command_send(n, m);
 			}
 		}
 	}
@@ -191,10 +191,10 @@
 			struct fl_task *task = fl_task_peek(job, m->slots[k].index);
 
 			if (job->kind != FL_GANG || job->n_waiting == 0 ||
-			    task->stop != FL_STOP_NONE)
+			    task->stop_reason != FL_STOP_NONE)
 				continue;
-			task->stop = FL_STOP_DRAIN;
-			fl_command_push(n, m);
+			task->stop_reason = FL_STOP_DRAIN;
+			fl_command_send(n, m);
 		}
 	}
 }
--- a/src/coordination/pass_snapshot.c
+++ b/src/coordination/pass_snapshot.c
@@ -31,8 +31,9 @@
 	int most = 0;
 
 	for (int i = 0; i < machines->n; i++)
-		most += machines->at[i]->up && !machines->at[i]->gone ? tunables.waiting_a_machine
-		                                                      : 0;
+		most += machines->at[i]->up && !machines->at[i]->decommissioned
+		                ? tunables.waiting_a_machine
+		                : 0;
 	return (uint32_t)(most > tunables.waiting_most ? most : tunables.waiting_most);
 }
 
@@ -97,10 +98,11 @@
 
 static bool usable(const struct fl_node *n, const struct fl_machine *m, double now)
 {
-	return m && m->up && m->described && !m->deleting && !m->gone && m->foreign == 0 &&
-	       m->reclaim_at == 0 && m->avoid_until <= now &&
-	       now - m->reached < tunables.fresh_reports * n->config->report_s &&
-	       !fl_reachability_doubted(m);
+	return m && m->up && m->described && !m->draining && !m->decommissioned &&
+	       m->orphan_task_count == 0 && m->interruption_at == 0 &&
+	       m->quarantined_until <= now &&
+	       now - m->last_reachable_at < tunables.fresh_reports * n->config->report_s &&
+	       !fl_reachability_is_suspect(m);
 }
 
 static double estimated_left(const struct fl_job *job, const struct fl_task *t, double now)
@@ -109,7 +111,7 @@
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
-	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING)
+	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING)
 		estimate_s -= now - t->since;
 	/* Past its estimate: it counts as ending by the next pass. */
 	return fmax(estimate_s, tunables.overdue_left_s);
@@ -127,7 +129,7 @@
 	to->team = job->team;
 	to->priority = job->priority;
 	to->service = job->kind == FL_SERVICE;
-	to->stopping = job->cancelled || task->stop != FL_STOP_NONE;
+	to->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
 	to->movable = !to->stopping;
 	to->within_guarantee = job->within_guarantee;
 	to->cpus = job->cpus;
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -74,7 +74,7 @@
 	for (int i = 0; i < n->cluster.machines.n && n->provision.spot_counted_at > 0; i++) {
 		const struct fl_machine *m = n->cluster.machines.at[i];
 
-		if (m->spot && m->up && !m->gone)
+		if (m->spot && m->up && !m->decommissioned)
 			n->provision.spot_s += since;
 	}
 	n->provision.spot_counted_at = now;
--- a/src/coordination/provision_plan.c
+++ b/src/coordination/provision_plan.c
@@ -196,13 +196,13 @@
 		struct fl_machine *m = machines->at[i];
 		double boot_s;
 
-		if (m->gone || !m->described)
+		if (m->decommissioned || !m->described)
 			continue;
 		boot_s = machines->types[m->type].ready_s;
 		plan->zone_machines[m->zone]++;
 		/* Some boot for minutes and a few never end: nothing must wait for those. */
-		if (!m->up && !m->deleting && m->n_slots == 0 &&
-		    plan->now - m->created < tunables.boot_late * boot_s)
+		if (!m->up && !m->draining && m->n_slots == 0 &&
+		    plan->now - m->first_seen_at < tunables.boot_late * boot_s)
 			add_planned(plan, m->type, m->zone, m->spot, FL_PLANNED_BOOTING);
 		for (int k = 0; m->up && k < m->n_slots; k++) {
 			const struct fl_job *job = m->slots[k].job;
--- a/src/coordination/provision_reserve.c
+++ b/src/coordination/provision_reserve.c
@@ -17,7 +17,7 @@
 	const struct fl_machine_type *kind = &n->cluster.machines.types[m->type];
 	double cpus = kind->cpus, gpus = kind->gpus, ram_gb = kind->ram_gb;
 
-	if (m->spot || m->deleting || !fl_provision_job_allows(service, m->type, m->zone, m->spot))
+	if (m->spot || m->draining || !fl_provision_job_allows(service, m->type, m->zone, m->spot))
 		return 0;
 	for (int i = 0; i < m->n_slots; i++) {
 		const struct fl_job *job = m->slots[i].job;
@@ -91,7 +91,7 @@
 	for (int i = 0; i < machines->n; i++) {
 		const struct fl_machine *m = machines->at[i];
 
-		if (!m->gone && m->described && m->up)
+		if (!m->decommissioned && m->described && m->up)
 			room[m->zone % shares] += room_on(plan->n, m, service);
 	}
 	for (int z = 0; z < shares; z++)
--- a/src/coordination/provision_return.c
+++ b/src/coordination/provision_return.c
@@ -7,7 +7,7 @@
 
 #include "coordination/failure_detector.h"
 #include "coordination/reachability.h"
-#include "coordination/reconcile.h"
+#include "coordination/reconciliation.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
@@ -36,10 +36,10 @@
 		fl_names_find(&n->cluster.zones, listed->zone), listed->spot, listed->endpoint);
 	if (m->id < known)
 		m->listed = true;
-	if (listed->status == FL_HOST_FAILED && !m->gone)
-		fl_reconcile_gone(n, m, "it failed");
+	if (listed->status == FL_HOST_FAILED && !m->decommissioned)
+		fl_reconcile_decommission(n, m, "it failed");
 	if (listed->status == FL_HOST_FAILED)
-		m->deleting = true;
+		m->draining = true;
 }
 
 /*
@@ -53,10 +53,10 @@
 	for (int i = 0; i < known; i++) {
 		struct fl_machine *m = n->cluster.machines.at[i];
 
-		if (m->gone || m->listed || sent <= m->created + age_s)
+		if (m->decommissioned || m->listed || sent <= m->first_seen_at + age_s)
 			continue;
 		n->provision.spot_lost += m->spot;
-		fl_reconcile_gone(n, m, "no longer listed");
+		fl_reconcile_decommission(n, m, "no longer listed");
 	}
 }
 
@@ -112,18 +112,18 @@
 {
 	const struct fl_machine_type *kind =
 		m->type >= 0 ? &n->cluster.machines.types[m->type] : NULL;
-	bool empty = m->n_slots == 0 && m->foreign == 0;
+	bool empty = m->n_slots == 0 && m->orphan_task_count == 0;
 
-	if (m->deleting)
+	if (m->draining)
 		return "given up";
-	if (m->gone)
+	if (m->decommissioned)
 		return NULL;
 	if (fl_failure_detector_expired(n, m, now, leases))
-		return fl_reachability_lost_at(m) < INFINITY ? "does not hear us" : "silent";
+		return fl_reachability_lost_since(m) < INFINITY ? "does not hear us" : "silent";
 	if (!kind)
 		return NULL;
 	if (!m->up && m->n_slots == 0 &&
-	    now - m->created > tunables.boot_most * kind->ready_s + tunables.boot_slack_s)
+	    now - m->first_seen_at > tunables.boot_most * kind->ready_s + tunables.boot_slack_s)
 		return "never came up";
 	if (!m->up || !empty) {
 		m->idle_since = 0;
@@ -131,7 +131,7 @@
 	}
 	if (m->idle_since <= 0)
 		m->idle_since = now;
-	if (m->avoid_until > now && m->faults > tunables.faults_most)
+	if (m->quarantined_until > now && m->fault_count > tunables.faults_most)
 		return "faulty";
 	if (now - m->idle_since <= tunables.idle_boots * kind->ready_s)
 		return NULL;
@@ -147,14 +147,14 @@
 	double now = fl_now(), leases[FL_ZONES_MAX];
 	int count = 0, rc;
 
-	fl_failure_detector_leases(n, now, leases);
+	fl_failure_detector_timeouts(n, now, leases);
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (leases[z] > 1)
 			n->provision.suspected_until[z] = now + tunables.suspected_s;
 
 	for (int i = 0; i < n->cluster.machines.n && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *m = n->cluster.machines.at[i];
-		const char *why = m->returned ? NULL : why_return(n, m, now, leases);
+		const char *why = m->scaled_in ? NULL : why_return(n, m, now, leases);
 
 		if (!why)
 			continue;
@@ -162,7 +162,7 @@
 		/* Half of those that are reclaimed give no notice: their silence is the first sign.
 		 */
 		n->provision.spot_lost += m->spot && strcmp(why, "silent") == 0;
-		m->deleting = true;
+		m->draining = true;
 		returning[count] = m;
 		names[count++] = m->name;
 	}
@@ -172,8 +172,8 @@
 	if (!rc)
 		rc = fl_cloud_delete(&n->cloud, names, count);
 	for (int i = 0; i < count && rc == 0; i++) {
-		returning[i]->returned = true;
-		fl_reconcile_gone(n, returning[i], "returned");
+		returning[i]->scaled_in = true;
+		fl_reconcile_decommission(n, returning[i], "returned");
 	}
 	return rc;
 }
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -15,11 +15,11 @@
 	.report_most = 1.25, /* report intervals between two reports at most */
 };
 
-void fl_reachability_proven(struct fl_machine *m)
+void fl_reachability_confirm(struct fl_machine *m)
 {
-	m->unheard = 0;
-	m->unheard_since = 0;
-	m->waited = false;
+	m->unacknowledged_replies = 0;
+	m->unacknowledged_since = 0;
+	m->last_reply_timed_out = false;
 }
 
 /*
@@ -31,77 +31,77 @@
  * the timeout.
  */
 static bool timed_out(const struct fl_node *n, const struct fl_machine *m,
-                      const struct fl_report *report, double gap)
+                      const struct fl_heartbeat *heartbeat, double gap)
 {
 	if (gap < tunables.timeout_s)
 		return false;
-	if (report->via && m->via && n->n_peers > 0)
-		return report->via != m->via;
+	if (heartbeat->entry_node && m->entry_node && n->n_peers > 0)
+		return heartbeat->entry_node != m->entry_node;
 	return tunables.report_most * n->config->report_s < tunables.timeout_s;
 }
 
 /* Whether the report has every attempt that the last answer ordered, be it as refused. */
-static bool launches_reported(const struct fl_machine *m, const struct fl_report *report)
+static bool starts_reported(const struct fl_machine *m, const struct fl_heartbeat *heartbeat)
 {
 	for (int i = 0; i < m->n_slots; i++) {
 		const struct fl_job *job = m->slots[i].job;
 		const struct fl_task *task = fl_task_peek(job, m->slots[i].index);
 		bool found = false;
 
-		if (!task->launch_sent)
+		if (!task->start_sent)
 			continue;
-		for (int k = 0; k < report->n_tasks && !found; k++)
-			found = report->tasks[k].index == m->slots[i].index &&
-			        report->tasks[k].attempt == task->attempt &&
-			        strcmp(report->tasks[k].ref, job->ref) == 0;
+		for (int k = 0; k < heartbeat->task_count && !found; k++)
+			found = heartbeat->tasks[k].index == m->slots[i].index &&
+			        heartbeat->tasks[k].attempt == task->attempt &&
+			        strcmp(heartbeat->tasks[k].ref, job->ref) == 0;
 		if (!found)
 			return false;
 	}
 	return true;
 }
 
-void fl_reachability_report(struct fl_node *n, struct fl_machine *m, const struct fl_report *report,
-                            double now)
+void fl_reachability_on_heartbeat(struct fl_node *n, struct fl_machine *m,
+                                  const struct fl_heartbeat *heartbeat, double now)
 {
 	bool incarnation_lost, no_effect;
-	double gap = m->answered > 0 ? now - m->answered : 0;
+	double gap = m->last_reply_at > 0 ? now - m->last_reply_at : 0;
 
-	m->waited = timed_out(n, m, report, gap);
-	m->via = report->via;
-	if (m->answered <= 0)
+	m->last_reply_timed_out = timed_out(n, m, heartbeat, gap);
+	m->entry_node = heartbeat->entry_node;
+	if (m->last_reply_at <= 0)
 		return;
 	/* Had the last answer arrived, the lease could not have ended by now. */
-	incarnation_lost = report->incarnation > m->incarnation && m->incarnation > 0 &&
+	incarnation_lost = heartbeat->incarnation > m->incarnation && m->incarnation > 0 &&
 	                   gap < n->config->lease_s - tunables.timeout_s;
-	no_effect = report->fencing_token < m->last_reply_token || incarnation_lost ||
-	            (m->answered_launch && !launches_reported(m, report));
+	no_effect = heartbeat->fencing_token < m->last_reply_token || incarnation_lost ||
+	            (m->last_reply_had_start && !starts_reported(m, heartbeat));
 	if (no_effect) {
-		if (m->unheard++ == 0)
-			m->unheard_since = m->answered;
-		if (m->unheard == tunables.doubts)
+		if (m->unacknowledged_replies++ == 0)
+			m->unacknowledged_since = m->last_reply_at;
+		if (m->unacknowledged_replies == tunables.doubts)
 			fl_info("workers", "%s does not seem to hear us: nothing new is placed",
 			        m->name);
 		return;
 	}
 	/* An answer without an order proves nothing, unless the worker did not time out. */
-	if (m->answered_launch || !m->waited)
-		fl_reachability_proven(m);
+	if (m->last_reply_had_start || !m->last_reply_timed_out)
+		fl_reachability_confirm(m);
 }
 
-void fl_reachability_answered(struct fl_node *n, struct fl_machine *m, enum fl_answer_kind kind,
+void fl_reachability_on_reply(struct fl_node *n, struct fl_machine *m, enum fl_reply_kind kind,
                               double now)
 {
-	m->answered = now;
+	m->last_reply_at = now;
 	m->last_reply_token = n->election.fencing_token;
-	m->answered_launch = kind == FL_ANSWER_WITH_LAUNCH;
+	m->last_reply_had_start = kind == FL_REPLY_WITH_START;
 }
 
-bool fl_reachability_doubted(const struct fl_machine *m)
+bool fl_reachability_is_suspect(const struct fl_machine *m)
 {
-	return m->unheard >= tunables.doubts || m->waited;
+	return m->unacknowledged_replies >= tunables.doubts || m->last_reply_timed_out;
 }
 
-double fl_reachability_lost_at(const struct fl_machine *m)
+double fl_reachability_lost_since(const struct fl_machine *m)
 {
-	return m->unheard >= tunables.doubts ? m->unheard_since : INFINITY;
+	return m->unacknowledged_replies >= tunables.doubts ? m->unacknowledged_since : INFINITY;
 }
--- a/src/coordination/reconcile.c
+++ b/src/coordination/reconciliation.c
@@ -1,4 +1,4 @@
-#include "coordination/reconcile.h"
+#include "coordination/reconciliation.h"
 
 #include <errno.h>
 #include <math.h>
@@ -28,12 +28,12 @@
 };
 
 /* Newer by session, then sequence number; the first report received is always newer. */
-static bool newer(const struct fl_machine *m, const struct fl_report *report)
+static bool newer(const struct fl_machine *m, const struct fl_heartbeat *heartbeat)
 {
-	if (m->heard <= 0)
+	if (m->last_heartbeat_at <= 0)
 		return true;
-	return report->incarnation > m->incarnation ||
-	       (report->incarnation == m->incarnation && report->sequence > m->sequence);
+	return heartbeat->incarnation > m->incarnation ||
+	       (heartbeat->incarnation == m->incarnation && heartbeat->sequence > m->sequence);
 }
 
 /*
@@ -44,34 +44,34 @@
  * overtake the answer, which may be under way until the worker sends its next report of its own.
  */
 static bool absence_proves(const struct fl_machine *m, const struct fl_task *task,
-                           const struct fl_report *report, enum fl_report_source source)
+                           const struct fl_heartbeat *heartbeat, enum fl_heartbeat_source source)
 {
-	if (task->launch_sent && source == FL_SOURCE_COMMAND)
+	if (task->start_sent && source == FL_HEARTBEAT_FROM_COMMAND)
 		return false;
 	/* The launch of an answer is executed before the worker's next report or never. */
-	return m->direct_start_token == 0 || report->fencing_token > m->direct_start_token;
+	return m->direct_start_token == 0 || heartbeat->fencing_token > m->direct_start_token;
 }
 
 /*
  * A finished entry may be dropped by the worker only when no late launch can restart it. One of an
  * older leader cannot: a report that counts carries this leadership's epoch.
  */
-static bool may_forget(const struct fl_machine *m, const struct fl_report *report)
+static bool may_forget(const struct fl_machine *m, const struct fl_heartbeat *heartbeat)
 {
-	return report->fencing_token > m->direct_start_token;
+	return heartbeat->fencing_token > m->direct_start_token;
 }
 
 /* Whether the attempt is to run on, rather than be stopped. */
 static bool should_run(const struct fl_job *job, const struct fl_task *task)
 {
-	return !job->cancelled && task->stop == FL_STOP_NONE;
+	return !job->cancelled && task->stop_reason == FL_STOP_NONE;
 }
 
 /* Time that a stopped attempt gets to write its checkpoint. */
-static double stop_grace_s(const struct fl_job *job, const struct fl_task *task)
+static double grace_period_s(const struct fl_job *job, const struct fl_task *task)
 {
 	if (job->cancelled || job->checkpoint_every_s <= 0 ||
-	    task->observed == FL_OBSERVED_FLUSHING)
+	    task->observed == FL_OBSERVED_CHECKPOINTING)
 		return 0;
 	return job->checkpoint_cost_s + tunables.checkpoint_margin_s;
 }
@@ -88,10 +88,10 @@
 {
 	int faults;
 
-	if (task->fails < tunables.doublings_most)
-		task->fails++;
+	if (task->failure_count < tunables.doublings_most)
+		task->failure_count++;
 	job->consecutive_failures++;
-	m->faults++;
+	m->fault_count++;
 	/* A job submitted with a mistake fails everywhere, each of its tasks for the first time. */
 	if (job->consecutive_failures > tunables.consecutive_failures)
 		job->not_before =
@@ -101,41 +101,41 @@
 	 * machine are no evidence, unless others of them have completed.
 	 */
 	faults = job->n_done > 0 ? tunables.faults : tunables.unproven_faults;
-	if (m->faults >= faults && job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
-		m->avoid_until = now + tunables.avoid_s;
+	if (m->fault_count >= faults &&
+	    job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
+		m->quarantined_until = now + tunables.avoid_s;
 	fl_info("workers", "%s failed on %s (machine faults %d, job consecutive failures %u)",
-	        job->ref, m->name, m->faults, job->consecutive_failures);
+	        job->ref, m->name, m->fault_count, job->consecutive_failures);
 }
 
-static void handle_ended(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
-                         uint32_t index, struct fl_task *task, const struct fl_task_report *entry,
-                         double now)
+static void handle_exit(struct fl_node *n, struct fl_machine *m, struct fl_job *job, uint32_t index,
+                        struct fl_task *task, const struct fl_task_status *status, double now)
 {
 	double pause = 0;
 
-	switch (entry->exit) {
+	switch (status->exit) {
 	case FL_EXIT_DONE:
 		fl_debug("workers", "%s/%u done on %s after %.1f s of %.1f", job->ref, index,
 		         m->name, now - task->since, job->expected_s);
 		job->consecutive_failures = 0;
 		job->not_before = 0;
-		m->faults = 0;
+		m->fault_count = 0;
 		fl_task_done(&n->cluster, job, index);
 		fl_signal_wake(&n->leadership.work_available);
 		return;
 	case FL_EXIT_STOPPED:
-	case FL_EXIT_MATES_GONE:
-	case FL_EXIT_ALONE:
+	case FL_EXIT_GANG_PEERS_LOST:
+	case FL_EXIT_GANG_INCOMPLETE:
 		break;
 	case FL_EXIT_NO_ROOM:
 	case FL_EXIT_BUSY:
 		pause = tunables.refused_s;
 		fl_info("workers", "%s refused %s/%u (%s)", m->name, job->ref, index,
-		        entry->exit == FL_EXIT_BUSY ? "busy" : "no room");
+		        status->exit == FL_EXIT_BUSY ? "busy" : "no room");
 		break;
 	default:
 		record_failure(m, job, task, now);
-		pause = backoff(task->fails);
+		pause = backoff(task->failure_count);
 		break;
 	}
 	fl_task_release(&n->cluster, job, index, pause > 0 ? now + pause : 0);
@@ -145,11 +145,11 @@
 static enum fl_observed_state observed_of(enum fl_task_state s)
 {
 	switch (s) {
-	case FL_PULLING:
-	case FL_GATHERING:
+	case FL_TASK_STATE_PULLING:
+	case FL_TASK_STATE_AWAITING_GANG:
 		return FL_OBSERVED_PULLING;
-	case FL_FLUSHING:
-		return FL_OBSERVED_FLUSHING;
+	case FL_TASK_STATE_CHECKPOINTING:
+		return FL_OBSERVED_CHECKPOINTING;
 	default:
 		return FL_OBSERVED_RUNNING;
 	}
@@ -160,70 +160,73 @@
  * when that is safe.
  */
 static void handle_stale(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
-                         const struct fl_task_report *entry, const struct fl_report *report,
-                         struct fl_orders *orders)
+                         const struct fl_task_status *status, const struct fl_heartbeat *heartbeat,
+                         struct fl_command_list *commands)
 {
-	if (entry->state != FL_ENDED) {
-		m->foreign++;
-		if (orders)
-			fl_orders_add(orders, FL_KILL, entry->ref, entry->index, entry->attempt, 0);
+	if (status->state != FL_TASK_STATE_EXITED) {
+		m->orphan_task_count++;
+		if (commands)
+			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
+			                    status->attempt, 0);
 		return;
 	}
 	/* Completed is completed, whichever attempt it was. */
-	if (entry->exit == FL_EXIT_DONE && job && !job->cancelled && entry->index < job->n_tasks &&
-	    job->kind == FL_ARRAY) {
-		struct fl_task *task = fl_task_get(job, entry->index);
+	if (status->exit == FL_EXIT_DONE && job && !job->cancelled &&
+	    status->index < job->n_tasks && job->kind == FL_ARRAY) {
+		struct fl_task *task = fl_task_get(job, status->index);
 
 		if (task && task->phase == FL_TASK_WAITING) {
-			fl_task_done(&n->cluster, job, entry->index);
+			fl_task_done(&n->cluster, job, status->index);
 			fl_signal_wake(&n->leadership.work_available);
 		}
 	}
-	if (!may_forget(m, report))
+	if (!may_forget(m, heartbeat))
 		n->leadership.retained_exit_count++;
-	else if (orders &&
-	         (!job || entry->index >= job->n_tasks || fl_task_durable(job, entry->index)))
-		fl_orders_add(orders, FL_FORGET, entry->ref, entry->index, entry->attempt, 0);
+	else if (commands &&
+	         (!job || status->index >= job->n_tasks || fl_task_durable(job, status->index)))
+		fl_command_list_add(commands, FL_COMMAND_FORGET, status->ref, status->index,
+		                    status->attempt, 0);
 }
 
 static void handle_reported(struct fl_node *n, struct fl_machine *m,
-                            const struct fl_task_report *entry, const struct fl_report *report,
-                            struct fl_orders *orders, double now)
+                            const struct fl_task_status *status,
+                            const struct fl_heartbeat *heartbeat, struct fl_command_list *commands,
+                            double now)
 {
-	struct fl_job *job = fl_job_find(&n->cluster, entry->ref);
+	struct fl_job *job = fl_job_find(&n->cluster, status->ref);
 	struct fl_task *task =
-		job && entry->index < job->n_tasks ? fl_task_peek(job, entry->index) : NULL;
+		job && status->index < job->n_tasks ? fl_task_peek(job, status->index) : NULL;
 
 	if (!task || task->phase != FL_TASK_PLACED || task->machine != m->id ||
-	    task->attempt != entry->attempt) {
-		handle_stale(n, m, job, entry, report, orders);
+	    task->attempt != status->attempt) {
+		handle_stale(n, m, job, status, heartbeat, commands);
 		return;
 	}
 	fl_machine_note_image(m, job->image);
-	if (entry->state == FL_ENDED) {
-		handle_ended(n, m, job, entry->index, task, entry, now);
+	if (status->state == FL_TASK_STATE_EXITED) {
+		handle_exit(n, m, job, status->index, task, status, now);
 		return;
 	}
-	if (task->observed != observed_of(entry->state)) {
-		fl_debug("workers", "%s/%u is %s on %s after %.1f s", job->ref, entry->index,
-		         observed_of(entry->state) == FL_OBSERVED_RUNNING   ? "running"
-		         : observed_of(entry->state) == FL_OBSERVED_PULLING ? "pulling"
-		                                                            : "saving",
+	if (task->observed != observed_of(status->state)) {
+		fl_debug("workers", "%s/%u is %s on %s after %.1f s", job->ref, status->index,
+		         observed_of(status->state) == FL_OBSERVED_RUNNING   ? "running"
+		         : observed_of(status->state) == FL_OBSERVED_PULLING ? "pulling"
+		                                                             : "saving",
 		         m->name, now - task->since);
-		fl_task_observe(job, task, observed_of(entry->state), now);
+		fl_task_observe(job, task, observed_of(status->state), now);
 		fl_signal_wake(&n->leadership.work_available);
 	}
-	if (!should_run(job, task) && orders)
-		fl_orders_add(orders, FL_KILL, entry->ref, entry->index, entry->attempt,
-		              stop_grace_s(job, task));
+	if (!should_run(job, task) && commands)
+		fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
+		                    status->attempt, grace_period_s(job, task));
 }
 
-static bool in_report(const struct fl_report *report, const struct fl_job *job, uint32_t index,
-                      uint32_t attempt)
+static bool in_report(const struct fl_heartbeat *heartbeat, const struct fl_job *job,
+                      uint32_t index, uint32_t attempt)
 {
-	for (int i = 0; i < report->n_tasks; i++)
-		if (report->tasks[i].index == index && report->tasks[i].attempt == attempt &&
-		    strcmp(report->tasks[i].ref, job->ref) == 0)
+	for (int i = 0; i < heartbeat->task_count; i++)
+		if (heartbeat->tasks[i].index == index && heartbeat->tasks[i].attempt == attempt &&
+		    strcmp(heartbeat->tasks[i].ref, job->ref) == 0)
 			return true;
 	return false;
 }
@@ -232,20 +235,21 @@
  * The attempts that are placed on the machine and were not reported: each is launched, or concluded
  * to be gone.
  */
-static enum fl_answer_kind handle_missing(struct fl_node *n, struct fl_machine *m,
-                                          const struct fl_report *report, struct fl_orders *orders,
-                                          enum fl_report_source source, double now)
+static enum fl_reply_kind handle_unreported(struct fl_node *n, struct fl_machine *m,
+                                            const struct fl_heartbeat *heartbeat,
+                                            struct fl_command_list *commands,
+                                            enum fl_heartbeat_source source, double now)
 {
-	enum fl_answer_kind kind = FL_ANSWER_WITHOUT_LAUNCH;
+	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
 
 	for (int i = m->n_slots - 1; i >= 0; i--) {
 		struct fl_job *job = m->slots[i].job;
 		uint32_t index = m->slots[i].index;
 		struct fl_task *task = fl_task_peek(job, index);
 
-		if (in_report(report, job, index, task->attempt))
+		if (in_report(heartbeat, job, index, task->attempt))
 			continue;
-		if (task->incarnation < report->incarnation) {
+		if (task->incarnation < heartbeat->incarnation) {
 			/* The session in which it was placed is over, and so is the attempt. */
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
 			        m->name);
@@ -259,28 +263,29 @@
 			fl_task_observe(job, task, FL_OBSERVED_NONE, now);
 		}
 		if (!should_run(job, task)) {
-			if (absence_proves(m, task, report, source)) {
+			if (absence_proves(m, task, heartbeat, source)) {
 				fl_task_release(&n->cluster, job, index, 0);
 				fl_signal_wake(&n->leadership.work_available);
-			} else if (m->direct_start_token >= report->fencing_token &&
+			} else if (m->direct_start_token >= heartbeat->fencing_token &&
 			           m->direct_start_token > 0) {
 				n->election.token_raise_wanted = true;
 			}
-		} else if (orders && fl_task_durable(job, index)) {
-			fl_orders_add(orders, FL_LAUNCH, job->ref, index, task->attempt, 0);
-			task->launch_sent = true;
-			kind = FL_ANSWER_WITH_LAUNCH;
+		} else if (commands && fl_task_durable(job, index)) {
+			fl_command_list_add(commands, FL_COMMAND_START, job->ref, index,
+			                    task->attempt, 0);
+			task->start_sent = true;
+			kind = FL_REPLY_WITH_START;
 		}
 	}
 	return kind;
 }
 
-static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_report *report)
+static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_heartbeat *heartbeat)
 {
-	int type = fl_machine_type_find(&n->cluster.machines, report->type);
-	int zone = fl_names_find(&n->cluster.zones, report->zone);
+	int type = fl_machine_type_find(&n->cluster.machines, heartbeat->type);
+	int zone = fl_names_find(&n->cluster.zones, heartbeat->zone);
 
-	fl_cluster_describe(&n->cluster, m, type, zone, report->spot, report->endpoint);
+	fl_cluster_describe(&n->cluster, m, type, zone, heartbeat->spot, heartbeat->endpoint);
 }
 
 /*
@@ -289,76 +294,78 @@
  * and does not count as contact. A worker that receives the answer reports again at once, with the
  * epoch.
  */
-static bool predates_leadership(const struct fl_node *n, const struct fl_report *report)
+static bool predates_leadership(const struct fl_node *n, const struct fl_heartbeat *heartbeat)
 {
-	return report->fencing_token < n->leadership.first_fencing_token;
+	return heartbeat->fencing_token < n->leadership.first_fencing_token;
 }
 
-static void record_contact(struct fl_node *n, struct fl_machine *m, const struct fl_report *report,
-                           double now)
+static void record_contact(struct fl_node *n, struct fl_machine *m,
+                           const struct fl_heartbeat *heartbeat, double now)
 {
 	bool changed = !m->up;
 
-	describe(n, m, report);
-	m->incarnation = report->incarnation;
-	m->sequence = report->sequence;
-	m->heard = now;
+	describe(n, m, heartbeat);
+	m->incarnation = heartbeat->incarnation;
+	m->sequence = heartbeat->sequence;
+	m->last_heartbeat_at = now;
 	m->up = true;
-	m->foreign = 0;
-	if (report->reclaim_in_s >= 0 && m->reclaim_at == 0) {
-		m->reclaim_at = now + report->reclaim_in_s;
-		fl_info("cloud", "%s will be taken back in %.0f s", m->name, report->reclaim_in_s);
+	m->orphan_task_count = 0;
+	if (heartbeat->interruption_in_s >= 0 && m->interruption_at == 0) {
+		m->interruption_at = now + heartbeat->interruption_in_s;
+		fl_info("cloud", "%s will be taken back in %.0f s", m->name,
+		        heartbeat->interruption_in_s);
 		changed = true;
 	}
 	if (changed)
 		fl_signal_wake(&n->leadership.work_available);
 }
 
-int fl_reconcile_report(struct fl_node *n, const struct fl_report *report, struct fl_orders *orders,
-                        enum fl_report_source source)
+int fl_reconcile_heartbeat(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+                           struct fl_command_list *commands, enum fl_heartbeat_source source)
 {
 	double now = fl_now();
-	struct fl_machine *m = fl_machine_find(&n->cluster.machines, report->host);
-	enum fl_answer_kind kind;
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, heartbeat->host);
+	enum fl_reply_kind kind;
 
-	if (m && m->gone)
+	if (m && m->decommissioned)
 		return -ENOENT;
-	if (report->fencing_token > n->election.fencing_token)
+	if (heartbeat->fencing_token > n->election.fencing_token)
 		return -ENOENT; /* our own epoch, being raised: the next report is taken */
-	if (predates_leadership(n, report))
+	if (predates_leadership(n, heartbeat))
 		return 0;
 	if (!m)
-		m = fl_machine_get(&n->cluster.machines, report->host, now);
+		m = fl_machine_get(&n->cluster.machines, heartbeat->host, now);
 	if (!m)
 		return -ENOENT;
-	if (!newer(m, report))
+	if (!newer(m, heartbeat))
 		return 0;
-	if (source == FL_SOURCE_COMMAND)
-		fl_reachability_proven(m);
-	else if (source == FL_SOURCE_REPORT)
-		fl_reachability_report(n, m, report, now);
-	record_contact(n, m, report, now);
-	if (source != FL_SOURCE_FORWARDED)
-		m->reached = now;
-	for (int i = 0; i < report->n_tasks; i++)
-		handle_reported(n, m, &report->tasks[i], report, orders, now);
-	kind = handle_missing(n, m, report, orders, source, now);
-	if (source == FL_SOURCE_REPORT)
-		fl_reachability_answered(n, m, kind, now);
+	if (source == FL_HEARTBEAT_FROM_COMMAND)
+		fl_reachability_confirm(m);
+	else if (source == FL_HEARTBEAT_FROM_WORKER)
+		fl_reachability_on_heartbeat(n, m, heartbeat, now);
+	record_contact(n, m, heartbeat, now);
+	if (source != FL_HEARTBEAT_FROM_DIGEST)
+		m->last_reachable_at = now;
+	for (int i = 0; i < heartbeat->task_count; i++)
+		handle_reported(n, m, &heartbeat->tasks[i], heartbeat, commands, now);
+	kind = handle_unreported(n, m, heartbeat, commands, source, now);
+	if (source == FL_HEARTBEAT_FROM_WORKER)
+		fl_reachability_on_reply(n, m, kind, now);
 	return 0;
 }
 
-void fl_reconcile_renewed(struct fl_node *n, const struct fl_report *report)
+void fl_reconcile_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat)
 {
-	struct fl_machine *m = fl_machine_find(&n->cluster.machines, report->host);
+	struct fl_machine *m = fl_machine_find(&n->cluster.machines, heartbeat->host);
 
-	if (m && m->up && newer(m, report))
-		fl_reachability_answered(n, m, FL_ANSWER_WITHOUT_LAUNCH, fl_now());
+	if (m && m->up && newer(m, heartbeat))
+		fl_reachability_on_reply(n, m, FL_REPLY_WITHOUT_START, fl_now());
 }
 
-bool fl_reconcile_direct(struct fl_node *n, struct fl_machine *m, struct fl_orders *orders)
+bool fl_reconcile_collect_commands(struct fl_node *n, struct fl_machine *m,
+                                   struct fl_command_list *commands)
 {
-	bool launches = false;
+	bool starts = false;
 
 	for (int i = 0; i < m->n_slots; i++) {
 		struct fl_job *job = m->slots[i].job;
@@ -366,25 +373,26 @@
 		struct fl_task *task = fl_task_peek(job, index);
 
 		if (!should_run(job, task)) {
-			fl_orders_add(orders, FL_KILL, job->ref, index, task->attempt,
-			              stop_grace_s(job, task));
+			fl_command_list_add(commands, FL_COMMAND_STOP, job->ref, index,
+			                    task->attempt, grace_period_s(job, task));
 		} else if (task->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
-			fl_orders_add(orders, FL_LAUNCH, job->ref, index, task->attempt, 0);
-			launches = true;
+			fl_command_list_add(commands, FL_COMMAND_START, job->ref, index,
+			                    task->attempt, 0);
+			starts = true;
 		}
 	}
-	if (launches)
+	if (starts)
 		m->direct_start_token = n->election.fencing_token;
-	return orders->n > 0;
+	return commands->count > 0;
 }
 
-void fl_reconcile_gone(struct fl_node *n, struct fl_machine *m, const char *why)
+void fl_reconcile_decommission(struct fl_node *n, struct fl_machine *m, const char *why)
 {
-	if (m->gone)
+	if (m->decommissioned)
 		return;
 	fl_info("cloud", "%s is gone: %s (%d tasks on it)", m->name, why, m->n_slots);
-	m->gone = true;
-	m->gone_at = fl_now();
+	m->decommissioned = true;
+	m->decommissioned_at = fl_now();
 	m->up = false;
 	while (m->n_slots > 0)
 		fl_task_release(&n->cluster, m->slots[0].job, m->slots[0].index, 0);
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -202,7 +202,7 @@
 
 	if (rc)
 		return rc;
-	fl_command_push_placed(n);
+	fl_command_send_pending(n);
 	finished = fl_record_writer_finalise_one(n);
 	rc = fl_is_leader(n) ? write_rest(n) : -EAGAIN;
 	if (!rc)
--- a/src/coordination/worker_steering.c
+++ b/src/coordination/redirect.c
@@ -1,4 +1,4 @@
-#include "coordination/worker_steering.h"
+#include "coordination/redirect.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -22,24 +22,25 @@
  * before it was answered here: it may have looked for a living node until its lease is nearly over,
  * and half a second more on its way would be its tasks' end.
  */
-static bool may_send(struct fl_node *n, const char *host)
+static bool may_redirect(struct fl_node *n, const char *host)
 {
 	double now = fl_now();
-	struct fl_misplaced_worker *g;
+	struct fl_misplaced_worker *worker;
 
-	HASH_FIND_STR(n->standby.misplaced, host, g);
-	if (!g) {
-		g = calloc(1, sizeof(*g));
-		if (!g)
+	HASH_FIND_STR(n->follower.misplaced_workers, host, worker);
+	if (!worker) {
+		worker = calloc(1, sizeof(*worker));
+		if (!worker)
 			return false;
-		fl_copy_string(g->host, sizeof(g->host), host);
-		g->came = now;
-		HASH_ADD_STR(n->standby.misplaced, host, g);
+		fl_copy_string(worker->host, sizeof(worker->host), host);
+		worker->first_seen_at = now;
+		HASH_ADD_STR(n->follower.misplaced_workers, host, worker);
 	}
-	if (now < g->came + tunables.settle_reports * n->config->report_s ||
-	    (g->sent > 0 && now < g->sent + tunables.home_leases * n->config->lease_s))
+	if (now < worker->first_seen_at + tunables.settle_reports * n->config->report_s ||
+	    (worker->redirected_at > 0 &&
+	     now < worker->redirected_at + tunables.home_leases * n->config->lease_s))
 		return false;
-	g->sent = now;
+	worker->redirected_at = now;
 	return true;
 }
 
@@ -47,18 +48,18 @@
  * A worker is best renewed by a node of its own zone. One that reports across zones when they are
  * cut apart tries node after node for 5 s each, and its lease ends before it comes to its own.
  */
-static const struct fl_peer *home_of(struct fl_node *n, const struct fl_report *r)
+static const struct fl_peer *home_node(struct fl_node *n, const struct fl_heartbeat *heartbeat)
 {
 	double now = fl_now();
 
-	if (strcmp(r->zone, n->config->location) == 0)
+	if (strcmp(heartbeat->zone, n->config->location) == 0)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
-		const struct fl_peer *p = &n->peers[i];
+		const struct fl_peer *peer = &n->peers[i];
 
-		if (strcmp(p->location, r->zone) == 0 && p->up &&
-		    now > p->up_since + tunables.home_s)
-			return may_send(n, r->host) ? p : NULL;
+		if (strcmp(peer->location, heartbeat->zone) == 0 && peer->up &&
+		    now > peer->up_since + tunables.home_s)
+			return may_redirect(n, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
 }
@@ -71,40 +72,41 @@
  * with its zone renews its workers, since they too can reach nobody else; so does the last node
  * alive in an outage. Each worker is sent once in more than a lease, to the nodes in turn.
  */
-static const struct fl_peer *away_from_here(struct fl_node *n, const struct fl_report *r)
+static const struct fl_peer *redirect_from_isolated(struct fl_node *n,
+                                                    const struct fl_heartbeat *heartbeat)
 {
 	double last = fl_gossip_last_heard(n), now = fl_now();
 
-	if (!fl_standby_alone(n) || now > n->probed_at + tunables.probe_s ||
+	if (!fl_follower_is_isolated(n) || now > n->probed_at + tunables.probe_s ||
 	    last < n->kv_store.last_success_at - tunables.at_once_s ||
 	    last > n->kv_store.last_success_at + tunables.at_once_s)
 		return NULL;
 	for (int i = 0; i < n->n_peers; i++) {
-		const struct fl_peer *p = &n->peers[n->standby.away++ % n->n_peers];
+		const struct fl_peer *peer = &n->peers[n->follower.redirect_cursor++ % n->n_peers];
 
 		/* Not to one that was lost before. */
-		if (p->heard_at > last - tunables.at_once_s)
-			return may_send(n, r->host) ? p : NULL;
+		if (peer->last_heard_at > last - tunables.at_once_s)
+			return may_redirect(n, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
 }
 
-const struct fl_peer *fl_worker_steer(struct fl_node *n, const struct fl_report *r)
+const struct fl_peer *fl_redirect_target(struct fl_node *n, const struct fl_heartbeat *heartbeat)
 {
-	const struct fl_peer *home = home_of(n, r);
+	const struct fl_peer *home = home_node(n, heartbeat);
 
-	return home ? home : away_from_here(n, r);
+	return home ? home : redirect_from_isolated(n, heartbeat);
 }
 
-void fl_worker_steering_forget(struct fl_node *n, double now)
+void fl_redirect_forget(struct fl_node *n, double now)
 {
 	double before = now - tunables.home_leases * n->config->lease_s;
-	struct fl_misplaced_worker *g, *tmp;
+	struct fl_misplaced_worker *worker, *tmp;
 
-	HASH_ITER (hh, n->standby.misplaced, g, tmp) {
-		if (g->came >= before || g->sent >= before)
+	HASH_ITER (hh, n->follower.misplaced_workers, worker, tmp) {
+		if (worker->first_seen_at >= before || worker->redirected_at >= before)
 			continue;
-		HASH_DEL(n->standby.misplaced, g);
-		free(g);
+		HASH_DEL(n->follower.misplaced_workers, worker);
+		free(worker);
 	}
 }
--- a/src/coordination/worker_steering.h
+++ b/src/coordination/redirect.h
@@ -2,8 +2,8 @@
  * Moving misplaced workers: a worker that reports to a node of another zone, or to a node that is
  * cut off, is told to which other node it should report.
  */
-#ifndef FL_COORDINATION_WORKER_STEERING_H
-#define FL_COORDINATION_WORKER_STEERING_H
+#ifndef FL_COORDINATION_REDIRECT_H
+#define FL_COORDINATION_REDIRECT_H
 
 #include <uthash.h>
 
@@ -17,12 +17,12 @@
 struct fl_misplaced_worker {
 	UT_hash_handle hh;
 	char host[FL_NAME_MAX];
-	double came, sent; /* steady; sent: away from here, 0: not yet */
+	double first_seen_at, redirected_at; /* steady; sent: away from here, 0: not yet */
 };
 
 /* The node that this report's worker is to be sent to now, or NULL: it is served here. */
-const struct fl_peer *fl_worker_steer(struct fl_node *n, const struct fl_report *r);
+const struct fl_peer *fl_redirect_target(struct fl_node *n, const struct fl_heartbeat *heartbeat);
 /* Drops what is known of workers that neither came nor were sent away for long. */
-void fl_worker_steering_forget(struct fl_node *n, double now);
+void fl_redirect_forget(struct fl_node *n, double now);
 
 #endif
--- a/src/coordination/submission.c
+++ b/src/coordination/submission.c
@@ -263,7 +263,7 @@
 		fl_refuse(resp, 400, "Ref: missing or invalid");
 		return;
 	}
-	if (fl_standby_alone(n)) {
+	if (fl_follower_is_isolated(n)) {
 		/* At once: every try at either would cost the user seconds in vain. */
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
--- a/src/coordination/submission.h
+++ b/src/coordination/submission.h
@@ -7,7 +7,7 @@
 
 #include <stddef.h>
 
-#include "coordination/relay.h"
+#include "coordination/forwarding.h"
 #include "transport/http_server.h"
 
 struct fl_node;
--- a/src/coordination/user_calls.c
+++ b/src/coordination/user_calls.c
@@ -25,33 +25,33 @@
 {
 	int most = call == FL_CALL_POLL ? FL_PEER_CALLS_MAX / 2 : FL_PEER_CALLS_MAX;
 
-	return n->relayed_calls < most;
+	return n->forwarded_requests < most;
 }
 
-struct relayed_call {
+struct forwarded_call {
 	enum fl_user_call call;
 	const char *ref, *body;
 };
 
 static char *encode_call(const void *ctx, bool last_hop, bool disconnected)
 {
-	const struct relayed_call *c = ctx;
+	const struct forwarded_call *c = ctx;
 
 	(void)disconnected;
-	return fl_relay_encode(c->call, last_hop, c->ref, c->body);
+	return fl_forwarded_request_encode(c->call, last_hop, c->ref, c->body);
 }
 
 int fl_user_call_relay(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
                        enum fl_hop hop, double patience_s, struct fl_reply *reply)
 {
-	struct relayed_call relayed = {call, ref, body};
+	struct forwarded_call relayed = {call, ref, body};
 	int rc;
 
 	if (!may_relay(n, call))
 		return -EBUSY;
-	n->relayed_calls++;
-	rc = fl_relay(n, FL_PATH_RELAY, encode_call, &relayed, hop, patience_s, reply);
-	n->relayed_calls--;
+	n->forwarded_requests++;
+	rc = fl_forward(n, FL_PATH_FORWARD, encode_call, &relayed, hop, patience_s, reply);
+	n->forwarded_requests--;
 	return rc;
 }
 
@@ -189,7 +189,7 @@
 			fl_answer_cancel(n, ref, resp);
 		return;
 	}
-	if (fl_standby_alone(n)) {
+	if (fl_follower_is_isolated(n)) {
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
--- a/src/coordination/user_calls.h
+++ b/src/coordination/user_calls.h
@@ -5,7 +5,7 @@
 #ifndef FL_COORDINATION_USER_CALLS_H
 #define FL_COORDINATION_USER_CALLS_H
 
-#include "coordination/relay.h"
+#include "coordination/forwarding.h"
 #include "protocol/users.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
@@ -19,7 +19,7 @@
 void fl_poll_or_cancel(struct fl_node *n, enum fl_user_call call, const char *ref, enum fl_hop hop,
                        struct fl_response *resp);
 /*
- * Passes a user's call to the leader, as fl_relay does: 0 and the answer, which the caller frees,
+ * Passes a user's call to the leader, as fl_forward does: 0 and the answer, which the caller frees,
  * or an errno. -EBUSY at once if too many calls are under way.
  */
 int fl_user_call_relay(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
--- a/src/protocol/peer_reports.c
+++ b/src/protocol/peer_heartbeats.c
@@ -1,4 +1,4 @@
-#include "protocol/peer_reports.h"
+#include "protocol/peer_heartbeats.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -7,49 +7,51 @@
 /* The statuses of HTTP. */
 enum { STATUS_MIN = 100, STATUS_MAX = 599 };
 
-cJSON *fl_report_list_begin(void) { return cJSON_CreateArray(); }
+cJSON *fl_heartbeat_list_begin(void) { return cJSON_CreateArray(); }
 
-void fl_report_list_add(cJSON *list, const char *body)
+void fl_heartbeat_list_add(cJSON *list, const char *body)
 {
 	/* As it came: the leader reads it once, with the message. */
 	cJSON_AddItemToArray(list, cJSON_CreateRaw(body));
 }
 
-char *fl_peer_reports_encode(cJSON *list, const char *via, bool last_hop, bool disconnected)
+char *fl_peer_heartbeats_encode(cJSON *list, const char *entry_node, bool last_hop,
+                                bool disconnected)
 {
 	cJSON *o = cJSON_CreateObject();
 
 	cJSON_AddBoolToObject(o, "last_hop", last_hop);
 	if (disconnected)
 		cJSON_AddBoolToObject(o, "adrift", true);
-	cJSON_AddStringToObject(o, "via", via);
+	cJSON_AddStringToObject(o, "via", entry_node);
 	cJSON_AddItemReferenceToObject(o, "reports", list);
 	return fl_json_take(o);
 }
 
-int fl_peer_reports_decode(const char *text, size_t len, struct fl_peer_reports *out)
+int fl_peer_heartbeats_decode(const char *text, size_t len, struct fl_peer_heartbeats *out)
 {
 	memset(out, 0, sizeof(*out));
 	out->tree = fl_json_parse(text, len);
 	out->list = fl_json_get(out->tree, "reports");
 	if (fl_json_bool(out->tree, "last_hop", &out->last_hop) != FL_FIELD_OK ||
 	    fl_json_bool(out->tree, "adrift", &out->disconnected) == FL_FIELD_BAD ||
-	    fl_json_str(out->tree, "via", out->via, sizeof(out->via)) != FL_FIELD_OK ||
-	    !cJSON_IsArray(out->list) || cJSON_GetArraySize(out->list) > FL_PEER_REPORTS_MAX) {
-		fl_peer_reports_free(out);
+	    fl_json_str(out->tree, "via", out->entry_node, sizeof(out->entry_node)) !=
+	            FL_FIELD_OK ||
+	    !cJSON_IsArray(out->list) || cJSON_GetArraySize(out->list) > FL_PEER_HEARTBEATS_MAX) {
+		fl_peer_heartbeats_free(out);
 		return -EPROTO;
 	}
 	return 0;
 }
 
-void fl_peer_reports_free(struct fl_peer_reports *m)
+void fl_peer_heartbeats_free(struct fl_peer_heartbeats *message)
 {
-	cJSON_Delete(m->tree);
-	m->tree = NULL;
-	m->list = NULL;
+	cJSON_Delete(message->tree);
+	message->tree = NULL;
+	message->list = NULL;
 }
 
-char *fl_report_answers_encode(const struct fl_report_answer *answers, int n)
+char *fl_heartbeat_replies_encode(const struct fl_heartbeat_reply *answers, int n)
 {
 	cJSON *list = cJSON_CreateArray();
 
@@ -64,7 +66,7 @@
 	return fl_json_take(list);
 }
 
-static int decode_answer(const cJSON *e, struct fl_report_answer *out)
+static int decode_answer(const cJSON *e, struct fl_heartbeat_reply *out)
 {
 	const cJSON *body = fl_json_get(e, "body");
 	uint64_t status;
@@ -79,7 +81,8 @@
 	return out->body ? 0 : -ENOMEM;
 }
 
-int fl_report_answers_decode(const char *text, size_t len, struct fl_report_answer *answers, int n)
+int fl_heartbeat_replies_decode(const char *text, size_t len, struct fl_heartbeat_reply *answers,
+                                int n)
 {
 	cJSON *list = fl_json_parse(text, len);
 	int rc = cJSON_IsArray(list) && cJSON_GetArraySize(list) == n ? 0 : -EPROTO;
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -80,7 +80,8 @@
 	g->n_cancelled = 0;
 }
 
-char *fl_relay_encode(enum fl_user_call call, bool last_hop, const char *ref, const char *body)
+char *fl_forwarded_request_encode(enum fl_user_call call, bool last_hop, const char *ref,
+                                  const char *body)
 {
 	cJSON *o = cJSON_CreateObject();
 
@@ -101,7 +102,7 @@
 	return (call == FL_CALL_POLL || call == FL_CALL_CANCEL) && !body && fl_ref_ok(ref);
 }
 
-int fl_relay_decode(const char *text, size_t len, struct fl_relay *out)
+int fl_forwarded_request_decode(const char *text, size_t len, struct fl_forwarded_request *out)
 {
 	const cJSON *body;
 	uint64_t call;
@@ -113,7 +114,7 @@
 	    fl_json_bool(out->tree, "last_hop", &out->last_hop) != FL_FIELD_OK ||
 	    fl_json_str(out->tree, "ref", out->ref, sizeof(out->ref)) == FL_FIELD_BAD ||
 	    !relayable(call, out->ref, body)) {
-		fl_relay_free(out);
+		fl_forwarded_request_free(out);
 		return -EPROTO;
 	}
 	out->call = (enum fl_user_call)call;
@@ -121,39 +122,39 @@
 	return 0;
 }
 
-void fl_relay_free(struct fl_relay *r)
+void fl_forwarded_request_free(struct fl_forwarded_request *r)
 {
 	cJSON_Delete(r->tree);
 	r->tree = NULL;
 }
 
 /* [host,session,sequence number,epoch,reclaim_in,[[ref,index,attempt,state,exit],...]] */
-char *fl_cached_report_encode(const struct fl_report *r)
+char *fl_cached_heartbeat_encode(const struct fl_heartbeat *heartbeat)
 {
 	cJSON *e = cJSON_CreateArray(), *tasks = cJSON_CreateArray();
 
-	cJSON_AddItemToArray(e, cJSON_CreateString(r->host));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->incarnation));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->sequence));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)r->fencing_token));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber(r->reclaim_in_s));
-	for (int i = 0; i < r->n_tasks; i++) {
-		const struct fl_task_report *p = &r->tasks[i];
+	cJSON_AddItemToArray(e, cJSON_CreateString(heartbeat->host));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)heartbeat->incarnation));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)heartbeat->sequence));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)heartbeat->fencing_token));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber(heartbeat->interruption_in_s));
+	for (int i = 0; i < heartbeat->task_count; i++) {
+		const struct fl_task_status *status = &heartbeat->tasks[i];
 		cJSON *x = cJSON_CreateArray();
 
-		cJSON_AddItemToArray(x, cJSON_CreateString(p->ref));
-		cJSON_AddItemToArray(x, cJSON_CreateNumber(p->index));
-		cJSON_AddItemToArray(x, cJSON_CreateNumber(p->attempt));
-		cJSON_AddItemToArray(x, cJSON_CreateNumber(p->state));
-		if (p->state == FL_ENDED)
-			cJSON_AddItemToArray(x, cJSON_CreateNumber(p->exit));
+		cJSON_AddItemToArray(x, cJSON_CreateString(status->ref));
+		cJSON_AddItemToArray(x, cJSON_CreateNumber(status->index));
+		cJSON_AddItemToArray(x, cJSON_CreateNumber(status->attempt));
+		cJSON_AddItemToArray(x, cJSON_CreateNumber(status->state));
+		if (status->state == FL_TASK_STATE_EXITED)
+			cJSON_AddItemToArray(x, cJSON_CreateNumber(status->exit));
 		cJSON_AddItemToArray(tasks, x);
 	}
 	cJSON_AddItemToArray(e, tasks);
 	return fl_json_take(e);
 }
 
-static int decode_cached_task(const cJSON *x, struct fl_task_report *p)
+static int decode_cached_task(const cJSON *x, struct fl_task_status *status)
 {
 	const cJSON *ref = cJSON_GetArrayItem(x, 0);
 	uint64_t index, attempt, state, why = FL_EXIT_OTHER;
@@ -162,18 +163,18 @@
 	    !fl_ref_ok(ref->valuestring) ||
 	    fl_json_item(x, 1, FL_TASKS_MAX - 1, &index) != FL_FIELD_OK ||
 	    fl_json_item(x, 2, UINT32_MAX, &attempt) != FL_FIELD_OK ||
-	    fl_json_item(x, 3, FL_GATHERING, &state) != FL_FIELD_OK ||
+	    fl_json_item(x, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_FIELD_OK ||
 	    fl_json_item(x, 4, FL_EXIT_OTHER, &why) == FL_FIELD_BAD)
 		return -EPROTO;
-	fl_copy_string(p->ref, sizeof(p->ref), ref->valuestring);
-	p->index = (uint32_t)index;
-	p->attempt = (uint32_t)attempt;
-	p->state = (enum fl_task_state)state;
-	p->exit = (enum fl_exit)why;
+	fl_copy_string(status->ref, sizeof(status->ref), ref->valuestring);
+	status->index = (uint32_t)index;
+	status->attempt = (uint32_t)attempt;
+	status->state = (enum fl_task_state)state;
+	status->exit = (enum fl_exit)why;
 	return 0;
 }
 
-int fl_cached_report_decode(const cJSON *e, struct fl_report *out)
+int fl_cached_heartbeat_decode(const cJSON *e, struct fl_heartbeat *out)
 {
 	const cJSON *host = cJSON_GetArrayItem(e, 0), *notice = cJSON_GetArrayItem(e, 4);
 	const cJSON *tasks = cJSON_GetArrayItem(e, 5), *x;
@@ -187,16 +188,16 @@
 	    !cJSON_IsNumber(notice) || !cJSON_IsArray(tasks))
 		return -EPROTO;
 	fl_copy_string(out->host, sizeof(out->host), host->valuestring);
-	out->reclaim_in_s = notice->valuedouble >= 0 ? notice->valuedouble : -1;
+	out->interruption_in_s = notice->valuedouble >= 0 ? notice->valuedouble : -1;
 	out->tasks = calloc((size_t)cJSON_GetArraySize(tasks) + 1, sizeof(*out->tasks));
 	if (!out->tasks)
 		return -ENOMEM;
 	cJSON_ArrayForEach (x, tasks) {
-		if (decode_cached_task(x, &out->tasks[out->n_tasks]) != 0) {
-			fl_report_free(out);
+		if (decode_cached_task(x, &out->tasks[out->task_count]) != 0) {
+			fl_heartbeat_free(out);
 			return -EPROTO;
 		}
-		out->n_tasks++;
+		out->task_count++;
 	}
 	return 0;
 }
@@ -216,4 +217,4 @@
 	                     cJSON_CreateRaw(cached));
 }
 
-const cJSON *fl_digest_reports(const cJSON *digest) { return fl_json_get(digest, "kept"); }
+const cJSON *fl_digest_heartbeats(const cJSON *digest) { return fl_json_get(digest, "kept"); }
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -40,10 +40,10 @@
 void fl_gossip_free(struct fl_gossip *g);
 
 /* Where users' calls that are relayed go at another controller. */
-#define FL_PATH_RELAY "/relay"
+#define FL_PATH_FORWARD "/relay"
 
 /* A user's call travels as it came, wrapped with where it belongs. */
-struct fl_relay {
+struct fl_forwarded_request {
 	enum fl_user_call call;
 	bool last_hop; /* must not be passed on again */
 	char ref[FL_REF_MAX];
@@ -52,24 +52,25 @@
 };
 
 /* The text of a relayed call; `ref` and `body` may be NULL. The caller frees it. */
-char *fl_relay_encode(enum fl_user_call call, bool last_hop, const char *ref, const char *body);
+char *fl_forwarded_request_encode(enum fl_user_call call, bool last_hop, const char *ref,
+                                  const char *body);
 /* Reads a relayed request: 0, or -EPROTO with nothing held. */
-int fl_relay_decode(const char *text, size_t len, struct fl_relay *out);
+int fl_forwarded_request_decode(const char *text, size_t len, struct fl_forwarded_request *out);
 /* Frees what a relayed request holds, its body included. */
-void fl_relay_free(struct fl_relay *r);
+void fl_forwarded_request_free(struct fl_forwarded_request *r);
 
 /*
  * A cached report as it goes through the state service, where every byte of hundreds of machines
  * counts against values and writes: what is on the machine, but not what is known of it anyway.
  */
-char *fl_cached_report_encode(const struct fl_report *r);
+char *fl_cached_heartbeat_encode(const struct fl_heartbeat *heartbeat);
 /* Machine type, zone and endpoint stay empty. 0, or -EPROTO or -ENOMEM with nothing held. */
-int fl_cached_report_decode(const cJSON *e, struct fl_report *out);
+int fl_cached_heartbeat_decode(const cJSON *e, struct fl_heartbeat *out);
 /* A new record of cached reports, without any. */
 cJSON *fl_digest_begin(uint64_t fencing_token);
-/* Adds a text of fl_cached_report_encode. */
+/* Adds a text of fl_cached_heartbeat_encode. */
 void fl_digest_add(cJSON *digest, const char *cached);
 /* The list of cached reports in a record that was read, still unchecked; NULL: there is none. */
-const cJSON *fl_digest_reports(const cJSON *digest);
+const cJSON *fl_digest_heartbeats(const cJSON *digest);
 
 #endif
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -19,51 +19,53 @@
 }
 
 /* "run-000412/3" */
-static int split_task(const char *name, struct fl_task_report *p)
+static int split_task(const char *name, struct fl_task_status *status)
 {
 	const char *slash = strchr(name, '/');
 	char *end;
 	unsigned long index;
 
-	if (!slash || (size_t)(slash - name) >= sizeof(p->ref) || slash[1] < '0' || slash[1] > '9')
+	if (!slash || (size_t)(slash - name) >= sizeof(status->ref) || slash[1] < '0' ||
+	    slash[1] > '9')
 		return -EPROTO;
-	memcpy(p->ref, name, (size_t)(slash - name));
-	p->ref[slash - name] = 0;
+	memcpy(status->ref, name, (size_t)(slash - name));
+	status->ref[slash - name] = 0;
 	index = strtoul(slash + 1, &end, 10);
-	if (*end || index >= FL_TASKS_MAX || !fl_ref_ok(p->ref))
+	if (*end || index >= FL_TASKS_MAX || !fl_ref_ok(status->ref))
 		return -EPROTO;
-	p->index = (uint32_t)index;
+	status->index = (uint32_t)index;
 	return 0;
 }
 
-static int decode_task(const cJSON *e, struct fl_task_report *p)
+static int decode_task(const cJSON *e, struct fl_task_status *status)
 {
 	char name[FL_REF_MAX + 16], word[32];
 	uint64_t attempt;
 	int k;
 
-	if (fl_json_str(e, "Part", name, sizeof(name)) != FL_FIELD_OK || split_task(name, p) != 0)
+	if (fl_json_str(e, "Part", name, sizeof(name)) != FL_FIELD_OK ||
+	    split_task(name, status) != 0)
 		return -EPROTO;
 	if (fl_json_count(e, "Try", &attempt) != FL_FIELD_OK || attempt > UINT32_MAX)
 		return -EPROTO;
-	p->attempt = (uint32_t)attempt;
+	status->attempt = (uint32_t)attempt;
 	if (fl_json_str(e, "Status", word, sizeof(word)) != FL_FIELD_OK)
 		return -EPROTO;
 	k = find(word, state_names, 5);
 	if (k < 0)
 		return -EPROTO;
-	p->state = (enum fl_task_state)k;
-	p->exit = FL_EXIT_OTHER;
+	status->state = (enum fl_task_state)k;
+	status->exit = FL_EXIT_OTHER;
 	if (fl_json_str(e, "ExitReason", word, sizeof(word)) == FL_FIELD_OK) {
 		k = find(word, exit_names, 8);
 		if (k >= 0)
-			p->exit = (enum fl_exit)k;
+			status->exit = (enum fl_exit)k;
 	}
-	fl_json_bool(e, "Saved", &p->saved);
+	fl_json_bool(e, "Saved", &status->saved);
 	return 0;
 }
 
-static int decode_tasks(const cJSON *list, struct fl_report *out)
+static int decode_tasks(const cJSON *list, struct fl_heartbeat *out)
 {
 	const cJSON *e;
 	int n = cJSON_GetArraySize(list);
@@ -74,16 +76,16 @@
 	if (!out->tasks)
 		return -ENOMEM;
 	cJSON_ArrayForEach (e, list) {
-		int rc = decode_task(e, &out->tasks[out->n_tasks]);
+		int rc = decode_task(e, &out->tasks[out->task_count]);
 
 		if (rc)
 			return rc;
-		out->n_tasks++;
+		out->task_count++;
 	}
 	return 0;
 }
 
-static int decode_fields(const cJSON *o, struct fl_report *out)
+static int decode_fields(const cJSON *o, struct fl_heartbeat *out)
 {
 	const cJSON *list = fl_json_get(o, "Parts");
 	enum fl_field f;
@@ -97,38 +99,38 @@
 	    fl_json_count(o, "Serial", &out->sequence) != FL_FIELD_OK ||
 	    fl_json_count(o, "Epoch", &out->fencing_token) != FL_FIELD_OK)
 		return -EPROTO;
-	f = fl_json_amount(o, "ReclaimInS", &out->reclaim_in_s);
+	f = fl_json_amount(o, "ReclaimInS", &out->interruption_in_s);
 	if (f != FL_FIELD_OK)
-		out->reclaim_in_s = -1;
+		out->interruption_in_s = -1;
 	/* Without its tasks a report would say that none is there, and each would start again. */
 	return cJSON_IsArray(list) ? decode_tasks(list, out) : -EPROTO;
 }
 
-int fl_report_decode_tree(const cJSON *o, struct fl_report *out)
+int fl_heartbeat_decode_json(const cJSON *o, struct fl_heartbeat *out)
 {
 	int rc;
 
 	memset(out, 0, sizeof(*out));
 	rc = cJSON_IsObject(o) ? decode_fields(o, out) : -EPROTO;
 	if (rc)
-		fl_report_free(out);
+		fl_heartbeat_free(out);
 	return rc;
 }
 
-int fl_report_decode(const char *body, size_t len, struct fl_report *out)
+int fl_heartbeat_decode(const char *body, size_t len, struct fl_heartbeat *out)
 {
 	cJSON *o = fl_json_parse(body, len);
-	int rc = fl_report_decode_tree(o, out);
+	int rc = fl_heartbeat_decode_json(o, out);
 
 	cJSON_Delete(o);
 	return rc;
 }
 
-void fl_report_free(struct fl_report *r)
+void fl_heartbeat_free(struct fl_heartbeat *heartbeat)
 {
-	free(r->tasks);
-	r->tasks = NULL;
-	r->n_tasks = 0;
+	free(heartbeat->tasks);
+	heartbeat->tasks = NULL;
+	heartbeat->task_count = 0;
 }
 
 static void add_part_name(cJSON *o, const char *ref, uint32_t index)
@@ -139,74 +141,74 @@
 	cJSON_AddStringToObject(o, "Part", name);
 }
 
-char *fl_report_encode(const struct fl_report *r)
+char *fl_heartbeat_encode(const struct fl_heartbeat *heartbeat)
 {
 	cJSON *o = cJSON_CreateObject(), *list;
 
-	cJSON_AddStringToObject(o, "Host", r->host);
-	cJSON_AddStringToObject(o, "Endpoint", r->endpoint);
-	cJSON_AddStringToObject(o, "HostKind", r->type);
-	cJSON_AddStringToObject(o, "Site", r->zone);
-	cJSON_AddBoolToObject(o, "Reclaimable", r->spot);
-	cJSON_AddNumberToObject(o, "Tenure", (double)r->incarnation);
-	cJSON_AddNumberToObject(o, "Serial", (double)r->sequence);
-	cJSON_AddNumberToObject(o, "Epoch", (double)r->fencing_token);
-	if (r->reclaim_in_s >= 0)
-		cJSON_AddNumberToObject(o, "ReclaimInS", r->reclaim_in_s);
+	cJSON_AddStringToObject(o, "Host", heartbeat->host);
+	cJSON_AddStringToObject(o, "Endpoint", heartbeat->endpoint);
+	cJSON_AddStringToObject(o, "HostKind", heartbeat->type);
+	cJSON_AddStringToObject(o, "Site", heartbeat->zone);
+	cJSON_AddBoolToObject(o, "Reclaimable", heartbeat->spot);
+	cJSON_AddNumberToObject(o, "Tenure", (double)heartbeat->incarnation);
+	cJSON_AddNumberToObject(o, "Serial", (double)heartbeat->sequence);
+	cJSON_AddNumberToObject(o, "Epoch", (double)heartbeat->fencing_token);
+	if (heartbeat->interruption_in_s >= 0)
+		cJSON_AddNumberToObject(o, "ReclaimInS", heartbeat->interruption_in_s);
 	list = cJSON_AddArrayToObject(o, "Parts");
-	for (int i = 0; i < r->n_tasks; i++) {
-		const struct fl_task_report *p = &r->tasks[i];
+	for (int i = 0; i < heartbeat->task_count; i++) {
+		const struct fl_task_status *status = &heartbeat->tasks[i];
 		cJSON *e = cJSON_CreateObject();
 
-		add_part_name(e, p->ref, p->index);
-		cJSON_AddNumberToObject(e, "Try", p->attempt);
-		cJSON_AddStringToObject(e, "Status", state_names[p->state]);
-		if (p->state == FL_ENDED && p->exit != FL_EXIT_OTHER)
-			cJSON_AddStringToObject(e, "ExitReason", exit_names[p->exit]);
-		if (p->saved)
+		add_part_name(e, status->ref, status->index);
+		cJSON_AddNumberToObject(e, "Try", status->attempt);
+		cJSON_AddStringToObject(e, "Status", state_names[status->state]);
+		if (status->state == FL_TASK_STATE_EXITED && status->exit != FL_EXIT_OTHER)
+			cJSON_AddStringToObject(e, "ExitReason", exit_names[status->exit]);
+		if (status->saved)
 			cJSON_AddBoolToObject(e, "Saved", true);
 		cJSON_AddItemToArray(list, e);
 	}
 	return fl_json_take(o);
 }
 
-void fl_orders_init(struct fl_orders *o, uint64_t fencing_token)
+void fl_command_list_init(struct fl_command_list *commands, uint64_t fencing_token)
 {
-	o->root = cJSON_CreateObject();
-	cJSON_AddNumberToObject(o->root, "Epoch", (double)fencing_token);
-	o->list = cJSON_AddArrayToObject(o->root, "Orders");
-	o->n = 0;
+	commands->root = cJSON_CreateObject();
+	cJSON_AddNumberToObject(commands->root, "Epoch", (double)fencing_token);
+	commands->list = cJSON_AddArrayToObject(commands->root, "Orders");
+	commands->count = 0;
 }
 
-void fl_orders_session(struct fl_orders *o, uint64_t incarnation)
+void fl_command_list_bind_incarnation(struct fl_command_list *commands, uint64_t incarnation)
 {
-	cJSON_AddNumberToObject(o->root, "Tenure", (double)incarnation);
+	cJSON_AddNumberToObject(commands->root, "Tenure", (double)incarnation);
 }
 
-void fl_orders_add(struct fl_orders *o, enum fl_verb verb, const char *ref, uint32_t index,
-                   uint32_t attempt, double wind_down_s)
+void fl_command_list_add(struct fl_command_list *commands, enum fl_command_kind kind,
+                         const char *ref, uint32_t index, uint32_t attempt, double grace_period_s)
 {
 	cJSON *e = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(e, "Verb", verb_names[verb]);
+	cJSON_AddStringToObject(e, "Verb", verb_names[kind]);
 	add_part_name(e, ref, index);
 	cJSON_AddNumberToObject(e, "Try", attempt);
-	if (verb == FL_KILL)
-		cJSON_AddNumberToObject(e, "WindDownS", wind_down_s);
-	cJSON_AddItemToArray(o->list, e);
-	o->n++;
+	if (kind == FL_COMMAND_STOP)
+		cJSON_AddNumberToObject(e, "WindDownS", grace_period_s);
+	cJSON_AddItemToArray(commands->list, e);
+	commands->count++;
 }
 
-char *fl_orders_take(struct fl_orders *o)
+char *fl_command_list_take(struct fl_command_list *commands)
 {
-	char *s = fl_json_take(o->root);
+	char *s = fl_json_take(commands->root);
 
-	o->root = o->list = NULL;
+	commands->root = commands->list = NULL;
 	return s;
 }
 
-int fl_worker_command(const char *endpoint, const char *body, double timeout_s,
-                      struct fl_report *out)
+int fl_worker_send_commands(const char *endpoint, const char *body, double timeout_s,
+                            struct fl_heartbeat *out)
 {
 	struct fl_http_client c;
 	struct fl_reply reply;
@@ -220,7 +222,7 @@
 		return rc;
 	rc = reply.status;
 	if (rc == 200 || rc == 409) {
-		int bad = fl_report_decode(reply.body.data, reply.body.len, out);
+		int bad = fl_heartbeat_decode(reply.body.data, reply.body.len, out);
 
 		if (bad)
 			rc = bad;
@@ -229,7 +231,7 @@
 	return rc;
 }
 
-char *fl_steward_encode(const char *node)
+char *fl_redirect_encode(const char *node)
 {
 	cJSON *o = cJSON_CreateObject();
 
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -47,7 +47,8 @@
 	for (int i = b->machines.n - 1; i >= 0; i--) {
 		struct fl_machine *m = b->machines.at[i], *moved;
 
-		if (!m->gone || m->gone_at >= before || m->n_slots > 0 || m->pushing)
+		if (!m->decommissioned || m->decommissioned_at >= before || m->n_slots > 0 ||
+		    m->command_in_flight)
 			continue;
 		moved = fl_machine_drop(&b->machines, m);
 		for (int k = 0; moved && k < moved->n_slots; k++)
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -20,15 +20,15 @@
 	FL_OBSERVED_NONE,
 	FL_OBSERVED_PULLING,
 	FL_OBSERVED_RUNNING,
-	FL_OBSERVED_FLUSHING
+	FL_OBSERVED_CHECKPOINTING
 };
 /* Why a placed task is being stopped. */
 enum fl_stop { FL_STOP_NONE, FL_STOP_PREEMPT, FL_STOP_DRAIN };
 
 /* One task of a job. */
 struct fl_task {
-	uint8_t phase, observed, stop, fails;
-	bool launch_sent;       /* an answer ordered its launch, and no report has shown it yet */
+	uint8_t phase, observed, stop_reason, failure_count;
+	bool start_sent;        /* an answer ordered its launch, and no report has shown it yet */
 	uint32_t attempt;       /* the last one used; 0: none yet */
 	int32_t machine;        /* id, while PLACED */
 	uint64_t incarnation;   /* of the machine, at placement */
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -77,7 +77,7 @@
 	strncpy(m->name, name, sizeof(m->name) - 1);
 	m->id = ms->n;
 	m->type = m->zone = -1;
-	m->created = now;
+	m->first_seen_at = now;
 	for (int i = 0; i < FL_CACHE_NOTE; i++)
 		m->cache[i] = -1;
 	ms->at[ms->n++] = m;
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -32,38 +32,39 @@
 	int id; /* dense; changes only in fl_cluster_purge */
 	int type, zone;
 	bool spot;
-	bool described; /* type, zone and endpoint are known */
-	bool up;        /* has reported to this leader */
-	bool deleting;  /* is to be returned; nothing more is placed here */
-	bool returned;  /* the cloud has taken it back */
-	bool listed;    /* was in the list being read */
-	bool gone;      /* proven gone: a tombstone against late reports */
-	double gone_at;
+	bool described;      /* type, zone and endpoint are known */
+	bool up;             /* has reported to this leader */
+	bool draining;       /* is to be returned; nothing more is placed here */
+	bool scaled_in;      /* the cloud has taken it back */
+	bool listed;         /* was in the list being read */
+	bool decommissioned; /* proven gone: a tombstone against late reports */
+	double decommissioned_at;
 	/* Of the job that waits for room here: struct fl_reservation in schedule.h. */
 	double reserved_at; /* steady; when it last did; 0: never */
 	double reserved_cpus, reserved_gpus, reserved_ram;
 	uint8_t reserved_priority;
 	bool reserved_within_guarantee;
-	bool pushing;                   /* a direct command is under way */
-	bool want_push;                 /* something for a direct command has come up */
+	bool command_in_flight;         /* a direct command is under way */
+	bool command_pending;           /* something for a direct command has come up */
 	uint64_t incarnation, sequence; /* of the newest report */
 	uint64_t direct_start_token;    /* highest epoch of a direct launch sent here; 0: none */
-	double heard;                   /* steady time of the newest report */
-	double reached; /* and of the newest that orders could answer, or came by a command */
+	double last_heartbeat_at;       /* steady time of the newest report */
+	double last_reachable_at;       /* and of the newest that orders could answer, or came by a
+	                                   command */
 	/* Whether it hears us, which the arrival of its reports does not show: reachability.h. */
-	double answered;           /* steady; of the newest answer to a report; 0: none */
-	uint64_t last_reply_token; /* that the answer carried */
-	bool answered_launch;      /* the answer ordered a launch */
-	int unheard;               /* answers in a row that the next report showed no sign of */
-	double unheard_since;      /* steady; of the first of them */
-	int via;        /* the node that its newest report was sent to, by an index; 0: not known */
-	bool waited;    /* that report came as one does whose last one went unanswered */
-	double created; /* steady time of rental or first sight */
-	double idle_since;  /* 0: not idle */
-	double reclaim_at;  /* 0: no notice */
-	double avoid_until; /* faults seen: nothing is placed before */
-	int faults;
-	int foreign;           /* reported tasks that no record accounts for */
+	double last_reply_at;        /* steady; of the newest answer to a report; 0: none */
+	uint64_t last_reply_token;   /* that the answer carried */
+	bool last_reply_had_start;   /* the answer ordered a launch */
+	int unacknowledged_replies;  /* answers in a row that the next report showed no sign of */
+	double unacknowledged_since; /* steady; of the first of them */
+	int entry_node; /* the node that its newest report was sent to, by an index; 0: not known */
+	bool last_reply_timed_out; /* that report came as one does whose last one went unanswered */
+	double first_seen_at;      /* steady time of rental or first sight */
+	double idle_since;         /* 0: not idle */
+	double interruption_at;    /* 0: no notice */
+	double quarantined_until;  /* faults seen: nothing is placed before */
+	int fault_count;
+	int orphan_task_count; /* reported tasks that no record accounts for */
 	struct fl_slot *slots; /* attempts that may be on the machine */
 	int n_slots, cap_slots;
 	double used_cpus, used_gpus, used_ram;
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -105,11 +105,11 @@
 	else
 		job->zone_unknown--;
 	job->n_placed--;
-	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING)
+	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING)
 		job->n_running--;
 	t->observed = FL_OBSERVED_NONE;
-	t->launch_sent = false;
-	t->stop = FL_STOP_NONE;
+	t->start_sent = false;
+	t->stop_reason = FL_STOP_NONE;
 	t->machine = -1;
 	t->fencing_token = 0;
 }
@@ -127,7 +127,7 @@
 	t->incarnation = m->incarnation;
 	t->fencing_token = fencing_token;
 	t->observed = FL_OBSERVED_NONE;
-	t->stop = FL_STOP_NONE;
+	t->stop_reason = FL_STOP_NONE;
 	t->since = now;
 	t->placed = fl_wall();
 	job->n_waiting--;
@@ -191,8 +191,8 @@
 void fl_task_observe(struct fl_job *job, struct fl_task *t, enum fl_observed_state observed,
                      double now)
 {
-	bool was = t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_FLUSHING;
-	bool is = observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_FLUSHING;
+	bool was = t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING;
+	bool is = observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
 
 	if (is && !was) {
 		job->n_running++;
@@ -207,5 +207,5 @@
 		job->n_running--;
 	}
 	t->observed = (uint8_t)observed;
-	t->launch_sent = false;
+	t->start_sent = false;
 }
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -36,11 +36,11 @@
 	.together = true,
 };
 
-const struct fl_report without_tasks = {.host = "m-000013",
-                                        .incarnation = 105,
-                                        .sequence = 106,
-                                        .fencing_token = 107,
-                                        .reclaim_in_s = -1};
+const struct fl_heartbeat without_tasks = {.host = "m-000013",
+                                           .incarnation = 105,
+                                           .sequence = 106,
+                                           .fencing_token = 107,
+                                           .interruption_in_s = -1};
 
 cJSON *parse(const char *text)
 {
@@ -155,27 +155,34 @@
 	assert_int_equal(job->n_waiting, 124);
 }
 
-struct fl_report make_report(struct fl_task_report tasks[13])
+struct fl_heartbeat make_report(struct fl_task_status tasks[13])
 {
-	static const enum fl_task_state states[] = {FL_PULLING, FL_EXECUTING, FL_FLUSHING,
-	                                            FL_GATHERING};
-	static const enum fl_exit exits[] = {FL_EXIT_DONE,       FL_EXIT_STOPPED, FL_EXIT_ERROR,
-	                                     FL_EXIT_NO_ROOM,    FL_EXIT_BUSY,    FL_EXIT_NO_SUCH,
-	                                     FL_EXIT_MATES_GONE, FL_EXIT_ALONE,   FL_EXIT_OTHER};
-	struct fl_report report = {.host = "m-000012",
-	                           .incarnation = 101,
-	                           .sequence = 102,
-	                           .fencing_token = 103,
-	                           .reclaim_in_s = 104.5,
-	                           .tasks = tasks,
-	                           .n_tasks = 13};
+	static const enum fl_task_state states[] = {FL_TASK_STATE_PULLING, FL_TASK_STATE_RUNNING,
+	                                            FL_TASK_STATE_CHECKPOINTING,
+	                                            FL_TASK_STATE_AWAITING_GANG};
+	static const enum fl_exit exits[] = {FL_EXIT_DONE,
+	                                     FL_EXIT_STOPPED,
+	                                     FL_EXIT_ERROR,
+	                                     FL_EXIT_NO_ROOM,
+	                                     FL_EXIT_BUSY,
+	                                     FL_EXIT_UNKNOWN_TASK,
+	                                     FL_EXIT_GANG_PEERS_LOST,
+	                                     FL_EXIT_GANG_INCOMPLETE,
+	                                     FL_EXIT_OTHER};
+	struct fl_heartbeat heartbeat = {.host = "m-000012",
+	                                 .incarnation = 101,
+	                                 .sequence = 102,
+	                                 .fencing_token = 103,
+	                                 .interruption_in_s = 104.5,
+	                                 .tasks = tasks,
+	                                 .task_count = 13};
 
 	for (uint32_t number = 0; number < CACHED_TASKS; number++) {
 		tasks[number] =
-			(struct fl_task_report){.index = 3 + number, .attempt = 21 + number};
+			(struct fl_task_status){.index = 3 + number, .attempt = 21 + number};
 		snprintf(tasks[number].ref, sizeof(tasks[number].ref), "run-%06u", 412 + number);
-		tasks[number].state = number < 4 ? states[number] : FL_ENDED;
+		tasks[number].state = number < 4 ? states[number] : FL_TASK_STATE_EXITED;
 		tasks[number].exit = number < 4 ? FL_EXIT_OTHER : exits[number - 4];
 	}
-	return report;
+	return heartbeat;
 }
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -74,7 +74,7 @@
 /* The description in LIVE. */
 extern const struct fl_job_spec live_spec;
 /* The report in CACHED_WITHOUT_TASKS. */
-extern const struct fl_report without_tasks;
+extern const struct fl_heartbeat without_tasks;
 
 cJSON *parse(const char *text);
 /* The tree, which is freed, has exactly this text. */
@@ -92,6 +92,6 @@
 /* What PROGRESS says, and nothing else, of the second chunk. */
 void assert_progress(const struct fl_cluster *cluster, const struct fl_job *job);
 /* The report that CACHED is the text of. */
-struct fl_report make_report(struct fl_task_report tasks[CACHED_TASKS]);
+struct fl_heartbeat make_report(struct fl_task_status tasks[CACHED_TASKS]);
 
 #endif
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -60,11 +60,11 @@
 {
 	struct fixture *fixture = ctx;
 	struct fl_job_spec run;
-	struct fl_relay relay;
+	struct fl_forwarded_request relay;
 	cJSON *object;
 
 	resp->status = 400;
-	if (fl_relay_decode(req->body, req->body_len, &relay) != 0)
+	if (fl_forwarded_request_decode(req->body, req->body_len, &relay) != 0)
 		return;
 	if (relay.call == FL_CALL_SUBMIT) {
 		object = fl_json_parse(relay.body, strlen(relay.body));
@@ -74,7 +74,7 @@
 		resp->status = fixture->known ? 200 : 404;
 	}
 	resp->body = strdup("{\"Status\":\"done\"}");
-	fl_relay_free(&relay);
+	fl_forwarded_request_free(&relay);
 }
 
 static void connect_client(struct fl_http_client *client, const struct fl_http_server *server)
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -68,17 +68,17 @@
 int tear_down(void **state)
 {
 	struct fixture *fixture = *state;
-	struct fl_cached_report *cached, *tmp;
+	struct fl_cached_heartbeat *cached, *tmp;
 
-	HASH_ITER (hh, fixture->node.standby.cached, cached, tmp) {
-		HASH_DEL(fixture->node.standby.cached, cached);
+	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, tmp) {
+		HASH_DEL(fixture->node.follower.cached_heartbeats, cached);
 		free(cached->text);
 		free(cached);
 	}
-	while (fixture->node.standby.misplaced) {
-		struct fl_misplaced_worker *worker = fixture->node.standby.misplaced;
+	while (fixture->node.follower.misplaced_workers) {
+		struct fl_misplaced_worker *worker = fixture->node.follower.misplaced_workers;
 
-		HASH_DEL(fixture->node.standby.misplaced, worker);
+		HASH_DEL(fixture->node.follower.misplaced_workers, worker);
 		free(worker);
 	}
 	fl_cluster_free(&fixture->node.cluster);
@@ -86,33 +86,34 @@
 	return 0;
 }
 
-struct fl_report make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
-                             struct fl_task_report *tasks, int n)
+struct fl_heartbeat make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
+                                struct fl_task_status *tasks, int n)
 {
-	struct fl_report report = {.incarnation = incarnation,
-	                           .sequence = sequence,
-	                           .fencing_token = fencing_token,
-	                           .reclaim_in_s = -1,
-	                           .tasks = tasks,
-	                           .n_tasks = n};
-
-	strcpy(report.host, "m-000001");
-	strcpy(report.endpoint, "127.0.0.1:1");
-	strcpy(report.type, "g");
-	strcpy(report.zone, "a");
-	return report;
+	struct fl_heartbeat heartbeat = {.incarnation = incarnation,
+	                                 .sequence = sequence,
+	                                 .fencing_token = fencing_token,
+	                                 .interruption_in_s = -1,
+	                                 .tasks = tasks,
+	                                 .task_count = n};
+
+	strcpy(heartbeat.host, "m-000001");
+	strcpy(heartbeat.endpoint, "127.0.0.1:1");
+	strcpy(heartbeat.type, "g");
+	strcpy(heartbeat.zone, "a");
+	return heartbeat;
 }
 
-int deliver_report(struct fixture *fixture, struct fl_report report, enum fl_report_source source)
+int deliver_report(struct fixture *fixture, struct fl_heartbeat heartbeat,
+                   enum fl_heartbeat_source source)
 {
-	struct fl_orders orders;
+	struct fl_command_list commands;
 	int rc, n;
 
-	fl_orders_init(&orders, fixture->node.election.fencing_token);
-	rc = fl_reconcile_report(&fixture->node, &report,
-	                         source == FL_SOURCE_REPORT ? &orders : NULL, source);
-	n = orders.n;
-	cJSON_Delete(orders.root);
+	fl_command_list_init(&commands, fixture->node.election.fencing_token);
+	rc = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
+	                            source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL, source);
+	n = commands.count;
+	cJSON_Delete(commands.root);
 	return rc ? rc : n;
 }
 
@@ -123,7 +124,7 @@
 
 void answered_ago(struct fixture *fixture, double seconds)
 {
-	only_machine(fixture)->answered = fl_now() - seconds;
+	only_machine(fixture)->last_reply_at = fl_now() - seconds;
 }
 
 struct fl_task *place_task(struct fixture *fixture, uint32_t index)
@@ -136,13 +137,13 @@
 	return fl_task_peek(fixture->job, index);
 }
 
-struct fl_task_report running_task(uint32_t index, uint32_t attempt)
+struct fl_task_status running_task(uint32_t index, uint32_t attempt)
 {
-	struct fl_task_report task_report = {
-		.index = index, .attempt = attempt, .state = FL_EXECUTING};
+	struct fl_task_status status = {
+		.index = index, .attempt = attempt, .state = FL_TASK_STATE_RUNNING};
 
-	strcpy(task_report.ref, "run-000001");
-	return task_report;
+	strcpy(status.ref, "run-000001");
+	return status;
 }
 
 void become_follower(struct fixture *fixture, int peers)
@@ -156,7 +157,7 @@
 	for (int i = 0; i < peers; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
-		node->peers[i].heard_at = node->peers[i].sent_all_at = -1e9;
+		node->peers[i].last_heard_at = node->peers[i].sent_all_at = -1e9;
 	}
 	node->cancellations_known_until = node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
@@ -174,9 +175,9 @@
 
 int kills_in_answer;
 
-int send_report(struct fixture *fixture, struct fl_report report, char *to)
+int send_report(struct fixture *fixture, struct fl_heartbeat heartbeat, char *to)
 {
-	char *text = fl_report_encode(&report);
+	char *text = fl_heartbeat_encode(&heartbeat);
 	struct fl_response resp = user_call(fixture, FL_CALL_REPORT, NULL, text);
 	cJSON *object = resp.body ? fl_json_parse(resp.body, strlen(resp.body)) : NULL;
 	const cJSON *element;
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -6,7 +6,7 @@
 #define FL_TESTS_NODE_FIXTURE_H
 
 #include "coordination/node.h"
-#include "coordination/reconcile.h"
+#include "coordination/reconciliation.h"
 #include "protocol/workers.h"
 
 enum { EPOCH = 7 };
@@ -27,11 +27,12 @@
 int tear_down(void **state);
 
 /* Of the machine m-000001. */
-struct fl_report make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
-                             struct fl_task_report *tasks, int n);
+struct fl_heartbeat make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
+                                struct fl_task_status *tasks, int n);
 
 /* Delivers a report; the number of orders in its answer, or the negative error. */
-int deliver_report(struct fixture *fixture, struct fl_report report, enum fl_report_source source);
+int deliver_report(struct fixture *fixture, struct fl_heartbeat heartbeat,
+                   enum fl_heartbeat_source source);
 
 /* That machine, or NULL. */
 struct fl_machine *only_machine(struct fixture *fixture);
@@ -43,7 +44,7 @@
 struct fl_task *place_task(struct fixture *fixture, uint32_t index);
 
 /* For a report: this attempt of a task of the job is running. */
-struct fl_task_report running_task(uint32_t index, uint32_t attempt);
+struct fl_task_status running_task(uint32_t index, uint32_t attempt);
 
 /* Another node leads, and this one is in contact with the state service. */
 void become_follower(struct fixture *fixture, int peers);
@@ -54,7 +55,7 @@
 extern int kills_in_answer; /* of the report sent last */
 
 /* Makes the call of a worker; the status, and in `to`, if given, the node it is redirected to. */
-int send_report(struct fixture *fixture, struct fl_report report, char *to);
+int send_report(struct fixture *fixture, struct fl_heartbeat heartbeat, char *to);
 
 /* The record of the job, cancelled so long ago. */
 cJSON *cancelled_record(struct fixture *fixture, double seconds);
--- a/tests/reconcile_sim.c
+++ b/tests/reconciliation_sim.c
@@ -1,5 +1,5 @@
 /* The simulation of a leader and its workers, and the invariants that it checks. */
-#include "reconcile_sim.h"
+#include "reconciliation_sim.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -29,21 +29,21 @@
 char *report_text(struct simulation *sim, int at)
 {
 	struct worker *worker = &sim->worker[at];
-	struct fl_task_report tasks[ENTRIES];
-	struct fl_report report = {.incarnation = worker->incarnation,
-	                           .sequence = ++worker->sequence,
-	                           .fencing_token = worker->fencing_token,
-	                           .reclaim_in_s = -1,
-	                           .tasks = tasks};
-
-	format_host(at, report.host);
-	strcpy(report.endpoint, "127.0.0.1:1");
-	strcpy(report.type, "g");
-	copy_text(report.zone, sizeof(report.zone), at % 2 ? "a" : "b");
+	struct fl_task_status tasks[ENTRIES];
+	struct fl_heartbeat heartbeat = {.incarnation = worker->incarnation,
+	                                 .sequence = ++worker->sequence,
+	                                 .fencing_token = worker->fencing_token,
+	                                 .interruption_in_s = -1,
+	                                 .tasks = tasks};
+
+	format_host(at, heartbeat.host);
+	strcpy(heartbeat.endpoint, "127.0.0.1:1");
+	strcpy(heartbeat.type, "g");
+	copy_text(heartbeat.zone, sizeof(heartbeat.zone), at % 2 ? "a" : "b");
 	for (int i = 0; i < ENTRIES; i++)
 		if (worker->at[i].used)
-			tasks[report.n_tasks++] = worker->at[i].report;
-	return fl_report_encode(&report);
+			tasks[heartbeat.task_count++] = worker->at[i].status;
+	return fl_heartbeat_encode(&heartbeat);
 }
 
 static int live_on(const struct worker *worker, const char *ref, uint32_t index)
@@ -51,9 +51,9 @@
 	int n = 0;
 
 	for (int i = 0; i < ENTRIES; i++)
-		n += worker->at[i].used && worker->at[i].report.state != FL_ENDED &&
-		     worker->at[i].report.index == index &&
-		     strcmp(worker->at[i].report.ref, ref) == 0;
+		n += worker->at[i].used && worker->at[i].status.state != FL_TASK_STATE_EXITED &&
+		     worker->at[i].status.index == index &&
+		     strcmp(worker->at[i].status.ref, ref) == 0;
 	return n;
 }
 
@@ -77,33 +77,33 @@
 		for (int k = 0; k < WORKERS; k++)
 			for (int i = 0; i < ENTRIES; i++)
 				live += sim->worker[k].at[i].used &&
-				        sim->worker[k].at[i].report.state != FL_ENDED;
+				        sim->worker[k].at[i].status.state != FL_TASK_STATE_EXITED;
 		assert_in_range(live, 0, 6); /* quota: 6 cpus at most, one each */
 	}
 }
 
 static void launch_task(struct simulation *sim, struct worker *worker,
-                        const struct fl_task_report *task_report)
+                        const struct fl_task_status *status)
 {
-	int job = atoi(task_report->ref + 4);
+	int job = atoi(status->ref + 4);
 
 	for (int i = 0; i < ENTRIES; i++)
-		if (worker->at[i].used && worker->at[i].report.index == task_report->index &&
-		    worker->at[i].report.attempt == task_report->attempt &&
-		    strcmp(worker->at[i].report.ref, task_report->ref) == 0)
+		if (worker->at[i].used && worker->at[i].status.index == status->index &&
+		    worker->at[i].status.attempt == status->attempt &&
+		    strcmp(worker->at[i].status.ref, status->ref) == 0)
 			return;
 	for (int i = 0; i < ENTRIES; i++) {
 		if (worker->at[i].used)
 			continue;
 		worker->at[i].used = true;
-		worker->at[i].report = *task_report;
-		worker->at[i].report.state = FL_EXECUTING;
-		if (live_on(worker, task_report->ref, task_report->index) > 1) {
-			worker->at[i].report.state = FL_ENDED;
-			worker->at[i].report.exit = FL_EXIT_BUSY;
-		} else if (sim->actually_done[job][task_report->index]) {
-			worker->at[i].report.state = FL_ENDED;
-			worker->at[i].report.exit = FL_EXIT_DONE;
+		worker->at[i].status = *status;
+		worker->at[i].status.state = FL_TASK_STATE_RUNNING;
+		if (live_on(worker, status->ref, status->index) > 1) {
+			worker->at[i].status.state = FL_TASK_STATE_EXITED;
+			worker->at[i].status.exit = FL_EXIT_BUSY;
+		} else if (sim->actually_done[job][status->index]) {
+			worker->at[i].status.state = FL_TASK_STATE_EXITED;
+			worker->at[i].status.exit = FL_EXIT_DONE;
 		}
 		sim->launches++;
 		check_invariants(sim);
@@ -112,12 +112,12 @@
 	fail_msg("a worker's table is full: no entry is ever removed");
 }
 
-static struct entry *entry_of(struct worker *worker, const struct fl_task_report *task_report)
+static struct entry *entry_of(struct worker *worker, const struct fl_task_status *status)
 {
 	for (int i = 0; i < ENTRIES; i++)
-		if (worker->at[i].used && worker->at[i].report.index == task_report->index &&
-		    worker->at[i].report.attempt == task_report->attempt &&
-		    strcmp(worker->at[i].report.ref, task_report->ref) == 0)
+		if (worker->at[i].used && worker->at[i].status.index == status->index &&
+		    worker->at[i].status.attempt == status->attempt &&
+		    strcmp(worker->at[i].status.ref, status->ref) == 0)
 			return &worker->at[i];
 	return NULL;
 }
@@ -138,25 +138,26 @@
 	worker->fencing_token = fencing_token;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16], name[48];
-		struct fl_task_report task_report = {0};
+		struct fl_task_status status = {0};
 		struct entry *entry;
 		uint64_t attempt;
 
 		fl_json_str(element, "Verb", verb, sizeof(verb));
 		fl_json_str(element, "Part", name, sizeof(name));
 		fl_json_count(element, "Try", &attempt);
-		task_report.attempt = (uint32_t)attempt;
-		task_report.index = (uint32_t)atoi(strchr(name, '/') + 1);
+		status.attempt = (uint32_t)attempt;
+		status.index = (uint32_t)atoi(strchr(name, '/') + 1);
 		*strchr(name, '/') = 0;
-		copy_text(task_report.ref, sizeof(task_report.ref), name);
-		entry = entry_of(worker, &task_report);
+		copy_text(status.ref, sizeof(status.ref), name);
+		entry = entry_of(worker, &status);
 		if (strcmp(verb, "launch") == 0) {
-			launch_task(sim, worker, &task_report);
-		} else if (strcmp(verb, "kill") == 0 && entry && entry->report.state != FL_ENDED) {
-			entry->report.state = FL_ENDED;
-			entry->report.exit = FL_EXIT_STOPPED;
+			launch_task(sim, worker, &status);
+		} else if (strcmp(verb, "kill") == 0 && entry &&
+		           entry->status.state != FL_TASK_STATE_EXITED) {
+			entry->status.state = FL_TASK_STATE_EXITED;
+			entry->status.exit = FL_EXIT_STOPPED;
 		} else if (strcmp(verb, "forget") == 0 && entry &&
-		           entry->report.state == FL_ENDED) {
+		           entry->status.state == FL_TASK_STATE_EXITED) {
 			entry->used = false;
 		}
 	}
@@ -315,22 +316,24 @@
 	}
 }
 
-void deliver_report(struct simulation *sim, int at, const char *text, enum fl_report_source source)
+void deliver_report(struct simulation *sim, int at, const char *text,
+                    enum fl_heartbeat_source source)
 {
-	struct fl_orders orders;
-	struct fl_report report;
-
-	assert_int_equal(fl_report_decode(text, strlen(text), &report), 0);
-	fl_orders_init(&orders, sim->node.election.fencing_token);
-	if (fl_reconcile_report(&sim->node, &report, source == FL_SOURCE_REPORT ? &orders : NULL,
-	                        source) == 0 &&
-	    source == FL_SOURCE_REPORT) {
+	struct fl_command_list commands;
+	struct fl_heartbeat heartbeat;
+
+	assert_int_equal(fl_heartbeat_decode(text, strlen(text), &heartbeat), 0);
+	fl_command_list_init(&commands, sim->node.election.fencing_token);
+	if (fl_reconcile_heartbeat(&sim->node, &heartbeat,
+	                           source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
+	                           source) == 0 &&
+	    source == FL_HEARTBEAT_FROM_WORKER) {
 		drop_answer(&sim->worker[at]);
-		sim->worker[at].answer = fl_orders_take(&orders);
+		sim->worker[at].answer = fl_command_list_take(&commands);
 	} else {
-		cJSON_Delete(orders.root);
+		cJSON_Delete(commands.root);
 	}
-	fl_report_free(&report);
+	fl_heartbeat_free(&heartbeat);
 	check_done(sim);
 }
 
@@ -352,7 +355,7 @@
 
 void command_directly(struct simulation *sim, int at)
 {
-	struct fl_orders orders;
+	struct fl_command_list commands;
 	char host[FL_NAME_MAX], *text;
 	struct fl_machine *machine;
 
@@ -360,19 +363,19 @@
 	machine = fl_machine_find(&sim->node.cluster.machines, host);
 	if (!machine || !machine->up)
 		return;
-	fl_orders_init(&orders, sim->node.election.fencing_token);
-	fl_orders_session(&orders, machine->incarnation);
-	if (!fl_reconcile_direct(&sim->node, machine, &orders)) {
-		cJSON_Delete(orders.root);
+	fl_command_list_init(&commands, sim->node.election.fencing_token);
+	fl_command_list_bind_incarnation(&commands, machine->incarnation);
+	if (!fl_reconcile_collect_commands(&sim->node, machine, &commands)) {
+		cJSON_Delete(commands.root);
 		return;
 	}
-	text = fl_orders_take(&orders);
+	text = fl_command_list_take(&commands);
 	if (random_below(sim, 2)) {
 		execute_orders(sim, at, text, true);
 		if (random_below(sim, 2)) {
 			char *reply = report_text(sim, at);
 
-			deliver_report(sim, at, reply, FL_SOURCE_COMMAND);
+			deliver_report(sim, at, reply, FL_HEARTBEAT_FROM_COMMAND);
 			free(reply);
 		}
 	}
@@ -390,7 +393,7 @@
 	if (message->command)
 		execute_orders(sim, message->worker, message->text, true);
 	else
-		deliver_report(sim, message->worker, message->text, FL_SOURCE_FORWARDED);
+		deliver_report(sim, message->worker, message->text, FL_HEARTBEAT_FROM_DIGEST);
 }
 
 void set_up(struct simulation *sim, unsigned long seed)
--- a/tests/reconcile_sim.h
+++ b/tests/reconciliation_sim.h
@@ -4,18 +4,18 @@
  * step that no task runs on two machines, no team is above its limit, and what is called done is
  * done.
  */
-#ifndef FL_TESTS_RECONCILE_SIM_H
-#define FL_TESTS_RECONCILE_SIM_H
+#ifndef FL_TESTS_RECONCILIATION_SIM_H
+#define FL_TESTS_RECONCILIATION_SIM_H
 
 #include <gsl/gsl_rng.h>
 
 #include "coordination/node.h"
-#include "coordination/reconcile.h"
+#include "coordination/reconciliation.h"
 
 enum { WORKERS = 4, JOBS = 3, TASKS = 5, MESSAGES = 400, ENTRIES = 64 };
 
 struct entry {
-	struct fl_task_report report;
+	struct fl_task_status status;
 	bool used;
 };
 
@@ -76,7 +76,8 @@
 void save_some(struct simulation *sim);
 
 /* The leader takes a report in, and its answer is in flight. */
-void deliver_report(struct simulation *sim, int at, const char *text, enum fl_report_source source);
+void deliver_report(struct simulation *sim, int at, const char *text,
+                    enum fl_heartbeat_source source);
 
 /* For deliver_late(), any number of times. */
 void queue_message(struct simulation *sim, int at, char *text, bool command);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -212,7 +212,7 @@
 
 struct sim_task {
 	struct sim_job *job;
-	struct fl_task_report report;
+	struct fl_task_status status;
 	bool used;
 	bool counted; /* it is on the machine, as the checker counts */
 	double until; /* of what it is doing now; < 0: without end */
@@ -223,7 +223,7 @@
 	char name[32];
 	int type, zone;
 	bool spot, up, gone, failed, never_up, listed, hung;
-	double rented, ready, gone_at, hung_since, reclaim_at;
+	double rented, ready, gone_at, hung_since, interruption_at;
 	uint64_t incarnation, sequence, fencing_token;
 	double lease_from; /* when the last answered report was sent */
 	double looked;     /* when its fetches were last looked at */
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -161,7 +161,7 @@
 				continue;
 			sim_broken("ran_cancelled",
 			           "%s/%u is on %s, %.1f s after its user was told",
-			           t->job->run.ref, t->report.index, m->name,
+			           t->job->run.ref, t->status.index, m->name,
 			           fl_now() - t->job->told_cancelled);
 			t->job->said_overdue = true;
 		}
@@ -282,10 +282,10 @@
 	const struct sim_machine_type *k = &sim_machine_types[m->type];
 	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
 
-	if (!m->up || m->gone || m->hung || m->reclaim_at > 0 || misplaced(job, m))
+	if (!m->up || m->gone || m->hung || m->interruption_at > 0 || misplaced(job, m))
 		return false;
 	for (int i = 0; i < m->n_tasks; i++)
-		if (m->task[i].used && m->task[i].report.state != FL_ENDED) {
+		if (m->task[i].used && m->task[i].status.state != FL_TASK_STATE_EXITED) {
 			cpus += m->task[i].job->run.cpus;
 			gpus += m->task[i].job->run.gpus;
 			ram += m->task[i].job->run.ram_gb;
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -128,7 +128,7 @@
 	                               : sim_between(0.6, 1.5) * sim_machine_types[type].ready_s);
 	odd_boot(m);
 	if (spot && sim_chance(0.15) && !sim.reliable)
-		m->reclaim_at = fl_now() + sim_between(30, 120);
+		m->interruption_at = fl_now() + sim_between(30, 120);
 	sim_worker_boot(sim.n_machines++);
 }
 
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -259,18 +259,18 @@
 	sim_spawn(net.process[node], boot, &places[node]);
 }
 
-static void free_standby(struct fl_standby *k)
+static void free_standby(struct fl_follower *follower)
 {
-	struct fl_cached_report *cached, *tmp;
+	struct fl_cached_heartbeat *cached, *tmp;
 	struct fl_misplaced_worker *worker, *next;
 
-	HASH_ITER (hh, k->cached, cached, tmp) {
-		HASH_DEL(k->cached, cached);
+	HASH_ITER (hh, follower->cached_heartbeats, cached, tmp) {
+		HASH_DEL(follower->cached_heartbeats, cached);
 		free(cached->text);
 		free(cached);
 	}
-	HASH_ITER (hh, k->misplaced, worker, next) {
-		HASH_DEL(k->misplaced, worker);
+	HASH_ITER (hh, follower->misplaced_workers, worker, next) {
+		HASH_DEL(follower->misplaced_workers, worker);
 		free(worker);
 	}
 }
@@ -282,7 +282,7 @@
 	if (!n)
 		return;
 	fl_record_writer_free_pending(n);
-	free_standby(&n->standby);
+	free_standby(&n->follower);
 	fl_cluster_free(&n->cluster);
 	free(n);
 	memset(net.face[node], 0, sizeof(net.face[node]));
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -13,21 +13,21 @@
 static void leave(struct sim_task *t)
 {
 	if (t->counted)
-		sim_check_left(t->job, t->report.index);
+		sim_check_left(t->job, t->status.index);
 	t->counted = false;
 }
 
 static void end_task(struct sim_machine *m, struct sim_task *t, enum fl_exit why)
 {
 	leave(t);
-	t->report.state = FL_ENDED;
-	t->report.exit = why;
+	t->status.state = FL_TASK_STATE_EXITED;
+	t->status.exit = why;
 	sim_machine_changed(m);
 }
 
 static double done_so_far(const struct sim_task *t)
 {
-	return t->job->progress[t->report.index] + fl_now() - t->began;
+	return t->job->progress[t->status.index] + fl_now() - t->began;
 }
 
 static void keep_progress(struct sim_task *t, bool saved)
@@ -35,17 +35,17 @@
 	double every = t->job->run.checkpoint_every_s, done = done_so_far(t);
 
 	if (saved)
-		t->job->progress[t->report.index] = done;
+		t->job->progress[t->status.index] = done;
 	else if (every > 0)
-		t->job->progress[t->report.index] = (double)(int)(done / every) * every;
+		t->job->progress[t->status.index] = (double)(int)(done / every) * every;
 }
 
 static void begin(struct sim_machine *m, struct sim_task *t)
 {
 	struct sim_job *job = t->job;
-	uint32_t i = t->report.index;
+	uint32_t i = t->status.index;
 
-	t->report.state = FL_EXECUTING;
+	t->status.state = FL_TASK_STATE_RUNNING;
 	t->began = fl_now();
 	t->counted = true;
 	sim_check_started(job, i, index_of(m));
@@ -77,7 +77,7 @@
 	const struct sim_trouble *end = sim_troubled(CANCEL_AT_END, -1);
 	bool last = true;
 
-	job->completed[t->report.index] = true;
+	job->completed[t->status.index] = true;
 	sim.completions++;
 	end_task(m, t, FL_EXIT_DONE);
 	for (uint32_t i = 0; i < job->run.n_tasks; i++)
@@ -94,7 +94,7 @@
 
 static bool fetches(const struct sim_task *t)
 {
-	return t->used && t->report.state == FL_PULLING && t->until > fl_now();
+	return t->used && t->status.state == FL_TASK_STATE_PULLING && t->until > fl_now();
 }
 
 /* The task for which this one's image is being fetched already; itself if for none. */
@@ -130,14 +130,14 @@
 
 static void look_at(struct sim_machine *m, struct sim_task *t)
 {
-	if (t->report.state == FL_ENDED || t->until < 0 || fl_now() < t->until)
+	if (t->status.state == FL_TASK_STATE_EXITED || t->until < 0 || fl_now() < t->until)
 		return;
-	if (t->report.state == FL_PULLING) {
+	if (t->status.state == FL_TASK_STATE_PULLING) {
 		fetched(m, t);
-	} else if (t->report.state == FL_EXECUTING) {
+	} else if (t->status.state == FL_TASK_STATE_RUNNING) {
 		completed(m, t);
 	} else {
-		t->report.saved = true;
+		t->status.saved = true;
 		end_task(m, t, FL_EXIT_STOPPED);
 	}
 }
@@ -175,13 +175,16 @@
 
 /* ---- orders ---- */
 
-static struct sim_task *find(struct sim_machine *m, const struct fl_task_report *p, bool attempt)
+static struct sim_task *find(struct sim_machine *m, const struct fl_task_status *status,
+                             bool attempt)
 {
 	for (int i = 0; i < m->n_tasks; i++) {
 		struct sim_task *t = &m->task[i];
 
-		if (t->used && t->report.index == p->index && strcmp(t->report.ref, p->ref) == 0 &&
-		    (attempt ? t->report.attempt == p->attempt : t->report.state != FL_ENDED))
+		if (t->used && t->status.index == status->index &&
+		    strcmp(t->status.ref, status->ref) == 0 &&
+		    (attempt ? t->status.attempt == status->attempt
+		             : t->status.state != FL_TASK_STATE_EXITED))
 			return t;
 	}
 	return NULL;
@@ -195,7 +198,7 @@
 	for (int i = 0; i < m->n_tasks; i++) {
 		const struct sim_task *t = &m->task[i];
 
-		if (!t->used || t->report.state == FL_ENDED)
+		if (!t->used || t->status.state == FL_TASK_STATE_EXITED)
 			continue;
 		cpus += t->job->run.cpus;
 		gpus += t->job->run.gpus;
@@ -204,93 +207,93 @@
 	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
 }
 
-static struct sim_task *new_task(struct sim_machine *m, const struct fl_task_report *p)
+static struct sim_task *new_task(struct sim_machine *m, const struct fl_task_status *status)
 {
 	for (int i = 0; i < SIM_TASKS; i++) {
 		if (m->task[i].used)
 			continue;
 		if (i >= m->n_tasks)
 			m->n_tasks = i + 1;
-		m->task[i] = (struct sim_task){.used = true, .report = *p};
+		m->task[i] = (struct sim_task){.used = true, .status = *status};
 		return &m->task[i];
 	}
 	abort();
 }
 
-static void launch(struct sim_machine *m, const struct fl_task_report *p)
+static void launch(struct sim_machine *m, const struct fl_task_status *status)
 {
-	struct sim_job *job = sim_job_find(p->ref);
+	struct sim_job *job = sim_job_find(status->ref);
 	enum fl_exit refusal = FL_EXIT_OTHER;
 	struct sim_task *t;
 
-	if (find(m, p, true))
+	if (find(m, status, true))
 		return;
-	if (!job || job->sent == 0 || p->index >= job->run.n_tasks)
-		refusal = FL_EXIT_NO_SUCH;
-	else if (find(m, p, false))
+	if (!job || job->sent == 0 || status->index >= job->run.n_tasks)
+		refusal = FL_EXIT_UNKNOWN_TASK;
+	else if (find(m, status, false))
 		refusal = FL_EXIT_BUSY;
 	else if (!has_room(m, job))
 		refusal = FL_EXIT_NO_ROOM;
-	t = new_task(m, p);
+	t = new_task(m, status);
 	t->job = job;
 	if (refusal != FL_EXIT_OTHER) {
 		end_task(m, t, refusal);
 		return;
 	}
-	t->report.state = FL_PULLING;
+	t->status.state = FL_TASK_STATE_PULLING;
 	t->until = fl_now() +
 	           (has_image(m, job->run.image) ? 0 : job->run.image_gb * sim_between(0.8, 1.3));
 	sim_machine_changed(m);
 	look_at(m, t);
 }
 
-static void stop(struct sim_machine *m, struct sim_task *t, double wind_down_s)
+static void stop(struct sim_machine *m, struct sim_task *t, double grace_period_s)
 {
 	const struct fl_job_spec *run = &t->job->run;
 
-	if (t->report.state == FL_FLUSHING) {
-		if (wind_down_s <= 0)
+	if (t->status.state == FL_TASK_STATE_CHECKPOINTING) {
+		if (grace_period_s <= 0)
 			end_task(m, t, FL_EXIT_STOPPED);
 		return;
 	}
-	if (t->report.state == FL_EXECUTING && run->checkpoint_every_s > 0 &&
-	    wind_down_s >= run->checkpoint_cost_s) {
+	if (t->status.state == FL_TASK_STATE_RUNNING && run->checkpoint_every_s > 0 &&
+	    grace_period_s >= run->checkpoint_cost_s) {
 		keep_progress(t, true);
-		t->report.state = FL_FLUSHING;
+		t->status.state = FL_TASK_STATE_CHECKPOINTING;
 		t->until = fl_now() + run->checkpoint_cost_s;
 		sim_machine_changed(m);
 		return;
 	}
-	if (t->report.state == FL_EXECUTING)
+	if (t->status.state == FL_TASK_STATE_RUNNING)
 		keep_progress(t, false);
 	end_task(m, t, FL_EXIT_STOPPED);
 }
 
 static void order(struct sim_machine *m, const cJSON *e)
 {
-	struct fl_task_report p = {0};
+	struct fl_task_status status = {0};
 	char verb[16] = "", name[64] = "";
 	uint64_t attempt = 0;
-	double wind_down_s = 0;
+	double grace_period_s = 0;
 	struct sim_task *t;
 	char *slash;
 
 	fl_json_str(e, "Verb", verb, sizeof(verb));
 	fl_json_str(e, "Part", name, sizeof(name));
 	fl_json_count(e, "Try", &attempt);
-	fl_json_amount(e, "WindDownS", &wind_down_s);
+	fl_json_amount(e, "WindDownS", &grace_period_s);
 	slash = strchr(name, '/');
 	sim_must(slash);
 	*slash = 0;
-	snprintf(p.ref, sizeof(p.ref), "%.*s", (int)sizeof(p.ref) - 1, name);
-	p.index = (uint32_t)strtoul(slash + 1, NULL, 10);
-	p.attempt = (uint32_t)attempt;
-	t = find(m, &p, true);
+	snprintf(status.ref, sizeof(status.ref), "%.*s", (int)sizeof(status.ref) - 1, name);
+	status.index = (uint32_t)strtoul(slash + 1, NULL, 10);
+	status.attempt = (uint32_t)attempt;
+	t = find(m, &status, true);
 	if (strcmp(verb, "launch") == 0)
-		launch(m, &p);
-	else if (strcmp(verb, "kill") == 0 && t && t->report.state != FL_ENDED)
-		stop(m, t, wind_down_s);
-	else if (strcmp(verb, "forget") == 0 && t && t->report.state == FL_ENDED)
+		launch(m, &status);
+	else if (strcmp(verb, "kill") == 0 && t && t->status.state != FL_TASK_STATE_EXITED)
+		stop(m, t, grace_period_s);
+	else if (strcmp(verb, "forget") == 0 && t && t->status.state == FL_TASK_STATE_EXITED)
 		t->used = false;
 }
 
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -44,7 +44,7 @@
 {
 	lapse(m);
 	sim_tasks_tick(m);
-	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at)
+	if (m->interruption_at > 0 && fl_now() > m->interruption_at)
 		sim_machine_ends(index_of(m));
 }
 
@@ -75,24 +75,25 @@
 
 static char *report_text(struct sim_machine *m)
 {
-	struct fl_task_report tasks[SIM_TASKS];
-	struct fl_report r = {.incarnation = m->incarnation,
-	                      .sequence = ++m->sequence,
-	                      .fencing_token = m->fencing_token,
-	                      .spot = m->spot,
-	                      .reclaim_in_s = -1,
-	                      .tasks = tasks};
-
-	sim_copy(r.host, sizeof(r.host), m->name);
-	sim_address((struct sim_end){END_WORKER, index_of(m)}, r.endpoint);
-	sim_copy(r.type, sizeof(r.type), sim_machine_types[m->type].name);
-	sim_copy(r.zone, sizeof(r.zone), sim.config[0].zones[m->zone]);
-	if (m->reclaim_at > 0 && fl_now() > m->reclaim_at - rule.notice_s)
-		r.reclaim_in_s = m->reclaim_at > fl_now() ? m->reclaim_at - fl_now() : 0;
+	struct fl_task_status tasks[SIM_TASKS];
+	struct fl_heartbeat heartbeat = {.incarnation = m->incarnation,
+	                                 .sequence = ++m->sequence,
+	                                 .fencing_token = m->fencing_token,
+	                                 .spot = m->spot,
+	                                 .interruption_in_s = -1,
+	                                 .tasks = tasks};
+
+	sim_copy(heartbeat.host, sizeof(heartbeat.host), m->name);
+	sim_address((struct sim_end){END_WORKER, index_of(m)}, heartbeat.endpoint);
+	sim_copy(heartbeat.type, sizeof(heartbeat.type), sim_machine_types[m->type].name);
+	sim_copy(heartbeat.zone, sizeof(heartbeat.zone), sim.config[0].zones[m->zone]);
+	if (m->interruption_at > 0 && fl_now() > m->interruption_at - rule.notice_s)
+		heartbeat.interruption_in_s =
+			m->interruption_at > fl_now() ? m->interruption_at - fl_now() : 0;
 	for (int i = 0; i < m->n_tasks; i++)
 		if (m->task[i].used)
-			tasks[r.n_tasks++] = m->task[i].report;
-	return fl_report_encode(&r);
+			tasks[heartbeat.task_count++] = m->task[i].status;
+	return fl_heartbeat_encode(&heartbeat);
 }
 
 struct copy {
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -25,10 +25,10 @@
 	void (*cut)(void);
 	double report_s, lease_s, run_s;
 	/* What the workers saw. */
-	int launches, completed, twice, max_machines;
+	int starts, completed, twice, max_machines;
 	/* What must never happen: an epoch used again, a name of a rental given out by two leaders,
 	 * a launch on a machine that was returned to the cloud. */
-	int tokens_reused, names_reused, launched_gone;
+	int tokens_reused, names_reused, starts_on_deleted;
 };
 
 extern struct standins standins;
--- a/tests/standins_internal.h
+++ b/tests/standins_internal.h
@@ -39,7 +39,7 @@
 enum { TASKS = 64, MACHINES = 512 };
 
 struct task {
-	struct fl_task_report report;
+	struct fl_task_status status;
 	double until;
 	bool used, service;
 };
--- a/tests/standins_workers.c
+++ b/tests/standins_workers.c
@@ -60,30 +60,31 @@
 
 static char *next_report(struct machine *machine)
 {
-	struct fl_task_report tasks[TASKS];
-	struct fl_report report = {.incarnation = machine->incarnation,
-	                           .sequence = ++machine->sequence,
-	                           .fencing_token = machine->fencing_token,
-	                           .reclaim_in_s = -1,
-	                           .tasks = tasks};
-
-	copy_text(report.host, sizeof(report.host), machine->name);
-	copy_text(report.endpoint, sizeof(report.endpoint), machine->addr);
-	strcpy(report.type, "small");
-	strcpy(report.zone, "a");
+	struct fl_task_status tasks[TASKS];
+	struct fl_heartbeat heartbeat = {.incarnation = machine->incarnation,
+	                                 .sequence = ++machine->sequence,
+	                                 .fencing_token = machine->fencing_token,
+	                                 .interruption_in_s = -1,
+	                                 .tasks = tasks};
+
+	copy_text(heartbeat.host, sizeof(heartbeat.host), machine->name);
+	copy_text(heartbeat.endpoint, sizeof(heartbeat.endpoint), machine->addr);
+	strcpy(heartbeat.type, "small");
+	strcpy(heartbeat.zone, "a");
 	for (int i = 0; i < TASKS; i++) {
 		struct task *task = &machine->at[i];
 
 		if (!task->used)
 			continue;
-		if (task->report.state != FL_ENDED && !task->service && fl_now() > task->until) {
-			task->report.state = FL_ENDED;
-			task->report.exit = FL_EXIT_DONE;
+		if (task->status.state != FL_TASK_STATE_EXITED && !task->service &&
+		    fl_now() > task->until) {
+			task->status.state = FL_TASK_STATE_EXITED;
+			task->status.exit = FL_EXIT_DONE;
 			standins.completed++;
 		}
-		tasks[report.n_tasks++] = task->report;
+		tasks[heartbeat.task_count++] = task->status;
 	}
-	return fl_report_encode(&report);
+	return fl_heartbeat_encode(&heartbeat);
 }
 
 int standins_live(const char *ref)
@@ -93,33 +94,33 @@
 	for (int m = 0; m < n_machines; m++)
 		for (int i = 0; i < TASKS && !machines[m]->gone; i++)
 			n += machines[m]->at[i].used &&
-			     machines[m]->at[i].report.state != FL_ENDED &&
-			     strcmp(machines[m]->at[i].report.ref, ref) == 0;
+			     machines[m]->at[i].status.state != FL_TASK_STATE_EXITED &&
+			     strcmp(machines[m]->at[i].status.ref, ref) == 0;
 	return n;
 }
 
-static void launch(struct machine *machine, const struct fl_task_report *task_report)
+static void launch(struct machine *machine, const struct fl_task_status *status)
 {
-	standins.launched_gone += machine->gone;
+	standins.starts_on_deleted += machine->gone;
 	for (int k = 0; k < n_machines; k++) {
 		for (int i = 0; i < TASKS && !machines[k]->gone; i++) {
 			const struct task *task = &machines[k]->at[i];
 
-			if (!task->used || task->report.index != task_report->index ||
-			    strcmp(task->report.ref, task_report->ref) != 0)
+			if (!task->used || task->status.index != status->index ||
+			    strcmp(task->status.ref, status->ref) != 0)
 				continue;
-			if (machines[k] == machine && task->report.attempt == task_report->attempt)
+			if (machines[k] == machine && task->status.attempt == status->attempt)
 				return;
-			standins.twice += task->report.state != FL_ENDED;
+			standins.twice += task->status.state != FL_TASK_STATE_EXITED;
 		}
 	}
 	for (int i = 0; i < TASKS; i++) {
 		if (machine->at[i].used)
 			continue;
-		machine->at[i] = (struct task){*task_report, fl_now() + standins.run_s, true,
-		                               is_service(task_report->ref)};
-		machine->at[i].report.state = FL_EXECUTING;
-		standins.launches++;
+		machine->at[i] = (struct task){*status, fl_now() + standins.run_s, true,
+		                               is_service(status->ref)};
+		machine->at[i].status.state = FL_TASK_STATE_RUNNING;
+		standins.starts++;
 		return;
 	}
 }
@@ -130,30 +131,32 @@
 
 	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16] = "", name[48] = "/";
-		struct fl_task_report task_report = {0};
+		struct fl_task_status status = {0};
 		uint64_t attempt = 0;
 
 		fl_json_str(element, "Verb", verb, sizeof(verb));
 		fl_json_str(element, "Part", name, sizeof(name));
 		fl_json_count(element, "Try", &attempt);
-		task_report.attempt = (uint32_t)attempt;
-		task_report.index = (uint32_t)atoi(strchr(name, '/') + 1);
+		status.attempt = (uint32_t)attempt;
+		status.index = (uint32_t)atoi(strchr(name, '/') + 1);
 		*strchr(name, '/') = 0;
-		memcpy(task_report.ref, name, strnlen(name, sizeof(task_report.ref) - 1));
+		memcpy(status.ref, name, strnlen(name, sizeof(status.ref) - 1));
 		if (strcmp(verb, "launch") == 0)
-			launch(machine, &task_report);
+			launch(machine, &status);
 		for (int i = 0; i < TASKS && strcmp(verb, "launch") != 0; i++) {
 			struct task *task = &machine->at[i];
 
-			if (!task->used || task->report.index != task_report.index ||
-			    task->report.attempt != task_report.attempt ||
-			    strcmp(task->report.ref, task_report.ref) != 0)
+			if (!task->used || task->status.index != status.index ||
+			    task->status.attempt != status.attempt ||
+			    strcmp(task->status.ref, status.ref) != 0)
 				continue;
-			if (strcmp(verb, "forget") == 0 && task->report.state == FL_ENDED)
+			if (strcmp(verb, "forget") == 0 &&
+			    task->status.state == FL_TASK_STATE_EXITED)
 				task->used = false;
-			if (strcmp(verb, "kill") == 0 && task->report.state != FL_ENDED) {
-				task->report.state = FL_ENDED;
-				task->report.exit = FL_EXIT_STOPPED;
+			if (strcmp(verb, "kill") == 0 &&
+			    task->status.state != FL_TASK_STATE_EXITED) {
+				task->status.state = FL_TASK_STATE_EXITED;
+				task->status.exit = FL_EXIT_STOPPED;
 			}
 		}
 	}
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -25,27 +25,23 @@
 {
 	struct fixture *fixture = *state;
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
-	struct fl_task_report task_report = running_task(0, 1);
+	struct fl_task_status status = running_task(0, 1);
 	struct fl_finished_job *final;
 
 	become_follower(fixture, 0);
 	/* One more lease still ends before the tasks must have ended. */
 	apply_cancellation(fixture, renewable_s - 2);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
-	                 200);
-	final = fl_finished_find(&fixture->node.cluster, task_report.ref);
+	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
+	final = fl_finished_find(&fixture->node.cluster, status.ref);
 	assert_non_null(final);
 	final->cancelled_at -= 3;
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &task_report, 1), NULL),
-	                 503);
+	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &status, 1), NULL), 503);
 	/* Others are renewed, and so is this one when the task has ended. */
-	strcpy(task_report.ref, "run-000002");
-	assert_int_equal(send_report(fixture, make_report(1, 22, EPOCH, &task_report, 1), NULL),
-	                 200);
-	strcpy(task_report.ref, "run-000001");
-	task_report.state = FL_ENDED;
-	assert_int_equal(send_report(fixture, make_report(1, 23, EPOCH, &task_report, 1), NULL),
-	                 200);
+	strcpy(status.ref, "run-000002");
+	assert_int_equal(send_report(fixture, make_report(1, 22, EPOCH, &status, 1), NULL), 200);
+	strcpy(status.ref, "run-000001");
+	status.state = FL_TASK_STATE_EXITED;
+	assert_int_equal(send_report(fixture, make_report(1, 23, EPOCH, &status, 1), NULL), 200);
 	/* With the jobs not read for so long, any may have been cancelled. */
 	fixture->node.cancellations_known_until = fl_now() - renewable_s - 1;
 	fixture->node.jobs_known = true;
@@ -55,13 +51,13 @@
 /* One exchange between two controllers, asked so long ago. */
 static void gossip(struct fixture *from, int peer, struct fixture *to, double ago_s)
 {
-	char *ask = fl_standby_gossip_request(&from->node);
+	char *ask = fl_gossip_request(&from->node);
 	struct fl_response resp = {0};
 
-	fl_standby_gossip(&to->node, ask, strlen(ask), &resp);
+	fl_gossip_serve(&to->node, ask, strlen(ask), &resp);
 	assert_int_equal(resp.status, 200);
-	fl_standby_gossip_answer(&from->node, &from->node.peers[peer], resp.body, strlen(resp.body),
-	                         fl_now() - ago_s);
+	fl_gossip_handle_reply(&from->node, &from->node.peers[peer], resp.body, strlen(resp.body),
+	                       fl_now() - ago_s);
 	free(resp.body);
 	free(ask);
 }
@@ -73,33 +69,29 @@
 static void a_controller_learns_cancellations_from_another(void **state)
 {
 	struct fixture *fixture = *state, *other;
-	struct fl_task_report task_report = running_task(0, 1);
+	struct fl_task_status status = running_task(0, 1);
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 
 	set_up((void **)&other);
 	become_follower(fixture, 2);
 	become_follower(other, 2);
 	fixture->node.cancellations_known_until = fl_now() - renewable_s - 1;
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
-	                 503);
+	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 503);
 	/* The other has read the records 3 s ago, and a job has been cancelled since. */
 	apply_cancellation(other, 1);
 	other->node.cancellations_known_until = fl_now() - 3;
 	gossip(fixture, 0, other, 0.01);
 	assert_true(fixture->node.cancellations_known_until > fl_now() - 4 &&
 	            fixture->node.cancellations_known_until < fl_now() - 3);
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &task_report, 1), NULL),
-	                 200);
+	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &status, 1), NULL), 200);
 	assert_int_equal(kills_in_answer, 1);
 	/* What has ended needs no stop, and what is not cancelled gets none. */
-	task_report.state = FL_ENDED;
-	assert_int_equal(send_report(fixture, make_report(1, 22, EPOCH, &task_report, 1), NULL),
-	                 200);
+	status.state = FL_TASK_STATE_EXITED;
+	assert_int_equal(send_report(fixture, make_report(1, 22, EPOCH, &status, 1), NULL), 200);
 	assert_int_equal(kills_in_answer, 0);
-	task_report = running_task(0, 1);
-	strcpy(task_report.ref, "run-000002");
-	assert_int_equal(send_report(fixture, make_report(1, 23, EPOCH, &task_report, 1), NULL),
-	                 200);
+	status = running_task(0, 1);
+	strcpy(status.ref, "run-000002");
+	assert_int_equal(send_report(fixture, make_report(1, 23, EPOCH, &status, 1), NULL), 200);
 	assert_int_equal(kills_in_answer, 0);
 	tear_down((void **)&other);
 }
@@ -165,23 +157,23 @@
 static void a_repeated_report_is_answered_with_the_stop_again(void **state)
 {
 	struct fixture *fixture = *state;
-	struct fl_task_report task_report = running_task(0, 1);
+	struct fl_task_status status = running_task(0, 1);
 	cJSON *record = cancelled_record(fixture, 1);
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
-	task_report.attempt = place_task(fixture, 0)->attempt;
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
+	status.attempt = place_task(fixture, 0)->attempt;
 	assert_non_null(fl_cluster_apply(&fixture->node.cluster, fixture->job->ref, record, 9));
 	cJSON_Delete(record);
 	for (int i = 0; i < 2; i++) {
-		assert_int_equal(
-			send_report(fixture, make_report(1, 2, EPOCH, &task_report, 1), NULL), 200);
+		assert_int_equal(send_report(fixture, make_report(1, 2, EPOCH, &status, 1), NULL),
+		                 200);
 		assert_int_equal(kills_in_answer, 1);
 	}
 }
 
 struct waiting_report {
 	struct fixture *fixture;
-	struct fl_report report;
+	struct fl_heartbeat report;
 	int status;
 };
 
@@ -199,9 +191,9 @@
 static void a_cancellation_read_during_a_wait_counts(void **state)
 {
 	struct fixture *fixture = *state;
-	struct fl_task_report task_report = running_task(0, 1);
+	struct fl_task_status status = running_task(0, 1);
 	struct waiting_report waiting = {.fixture = fixture,
-	                                 .report = make_report(1, 20, EPOCH, &task_report, 1)};
+	                                 .report = make_report(1, 20, EPOCH, &status, 1)};
 	struct ev_loop *loop = ev_loop_new(0);
 
 	fl_routines_init(loop);
@@ -225,18 +217,17 @@
 static void a_new_leader_does_not_renew_it_either(void **state)
 {
 	struct fixture *fixture = *state;
-	struct fl_task_report task_report = running_task(0, 1);
+	struct fl_task_status status = running_task(0, 1);
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 
 	fixture->node.cluster.leading = false;
 	apply_cancellation(fixture, renewable_s + 2);
 	become_leader(fixture, EPOCH + 1);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
-	                 503);
+	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 503);
 	/* One that is taken in has its task stopped, and the answer may renew the lease. */
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH + 1, &task_report, 1), NULL),
+	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH + 1, &status, 1), NULL),
 	                 200);
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH + 1, &task_report, 1), NULL),
+	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH + 1, &status, 1), NULL),
 	                 503);
 }
 
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "reconcile_sim.h"
+#include "reconciliation_sim.h"
 #include "transport/clock.h"
 
 /* A job cancelled before any task was placed has no chunks: this once crashed the leader. */
@@ -243,7 +243,7 @@
 		fl_cluster_describe(cluster, machine[i], 0, 0, false, "x");
 		assert_int_equal(fl_task_place(cluster, job, (uint32_t)i, machine[i], 1, 0), 0);
 	}
-	fl_reconcile_gone(&sim->node, machine[0], "test");
+	fl_reconcile_decommission(&sim->node, machine[0], "test");
 	fl_cluster_purge(cluster, fl_now() + 1);
 	assert_int_equal(cluster->machines.n, 2);
 	assert_null(fl_machine_find(&cluster->machines, "m-000050"));
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -291,15 +291,15 @@
 
 /* ---- cached reports ---- */
 
-static void assert_report(const struct fl_report *read, const struct fl_report *expected)
+static void assert_report(const struct fl_heartbeat *read, const struct fl_heartbeat *expected)
 {
 	assert_string_equal(read->host, expected->host);
 	assert_int_equal(read->incarnation, expected->incarnation);
 	assert_int_equal(read->sequence, expected->sequence);
 	assert_int_equal(read->fencing_token, expected->fencing_token);
-	assert_true(read->reclaim_in_s == expected->reclaim_in_s);
-	assert_int_equal(read->n_tasks, expected->n_tasks);
-	for (int number = 0; number < expected->n_tasks; number++) {
+	assert_true(read->interruption_in_s == expected->interruption_in_s);
+	assert_int_equal(read->task_count, expected->task_count);
+	for (int number = 0; number < expected->task_count; number++) {
 		assert_string_equal(read->tasks[number].ref, expected->tasks[number].ref);
 		assert_int_equal(read->tasks[number].index, expected->tasks[number].index);
 		assert_int_equal(read->tasks[number].attempt, expected->tasks[number].attempt);
@@ -310,16 +310,16 @@
 
 static void a_digest_is_written_as_cached_reports(void **state)
 {
-	struct fl_task_report tasks[CACHED_TASKS];
-	struct fl_report report = make_report(tasks);
-	char *cached = fl_cached_report_encode(&report);
+	struct fl_task_status tasks[CACHED_TASKS];
+	struct fl_heartbeat heartbeat = make_report(tasks);
+	char *cached = fl_cached_heartbeat_encode(&heartbeat);
 	cJSON *digest = fl_digest_begin(108);
 
 	(void)state;
 	assert_string_equal(cached, CACHED);
 	fl_digest_add(digest, cached);
 	free(cached);
-	cached = fl_cached_report_encode(&without_tasks);
+	cached = fl_cached_heartbeat_encode(&without_tasks);
 	assert_string_equal(cached, CACHED_WITHOUT_TASKS);
 	fl_digest_add(digest, cached);
 	free(cached);
@@ -328,19 +328,19 @@
 
 static void a_digest_is_read_as_cached_reports(void **state)
 {
-	struct fl_task_report tasks[CACHED_TASKS];
-	struct fl_report expected = make_report(tasks), read;
+	struct fl_task_status tasks[CACHED_TASKS];
+	struct fl_heartbeat expected = make_report(tasks), read;
 	cJSON *digest = parse(DIGEST);
-	const cJSON *list = fl_digest_reports(digest);
+	const cJSON *list = fl_digest_heartbeats(digest);
 
 	(void)state;
 	assert_int_equal(cJSON_GetArraySize(list), 2);
-	assert_int_equal(fl_cached_report_decode(cJSON_GetArrayItem(list, 0), &read), 0);
+	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 0), &read), 0);
 	assert_report(&read, &expected);
-	fl_report_free(&read);
-	assert_int_equal(fl_cached_report_decode(cJSON_GetArrayItem(list, 1), &read), 0);
+	fl_heartbeat_free(&read);
+	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 1), &read), 0);
 	assert_report(&read, &without_tasks);
-	fl_report_free(&read);
+	fl_heartbeat_free(&read);
 	cJSON_Delete(digest);
 }
 
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -18,7 +18,7 @@
 #include "coordination/election.h"
 #include "coordination/node.h"
 #include "coordination/record_writer_internal.h"
-#include "coordination/report_digest.h"
+#include "coordination/heartbeat_digest.h"
 #include "coordination/failover.h"
 #include "protocol/peers.h"
 #include "sim.h"
@@ -175,11 +175,11 @@
 
 static void end_node(void)
 {
-	struct fl_cached_report *cached, *next;
+	struct fl_cached_heartbeat *cached, *next;
 
 	sim_time_end(drop_timer);
-	HASH_ITER (hh, world.node.standby.cached, cached, next) {
-		HASH_DEL(world.node.standby.cached, cached);
+	HASH_ITER (hh, world.node.follower.cached_heartbeats, cached, next) {
+		HASH_DEL(world.node.follower.cached_heartbeats, cached);
 		free(cached->text);
 		free(cached);
 	}
@@ -401,15 +401,15 @@
 
 static void write_digest(struct fl_node *node)
 {
-	struct fl_task_report tasks[CACHED_TASKS];
-	struct fl_report report = make_report(tasks);
+	struct fl_task_status tasks[CACHED_TASKS];
+	struct fl_heartbeat heartbeat = make_report(tasks);
 
 	strcpy(node->leader_name, "host-2");
 	node->fencing_token = 108;
-	fl_report_digest_init(node, 2);
-	fl_report_cache(node, &report);
-	fl_report_cache(node, &without_tasks);
-	fl_report_digest_write(node, fl_now(), 2);
+	fl_heartbeat_digest_init(node, 2);
+	fl_heartbeat_cache(node, &heartbeat);
+	fl_heartbeat_cache(node, &without_tasks);
+	fl_heartbeat_digest_write(node, fl_now(), 2);
 }
 
 static void a_follower_writes_its_digest_under_its_name(void **state)
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -18,7 +18,7 @@
 #include "contract_fixture.h"
 #include "protocol/cloud.h"
 #include "protocol/job_states.h"
-#include "protocol/peer_reports.h"
+#include "protocol/peer_heartbeats.h"
 #include "protocol/peers.h"
 #include "protocol/kv_store.h"
 #include "protocol/users.h"
@@ -339,67 +339,95 @@
 	"{\"Part\":\"run-000412/13\",\"Try\":12,\"Status\":\"ended\",\"ExitReason\":\"alone\"},"
 	"{\"Part\":\"run-000413/14\",\"Try\":13,\"Status\":\"ended\"}]}";
 
-static const struct fl_task_report reported_tasks[] = {
-	{.ref = "run-000401", .index = 0, .attempt = 1, .state = FL_PULLING, .exit = FL_EXIT_OTHER},
+static const struct fl_task_status reported_tasks[] = {
+	{.ref = "run-000401",
+         .index = 0,
+         .attempt = 1,
+         .state = FL_TASK_STATE_PULLING,
+         .exit = FL_EXIT_OTHER},
 	{.ref = "run-000402",
          .index = 3,
          .attempt = 2,
-         .state = FL_EXECUTING,
+         .state = FL_TASK_STATE_RUNNING,
          .exit = FL_EXIT_OTHER},
 	{.ref = "run-000403",
          .index = 99999,
          .attempt = 4294967295,
-         .state = FL_FLUSHING,
+         .state = FL_TASK_STATE_CHECKPOINTING,
          .exit = FL_EXIT_OTHER},
 	{.ref = "run-000404",
          .index = 5,
          .attempt = 4,
-         .state = FL_GATHERING,
+         .state = FL_TASK_STATE_AWAITING_GANG,
          .exit = FL_EXIT_OTHER},
-	{.ref = "run-000405", .index = 6, .attempt = 5, .state = FL_ENDED, .exit = FL_EXIT_DONE},
+	{.ref = "run-000405",
+         .index = 6,
+         .attempt = 5,
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_DONE},
 	{.ref = "run-000406",
          .index = 7,
          .attempt = 6,
-         .state = FL_ENDED,
+         .state = FL_TASK_STATE_EXITED,
          .exit = FL_EXIT_STOPPED,
          .saved = true},
-	{.ref = "run-000407", .index = 8, .attempt = 7, .state = FL_ENDED, .exit = FL_EXIT_ERROR},
-	{.ref = "run-000408", .index = 9, .attempt = 8, .state = FL_ENDED, .exit = FL_EXIT_NO_ROOM},
-	{.ref = "run-000409", .index = 10, .attempt = 9, .state = FL_ENDED, .exit = FL_EXIT_BUSY},
+	{.ref = "run-000407",
+         .index = 8,
+         .attempt = 7,
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_ERROR},
+	{.ref = "run-000408",
+         .index = 9,
+         .attempt = 8,
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_NO_ROOM},
+	{.ref = "run-000409",
+         .index = 10,
+         .attempt = 9,
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_BUSY},
 	{.ref = "run-000410",
          .index = 11,
          .attempt = 10,
-         .state = FL_ENDED,
-         .exit = FL_EXIT_NO_SUCH},
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_UNKNOWN_TASK},
 	{.ref = "run-000411",
          .index = 12,
          .attempt = 11,
-         .state = FL_ENDED,
-         .exit = FL_EXIT_MATES_GONE},
-	{.ref = "run-000412", .index = 13, .attempt = 12, .state = FL_ENDED, .exit = FL_EXIT_ALONE},
-	{.ref = "run-000413", .index = 14, .attempt = 13, .state = FL_ENDED, .exit = FL_EXIT_OTHER},
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_GANG_PEERS_LOST},
+	{.ref = "run-000412",
+         .index = 13,
+         .attempt = 12,
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_GANG_INCOMPLETE},
+	{.ref = "run-000413",
+         .index = 14,
+         .attempt = 13,
+         .state = FL_TASK_STATE_EXITED,
+         .exit = FL_EXIT_OTHER},
 };
 
 /* The report of the text; its tasks must not be freed or changed. */
-static struct fl_report expected_report(void)
+static struct fl_heartbeat expected_report(void)
 {
-	return (struct fl_report){.host = "m-000231",
-	                          .endpoint = "10.1.0.232:9000",
-	                          .type = "g8",
-	                          .zone = "zone-a",
-	                          .spot = true,
-	                          .incarnation = 3,
-	                          .sequence = 4123456789,
-	                          .fencing_token = 912345678901234,
-	                          .reclaim_in_s = 27.5,
-	                          .tasks = (struct fl_task_report *)reported_tasks,
-	                          .n_tasks = COUNT_OF(reported_tasks)};
+	return (struct fl_heartbeat){.host = "m-000231",
+	                             .endpoint = "10.1.0.232:9000",
+	                             .type = "g8",
+	                             .zone = "zone-a",
+	                             .spot = true,
+	                             .incarnation = 3,
+	                             .sequence = 4123456789,
+	                             .fencing_token = 912345678901234,
+	                             .interruption_in_s = 27.5,
+	                             .tasks = (struct fl_task_status *)reported_tasks,
+	                             .task_count = COUNT_OF(reported_tasks)};
 }
 
-static void expect_tasks(const struct fl_report *got, const struct fl_report *expected)
+static void expect_tasks(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
 {
-	assert_int_equal(got->n_tasks, expected->n_tasks);
-	for (int i = 0; i < expected->n_tasks; i++) {
+	assert_int_equal(got->task_count, expected->task_count);
+	for (int i = 0; i < expected->task_count; i++) {
 		assert_string_equal(got->tasks[i].ref, expected->tasks[i].ref);
 		assert_int_equal(got->tasks[i].index, expected->tasks[i].index);
 		assert_int_equal(got->tasks[i].attempt, expected->tasks[i].attempt);
@@ -408,7 +436,7 @@
 	}
 }
 
-static void expect_report(const struct fl_report *got, const struct fl_report *expected)
+static void expect_report(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
 {
 	assert_string_equal(got->host, expected->host);
 	assert_string_equal(got->endpoint, expected->endpoint);
@@ -418,22 +446,22 @@
 	assert_int_equal(got->incarnation, expected->incarnation);
 	assert_int_equal(got->sequence, expected->sequence);
 	assert_int_equal(got->fencing_token, expected->fencing_token);
-	assert_true(got->reclaim_in_s == expected->reclaim_in_s);
+	assert_true(got->interruption_in_s == expected->interruption_in_s);
 	expect_tasks(got, expected);
-	for (int i = 0; i < expected->n_tasks; i++)
+	for (int i = 0; i < expected->task_count; i++)
 		assert_int_equal(got->tasks[i].saved, expected->tasks[i].saved);
 }
 
 static void a_heartbeat_has_each_task_state_and_each_exit_word(void **state)
 {
-	const struct fl_report expected = expected_report();
-	struct fl_report got;
+	const struct fl_heartbeat expected = expected_report();
+	struct fl_heartbeat got;
 
 	(void)state;
-	assert_int_equal(fl_report_decode(report_text, strlen(report_text), &got), 0);
+	assert_int_equal(fl_heartbeat_decode(report_text, strlen(report_text), &got), 0);
 	expect_report(&got, &expected);
-	fl_report_free(&got);
-	expect_text(fl_report_encode(&expected), report_text);
+	fl_heartbeat_free(&got);
+	expect_text(fl_heartbeat_encode(&expected), report_text);
 }
 
 /* The largest count there is. */
@@ -443,14 +471,14 @@
 		"{\"Host\":\"m-000232\",\"Endpoint\":\"10.1.0.233:9000\",\"HostKind\":\"c32\","
 		"\"Site\":\"zone-b\",\"Reclaimable\":false,\"Tenure\":9007199254740990,"
 		"\"Serial\":9007199254740991,\"Epoch\":9007199254740992,\"Parts\":[]}";
-	struct fl_report got;
+	struct fl_heartbeat got;
 
 	(void)state;
-	assert_int_equal(fl_report_decode(text, strlen(text), &got), 0);
+	assert_int_equal(fl_heartbeat_decode(text, strlen(text), &got), 0);
 	assert_int_equal(got.incarnation, 9007199254740990);
 	assert_int_equal(got.sequence, 9007199254740991);
 	assert_int_equal(got.fencing_token, 9007199254740992);
-	fl_report_free(&got);
+	fl_heartbeat_free(&got);
 }
 
 static const char idle_report_text[] =
@@ -459,14 +487,14 @@
 	"\"Parts\":[]}";
 
 /* The report of that text. */
-static const struct fl_report idle_report = {.host = "m-000232",
-                                             .endpoint = "10.1.0.233:9000",
-                                             .type = "c32",
-                                             .zone = "zone-b",
-                                             .incarnation = 1,
-                                             .sequence = 88,
-                                             .fencing_token = 41,
-                                             .reclaim_in_s = -1};
+static const struct fl_heartbeat idle_report = {.host = "m-000232",
+                                                .endpoint = "10.1.0.233:9000",
+                                                .type = "c32",
+                                                .zone = "zone-b",
+                                                .incarnation = 1,
+                                                .sequence = 88,
+                                                .fencing_token = 41,
+                                                .interruption_in_s = -1};
 
 static void a_heartbeat_without_spot_notice_and_tasks_has_neither(void **state)
 {
@@ -474,14 +502,14 @@
 		"{\"Host\":\"m-000232\",\"Endpoint\":\"10.1.0.233:9000\",\"HostKind\":\"c32\","
 		"\"Site\":\"zone-b\",\"Reclaimable\":false,\"Tenure\":1,\"Serial\":88,"
 		"\"Epoch\":41,\"ReclaimInS\":null,\"Parts\":[]}";
-	struct fl_report got;
+	struct fl_heartbeat got;
 
 	(void)state;
-	assert_int_equal(fl_report_decode(idle_report_text, strlen(idle_report_text), &got), 0);
+	assert_int_equal(fl_heartbeat_decode(idle_report_text, strlen(idle_report_text), &got), 0);
 	expect_report(&got, &idle_report);
-	assert_int_equal(fl_report_decode(with_null, strlen(with_null), &got), 0);
+	assert_int_equal(fl_heartbeat_decode(with_null, strlen(with_null), &got), 0);
 	expect_report(&got, &idle_report);
-	expect_text(fl_report_encode(&idle_report), idle_report_text);
+	expect_text(fl_heartbeat_encode(&idle_report), idle_report_text);
 }
 
 /* The body of a direct command, with its session. */
@@ -491,41 +519,41 @@
 	"{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
 	"{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}],\"Tenure\":7}";
 
-static void add_one_order_of_each_verb(struct fl_orders *orders)
+static void add_one_order_of_each_verb(struct fl_command_list *commands)
 {
-	fl_orders_add(orders, FL_LAUNCH, "run-000412", 4, 2, 10.5);
-	fl_orders_add(orders, FL_KILL, "run-000377", 1, 5, 10.5);
-	fl_orders_add(orders, FL_FORGET, "run-000398", 0, 1, 10.5);
+	fl_command_list_add(commands, FL_COMMAND_START, "run-000412", 4, 2, 10.5);
+	fl_command_list_add(commands, FL_COMMAND_STOP, "run-000377", 1, 5, 10.5);
+	fl_command_list_add(commands, FL_COMMAND_FORGET, "run-000398", 0, 1, 10.5);
 }
 
 static void a_heartbeat_answer_has_the_fencing_token_and_each_verb(void **state)
 {
-	struct fl_orders orders;
+	struct fl_command_list commands;
 
 	(void)state;
-	fl_orders_init(&orders, 41);
-	add_one_order_of_each_verb(&orders);
-	assert_int_equal(orders.n, 3);
-	expect_text(fl_orders_take(&orders),
+	fl_command_list_init(&commands, 41);
+	add_one_order_of_each_verb(&commands);
+	assert_int_equal(commands.count, 3);
+	expect_text(fl_command_list_take(&commands),
 	            "{\"Epoch\":41,\"Orders\":["
 	            "{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
 	            "{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
 	            "{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}]}");
-	fl_orders_init(&orders, 912345678901234);
-	expect_text(fl_orders_take(&orders), "{\"Epoch\":912345678901234,\"Orders\":[]}");
+	fl_command_list_init(&commands, 912345678901234);
+	expect_text(fl_command_list_take(&commands), "{\"Epoch\":912345678901234,\"Orders\":[]}");
 }
 
 static void a_redirect_names_the_node_to_report_to(void **state)
 {
 	(void)state;
-	expect_text(fl_steward_encode("host-2"), "{\"Steward\":\"host-2\"}");
-	expect_text(fl_steward_encode(NULL), "{}");
+	expect_text(fl_redirect_encode("host-2"), "{\"Steward\":\"host-2\"}");
+	expect_text(fl_redirect_encode(NULL), "{}");
 }
 
 struct command_results {
 	char *body;
 	int status[3];
-	struct fl_report reports[3];
+	struct fl_heartbeat reports[3];
 };
 
 static void send_commands(const char *address, void *results)
@@ -533,7 +561,7 @@
 	struct command_results *got = results;
 
 	for (int i = 0; i < 3; i++)
-		got->status[i] = fl_worker_command(address, got->body, 5, &got->reports[i]);
+		got->status[i] = fl_worker_send_commands(address, got->body, 5, &got->reports[i]);
 }
 
 static void a_direct_command_is_posted_and_answered_with_a_report(void **state)
@@ -549,15 +577,15 @@
 		{request, 409, idle_report_text},
 		{request, 400, "{\"error\":\"no Tenure\"}"},
 	};
-	const struct fl_report busy = expected_report();
+	const struct fl_heartbeat busy = expected_report();
 	struct command_results got = {0};
-	struct fl_orders orders;
+	struct fl_command_list commands;
 
 	(void)state;
-	fl_orders_init(&orders, 41);
-	add_one_order_of_each_verb(&orders);
-	fl_orders_session(&orders, 7);
-	got.body = fl_orders_take(&orders);
+	fl_command_list_init(&commands, 41);
+	add_one_order_of_each_verb(&commands);
+	fl_command_list_bind_incarnation(&commands, 7);
+	got.body = fl_command_list_take(&commands);
 	assert_string_equal(got.body, command_text);
 	contract_run(send_commands, &got, script, COUNT_OF(script));
 	free(got.body);
@@ -566,9 +594,9 @@
 	assert_int_equal(got.status[1], 409);
 	expect_report(&got.reports[1], &idle_report);
 	assert_int_equal(got.status[2], 400);
-	assert_int_equal(got.reports[2].n_tasks, 0);
+	assert_int_equal(got.reports[2].task_count, 0);
 	for (int i = 0; i < 3; i++)
-		fl_report_free(&got.reports[i]);
+		fl_heartbeat_free(&got.reports[i]);
 }
 
 /* ---- cloud ---- */
@@ -1102,10 +1130,11 @@
 
 	(void)state;
 	for (int i = 0; i < COUNT_OF(relayed); i++) {
-		struct fl_relay got;
+		struct fl_forwarded_request got;
 
-		assert_int_equal(fl_relay_decode(relayed[i].text, strlen(relayed[i].text), &got),
-		                 0);
+		assert_int_equal(
+			fl_forwarded_request_decode(relayed[i].text, strlen(relayed[i].text), &got),
+			0);
 		assert_int_equal(got.call, relayed[i].call);
 		assert_int_equal(got.last_hop, relayed[i].last_hop);
 		assert_string_equal(got.ref, relayed[i].ref ? relayed[i].ref : "");
@@ -1113,9 +1142,9 @@
 			assert_string_equal(got.body, relayed[i].body);
 		else
 			assert_null(got.body);
-		fl_relay_free(&got);
-		expect_text(fl_relay_encode(relayed[i].call, relayed[i].last_hop, relayed[i].ref,
-		                            relayed[i].body),
+		fl_forwarded_request_free(&got);
+		expect_text(fl_forwarded_request_encode(relayed[i].call, relayed[i].last_hop,
+		                                        relayed[i].ref, relayed[i].body),
 		            relayed[i].text);
 	}
 }
@@ -1123,8 +1152,8 @@
 static void relayed_messages_have_their_paths(void **state)
 {
 	(void)state;
-	assert_string_equal(FL_PATH_RELAY, "/relay");
-	assert_string_equal(FL_PATH_REPORTS, "/reports");
+	assert_string_equal(FL_PATH_FORWARD, "/relay");
+	assert_string_equal(FL_PATH_HEARTBEATS, "/reports");
 	assert_string_equal(FL_PATH_STATUS, "/status");
 }
 
@@ -1137,30 +1166,30 @@
 
 static void relayed_heartbeats_name_the_node_they_came_to(void **state)
 {
-	struct fl_peer_reports got;
-	struct fl_report report;
-	cJSON *list = fl_report_list_begin();
+	struct fl_peer_heartbeats got;
+	struct fl_heartbeat heartbeat;
+	cJSON *list = fl_heartbeat_list_begin();
 
 	(void)state;
-	expect_text(fl_peer_reports_encode(list, "host-2", true, false), last_reports_text);
-	fl_report_list_add(list, idle_report_text);
-	expect_text(fl_peer_reports_encode(list, "host-3", false, true), reports_text);
+	expect_text(fl_peer_heartbeats_encode(list, "host-2", true, false), last_reports_text);
+	fl_heartbeat_list_add(list, idle_report_text);
+	expect_text(fl_peer_heartbeats_encode(list, "host-3", false, true), reports_text);
 	cJSON_Delete(list);
-	assert_int_equal(fl_peer_reports_decode(reports_text, strlen(reports_text), &got), 0);
+	assert_int_equal(fl_peer_heartbeats_decode(reports_text, strlen(reports_text), &got), 0);
 	assert_false(got.last_hop);
 	assert_true(got.disconnected);
-	assert_string_equal(got.via, "host-3");
+	assert_string_equal(got.entry_node, "host-3");
 	assert_int_equal(cJSON_GetArraySize(got.list), 1);
-	assert_int_equal(fl_report_decode_tree(cJSON_GetArrayItem(got.list, 0), &report), 0);
-	expect_report(&report, &idle_report);
-	fl_peer_reports_free(&got);
-	assert_int_equal(fl_peer_reports_decode(last_reports_text, strlen(last_reports_text), &got),
-	                 0);
+	assert_int_equal(fl_heartbeat_decode_json(cJSON_GetArrayItem(got.list, 0), &heartbeat), 0);
+	expect_report(&heartbeat, &idle_report);
+	fl_peer_heartbeats_free(&got);
+	assert_int_equal(
+		fl_peer_heartbeats_decode(last_reports_text, strlen(last_reports_text), &got), 0);
 	assert_true(got.last_hop);
 	assert_false(got.disconnected);
-	assert_string_equal(got.via, "host-2");
+	assert_string_equal(got.entry_node, "host-2");
 	assert_int_equal(cJSON_GetArraySize(got.list), 0);
-	fl_peer_reports_free(&got);
+	fl_peer_heartbeats_free(&got);
 }
 
 static void answers_to_relayed_heartbeats_have_status_and_body(void **state)
@@ -1168,15 +1197,16 @@
 	static const char text[] =
 		"[{\"status\":200,\"body\":\"{\\\"Epoch\\\":41,\\\"Orders\\\":[]}\"},"
 		"{\"status\":421,\"body\":\"{\\\"Steward\\\":\\\"host-2\\\"}\"},{\"status\":503}]";
-	const struct fl_report_answer expected[] = {
+	const struct fl_heartbeat_reply expected[] = {
 		{200, (char[]){"{\"Epoch\":41,\"Orders\":[]}"}},
 		{421, (char[]){"{\"Steward\":\"host-2\"}"}},
 		{503, NULL},
 	};
-	struct fl_report_answer got[COUNT_OF(expected)];
+	struct fl_heartbeat_reply got[COUNT_OF(expected)];
 
 	(void)state;
-	assert_int_equal(fl_report_answers_decode(text, strlen(text), got, COUNT_OF(expected)), 0);
+	assert_int_equal(fl_heartbeat_replies_decode(text, strlen(text), got, COUNT_OF(expected)),
+	                 0);
 	for (int i = 0; i < COUNT_OF(expected); i++) {
 		assert_int_equal(got[i].status, expected[i].status);
 		if (expected[i].body)
@@ -1185,7 +1215,7 @@
 			assert_null(got[i].body);
 		free(got[i].body);
 	}
-	expect_text(fl_report_answers_encode(expected, COUNT_OF(expected)), text);
+	expect_text(fl_heartbeat_replies_encode(expected, COUNT_OF(expected)), text);
 }
 
 static void a_status_query_is_a_list_of_job_ids(void **state)
@@ -1232,11 +1262,11 @@
 	"[\"run-000411\",12,11,3,6],[\"run-000412\",13,12,3,7],[\"run-000413\",14,13,3,8]]]";
 static const char cached_idle_report_text[] = "[\"m-000232\",1,88,41,-1,[]]";
 
-static void expect_cached(const cJSON *tree, const struct fl_report *expected)
+static void expect_cached(const cJSON *tree, const struct fl_heartbeat *expected)
 {
-	struct fl_report got;
+	struct fl_heartbeat got;
 
-	assert_int_equal(fl_cached_report_decode(tree, &got), 0);
+	assert_int_equal(fl_cached_heartbeat_decode(tree, &got), 0);
 	assert_string_equal(got.host, expected->host);
 	assert_string_equal(got.endpoint, "");
 	assert_string_equal(got.type, "");
@@ -1244,21 +1274,21 @@
 	assert_int_equal(got.incarnation, expected->incarnation);
 	assert_int_equal(got.sequence, expected->sequence);
 	assert_int_equal(got.fencing_token, expected->fencing_token);
-	assert_true(got.reclaim_in_s == expected->reclaim_in_s);
+	assert_true(got.interruption_in_s == expected->interruption_in_s);
 	expect_tasks(&got, expected);
-	fl_report_free(&got);
+	fl_heartbeat_free(&got);
 }
 
 static void a_cached_report_has_the_numbers_of_states_and_exits(void **state)
 {
-	const struct fl_report busy = expected_report();
+	const struct fl_heartbeat busy = expected_report();
 	cJSON *tree = parse(cached_report_text);
 
 	(void)state;
 	expect_cached(tree, &busy);
 	cJSON_Delete(tree);
-	expect_text(fl_cached_report_encode(&busy), cached_report_text);
-	expect_text(fl_cached_report_encode(&idle_report), cached_idle_report_text);
+	expect_text(fl_cached_heartbeat_encode(&busy), cached_report_text);
+	expect_text(fl_cached_heartbeat_encode(&idle_report), cached_idle_report_text);
 }
 
 static void a_digest_has_the_epoch_and_the_cached_reports(void **state)
@@ -1266,7 +1296,7 @@
 	static const char text[] = "{\"epoch\":41,\"kept\":[[\"m-000232\",1,88,41,-1,[]],"
 				   "[\"m-000232\",1,88,41,-1,[]]]}";
 	cJSON *digest = fl_digest_begin(41), *tree = parse(text);
-	const cJSON *list = fl_digest_reports(tree);
+	const cJSON *list = fl_digest_heartbeats(tree);
 
 	(void)state;
 	assert_int_equal(cJSON_GetArraySize(list), 2);
