--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -163,17 +163,17 @@
 		"{\"Host\":\"m-1\",\"Endpoint\":\"\",\"HostKind\":\"g\",\"Site\":\"a\","
 		"\"Reclaimable\":false,\"Tenure\":1,\"Serial\":1,\"Epoch\":1}",
 	};
-	struct fl_report decoded;
+	struct fl_heartbeat decoded;
 
 	(void)state;
-	assert_int_equal(fl_report_decode(report, strlen(report), &decoded), 0);
-	assert_int_equal(decoded.n_tasks, 2);
+	assert_int_equal(fl_heartbeat_decode(report, strlen(report), &decoded), 0);
+	assert_int_equal(decoded.task_count, 2);
 	assert_int_equal(decoded.tasks[0].index, 3);
 	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
-	assert_true(decoded.reclaim_in_s < 0);
-	fl_report_free(&decoded);
+	assert_true(decoded.interruption_in_s < 0);
+	fl_heartbeat_free(&decoded);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_not_equal(fl_report_decode(bad[i], strlen(bad[i]), &decoded), 0);
+		assert_int_not_equal(fl_heartbeat_decode(bad[i], strlen(bad[i]), &decoded), 0);
 }
 
 static void machine_types_are_restored_from_their_record(void **state)
@@ -218,18 +218,19 @@
 		"{\"call\":3,\"last_hop\":true}",
 		"{\"call\":4,\"last_hop\":true}",
 	};
-	char *text = fl_relay_encode(FL_CALL_SUBMIT, true, NULL, "{}");
-	struct fl_relay relay;
+	char *text = fl_forwarded_request_encode(FL_CALL_SUBMIT, true, NULL, "{}");
+	struct fl_forwarded_request relay;
 
 	(void)state;
-	assert_int_equal(fl_relay_decode(text, strlen(text), &relay), 0);
+	assert_int_equal(fl_forwarded_request_decode(text, strlen(text), &relay), 0);
 	assert_int_equal(relay.call, FL_CALL_SUBMIT);
 	assert_true(relay.last_hop && !relay.ref[0]);
 	assert_string_equal(relay.body, "{}");
-	fl_relay_free(&relay);
+	fl_forwarded_request_free(&relay);
 	free(text);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_not_equal(fl_relay_decode(bad[i], strlen(bad[i]), &relay), 0);
+		assert_int_not_equal(fl_forwarded_request_decode(bad[i], strlen(bad[i]), &relay),
+		                     0);
 }
 
 static void paths_are_parsed(void **state)
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -16,7 +16,8 @@
 {
 	struct fl_machine *machine = only_machine(fixture);
 
-	machine->heard = machine->reached = machine->created = fl_now() - seconds;
+	machine->last_heartbeat_at = machine->last_reachable_at = machine->first_seen_at =
+		fl_now() - seconds;
 	fixture->node.leadership.heartbeats_since = fl_now() - 1000;
 }
 
@@ -24,7 +25,7 @@
 {
 	double leases[FL_ZONES_MAX];
 
-	fl_failure_detector_leases(&fixture->node, fl_now(), leases);
+	fl_failure_detector_timeouts(&fixture->node, fl_now(), leases);
 	return fl_failure_detector_expired(&fixture->node, only_machine(fixture), fl_now(), leases);
 }
 
@@ -35,7 +36,7 @@
 	struct fl_peer *peer = &fixture->node.peers[0];
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	fixture->node.n_peers = 1;
 	strcpy(peer->location, "a");
@@ -55,16 +56,16 @@
 	assert_true(is_expired(fixture));
 	/* The controller of its zone fell silent at the same time. */
 	peer->up = false;
-	peer->heard_at = fl_now() - 12;
+	peer->last_heard_at = fl_now() - 12;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
-	peer->heard_at = only_machine(fixture)->heard;
+	peer->last_heard_at = only_machine(fixture)->last_heartbeat_at;
 	assert_true(is_expired(fixture));
 	/* Of another zone, or silent long before: it delays nothing here. */
 	set_silence(fixture, 11);
-	peer->heard_at = fl_now() - 30;
+	peer->last_heard_at = fl_now() - 30;
 	assert_true(is_expired(fixture));
-	peer->heard_at = only_machine(fixture)->heard;
+	peer->last_heard_at = only_machine(fixture)->last_heartbeat_at;
 	strcpy(peer->location, "b");
 	assert_true(is_expired(fixture));
 }
@@ -78,7 +79,7 @@
 	machine = fl_machine_get(&fixture->node.cluster.machines, name, fl_now() - 100);
 	fl_cluster_describe(&fixture->node.cluster, machine, 0, zone, spot, "x");
 	machine->up = true;
-	machine->heard = fl_now();
+	machine->last_heartbeat_at = fl_now();
 	return machine;
 }
 
@@ -90,13 +91,13 @@
 {
 	struct fixture *fixture = *state;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	for (int i = 2; i < 22; i++)
 		add_machine(fixture, i, false, 1);
 	/* This one is due; three more of the four of its zone are silent too. */
 	for (int i = 30; i < 33; i++)
-		add_machine(fixture, i, false, 0)->heard = fl_now() - 7;
+		add_machine(fixture, i, false, 0)->last_heartbeat_at = fl_now() - 7;
 	set_silence(fixture, 11);
 	assert_false(is_expired(fixture));
 	set_silence(fixture, 31);
@@ -119,14 +120,15 @@
 {
 	struct fixture *fixture = *state;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	for (int i = 2; i < 42; i++)
-		add_machine(fixture, i, false, i % 2)->heard = fl_now() - (i < 7 ? 7 : 0);
+		add_machine(fixture, i, false, i % 2)->last_heartbeat_at =
+			fl_now() - (i < 7 ? 7 : 0);
 	set_silence(fixture, 8);
 	assert_true(is_expired(fixture));
 	for (int i = 43; i < 46; i++)
-		add_machine(fixture, i, false, i % 2)->heard = fl_now() - 7;
+		add_machine(fixture, i, false, i % 2)->last_heartbeat_at = fl_now() - 7;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, 11);
 	assert_true(is_expired(fixture));
@@ -137,18 +139,19 @@
 {
 	struct fixture *fixture = *state;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	for (uint64_t sequence = 2; sequence < 5; sequence++) {
 		answered_ago(fixture, 12);
-		deliver_report(fixture, make_report(1, sequence, EPOCH, NULL, 0), FL_SOURCE_REPORT);
+		deliver_report(fixture, make_report(1, sequence, EPOCH, NULL, 0),
+		               FL_HEARTBEAT_FROM_WORKER);
 	}
 	assert_true(is_expired(fixture));
 	for (int i = 2; i < 6; i++) {
 		struct fl_machine *machine = add_machine(fixture, i, false, 0);
 
-		machine->unheard = 3;
-		machine->unheard_since = fl_now() - 12;
+		machine->unacknowledged_replies = 3;
+		machine->unacknowledged_since = fl_now() - 12;
 	}
 	assert_false(is_expired(fixture));
 }
--- a/tests/test_standby.c
+++ b/tests/test_follower.c
@@ -18,20 +18,18 @@
 static void a_standby_caches_the_newest_report(void **state)
 {
 	struct fixture *fixture = *state;
-	struct fl_task_report task_report = running_task(0, 1);
-	struct fl_cached_report *cached;
+	struct fl_task_status status = running_task(0, 1);
+	struct fl_cached_heartbeat *cached;
 	double at;
 
 	become_follower(fixture, 0);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
-	                 200);
-	cached = fixture->node.standby.cached;
+	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
+	cached = fixture->node.follower.cached_heartbeats;
 	assert_non_null(cached);
 	cached->at = at = fl_now() - 9;
 	cached->stored = true;
 	assert_int_equal(send_report(fixture, make_report(1, 19, EPOCH, NULL, 0), NULL), 200);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &task_report, 1), NULL),
-	                 200);
+	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
 	assert_true(cached->sequence == 20 && cached->at == at && cached->stored);
 	assert_int_equal(send_report(fixture, make_report(2, 3, EPOCH, NULL, 0), NULL), 200);
 	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
@@ -48,25 +46,25 @@
 	                                  "[\"\",1,2,3,-1,[]]",
 	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
 	                                  "{\"m\":1}"};
-	struct fl_task_report tasks[2] = {running_task(3, 2), running_task(1, 1)};
-	struct fl_report report = make_report(4, 5, 6, tasks, 2), back;
+	struct fl_task_status tasks[2] = {running_task(3, 2), running_task(1, 1)};
+	struct fl_heartbeat heartbeat = make_report(4, 5, 6, tasks, 2), back;
 	char *text;
 	cJSON *element;
 
 	(void)state;
-	tasks[1].state = FL_ENDED;
+	tasks[1].state = FL_TASK_STATE_EXITED;
 	tasks[1].exit = FL_EXIT_DONE;
-	report.reclaim_in_s = 12.5;
-	text = fl_cached_report_encode(&report);
+	heartbeat.interruption_in_s = 12.5;
+	text = fl_cached_heartbeat_encode(&heartbeat);
 	element = fl_json_parse(text, strlen(text));
-	assert_int_equal(fl_cached_report_decode(element, &back), 0);
-	assert_string_equal(back.host, report.host);
+	assert_int_equal(fl_cached_heartbeat_decode(element, &back), 0);
+	assert_string_equal(back.host, heartbeat.host);
 	assert_true(back.incarnation == 4 && back.sequence == 5 && back.fencing_token == 6);
-	assert_true(back.reclaim_in_s == 12.5 && back.n_tasks == 2);
-	assert_int_equal(back.tasks[0].state, FL_EXECUTING);
+	assert_true(back.interruption_in_s == 12.5 && back.task_count == 2);
+	assert_int_equal(back.tasks[0].state, FL_TASK_STATE_RUNNING);
 	assert_int_equal(back.tasks[0].index, 3);
 	assert_int_equal(back.tasks[1].exit, FL_EXIT_DONE);
-	fl_report_free(&back);
+	fl_heartbeat_free(&back);
 	cJSON_Delete(element);
 	/* Hundreds of machines share the writes: twenty must fit into the smallest value. */
 	assert_in_range(strlen(text), 1, 150);
@@ -74,7 +72,7 @@
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
 		element = fl_json_parse(bad[i], strlen(bad[i]));
 		assert_non_null(element);
-		assert_int_not_equal(fl_cached_report_decode(element, &back), 0);
+		assert_int_not_equal(fl_cached_heartbeat_decode(element, &back), 0);
 		cJSON_Delete(element);
 	}
 }
@@ -104,13 +102,13 @@
 	node->jobs_known = false;
 	node->fencing_token = 0;
 	/* Another report has the epoch read already. */
-	node->standby.refreshing = true;
+	node->follower.refreshing = true;
 	assert_non_null(fl_spawn(send_early, &early));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
 	node->fencing_token = EPOCH;
-	node->standby.refreshing = false;
-	fl_signal_wake(&node->standby.refreshed);
+	node->follower.refreshing = false;
+	fl_signal_wake(&node->follower.refreshed);
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
 	node->cancellations_known_until = fl_now();
@@ -130,7 +128,7 @@
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.n_peers; i++) {
 		fixture->node.peers[i].up = false;
-		fixture->node.peers[i].heard_at = now - for_s;
+		fixture->node.peers[i].last_heard_at = now - for_s;
 	}
 	fixture->node.probed_at = now;
 	fixture->node.leadership_confirmed_at = fixture->node.cancellations_known_until =
@@ -140,9 +138,9 @@
 /* As if the workers had come a report interval earlier. */
 static void age_misplaced_workers(struct fixture *fixture)
 {
-	for (struct fl_misplaced_worker *worker = fixture->node.standby.misplaced; worker;
+	for (struct fl_misplaced_worker *worker = fixture->node.follower.misplaced_workers; worker;
 	     worker = worker->hh.next)
-		worker->came -= fixture->config.report_s;
+		worker->first_seen_at -= fixture->config.report_s;
 }
 
 /* The state service and the other controllers are unreachable, the workers are not. */
@@ -150,54 +148,54 @@
 {
 	struct fixture *fixture = *state;
 	char first[FL_NAME_MAX], second[FL_NAME_MAX];
-	struct fl_report report = make_report(1, 20, EPOCH, NULL, 0);
+	struct fl_heartbeat heartbeat = make_report(1, 20, EPOCH, NULL, 0);
 
 	become_follower(fixture, 4);
 	disconnect(fixture, 3);
-	assert_true(fl_standby_alone(&fixture->node));
+	assert_true(fl_follower_is_isolated(&fixture->node));
 	/* One that has come but now may have little left of its lease: it is answered first. */
-	assert_int_equal(send_report(fixture, report, NULL), 200);
-	strcpy(report.host, "m-000002");
-	assert_int_equal(send_report(fixture, report, NULL), 200);
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
+	strcpy(heartbeat.host, "m-000002");
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
 	/* The second worker goes elsewhere than the first: none of them is known to work. */
-	report.sequence++;
-	assert_int_equal(send_report(fixture, report, first), 421);
-	strcpy(report.host, "m-000001");
-	assert_int_equal(send_report(fixture, report, second), 421);
+	heartbeat.sequence++;
+	assert_int_equal(send_report(fixture, heartbeat, first), 421);
+	strcpy(heartbeat.host, "m-000001");
+	assert_int_equal(send_report(fixture, heartbeat, second), 421);
 	assert_true(first[0] && second[0] && strcmp(first, second) != 0);
 	/* It reached nobody there and is back within its lease: now the lease is renewed. */
-	report.sequence++;
-	assert_int_equal(send_report(fixture, report, NULL), 200);
+	heartbeat.sequence++;
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
-	fixture->node.standby.refreshed_at = fl_now();
-	report.sequence++;
-	assert_int_equal(send_report(fixture, report, NULL), 503);
+	fixture->node.follower.refreshed_at = fl_now();
+	heartbeat.sequence++;
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 503);
 }
 
 /* Partitioned with its zone, or the only one running: its workers have no other node. */
 static void a_node_isolated_with_its_workers_renews_their_leases(void **state)
 {
 	struct fixture *fixture = *state;
-	struct fl_report report = make_report(1, 20, EPOCH, NULL, 0);
+	struct fl_heartbeat heartbeat = make_report(1, 20, EPOCH, NULL, 0);
 
 	become_follower(fixture, 4);
 	disconnect(fixture, 3);
-	assert_int_equal(send_report(fixture, report, NULL), 200);
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
 	fixture->node.probed_at = fl_now() - 10;
-	report.sequence++;
-	assert_int_equal(send_report(fixture, report, NULL), 200);
+	heartbeat.sequence++;
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* The others ended long before the state service failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
-		fixture->node.peers[i].heard_at -= 20;
-	report.sequence++;
-	assert_int_equal(send_report(fixture, report, NULL), 200);
+		fixture->node.peers[i].last_heard_at -= 20;
+	heartbeat.sequence++;
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* An outage of the state service with peers in reach is no isolation. */
 	fixture->node.peers[2].up = true;
-	assert_false(fl_standby_alone(&fixture->node));
+	assert_false(fl_follower_is_isolated(&fixture->node));
 }
 
 /*
@@ -207,22 +205,22 @@
 static void a_worker_is_answered_before_it_is_redirected(void **state)
 {
 	struct fixture *fixture = *state;
-	struct fl_report report = make_report(1, 20, EPOCH, NULL, 0);
+	struct fl_heartbeat heartbeat = make_report(1, 20, EPOCH, NULL, 0);
 	char to[FL_NAME_MAX];
 
 	become_follower(fixture, 1);
-	strcpy(report.zone, "b");
+	strcpy(heartbeat.zone, "b");
 	strcpy(fixture->node.leader_name, "n9");
 	fixture->node.peers[0].up = true;
 	fixture->node.peers[0].up_since = fl_now() - 5;
-	assert_int_equal(send_report(fixture, report, NULL), 200);
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
-	report.sequence++;
-	assert_int_equal(send_report(fixture, report, to), 421);
+	heartbeat.sequence++;
+	assert_int_equal(send_report(fixture, heartbeat, to), 421);
 	assert_string_equal(to, "n1");
 	/* It is back, for whatever reason: it stays. */
-	report.sequence++;
-	assert_int_equal(send_report(fixture, report, NULL), 200);
+	heartbeat.sequence++;
+	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 }
 
 /* An isolated node refuses its users at once, and is not ready for the load balancer. */
--- a/tests/test_report_relay.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -15,8 +15,8 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/report_relay.h"
-#include "protocol/peer_reports.h"
+#include "coordination/heartbeat_forwarding.h"
+#include "protocol/peer_heartbeats.h"
 #include "sim.h"
 #include "transport/clock.h"
 
@@ -53,7 +53,7 @@
 	struct fl_response resp = {0};
 
 	(void)method;
-	assert_string_equal(path, FL_PATH_REPORTS);
+	assert_string_equal(path, FL_PATH_HEARTBEATS);
 	world.messages += to_leader;
 	if ((to_leader && world.leader_stalls) ||
 	    (c == &world.follower.peers[0].http && world.link_down)) {
@@ -61,7 +61,8 @@
 		return -ETIMEDOUT;
 	}
 	fl_sleep(way_s);
-	fl_report_relay_serve(to_leader ? &world.leader : &world.third, body, strlen(body), &resp);
+	fl_heartbeat_forward_serve(to_leader ? &world.leader : &world.third, body, strlen(body),
+	                           &resp);
 	fl_sleep(way_s);
 	memset(out, 0, sizeof(*out));
 	out->status = resp.status;
@@ -72,21 +73,21 @@
 
 static char *report_of(const struct worker *w)
 {
-	struct fl_task_report task = {.attempt = 1, .state = FL_EXECUTING};
-	struct fl_report r = {.incarnation = 1,
-	                      .sequence = 1,
-	                      .fencing_token = EPOCH,
-	                      .reclaim_in_s = -1,
-	                      .tasks = &task,
-	                      .n_tasks = 1};
-
-	snprintf(r.host, sizeof(r.host), "%s", w->host);
-	snprintf(r.endpoint, sizeof(r.endpoint), "127.0.0.1:1");
-	snprintf(r.type, sizeof(r.type), "t");
-	snprintf(r.zone, sizeof(r.zone), "a");
+	struct fl_task_status task = {.attempt = 1, .state = FL_TASK_STATE_RUNNING};
+	struct fl_heartbeat heartbeat = {.incarnation = 1,
+	                                 .sequence = 1,
+	                                 .fencing_token = EPOCH,
+	                                 .interruption_in_s = -1,
+	                                 .tasks = &task,
+	                                 .task_count = 1};
+
+	snprintf(heartbeat.host, sizeof(heartbeat.host), "%s", w->host);
+	snprintf(heartbeat.endpoint, sizeof(heartbeat.endpoint), "127.0.0.1:1");
+	snprintf(heartbeat.type, sizeof(heartbeat.type), "t");
+	snprintf(heartbeat.zone, sizeof(heartbeat.zone), "a");
 	/* A task that the leader does not know, so that its answer names the machine's own. */
 	snprintf(task.ref, sizeof(task.ref), "run-%.6s", w->host + 2);
-	return fl_report_encode(&r);
+	return fl_heartbeat_encode(&heartbeat);
 }
 
 static void report(void *arg)
@@ -99,7 +100,7 @@
 		return;
 	text = report_of(w);
 	came = fl_now();
-	w->rc = fl_report_relay(&world.follower, text, strlen(text), &w->resp);
+	w->rc = fl_heartbeat_forward(&world.follower, text, strlen(text), &w->resp);
 	w->took = fl_now() - came;
 	w->over = true;
 	free(text);
@@ -156,10 +157,10 @@
 
 static void add_peer(struct fl_node *n, const char *name)
 {
-	struct fl_peer *p = &n->peers[n->n_peers++];
+	struct fl_peer *peer = &n->peers[n->n_peers++];
 
-	snprintf(p->name, sizeof(p->name), "%s", name);
-	p->up = true;
+	snprintf(peer->name, sizeof(peer->name), "%s", name);
+	peer->up = true;
 }
 
 static int set_up(void **state)
@@ -195,11 +196,11 @@
 /* Found with 3% of a core: a message for each report took more than the leader's processor. */
 static void many_reports_cost_few_messages(void **state)
 {
-	const int full = (WORKERS + FL_PEER_REPORTS_MAX - 1) / FL_PEER_REPORTS_MAX;
+	const int full = (WORKERS + FL_PEER_HEARTBEATS_MAX - 1) / FL_PEER_HEARTBEATS_MAX;
 
 	(void)state;
 	assert_int_equal(answered_rightly(run(0)), WORKERS);
-	assert_true(world.messages <= full + FL_REPORT_REQUESTS_MAX);
+	assert_true(world.messages <= full + FL_HEARTBEAT_REQUESTS_MAX);
 }
 
 static void a_report_alone_is_not_held_back(void **state)
@@ -219,7 +220,7 @@
 	(void)state;
 	world.link_down = true;
 	/* Two that went at once, one each, and two full ones after them, in the order they came. */
-	assert_int_equal(answered_rightly(run(0)), 2 + 2 * FL_PEER_REPORTS_MAX);
+	assert_int_equal(answered_rightly(run(0)), 2 + 2 * FL_PEER_HEARTBEATS_MAX);
 }
 
 /* Each of them is renewed by this node then, before its worker looks for another one. */
@@ -239,9 +240,9 @@
 
 static int decode_answers(const char *text, int n)
 {
-	struct fl_report_answer answers[4];
+	struct fl_heartbeat_reply answers[4];
 
-	return fl_report_answers_decode(text, strlen(text), answers, n);
+	return fl_heartbeat_replies_decode(text, strlen(text), answers, n);
 }
 
 static void malformed_messages_decide_nothing(void **state)
@@ -255,28 +256,29 @@
 		"{\"last_hop\":true,\"via\":\"a\",\"reports\":{}}",
 		"{\"last_hop\":true,\"via\":\"a\",\"adrift\":3,\"reports\":[]}",
 	};
-	struct fl_peer_reports m;
+	struct fl_peer_heartbeats message;
 	struct fl_response resp = {0};
-	struct fl_report r;
-	cJSON *list = fl_report_list_begin();
+	struct fl_heartbeat heartbeat;
+	cJSON *list = fl_heartbeat_list_begin();
 	char *text;
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_equal(fl_peer_reports_decode(bad[i], strlen(bad[i]), &m), -EPROTO);
+		assert_int_equal(fl_peer_heartbeats_decode(bad[i], strlen(bad[i]), &message),
+		                 -EPROTO);
 	assert_int_equal(decode_answers("[]", 1), -EPROTO);
 	assert_int_equal(decode_answers("[{\"status\":200,\"body\":7}]", 1), -EPROTO);
 	assert_int_equal(decode_answers("[{\"status\":200,\"body\":\"\"},{\"status\":7}]", 2),
 	                 -EPROTO);
-	assert_int_equal(fl_report_decode_tree(NULL, &r), -EPROTO);
+	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), -EPROTO);
 	/* What is no report among others is refused alone. */
-	fl_report_list_add(list, "{\"Host\":7}");
-	text = fl_peer_reports_encode(list, "host-2", true, true);
-	assert_int_equal(fl_peer_reports_decode(text, strlen(text), &m), 0);
-	assert_true(m.last_hop && m.disconnected);
-	assert_string_equal(m.via, "host-2");
-	fl_peer_reports_free(&m);
-	fl_report_relay_serve(&world.leader, text, strlen(text), &resp);
+	fl_heartbeat_list_add(list, "{\"Host\":7}");
+	text = fl_peer_heartbeats_encode(list, "host-2", true, true);
+	assert_int_equal(fl_peer_heartbeats_decode(text, strlen(text), &message), 0);
+	assert_true(message.last_hop && message.disconnected);
+	assert_string_equal(message.entry_node, "host-2");
+	fl_peer_heartbeats_free(&message);
+	fl_heartbeat_forward_serve(&world.leader, text, strlen(text), &resp);
 	assert_int_equal(resp.status, 200);
 	assert_non_null(strstr(resp.body, "400"));
 	free(resp.body);
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -68,7 +68,7 @@
 		fl_cluster_describe(cluster, site->machine[i], 0, 0, true, "x");
 		site->machine[i]->up = true;
 		site->machine[i]->incarnation = 1;
-		site->machine[i]->reached = fl_now();
+		site->machine[i]->last_reachable_at = fl_now();
 	}
 	return 0;
 }
@@ -145,7 +145,7 @@
 
 	for (int i = 0; i < MACHINES; i++) {
 		site->machine[i]->up = false;
-		site->machine[i]->created = fl_now();
+		site->machine[i]->first_seen_at = fl_now();
 	}
 	site->node.cluster.machines.types[0].ready_s = 60;
 	site->node.cluster.machines.types[0].zones = 1;
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -111,7 +111,8 @@
 		int running = 0;
 
 		for (int k = 0; k < m->n_tasks; k++)
-			running += m->task[k].used && m->task[k].report.state == FL_EXECUTING;
+			running +=
+				m->task[k].used && m->task[k].status.state == FL_TASK_STATE_RUNNING;
 		count += m->up && !m->gone && running == TASKS_A_MACHINE;
 	}
 	return count;
--- a/tests/test_reconcile.c
+++ b/tests/test_reconciliation.c
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #include "copy_text.h"
-#include "reconcile_sim.h"
+#include "reconciliation_sim.h"
 #include "transport/clock.h"
 
 static void send_report(struct simulation *sim, int at)
@@ -27,26 +27,26 @@
 	drop_answer(worker);
 	text = report_text(sim, at);
 	if (random_below(sim, 5))
-		deliver_report(sim, at, text, FL_SOURCE_REPORT);
+		deliver_report(sim, at, text, FL_HEARTBEAT_FROM_WORKER);
 	queue_message(sim, at, text, false);
 }
 
 static void end_some_task(struct simulation *sim, int at)
 {
 	struct worker *worker = &sim->worker[at];
-	struct fl_task_report *task_report;
+	struct fl_task_status *status;
 
 	/* Not used, but drawn so that each seed still plays the same case. */
 	(void)random_below(sim, ENTRIES);
 	for (int i = 0; i < ENTRIES; i++) {
-		if (!worker->at[i].used || worker->at[i].report.state == FL_ENDED ||
+		if (!worker->at[i].used || worker->at[i].status.state == FL_TASK_STATE_EXITED ||
 		    random_below(sim, 3))
 			continue;
-		task_report = &worker->at[i].report;
-		task_report->state = FL_ENDED;
-		task_report->exit = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
-		if (task_report->exit == FL_EXIT_DONE) {
-			sim->actually_done[atoi(task_report->ref + 4)][task_report->index] = true;
+		status = &worker->at[i].status;
+		status->state = FL_TASK_STATE_EXITED;
+		status->exit = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
+		if (status->exit == FL_EXIT_DONE) {
+			sim->actually_done[atoi(status->ref + 4)][status->index] = true;
 			sim->dones++;
 		}
 		return;
@@ -107,7 +107,7 @@
 			sim->node.cluster.machines.n ? sim->node.cluster.machines.at[0] : NULL;
 
 		if (machine && machine->n_slots > 0)
-			fl_task_peek(machine->slots[0].job, machine->slots[0].index)->stop =
+			fl_task_peek(machine->slots[0].job, machine->slots[0].index)->stop_reason =
 				FL_STOP_PREEMPT;
 		break;
 	}
@@ -149,22 +149,25 @@
                                     uint32_t index, uint64_t sequence)
 {
 	struct fl_cluster *cluster = &sim->node.cluster;
-	struct fl_report report = {
-		.incarnation = 1, .sequence = sequence, .fencing_token = 1, .reclaim_in_s = -1};
-	struct fl_task_report task_report = {
-		.index = index, .state = FL_ENDED, .exit = FL_EXIT_ERROR};
+	struct fl_heartbeat heartbeat = {.incarnation = 1,
+	                                 .sequence = sequence,
+	                                 .fencing_token = 1,
+	                                 .interruption_in_s = -1};
+	struct fl_task_status status = {
+		.index = index, .state = FL_TASK_STATE_EXITED, .exit = FL_EXIT_ERROR};
 	struct fl_machine *machine;
 
-	format_host(host, report.host);
-	machine = fl_machine_get(&cluster->machines, report.host, 0);
+	format_host(host, heartbeat.host);
+	machine = fl_machine_get(&cluster->machines, heartbeat.host, 0);
 	fl_cluster_describe(cluster, machine, 0, 0, false, "x");
 	machine->incarnation = 1;
 	assert_int_equal(fl_task_place(cluster, job, index, machine, 1, 0), 0);
-	copy_text(task_report.ref, sizeof(task_report.ref), job->ref);
-	task_report.attempt = fl_task_peek(job, index)->attempt;
-	report.tasks = &task_report;
-	report.n_tasks = 1;
-	assert_int_equal(fl_reconcile_report(&sim->node, &report, NULL, FL_SOURCE_COMMAND), 0);
+	copy_text(status.ref, sizeof(status.ref), job->ref);
+	status.attempt = fl_task_peek(job, index)->attempt;
+	heartbeat.tasks = &status;
+	heartbeat.task_count = 1;
+	assert_int_equal(
+		fl_reconcile_heartbeat(&sim->node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND), 0);
 	return machine;
 }
 
@@ -181,7 +184,7 @@
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
 		machine = fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
-		assert_true(machine->avoid_until <= now);
+		assert_true(machine->quarantined_until <= now);
 		assert_true(i < 4 || job->not_before >= last);
 		last = job->not_before;
 	}
@@ -200,15 +203,15 @@
 	(void)state;
 	set_up(sim, 1);
 	job = fl_job_find(&sim->node.cluster, "run-000000");
-	assert_true(fail_task(sim, job, 60, 0, 1)->avoid_until <= now);
-	assert_true(fail_task(sim, job, 60, 1, 2)->avoid_until <= now);
+	assert_true(fail_task(sim, job, 60, 0, 1)->quarantined_until <= now);
+	assert_true(fail_task(sim, job, 60, 1, 2)->quarantined_until <= now);
 	/* A third in a row is: a service of one task must not go there again and again. */
-	assert_true(fail_task(sim, job, 60, 2, 3)->avoid_until > now);
+	assert_true(fail_task(sim, job, 60, 2, 3)->quarantined_until > now);
 	/* Where a task of the job has completed, two are enough. */
 	job = fl_job_find(&sim->node.cluster, "run-000001");
 	fl_task_done(&sim->node.cluster, job, 0);
-	assert_true(fail_task(sim, job, 61, 1, 1)->avoid_until <= now);
-	assert_true(fail_task(sim, job, 61, 2, 2)->avoid_until > now);
+	assert_true(fail_task(sim, job, 61, 1, 1)->quarantined_until <= now);
+	assert_true(fail_task(sim, job, 61, 2, 2)->quarantined_until > now);
 	tear_down(sim);
 	free(sim);
 }
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -341,7 +341,7 @@
 	EXPECT(standins.twice == 0);
 	EXPECT(standins.tokens_reused == 0);
 	EXPECT(standins.names_reused == 0);
-	EXPECT(standins.launched_gone == 0);
+	EXPECT(standins.starts_on_deleted == 0);
 	return true;
 }
 
