--- a/src/coordination/answer.c
+++ b/src/coordination/answer.c
@@ -9,13 +9,13 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-static void say_final(struct fl_response *resp, const struct fl_finished_job *f, bool counts)
+static void say_final(struct fl_response *resp, const struct fl_finished_job *finished, bool counts)
 {
 	resp->status = 200;
-	resp->body = fl_status_encode(f->ref, (enum fl_status)f->status,
-	                              !counts                ? -1
-	                              : f->status == FL_DONE ? (int64_t)f->n_tasks
-	                                                     : 0,
+	resp->body = fl_status_encode(finished->ref, (enum fl_job_status)finished->status,
+	                              !counts                       ? -1
+	                              : finished->status == FL_DONE ? (int64_t)finished->task_count
+	                                                            : 0,
 	                              0);
 }
 
@@ -28,60 +28,62 @@
 /* The record decides: for what this leader has not heard of, or has written and not confirmed. */
 static void poll_record(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_job_record rec;
+	struct fl_job_record record;
 	struct fl_job *job;
-	uint64_t rev;
+	uint64_t revision;
 	cJSON *v = NULL;
-	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
-	const struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
+	int rc = fl_job_lookup_read(n, ref, &record, &v, &revision);
+	const struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
 
-	if (f) {
+	if (finished) {
 		/* It came to its end while the record was on its way here. */
-		say_final(resp, f, true);
+		say_final(resp, finished, true);
 	} else if (rc == -ENOENT) {
 		fl_refuse(resp, 404, "no such job");
 	} else if (rc != 0) {
 		fl_later(resp, "the state service does not answer");
-	} else if (rec.final) {
+	} else if (record.final) {
 		job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
-		if (job && v && rev > job->rev)
-			fl_record_writer_heard(n, job, &rec, rev);
+		if (job && v && revision > job->mod_revision)
+			fl_record_writer_apply_record(n, job, &record, revision);
 		else if (!job && v)
-			fl_finished_add(&n->cluster, ref, rec.status, rec.n_tasks,
-			                fl_since(rec.cancelled));
+			fl_finished_job_add(&n->cluster, ref, record.status, record.task_count,
+			                    fl_since(record.cancelled_wall));
 		resp->status = 200;
-		resp->body = fl_status_encode(ref, rec.status,
-		                              rec.status == FL_DONE ? rec.n_tasks : 0, 0);
+		resp->body = fl_status_encode(ref, record.status,
+		                              record.status == FL_DONE ? record.task_count : 0, 0);
 	} else {
-		job = fl_cluster_apply(&n->cluster, ref, v, rev);
+		job = fl_cluster_apply_job_record(&n->cluster, ref, v, revision);
 		resp->status = 200;
-		resp->body = fl_status_encode(ref, job ? fl_job_status(job) : FL_PENDING,
-		                              job ? job->n_done : 0, job ? job->n_running : 0);
+		resp->body =
+			fl_status_encode(ref, job ? fl_job_current_status(job) : FL_PENDING,
+		                         job ? job->done_count : 0, job ? job->running_count : 0);
 	}
 	cJSON_Delete(v);
 }
 
-struct fl_job_state fl_answer_from_memory(const struct fl_node *n, const char *ref)
+struct fl_job_status_report fl_answer_from_memory(const struct fl_node *n, const char *ref)
 {
-	const struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
-	const struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
+	const struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
+	const struct fl_job *job = finished ? NULL : fl_job_find(&n->cluster, ref);
 
-	if (f)
-		return (struct fl_job_state){.known = true,
-		                             .status = (enum fl_status)f->status,
-		                             .done = f->status == FL_DONE ? f->n_tasks : 0};
+	if (finished)
+		return (struct fl_job_status_report){
+			.known = true,
+			.status = (enum fl_job_status)finished->status,
+			.done = finished->status == FL_DONE ? finished->task_count : 0};
 	/* While a final write is under way, another node may already know its outcome. */
-	if (!job || job->finishing || job->unsure)
-		return (struct fl_job_state){0};
-	return (struct fl_job_state){.known = true,
-	                             .status = fl_job_status(job),
-	                             .done = job->n_done,
-	                             .running = job->n_running};
+	if (!job || job->final_write_in_flight || job->final_write_unknown)
+		return (struct fl_job_status_report){0};
+	return (struct fl_job_status_report){.known = true,
+	                                     .status = fl_job_current_status(job),
+	                                     .done = job->done_count,
+	                                     .running = job->running_count};
 }
 
 void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_job_state state = fl_answer_from_memory(n, ref);
+	struct fl_job_status_report state = fl_answer_from_memory(n, ref);
 
 	if (!state.known) {
 		poll_record(n, ref, resp);
@@ -91,32 +93,32 @@
 	resp->body = fl_status_encode(ref, state.status, state.done, state.running);
 }
 
-static int write_cancel(struct fl_node *n, struct fl_job *job, double cancelled, uint64_t *rev)
+static int write_cancel(struct fl_node *n, struct fl_job *job, double cancelled, uint64_t *revision)
 {
 	struct fl_kv_txn txn;
-	struct fl_job_spec run;
+	struct fl_job_spec spec;
 	char key[FL_KEY_MAX];
 
 	fl_key_job(key, job->ref);
-	fl_job_describe(&n->cluster, job, &run);
+	fl_job_describe(&n->cluster, job, &spec);
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
-	fl_kv_txn_expect_revision(&txn, key, job->rev);
-	fl_kv_txn_put(&txn, key, fl_job_record_cancelled(&run, job->submitted, cancelled), 0);
-	return fl_kv_txn_commit(&n->kv_store, &txn, rev, NULL);
+	fl_kv_txn_expect_revision(&txn, key, job->mod_revision);
+	fl_kv_txn_put(&txn, key, fl_job_record_cancelled(&spec, job->submitted_wall, cancelled), 0);
+	return fl_kv_txn_commit(&n->kv_store, &txn, revision, NULL);
 }
 
 void fl_answer_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_finished_job *f = fl_finished_find(&n->cluster, ref);
-	struct fl_job *job = f ? NULL : fl_job_find(&n->cluster, ref);
-	enum fl_status status;
-	struct fl_job_record rec = {.final = true, .cancelled = fl_wall()};
-	uint64_t rev;
+	struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
+	struct fl_job *job = finished ? NULL : fl_job_find(&n->cluster, ref);
+	enum fl_job_status status;
+	struct fl_job_record record = {.final = true, .cancelled_wall = fl_wall()};
+	uint64_t revision;
 	bool done = false;
 	int rc;
 
-	if (!f && !job) {
+	if (!finished && !job) {
 		poll_record(n, ref, resp);
 		job = fl_job_find(&n->cluster, ref);
 		if (resp->status != 200 || !job)
@@ -124,39 +126,39 @@
 		free(resp->body);
 		resp->body = NULL;
 	}
-	if (f) {
-		say_final(resp, f, false);
+	if (finished) {
+		say_final(resp, finished, false);
 		return;
 	}
-	if (job->unsure && !job->finishing)
+	if (job->final_write_unknown && !job->final_write_in_flight)
 		fl_record_writer_reread_job(n, ref, &done, &status);
 	job = fl_is_leader(n) ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && job->cancelled) {
 		say_cancelled(resp, ref);
 		return;
 	}
-	if (!job || job->finishing || job->unsure) {
+	if (!job || job->final_write_in_flight || job->final_write_unknown) {
 		fl_later(resp, "the job's state is being written");
 		return;
 	}
 	/* Till this is answered, only the record knows: see fl_answer_poll. */
-	job->unsure = true;
-	rc = write_cancel(n, job, rec.cancelled, &rev);
+	job->final_write_unknown = true;
+	rc = write_cancel(n, job, record.cancelled_wall, &revision);
 	job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && rc == 0) {
-		fl_cluster_cancelled(&n->cluster, job, &rec, rev);
+		fl_cluster_apply_cancellation(&n->cluster, job, &record, revision);
 		fl_command_stop_job(n, job);
 		fl_info("jobs", "%s is cancelled", ref);
 	} else if (job && rc == -EAGAIN) {
-		job->unsure = false;
+		job->final_write_unknown = false;
 	} else if (job) {
 		fl_record_writer_reread_job(n, ref, &done, &status);
 	} else if (rc == 0) {
-		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
+		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(record.cancelled_wall));
 	}
-	f = fl_finished_find(&n->cluster, ref);
-	if (f)
-		say_final(resp, f, false);
+	finished = fl_finished_job_find(&n->cluster, ref);
+	if (finished)
+		say_final(resp, finished, false);
 	else if (rc == 0)
 		/* Stored, though this node leads no more: the next leader stops its tasks. */
 		say_cancelled(resp, ref);
--- a/src/coordination/answer.h
+++ b/src/coordination/answer.h
@@ -8,7 +8,7 @@
 struct fl_node;
 
 /* What this leader knows of a job without a wait; not `known` if only its record can tell. */
-struct fl_job_state fl_answer_from_memory(const struct fl_node *n, const char *ref);
+struct fl_job_status_report fl_answer_from_memory(const struct fl_node *n, const char *ref);
 /* Answers a poll, from memory where that is certain, else from the record. */
 void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp);
 /* Cancels a job, and answers once that is stored; a finished one keeps its state. */
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -86,8 +86,8 @@
 
 void fl_command_send_pending(struct fl_node *n)
 {
-	for (int i = 0; i < n->cluster.machines.n; i++) {
-		struct fl_machine *m = n->cluster.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.count; i++) {
+		struct fl_machine *m = n->cluster.machines.by_id[i];
 
 		if (m->command_pending && m->up && !m->decommissioned)
 			fl_command_send(n, m);
@@ -96,11 +96,11 @@
 
 void fl_command_stop_job(struct fl_node *n, struct fl_job *job)
 {
-	for (int i = 0; i < n->cluster.machines.n; i++) {
-		struct fl_machine *m = n->cluster.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.count; i++) {
+		struct fl_machine *m = n->cluster.machines.by_id[i];
 
-		for (int k = 0; k < m->n_slots; k++) {
-			if (m->slots[k].job == job) {
+		for (int k = 0; k < m->assignment_count; k++) {
+			if (m->assignments[k].job == job) {
 				fl_command_send(n, m);
 				break;
 			}
@@ -114,8 +114,8 @@
 /* Stops the tasks of cancelled jobs on one machine, or returns the machine when time is short. */
 static void enforce_cancellations(struct fl_node *n, struct fl_machine *m, double now)
 {
-	for (int k = 0; k < m->n_slots && !m->decommissioned; k++) {
-		struct fl_job *job = m->slots[k].job;
+	for (int k = 0; k < m->assignment_count && !m->decommissioned; k++) {
+		struct fl_job *job = m->assignments[k].job;
 
 		if (!job->cancelled)
 			continue;
@@ -137,8 +137,8 @@
 
 		if (!fl_is_leader(n))
 			continue;
-		for (int i = 0; i < n->cluster.machines.n; i++)
-			enforce_cancellations(n, n->cluster.machines.at[i], now);
+		for (int i = 0; i < n->cluster.machines.count; i++)
+			enforce_cancellations(n, n->cluster.machines.by_id[i], now);
 	}
 	n->leadership.coroutines_running--;
 	fl_signal_wake(&n->leadership.coroutine_ended);
--- a/src/coordination/election.c
+++ b/src/coordination/election.c
@@ -58,11 +58,12 @@
 static int read_leadership(struct fl_node *n, struct control *election_state)
 {
 	double sent = fl_now();
-	uint64_t rev;
+	uint64_t revision;
 	int rc;
 
 	memset(election_state, 0, sizeof(*election_state));
-	rc = fl_kv_list(&n->kv_store, FL_PREFIX_ELECTION, on_election_key, election_state, &rev);
+	rc = fl_kv_list(&n->kv_store, FL_PREFIX_ELECTION, on_election_key, election_state,
+	                &revision);
 	if (rc)
 		return rc;
 	if (election_state->fencing_token >= n->fencing_token) {
@@ -97,7 +98,7 @@
 static void acquire_leadership(struct fl_node *n, const struct control *election_state)
 {
 	struct fl_election *lease = &n->election;
-	uint64_t lease_id, rev, fencing_token = election_state->fencing_token + 1;
+	uint64_t lease_id, revision, fencing_token = election_state->fencing_token + 1;
 	double sent = fl_now();
 	struct fl_kv_txn txn;
 	cJSON *leader_value, *token_value;
@@ -115,14 +116,14 @@
 	fl_kv_txn_expect_revision(&txn, FL_KEY_FENCING_TOKEN, election_state->token_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_LEADER, leader_value, lease_id);
 	fl_kv_txn_put(&txn, FL_KEY_FENCING_TOKEN, token_value, 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
 	if (rc) {
 		/* If it was, or will yet be, carried out: the key goes with its lease. */
 		fl_kv_lease_revoke(&n->kv_store, lease_id);
 		return;
 	}
 	lease->lease_id = lease_id;
-	lease->leader_mod_revision = lease->token_mod_revision = rev;
+	lease->leader_mod_revision = lease->token_mod_revision = revision;
 	lease->fencing_token = fencing_token;
 	lease->lease_valid_until = sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
 	lease->lease_held = true;
@@ -139,7 +140,7 @@
 static void raise_fencing_token(struct fl_node *n)
 {
 	struct fl_election *lease = &n->election;
-	uint64_t rev, lease_id = lease->lease_id;
+	uint64_t revision, lease_id = lease->lease_id;
 	struct fl_kv_txn txn;
 	struct control election_state;
 	cJSON *token_value = cJSON_CreateObject();
@@ -151,12 +152,12 @@
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, lease->leader_mod_revision);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_FENCING_TOKEN, lease->token_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_FENCING_TOKEN, token_value, 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
 	if (!lease->lease_held || lease->lease_id != lease_id)
 		return;
 	if (!rc) {
 		lease->fencing_token++;
-		lease->token_mod_revision = rev;
+		lease->token_mod_revision = revision;
 		lease->token_raise_wanted = false;
 	} else if (read_leadership(n, &election_state) == 0 && lease->lease_held &&
 	           election_state.leader_mod_revision == lease->leader_mod_revision) {
@@ -205,7 +206,7 @@
 static double campaign(struct fl_node *n, int place)
 {
 	struct control election_state;
-	uint64_t rev, lease_id = 0;
+	uint64_t revision, lease_id = 0;
 	cJSON *value;
 
 	if (read_leadership(n, &election_state) != 0)
@@ -214,9 +215,9 @@
 		return tunables.poll_s;
 	if (election_state.found && strcmp(election_state.process_id, n->process_id) != 0) {
 		/* An earlier process of this node; it is dead, or this one would not run. */
-		if (fl_kv_get(&n->kv_store, FL_KEY_LEADER, &value, &rev, &lease_id) == 0) {
+		if (fl_kv_get(&n->kv_store, FL_KEY_LEADER, &value, &revision, &lease_id) == 0) {
 			cJSON_Delete(value);
-			if (lease_id && rev == election_state.leader_mod_revision)
+			if (lease_id && revision == election_state.leader_mod_revision)
 				fl_kv_lease_revoke(&n->kv_store, lease_id);
 		}
 		return 0;
@@ -281,25 +282,25 @@
 static void watch_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
-	uint64_t rev = 0;
+	uint64_t revision = 0;
 
 	fl_urgent();
 	while (!fl_cancelled()) {
 		double sent = fl_now();
 		int rc;
 
-		if (rev == 0) {
+		if (revision == 0) {
 			rc = fl_kv_list(&n->kv_store, FL_PREFIX_ELECTION, on_election_event, n,
-			                &rev);
+			                &revision);
 			/* A read like any other: with it a node just started can renew at once. */
 			if (rc == 0 && sent > n->leadership_confirmed_at)
 				n->leadership_confirmed_at = sent;
 		} else {
-			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_ELECTION, &rev, tunables.watch_s,
-			                 on_election_event, n);
+			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_ELECTION, &revision,
+			                 tunables.watch_s, on_election_event, n);
 		}
 		if (rc == -ERANGE)
-			rev = 0;
+			revision = 0;
 		if (rc && fl_sleep(tunables.retry_s) != 0)
 			break;
 	}
--- a/src/coordination/failover.c
+++ b/src/coordination/failover.c
@@ -14,7 +14,7 @@
 	struct fl_node *node;
 	double now;
 	int progress_record_count, orphan_record_count, unreadable_record_count;
-	struct fl_log wal;
+	struct fl_wal wal;
 };
 
 static void load_job(void *ctx, const struct fl_kv_event *event)
@@ -22,45 +22,46 @@
 	struct load *load = ctx;
 	struct fl_cluster *b = &load->node->cluster;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
-	struct fl_job_record rec;
+	struct fl_job_record record;
 	struct fl_job *job;
 
 	if (strlen(ref) >= FL_REF_MAX || !event->value ||
-	    fl_job_record_decode(event->value, ref, &rec) != 0) {
+	    fl_job_record_decode(event->value, ref, &record) != 0) {
 		fl_error("takeover", "%s: cannot be read", event->key);
 		load->unreadable_record_count++;
 		return;
 	}
-	if (rec.has_spec) {
-		job = fl_job_add(b, &rec.spec, rec.submitted, event->mod_revision);
+	if (record.has_spec) {
+		job = fl_job_add(b, &record.spec, record.submitted_wall, event->mod_revision);
 		if (!job) {
 			/* Its progress would pass for left behind, and be deleted. */
 			fl_error("takeover", "%s: names what is unknown here", event->key);
 			load->unreadable_record_count++;
 			return;
 		}
-		job->rev = event->mod_revision;
+		job->mod_revision = event->mod_revision;
 		job->listed = true;
 	}
-	if (!rec.final)
+	if (!record.final)
 		return;
 	/* A cancelled job whose tasks may still be about stays, to be stopped and counted. */
-	if (rec.has_spec) {
+	if (record.has_spec) {
 		job->cancelled = true;
 		/* Each new leader counting anew, one that leads briefly stops nothing. */
-		job->cancelled_at = fl_since(rec.cancelled);
+		job->cancelled_at = fl_since(record.cancelled_wall);
 	}
-	fl_finished_add(b, ref, rec.status, rec.n_tasks, fl_since(rec.cancelled));
+	fl_finished_job_add(b, ref, record.status, record.task_count,
+	                    fl_since(record.cancelled_wall));
 }
 
 static void load_progress_record(void *ctx, const struct fl_kv_event *event)
 {
 	struct load *load = ctx;
 	char ref[FL_REF_MAX];
-	uint32_t chunk;
+	uint32_t block_index;
 	struct fl_job *job;
 
-	if (fl_key_chunk_parse(event->key, ref, &chunk) != 0) {
+	if (fl_key_progress_parse(event->key, ref, &block_index) != 0) {
 		load->unreadable_record_count++;
 		return;
 	}
@@ -68,11 +69,11 @@
 	if (!job) {
 		/* Left behind by a final write that had more to delete than fits in one. */
 		load->orphan_record_count++;
-		fl_record_writer_discard(load->node, event->key);
+		fl_record_writer_delete_later(load->node, event->key);
 		return;
 	}
-	if (fl_chunk_restore(&load->node->cluster, job, chunk, event->value, event->mod_revision,
-	                     &load->wal, load->now) != 0) {
+	if (fl_task_block_restore(&load->node->cluster, job, block_index, event->value,
+	                          event->mod_revision, &load->wal, load->now) != 0) {
 		fl_error("takeover", "%s: cannot be read", event->key);
 		load->unreadable_record_count++;
 	}
@@ -83,7 +84,7 @@
 {
 	struct load *load = ctx;
 
-	if (fl_log_read(&load->wal, event->value) != 0) {
+	if (fl_wal_read(&load->wal, event->value) != 0) {
 		fl_error("takeover", "%s: cannot be read", event->key);
 		load->unreadable_record_count++;
 	}
@@ -96,15 +97,17 @@
 {
 	struct fl_cluster *b = &load->node->cluster;
 
-	for (int i = 0; i < load->wal.n; i++) {
-		const struct fl_log_group *g = &load->wal.at[i];
-		struct fl_job *job = fl_job_find(b, g->ref);
+	for (int i = 0; i < load->wal.group_count; i++) {
+		const struct fl_wal_group *group = &load->wal.groups[i];
+		struct fl_job *job = fl_job_find(b, group->ref);
 
 		/* No such job: it is over, and older writes of the log may stand for ever. */
-		if (g->taken || !job)
+		if (group->restored || !job)
 			continue;
-		if (fl_chunk_restore(b, job, g->chunk, NULL, 0, &load->wal, load->now) != 0) {
-			fl_error("takeover", "the log's %s/%u: cannot be read", g->ref, g->chunk);
+		if (fl_task_block_restore(b, job, group->block_index, NULL, 0, &load->wal,
+		                          load->now) != 0) {
+			fl_error("takeover", "the log's %s/%u: cannot be read", group->ref,
+			         group->block_index);
 			load->unreadable_record_count++;
 		}
 	}
@@ -114,30 +117,30 @@
 {
 	struct load load = {.node = n, .now = fl_now()};
 	struct fl_job *job, *tmp;
-	uint64_t rev;
+	uint64_t revision;
 	int rc, jobs = 0;
 	double sent = fl_now();
 
 	fl_cluster_forget_tasks(&n->cluster);
 	n->cluster.leading = true;
 	fl_cluster_list_begin(&n->cluster);
-	rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, load_job, &load, &rev);
+	rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, load_job, &load, &revision);
 	if (!rc) {
-		fl_cluster_list_end(&n->cluster, rev);
-		n->cluster.list_rev = rev;
+		fl_cluster_list_end(&n->cluster, revision);
+		n->cluster.list_revision = revision;
 		n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
-		rc = fl_kv_list(&n->kv_store, FL_PREFIX_WAL, load_wal_value, &load, &rev);
+		rc = fl_kv_list(&n->kv_store, FL_PREFIX_WAL, load_wal_value, &load, &revision);
 	}
 	if (!rc && !n->election.lease_held)
 		rc = -EAGAIN; /* lost meanwhile: the rest is no use, and half a state must not be
 		                 used */
 	if (!rc)
 		rc = fl_kv_list(&n->kv_store, FL_PREFIX_PROGRESS, load_progress_record, &load,
-		                &rev);
+		                &revision);
 	if (!rc)
 		restore_wal_only_blocks(&load);
 	n->leadership.wal_revision_known = rc == 0;
-	fl_log_free(&load.wal);
+	fl_wal_free(&load.wal);
 	if (rc)
 		return rc;
 	if (load.unreadable_record_count) {
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -47,7 +47,7 @@
 		const struct fl_peer *peer = &n->peers[i];
 
 		if (m->zone >= 0 && !peer->up &&
-		    strcmp(peer->location, fl_names_at(&n->cluster.zones, m->zone)) == 0 &&
+		    strcmp(peer->location, fl_symbol_name(&n->cluster.zones, m->zone)) == 0 &&
 		    peer->last_heard_at > last - slack && peer->last_heard_at < last + slack)
 			return fl_follower_renewal_window_s(n);
 	}
@@ -59,7 +59,7 @@
 {
 	double allowed, silent = now - last_contact(n, m) - tunables.margin_s, renewed;
 
-	if (!m->up && m->n_slots == 0)
+	if (!m->up && m->assignment_count == 0)
 		return false;
 	allowed = (m->zone >= 0 ? leases[m->zone] : 1) * n->config->lease_s;
 	/* Thousands report in time; only for the few others the zone's controllers are looked up.
@@ -103,11 +103,12 @@
 {
 	struct silent_count all = {0}, by_zone[FL_ZONES_MAX] = {{0}};
 
-	for (int i = 0; i < n->cluster.machines.n; i++) {
-		const struct fl_machine *m = n->cluster.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.count; i++) {
+		const struct fl_machine *m = n->cluster.machines.by_id[i];
 		bool silent;
 
-		if (m->decommissioned || m->draining || m->spot || (!m->up && m->n_slots == 0))
+		if (m->decommissioned || m->draining || m->spot ||
+		    (!m->up && m->assignment_count == 0))
 			continue;
 		silent = now - last_contact(n, m) > tunables.silent_leases * n->config->lease_s;
 		all.total++;
--- a/src/coordination/record_writer_final.c
+++ b/src/coordination/final_record_writer.c
@@ -9,41 +9,44 @@
 #include "transport/log.h"
 #include "transport/text.h"
 
-void fl_record_writer_heard(struct fl_node *n, struct fl_job *job, const struct fl_job_record *rec,
-                            uint64_t rev)
+void fl_record_writer_apply_record(struct fl_node *n, struct fl_job *job,
+                                   const struct fl_job_record *record, uint64_t revision)
 {
-	if (!fl_cluster_cancelled(&n->cluster, job, rec, rev))
+	if (!fl_cluster_apply_cancellation(&n->cluster, job, record, revision))
 		return;
 	fl_command_stop_job(n, job);
 	fl_info("jobs", "%s is cancelled, says its record", job->ref);
 }
 
 int fl_record_writer_reread_job(struct fl_node *n, const char *ref, bool *over,
-                                enum fl_status *status)
+                                enum fl_job_status *status)
 {
-	struct fl_job_record rec;
+	struct fl_job_record record;
 	struct fl_job *job;
-	uint64_t rev = 0;
+	uint64_t revision = 0;
 	cJSON *v = NULL;
-	int rc = fl_records_read(&n->kv_store, ref, &rec, &v, &rev);
+	int rc = fl_job_record_read(&n->kv_store, ref, &record, &v, &revision);
 
 	*over = rc == 0 && v == NULL;
-	*status = rec.status;
+	*status = record.status;
 	job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (rc == 0 && v && job)
-		fl_record_writer_heard(n, job, &rec, rev);
+		fl_record_writer_apply_record(n, job, &record, revision);
 	cJSON_Delete(v);
 	return rc;
 }
 
-static bool has_record(const struct fl_chunk *c) { return c && (c->rev != 0 || c->rev_unknown); }
+static bool has_progress_record(const struct fl_task_block *block)
+{
+	return block && (block->mod_revision != 0 || block->revision_unknown);
+}
 
 /*
  * Builds the transaction that replaces a job's record by its final one and deletes its progress
  * records. Returns the first chunk whose record did not fit.
  */
-static uint32_t build_final(const struct fl_node *n, const struct fl_job *job,
-                            enum fl_status status, struct fl_kv_txn *txn)
+static uint32_t build_final_txn(const struct fl_node *n, const struct fl_job *job,
+                                enum fl_job_status status, struct fl_kv_txn *txn)
 {
 	char key[FL_KEY_MAX];
 	uint32_t rest = 0;
@@ -51,50 +54,51 @@
 	fl_kv_txn_init(txn);
 	fl_kv_txn_expect_revision(txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	fl_key_job(key, job->ref);
-	fl_kv_txn_expect_revision(txn, key, job->rev);
+	fl_kv_txn_expect_revision(txn, key, job->mod_revision);
 	fl_kv_txn_delete(txn, key);
 	fl_key_finished(key, job->ref);
-	fl_kv_txn_put(txn, key, fl_job_record_final(status, job->n_tasks), 0);
-	for (; rest < job->n_chunks && txn->operation_count < n->config->txn_ops; rest++) {
-		if (!has_record(fl_job_chunk(job, rest)))
+	fl_kv_txn_put(txn, key, fl_job_record_final(status, job->task_count), 0);
+	for (; rest < job->block_count && txn->operation_count < n->config->txn_ops; rest++) {
+		if (!has_progress_record(fl_job_task_block(job, rest)))
 			continue;
-		fl_key_chunk(key, job->ref, rest);
+		fl_key_progress(key, job->ref, rest);
 		fl_kv_txn_delete(txn, key);
 	}
 	return rest;
 }
 
 /* Marks the progress records from this chunk on for deletion. */
-static void discard_from(struct fl_node *n, const struct fl_job *job, uint32_t chunk)
+static void delete_records_later(struct fl_node *n, const struct fl_job *job, uint32_t block_index)
 {
 	char key[FL_KEY_MAX];
 
-	for (; chunk < job->n_chunks; chunk++) {
-		if (!has_record(fl_job_chunk(job, chunk)))
+	for (; block_index < job->block_count; block_index++) {
+		if (!has_progress_record(fl_job_task_block(job, block_index)))
 			continue;
-		fl_key_chunk(key, job->ref, chunk);
-		fl_record_writer_discard(n, key);
+		fl_key_progress(key, job->ref, block_index);
+		fl_record_writer_delete_later(n, key);
 	}
 }
 
-static void drop_finished(struct fl_node *n, struct fl_job *job, enum fl_status status)
+static void drop_finished(struct fl_node *n, struct fl_job *job, enum fl_job_status status)
 {
 	fl_info("jobs", "%s is %s", job->ref, fl_status_name(status));
 	fl_job_finalise(&n->cluster, job, status);
 }
 
 /* Writes the final state and removes the progress records, all at once if they are few. */
-static int finalise(struct fl_node *n, struct fl_job *job)
+static int write_final_record(struct fl_node *n, struct fl_job *job)
 {
-	enum fl_status status;
+	enum fl_job_status status;
 	struct fl_kv_txn txn;
 	char failed[FL_KEY_MAX];
-	uint64_t rev;
+	uint64_t revision;
 	bool done = false;
 	uint32_t rest;
 	int rc;
 
-	if (job->unsure && (rc = fl_record_writer_reread_job(n, job->ref, &done, &status)) != 0)
+	if (job->final_write_unknown &&
+	    (rc = fl_record_writer_reread_job(n, job->ref, &done, &status)) != 0)
 		return rc;
 	if (done) {
 		drop_finished(n, job, status);
@@ -103,21 +107,21 @@
 	if (!fl_job_is_over(job))
 		return 0;
 	status = job->cancelled ? FL_CANCELLED : FL_DONE;
-	rest = build_final(n, job, status, &txn);
+	rest = build_final_txn(n, job, status, &txn);
 	rc = fl_record_writer_await_budget(n, txn.operation_count);
 	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
-	job->finishing = true;
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, failed);
+	job->final_write_in_flight = true;
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, failed);
 	if (rc == 0) {
-		discard_from(n, job, rest);
+		delete_records_later(n, job, rest);
 		drop_finished(n, job, status);
 		return 0;
 	}
-	job->finishing = false;
-	job->unsure = rc != -EAGAIN;
+	job->final_write_in_flight = false;
+	job->final_write_unknown = rc != -EAGAIN;
 	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
 		fl_election_step_down(n, "another leads");
 	return rc;
@@ -133,7 +137,7 @@
 		next = job->next_dirty;
 		if (!fl_job_is_over(job))
 			continue;
-		rc = finalise(n, job);
+		rc = write_final_record(n, job);
 		if (rc == 0 || rc == -ECANCELED || !fl_is_leader(n))
 			return rc;
 	}
@@ -146,45 +150,45 @@
 	char key[FL_KEY_MAX];
 };
 
-void fl_record_writer_discard(struct fl_node *n, const char *key)
+void fl_record_writer_delete_later(struct fl_node *n, const char *key)
 {
-	struct fl_pending_deletion *t = malloc(sizeof(*t));
+	struct fl_pending_deletion *deletion = malloc(sizeof(*deletion));
 
-	if (!t)
+	if (!deletion)
 		return; /* it costs a record's room, nothing else */
-	fl_copy_string(t->key, sizeof(t->key), key);
-	t->next = n->leadership.pending_deletions;
-	n->leadership.pending_deletions = t;
+	fl_copy_string(deletion->key, sizeof(deletion->key), key);
+	deletion->next = n->leadership.pending_deletions;
+	n->leadership.pending_deletions = deletion;
 }
 
 void fl_record_writer_free_pending(struct fl_node *n)
 {
 	while (n->leadership.pending_deletions) {
-		struct fl_pending_deletion *t = n->leadership.pending_deletions;
+		struct fl_pending_deletion *deletion = n->leadership.pending_deletions;
 
-		n->leadership.pending_deletions = t->next;
-		free(t);
+		n->leadership.pending_deletions = deletion->next;
+		free(deletion);
 	}
 }
 
 int fl_record_writer_delete_pending(struct fl_node *n)
 {
-	struct fl_pending_deletion *t = n->leadership.pending_deletions;
+	struct fl_pending_deletion *deletion = n->leadership.pending_deletions;
 	struct fl_kv_txn txn;
-	uint64_t rev;
+	uint64_t revision;
 	int rc;
 
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
-	for (; t && txn.operation_count < n->config->txn_ops; t = t->next)
-		fl_kv_txn_delete(&txn, t->key);
+	for (; deletion && txn.operation_count < n->config->txn_ops; deletion = deletion->next)
+		fl_kv_txn_delete(&txn, deletion->key);
 	rc = fl_record_writer_await_budget(n, txn.operation_count);
 	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
-	while (rc == 0 && n->leadership.pending_deletions != t) {
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
+	while (rc == 0 && n->leadership.pending_deletions != deletion) {
 		struct fl_pending_deletion *deleted = n->leadership.pending_deletions;
 
 		n->leadership.pending_deletions = deleted->next;
--- a/src/coordination/follower.c
+++ b/src/coordination/follower.c
@@ -62,11 +62,11 @@
 	double before = fl_now() - fl_follower_renewal_window_s(n);
 
 	for (int i = 0; i < heartbeat->task_count; i++) {
-		const struct fl_finished_job *f =
-			fl_finished_find(&n->cluster, heartbeat->tasks[i].ref);
+		const struct fl_finished_job *finished =
+			fl_finished_job_find(&n->cluster, heartbeat->tasks[i].ref);
 
-		if (heartbeat->tasks[i].state != FL_TASK_STATE_EXITED && f &&
-		    f->status == FL_CANCELLED && f->cancelled_at < before)
+		if (heartbeat->tasks[i].state != FL_TASK_STATE_EXITED && finished &&
+		    finished->status == FL_CANCELLED && finished->cancelled_at < before)
 			return true;
 	}
 	return false;
@@ -82,9 +82,11 @@
 {
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_task_status *status = &heartbeat->tasks[i];
-		const struct fl_finished_job *f = fl_finished_find(&n->cluster, status->ref);
+		const struct fl_finished_job *finished =
+			fl_finished_job_find(&n->cluster, status->ref);
 
-		if (status->state != FL_TASK_STATE_EXITED && f && f->status == FL_CANCELLED)
+		if (status->state != FL_TASK_STATE_EXITED && finished &&
+		    finished->status == FL_CANCELLED)
 			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
 			                    status->attempt, 0);
 	}
--- a/src/coordination/follower.h
+++ b/src/coordination/follower.h
@@ -9,7 +9,7 @@
 #include "coordination/forwarding.h"
 #include "coordination/heartbeat_digest.h"
 #include "coordination/redirect.h"
-#include "storage/write_budget.h"
+#include "storage/token_bucket.h"
 #include "transport/http_server.h"
 #include "transport/routine.h"
 
@@ -21,7 +21,7 @@
 	struct fl_misplaced_worker *misplaced_workers;
 	int redirect_cursor; /* whose turn it is to get a worker that is sent away */
 	struct fl_digest_slot digests[FL_DIGESTS_MAX];
-	struct fl_budget write_budget;
+	struct fl_token_bucket write_budget;
 	double refreshed_at;
 	bool refreshing;
 	struct fl_signal refreshed; /* the read for a fresher proof has come back */
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -36,7 +36,7 @@
 		const struct fl_cancelled *c = &g->cancelled[i];
 		struct fl_job *job;
 
-		if (fl_finished_find(&n->cluster, c->ref))
+		if (fl_finished_job_find(&n->cluster, c->ref))
 			continue;
 		fl_cluster_learn_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
 		job = n->leadership.active ? fl_job_find(&n->cluster, c->ref) : NULL;
@@ -97,7 +97,8 @@
 static void add_cancelled(const struct fl_node *n, double since, struct fl_gossip *g)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
-	int count = fl_finished_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
+	int count =
+		fl_finished_jobs_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
 
 	if (!n->jobs_known || count < 0)
 		return;
--- a/src/coordination/heartbeat_digest.c
+++ b/src/coordination/heartbeat_digest.c
@@ -68,16 +68,16 @@
 	struct fl_digest_slot *slot = &n->follower.digests[at];
 	char key[FL_KEY_MAX];
 	struct fl_kv_txn txn;
-	uint64_t rev = 0;
+	uint64_t revision = 0;
 	cJSON *v;
 	int rc = 0;
 
 	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", n->config->node, at);
 	if (!slot->revision_known) {
-		rc = fl_kv_get(&n->kv_store, key, &v, &rev, NULL);
+		rc = fl_kv_get(&n->kv_store, key, &v, &revision, NULL);
 		cJSON_Delete(v);
 		slot->revision_known = rc == 0 || rc == -ENOENT;
-		slot->mod_revision = rc == 0 ? rev : 0;
+		slot->mod_revision = rc == 0 ? revision : 0;
 	}
 	if (!slot->revision_known) {
 		cJSON_Delete(digest);
@@ -86,9 +86,9 @@
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, key, slot->mod_revision);
 	fl_kv_txn_put(&txn, key, digest, 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
 	if (rc == 0)
-		slot->mod_revision = rev;
+		slot->mod_revision = revision;
 	else if (rc != -EAGAIN)
 		slot->revision_known = false;
 	fl_debug("standby", "digest %d: %s", at, rc ? strerror(-rc) : "stored");
@@ -131,7 +131,7 @@
 	for (int at = 0; at < FL_DIGESTS_MAX; at++) {
 		cJSON *digest;
 
-		if (fl_budget_take(&n->follower.write_budget, 1, fl_now()) > 0)
+		if (fl_token_bucket_take(&n->follower.write_budget, 1, fl_now()) > 0)
 			return;
 		digest = fill_digest(n, since);
 		if (!digest || write_digest(n, at, digest) != 0)
@@ -143,7 +143,7 @@
 {
 	double rate = n->config->state_write_rps * tunables.write_share;
 
-	fl_budget_init(&n->follower.write_budget, rate, rate * interval_s, fl_now());
+	fl_token_bucket_init(&n->follower.write_budget, rate, rate * interval_s, fl_now());
 }
 
 void fl_heartbeat_digest_write(struct fl_node *n, double now, double interval_s)
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -21,7 +21,7 @@
 {
 	double rate = n->config->state_rps * tunables.share / (n->n_peers + 1);
 
-	fl_budget_init(&n->poll_reads, rate, rate * tunables.burst_s, fl_now());
+	fl_token_bucket_init(&n->poll_reads, rate, rate * tunables.burst_s, fl_now());
 }
 
 /*
@@ -34,105 +34,109 @@
 	/* While one leads, the others pass their polls on to it, and ask nothing themselves. */
 	if (fl_is_leader(n))
 		requests /= n->n_peers + 1;
-	return fl_budget_take(&n->poll_reads, requests, fl_now()) <= 0;
+	return fl_token_bucket_take(&n->poll_reads, requests, fl_now()) <= 0;
 }
 
 static struct fl_job_lookup *create(const char *ref)
 {
-	struct fl_job_lookup *q = calloc(1, sizeof(*q));
+	struct fl_job_lookup *lookup = calloc(1, sizeof(*lookup));
 
-	if (q)
-		fl_copy_string(q->ref, sizeof(q->ref), ref);
-	return q;
+	if (lookup)
+		fl_copy_string(lookup->ref, sizeof(lookup->ref), ref);
+	return lookup;
 }
 
-static void release(struct fl_job_lookup *q, int held)
+static void release(struct fl_job_lookup *lookup, int held)
 {
-	q->users -= held;
-	if (q->users > 0)
+	lookup->holder_count -= held;
+	if (lookup->holder_count > 0)
 		return;
-	cJSON_Delete(q->v);
-	free(q);
+	cJSON_Delete(lookup->value);
+	free(lookup);
 }
 
 /* From here on it is being asked: who comes later waits for the next. */
-static void enter(struct fl_node *n, struct fl_job_lookup *q)
+static void enter(struct fl_node *n, struct fl_job_lookup *lookup)
 {
-	HASH_ADD_STR(n->job_lookups, ref, q);
-	q->users++;
+	HASH_ADD_STR(n->job_lookups, ref, lookup);
+	lookup->holder_count++;
 }
 
 /* The table's hold on it passes to the caller. */
-static void read_records(struct fl_node *n, struct fl_job_lookup *q)
+static void read_records(struct fl_node *n, struct fl_job_lookup *lookup)
 {
-	q->rc = fl_job_lookup_affords(n, tunables.reads)
-	                ? fl_records_read(&n->kv_store, q->ref, &q->rec, &q->v, &q->rev)
-	                : -EAGAIN;
+	lookup->rc = fl_job_lookup_affords(n, tunables.reads)
+	                     ? fl_job_record_read(&n->kv_store, lookup->ref, &lookup->record,
+	                                          &lookup->value, &lookup->mod_revision)
+	                     : -EAGAIN;
 	/* It never changes again: who asks next is answered from memory. */
-	if (!q->rc && q->rec.final && !q->v && q->rec.status == FL_DONE)
-		fl_finished_add(&n->cluster, q->ref, FL_DONE, q->rec.n_tasks, 0);
-	HASH_DEL(n->job_lookups, q);
-	if (q->next)
-		enter(n, q->next);
-	q->over = true;
-	fl_signal_wake(&q->done);
+	if (!lookup->rc && lookup->record.final && !lookup->value &&
+	    lookup->record.status == FL_DONE)
+		fl_finished_job_add(&n->cluster, lookup->ref, FL_DONE, lookup->record.task_count,
+		                    0);
+	HASH_DEL(n->job_lookups, lookup);
+	if (lookup->next)
+		enter(n, lookup->next);
+	lookup->done = true;
+	fl_signal_wake(&lookup->completed);
 }
 
 /*
  * The first of those that came after the sending reads for all of them. Returns how often the
- * caller holds `q` then.
+ * caller holds `lookup` then.
  */
-static int read_after(struct fl_node *n, struct fl_job_lookup *before, struct fl_job_lookup *q)
+static int read_after(struct fl_node *n, struct fl_job_lookup *before, struct fl_job_lookup *lookup)
 {
 	int held = 1;
 
-	before->next = q;
-	before->users++;
-	while (!before->over && fl_signal_wait(&before->done, tunables.patience_s) == 0)
+	before->next = lookup;
+	before->holder_count++;
+	while (!before->done && fl_signal_wait(&before->completed, tunables.patience_s) == 0)
 		;
-	if (before->over) {
-		read_records(n, q);
+	if (before->done) {
+		read_records(n, lookup);
 		held++;
 	} else {
 		before->next = NULL;
-		q->rc = -EAGAIN;
-		q->over = true;
-		fl_signal_wake(&q->done);
+		lookup->rc = -EAGAIN;
+		lookup->done = true;
+		fl_signal_wake(&lookup->completed);
 	}
 	release(before, 1);
 	return held;
 }
 
-int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *rec, cJSON **v,
-                       uint64_t *rev)
+int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *record, cJSON **v,
+                       uint64_t *revision)
 {
-	struct fl_job_lookup *q, *sent;
+	struct fl_job_lookup *lookup, *sent;
 	int rc, held = 1;
 
 	*v = NULL;
 	HASH_FIND_STR(n->job_lookups, ref, sent);
-	q = sent && sent->next ? sent->next : create(ref);
-	if (!q)
+	lookup = sent && sent->next ? sent->next : create(ref);
+	if (!lookup)
 		return -ENOMEM;
-	q->users++;
+	lookup->holder_count++;
 	if (!sent) {
-		enter(n, q);
-		read_records(n, q);
+		enter(n, lookup);
+		read_records(n, lookup);
 		held++;
 	} else if (!sent->next) {
-		held = read_after(n, sent, q);
+		held = read_after(n, sent, lookup);
 	} else {
-		while (!q->over && fl_signal_wait(&q->done, tunables.patience_s) == 0)
+		while (!lookup->done &&
+		       fl_signal_wait(&lookup->completed, tunables.patience_s) == 0)
 			;
 	}
-	rc = q->over ? q->rc : -EAGAIN;
+	rc = lookup->done ? lookup->rc : -EAGAIN;
 	if (!rc) {
-		*rec = q->rec;
-		*rev = q->rev;
-		*v = q->v ? cJSON_Duplicate(q->v, true) : NULL;
-		if (q->v && !*v)
+		*record = lookup->record;
+		*revision = lookup->mod_revision;
+		*v = lookup->value ? cJSON_Duplicate(lookup->value, true) : NULL;
+		if (lookup->value && !*v)
 			rc = -ENOMEM;
 	}
-	release(q, held);
+	release(lookup, held);
 	return rc;
 }
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/job_lookup.h
@@ -11,24 +11,24 @@
 struct fl_job_lookup {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
-	int users; /* routines that hold it, the table included */
-	bool over;
-	struct fl_signal done;
+	int holder_count; /* routines that hold it, the table included */
+	bool done;
+	struct fl_signal completed;
 	struct fl_job_lookup *next; /* requests since the sending wait for this read */
-	int rc;                     /* as of fl_records_read, and what it read */
-	struct fl_job_record rec;
-	cJSON *v;
-	uint64_t rev;
+	int rc;                     /* as of fl_job_record_read, and what it read */
+	struct fl_job_record record;
+	cJSON *value;
+	uint64_t mod_revision;
 };
 
 /* Sets up the budget of reads that polls may cause. */
 void fl_job_lookups_init(struct fl_node *n);
 /*
- * Like fl_records_read, of a read sent after the call. -EAGAIN also when polls have had their share
- * of the state service. `*v` is the caller's.
+ * Like fl_job_record_read, of a read sent after the call. -EAGAIN also when polls have had their
+ * share of the state service. `*value` is the caller's.
  */
-int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *rec, cJSON **v,
-                       uint64_t *rev);
+int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *record, cJSON **v,
+                       uint64_t *revision);
 /* May a poll make one more request to the state service now? */
 bool fl_job_lookup_affords(struct fl_node *n, double requests);
 
--- a/src/coordination/leadership.c
+++ b/src/coordination/leadership.c
@@ -53,15 +53,15 @@
 static void digest_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
-	uint64_t rev = 0;
+	uint64_t revision = 0;
 
 	while (!fl_cancelled()) {
-		int rc = rev == 0 ? fl_kv_list(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, on_digest,
-		                               n, &rev)
-		                  : fl_kv_watch(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, &rev,
-		                                tunables.watch_s, on_digest, n);
+		int rc = revision == 0 ? fl_kv_list(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
+		                                    on_digest, n, &revision)
+		                       : fl_kv_watch(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
+		                                     &revision, tunables.watch_s, on_digest, n);
 		if (rc == -ERANGE)
-			rev = 0;
+			revision = 0;
 		if (rc && fl_sleep(tunables.retry_s) != 0)
 			break;
 	}
@@ -75,13 +75,13 @@
 {
 	struct fl_node *n = ctx;
 	const char *ref = event->key + strlen(FL_PREFIX_FINISHED);
-	struct fl_job_record rec;
+	struct fl_job_record record;
 
 	if (strlen(ref) >= FL_REF_MAX || !event->value ||
-	    fl_job_record_decode(event->value, ref, &rec) != 0 || rec.status != FL_DONE)
+	    fl_job_record_decode(event->value, ref, &record) != 0 || record.status != FL_DONE)
 		return;
 	if (!n->cluster.finished_max || HASH_COUNT(n->cluster.finished) < n->cluster.finished_max)
-		fl_finished_add(&n->cluster, ref, rec.status, rec.n_tasks, 0);
+		fl_finished_job_add(&n->cluster, ref, record.status, record.task_count, 0);
 }
 
 /*
@@ -95,14 +95,14 @@
 {
 	struct fl_node *n = arg;
 	char prefix[FL_KEY_MAX];
-	uint64_t rev;
+	uint64_t revision;
 	int digit = 0;
 
 	while (fl_sleep(tunables.finished_s) == 0) {
 		if (digit > 9 || !fl_is_leader(n))
 			continue;
 		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
-		if (fl_kv_list(&n->kv_store, prefix, on_finished_job, n, &rev) == 0)
+		if (fl_kv_list(&n->kv_store, prefix, on_finished_job, n, &revision) == 0)
 			digit++;
 	}
 	n->leadership.coroutines_running--;
@@ -142,9 +142,9 @@
 	n->leadership.heartbeats_since = fl_now();
 	n->leadership.active = true;
 	n->leadership.cycle_due = true;
-	fl_budget_init(&n->leadership.write_budget, rate, rate, fl_now());
+	fl_token_bucket_init(&n->leadership.write_budget, rate, rate, fl_now());
 	start_coroutine(n, fl_pass_duty);
-	start_coroutine(n, fl_record_writer_duty);
+	start_coroutine(n, fl_record_writer_coroutine);
 	start_coroutine(n, digest_coroutine);
 	start_coroutine(n, fl_command_enforce_coroutine);
 	fl_provision_begin(n);
--- a/src/coordination/leadership.h
+++ b/src/coordination/leadership.h
@@ -19,10 +19,10 @@
 	int coroutines_running;       /* routines that use the leader's cluster state */
 	struct fl_routine *coroutines[FL_LEADER_COROUTINES_MAX];
 	int coroutine_count;
-	struct fl_signal work_available;  /* something to decide */
-	struct fl_signal writes_pending;  /* something to write */
-	struct fl_signal coroutine_ended; /* a routine has ended */
-	struct fl_budget write_budget;    /* of records, a second */
+	struct fl_signal work_available;     /* something to decide */
+	struct fl_signal writes_pending;     /* something to write */
+	struct fl_signal coroutine_ended;    /* a routine has ended */
+	struct fl_token_bucket write_budget; /* of records, a second */
 	uint64_t wal_mod_revision; /* KeyRev of the log's first value, which every write of it
 	                              replaces */
 	bool wal_revision_known;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -160,7 +160,7 @@
 		return;
 	job = fl_job_find(&n->cluster, ref);
 	known = job && job->cancelled;
-	job = fl_cluster_apply(&n->cluster, ref, event->value, event->mod_revision);
+	job = fl_cluster_apply_job_record(&n->cluster, ref, event->value, event->mod_revision);
 	if (!job || !n->leadership.active)
 		return;
 	if (job->cancelled && !known) {
@@ -174,7 +174,7 @@
 static void jobs_duty(void *arg)
 {
 	struct fl_node *n = arg;
-	uint64_t rev = 0;
+	uint64_t revision = 0;
 
 	while (!n->types_known)
 		if (fl_sleep(tunables.retry_s / 5) != 0)
@@ -183,14 +183,14 @@
 		double sent = fl_now();
 		int rc;
 
-		if (rev == 0) {
+		if (revision == 0) {
 			if (!n->cluster.leading)
 				fl_cluster_list_begin(&n->cluster);
-			rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, on_job, n, &rev);
+			rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, on_job, n, &revision);
 			if (rc == 0 && !n->cluster.leading)
-				fl_cluster_list_end(&n->cluster, rev);
+				fl_cluster_list_end(&n->cluster, revision);
 		} else {
-			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_JOBS, &rev, tunables.hold_s,
+			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_JOBS, &revision, tunables.hold_s,
 			                 on_job, n);
 		}
 		if (rc == 0)
@@ -201,7 +201,7 @@
 			fl_info("node", "%s is ready", n->config->node);
 		}
 		if (rc == -ERANGE)
-			rev = 0;
+			revision = 0;
 		if (rc && fl_sleep(tunables.retry_s) != 0)
 			return;
 	}
@@ -211,11 +211,11 @@
  * From the record that a leader keeps of them, else from the cloud. Found on a day of our own: all
  * controllers ended while the cloud was out, and none of them could serve until it was back.
  */
-static int read_types(struct fl_node *n, struct fl_offered_type **types, int *count)
+static int read_types(struct fl_node *n, struct fl_cloud_machine_type **types, int *count)
 {
-	uint64_t rev;
+	uint64_t revision;
 	cJSON *v = NULL;
-	int rc = fl_kv_get(&n->kv_store, FL_KEY_MACHINE_TYPES, &v, &rev, NULL);
+	int rc = fl_kv_get(&n->kv_store, FL_KEY_MACHINE_TYPES, &v, &revision, NULL);
 
 	if (!rc)
 		rc = fl_machine_types_decode(v, types, count);
@@ -228,7 +228,7 @@
 	struct fl_node *n = arg;
 
 	while (!n->types_known) {
-		struct fl_offered_type *types;
+		struct fl_cloud_machine_type *types;
 		int count, rc = read_types(n, &types, &count);
 
 		if (rc == -EPROTO)
@@ -247,26 +247,26 @@
 static int set_up(struct fl_node *n, const struct fl_config *c)
 {
 	n->config = c;
-	n->cluster.finished_lost_at = -1e9;
+	n->cluster.finished_dropped_at = -1e9;
 	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * tunables.finished_share /
 	                                     sizeof(struct fl_finished_job));
 	snprintf(n->process_id, sizeof(n->process_id), "%s-%.6f", c->node, fl_wall());
 	for (int i = 0; i < c->n_zones; i++)
-		if (fl_names_add(&n->cluster.zones, c->zones[i]) < 0)
+		if (fl_symbol_intern(&n->cluster.zones, c->zones[i]) < 0)
 			return -ENOMEM;
 	for (int i = 0; i < c->n_objectives; i++)
 		if (c->objectives[i].job_class[0] &&
-		    fl_names_add(&n->cluster.classes, c->objectives[i].job_class) < 0)
+		    fl_symbol_intern(&n->cluster.classes, c->objectives[i].job_class) < 0)
 			return -ENOMEM;
-	n->n_expected_classes = n->cluster.classes.n;
+	n->n_expected_classes = n->cluster.classes.count;
 	for (int i = 0; i < c->n_teams; i++) {
-		struct fl_team *t = &n->cluster.teams.at[n->cluster.teams.n++];
+		struct fl_team *team = &n->cluster.teams.by_index[n->cluster.teams.count++];
 
-		fl_copy_string(t->name, sizeof(t->name), c->teams[i].name);
-		t->cpus = c->teams[i].cpus;
-		t->gpus = c->teams[i].gpus;
-		t->cpus_max = c->teams[i].cpus_max;
-		t->gpus_max = c->teams[i].gpus_max;
+		fl_copy_string(team->name, sizeof(team->name), c->teams[i].name);
+		team->guaranteed_cpus = c->teams[i].cpus;
+		team->guaranteed_gpus = c->teams[i].gpus;
+		team->max_cpus = c->teams[i].cpus_max;
+		team->max_gpus = c->teams[i].gpus_max;
 	}
 	for (int i = 0; i < c->n_peers; i++) {
 		struct fl_peer *peer = &n->peers[n->n_peers++];
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -58,7 +58,7 @@
 	double leadership_confirmed_at;
 	struct fl_signal leadership_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
-	struct fl_budget poll_reads;
+	struct fl_token_bucket poll_reads;
 	struct fl_batch_queue status_queries;     /* for users' polls */
 	struct fl_batch_queue heartbeat_forwards; /* workers' reports */
 	int forwarded_requests; /* users' calls under way to other controllers, one by one */
--- a/src/coordination/pass.c
+++ b/src/coordination/pass.c
@@ -54,10 +54,10 @@
 		struct fl_machine *m = snapshot->machines[out->starts[i].machine];
 		uint32_t index = fl_task_next_waiting(job, 0, now);
 
-		if (index >= job->n_tasks ||
+		if (index >= job->task_count ||
 		    fl_task_place(&n->cluster, job, index, m, n->election.fencing_token, now) != 0)
 			continue;
-		fl_machine_note_image(m, job->image);
+		fl_machine_record_image(m, job->image);
 		/* What it was reserved for has started; who still waits requests it again in each
 		 * pass. */
 		if ((uint8_t)job->priority >= m->reserved_priority)
@@ -79,7 +79,7 @@
 
 		task->stop_reason = FL_STOP_PREEMPT;
 		fl_info("schedule", "%s/%u is stopped to make room", job->ref, index);
-		fl_command_send(n, n->cluster.machines.at[task->machine]);
+		fl_command_send(n, n->cluster.machines.by_id[task->machine]);
 	}
 }
 
@@ -107,11 +107,11 @@
 		    (from->reserved.made && from->reserved.priority > requested->priority))
 			continue;
 		m->reserved_at = now;
-		m->reserved_within_guarantee = requested->within_guarantee;
+		m->reserved_within_guaranteed = requested->within_guaranteed;
 		m->reserved_priority = (uint8_t)requested->priority;
 		m->reserved_cpus = requested->cpus;
 		m->reserved_gpus = requested->gpus;
-		m->reserved_ram = requested->ram_gb;
+		m->reserved_ram_gb = requested->ram_gb;
 	}
 }
 
@@ -160,14 +160,14 @@
 /* Stops what can save its state on machines that will be reclaimed. */
 static void drain_reclaimed(struct fl_node *n)
 {
-	for (int i = 0; i < n->cluster.machines.n; i++) {
-		struct fl_machine *m = n->cluster.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.count; i++) {
+		struct fl_machine *m = n->cluster.machines.by_id[i];
 
 		if (m->decommissioned || m->interruption_at == 0)
 			continue;
-		for (int k = 0; k < m->n_slots; k++) {
-			struct fl_job *job = m->slots[k].job;
-			struct fl_task *task = fl_task_peek(job, m->slots[k].index);
+		for (int k = 0; k < m->assignment_count; k++) {
+			struct fl_job *job = m->assignments[k].job;
+			struct fl_task *task = fl_task_peek(job, m->assignments[k].index);
 
 			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
@@ -183,14 +183,14 @@
 /* A gang that lost a task cannot go on: the rest is stopped, and it starts again as a whole. */
 static void stop_broken_gangs(struct fl_node *n)
 {
-	for (int i = 0; i < n->cluster.machines.n; i++) {
-		struct fl_machine *m = n->cluster.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.count; i++) {
+		struct fl_machine *m = n->cluster.machines.by_id[i];
 
-		for (int k = 0; k < m->n_slots; k++) {
-			struct fl_job *job = m->slots[k].job;
-			struct fl_task *task = fl_task_peek(job, m->slots[k].index);
+		for (int k = 0; k < m->assignment_count; k++) {
+			struct fl_job *job = m->assignments[k].job;
+			struct fl_task *task = fl_task_peek(job, m->assignments[k].index);
 
-			if (job->kind != FL_GANG || job->n_waiting == 0 ||
+			if (job->kind != FL_GANG || job->waiting_count == 0 ||
 			    task->stop_reason != FL_STOP_NONE)
 				continue;
 			task->stop_reason = FL_STOP_DRAIN;
--- a/src/coordination/pass_snapshot.c
+++ b/src/coordination/pass_snapshot.c
@@ -30,8 +30,8 @@
 {
 	int most = 0;
 
-	for (int i = 0; i < machines->n; i++)
-		most += machines->at[i]->up && !machines->at[i]->decommissioned
+	for (int i = 0; i < machines->count; i++)
+		most += machines->by_id[i]->up && !machines->by_id[i]->decommissioned
 		                ? tunables.waiting_a_machine
 		                : 0;
 	return (uint32_t)(most > tunables.waiting_most ? most : tunables.waiting_most);
@@ -39,19 +39,19 @@
 
 static uint32_t count_startable(struct fl_job *job, uint32_t considered, double now)
 {
-	uint32_t most = job->kind == FL_GANG ? job->n_tasks : considered;
+	uint32_t most = job->kind == FL_GANG ? job->task_count : considered;
 	uint32_t at = 0, count = 0;
 
 	if (job->not_before > now)
 		return 0;
 	/* A gang starts only whole: all that is not done, and none of it anywhere yet. */
-	if (job->kind == FL_GANG && job->n_placed > 0)
+	if (job->kind == FL_GANG && job->placed_count > 0)
 		return 0;
-	while (count < most && (at = fl_task_next_waiting(job, at, now)) < job->n_tasks) {
+	while (count < most && (at = fl_task_next_waiting(job, at, now)) < job->task_count) {
 		count++;
 		at++;
 	}
-	return job->kind == FL_GANG && count < job->n_waiting ? 0 : count;
+	return job->kind == FL_GANG && count < job->waiting_count ? 0 : count;
 }
 
 /* Urgent work and services count by their priority alone. */
@@ -74,24 +74,24 @@
 	to->service = job->kind == FL_SERVICE;
 	to->gang = job->kind == FL_GANG;
 	to->team = job->team;
-	to->waited_s = wall - job->submitted;
-	to->est_s = job->expected_s;
+	to->waited_s = wall - job->submitted_wall;
+	to->estimate_s = job->expected_s;
 	to->cpus = job->cpus;
 	to->gpus = job->gpus;
 	to->ram_gb = job->ram_gb;
 	to->image_gb = job->image_gb;
-	to->n_tasks = job->n_tasks;
+	to->task_count = job->task_count;
 	to->types = job->types;
 	to->zone = job->zone;
-	to->together = job->together;
-	to->apart = job->apart;
-	to->reclaimable = job->reclaimable;
-	memcpy(to->zone_placed, job->zone_placed, sizeof(to->zone_placed));
-	to->zone_unknown = job->zone_unknown;
+	to->same_zone = job->same_zone;
+	to->spread_zones = job->spread_zones;
+	to->spot_allowed = job->spot_allowed;
+	memcpy(to->placed_by_zone, job->placed_by_zone, sizeof(to->placed_by_zone));
+	to->placed_in_unknown_zone = job->placed_in_unknown_zone;
 	to->image = job->image;
-	to->within_guarantee = job->within_guarantee;
+	to->within_guaranteed = job->within_guaranteed;
 	to->background = is_background(n, job);
-	to->begun = job->n_placed > 0 || job->n_done > 0;
+	to->begun = job->placed_count > 0 || job->done_count > 0;
 	to->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
 	snapshot->jobs[snapshot->in.n_jobs++] = job;
 }
@@ -107,18 +107,19 @@
 
 static double estimated_left(const struct fl_job *job, const struct fl_task *t, double now)
 {
-	double estimate_s = job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_est_s;
+	double estimate_s =
+		job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_estimate_s;
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
 	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING)
-		estimate_s -= now - t->since;
+		estimate_s -= now - t->running_since;
 	/* Past its estimate: it counts as ending by the next pass. */
 	return fmax(estimate_s, tunables.overdue_left_s);
 }
 
-static void add_run(struct fl_snapshot *snapshot, int machine_index, const struct fl_slot *slot,
-                    double now, double wall)
+static void add_run(struct fl_snapshot *snapshot, int machine_index,
+                    const struct fl_assignment *slot, double now, double wall)
 {
 	struct fl_sched_run *to = &snapshot->in.runs[snapshot->in.n_runs];
 	struct fl_job *job = slot->job;
@@ -131,16 +132,16 @@
 	to->service = job->kind == FL_SERVICE;
 	to->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
 	to->movable = !to->stopping;
-	to->within_guarantee = job->within_guarantee;
+	to->within_guaranteed = job->within_guaranteed;
 	to->cpus = job->cpus;
 	to->gpus = job->gpus;
 	to->ram_gb = job->ram_gb;
 	to->left_s = estimated_left(job, task, now);
-	to->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->since : 0;
+	to->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
 	if (job->checkpoint_every_s > 0)
 		to->lost_s = fmin(to->lost_s, job->checkpoint_cost_s);
-	to->last_running_task = job->kind != FL_SERVICE && job->n_placed == 1 &&
-	                        wall - job->submitted > snapshot->in.params->patience_s;
+	to->last_running_task = job->kind != FL_SERVICE && job->placed_count == 1 &&
+	                        wall - job->submitted_wall > snapshot->in.params->patience_s;
 	snapshot->runs[snapshot->in.n_runs++] = *slot;
 }
 
@@ -148,8 +149,8 @@
 {
 	const struct fl_job *a = *(struct fl_job *const *)pa, *b = *(struct fl_job *const *)pb;
 
-	if (a->submitted != b->submitted)
-		return a->submitted < b->submitted ? -1 : 1;
+	if (a->submitted_wall != b->submitted_wall)
+		return a->submitted_wall < b->submitted_wall ? -1 : 1;
 	return strcmp(a->ref, b->ref);
 }
 
@@ -166,10 +167,10 @@
 	qsort(scratch, count, sizeof(*scratch), compare_submissions);
 	for (size_t i = 0; i < count; i++) {
 		job = scratch[i];
-		cpus[job->team] += job->cpus * job->n_tasks;
-		gpus[job->team] += job->gpus * job->n_tasks;
-		job->within_guarantee = fl_team_within_guarantee(&cluster->teams.at[job->team],
-		                                                 cpus[job->team], gpus[job->team]);
+		cpus[job->team] += job->cpus * job->task_count;
+		gpus[job->team] += job->gpus * job->task_count;
+		job->within_guaranteed = fl_team_within_guaranteed(
+			&cluster->teams.by_index[job->team], cpus[job->team], gpus[job->team]);
 	}
 }
 
@@ -184,11 +185,11 @@
 	if (m->reserved_at <= 0 || now > m->reserved_at + tunables.reservation_s)
 		return (struct fl_reservation){0};
 	return (struct fl_reservation){.made = true,
-	                               .within_guarantee = m->reserved_within_guarantee,
+	                               .within_guaranteed = m->reserved_within_guaranteed,
 	                               .priority = (enum fl_priority)m->reserved_priority,
 	                               .cpus = m->reserved_cpus,
 	                               .gpus = m->reserved_gpus,
-	                               .ram_gb = m->reserved_ram};
+	                               .ram_gb = m->reserved_ram_gb};
 }
 
 static void add_machine(struct fl_node *n, struct fl_snapshot *snapshot, struct fl_machine *m,
@@ -204,12 +205,12 @@
 	                                .reserved = reservation_of(m, now),
 	                                .cpus = type->cpus - m->used_cpus,
 	                                .gpus = type->gpus - m->used_gpus,
-	                                .ram_gb = type->ram_gb - m->used_ram,
+	                                .ram_gb = type->ram_gb - m->used_ram_gb,
 	                                .pull_gb_s = type->pull_gb_s,
-	                                .cache = m->cache};
-	for (int k = 0; k < m->n_slots; k++) {
-		add_run(snapshot, machine_index, &m->slots[k], now, wall);
-		to->held = to->held || m->slots[k].job->kind == FL_SERVICE;
+	                                .cache = m->cached_images};
+	for (int k = 0; k < m->assignment_count; k++) {
+		add_run(snapshot, machine_index, &m->assignments[k], now, wall);
+		to->held = to->held || m->assignments[k].job->kind == FL_SERVICE;
 	}
 	snapshot->machines[machine_index] = m;
 }
@@ -217,17 +218,17 @@
 static bool allocate(struct fl_snapshot *snapshot, const struct fl_cluster *cluster)
 {
 	size_t n_jobs = HASH_COUNT(cluster->jobs) + 1;
-	size_t n_machines = (size_t)cluster->machines.n + 1, n_runs = 1;
+	size_t n_machines = (size_t)cluster->machines.count + 1, n_runs = 1;
 
-	for (int i = 0; i < cluster->machines.n; i++)
-		n_runs += (size_t)cluster->machines.at[i]->n_slots;
+	for (int i = 0; i < cluster->machines.count; i++)
+		n_runs += (size_t)cluster->machines.by_id[i]->assignment_count;
 	snapshot->jobs = malloc(n_jobs * sizeof(*snapshot->jobs));
 	snapshot->machines = malloc(n_machines * sizeof(*snapshot->machines));
 	snapshot->runs = malloc(n_runs * sizeof(*snapshot->runs));
 	snapshot->in.jobs = malloc(n_jobs * sizeof(*snapshot->in.jobs));
 	snapshot->in.machines = malloc(n_machines * sizeof(*snapshot->in.machines));
 	snapshot->in.runs = malloc(n_runs * sizeof(*snapshot->in.runs));
-	snapshot->in.teams = malloc(sizeof(cluster->teams.at));
+	snapshot->in.teams = malloc(sizeof(cluster->teams.by_index));
 	return snapshot->jobs && snapshot->machines && snapshot->runs && snapshot->in.jobs &&
 	       snapshot->in.machines && snapshot->in.runs && snapshot->in.teams;
 }
@@ -243,14 +244,14 @@
 	if (!allocate(snapshot, cluster))
 		return -ENOMEM;
 	snapshot->in.params = &fl_sched_defaults;
-	memcpy(snapshot->in.teams, cluster->teams.at, sizeof(cluster->teams.at));
+	memcpy(snapshot->in.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, tmp)
-		if (!job->cancelled && job->n_waiting > 0)
+		if (!job->cancelled && job->waiting_count > 0)
 			add_job(n, snapshot, job, considered, now, wall);
-	for (int i = 0; i < cluster->machines.n; i++)
-		if (usable(n, cluster->machines.at[i], now))
-			add_machine(n, snapshot, cluster->machines.at[i], now, wall);
+	for (int i = 0; i < cluster->machines.count; i++)
+		if (usable(n, cluster->machines.by_id[i], now))
+			add_machine(n, snapshot, cluster->machines.by_id[i], now, wall);
 	snapshot->in.spot_loss = fl_provision_spot_loss(n);
 	snapshot->in.resume = n->leadership.resume_position;
 	return 0;
--- a/src/coordination/pass_snapshot.h
+++ b/src/coordination/pass_snapshot.h
@@ -13,7 +13,7 @@
 	struct fl_sched_in in;
 	struct fl_job **jobs;
 	struct fl_machine **machines;
-	struct fl_slot *runs;
+	struct fl_assignment *runs;
 };
 
 /* Takes a snapshot; -ENOMEM without memory. Free it in any case. */
--- a/src/coordination/provision.c
+++ b/src/coordination/provision.c
@@ -28,30 +28,30 @@
 {
 	double wait;
 
-	while ((wait = fl_budget_take(&n->provision.calls, 1, fl_now())) > 0)
+	while ((wait = fl_token_bucket_take(&n->provision.calls, 1, fl_now())) > 0)
 		if (fl_sleep(wait) != 0)
 			return -ECANCELED;
 	return fl_election_lease_valid(n) ? 0 : -EAGAIN;
 }
 
 /* For controllers that start while the cloud is out: see read_types in node.c. */
-static void store_types(struct fl_node *n, const struct fl_offered_type *types, int count)
+static void store_types(struct fl_node *n, const struct fl_cloud_machine_type *types, int count)
 {
 	struct fl_kv_txn txn;
-	uint64_t rev;
+	uint64_t revision;
 
-	if (fl_budget_take(&n->leadership.write_budget, 1, fl_now()) > 0)
+	if (fl_token_bucket_take(&n->leadership.write_budget, 1, fl_now()) > 0)
 		return; /* launches need the writes: the next look will do */
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
-	if (fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL) != 0)
+	if (fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL) != 0)
 		fl_debug("cloud", "machine types not stored");
 }
 
 static void refresh_types(struct fl_node *n)
 {
-	struct fl_offered_type *types;
+	struct fl_cloud_machine_type *types;
 	int count;
 
 	if (fl_provision_spend_call(n) != 0 ||
@@ -71,8 +71,8 @@
 {
 	double now = fl_now(), since = now - n->provision.spot_counted_at;
 
-	for (int i = 0; i < n->cluster.machines.n && n->provision.spot_counted_at > 0; i++) {
-		const struct fl_machine *m = n->cluster.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.count && n->provision.spot_counted_at > 0; i++) {
+		const struct fl_machine *m = n->cluster.machines.by_id[i];
 
 		if (m->spot && m->up && !m->decommissioned)
 			n->provision.spot_s += since;
@@ -86,8 +86,8 @@
 
 	memset(&n->provision, 0, sizeof(n->provision));
 	n->provision.types_at = LONG_AGO; /* what was read from a record may be old */
-	fl_budget_init(&n->provision.calls, n->config->cloud_rps * tunables.call_share,
-	               tunables.burst_s * n->config->cloud_rps * tunables.call_share, now);
+	fl_token_bucket_init(&n->provision.calls, n->config->cloud_rps * tunables.call_share,
+	                     tunables.burst_s * n->config->cloud_rps * tunables.call_share, now);
 }
 
 void fl_provision_duty(void *arg)
@@ -98,7 +98,7 @@
 		if (!fl_election_lease_valid(n))
 			continue;
 		/* No call of this duty is under way here, and machines with a command are kept. */
-		fl_cluster_purge(&n->cluster, fl_now() - tunables.tombstone_s);
+		fl_cluster_purge_tombstones(&n->cluster, fl_now() - tunables.tombstone_s);
 		count_spot(n);
 		fl_provision_return_machines(n);
 		fl_provision_rent_requested(n);
--- a/src/coordination/provision.h
+++ b/src/coordination/provision.h
@@ -29,7 +29,7 @@
 	double refused_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX][2]; /* last index: spot or not */
 	double suspected_until[FL_ZONES_MAX]; /* too many machines of the zone are silent */
 	double listed_at, types_at; /* steady; of the last list and the last look at prices */
-	struct fl_budget calls;
+	struct fl_token_bucket calls;
 	double spot_lost, spot_s; /* spot machines reclaimed, and the time that such were up */
 	double spot_counted_at;   /* steady */
 	/*
--- a/src/coordination/provision_plan.c
+++ b/src/coordination/provision_plan.c
@@ -25,12 +25,17 @@
 static struct fl_planned_machine *add_planned(struct fl_provision_plan *plan, int type, int zone,
                                               bool spot, enum fl_planned_origin origin)
 {
-	const struct fl_machine_type *kind = &plan->n->cluster.machines.types[type];
+	const struct fl_machine_type *machine_type = &plan->n->cluster.machines.types[type];
 
 	if (plan->count == plan->capacity)
 		return NULL;
-	plan->machines[plan->count] = (struct fl_planned_machine){
-		type, zone, spot, origin, kind->cpus, kind->gpus, kind->ram_gb};
+	plan->machines[plan->count] = (struct fl_planned_machine){type,
+	                                                          zone,
+	                                                          spot,
+	                                                          origin,
+	                                                          machine_type->cpus,
+	                                                          machine_type->gpus,
+	                                                          machine_type->ram_gb};
 	plan->rentals += origin == FL_PLANNED_RENTAL;
 	return &plan->machines[plan->count++];
 }
@@ -38,14 +43,14 @@
 bool fl_provision_job_allows(const struct fl_job *job, int type, int zone, bool spot)
 {
 	return (job->types >> type & 1) && (job->zone < 0 || job->zone == zone) &&
-	       (job->reclaimable || !spot);
+	       (job->spot_allowed || !spot);
 }
 
 static bool zone_allows(const struct fl_job *job, const uint32_t *placed, int zone)
 {
-	if (job->apart && placed[zone] + 1 > (job->n_tasks + 1) / 2)
+	if (job->spread_zones && placed[zone] + 1 > (job->task_count + 1) / 2)
 		return false;
-	for (int z = 0; job->together && z < FL_ZONES_MAX; z++)
+	for (int z = 0; job->same_zone && z < FL_ZONES_MAX; z++)
 		if (z != zone && placed[z] > 0)
 			return false;
 	return true;
@@ -59,34 +64,37 @@
 
 uint32_t fl_provision_tasks_fit(const struct fl_job *job, double cpus, double gpus, double ram_gb)
 {
-	return fl_tasks_fit((struct fl_amounts){job->cpus, job->gpus, job->ram_gb},
-	                    (struct fl_amounts){cpus, gpus, ram_gb});
+	return fl_placement_capacity((struct fl_resources){job->cpus, job->gpus, job->ram_gb},
+	                             (struct fl_resources){cpus, gpus, ram_gb});
 }
 
 /* Price a second of one task's share of the machine. */
-static double unit_price(const struct fl_machine_type *kind, const struct fl_job *job, bool spot)
+static double unit_price(const struct fl_machine_type *machine_type, const struct fl_job *job,
+                         bool spot)
 {
-	uint32_t tasks = fl_provision_tasks_fit(job, kind->cpus, kind->gpus, kind->ram_gb);
+	uint32_t tasks = fl_provision_tasks_fit(job, machine_type->cpus, machine_type->gpus,
+	                                        machine_type->ram_gb);
 
-	return (spot ? kind->spot_price : kind->price) / (tasks > 0 ? tasks : 1);
+	return (spot ? machine_type->spot_price : machine_type->price) / (tasks > 0 ? tasks : 1);
 }
 
 /* What a rental counts for in the choice; INFINITY: it cannot be, or was refused lately. */
 static double rental_cost(const struct fl_provision_plan *plan, const struct fl_job *job,
                           const uint32_t *placed, int type, int zone, bool spot)
 {
-	const struct fl_machine_type *kind = &plan->n->cluster.machines.types[type];
+	const struct fl_machine_type *machine_type = &plan->n->cluster.machines.types[type];
 	const struct fl_provision *provision = &plan->n->provision;
 	double cost;
 
-	if (!(kind->zones >> zone & 1) || !task_fits(job, kind->cpus, kind->gpus, kind->ram_gb) ||
+	if (!(machine_type->zones >> zone & 1) ||
+	    !task_fits(job, machine_type->cpus, machine_type->gpus, machine_type->ram_gb) ||
 	    !fl_provision_job_allows(job, type, zone, spot) || !zone_allows(job, placed, zone) ||
 	    provision->refused_until[type][zone][spot] > plan->now)
 		return INFINITY;
 	/* Among equal prices, the zone with the fewest machines. */
-	cost = unit_price(kind, job, spot) *
+	cost = unit_price(machine_type, job, spot) *
 	       (1 + tunables.zone_balance * plan->zone_machines[zone] +
-	        (job->apart ? tunables.spread_weight * placed[zone] : 0));
+	        (job->spread_zones ? tunables.spread_weight * placed[zone] : 0));
 	/* A machine that cannot report is paid for nothing. */
 	if (provision->suspected_until[zone] > plan->now)
 		cost *= tunables.suspected_cost;
@@ -103,8 +111,8 @@
 
 	if (plan->rentals >= tunables.rentals_most)
 		return NULL;
-	for (int k = 0; k < cluster->machines.n_types; k++) {
-		for (int z = 0; z < cluster->zones.n && z < FL_ZONES_MAX; z++) {
+	for (int k = 0; k < cluster->machines.type_count; k++) {
+		for (int z = 0; z < cluster->zones.count && z < FL_ZONES_MAX; z++) {
 			for (int s = 0; s < 2 && (only_zone < 0 || z == only_zone); s++) {
 				double cost = rental_cost(plan, job, placed, k, z, s);
 
@@ -160,14 +168,14 @@
 /* Of `count` tasks, how many the maximum of the job's team lets run: more need no machine. */
 static uint32_t limit_by_team(const struct fl_node *n, const struct fl_job *job, uint32_t count)
 {
-	const struct fl_team *team = &n->cluster.teams.at[job->team];
+	const struct fl_team *team = &n->cluster.teams.by_index[job->team];
 	double most = count;
 
-	if (team->gpus_max > 0 && job->gpus > 0)
-		most = fmin(most, floor((team->gpus_max - team->used_gpus) / job->gpus +
+	if (team->max_gpus > 0 && job->gpus > 0)
+		most = fmin(most, floor((team->max_gpus - team->used_gpus) / job->gpus +
 		                        tunables.epsilon));
-	if (team->cpus_max > 0 && job->cpus > 0)
-		most = fmin(most, floor((team->cpus_max - team->used_cpus) / job->cpus +
+	if (team->max_cpus > 0 && job->cpus > 0)
+		most = fmin(most, floor((team->max_cpus - team->used_cpus) / job->cpus +
 		                        tunables.epsilon));
 	return most > 0 ? (uint32_t)most : 0;
 }
@@ -177,7 +185,7 @@
 	uint32_t placed[FL_ZONES_MAX];
 	int next = 0;
 
-	memcpy(placed, job->zone_placed, sizeof(placed));
+	memcpy(placed, job->placed_by_zone, sizeof(placed));
 	count = limit_by_team(plan->n, job, count);
 	while (count > 0 && job->kind == FL_ARRAY && plan->ending_soon >= 1) {
 		plan->ending_soon -= 1;
@@ -192,8 +200,8 @@
 {
 	struct fl_machines *machines = &plan->n->cluster.machines;
 
-	for (int i = 0; i < machines->n; i++) {
-		struct fl_machine *m = machines->at[i];
+	for (int i = 0; i < machines->count; i++) {
+		struct fl_machine *m = machines->by_id[i];
 		double boot_s;
 
 		if (m->decommissioned || !m->described)
@@ -201,15 +209,15 @@
 		boot_s = machines->types[m->type].ready_s;
 		plan->zone_machines[m->zone]++;
 		/* Some boot for minutes and a few never end: nothing must wait for those. */
-		if (!m->up && !m->draining && m->n_slots == 0 &&
+		if (!m->up && !m->draining && m->assignment_count == 0 &&
 		    plan->now - m->first_seen_at < tunables.boot_late * boot_s)
 			add_planned(plan, m->type, m->zone, m->spot, FL_PLANNED_BOOTING);
-		for (int k = 0; m->up && k < m->n_slots; k++) {
-			const struct fl_job *job = m->slots[k].job;
-			const struct fl_task *task = fl_task_peek(job, m->slots[k].index);
+		for (int k = 0; m->up && k < m->assignment_count; k++) {
+			const struct fl_job *job = m->assignments[k].job;
+			const struct fl_task *task = fl_task_peek(job, m->assignments[k].index);
 
 			if (job->kind == FL_ARRAY && task->observed == FL_OBSERVED_RUNNING &&
-			    job->expected_s - (plan->now - task->since) <
+			    job->expected_s - (plan->now - task->running_since) <
 			            tunables.soon_boots * boot_s)
 				plan->ending_soon += 1;
 		}
@@ -252,7 +260,7 @@
 	if (n->provision.renting)
 		return;
 	n->provision.looks = 0;
-	plan.capacity = n->cluster.machines.n + tunables.rentals_most + 1;
+	plan.capacity = n->cluster.machines.count + tunables.rentals_most + 1;
 	plan.machines = malloc((size_t)plan.capacity * sizeof(*plan.machines));
 	if (!plan.machines)
 		return;
--- a/src/coordination/provision_rent.c
+++ b/src/coordination/provision_rent.c
@@ -20,7 +20,7 @@
 static int rent(struct fl_node *n, const struct fl_rental_request *request)
 {
 	const char *type = n->cluster.machines.types[request->type].name;
-	const char *zone = fl_names_at(&n->cluster.zones, request->zone);
+	const char *zone = fl_symbol_name(&n->cluster.zones, request->zone);
 	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
 	int got = 0, rc = -EAGAIN;
 
--- a/src/coordination/provision_reserve.c
+++ b/src/coordination/provision_reserve.c
@@ -14,13 +14,13 @@
 static uint32_t room_on(const struct fl_node *n, const struct fl_machine *m,
                         const struct fl_job *service)
 {
-	const struct fl_machine_type *kind = &n->cluster.machines.types[m->type];
-	double cpus = kind->cpus, gpus = kind->gpus, ram_gb = kind->ram_gb;
+	const struct fl_machine_type *machine_type = &n->cluster.machines.types[m->type];
+	double cpus = machine_type->cpus, gpus = machine_type->gpus, ram_gb = machine_type->ram_gb;
 
 	if (m->spot || m->draining || !fl_provision_job_allows(service, m->type, m->zone, m->spot))
 		return 0;
-	for (int i = 0; i < m->n_slots; i++) {
-		const struct fl_job *job = m->slots[i].job;
+	for (int i = 0; i < m->assignment_count; i++) {
+		const struct fl_job *job = m->assignments[i].job;
 
 		if (job->priority < service->priority)
 			continue;
@@ -40,10 +40,10 @@
 	*tasks = 0;
 	HASH_ITER (hh, plan->n->cluster.jobs, job, tmp) {
 		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
-		    plan->wall - job->submitted > tunables.learn_s)
+		    plan->wall - job->submitted_wall > tunables.learn_s)
 			continue;
-		*tasks += job->n_tasks;
-		if (!newest || job->submitted > newest->submitted)
+		*tasks += job->task_count;
+		if (!newest || job->submitted_wall > newest->submitted_wall)
 			newest = job;
 	}
 	return newest;
@@ -81,15 +81,15 @@
 	int shares;
 
 	provision->reserve_shares = 0;
-	if (!service || machines->n_types == 0)
+	if (!service || machines->type_count == 0)
 		return;
 	/* What must be apart needs room in each zone, also to replace what is lost in one. */
-	shares = service->apart ? plan->n->cluster.zones.n : 1;
+	shares = service->spread_zones ? plan->n->cluster.zones.count : 1;
 	provision->reserve_shares = shares;
 	need = tasks / tunables.learn_s * machines->types[0].ready_s;
 	need = ceil((need + tunables.spread * sqrt(need)) / shares);
-	for (int i = 0; i < machines->n; i++) {
-		const struct fl_machine *m = machines->at[i];
+	for (int i = 0; i < machines->count; i++) {
+		const struct fl_machine *m = machines->by_id[i];
 
 		if (!m->decommissioned && m->described && m->up)
 			room[m->zone % shares] += room_on(plan->n, m, service);
--- a/src/coordination/provision_return.c
+++ b/src/coordination/provision_return.c
@@ -25,7 +25,8 @@
 	.faults_most = 2,    /* failures on a machine that is avoided before it is returned */
 };
 
-static void take_listed(struct fl_node *n, const struct fl_listed *listed, double now, int known)
+static void take_listed(struct fl_node *n, const struct fl_cloud_machine *listed, double now,
+                        int known)
 {
 	struct fl_machine *m = fl_machine_get(&n->cluster.machines, listed->host, now);
 
@@ -33,12 +34,12 @@
 		return;
 	fl_cluster_describe(
 		&n->cluster, m, fl_machine_type_find(&n->cluster.machines, listed->type),
-		fl_names_find(&n->cluster.zones, listed->zone), listed->spot, listed->endpoint);
+		fl_symbol_find(&n->cluster.zones, listed->zone), listed->spot, listed->endpoint);
 	if (m->id < known)
 		m->listed = true;
-	if (listed->status == FL_HOST_FAILED && !m->decommissioned)
+	if (listed->status == FL_CLOUD_MACHINE_FAILED && !m->decommissioned)
 		fl_reconcile_decommission(n, m, "it failed");
-	if (listed->status == FL_HOST_FAILED)
+	if (listed->status == FL_CLOUD_MACHINE_FAILED)
 		m->draining = true;
 }
 
@@ -51,7 +52,7 @@
 	double age_s = tunables.list_lags * n->config->list_lag_s + tunables.list_slack_s;
 
 	for (int i = 0; i < known; i++) {
-		struct fl_machine *m = n->cluster.machines.at[i];
+		struct fl_machine *m = n->cluster.machines.by_id[i];
 
 		if (m->decommissioned || m->listed || sent <= m->first_seen_at + age_s)
 			continue;
@@ -63,14 +64,14 @@
 int fl_provision_list_machines(struct fl_node *n)
 {
 	double sent = fl_now();
-	int known = n->cluster.machines.n, rc;
+	int known = n->cluster.machines.count, rc;
 	char from[FL_NAME_MAX] = "";
 	bool more = true;
 
 	for (int i = 0; i < known; i++)
-		n->cluster.machines.at[i]->listed = false;
+		n->cluster.machines.by_id[i]->listed = false;
 	while (more) {
-		struct fl_listed *listed;
+		struct fl_cloud_machine *listed;
 		int count;
 
 		rc = fl_provision_spend_call(n);
@@ -93,16 +94,16 @@
 
 /* Whether an ordinary machine may go without cutting into the reserve for services. */
 static bool take_surplus(struct fl_provision *provision, const struct fl_machine *m,
-                         const struct fl_machine_type *kind)
+                         const struct fl_machine_type *machine_type)
 {
 	int *surplus;
 
 	if (provision->reserve_shares == 0)
 		return true;
 	surplus = &provision->reserve_surplus[m->zone % provision->reserve_shares];
-	if (*surplus < kind->gpus)
+	if (*surplus < machine_type->gpus)
 		return false;
-	*surplus -= (int)kind->gpus;
+	*surplus -= (int)machine_type->gpus;
 	return true;
 }
 
@@ -110,9 +111,9 @@
 static const char *why_return(struct fl_node *n, struct fl_machine *m, double now,
                               const double leases[FL_ZONES_MAX])
 {
-	const struct fl_machine_type *kind =
+	const struct fl_machine_type *machine_type =
 		m->type >= 0 ? &n->cluster.machines.types[m->type] : NULL;
-	bool empty = m->n_slots == 0 && m->orphan_task_count == 0;
+	bool empty = m->assignment_count == 0 && m->orphan_task_count == 0;
 
 	if (m->draining)
 		return "given up";
@@ -120,10 +121,11 @@
 		return NULL;
 	if (fl_failure_detector_expired(n, m, now, leases))
 		return fl_reachability_lost_since(m) < INFINITY ? "does not hear us" : "silent";
-	if (!kind)
+	if (!machine_type)
 		return NULL;
-	if (!m->up && m->n_slots == 0 &&
-	    now - m->first_seen_at > tunables.boot_most * kind->ready_s + tunables.boot_slack_s)
+	if (!m->up && m->assignment_count == 0 &&
+	    now - m->first_seen_at >
+	            tunables.boot_most * machine_type->ready_s + tunables.boot_slack_s)
 		return "never came up";
 	if (!m->up || !empty) {
 		m->idle_since = 0;
@@ -133,11 +135,11 @@
 		m->idle_since = now;
 	if (m->quarantined_until > now && m->fault_count > tunables.faults_most)
 		return "faulty";
-	if (now - m->idle_since <= tunables.idle_boots * kind->ready_s)
+	if (now - m->idle_since <= tunables.idle_boots * machine_type->ready_s)
 		return NULL;
 	if (m->spot)
 		return "idle";
-	return take_surplus(&n->provision, m, kind) ? "idle" : NULL;
+	return take_surplus(&n->provision, m, machine_type) ? "idle" : NULL;
 }
 
 int fl_provision_return_machines(struct fl_node *n)
@@ -152,8 +154,8 @@
 		if (leases[z] > 1)
 			n->provision.suspected_until[z] = now + tunables.suspected_s;
 
-	for (int i = 0; i < n->cluster.machines.n && count < FL_DELETE_MAX; i++) {
-		struct fl_machine *m = n->cluster.machines.at[i];
+	for (int i = 0; i < n->cluster.machines.count && count < FL_DELETE_MAX; i++) {
+		struct fl_machine *m = n->cluster.machines.by_id[i];
 		const char *why = m->scaled_in ? NULL : why_return(n, m, now, leases);
 
 		if (!why)
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -43,15 +43,15 @@
 /* Whether the report has every attempt that the last answer ordered, be it as refused. */
 static bool starts_reported(const struct fl_machine *m, const struct fl_heartbeat *heartbeat)
 {
-	for (int i = 0; i < m->n_slots; i++) {
-		const struct fl_job *job = m->slots[i].job;
-		const struct fl_task *task = fl_task_peek(job, m->slots[i].index);
+	for (int i = 0; i < m->assignment_count; i++) {
+		const struct fl_job *job = m->assignments[i].job;
+		const struct fl_task *task = fl_task_peek(job, m->assignments[i].index);
 		bool found = false;
 
 		if (!task->start_sent)
 			continue;
 		for (int k = 0; k < heartbeat->task_count && !found; k++)
-			found = heartbeat->tasks[k].index == m->slots[i].index &&
+			found = heartbeat->tasks[k].index == m->assignments[i].index &&
 			        heartbeat->tasks[k].attempt == task->attempt &&
 			        strcmp(heartbeat->tasks[k].ref, job->ref) == 0;
 		if (!found)
--- a/src/coordination/reconciliation.c
+++ b/src/coordination/reconciliation.c
@@ -100,7 +100,7 @@
 	 * A job that fails everywhere must not make machines look faulty: two of its tasks on one
 	 * machine are no evidence, unless others of them have completed.
 	 */
-	faults = job->n_done > 0 ? tunables.faults : tunables.unproven_faults;
+	faults = job->done_count > 0 ? tunables.faults : tunables.unproven_faults;
 	if (m->fault_count >= faults &&
 	    job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
 		m->quarantined_until = now + tunables.avoid_s;
@@ -116,7 +116,7 @@
 	switch (status->exit) {
 	case FL_EXIT_DONE:
 		fl_debug("workers", "%s/%u done on %s after %.1f s of %.1f", job->ref, index,
-		         m->name, now - task->since, job->expected_s);
+		         m->name, now - task->running_since, job->expected_s);
 		job->consecutive_failures = 0;
 		job->not_before = 0;
 		m->fault_count = 0;
@@ -172,7 +172,7 @@
 	}
 	/* Completed is completed, whichever attempt it was. */
 	if (status->exit == FL_EXIT_DONE && job && !job->cancelled &&
-	    status->index < job->n_tasks && job->kind == FL_ARRAY) {
+	    status->index < job->task_count && job->kind == FL_ARRAY) {
 		struct fl_task *task = fl_task_get(job, status->index);
 
 		if (task && task->phase == FL_TASK_WAITING) {
@@ -183,7 +183,7 @@
 	if (!may_forget(m, heartbeat))
 		n->leadership.retained_exit_count++;
 	else if (commands &&
-	         (!job || status->index >= job->n_tasks || fl_task_durable(job, status->index)))
+	         (!job || status->index >= job->task_count || fl_task_durable(job, status->index)))
 		fl_command_list_add(commands, FL_COMMAND_FORGET, status->ref, status->index,
 		                    status->attempt, 0);
 }
@@ -195,14 +195,14 @@
 {
 	struct fl_job *job = fl_job_find(&n->cluster, status->ref);
 	struct fl_task *task =
-		job && status->index < job->n_tasks ? fl_task_peek(job, status->index) : NULL;
+		job && status->index < job->task_count ? fl_task_peek(job, status->index) : NULL;
 
 	if (!task || task->phase != FL_TASK_PLACED || task->machine != m->id ||
 	    task->attempt != status->attempt) {
 		handle_stale(n, m, job, status, heartbeat, commands);
 		return;
 	}
-	fl_machine_note_image(m, job->image);
+	fl_machine_record_image(m, job->image);
 	if (status->state == FL_TASK_STATE_EXITED) {
 		handle_exit(n, m, job, status->index, task, status, now);
 		return;
@@ -212,7 +212,7 @@
 		         observed_of(status->state) == FL_OBSERVED_RUNNING   ? "running"
 		         : observed_of(status->state) == FL_OBSERVED_PULLING ? "pulling"
 		                                                             : "saving",
-		         m->name, now - task->since);
+		         m->name, now - task->running_since);
 		fl_task_observe(job, task, observed_of(status->state), now);
 		fl_signal_wake(&n->leadership.work_available);
 	}
@@ -242,9 +242,9 @@
 {
 	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
 
-	for (int i = m->n_slots - 1; i >= 0; i--) {
-		struct fl_job *job = m->slots[i].job;
-		uint32_t index = m->slots[i].index;
+	for (int i = m->assignment_count - 1; i >= 0; i--) {
+		struct fl_job *job = m->assignments[i].job;
+		uint32_t index = m->assignments[i].index;
 		struct fl_task *task = fl_task_peek(job, index);
 
 		if (in_report(heartbeat, job, index, task->attempt))
@@ -283,7 +283,7 @@
 static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_heartbeat *heartbeat)
 {
 	int type = fl_machine_type_find(&n->cluster.machines, heartbeat->type);
-	int zone = fl_names_find(&n->cluster.zones, heartbeat->zone);
+	int zone = fl_symbol_find(&n->cluster.zones, heartbeat->zone);
 
 	fl_cluster_describe(&n->cluster, m, type, zone, heartbeat->spot, heartbeat->endpoint);
 }
@@ -367,9 +367,9 @@
 {
 	bool starts = false;
 
-	for (int i = 0; i < m->n_slots; i++) {
-		struct fl_job *job = m->slots[i].job;
-		uint32_t index = m->slots[i].index;
+	for (int i = 0; i < m->assignment_count; i++) {
+		struct fl_job *job = m->assignments[i].job;
+		uint32_t index = m->assignments[i].index;
 		struct fl_task *task = fl_task_peek(job, index);
 
 		if (!should_run(job, task)) {
@@ -390,11 +390,11 @@
 {
 	if (m->decommissioned)
 		return;
-	fl_info("cloud", "%s is gone: %s (%d tasks on it)", m->name, why, m->n_slots);
+	fl_info("cloud", "%s is gone: %s (%d tasks on it)", m->name, why, m->assignment_count);
 	m->decommissioned = true;
 	m->decommissioned_at = fl_now();
 	m->up = false;
-	while (m->n_slots > 0)
-		fl_task_release(&n->cluster, m->slots[0].job, m->slots[0].index, 0);
+	while (m->assignment_count > 0)
+		fl_task_release(&n->cluster, m->assignments[0].job, m->assignments[0].index, 0);
 	fl_signal_wake(&n->leadership.work_available);
 }
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -21,21 +21,21 @@
 enum scope { UNSAVED_CHUNKS, URGENT_CHUNKS };
 
 /* A write of this record went unanswered or met another revision: read what stands. */
-static int reread_chunk(struct fl_node *n, struct fl_job *job, uint32_t chunk)
+static int reread_progress_record(struct fl_node *n, struct fl_job *job, uint32_t block_index)
 {
-	struct fl_chunk *c = job->chunks[chunk];
+	struct fl_task_block *block = job->blocks[block_index];
 	char key[FL_KEY_MAX];
-	uint64_t rev = 0;
+	uint64_t revision = 0;
 	cJSON *v;
 	int rc;
 
-	fl_key_chunk(key, job->ref, chunk);
-	rc = fl_kv_get(&n->kv_store, key, &v, &rev, NULL);
+	fl_key_progress(key, job->ref, block_index);
+	rc = fl_kv_get(&n->kv_store, key, &v, &revision, NULL);
 	cJSON_Delete(v);
 	if (rc && rc != -ENOENT)
 		return rc;
-	c->rev = rc == -ENOENT ? 0 : rev;
-	c->rev_unknown = false;
+	block->mod_revision = rc == -ENOENT ? 0 : revision;
+	block->revision_unknown = false;
 	return 0;
 }
 
@@ -43,21 +43,23 @@
 {
 	double wait;
 
-	while ((wait = fl_budget_take(&n->leadership.write_budget, writes, fl_now())) > 0)
+	while ((wait = fl_token_bucket_take(&n->leadership.write_budget, writes, fl_now())) > 0)
 		if (fl_sleep(wait) != 0)
 			return -ECANCELED;
 	return 0;
 }
 
 /* Does something wait for this chunk to be durable? A launch does; what is over can wait. */
-static bool is_urgent(const struct fl_chunk *c)
+static bool is_urgent(const struct fl_task_block *block)
 {
-	uint64_t durable = c->saved_gen > c->logged_gen ? c->saved_gen : c->logged_gen;
+	uint64_t durable = block->saved_generation > block->logged_generation
+	                           ? block->saved_generation
+	                           : block->logged_generation;
 
-	if (c->gen <= durable)
+	if (block->generation <= durable)
 		return false;
-	for (int i = 0; i < FL_CHUNK; i++)
-		if (c->task[i].phase == FL_TASK_PLACED && c->task[i].gen > durable)
+	for (int i = 0; i < FL_TASK_BLOCK_SIZE; i++)
+		if (block->tasks[i].phase == FL_TASK_PLACED && block->tasks[i].generation > durable)
 			return true;
 	return false;
 }
@@ -67,10 +69,10 @@
 	int count = 0;
 
 	for (const struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
-		for (uint32_t i = 0; i < job->n_chunks; i++) {
-			const struct fl_chunk *c = fl_job_chunk(job, i);
+		for (uint32_t i = 0; i < job->block_count; i++) {
+			const struct fl_task_block *block = fl_job_task_block(job, i);
 
-			count += c && is_urgent(c);
+			count += block && is_urgent(block);
 		}
 	return count;
 }
@@ -85,34 +87,34 @@
 	*count = 0;
 	for (job = n->cluster.dirty; job; job = next) {
 		next = job->next_dirty;
-		for (uint32_t i = 0; i < job->n_chunks; i++) {
-			struct fl_chunk *c = fl_job_chunk(job, i);
+		for (uint32_t i = 0; i < job->block_count; i++) {
+			struct fl_task_block *block = fl_job_task_block(job, i);
 
-			if (!c || c->gen <= c->saved_gen ||
-			    (scope == URGENT_CHUNKS && !is_urgent(c)))
+			if (!block || block->generation <= block->saved_generation ||
+			    (scope == URGENT_CHUNKS && !is_urgent(block)))
 				continue;
 			if (*count >= most || *count >= n->config->txn_ops || *count >= BATCH_MAX ||
 			    *count * n->config->value_kb * 1024 > FL_BATCH_BYTES)
 				return 0;
-			if (c->rev_unknown)
+			if (block->revision_unknown)
 				return 1; /* must be read first; the caller does so */
-			fl_key_chunk(key, job->ref, i);
-			fl_kv_txn_expect_revision(txn, key, c->rev);
-			fl_kv_txn_put(txn, key, fl_chunk_encode(&n->cluster, job, i), 0);
-			items[(*count)++] = (struct fl_batch_item){job, i, c->gen};
+			fl_key_progress(key, job->ref, i);
+			fl_kv_txn_expect_revision(txn, key, block->mod_revision);
+			fl_kv_txn_put(txn, key, fl_task_block_encode(&n->cluster, job, i), 0);
+			items[(*count)++] = (struct fl_batch_item){job, i, block->generation};
 		}
 	}
 	return 0;
 }
 
-static int reread_unknown(struct fl_node *n)
+static int reread_unknown_revisions(struct fl_node *n)
 {
 	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
-		for (uint32_t i = 0; i < job->n_chunks; i++) {
-			const struct fl_chunk *c = fl_job_chunk(job, i);
+		for (uint32_t i = 0; i < job->block_count; i++) {
+			const struct fl_task_block *block = fl_job_task_block(job, i);
 
-			if (c && c->rev_unknown)
-				return reread_chunk(n, job, i);
+			if (block && block->revision_unknown)
+				return reread_progress_record(n, job, i);
 		}
 	return 0;
 }
@@ -122,7 +124,7 @@
 	struct fl_batch_item items[BATCH_MAX];
 	char failed[FL_KEY_MAX];
 	struct fl_kv_txn txn;
-	uint64_t rev;
+	uint64_t revision;
 	int count, rc;
 
 	fl_kv_txn_init(&txn);
@@ -130,22 +132,22 @@
 	rc = collect(n, &txn, items, &count, most, scope);
 	if (rc || count == 0) {
 		fl_kv_txn_free(&txn);
-		return rc ? reread_unknown(n) : 0;
+		return rc ? reread_unknown_revisions(n) : 0;
 	}
 	rc = fl_record_writer_await_budget(n, count);
 	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, failed);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, failed);
 	for (int i = 0; i < count; i++) {
-		struct fl_chunk *c = items[i].job->chunks[items[i].chunk];
+		struct fl_task_block *block = items[i].job->blocks[items[i].block_index];
 
 		if (rc == 0) {
-			c->saved_gen = items[i].gen;
-			c->rev = rev;
+			block->saved_generation = items[i].generation;
+			block->mod_revision = revision;
 		} else if (rc != -EAGAIN) {
-			c->rev_unknown = true;
+			block->revision_unknown = true;
 		}
 	}
 	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
@@ -161,14 +163,14 @@
 	if (count == 0)
 		return 0;
 	if (count >= tunables.log_from)
-		rc = fl_record_writer_write_log(n);
+		rc = fl_record_writer_write_wal(n);
 	return rc == -E2BIG ? write_batch(n, n->config->txn_ops, URGENT_CHUNKS) : rc;
 }
 
 /* The records follow as the budget allows, and leave room for what is urgent. */
-static int write_rest(struct fl_node *n)
+static int write_as_budget_allows(struct fl_node *n)
 {
-	double left = fl_budget_left(&n->leadership.write_budget, fl_now());
+	double left = fl_token_bucket_available(&n->leadership.write_budget, fl_now());
 
 	return left < 1 ? 0 : write_batch(n, (int)left, UNSAVED_CHUNKS);
 }
@@ -182,16 +184,16 @@
 		struct fl_job *job = *at;
 		bool dirty = false;
 
-		for (uint32_t i = 0; i < job->n_chunks && !dirty; i++) {
-			const struct fl_chunk *c = fl_job_chunk(job, i);
+		for (uint32_t i = 0; i < job->block_count && !dirty; i++) {
+			const struct fl_task_block *block = fl_job_task_block(job, i);
 
-			dirty = c && c->gen > c->saved_gen;
+			dirty = block && block->generation > block->saved_generation;
 		}
 		if (dirty || fl_job_is_over(job)) {
 			at = &job->next_dirty;
 		} else {
 			*at = job->next_dirty;
-			job->queued_dirty = false;
+			job->is_dirty = false;
 		}
 	}
 }
@@ -204,7 +206,7 @@
 		return rc;
 	fl_command_send_pending(n);
 	finished = fl_record_writer_finalise_one(n);
-	rc = fl_is_leader(n) ? write_rest(n) : -EAGAIN;
+	rc = fl_is_leader(n) ? write_as_budget_allows(n) : -EAGAIN;
 	if (!rc)
 		clear_saved(n);
 	return rc ? rc : finished;
@@ -213,7 +215,7 @@
 /* Nothing can be written before the budget allows, but something urgent may come up. */
 static int pause_for(struct fl_node *n)
 {
-	double left = fl_budget_left(&n->leadership.write_budget, fl_now());
+	double left = fl_token_bucket_available(&n->leadership.write_budget, fl_now());
 
 	if (!n->cluster.dirty || left >= 1)
 		return 0;
@@ -223,7 +225,7 @@
 	               : 0;
 }
 
-void fl_record_writer_duty(void *arg)
+void fl_record_writer_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 
--- a/src/coordination/request_batch.c
+++ b/src/coordination/request_batch.c
@@ -15,7 +15,7 @@
 	double until = fl_now() + terms->wait_s;
 
 	while (q->in_flight >= terms->in_flight && fl_now() < until)
-		if (fl_signal_wait(&q->landed, until - fl_now()) == -ECANCELED)
+		if (fl_signal_wait(&q->request_returned, until - fl_now()) == -ECANCELED)
 			break;
 	if (q->filling == b)
 		fl_batch_close(q);
@@ -24,30 +24,30 @@
 		q->in_flight++;
 		b->rc = terms->exchange(n, b);
 		q->in_flight--;
-		fl_signal_wake(&q->landed);
+		fl_signal_wake(&q->request_returned);
 	}
-	b->over = true;
-	fl_signal_wake(&b->done);
+	b->done = true;
+	fl_signal_wake(&b->completed);
 }
 
 static int await_batch(struct fl_batch *b, double patience_s)
 {
 	double until = fl_now() + patience_s;
 
-	while (!b->over && fl_now() < until)
-		if (fl_signal_wait(&b->done, until - fl_now()) == -ECANCELED)
+	while (!b->done && fl_now() < until)
+		if (fl_signal_wait(&b->completed, until - fl_now()) == -ECANCELED)
 			return -ECANCELED;
-	return b->over ? b->rc : -ETIMEDOUT;
+	return b->done ? b->rc : -ETIMEDOUT;
 }
 
 int fl_batch_settle(struct fl_node *n, struct fl_batch_queue *q, struct fl_batch *b, bool began,
                     const struct fl_batch_terms *terms)
 {
-	b->users++;
+	b->holder_count++;
 	if (!began)
 		return await_batch(b, terms->wait_s + terms->exchange_s);
 	send_batch(n, q, b, terms);
 	return b->rc;
 }
 
-bool fl_batch_release(struct fl_batch *b) { return --b->users == 0; }
+bool fl_batch_release(struct fl_batch *b) { return --b->holder_count == 0; }
--- a/src/coordination/request_batch.h
+++ b/src/coordination/request_batch.h
@@ -14,9 +14,9 @@
 
 /* What callers share: the first member of a struct that holds their parts. */
 struct fl_batch {
-	int users; /* routines that hold it */
-	bool over;
-	struct fl_signal done;
+	int holder_count; /* routines that hold it */
+	bool done;
+	struct fl_signal completed;
 	int rc; /* of the exchange: 0 or an errno */
 };
 
@@ -24,7 +24,7 @@
 struct fl_batch_queue {
 	struct fl_batch *filling; /* collects parts until a request may be sent; NULL: none does */
 	int in_flight;
-	struct fl_signal landed; /* a request has come back */
+	struct fl_signal request_returned; /* a request has come back */
 };
 
 /* How batches of one kind are sent. */
--- a/src/coordination/schedule.c
+++ b/src/coordination/schedule.c
@@ -40,16 +40,16 @@
 static void consider_job(struct fl_sched_pass *pass, int job_index, const double *must_end_by)
 {
 	struct fl_sched_job *job = &pass->in->jobs[job_index];
-	double estimate_s = job->est_s;
+	double estimate_s = job->estimate_s;
 
 	/* A service never ends: it starts from the top, or where the top job cannot go. */
 	if (must_end_by && estimate_s <= 0)
-		job->est_s = job->service ? INFINITY : pass->in->params->default_est_s;
+		job->estimate_s = job->service ? INFINITY : pass->in->params->default_estimate_s;
 	if (fl_sched_start_fitting(pass, job_index, must_end_by))
 		pass->out->short_of[job_index] =
 			job->waiting - pass->awaiting_image -
 			fl_sched_request_preemptions(pass, job_index, must_end_by);
-	job->est_s = estimate_s;
+	job->estimate_s = estimate_s;
 }
 
 /* Considers the jobs in their order. The first that stays short of room becomes the top job. */
--- a/src/coordination/schedule.h
+++ b/src/coordination/schedule.h
@@ -15,7 +15,7 @@
 /* The weights of the order, and the patience beyond which an array must not wait. */
 struct fl_sched_params {
 	double alpha, beta, gamma, r, omega; /* the paper's */
-	double default_est_s;                /* for jobs with no estimate */
+	double default_estimate_s;           /* for jobs with no estimate */
 	double patience_s;                   /* past it, waiting weighs more and more */
 	double impatience;                   /* power of what it then weighs more */
 	double background_patience;          /* times the patience that background work has */
@@ -30,16 +30,17 @@
 	bool service;
 	bool gang; /* all its waiting tasks start at once, or none */
 	int team;
-	double waited_s, est_s;
+	double waited_s, estimate_s;
 	double cpus, gpus, ram_gb, image_gb; /* of one task */
-	uint32_t n_tasks, waiting;           /* waiting: may start now */
+	uint32_t task_count, waiting;        /* waiting: may start now */
 	uint32_t types;                      /* machine types it may use, one bit each */
 	int zone;                            /* the only one; -1: any */
-	bool together, apart, reclaimable;
-	bool within_guarantee; /* fits its team's guarantee together with the team's earlier jobs */
+	bool same_zone, spread_zones, spot_allowed;
+	bool within_guaranteed; /* fits its team's guarantee together with the team's earlier jobs
+	                         */
 	bool background; /* an array of a class for which no objective is set, though some are */
 	bool begun;      /* some task of it runs, or is done */
-	uint32_t zone_placed[FL_ZONES_MAX], zone_unknown; /* tasks placed, by zone */
+	uint32_t placed_by_zone[FL_ZONES_MAX], placed_in_unknown_zone; /* tasks placed, by zone */
 	int image;
 	double window_left; /* what is left of its backfill window, s; < 0: none yet */
 };
@@ -49,7 +50,7 @@
  * only such jobs as this one or better may start there.
  */
 struct fl_reservation {
-	bool made, within_guarantee;
+	bool made, within_guaranteed;
 	enum fl_priority priority;
 	double cpus, gpus, ram_gb; /* reserved; the rest of the machine is free to all */
 };
@@ -62,7 +63,7 @@
 	struct fl_reservation reserved, requested; /* by earlier passes, and by this one */
 	double cpus, gpus, ram_gb;                 /* free */
 	double pull_gb_s;
-	const int *cache; /* FL_CACHE_NOTE images */
+	const int *cache; /* FL_IMAGE_CACHE_MAX images */
 };
 
 /* An attempt that may be on a machine. */
@@ -70,7 +71,7 @@
 	int machine, team;
 	enum fl_priority priority;
 	bool service, stopping, movable; /* movable: may be chosen as a victim at all */
-	bool within_guarantee;           /* of a job within its team's guarantee */
+	bool within_guaranteed;          /* of a job within its team's guarantee */
 	bool last_running_task;          /* of a job past its patience: only urgent work stops it */
 	double cpus, gpus, ram_gb;
 	double left_s; /* by its estimate; INFINITY for a service */
--- a/src/coordination/schedule_backfill.c
+++ b/src/coordination/schedule_backfill.c
@@ -48,7 +48,7 @@
 
 /* Whether the waiting tasks of a gang all fit into this room, given per machine. */
 static bool gang_fits(const struct fl_sched_in *in, const struct fl_sched_job *job,
-                      const struct fl_amounts *room)
+                      const struct fl_resources *room)
 {
 	uint32_t by_zone[FL_ZONES_MAX] = {0}, total = 0;
 
@@ -60,7 +60,7 @@
 		by_zone[in->machines[i].zone] += count;
 		total += count;
 	}
-	for (int z = 0; job->together && z < FL_ZONES_MAX; z++)
+	for (int z = 0; job->same_zone && z < FL_ZONES_MAX; z++)
 		if (z == 0 || by_zone[z] > total)
 			total = by_zone[z];
 	return total >= job->waiting;
@@ -71,15 +71,15 @@
                                    struct run_end *ends)
 {
 	const struct fl_sched_in *in = pass->in;
-	struct fl_amounts *room = malloc(((size_t)in->n_machines + 1) * sizeof(*room));
+	struct fl_resources *room = malloc(((size_t)in->n_machines + 1) * sizeof(*room));
 	double found = INFINITY, at_s = 0;
 	int n = 0;
 
 	if (!room)
 		return INFINITY;
 	for (int i = 0; i < in->n_machines; i++)
-		room[i] = (struct fl_amounts){in->machines[i].cpus, in->machines[i].gpus,
-		                              in->machines[i].ram_gb};
+		room[i] = (struct fl_resources){in->machines[i].cpus, in->machines[i].gpus,
+		                                in->machines[i].ram_gb};
 	for (int i = 0; i < in->n_runs; i++)
 		if (in->runs[i].left_s < INFINITY)
 			ends[n++] = (struct run_end){in->runs[i].left_s, i};
--- a/src/coordination/schedule_fit.c
+++ b/src/coordination/schedule_fit.c
@@ -5,16 +5,16 @@
 
 bool fl_sched_zone_allows(const struct fl_sched_job *job, int zone)
 {
-	uint32_t half = (job->n_tasks + 1) / 2;
+	uint32_t half = (job->task_count + 1) / 2;
 
-	if (job->apart && job->zone_placed[zone] + job->zone_unknown + 1 > half)
+	if (job->spread_zones && job->placed_by_zone[zone] + job->placed_in_unknown_zone + 1 > half)
 		return false;
-	if (!job->together)
+	if (!job->same_zone)
 		return true;
-	if (job->zone_unknown > 0)
+	if (job->placed_in_unknown_zone > 0)
 		return false;
 	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (z != zone && job->zone_placed[z] > 0)
+		if (z != zone && job->placed_by_zone[z] > 0)
 			return false;
 	return true;
 }
@@ -23,12 +23,13 @@
 {
 	const struct fl_team *team = &in->teams[job->team];
 
-	return fl_team_within_max(team, team->used_cpus + job->cpus, team->used_gpus + job->gpus);
+	return fl_team_within_maximum(team, team->used_cpus + job->cpus,
+	                              team->used_gpus + job->gpus);
 }
 
 bool fl_sched_depends_on_zones(const struct fl_sched_job *job)
 {
-	return job->apart || job->together;
+	return job->spread_zones || job->same_zone;
 }
 
 uint32_t fl_sched_tasks_in(const struct fl_sched_job *job, double cpus, double gpus, double ram)
@@ -36,8 +37,8 @@
 	/* Reserved room can make an amount negative that the job itself needs none of. */
 	if (!fl_sched_fits(job, cpus, gpus, ram))
 		return 0;
-	return fl_tasks_fit((struct fl_amounts){job->cpus, job->gpus, job->ram_gb},
-	                    (struct fl_amounts){cpus, gpus, ram});
+	return fl_placement_capacity((struct fl_resources){job->cpus, job->gpus, job->ram_gb},
+	                             (struct fl_resources){cpus, gpus, ram});
 }
 
 /*
@@ -47,20 +48,20 @@
  * in ten minutes. Nor does a pass that resumes in the middle of the order give away what its head
  * waits for.
  */
-static struct fl_amounts blocked_amounts(const struct fl_sched_pass *pass,
-                                         const struct fl_sched_job *job,
-                                         const struct fl_sched_machine *machine)
+static struct fl_resources blocked_amounts(const struct fl_sched_pass *pass,
+                                           const struct fl_sched_job *job,
+                                           const struct fl_sched_machine *machine)
 {
 	const struct fl_reservation *earlier = &machine->reserved, *requested = &machine->requested;
-	struct fl_amounts blocked = {earlier->cpus, earlier->gpus, earlier->ram_gb};
+	struct fl_resources blocked = {earlier->cpus, earlier->gpus, earlier->ram_gb};
 
 	if (!earlier->made)
-		return (struct fl_amounts){0};
+		return (struct fl_resources){0};
 	/* Services too: an urgent one goes before a critical array, which may stop it. */
 	if (job->priority >= earlier->priority &&
 	    (fl_sched_precedes_arrays(job) ||
-	     (!pass->resumed && (!earlier->within_guarantee || job->within_guarantee))))
-		return (struct fl_amounts){0};
+	     (!pass->resumed && (!earlier->within_guaranteed || job->within_guaranteed))))
+		return (struct fl_resources){0};
 	/* What was requested again in this pass is subtracted from the free room already. */
 	if (requested->made && requested->priority >= earlier->priority) {
 		blocked.cpus = fmax(0, blocked.cpus - requested->cpus);
@@ -70,13 +71,13 @@
 	return blocked;
 }
 
-struct fl_amounts fl_sched_room_for(const struct fl_sched_pass *pass,
-                                    const struct fl_sched_job *job, int machine_index)
+struct fl_resources fl_sched_room_for(const struct fl_sched_pass *pass,
+                                      const struct fl_sched_job *job, int machine_index)
 {
 	const struct fl_sched_machine *machine = &pass->in->machines[machine_index];
-	struct fl_amounts blocked = blocked_amounts(pass, job, machine);
+	struct fl_resources blocked = blocked_amounts(pass, job, machine);
 
-	return (struct fl_amounts){
+	return (struct fl_resources){
 		machine->cpus + pass->releasing_cpus[machine_index] - blocked.cpus,
 		machine->gpus + pass->releasing_gpus[machine_index] - blocked.gpus,
 		machine->ram_gb + pass->releasing_ram_gb[machine_index] - blocked.ram_gb};
--- a/src/coordination/schedule_internal.h
+++ b/src/coordination/schedule_internal.h
@@ -46,7 +46,7 @@
                                     const struct fl_sched_machine *machine)
 {
 	return (job->types >> machine->type & 1) && (job->zone < 0 || job->zone == machine->zone) &&
-	       (job->reclaimable || !machine->spot);
+	       (job->spot_allowed || !machine->spot);
 }
 
 /* Whether one task of the job fits into these amounts. */
@@ -66,8 +66,8 @@
 /* How many tasks of the job fit into these amounts. */
 uint32_t fl_sched_tasks_in(const struct fl_sched_job *job, double cpus, double gpus, double ram_gb);
 /* What is or will be free on a machine for this job, less what is reserved for others. */
-struct fl_amounts fl_sched_room_for(const struct fl_sched_pass *pass,
-                                    const struct fl_sched_job *job, int machine_index);
+struct fl_resources fl_sched_room_for(const struct fl_sched_pass *pass,
+                                      const struct fl_sched_job *job, int machine_index);
 
 /* ---- placement (schedule_place.c) ---- */
 
--- a/src/coordination/schedule_order.c
+++ b/src/coordination/schedule_order.c
@@ -5,14 +5,14 @@
 #include <stdlib.h>
 
 const struct fl_sched_params fl_sched_defaults = {
-	.alpha = 1,            /* power; a job rises as it waits */
-	.beta = -1,            /* power; short ones first */
-	.gamma = -0.5,         /* power; narrow ones first: users count jobs, not tasks */
-	.r = 10,               /* one priority is worth ten times the wait */
-	.omega = 4,            /* times; the finite value that did best in the paper's tables */
-	.default_est_s = 3600, /* s; for a job with neither an estimate nor a history */
-	.patience_s = 120,     /* s; half of what users grant the largest job before it begins */
-	.impatience = 4,       /* power; at twice the patience it outweighs all but the priority */
+	.alpha = 1,    /* power; a job rises as it waits */
+	.beta = -1,    /* power; short ones first */
+	.gamma = -0.5, /* power; narrow ones first: users count jobs, not tasks */
+	.r = 10,       /* one priority is worth ten times the wait */
+	.omega = 4,    /* times; the finite value that did best in the paper's tables */
+	.default_estimate_s = 3600, /* s; for a job with neither an estimate nor a history */
+	.patience_s = 120, /* s; half of what users grant the largest job before it begins */
+	.impatience = 4,   /* power; at twice the patience it outweighs all but the priority */
 	.background_patience = 3, /* times; nobody says when it should be done */
 };
 
@@ -32,8 +32,8 @@
 double fl_sched_priority(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
 	double wait = job->waited_s > tunables.min_wait_s ? job->waited_s : tunables.min_wait_s;
-	double estimate = job->est_s > 0 ? job->est_s : params->default_est_s;
-	double cpus = job->cpus * job->n_tasks;
+	double estimate = job->estimate_s > 0 ? job->estimate_s : params->default_estimate_s;
+	double cpus = job->cpus * job->task_count;
 	double patience = params->patience_s * (job->background ? params->background_patience : 1);
 
 	if (cpus <= 0)
@@ -79,7 +79,7 @@
 		return RANK_URGENT_SERVICE;
 	if (fl_sched_overdue(params, job))
 		return RANK_OVERDUE;
-	return job->within_guarantee ? RANK_WITHIN_GUARANTEE : RANK_OTHER;
+	return job->within_guaranteed ? RANK_WITHIN_GUARANTEE : RANK_OTHER;
 }
 
 static int compare_jobs(const void *pa, const void *pb, void *ctx)
--- a/src/coordination/schedule_place.c
+++ b/src/coordination/schedule_place.c
@@ -25,7 +25,7 @@
  */
 static double expected_loss_s(const struct fl_sched_in *in, const struct fl_sched_job *job)
 {
-	double estimate_s = job->est_s > 0 ? job->est_s : in->params->default_est_s;
+	double estimate_s = job->estimate_s > 0 ? job->estimate_s : in->params->default_estimate_s;
 
 	if (job->service || job->waited_s <= in->params->patience_s)
 		return 0;
@@ -34,7 +34,7 @@
 
 double fl_sched_fetch_s(const struct fl_sched_job *job, const struct fl_sched_machine *machine)
 {
-	for (int i = 0; i < FL_CACHE_NOTE && machine->cache; i++)
+	for (int i = 0; i < FL_IMAGE_CACHE_MAX && machine->cache; i++)
 		if (machine->cache[i] == job->image)
 			return 0;
 	return job->image_gb / (machine->pull_gb_s > 0 ? machine->pull_gb_s : 1);
@@ -49,11 +49,11 @@
 	        (fl_sched_precedes_arrays(job) ? tunables.urgent_fetch_weight : 1);
 	if (!machine->held)
 		cost += tunables.empty_s +
-		        (job->reclaimable && !machine->spot ? tunables.ordinary_s : 0);
+		        (job->spot_allowed && !machine->spot ? tunables.ordinary_s : 0);
 	if (machine->spot)
 		cost += expected_loss_s(in, job);
-	if (job->apart)
-		cost += tunables.zone_weight * job->zone_placed[machine->zone];
+	if (job->spread_zones)
+		cost += tunables.zone_weight * job->placed_by_zone[machine->zone];
 	return cost;
 }
 
@@ -62,13 +62,13 @@
                          const double *must_end_by, int machine_index)
 {
 	const struct fl_sched_machine *machine = &pass->in->machines[machine_index];
-	struct fl_amounts room = fl_sched_room_for(pass, job, machine_index);
+	struct fl_resources room = fl_sched_room_for(pass, job, machine_index);
 
 	if ((zone >= 0 && machine->zone != zone) ||
 	    !fl_sched_fits(job, room.cpus, room.gpus, room.ram_gb) ||
 	    !fl_sched_fits(job, machine->cpus, machine->gpus, machine->ram_gb) ||
 	    !fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone) ||
-	    (must_end_by && must_end_by[machine_index] < job->est_s))
+	    (must_end_by && must_end_by[machine_index] < job->estimate_s))
 		return INFINITY;
 	return fl_sched_placement_cost(pass->in, job, machine);
 }
@@ -101,10 +101,10 @@
 	double room[FL_ZONES_MAX] = {0};
 	int best = -1;
 
-	if (!job->together)
+	if (!job->same_zone)
 		return -1;
 	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (job->zone_placed[z] > 0)
+		if (job->placed_by_zone[z] > 0)
 			return z;
 	for (int i = 0; i < in->n_machines; i++) {
 		const struct fl_sched_machine *machine = &in->machines[i];
@@ -152,7 +152,7 @@
 	machine->ram_gb -= job->ram_gb;
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
-	job->zone_placed[machine->zone]++;
+	job->placed_by_zone[machine->zone]++;
 	job->waiting--;
 }
 
@@ -170,7 +170,7 @@
 		machine->ram_gb += job->ram_gb;
 		team->used_cpus -= job->cpus;
 		team->used_gpus -= job->gpus;
-		job->zone_placed[machine->zone]--;
+		job->placed_by_zone[machine->zone]--;
 		job->waiting++;
 	}
 }
--- a/src/coordination/schedule_preempt.c
+++ b/src/coordination/schedule_preempt.c
@@ -39,7 +39,7 @@
  */
 static bool could_preempt_in_turn(const struct fl_sched_job *job, const struct fl_sched_run *run)
 {
-	return run->within_guarantee && !job->within_guarantee && !job->service &&
+	return run->within_guaranteed && !job->within_guaranteed && !job->service &&
 	       run->team != job->team;
 }
 
@@ -59,10 +59,10 @@
 	 * stopped again.
 	 */
 	if (entitlement != ENTITLED_BY_GUARANTEE || run->team == job->team || run->service ||
-	    run->within_guarantee)
+	    run->within_guaranteed)
 		return false;
 	team = &pass->in->teams[run->team];
-	return !fl_team_within_guarantee(team, team->used_cpus, team->used_gpus);
+	return !fl_team_within_guaranteed(team, team->used_cpus, team->used_gpus);
 }
 
 static int compare_losses(const void *pa, const void *pb, void *ctx)
@@ -83,7 +83,7 @@
 static double select_victims(struct fl_sched_pass *pass, const struct fl_sched_job *job,
                              int machine_index, enum entitlement entitlement, int *n_victims)
 {
-	struct fl_amounts room = fl_sched_room_for(pass, job, machine_index);
+	struct fl_resources room = fl_sched_room_for(pass, job, machine_index);
 	double cpus = room.cpus, gpus = room.gpus, ram = room.ram_gb, cost = 0;
 	int n = 0, used = 0, *victims = pass->victims;
 	bool none = entitlement == ENTITLED_BY_PRIORITY &&
@@ -133,7 +133,7 @@
 	/* Where it may not start, a stop would only make room for others. */
 	if (!fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone) ||
 	    (terms.choice == MACHINES_WITH_IMAGE && fl_sched_fetch_s(job, machine) > 0) ||
-	    (terms.must_end_by && terms.must_end_by[machine_index] < job->est_s))
+	    (terms.must_end_by && terms.must_end_by[machine_index] < job->estimate_s))
 		return INFINITY;
 	cost = select_victims(pass, job, machine_index, terms.entitlement, &n_victims);
 	/* Mostly there is no room to be made, and what a place would be worth need not be known. */
@@ -172,11 +172,11 @@
 	machine->cpus -= job->cpus;
 	machine->gpus -= job->gpus;
 	machine->ram_gb -= job->ram_gb;
-	job->zone_placed[machine->zone]++;
+	job->placed_by_zone[machine->zone]++;
 	if (!machine->requested.made)
 		machine->requested = (struct fl_reservation){
 			.made = true,
-			.within_guarantee = terms.entitlement == ENTITLED_BY_GUARANTEE,
+			.within_guaranteed = terms.entitlement == ENTITLED_BY_GUARANTEE,
 			.priority = job->priority};
 	machine->requested.cpus += job->cpus;
 	machine->requested.gpus += job->gpus;
@@ -209,9 +209,9 @@
 /* What entitles one more task of the job, the team's use so far included. */
 static enum entitlement entitlement_of(const struct fl_sched_job *job, const struct fl_team *team)
 {
-	bool within =
-		job->within_guarantee && fl_team_within_guarantee(team, team->used_cpus + job->cpus,
-	                                                          team->used_gpus + job->gpus);
+	bool within = job->within_guaranteed &&
+	              fl_team_within_guaranteed(team, team->used_cpus + job->cpus,
+	                                        team->used_gpus + job->gpus);
 
 	return within ? ENTITLED_BY_GUARANTEE : ENTITLED_BY_PRIORITY;
 }
--- a/src/coordination/status_query.c
+++ b/src/coordination/status_query.c
@@ -28,9 +28,9 @@
 
 struct fl_status_batch {
 	struct fl_batch batch;
-	int n;
-	char ref[FL_STATUS_QUERY_MAX][FL_REF_MAX];
-	struct fl_job_state state[FL_STATUS_QUERY_MAX];
+	int count;
+	char refs[FL_STATUS_QUERY_MAX][FL_REF_MAX];
+	struct fl_job_status_report states[FL_STATUS_QUERY_MAX];
 };
 
 static struct fl_peer *leading_peer(struct fl_node *n)
@@ -50,16 +50,16 @@
 
 	if (!leader)
 		return -EHOSTUNREACH;
-	text = fl_status_query_encode(b->ref, b->n);
+	text = fl_status_query_encode(b->refs, b->count);
 	if (!text)
 		return -ENOMEM;
 	rc = fl_http_call(&leader->http, "POST", FL_PATH_STATUS, text, tunables.patience_s, &reply);
 	free(text);
 	if (rc)
 		return rc;
-	rc = reply.status != 200
-	             ? -EHOSTUNREACH
-	             : fl_status_answer_decode(reply.body.data, reply.body.len, b->state, b->n);
+	rc = reply.status != 200 ? -EHOSTUNREACH
+	                         : fl_status_answer_decode(reply.body.data, reply.body.len,
+	                                                   b->states, b->count);
 	if (rc == -EPROTO)
 		fl_error("peers", "%s answers status queries with what is no answer", leader->name);
 	fl_buf_free(&reply.body);
@@ -69,14 +69,14 @@
 static enum fl_query_result result_of(const struct fl_status_batch *b, int at, int rc,
                                       struct fl_response *resp)
 {
-	const struct fl_job_state *s = &b->state[at];
+	const struct fl_job_status_report *status = &b->states[at];
 
 	if (rc)
 		return FL_QUERY_FAILED;
-	if (!s->known)
+	if (!status->known)
 		return FL_QUERY_UNSETTLED;
 	resp->status = 200;
-	resp->body = fl_status_encode(b->ref[at], s->status, s->done, s->running);
+	resp->body = fl_status_encode(b->refs[at], status->status, status->done, status->running);
 	return FL_QUERY_ANSWERED;
 }
 
@@ -97,11 +97,11 @@
 		if (!b)
 			return FL_QUERY_OVERLOADED;
 		fl_batch_begin(q, &b->batch);
-	} else if (b->n == FL_STATUS_QUERY_MAX) {
+	} else if (b->count == FL_STATUS_QUERY_MAX) {
 		return FL_QUERY_OVERLOADED;
 	}
-	at = b->n++;
-	fl_copy_string(b->ref[at], sizeof(b->ref[at]), ref);
+	at = b->count++;
+	fl_copy_string(b->refs[at], sizeof(b->refs[at]), ref);
 	rc = fl_batch_settle(n, q, &b->batch, first, &terms);
 	result = result_of(b, at, rc, resp);
 	if (fl_batch_release(&b->batch))
@@ -113,7 +113,7 @@
                            struct fl_response *resp)
 {
 	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_MAX, sizeof(*refs));
-	struct fl_job_state *states = calloc(FL_STATUS_QUERY_MAX, sizeof(*states));
+	struct fl_job_status_report *states = calloc(FL_STATUS_QUERY_MAX, sizeof(*states));
 	int count = refs && states ? fl_status_query_decode(body, len, refs) : -ENOMEM;
 
 	if (count == -EPROTO) {
--- a/src/coordination/submission.c
+++ b/src/coordination/submission.c
@@ -17,37 +17,38 @@
 };
 
 /* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t zones_for(const struct fl_node *n, const struct fl_job_spec *r)
+static uint32_t zones_for(const struct fl_node *n, const struct fl_job_spec *spec)
 {
 	uint32_t zones = 0;
 
-	for (int i = 0; i < n->cluster.machines.n_types; i++) {
-		const struct fl_machine_type *k = &n->cluster.machines.types[i];
-		bool named = r->n_machine_types < 0;
+	for (int i = 0; i < n->cluster.machines.type_count; i++) {
+		const struct fl_machine_type *machine_type = &n->cluster.machines.types[i];
+		bool named = spec->machine_type_count < 0;
 
-		for (int h = 0; h < r->n_machine_types && !named; h++)
-			named = strcmp(r->machine_types[h], k->name) == 0;
-		if (named && r->cpus <= k->cpus && r->gpus <= k->gpus && r->ram_gb <= k->ram_gb)
-			zones |= k->zones;
+		for (int h = 0; h < spec->machine_type_count && !named; h++)
+			named = strcmp(spec->machine_types[h], machine_type->name) == 0;
+		if (named && spec->cpus <= machine_type->cpus && spec->gpus <= machine_type->gpus &&
+		    spec->ram_gb <= machine_type->ram_gb)
+			zones |= machine_type->zones;
 	}
 	return zones;
 }
 
 /* NULL, or why the job can never run. */
-static const char *never(const struct fl_node *n, const struct fl_job_spec *r)
+static const char *never(const struct fl_node *n, const struct fl_job_spec *spec)
 {
-	int team = fl_teams_find(&n->cluster.teams, r->team), zone;
-	bool at_once = r->kind != FL_ARRAY && r->n_tasks > 1;
-	double tasks = at_once ? r->n_tasks : 1;
-	uint32_t zones = zones_for(n, r);
+	int team = fl_teams_find(&n->cluster.teams, spec->team), zone;
+	bool at_once = spec->kind != FL_ARRAY && spec->task_count > 1;
+	double tasks = at_once ? spec->task_count : 1;
+	uint32_t zones = zones_for(n, spec);
 	const struct fl_team *t;
 
 	if (team < 0)
 		return "Owner: unknown team";
-	if (r->cpus <= 0 && r->gpus <= 0 && r->ram_gb <= 0)
+	if (spec->cpus <= 0 && spec->gpus <= 0 && spec->ram_gb <= 0)
 		return "a task takes nothing of its machine";
-	if (r->has_zone) {
-		zone = fl_names_find(&n->cluster.zones, r->zone);
+	if (spec->has_zone) {
+		zone = fl_symbol_find(&n->cluster.zones, spec->zone);
 		if (zone < 0)
 			return "Site: unknown zone";
 		zones &= 1u << zone;
@@ -57,10 +58,10 @@
 		return "a task fits no allowed machine type";
 	/* An array's tasks can run one after the other; others would lack half of theirs for ever.
 	 */
-	if (at_once && r->apart && (r->together || !(zones & (zones - 1))))
+	if (at_once && spec->spread_zones && (spec->same_zone || !(zones & (zones - 1))))
 		return "Apart: half of the tasks fit no allowed machine type";
-	t = &n->cluster.teams.at[team];
-	if (!fl_team_within_max(t, r->cpus * tasks, r->gpus * tasks))
+	t = &n->cluster.teams.by_index[team];
+	if (!fl_team_within_maximum(t, spec->cpus * tasks, spec->gpus * tasks))
 		return "more than the team's limit";
 	return NULL;
 }
@@ -97,14 +98,15 @@
 static int answer_known(struct fl_node *n, const char *ref, enum fl_hop hop,
                         struct fl_response *resp)
 {
-	struct fl_job_record rec;
-	uint64_t rev;
+	struct fl_job_record record;
+	uint64_t revision;
 	cJSON *v = NULL;
 	int rc;
 
-	if (!fl_finished_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
-		rc = state_is_down(n) ? -EAGAIN
-		                      : fl_records_read(&n->kv_store, ref, &rec, &v, &rev);
+	if (!fl_finished_job_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
+		rc = state_is_down(n)
+		             ? -EAGAIN
+		             : fl_job_record_read(&n->kv_store, ref, &record, &v, &revision);
 		cJSON_Delete(v);
 		if (rc && rc != -ENOENT && !hop)
 			return known_to_leader(n, ref, resp);
@@ -115,27 +117,27 @@
 	return 1;
 }
 
-static int store_job(struct fl_node *n, const struct fl_job_spec *run)
+static int store_job(struct fl_node *n, const struct fl_job_spec *spec)
 {
 	double submitted = fl_wall();
 	struct fl_kv_txn txn;
 	struct fl_job *job;
 	char key[FL_KEY_MAX];
-	uint64_t rev;
+	uint64_t revision;
 	int rc;
 
 	fl_kv_txn_init(&txn);
-	fl_key_finished(key, run->ref);
+	fl_key_finished(key, spec->ref);
 	fl_kv_txn_expect_revision(&txn, key, 0);
-	fl_key_job(key, run->ref);
+	fl_key_job(key, spec->ref);
 	fl_kv_txn_expect_revision(&txn, key, 0);
-	fl_kv_txn_put(&txn, key, fl_job_record_live(run, submitted), 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, NULL);
+	fl_kv_txn_put(&txn, key, fl_job_record_live(spec, submitted), 0);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
 	if (rc)
 		return rc;
-	if (!fl_finished_find(&n->cluster, run->ref) && !fl_job_find(&n->cluster, run->ref) &&
-	    !(n->cluster.leading && rev <= n->cluster.list_rev)) {
-		job = fl_job_add(&n->cluster, run, submitted, rev);
+	if (!fl_finished_job_find(&n->cluster, spec->ref) && !fl_job_find(&n->cluster, spec->ref) &&
+	    !(n->cluster.leading && revision <= n->cluster.list_revision)) {
+		job = fl_job_add(&n->cluster, spec, submitted, revision);
 		if (job && n->leadership.active) {
 			n->leadership.cycle_due = true;
 			fl_signal_wake(&n->leadership.work_available);
@@ -148,7 +150,7 @@
  * The state service may refuse this node alone, or be cut from it: the leader has it. What was
  * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
  */
-static bool submit_by_leader(struct fl_node *n, const struct fl_job_spec *run,
+static bool submit_by_leader(struct fl_node *n, const struct fl_job_spec *spec,
                              struct fl_response *resp)
 {
 	struct fl_reply reply;
@@ -157,7 +159,7 @@
 
 	if (fl_election_lease_valid(n))
 		return false;
-	text = fl_json_take(fl_job_spec_encode(run));
+	text = fl_json_take(fl_job_spec_encode(spec));
 	rc = fl_user_call_relay(n, FL_CALL_SUBMIT, NULL, text, FL_FIRST_HOP,
 	                        fl_user_call_patience_s(FL_CALL_SUBMIT), &reply);
 	free(text);
@@ -176,71 +178,71 @@
  * Before the rest of a submission is judged: a known job is answered with its state, and what
  * cannot be read is refused for `bad`, the field. False: to be judged on.
  */
-static bool answer_first(struct fl_node *n, const struct fl_job_spec *run, const char *bad,
+static bool answer_first(struct fl_node *n, const struct fl_job_spec *spec, const char *bad,
                          enum fl_hop hop, struct fl_response *resp)
 {
 	int rc;
 
-	if (!bad && n->types_known && !fl_finished_find(&n->cluster, run->ref) &&
-	    !fl_job_find(&n->cluster, run->ref))
+	if (!bad && n->types_known && !fl_finished_job_find(&n->cluster, spec->ref) &&
+	    !fl_job_find(&n->cluster, spec->ref))
 		return false;
-	rc = answer_known(n, run->ref, hop, resp);
+	rc = answer_known(n, spec->ref, hop, resp);
 	if (rc == 1)
 		return true;
 	if (rc < 0 || !bad) {
 		fl_later(resp, "cannot decide yet");
 	} else {
 		fl_refuse(resp, 400, "%s: missing or invalid", bad);
-		fl_info("jobs", "%s refused: %s", run->ref, bad);
+		fl_info("jobs", "%s refused: %s", spec->ref, bad);
 	}
 	return true;
 }
 
 /* Refuses a job that can never run, for the reason `why`, unless it is known. */
-static void refuse_never(struct fl_node *n, const struct fl_job_spec *run, const char *why,
+static void refuse_never(struct fl_node *n, const struct fl_job_spec *spec, const char *why,
                          enum fl_hop hop, struct fl_response *resp)
 {
-	int rc = answer_known(n, run->ref, hop, resp);
+	int rc = answer_known(n, spec->ref, hop, resp);
 
 	if (rc < 0) {
 		fl_later(resp, "cannot decide yet");
 	} else if (rc == 0) {
 		fl_refuse(resp, 422, "%s", why);
-		fl_info("jobs", "%s refused: %s", run->ref, why);
+		fl_info("jobs", "%s refused: %s", spec->ref, why);
 	}
 }
 
 /* For want of memory: a repeat of an accepted job is answered all the same. */
-static void turn_away(struct fl_node *n, const struct fl_job_spec *run, enum fl_hop hop,
+static void turn_away(struct fl_node *n, const struct fl_job_spec *spec, enum fl_hop hop,
                       struct fl_response *resp)
 {
-	if (answer_known(n, run->ref, hop, resp) == 1)
+	if (answer_known(n, spec->ref, hop, resp) == 1)
 		return;
 	fl_later(resp, "memory is short at the moment");
-	fl_info("jobs", "%s turned away: memory is short", run->ref);
+	fl_info("jobs", "%s turned away: memory is short", spec->ref);
 }
 
 /* Stores a job that may run, here or by the leader. */
-static void accept_job(struct fl_node *n, const struct fl_job_spec *run, enum fl_hop hop,
+static void accept_job(struct fl_node *n, const struct fl_job_spec *spec, enum fl_hop hop,
                        struct fl_response *resp)
 {
 	/* A cut is silent: to try here first would cost the user a second. */
 	bool relayed_first = !hop && fl_kv_is_unavailable(&n->kv_store);
 	int rc;
 
-	if (relayed_first && submit_by_leader(n, run, resp))
+	if (relayed_first && submit_by_leader(n, spec, resp))
 		return;
-	rc = state_is_down(n) ? -EAGAIN : store_job(n, run);
+	rc = state_is_down(n) ? -EAGAIN : store_job(n, spec);
 	if (rc == 0) {
-		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", run->ref,
-		        run->job_class, run->team, run->n_tasks, run->cpus, run->gpus);
+		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", spec->ref,
+		        spec->job_class, spec->team, spec->task_count, spec->cpus, spec->gpus);
 		resp->status = 201;
-		resp->body = fl_status_encode(run->ref, FL_PENDING, -1, 0);
+		resp->body = fl_status_encode(spec->ref, FL_PENDING, -1, 0);
 		return;
 	}
-	if (rc == -ESTALE && answer_known(n, run->ref, hop, resp) == 1)
+	if (rc == -ESTALE && answer_known(n, spec->ref, hop, resp) == 1)
 		return;
-	if (rc != -ESTALE && !hop && !relayed_first && submit_by_leader(n, run, resp))
+	if (rc != -ESTALE && !hop && !relayed_first && submit_by_leader(n, spec, resp))
 		return;
 	fl_later(resp, "the job could not be stored");
 }
@@ -250,16 +252,16 @@
 {
 	cJSON *o = fl_json_parse(body, len);
 	const char *bad, *why;
-	struct fl_job_spec run;
+	struct fl_job_spec spec;
 
 	if (!cJSON_IsObject(o)) {
 		cJSON_Delete(o);
 		fl_refuse(resp, 400, "the body must be a JSON object");
 		return;
 	}
-	bad = fl_job_spec_decode(o, &run);
+	bad = fl_job_spec_decode(o, &spec);
 	cJSON_Delete(o);
-	if (!run.ref[0]) {
+	if (!spec.ref[0]) {
 		fl_refuse(resp, 400, "Ref: missing or invalid");
 		return;
 	}
@@ -268,13 +270,13 @@
 		fl_later(resp, "neither the state service nor another controller answers");
 		return;
 	}
-	if (answer_first(n, &run, bad, hop, resp))
+	if (answer_first(n, &spec, bad, hop, resp))
 		return;
-	why = never(n, &run);
+	why = never(n, &spec);
 	if (why)
-		refuse_never(n, &run, why, hop, resp);
+		refuse_never(n, &spec, why, hop, resp);
 	else if (!fl_admission_has_memory(n->config))
-		turn_away(n, &run, hop, resp);
+		turn_away(n, &spec, hop, resp);
 	else
-		accept_job(n, &run, hop, resp);
+		accept_job(n, &spec, hop, resp);
 }
--- a/src/coordination/user_calls.c
+++ b/src/coordination/user_calls.c
@@ -64,22 +64,22 @@
 {
 	struct progress *p = ctx;
 
-	fl_chunk_count(event->value, &p->done, &p->placed);
+	fl_task_block_count(event->value, &p->done, &p->placed);
 }
 
 /* Without a leader in reach, the records themselves answer: never older than what was told. */
 static void poll_records(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_job_record rec;
+	struct fl_job_record record;
 	struct progress p = {0};
 	char key[FL_KEY_MAX];
-	uint64_t rev;
+	uint64_t revision;
 	cJSON *v = NULL;
-	int rc = fl_job_lookup_read(n, ref, &rec, &v, &rev);
+	int rc = fl_job_lookup_read(n, ref, &record, &v, &revision);
 
 	/* What a user is told here, the other controllers must hear from here. */
-	if (rc == 0 && rec.final && v)
-		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(rec.cancelled));
+	if (rc == 0 && record.final && v)
+		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(record.cancelled_wall));
 	cJSON_Delete(v);
 	if (rc == -ENOENT) {
 		fl_refuse(resp, 404, "no such job");
@@ -89,10 +89,10 @@
 		fl_later(resp, "neither the leader nor the state service answers");
 		return;
 	}
-	if (rec.final) {
+	if (record.final) {
 		resp->status = 200;
-		resp->body = fl_status_encode(ref, rec.status,
-		                              rec.status == FL_DONE ? rec.n_tasks : 0, 0);
+		resp->body = fl_status_encode(ref, record.status,
+		                              record.status == FL_DONE ? record.task_count : 0, 0);
 		return;
 	}
 	if (!fl_job_lookup_affords(n, 1)) {
@@ -100,7 +100,7 @@
 		return;
 	}
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
-	fl_kv_list(&n->kv_store, key, count_progress, &p, &rev);
+	fl_kv_list(&n->kv_store, key, count_progress, &p, &revision);
 	resp->status = 200;
 	resp->body = fl_status_encode(ref, p.placed ? FL_RUNNING : FL_PENDING, p.done, p.placed);
 }
@@ -166,19 +166,20 @@
 void fl_poll_or_cancel(struct fl_node *n, enum fl_user_call call, const char *ref, enum fl_hop hop,
                        struct fl_response *resp)
 {
-	struct fl_finished_job *f;
+	struct fl_finished_job *finished;
 
 	if (!ref[0]) {
 		fl_refuse(resp, 404, "no such job");
 		return;
 	}
-	f = fl_finished_find(&n->cluster, ref);
-	if (f) {
+	finished = fl_finished_job_find(&n->cluster, ref);
+	if (finished) {
 		resp->status = 200;
-		resp->body = fl_status_encode(ref, (enum fl_status)f->status,
+		resp->body = fl_status_encode(ref, (enum fl_job_status)finished->status,
 		                              call == FL_CALL_CANCEL ? -1
-		                              : f->status == FL_DONE ? (int64_t)f->n_tasks
-		                                                     : 0,
+		                              : finished->status == FL_DONE
+		                                      ? (int64_t)finished->task_count
+		                                      : 0,
 		                              0);
 		return;
 	}
--- a/src/coordination/record_writer_log.c
+++ b/src/coordination/wal_writer.c
@@ -13,7 +13,7 @@
 	.record_use = 0.85, /* share of a value's limit that the log fills */
 };
 
-static void log_key(char key[FL_KEY_MAX], int at)
+static void format_wal_key(char key[FL_KEY_MAX], int at)
 {
 	snprintf(key, FL_KEY_MAX, FL_PREFIX_WAL "%d", at);
 }
@@ -35,8 +35,8 @@
 }
 
 /* Everything unsaved, in as few values as it fits into; how many, or -E2BIG. */
-static int fill_log(struct fl_node *n, struct fl_kv_txn *txn, struct fl_batch_item **items,
-                    int *count)
+static int fill_wal_values(struct fl_node *n, struct fl_kv_txn *txn, struct fl_batch_item **items,
+                           int *count)
 {
 	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
 	int most = n->config->txn_ops, values = 0, cap = 0;
@@ -46,14 +46,14 @@
 	if (most > FL_BATCH_BYTES / (double)limit)
 		most = (int)(FL_BATCH_BYTES / (double)limit);
 	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
-		for (uint32_t i = 0; i < job->n_chunks; i++) {
-			char *group = fl_log_group_encode(&n->cluster, job, i);
+		for (uint32_t i = 0; i < job->block_count; i++) {
+			char *group = fl_wal_group_encode(&n->cluster, job, i);
 			size_t len = group ? strlen(group) + 1 : 0;
 
 			if (!group)
 				continue;
 			if (value && used + len > limit) {
-				log_key(key, values++);
+				format_wal_key(key, values++);
 				fl_kv_txn_put(txn, key, value, 0);
 				value = NULL;
 			}
@@ -64,70 +64,70 @@
 				return -E2BIG;
 			}
 			if (!value) {
-				value = fl_log_value_begin();
+				value = fl_wal_value_begin();
 				used = 0;
 			}
-			fl_log_value_add(value, group);
+			fl_wal_value_add(value, group);
 			used += len;
 			free(group);
-			(*items)[(*count)++] =
-				(struct fl_batch_item){job, i, fl_job_chunk(job, i)->gen};
+			(*items)[(*count)++] = (struct fl_batch_item){
+				job, i, fl_job_task_block(job, i)->generation};
 		}
 	if (value) {
-		log_key(key, values++);
+		format_wal_key(key, values++);
 		fl_kv_txn_put(txn, key, value, 0);
 	}
 	return values;
 }
 
 /* Any write of the log replaces the one before it, so each is made over what surely stands. */
-static int read_log_revision(struct fl_node *n)
+static int read_wal_revision(struct fl_node *n)
 {
-	uint64_t rev = 0;
+	uint64_t revision = 0;
 	cJSON *v;
 	int rc;
 
 	if (n->leadership.wal_revision_known)
 		return 0;
-	rc = fl_kv_get(&n->kv_store, FL_KEY_WAL, &v, &rev, NULL);
+	rc = fl_kv_get(&n->kv_store, FL_KEY_WAL, &v, &revision, NULL);
 	cJSON_Delete(v);
 	if (rc && rc != -ENOENT)
 		return rc;
-	n->leadership.wal_mod_revision = rc == -ENOENT ? 0 : rev;
+	n->leadership.wal_mod_revision = rc == -ENOENT ? 0 : revision;
 	n->leadership.wal_revision_known = true;
 	return 0;
 }
 
-int fl_record_writer_write_log(struct fl_node *n)
+int fl_record_writer_write_wal(struct fl_node *n)
 {
 	struct fl_batch_item *items = NULL;
 	char failed[FL_KEY_MAX] = "";
 	struct fl_kv_txn txn;
-	int count = 0, values, rc = read_log_revision(n);
-	uint64_t rev;
+	int count = 0, values, rc = read_wal_revision(n);
+	uint64_t revision;
 
 	if (rc)
 		return rc;
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_WAL, n->leadership.wal_mod_revision);
-	values = fill_log(n, &txn, &items, &count);
+	values = fill_wal_values(n, &txn, &items, &count);
 	rc = values < 0 ? values : fl_record_writer_await_budget(n, values);
 	if (rc || !fl_is_leader(n)) {
 		fl_kv_txn_free(&txn);
 		rc = rc ? rc : -EAGAIN;
 		goto out;
 	}
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &rev, failed);
+	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, failed);
 	fl_debug("record", "log of %d records in %d values: %s", count, values,
 	         rc ? strerror(-rc) : "stored");
 	if (rc == 0)
-		n->leadership.wal_mod_revision = rev;
+		n->leadership.wal_mod_revision = revision;
 	else if (rc != -EAGAIN)
 		n->leadership.wal_revision_known = false;
 	/* Only this routine lets go of jobs: those it counted are still there. */
 	for (int i = 0; i < count && rc == 0; i++)
-		items[i].job->chunks[items[i].chunk]->logged_gen = items[i].gen;
+		items[i].job->blocks[items[i].block_index]->logged_generation = items[i].generation;
 	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
 		fl_election_step_down(n, "another leads");
 out:
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -33,35 +33,35 @@
 	return rc;
 }
 
-static int decode_type(const cJSON *e, struct fl_offered_type *k)
+static int decode_type(const cJSON *e, struct fl_cloud_machine_type *type)
 {
 	const cJSON *zones = fl_json_get(e, "Sites"), *s;
 
-	if (fl_json_str(e, "Name", k->name, sizeof(k->name)) != FL_FIELD_OK ||
-	    fl_json_amount(e, "Vcpus", &k->cpus) != FL_FIELD_OK ||
-	    fl_json_amount(e, "Accelerators", &k->gpus) != FL_FIELD_OK ||
-	    fl_json_amount(e, "RamGb", &k->ram_gb) != FL_FIELD_OK ||
-	    fl_json_amount(e, "Price", &k->price) != FL_FIELD_OK ||
-	    fl_json_amount(e, "ReadyS", &k->ready_s) != FL_FIELD_OK || !cJSON_IsArray(zones))
+	if (fl_json_str(e, "Name", type->name, sizeof(type->name)) != FL_FIELD_OK ||
+	    fl_json_amount(e, "Vcpus", &type->cpus) != FL_FIELD_OK ||
+	    fl_json_amount(e, "Accelerators", &type->gpus) != FL_FIELD_OK ||
+	    fl_json_amount(e, "RamGb", &type->ram_gb) != FL_FIELD_OK ||
+	    fl_json_amount(e, "Price", &type->price) != FL_FIELD_OK ||
+	    fl_json_amount(e, "ReadyS", &type->ready_s) != FL_FIELD_OK || !cJSON_IsArray(zones))
 		return -EPROTO;
-	k->spot_price = k->price;
-	k->pull_gb_s = 1.0;
-	if (fl_json_amount(e, "SpotPrice", &k->spot_price) == FL_FIELD_BAD ||
-	    fl_json_amount(e, "PullGbPerS", &k->pull_gb_s) == FL_FIELD_BAD ||
-	    fl_json_amount(e, "LocalGb", &k->cache_gb) == FL_FIELD_BAD)
+	type->spot_price = type->price;
+	type->pull_gb_s = 1.0;
+	if (fl_json_amount(e, "SpotPrice", &type->spot_price) == FL_FIELD_BAD ||
+	    fl_json_amount(e, "PullGbPerS", &type->pull_gb_s) == FL_FIELD_BAD ||
+	    fl_json_amount(e, "LocalGb", &type->cache_gb) == FL_FIELD_BAD)
 		return -EPROTO;
-	if (k->pull_gb_s <= 0)
-		k->pull_gb_s = 1.0;
+	if (type->pull_gb_s <= 0)
+		type->pull_gb_s = 1.0;
 	cJSON_ArrayForEach (s, zones) {
 		if (!cJSON_IsString(s) || strlen(s->valuestring) >= FL_NAME_MAX ||
-		    k->n_zones == FL_TYPE_ZONES_MAX)
+		    type->zone_count == FL_TYPE_ZONES_MAX)
 			return -EPROTO;
-		fl_copy_string(k->zones[k->n_zones++], FL_NAME_MAX, s->valuestring);
+		fl_copy_string(type->zones[type->zone_count++], FL_NAME_MAX, s->valuestring);
 	}
 	return 0;
 }
 
-int fl_machine_types_decode(const cJSON *o, struct fl_offered_type **out, int *n)
+int fl_machine_types_decode(const cJSON *o, struct fl_cloud_machine_type **out, int *n)
 {
 	const cJSON *list = fl_json_get(o, "HostKinds"), *e;
 	int rc = 0;
@@ -87,32 +87,32 @@
 	return rc;
 }
 
-cJSON *fl_machine_types_encode(const struct fl_offered_type *types, int n)
+cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int n)
 {
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "HostKinds");
 
 	for (int i = 0; i < n; i++) {
-		const struct fl_offered_type *k = &types[i];
+		const struct fl_cloud_machine_type *type = &types[i];
 		cJSON *e = cJSON_CreateObject(), *zones;
 
-		cJSON_AddStringToObject(e, "Name", k->name);
-		cJSON_AddNumberToObject(e, "Vcpus", k->cpus);
-		cJSON_AddNumberToObject(e, "Accelerators", k->gpus);
-		cJSON_AddNumberToObject(e, "RamGb", k->ram_gb);
-		cJSON_AddNumberToObject(e, "LocalGb", k->cache_gb);
-		cJSON_AddNumberToObject(e, "PullGbPerS", k->pull_gb_s);
-		cJSON_AddNumberToObject(e, "Price", k->price);
-		cJSON_AddNumberToObject(e, "SpotPrice", k->spot_price);
-		cJSON_AddNumberToObject(e, "ReadyS", k->ready_s);
+		cJSON_AddStringToObject(e, "Name", type->name);
+		cJSON_AddNumberToObject(e, "Vcpus", type->cpus);
+		cJSON_AddNumberToObject(e, "Accelerators", type->gpus);
+		cJSON_AddNumberToObject(e, "RamGb", type->ram_gb);
+		cJSON_AddNumberToObject(e, "LocalGb", type->cache_gb);
+		cJSON_AddNumberToObject(e, "PullGbPerS", type->pull_gb_s);
+		cJSON_AddNumberToObject(e, "Price", type->price);
+		cJSON_AddNumberToObject(e, "SpotPrice", type->spot_price);
+		cJSON_AddNumberToObject(e, "ReadyS", type->ready_s);
 		zones = cJSON_AddArrayToObject(e, "Sites");
-		for (int z = 0; z < k->n_zones; z++)
-			cJSON_AddItemToArray(zones, cJSON_CreateString(k->zones[z]));
+		for (int z = 0; z < type->zone_count; z++)
+			cJSON_AddItemToArray(zones, cJSON_CreateString(type->zones[z]));
 		cJSON_AddItemToArray(list, e);
 	}
 	return o;
 }
 
-int fl_cloud_machine_types(struct fl_cloud *c, struct fl_offered_type **out, int *n)
+int fl_cloud_machine_types(struct fl_cloud *c, struct fl_cloud_machine_type **out, int *n)
 {
 	cJSON *o = NULL;
 	int status, rc = call(c, "GET", "/machine_types", NULL, &o, &status);
@@ -178,25 +178,27 @@
 	return rc;
 }
 
-static int decode_listed(const cJSON *e, struct fl_listed *l)
+static int decode_listed(const cJSON *e, struct fl_cloud_machine *machine)
 {
 	char status[32];
 
-	if (fl_json_str(e, "Ref", l->host, sizeof(l->host)) != FL_FIELD_OK || !l->host[0] ||
-	    fl_json_str(e, "HostKind", l->type, sizeof(l->type)) != FL_FIELD_OK ||
-	    fl_json_str(e, "Site", l->zone, sizeof(l->zone)) != FL_FIELD_OK ||
-	    fl_json_bool(e, "Reclaimable", &l->spot) != FL_FIELD_OK ||
+	if (fl_json_str(e, "Ref", machine->host, sizeof(machine->host)) != FL_FIELD_OK ||
+	    !machine->host[0] ||
+	    fl_json_str(e, "HostKind", machine->type, sizeof(machine->type)) != FL_FIELD_OK ||
+	    fl_json_str(e, "Site", machine->zone, sizeof(machine->zone)) != FL_FIELD_OK ||
+	    fl_json_bool(e, "Reclaimable", &machine->spot) != FL_FIELD_OK ||
 	    fl_json_str(e, "Status", status, sizeof(status)) != FL_FIELD_OK)
 		return -EPROTO;
-	fl_json_str(e, "Endpoint", l->endpoint, sizeof(l->endpoint));
-	fl_json_amount(e, "AgeS", &l->age_s);
-	l->status = strcmp(status, "failed") == 0    ? FL_HOST_FAILED
-	            : strcmp(status, "booting") == 0 ? FL_HOST_BOOTING
-	                                             : FL_HOST_RUNNING;
+	fl_json_str(e, "Endpoint", machine->endpoint, sizeof(machine->endpoint));
+	fl_json_amount(e, "AgeS", &machine->age_s);
+	machine->status = strcmp(status, "failed") == 0    ? FL_CLOUD_MACHINE_FAILED
+	                  : strcmp(status, "booting") == 0 ? FL_CLOUD_MACHINE_BOOTING
+	                                                   : FL_CLOUD_MACHINE_RUNNING;
 	return 0;
 }
 
-int fl_cloud_list(struct fl_cloud *c, const char *from, struct fl_listed **out, int *n, bool *more)
+int fl_cloud_list(struct fl_cloud *c, const char *from, struct fl_cloud_machine **out, int *n,
+                  bool *more)
 {
 	char path[FL_NAME_MAX + 64];
 	cJSON *o = NULL, *e;
--- a/src/protocol/job_states.c
+++ b/src/protocol/job_states.c
@@ -36,39 +36,40 @@
 }
 
 /* {"jobs":[[status,done,running],null,...]} */
-char *fl_status_answer_encode(const struct fl_job_state *states, int count)
+char *fl_status_answer_encode(const struct fl_job_status_report *states, int count)
 {
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "jobs");
 
 	for (int i = 0; i < count; i++) {
-		const struct fl_job_state *s = &states[i];
-		double values[] = {s->status, s->done, s->running};
+		const struct fl_job_status_report *status = &states[i];
+		double values[] = {status->status, status->done, status->running};
 
-		cJSON_AddItemToArray(list, s->known ? cJSON_CreateDoubleArray(values, 3)
-		                                    : cJSON_CreateNull());
+		cJSON_AddItemToArray(list, status->known ? cJSON_CreateDoubleArray(values, 3)
+		                                         : cJSON_CreateNull());
 	}
 	return fl_json_take(o);
 }
 
-static int decode_state(const cJSON *e, struct fl_job_state *out)
+static int decode_state(const cJSON *e, struct fl_job_status_report *out)
 {
 	uint64_t status, done, running;
 
-	*out = (struct fl_job_state){0};
+	*out = (struct fl_job_status_report){0};
 	if (cJSON_IsNull(e))
 		return 0;
 	if (fl_json_item(e, 0, FL_CANCELLED, &status) != FL_FIELD_OK ||
 	    fl_json_item(e, 1, FL_TASKS_MAX, &done) != FL_FIELD_OK ||
 	    fl_json_item(e, 2, FL_TASKS_MAX, &running) != FL_FIELD_OK)
 		return -EPROTO;
-	*out = (struct fl_job_state){.known = true,
-	                             .status = (enum fl_status)status,
-	                             .done = (uint32_t)done,
-	                             .running = (uint32_t)running};
+	*out = (struct fl_job_status_report){.known = true,
+	                                     .status = (enum fl_job_status)status,
+	                                     .done = (uint32_t)done,
+	                                     .running = (uint32_t)running};
 	return 0;
 }
 
-int fl_status_answer_decode(const char *text, size_t len, struct fl_job_state *states, int count)
+int fl_status_answer_decode(const char *text, size_t len, struct fl_job_status_report *states,
+                            int count)
 {
 	cJSON *o = fl_json_parse(text, len);
 	const cJSON *list = fl_json_get(o, "jobs"), *e;
--- a/src/protocol/job_states.h
+++ b/src/protocol/job_states.h
@@ -8,17 +8,18 @@
 enum { FL_STATUS_QUERY_MAX = 256 }; /* jobs in one request */
 
 /* What a user is told of a job. */
-struct fl_job_state {
+struct fl_job_status_report {
 	bool known; /* else the leader's memory does not settle it */
-	enum fl_status status;
+	enum fl_job_status status;
 	uint32_t done, running; /* tasks, for display */
 };
 
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count);
 /* How many ids were read into `refs`, or -EPROTO. */
 int fl_status_query_decode(const char *text, size_t len, char (*refs)[FL_REF_MAX]);
-char *fl_status_answer_encode(const struct fl_job_state *states, int count);
+char *fl_status_answer_encode(const struct fl_job_status_report *states, int count);
 /* The answer must be of exactly `count` jobs: 0, or -EPROTO. */
-int fl_status_answer_decode(const char *text, size_t len, struct fl_job_state *states, int count);
+int fl_status_answer_decode(const char *text, size_t len, struct fl_job_status_report *states,
+                            int count);
 
 #endif
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -78,7 +78,7 @@
 	return rc;
 }
 
-int fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value, uint64_t *rev,
+int fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value, uint64_t *revision,
               uint64_t *lease_id)
 {
 	char path[FL_KEY_MAX + 16];
@@ -89,7 +89,7 @@
 	*value = NULL;
 	snprintf(path, sizeof(path), "/keys/%s", key);
 	rc = call(store, &store->client, "GET", path, NULL, tunables.timeout_s, &o);
-	if (!rc && fl_json_count(o, "KeyRev", rev) != FL_FIELD_OK)
+	if (!rc && fl_json_count(o, "KeyRev", revision) != FL_FIELD_OK)
 		rc = -EPROTO;
 	if (!rc) {
 		if (!lease_id)
@@ -122,7 +122,7 @@
 }
 
 int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event, void *ctx,
-               uint64_t *rev)
+               uint64_t *revision)
 {
 	char path[2 * FL_KEY_MAX + 64], last[FL_KEY_MAX] = "";
 	bool more = true, first = true;
@@ -149,7 +149,7 @@
 			if (!rc && cJSON_GetArraySize(items) == 0)
 				more = false;
 			if (!rc && first)
-				*rev = at;
+				*revision = at;
 			first = false;
 		}
 		cJSON_Delete(o);
@@ -179,7 +179,7 @@
 	return 0;
 }
 
-int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *rev, double timeout_s,
+int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision, double timeout_s,
                 fl_kv_event_fn on_event, void *ctx)
 {
 	char path[FL_KEY_MAX + 128];
@@ -189,7 +189,7 @@
 	int rc;
 
 	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", prefix,
-	         (unsigned long long)*rev, (int)(timeout_s * 1000));
+	         (unsigned long long)*revision, (int)(timeout_s * 1000));
 	rc = call(store, &store->watch_client, "GET", path, NULL, timeout_s + tunables.slack_s, &o);
 	if (!rc) {
 		log = fl_json_get(o, "Log");
@@ -198,8 +198,8 @@
 			rc = -EPROTO;
 		else
 			rc = each_event(log, on_event, ctx);
-		if (!rc && at > *rev)
-			*rev = at;
+		if (!rc && at > *revision)
+			*revision = at;
 	}
 	cJSON_Delete(o);
 	return rc;
@@ -219,12 +219,12 @@
 	txn->root = NULL;
 }
 
-void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t rev)
+void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t revision)
 {
 	cJSON *e = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(e, "Key", key);
-	cJSON_AddNumberToObject(e, "KeyRev", (double)rev);
+	cJSON_AddNumberToObject(e, "KeyRev", (double)revision);
 	cJSON_AddItemToArray(txn->conditions, e);
 }
 
@@ -249,7 +249,7 @@
 	txn->operation_count++;
 }
 
-int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *rev,
+int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *revision,
                      char failed[FL_KEY_MAX])
 {
 	char *text = fl_json_take(txn->root);
@@ -259,7 +259,7 @@
 	txn->root = NULL;
 	rc = call(store, &store->client, "POST", "/multi", text, tunables.timeout_s, &o);
 	free(text);
-	if (!rc && fl_json_count(o, "LedgerRev", rev) != FL_FIELD_OK)
+	if (!rc && fl_json_count(o, "LedgerRev", revision) != FL_FIELD_OK)
 		rc = -EPROTO;
 	if (rc == -ESTALE && failed) {
 		const cJSON *first = cJSON_GetArrayItem(fl_json_get(o, "failed"), 0);
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -38,16 +38,16 @@
 /* 0, or -EINVAL for an address that is none. */
 int fl_kv_init(struct fl_kv_store *store, const char *addr);
 /* Reads a key. `*value` is owned by the caller; `lease_id` (if not NULL) gets its lease, or 0. */
-int fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value, uint64_t *rev,
+int fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value, uint64_t *revision,
               uint64_t *lease_id);
 
 /* Called for each change; it is valid during the call only. */
 typedef void (*fl_kv_event_fn)(void *ctx, const struct fl_kv_event *event);
 /* Every key under the prefix, page by page; `*mod_revision` is the revision of the first page. */
 int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event, void *ctx,
-               uint64_t *rev);
+               uint64_t *revision);
 /* One watch; -ERANGE: the revision is too old, list again. */
-int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *rev, double timeout_s,
+int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision, double timeout_s,
                 fl_kv_event_fn on_event, void *ctx);
 
 /* An empty transaction. */
@@ -55,14 +55,14 @@
 /* Frees one that is not sent. */
 void fl_kv_txn_free(struct fl_kv_txn *txn);
 /* Condition: the key has this revision; 0: it does not exist. */
-void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t rev);
+void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t revision);
 /* Writes the key; takes the value over. With a lease, the key ends with it. */
 void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id);
 /* Deletes the key. */
 void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key);
 /* Sends the transaction and consumes the builder. On -ESTALE, `failed` (if not NULL) gets the first
  * failed key. */
-int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *rev,
+int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *revision,
                      char failed[FL_KEY_MAX]);
 
 /* Takes out a lease. */
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -11,7 +11,7 @@
 
 static const char runs_path[] = "/v2/runs";
 
-const char *fl_status_name(enum fl_status status) { return status_names[status]; }
+const char *fl_status_name(enum fl_job_status status) { return status_names[status]; }
 
 bool fl_ref_ok(const char *ref)
 {
@@ -50,18 +50,18 @@
 {
 	const cJSON *v = fl_json_get(o, "HostKinds"), *e;
 
-	out->n_machine_types = -1;
+	out->machine_type_count = -1;
 	if (!v)
 		return true;
 	if (!cJSON_IsArray(v) || cJSON_GetArraySize(v) > FL_ALLOWED_TYPES_MAX)
 		return false;
-	out->n_machine_types = 0;
+	out->machine_type_count = 0;
 	cJSON_ArrayForEach (e, v) {
 		/* Control characters would be escaped sixfold, and the record outgrow its key. */
 		if (!cJSON_IsString(e) || strlen(e->valuestring) >= FL_NAME_MAX ||
 		    !name_ok(e->valuestring))
 			return false;
-		fl_copy_string(out->machine_types[out->n_machine_types++], FL_NAME_MAX,
+		fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
 		               e->valuestring);
 	}
 	return true;
@@ -119,7 +119,7 @@
 	out->priority = (enum fl_priority)k;
 	if (fl_json_count(o, "Parts", &n) != FL_FIELD_OK || n < 1 || n > FL_TASKS_MAX)
 		return "Parts";
-	out->n_tasks = (uint32_t)n;
+	out->task_count = (uint32_t)n;
 	if (!get_name(o, "Bundle", out->image))
 		return "Bundle";
 	if (!get_types(o, out))
@@ -128,11 +128,11 @@
 	if (f == FL_FIELD_BAD || (f == FL_FIELD_OK && !name_ok(out->zone)))
 		return "Site";
 	out->has_zone = f == FL_FIELD_OK;
-	if (fl_json_bool(o, "Together", &out->together) != FL_FIELD_OK)
+	if (fl_json_bool(o, "Together", &out->same_zone) != FL_FIELD_OK)
 		return "Together";
-	if (fl_json_bool(o, "Apart", &out->apart) != FL_FIELD_OK)
+	if (fl_json_bool(o, "Apart", &out->spread_zones) != FL_FIELD_OK)
 		return "Apart";
-	if (fl_json_bool(o, "Reclaimable", &out->reclaimable) != FL_FIELD_OK)
+	if (fl_json_bool(o, "Reclaimable", &out->spot_allowed) != FL_FIELD_OK)
 		return "Reclaimable";
 	return decode_amounts(o, out);
 }
@@ -146,22 +146,22 @@
 	cJSON_AddStringToObject(o, "Owner", spec->team);
 	cJSON_AddStringToObject(o, "JobKind", kind_names[spec->kind]);
 	cJSON_AddStringToObject(o, "Tier", priority_names[spec->priority]);
-	cJSON_AddNumberToObject(o, "Parts", spec->n_tasks);
+	cJSON_AddNumberToObject(o, "Parts", spec->task_count);
 	cJSON_AddNumberToObject(o, "Vcpus", spec->cpus);
 	cJSON_AddNumberToObject(o, "Accelerators", spec->gpus);
 	cJSON_AddNumberToObject(o, "RamGb", spec->ram_gb);
 	cJSON_AddStringToObject(o, "Bundle", spec->image);
 	cJSON_AddNumberToObject(o, "ImageGb", spec->image_gb);
-	if (spec->n_machine_types >= 0) {
+	if (spec->machine_type_count >= 0) {
 		types = cJSON_AddArrayToObject(o, "HostKinds");
-		for (int i = 0; i < spec->n_machine_types; i++)
+		for (int i = 0; i < spec->machine_type_count; i++)
 			cJSON_AddItemToArray(types, cJSON_CreateString(spec->machine_types[i]));
 	}
 	if (spec->has_zone)
 		cJSON_AddStringToObject(o, "Site", spec->zone);
-	cJSON_AddBoolToObject(o, "Together", spec->together);
-	cJSON_AddBoolToObject(o, "Apart", spec->apart);
-	cJSON_AddBoolToObject(o, "Reclaimable", spec->reclaimable);
+	cJSON_AddBoolToObject(o, "Together", spec->same_zone);
+	cJSON_AddBoolToObject(o, "Apart", spec->spread_zones);
+	cJSON_AddBoolToObject(o, "Reclaimable", spec->spot_allowed);
 	cJSON_AddNumberToObject(o, "ExpectedS", spec->expected_s);
 	cJSON_AddNumberToObject(o, "SnapshotEveryS", spec->checkpoint_every_s);
 	cJSON_AddNumberToObject(o, "SnapshotCostS", spec->checkpoint_cost_s);
@@ -170,7 +170,7 @@
 	return o;
 }
 
-char *fl_status_encode(const char *ref, enum fl_status status, int64_t done, int64_t running)
+char *fl_status_encode(const char *ref, enum fl_job_status status, int64_t done, int64_t running)
 {
 	cJSON *o = cJSON_CreateObject();
 
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -14,20 +14,20 @@
 /* In rising order; the exponent of the priority's queue factor is priority - 1. */
 enum fl_priority { FL_BEST_EFFORT, FL_STANDARD, FL_URGENT, FL_CRITICAL };
 /* A job's status; DONE and CANCELLED are final. */
-enum fl_status { FL_PENDING, FL_RUNNING, FL_DONE, FL_CANCELLED };
+enum fl_job_status { FL_PENDING, FL_RUNNING, FL_DONE, FL_CANCELLED };
 
 /* A job as its user describes it. */
 struct fl_job_spec {
 	char ref[FL_REF_MAX];
 	char job_class[FL_NAME_MAX], team[FL_NAME_MAX], image[FL_NAME_MAX], zone[FL_NAME_MAX];
 	char machine_types[FL_ALLOWED_TYPES_MAX][FL_NAME_MAX];
-	int n_machine_types; /* -1: any */
+	int machine_type_count; /* -1: any */
 	enum fl_job_kind kind;
 	enum fl_priority priority;
-	uint32_t n_tasks;
+	uint32_t task_count;
 	double cpus, gpus, ram_gb, image_gb;
 	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s; /* due_s < 0: none */
-	bool has_zone, together, apart, reclaimable;
+	bool has_zone, same_zone, spread_zones, spot_allowed;
 };
 
 /* Is it a well-formed job id? */
@@ -37,9 +37,9 @@
 /* The description as fl_job_spec_decode reads it. */
 cJSON *fl_job_spec_encode(const struct fl_job_spec *spec);
 /* The answer to a poll, to be freed. */
-char *fl_status_encode(const char *ref, enum fl_status status, int64_t done, int64_t running);
+char *fl_status_encode(const char *ref, enum fl_job_status status, int64_t done, int64_t running);
 /* The status as it is written. */
-const char *fl_status_name(enum fl_status status);
+const char *fl_status_name(enum fl_job_status status);
 
 /* What a path asks for. */
 enum fl_user_call {
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -6,57 +6,57 @@
 #include "transport/clock.h"
 #include "transport/text.h"
 
-struct fl_finished_job *fl_finished_find(const struct fl_cluster *b, const char *ref)
+struct fl_finished_job *fl_finished_job_find(const struct fl_cluster *b, const char *ref)
 {
-	struct fl_finished_job *f;
+	struct fl_finished_job *finished;
 
-	HASH_FIND_STR(b->finished, ref, f);
-	return f;
+	HASH_FIND_STR(b->finished, ref, finished);
+	return finished;
 }
 
-void fl_finished_add(struct fl_cluster *b, const char *ref, enum fl_status status, uint32_t n_tasks,
-                     double cancelled_at)
+void fl_finished_job_add(struct fl_cluster *b, const char *ref, enum fl_job_status status,
+                         uint32_t task_count, double cancelled_at)
 {
-	struct fl_finished_job *f = fl_finished_find(b, ref);
+	struct fl_finished_job *finished = fl_finished_job_find(b, ref);
 
-	if (f)
+	if (finished)
 		return; /* a final state never changes */
-	f = calloc(1, sizeof(*f));
-	if (!f) {
-		b->finished_lost_at = fl_now();
+	finished = calloc(1, sizeof(*finished));
+	if (!finished) {
+		b->finished_dropped_at = fl_now();
 		return;
 	}
-	fl_copy_string(f->ref, sizeof(f->ref), ref);
-	f->status = (uint8_t)status;
-	f->n_tasks = n_tasks;
-	f->cancelled_at = cancelled_at;
-	f->learned_at = fl_now();
-	HASH_ADD_STR(b->finished, ref, f);
+	fl_copy_string(finished->ref, sizeof(finished->ref), ref);
+	finished->status = (uint8_t)status;
+	finished->task_count = task_count;
+	finished->cancelled_at = cancelled_at;
+	finished->learned_at = fl_now();
+	HASH_ADD_STR(b->finished, ref, finished);
 	if (b->finished_max > 0 && HASH_COUNT(b->finished) > b->finished_max) {
 		struct fl_finished_job *oldest = b->finished;
 
 		HASH_DEL(b->finished, oldest);
-		b->finished_lost_at = oldest->learned_at;
+		b->finished_dropped_at = oldest->learned_at;
 		free(oldest);
 	}
 }
 
-int fl_finished_cancelled_since(const struct fl_cluster *b, double since,
-                                const struct fl_finished_job **out, int most)
+int fl_finished_jobs_cancelled_since(const struct fl_cluster *b, double since,
+                                     const struct fl_finished_job **out, int most)
 {
-	const struct fl_finished_job *f = NULL;
+	const struct fl_finished_job *finished = NULL;
 	int n = 0;
 
-	if (b->finished_lost_at > since)
+	if (b->finished_dropped_at > since)
 		return -E2BIG;
 	if (b->finished)
-		f = ELMT_FROM_HH(b->finished->hh.tbl, b->finished->hh.tbl->tail);
-	for (; f && f->learned_at >= since; f = f->hh.prev) {
-		if (f->status != FL_CANCELLED)
+		finished = ELMT_FROM_HH(b->finished->hh.tbl, b->finished->hh.tbl->tail);
+	for (; finished && finished->learned_at >= since; finished = finished->hh.prev) {
+		if (finished->status != FL_CANCELLED)
 			continue;
 		if (n == most)
 			return -E2BIG;
-		out[n++] = f;
+		out[n++] = finished;
 	}
 	return n;
 }
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -14,21 +14,21 @@
 	return o;
 }
 
-static cJSON *add_final(cJSON *o, enum fl_status status, uint32_t n_tasks)
+static cJSON *add_final(cJSON *o, enum fl_job_status status, uint32_t task_count)
 {
 	cJSON_AddStringToObject(o, "final", fl_status_name(status));
-	cJSON_AddNumberToObject(o, "parts", n_tasks);
+	cJSON_AddNumberToObject(o, "parts", task_count);
 	return o;
 }
 
-cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks)
+cJSON *fl_job_record_final(enum fl_job_status status, uint32_t task_count)
 {
-	return add_final(cJSON_CreateObject(), status, n_tasks);
+	return add_final(cJSON_CreateObject(), status, task_count);
 }
 
 cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled)
 {
-	cJSON *o = add_final(fl_job_record_live(spec, submitted), FL_CANCELLED, spec->n_tasks);
+	cJSON *o = add_final(fl_job_record_live(spec, submitted), FL_CANCELLED, spec->task_count);
 
 	cJSON_AddNumberToObject(o, "cancelled", cancelled);
 	return o;
@@ -39,19 +39,19 @@
 	memset(out, 0, sizeof(*out));
 	fl_copy_string(out->ref, sizeof(out->ref), job->ref);
 	fl_copy_string(out->job_class, sizeof(out->job_class),
-	               fl_names_at(&b->classes, job->job_class));
-	fl_copy_string(out->team, sizeof(out->team), b->teams.at[job->team].name);
-	fl_copy_string(out->image, sizeof(out->image), fl_names_at(&b->images, job->image));
+	               fl_symbol_name(&b->classes, job->job_class));
+	fl_copy_string(out->team, sizeof(out->team), b->teams.by_index[job->team].name);
+	fl_copy_string(out->image, sizeof(out->image), fl_symbol_name(&b->images, job->image));
 	out->has_zone = job->zone >= 0;
-	fl_copy_string(out->zone, sizeof(out->zone), fl_names_at(&b->zones, job->zone));
-	out->n_machine_types = job->types == UINT32_MAX ? -1 : 0;
-	for (int k = 0; out->n_machine_types >= 0 && k < b->machines.n_types; k++)
-		if ((job->types >> k & 1) && out->n_machine_types < FL_ALLOWED_TYPES_MAX)
-			fl_copy_string(out->machine_types[out->n_machine_types++], FL_NAME_MAX,
+	fl_copy_string(out->zone, sizeof(out->zone), fl_symbol_name(&b->zones, job->zone));
+	out->machine_type_count = job->types == UINT32_MAX ? -1 : 0;
+	for (int k = 0; out->machine_type_count >= 0 && k < b->machines.type_count; k++)
+		if ((job->types >> k & 1) && out->machine_type_count < FL_ALLOWED_TYPES_MAX)
+			fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
 			               b->machines.types[k].name);
 	out->kind = job->kind;
 	out->priority = job->priority;
-	out->n_tasks = job->n_tasks;
+	out->task_count = job->task_count;
 	out->cpus = job->cpus;
 	out->gpus = job->gpus;
 	out->ram_gb = job->ram_gb;
@@ -60,14 +60,14 @@
 	out->checkpoint_every_s = job->checkpoint_every_s;
 	out->checkpoint_cost_s = job->checkpoint_cost_s;
 	out->due_s = job->due_s;
-	out->together = job->together;
-	out->apart = job->apart;
-	out->reclaimable = job->reclaimable;
+	out->same_zone = job->same_zone;
+	out->spread_zones = job->spread_zones;
+	out->spot_allowed = job->spot_allowed;
 }
 
 static int decode_final(const cJSON *v, const char *word, struct fl_job_record *out)
 {
-	uint64_t n_tasks;
+	uint64_t task_count;
 
 	if (strcmp(word, fl_status_name(FL_DONE)) == 0)
 		out->status = FL_DONE;
@@ -75,10 +75,10 @@
 		out->status = FL_CANCELLED;
 	else
 		return -EPROTO;
-	if (fl_json_count(v, "parts", &n_tasks) != FL_FIELD_OK || n_tasks > FL_TASKS_MAX)
+	if (fl_json_count(v, "parts", &task_count) != FL_FIELD_OK || task_count > FL_TASKS_MAX)
 		return -EPROTO;
-	out->n_tasks = (uint32_t)n_tasks;
-	return fl_json_amount(v, "cancelled", &out->cancelled) == FL_FIELD_BAD ? -EPROTO : 0;
+	out->task_count = (uint32_t)task_count;
+	return fl_json_amount(v, "cancelled", &out->cancelled_wall) == FL_FIELD_BAD ? -EPROTO : 0;
 }
 
 int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out)
@@ -100,25 +100,25 @@
 	if (fl_job_spec_decode(v, &out->spec) != NULL || strcmp(out->spec.ref, ref) != 0)
 		return -EPROTO;
 	if (!out->final)
-		out->n_tasks = out->spec.n_tasks;
-	return fl_json_amount(v, "submitted", &out->submitted) == FL_FIELD_OK ? 0 : -EPROTO;
+		out->task_count = out->spec.task_count;
+	return fl_json_amount(v, "submitted", &out->submitted_wall) == FL_FIELD_OK ? 0 : -EPROTO;
 }
 
-int fl_records_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *rec,
-                    cJSON **v, uint64_t *rev)
+int fl_job_record_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *record,
+                       cJSON **v, uint64_t *revision)
 {
 	char key[FL_KEY_MAX];
 	cJSON *final = NULL;
 	int rc;
 
 	fl_key_job(key, ref);
-	rc = fl_kv_get(store, key, v, rev, NULL);
+	rc = fl_kv_get(store, key, v, revision, NULL);
 	if (rc != -ENOENT)
-		return rc ? rc : fl_job_record_decode(*v, ref, rec);
+		return rc ? rc : fl_job_record_decode(*v, ref, record);
 	fl_key_finished(key, ref);
-	rc = fl_kv_get(store, key, &final, rev, NULL);
+	rc = fl_kv_get(store, key, &final, revision, NULL);
 	if (!rc)
-		rc = fl_job_record_decode(final, ref, rec);
+		rc = fl_job_record_decode(final, ref, record);
 	cJSON_Delete(final);
 	return rc;
 }
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -8,12 +8,12 @@
 /* A job record: either the description or the final state. */
 struct fl_job_record {
 	bool final;
-	enum fl_status status; /* when final */
-	uint32_t n_tasks;
+	enum fl_job_status status; /* when final */
+	uint32_t task_count;
 	bool has_spec; /* a cancelled job keeps its description until its tasks are gone */
 	struct fl_job_spec spec;
-	double submitted;
-	double cancelled; /* wall time; 0: not cancelled, or not known */
+	double submitted_wall;
+	double cancelled_wall; /* wall time; 0: not cancelled, or not known */
 };
 
 /*
@@ -21,13 +21,13 @@
  * transaction, so that reading them in this order misses neither. `*v` is the live record's value,
  * owned by the caller, or NULL. -ENOENT: no such job.
  */
-int fl_records_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *rec,
-                    cJSON **v, uint64_t *rev);
+int fl_job_record_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *record,
+                       cJSON **v, uint64_t *revision);
 
 /* The record of a live job. */
 cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted);
 /* The record of a job that is over. */
-cJSON *fl_job_record_final(enum fl_status status, uint32_t n_tasks);
+cJSON *fl_job_record_final(enum fl_job_status status, uint32_t task_count);
 /* A job that its user has cancelled and whose tasks have still to go. */
 cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled);
 /* The description that a job was submitted with, from its state here. */
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -11,34 +11,34 @@
 		job->listed = false;
 }
 
-void fl_cluster_list_end(struct fl_cluster *b, uint64_t rev)
+void fl_cluster_list_end(struct fl_cluster *b, uint64_t revision)
 {
 	struct fl_job *job, *tmp;
 
 	/* One that was stored after the list was made is not in it and not over. */
 	HASH_ITER (hh, b->jobs, job, tmp)
-		if (!job->listed && job->rev <= rev && job->n_placed == 0)
+		if (!job->listed && job->mod_revision <= revision && job->placed_count == 0)
 			fl_job_drop(b, job);
 }
 
-bool fl_cluster_cancelled(struct fl_cluster *b, struct fl_job *job, const struct fl_job_record *rec,
-                          uint64_t rev)
+bool fl_cluster_apply_cancellation(struct fl_cluster *b, struct fl_job *job,
+                                   const struct fl_job_record *record, uint64_t revision)
 {
-	job->rev = rev;
-	job->unsure = false;
-	if (!rec->final || job->cancelled)
+	job->mod_revision = revision;
+	job->final_write_unknown = false;
+	if (!record->final || job->cancelled)
 		return false;
 	job->cancelled = true;
-	job->cancelled_at = fl_since(rec->cancelled);
-	fl_finished_add(b, job->ref, FL_CANCELLED, job->n_tasks, job->cancelled_at);
+	job->cancelled_at = fl_since(record->cancelled_wall);
+	fl_finished_job_add(b, job->ref, FL_CANCELLED, job->task_count, job->cancelled_at);
 	return true;
 }
 
 static struct fl_job *apply_live(struct fl_cluster *b, struct fl_job *job, const char *ref,
-                                 const struct fl_job_record *rec, uint64_t rev)
+                                 const struct fl_job_record *record, uint64_t revision)
 {
 	if (!job)
-		job = fl_job_add(b, &rec->spec, rec->submitted, rev);
+		job = fl_job_add(b, &record->spec, record->submitted_wall, revision);
 	if (!job)
 		fl_error("jobs", "the record of %s names what is unknown here", ref);
 	if (job && !b->leading)
@@ -47,7 +47,7 @@
 }
 
 static struct fl_job *apply_final(struct fl_cluster *b, struct fl_job *job, const char *ref,
-                                  const struct fl_job_record *rec, uint64_t rev)
+                                  const struct fl_job_record *record, uint64_t revision)
 {
 	/*
 	 * A leader finalises when the tasks are gone. It must not take this for its own write:
@@ -55,23 +55,24 @@
 	 * what was passed over then was kept as live by this node for ever.
 	 */
 	if (job && b->leading) {
-		fl_cluster_cancelled(b, job, rec, rev);
+		fl_cluster_apply_cancellation(b, job, record, revision);
 		return job;
 	}
 	if (job) {
-		job->cancelled_at = fl_since(rec->cancelled);
-		fl_job_finalise(b, job, rec->status);
+		job->cancelled_at = fl_since(record->cancelled_wall);
+		fl_job_finalise(b, job, record->status);
 	} else {
-		fl_finished_add(b, ref, rec->status, rec->n_tasks, fl_since(rec->cancelled));
+		fl_finished_job_add(b, ref, record->status, record->task_count,
+		                    fl_since(record->cancelled_wall));
 	}
 	return NULL;
 }
 
-struct fl_job *fl_cluster_apply(struct fl_cluster *b, const char *ref, const cJSON *value,
-                                uint64_t rev)
+struct fl_job *fl_cluster_apply_job_record(struct fl_cluster *b, const char *ref,
+                                           const cJSON *value, uint64_t revision)
 {
 	struct fl_job *job = fl_job_find(b, ref);
-	struct fl_job_record rec;
+	struct fl_job_record record;
 
 	/*
 	 * A leader's marks are its takeover's alone: a watch that lists anew or lags meanwhile must
@@ -79,21 +80,22 @@
 	 */
 	if (job && !b->leading)
 		job->listed = true;
-	if (job && !value && !b->leading && rev > job->rev)
+	if (job && !value && !b->leading && revision > job->mod_revision)
 		fl_job_drop(b, job);
-	if (!value || fl_finished_find(b, ref))
+	if (!value || fl_finished_job_find(b, ref))
 		return NULL;
 	/*
 	 * A watch may lag behind the list that a leader began with: what the list no longer held is
 	 * over, and a late event of its submission must not make it live again.
 	 */
-	if (!job && b->leading && rev <= b->list_rev)
+	if (!job && b->leading && revision <= b->list_revision)
 		return NULL;
-	if (job && rev <= job->rev)
+	if (job && revision <= job->mod_revision)
 		return job;
-	if (fl_job_record_decode(value, ref, &rec) != 0) {
+	if (fl_job_record_decode(value, ref, &record) != 0) {
 		fl_error("jobs", "the record of %s cannot be read", ref);
 		return NULL;
 	}
-	return rec.final ? apply_final(b, job, ref, &rec, rev) : apply_live(b, job, ref, &rec, rev);
+	return record.final ? apply_final(b, job, ref, &record, revision)
+	                    : apply_live(b, job, ref, &record, revision);
 }
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -6,19 +6,19 @@
 
 struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref)
 {
-	struct fl_job *j;
+	struct fl_job *job;
 
-	HASH_FIND_STR(b->jobs, ref, j);
-	return j;
+	HASH_FIND_STR(b->jobs, ref, job);
+	return job;
 }
 
-static uint32_t types_mask(const struct fl_cluster *b, const struct fl_job_spec *spec)
+static uint32_t machine_types_mask(const struct fl_cluster *b, const struct fl_job_spec *spec)
 {
 	uint32_t mask = 0;
 
-	if (spec->n_machine_types < 0)
+	if (spec->machine_type_count < 0)
 		return UINT32_MAX;
-	for (int i = 0; i < spec->n_machine_types; i++) {
+	for (int i = 0; i < spec->machine_type_count; i++) {
 		int k = fl_machine_type_find(&b->machines, spec->machine_types[i]);
 
 		if (k >= 0)
@@ -28,52 +28,52 @@
 }
 
 struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *spec, double submitted,
-                          uint64_t rev)
+                          uint64_t revision)
 {
-	struct fl_job *j = fl_job_find(b, spec->ref);
+	struct fl_job *job = fl_job_find(b, spec->ref);
 	int team = fl_teams_find(&b->teams, spec->team);
-	int zone = spec->has_zone ? fl_names_find(&b->zones, spec->zone) : -1;
+	int zone = spec->has_zone ? fl_symbol_find(&b->zones, spec->zone) : -1;
 
 	/* A zone that is not known must not pass for any zone. */
-	if (j || team < 0 || (spec->has_zone && zone < 0))
-		return j;
-	j = calloc(1, sizeof(*j));
-	if (!j)
+	if (job || team < 0 || (spec->has_zone && zone < 0))
+		return job;
+	job = calloc(1, sizeof(*job));
+	if (!job)
 		return NULL;
-	fl_copy_string(j->ref, sizeof(j->ref), spec->ref);
-	j->job_class = fl_names_add(&b->classes, spec->job_class);
-	j->image = fl_names_add(&b->images, spec->image);
-	j->team = team;
-	j->zone = zone;
-	j->kind = spec->kind;
-	j->priority = spec->priority;
-	j->n_tasks = spec->n_tasks;
-	j->cpus = spec->cpus;
-	j->gpus = spec->gpus;
-	j->ram_gb = spec->ram_gb;
-	j->image_gb = spec->image_gb;
-	j->expected_s = spec->expected_s;
-	j->checkpoint_every_s = spec->checkpoint_every_s;
-	j->checkpoint_cost_s = spec->checkpoint_cost_s;
-	j->due_s = spec->due_s;
-	j->types = types_mask(b, spec);
-	j->together = spec->together;
-	j->apart = spec->apart;
-	j->reclaimable = spec->reclaimable;
-	j->submitted = submitted;
-	j->rev = rev;
-	j->n_waiting = spec->n_tasks;
-	j->n_chunks = (spec->n_tasks + FL_CHUNK - 1) / FL_CHUNK;
-	HASH_ADD_STR(b->jobs, ref, j);
-	return j;
+	fl_copy_string(job->ref, sizeof(job->ref), spec->ref);
+	job->job_class = fl_symbol_intern(&b->classes, spec->job_class);
+	job->image = fl_symbol_intern(&b->images, spec->image);
+	job->team = team;
+	job->zone = zone;
+	job->kind = spec->kind;
+	job->priority = spec->priority;
+	job->task_count = spec->task_count;
+	job->cpus = spec->cpus;
+	job->gpus = spec->gpus;
+	job->ram_gb = spec->ram_gb;
+	job->image_gb = spec->image_gb;
+	job->expected_s = spec->expected_s;
+	job->checkpoint_every_s = spec->checkpoint_every_s;
+	job->checkpoint_cost_s = spec->checkpoint_cost_s;
+	job->due_s = spec->due_s;
+	job->types = machine_types_mask(b, spec);
+	job->same_zone = spec->same_zone;
+	job->spread_zones = spec->spread_zones;
+	job->spot_allowed = spec->spot_allowed;
+	job->submitted_wall = submitted;
+	job->mod_revision = revision;
+	job->waiting_count = spec->task_count;
+	job->block_count = (spec->task_count + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE;
+	HASH_ADD_STR(b->jobs, ref, job);
+	return job;
 }
 
-void fl_job_free_chunks(struct fl_job *j)
+void fl_job_free_task_blocks(struct fl_job *job)
 {
-	for (uint32_t i = 0; j->chunks && i < j->n_chunks; i++)
-		free(j->chunks[i]);
-	free(j->chunks);
-	j->chunks = NULL;
+	for (uint32_t i = 0; job->blocks && i < job->block_count; i++)
+		free(job->blocks[i]);
+	free(job->blocks);
+	job->blocks = NULL;
 }
 
 static void unlink_dirty(struct fl_cluster *b, struct fl_job *job)
@@ -84,45 +84,45 @@
 		at = &(*at)->next_dirty;
 	if (*at)
 		*at = job->next_dirty;
-	job->queued_dirty = false;
+	job->is_dirty = false;
 }
 
 void fl_job_drop(struct fl_cluster *b, struct fl_job *job)
 {
 	unlink_dirty(b, job);
 	HASH_DEL(b->jobs, job);
-	fl_job_free_chunks(job);
+	fl_job_free_task_blocks(job);
 	free(job);
 }
 
-void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_status status)
+void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_job_status status)
 {
-	fl_finished_add(b, job->ref, status, job->n_tasks, job->cancelled_at);
+	fl_finished_job_add(b, job->ref, status, job->task_count, job->cancelled_at);
 	fl_job_drop(b, job);
 }
 
 void fl_job_mark_dirty(struct fl_cluster *b, struct fl_job *job)
 {
-	if (job->queued_dirty)
+	if (job->is_dirty)
 		return;
-	job->queued_dirty = true;
+	job->is_dirty = true;
 	job->next_dirty = b->dirty;
 	b->dirty = job;
 }
 
 bool fl_job_is_over(const struct fl_job *job)
 {
-	return job->cancelled ? job->n_placed == 0 : job->n_done == job->n_tasks;
+	return job->cancelled ? job->placed_count == 0 : job->done_count == job->task_count;
 }
 
-enum fl_status fl_job_status(const struct fl_job *job)
+enum fl_job_status fl_job_current_status(const struct fl_job *job)
 {
 	if (job->cancelled)
 		return FL_CANCELLED;
-	return job->n_running > 0 ? FL_RUNNING : FL_PENDING;
+	return job->running_count > 0 ? FL_RUNNING : FL_PENDING;
 }
 
-struct fl_chunk *fl_job_chunk(const struct fl_job *job, uint32_t chunk)
+struct fl_task_block *fl_job_task_block(const struct fl_job *job, uint32_t block_index)
 {
-	return job->chunks ? job->chunks[chunk] : NULL;
+	return job->blocks ? job->blocks[block_index] : NULL;
 }
--- a/src/storage/keys.c
+++ b/src/storage/keys.c
@@ -15,12 +15,12 @@
 	snprintf(key, FL_KEY_MAX, FL_PREFIX_FINISHED "%s", ref);
 }
 
-void fl_key_chunk(char key[FL_KEY_MAX], const char *ref, uint32_t chunk)
+void fl_key_progress(char key[FL_KEY_MAX], const char *ref, uint32_t block_index)
 {
-	snprintf(key, FL_KEY_MAX, FL_PREFIX_PROGRESS "%s/%u", ref, chunk);
+	snprintf(key, FL_KEY_MAX, FL_PREFIX_PROGRESS "%s/%u", ref, block_index);
 }
 
-int fl_key_chunk_parse(const char *key, char ref[FL_REF_MAX], uint32_t *chunk)
+int fl_key_progress_parse(const char *key, char ref[FL_REF_MAX], uint32_t *block_index)
 {
 	size_t skip = strlen(FL_PREFIX_PROGRESS);
 	const char *slash;
@@ -33,6 +33,6 @@
 		return -EPROTO;
 	memcpy(ref, key + skip, (size_t)(slash - key) - skip);
 	ref[(size_t)(slash - key) - skip] = 0;
-	*chunk = (uint32_t)strtoul(slash + 1, &end, 10);
+	*block_index = (uint32_t)strtoul(slash + 1, &end, 10);
 	return *end || !fl_ref_ok(ref) ? -EPROTO : 0;
 }
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -22,8 +22,8 @@
 /* The key of a job's final record. */
 void fl_key_finished(char key[FL_KEY_MAX], const char *ref);
 /* The key of a progress record. */
-void fl_key_chunk(char key[FL_KEY_MAX], const char *ref, uint32_t chunk);
+void fl_key_progress(char key[FL_KEY_MAX], const char *ref, uint32_t block_index);
 /* Takes "p/run-000412/3" apart; -EPROTO if it is no such key. */
-int fl_key_chunk_parse(const char *key, char ref[FL_REF_MAX], uint32_t *chunk);
+int fl_key_progress_parse(const char *key, char ref[FL_REF_MAX], uint32_t *block_index);
 
 #endif
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -9,41 +9,41 @@
 
 int fl_machine_type_find(const struct fl_machines *ms, const char *name)
 {
-	for (int i = 0; i < ms->n_types; i++)
+	for (int i = 0; i < ms->type_count; i++)
 		if (strcmp(ms->types[i].name, name) == 0)
 			return i;
 	return -1;
 }
 
-void fl_machine_types_set(struct fl_machines *ms, const struct fl_names *zones,
-                          const struct fl_offered_type *types, int n)
+void fl_machine_types_set(struct fl_machines *ms, const struct fl_symbol_table *zones,
+                          const struct fl_cloud_machine_type *types, int n)
 {
 	for (int i = 0; i < n; i++) {
-		const struct fl_offered_type *h = &types[i];
-		int at = fl_machine_type_find(ms, h->name);
-		struct fl_machine_type *k;
+		const struct fl_cloud_machine_type *offered = &types[i];
+		int at = fl_machine_type_find(ms, offered->name);
+		struct fl_machine_type *machine_type;
 
-		if (at < 0 && ms->n_types == FL_MACHINE_TYPES_MAX) {
+		if (at < 0 && ms->type_count == FL_MACHINE_TYPES_MAX) {
 			fl_error("cloud", "more than %d machine types: %s is not used",
-			         FL_MACHINE_TYPES_MAX, h->name);
+			         FL_MACHINE_TYPES_MAX, offered->name);
 			continue;
 		}
-		k = &ms->types[at >= 0 ? at : ms->n_types++];
-		memset(k, 0, sizeof(*k));
-		fl_copy_string(k->name, sizeof(k->name), h->name);
-		k->cpus = h->cpus;
-		k->gpus = h->gpus;
-		k->ram_gb = h->ram_gb;
-		k->cache_gb = h->cache_gb;
-		k->pull_gb_s = h->pull_gb_s;
-		k->price = h->price;
-		k->spot_price = h->spot_price;
-		k->ready_s = h->ready_s;
-		for (int z = 0; z < h->n_zones; z++) {
-			int zone = fl_names_find(zones, h->zones[z]);
+		machine_type = &ms->types[at >= 0 ? at : ms->type_count++];
+		memset(machine_type, 0, sizeof(*machine_type));
+		fl_copy_string(machine_type->name, sizeof(machine_type->name), offered->name);
+		machine_type->cpus = offered->cpus;
+		machine_type->gpus = offered->gpus;
+		machine_type->ram_gb = offered->ram_gb;
+		machine_type->cache_gb = offered->cache_gb;
+		machine_type->pull_gb_s = offered->pull_gb_s;
+		machine_type->price = offered->price;
+		machine_type->spot_price = offered->spot_price;
+		machine_type->ready_s = offered->ready_s;
+		for (int z = 0; z < offered->zone_count; z++) {
+			int zone = fl_symbol_find(zones, offered->zones[z]);
 
 			if (zone >= 0 && zone < FL_ZONES_MAX)
-				k->zones |= 1u << zone;
+				machine_type->zones |= 1u << zone;
 		}
 	}
 }
@@ -52,7 +52,7 @@
 {
 	struct fl_machine *m;
 
-	HASH_FIND_STR(ms->table, name, m);
+	HASH_FIND_STR(ms->by_name, name, m);
 	return m;
 }
 
@@ -62,26 +62,26 @@
 
 	if (m)
 		return m;
-	if (ms->n == ms->cap) {
-		int cap = ms->cap ? ms->cap * 2 : 64;
-		struct fl_machine **at = realloc(ms->at, (size_t)cap * sizeof(*at));
+	if (ms->count == ms->capacity) {
+		int cap = ms->capacity ? ms->capacity * 2 : 64;
+		struct fl_machine **at = realloc(ms->by_id, (size_t)cap * sizeof(*at));
 
 		if (!at)
 			return NULL;
-		ms->at = at;
-		ms->cap = cap;
+		ms->by_id = at;
+		ms->capacity = cap;
 	}
 	m = calloc(1, sizeof(*m));
 	if (!m)
 		return NULL;
 	strncpy(m->name, name, sizeof(m->name) - 1);
-	m->id = ms->n;
+	m->id = ms->count;
 	m->type = m->zone = -1;
 	m->first_seen_at = now;
-	for (int i = 0; i < FL_CACHE_NOTE; i++)
-		m->cache[i] = -1;
-	ms->at[ms->n++] = m;
-	HASH_ADD_STR(ms->table, name, m);
+	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
+		m->cached_images[i] = -1;
+	ms->by_id[ms->count++] = m;
+	HASH_ADD_STR(ms->by_name, name, m);
 	return m;
 }
 
@@ -99,42 +99,42 @@
 		strncpy(m->endpoint, endpoint, sizeof(m->endpoint) - 1);
 }
 
-int fl_machine_add_slot(struct fl_machine *m, struct fl_job *job, uint32_t index)
+int fl_machine_add_assignment(struct fl_machine *m, struct fl_job *job, uint32_t index)
 {
-	if (m->n_slots == m->cap_slots) {
-		int cap = m->cap_slots ? m->cap_slots * 2 : 4;
-		struct fl_slot *s = realloc(m->slots, (size_t)cap * sizeof(*s));
+	if (m->assignment_count == m->assignment_capacity) {
+		int cap = m->assignment_capacity ? m->assignment_capacity * 2 : 4;
+		struct fl_assignment *s = realloc(m->assignments, (size_t)cap * sizeof(*s));
 
 		if (!s)
 			return -1;
-		m->slots = s;
-		m->cap_slots = cap;
+		m->assignments = s;
+		m->assignment_capacity = cap;
 	}
-	m->slots[m->n_slots++] = (struct fl_slot){job, index};
+	m->assignments[m->assignment_count++] = (struct fl_assignment){job, index};
 	return 0;
 }
 
-void fl_machine_drop_slot(struct fl_machine *m, const struct fl_job *job, uint32_t index)
+void fl_machine_remove_assignment(struct fl_machine *m, const struct fl_job *job, uint32_t index)
 {
-	for (int i = 0; i < m->n_slots; i++) {
-		if (m->slots[i].job == job && m->slots[i].index == index) {
-			m->slots[i] = m->slots[--m->n_slots];
+	for (int i = 0; i < m->assignment_count; i++) {
+		if (m->assignments[i].job == job && m->assignments[i].index == index) {
+			m->assignments[i] = m->assignments[--m->assignment_count];
 			return;
 		}
 	}
 }
 
-void fl_machine_note_image(struct fl_machine *m, int image)
+void fl_machine_record_image(struct fl_machine *m, int image)
 {
 	int i = 0;
 
-	while (i < FL_CACHE_NOTE - 1 && m->cache[i] != image)
+	while (i < FL_IMAGE_CACHE_MAX - 1 && m->cached_images[i] != image)
 		i++;
-	memmove(m->cache + 1, m->cache, (size_t)i * sizeof(m->cache[0]));
-	m->cache[0] = image;
+	memmove(m->cached_images + 1, m->cached_images, (size_t)i * sizeof(m->cached_images[0]));
+	m->cached_images[0] = image;
 }
 
-uint32_t fl_tasks_fit(struct fl_amounts need, struct fl_amounts room)
+uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources room)
 {
 	const double slack = 1e-6; /* amounts are sums of decimal fractions */
 	double n = 1e6;
@@ -150,26 +150,26 @@
 
 struct fl_machine *fl_machine_drop(struct fl_machines *ms, struct fl_machine *m)
 {
-	struct fl_machine *last = ms->at[--ms->n];
+	struct fl_machine *last = ms->by_id[--ms->count];
 
-	HASH_DEL(ms->table, m);
+	HASH_DEL(ms->by_name, m);
 	if (last != m) {
-		ms->at[m->id] = last;
+		ms->by_id[m->id] = last;
 		last->id = m->id;
 	}
-	free(m->slots);
+	free(m->assignments);
 	free(m);
 	return last != m ? last : NULL;
 }
 
 void fl_machines_clear(struct fl_machines *ms)
 {
-	HASH_CLEAR(hh, ms->table);
-	for (int i = 0; i < ms->n; i++) {
-		free(ms->at[i]->slots);
-		free(ms->at[i]);
+	HASH_CLEAR(hh, ms->by_name);
+	for (int i = 0; i < ms->count; i++) {
+		free(ms->by_id[i]->assignments);
+		free(ms->by_id[i]);
 	}
-	free(ms->at);
-	ms->at = NULL;
-	ms->n = ms->cap = 0;
+	free(ms->by_id);
+	ms->by_id = NULL;
+	ms->count = ms->capacity = 0;
 }
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -4,11 +4,11 @@
 
 #include <uthash.h>
 
-#include "storage/names.h"
+#include "storage/symbol_table.h"
 #include "protocol/cloud.h"
 
-/* Limits; FL_CACHE_NOTE: images noted of one machine. */
-enum { FL_MACHINE_TYPES_MAX = 32, FL_ZONES_MAX = 8, FL_CACHE_NOTE = 16 };
+/* Limits; FL_IMAGE_CACHE_MAX: images noted of one machine. */
+enum { FL_MACHINE_TYPES_MAX = 32, FL_ZONES_MAX = 8, FL_IMAGE_CACHE_MAX = 16 };
 
 /* A type of machine that the cloud offers. */
 struct fl_machine_type {
@@ -20,7 +20,7 @@
 struct fl_job;
 
 /* An attempt that may be on a machine. */
-struct fl_slot {
+struct fl_assignment {
 	struct fl_job *job;
 	uint32_t index;
 };
@@ -29,7 +29,7 @@
 struct fl_machine {
 	UT_hash_handle hh;
 	char name[FL_NAME_MAX], endpoint[FL_NAME_MAX];
-	int id; /* dense; changes only in fl_cluster_purge */
+	int id; /* dense; changes only in fl_cluster_purge_tombstones */
 	int type, zone;
 	bool spot;
 	bool described;      /* type, zone and endpoint are known */
@@ -41,9 +41,9 @@
 	double decommissioned_at;
 	/* Of the job that waits for room here: struct fl_reservation in schedule.h. */
 	double reserved_at; /* steady; when it last did; 0: never */
-	double reserved_cpus, reserved_gpus, reserved_ram;
+	double reserved_cpus, reserved_gpus, reserved_ram_gb;
 	uint8_t reserved_priority;
-	bool reserved_within_guarantee;
+	bool reserved_within_guaranteed;
 	bool command_in_flight;         /* a direct command is under way */
 	bool command_pending;           /* something for a direct command has come up */
 	uint64_t incarnation, sequence; /* of the newest report */
@@ -64,27 +64,27 @@
 	double interruption_at;    /* 0: no notice */
 	double quarantined_until;  /* faults seen: nothing is placed before */
 	int fault_count;
-	int orphan_task_count; /* reported tasks that no record accounts for */
-	struct fl_slot *slots; /* attempts that may be on the machine */
-	int n_slots, cap_slots;
-	double used_cpus, used_gpus, used_ram;
-	int cache[FL_CACHE_NOTE]; /* images lately here, newest first; -1: none */
+	int orphan_task_count;             /* reported tasks that no record accounts for */
+	struct fl_assignment *assignments; /* attempts that may be on the machine */
+	int assignment_count, assignment_capacity;
+	double used_cpus, used_gpus, used_ram_gb;
+	int cached_images[FL_IMAGE_CACHE_MAX]; /* images lately here, newest first; -1: none */
 };
 
 /* All machines and their types. Zero-initialised is empty. */
 struct fl_machines {
 	struct fl_machine_type types[FL_MACHINE_TYPES_MAX];
-	int n_types;
-	struct fl_machine *table;
-	struct fl_machine **at; /* by id */
-	int n, cap;
+	int type_count;
+	struct fl_machine *by_name;
+	struct fl_machine **by_id; /* by id */
+	int count, capacity;
 };
 
 /* Index of the type; -1: unknown. */
 int fl_machine_type_find(const struct fl_machines *ms, const char *name);
 /* Replaces what is known of the types; indices of known names stay. */
-void fl_machine_types_set(struct fl_machines *ms, const struct fl_names *zones,
-                          const struct fl_offered_type *types, int n);
+void fl_machine_types_set(struct fl_machines *ms, const struct fl_symbol_table *zones,
+                          const struct fl_cloud_machine_type *types, int n);
 /* NULL: no such machine. */
 struct fl_machine *fl_machine_find(const struct fl_machines *ms, const char *name);
 /* The machine, added if it is not known yet; NULL without memory. */
@@ -92,17 +92,17 @@
 /* Sets type, zone and kind of rental, once, and the newest endpoint; -1 of either: not known. */
 void fl_machine_describe(struct fl_machine *m, int type, int zone, bool spot, const char *endpoint);
 /* Notes that an attempt may be on the machine; -1 without memory. */
-int fl_machine_add_slot(struct fl_machine *m, struct fl_job *job, uint32_t index);
-/* Undoes fl_machine_add_slot. */
-void fl_machine_drop_slot(struct fl_machine *m, const struct fl_job *job, uint32_t index);
+int fl_machine_add_assignment(struct fl_machine *m, struct fl_job *job, uint32_t index);
+/* Undoes fl_machine_add_assignment. */
+void fl_machine_remove_assignment(struct fl_machine *m, const struct fl_job *job, uint32_t index);
 /* Notes that the image is on the machine; the one used longest ago is forgotten. */
-void fl_machine_note_image(struct fl_machine *m, int image);
+void fl_machine_record_image(struct fl_machine *m, int image);
 /* Amounts of the three resources. */
-struct fl_amounts {
+struct fl_resources {
 	double cpus, gpus, ram_gb;
 };
 /* How many tasks that need `need` each there is room for in `room`. */
-uint32_t fl_tasks_fit(struct fl_amounts need, struct fl_amounts room);
+uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources room);
 /* Forgets a machine with no slots; the last one takes its id. Returns that one, or NULL. */
 struct fl_machine *fl_machine_drop(struct fl_machines *ms, struct fl_machine *m);
 /* Forgets all machines; the types stay. */
