--- a/src/storage/progress.c
+++ b/src/storage/progress_records.c
@@ -1,16 +1,16 @@
-#include "storage/progress.h"
+#include "storage/progress_records.h"
 
 #include <errno.h>
 #include <math.h>
 #include <string.h>
 
-#include "storage/progress_log.h"
+#include "storage/write_ahead_log.h"
 
 /* Which tasks of a chunk are written. */
 enum scope { ALL_TASKS, UNSAVED_TASKS };
 
 /* A list of numbers: [a,b]. */
-static cJSON *pair(double a, double b)
+static cJSON *number_pair(double a, double b)
 {
 	cJSON *e = cJSON_CreateArray();
 
@@ -21,11 +21,11 @@
 
 static cJSON *encode_placed(const struct fl_cluster *b, uint32_t index, const struct fl_task *t)
 {
-	cJSON *e = pair(index, t->attempt);
+	cJSON *e = number_pair(index, t->attempt);
 
-	cJSON_AddItemToArray(e, cJSON_CreateString(b->machines.at[t->machine]->name));
+	cJSON_AddItemToArray(e, cJSON_CreateString(b->machines.by_id[t->machine]->name));
 	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)t->incarnation));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber(round(t->placed)));
+	cJSON_AddItemToArray(e, cJSON_CreateNumber(round(t->placed_wall)));
 	return e;
 }
 
@@ -34,45 +34,48 @@
  *  "m":[[index,attempt,machine,session,placed],...]}:
  * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
  */
-static cJSON *encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk,
+static cJSON *encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t block_index,
                      enum scope scope)
 {
-	const struct fl_chunk *c = job->chunks[chunk];
-	uint32_t base = chunk * FL_CHUNK;
+	const struct fl_task_block *block = job->blocks[block_index];
+	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 	cJSON *o = cJSON_CreateObject();
 	cJSON *done = cJSON_AddArrayToObject(o, "d"), *waiting = cJSON_AddArrayToObject(o, "t");
 	cJSON *placed = cJSON_AddArrayToObject(o, "m");
 
-	for (uint32_t i = 0; i < FL_CHUNK && base + i < job->n_tasks; i++) {
-		const struct fl_task *t = &c->task[i];
+	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && base + i < job->task_count; i++) {
+		const struct fl_task *t = &block->tasks[i];
 
-		if (scope == UNSAVED_TASKS && fl_task_saved(c, t))
+		if (scope == UNSAVED_TASKS && fl_task_saved(block, t))
 			continue;
 		if (t->phase == FL_TASK_DONE) {
 			uint32_t last = i;
 
 			/* What is done and saved already may stand in the log once more. */
-			while (last + 1 < FL_CHUNK && c->task[last + 1].phase == FL_TASK_DONE)
+			while (last + 1 < FL_TASK_BLOCK_SIZE &&
+			       block->tasks[last + 1].phase == FL_TASK_DONE)
 				last++;
-			cJSON_AddItemToArray(done, pair(base + i, base + last));
+			cJSON_AddItemToArray(done, number_pair(base + i, base + last));
 			i = last;
 		} else if (t->phase == FL_TASK_PLACED) {
 			cJSON_AddItemToArray(placed, encode_placed(b, base + i, t));
 		} else if (t->attempt > 0) {
-			cJSON_AddItemToArray(waiting, pair(base + i, t->attempt));
+			cJSON_AddItemToArray(waiting, number_pair(base + i, t->attempt));
 		}
 	}
 	return o;
 }
 
-cJSON *fl_chunk_encode(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk)
+cJSON *fl_task_block_encode(const struct fl_cluster *b, const struct fl_job *job,
+                            uint32_t block_index)
 {
-	return encode(b, job, chunk, ALL_TASKS);
+	return encode(b, job, block_index, ALL_TASKS);
 }
 
-cJSON *fl_chunk_encode_unsaved(const struct fl_cluster *b, const struct fl_job *job, uint32_t chunk)
+cJSON *fl_task_block_encode_unsaved(const struct fl_cluster *b, const struct fl_job *job,
+                                    uint32_t block_index)
 {
-	return encode(b, job, chunk, UNSAVED_TASKS);
+	return encode(b, job, block_index, UNSAVED_TASKS);
 }
 
 /* Where a state of a task was read from. */
@@ -80,7 +83,7 @@
 
 /* A task's state as written. Of two states of a task the newer one counts. */
 struct task_state {
-	enum fl_phase phase;
+	enum fl_task_phase phase;
 	uint32_t attempt;
 	const char *machine; /* in the value it was read from */
 	uint64_t incarnation;
@@ -98,15 +101,15 @@
 	return a->phase == FL_TASK_WAITING && b->phase == FL_TASK_PLACED;
 }
 
-/* Keeps the newer of a task's state so far and `s`; -EPROTO if the task is not in the chunk. */
-static int merge_task(const struct fl_job *job, uint32_t chunk, struct task_state *states,
-                      uint64_t index, const struct task_state *s)
+/* Keeps the newer of a task's state so far and `state`; -EPROTO if the task is not in the chunk. */
+static int merge_task(const struct fl_job *job, uint32_t block_index, struct task_state *states,
+                      uint64_t index, const struct task_state *state)
 {
-	if (index < (uint64_t)chunk * FL_CHUNK || index >= (uint64_t)(chunk + 1) * FL_CHUNK ||
-	    index >= job->n_tasks)
+	if (index < (uint64_t)block_index * FL_TASK_BLOCK_SIZE ||
+	    index >= (uint64_t)(block_index + 1) * FL_TASK_BLOCK_SIZE || index >= job->task_count)
 		return -EPROTO;
-	if (is_newer(s, &states[index % FL_CHUNK]))
-		states[index % FL_CHUNK] = *s;
+	if (is_newer(state, &states[index % FL_TASK_BLOCK_SIZE]))
+		states[index % FL_TASK_BLOCK_SIZE] = *state;
 	return 0;
 }
 
@@ -129,7 +132,7 @@
 }
 
 /* Merges the states in a record, or in a group of the log, into the chunk's. */
-static int merge_record(const struct fl_job *job, uint32_t chunk, const cJSON *v,
+static int merge_record(const struct fl_job *job, uint32_t block_index, const cJSON *v,
                         enum source source, struct task_state *states)
 {
 	uint64_t first, last, attempt;
@@ -137,85 +140,85 @@
 	int rc = 0;
 
 	cJSON_ArrayForEach (e, fl_json_get(v, "d")) {
-		struct task_state s = {.phase = FL_TASK_DONE, .source = source};
+		struct task_state state = {.phase = FL_TASK_DONE, .source = source};
 
 		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
 		    fl_json_item(e, 1, FL_TASKS_MAX, &last) != FL_FIELD_OK)
 			return -EPROTO;
 		for (uint64_t i = first; i <= last && !rc; i++)
-			rc = merge_task(job, chunk, states, i, &s);
+			rc = merge_task(job, block_index, states, i, &state);
 	}
 	cJSON_ArrayForEach (e, fl_json_get(v, "t")) {
-		struct task_state s = {.phase = FL_TASK_WAITING, .source = source};
+		struct task_state state = {.phase = FL_TASK_WAITING, .source = source};
 
 		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
 		    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK)
 			return -EPROTO;
-		s.attempt = (uint32_t)attempt;
+		state.attempt = (uint32_t)attempt;
 		if (!rc)
-			rc = merge_task(job, chunk, states, first, &s);
+			rc = merge_task(job, block_index, states, first, &state);
 	}
 	cJSON_ArrayForEach (e, fl_json_get(v, "m")) {
-		struct task_state s = {.phase = FL_TASK_PLACED, .source = source};
+		struct task_state state = {.phase = FL_TASK_PLACED, .source = source};
 
-		if (read_placed(e, &s, &first) != 0)
+		if (read_placed(e, &state, &first) != 0)
 			return -EPROTO;
 		if (!rc)
-			rc = merge_task(job, chunk, states, first, &s);
+			rc = merge_task(job, block_index, states, first, &state);
 	}
 	return rc;
 }
 
 static int restore_task(struct fl_cluster *b, struct fl_job *job, uint32_t index,
-                        const struct task_state *s, double now)
+                        const struct task_state *state, double now)
 {
 	struct fl_task *t = fl_task_get(job, index);
 	struct fl_machine *m;
 
 	if (!t || t->phase != FL_TASK_WAITING)
 		return -EPROTO;
-	if (s->phase == FL_TASK_PLACED) {
-		m = fl_machine_get(&b->machines, s->machine, now);
-		if (!m || fl_task_restore(b, job, index, s->attempt, m, s->incarnation, s->placed,
-		                          now) != 0)
+	if (state->phase == FL_TASK_PLACED) {
+		m = fl_machine_get(&b->machines, state->machine, now);
+		if (!m || fl_task_restore(b, job, index, state->attempt, m, state->incarnation,
+		                          state->placed, now) != 0)
 			return -ENOMEM;
-	} else if (s->phase == FL_TASK_DONE) {
+	} else if (state->phase == FL_TASK_DONE) {
 		t->phase = FL_TASK_DONE;
-		job->n_waiting--;
-		job->n_done++;
+		job->waiting_count--;
+		job->done_count++;
 	} else {
-		t->attempt = s->attempt;
+		t->attempt = state->attempt;
 	}
 	/* The next write of the log replaces this one: it must hold it, until the record does. */
-	if (s->source == FROM_LOG)
+	if (state->source == FROM_LOG)
 		fl_task_touch(b, job, index);
 	return 0;
 }
 
-int fl_chunk_restore(struct fl_cluster *b, struct fl_job *job, uint32_t chunk, const cJSON *v,
-                     uint64_t rev, struct fl_log *log, double now)
+int fl_task_block_restore(struct fl_cluster *b, struct fl_job *job, uint32_t block_index,
+                          const cJSON *v, uint64_t revision, struct fl_wal *wal, double now)
 {
-	struct task_state states[FL_CHUNK];
-	uint32_t base = chunk * FL_CHUNK;
+	struct task_state states[FL_TASK_BLOCK_SIZE];
+	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 	int rc;
 
 	memset(states, 0, sizeof(states));
-	if (chunk >= job->n_chunks || !fl_task_get(job, base))
+	if (block_index >= job->block_count || !fl_task_get(job, base))
 		return -EPROTO;
-	rc = merge_record(job, chunk, v, FROM_RECORD, states);
-	for (int i = log ? fl_log_first(log, job->ref, chunk) : -1; i >= 0 && !rc;
-	     i = log->at[i].next) {
-		log->at[i].taken = true;
-		rc = merge_record(job, chunk, log->at[i].changes, FROM_LOG, states);
+	rc = merge_record(job, block_index, v, FROM_RECORD, states);
+	for (int i = wal ? fl_wal_first(wal, job->ref, block_index) : -1; i >= 0 && !rc;
+	     i = wal->groups[i].next_of_block) {
+		wal->groups[i].restored = true;
+		rc = merge_record(job, block_index, wal->groups[i].changes, FROM_LOG, states);
 	}
-	for (uint32_t i = 0; i < FL_CHUNK && !rc; i++)
+	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && !rc; i++)
 		if (states[i].phase != FL_TASK_WAITING || states[i].attempt > 0)
 			rc = restore_task(b, job, base + i, &states[i], now);
-	job->chunks[chunk]->rev = rev;
+	job->blocks[block_index]->mod_revision = revision;
 	return rc;
 }
 
-int fl_chunk_count(const cJSON *v, uint32_t *done, uint32_t *placed)
+int fl_task_block_count(const cJSON *v, uint32_t *done, uint32_t *placed)
 {
 	uint64_t first, last;
 	const cJSON *e;
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -5,8 +5,8 @@
 #include "storage/job_records.h"
 #include "storage/job_updates.h"
 #include "storage/keys.h"
-#include "storage/progress.h"
-#include "storage/progress_log.h"
-#include "storage/write_budget.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
+#include "storage/token_bucket.h"
 
 #endif
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -8,43 +8,44 @@
 
 struct fl_task *fl_task_peek(const struct fl_job *job, uint32_t index)
 {
-	struct fl_chunk *c = fl_job_chunk(job, index / FL_CHUNK);
+	struct fl_task_block *block = fl_job_task_block(job, index / FL_TASK_BLOCK_SIZE);
 
-	return c ? &c->task[index % FL_CHUNK] : NULL;
+	return block ? &block->tasks[index % FL_TASK_BLOCK_SIZE] : NULL;
 }
 
 struct fl_task *fl_task_get(struct fl_job *job, uint32_t index)
 {
-	struct fl_chunk **c;
+	struct fl_task_block **block;
 
-	if (!job->chunks)
-		job->chunks = calloc(job->n_chunks, sizeof(*job->chunks));
-	if (!job->chunks)
+	if (!job->blocks)
+		job->blocks = calloc(job->block_count, sizeof(*job->blocks));
+	if (!job->blocks)
 		return NULL;
-	c = &job->chunks[index / FL_CHUNK];
-	if (!*c)
-		*c = calloc(1, sizeof(**c));
-	return *c ? &(*c)->task[index % FL_CHUNK] : NULL;
+	block = &job->blocks[index / FL_TASK_BLOCK_SIZE];
+	if (!*block)
+		*block = calloc(1, sizeof(**block));
+	return *block ? &(*block)->tasks[index % FL_TASK_BLOCK_SIZE] : NULL;
 }
 
 bool fl_task_durable(const struct fl_job *job, uint32_t index)
 {
-	const struct fl_chunk *c = fl_job_chunk(job, index / FL_CHUNK);
+	const struct fl_task_block *block = fl_job_task_block(job, index / FL_TASK_BLOCK_SIZE);
 
-	return !c || c->task[index % FL_CHUNK].gen <= c->saved_gen ||
-	       c->task[index % FL_CHUNK].gen <= c->logged_gen;
+	return !block ||
+	       block->tasks[index % FL_TASK_BLOCK_SIZE].generation <= block->saved_generation ||
+	       block->tasks[index % FL_TASK_BLOCK_SIZE].generation <= block->logged_generation;
 }
 
-bool fl_task_saved(const struct fl_chunk *c, const struct fl_task *t)
+bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *t)
 {
-	return t->gen <= c->saved_gen;
+	return t->generation <= block->saved_generation;
 }
 
 void fl_task_touch(struct fl_cluster *b, struct fl_job *job, uint32_t index)
 {
-	struct fl_chunk *c = job->chunks[index / FL_CHUNK];
+	struct fl_task_block *block = job->blocks[index / FL_TASK_BLOCK_SIZE];
 
-	c->task[index % FL_CHUNK].gen = ++c->gen;
+	block->tasks[index % FL_TASK_BLOCK_SIZE].generation = ++block->generation;
 	fl_job_mark_dirty(b, job);
 }
 
@@ -53,7 +54,7 @@
 	uint32_t i = from > job->scan_from ? from : job->scan_from;
 	bool lowest = i == job->scan_from;
 
-	for (; i < job->n_tasks; i++) {
+	for (; i < job->task_count; i++) {
 		const struct fl_task *t = fl_task_peek(job, i);
 
 		if (t && t->phase != FL_TASK_WAITING) {
@@ -65,48 +66,48 @@
 		if (!t || t->not_before <= now)
 			return i;
 	}
-	return job->n_tasks;
+	return job->task_count;
 }
 
-static int occupy(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m)
+static int assign(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m)
 {
-	struct fl_team *team = &b->teams.at[job->team];
+	struct fl_team *team = &b->teams.by_index[job->team];
 
-	if (fl_machine_add_slot(m, job, index) != 0)
+	if (fl_machine_add_assignment(m, job, index) != 0)
 		return -1;
 	m->used_cpus += job->cpus;
 	m->used_gpus += job->gpus;
-	m->used_ram += job->ram_gb;
+	m->used_ram_gb += job->ram_gb;
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
 	if (m->zone >= 0)
-		job->zone_placed[m->zone]++;
+		job->placed_by_zone[m->zone]++;
 	else
-		job->zone_unknown++;
-	job->n_placed++;
+		job->placed_in_unknown_zone++;
+	job->placed_count++;
 	return 0;
 }
 
-static void vacate(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_task *t)
+static void unassign(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_task *t)
 {
-	struct fl_machine *m = b->machines.at[t->machine];
-	struct fl_team *team = &b->teams.at[job->team];
+	struct fl_machine *m = b->machines.by_id[t->machine];
+	struct fl_team *team = &b->teams.by_index[job->team];
 
-	fl_machine_drop_slot(m, job, index);
+	fl_machine_remove_assignment(m, job, index);
 	m->used_cpus -= job->cpus;
 	m->used_gpus -= job->gpus;
-	m->used_ram -= job->ram_gb;
-	if (m->n_slots == 0)
-		m->used_cpus = m->used_gpus = m->used_ram = 0;
+	m->used_ram_gb -= job->ram_gb;
+	if (m->assignment_count == 0)
+		m->used_cpus = m->used_gpus = m->used_ram_gb = 0;
 	team->used_cpus -= job->cpus;
 	team->used_gpus -= job->gpus;
 	if (m->zone >= 0)
-		job->zone_placed[m->zone]--;
+		job->placed_by_zone[m->zone]--;
 	else
-		job->zone_unknown--;
-	job->n_placed--;
+		job->placed_in_unknown_zone--;
+	job->placed_count--;
 	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING)
-		job->n_running--;
+		job->running_count--;
 	t->observed = FL_OBSERVED_NONE;
 	t->start_sent = false;
 	t->stop_reason = FL_STOP_NONE;
@@ -119,7 +120,7 @@
 {
 	struct fl_task *t = fl_task_get(job, index);
 
-	if (!t || t->phase != FL_TASK_WAITING || occupy(b, job, index, m) != 0)
+	if (!t || t->phase != FL_TASK_WAITING || assign(b, job, index, m) != 0)
 		return -1;
 	t->phase = FL_TASK_PLACED;
 	t->attempt++;
@@ -128,9 +129,9 @@
 	t->fencing_token = fencing_token;
 	t->observed = FL_OBSERVED_NONE;
 	t->stop_reason = FL_STOP_NONE;
-	t->since = now;
-	t->placed = fl_wall();
-	job->n_waiting--;
+	t->running_since = now;
+	t->placed_wall = fl_wall();
+	job->waiting_count--;
 	fl_task_touch(b, job, index);
 	return 0;
 }
@@ -140,21 +141,21 @@
 {
 	struct fl_task *t = fl_task_get(job, index);
 
-	if (!t || t->phase != FL_TASK_WAITING || occupy(b, job, index, m) != 0)
+	if (!t || t->phase != FL_TASK_WAITING || assign(b, job, index, m) != 0)
 		return -1;
 	t->phase = FL_TASK_PLACED;
 	t->attempt = attempt;
 	t->machine = m->id;
 	t->incarnation = incarnation;
-	t->placed = placed;
+	t->placed_wall = placed;
 	/* Placed by an earlier leader: what it has run since would be lost by stopping it. */
-	t->since = fmin(now, fl_since(placed));
+	t->running_since = fmin(now, fl_since(placed));
 	/*
 	 * Its image is there, and stays when the task is lost with its worker's session: after an
 	 * end of all controllers hundreds of tasks start again, and best where they ran.
 	 */
-	fl_machine_note_image(m, job->image);
-	job->n_waiting--;
+	fl_machine_record_image(m, job->image);
+	job->waiting_count--;
 	return 0;
 }
 
@@ -164,10 +165,10 @@
 
 	if (!t || t->phase != FL_TASK_PLACED)
 		return;
-	vacate(b, job, index, t);
+	unassign(b, job, index, t);
 	t->phase = FL_TASK_WAITING;
 	t->not_before = not_before;
-	job->n_waiting++;
+	job->waiting_count++;
 	if (index < job->scan_from)
 		job->scan_from = index;
 	fl_task_touch(b, job, index);
@@ -180,11 +181,11 @@
 	if (!t || t->phase == FL_TASK_DONE)
 		return;
 	if (t->phase == FL_TASK_PLACED)
-		vacate(b, job, index, t);
+		unassign(b, job, index, t);
 	else
-		job->n_waiting--;
+		job->waiting_count--;
 	t->phase = FL_TASK_DONE;
-	job->n_done++;
+	job->done_count++;
 	fl_task_touch(b, job, index);
 }
 
@@ -195,16 +196,16 @@
 	bool is = observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
 
 	if (is && !was) {
-		job->n_running++;
+		job->running_count++;
 		/*
 		 * Read from a record and found running: it began long ago, at some time after its
 		 * placement. Counted from now, every new leader would take old work for fresh, and
 		 * stop what is nearly done to make room.
 		 */
 		if (t->fencing_token != 0 || t->observed != FL_OBSERVED_NONE)
-			t->since = now;
+			t->running_since = now;
 	} else if (was && !is) {
-		job->n_running--;
+		job->running_count--;
 	}
 	t->observed = (uint8_t)observed;
 	t->start_sent = false;
--- a/src/storage/tasks.h
+++ b/src/storage/tasks.h
@@ -14,7 +14,7 @@
 /* Does the record or the log hold its last change? */
 bool fl_task_durable(const struct fl_job *job, uint32_t index);
 /* Does the record hold its last change? */
-bool fl_task_saved(const struct fl_chunk *c, const struct fl_task *t);
+bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *t);
 /* Marks the chunk as changed and the job as dirty. */
 void fl_task_touch(struct fl_cluster *b, struct fl_job *job, uint32_t index);
 /* Next WAITING task at or after `from` that may start at `now`; n_tasks if none. */
--- a/src/storage/teams.c
+++ b/src/storage/teams.c
@@ -7,26 +7,26 @@
 
 int fl_teams_find(const struct fl_teams *teams, const char *name)
 {
-	for (int i = 0; i < teams->n; i++)
-		if (strcmp(teams->at[i].name, name) == 0)
+	for (int i = 0; i < teams->count; i++)
+		if (strcmp(teams->by_index[i].name, name) == 0)
 			return i;
 	return -1;
 }
 
-bool fl_team_within_max(const struct fl_team *t, double cpus, double gpus)
+bool fl_team_within_maximum(const struct fl_team *team, double cpus, double gpus)
 {
-	if (t->cpus_max > 0 && cpus > t->cpus_max + slack)
+	if (team->max_cpus > 0 && cpus > team->max_cpus + slack)
 		return false;
-	return !(t->gpus_max > 0 && gpus > t->gpus_max + slack);
+	return !(team->max_gpus > 0 && gpus > team->max_gpus + slack);
 }
 
-bool fl_team_within_guarantee(const struct fl_team *t, double cpus, double gpus)
+bool fl_team_within_guaranteed(const struct fl_team *team, double cpus, double gpus)
 {
-	if (t->cpus <= 0 && t->gpus <= 0)
+	if (team->guaranteed_cpus <= 0 && team->guaranteed_gpus <= 0)
 		return false;
-	if (t->cpus > 0 && cpus > t->cpus + slack)
+	if (team->guaranteed_cpus > 0 && cpus > team->guaranteed_cpus + slack)
 		return false;
-	if (t->gpus > 0 ? gpus > t->gpus + slack : gpus > slack)
+	if (team->guaranteed_gpus > 0 ? gpus > team->guaranteed_gpus + slack : gpus > slack)
 		return false;
 	return true;
 }
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -20,10 +20,10 @@
 	.image = "solver:7",
 	.zone = "north",
 	.machine_types = {"large", "small"},
-	.n_machine_types = 2,
+	.machine_type_count = 2,
 	.kind = FL_GANG,
 	.priority = FL_URGENT,
-	.n_tasks = 130,
+	.task_count = 130,
 	.cpus = 1.5,
 	.gpus = 2,
 	.ram_gb = 3.25,
@@ -33,7 +33,7 @@
 	.checkpoint_cost_s = 7.5,
 	.due_s = 88.5,
 	.has_zone = true,
-	.together = true,
+	.same_zone = true,
 };
 
 const struct fl_heartbeat without_tasks = {.host = "m-000013",
@@ -60,17 +60,17 @@
 
 void add_zones_and_teams(struct fl_cluster *cluster)
 {
-	fl_names_add(&cluster->zones, "south");
-	fl_names_add(&cluster->zones, "north");
-	cluster->teams.n = 2;
-	strcpy(cluster->teams.at[0].name, "biology");
-	strcpy(cluster->teams.at[1].name, "physics");
+	fl_symbol_intern(&cluster->zones, "south");
+	fl_symbol_intern(&cluster->zones, "north");
+	cluster->teams.count = 2;
+	strcpy(cluster->teams.by_index[0].name, "biology");
+	strcpy(cluster->teams.by_index[1].name, "physics");
 }
 
 struct fl_job *add_job(struct fl_cluster *cluster)
 {
 	struct fl_job *job;
-	struct fl_offered_type *types;
+	struct fl_cloud_machine_type *types;
 	cJSON *tree = parse(MACHINE_TYPES);
 	int count;
 
@@ -117,8 +117,8 @@
 }
 
 void assert_task(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
-                 enum fl_phase phase, uint32_t attempt, const char *machine, uint64_t incarnation,
-                 double placed)
+                 enum fl_task_phase phase, uint32_t attempt, const char *machine,
+                 uint64_t incarnation, double placed)
 {
 	const struct fl_task *task = fl_task_peek(job, index);
 
@@ -127,9 +127,9 @@
 	assert_int_equal(task->attempt, attempt);
 	if (phase != FL_TASK_PLACED)
 		return;
-	assert_string_equal(cluster->machines.at[task->machine]->name, machine);
+	assert_string_equal(cluster->machines.by_id[task->machine]->name, machine);
 	assert_int_equal(task->incarnation, incarnation);
-	assert_true(task->placed == placed);
+	assert_true(task->placed_wall == placed);
 }
 
 void assert_progress(const struct fl_cluster *cluster, const struct fl_job *job)
@@ -150,9 +150,9 @@
 		else
 			assert_task(cluster, job, index, FL_TASK_WAITING, 0, NULL, 0, 0);
 	}
-	assert_int_equal(job->n_done, 4);
-	assert_int_equal(job->n_placed, 2);
-	assert_int_equal(job->n_waiting, 124);
+	assert_int_equal(job->done_count, 4);
+	assert_int_equal(job->placed_count, 2);
+	assert_int_equal(job->waiting_count, 124);
 }
 
 struct fl_heartbeat make_report(struct fl_task_status tasks[13])
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -87,8 +87,8 @@
 void make_progress(struct fl_cluster *cluster, struct fl_job *job);
 /* Machine, session and time are those of a placed task. */
 void assert_task(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
-                 enum fl_phase phase, uint32_t attempt, const char *machine, uint64_t incarnation,
-                 double placed);
+                 enum fl_task_phase phase, uint32_t attempt, const char *machine,
+                 uint64_t incarnation, double placed);
 /* What PROGRESS says, and nothing else, of the second chunk. */
 void assert_progress(const struct fl_cluster *cluster, const struct fl_job *job);
 /* The report that CACHED is the text of. */
--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -74,7 +74,7 @@
 		struct sim_job *job = &sim.job[i];
 
 		job->cancel = job->run.kind == FL_SERVICE ? job->cancel : -1;
-		for (uint32_t k = 0; k < job->run.n_tasks; k++)
+		for (uint32_t k = 0; k < job->run.task_count; k++)
 			job->real_s[k] = k == 0 ? sim_between(3, 15) : sim_between(40, 110);
 	}
 	for (int i = 0; i < 2 + variant % 2; i++)
@@ -86,12 +86,12 @@
 {
 	/* Tasks that are long in saving: a report from before their launch may come meanwhile. */
 	for (int i = 0; i < sim.n_jobs; i++) {
-		struct fl_job_spec *r = &sim.job[i].run;
+		struct fl_job_spec *spec = &sim.job[i].run;
 
-		if (r->kind != FL_ARRAY)
+		if (spec->kind != FL_ARRAY)
 			continue;
-		r->checkpoint_every_s = 2;
-		r->checkpoint_cost_s = sim_between(3, 8);
+		spec->checkpoint_every_s = 2;
+		spec->checkpoint_cost_s = sim_between(3, 8);
 		sim_job_rewritten(&sim.job[i]);
 	}
 	sim_trouble(LATE_REPORTS, 5, 90, 0, 0.9, 0);
@@ -185,12 +185,12 @@
 	double t = sim_between(40, 55);
 
 	for (int i = 0; i < sim.n_jobs; i++) {
-		struct fl_job_spec *r = &sim.job[i].run;
+		struct fl_job_spec *spec = &sim.job[i].run;
 
-		if (i % 2 || r->apart)
+		if (i % 2 || spec->spread_zones)
 			continue;
-		r->has_zone = true;
-		sim_copy(r->zone, sizeof(r->zone), sim.config[0].zones[i % sim.n_zones]);
+		spec->has_zone = true;
+		sim_copy(spec->zone, sizeof(spec->zone), sim.config[0].zones[i % sim.n_zones]);
 		sim_job_rewritten(&sim.job[i]);
 	}
 	sim_trouble(TAKE_MACHINES, t, 1, 0, 0.5, 0);
--- a/tests/fault_combinations_timing.c
+++ b/tests/fault_combinations_timing.c
@@ -125,12 +125,12 @@
 		struct sim_job *job = sim_job_add(8 + 0.25 * i);
 
 		job->run.kind = FL_ARRAY;
-		job->run.n_tasks = 1;
+		job->run.task_count = 1;
 		job->run.cpus = 2;
 		job->run.gpus = 0;
 		job->run.expected_s = sim_between(1, 6);
-		job->run.n_machine_types = -1;
-		job->run.has_zone = job->run.together = job->run.apart = false;
+		job->run.machine_type_count = -1;
+		job->run.has_zone = job->run.same_zone = job->run.spread_zones = false;
 		job->real_s[0] = job->run.expected_s;
 		job->cancel = sim_chance(0.25) ? job->submit + sim_between(0, 9) : -1;
 		sim_job_rewritten(job);
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -59,7 +59,7 @@
 static void on_leader(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
 	struct fixture *fixture = ctx;
-	struct fl_job_spec run;
+	struct fl_job_spec spec;
 	struct fl_forwarded_request relay;
 	cJSON *object;
 
@@ -68,7 +68,7 @@
 		return;
 	if (relay.call == FL_CALL_SUBMIT) {
 		object = fl_json_parse(relay.body, strlen(relay.body));
-		resp->status = fl_job_spec_decode(object, &run) ? 400 : 201;
+		resp->status = fl_job_spec_decode(object, &spec) ? 400 : 201;
 		cJSON_Delete(object);
 	} else {
 		resp->status = fixture->known ? 200 : 404;
@@ -87,10 +87,10 @@
 
 int set_up(void **state)
 {
-	struct fl_offered_type types[] = {
-		{.name = "both", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .n_zones = 2},
-		{.name = "one", .cpus = 96, .ram_gb = 64, .zones = {"a"}, .n_zones = 1},
-		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .zones = {"y"}, .n_zones = 1},
+	struct fl_cloud_machine_type types[] = {
+		{.name = "both", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .zone_count = 2},
+		{.name = "one", .cpus = 96, .ram_gb = 64, .zones = {"a"}, .zone_count = 1},
+		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .zones = {"y"}, .zone_count = 1},
 	};
 	struct fixture *fixture = calloc(1, sizeof(*fixture));
 	struct fl_node *node = &fixture->node;
@@ -101,12 +101,12 @@
 	fixture->config.lease_s = 10;
 	fixture->config.cancel_s = 40;
 	fixture->config.ram_mb = 1024;
-	fl_names_add(&node->cluster.zones, "a");
-	fl_names_add(&node->cluster.zones, "b");
+	fl_symbol_intern(&node->cluster.zones, "a");
+	fl_symbol_intern(&node->cluster.zones, "b");
 	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, 3);
-	strcpy(node->cluster.teams.at[0].name, "t");
-	node->cluster.teams.at[0].cpus_max = 100;
-	node->cluster.teams.n = 1;
+	strcpy(node->cluster.teams.by_index[0].name, "t");
+	node->cluster.teams.by_index[0].max_cpus = 100;
+	node->cluster.teams.count = 1;
 	fixture->state = fl_http_serve("127.0.0.1:0", 16, 90, on_state, fixture);
 	fixture->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, fixture);
 	assert_true(fixture->state && fixture->leader);
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -30,14 +30,14 @@
 
 int set_up(void **state)
 {
-	struct fl_offered_type kind = {
-		.name = "g", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .n_zones = 2};
-	struct fl_job_spec run = {.n_tasks = 4,
-	                          .cpus = 1,
-	                          .ram_gb = 1,
-	                          .priority = FL_STANDARD,
-	                          .n_machine_types = -1,
-	                          .due_s = -1};
+	struct fl_cloud_machine_type kind = {
+		.name = "g", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .zone_count = 2};
+	struct fl_job_spec spec = {.task_count = 4,
+	                           .cpus = 1,
+	                           .ram_gb = 1,
+	                           .priority = FL_STANDARD,
+	                           .machine_type_count = -1,
+	                           .due_s = -1};
 	struct fixture *fixture = calloc(1, sizeof(*fixture));
 	struct fl_cluster *cluster;
 
@@ -50,16 +50,16 @@
 	fixture->config.value_kb = 4;
 	strcpy(fixture->config.node, "n0");
 	strcpy(fixture->config.location, "a");
-	fl_names_add(&cluster->zones, "a");
-	fl_names_add(&cluster->zones, "b");
+	fl_symbol_intern(&cluster->zones, "a");
+	fl_symbol_intern(&cluster->zones, "b");
 	fl_machine_types_set(&cluster->machines, &cluster->zones, &kind, 1);
-	strcpy(cluster->teams.at[0].name, "team");
-	cluster->teams.n = 1;
-	strcpy(run.ref, "run-000001");
-	strcpy(run.team, "team");
-	strcpy(run.job_class, "c");
-	strcpy(run.image, "i");
-	fixture->job = fl_job_add(cluster, &run, 0, 1);
+	strcpy(cluster->teams.by_index[0].name, "team");
+	cluster->teams.count = 1;
+	strcpy(spec.ref, "run-000001");
+	strcpy(spec.team, "team");
+	strcpy(spec.job_class, "c");
+	strcpy(spec.image, "i");
+	fixture->job = fl_job_add(cluster, &spec, 0, 1);
 	become_leader(fixture, EPOCH);
 	*state = fixture;
 	return 0;
@@ -133,7 +133,8 @@
 	                               only_machine(fixture), fixture->node.election.fencing_token,
 	                               fl_now()),
 	                 0);
-	fl_job_chunk(fixture->job, 0)->saved_gen = fl_job_chunk(fixture->job, 0)->gen;
+	fl_job_task_block(fixture->job, 0)->saved_generation =
+		fl_job_task_block(fixture->job, 0)->generation;
 	return fl_task_peek(fixture->job, index);
 }
 
@@ -201,16 +202,17 @@
 
 cJSON *cancelled_record(struct fixture *fixture, double seconds)
 {
-	struct fl_job_spec run;
+	struct fl_job_spec spec;
 
-	fl_job_describe(&fixture->node.cluster, fixture->job, &run);
-	return fl_job_record_cancelled(&run, 1, fl_wall() - seconds);
+	fl_job_describe(&fixture->node.cluster, fixture->job, &spec);
+	return fl_job_record_cancelled(&spec, 1, fl_wall() - seconds);
 }
 
 void apply_cancellation(struct fixture *fixture, double seconds)
 {
 	cJSON *record = cancelled_record(fixture, seconds);
 
-	assert_null(fl_cluster_apply(&fixture->node.cluster, fixture->job->ref, record, 9));
+	assert_null(
+		fl_cluster_apply_job_record(&fixture->node.cluster, fixture->job->ref, record, 9));
 	cJSON_Delete(record);
 }
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -173,25 +173,25 @@
 
 struct fl_job *add_job(struct simulation *sim, int job)
 {
-	struct fl_job_spec run = {.n_tasks = TASKS,
-	                          .cpus = 1,
-	                          .ram_gb = 1,
-	                          .priority = FL_STANDARD,
-	                          .n_machine_types = -1,
-	                          .reclaimable = true,
-	                          .due_s = -1};
-
-	format_ref(job, run.ref);
-	strcpy(run.team, "team");
-	strcpy(run.job_class, "c");
-	strcpy(run.image, "i");
-	return fl_job_add(&sim->node.cluster, &run, 0, 1);
+	struct fl_job_spec spec = {.task_count = TASKS,
+	                           .cpus = 1,
+	                           .ram_gb = 1,
+	                           .priority = FL_STANDARD,
+	                           .machine_type_count = -1,
+	                           .spot_allowed = true,
+	                           .due_s = -1};
+
+	format_ref(job, spec.ref);
+	strcpy(spec.team, "team");
+	strcpy(spec.job_class, "c");
+	strcpy(spec.image, "i");
+	return fl_job_add(&sim->node.cluster, &spec, 0, 1);
 }
 
 void take_over(struct simulation *sim)
 {
 	struct fl_node *node = &sim->node;
-	struct fl_log log = {0};
+	struct fl_wal wal = {0};
 
 	fl_cluster_forget_tasks(&node->cluster);
 	memset(&node->leadership, 0, sizeof(node->leadership));
@@ -204,7 +204,7 @@
 			sim->log[i] ? fl_json_parse(sim->log[i], strlen(sim->log[i])) : NULL;
 
 		if (record)
-			assert_int_equal(fl_log_read(&log, record), 0);
+			assert_int_equal(fl_wal_read(&wal, record), 0);
 		cJSON_Delete(record);
 	}
 	for (int j = 0; j < JOBS; j++) {
@@ -213,13 +213,13 @@
 		                        ? fl_json_parse(sim->record[j], strlen(sim->record[j]))
 		                        : NULL;
 
-		if (record || log.n > 0)
-			assert_int_equal(
-				fl_chunk_restore(&node->cluster, job, 0, record, 1, &log, fl_now()),
-				0);
+		if (record || wal.group_count > 0)
+			assert_int_equal(fl_task_block_restore(&node->cluster, job, 0, record, 1,
+			                                       &wal, fl_now()),
+			                 0);
 		cJSON_Delete(record);
 	}
-	fl_log_free(&log);
+	fl_wal_free(&wal);
 	sim->takeovers++;
 }
 
@@ -227,18 +227,18 @@
 {
 	struct fl_cluster *cluster = &sim->node.cluster;
 	struct fl_job *job = HASH_COUNT(cluster->jobs) ? cluster->jobs : NULL;
-	struct fl_team *team = &cluster->teams.at[0];
+	struct fl_team *team = &cluster->teams.by_index[0];
 
 	for (int skip = random_below(sim, JOBS); job && skip > 0; skip--)
 		job = job->hh.next;
-	for (int i = 0; job && i < cluster->machines.n; i++) {
+	for (int i = 0; job && i < cluster->machines.count; i++) {
 		struct fl_machine *machine =
 			cluster->machines
-				.at[(i + random_below(sim, WORKERS)) % cluster->machines.n];
+				.by_id[(i + random_below(sim, WORKERS)) % cluster->machines.count];
 		uint32_t index = fl_task_next_waiting(job, 0, 1e18);
 
-		if (index >= job->n_tasks || !machine->up || machine->used_cpus >= 4 ||
-		    !fl_team_within_max(team, team->used_cpus + 1, 0))
+		if (index >= job->task_count || !machine->up || machine->used_cpus >= 4 ||
+		    !fl_team_within_maximum(team, team->used_cpus + 1, 0))
 			continue;
 		assert_int_equal(fl_task_place(cluster, job, index, machine,
 		                               sim->node.election.fencing_token, fl_now()),
@@ -249,7 +249,7 @@
 /* All that no record holds, in one or two values. */
 static void save_log(struct simulation *sim)
 {
-	cJSON *value[2] = {fl_log_value_begin(), fl_log_value_begin()};
+	cJSON *value[2] = {fl_wal_value_begin(), fl_wal_value_begin()};
 	int values = 1 + random_below(sim, 2), n = 0;
 
 	for (int j = 0; j < JOBS; j++) {
@@ -258,12 +258,13 @@
 
 		format_ref(j, ref);
 		job = fl_job_find(&sim->node.cluster, ref);
-		group = job ? fl_log_group_encode(&sim->node.cluster, job, 0) : NULL;
+		group = job ? fl_wal_group_encode(&sim->node.cluster, job, 0) : NULL;
 		if (!group)
 			continue;
-		fl_log_value_add(value[n++ % values], group);
+		fl_wal_value_add(value[n++ % values], group);
 		free(group);
-		fl_job_chunk(job, 0)->logged_gen = fl_job_chunk(job, 0)->gen;
+		fl_job_task_block(job, 0)->logged_generation =
+			fl_job_task_block(job, 0)->generation;
 	}
 	for (int i = 0; i < 2; i++) {
 		if (i >= values) {
@@ -291,11 +292,11 @@
 			continue;
 		format_ref(j, ref);
 		job = fl_job_find(&sim->node.cluster, ref);
-		if (!job || !fl_job_chunk(job, 0))
+		if (!job || !fl_job_task_block(job, 0))
 			continue;
 		free(sim->record[j]);
-		sim->record[j] = fl_json_take(fl_chunk_encode(&sim->node.cluster, job, 0));
-		fl_job_chunk(job, 0)->saved_gen = fl_job_chunk(job, 0)->gen;
+		sim->record[j] = fl_json_take(fl_task_block_encode(&sim->node.cluster, job, 0));
+		fl_job_task_block(job, 0)->saved_generation = fl_job_task_block(job, 0)->generation;
 	}
 }
 
@@ -398,14 +399,14 @@
 
 void set_up(struct simulation *sim, unsigned long seed)
 {
-	struct fl_offered_type kind = {.name = "g",
-	                               .cpus = 4,
-	                               .ram_gb = 64,
-	                               .pull_gb_s = 1,
-	                               .price = 1,
-	                               .ready_s = 10,
-	                               .zones = {"a", "b"},
-	                               .n_zones = 2};
+	struct fl_cloud_machine_type kind = {.name = "g",
+	                                     .cpus = 4,
+	                                     .ram_gb = 64,
+	                                     .pull_gb_s = 1,
+	                                     .price = 1,
+	                                     .ready_s = 10,
+	                                     .zones = {"a", "b"},
+	                                     .zone_count = 2};
 	struct fl_cluster *cluster = &sim->node.cluster;
 
 	memset(sim, 0, sizeof(*sim));
@@ -413,12 +414,12 @@
 	gsl_rng_set(sim->rng, seed);
 	sim->node.config = &sim->config;
 	sim->calm = seed % 3 == 0 ? 1 : seed % 3 == 1 ? 8 : 40;
-	fl_names_add(&cluster->zones, "a");
-	fl_names_add(&cluster->zones, "b");
+	fl_symbol_intern(&cluster->zones, "a");
+	fl_symbol_intern(&cluster->zones, "b");
 	fl_machine_types_set(&cluster->machines, &cluster->zones, &kind, 1);
-	strcpy(cluster->teams.at[0].name, "team");
-	cluster->teams.at[0].cpus_max = 6;
-	cluster->teams.n = 1;
+	strcpy(cluster->teams.by_index[0].name, "team");
+	cluster->teams.by_index[0].max_cpus = 6;
+	cluster->teams.count = 1;
 	for (int i = 0; i < WORKERS; i++)
 		sim->worker[i].incarnation = 1;
 	take_over(sim);
--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-static int no_cache[FL_CACHE_NOTE];
+static int no_cache[FL_IMAGE_CACHE_MAX];
 
 void run_schedule(struct snapshot *snapshot, struct fl_sched_out *out)
 {
@@ -32,9 +32,9 @@
 	return (struct fl_sched_job){.priority = FL_STANDARD,
 	                             .cpus = cpus,
 	                             .ram_gb = 1,
-	                             .n_tasks = waiting,
+	                             .task_count = waiting,
 	                             .waiting = waiting,
-	                             .est_s = est,
+	                             .estimate_s = est,
 	                             .waited_s = waited,
 	                             .types = 1,
 	                             .zone = -1,
--- a/tests/schedule_fixture.h
+++ b/tests/schedule_fixture.h
@@ -9,7 +9,7 @@
 struct snapshot {
 	struct fl_sched_job jobs[JOBS];
 	struct fl_sched_machine machines[MACHINES];
-	int cache[MACHINES][FL_CACHE_NOTE];
+	int cache[MACHINES][FL_IMAGE_CACHE_MAX];
 	struct fl_sched_run runs[RUNS];
 	struct fl_team teams[TEAMS];
 	int n_jobs, n_machines, n_runs;
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -86,10 +86,10 @@
 	model->snapshot.machines[best].cpus -= job->cpus;
 	model->snapshot.machines[best].gpus -= job->gpus;
 	model->snapshot.machines[best].ram_gb -= job->ram_gb;
-	job->zone_placed[model->snapshot.machines[best].zone]++;
+	job->placed_by_zone[model->snapshot.machines[best].zone]++;
 	if (!model->snapshot.machines[best].requested.made) {
 		model->snapshot.machines[best].requested.made = true;
-		model->snapshot.machines[best].requested.within_guarantee = within_guarantee;
+		model->snapshot.machines[best].requested.within_guaranteed = within_guarantee;
 		model->snapshot.machines[best].requested.priority = job->priority;
 	}
 	model->snapshot.machines[best].requested.cpus += job->cpus;
@@ -106,7 +106,7 @@
 	uint32_t requested = 0;
 
 	while (requested + model->held < job->waiting && !job->gang) {
-		bool within_guarantee = job->within_guarantee &&
+		bool within_guarantee = job->within_guaranteed &&
 		                        model_in_guarantee(team, team->used_cpus + job->cpus,
 		                                           team->used_gpus + job->gpus);
 
@@ -188,7 +188,7 @@
 		model->snapshot.machines[best].ram_gb -= job->ram_gb;
 		model->snapshot.teams[job->team].used_cpus += job->cpus;
 		model->snapshot.teams[job->team].used_gpus += job->gpus;
-		job->zone_placed[model->snapshot.machines[best].zone]++;
+		job->placed_by_zone[model->snapshot.machines[best].zone]++;
 		job->waiting--;
 	}
 	if (before && job->waiting > 0)
@@ -208,13 +208,13 @@
 		int rank = candidate->service && candidate->priority >= FL_URGENT ? 3
 		           : !candidate->service && !candidate->begun && candidate->waited_s > 120
 		                   ? 2
-		           : candidate->within_guarantee ? 1
-		                                         : 0;
+		           : candidate->within_guaranteed ? 1
+		                                          : 0;
 		double wait = fmax(candidate->waited_s, 0.1),
-		       takes = candidate->est_s > 0 ? candidate->est_s : 3600;
+		       takes = candidate->estimate_s > 0 ? candidate->estimate_s : 3600;
 		double weight[] = {0.1, 1, 10, 100};
 		double priority = wait / 3600 * (1 + pow(wait / 120, 4)) * (3600 / takes) *
-		                  (1 / sqrt(candidate->cpus * candidate->n_tasks / 32)) *
+		                  (1 / sqrt(candidate->cpus * candidate->task_count / 32)) *
 		                  weight[candidate->priority];
 
 		if (looked[i])
@@ -261,7 +261,7 @@
 		bound = backfill && job->priority <= model->snapshot.jobs[model->top].priority
 		                ? until
 		                : NULL;
-		est = job->est_s > 0 ? job->est_s : job->service ? INFINITY : 3600;
+		est = job->estimate_s > 0 ? job->estimate_s : job->service ? INFINITY : 3600;
 		if (!model_start(model, next, bound, est))
 			continue;
 		model->short_of[next] =
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -9,7 +9,7 @@
 		return false;
 	if (job->zone >= 0 && machine->zone != job->zone)
 		return false;
-	return !machine->spot || job->reclaimable;
+	return !machine->spot || job->spot_allowed;
 }
 
 bool model_room(const struct fl_sched_job *job, double cpus, double gpus, double ram_gb)
@@ -19,13 +19,14 @@
 
 bool model_zone(const struct fl_sched_job *job, int zone)
 {
-	if (job->apart && job->zone_placed[zone] + job->zone_unknown >= (job->n_tasks + 1) / 2)
+	if (job->spread_zones &&
+	    job->placed_by_zone[zone] + job->placed_in_unknown_zone >= (job->task_count + 1) / 2)
 		return false;
-	if (job->together) {
-		if (job->zone_unknown)
+	if (job->same_zone) {
+		if (job->placed_in_unknown_zone)
 			return false;
 		for (int z = 0; z < FL_ZONES_MAX; z++)
-			if (job->zone_placed[z] && z != zone)
+			if (job->placed_by_zone[z] && z != zone)
 				return false;
 	}
 	return true;
@@ -35,17 +36,17 @@
 {
 	const struct fl_team *team = &model->snapshot.teams[job->team];
 
-	return (team->cpus_max == 0 || team->used_cpus + job->cpus <= team->cpus_max + 1e-6) &&
-	       (team->gpus_max == 0 || team->used_gpus + job->gpus <= team->gpus_max + 1e-6);
+	return (team->max_cpus == 0 || team->used_cpus + job->cpus <= team->max_cpus + 1e-6) &&
+	       (team->max_gpus == 0 || team->used_gpus + job->gpus <= team->max_gpus + 1e-6);
 }
 
 bool model_in_guarantee(const struct fl_team *team, double cpus, double gpus)
 {
-	if (team->cpus == 0 && team->gpus == 0)
+	if (team->guaranteed_cpus == 0 && team->guaranteed_gpus == 0)
 		return false;
-	if (team->cpus > 0 && cpus > team->cpus + 1e-6)
+	if (team->guaranteed_cpus > 0 && cpus > team->guaranteed_cpus + 1e-6)
 		return false;
-	return team->gpus > 0 ? gpus <= team->gpus + 1e-6 : gpus <= 1e-6;
+	return team->guaranteed_gpus > 0 ? gpus <= team->guaranteed_gpus + 1e-6 : gpus <= 1e-6;
 }
 
 bool model_ahead(const struct fl_sched_job *job)
@@ -55,7 +56,7 @@
 
 bool model_holds(const struct fl_sched_job *job, const struct fl_sched_machine *machine)
 {
-	for (int i = 0; i < FL_CACHE_NOTE; i++)
+	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
 		if (machine->cache[i] == job->image)
 			return true;
 	return false;
@@ -64,19 +65,20 @@
 double model_score(const struct model *model, const struct fl_sched_job *job,
                    const struct fl_sched_machine *machine)
 {
-	double score = machine->gpus - job->gpus, est = job->est_s > 0 ? job->est_s : 3600;
+	double score = machine->gpus - job->gpus,
+	       est = job->estimate_s > 0 ? job->estimate_s : 3600;
 	int slot = 0;
 
-	while (slot < FL_CACHE_NOTE && machine->cache[slot] != job->image)
+	while (slot < FL_IMAGE_CACHE_MAX && machine->cache[slot] != job->image)
 		slot++;
-	if (slot == FL_CACHE_NOTE)
+	if (slot == FL_IMAGE_CACHE_MAX)
 		score += job->image_gb / machine->pull_gb_s * (model_ahead(job) ? 3 : 1);
 	if (!machine->held)
-		score += job->reclaimable && !machine->spot ? 16 : 8;
+		score += job->spot_allowed && !machine->spot ? 16 : 8;
 	if (machine->spot && !job->service && job->waited_s > 120)
 		score += fmin(model->snapshot.spot_loss * est, 1) * (30 + est / 2);
-	if (job->apart)
-		score += 1000.0 * job->zone_placed[machine->zone];
+	if (job->spread_zones)
+		score += 1000.0 * job->placed_by_zone[machine->zone];
 	return score;
 }
 
@@ -97,10 +99,10 @@
 {
 	int best = -1, best_room = 0;
 
-	if (!job->together)
+	if (!job->same_zone)
 		return -1;
 	for (int z = 0; z < ZONES; z++)
-		if (job->zone_placed[z])
+		if (job->placed_by_zone[z])
 			return z;
 	for (int z = 0; z < ZONES; z++) {
 		int room = 0;
@@ -131,10 +133,10 @@
 		return false;
 	/* What is within a guarantee gives way to a service, its own team, or another guarantee. */
 	if (run->priority < job->priority)
-		return !run->within_guarantee || job->within_guarantee || job->service ||
+		return !run->within_guaranteed || job->within_guaranteed || job->service ||
 		       run->team == job->team;
 	return within_guarantee && run->team != job->team && !run->service &&
-	       !run->within_guarantee &&
+	       !run->within_guaranteed &&
 	       !model_in_guarantee(team, team->used_cpus, team->used_gpus);
 }
 
@@ -152,7 +154,7 @@
 	open[2] = machine->ram_gb + model->later[index][2];
 	if (!reserved->made ||
 	    (job->priority >= reserved->priority &&
-	     (model_ahead(job) || !reserved->within_guarantee || job->within_guarantee)))
+	     (model_ahead(job) || !reserved->within_guaranteed || job->within_guaranteed)))
 		return;
 	for (int x = 0; x < 3; x++) {
 		if (machine->requested.made && machine->requested.priority >= reserved->priority)
@@ -193,10 +195,10 @@
 	}
 	if (!job->gang)
 		return false;
-	for (int z = 0; job->together && z < ZONES; z++)
+	for (int z = 0; job->same_zone && z < ZONES; z++)
 		if (in_zone[z] >= (int)job->waiting)
 			return true;
-	return !job->together && all >= (int)job->waiting;
+	return !job->same_zone && all >= (int)job->waiting;
 }
 
 double model_wait(const struct model *model, const struct fl_sched_job *job)
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -60,26 +60,26 @@
 
 		if (team_of(job) != team)
 			continue;
-		for (uint32_t k = 0; k < job->run.n_tasks; k++) {
+		for (uint32_t k = 0; k < job->run.task_count; k++) {
 			*cpus += job->on[k] * job->run.cpus;
 			*gpus += job->on[k] * job->run.gpus;
 		}
 	}
 }
 
-static bool type_allowed(const struct fl_job_spec *r, const char *kind)
+static bool type_allowed(const struct fl_job_spec *spec, const char *kind)
 {
-	for (int i = 0; i < r->n_machine_types; i++)
-		if (strcmp(r->machine_types[i], kind) == 0)
+	for (int i = 0; i < spec->machine_type_count; i++)
+		if (strcmp(spec->machine_types[i], kind) == 0)
 			return true;
-	return r->n_machine_types < 0;
+	return spec->machine_type_count < 0;
 }
 
 /* Where the other tasks of the job are: those in this zone, and those elsewhere. */
 static void spread(const struct sim_job *job, int zone, int *here, int *away)
 {
 	*here = *away = 0;
-	for (uint32_t k = 0; k < job->run.n_tasks; k++) {
+	for (uint32_t k = 0; k < job->run.task_count; k++) {
 		if (job->on[k] == 0)
 			continue;
 		if (sim.machine[job->host[k]].zone == zone)
@@ -92,19 +92,19 @@
 /* NULL, or why no further task of the job may begin here. */
 static const char *misplaced(const struct sim_job *job, const struct sim_machine *m)
 {
-	const struct fl_job_spec *r = &job->run;
+	const struct fl_job_spec *spec = &job->run;
 	int here, away;
 
 	spread(job, m->zone, &here, &away);
-	if (!type_allowed(r, sim_machine_types[m->type].name))
+	if (!type_allowed(spec, sim_machine_types[m->type].name))
 		return "type";
-	if (r->has_zone && strcmp(r->zone, sim.config[0].zones[m->zone]) != 0)
+	if (spec->has_zone && strcmp(spec->zone, sim.config[0].zones[m->zone]) != 0)
 		return "zone";
-	if (m->spot && !r->reclaimable)
+	if (m->spot && !spec->spot_allowed)
 		return "spot";
-	if (r->together && away > 0)
+	if (spec->same_zone && away > 0)
 		return "not together";
-	if (r->apart && here + 1 > ((int)r->n_tasks + 1) / 2)
+	if (spec->spread_zones && here + 1 > ((int)spec->task_count + 1) / 2)
 		return "not apart";
 	return NULL;
 }
@@ -172,7 +172,7 @@
 
 static bool all_completed(const struct sim_job *job)
 {
-	for (uint32_t i = 0; i < job->run.n_tasks; i++)
+	for (uint32_t i = 0; i < job->run.task_count; i++)
 		if (!job->completed[i])
 			return false;
 	return job->run.kind != FL_SERVICE;
@@ -307,7 +307,7 @@
 {
 	if (job->accepted == 0 || job->bad || job->cancelling || all_completed(job))
 		return false;
-	for (uint32_t k = 0; k < job->run.n_tasks; k++)
+	for (uint32_t k = 0; k < job->run.task_count; k++)
 		if (job->on[k] > 0)
 			return false;
 	if (team_is_full(job))
@@ -366,7 +366,7 @@
 		sim_broken("unserved", "%s %s: %d of %d jobs began", what, name, s.served, s.jobs);
 }
 
-static double size_of(const struct sim_job *job) { return job->run.n_tasks * job->run.cpus; }
+static double size_of(const struct sim_job *job) { return job->run.task_count * job->run.cpus; }
 
 /* Those within a quarter of the size of the class's largest. */
 static bool among_largest(const struct sim_job *job)
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -64,14 +64,14 @@
 	return out;
 }
 
-static cJSON *item(const char *field, const char *name, const char *value, uint64_t rev)
+static cJSON *item(const char *field, const char *name, const char *value, uint64_t revision)
 {
 	cJSON *e = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(e, field, name);
 	if (value)
 		cJSON_AddItemToObject(e, "V", cJSON_CreateRaw(value));
-	cJSON_AddNumberToObject(e, "KeyRev", (double)rev);
+	cJSON_AddNumberToObject(e, "KeyRev", (double)revision);
 	return e;
 }
 
@@ -234,13 +234,13 @@
 	check_limits(o);
 	cJSON_ArrayForEach (e, fl_json_get(o, "When")) {
 		char name[SIM_KEY] = "";
-		uint64_t rev = 0;
+		uint64_t revision = 0;
 		struct sim_key *k;
 
 		fl_json_str(e, "Key", name, sizeof(name));
-		fl_json_count(e, "KeyRev", &rev);
+		fl_json_count(e, "KeyRev", &revision);
 		k = sim_store_find(name);
-		if ((k ? k->rev : 0) != rev)
+		if ((k ? k->rev : 0) != revision)
 			cJSON_AddItemToArray(failed, cJSON_CreateString(name));
 	}
 	if (no_such_lease(fl_json_get(o, "Apply"))) {
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -80,7 +80,7 @@
 	job->completed[t->status.index] = true;
 	sim.completions++;
 	end_task(m, t, FL_EXIT_DONE);
-	for (uint32_t i = 0; i < job->run.n_tasks; i++)
+	for (uint32_t i = 0; i < job->run.task_count; i++)
 		last = last && job->completed[i];
 	if (last)
 		sim_user_looks(job);
@@ -228,7 +228,7 @@
 
 	if (find(m, status, true))
 		return;
-	if (!job || job->sent == 0 || status->index >= job->run.n_tasks)
+	if (!job || job->sent == 0 || status->index >= job->run.task_count)
 		refusal = FL_EXIT_UNKNOWN_TASK;
 	else if (find(m, status, false))
 		refusal = FL_EXIT_BUSY;
@@ -249,18 +249,18 @@
 
 static void stop(struct sim_machine *m, struct sim_task *t, double grace_period_s)
 {
-	const struct fl_job_spec *run = &t->job->run;
+	const struct fl_job_spec *spec = &t->job->run;
 
 	if (t->status.state == FL_TASK_STATE_CHECKPOINTING) {
 		if (grace_period_s <= 0)
 			end_task(m, t, FL_EXIT_STOPPED);
 		return;
 	}
-	if (t->status.state == FL_TASK_STATE_RUNNING && run->checkpoint_every_s > 0 &&
-	    grace_period_s >= run->checkpoint_cost_s) {
+	if (t->status.state == FL_TASK_STATE_RUNNING && spec->checkpoint_every_s > 0 &&
+	    grace_period_s >= spec->checkpoint_cost_s) {
 		keep_progress(t, true);
 		t->status.state = FL_TASK_STATE_CHECKPOINTING;
-		t->until = fl_now() + run->checkpoint_cost_s;
+		t->until = fl_now() + spec->checkpoint_cost_s;
 		sim_machine_changed(m);
 		return;
 	}
--- a/tests/sim_troubles.c
+++ b/tests/sim_troubles.c
@@ -99,7 +99,7 @@
 
 static bool runs(const struct sim_job *job)
 {
-	for (uint32_t i = 0; i < job->run.n_tasks; i++)
+	for (uint32_t i = 0; i < job->run.task_count; i++)
 		if (job->on[i] > 0)
 			return true;
 	return false;
@@ -107,7 +107,7 @@
 
 static void hang_hosts(struct sim_trouble *t, const struct sim_job *job)
 {
-	for (uint32_t i = 0; i < job->run.n_tasks && t->hang_s > 0; i++)
+	for (uint32_t i = 0; i < job->run.task_count && t->hang_s > 0; i++)
 		if (job->on[i] > 0)
 			t->machine[job->host[i]] = 1;
 }
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -285,58 +285,60 @@
 
 /* ---- the day's jobs ---- */
 
-static void shape(struct fl_job_spec *r)
+static void shape(struct fl_job_spec *spec)
 {
-	r->kind = sim_chance(0.3) ? FL_SERVICE : FL_ARRAY;
-	r->priority = (enum fl_priority)sim_pick(4);
-	r->n_tasks = 1 + (uint32_t)sim_pick(r->kind == FL_SERVICE ? 4 : 6);
-	r->cpus = 4 * (1 + sim_pick(3));
-	r->gpus = sim_chance(0.3) ? 1 : 0;
-	r->ram_gb = 8 * (1 + sim_pick(3));
-	r->image_gb = sim_between(0.5, 4);
-	r->n_machine_types = -1;
+	spec->kind = sim_chance(0.3) ? FL_SERVICE : FL_ARRAY;
+	spec->priority = (enum fl_priority)sim_pick(4);
+	spec->task_count = 1 + (uint32_t)sim_pick(spec->kind == FL_SERVICE ? 4 : 6);
+	spec->cpus = 4 * (1 + sim_pick(3));
+	spec->gpus = sim_chance(0.3) ? 1 : 0;
+	spec->ram_gb = 8 * (1 + sim_pick(3));
+	spec->image_gb = sim_between(0.5, 4);
+	spec->machine_type_count = -1;
 	if (sim_chance(0.25)) {
-		r->n_machine_types = 1;
-		sim_copy(r->machine_types[0], sizeof(r->machine_types[0]),
-		         sim_machine_types[r->gpus > 0 ? 1 : sim_pick(2)].name);
+		spec->machine_type_count = 1;
+		sim_copy(spec->machine_types[0], sizeof(spec->machine_types[0]),
+		         sim_machine_types[spec->gpus > 0 ? 1 : sim_pick(2)].name);
 	}
-	r->has_zone = sim_chance(0.3);
-	if (r->has_zone)
-		sim_copy(r->zone, sizeof(r->zone), sim.config[0].zones[sim_pick(sim.n_zones)]);
-	r->together = sim_chance(0.15);
-	r->apart = !r->together && !r->has_zone && sim_chance(0.25);
-	r->reclaimable = sim_chance(0.5);
+	spec->has_zone = sim_chance(0.3);
+	if (spec->has_zone)
+		sim_copy(spec->zone, sizeof(spec->zone),
+		         sim.config[0].zones[sim_pick(sim.n_zones)]);
+	spec->same_zone = sim_chance(0.15);
+	spec->spread_zones = !spec->same_zone && !spec->has_zone && sim_chance(0.25);
+	spec->spot_allowed = sim_chance(0.5);
 }
 
 struct sim_job *sim_job_add(double submit)
 {
 	struct sim_job *job = &sim.job[sim.n_jobs];
-	struct fl_job_spec *r = &job->run;
+	struct fl_job_spec *spec = &job->run;
 
 	sim_must(sim.n_jobs < SIM_JOBS);
 	memset(job, 0, sizeof(*job));
-	shape(r);
-	snprintf(r->ref, sizeof(r->ref), "run-%06d", 1000 + (sim.n_jobs * 7919) % 90000);
-	sim_copy(r->job_class, sizeof(r->job_class), r->kind == FL_SERVICE ? "serve" : "train");
-	sim_copy(r->team, sizeof(r->team), sim_teams[sim_pick(SIM_TEAMS)].name);
-	snprintf(r->image, sizeof(r->image), "img-%02d", sim_pick(8));
-	r->due_s = -1;
-	if (r->kind == FL_ARRAY) {
-		r->expected_s = sim_between(8, 70);
+	shape(spec);
+	snprintf(spec->ref, sizeof(spec->ref), "run-%06d", 1000 + (sim.n_jobs * 7919) % 90000);
+	sim_copy(spec->job_class, sizeof(spec->job_class),
+	         spec->kind == FL_SERVICE ? "serve" : "train");
+	sim_copy(spec->team, sizeof(spec->team), sim_teams[sim_pick(SIM_TEAMS)].name);
+	snprintf(spec->image, sizeof(spec->image), "img-%02d", sim_pick(8));
+	spec->due_s = -1;
+	if (spec->kind == FL_ARRAY) {
+		spec->expected_s = sim_between(8, 70);
 		if (sim_chance(0.6)) {
-			r->checkpoint_every_s = sim_between(4, 10);
-			r->checkpoint_cost_s = sim_between(0.5, 2);
+			spec->checkpoint_every_s = sim_between(4, 10);
+			spec->checkpoint_cost_s = sim_between(0.5, 2);
 		}
 	}
 	for (uint32_t i = 0; i < SIM_JOB_TASKS; i++) {
-		job->real_s[i] = r->expected_s * sim_between(0.5, 1.6);
+		job->real_s[i] = spec->expected_s * sim_between(0.5, 1.6);
 		job->host[i] = -1;
 	}
 	job->submit = submit;
 	job->cancel = -1;
-	if (r->kind == FL_SERVICE ? sim_chance(0.5) : sim_chance(0.15))
+	if (spec->kind == FL_SERVICE ? sim_chance(0.5) : sim_chance(0.15))
 		job->cancel = submit + sim_between(20, 90);
-	job->text = fl_json_take(fl_job_spec_encode(r));
+	job->text = fl_json_take(fl_job_spec_encode(spec));
 	sim.n_jobs++;
 	return job;
 }
--- a/tests/standins_state.c
+++ b/tests/standins_state.c
@@ -123,14 +123,14 @@
 				end_hold(i);
 }
 
-static cJSON *item(const char *name_field, const char *name, const char *value, uint64_t rev)
+static cJSON *item(const char *name_field, const char *name, const char *value, uint64_t revision)
 {
 	cJSON *element = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(element, name_field, name);
 	if (value)
 		cJSON_AddItemToObject(element, "V", fl_json_parse(value, strlen(value)));
-	cJSON_AddNumberToObject(element, "KeyRev", (double)rev);
+	cJSON_AddNumberToObject(element, "KeyRev", (double)revision);
 	return element;
 }
 
@@ -139,15 +139,15 @@
 	cJSON *object = fl_json_parse(body, len), *out = cJSON_CreateObject();
 	const cJSON *element, *failed = NULL;
 	char name[200];
-	uint64_t rev, lease_id;
+	uint64_t revision, lease_id;
 
 	cJSON_ArrayForEach (element, fl_json_get(object, "When")) {
 		struct key *key;
 
 		fl_json_str(element, "Key", name, sizeof(name));
-		fl_json_count(element, "KeyRev", &rev);
+		fl_json_count(element, "KeyRev", &revision);
 		key = find_key(name);
-		if ((key ? key->rev : 0) != rev && !failed)
+		if ((key ? key->rev : 0) != revision && !failed)
 			failed = element;
 	}
 	cJSON_ArrayForEach (element, fl_json_get(object, "Apply"))
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -28,14 +28,14 @@
 	for (int i = 0; i < JOBS; i++)
 		s->jobs[i] = (struct fl_sched_job){.priority = FL_BEST_EFFORT,
 		                                   .waited_s = 10,
-		                                   .est_s = 60,
+		                                   .estimate_s = 60,
 		                                   .cpus = 6,
 		                                   .ram_gb = 8,
-		                                   .n_tasks = 10,
+		                                   .task_count = 10,
 		                                   .waiting = 10,
 		                                   .types = 1,
 		                                   .zone = -1,
-		                                   .reclaimable = true,
+		                                   .spot_allowed = true,
 		                                   .begun = true,
 		                                   .window_left = -1};
 	s->jobs[BACKGROUND].waited_s = background_waited_s;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -32,7 +32,7 @@
 	/* One more lease still ends before the tasks must have ended. */
 	apply_cancellation(fixture, renewable_s - 2);
 	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
-	final = fl_finished_find(&fixture->node.cluster, status.ref);
+	final = fl_finished_job_find(&fixture->node.cluster, status.ref);
 	assert_non_null(final);
 	final->cancelled_at -= 3;
 	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &status, 1), NULL), 503);
@@ -121,15 +121,15 @@
 	b->node.jobs_known = true;
 	gossip(fixture, 1, b, 2.0); /* it was suspended between the question and its sending */
 	assert_true(fixture->node.cancellations_known_until <= old);
-	b->node.cluster.finished_lost_at = fl_now(); /* something learned was dropped */
+	b->node.cluster.finished_dropped_at = fl_now(); /* something learned was dropped */
 	gossip(fixture, 1, b, 0.1);
 	assert_true(fixture->node.cancellations_known_until <= old);
-	b->node.cluster.finished_lost_at = -1e9;
+	b->node.cluster.finished_dropped_at = -1e9;
 	for (int i = 0; i <= FL_GOSSIP_CANCELLED_MAX; i++) {
 		char ref[FL_REF_MAX];
 
 		snprintf(ref, sizeof(ref), "run-%06d", 1000 + i);
-		fl_finished_add(&b->node.cluster, ref, FL_CANCELLED, 1, fl_now());
+		fl_finished_job_add(&b->node.cluster, ref, FL_CANCELLED, 1, fl_now());
 	}
 	gossip(fixture, 1, b, 0.1);
 	assert_true(fixture->node.cancellations_known_until <= old);
@@ -137,7 +137,7 @@
 	     entry = entry->hh.next)
 		entry->learned_at = old - 9; /* older than what the asker knows: not sent again */
 	/* The last one that it learned, and the only one that is sent. */
-	fl_finished_add(&b->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
+	fl_finished_job_add(&b->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
 	gossip(fixture, 1, b, 0.1);
 	assert_true(fixture->node.cancellations_known_until > fl_now() - 1 &&
 	            fixture->node.cancellations_known_until < fl_now());
@@ -162,7 +162,8 @@
 
 	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	status.attempt = place_task(fixture, 0)->attempt;
-	assert_non_null(fl_cluster_apply(&fixture->node.cluster, fixture->job->ref, record, 9));
+	assert_non_null(
+		fl_cluster_apply_job_record(&fixture->node.cluster, fixture->job->ref, record, 9));
 	cJSON_Delete(record);
 	for (int i = 0; i < 2; i++) {
 		assert_int_equal(send_report(fixture, make_report(1, 2, EPOCH, &status, 1), NULL),
@@ -243,22 +244,24 @@
 	struct fl_job_record rec;
 	cJSON *record;
 
-	fixture->job->unsure = true;
+	fixture->job->final_write_unknown = true;
 	record = cancelled_record(fixture, 3);
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &rec), 0);
-	fl_record_writer_heard(&fixture->node, fixture->job, &rec, 9);
-	assert_true(fixture->job->cancelled && !fixture->job->unsure && fixture->job->rev == 9);
+	fl_record_writer_apply_record(&fixture->node, fixture->job, &rec, 9);
+	assert_true(fixture->job->cancelled && !fixture->job->final_write_unknown &&
+	            fixture->job->mod_revision == 9);
 	/* Or while it still loads its cluster state, and its lease may be another's already. */
 	fixture->job->cancelled = fixture->node.leadership.active = false;
 	final = fixture->node.cluster.finished;
 	HASH_DEL(fixture->node.cluster.finished, final);
 	free(final);
-	assert_ptr_equal(fl_cluster_apply(&fixture->node.cluster, fixture->job->ref, record, 10),
-	                 fixture->job);
+	assert_ptr_equal(
+		fl_cluster_apply_job_record(&fixture->node.cluster, fixture->job->ref, record, 10),
+		fixture->job);
 	cJSON_Delete(record);
-	assert_true(fixture->job->cancelled && fixture->job->rev == 10);
+	assert_true(fixture->job->cancelled && fixture->job->mod_revision == 10);
 	assert_true(fabs(fixture->job->cancelled_at - (fl_now() - 3)) < 1);
-	assert_non_null(fl_finished_find(&fixture->node.cluster, fixture->job->ref));
+	assert_non_null(fl_finished_job_find(&fixture->node.cluster, fixture->job->ref));
 }
 
 /* A new leader continues the count: else one that leads briefly would never expire a machine. */
@@ -272,7 +275,7 @@
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &rec), 0);
 	cJSON_Delete(record);
 	assert_true(rec.final && rec.has_spec && rec.status == FL_CANCELLED);
-	assert_true(fabs(fl_since(rec.cancelled) - (fl_now() - 20)) < 1);
+	assert_true(fabs(fl_since(rec.cancelled_wall) - (fl_now() - 20)) < 1);
 	/* Records of earlier versions do not say: they count from now. */
 	assert_true(fabs(fl_since(0) - fl_now()) < 1);
 }
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -23,11 +23,12 @@
 	(void)state;
 	set_up(sim, 1);
 	job = fl_job_find(&sim->node.cluster, "run-000000");
-	assert_null(fl_job_chunk(job, 0));
+	assert_null(fl_job_task_block(job, 0));
 	assert_true(fl_task_durable(job, 0));
 	assert_null(fl_task_peek(job, TASKS - 1));
 	fl_job_finalise(&sim->node.cluster, job, FL_CANCELLED);
-	assert_int_equal(fl_finished_find(&sim->node.cluster, "run-000000")->status, FL_CANCELLED);
+	assert_int_equal(fl_finished_job_find(&sim->node.cluster, "run-000000")->status,
+	                 FL_CANCELLED);
 	tear_down(sim);
 	free(sim);
 }
@@ -46,18 +47,18 @@
 	cluster = &sim->node.cluster;
 	job = fl_job_find(cluster, "run-000001");
 	v = fl_json_parse(record, strlen(record));
-	assert_int_equal(fl_chunk_restore(cluster, job, 0, v, 5, NULL, fl_now()), 0);
+	assert_int_equal(fl_task_block_restore(cluster, job, 0, v, 5, NULL, fl_now()), 0);
 	cJSON_Delete(v);
-	assert_int_equal(job->n_done, 2);
-	assert_int_equal(job->zone_unknown, 1);
+	assert_int_equal(job->done_count, 2);
+	assert_int_equal(job->placed_in_unknown_zone, 1);
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 7);
 	fl_cluster_describe(cluster, fl_machine_find(&cluster->machines, "m-000009"), 0, 1, false,
 	                    "x");
-	assert_int_equal(job->zone_unknown, 0);
-	assert_int_equal(job->zone_placed[1], 1);
+	assert_int_equal(job->placed_in_unknown_zone, 0);
+	assert_int_equal(job->placed_by_zone[1], 1);
 	fl_task_release(cluster, job, 3, 0);
-	assert_int_equal(job->zone_placed[1], 0);
-	assert_int_equal(job->n_placed, 0);
+	assert_int_equal(job->placed_by_zone[1], 0);
+	assert_int_equal(job->placed_count, 0);
 	tear_down(sim);
 	free(sim);
 }
@@ -79,7 +80,7 @@
 	                                  "{\"log\":[[\"run-000001\",-1,{}]]}",
 	                                  "{\"log\":[[\"run-000001\",0]]}"};
 	struct simulation *sim = malloc(sizeof(*sim));
-	struct fl_log log = {0};
+	struct fl_wal wal = {0};
 	struct fl_cluster *cluster;
 	struct fl_job *job;
 	cJSON *v;
@@ -90,13 +91,13 @@
 	job = fl_job_find(cluster, "run-000001");
 	for (int i = 0; i < 2; i++) {
 		v = fl_json_parse(i ? newer : older, strlen(i ? newer : older));
-		assert_int_equal(fl_log_read(&log, v), 0);
+		assert_int_equal(fl_wal_read(&wal, v), 0);
 		cJSON_Delete(v);
 	}
 	v = fl_json_parse(record, strlen(record));
-	assert_int_equal(fl_chunk_restore(cluster, job, 0, v, 5, &log, fl_now()), 0);
+	assert_int_equal(fl_task_block_restore(cluster, job, 0, v, 5, &wal, fl_now()), 0);
 	cJSON_Delete(v);
-	assert_true(log.at[0].taken && log.at[1].taken);
+	assert_true(wal.groups[0].restored && wal.groups[1].restored);
 	assert_int_equal(fl_task_peek(job, 0)->phase, FL_TASK_DONE);
 	assert_int_equal(fl_task_peek(job, 1)->phase, FL_TASK_WAITING);
 	assert_int_equal(fl_task_peek(job, 1)->attempt, 4);
@@ -104,18 +105,18 @@
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 2);
 	assert_int_equal(fl_task_peek(job, 3)->phase, FL_TASK_DONE);
 	assert_int_equal(fl_task_peek(job, 4)->phase, FL_TASK_PLACED);
-	assert_int_equal(job->n_placed, 1);
-	assert_int_equal(job->n_done, 2);
+	assert_int_equal(job->placed_count, 1);
+	assert_int_equal(job->done_count, 2);
 	/* What only the log holds is unsaved here too, so that the next log holds it again. */
-	assert_true(job->queued_dirty);
-	assert_false(fl_task_saved(fl_job_chunk(job, 0), fl_task_peek(job, 4)));
-	assert_true(fl_task_saved(fl_job_chunk(job, 0), fl_task_peek(job, 1)));
-	fl_log_free(&log);
+	assert_true(job->is_dirty);
+	assert_false(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 4)));
+	assert_true(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 1)));
+	fl_wal_free(&wal);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
 		v = fl_json_parse(bad[i], strlen(bad[i]));
-		assert_int_not_equal(fl_log_read(&log, v), 0);
+		assert_int_not_equal(fl_wal_read(&wal, v), 0);
 		cJSON_Delete(v);
-		fl_log_free(&log);
+		fl_wal_free(&wal);
 	}
 	tear_down(sim);
 	free(sim);
@@ -130,7 +131,7 @@
 
 	(void)state;
 	set_up(sim, 1);
-	sim->node.cluster.teams.at[0].cpus_max = 0;
+	sim->node.cluster.teams.by_index[0].max_cpus = 0;
 	for (int j = 100; j < 160; j++) {
 		struct fl_job *job = add_job(sim, j);
 
@@ -145,7 +146,7 @@
 				0);
 			if (p + 1 < TASKS)
 				continue;
-			group = fl_log_group_encode(&sim->node.cluster, job, 0);
+			group = fl_wal_group_encode(&sim->node.cluster, job, 0);
 			assert_non_null(group);
 			bytes += strlen(group) + 1;
 			groups++;
@@ -163,38 +164,39 @@
 static void a_late_watch_event_restores_no_deleted_job(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
-	struct fl_job_spec run = {.n_tasks = 1, .cpus = 1, .n_machine_types = -1, .due_s = -1};
+	struct fl_job_spec spec = {
+		.task_count = 1, .cpus = 1, .machine_type_count = -1, .due_s = -1};
 	struct fl_cluster *cluster;
 	cJSON *record;
 
 	(void)state;
 	set_up(sim, 1);
 	cluster = &sim->node.cluster;
-	strcpy(run.ref, "run-000077");
-	strcpy(run.team, "team");
-	strcpy(run.job_class, "c");
-	strcpy(run.image, "i");
-	record = fl_job_record_live(&run, 5);
-	cluster->list_rev = 100;
-	assert_null(fl_cluster_apply(cluster, run.ref, record, 90));
-	assert_non_null(fl_cluster_apply(cluster, run.ref, record, 101));
+	strcpy(spec.ref, "run-000077");
+	strcpy(spec.team, "team");
+	strcpy(spec.job_class, "c");
+	strcpy(spec.image, "i");
+	record = fl_job_record_live(&spec, 5);
+	cluster->list_revision = 100;
+	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 90));
+	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 101));
 	/* Nor does a late event during the takeover's list: only the list itself marks jobs. */
-	cluster->list_rev = 0;
+	cluster->list_revision = 0;
 	fl_cluster_list_begin(cluster);
-	assert_non_null(fl_cluster_apply(cluster, run.ref, record, 102));
+	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 102));
 	fl_cluster_list_end(cluster, 103);
-	assert_null(fl_job_find(cluster, run.ref));
-	assert_non_null(fl_cluster_apply(cluster, run.ref, record, 104));
+	assert_null(fl_job_find(cluster, spec.ref));
+	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 104));
 	/* A follower drops what is deleted, and what a new list no longer holds. */
 	cluster->leading = false;
-	assert_null(fl_cluster_apply(cluster, run.ref, NULL, 110));
-	assert_null(fl_job_find(cluster, run.ref));
-	assert_non_null(fl_cluster_apply(cluster, run.ref, record, 120));
+	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, NULL, 110));
+	assert_null(fl_job_find(cluster, spec.ref));
+	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 120));
 	fl_cluster_list_begin(cluster);
 	fl_cluster_list_end(cluster, 119);
-	assert_non_null(fl_job_find(cluster, run.ref));
+	assert_non_null(fl_job_find(cluster, spec.ref));
 	fl_cluster_list_end(cluster, 120);
-	assert_null(fl_job_find(cluster, run.ref));
+	assert_null(fl_job_find(cluster, spec.ref));
 	cJSON_Delete(record);
 	tear_down(sim);
 	free(sim);
@@ -214,11 +216,11 @@
 		char ref[FL_REF_MAX];
 
 		format_ref(1000 + i, ref);
-		fl_finished_add(cluster, ref, FL_DONE, 1, 0);
+		fl_finished_job_add(cluster, ref, FL_DONE, 1, 0);
 	}
 	assert_int_equal(HASH_COUNT(cluster->finished), 10);
-	assert_null(fl_finished_find(cluster, "run-001014"));
-	assert_non_null(fl_finished_find(cluster, "run-001015"));
+	assert_null(fl_finished_job_find(cluster, "run-001014"));
+	assert_non_null(fl_finished_job_find(cluster, "run-001015"));
 	tear_down(sim);
 	free(sim);
 }
@@ -244,14 +246,14 @@
 		assert_int_equal(fl_task_place(cluster, job, (uint32_t)i, machine[i], 1, 0), 0);
 	}
 	fl_reconcile_decommission(&sim->node, machine[0], "test");
-	fl_cluster_purge(cluster, fl_now() + 1);
-	assert_int_equal(cluster->machines.n, 2);
+	fl_cluster_purge_tombstones(cluster, fl_now() + 1);
+	assert_int_equal(cluster->machines.count, 2);
 	assert_null(fl_machine_find(&cluster->machines, "m-000050"));
-	assert_ptr_equal(cluster->machines.at[fl_task_peek(job, 2)->machine], machine[2]);
-	assert_ptr_equal(cluster->machines.at[fl_task_peek(job, 1)->machine], machine[1]);
+	assert_ptr_equal(cluster->machines.by_id[fl_task_peek(job, 2)->machine], machine[2]);
+	assert_ptr_equal(cluster->machines.by_id[fl_task_peek(job, 1)->machine], machine[1]);
 	fl_task_release(cluster, job, 2, 0);
-	assert_int_equal(machine[2]->n_slots, 0);
-	assert_int_equal(cluster->teams.at[0].used_cpus, 1);
+	assert_int_equal(machine[2]->assignment_count, 0);
+	assert_int_equal(cluster->teams.by_index[0].used_cpus, 1);
 	tear_down(sim);
 	free(sim);
 }
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -32,10 +32,10 @@
 	.job_class = "hourly",
 	.team = "biology",
 	.image = "fold:2",
-	.n_machine_types = -1,
+	.machine_type_count = -1,
 	.kind = FL_SERVICE,
 	.priority = FL_CRITICAL,
-	.n_tasks = 9,
+	.task_count = 9,
 	.cpus = 10.5,
 	.gpus = 11,
 	.ram_gb = 12.5,
@@ -44,7 +44,7 @@
 	.checkpoint_every_s = 15.5,
 	.checkpoint_cost_s = 16.5,
 	.due_s = -1,
-	.apart = true,
+	.spread_zones = true,
 };
 
 static const struct fl_job_spec reclaimable_spec = {
@@ -54,14 +54,14 @@
 	.image = "fold:3",
 	.kind = FL_ARRAY,
 	.priority = FL_BEST_EFFORT,
-	.n_tasks = 3,
+	.task_count = 3,
 	.cpus = 1,
 	.ram_gb = 2,
 	.image_gb = 4,
 	.expected_s = 5,
 	.checkpoint_every_s = 6,
 	.checkpoint_cost_s = 7,
-	.reclaimable = true,
+	.spot_allowed = true,
 };
 
 static const struct fl_job_spec standard_spec = {
@@ -69,10 +69,10 @@
 	.job_class = "c",
 	.team = "biology",
 	.image = "i",
-	.n_machine_types = -1,
+	.machine_type_count = -1,
 	.kind = FL_ARRAY,
 	.priority = FL_STANDARD,
-	.n_tasks = 1,
+	.task_count = 1,
 	.cpus = 1,
 	.ram_gb = 2,
 	.image_gb = 4,
@@ -89,12 +89,12 @@
 	assert_string_equal(read->team, expected->team);
 	assert_string_equal(read->image, expected->image);
 	assert_string_equal(read->zone, expected->zone);
-	assert_int_equal(read->n_machine_types, expected->n_machine_types);
-	for (int number = 0; number < expected->n_machine_types; number++)
+	assert_int_equal(read->machine_type_count, expected->machine_type_count);
+	for (int number = 0; number < expected->machine_type_count; number++)
 		assert_string_equal(read->machine_types[number], expected->machine_types[number]);
 	assert_int_equal(read->kind, expected->kind);
 	assert_int_equal(read->priority, expected->priority);
-	assert_int_equal(read->n_tasks, expected->n_tasks);
+	assert_int_equal(read->task_count, expected->task_count);
 	assert_true(read->cpus == expected->cpus);
 	assert_true(read->gpus == expected->gpus);
 	assert_true(read->ram_gb == expected->ram_gb);
@@ -104,9 +104,9 @@
 	assert_true(read->checkpoint_cost_s == expected->checkpoint_cost_s);
 	assert_true(read->due_s == expected->due_s);
 	assert_int_equal(read->has_zone, expected->has_zone);
-	assert_int_equal(read->together, expected->together);
-	assert_int_equal(read->apart, expected->apart);
-	assert_int_equal(read->reclaimable, expected->reclaimable);
+	assert_int_equal(read->same_zone, expected->same_zone);
+	assert_int_equal(read->spread_zones, expected->spread_zones);
+	assert_int_equal(read->spot_allowed, expected->spot_allowed);
 }
 
 static void assert_live(const char *text, const struct fl_job_spec *spec, double submitted)
@@ -115,9 +115,9 @@
 
 	assert_false(record.final);
 	assert_true(record.has_spec);
-	assert_int_equal(record.n_tasks, spec->n_tasks);
-	assert_true(record.submitted == submitted);
-	assert_true(record.cancelled == 0);
+	assert_int_equal(record.task_count, spec->task_count);
+	assert_true(record.submitted_wall == submitted);
+	assert_true(record.cancelled_wall == 0);
 	assert_spec(&record.spec, spec);
 	assert_text(fl_job_record_live(spec, submitted), text);
 }
@@ -138,23 +138,23 @@
 	assert_true(record.final);
 	assert_int_equal(record.status, FL_CANCELLED);
 	assert_true(record.has_spec);
-	assert_int_equal(record.n_tasks, 9);
-	assert_true(record.submitted == 1700000200.5);
-	assert_true(record.cancelled == 1700000300.75);
+	assert_int_equal(record.task_count, 9);
+	assert_true(record.submitted_wall == 1700000200.5);
+	assert_true(record.cancelled_wall == 1700000300.75);
 	assert_spec(&record.spec, &cancelled_spec);
 	assert_text(fl_job_record_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
 	            CANCELLED);
 }
 
-static void assert_final(const char *text, enum fl_status status, uint32_t n_tasks)
+static void assert_final(const char *text, enum fl_job_status status, uint32_t task_count)
 {
 	struct fl_job_record record = read_record(text, "run-000412");
 
 	assert_true(record.final);
 	assert_false(record.has_spec);
 	assert_int_equal(record.status, status);
-	assert_int_equal(record.n_tasks, n_tasks);
-	assert_text(fl_job_record_final(status, n_tasks), text);
+	assert_int_equal(record.task_count, task_count);
+	assert_text(fl_job_record_final(status, task_count), text);
 }
 
 static void a_job_that_is_over_is_stored_as_its_status_and_size(void **state)
@@ -166,7 +166,7 @@
 
 /* ---- machine types ---- */
 
-static void assert_large(const struct fl_offered_type *type)
+static void assert_large(const struct fl_cloud_machine_type *type)
 {
 	assert_string_equal(type->name, "large");
 	assert_true(type->cpus == 96);
@@ -177,14 +177,14 @@
 	assert_true(type->price == 9.5);
 	assert_true(type->spot_price == 3.5);
 	assert_true(type->ready_s == 45);
-	assert_int_equal(type->n_zones, 2);
+	assert_int_equal(type->zone_count, 2);
 	assert_string_equal(type->zones[0], "north");
 	assert_string_equal(type->zones[1], "south");
 }
 
 static void machine_types_are_stored_with_every_field(void **state)
 {
-	struct fl_offered_type *types;
+	struct fl_cloud_machine_type *types;
 	cJSON *tree = parse(MACHINE_TYPES);
 	int count;
 
@@ -209,7 +209,7 @@
 
 	(void)state;
 	fl_job_describe(&cluster, job, &spec);
-	assert_text(fl_job_record_live(&spec, job->submitted), LIVE);
+	assert_text(fl_job_record_live(&spec, job->submitted_wall), LIVE);
 	fl_cluster_free(&cluster);
 }
 
@@ -220,15 +220,15 @@
 	cJSON *tree = parse(PROGRESS);
 
 	(void)state;
-	assert_int_equal(fl_chunk_restore(&read, job, 1, tree, 6, NULL, 1), 0);
+	assert_int_equal(fl_task_block_restore(&read, job, 1, tree, 6, NULL, 1), 0);
 	cJSON_Delete(tree);
 	assert_progress(&read, job);
-	assert_int_equal(job->chunks[1]->rev, 6);
-	assert_text(fl_chunk_encode(&read, job, 1), PROGRESS);
+	assert_int_equal(job->blocks[1]->mod_revision, 6);
+	assert_text(fl_task_block_encode(&read, job, 1), PROGRESS);
 	job = add_job(&made);
 	make_progress(&made, job);
-	assert_text(fl_chunk_encode(&made, job, 1), PROGRESS);
-	assert_text(fl_chunk_encode_unsaved(&made, job, 1), PROGRESS);
+	assert_text(fl_task_block_encode(&made, job, 1), PROGRESS);
+	assert_text(fl_task_block_encode_unsaved(&made, job, 1), PROGRESS);
 	fl_cluster_free(&read);
 	fl_cluster_free(&made);
 }
@@ -239,7 +239,7 @@
 	uint32_t done = 10, placed = 20;
 
 	(void)state;
-	assert_int_equal(fl_chunk_count(tree, &done, &placed), 0);
+	assert_int_equal(fl_task_block_count(tree, &done, &placed), 0);
 	cJSON_Delete(tree);
 	assert_int_equal(done, 14);
 	assert_int_equal(placed, 22);
@@ -249,16 +249,16 @@
 {
 	struct fl_cluster cluster = {0};
 	struct fl_job *job = add_job(&cluster);
-	cJSON *value = fl_log_value_begin();
+	cJSON *value = fl_wal_value_begin();
 	static const char *const expected[] = {NULL, GROUP, OTHER_GROUP};
 
 	(void)state;
 	make_progress(&cluster, job);
-	for (uint32_t chunk = 1; chunk <= 2; chunk++) {
-		char *group = fl_log_group_encode(&cluster, job, chunk);
+	for (uint32_t block_index = 1; block_index <= 2; block_index++) {
+		char *group = fl_wal_group_encode(&cluster, job, block_index);
 
-		assert_string_equal(group, expected[chunk]);
-		fl_log_value_add(value, group);
+		assert_string_equal(group, expected[block_index]);
+		fl_wal_value_add(value, group);
 		free(group);
 	}
 	assert_text(value, LOG);
@@ -270,22 +270,22 @@
 	struct fl_cluster cluster = {0};
 	struct fl_job *job = add_job(&cluster);
 	cJSON *tree = parse(LOG);
-	struct fl_log log = {0};
+	struct fl_wal wal = {0};
 
 	(void)state;
-	assert_int_equal(fl_log_read(&log, tree), 0);
+	assert_int_equal(fl_wal_read(&wal, tree), 0);
 	cJSON_Delete(tree);
-	assert_int_equal(log.n, 2);
-	assert_string_equal(log.at[0].ref, "run-000412");
-	assert_string_equal(log.at[1].ref, "run-000412");
-	assert_int_equal(log.at[0].chunk, 1);
-	assert_int_equal(log.at[1].chunk, 2);
-	assert_text(cJSON_Duplicate(log.at[0].changes, true), PROGRESS);
-	assert_int_equal(fl_chunk_restore(&cluster, job, 1, NULL, 0, &log, 1), 0);
-	assert_true(log.at[0].taken && !log.at[1].taken);
+	assert_int_equal(wal.group_count, 2);
+	assert_string_equal(wal.groups[0].ref, "run-000412");
+	assert_string_equal(wal.groups[1].ref, "run-000412");
+	assert_int_equal(wal.groups[0].block_index, 1);
+	assert_int_equal(wal.groups[1].block_index, 2);
+	assert_text(cJSON_Duplicate(wal.groups[0].changes, true), PROGRESS);
+	assert_int_equal(fl_task_block_restore(&cluster, job, 1, NULL, 0, &wal, 1), 0);
+	assert_true(wal.groups[0].restored && !wal.groups[1].restored);
 	assert_progress(&cluster, job);
-	assert_false(fl_task_saved(fl_job_chunk(job, 1), fl_task_peek(job, 68)));
-	fl_log_free(&log);
+	assert_false(fl_task_saved(fl_job_task_block(job, 1), fl_task_peek(job, 68)));
+	fl_wal_free(&wal);
 	fl_cluster_free(&cluster);
 }
 
@@ -349,7 +349,7 @@
 static void every_key_and_prefix_stays(void **state)
 {
 	char key[FL_KEY_MAX], ref[FL_REF_MAX];
-	uint32_t chunk;
+	uint32_t block_index;
 
 	(void)state;
 	assert_string_equal(FL_KEY_LEADER, "c/lead");
@@ -363,17 +363,17 @@
 	assert_string_equal(FL_PREFIX_WAL, "w/");
 	assert_string_equal(FL_KEY_WAL, "w/0");
 	assert_string_equal(FL_REF_BEGIN, "run-");
-	assert_int_equal(FL_CHUNK, 64);
+	assert_int_equal(FL_TASK_BLOCK_SIZE, 64);
 	fl_key_job(key, "run-000412");
 	assert_string_equal(key, "j/run-000412");
 	fl_key_finished(key, "run-000413");
 	assert_string_equal(key, "f/run-000413");
-	fl_key_chunk(key, "run-000414", 17);
+	fl_key_progress(key, "run-000414", 17);
 	assert_string_equal(key, "p/run-000414/17");
-	assert_int_equal(fl_key_chunk_parse("p/run-000415/18", ref, &chunk), 0);
+	assert_int_equal(fl_key_progress_parse("p/run-000415/18", ref, &block_index), 0);
 	assert_string_equal(ref, "run-000415");
-	assert_int_equal(chunk, 18);
-	assert_int_not_equal(fl_key_chunk_parse("j/run-000415/18", ref, &chunk), 0);
+	assert_int_equal(block_index, 18);
+	assert_int_not_equal(fl_key_progress_parse("j/run-000415/18", ref, &block_index), 0);
 }
 
 int main(void)
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -314,7 +314,7 @@
 static void write_log(struct fl_node *node)
 {
 	lead(node);
-	world.result = fl_record_writer_write_log(node);
+	world.result = fl_record_writer_write_wal(node);
 }
 
 static void a_leader_writes_the_log_under_its_key(void **state)
@@ -325,7 +325,7 @@
 	(void)state;
 	store("w/0", "{\"log\":[]}", 34, 0);
 	make_progress(&node->cluster, job);
-	fl_budget_init(&node->leadership.write_budget, 100, 100, fl_now());
+	fl_token_bucket_init(&node->leadership.write_budget, 100, 100, fl_now());
 	run(write_log, 1);
 	assert_int_equal(world.n_written, 1);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":33},{\"Key\":\"w/0\","
@@ -353,14 +353,14 @@
 	run(load, 2);
 	job = fl_job_find(&node->cluster, "run-000412");
 	assert_non_null(job);
-	assert_int_equal(job->rev, 35);
+	assert_int_equal(job->mod_revision, 35);
 	assert_progress(&node->cluster, job);
 	assert_task(&node->cluster, job, 128, FL_TASK_WAITING, 6, NULL, 0, 0);
 	assert_int_equal(node->leadership.wal_mod_revision, 39);
 	job = fl_job_find(&node->cluster, "run-000413");
 	assert_true(job && job->cancelled);
 	assert_task(&node->cluster, job, 8, FL_TASK_PLACED, 1, "m-000014", 103, 9);
-	assert_int_equal(fl_finished_find(&node->cluster, "run-000413")->status, FL_CANCELLED);
+	assert_int_equal(fl_finished_job_find(&node->cluster, "run-000413")->status, FL_CANCELLED);
 	end_node();
 }
 
@@ -373,10 +373,10 @@
 
 static void read_records(struct fl_node *node)
 {
-	live.result = fl_records_read(&node->kv_store, "run-000412", &live.record, &live.value,
-	                              &live.rev);
-	final.result = fl_records_read(&node->kv_store, "run-000414", &final.record, &final.value,
-	                               &final.rev);
+	live.result = fl_job_record_read(&node->kv_store, "run-000412", &live.record, &live.value,
+	                                 &live.rev);
+	final.result = fl_job_record_read(&node->kv_store, "run-000414", &final.record,
+	                                  &final.value, &final.rev);
 }
 
 static void a_job_is_found_by_its_live_and_by_its_final_key(void **state)
@@ -439,8 +439,8 @@
 	assert_non_null(machine);
 	assert_int_equal(machine->incarnation, 101);
 	assert_int_equal(machine->sequence, 102);
-	assert_non_null(fl_finished_find(&node->cluster, "run-000414"));
-	assert_int_equal(fl_finished_find(&node->cluster, "run-000414")->n_tasks, 71);
+	assert_non_null(fl_finished_job_find(&node->cluster, "run-000414"));
+	assert_int_equal(fl_finished_job_find(&node->cluster, "run-000414")->task_count, 71);
 	end_node();
 }
 
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -56,17 +56,17 @@
                                              .team = "vision",
                                              .kind = FL_ARRAY,
                                              .priority = FL_BEST_EFFORT,
-                                             .n_tasks = 16,
+                                             .task_count = 16,
                                              .cpus = 8.5,
                                              .gpus = 2,
                                              .ram_gb = 64.25,
                                              .image = "img-07",
                                              .image_gb = 6.2,
                                              .machine_types = {"g8", "c32"},
-                                             .n_machine_types = 2,
+                                             .machine_type_count = 2,
                                              .zone = "zone-b",
                                              .has_zone = true,
-                                             .together = true,
+                                             .same_zone = true,
                                              .expected_s = 240.5,
                                              .checkpoint_every_s = 30,
                                              .checkpoint_cost_s = 4,
@@ -83,13 +83,13 @@
                                                .team = "search",
                                                .kind = FL_SERVICE,
                                                .priority = FL_STANDARD,
-                                               .n_tasks = 3,
+                                               .task_count = 3,
                                                .cpus = 1.5,
                                                .ram_gb = 2.5,
                                                .image = "img-08",
                                                .image_gb = 0.75,
-                                               .n_machine_types = -1,
-                                               .apart = true,
+                                               .machine_type_count = -1,
+                                               .spread_zones = true,
                                                .checkpoint_cost_s = 0.5,
                                                .due_s = -1};
 
@@ -104,13 +104,13 @@
                                             .team = "physics",
                                             .kind = FL_GANG,
                                             .priority = FL_URGENT,
-                                            .n_tasks = 100000,
+                                            .task_count = 100000,
                                             .cpus = 4,
                                             .gpus = 1.5,
                                             .ram_gb = 12,
                                             .image = "img-09",
                                             .image_gb = 3,
-                                            .reclaimable = true,
+                                            .spot_allowed = true,
                                             .expected_s = 61,
                                             .checkpoint_every_s = 11,
                                             .checkpoint_cost_s = 7};
@@ -122,12 +122,12 @@
 	assert_string_equal(got->team, expected->team);
 	assert_string_equal(got->image, expected->image);
 	assert_string_equal(got->zone, expected->zone);
-	assert_int_equal(got->n_machine_types, expected->n_machine_types);
-	for (int i = 0; i < expected->n_machine_types; i++)
+	assert_int_equal(got->machine_type_count, expected->machine_type_count);
+	for (int i = 0; i < expected->machine_type_count; i++)
 		assert_string_equal(got->machine_types[i], expected->machine_types[i]);
 	assert_int_equal(got->kind, expected->kind);
 	assert_int_equal(got->priority, expected->priority);
-	assert_int_equal(got->n_tasks, expected->n_tasks);
+	assert_int_equal(got->task_count, expected->task_count);
 	assert_true(got->cpus == expected->cpus);
 	assert_true(got->gpus == expected->gpus);
 	assert_true(got->ram_gb == expected->ram_gb);
@@ -137,9 +137,9 @@
 	assert_true(got->checkpoint_cost_s == expected->checkpoint_cost_s);
 	assert_true(got->due_s == expected->due_s);
 	assert_int_equal(got->has_zone, expected->has_zone);
-	assert_int_equal(got->together, expected->together);
-	assert_int_equal(got->apart, expected->apart);
-	assert_int_equal(got->reclaimable, expected->reclaimable);
+	assert_int_equal(got->same_zone, expected->same_zone);
+	assert_int_equal(got->spread_zones, expected->spread_zones);
+	assert_int_equal(got->spot_allowed, expected->spot_allowed);
 }
 
 /* Decoded from the text, and the text again encoded from what was expected. */
@@ -184,14 +184,14 @@
 	                                            .team = "vision",
 	                                            .kind = FL_ARRAY,
 	                                            .priority = FL_CRITICAL,
-	                                            .n_tasks = 2,
+	                                            .task_count = 2,
 	                                            .cpus = 8,
 	                                            .gpus = 1,
 	                                            .ram_gb = 64,
 	                                            .image = "img-07",
 	                                            .image_gb = 6.5,
-	                                            .n_machine_types = -1,
-	                                            .reclaimable = true,
+	                                            .machine_type_count = -1,
+	                                            .spot_allowed = true,
 	                                            .expected_s = 240,
 	                                            .checkpoint_every_s = 30,
 	                                            .checkpoint_cost_s = 4,
@@ -607,7 +607,7 @@
 	"\"Sites\":[\"zone-a\",\"zone-b\"]},"
 	"{\"Name\":\"c32\",\"Vcpus\":32,\"Accelerators\":0,\"RamGb\":128,\"LocalGb\":0,"
 	"\"PullGbPerS\":0.5,\"Price\":2,\"SpotPrice\":0.75,\"ReadyS\":20,\"Sites\":[]}]}";
-static const struct fl_offered_type offered_types[] = {
+static const struct fl_cloud_machine_type offered_types[] = {
 	{.name = "g8",
          .cpus = 96,
          .gpus = 8,
@@ -618,7 +618,7 @@
          .spot_price = 4.5,
          .ready_s = 45,
          .zones = {"zone-a", "zone-b"},
-         .n_zones = 2},
+         .zone_count = 2},
 	{.name = "c32",
          .cpus = 32,
          .ram_gb = 128,
@@ -628,11 +628,11 @@
          .ready_s = 20},
 };
 
-static void expect_types(const struct fl_offered_type *got, int count)
+static void expect_types(const struct fl_cloud_machine_type *got, int count)
 {
 	assert_int_equal(count, COUNT_OF(offered_types));
 	for (int i = 0; i < count; i++) {
-		const struct fl_offered_type *expected = &offered_types[i];
+		const struct fl_cloud_machine_type *expected = &offered_types[i];
 
 		assert_string_equal(got[i].name, expected->name);
 		assert_true(got[i].cpus == expected->cpus);
@@ -643,8 +643,8 @@
 		assert_true(got[i].price == expected->price);
 		assert_true(got[i].spot_price == expected->spot_price);
 		assert_true(got[i].ready_s == expected->ready_s);
-		assert_int_equal(got[i].n_zones, expected->n_zones);
-		for (int zone = 0; zone < expected->n_zones; zone++)
+		assert_int_equal(got[i].zone_count, expected->zone_count);
+		for (int zone = 0; zone < expected->zone_count; zone++)
 			assert_string_equal(got[i].zones[zone], expected->zones[zone]);
 	}
 }
@@ -652,7 +652,7 @@
 static void machine_types_have_the_agreed_fields(void **state)
 {
 	cJSON *tree = parse(types_text);
-	struct fl_offered_type *got;
+	struct fl_cloud_machine_type *got;
 	int count;
 
 	(void)state;
@@ -666,14 +666,14 @@
 
 struct types_results {
 	int rc[3];
-	struct fl_offered_type *types;
+	struct fl_cloud_machine_type *types;
 	int count;
 };
 
 static void ask_for_types(const char *address, void *results)
 {
 	struct types_results *got = results;
-	struct fl_offered_type *none;
+	struct fl_cloud_machine_type *none;
 	struct fl_cloud cloud;
 	int none_count;
 
@@ -769,7 +769,7 @@
 
 struct list_results {
 	int rc[2], count[2];
-	struct fl_listed *hosts[2];
+	struct fl_cloud_machine *hosts[2];
 	bool more[2];
 };
 
@@ -786,7 +786,8 @@
 	fl_http_client_close(&cloud.http);
 }
 
-static void expect_listed(const struct fl_listed *got, const struct fl_listed *expected)
+static void expect_listed(const struct fl_cloud_machine *got,
+                          const struct fl_cloud_machine *expected)
 {
 	assert_string_equal(got->host, expected->host);
 	assert_string_equal(got->endpoint, expected->endpoint);
@@ -803,10 +804,13 @@
 		{"GET /rentals?Page=500\n", 200, first_listed_text},
 		{"GET /rentals?From=m-000232&Page=500\n", 200, last_listed_text},
 	};
-	static const struct fl_listed expected[] = {
-		{"m-000231", "10.1.0.232:9000", "g8", "zone-a", true, FL_HOST_RUNNING, 61.5},
-		{"m-000232", "10.1.0.233:9000", "c32", "zone-b", false, FL_HOST_BOOTING, 4},
-		{"m-000240", "10.1.0.241:9000", "g4", "zone-c", false, FL_HOST_FAILED, 300},
+	static const struct fl_cloud_machine expected[] = {
+		{"m-000231", "10.1.0.232:9000", "g8", "zone-a", true, FL_CLOUD_MACHINE_RUNNING,
+	         61.5},
+		{"m-000232", "10.1.0.233:9000", "c32", "zone-b", false, FL_CLOUD_MACHINE_BOOTING,
+	         4},
+		{"m-000240", "10.1.0.241:9000", "g4", "zone-c", false, FL_CLOUD_MACHINE_FAILED,
+	         300},
 	};
 	struct list_results got = {0};
 
@@ -1234,11 +1238,11 @@
 static void a_status_query_answer_has_the_number_of_each_status(void **state)
 {
 	static const char text[] = "{\"jobs\":[[0,1,2],[1,3,13],null,[2,16,4],[3,5,6]]}";
-	static const struct fl_job_state expected[] = {
+	static const struct fl_job_status_report expected[] = {
 		{true, FL_PENDING, 1, 2}, {true, FL_RUNNING, 3, 13},  {false, FL_PENDING, 0, 0},
 		{true, FL_DONE, 16, 4},   {true, FL_CANCELLED, 5, 6},
 	};
-	struct fl_job_state got[COUNT_OF(expected)];
+	struct fl_job_status_report got[COUNT_OF(expected)];
 
 	(void)state;
 	assert_int_equal(fl_status_answer_decode(text, strlen(text), got, COUNT_OF(expected)), 0);
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -21,13 +21,13 @@
 	"\"Together\":true,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":240.0,"
 	"\"SnapshotEveryS\":30.0,\"SnapshotCostS\":4.0,\"DueS\":900.0,\"Later\":[1]}";
 
-static const char *decode(const char *text, struct fl_job_spec *run)
+static const char *decode(const char *text, struct fl_job_spec *spec)
 {
 	cJSON *object = fl_json_parse(text, strlen(text));
 	const char *bad;
 
 	assert_non_null(object);
-	bad = fl_job_spec_decode(object, run);
+	bad = fl_job_spec_decode(object, spec);
 	cJSON_Delete(object);
 	return bad;
 }
@@ -35,7 +35,7 @@
 /* The good body with one field's value replaced. */
 static const char *with(const char *field, const char *value)
 {
-	static struct fl_job_spec run;
+	static struct fl_job_spec spec;
 	cJSON *object = fl_json_parse(good, strlen(good)), *v = fl_json_parse(value, strlen(value));
 	const char *bad;
 	char *text;
@@ -45,25 +45,25 @@
 	else
 		cJSON_DeleteItemFromObjectCaseSensitive(object, field);
 	text = fl_json_take(object);
-	bad = decode(text, &run);
+	bad = decode(text, &spec);
 	free(text);
 	return bad;
 }
 
 static void a_good_job_is_decoded_and_encoded_again(void **state)
 {
-	struct fl_job_spec run, again;
+	struct fl_job_spec spec, again;
 	char *text;
 
 	(void)state;
-	assert_null(decode(good, &run));
-	assert_string_equal(run.ref, "run-000412");
-	assert_int_equal(run.n_tasks, 16);
-	assert_int_equal(run.priority, FL_URGENT);
-	assert_false(run.has_zone);
-	text = fl_json_take(fl_job_spec_encode(&run));
+	assert_null(decode(good, &spec));
+	assert_string_equal(spec.ref, "run-000412");
+	assert_int_equal(spec.task_count, 16);
+	assert_int_equal(spec.priority, FL_URGENT);
+	assert_false(spec.has_zone);
+	text = fl_json_take(fl_job_spec_encode(&spec));
 	assert_null(decode(text, &again));
-	assert_memory_equal(&run, &again, sizeof(run));
+	assert_memory_equal(&spec, &again, sizeof(spec));
 	free(text);
 }
 
@@ -178,18 +178,18 @@
 
 static void machine_types_are_restored_from_their_record(void **state)
 {
-	struct fl_offered_type type = {.name = "g8",
-	                               .cpus = 96,
-	                               .gpus = 8,
-	                               .ram_gb = 768,
-	                               .cache_gb = 200,
-	                               .pull_gb_s = 0.5,
-	                               .price = 12,
-	                               .spot_price = 4.5,
-	                               .ready_s = 45,
-	                               .zones = {"a", "b"},
-	                               .n_zones = 2},
-			       *back;
+	struct fl_cloud_machine_type type = {.name = "g8",
+	                                     .cpus = 96,
+	                                     .gpus = 8,
+	                                     .ram_gb = 768,
+	                                     .cache_gb = 200,
+	                                     .pull_gb_s = 0.5,
+	                                     .price = 12,
+	                                     .spot_price = 4.5,
+	                                     .ready_s = 45,
+	                                     .zones = {"a", "b"},
+	                                     .zone_count = 2},
+				     *back;
 	cJSON *object = fl_machine_types_encode(&type, 1),
 	      *none = fl_machine_types_encode(&type, 0);
 	int n;
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -31,7 +31,7 @@
 /* What a list lacks counts as deleted: it must say that it is complete. */
 static void check_partial_lists(struct fixture *fixture)
 {
-	struct fl_listed *hosts;
+	struct fl_cloud_machine *hosts;
 	bool more;
 	int n;
 
@@ -60,7 +60,7 @@
 		fl_cluster_free(&fixture->node.cluster);
 		fixture->node.cluster.jobs = NULL;
 		fixture->node.cluster.finished = NULL;
-		fl_names_add(&fixture->node.cluster.zones, "a");
+		fl_symbol_intern(&fixture->node.cluster.zones, "a");
 		if ((fl_failover_load(&fixture->node) != -EPROTO ||
 		     fixture->node.cluster.finished) &&
 		    !fixture->failed[0])
@@ -91,7 +91,8 @@
 		cJSON *record = fl_json_parse(bad_records[i], strlen(bad_records[i]));
 
 		assert_non_null(record);
-		assert_null(fl_cluster_apply(&fixture->node.cluster, "run-000001", record, 4));
+		assert_null(fl_cluster_apply_job_record(&fixture->node.cluster, "run-000001",
+		                                        record, 4));
 		assert_null(fixture->node.cluster.jobs);
 		assert_null(fixture->node.cluster.finished);
 		cJSON_Delete(record);
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -48,16 +48,16 @@
 
 static void describe(const struct sim_job *job)
 {
-	const struct fl_job_spec *r = &job->run;
+	const struct fl_job_spec *spec = &job->run;
 
 	print_message("  %s %s %s priority %d, %u x %g cpus %g gpus %g GB, %s%s%s%s%s, cancel %g, "
 	              "%d starts\n",
-	              r->ref, r->team, r->kind == FL_SERVICE ? "service" : "array",
-	              (int)r->priority, r->n_tasks, r->cpus, r->gpus, r->ram_gb,
-	              r->n_machine_types > 0 ? r->machine_types[0] : "any",
-	              r->has_zone ? " in " : "", r->has_zone ? r->zone : "",
-	              r->together ? " together" : "", r->apart ? " apart" : "", job->cancel,
-	              job->starts);
+	              spec->ref, spec->team, spec->kind == FL_SERVICE ? "service" : "array",
+	              (int)spec->priority, spec->task_count, spec->cpus, spec->gpus, spec->ram_gb,
+	              spec->machine_type_count > 0 ? spec->machine_types[0] : "any",
+	              spec->has_zone ? " in " : "", spec->has_zone ? spec->zone : "",
+	              spec->same_zone ? " together" : "", spec->spread_zones ? " apart" : "",
+	              job->cancel, job->starts);
 }
 
 static void describe_troubles(void)
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -253,7 +253,7 @@
 		free(resp.body);
 	}
 	/* What is over is known for good, by any node. */
-	fl_finished_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
+	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
 	resp = user_call(fixture, FL_CALL_POLL, "run-000050", NULL);
 	assert_int_equal(resp.status, 200);
 	free(resp.body);
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -165,7 +165,7 @@
 
 static int set_up(void **state)
 {
-	struct fl_offered_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
+	struct fl_cloud_machine_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
 
 	(void)state;
 	memset(&world, 0, sizeof(world));
@@ -181,7 +181,7 @@
 	world.leader.election.lease_valid_until = fl_now() + 1000;
 	world.leader.election.fencing_token = world.leader.leadership.first_fencing_token = EPOCH;
 	world.leader.cancellations_known_until = fl_now();
-	assert_int_equal(fl_names_add(&world.leader.cluster.zones, "a"), 0);
+	assert_int_equal(fl_symbol_intern(&world.leader.cluster.zones, "a"), 0);
 	fl_machine_types_set(&world.leader.cluster.machines, &world.leader.cluster.zones, &type, 1);
 	return 0;
 }
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -143,8 +143,8 @@
 	struct fl_node *node = &fixture->node;
 	struct fl_job_spec spec = {.ref = "run-000001",
 	                           .team = "t",
-	                           .n_tasks = 1,
-	                           .n_machine_types = -1,
+	                           .task_count = 1,
+	                           .machine_type_count = -1,
 	                           .kind = FL_ARRAY};
 	struct fl_job *job;
 
@@ -157,7 +157,7 @@
 	fl_job_lookups_init(node);
 	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
 	/* A final write is under way: only the record may know its outcome. */
-	job->unsure = true;
+	job->final_write_unknown = true;
 	spawn_question(fixture, &question, "run-000001");
 	while (fixture->reads < 1)
 		fl_sleep(0.01);
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -14,8 +14,8 @@
 #include "coordination/node.h"
 #include "coordination/pass_snapshot.h"
 #include "coordination/schedule.h"
-#include "storage/progress.h"
-#include "storage/progress_log.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
 enum {
@@ -35,18 +35,18 @@
 static int set_up(void **state)
 {
 	struct site *site = calloc(1, sizeof(*site));
-	struct fl_offered_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
+	struct fl_cloud_machine_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
 	struct fl_job_spec spec = {.ref = "run-471286",
 	                           .job_class = "whole",
 	                           .team = "guest",
 	                           .image = "i",
 	                           .kind = FL_ARRAY,
-	                           .n_tasks = FL_TASKS_MAX,
-	                           .n_machine_types = -1,
+	                           .task_count = FL_TASKS_MAX,
+	                           .machine_type_count = -1,
 	                           .cpus = 0.25,
 	                           .ram_gb = 1,
 	                           .expected_s = 4,
-	                           .reclaimable = true};
+	                           .spot_allowed = true};
 	struct fl_cluster *cluster;
 
 	assert_non_null(site);
@@ -54,9 +54,9 @@
 	site->node.config = &site->config;
 	site->config.report_s = 2;
 	cluster = &site->node.cluster;
-	cluster->teams.n = 1;
-	snprintf(cluster->teams.at[0].name, FL_NAME_MAX, "guest");
-	assert_int_equal(fl_names_add(&cluster->zones, "a"), 0);
+	cluster->teams.count = 1;
+	snprintf(cluster->teams.by_index[0].name, FL_NAME_MAX, "guest");
+	assert_int_equal(fl_symbol_intern(&cluster->zones, "a"), 0);
 	fl_machine_types_set(&cluster->machines, &cluster->zones, &type, 1);
 	site->job = fl_job_add(cluster, &spec, fl_wall(), 1);
 	assert_non_null(site->job);
@@ -87,8 +87,8 @@
 {
 	uint32_t count = 0;
 
-	for (uint32_t i = 0; i < job->n_chunks; i++)
-		count += fl_job_chunk(job, i) != NULL;
+	for (uint32_t i = 0; i < job->block_count; i++)
+		count += fl_job_task_block(job, i) != NULL;
 	return count;
 }
 
@@ -112,8 +112,9 @@
 
 	assert_int_equal(chunks_held(site->job), 0);
 	placed = fill_machines(site);
-	assert_int_equal(chunks_held(site->job), (placed + FL_CHUNK - 1) / FL_CHUNK);
-	assert_true(sizeof(struct fl_chunk) <= (size_t)FL_CHUNK * 80);
+	assert_int_equal(chunks_held(site->job),
+	                 (placed + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE);
+	assert_true(sizeof(struct fl_task_block) <= (size_t)FL_TASK_BLOCK_SIZE * 80);
 }
 
 /* Its 100,000 waiting tasks are no more work than those that one pass may start. */
@@ -163,15 +164,15 @@
 	uint32_t placed = fill_machines(site), groups = 0;
 	size_t log_bytes = 0;
 
-	for (uint32_t i = 0; i < site->job->n_chunks; i++) {
-		char *group = fl_log_group_encode(cluster, site->job, i), *record;
+	for (uint32_t i = 0; i < site->job->block_count; i++) {
+		char *group = fl_wal_group_encode(cluster, site->job, i), *record;
 
 		if (!group)
 			continue;
 		groups++;
 		log_bytes += strlen(group);
 		free(group);
-		record = fl_json_take(fl_chunk_encode(cluster, site->job, i));
+		record = fl_json_take(fl_task_block_encode(cluster, site->job, i));
 		assert_true(strlen(record) < VALUE_LIMIT);
 		free(record);
 	}
@@ -187,9 +188,9 @@
 	char *record;
 
 	fill_machines(site);
-	for (uint32_t i = 0; i < FL_CHUNK; i++)
+	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE; i++)
 		fl_task_done(cluster, site->job, i);
-	record = fl_json_take(fl_chunk_encode(cluster, site->job, 0));
+	record = fl_json_take(fl_task_block_encode(cluster, site->job, 0));
 	assert_true(strlen(record) <= 64);
 	free(record);
 }
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -59,23 +59,23 @@
 static void add_job(void)
 {
 	struct sim_job *job = sim_job_add(sim_between(0, 5));
-	struct fl_job_spec *r = &job->run;
-
-	r->kind = FL_ARRAY;
-	r->priority = FL_STANDARD;
-	r->n_tasks = TASKS_A_JOB;
-	r->cpus = sim_machine_types[0].cpus / TASKS_A_MACHINE;
-	r->gpus = 0;
-	r->ram_gb = sim_machine_types[0].ram_gb / TASKS_A_MACHINE;
-	r->image_gb = 0.5;
-	r->n_machine_types = -1;
-	r->has_zone = r->together = r->apart = false;
-	r->reclaimable = true;
-	r->expected_s = 10 * end_s;
-	r->checkpoint_every_s = 0;
+	struct fl_job_spec *spec = &job->run;
+
+	spec->kind = FL_ARRAY;
+	spec->priority = FL_STANDARD;
+	spec->task_count = TASKS_A_JOB;
+	spec->cpus = sim_machine_types[0].cpus / TASKS_A_MACHINE;
+	spec->gpus = 0;
+	spec->ram_gb = sim_machine_types[0].ram_gb / TASKS_A_MACHINE;
+	spec->image_gb = 0.5;
+	spec->machine_type_count = -1;
+	spec->has_zone = spec->same_zone = spec->spread_zones = false;
+	spec->spot_allowed = true;
+	spec->expected_s = 10 * end_s;
+	spec->checkpoint_every_s = 0;
 	job->cancel = -1;
 	for (int i = 0; i < SIM_JOB_TASKS; i++)
-		job->real_s[i] = r->expected_s;
+		job->real_s[i] = spec->expected_s;
 	sim_job_rewritten(job);
 }
 
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -38,20 +38,20 @@
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < fl_now() - 4);
 	/* Its attempt may have been launched all the same: only a proof frees it. */
 	assert_int_equal(task->phase, FL_TASK_PLACED);
-	assert_int_equal(fixture->job->n_waiting, 3);
+	assert_int_equal(fixture->job->waiting_count, 3);
 	answered_ago(fixture, 5);
 	assert_int_equal(deliver_report(fixture, make_report(2, 5, EPOCH, NULL, 0),
 	                                FL_HEARTBEAT_FROM_WORKER),
 	                 0);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
-	assert_int_equal(fixture->job->n_waiting, 4);
+	assert_int_equal(fixture->job->waiting_count, 4);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	/* Gone for good: its work is free once, and a later report changes nothing. */
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
 	assert_int_equal(deliver_report(fixture, make_report(2, 6, EPOCH, NULL, 0),
 	                                FL_HEARTBEAT_FROM_WORKER),
 	                 -ENOENT);
-	assert_int_equal(fixture->job->n_waiting, 4);
+	assert_int_equal(fixture->job->waiting_count, 4);
 }
 
 /* An idle machine shows it only by sessions that end and by waiting out its timeout. */
@@ -238,7 +238,7 @@
 	}
 	assert_true(only_machine(fixture)->last_heartbeat_at == heartbeat_at &&
 	            only_machine(fixture)->last_reachable_at == heartbeat_at);
-	assert_int_equal(fixture->job->n_placed, 1);
+	assert_int_equal(fixture->job->placed_count, 1);
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
 	assert_int_equal(deliver_report(fixture, make_report(2, 13, EPOCH, &status, 1),
 	                                FL_HEARTBEAT_FROM_WORKER),
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -103,12 +103,13 @@
 		break;
 	case 15: {
 		/* The scheduler stops something to make room. */
-		struct fl_machine *machine =
-			sim->node.cluster.machines.n ? sim->node.cluster.machines.at[0] : NULL;
+		struct fl_machine *machine = sim->node.cluster.machines.count
+		                                     ? sim->node.cluster.machines.by_id[0]
+		                                     : NULL;
 
-		if (machine && machine->n_slots > 0)
-			fl_task_peek(machine->slots[0].job, machine->slots[0].index)->stop_reason =
-				FL_STOP_PREEMPT;
+		if (machine && machine->assignment_count > 0)
+			fl_task_peek(machine->assignments[0].job, machine->assignments[0].index)
+				->stop_reason = FL_STOP_PREEMPT;
 		break;
 	}
 	default:
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -16,7 +16,7 @@
 /* One state of a task, as a record or a group of the log has it. */
 struct change {
 	uint32_t index;
-	enum fl_phase phase;
+	enum fl_task_phase phase;
 	uint32_t attempt;
 	int machine;
 	uint64_t incarnation;
@@ -34,7 +34,7 @@
 struct world {
 	struct fl_cluster cluster;
 	struct fl_job *job[JOBS];
-	struct group record[JOBS][TASKS_MAX / FL_CHUNK + 1];
+	struct group record[JOBS][TASKS_MAX / FL_TASK_BLOCK_SIZE + 1];
 	struct group group[GROUPS_MAX];
 	int n_groups;
 };
@@ -50,13 +50,13 @@
 	return (uint32_t)(seed >> 33) % n;
 }
 
-static void add_job(struct world *w, int i, uint32_t n_tasks)
+static void add_job(struct world *w, int i, uint32_t task_count)
 {
-	struct fl_job_spec spec = {.n_tasks = n_tasks,
+	struct fl_job_spec spec = {.task_count = task_count,
 	                           .cpus = 1,
 	                           .ram_gb = 1,
 	                           .priority = FL_STANDARD,
-	                           .n_machine_types = -1,
+	                           .machine_type_count = -1,
 	                           .due_s = -1};
 
 	snprintf(spec.ref, sizeof(spec.ref), "run-%06d", i + 1);
@@ -73,8 +73,9 @@
 
 	assert_non_null(w);
 	w->cluster.leading = true;
-	w->cluster.teams.n = 1;
-	snprintf(w->cluster.teams.at[0].name, sizeof(w->cluster.teams.at[0].name), "team");
+	w->cluster.teams.count = 1;
+	snprintf(w->cluster.teams.by_index[0].name, sizeof(w->cluster.teams.by_index[0].name),
+	         "team");
 	return w;
 }
 
@@ -85,18 +86,18 @@
 }
 
 /* Some tasks of the chunk in rising order, each in a random state. */
-static void fill(struct group *g, const struct world *w, int job, uint32_t chunk)
+static void fill(struct group *g, const struct world *w, int job, uint32_t block_index)
 {
-	uint32_t base = chunk * FL_CHUNK;
+	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 
-	*g = (struct group){.job = job, .chunk = chunk};
-	for (uint32_t i = pick(4); i < FL_CHUNK && base + i < w->job[job]->n_tasks;
+	*g = (struct group){.job = job, .chunk = block_index};
+	for (uint32_t i = pick(4); i < FL_TASK_BLOCK_SIZE && base + i < w->job[job]->task_count;
 	     i += 1 + pick(5)) {
 		if (g->n == CHANGES_MAX)
 			break;
 		g->at[g->n++] = (struct change){
 			.index = base + i,
-			.phase = (enum fl_phase)pick(3),
+			.phase = (enum fl_task_phase)pick(3),
 			.attempt = 1 + pick(3),
 			.machine = (int)pick(MACHINES),
 			.incarnation = 1 + pick(9),
@@ -145,14 +146,14 @@
 	cJSON_AddItemToArray(e, cJSON_CreateNumber(g->chunk));
 	cJSON_AddItemToArray(e, encode(g));
 	text = fl_json_take(e);
-	fl_log_value_add(value, text);
+	fl_wal_value_add(value, text);
 	free(text);
 }
 
 /* The groups from `from` up to `to`, read from a value as the state service would return it. */
-static void read_value(struct fl_log *log, const struct world *w, int from, int to)
+static void read_value(struct fl_wal *wal, const struct world *w, int from, int to)
 {
-	cJSON *value = fl_log_value_begin(), *parsed;
+	cJSON *value = fl_wal_value_begin(), *parsed;
 	char *text;
 
 	for (int i = from; i < to; i++)
@@ -160,39 +161,40 @@
 	text = fl_json_take(value);
 	parsed = fl_json_parse(text, strlen(text));
 	assert_non_null(parsed);
-	assert_int_equal(fl_log_read(log, parsed), 0);
+	assert_int_equal(fl_wal_read(wal, parsed), 0);
 	cJSON_Delete(parsed);
 	free(text);
 }
 
-static void read_log(struct fl_log *log, const struct world *w)
+static void read_log(struct fl_wal *wal, const struct world *w)
 {
 	int half = w->n_groups > 0 ? (int)pick((uint32_t)w->n_groups) : 0;
 
-	read_value(log, w, 0, half);
-	read_value(log, w, half, w->n_groups);
-	assert_int_equal(log->n, w->n_groups);
+	read_value(wal, w, 0, half);
+	read_value(wal, w, half, w->n_groups);
+	assert_int_equal(wal->group_count, w->n_groups);
 }
 
 /* As a takeover does it: the records, then what only the log has. */
-static void restore(struct world *w, struct fl_log *log)
+static void restore(struct world *w, struct fl_wal *wal)
 {
 	for (int j = 0; j < JOBS; j++)
-		for (uint32_t k = 0; k < w->job[j]->n_chunks; k++) {
+		for (uint32_t k = 0; k < w->job[j]->block_count; k++) {
 			cJSON *v = w->record[j][k].n > 0 ? encode(&w->record[j][k]) : NULL;
 
 			if (v)
-				assert_int_equal(
-					fl_chunk_restore(&w->cluster, w->job[j], k, v, 7, log, 0),
-					0);
+				assert_int_equal(fl_task_block_restore(&w->cluster, w->job[j], k, v,
+				                                       7, wal, 0),
+				                 0);
 			cJSON_Delete(v);
 		}
-	for (int i = 0; i < log->n; i++)
-		if (!log->at[i].taken)
-			assert_int_equal(fl_chunk_restore(&w->cluster,
-			                                  fl_job_find(&w->cluster, log->at[i].ref),
-			                                  log->at[i].chunk, NULL, 0, log, 0),
-			                 0);
+	for (int i = 0; i < wal->group_count; i++)
+		if (!wal->groups[i].restored)
+			assert_int_equal(
+				fl_task_block_restore(&w->cluster,
+			                              fl_job_find(&w->cluster, wal->groups[i].ref),
+			                              wal->groups[i].block_index, NULL, 0, wal, 0),
+				0);
 }
 
 /* The plain reading: of two states done counts, then the higher attempt, then one not placed. */
@@ -218,13 +220,14 @@
 static void compare_task(const struct world *w, int j, uint32_t index, uint32_t counts[3])
 {
 	const struct fl_task *t = fl_task_peek(w->job[j], index);
-	const struct fl_chunk *chunk = fl_job_chunk(w->job[j], index / FL_CHUNK);
+	const struct fl_task_block *chunk =
+		fl_job_task_block(w->job[j], index / FL_TASK_BLOCK_SIZE);
 	struct change best = {.phase = FL_TASK_WAITING};
 	char name[16];
 
-	consider(&best, &w->record[j][index / FL_CHUNK], index, false);
+	consider(&best, &w->record[j][index / FL_TASK_BLOCK_SIZE], index, false);
 	for (int i = 0; i < w->n_groups; i++)
-		if (w->group[i].job == j && w->group[i].chunk == index / FL_CHUNK)
+		if (w->group[i].job == j && w->group[i].chunk == index / FL_TASK_BLOCK_SIZE)
 			consider(&best, &w->group[i], index, true);
 	counts[best.phase]++;
 	if (!t) {
@@ -239,7 +242,7 @@
 	if (best.phase != FL_TASK_PLACED)
 		return;
 	snprintf(name, sizeof(name), "host-%d", best.machine);
-	assert_string_equal(w->cluster.machines.at[t->machine]->name, name);
+	assert_string_equal(w->cluster.machines.by_id[t->machine]->name, name);
 	assert_int_equal(t->incarnation, best.incarnation);
 }
 
@@ -248,11 +251,11 @@
 	for (int j = 0; j < JOBS; j++) {
 		uint32_t counts[3] = {0};
 
-		for (uint32_t i = 0; i < w->job[j]->n_tasks; i++)
+		for (uint32_t i = 0; i < w->job[j]->task_count; i++)
 			compare_task(w, j, i, counts);
-		assert_int_equal(w->job[j]->n_waiting, counts[FL_TASK_WAITING]);
-		assert_int_equal(w->job[j]->n_placed, counts[FL_TASK_PLACED]);
-		assert_int_equal(w->job[j]->n_done, counts[FL_TASK_DONE]);
+		assert_int_equal(w->job[j]->waiting_count, counts[FL_TASK_WAITING]);
+		assert_int_equal(w->job[j]->placed_count, counts[FL_TASK_PLACED]);
+		assert_int_equal(w->job[j]->done_count, counts[FL_TASK_DONE]);
 	}
 }
 
@@ -261,12 +264,12 @@
 	(void)state;
 	for (int round = 0; round < ROUNDS; round++) {
 		struct world *w = create();
-		struct fl_log log = {0};
+		struct fl_wal wal = {0};
 
 		seed = 0x9e3779b97f4a7c15ULL * (uint64_t)(round + 1);
 		for (int j = 0; j < JOBS; j++) {
 			add_job(w, j, 1 + pick(TASKS_MAX));
-			for (uint32_t k = 0; k < w->job[j]->n_chunks; k++)
+			for (uint32_t k = 0; k < w->job[j]->block_count; k++)
 				if (pick(2))
 					fill(&w->record[j][k], w, j, k);
 		}
@@ -274,18 +277,18 @@
 		for (int i = 0; i < w->n_groups; i++) {
 			int j = (int)pick(JOBS);
 
-			fill(&w->group[i], w, j, pick(w->job[j]->n_chunks));
+			fill(&w->group[i], w, j, pick(w->job[j]->block_count));
 		}
-		read_log(&log, w);
-		restore(w, &log);
+		read_log(&wal, w);
+		restore(w, &wal);
 		compare(w);
-		fl_log_free(&log);
+		fl_wal_free(&wal);
 		destroy(w);
 	}
 }
 
 /* One value of a log: a group for each chunk of each of these jobs. */
-static void read_all_chunks(struct fl_log *log, uint32_t jobs, uint32_t chunks)
+static void read_all_chunks(struct fl_wal *wal, uint32_t jobs, uint32_t chunks)
 {
 	cJSON *value = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(value, "log");
 
@@ -300,40 +303,43 @@
 			cJSON_AddItemToArray(e, cJSON_CreateObject());
 			cJSON_AddItemToArray(list, e);
 		}
-	assert_int_equal(fl_log_read(log, value), 0);
+	assert_int_equal(fl_wal_read(wal, value), 0);
 	cJSON_Delete(value);
 }
 
 /* All chunks of a few arrays of the largest size, in three values: as many steps as groups. */
 static void looks_at_each_group_once(void **state)
 {
-	const uint32_t jobs = 4, chunks = (FL_TASKS_MAX + FL_CHUNK - 1) / FL_CHUNK, values = 3;
-	struct fl_log log = {0};
+	const uint32_t jobs = 4,
+		       chunks = (FL_TASKS_MAX + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE,
+		       values = 3;
+	struct fl_wal wal = {0};
 	uint32_t steps = 0;
 
 	(void)state;
 	for (uint32_t v = 0; v < values; v++)
-		read_all_chunks(&log, jobs, chunks);
-	assert_int_equal(log.n, jobs * chunks * values);
+		read_all_chunks(&wal, jobs, chunks);
+	assert_int_equal(wal.group_count, jobs * chunks * values);
 	for (uint32_t j = 0; j < jobs; j++)
 		for (uint32_t k = 0; k < chunks; k++) {
 			char ref[FL_REF_MAX];
 			int before = -1;
 
 			snprintf(ref, sizeof(ref), "run-%06u", j);
-			for (int i = fl_log_first(&log, ref, k); i >= 0; i = log.at[i].next) {
-				assert_string_equal(log.at[i].ref, ref);
-				assert_int_equal(log.at[i].chunk, k);
+			for (int i = fl_wal_first(&wal, ref, k); i >= 0;
+			     i = wal.groups[i].next_of_block) {
+				assert_string_equal(wal.groups[i].ref, ref);
+				assert_int_equal(wal.groups[i].block_index, k);
 				assert_true(i > before);
 				before = i;
 				steps++;
 			}
 		}
 	assert_int_equal(steps, jobs * chunks * values);
-	assert_int_equal(fl_log_first(&log, "run-000000", chunks), -1);
-	assert_int_equal(fl_log_first(&log, "run-999999", 0), -1);
-	fl_log_free(&log);
-	assert_int_equal(fl_log_first(&log, "run-000000", 0), -1);
+	assert_int_equal(fl_wal_first(&wal, "run-000000", chunks), -1);
+	assert_int_equal(fl_wal_first(&wal, "run-999999", 0), -1);
+	fl_wal_free(&wal);
+	assert_int_equal(fl_wal_first(&wal, "run-000000", 0), -1);
 }
 
 int main(void)
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -23,7 +23,7 @@
 static void random_machines(gsl_rng *rng, struct snapshot *snapshot)
 {
 	for (int i = 0; i < snapshot->n_machines; i++) {
-		for (int c = 0; c < FL_CACHE_NOTE; c++)
+		for (int c = 0; c < FL_IMAGE_CACHE_MAX; c++)
 			snapshot->cache[i][c] = c < 2 ? (int)pick(rng, 5) : -1;
 		snapshot->machines[i] = (struct fl_sched_machine){.type = (int)pick(rng, 2),
 		                                                  .zone = (int)pick(rng, ZONES),
@@ -35,7 +35,7 @@
 		                                                  .pull_gb_s = 0.5,
 		                                                  .cache = snapshot->cache[i]};
 		snapshot->machines[i].reserved.made = pick(rng, 4) == 0;
-		snapshot->machines[i].reserved.within_guarantee = pick(rng, 2) > 0;
+		snapshot->machines[i].reserved.within_guaranteed = pick(rng, 2) > 0;
 		snapshot->machines[i].reserved.priority = (enum fl_priority)pick(rng, 4);
 		snapshot->machines[i].reserved.cpus = pick(rng, 12);
 		snapshot->machines[i].reserved.gpus = pick(rng, 3);
@@ -56,7 +56,7 @@
 		run.service = pick(rng, 3) == 0;
 		run.stopping = pick(rng, 6) == 0;
 		run.movable = !run.stopping;
-		run.within_guarantee = pick(rng, 3) == 0;
+		run.within_guaranteed = pick(rng, 3) == 0;
 		run.last_running_task = !run.service && pick(rng, 3) == 0;
 		run.cpus = 1 + pick(rng, 6);
 		run.gpus = pick(rng, 3);
@@ -84,21 +84,21 @@
 		job->gang = !job->service && pick(rng, 4) == 0;
 		job->priority = (enum fl_priority)pick(rng, 4);
 		job->team = (int)pick(rng, TEAMS);
-		job->within_guarantee = pick(rng, 3) == 0;
+		job->within_guaranteed = pick(rng, 3) == 0;
 		job->begun = pick(rng, 2) > 0;
 		job->waited_s = pick(rng, 300) + 0.01 * i;
-		job->est_s = job->service || pick(rng, 8) == 0 ? 0 : 10 + pick(rng, 300);
+		job->estimate_s = job->service || pick(rng, 8) == 0 ? 0 : 10 + pick(rng, 300);
 		job->cpus = 1 + pick(rng, 6);
 		job->gpus = pick(rng, 3);
 		job->ram_gb = 1 + pick(rng, 16);
 		job->image_gb = pick(rng, 10);
-		job->n_tasks = 1 + (uint32_t)pick(rng, 8);
-		job->waiting = 1 + (uint32_t)pick(rng, (int)job->n_tasks);
+		job->task_count = 1 + (uint32_t)pick(rng, 8);
+		job->waiting = 1 + (uint32_t)pick(rng, (int)job->task_count);
 		job->types = pick(rng, 3) ? UINT32_MAX : 1u + (uint32_t)pick(rng, 2);
 		job->zone = pick(rng, 5) ? -1 : (int)pick(rng, ZONES);
-		job->together = pick(rng, 5) == 0;
-		job->apart = !job->together && pick(rng, 3) == 0;
-		job->reclaimable = pick(rng, 2) > 0;
+		job->same_zone = pick(rng, 5) == 0;
+		job->spread_zones = !job->same_zone && pick(rng, 3) == 0;
+		job->spot_allowed = pick(rng, 2) > 0;
 		job->image = (int)pick(rng, 5);
 		job->window_left = pick(rng, 2) ? -1 : pick(rng, 300);
 	}
@@ -111,9 +111,9 @@
 	snapshot->n_jobs = 1 + (int)pick(rng, jobs);
 	snapshot->n_machines = 1 + (int)pick(rng, machines);
 	for (int t = 0; t < TEAMS; t++) {
-		snapshot->teams[t].gpus = pick(rng, 2) ? pick(rng, 9) : 0;
-		snapshot->teams[t].gpus_max = pick(rng, 2) ? 4 + pick(rng, 20) : 0;
-		snapshot->teams[t].cpus_max = pick(rng, 3) ? 0 : 20 + pick(rng, 60);
+		snapshot->teams[t].guaranteed_gpus = pick(rng, 2) ? pick(rng, 9) : 0;
+		snapshot->teams[t].max_gpus = pick(rng, 2) ? 4 + pick(rng, 20) : 0;
+		snapshot->teams[t].max_cpus = pick(rng, 3) ? 0 : 20 + pick(rng, 60);
 	}
 	random_machines(rng, snapshot);
 	random_runs(rng, snapshot, tries);
@@ -145,8 +145,8 @@
 		const struct fl_reservation *c = &snapshot->machines[i].requested;
 
 		assert_int_equal(c->made, model->snapshot.machines[i].requested.made);
-		assert_int_equal(c->within_guarantee,
-		                 model->snapshot.machines[i].requested.within_guarantee);
+		assert_int_equal(c->within_guaranteed,
+		                 model->snapshot.machines[i].requested.within_guaranteed);
 		assert_int_equal(c->priority, model->snapshot.machines[i].requested.priority);
 		assert_true(fabs(c->cpus - model->snapshot.machines[i].requested.cpus) < 1e-6 &&
 		            fabs(c->gpus - model->snapshot.machines[i].requested.gpus) < 1e-6 &&
@@ -187,9 +187,9 @@
 	for (int round = 0; round < 60; round++) {
 		random_snapshot(rng, snapshot, JOBS, MACHINES, RUNS);
 		for (int t = 0; t < TEAMS; t++) {
-			snapshot->teams[t].gpus *= 30;
-			snapshot->teams[t].gpus_max *= 30;
-			snapshot->teams[t].cpus_max *= 30;
+			snapshot->teams[t].guaranteed_gpus *= 30;
+			snapshot->teams[t].max_gpus *= 30;
+			snapshot->teams[t].max_cpus *= 30;
 		}
 		compare(model, snapshot, &large);
 	}
@@ -224,7 +224,7 @@
 		machine->ram_gb -= job->ram_gb;
 		snapshot->teams[job->team].used_cpus += job->cpus;
 		snapshot->teams[job->team].used_gpus += job->gpus;
-		job->zone_placed[machine->zone]++;
+		job->placed_by_zone[machine->zone]++;
 		job->waiting--;
 		job->begun = true;
 	}
@@ -272,7 +272,7 @@
 		random_snapshot(rng, snapshot, JOBS, MACHINES, 0);
 	while (snapshot->n_jobs < JOBS - 10 || snapshot->n_machines < MACHINES - 20);
 	for (int i = 0; i < TEAMS; i++)
-		snapshot->teams[i] = (struct fl_team){.gpus = 200 * i, .gpus_max = 600};
+		snapshot->teams[i] = (struct fl_team){.guaranteed_gpus = 200 * i, .max_gpus = 600};
 	for (int pass = 0; pass < 30; pass++) {
 		*before = *snapshot;
 		compare(model, snapshot, &counts);
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -36,7 +36,7 @@
  */
 static void a_service_is_placed_where_its_image_is_cached(void **state)
 {
-	int there[FL_CACHE_NOTE];
+	int there[FL_IMAGE_CACHE_MAX];
 	struct fl_sched_job job = plain_job(4, 2, 0, 1);
 	struct fl_sched_machine machine[3] = {plain_machine(4), plain_machine(0), plain_machine(0)};
 	struct fl_sched_run runs[2] = {plain_run(1, 4, 60), plain_run(2, 4, 60)};
@@ -52,7 +52,7 @@
 
 	(void)state;
 	in.teams = &team;
-	for (int i = 0; i < FL_CACHE_NOTE; i++)
+	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
 		there[i] = i == 3 ? 5 : -1;
 	job.priority = FL_CRITICAL;
 	job.service = true;
@@ -72,7 +72,7 @@
 	fl_sched_free(&out);
 	/* Capacity about to become free is not requested again, and no other is used. */
 	job.waiting = 1;
-	memset(job.zone_placed, 0, sizeof(job.zone_placed));
+	memset(job.placed_by_zone, 0, sizeof(job.placed_by_zone));
 	machine[0].cpus = 4;
 	machine[1].cpus = 0;
 	runs[0].stopping = true;
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -31,7 +31,7 @@
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.machines[1] = plain_machine(0);
 	snapshot.jobs[0].waiting = 1;
-	snapshot.jobs[0].zone_placed[0] = 0;
+	snapshot.jobs[0].placed_by_zone[0] = 0;
 	assert_true(snapshot.runs[0].stopping != snapshot.runs[1].stopping);
 	run_schedule(&snapshot, &out);
 	assert_int_equal(out.n_stops, 0);
@@ -68,7 +68,7 @@
 		for (int i = 0; i < out.n_starts; i++) {
 			const struct fl_sched_job *job = &snapshot.jobs[out.starts[i].job];
 			struct fl_sched_run run =
-				plain_run(out.starts[i].machine, job->cpus, job->est_s);
+				plain_run(out.starts[i].machine, job->cpus, job->estimate_s);
 
 			run.priority = job->priority;
 			snapshot.runs[snapshot.n_runs++] = run;
@@ -99,7 +99,7 @@
 	struct fl_sched_out out;
 
 	(void)state;
-	snapshot.teams[1].cpus = 8;
+	snapshot.teams[1].guaranteed_cpus = 8;
 	snapshot.teams[0].used_cpus = 4;
 	snapshot.jobs[0] = plain_job(4, 1, 60, 10);
 	snapshot.jobs[0].priority = FL_STANDARD;
@@ -107,14 +107,14 @@
 	snapshot.runs[0] = plain_run(0, 4, 50);
 	snapshot.runs[0].priority = FL_BEST_EFFORT;
 	snapshot.runs[0].team = 1;
-	snapshot.runs[0].within_guarantee = true;
+	snapshot.runs[0].within_guaranteed = true;
 	run_schedule(&snapshot, &out);
 	assert_int_equal(out.n_stops, 0);
 	fl_sched_free(&out);
 	/* Beyond the guarantee it gives way to the higher priority. */
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.jobs[0].waiting = 1;
-	snapshot.runs[0].within_guarantee = false;
+	snapshot.runs[0].within_guaranteed = false;
 	run_schedule(&snapshot, &out);
 	assert_int_equal(out.n_stops, 1);
 	fl_sched_free(&out);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -104,7 +104,7 @@
 			arrival->job = plain_job(1, stream->n_tasks, stream->est, 0);
 			arrival->job.priority = stream->priority;
 			arrival->job.team = stream->team;
-			arrival->job.within_guarantee = stream->within_guarantee;
+			arrival->job.within_guaranteed = stream->within_guarantee;
 			arrival->class = c;
 			arrival->at = next[c];
 			arrival->begun = -1;
@@ -163,7 +163,7 @@
 
 		assert_int_equal(load->running[slot], -1);
 		load->running[slot] = pass_input.of_job[out->starts[k].job];
-		load->until[slot] = now + arrival->job.est_s;
+		load->until[slot] = now + arrival->job.estimate_s;
 		arrival->job.waiting--;
 		arrival->started++;
 		if (arrival->begun < 0)
@@ -230,14 +230,15 @@
 		if (load->arrival[i].class != class || load->arrival[i].at > SECONDS - 240)
 			continue;
 		started += load->arrival[i].started;
-		all += load->arrival[i].job.n_tasks;
+		all += load->arrival[i].job.task_count;
 	}
 	return all > 0 ? started / all : 1;
 }
 
 static void adversarial_arrivals_starve_no_job(void **state)
 {
-	static const struct fl_team teams[TEAMS] = {{.cpus = 64}, {.cpus_max = 0}, {.cpus_max = 0}};
+	static const struct fl_team teams[TEAMS] = {
+		{.guaranteed_cpus = 64}, {.max_cpus = 0}, {.max_cpus = 0}};
 	/* 32 slots. A stream of small jobs that fills nearly all of them, and ever more wide ones.
 	 */
 	static const struct stream small_and_wide[CLASSES] = {
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -98,7 +98,7 @@
 
 static int set_up(void **state)
 {
-	struct fl_job_spec spec = {.n_tasks = 8, .n_machine_types = -1, .kind = FL_ARRAY};
+	struct fl_job_spec spec = {.task_count = 8, .machine_type_count = -1, .kind = FL_ARRAY};
 
 	(void)state;
 	memset(&world, 0, sizeof(world));
@@ -110,8 +110,8 @@
 	world.leader.leadership.active = true;
 	world.leader.election.lease_held = true;
 	world.leader.election.lease_valid_until = fl_now() + 1000;
-	world.leader.cluster.teams.n = 1;
-	snprintf(world.leader.cluster.teams.at[0].name, FL_NAME_MAX, "vision");
+	world.leader.cluster.teams.count = 1;
+	snprintf(world.leader.cluster.teams.by_index[0].name, FL_NAME_MAX, "vision");
 	snprintf(spec.team, sizeof(spec.team), "vision");
 	for (int i = 0; i < QUERIES; i++) {
 		ref_of(spec.ref, i);
@@ -188,8 +188,8 @@
 	ref_of(queries[0].ref, QUERIES + 1);
 	ref_of(queries[1].ref, 1);
 	ref_of(queries[2].ref, 2);
-	fl_job_find(&world.leader.cluster, queries[1].ref)->finishing = true;
-	fl_job_find(&world.leader.cluster, queries[2].ref)->unsure = true;
+	fl_job_find(&world.leader.cluster, queries[1].ref)->final_write_in_flight = true;
+	fl_job_find(&world.leader.cluster, queries[2].ref)->final_write_unknown = true;
 	run(queries, 3);
 	for (int i = 0; i < 3; i++) {
 		assert_int_equal(queries[i].result, FL_QUERY_UNSETTLED);
@@ -256,7 +256,7 @@
 
 static int decode_answer(const char *text, int count)
 {
-	struct fl_job_state states[4];
+	struct fl_job_status_report states[4];
 
 	return fl_status_answer_decode(text, strlen(text), states, count);
 }
@@ -265,7 +265,7 @@
 {
 	char refs[2][FL_REF_MAX] = {"run-000001", "run-000412"},
 	     back[FL_STATUS_QUERY_MAX][FL_REF_MAX];
-	struct fl_job_state states[2] = {{true, FL_RUNNING, 3, 13}, {0}}, got[2];
+	struct fl_job_status_report states[2] = {{true, FL_RUNNING, 3, 13}, {0}}, got[2];
 	char *text = fl_status_query_encode(refs, 2);
 
 	(void)state;
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -501,13 +501,13 @@
 
 static void the_write_budget_holds_its_rate(void **state)
 {
-	struct fl_budget budget;
+	struct fl_token_bucket budget;
 	double now = 0, spent = 0;
 
 	(void)state;
-	fl_budget_init(&budget, 10, 10, now);
+	fl_token_bucket_init(&budget, 10, 10, now);
 	while (now < 60) {
-		double wait = fl_budget_take(&budget, 3, now);
+		double wait = fl_token_bucket_take(&budget, 3, now);
 
 		if (wait == 0)
 			spent += 3;
