--- a/src/coordination/provision.c
+++ b/src/coordination/autoscaler.c
@@ -1,5 +1,5 @@
 /* The duty of provisioning: its budget of calls, the offered types, the losses of spot machines. */
-#include "coordination/provision_internal.h"
+#include "coordination/autoscaler_internal.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -24,18 +24,19 @@
 /* A steady time before any other. */
 #define LONG_AGO (-1e9)
 
-int fl_provision_spend_call(struct fl_node *n)
+int fl_autoscaler_await_call_budget(struct fl_node *n)
 {
 	double wait;
 
-	while ((wait = fl_token_bucket_take(&n->provision.calls, 1, fl_now())) > 0)
+	while ((wait = fl_token_bucket_take(&n->autoscaler.call_budget, 1, fl_now())) > 0)
 		if (fl_sleep(wait) != 0)
 			return -ECANCELED;
 	return fl_election_lease_valid(n) ? 0 : -EAGAIN;
 }
 
 /* For controllers that start while the cloud is out: see read_types in node.c. */
-static void store_types(struct fl_node *n, const struct fl_cloud_machine_type *types, int count)
+static void store_machine_types(struct fl_node *n, const struct fl_cloud_machine_type *types,
+                                int count)
 {
 	struct fl_kv_txn txn;
 	uint64_t revision;
@@ -49,48 +50,49 @@
 		fl_debug("cloud", "machine types not stored");
 }
 
-static void refresh_types(struct fl_node *n)
+static void refresh_machine_types(struct fl_node *n)
 {
 	struct fl_cloud_machine_type *types;
 	int count;
 
-	if (fl_provision_spend_call(n) != 0 ||
+	if (fl_autoscaler_await_call_budget(n) != 0 ||
 	    fl_cloud_machine_types(&n->cloud, &types, &count) != 0)
 		return;
 	fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, count);
-	store_types(n, types, count);
+	store_machine_types(n, types, count);
 	free(types);
 }
 
-double fl_provision_spot_loss(const struct fl_node *n)
+double fl_autoscaler_spot_loss_rate(const struct fl_node *n)
 {
-	return n->provision.spot_lost / (n->provision.spot_s + tunables.spot_prior_s);
+	return n->autoscaler.spot_losses /
+	       (n->autoscaler.spot_machine_seconds + tunables.spot_prior_s);
 }
 
-static void count_spot(struct fl_node *n)
+static void count_spot_time(struct fl_node *n)
 {
-	double now = fl_now(), since = now - n->provision.spot_counted_at;
+	double now = fl_now(), since = now - n->autoscaler.spot_counted_at;
 
-	for (int i = 0; i < n->cluster.machines.count && n->provision.spot_counted_at > 0; i++) {
+	for (int i = 0; i < n->cluster.machines.count && n->autoscaler.spot_counted_at > 0; i++) {
 		const struct fl_machine *m = n->cluster.machines.by_id[i];
 
 		if (m->spot && m->up && !m->decommissioned)
-			n->provision.spot_s += since;
+			n->autoscaler.spot_machine_seconds += since;
 	}
-	n->provision.spot_counted_at = now;
+	n->autoscaler.spot_counted_at = now;
 }
 
-void fl_provision_begin(struct fl_node *n)
+void fl_autoscaler_begin(struct fl_node *n)
 {
 	double now = fl_now();
 
-	memset(&n->provision, 0, sizeof(n->provision));
-	n->provision.types_at = LONG_AGO; /* what was read from a record may be old */
-	fl_token_bucket_init(&n->provision.calls, n->config->cloud_rps * tunables.call_share,
+	memset(&n->autoscaler, 0, sizeof(n->autoscaler));
+	n->autoscaler.types_at = LONG_AGO; /* what was read from a record may be old */
+	fl_token_bucket_init(&n->autoscaler.call_budget, n->config->cloud_rps * tunables.call_share,
 	                     tunables.burst_s * n->config->cloud_rps * tunables.call_share, now);
 }
 
-void fl_provision_duty(void *arg)
+void fl_autoscaler_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 
@@ -99,14 +101,14 @@
 			continue;
 		/* No call of this duty is under way here, and machines with a command are kept. */
 		fl_cluster_purge_tombstones(&n->cluster, fl_now() - tunables.tombstone_s);
-		count_spot(n);
-		fl_provision_return_machines(n);
-		fl_provision_rent_requested(n);
-		if (fl_now() > n->provision.listed_at + tunables.list_s)
-			fl_provision_list_machines(n);
-		if (fl_now() > n->provision.types_at + tunables.types_s) {
-			n->provision.types_at = fl_now();
-			refresh_types(n);
+		count_spot_time(n);
+		fl_autoscaler_scale_in(n);
+		fl_autoscaler_scale_out(n);
+		if (fl_now() > n->autoscaler.listed_at + tunables.list_s)
+			fl_autoscaler_list_machines(n);
+		if (fl_now() > n->autoscaler.types_at + tunables.types_s) {
+			n->autoscaler.types_at = fl_now();
+			refresh_machine_types(n);
 		}
 	}
 	n->leadership.coroutines_running--;
--- a/src/coordination/provision_plan.c
+++ b/src/coordination/autoscaler_plan.c
@@ -1,6 +1,6 @@
 /* The plan of rentals: the tasks without room are placed on machines that boot or could be rented.
  */
-#include "coordination/provision_internal.h"
+#include "coordination/autoscaler_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -22,10 +22,10 @@
 	.rentals_most = 400,   /* machines rented by one plan */
 };
 
-static struct fl_planned_machine *add_planned(struct fl_provision_plan *plan, int type, int zone,
+static struct fl_planned_machine *add_planned(struct fl_autoscaler_plan *plan, int type, int zone,
                                               bool spot, enum fl_planned_origin origin)
 {
-	const struct fl_machine_type *machine_type = &plan->n->cluster.machines.types[type];
+	const struct fl_machine_type *machine_type = &plan->node->cluster.machines.types[type];
 
 	if (plan->count == plan->capacity)
 		return NULL;
@@ -36,11 +36,11 @@
 	                                                          machine_type->cpus,
 	                                                          machine_type->gpus,
 	                                                          machine_type->ram_gb};
-	plan->rentals += origin == FL_PLANNED_RENTAL;
+	plan->rental_count += origin == FL_PLANNED_RENTAL;
 	return &plan->machines[plan->count++];
 }
 
-bool fl_provision_job_allows(const struct fl_job *job, int type, int zone, bool spot)
+bool fl_autoscaler_job_allows(const struct fl_job *job, int type, int zone, bool spot)
 {
 	return (job->types >> type & 1) && (job->zone < 0 || job->zone == zone) &&
 	       (job->spot_allowed || !spot);
@@ -62,7 +62,8 @@
 	       ram_gb + tunables.epsilon >= job->ram_gb;
 }
 
-uint32_t fl_provision_tasks_fit(const struct fl_job *job, double cpus, double gpus, double ram_gb)
+uint32_t fl_autoscaler_placement_capacity(const struct fl_job *job, double cpus, double gpus,
+                                          double ram_gb)
 {
 	return fl_placement_capacity((struct fl_resources){job->cpus, job->gpus, job->ram_gb},
 	                             (struct fl_resources){cpus, gpus, ram_gb});
@@ -72,44 +73,44 @@
 static double unit_price(const struct fl_machine_type *machine_type, const struct fl_job *job,
                          bool spot)
 {
-	uint32_t tasks = fl_provision_tasks_fit(job, machine_type->cpus, machine_type->gpus,
-	                                        machine_type->ram_gb);
+	uint32_t tasks = fl_autoscaler_placement_capacity(job, machine_type->cpus,
+	                                                  machine_type->gpus, machine_type->ram_gb);
 
 	return (spot ? machine_type->spot_price : machine_type->price) / (tasks > 0 ? tasks : 1);
 }
 
 /* What a rental counts for in the choice; INFINITY: it cannot be, or was refused lately. */
-static double rental_cost(const struct fl_provision_plan *plan, const struct fl_job *job,
+static double rental_cost(const struct fl_autoscaler_plan *plan, const struct fl_job *job,
                           const uint32_t *placed, int type, int zone, bool spot)
 {
-	const struct fl_machine_type *machine_type = &plan->n->cluster.machines.types[type];
-	const struct fl_provision *provision = &plan->n->provision;
+	const struct fl_machine_type *machine_type = &plan->node->cluster.machines.types[type];
+	const struct fl_autoscaler *autoscaler = &plan->node->autoscaler;
 	double cost;
 
 	if (!(machine_type->zones >> zone & 1) ||
 	    !task_fits(job, machine_type->cpus, machine_type->gpus, machine_type->ram_gb) ||
-	    !fl_provision_job_allows(job, type, zone, spot) || !zone_allows(job, placed, zone) ||
-	    provision->refused_until[type][zone][spot] > plan->now)
+	    !fl_autoscaler_job_allows(job, type, zone, spot) || !zone_allows(job, placed, zone) ||
+	    autoscaler->no_capacity_until[type][zone][spot] > plan->now)
 		return INFINITY;
 	/* Among equal prices, the zone with the fewest machines. */
 	cost = unit_price(machine_type, job, spot) *
-	       (1 + tunables.zone_balance * plan->zone_machines[zone] +
+	       (1 + tunables.zone_balance * plan->machines_by_zone[zone] +
 	        (job->spread_zones ? tunables.spread_weight * placed[zone] : 0));
 	/* A machine that cannot report is paid for nothing. */
-	if (provision->suspected_until[zone] > plan->now)
+	if (autoscaler->zone_suspected_until[zone] > plan->now)
 		cost *= tunables.suspected_cost;
 	return cost;
 }
 
-struct fl_planned_machine *fl_provision_plan_rental(struct fl_provision_plan *plan,
-                                                    const struct fl_job *job,
-                                                    const uint32_t *placed, int only_zone)
+struct fl_planned_machine *fl_autoscaler_plan_machine(struct fl_autoscaler_plan *plan,
+                                                      const struct fl_job *job,
+                                                      const uint32_t *placed, int only_zone)
 {
-	const struct fl_cluster *cluster = &plan->n->cluster;
+	const struct fl_cluster *cluster = &plan->node->cluster;
 	double best_cost = INFINITY;
 	int type = -1, zone = -1, spot = 0;
 
-	if (plan->rentals >= tunables.rentals_most)
+	if (plan->rental_count >= tunables.rentals_most)
 		return NULL;
 	for (int k = 0; k < cluster->machines.type_count; k++) {
 		for (int z = 0; z < cluster->zones.count && z < FL_ZONES_MAX; z++) {
@@ -127,14 +128,14 @@
 	}
 	if (type < 0)
 		return NULL;
-	plan->zone_machines[zone]++;
+	plan->machines_by_zone[zone]++;
 	return add_planned(plan, type, zone, spot, FL_PLANNED_RENTAL);
 }
 
-static bool takes_task(const struct fl_planned_machine *machine, const struct fl_job *job,
-                       const uint32_t *placed)
+static bool can_take_task(const struct fl_planned_machine *machine, const struct fl_job *job,
+                          const uint32_t *placed)
 {
-	return fl_provision_job_allows(job, machine->type, machine->zone, machine->spot) &&
+	return fl_autoscaler_job_allows(job, machine->type, machine->zone, machine->spot) &&
 	       task_fits(job, machine->cpus, machine->gpus, machine->ram_gb) &&
 	       zone_allows(job, placed, machine->zone);
 }
@@ -144,18 +145,18 @@
  * is the first machine that may still take a task of this job: its tasks are all alike, room only
  * gets less and zones only close, so one that was passed over need not be looked at again.
  */
-static bool place_task(struct fl_provision_plan *plan, const struct fl_job *job, uint32_t *placed,
+static bool place_task(struct fl_autoscaler_plan *plan, const struct fl_job *job, uint32_t *placed,
                        int *next)
 {
 	struct fl_planned_machine *chosen;
 
-	while (*next < plan->count && !takes_task(&plan->machines[*next], job, placed)) {
-		plan->n->provision.looks++;
+	while (*next < plan->count && !can_take_task(&plan->machines[*next], job, placed)) {
+		plan->node->autoscaler.machines_examined++;
 		++*next;
 	}
-	plan->n->provision.looks++;
+	plan->node->autoscaler.machines_examined++;
 	chosen = *next < plan->count ? &plan->machines[*next]
-	                             : fl_provision_plan_rental(plan, job, placed, -1);
+	                             : fl_autoscaler_plan_machine(plan, job, placed, -1);
 	if (!chosen)
 		return false;
 	chosen->cpus -= job->cpus;
@@ -180,15 +181,15 @@
 	return most > 0 ? (uint32_t)most : 0;
 }
 
-static void plan_job(struct fl_provision_plan *plan, const struct fl_job *job, uint32_t count)
+static void plan_job(struct fl_autoscaler_plan *plan, const struct fl_job *job, uint32_t count)
 {
 	uint32_t placed[FL_ZONES_MAX];
 	int next = 0;
 
 	memcpy(placed, job->placed_by_zone, sizeof(placed));
-	count = limit_by_team(plan->n, job, count);
-	while (count > 0 && job->kind == FL_ARRAY && plan->ending_soon >= 1) {
-		plan->ending_soon -= 1;
+	count = limit_by_team(plan->node, job, count);
+	while (count > 0 && job->kind == FL_ARRAY && plan->tasks_ending_soon >= 1) {
+		plan->tasks_ending_soon -= 1;
 		count--;
 	}
 	while (count > 0 && place_task(plan, job, placed, &next))
@@ -196,9 +197,9 @@
 }
 
 /* Takes in the machines there are: those that boot, and the tasks that end soon. */
-static void add_existing(struct fl_provision_plan *plan)
+static void add_existing(struct fl_autoscaler_plan *plan)
 {
-	struct fl_machines *machines = &plan->n->cluster.machines;
+	struct fl_machines *machines = &plan->node->cluster.machines;
 
 	for (int i = 0; i < machines->count; i++) {
 		struct fl_machine *m = machines->by_id[i];
@@ -207,7 +208,7 @@
 		if (m->decommissioned || !m->described)
 			continue;
 		boot_s = machines->types[m->type].ready_s;
-		plan->zone_machines[m->zone]++;
+		plan->machines_by_zone[m->zone]++;
 		/* Some boot for minutes and a few never end: nothing must wait for those. */
 		if (!m->up && !m->draining && m->assignment_count == 0 &&
 		    plan->now - m->first_seen_at < tunables.boot_late * boot_s)
@@ -219,47 +220,47 @@
 			if (job->kind == FL_ARRAY && task->observed == FL_OBSERVED_RUNNING &&
 			    job->expected_s - (plan->now - task->running_since) <
 			            tunables.soon_boots * boot_s)
-				plan->ending_soon += 1;
+				plan->tasks_ending_soon += 1;
 		}
 	}
 }
 
 /* Puts the planned rentals of one kind together into requests. */
-static void store_requests(struct fl_provision *provision, const struct fl_provision_plan *plan)
+static void store_requests(struct fl_autoscaler *autoscaler, const struct fl_autoscaler_plan *plan)
 {
-	provision->n_requests = 0;
+	autoscaler->request_count = 0;
 	for (int i = 0; i < plan->count; i++) {
 		const struct fl_planned_machine *planned = &plan->machines[i];
-		struct fl_rental_request *request = provision->requests;
+		struct fl_scale_out_request *request = autoscaler->requests;
 		int k = 0;
 
 		if (planned->origin != FL_PLANNED_RENTAL)
 			continue;
 		/* Past a request that is full already, the rest goes into another. */
-		while (k < provision->n_requests &&
+		while (k < autoscaler->request_count &&
 		       !(request[k].type == planned->type && request[k].zone == planned->zone &&
 		         request[k].spot == planned->spot && request[k].count < FL_RENT_MAX))
 			k++;
-		if (k == provision->n_requests) {
-			if (k == FL_RENTAL_REQUESTS_MAX) {
+		if (k == autoscaler->request_count) {
+			if (k == FL_SCALE_OUT_REQUESTS_MAX) {
 				fl_debug("cloud", "more than %d rentals: the rest next time", k);
 				break;
 			}
-			request[provision->n_requests++] = (struct fl_rental_request){
+			request[autoscaler->request_count++] = (struct fl_scale_out_request){
 				planned->type, planned->zone, 0, planned->spot};
 		}
 		request[k].count++;
 	}
 }
 
-void fl_provision_shortage(struct fl_node *n, struct fl_job **jobs, const uint32_t *short_of,
-                           int count)
+void fl_autoscaler_plan_scale_out(struct fl_node *n, struct fl_job **jobs,
+                                  const uint32_t *unplaced_tasks, int count)
 {
-	struct fl_provision_plan plan = {.n = n, .now = fl_now(), .wall = fl_wall()};
+	struct fl_autoscaler_plan plan = {.node = n, .now = fl_now(), .wall = fl_wall()};
 
-	if (n->provision.renting)
+	if (n->autoscaler.scale_out_in_flight)
 		return;
-	n->provision.looks = 0;
+	n->autoscaler.machines_examined = 0;
 	plan.capacity = n->cluster.machines.count + tunables.rentals_most + 1;
 	plan.machines = malloc((size_t)plan.capacity * sizeof(*plan.machines));
 	if (!plan.machines)
@@ -267,9 +268,9 @@
 	add_existing(&plan);
 	for (int priority = FL_CRITICAL; priority >= FL_BEST_EFFORT; priority--)
 		for (int i = 0; i < count; i++)
-			if ((int)jobs[i]->priority == priority && short_of[i] > 0)
-				plan_job(&plan, jobs[i], short_of[i]);
-	fl_provision_plan_reserve(&plan);
-	store_requests(&n->provision, &plan);
+			if ((int)jobs[i]->priority == priority && unplaced_tasks[i] > 0)
+				plan_job(&plan, jobs[i], unplaced_tasks[i]);
+	fl_autoscaler_plan_headroom(&plan);
+	store_requests(&n->autoscaler, &plan);
 	free(plan.machines);
 }
--- a/src/coordination/provision_reserve.c
+++ b/src/coordination/headroom.c
@@ -1,5 +1,5 @@
 /* The reserve: room on ordinary machines that lets services start without waiting for a boot. */
-#include "coordination/provision_internal.h"
+#include "coordination/autoscaler_internal.h"
 
 #include <math.h>
 
@@ -11,13 +11,13 @@
 };
 
 /* Room that a service could have at once: free, or used by what it may preempt. */
-static uint32_t room_on(const struct fl_node *n, const struct fl_machine *m,
-                        const struct fl_job *service)
+static uint32_t service_capacity(const struct fl_node *n, const struct fl_machine *m,
+                                 const struct fl_job *service)
 {
 	const struct fl_machine_type *machine_type = &n->cluster.machines.types[m->type];
 	double cpus = machine_type->cpus, gpus = machine_type->gpus, ram_gb = machine_type->ram_gb;
 
-	if (m->spot || m->draining || !fl_provision_job_allows(service, m->type, m->zone, m->spot))
+	if (m->spot || m->draining || !fl_autoscaler_job_allows(service, m->type, m->zone, m->spot))
 		return 0;
 	for (int i = 0; i < m->assignment_count; i++) {
 		const struct fl_job *job = m->assignments[i].job;
@@ -28,17 +28,17 @@
 		gpus -= job->gpus;
 		ram_gb -= job->ram_gb;
 	}
-	return fl_provision_tasks_fit(service, cpus, gpus, ram_gb);
+	return fl_autoscaler_placement_capacity(service, cpus, gpus, ram_gb);
 }
 
 /* The newest of the services that came lately, the model for those to come; NULL: none came. */
-static const struct fl_job *recent_services(const struct fl_provision_plan *plan, double *tasks)
+static const struct fl_job *recent_services(const struct fl_autoscaler_plan *plan, double *tasks)
 {
 	const struct fl_job *newest = NULL;
 	struct fl_job *job, *tmp;
 
 	*tasks = 0;
-	HASH_ITER (hh, plan->n->cluster.jobs, job, tmp) {
+	HASH_ITER (hh, plan->node->cluster.jobs, job, tmp) {
 		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
 		    plan->wall - job->submitted_wall > tunables.learn_s)
 			continue;
@@ -50,20 +50,21 @@
 }
 
 /* Rents until each share has room for `need` tasks; `room`: what each share has so far. */
-static void rent_reserve(struct fl_provision_plan *plan, const struct fl_job *service, double *room,
-                         double need, int shares)
+static void plan_headroom_machines(struct fl_autoscaler_plan *plan, const struct fl_job *service,
+                                   double *room, double need, int shares)
 {
 	static const uint32_t none_placed[FL_ZONES_MAX];
 
 	for (int z = 0; z < shares; z++) {
 		while (room[z] < need) {
-			const struct fl_planned_machine *rented = fl_provision_plan_rental(
+			const struct fl_planned_machine *rented = fl_autoscaler_plan_machine(
 				plan, service, none_placed, shares > 1 ? z : -1);
 
 			if (!rented)
 				break;
-			room[z] += fmax(1, fl_provision_tasks_fit(service, rented->cpus,
-			                                          rented->gpus, rented->ram_gb));
+			room[z] += fmax(1, fl_autoscaler_placement_capacity(service, rented->cpus,
+			                                                    rented->gpus,
+			                                                    rented->ram_gb));
 		}
 	}
 }
@@ -72,36 +73,36 @@
  * A service should not wait for a machine to boot. As many tasks as lately came in one boot time,
  * and a spread more, must find room at once on machines that are up, be it by preempting arrays.
  */
-void fl_provision_plan_reserve(struct fl_provision_plan *plan)
+void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan)
 {
-	struct fl_provision *provision = &plan->n->provision;
-	const struct fl_machines *machines = &plan->n->cluster.machines;
+	struct fl_autoscaler *autoscaler = &plan->node->autoscaler;
+	const struct fl_machines *machines = &plan->node->cluster.machines;
 	double tasks, need, room[FL_ZONES_MAX] = {0};
 	const struct fl_job *service = recent_services(plan, &tasks);
 	int shares;
 
-	provision->reserve_shares = 0;
+	autoscaler->headroom_shares = 0;
 	if (!service || machines->type_count == 0)
 		return;
 	/* What must be apart needs room in each zone, also to replace what is lost in one. */
-	shares = service->spread_zones ? plan->n->cluster.zones.count : 1;
-	provision->reserve_shares = shares;
+	shares = service->spread_zones ? plan->node->cluster.zones.count : 1;
+	autoscaler->headroom_shares = shares;
 	need = tasks / tunables.learn_s * machines->types[0].ready_s;
 	need = ceil((need + tunables.spread * sqrt(need)) / shares);
 	for (int i = 0; i < machines->count; i++) {
 		const struct fl_machine *m = machines->by_id[i];
 
 		if (!m->decommissioned && m->described && m->up)
-			room[m->zone % shares] += room_on(plan->n, m, service);
+			room[m->zone % shares] += service_capacity(plan->node, m, service);
 	}
 	for (int z = 0; z < shares; z++)
-		provision->reserve_surplus[z] = (int)(room[z] - need);
+		autoscaler->headroom_surplus[z] = (int)(room[z] - need);
 	for (int i = 0; i < plan->count; i++) {
 		const struct fl_planned_machine *planned = &plan->machines[i];
 
 		if (!planned->spot)
-			room[planned->zone % shares] += fl_provision_tasks_fit(
+			room[planned->zone % shares] += fl_autoscaler_placement_capacity(
 				service, planned->cpus, planned->gpus, planned->ram_gb);
 	}
-	rent_reserve(plan, service, room, need, shares);
+	plan_headroom_machines(plan, service, room, need, shares);
 }
--- a/src/coordination/leadership.c
+++ b/src/coordination/leadership.c
@@ -6,7 +6,7 @@
 
 #include "coordination/command.h"
 #include "coordination/node.h"
-#include "coordination/pass.h"
+#include "coordination/scheduling_cycle.h"
 #include "coordination/reconciliation.h"
 #include "coordination/record_writer.h"
 #include "coordination/failover.h"
@@ -143,12 +143,12 @@
 	n->leadership.active = true;
 	n->leadership.cycle_due = true;
 	fl_token_bucket_init(&n->leadership.write_budget, rate, rate, fl_now());
-	start_coroutine(n, fl_pass_duty);
+	start_coroutine(n, fl_scheduling_cycle_coroutine);
 	start_coroutine(n, fl_record_writer_coroutine);
 	start_coroutine(n, digest_coroutine);
 	start_coroutine(n, fl_command_enforce_coroutine);
-	fl_provision_begin(n);
-	start_coroutine(n, fl_provision_duty);
+	fl_autoscaler_begin(n);
+	start_coroutine(n, fl_autoscaler_coroutine);
 	start_coroutine(n, finished_jobs_coroutine);
 }
 
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -10,7 +10,7 @@
 #include "coordination/follower.h"
 #include "coordination/leadership.h"
 #include "coordination/election.h"
-#include "coordination/provision.h"
+#include "coordination/autoscaler.h"
 #include "coordination/heartbeat_forwarding.h"
 #include "coordination/request_batch.h"
 #include "coordination/status_query.h"
@@ -67,7 +67,7 @@
 	struct fl_election election;
 	struct fl_leadership leadership;
 	struct fl_follower follower;
-	struct fl_provision provision;
+	struct fl_autoscaler autoscaler;
 };
 
 /* Starts a controller with its servers and routines; it is never freed. -1: it cannot serve. */
--- a/src/coordination/provision_return.c
+++ b/src/coordination/scale_in.c
@@ -1,5 +1,5 @@
 /* Listing the machines of the cloud, and returning those that are of no use. */
-#include "coordination/provision_internal.h"
+#include "coordination/autoscaler_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
@@ -25,8 +25,8 @@
 	.faults_most = 2,    /* failures on a machine that is avoided before it is returned */
 };
 
-static void take_listed(struct fl_node *n, const struct fl_cloud_machine *listed, double now,
-                        int known)
+static void apply_listed_machine(struct fl_node *n, const struct fl_cloud_machine *listed,
+                                 double now, int known)
 {
 	struct fl_machine *m = fl_machine_get(&n->cluster.machines, listed->host, now);
 
@@ -47,7 +47,7 @@
  * Missing from a list proves a machine gone only if that list, which may be twice the lag old,
  * must have been made after the machine was there.
  */
-static void conclude_missing(struct fl_node *n, double sent, int known)
+static void decommission_missing(struct fl_node *n, double sent, int known)
 {
 	double age_s = tunables.list_lags * n->config->list_lag_s + tunables.list_slack_s;
 
@@ -56,12 +56,12 @@
 
 		if (m->decommissioned || m->listed || sent <= m->first_seen_at + age_s)
 			continue;
-		n->provision.spot_lost += m->spot;
+		n->autoscaler.spot_losses += m->spot;
 		fl_reconcile_decommission(n, m, "no longer listed");
 	}
 }
 
-int fl_provision_list_machines(struct fl_node *n)
+int fl_autoscaler_list_machines(struct fl_node *n)
 {
 	double sent = fl_now();
 	int known = n->cluster.machines.count, rc;
@@ -74,33 +74,33 @@
 		struct fl_cloud_machine *listed;
 		int count;
 
-		rc = fl_provision_spend_call(n);
+		rc = fl_autoscaler_await_call_budget(n);
 		if (!rc)
 			rc = fl_cloud_list(&n->cloud, from, &listed, &count, &more);
 		if (rc)
 			return rc;
 		for (int i = 0; i < count; i++)
-			take_listed(n, &listed[i], fl_now(), known);
+			apply_listed_machine(n, &listed[i], fl_now(), known);
 		if (count > 0)
 			fl_copy_string(from, sizeof(from), listed[count - 1].host);
 		else
 			more = false;
 		free(listed);
 	}
-	n->provision.listed_at = sent;
-	conclude_missing(n, sent, known);
+	n->autoscaler.listed_at = sent;
+	decommission_missing(n, sent, known);
 	return 0;
 }
 
 /* Whether an ordinary machine may go without cutting into the reserve for services. */
-static bool take_surplus(struct fl_provision *provision, const struct fl_machine *m,
+static bool take_surplus(struct fl_autoscaler *autoscaler, const struct fl_machine *m,
                          const struct fl_machine_type *machine_type)
 {
 	int *surplus;
 
-	if (provision->reserve_shares == 0)
+	if (autoscaler->headroom_shares == 0)
 		return true;
-	surplus = &provision->reserve_surplus[m->zone % provision->reserve_shares];
+	surplus = &autoscaler->headroom_surplus[m->zone % autoscaler->headroom_shares];
 	if (*surplus < machine_type->gpus)
 		return false;
 	*surplus -= (int)machine_type->gpus;
@@ -108,8 +108,8 @@
 }
 
 /* Why a machine is to be returned; NULL: it is kept. */
-static const char *why_return(struct fl_node *n, struct fl_machine *m, double now,
-                              const double leases[FL_ZONES_MAX])
+static const char *scale_in_reason(struct fl_node *n, struct fl_machine *m, double now,
+                                   const double leases[FL_ZONES_MAX])
 {
 	const struct fl_machine_type *machine_type =
 		m->type >= 0 ? &n->cluster.machines.types[m->type] : NULL;
@@ -139,10 +139,10 @@
 		return NULL;
 	if (m->spot)
 		return "idle";
-	return take_surplus(&n->provision, m, machine_type) ? "idle" : NULL;
+	return take_surplus(&n->autoscaler, m, machine_type) ? "idle" : NULL;
 }
 
-int fl_provision_return_machines(struct fl_node *n)
+int fl_autoscaler_scale_in(struct fl_node *n)
 {
 	const char *names[FL_DELETE_MAX];
 	struct fl_machine *returning[FL_DELETE_MAX];
@@ -152,25 +152,25 @@
 	fl_failure_detector_timeouts(n, now, leases);
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (leases[z] > 1)
-			n->provision.suspected_until[z] = now + tunables.suspected_s;
+			n->autoscaler.zone_suspected_until[z] = now + tunables.suspected_s;
 
 	for (int i = 0; i < n->cluster.machines.count && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *m = n->cluster.machines.by_id[i];
-		const char *why = m->scaled_in ? NULL : why_return(n, m, now, leases);
+		const char *why = m->scaled_in ? NULL : scale_in_reason(n, m, now, leases);
 
 		if (!why)
 			continue;
 		fl_info("cloud", "returning %s: %s", m->name, why);
 		/* Half of those that are reclaimed give no notice: their silence is the first sign.
 		 */
-		n->provision.spot_lost += m->spot && strcmp(why, "silent") == 0;
+		n->autoscaler.spot_losses += m->spot && strcmp(why, "silent") == 0;
 		m->draining = true;
 		returning[count] = m;
 		names[count++] = m->name;
 	}
 	if (count == 0)
 		return 0;
-	rc = fl_provision_spend_call(n);
+	rc = fl_autoscaler_await_call_budget(n);
 	if (!rc)
 		rc = fl_cloud_delete(&n->cloud, names, count);
 	for (int i = 0; i < count && rc == 0; i++) {
--- a/src/coordination/provision_rent.c
+++ b/src/coordination/scale_out.c
@@ -1,5 +1,5 @@
 /* The rentals that the last plan asked for. */
-#include "coordination/provision_internal.h"
+#include "coordination/autoscaler_internal.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -17,7 +17,7 @@
 	.tries = 3,        /* of one rental that goes unanswered */
 };
 
-static int rent(struct fl_node *n, const struct fl_rental_request *request)
+static int scale_out_one(struct fl_node *n, const struct fl_scale_out_request *request)
 {
 	const char *type = n->cluster.machines.types[request->type].name;
 	const char *zone = fl_symbol_name(&n->cluster.zones, request->zone);
@@ -27,9 +27,9 @@
 	/* With the epoch of the takeover in it no other leader uses the name, ever. */
 	snprintf(name, sizeof(name), "r-%llu-%llu",
 	         (unsigned long long)n->leadership.first_fencing_token,
-	         (unsigned long long)++n->provision.rental_names);
+	         (unsigned long long)++n->autoscaler.rental_name_count);
 	for (int i = 0; i < tunables.tries; i++) {
-		int rc_call = fl_provision_spend_call(n);
+		int rc_call = fl_autoscaler_await_call_budget(n);
 
 		if (rc_call)
 			return rc_call;
@@ -55,24 +55,24 @@
 		fl_info("cloud", "no %s%s in %s: %s", request->spot ? "reclaimable " : "", type,
 		        zone, strerror(-rc));
 	if (rc == -ENOSPC || (rc == 0 && got < request->count))
-		n->provision.refused_until[request->type][request->zone][request->spot] =
+		n->autoscaler.no_capacity_until[request->type][request->zone][request->spot] =
 			fl_now() + tunables.refused_s;
 	return rc == -ENOSPC ? 0 : rc;
 }
 
-int fl_provision_rent_requested(struct fl_node *n)
+int fl_autoscaler_scale_out(struct fl_node *n)
 {
-	struct fl_rental_request requests[FL_RENTAL_REQUESTS_MAX];
-	int count = n->provision.n_requests, rc = 0;
+	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
+	int count = n->autoscaler.request_count, rc = 0;
 
 	if (count == 0)
 		return 0;
-	memcpy(requests, n->provision.requests, sizeof(requests));
-	n->provision.renting = true;
-	n->provision.n_requests = 0;
+	memcpy(requests, n->autoscaler.requests, sizeof(requests));
+	n->autoscaler.scale_out_in_flight = true;
+	n->autoscaler.request_count = 0;
 	for (int i = 0; i < count && rc == 0; i++)
-		rc = rent(n, &requests[i]);
-	n->provision.renting = false;
+		rc = scale_out_one(n, &requests[i]);
+	n->autoscaler.scale_out_in_flight = false;
 	fl_signal_wake(&n->leadership.work_available);
 	return rc;
 }
--- a/src/coordination/schedule.h
+++ b/src/coordination/schedule.h
@@ -59,15 +59,15 @@
 struct fl_sched_machine {
 	int type, zone;
 	bool spot;
-	bool held; /* a service runs here, so that the machine is kept in any case */
+	bool runs_service; /* a service runs here, so that the machine is kept in any case */
 	struct fl_reservation reserved, requested; /* by earlier passes, and by this one */
 	double cpus, gpus, ram_gb;                 /* free */
 	double pull_gb_s;
-	const int *cache; /* FL_IMAGE_CACHE_MAX images */
+	const int *cached_images; /* FL_IMAGE_CACHE_MAX images */
 };
 
 /* An attempt that may be on a machine. */
-struct fl_sched_run {
+struct fl_sched_attempt {
 	int machine, team;
 	enum fl_priority priority;
 	bool service, stopping, movable; /* movable: may be chosen as a victim at all */
@@ -79,17 +79,17 @@
 };
 
 /* The snapshot. The pass changes jobs, machines, runs and teams as it decides. */
-struct fl_sched_in {
+struct fl_sched_input {
 	const struct fl_sched_params *params;
 	struct fl_sched_job *jobs;
-	int n_jobs;
+	int job_count;
 	struct fl_sched_machine *machines;
-	int n_machines;
-	struct fl_sched_run *runs;
-	int n_runs;
+	int machine_count;
+	struct fl_sched_attempt *attempts;
+	int attempt_count;
 	struct fl_team *teams;       /* a copy: used amounts are updated by the pass */
-	double spot_loss;            /* chance a second that a spot machine is reclaimed */
-	int resume;                  /* place in the order where the last pass ran out of time */
+	double spot_loss_rate;       /* chance a second that a spot machine is reclaimed */
+	int resume_position;         /* place in the order where the last pass ran out of time */
 	bool (*out_of_time)(void *); /* NULL: no budget */
 	void *ctx;                   /* its argument */
 };
@@ -100,23 +100,24 @@
 };
 
 /* The decisions. */
-struct fl_sched_out {
+struct fl_sched_output {
 	struct fl_sched_start *starts;
-	int n_starts, cap_starts;
-	int *stops; /* indices of runs to be stopped */
-	int n_stops, cap_stops;
-	uint32_t *short_of; /* per job: tasks left without room, team limits apart */
-	int top;            /* the blocked top job; -1: none */
-	double window_s;    /* its backfill window from now on */
-	int resume;         /* 0: the pass came to its end */
-	long looks;         /* machines examined: the work of the pass, independent of the clock */
+	int start_count, start_capacity;
+	int *preemptions; /* indices of runs to be stopped */
+	int preemption_count, preemption_capacity;
+	uint32_t *unplaced_tasks; /* per job: tasks left without room, team limits apart */
+	int top_job;              /* the blocked top job; -1: none */
+	double window_s;          /* its backfill window from now on */
+	int resume_position;      /* 0: the pass came to its end */
+	long machines_examined; /* machines examined: the work of the pass, independent of the clock
+	                         */
 };
 
 /* The priority of a job within its rank: the product of the paper, with what is added to it. */
 double fl_sched_priority(const struct fl_sched_params *params, const struct fl_sched_job *job);
 /* Runs a pass; -1 without memory. Free the result in any case. */
-int fl_schedule(struct fl_sched_in *in, struct fl_sched_out *out);
+int fl_schedule(struct fl_sched_input *input, struct fl_sched_output *output);
 /* Frees what a pass has put out. */
-void fl_sched_free(struct fl_sched_out *out);
+void fl_sched_output_free(struct fl_sched_output *output);
 
 #endif
--- a/src/coordination/schedule_fit.c
+++ b/src/coordination/schedule_constraints.c
@@ -19,9 +19,9 @@
 	return true;
 }
 
-bool fl_sched_team_allows(const struct fl_sched_in *in, const struct fl_sched_job *job)
+bool fl_sched_team_allows(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
-	const struct fl_team *team = &in->teams[job->team];
+	const struct fl_team *team = &input->teams[job->team];
 
 	return fl_team_within_maximum(team, team->used_cpus + job->cpus,
 	                              team->used_gpus + job->gpus);
@@ -32,7 +32,8 @@
 	return job->spread_zones || job->same_zone;
 }
 
-uint32_t fl_sched_tasks_in(const struct fl_sched_job *job, double cpus, double gpus, double ram)
+uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, double cpus, double gpus,
+                                     double ram)
 {
 	/* Reserved room can make an amount negative that the job itself needs none of. */
 	if (!fl_sched_fits(job, cpus, gpus, ram))
@@ -48,7 +49,7 @@
  * in ten minutes. Nor does a pass that resumes in the middle of the order give away what its head
  * waits for.
  */
-static struct fl_resources blocked_amounts(const struct fl_sched_pass *pass,
+static struct fl_resources blocked_amounts(const struct fl_sched_cycle *cycle,
                                            const struct fl_sched_job *job,
                                            const struct fl_sched_machine *machine)
 {
@@ -60,7 +61,7 @@
 	/* Services too: an urgent one goes before a critical array, which may stop it. */
 	if (job->priority >= earlier->priority &&
 	    (fl_sched_precedes_arrays(job) ||
-	     (!pass->resumed && (!earlier->within_guaranteed || job->within_guaranteed))))
+	     (!cycle->resumed && (!earlier->within_guaranteed || job->within_guaranteed))))
 		return (struct fl_resources){0};
 	/* What was requested again in this pass is subtracted from the free room already. */
 	if (requested->made && requested->priority >= earlier->priority) {
@@ -71,14 +72,14 @@
 	return blocked;
 }
 
-struct fl_resources fl_sched_room_for(const struct fl_sched_pass *pass,
-                                      const struct fl_sched_job *job, int machine_index)
+struct fl_resources fl_sched_capacity_for(const struct fl_sched_cycle *cycle,
+                                          const struct fl_sched_job *job, int machine_index)
 {
-	const struct fl_sched_machine *machine = &pass->in->machines[machine_index];
-	struct fl_resources blocked = blocked_amounts(pass, job, machine);
+	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
+	struct fl_resources blocked = blocked_amounts(cycle, job, machine);
 
 	return (struct fl_resources){
-		machine->cpus + pass->releasing_cpus[machine_index] - blocked.cpus,
-		machine->gpus + pass->releasing_gpus[machine_index] - blocked.gpus,
-		machine->ram_gb + pass->releasing_ram_gb[machine_index] - blocked.ram_gb};
+		machine->cpus + cycle->releasing_cpus[machine_index] - blocked.cpus,
+		machine->gpus + cycle->releasing_gpus[machine_index] - blocked.gpus,
+		machine->ram_gb + cycle->releasing_ram_gb[machine_index] - blocked.ram_gb};
 }
--- a/src/coordination/schedule_order.c
+++ b/src/coordination/schedule_order.c
@@ -84,24 +84,24 @@
 
 static int compare_jobs(const void *pa, const void *pb, void *ctx)
 {
-	const struct fl_sched_pass *pass = ctx;
+	const struct fl_sched_cycle *cycle = ctx;
 	int a = *(const int *)pa, b = *(const int *)pb;
 
-	if (pass->rank[a] != pass->rank[b])
-		return pass->rank[b] - pass->rank[a];
-	if (pass->priority[a] != pass->priority[b])
-		return pass->priority[a] > pass->priority[b] ? -1 : 1;
+	if (cycle->rank[a] != cycle->rank[b])
+		return cycle->rank[b] - cycle->rank[a];
+	if (cycle->priority[a] != cycle->priority[b])
+		return cycle->priority[a] > cycle->priority[b] ? -1 : 1;
 	return a < b ? -1 : a > b;
 }
 
-void fl_sched_sort_jobs(struct fl_sched_pass *pass)
+void fl_sched_sort_jobs(struct fl_sched_cycle *cycle)
 {
-	const struct fl_sched_in *in = pass->in;
+	const struct fl_sched_input *input = cycle->input;
 
-	for (int i = 0; i < in->n_jobs; i++) {
-		pass->order[i] = i;
-		pass->rank[i] = rank_of(in->params, &in->jobs[i]);
-		pass->priority[i] = fl_sched_priority(in->params, &in->jobs[i]);
+	for (int i = 0; i < input->job_count; i++) {
+		cycle->order[i] = i;
+		cycle->rank[i] = rank_of(input->params, &input->jobs[i]);
+		cycle->priority[i] = fl_sched_priority(input->params, &input->jobs[i]);
 	}
-	qsort_r(pass->order, (size_t)in->n_jobs, sizeof(*pass->order), compare_jobs, pass);
+	qsort_r(cycle->order, (size_t)input->job_count, sizeof(*cycle->order), compare_jobs, cycle);
 }
--- /dev/null
+++ b/src/coordination/schedule_placement.c
@@ -0,0 +1,224 @@
+/* Placement: the cost of a start on each machine, and the starts. */
+#include "coordination/schedule_internal.h"
+
+#include <math.h>
+#include <stdlib.h>
+
+static const struct {
+	double zone_weight, empty_s, ordinary_s, pack_weight, restart_s, urgent_fetch_weight;
+} tunables = {
+	.zone_weight = 1000, /* s per replica already in the zone: spreading beats a fetch */
+	.empty_s = 8,        /* s; a machine without a service: empty, it could be returned */
+	.ordinary_s = 8,     /* s; such a machine, ordinary, for a job that may use spot ones */
+	.pack_weight = 1,    /* s per free accelerator left: fill machines, others empty */
+	.restart_s = 30,     /* s to start over what was lost, beside the work itself */
+	.urgent_fetch_weight = 3, /* times that a fetch counts for an urgent service */
+};
+
+/* Items of an array that grows, at first. */
+#define FIRST_CAPACITY 32
+
+/*
+ * The expected loss of this task on a spot machine: where many are reclaimed, a long task is lost
+ * again and again there, and its job is the last to end. That matters for a job that has waited,
+ * be it because of what it lost; others are welcome to the price.
+ */
+static double expected_loss_s(const struct fl_sched_input *input, const struct fl_sched_job *job)
+{
+	double estimate_s =
+		job->estimate_s > 0 ? job->estimate_s : input->params->default_estimate_s;
+
+	if (job->service || job->waited_s <= input->params->patience_s)
+		return 0;
+	return fmin(1, input->spot_loss_rate * estimate_s) * (estimate_s / 2 + tunables.restart_s);
+}
+
+double fl_sched_image_fetch_s(const struct fl_sched_job *job,
+                              const struct fl_sched_machine *machine)
+{
+	for (int i = 0; i < FL_IMAGE_CACHE_MAX && machine->cached_images; i++)
+		if (machine->cached_images[i] == job->image)
+			return 0;
+	return job->image_gb / (machine->pull_gb_s > 0 ? machine->pull_gb_s : 1);
+}
+
+double fl_sched_placement_cost(const struct fl_sched_input *input, const struct fl_sched_job *job,
+                               const struct fl_sched_machine *machine)
+{
+	double cost = tunables.pack_weight * (machine->gpus - job->gpus);
+
+	cost += fl_sched_image_fetch_s(job, machine) *
+	        (fl_sched_precedes_arrays(job) ? tunables.urgent_fetch_weight : 1);
+	if (!machine->runs_service)
+		cost += tunables.empty_s +
+		        (job->spot_allowed && !machine->spot ? tunables.ordinary_s : 0);
+	if (machine->spot)
+		cost += expected_loss_s(input, job);
+	if (job->spread_zones)
+		cost += tunables.zone_weight * job->placed_by_zone[machine->zone];
+	return cost;
+}
+
+/* The cost of a start on one machine; INFINITY: not possible. `zone`: the only one; -1: any. */
+static double start_cost(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
+                         int zone, const double *must_end_by, int machine_index)
+{
+	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
+	struct fl_resources available = fl_sched_capacity_for(cycle, job, machine_index);
+
+	if ((zone >= 0 && machine->zone != zone) ||
+	    !fl_sched_fits(job, available.cpus, available.gpus, available.ram_gb) ||
+	    !fl_sched_fits(job, machine->cpus, machine->gpus, machine->ram_gb) ||
+	    !fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone) ||
+	    (must_end_by && must_end_by[machine_index] < job->estimate_s))
+		return INFINITY;
+	return fl_sched_placement_cost(cycle->input, job, machine);
+}
+
+static void compute_start_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
+                                int zone, const double *must_end_by)
+{
+	cycle->output->machines_examined += cycle->input->machine_count;
+	for (int i = 0; i < cycle->input->machine_count; i++)
+		cycle->start_cost[i] = start_cost(cycle, job, zone, must_end_by, i);
+}
+
+int fl_sched_lowest_cost(const double *costs, int count)
+{
+	double best = INFINITY;
+	int at = -1;
+
+	for (int i = 0; i < count; i++) {
+		if (costs[i] < best) {
+			best = costs[i];
+			at = i;
+		}
+	}
+	return at;
+}
+
+/* A job that wants one zone and has none yet takes the one where most of it fits. */
+static int pick_zone(const struct fl_sched_input *input, const struct fl_sched_job *job)
+{
+	double room[FL_ZONES_MAX] = {0};
+	int best = -1;
+
+	if (!job->same_zone)
+		return -1;
+	for (int z = 0; z < FL_ZONES_MAX; z++)
+		if (job->placed_by_zone[z] > 0)
+			return z;
+	for (int i = 0; i < input->machine_count; i++) {
+		const struct fl_sched_machine *machine = &input->machines[i];
+
+		if (fl_sched_allowed(job, machine))
+			room[machine->zone] += fl_sched_placement_capacity(
+				job, machine->cpus, machine->gpus, machine->ram_gb);
+	}
+	for (int z = 0; z < FL_ZONES_MAX; z++)
+		if (room[z] > 0 && (best < 0 || room[z] > room[best]))
+			best = z;
+	return best;
+}
+
+bool fl_sched_grow(void **items, int count, int *capacity, size_t size)
+{
+	int larger = *capacity ? *capacity * 2 : FIRST_CAPACITY;
+	void *moved;
+
+	if (count < *capacity)
+		return true;
+	moved = realloc(*items, (size_t)larger * size);
+	if (!moved)
+		return false;
+	*items = moved;
+	*capacity = larger;
+	return true;
+}
+
+static void start_task(struct fl_sched_cycle *cycle, int job_index, int machine_index)
+{
+	struct fl_sched_job *job = &cycle->input->jobs[job_index];
+	struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
+	struct fl_team *team = &cycle->input->teams[job->team];
+
+	if (!fl_sched_grow((void **)&cycle->output->starts, cycle->output->start_count,
+	                   &cycle->output->start_capacity, sizeof(*cycle->output->starts))) {
+		cycle->failed = true;
+		return;
+	}
+	cycle->output->starts[cycle->output->start_count++] =
+		(struct fl_sched_start){job_index, machine_index};
+	machine->cpus -= job->cpus;
+	machine->gpus -= job->gpus;
+	machine->ram_gb -= job->ram_gb;
+	team->used_cpus += job->cpus;
+	team->used_gpus += job->gpus;
+	job->placed_by_zone[machine->zone]++;
+	job->waiting--;
+}
+
+/* Takes back the starts beyond the first `keep`. */
+static void undo_starts(struct fl_sched_cycle *cycle, int keep)
+{
+	while (cycle->output->start_count > keep) {
+		const struct fl_sched_start *undone =
+			&cycle->output->starts[--cycle->output->start_count];
+		struct fl_sched_job *job = &cycle->input->jobs[undone->job];
+		struct fl_sched_machine *machine = &cycle->input->machines[undone->machine];
+		struct fl_team *team = &cycle->input->teams[job->team];
+
+		machine->cpus += job->cpus;
+		machine->gpus += job->gpus;
+		machine->ram_gb += job->ram_gb;
+		team->used_cpus -= job->cpus;
+		team->used_gpus -= job->gpus;
+		job->placed_by_zone[machine->zone]--;
+		job->waiting++;
+	}
+}
+
+/*
+ * Starts the job's tasks one by one, each on the best machine; of an overdue array just one. True
+ * if room was what ended it.
+ */
+static bool start_each(struct fl_sched_cycle *cycle, int job_index, const double *must_end_by)
+{
+	struct fl_sched_job *job = &cycle->input->jobs[job_index];
+	int zone = pick_zone(cycle->input, job);
+	uint32_t remaining =
+		fl_sched_overdue(cycle->input->params, job) && !job->gang ? job->waiting - 1 : 0;
+
+	cycle->tasks_awaiting_image = 0;
+	compute_start_costs(cycle, job, zone, must_end_by);
+	while (job->waiting > remaining + cycle->tasks_awaiting_image && !cycle->failed) {
+		int best;
+
+		if (!fl_sched_team_allows(cycle->input, job))
+			return false;
+		best = fl_sched_lowest_cost(cycle->start_cost, cycle->input->machine_count);
+		if (best < 0)
+			return true;
+		if (fl_sched_wait_for_cached_image(cycle, job, best)) {
+			cycle->tasks_awaiting_image++;
+			compute_start_costs(cycle, job, zone, must_end_by);
+			continue;
+		}
+		start_task(cycle, job_index, best);
+		if (fl_sched_depends_on_zones(job))
+			compute_start_costs(cycle, job, zone, must_end_by);
+		else
+			cycle->start_cost[best] = start_cost(cycle, job, zone, must_end_by, best);
+	}
+	return false;
+}
+
+bool fl_sched_start_fitting(struct fl_sched_cycle *cycle, int job_index, const double *must_end_by)
+{
+	int before = cycle->output->start_count;
+	bool no_room = start_each(cycle, job_index, must_end_by);
+
+	if (cycle->input->jobs[job_index].gang && cycle->input->jobs[job_index].waiting > 0)
+		undo_starts(cycle, before);
+	return no_room;
+}
--- a/src/coordination/schedule_preempt.c
+++ b/src/coordination/schedule_preemption.c
@@ -37,42 +37,44 @@
  * times in a row. A guarantee holds whatever the priority, so the first of the two stops goes. No
  * service is stopped for a guarantee, so services may stop by priority all that is lower.
  */
-static bool could_preempt_in_turn(const struct fl_sched_job *job, const struct fl_sched_run *run)
+static bool could_preempt_in_turn(const struct fl_sched_job *job,
+                                  const struct fl_sched_attempt *attempt)
 {
-	return run->within_guaranteed && !job->within_guaranteed && !job->service &&
-	       run->team != job->team;
+	return attempt->within_guaranteed && !job->within_guaranteed && !job->service &&
+	       attempt->team != job->team;
 }
 
-/* Whether `job` may stop `run`: by priority, or by its team's guarantee. */
-static bool may_preempt(const struct fl_sched_pass *pass, const struct fl_sched_job *job,
-                        const struct fl_sched_run *run, enum entitlement entitlement)
+/* Whether `job` may stop `attempt`: by priority, or by its team's guarantee. */
+static bool may_preempt(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
+                        const struct fl_sched_attempt *attempt, enum entitlement entitlement)
 {
 	const struct fl_team *team;
 
-	if (run->stopping || !run->movable || (run->last_running_task && job->priority < FL_URGENT))
+	if (attempt->stopping || !attempt->movable ||
+	    (attempt->last_running_task && job->priority < FL_URGENT))
 		return false;
-	if (run->priority < job->priority)
-		return !could_preempt_in_turn(job, run);
+	if (attempt->priority < job->priority)
+		return !could_preempt_in_turn(job, attempt);
 	/*
 	 * A run that is itself within a guarantee is exempt, though its team uses more besides:
 	 * found in the simulated fault combinations, it went first in the next pass, and was
 	 * stopped again.
 	 */
-	if (entitlement != ENTITLED_BY_GUARANTEE || run->team == job->team || run->service ||
-	    run->within_guaranteed)
+	if (entitlement != ENTITLED_BY_GUARANTEE || attempt->team == job->team ||
+	    attempt->service || attempt->within_guaranteed)
 		return false;
-	team = &pass->in->teams[run->team];
+	team = &cycle->input->teams[attempt->team];
 	return !fl_team_within_guaranteed(team, team->used_cpus, team->used_gpus);
 }
 
 static int compare_losses(const void *pa, const void *pb, void *ctx)
 {
-	const struct fl_sched_in *in = ctx;
-	const struct fl_sched_run *a = &in->runs[*(const int *)pa];
-	const struct fl_sched_run *b = &in->runs[*(const int *)pb];
+	const struct fl_sched_input *input = ctx;
+	const struct fl_sched_attempt *left = &input->attempts[*(const int *)pa];
+	const struct fl_sched_attempt *right = &input->attempts[*(const int *)pb];
 
-	if (a->lost_s != b->lost_s)
-		return a->lost_s < b->lost_s ? -1 : 1;
+	if (left->lost_s != right->lost_s)
+		return left->lost_s < right->lost_s ? -1 : 1;
 	return *(const int *)pa - *(const int *)pb;
 }
 
@@ -80,75 +82,78 @@
  * Selects the cheapest victims on one machine that make room, into pass->victims. Returns their
  * cost in seconds; INFINITY if there is no room even without them.
  */
-static double select_victims(struct fl_sched_pass *pass, const struct fl_sched_job *job,
-                             int machine_index, enum entitlement entitlement, int *n_victims)
+static double select_victims(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
+                             int machine_index, enum entitlement entitlement, int *victim_count)
 {
-	struct fl_resources room = fl_sched_room_for(pass, job, machine_index);
-	double cpus = room.cpus, gpus = room.gpus, ram = room.ram_gb, cost = 0;
-	int n = 0, used = 0, *victims = pass->victims;
+	struct fl_resources available = fl_sched_capacity_for(cycle, job, machine_index);
+	double cpus = available.cpus, gpus = available.gpus, ram = available.ram_gb, cost = 0;
+	int n = 0, used = 0, *victims = cycle->victims;
 	bool none = entitlement == ENTITLED_BY_PRIORITY &&
-	            pass->lowest_priority[machine_index] >= (int)job->priority;
-	int end = none ? pass->first_run[machine_index] : pass->first_run[machine_index + 1];
+	            cycle->lowest_priority[machine_index] >= (int)job->priority;
+	int end = none ? cycle->first_attempt[machine_index]
+	               : cycle->first_attempt[machine_index + 1];
 
-	for (int k = pass->first_run[machine_index]; k < end; k++)
-		if (may_preempt(pass, job, &pass->in->runs[pass->run_by_machine[k]], entitlement))
-			victims[n++] = pass->run_by_machine[k];
+	for (int k = cycle->first_attempt[machine_index]; k < end; k++)
+		if (may_preempt(cycle, job, &cycle->input->attempts[cycle->attempts_by_machine[k]],
+		                entitlement))
+			victims[n++] = cycle->attempts_by_machine[k];
 	if (n > 1)
-		qsort_r(victims, (size_t)n, sizeof(*victims), compare_losses, pass->in);
+		qsort_r(victims, (size_t)n, sizeof(*victims), compare_losses, cycle->input);
 	while (used < n && !fl_sched_fits(job, cpus, gpus, ram)) {
-		const struct fl_sched_run *run = &pass->in->runs[victims[used++]];
+		const struct fl_sched_attempt *attempt = &cycle->input->attempts[victims[used++]];
 
-		cpus += run->cpus;
-		gpus += run->gpus;
-		ram += run->ram_gb;
-		cost += run->lost_s + tunables.stop_cost_s;
+		cpus += attempt->cpus;
+		gpus += attempt->gpus;
+		ram += attempt->ram_gb;
+		cost += attempt->lost_s + tunables.stop_cost_s;
 	}
-	*n_victims = used;
+	*victim_count = used;
 	return fl_sched_fits(job, cpus, gpus, ram) ? cost : INFINITY;
 }
 
-static void preempt_run(struct fl_sched_pass *pass, int run_index)
+static void preempt_attempt(struct fl_sched_cycle *cycle, int attempt_index)
 {
-	struct fl_sched_run *run = &pass->in->runs[run_index];
+	struct fl_sched_attempt *attempt = &cycle->input->attempts[attempt_index];
 
-	if (!fl_sched_grow((void **)&pass->out->stops, pass->out->n_stops, &pass->out->cap_stops,
-	                   sizeof(*pass->out->stops))) {
-		pass->failed = true;
+	if (!fl_sched_grow((void **)&cycle->output->preemptions, cycle->output->preemption_count,
+	                   &cycle->output->preemption_capacity,
+	                   sizeof(*cycle->output->preemptions))) {
+		cycle->failed = true;
 		return;
 	}
-	pass->out->stops[pass->out->n_stops++] = run_index;
-	run->stopping = true;
-	pass->releasing_cpus[run->machine] += run->cpus;
-	pass->releasing_gpus[run->machine] += run->gpus;
-	pass->releasing_ram_gb[run->machine] += run->ram_gb;
+	cycle->output->preemptions[cycle->output->preemption_count++] = attempt_index;
+	attempt->stopping = true;
+	cycle->releasing_cpus[attempt->machine] += attempt->cpus;
+	cycle->releasing_gpus[attempt->machine] += attempt->gpus;
+	cycle->releasing_ram_gb[attempt->machine] += attempt->ram_gb;
 }
 
-static double rate_preemption(struct fl_sched_pass *pass, const struct fl_sched_job *job,
+static double preemption_cost(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                               struct preemption_terms terms, int machine_index)
 {
-	const struct fl_sched_machine *machine = &pass->in->machines[machine_index];
+	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 	double cost;
-	int n_victims;
+	int victim_count;
 
 	/* Where it may not start, a stop would only make room for others. */
 	if (!fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone) ||
-	    (terms.choice == MACHINES_WITH_IMAGE && fl_sched_fetch_s(job, machine) > 0) ||
+	    (terms.choice == MACHINES_WITH_IMAGE && fl_sched_image_fetch_s(job, machine) > 0) ||
 	    (terms.must_end_by && terms.must_end_by[machine_index] < job->estimate_s))
 		return INFINITY;
-	cost = select_victims(pass, job, machine_index, terms.entitlement, &n_victims);
+	cost = select_victims(cycle, job, machine_index, terms.entitlement, &victim_count);
 	/* Mostly there is no room to be made, and what a place would be worth need not be known. */
 	if (cost == INFINITY ||
 	    (terms.choice == MACHINES_WITH_IMAGE && cost > tunables.cached_loss_s))
 		return INFINITY;
-	return cost + fl_sched_placement_cost(pass->in, job, machine);
+	return cost + fl_sched_placement_cost(cycle->input, job, machine);
 }
 
-static void rate_preemptions(struct fl_sched_pass *pass, const struct fl_sched_job *job,
-                             struct preemption_terms terms)
+static void compute_preemption_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
+                                     struct preemption_terms terms)
 {
-	pass->out->looks += pass->in->n_machines;
-	for (int i = 0; i < pass->in->n_machines; i++)
-		pass->preemption_cost[i] = rate_preemption(pass, job, terms, i);
+	cycle->output->machines_examined += cycle->input->machine_count;
+	for (int i = 0; i < cycle->input->machine_count; i++)
+		cycle->preemption_cost[i] = preemption_cost(cycle, job, terms, i);
 }
 
 /*
@@ -156,18 +161,19 @@
  * else that of the cheapest victims. The task starts in a later pass, when the victims are proven
  * gone.
  */
-static bool request_preemption(struct fl_sched_pass *pass, struct fl_sched_job *job,
+static bool request_preemption(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                struct preemption_terms terms)
 {
-	int best = fl_sched_lowest(pass->preemption_cost, pass->in->n_machines), n_victims;
+	int best = fl_sched_lowest_cost(cycle->preemption_cost, cycle->input->machine_count),
+	    victim_count;
 	struct fl_sched_machine *machine;
 
 	if (best < 0)
 		return false;
-	machine = &pass->in->machines[best];
-	select_victims(pass, job, best, terms.entitlement, &n_victims);
-	for (int k = 0; k < n_victims; k++)
-		preempt_run(pass, pass->victims[k]);
+	machine = &cycle->input->machines[best];
+	select_victims(cycle, job, best, terms.entitlement, &victim_count);
+	for (int k = 0; k < victim_count; k++)
+		preempt_attempt(cycle, cycle->victims[k]);
 	/* No other job of this pass may use it, its free part included. */
 	machine->cpus -= job->cpus;
 	machine->gpus -= job->gpus;
@@ -182,9 +188,9 @@
 	machine->requested.gpus += job->gpus;
 	machine->requested.ram_gb += job->ram_gb;
 	if (fl_sched_depends_on_zones(job))
-		rate_preemptions(pass, job, terms);
+		compute_preemption_costs(cycle, job, terms);
 	else
-		pass->preemption_cost[best] = rate_preemption(pass, job, terms, best);
+		cycle->preemption_cost[best] = preemption_cost(cycle, job, terms, best);
 	return true;
 }
 
@@ -193,17 +199,17 @@
  * little would be lost by a stop there. That room is freed within a second or so, long before the
  * fetch_s could end; when it is not, the free machine is taken after all.
  */
-bool fl_sched_wait_for_cached_image(struct fl_sched_pass *pass, struct fl_sched_job *job,
+bool fl_sched_wait_for_cached_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                     int machine_index)
 {
-	double fetch_s = fl_sched_fetch_s(job, &pass->in->machines[machine_index]);
+	double fetch_s = fl_sched_image_fetch_s(job, &cycle->input->machines[machine_index]);
 	struct preemption_terms terms = {.choice = MACHINES_WITH_IMAGE};
 
 	if (!fl_sched_precedes_arrays(job) || job->gang || fetch_s <= tunables.fetch_wait_s ||
 	    job->waited_s >= fetch_s)
 		return false;
-	rate_preemptions(pass, job, terms);
-	return request_preemption(pass, job, terms);
+	compute_preemption_costs(cycle, job, terms);
+	return request_preemption(cycle, job, terms);
 }
 
 /* What entitles one more task of the job, the team's use so far included. */
@@ -216,31 +222,32 @@
 	return within ? ENTITLED_BY_GUARANTEE : ENTITLED_BY_PRIORITY;
 }
 
-uint32_t fl_sched_request_preemptions(struct fl_sched_pass *pass, int job_index,
+uint32_t fl_sched_request_preemptions(struct fl_sched_cycle *cycle, int job_index,
                                       const double *must_end_by)
 {
-	struct fl_sched_job *job = &pass->in->jobs[job_index];
-	struct fl_team *team = &pass->in->teams[job->team];
+	struct fl_sched_job *job = &cycle->input->jobs[job_index];
+	struct fl_team *team = &cycle->input->teams[job->team];
 	double cpus = team->used_cpus, gpus = team->used_gpus;
 	uint32_t requested = 0;
 	struct preemption_terms terms = {.must_end_by = must_end_by};
 	bool rated = false;
 
 	/* A gang requests nothing: stops for some of it would free room it cannot use yet. */
-	while (requested < job->waiting - pass->awaiting_image && !job->gang && !pass->failed) {
+	while (requested < job->waiting - cycle->tasks_awaiting_image && !job->gang &&
+	       !cycle->failed) {
 		enum entitlement entitlement = entitlement_of(job, team);
 
-		if (!fl_sched_team_allows(pass->in, job) ||
+		if (!fl_sched_team_allows(cycle->input, job) ||
 		    (entitlement == ENTITLED_BY_PRIORITY && job->priority == FL_BEST_EFFORT))
 			break;
 		/* A request on one machine changes the cost on no other: all are rated once a job.
 		 */
 		if (!rated || terms.entitlement != entitlement) {
 			terms.entitlement = entitlement;
-			rate_preemptions(pass, job, terms);
+			compute_preemption_costs(cycle, job, terms);
 		}
 		rated = true;
-		if (!request_preemption(pass, job, terms))
+		if (!request_preemption(cycle, job, terms))
 			break;
 		team->used_cpus += job->cpus;
 		team->used_gpus += job->gpus;
--- a/src/coordination/pass.c
+++ b/src/coordination/scheduling_cycle.c
@@ -1,12 +1,12 @@
-#include "coordination/pass.h"
+#include "coordination/scheduling_cycle.h"
 
 #include <errno.h>
 #include <math.h>
 
 #include "coordination/command.h"
 #include "coordination/node.h"
-#include "coordination/pass_snapshot.h"
-#include "coordination/provision.h"
+#include "coordination/scheduling_snapshot.h"
+#include "coordination/autoscaler.h"
 #include "coordination/schedule.h"
 #include "transport/clock.h"
 #include "transport/log.h"
@@ -21,7 +21,7 @@
 	.forget_s = 40.0, /* s; finished entries wait this long for a higher epoch */
 };
 
-double fl_pass_budget_s(double core_share)
+double fl_scheduling_cycle_budget_s(double core_share)
 {
 	return fmin(tunables.budget_s, tunables.share * core_share * tunables.most_s);
 }
@@ -31,7 +31,7 @@
  * up, and then it stands still for a second. By the steady clock passes of 4 ms, ten a second, were
  * 4% of the time, and took all of the share from reports and polls.
  */
-double fl_pass_gap_s(double core_share, double took_s, double processor_s)
+double fl_scheduling_cycle_gap_s(double core_share, double took_s, double processor_s)
 {
 	double share = fmin(core_share, 1);
 
@@ -47,11 +47,11 @@
 }
 
 static void apply_starts(struct fl_node *n, const struct fl_snapshot *snapshot,
-                         const struct fl_sched_out *out, double now)
+                         const struct fl_sched_output *output, double now)
 {
-	for (int i = 0; i < out->n_starts; i++) {
-		struct fl_job *job = snapshot->jobs[out->starts[i].job];
-		struct fl_machine *m = snapshot->machines[out->starts[i].machine];
+	for (int i = 0; i < output->start_count; i++) {
+		struct fl_job *job = snapshot->jobs[output->starts[i].job];
+		struct fl_machine *m = snapshot->machines[output->starts[i].machine];
 		uint32_t index = fl_task_next_waiting(job, 0, now);
 
 		if (index >= job->task_count ||
@@ -70,11 +70,11 @@
 }
 
 static void apply_stops(struct fl_node *n, const struct fl_snapshot *snapshot,
-                        const struct fl_sched_out *out)
+                        const struct fl_sched_output *output)
 {
-	for (int i = 0; i < out->n_stops; i++) {
-		struct fl_job *job = snapshot->runs[out->stops[i]].job;
-		uint32_t index = snapshot->runs[out->stops[i]].index;
+	for (int i = 0; i < output->preemption_count; i++) {
+		struct fl_job *job = snapshot->attempts[output->preemptions[i]].job;
+		uint32_t index = snapshot->attempts[output->preemptions[i]].index;
 		struct fl_task *task = fl_task_peek(job, index);
 
 		task->stop_reason = FL_STOP_PREEMPT;
@@ -83,22 +83,22 @@
 	}
 }
 
-static void apply_window(const struct fl_snapshot *snapshot, const struct fl_sched_out *out,
+static void apply_window(const struct fl_snapshot *snapshot, const struct fl_sched_output *output,
                          double now)
 {
 	struct fl_job *top;
 
-	if (out->top < 0 || out->window_s >= INFINITY)
+	if (output->top_job < 0 || output->window_s >= INFINITY)
 		return;
-	top = snapshot->jobs[out->top];
+	top = snapshot->jobs[output->top_job];
 	if (top->window_until <= 0)
-		top->window_until = now + out->window_s;
+		top->window_until = now + output->window_s;
 }
 
 static void apply_reservations(const struct fl_snapshot *snapshot, double now)
 {
-	for (int i = 0; i < snapshot->in.n_machines; i++) {
-		const struct fl_sched_machine *from = &snapshot->in.machines[i];
+	for (int i = 0; i < snapshot->input.machine_count; i++) {
+		const struct fl_sched_machine *from = &snapshot->input.machines[i];
 		const struct fl_reservation *requested = &from->requested;
 		struct fl_machine *m = snapshot->machines[i];
 
@@ -115,50 +115,51 @@
 	}
 }
 
-static void apply(struct fl_node *n, const struct fl_snapshot *snapshot,
-                  const struct fl_sched_out *out, double now)
+static void apply_decisions(struct fl_node *n, const struct fl_snapshot *snapshot,
+                            const struct fl_sched_output *output, double now)
 {
-	apply_starts(n, snapshot, out, now);
-	apply_stops(n, snapshot, out);
-	apply_window(snapshot, out, now);
+	apply_starts(n, snapshot, output, now);
+	apply_stops(n, snapshot, output);
+	apply_window(snapshot, output, now);
 	apply_reservations(snapshot, now);
 }
 
-static void pass(struct fl_node *n)
+static void run_cycle(struct fl_node *n)
 {
 	double now = fl_now();
-	double deadline = now + fl_pass_budget_s(n->config->core_share);
-	struct fl_sched_out out = {0};
+	double deadline = now + fl_scheduling_cycle_budget_s(n->config->core_share);
+	struct fl_sched_output output = {0};
 	struct fl_snapshot snapshot;
 
 	n->leadership.cycle_due = false;
 	if (fl_snapshot_take(n, &snapshot, now) != 0)
 		goto out;
-	snapshot.in.out_of_time = out_of_time;
-	snapshot.in.ctx = &deadline;
-	if (fl_schedule(&snapshot.in, &out) != 0) {
+	snapshot.input.out_of_time = out_of_time;
+	snapshot.input.ctx = &deadline;
+	if (fl_schedule(&snapshot.input, &output) != 0) {
 		fl_error("schedule", "a pass failed for want of memory");
 		goto out;
 	}
-	n->leadership.resume_position = out.resume;
-	if (out.resume)
+	n->leadership.resume_position = output.resume_position;
+	if (output.resume_position)
 		n->leadership.cycle_due = true;
-	apply(n, &snapshot, &out, now);
-	fl_provision_shortage(n, snapshot.jobs, out.short_of, snapshot.in.n_jobs);
+	apply_decisions(n, &snapshot, &output, now);
+	fl_autoscaler_plan_scale_out(n, snapshot.jobs, output.unplaced_tasks,
+	                             snapshot.input.job_count);
 	n->leadership.cycle_count++;
 	fl_debug("schedule", "pass %llu: %d jobs, %d machines, %d starts, %d stops, %.1f ms%s",
-	         (unsigned long long)n->leadership.cycle_count, snapshot.in.n_jobs,
-	         snapshot.in.n_machines, out.n_starts, out.n_stops, (fl_now() - now) * 1000,
-	         out.resume ? ", to be continued" : "");
+	         (unsigned long long)n->leadership.cycle_count, snapshot.input.job_count,
+	         snapshot.input.machine_count, output.start_count, output.preemption_count,
+	         (fl_now() - now) * 1000, output.resume_position ? ", to be continued" : "");
 	if (n->cluster.dirty)
 		fl_signal_wake(&n->leadership.writes_pending);
 out:
-	fl_sched_free(&out);
+	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
 }
 
 /* Stops what can save its state on machines that will be reclaimed. */
-static void drain_reclaimed(struct fl_node *n)
+static void drain_interrupted_machines(struct fl_node *n)
 {
 	for (int i = 0; i < n->cluster.machines.count; i++) {
 		struct fl_machine *m = n->cluster.machines.by_id[i];
@@ -181,7 +182,7 @@
 }
 
 /* A gang that lost a task cannot go on: the rest is stopped, and it starts again as a whole. */
-static void stop_broken_gangs(struct fl_node *n)
+static void stop_incomplete_gangs(struct fl_node *n)
 {
 	for (int i = 0; i < n->cluster.machines.count; i++) {
 		struct fl_machine *m = n->cluster.machines.by_id[i];
@@ -199,7 +200,7 @@
 	}
 }
 
-void fl_pass_duty(void *arg)
+void fl_scheduling_cycle_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 	double last = 0, processor, gap = tunables.gap_s;
@@ -215,11 +216,11 @@
 			continue;
 		last = fl_now();
 		processor = fl_cpu_time();
-		drain_reclaimed(n);
-		stop_broken_gangs(n);
-		pass(n);
-		gap = fl_pass_gap_s(n->config->core_share, fl_now() - last,
-		                    fl_cpu_time() - processor);
+		drain_interrupted_machines(n);
+		stop_incomplete_gangs(n);
+		run_cycle(n);
+		gap = fl_scheduling_cycle_gap_s(n->config->core_share, fl_now() - last,
+		                                fl_cpu_time() - processor);
 		if (n->cluster.dirty)
 			fl_signal_wake(&n->leadership.writes_pending);
 		if (n->leadership.retained_exit_count > 0 &&
--- a/src/coordination/pass_snapshot.c
+++ b/src/coordination/scheduling_snapshot.c
@@ -1,4 +1,4 @@
-#include "coordination/pass_snapshot.h"
+#include "coordination/scheduling_snapshot.h"
 
 #include <errno.h>
 #include <math.h>
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/provision.h"
+#include "coordination/autoscaler.h"
 #include "coordination/reachability.h"
 #include "transport/clock.h"
 
@@ -26,7 +26,7 @@
  * array of 9,000 tasks 256 were considered, machines were rented for no more, and the site would
  * have grown by 128 machines a boot. So it may double with each.
  */
-static uint32_t most_considered(const struct fl_machines *machines)
+static uint32_t max_tasks_considered(const struct fl_machines *machines)
 {
 	int most = 0;
 
@@ -64,39 +64,39 @@
 static void add_job(const struct fl_node *n, struct fl_snapshot *snapshot, struct fl_job *job,
                     uint32_t considered, double now, double wall)
 {
-	struct fl_sched_job *to = &snapshot->in.jobs[snapshot->in.n_jobs];
+	struct fl_sched_job *target = &snapshot->input.jobs[snapshot->input.job_count];
 
-	memset(to, 0, sizeof(*to));
-	to->waiting = count_startable(job, considered, now);
-	if (to->waiting == 0)
+	memset(target, 0, sizeof(*target));
+	target->waiting = count_startable(job, considered, now);
+	if (target->waiting == 0)
 		return;
-	to->priority = job->priority;
-	to->service = job->kind == FL_SERVICE;
-	to->gang = job->kind == FL_GANG;
-	to->team = job->team;
-	to->waited_s = wall - job->submitted_wall;
-	to->estimate_s = job->expected_s;
-	to->cpus = job->cpus;
-	to->gpus = job->gpus;
-	to->ram_gb = job->ram_gb;
-	to->image_gb = job->image_gb;
-	to->task_count = job->task_count;
-	to->types = job->types;
-	to->zone = job->zone;
-	to->same_zone = job->same_zone;
-	to->spread_zones = job->spread_zones;
-	to->spot_allowed = job->spot_allowed;
-	memcpy(to->placed_by_zone, job->placed_by_zone, sizeof(to->placed_by_zone));
-	to->placed_in_unknown_zone = job->placed_in_unknown_zone;
-	to->image = job->image;
-	to->within_guaranteed = job->within_guaranteed;
-	to->background = is_background(n, job);
-	to->begun = job->placed_count > 0 || job->done_count > 0;
-	to->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
-	snapshot->jobs[snapshot->in.n_jobs++] = job;
+	target->priority = job->priority;
+	target->service = job->kind == FL_SERVICE;
+	target->gang = job->kind == FL_GANG;
+	target->team = job->team;
+	target->waited_s = wall - job->submitted_wall;
+	target->estimate_s = job->expected_s;
+	target->cpus = job->cpus;
+	target->gpus = job->gpus;
+	target->ram_gb = job->ram_gb;
+	target->image_gb = job->image_gb;
+	target->task_count = job->task_count;
+	target->types = job->types;
+	target->zone = job->zone;
+	target->same_zone = job->same_zone;
+	target->spread_zones = job->spread_zones;
+	target->spot_allowed = job->spot_allowed;
+	memcpy(target->placed_by_zone, job->placed_by_zone, sizeof(target->placed_by_zone));
+	target->placed_in_unknown_zone = job->placed_in_unknown_zone;
+	target->image = job->image;
+	target->within_guaranteed = job->within_guaranteed;
+	target->background = is_background(n, job);
+	target->begun = job->placed_count > 0 || job->done_count > 0;
+	target->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
+	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
-static bool usable(const struct fl_node *n, const struct fl_machine *m, double now)
+static bool is_schedulable(const struct fl_node *n, const struct fl_machine *m, double now)
 {
 	return m && m->up && m->described && !m->draining && !m->decommissioned &&
 	       m->orphan_task_count == 0 && m->interruption_at == 0 &&
@@ -118,31 +118,31 @@
 	return fmax(estimate_s, tunables.overdue_left_s);
 }
 
-static void add_run(struct fl_snapshot *snapshot, int machine_index,
-                    const struct fl_assignment *slot, double now, double wall)
+static void add_attempt(struct fl_snapshot *snapshot, int machine_index,
+                        const struct fl_assignment *slot, double now, double wall)
 {
-	struct fl_sched_run *to = &snapshot->in.runs[snapshot->in.n_runs];
+	struct fl_sched_attempt *target = &snapshot->input.attempts[snapshot->input.attempt_count];
 	struct fl_job *job = slot->job;
 	const struct fl_task *task = fl_task_peek(job, slot->index);
 
-	memset(to, 0, sizeof(*to));
-	to->machine = machine_index;
-	to->team = job->team;
-	to->priority = job->priority;
-	to->service = job->kind == FL_SERVICE;
-	to->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
-	to->movable = !to->stopping;
-	to->within_guaranteed = job->within_guaranteed;
-	to->cpus = job->cpus;
-	to->gpus = job->gpus;
-	to->ram_gb = job->ram_gb;
-	to->left_s = estimated_left(job, task, now);
-	to->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
+	memset(target, 0, sizeof(*target));
+	target->machine = machine_index;
+	target->team = job->team;
+	target->priority = job->priority;
+	target->service = job->kind == FL_SERVICE;
+	target->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
+	target->movable = !target->stopping;
+	target->within_guaranteed = job->within_guaranteed;
+	target->cpus = job->cpus;
+	target->gpus = job->gpus;
+	target->ram_gb = job->ram_gb;
+	target->left_s = estimated_left(job, task, now);
+	target->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
 	if (job->checkpoint_every_s > 0)
-		to->lost_s = fmin(to->lost_s, job->checkpoint_cost_s);
-	to->last_running_task = job->kind != FL_SERVICE && job->placed_count == 1 &&
-	                        wall - job->submitted_wall > snapshot->in.params->patience_s;
-	snapshot->runs[snapshot->in.n_runs++] = *slot;
+		target->lost_s = fmin(target->lost_s, job->checkpoint_cost_s);
+	target->last_running_task = job->kind != FL_SERVICE && job->placed_count == 1 &&
+	                            wall - job->submitted_wall > snapshot->input.params->patience_s;
+	snapshot->attempts[snapshot->input.attempt_count++] = *slot;
 }
 
 static int compare_submissions(const void *pa, const void *pb)
@@ -180,7 +180,7 @@
  * combinations: the room then went to what had been stopped, which was stopped again, every second
  * for minutes.
  */
-static struct fl_reservation reservation_of(const struct fl_machine *m, double now)
+static struct fl_reservation active_reservation(const struct fl_machine *m, double now)
 {
 	if (m->reserved_at <= 0 || now > m->reserved_at + tunables.reservation_s)
 		return (struct fl_reservation){0};
@@ -196,21 +196,22 @@
                         double now, double wall)
 {
 	const struct fl_machine_type *type = &n->cluster.machines.types[m->type];
-	int machine_index = snapshot->in.n_machines++;
-	struct fl_sched_machine *to = &snapshot->in.machines[machine_index];
+	int machine_index = snapshot->input.machine_count++;
+	struct fl_sched_machine *target = &snapshot->input.machines[machine_index];
 
-	*to = (struct fl_sched_machine){.type = m->type,
-	                                .zone = m->zone,
-	                                .spot = m->spot,
-	                                .reserved = reservation_of(m, now),
-	                                .cpus = type->cpus - m->used_cpus,
-	                                .gpus = type->gpus - m->used_gpus,
-	                                .ram_gb = type->ram_gb - m->used_ram_gb,
-	                                .pull_gb_s = type->pull_gb_s,
-	                                .cache = m->cached_images};
+	*target = (struct fl_sched_machine){.type = m->type,
+	                                    .zone = m->zone,
+	                                    .spot = m->spot,
+	                                    .reserved = active_reservation(m, now),
+	                                    .cpus = type->cpus - m->used_cpus,
+	                                    .gpus = type->gpus - m->used_gpus,
+	                                    .ram_gb = type->ram_gb - m->used_ram_gb,
+	                                    .pull_gb_s = type->pull_gb_s,
+	                                    .cached_images = m->cached_images};
 	for (int k = 0; k < m->assignment_count; k++) {
-		add_run(snapshot, machine_index, &m->assignments[k], now, wall);
-		to->held = to->held || m->assignments[k].job->kind == FL_SERVICE;
+		add_attempt(snapshot, machine_index, &m->assignments[k], now, wall);
+		target->runs_service =
+			target->runs_service || m->assignments[k].job->kind == FL_SERVICE;
 	}
 	snapshot->machines[machine_index] = m;
 }
@@ -224,36 +225,36 @@
 		n_runs += (size_t)cluster->machines.by_id[i]->assignment_count;
 	snapshot->jobs = malloc(n_jobs * sizeof(*snapshot->jobs));
 	snapshot->machines = malloc(n_machines * sizeof(*snapshot->machines));
-	snapshot->runs = malloc(n_runs * sizeof(*snapshot->runs));
-	snapshot->in.jobs = malloc(n_jobs * sizeof(*snapshot->in.jobs));
-	snapshot->in.machines = malloc(n_machines * sizeof(*snapshot->in.machines));
-	snapshot->in.runs = malloc(n_runs * sizeof(*snapshot->in.runs));
-	snapshot->in.teams = malloc(sizeof(cluster->teams.by_index));
-	return snapshot->jobs && snapshot->machines && snapshot->runs && snapshot->in.jobs &&
-	       snapshot->in.machines && snapshot->in.runs && snapshot->in.teams;
+	snapshot->attempts = malloc(n_runs * sizeof(*snapshot->attempts));
+	snapshot->input.jobs = malloc(n_jobs * sizeof(*snapshot->input.jobs));
+	snapshot->input.machines = malloc(n_machines * sizeof(*snapshot->input.machines));
+	snapshot->input.attempts = malloc(n_runs * sizeof(*snapshot->input.attempts));
+	snapshot->input.teams = malloc(sizeof(cluster->teams.by_index));
+	return snapshot->jobs && snapshot->machines && snapshot->attempts && snapshot->input.jobs &&
+	       snapshot->input.machines && snapshot->input.attempts && snapshot->input.teams;
 }
 
 int fl_snapshot_take(struct fl_node *n, struct fl_snapshot *snapshot, double now)
 {
 	struct fl_cluster *cluster = &n->cluster;
-	uint32_t considered = most_considered(&cluster->machines);
+	uint32_t considered = max_tasks_considered(&cluster->machines);
 	double wall = fl_wall();
 	struct fl_job *job, *tmp;
 
 	memset(snapshot, 0, sizeof(*snapshot));
 	if (!allocate(snapshot, cluster))
 		return -ENOMEM;
-	snapshot->in.params = &fl_sched_defaults;
-	memcpy(snapshot->in.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
+	snapshot->input.params = &fl_sched_defaults;
+	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, tmp)
 		if (!job->cancelled && job->waiting_count > 0)
 			add_job(n, snapshot, job, considered, now, wall);
 	for (int i = 0; i < cluster->machines.count; i++)
-		if (usable(n, cluster->machines.by_id[i], now))
+		if (is_schedulable(n, cluster->machines.by_id[i], now))
 			add_machine(n, snapshot, cluster->machines.by_id[i], now, wall);
-	snapshot->in.spot_loss = fl_provision_spot_loss(n);
-	snapshot->in.resume = n->leadership.resume_position;
+	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(n);
+	snapshot->input.resume_position = n->leadership.resume_position;
 	return 0;
 }
 
@@ -261,9 +262,9 @@
 {
 	free(snapshot->jobs);
 	free(snapshot->machines);
-	free(snapshot->runs);
-	free(snapshot->in.jobs);
-	free(snapshot->in.machines);
-	free(snapshot->in.runs);
-	free(snapshot->in.teams);
+	free(snapshot->attempts);
+	free(snapshot->input.jobs);
+	free(snapshot->input.machines);
+	free(snapshot->input.attempts);
+	free(snapshot->input.teams);
 }
--- a/src/coordination/pass_snapshot.h
+++ b/src/coordination/scheduling_snapshot.h
@@ -1,6 +1,6 @@
 /* The snapshot of the cluster state that a pass works on. */
-#ifndef FL_COORDINATION_PASS_SNAPSHOT_H
-#define FL_COORDINATION_PASS_SNAPSHOT_H
+#ifndef FL_COORDINATION_SCHEDULING_SNAPSHOT_H
+#define FL_COORDINATION_SCHEDULING_SNAPSHOT_H
 
 #include "coordination/schedule.h"
 #include "storage/jobs.h"
@@ -10,10 +10,10 @@
 
 /* The input of the schedule, and what its indices stand for. */
 struct fl_snapshot {
-	struct fl_sched_in in;
+	struct fl_sched_input input;
 	struct fl_job **jobs;
 	struct fl_machine **machines;
-	struct fl_assignment *runs;
+	struct fl_assignment *attempts;
 };
 
 /* Takes a snapshot; -ENOMEM without memory. Free it in any case. */
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -134,17 +134,17 @@
 	m->cached_images[0] = image;
 }
 
-uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources room)
+uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available)
 {
 	const double slack = 1e-6; /* amounts are sums of decimal fractions */
 	double n = 1e6;
 
 	if (need.cpus > 0)
-		n = fmin(n, floor(room.cpus / need.cpus + slack));
+		n = fmin(n, floor(available.cpus / need.cpus + slack));
 	if (need.gpus > 0)
-		n = fmin(n, floor(room.gpus / need.gpus + slack));
+		n = fmin(n, floor(available.gpus / need.gpus + slack));
 	if (need.ram_gb > 0)
-		n = fmin(n, floor(room.ram_gb / need.ram_gb + slack));
+		n = fmin(n, floor(available.ram_gb / need.ram_gb + slack));
 	return n > 0 ? (uint32_t)n : 0;
 }
 
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -101,8 +101,8 @@
 struct fl_resources {
 	double cpus, gpus, ram_gb;
 };
-/* How many tasks that need `need` each there is room for in `room`. */
-uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources room);
+/* How many tasks that need `need` each there is room for in `available`. */
+uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available);
 /* Forgets a machine with no slots; the last one takes its id. Returns that one, or NULL. */
 struct fl_machine *fl_machine_drop(struct fl_machines *ms, struct fl_machine *m);
 /* Forgets all machines; the types stay. */
--- a/tests/fault_combinations_timing.c
+++ b/tests/fault_combinations_timing.c
@@ -300,9 +300,10 @@
 	{"shared_fetches", "schedule.c, reconciliation.c: what is pulling counts", 1,
          shared_fetches, 0},
 	/* Found here: two jobs that may each preempt the other, by priority and by guarantee. */
-	{"close_looks", "schedule_preempt.c: could_preempt_in_turn", 1, close_looks, 132},
-	{"one_returns", "schedule_preempt.c: could_preempt_in_turn", 1, one_returns, 153},
-	{"report_for_next", "schedule_preempt.c: could_preempt_in_turn", 1, report_for_next, 241},
+	{"close_looks", "schedule_preemption.c: could_preempt_in_turn", 1, close_looks, 132},
+	{"one_returns", "schedule_preemption.c: could_preempt_in_turn", 1, one_returns, 153},
+	{"report_for_next", "schedule_preemption.c: could_preempt_in_turn", 1, report_for_next,
+         241},
 	{"chance_timing", "all of them", 9, chance_timing, 1},
 };
 
--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -10,21 +10,21 @@
 
 static int no_cache[FL_IMAGE_CACHE_MAX];
 
-void run_schedule(struct snapshot *snapshot, struct fl_sched_out *out)
+void run_schedule(struct snapshot *snapshot, struct fl_sched_output *output)
 {
-	struct fl_sched_in in = {
+	struct fl_sched_input input = {
 		.params = &fl_sched_defaults,
 		.jobs = snapshot->jobs,
-		.n_jobs = snapshot->n_jobs,
+		.job_count = snapshot->n_jobs,
 		.machines = snapshot->machines,
-		.n_machines = snapshot->n_machines,
-		.runs = snapshot->runs,
-		.n_runs = snapshot->n_runs,
+		.machine_count = snapshot->n_machines,
+		.attempts = snapshot->runs,
+		.attempt_count = snapshot->n_runs,
 		.teams = snapshot->teams,
-		.spot_loss = snapshot->spot_loss,
+		.spot_loss_rate = snapshot->spot_loss,
 	};
 
-	assert_int_equal(fl_schedule(&in, out), 0);
+	assert_int_equal(fl_schedule(&input, output), 0);
 }
 
 struct fl_sched_job plain_job(double cpus, uint32_t waiting, double est, double waited)
@@ -44,15 +44,15 @@
 struct fl_sched_machine plain_machine(double cpus)
 {
 	return (struct fl_sched_machine){
-		.cpus = cpus, .ram_gb = 64, .pull_gb_s = 1, .cache = no_cache};
+		.cpus = cpus, .ram_gb = 64, .pull_gb_s = 1, .cached_images = no_cache};
 }
 
-struct fl_sched_run plain_run(int machine, double cpus, double left)
+struct fl_sched_attempt plain_run(int machine, double cpus, double left)
 {
-	return (struct fl_sched_run){.machine = machine,
-	                             .priority = FL_STANDARD,
-	                             .movable = true,
-	                             .cpus = cpus,
-	                             .ram_gb = 1,
-	                             .left_s = left};
+	return (struct fl_sched_attempt){.machine = machine,
+	                                 .priority = FL_STANDARD,
+	                                 .movable = true,
+	                                 .cpus = cpus,
+	                                 .ram_gb = 1,
+	                                 .left_s = left};
 }
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -21,11 +21,12 @@
 		int cheapest = -1;
 
 		for (int i = 0; i < model->snapshot.n_runs; i++) {
-			const struct fl_sched_run *run = &model->snapshot.runs[i];
+			const struct fl_sched_attempt *attempt = &model->snapshot.runs[i];
 
-			if (run->machine == machine && !set[i] &&
-			    model_victim(model, job, run, within_guarantee) &&
-			    (cheapest < 0 || run->lost_s < model->snapshot.runs[cheapest].lost_s))
+			if (attempt->machine == machine && !set[i] &&
+			    model_victim(model, job, attempt, within_guarantee) &&
+			    (cheapest < 0 ||
+			     attempt->lost_s < model->snapshot.runs[cheapest].lost_s))
 				cheapest = i;
 		}
 		if (cheapest < 0)
--- a/tests/schedule_model.h
+++ b/tests/schedule_model.h
@@ -55,7 +55,7 @@
 
 /* May this run be stopped for the job? */
 bool model_victim(const struct model *model, const struct fl_sched_job *job,
-                  const struct fl_sched_run *run, bool within_guarantee);
+                  const struct fl_sched_attempt *attempt, bool within_guarantee);
 
 /* Free or about to become free on a machine, less what is reserved to one before `job`. */
 void model_open(const struct model *model, const struct fl_sched_job *job, int index,
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -57,7 +57,7 @@
 bool model_holds(const struct fl_sched_job *job, const struct fl_sched_machine *machine)
 {
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
-		if (machine->cache[i] == job->image)
+		if (machine->cached_images[i] == job->image)
 			return true;
 	return false;
 }
@@ -69,11 +69,11 @@
 	       est = job->estimate_s > 0 ? job->estimate_s : 3600;
 	int slot = 0;
 
-	while (slot < FL_IMAGE_CACHE_MAX && machine->cache[slot] != job->image)
+	while (slot < FL_IMAGE_CACHE_MAX && machine->cached_images[slot] != job->image)
 		slot++;
 	if (slot == FL_IMAGE_CACHE_MAX)
 		score += job->image_gb / machine->pull_gb_s * (model_ahead(job) ? 3 : 1);
-	if (!machine->held)
+	if (!machine->runs_service)
 		score += job->spot_allowed && !machine->spot ? 16 : 8;
 	if (machine->spot && !job->service && job->waited_s > 120)
 		score += fmin(model->snapshot.spot_loss * est, 1) * (30 + est / 2);
@@ -123,20 +123,21 @@
 }
 
 bool model_victim(const struct model *model, const struct fl_sched_job *job,
-                  const struct fl_sched_run *run, bool within_guarantee)
+                  const struct fl_sched_attempt *attempt, bool within_guarantee)
 {
-	const struct fl_team *team = &model->snapshot.teams[run->team];
+	const struct fl_team *team = &model->snapshot.teams[attempt->team];
 
-	if (run->stopping || !run->movable)
+	if (attempt->stopping || !attempt->movable)
 		return false;
-	if (run->last_running_task && job->priority != FL_URGENT && job->priority != FL_CRITICAL)
+	if (attempt->last_running_task && job->priority != FL_URGENT &&
+	    job->priority != FL_CRITICAL)
 		return false;
 	/* What is within a guarantee gives way to a service, its own team, or another guarantee. */
-	if (run->priority < job->priority)
-		return !run->within_guaranteed || job->within_guaranteed || job->service ||
-		       run->team == job->team;
-	return within_guarantee && run->team != job->team && !run->service &&
-	       !run->within_guaranteed &&
+	if (attempt->priority < job->priority)
+		return !attempt->within_guaranteed || job->within_guaranteed || job->service ||
+		       attempt->team == job->team;
+	return within_guarantee && attempt->team != job->team && !attempt->service &&
+	       !attempt->within_guaranteed &&
 	       !model_in_guarantee(team, team->used_cpus, team->used_gpus);
 }
 
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -18,7 +18,7 @@
 	struct fl_sched_job jobs[JOBS];
 	struct fl_sched_machine machine;
 	struct fl_team team;
-	struct fl_sched_in in;
+	struct fl_sched_input in;
 };
 
 /* Two arrays of one priority and a machine with room for one task; the first has waited longer. */
@@ -41,24 +41,24 @@
 	s->jobs[BACKGROUND].waited_s = background_waited_s;
 	s->jobs[BACKGROUND].begun = background_begun;
 	s->machine = (struct fl_sched_machine){.cpus = 8, .ram_gb = 64, .pull_gb_s = 1};
-	s->in = (struct fl_sched_in){.params = &fl_sched_defaults,
-	                             .jobs = s->jobs,
-	                             .n_jobs = JOBS,
-	                             .machines = &s->machine,
-	                             .n_machines = 1,
-	                             .teams = &s->team};
+	s->in = (struct fl_sched_input){.params = &fl_sched_defaults,
+	                                .jobs = s->jobs,
+	                                .job_count = JOBS,
+	                                .machines = &s->machine,
+	                                .machine_count = 1,
+	                                .teams = &s->team};
 }
 
 /* Which job the only free place goes to. */
 static int first_started(struct site *s)
 {
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 	int job;
 
-	assert_int_equal(fl_schedule(&s->in, &out), 0);
-	assert_int_equal(out.n_starts, 1);
-	job = out.starts[0].job;
-	fl_sched_free(&out);
+	assert_int_equal(fl_schedule(&s->in, &output), 0);
+	assert_int_equal(output.start_count, 1);
+	job = output.starts[0].job;
+	fl_sched_output_free(&output);
 	return job;
 }
 
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/pass_snapshot.h"
+#include "coordination/scheduling_snapshot.h"
 #include "coordination/schedule.h"
 #include "storage/progress_records.h"
 #include "storage/write_ahead_log.h"
@@ -121,18 +121,18 @@
 static void a_pass_looks_at_few_of_its_tasks(void **state)
 {
 	struct site *site = *state;
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 	struct fl_snapshot snapshot;
 
 	assert_int_equal(fl_snapshot_take(&site->node, &snapshot, fl_now()), 0);
-	assert_int_equal(snapshot.in.n_jobs, 1);
-	assert_int_equal(snapshot.in.n_machines, MACHINES);
-	assert_int_equal(snapshot.in.jobs[0].waiting, 2 * MACHINES);
-	assert_int_equal(fl_schedule(&snapshot.in, &out), 0);
-	assert_int_equal(snapshot.in.jobs[0].waiting, 0);
-	assert_true(out.n_starts > 200);
-	assert_true(out.looks <= 2L * MACHINES);
-	fl_sched_free(&out);
+	assert_int_equal(snapshot.input.job_count, 1);
+	assert_int_equal(snapshot.input.machine_count, MACHINES);
+	assert_int_equal(snapshot.input.jobs[0].waiting, 2 * MACHINES);
+	assert_int_equal(fl_schedule(&snapshot.input, &output), 0);
+	assert_int_equal(snapshot.input.jobs[0].waiting, 0);
+	assert_true(output.start_count > 200);
+	assert_true(output.machines_examined <= 2L * MACHINES);
+	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
 	/* Nothing is allocated by looking. */
 	assert_int_equal(chunks_held(site->job), 0);
@@ -150,10 +150,10 @@
 	}
 	site->node.cluster.machines.types[0].ready_s = 60;
 	site->node.cluster.machines.types[0].zones = 1;
-	fl_provision_shortage(&site->node, &site->job, &short_of, 1);
-	assert_true(site->node.provision.n_requests > 0);
-	assert_true(site->node.provision.looks > MACHINES);
-	assert_true(site->node.provision.looks <= MACHINES + 2L * (long)short_of);
+	fl_autoscaler_plan_scale_out(&site->node, &site->job, &short_of, 1);
+	assert_true(site->node.autoscaler.request_count > 0);
+	assert_true(site->node.autoscaler.machines_examined > MACHINES);
+	assert_true(site->node.autoscaler.machines_examined <= MACHINES + 2L * (long)short_of);
 }
 
 /* Every chunk fits into a value, and the log holds a placement in few bytes. */
--- a/tests/test_schedule_backfill.c
+++ b/tests/test_schedule_backfill.c
@@ -16,7 +16,7 @@
 static void fragmented_capacity_does_not_shorten_the_window(void **state)
 {
 	struct snapshot snapshot = {.n_jobs = 2, .n_machines = 2, .n_runs = 4};
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 
 	(void)state;
 	snapshot.jobs[0] = plain_job(8, 1, 60, 1000);
@@ -24,41 +24,41 @@
 	snapshot.machines[0] = plain_machine(1);
 	snapshot.machines[1] = plain_machine(0);
 	for (int i = 0; i < 2; i++) {
-		struct fl_sched_run *pair = i == 0 ? &snapshot.runs[0] : &snapshot.runs[2];
+		struct fl_sched_attempt *pair = i == 0 ? &snapshot.runs[0] : &snapshot.runs[2];
 
 		pair[0] = plain_run(i, 4, 10);
 		pair[1] = plain_run(i, 4, 100);
 	}
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.top, 0);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.top_job, 0);
 	/* Judged by cores in total, it would be 4 * 10. */
-	assert_true(fabs(out.window_s - 4 * 100) < 1e-6);
-	assert_int_equal(out.n_starts, 1);
-	fl_sched_free(&out);
+	assert_true(fabs(output.window_s - 4 * 100) < 1e-6);
+	assert_int_equal(output.start_count, 1);
+	fl_sched_output_free(&output);
 }
 
 /* The window lasts over passes: it may shrink but does not begin anew. */
 static void a_burst_cannot_delay_the_top_job_for_ever(void **state)
 {
 	struct snapshot snapshot = {.n_jobs = 2, .n_machines = 1, .n_runs = 1};
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 
 	(void)state;
 	snapshot.jobs[0] = plain_job(8, 1, 60, 1000);
 	snapshot.jobs[1] = plain_job(1, 1, 50, 1);
 	snapshot.machines[0] = plain_machine(2);
 	snapshot.runs[0] = plain_run(0, 6, 100);
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.n_starts, 1);
-	fl_sched_free(&out);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.start_count, 1);
+	fl_sched_output_free(&output);
 
 	snapshot.jobs[0].window_left = 40; /* what is left of the window that was set long ago */
 	snapshot.jobs[1] = plain_job(1, 1, 50, 1);
 	snapshot.machines[0] = plain_machine(2);
-	run_schedule(&snapshot, &out);
-	assert_true(out.window_s <= 40);
-	assert_int_equal(out.n_starts, 0);
-	fl_sched_free(&out);
+	run_schedule(&snapshot, &output);
+	assert_true(output.window_s <= 40);
+	assert_int_equal(output.start_count, 0);
+	fl_sched_output_free(&output);
 }
 
 int main(void)
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -25,15 +25,16 @@
 	for (int i = 0; i < snapshot->n_machines; i++) {
 		for (int c = 0; c < FL_IMAGE_CACHE_MAX; c++)
 			snapshot->cache[i][c] = c < 2 ? (int)pick(rng, 5) : -1;
-		snapshot->machines[i] = (struct fl_sched_machine){.type = (int)pick(rng, 2),
-		                                                  .zone = (int)pick(rng, ZONES),
-		                                                  .spot = pick(rng, 2) > 0,
-		                                                  .held = pick(rng, 2) > 0,
-		                                                  .cpus = 16,
-		                                                  .gpus = 4,
-		                                                  .ram_gb = 64,
-		                                                  .pull_gb_s = 0.5,
-		                                                  .cache = snapshot->cache[i]};
+		snapshot->machines[i] =
+			(struct fl_sched_machine){.type = (int)pick(rng, 2),
+		                                  .zone = (int)pick(rng, ZONES),
+		                                  .spot = pick(rng, 2) > 0,
+		                                  .runs_service = pick(rng, 2) > 0,
+		                                  .cpus = 16,
+		                                  .gpus = 4,
+		                                  .ram_gb = 64,
+		                                  .pull_gb_s = 0.5,
+		                                  .cached_images = snapshot->cache[i]};
 		snapshot->machines[i].reserved.made = pick(rng, 4) == 0;
 		snapshot->machines[i].reserved.within_guaranteed = pick(rng, 2) > 0;
 		snapshot->machines[i].reserved.priority = (enum fl_priority)pick(rng, 4);
@@ -46,7 +47,7 @@
 static void random_runs(gsl_rng *rng, struct snapshot *snapshot, int tries)
 {
 	for (int i = 0; i < tries; i++) {
-		struct fl_sched_run run = {0};
+		struct fl_sched_attempt run = {0};
 		struct fl_sched_machine *machine;
 
 		run.machine = (int)pick(rng, snapshot->n_machines);
@@ -126,21 +127,21 @@
 
 static void compare(struct model *model, struct snapshot *snapshot, struct counts *counts)
 {
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 
 	memset(model, 0, sizeof(*model));
 	snapshot->spot_loss = snapshot->n_machines % 2 * 0.002;
 	model->snapshot = *snapshot;
 	model_pass(model);
-	run_schedule(snapshot, &out);
-	assert_int_equal(out.n_starts, model->n_starts);
-	for (int i = 0; i < out.n_starts; i++) {
-		assert_int_equal(out.starts[i].job, model->starts[i].job);
-		assert_int_equal(out.starts[i].machine, model->starts[i].machine);
+	run_schedule(snapshot, &output);
+	assert_int_equal(output.start_count, model->n_starts);
+	for (int i = 0; i < output.start_count; i++) {
+		assert_int_equal(output.starts[i].job, model->starts[i].job);
+		assert_int_equal(output.starts[i].machine, model->starts[i].machine);
 	}
-	assert_int_equal(out.n_stops, model->n_stops);
-	for (int i = 0; i < out.n_stops; i++)
-		assert_int_equal(out.stops[i], model->stops[i]);
+	assert_int_equal(output.preemption_count, model->n_stops);
+	for (int i = 0; i < output.preemption_count; i++)
+		assert_int_equal(output.preemptions[i], model->stops[i]);
 	for (int i = 0; i < snapshot->n_machines; i++) {
 		const struct fl_reservation *c = &snapshot->machines[i].requested;
 
@@ -152,20 +153,20 @@
 		            fabs(c->gpus - model->snapshot.machines[i].requested.gpus) < 1e-6 &&
 		            fabs(c->ram_gb - model->snapshot.machines[i].requested.ram_gb) < 1e-6);
 	}
-	assert_int_equal(out.top, model->top);
+	assert_int_equal(output.top_job, model->top);
 	if (model->top >= 0)
-		assert_true(out.window_s == model->window ||
-		            fabs(out.window_s - model->window) < 1e-6);
+		assert_true(output.window_s == model->window ||
+		            fabs(output.window_s - model->window) < 1e-6);
 	for (int i = 0; i < snapshot->n_jobs; i++)
-		assert_int_equal(out.short_of[i], model->short_of[i]);
-	counts->starts += out.n_starts;
-	counts->stops += out.n_stops;
-	counts->tops += out.top >= 0;
-	counts->looks += out.looks;
+		assert_int_equal(output.unplaced_tasks[i], model->short_of[i]);
+	counts->starts += output.start_count;
+	counts->stops += output.preemption_count;
+	counts->tops += output.top_job >= 0;
+	counts->looks += output.machines_examined;
 	/* Each start, each task reserved room and each job that finds none looks once or twice. */
 	counts->bound += (long)snapshot->n_machines *
-	                 (out.n_starts + 2 * snapshot->n_jobs + 2 * out.n_stops);
-	fl_sched_free(&out);
+	                 (output.start_count + 2 * snapshot->n_jobs + 2 * output.preemption_count);
+	fl_sched_output_free(&output);
 }
 
 static void the_pass_decides_like_the_model(void **state)
@@ -208,16 +209,16 @@
 		struct fl_sched_machine *machine = &snapshot->machines[model->starts[i].machine];
 
 		snapshot->runs[snapshot->n_runs] =
-			(struct fl_sched_run){.machine = model->starts[i].machine,
-		                              .team = job->team,
-		                              .priority = job->priority,
-		                              .service = job->service,
-		                              .movable = true,
-		                              .cpus = job->cpus,
-		                              .gpus = job->gpus,
-		                              .ram_gb = job->ram_gb,
-		                              .left_s = job->service ? INFINITY : 50,
-		                              .lost_s = 0.001 * snapshot->n_runs};
+			(struct fl_sched_attempt){.machine = model->starts[i].machine,
+		                                  .team = job->team,
+		                                  .priority = job->priority,
+		                                  .service = job->service,
+		                                  .movable = true,
+		                                  .cpus = job->cpus,
+		                                  .gpus = job->gpus,
+		                                  .ram_gb = job->ram_gb,
+		                                  .left_s = job->service ? INFINITY : 50,
+		                                  .lost_s = 0.001 * snapshot->n_runs};
 		snapshot->n_runs++;
 		machine->cpus -= job->cpus;
 		machine->gpus -= job->gpus;
@@ -239,16 +240,16 @@
 	for (int i = 0; i < model->n_stops; i++)
 		stopped[model->stops[i]] = true;
 	for (int i = snapshot->n_runs - 1; i >= 0; i--) {
-		const struct fl_sched_run *run = &snapshot->runs[i];
-		struct fl_sched_machine *machine = &snapshot->machines[run->machine];
+		const struct fl_sched_attempt *attempt = &snapshot->runs[i];
+		struct fl_sched_machine *machine = &snapshot->machines[attempt->machine];
 
 		if (!stopped[i] && pick(rng, one_in) != 0)
 			continue;
-		machine->cpus += run->cpus;
-		machine->gpus += run->gpus;
-		machine->ram_gb += run->ram_gb;
-		snapshot->teams[run->team].used_cpus -= run->cpus;
-		snapshot->teams[run->team].used_gpus -= run->gpus;
+		machine->cpus += attempt->cpus;
+		machine->gpus += attempt->gpus;
+		machine->ram_gb += attempt->ram_gb;
+		snapshot->teams[attempt->team].used_cpus -= attempt->cpus;
+		snapshot->teams[attempt->team].used_gpus -= attempt->gpus;
 		snapshot->runs[i] = snapshot->runs[--snapshot->n_runs];
 	}
 }
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -12,22 +12,22 @@
 static void a_gang_starts_whole_or_not_at_all(void **state)
 {
 	struct snapshot snapshot = {.n_jobs = 1, .n_machines = 2};
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 
 	(void)state;
 	snapshot.jobs[0] = plain_job(4, 4, 60, 10);
 	snapshot.jobs[0].gang = true;
 	snapshot.machines[0] = plain_machine(8);
 	snapshot.machines[1] = plain_machine(7);
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.n_starts, 0);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.start_count, 0);
 	assert_true(snapshot.machines[0].cpus == 8 && snapshot.machines[1].cpus == 7);
-	fl_sched_free(&out);
+	fl_sched_output_free(&output);
 	snapshot.jobs[0].waiting = 4;
 	snapshot.machines[1] = plain_machine(8);
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.n_starts, 4);
-	fl_sched_free(&out);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.start_count, 4);
+	fl_sched_output_free(&output);
 }
 
 /*
@@ -39,54 +39,54 @@
 	int there[FL_IMAGE_CACHE_MAX];
 	struct fl_sched_job job = plain_job(4, 2, 0, 1);
 	struct fl_sched_machine machine[3] = {plain_machine(4), plain_machine(0), plain_machine(0)};
-	struct fl_sched_run runs[2] = {plain_run(1, 4, 60), plain_run(2, 4, 60)};
-	struct fl_sched_in in = {.params = &fl_sched_defaults,
-	                         .jobs = &job,
-	                         .n_jobs = 1,
-	                         .machines = machine,
-	                         .n_machines = 3,
-	                         .runs = runs,
-	                         .n_runs = 2};
+	struct fl_sched_attempt runs[2] = {plain_run(1, 4, 60), plain_run(2, 4, 60)};
+	struct fl_sched_input input = {.params = &fl_sched_defaults,
+	                               .jobs = &job,
+	                               .job_count = 1,
+	                               .machines = machine,
+	                               .machine_count = 3,
+	                               .attempts = runs,
+	                               .attempt_count = 2};
 	struct fl_team team = {.name = "t"};
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 
 	(void)state;
-	in.teams = &team;
+	input.teams = &team;
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
 		there[i] = i == 3 ? 5 : -1;
 	job.priority = FL_CRITICAL;
 	job.service = true;
 	job.image = 5;
 	job.image_gb = 10;
-	machine[1].cache = machine[2].cache = there;
+	machine[1].cached_images = machine[2].cached_images = there;
 	runs[0].priority = runs[1].priority = FL_BEST_EFFORT;
 	runs[0].lost_s = 5;
 	runs[1].lost_s = 500;
 	/* One stop that loses little; the other loses too much, so the free machine is taken. */
-	assert_int_equal(fl_schedule(&in, &out), 0);
-	assert_int_equal(out.n_stops, 1);
-	assert_int_equal(out.stops[0], 0);
-	assert_int_equal(out.n_starts, 1);
-	assert_int_equal(out.starts[0].machine, 0);
-	assert_int_equal(out.short_of[0], 0);
-	fl_sched_free(&out);
+	assert_int_equal(fl_schedule(&input, &output), 0);
+	assert_int_equal(output.preemption_count, 1);
+	assert_int_equal(output.preemptions[0], 0);
+	assert_int_equal(output.start_count, 1);
+	assert_int_equal(output.starts[0].machine, 0);
+	assert_int_equal(output.unplaced_tasks[0], 0);
+	fl_sched_output_free(&output);
 	/* Capacity about to become free is not requested again, and no other is used. */
 	job.waiting = 1;
 	memset(job.placed_by_zone, 0, sizeof(job.placed_by_zone));
 	machine[0].cpus = 4;
 	machine[1].cpus = 0;
 	runs[0].stopping = true;
-	assert_int_equal(fl_schedule(&in, &out), 0);
-	assert_int_equal(out.n_stops + out.n_starts, 0);
-	fl_sched_free(&out);
+	assert_int_equal(fl_schedule(&input, &output), 0);
+	assert_int_equal(output.preemption_count + output.start_count, 0);
+	fl_sched_output_free(&output);
 	/* It has not become free in the time that a fetch takes. */
 	job.waited_s = 11;
 	machine[0].cpus = 4;
 	machine[1].cpus = 0;
-	assert_int_equal(fl_schedule(&in, &out), 0);
-	assert_int_equal(out.n_starts, 1);
-	assert_int_equal(out.starts[0].machine, 0);
-	fl_sched_free(&out);
+	assert_int_equal(fl_schedule(&input, &output), 0);
+	assert_int_equal(output.start_count, 1);
+	assert_int_equal(output.starts[0].machine, 0);
+	fl_sched_output_free(&output);
 }
 
 int main(void)
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -15,7 +15,7 @@
 static void capacity_about_to_become_free_is_not_requested_twice(void **state)
 {
 	struct snapshot snapshot = {.n_jobs = 1, .n_machines = 2, .n_runs = 2};
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 
 	(void)state;
 	snapshot.jobs[0] = plain_job(4, 1, 0, 1);
@@ -25,18 +25,18 @@
 	snapshot.machines[1] = plain_machine(0);
 	snapshot.runs[0] = plain_run(0, 4, 50);
 	snapshot.runs[1] = plain_run(1, 4, 50);
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.n_stops, 1);
-	fl_sched_free(&out);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.preemption_count, 1);
+	fl_sched_output_free(&output);
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.machines[1] = plain_machine(0);
 	snapshot.jobs[0].waiting = 1;
 	snapshot.jobs[0].placed_by_zone[0] = 0;
 	assert_true(snapshot.runs[0].stopping != snapshot.runs[1].stopping);
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.n_stops, 0);
-	assert_int_equal(out.short_of[0], 0);
-	fl_sched_free(&out);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.preemption_count, 0);
+	assert_int_equal(output.unplaced_tasks[0], 0);
+	fl_sched_output_free(&output);
 }
 
 /*
@@ -56,23 +56,23 @@
 	snapshot.jobs[1] = plain_job(10, 6, 100, 10);
 	snapshot.machines[0] = snapshot.machines[1] = plain_machine(32);
 	for (int passes = 0; passes < 40; passes++) {
-		struct fl_sched_out out;
+		struct fl_sched_output output;
 		int withheld = 0;
 
 		for (int i = 0; i < 2; i++) {
 			snapshot.machines[i].reserved = snapshot.machines[i].requested;
 			snapshot.machines[i].requested = (struct fl_reservation){0};
 		}
-		run_schedule(&snapshot, &out);
-		stops += out.n_stops;
-		for (int i = 0; i < out.n_starts; i++) {
-			const struct fl_sched_job *job = &snapshot.jobs[out.starts[i].job];
-			struct fl_sched_run run =
-				plain_run(out.starts[i].machine, job->cpus, job->estimate_s);
+		run_schedule(&snapshot, &output);
+		stops += output.preemption_count;
+		for (int i = 0; i < output.start_count; i++) {
+			const struct fl_sched_job *job = &snapshot.jobs[output.starts[i].job];
+			struct fl_sched_attempt run =
+				plain_run(output.starts[i].machine, job->cpus, job->estimate_s);
 
 			run.priority = job->priority;
 			snapshot.runs[snapshot.n_runs++] = run;
-			*(out.starts[i].job ? &high : &low) += 1;
+			*(output.starts[i].job ? &high : &low) += 1;
 		}
 		/* What is stopped has ended by the next pass; capacity is counted anew. */
 		for (int i = 0; i < snapshot.n_runs; i++)
@@ -85,7 +85,7 @@
 			snapshot.machines[i].cpus = 32;
 		for (int i = 0; i < snapshot.n_runs; i++)
 			snapshot.machines[snapshot.runs[i].machine].cpus -= snapshot.runs[i].cpus;
-		fl_sched_free(&out);
+		fl_sched_output_free(&output);
 	}
 	assert_int_equal(high, 6);
 	/* Ten filled the machines; what was stopped for six tasks may have started once more. */
@@ -96,7 +96,7 @@
 static void guaranteed_work_is_not_stopped_for_what_it_could_stop(void **state)
 {
 	struct snapshot snapshot = {.n_jobs = 1, .n_machines = 1, .n_runs = 1};
-	struct fl_sched_out out;
+	struct fl_sched_output output;
 
 	(void)state;
 	snapshot.teams[1].guaranteed_cpus = 8;
@@ -108,16 +108,16 @@
 	snapshot.runs[0].priority = FL_BEST_EFFORT;
 	snapshot.runs[0].team = 1;
 	snapshot.runs[0].within_guaranteed = true;
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.n_stops, 0);
-	fl_sched_free(&out);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.preemption_count, 0);
+	fl_sched_output_free(&output);
 	/* Beyond the guarantee it gives way to the higher priority. */
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.jobs[0].waiting = 1;
 	snapshot.runs[0].within_guaranteed = false;
-	run_schedule(&snapshot, &out);
-	assert_int_equal(out.n_stops, 1);
-	fl_sched_free(&out);
+	run_schedule(&snapshot, &output);
+	assert_int_equal(output.preemption_count, 1);
+	fl_sched_output_free(&output);
 }
 
 int main(void)
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -35,24 +35,24 @@
 	snapshot.machines[0] = plain_machine(32);
 	snapshot.runs[0] = plain_run(0, 60, 1000);
 	do {
-		struct fl_sched_in in = {.params = &fl_sched_defaults,
-		                         .jobs = snapshot.jobs,
-		                         .n_jobs = snapshot.n_jobs,
-		                         .machines = snapshot.machines,
-		                         .n_machines = 1,
-		                         .runs = snapshot.runs,
-		                         .n_runs = 1,
-		                         .teams = snapshot.teams,
-		                         .resume = resume,
-		                         .out_of_time = allowance_spent};
-		struct fl_sched_out out;
+		struct fl_sched_input input = {.params = &fl_sched_defaults,
+		                               .jobs = snapshot.jobs,
+		                               .job_count = snapshot.n_jobs,
+		                               .machines = snapshot.machines,
+		                               .machine_count = 1,
+		                               .attempts = snapshot.runs,
+		                               .attempt_count = 1,
+		                               .teams = snapshot.teams,
+		                               .resume_position = resume,
+		                               .out_of_time = allowance_spent};
+		struct fl_sched_output output;
 
 		allowance = 3;
-		assert_int_equal(fl_schedule(&in, &out), 0);
-		for (int i = 0; i < out.n_starts; i++)
-			started[out.starts[i].job] = true;
-		resume = out.resume;
-		fl_sched_free(&out);
+		assert_int_equal(fl_schedule(&input, &output), 0);
+		for (int i = 0; i < output.start_count; i++)
+			started[output.starts[i].job] = true;
+		resume = output.resume_position;
+		fl_sched_output_free(&output);
 		passes++;
 	} while (resume != 0 && passes < 20);
 	assert_true(passes > 2 && passes < 20);
@@ -86,7 +86,7 @@
 /* The input of one pass, and the arrival or slot of each of its jobs and runs. */
 static struct {
 	struct fl_sched_machine machines[SLOTS];
-	struct fl_sched_run runs[SLOTS];
+	struct fl_sched_attempt runs[SLOTS];
 	struct fl_sched_job jobs[QUEUE];
 	int of_job[QUEUE], of_run[SLOTS];
 	struct fl_team used[TEAMS];
@@ -113,10 +113,10 @@
 }
 
 /* The machines, and the tasks on them that have not ended yet. */
-static void fill_machines(struct load *load, struct fl_sched_in *in, int now)
+static void fill_machines(struct load *load, struct fl_sched_input *input, int now)
 {
 	for (int i = 0; i < SLOTS; i++) {
-		struct fl_sched_run *run = &pass_input.runs[in->n_runs];
+		struct fl_sched_attempt *attempt = &pass_input.runs[input->attempt_count];
 
 		pass_input.machines[i] = plain_machine(1);
 		if (load->running[i] >= 0 && load->until[i] <= now)
@@ -124,28 +124,28 @@
 		if (load->running[i] < 0)
 			continue;
 		pass_input.machines[i].cpus = 0;
-		*run = plain_run(i, 1, load->until[i] - now);
-		run->priority = load->arrival[load->running[i]].job.priority;
-		run->team = load->arrival[load->running[i]].job.team;
-		run->lost_s = 1;
-		pass_input.of_run[in->n_runs++] = i;
-		pass_input.used[run->team].used_cpus += 1;
+		*attempt = plain_run(i, 1, load->until[i] - now);
+		attempt->priority = load->arrival[load->running[i]].job.priority;
+		attempt->team = load->arrival[load->running[i]].job.team;
+		attempt->lost_s = 1;
+		pass_input.of_run[input->attempt_count++] = i;
+		pass_input.used[attempt->team].used_cpus += 1;
 	}
 }
 
-static void fill_jobs(const struct load *load, struct fl_sched_in *in, int now)
+static void fill_jobs(const struct load *load, struct fl_sched_input *input, int now)
 {
 	for (int i = 0; i < load->node; i++) {
-		struct fl_sched_job *job = &pass_input.jobs[in->n_jobs];
+		struct fl_sched_job *job = &pass_input.jobs[input->job_count];
 
 		if (load->arrival[i].job.waiting == 0)
 			continue;
 		*job = load->arrival[i].job;
 		job->waited_s = now - load->arrival[i].at;
 		job->begun = load->arrival[i].started > 0;
-		pass_input.of_job[in->n_jobs++] = i;
+		pass_input.of_job[input->job_count++] = i;
 	}
-	for (int r = 0; r < in->n_runs; r++) {
+	for (int r = 0; r < input->attempt_count; r++) {
 		int at = load->running[pass_input.of_run[r]], held = 0;
 
 		for (int i = 0; i < SLOTS; i++)
@@ -155,22 +155,22 @@
 	}
 }
 
-static void apply_decisions(struct load *load, const struct fl_sched_out *out, int now)
+static void apply_decisions(struct load *load, const struct fl_sched_output *output, int now)
 {
-	for (int k = 0; k < out->n_starts; k++) {
-		struct arrival *arrival = &load->arrival[pass_input.of_job[out->starts[k].job]];
-		int slot = out->starts[k].machine;
+	for (int k = 0; k < output->start_count; k++) {
+		struct arrival *arrival = &load->arrival[pass_input.of_job[output->starts[k].job]];
+		int slot = output->starts[k].machine;
 
 		assert_int_equal(load->running[slot], -1);
-		load->running[slot] = pass_input.of_job[out->starts[k].job];
+		load->running[slot] = pass_input.of_job[output->starts[k].job];
 		load->until[slot] = now + arrival->job.estimate_s;
 		arrival->job.waiting--;
 		arrival->started++;
 		if (arrival->begun < 0)
 			arrival->begun = now;
 	}
-	for (int k = 0; k < out->n_stops; k++) {
-		int slot = pass_input.of_run[out->stops[k]];
+	for (int k = 0; k < output->preemption_count; k++) {
+		int slot = pass_input.of_run[output->preemptions[k]];
 		struct arrival *arrival = &load->arrival[load->running[slot]];
 
 		arrival->job.waiting++;
@@ -188,21 +188,21 @@
 	for (int i = 0; i < SLOTS; i++)
 		load->running[i] = -1;
 	for (int now = 0; now < SECONDS; now++) {
-		struct fl_sched_in in = {.params = &fl_sched_defaults,
-		                         .jobs = pass_input.jobs,
-		                         .machines = pass_input.machines,
-		                         .n_machines = SLOTS,
-		                         .runs = pass_input.runs,
-		                         .teams = pass_input.used};
-		struct fl_sched_out out;
+		struct fl_sched_input input = {.params = &fl_sched_defaults,
+		                               .jobs = pass_input.jobs,
+		                               .machines = pass_input.machines,
+		                               .machine_count = SLOTS,
+		                               .attempts = pass_input.runs,
+		                               .teams = pass_input.used};
+		struct fl_sched_output output;
 
 		add_arrivals(load, streams, next, now);
 		memcpy(pass_input.used, teams, sizeof(pass_input.used));
-		fill_machines(load, &in, now);
-		fill_jobs(load, &in, now);
-		assert_int_equal(fl_schedule(&in, &out), 0);
-		apply_decisions(load, &out, now);
-		fl_sched_free(&out);
+		fill_machines(load, &input, now);
+		fill_jobs(load, &input, now);
+		assert_int_equal(fl_schedule(&input, &output), 0);
+		apply_decisions(load, &output, now);
+		fl_sched_output_free(&output);
 	}
 }
 
--- a/tests/test_pass.c
+++ b/tests/test_scheduling_cycle.c
@@ -4,14 +4,14 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-#include "coordination/pass.h"
+#include "coordination/scheduling_cycle.h"
 
 static const double lean_share = 0.03, seconds = 60;
 
 /* The part of the processor that passes use which take this long, one after the other. */
 static double part_used(double core_share, double processor_s)
 {
-	double gap = fl_pass_gap_s(core_share, processor_s, processor_s);
+	double gap = fl_scheduling_cycle_gap_s(core_share, processor_s, processor_s);
 
 	return seconds / gap * processor_s / (seconds * core_share);
 }
@@ -32,18 +32,18 @@
 static void no_pass_waits_for_more_than_a_second(void **state)
 {
 	(void)state;
-	assert_true(fl_pass_gap_s(lean_share, 0.5, 0.5) <= 1);
-	assert_true(fl_pass_gap_s(lean_share, 0, 0) <= 0.1);
+	assert_true(fl_scheduling_cycle_gap_s(lean_share, 0.5, 0.5) <= 1);
+	assert_true(fl_scheduling_cycle_gap_s(lean_share, 0, 0) <= 0.1);
 }
 
 /* A pass that uses up its budget each second leaves as much to other work, too. */
 static void a_pass_stops_within_its_part_of_the_share(void **state)
 {
 	(void)state;
-	assert_true(fl_pass_budget_s(lean_share) < 0.51 * lean_share);
-	assert_true(fl_pass_budget_s(lean_share) > 0);
-	assert_true(fl_pass_budget_s(1) >= fl_pass_budget_s(lean_share));
-	assert_true(fl_pass_budget_s(64) <= 0.03);
+	assert_true(fl_scheduling_cycle_budget_s(lean_share) < 0.51 * lean_share);
+	assert_true(fl_scheduling_cycle_budget_s(lean_share) > 0);
+	assert_true(fl_scheduling_cycle_budget_s(1) >= fl_scheduling_cycle_budget_s(lean_share));
+	assert_true(fl_scheduling_cycle_budget_s(64) <= 0.03);
 }
 
 int main(void)
