--- a/src/config.h
+++ b/src/config.h
@@ -11,7 +11,7 @@
 	FL_CONFIG_PEERS = 16,
 	FL_CONFIG_ZONES = 8,
 	FL_CONFIG_TEAMS = 64,
-	FL_CONFIG_OBJECTIVES = 64
+	FL_CONFIG_SLOS = 64
 };
 
 /* Another controller. */
@@ -26,7 +26,7 @@
 };
 
 /* A service objective: the share of jobs of a class that is to meet a time. */
-struct fl_config_objective {
+struct fl_config_slo {
 	char kind[FL_CONFIG_NAME], job_class[FL_CONFIG_NAME];
 	double within_s, share;
 };
@@ -37,13 +37,13 @@
 	char bind[FL_CONFIG_NAME], cluster_listen[FL_CONFIG_NAME];
 	char cloud[FL_CONFIG_NAME], state[FL_CONFIG_NAME];
 	struct fl_config_peer peers[FL_CONFIG_PEERS];
-	int n_peers;
+	int peer_count;
 	char zones[FL_CONFIG_ZONES][FL_CONFIG_NAME];
-	int n_zones;
+	int zone_count;
 	struct fl_config_team teams[FL_CONFIG_TEAMS];
-	int n_teams;
-	struct fl_config_objective objectives[FL_CONFIG_OBJECTIVES];
-	int n_objectives;
+	int team_count;
+	struct fl_config_slo slos[FL_CONFIG_SLOS];
+	int slo_count;
 	double report_s, lease_s, cancel_s;
 	double state_rps, state_write_rps, value_kb;
 	int txn_ops;
--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -52,7 +52,7 @@
 	return true;
 }
 
-bool fl_admission_tight(const struct fl_config *c, int at, char *text, size_t cap)
+bool fl_admission_tight_setting(const struct fl_config *c, int at, char *text, size_t cap)
 {
 	bool (*const checks[])(const struct fl_config *, char *, size_t) = {tight_memory,
 	                                                                    tight_processor};
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -18,6 +18,6 @@
  * A text that names a tight setting and what it costs; false: none is. `at` counts from 0, so that
  * all of them can be had.
  */
-bool fl_admission_tight(const struct fl_config *c, int at, char *text, size_t cap);
+bool fl_admission_tight_setting(const struct fl_config *c, int at, char *text, size_t cap);
 
 #endif
--- a/src/coordination/election.c
+++ b/src/coordination/election.c
@@ -236,7 +236,7 @@
 	int place = 0;
 
 	fl_urgent();
-	for (int i = 0; i < n->n_peers; i++)
+	for (int i = 0; i < n->peer_count; i++)
 		place += strcmp(n->peers[i].name, n->config->node) < 0;
 	while (!fl_cancelled()) {
 		double pause;
@@ -251,8 +251,8 @@
 		} else {
 			if (n->leadership.active)
 				fl_leadership_end(n);
-			pause = n->types_known && n->jobs_known ? campaign(n, place)
-			                                        : tunables.retry_s;
+			pause = n->machine_types_known && n->jobs_known ? campaign(n, place)
+			                                                : tunables.retry_s;
 		}
 		if (pause > 0 && fl_signal_wait(&n->leadership_changed, pause) == -ECANCELED)
 			break;
@@ -308,7 +308,7 @@
 
 void fl_election_start(struct fl_node *n)
 {
-	n->leadership_confirmed_at = n->cancellations_known_until = LONG_AGO;
+	n->leadership_confirmed_at = n->cancellation_watermark = LONG_AGO;
 	fl_spawn(election_coroutine, n);
 	fl_spawn(watch_coroutine, n);
 }
--- a/src/coordination/failover.c
+++ b/src/coordination/failover.c
@@ -128,7 +128,7 @@
 	if (!rc) {
 		fl_cluster_list_end(&n->cluster, revision);
 		n->cluster.list_revision = revision;
-		n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
+		n->cancellation_watermark = fmax(n->cancellation_watermark, sent);
 		rc = fl_kv_list(&n->kv_store, FL_PREFIX_WAL, load_wal_value, &load, &revision);
 	}
 	if (!rc && !n->election.lease_held)
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -43,7 +43,7 @@
 {
 	double last = last_contact(n, m), slack = tunables.zone_slack_s;
 
-	for (int i = 0; i < n->n_peers; i++) {
+	for (int i = 0; i < n->peer_count; i++) {
 		const struct fl_peer *peer = &n->peers[i];
 
 		if (m->zone >= 0 && !peer->up &&
@@ -87,7 +87,7 @@
  */
 static bool controllers_stable(const struct fl_node *n, double now)
 {
-	for (int i = 0; i < n->n_peers; i++)
+	for (int i = 0; i < n->peer_count; i++)
 		if (!n->peers[i].up || now < n->peers[i].up_since + n->config->lease_s)
 			return false;
 	return now > n->leadership.heartbeats_since + n->config->lease_s;
--- a/src/coordination/follower.c
+++ b/src/coordination/follower.c
@@ -41,14 +41,14 @@
 	return n->fencing_token > 0 && n->fencing_token >= fencing_token;
 }
 
-static bool knows_jobs(const struct fl_node *n)
+static bool watermark_is_fresh(const struct fl_node *n)
 {
-	return fl_now() - n->cancellations_known_until <= fl_follower_renewal_window_s(n);
+	return fl_now() - n->cancellation_watermark <= fl_follower_renewal_window_s(n);
 }
 
-static bool has_proof(const struct fl_node *n, uint64_t fencing_token)
+static bool may_vouch(const struct fl_node *n, uint64_t fencing_token)
 {
-	return has_fencing_token(n, fencing_token) && knows_jobs(n);
+	return has_fencing_token(n, fencing_token) && watermark_is_fresh(n);
 }
 
 /*
@@ -57,7 +57,8 @@
  * long ago that it may outlive its time with another lease is therefore nobody's to renew; and a
  * cancellation that this node has not heard of is younger than what it knows of the jobs.
  */
-static bool holds_overdue(const struct fl_node *n, const struct fl_heartbeat *heartbeat)
+static bool holds_overdue_cancelled_task(const struct fl_node *n,
+                                         const struct fl_heartbeat *heartbeat)
 {
 	double before = fl_now() - fl_follower_renewal_window_s(n);
 
@@ -118,17 +119,17 @@
 {
 	double until = fl_now() + tunables.refresh_wait_s;
 
-	if (has_proof(n, fencing_token))
+	if (may_vouch(n, fencing_token))
 		return true;
 	if (!has_fencing_token(n, fencing_token))
 		refresh_fencing_token(n, until);
 	if (has_fencing_token(n, fencing_token) && !n->jobs_known && fl_now() < until)
 		fl_signal_wait(&n->jobs_listed, until - fl_now());
-	return has_proof(n, fencing_token);
+	return may_vouch(n, fencing_token);
 }
 
-static void answer_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat,
-                           struct fl_response *resp)
+static void respond_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+                            struct fl_response *resp)
 {
 	struct fl_command_list commands;
 
@@ -136,14 +137,14 @@
 		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
 		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
 		         (unsigned long long)n->fencing_token,
-		         fl_now() - n->cancellations_known_until);
-		fl_refuse(resp, 503, "no proof of the epoch");
+		         fl_now() - n->cancellation_watermark);
+		fl_respond_error(resp, 503, "no proof of the epoch");
 		return;
 	}
 	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
-	if (holds_overdue(n, heartbeat)) {
+	if (holds_overdue_cancelled_task(n, heartbeat)) {
 		fl_debug("standby", "%s is refused: it holds what is cancelled", heartbeat->host);
-		fl_refuse(resp, 503, "a cancelled job's task is there");
+		fl_respond_error(resp, 503, "a cancelled job's task is there");
 		return;
 	}
 	fl_command_list_init(&commands, n->fencing_token);
@@ -159,9 +160,9 @@
 {
 	double last = fl_gossip_last_heard(n);
 
-	if (n->n_peers == 0 || !fl_kv_is_unavailable(&n->kv_store))
+	if (n->peer_count == 0 || !fl_kv_is_unavailable(&n->kv_store))
 		return false;
-	for (int i = 0; i < n->n_peers; i++)
+	for (int i = 0; i < n->peer_count; i++)
 		if (n->peers[i].up)
 			return false;
 	if (n->kv_store.last_success_at > last)
@@ -178,7 +179,8 @@
 	fl_command_list_init(&commands, n->election.fencing_token);
 	rc = fl_reconcile_heartbeat(n, heartbeat, &commands, FL_HEARTBEAT_FROM_WORKER);
 	/* What is only answered, not taken in, gets no stop either: see holds_overdue. */
-	if (rc == 0 && knows_jobs(n) && (commands.count > 0 || !holds_overdue(n, heartbeat))) {
+	if (rc == 0 && watermark_is_fresh(n) &&
+	    (commands.count > 0 || !holds_overdue_cancelled_task(n, heartbeat))) {
 		/* The same report relayed twice, or from before this leadership. */
 		if (commands.count == 0)
 			stop_cancelled(n, heartbeat, &commands);
@@ -186,10 +188,11 @@
 		resp->body = fl_command_list_take(&commands);
 	} else {
 		cJSON_Delete(commands.root);
-		fl_refuse(resp, 503,
-		          rc               ? "this machine is not known any more"
-		          : !knows_jobs(n) ? "the jobs have not been heard of for too long"
-		                           : "a cancelled job's task is there");
+		fl_respond_error(resp, 503,
+		                 rc ? "this machine is not known any more"
+		                 : !watermark_is_fresh(n)
+		                         ? "the jobs have not been heard of for too long"
+		                         : "a cancelled job's task is there");
 	}
 }
 
@@ -201,7 +204,7 @@
 
 	if (fl_heartbeat_decode(body, len, &heartbeat) != 0) {
 		fl_error("workers", "what came by a worker's way is no report");
-		fl_refuse(resp, 400, "not a report");
+		fl_respond_error(resp, 400, "not a report");
 		return;
 	}
 	heartbeat.entry_node = fl_node_index(n, n->config->node);
@@ -213,7 +216,7 @@
 	} else if (fl_is_leader(n)) {
 		fl_follower_reply_as_leader(n, &heartbeat, resp);
 	} else if (fl_heartbeat_forward(n, body, len, resp) != 0) {
-		answer_renewal(n, &heartbeat, resp);
+		respond_renewal(n, &heartbeat, resp);
 	}
 	fl_heartbeat_free(&heartbeat);
 }
--- a/src/coordination/forwarding.c
+++ b/src/coordination/forwarding.c
@@ -16,7 +16,7 @@
 
 struct fl_peer *fl_peer_find(struct fl_node *n, const char *name)
 {
-	for (int i = 0; i < n->n_peers; i++)
+	for (int i = 0; i < n->peer_count; i++)
 		if (strcmp(n->peers[i].name, name) == 0)
 			return &n->peers[i];
 	return NULL;
@@ -55,7 +55,7 @@
 }
 
 int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *ctx,
-               enum fl_hop hop, double patience_s, struct fl_reply *out)
+               enum fl_forward_hop hop, double patience_s, struct fl_reply *out)
 {
 	struct fl_peer *leader = fl_peer_find(n, n->leader_name);
 	double until = fl_now() + patience_s;
@@ -64,7 +64,7 @@
 
 	if (!leader)
 		return rc;
-	if (leader->up || n->n_peers == 1) {
+	if (leader->up || n->peer_count == 1) {
 		text = encode(ctx, true, false);
 		rc = forward_via(leader, path, text,
 		                 hop ? patience_s : fmin(tunables.direct_s, patience_s), out);
@@ -73,7 +73,7 @@
 	if (rc == 0 || hop)
 		return rc;
 	text = encode(ctx, false, fl_kv_is_unavailable(&n->kv_store));
-	for (int i = 0; i < n->n_peers && rc != 0; i++) {
+	for (int i = 0; i < n->peer_count && rc != 0; i++) {
 		struct fl_peer *peer = &n->peers[i];
 
 		if (peer != leader && peer->up)
--- a/src/coordination/forwarding.h
+++ b/src/coordination/forwarding.h
@@ -12,7 +12,7 @@
 struct fl_peer;
 
 /* Where a call stands: it came from outside, or from a node that asks only this one. */
-enum fl_hop { FL_FIRST_HOP, FL_LAST_HOP };
+enum fl_forward_hop { FL_HOP_FIRST, FL_HOP_LAST };
 
 /*
  * Makes the text of a relayed message, to be freed. `last_hop`: the receiver must not pass it on;
@@ -28,6 +28,6 @@
 bool fl_forward_ends_here(const struct fl_node *n, bool last_hop);
 /* Passes a message to the leader, direct or through a third node: 0 and the answer, or an errno. */
 int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *ctx,
-               enum fl_hop hop, double patience_s, struct fl_reply *out);
+               enum fl_forward_hop hop, double patience_s, struct fl_reply *out);
 
 #endif
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -24,25 +24,26 @@
 {
 	double last = -1e9;
 
-	for (int i = 0; i < n->n_peers; i++)
+	for (int i = 0; i < n->peer_count; i++)
 		if (n->peers[i].last_heard_at > last)
 			last = n->peers[i].last_heard_at;
 	return last;
 }
 
-static void learn_cancelled(struct fl_node *n, const struct fl_gossip *g)
+static void learn_cancelled(struct fl_node *n, const struct fl_gossip *gossip)
 {
-	for (int i = 0; i < g->n_cancelled; i++) {
-		const struct fl_cancelled *c = &g->cancelled[i];
+	for (int i = 0; i < gossip->cancelled_count; i++) {
+		const struct fl_cancellation *cancellation = &gossip->cancelled[i];
 		struct fl_job *job;
 
-		if (fl_finished_job_find(&n->cluster, c->ref))
+		if (fl_finished_job_find(&n->cluster, cancellation->ref))
 			continue;
-		fl_cluster_learn_cancelled(&n->cluster, c->ref, fl_now() - c->age_s);
-		job = n->leadership.active ? fl_job_find(&n->cluster, c->ref) : NULL;
+		fl_cluster_learn_cancelled(&n->cluster, cancellation->ref,
+		                           fl_now() - cancellation->age_s);
+		job = n->leadership.active ? fl_job_find(&n->cluster, cancellation->ref) : NULL;
 		if (job)
 			fl_command_stop_job(n, job);
-		fl_info("jobs", "%s is cancelled, says %s", c->ref, g->node);
+		fl_info("jobs", "%s is cancelled, says %s", cancellation->ref, gossip->node);
 	}
 }
 
@@ -53,39 +54,40 @@
  * whatever the state service does meanwhile. A process that has not read the jobs itself since it
  * started speaks for nobody: the one before it may have told a user.
  */
-static void learn(struct fl_node *n, struct fl_peer *peer, const struct fl_gossip *g, double sent)
+static void learn(struct fl_node *n, struct fl_peer *peer, const struct fl_gossip *gossip,
+                  double sent)
 {
 	double all = sent;
 
-	learn_cancelled(n, g);
+	learn_cancelled(n, gossip);
 	/* Standing still after it was said how old our knowledge is, we were told too little. */
-	if (!g->complete || !n->jobs_known ||
+	if (!gossip->complete || !n->jobs_known ||
 	    fl_now() > sent + tunables.gossip_wait_s + tunables.gossip_slack_s / 2)
 		return;
-	peer->sent_all_at = sent;
-	for (int i = 0; i < n->n_peers; i++)
-		all = fmin(all, n->peers[i].sent_all_at);
-	n->cancellations_known_until =
-		fmax(n->cancellations_known_until, fmax(all, sent - g->known_age_s));
+	peer->complete_as_of = sent;
+	for (int i = 0; i < n->peer_count; i++)
+		all = fmin(all, n->peers[i].complete_as_of);
+	n->cancellation_watermark =
+		fmax(n->cancellation_watermark, fmax(all, sent - gossip->watermark_age_s));
 }
 
-static void learn_leadership(struct fl_node *n, const struct fl_gossip *g, double sent)
+static void learn_leadership(struct fl_node *n, const struct fl_gossip *gossip, double sent)
 {
-	double proof = sent - g->proof_age_s;
+	double proof = sent - gossip->leadership_age_s;
 
-	if (g->fencing_token < n->fencing_token || g->fencing_token == 0)
+	if (gossip->fencing_token < n->fencing_token || gossip->fencing_token == 0)
 		return;
 	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
 	 */
-	if (g->fencing_token > n->fencing_token && n->election.lease_held) {
-		if (fl_election_lease_valid(n) || strcmp(g->leader, n->config->node) == 0)
+	if (gossip->fencing_token > n->fencing_token && n->election.lease_held) {
+		if (fl_election_lease_valid(n) || strcmp(gossip->leader, n->config->node) == 0)
 			return;
 		fl_election_step_down(n, "a peer knows a higher epoch");
 	}
-	if (g->fencing_token > n->fencing_token || proof > n->leadership_confirmed_at) {
-		n->fencing_token = g->fencing_token;
-		if (g->leader[0])
-			fl_copy_string(n->leader_name, sizeof(n->leader_name), g->leader);
+	if (gossip->fencing_token > n->fencing_token || proof > n->leadership_confirmed_at) {
+		n->fencing_token = gossip->fencing_token;
+		if (gossip->leader[0])
+			fl_copy_string(n->leader_name, sizeof(n->leader_name), gossip->leader);
 		if (proof > n->leadership_confirmed_at)
 			n->leadership_confirmed_at = proof;
 	}
@@ -94,7 +96,7 @@
 static double age(double at) { return fmin(1e6, fmax(0, fl_now() - at)); }
 
 /* What this node has learned since `since`, for an answer that can be relied on. */
-static void add_cancelled(const struct fl_node *n, double since, struct fl_gossip *g)
+static void add_cancelled(const struct fl_node *n, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
 	int count =
@@ -102,49 +104,51 @@
 
 	if (!n->jobs_known || count < 0)
 		return;
-	g->cancelled = calloc((size_t)count + 1, sizeof(*g->cancelled));
-	if (!g->cancelled)
+	gossip->cancelled = calloc((size_t)count + 1, sizeof(*gossip->cancelled));
+	if (!gossip->cancelled)
 		return;
-	g->complete = true;
-	g->n_cancelled = count;
+	gossip->complete = true;
+	gossip->cancelled_count = count;
 	for (int i = 0; i < count; i++) {
-		fl_copy_string(g->cancelled[i].ref, sizeof(g->cancelled[i].ref), list[i]->ref);
-		g->cancelled[i].age_s = age(list[i]->cancelled_at);
+		fl_copy_string(gossip->cancelled[i].ref, sizeof(gossip->cancelled[i].ref),
+		               list[i]->ref);
+		gossip->cancelled[i].age_s = age(list[i]->cancelled_at);
 	}
 }
 
-static void describe_self(struct fl_node *n, struct fl_gossip *g)
+static void describe_self(struct fl_node *n, struct fl_gossip *gossip)
 {
-	memset(g, 0, sizeof(*g));
-	fl_copy_string(g->node, sizeof(g->node), n->config->node);
-	fl_copy_string(g->leader, sizeof(g->leader), n->leader_name);
-	g->fencing_token = n->fencing_token;
-	g->proof_age_s = age(n->leadership_confirmed_at);
-	g->known_age_s = age(n->cancellations_known_until);
-	g->leads = fl_election_lease_valid(n);
+	memset(gossip, 0, sizeof(*gossip));
+	fl_copy_string(gossip->node, sizeof(gossip->node), n->config->node);
+	fl_copy_string(gossip->leader, sizeof(gossip->leader), n->leader_name);
+	gossip->fencing_token = n->fencing_token;
+	gossip->leadership_age_s = age(n->leadership_confirmed_at);
+	gossip->watermark_age_s = age(n->cancellation_watermark);
+	gossip->is_leader = fl_election_lease_valid(n);
 }
 
 void fl_gossip_serve(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
 {
-	struct fl_gossip g;
+	struct fl_gossip gossip;
 	double since;
 
-	if (fl_gossip_decode(body, len, &g) != 0) {
+	if (fl_gossip_decode(body, len, &gossip) != 0) {
 		fl_error("peers", "a message that is not gossip");
-		fl_refuse(resp, 400, "not gossip");
+		fl_respond_error(resp, 400, "not gossip");
 		return;
 	}
 	/*
 	 * No proof from here: a request may have been held back on its way for minutes. But then
 	 * nobody waits for the answer any more, so the asker's age was this at most a wait ago.
 	 */
-	since = fl_now() - g.known_age_s - tunables.gossip_wait_s - tunables.gossip_slack_s;
-	fl_gossip_free(&g);
-	describe_self(n, &g);
-	add_cancelled(n, since, &g);
+	since = fl_now() - gossip.watermark_age_s - tunables.gossip_wait_s -
+	        tunables.gossip_slack_s;
+	fl_gossip_free(&gossip);
+	describe_self(n, &gossip);
+	add_cancelled(n, since, &gossip);
 	resp->status = 200;
-	resp->body = fl_gossip_encode(&g);
-	fl_gossip_free(&g);
+	resp->body = fl_gossip_encode(&gossip);
+	fl_gossip_free(&gossip);
 }
 
 char *fl_gossip_request(struct fl_node *n)
@@ -200,8 +204,8 @@
 
 void fl_gossip_start(struct fl_node *n)
 {
-	for (int i = 0; i < n->n_peers; i++) {
-		n->peers[i].last_heard_at = n->peers[i].sent_all_at = -1e9;
+	for (int i = 0; i < n->peer_count; i++) {
+		n->peers[i].last_heard_at = n->peers[i].complete_as_of = -1e9;
 		fl_spawn(gossip_coroutine, &n->peers[i]);
 	}
 }
--- a/src/coordination/heartbeat_forwarding.c
+++ b/src/coordination/heartbeat_forwarding.c
@@ -44,7 +44,7 @@
 	struct heartbeat_batch *b = (struct heartbeat_batch *)batch;
 	struct message message = {b->heartbeats, n->config->node};
 	struct fl_reply reply;
-	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &message, FL_FIRST_HOP,
+	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &message, FL_HOP_FIRST,
 	                    tunables.patience_s, &reply);
 
 	if (rc)
@@ -99,8 +99,8 @@
 
 int fl_heartbeat_forward(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
 {
-	const struct fl_batch_terms terms = {tunables.in_flight, tunables.wait_s,
-	                                     tunables.patience_s, exchange};
+	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
+	                                      tunables.patience_s, exchange};
 	struct fl_batch_queue *q = &n->heartbeat_forwards;
 	struct heartbeat_batch *batch;
 	bool began;
@@ -114,7 +114,7 @@
 	at = batch->count++;
 	batch->bytes += len;
 	fl_heartbeat_list_add(batch->heartbeats, body);
-	rc = fl_batch_settle(n, q, &batch->batch, began, &terms);
+	rc = fl_batch_await(n, q, &batch->batch, began, &terms);
 	if (!rc)
 		rc = take_reply(&batch->replies[at], resp);
 	if (fl_batch_release(&batch->batch))
@@ -142,7 +142,7 @@
 			fl_heartbeat_free(&heartbeat);
 		} else {
 			fl_error("peers", "what came by %s is no report", message->entry_node);
-			fl_refuse(&one, 400, "not a report");
+			fl_respond_error(&one, 400, "not a report");
 		}
 		answers[count++] = (struct fl_heartbeat_reply){one.status, one.body};
 	}
@@ -172,7 +172,7 @@
 {
 	struct message again = {(cJSON *)message->list, message->entry_node};
 	struct fl_reply reply;
-	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &again, FL_LAST_HOP, tunables.patience_s,
+	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &again, FL_HOP_LAST, tunables.patience_s,
 	                    &reply);
 
 	if (rc == 0 && reply.status == 200) {
@@ -184,7 +184,7 @@
 		fl_buf_free(&reply.body);
 	if (message->disconnected)
 		cache_all(n, message);
-	fl_refuse(resp, 421, "not the leader");
+	fl_respond_error(resp, 421, "not the leader");
 }
 
 void fl_heartbeat_forward_serve(struct fl_node *n, const char *body, size_t len,
@@ -194,13 +194,13 @@
 
 	if (fl_peer_heartbeats_decode(body, len, &message) != 0) {
 		fl_error("peers", "what came as reports is none");
-		fl_refuse(resp, 400, "not reports");
+		fl_respond_error(resp, 400, "not reports");
 		return;
 	}
 	if (fl_is_leader(n))
 		answer_all(n, &message, resp);
 	else if (fl_forward_ends_here(n, message.last_hop))
-		fl_refuse(resp, 421, "not the leader");
+		fl_respond_error(resp, 421, "not the leader");
 	else
 		forward_again(n, &message, resp);
 	fl_peer_heartbeats_free(&message);
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -19,9 +19,9 @@
 
 void fl_job_lookups_init(struct fl_node *n)
 {
-	double rate = n->config->state_rps * tunables.share / (n->n_peers + 1);
+	double rate = n->config->state_rps * tunables.share / (n->peer_count + 1);
 
-	fl_token_bucket_init(&n->poll_reads, rate, rate * tunables.burst_s, fl_now());
+	fl_token_bucket_init(&n->status_read_budget, rate, rate * tunables.burst_s, fl_now());
 }
 
 /*
@@ -29,12 +29,12 @@
  * the 70 requests that the state service takes. The new leader's own reads were refused, and it was
  * 14 s before it led. Beyond their share polls are told to come again, at once.
  */
-bool fl_job_lookup_affords(struct fl_node *n, double requests)
+bool fl_job_lookup_within_budget(struct fl_node *n, double requests)
 {
 	/* While one leads, the others pass their polls on to it, and ask nothing themselves. */
 	if (fl_is_leader(n))
-		requests /= n->n_peers + 1;
-	return fl_token_bucket_take(&n->poll_reads, requests, fl_now()) <= 0;
+		requests /= n->peer_count + 1;
+	return fl_token_bucket_take(&n->status_read_budget, requests, fl_now()) <= 0;
 }
 
 static struct fl_job_lookup *create(const char *ref)
@@ -65,7 +65,7 @@
 /* The table's hold on it passes to the caller. */
 static void read_records(struct fl_node *n, struct fl_job_lookup *lookup)
 {
-	lookup->rc = fl_job_lookup_affords(n, tunables.reads)
+	lookup->rc = fl_job_lookup_within_budget(n, tunables.reads)
 	                     ? fl_job_record_read(&n->kv_store, lookup->ref, &lookup->record,
 	                                          &lookup->value, &lookup->mod_revision)
 	                     : -EAGAIN;
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/job_lookup.h
@@ -30,6 +30,6 @@
 int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *record, cJSON **v,
                        uint64_t *revision);
 /* May a poll make one more request to the state service now? */
-bool fl_job_lookup_affords(struct fl_node *n, double requests);
+bool fl_job_lookup_within_budget(struct fl_node *n, double requests);
 
 #endif
--- a/src/coordination/answer.c
+++ b/src/coordination/job_responses.c
@@ -1,4 +1,4 @@
-#include "coordination/answer.h"
+#include "coordination/job_responses.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -9,7 +9,8 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-static void say_final(struct fl_response *resp, const struct fl_finished_job *finished, bool counts)
+static void respond_finished_job(struct fl_response *resp, const struct fl_finished_job *finished,
+                                 bool counts)
 {
 	resp->status = 200;
 	resp->body = fl_status_encode(finished->ref, (enum fl_job_status)finished->status,
@@ -19,14 +20,14 @@
 	                              0);
 }
 
-static void say_cancelled(struct fl_response *resp, const char *ref)
+static void respond_cancelled(struct fl_response *resp, const char *ref)
 {
 	resp->status = 200;
 	resp->body = fl_status_encode(ref, FL_CANCELLED, -1, 0);
 }
 
 /* The record decides: for what this leader has not heard of, or has written and not confirmed. */
-static void poll_record(struct fl_node *n, const char *ref, struct fl_response *resp)
+static void respond_status_from_record(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
 	struct fl_job_record record;
 	struct fl_job *job;
@@ -37,11 +38,11 @@
 
 	if (finished) {
 		/* It came to its end while the record was on its way here. */
-		say_final(resp, finished, true);
+		respond_finished_job(resp, finished, true);
 	} else if (rc == -ENOENT) {
-		fl_refuse(resp, 404, "no such job");
+		fl_respond_error(resp, 404, "no such job");
 	} else if (rc != 0) {
-		fl_later(resp, "the state service does not answer");
+		fl_respond_unavailable(resp, "the state service does not answer");
 	} else if (record.final) {
 		job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 		if (job && v && revision > job->mod_revision)
@@ -62,7 +63,7 @@
 	cJSON_Delete(v);
 }
 
-struct fl_job_status_report fl_answer_from_memory(const struct fl_node *n, const char *ref)
+struct fl_job_status_report fl_job_status_from_memory(const struct fl_node *n, const char *ref)
 {
 	const struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
 	const struct fl_job *job = finished ? NULL : fl_job_find(&n->cluster, ref);
@@ -71,29 +72,30 @@
 		return (struct fl_job_status_report){
 			.known = true,
 			.status = (enum fl_job_status)finished->status,
-			.done = finished->status == FL_DONE ? finished->task_count : 0};
+			.done_count = finished->status == FL_DONE ? finished->task_count : 0};
 	/* While a final write is under way, another node may already know its outcome. */
 	if (!job || job->final_write_in_flight || job->final_write_unknown)
 		return (struct fl_job_status_report){0};
 	return (struct fl_job_status_report){.known = true,
 	                                     .status = fl_job_current_status(job),
-	                                     .done = job->done_count,
-	                                     .running = job->running_count};
+	                                     .done_count = job->done_count,
+	                                     .running_count = job->running_count};
 }
 
-void fl_answer_poll(struct fl_node *n, const char *ref, struct fl_response *resp)
+void fl_respond_job_status(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	struct fl_job_status_report state = fl_answer_from_memory(n, ref);
+	struct fl_job_status_report state = fl_job_status_from_memory(n, ref);
 
 	if (!state.known) {
-		poll_record(n, ref, resp);
+		respond_status_from_record(n, ref, resp);
 		return;
 	}
 	resp->status = 200;
-	resp->body = fl_status_encode(ref, state.status, state.done, state.running);
+	resp->body = fl_status_encode(ref, state.status, state.done_count, state.running_count);
 }
 
-static int write_cancel(struct fl_node *n, struct fl_job *job, double cancelled, uint64_t *revision)
+static int store_cancellation(struct fl_node *n, struct fl_job *job, double cancelled,
+                              uint64_t *revision)
 {
 	struct fl_kv_txn txn;
 	struct fl_job_spec spec;
@@ -108,7 +110,7 @@
 	return fl_kv_txn_commit(&n->kv_store, &txn, revision, NULL);
 }
 
-void fl_answer_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
+void fl_respond_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
 	struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
 	struct fl_job *job = finished ? NULL : fl_job_find(&n->cluster, ref);
@@ -119,7 +121,7 @@
 	int rc;
 
 	if (!finished && !job) {
-		poll_record(n, ref, resp);
+		respond_status_from_record(n, ref, resp);
 		job = fl_job_find(&n->cluster, ref);
 		if (resp->status != 200 || !job)
 			return;
@@ -127,23 +129,23 @@
 		resp->body = NULL;
 	}
 	if (finished) {
-		say_final(resp, finished, false);
+		respond_finished_job(resp, finished, false);
 		return;
 	}
 	if (job->final_write_unknown && !job->final_write_in_flight)
 		fl_record_writer_reread_job(n, ref, &done, &status);
 	job = fl_is_leader(n) ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && job->cancelled) {
-		say_cancelled(resp, ref);
+		respond_cancelled(resp, ref);
 		return;
 	}
 	if (!job || job->final_write_in_flight || job->final_write_unknown) {
-		fl_later(resp, "the job's state is being written");
+		fl_respond_unavailable(resp, "the job's state is being written");
 		return;
 	}
-	/* Till this is answered, only the record knows: see fl_answer_poll. */
+	/* Till this is answered, only the record knows: see fl_respond_job_status. */
 	job->final_write_unknown = true;
-	rc = write_cancel(n, job, record.cancelled_wall, &revision);
+	rc = store_cancellation(n, job, record.cancelled_wall, &revision);
 	job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && rc == 0) {
 		fl_cluster_apply_cancellation(&n->cluster, job, &record, revision);
@@ -158,10 +160,10 @@
 	}
 	finished = fl_finished_job_find(&n->cluster, ref);
 	if (finished)
-		say_final(resp, finished, false);
+		respond_finished_job(resp, finished, false);
 	else if (rc == 0)
 		/* Stored, though this node leads no more: the next leader stops its tasks. */
-		say_cancelled(resp, ref);
+		respond_cancelled(resp, ref);
 	else
-		fl_later(resp, "the cancellation could not be stored");
+		fl_respond_unavailable(resp, "the cancellation could not be stored");
 }
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -11,8 +11,8 @@
 #include "coordination/command.h"
 #include "coordination/heartbeat_forwarding.h"
 #include "coordination/submission.h"
-#include "coordination/user_calls.h"
-#include "protocol/job_states.h"
+#include "coordination/user_requests.h"
+#include "protocol/status_messages.h"
 #include "protocol/peer_heartbeats.h"
 #include "transport/clock.h"
 #include "transport/log.h"
@@ -38,7 +38,7 @@
 	.idle_least_s = 20.0, /* s for which it is kept in any case: users ask every 5 s */
 };
 
-void fl_refuse(struct fl_response *resp, int status, const char *fmt, ...)
+void fl_respond_error(struct fl_response *resp, int status, const char *fmt, ...)
 {
 	char text[256];
 	va_list ap;
@@ -51,9 +51,9 @@
 	resp->body = fl_json_error("%s", text);
 }
 
-void fl_later(struct fl_response *resp, const char *why)
+void fl_respond_unavailable(struct fl_response *resp, const char *why)
 {
-	fl_refuse(resp, 503, "%s", why);
+	fl_respond_error(resp, 503, "%s", why);
 	resp->retry_after_s = tunables.later_s;
 	/* The balancer may find a better node for the next try than this one. */
 	resp->close = true;
@@ -61,39 +61,43 @@
 
 /* ---- the two servers ---- */
 
-void fl_node_user_call(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
-                       size_t len, enum fl_hop hop, struct fl_response *resp)
+void fl_node_handle_user_request(struct fl_node *n, enum fl_user_request kind, const char *ref,
+                                 const char *body, size_t len, enum fl_forward_hop hop,
+                                 struct fl_response *resp)
 {
-	switch (call) {
-	case FL_CALL_SUBMIT:
+	switch (kind) {
+	case FL_USER_REQUEST_SUBMIT:
 		fl_submit(n, body, len, hop, resp);
 		break;
-	case FL_CALL_POLL:
-	case FL_CALL_CANCEL:
-		fl_poll_or_cancel(n, call, ref, hop, resp);
+	case FL_USER_REQUEST_STATUS:
+	case FL_USER_REQUEST_CANCEL:
+		fl_respond_status_or_cancel(n, kind, ref, hop, resp);
 		break;
-	case FL_CALL_REPORT:
+	case FL_USER_REQUEST_HEARTBEAT:
 		fl_follower_handle_heartbeat(n, body, len, resp);
 		break;
-	case FL_CALL_READY:
-		n->probed_at = fl_now();
+	case FL_USER_REQUEST_READY:
+		n->last_readiness_probe_at = fl_now();
 		resp->status =
-			n->types_known && n->jobs_known && !fl_follower_is_isolated(n) ? 200 : 503;
+			n->machine_types_known && n->jobs_known && !fl_follower_is_isolated(n)
+				? 200
+				: 503;
 		break;
 	default:
-		fl_refuse(resp, 404, "no such path");
+		fl_respond_error(resp, 404, "no such path");
 	}
 }
 
-static void on_public(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void handle_public_request(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
 	char ref[FL_REF_MAX];
-	enum fl_user_call call = fl_user_route(req->path, ref);
-	enum http_method want =
-		call == FL_CALL_POLL || call == FL_CALL_READY ? HTTP_GET : HTTP_POST;
+	enum fl_user_request kind = fl_user_route(req->path, ref);
+	enum http_method want = kind == FL_USER_REQUEST_STATUS || kind == FL_USER_REQUEST_READY
+	                                ? HTTP_GET
+	                                : HTTP_POST;
 
-	if (call != FL_CALL_NONE && req->method != want) {
-		fl_refuse(resp, 405, "wrong method");
+	if (kind != FL_USER_REQUEST_UNKNOWN && req->method != want) {
+		fl_respond_error(resp, 405, "wrong method");
 		/* After a HEAD the body would be taken for the next answer. */
 		resp->close = true;
 		return;
@@ -103,17 +107,17 @@
 	 * A poll comes again in any case, and one that is turned away at once may find a better
 	 * node. Where enough are answered, none goes without for long: one a turn always is.
 	 */
-	if (call == FL_CALL_POLL && !fl_defer(tunables.polls_waiting)) {
-		fl_later(resp, "there are too many questions at the moment");
+	if (kind == FL_USER_REQUEST_STATUS && !fl_defer(tunables.polls_waiting)) {
+		fl_respond_unavailable(resp, "there are too many questions at the moment");
 		return;
 	}
-	fl_node_user_call(ctx, call, ref, req->body, req->body_len, FL_FIRST_HOP, resp);
+	fl_node_handle_user_request(ctx, kind, ref, req->body, req->body_len, FL_HOP_FIRST, resp);
 }
 
-static void on_peer(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void handle_peer_request(void *ctx, const struct fl_request *req, struct fl_response *resp)
 {
 	struct fl_node *n = ctx;
-	struct fl_forwarded_request r;
+	struct fl_forwarded_request forwarded;
 
 	if (strcmp(req->path, "/gossip") == 0) {
 		fl_gossip_serve(n, req->body, req->body_len, resp);
@@ -130,26 +134,27 @@
 		return;
 	}
 	if (strcmp(req->path, FL_PATH_FORWARD) != 0) {
-		fl_refuse(resp, 404, "no such path");
+		fl_respond_error(resp, 404, "no such path");
 		return;
 	}
-	if (fl_forwarded_request_decode(req->body, req->body_len, &r) != 0) {
+	if (fl_forwarded_request_decode(req->body, req->body_len, &forwarded) != 0) {
 		fl_error("peers", "what came as a relayed call is none");
-		fl_refuse(resp, 400, "not a relayed call");
+		fl_respond_error(resp, 400, "not a relayed call");
 		return;
 	}
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
-	if (!fl_is_leader(n) && fl_forward_ends_here(n, r.last_hop))
-		fl_refuse(resp, 421, "not the leader");
+	if (!fl_is_leader(n) && fl_forward_ends_here(n, forwarded.last_hop))
+		fl_respond_error(resp, 421, "not the leader");
 	else
-		fl_node_user_call(n, r.call, r.ref, r.body, r.body ? strlen(r.body) : 0,
-		                  FL_LAST_HOP, resp);
-	fl_forwarded_request_free(&r);
+		fl_node_handle_user_request(n, forwarded.kind, forwarded.ref, forwarded.body,
+		                            forwarded.body ? strlen(forwarded.body) : 0,
+		                            FL_HOP_LAST, resp);
+	fl_forwarded_request_free(&forwarded);
 }
 
 /* ---- what every node knows ---- */
 
-static void on_job(void *ctx, const struct fl_kv_event *event)
+static void on_job_event(void *ctx, const struct fl_kv_event *event)
 {
 	struct fl_node *n = ctx;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
@@ -171,12 +176,12 @@
 	fl_signal_wake(&n->leadership.work_available);
 }
 
-static void jobs_duty(void *arg)
+static void job_watch_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 	uint64_t revision = 0;
 
-	while (!n->types_known)
+	while (!n->machine_types_known)
 		if (fl_sleep(tunables.retry_s / 5) != 0)
 			return;
 	while (!fl_cancelled()) {
@@ -186,15 +191,15 @@
 		if (revision == 0) {
 			if (!n->cluster.leading)
 				fl_cluster_list_begin(&n->cluster);
-			rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, on_job, n, &revision);
+			rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, on_job_event, n, &revision);
 			if (rc == 0 && !n->cluster.leading)
 				fl_cluster_list_end(&n->cluster, revision);
 		} else {
 			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_JOBS, &revision, tunables.hold_s,
-			                 on_job, n);
+			                 on_job_event, n);
 		}
 		if (rc == 0)
-			n->cancellations_known_until = fmax(n->cancellations_known_until, sent);
+			n->cancellation_watermark = fmax(n->cancellation_watermark, sent);
 		if (rc == 0 && !n->jobs_known) {
 			n->jobs_known = true;
 			fl_signal_wake(&n->jobs_listed);
@@ -211,7 +216,7 @@
  * From the record that a leader keeps of them, else from the cloud. Found on a day of our own: all
  * controllers ended while the cloud was out, and none of them could serve until it was back.
  */
-static int read_types(struct fl_node *n, struct fl_cloud_machine_type **types, int *count)
+static int read_machine_types(struct fl_node *n, struct fl_cloud_machine_type **types, int *count)
 {
 	uint64_t revision;
 	cJSON *v = NULL;
@@ -223,20 +228,20 @@
 	return rc ? fl_cloud_machine_types(&n->cloud, types, count) : 0;
 }
 
-static void types_duty(void *arg)
+static void machine_types_coroutine(void *arg)
 {
 	struct fl_node *n = arg;
 
-	while (!n->types_known) {
+	while (!n->machine_types_known) {
 		struct fl_cloud_machine_type *types;
-		int count, rc = read_types(n, &types, &count);
+		int count, rc = read_machine_types(n, &types, &count);
 
 		if (rc == -EPROTO)
 			fl_error("cloud", "its machine types cannot be read");
 		if (rc == 0) {
 			fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, count);
 			free(types);
-			n->types_known = true;
+			n->machine_types_known = true;
 			return;
 		}
 		if (fl_sleep(tunables.retry_s) != 0)
@@ -244,22 +249,22 @@
 	}
 }
 
-static int set_up(struct fl_node *n, const struct fl_config *c)
+static int init_node(struct fl_node *n, const struct fl_config *c)
 {
 	n->config = c;
 	n->cluster.finished_dropped_at = -1e9;
 	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * tunables.finished_share /
 	                                     sizeof(struct fl_finished_job));
 	snprintf(n->process_id, sizeof(n->process_id), "%s-%.6f", c->node, fl_wall());
-	for (int i = 0; i < c->n_zones; i++)
+	for (int i = 0; i < c->zone_count; i++)
 		if (fl_symbol_intern(&n->cluster.zones, c->zones[i]) < 0)
 			return -ENOMEM;
-	for (int i = 0; i < c->n_objectives; i++)
-		if (c->objectives[i].job_class[0] &&
-		    fl_symbol_intern(&n->cluster.classes, c->objectives[i].job_class) < 0)
+	for (int i = 0; i < c->slo_count; i++)
+		if (c->slos[i].job_class[0] &&
+		    fl_symbol_intern(&n->cluster.classes, c->slos[i].job_class) < 0)
 			return -ENOMEM;
-	n->n_expected_classes = n->cluster.classes.count;
-	for (int i = 0; i < c->n_teams; i++) {
+	n->slo_class_count = n->cluster.classes.count;
+	for (int i = 0; i < c->team_count; i++) {
 		struct fl_team *team = &n->cluster.teams.by_index[n->cluster.teams.count++];
 
 		fl_copy_string(team->name, sizeof(team->name), c->teams[i].name);
@@ -268,8 +273,8 @@
 		team->max_cpus = c->teams[i].cpus_max;
 		team->max_gpus = c->teams[i].gpus_max;
 	}
-	for (int i = 0; i < c->n_peers; i++) {
-		struct fl_peer *peer = &n->peers[n->n_peers++];
+	for (int i = 0; i < c->peer_count; i++) {
+		struct fl_peer *peer = &n->peers[n->peer_count++];
 
 		peer->node = n;
 		fl_copy_string(peer->name, sizeof(peer->name), c->peers[i].node);
@@ -291,7 +296,7 @@
 {
 	/* Of each peer what it may open here, and to one of them, the leader, the same from here.
 	 */
-	int peers = (c->n_peers + 1) * FL_PEER_CONNS_MAX + c->n_peers;
+	int peers = (c->peer_count + 1) * FL_PEER_CONNS_MAX + c->peer_count;
 	int rest = c->max_connections - peers - tunables.own_conns;
 	int least = (int)(c->max_connections * tunables.user_least);
 
@@ -302,7 +307,7 @@
 {
 	char text[256];
 
-	for (int at = 0; fl_admission_tight(config, at, text, sizeof(text)); at++)
+	for (int at = 0; fl_admission_tight_setting(config, at, text, sizeof(text)); at++)
 		fl_error("node", "%s", text);
 }
 
@@ -318,17 +323,17 @@
 	if (allowed < config->max_connections)
 		fl_error("node", "max_connections is %d, but the system allows %d open files",
 		         config->max_connections, allowed);
-	if (!n || set_up(n, config) != 0 ||
-	    !fl_http_serve(config->bind, conns, idle_s, on_public, n) ||
-	    !fl_http_serve(config->cluster_listen, config->max_connections - conns, idle_s, on_peer,
-	                   n)) {
+	if (!n || init_node(n, config) != 0 ||
+	    !fl_http_serve(config->bind, conns, idle_s, handle_public_request, n) ||
+	    !fl_http_serve(config->cluster_listen, config->max_connections - conns, idle_s,
+	                   handle_peer_request, n)) {
 		free(n);
 		return -1;
 	}
 	fl_election_start(n);
 	fl_follower_start(n);
-	fl_spawn(types_duty, n);
-	fl_spawn(jobs_duty, n);
+	fl_spawn(machine_types_coroutine, n);
+	fl_spawn(job_watch_coroutine, n);
 	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
 	return 0;
 }
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -14,7 +14,7 @@
 #include "coordination/heartbeat_forwarding.h"
 #include "coordination/request_batch.h"
 #include "coordination/status_query.h"
-#include "coordination/user_calls.h"
+#include "coordination/user_requests.h"
 #include "protocol/cloud.h"
 #include "protocol/peers.h"
 #include "protocol/kv_store.h"
@@ -26,9 +26,10 @@
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
-	double up_since;      /* steady; while up */
-	double last_heard_at; /* steady; of the last exchange that came back */
-	double sent_all_at;   /* steady; of our sending of the last one that told us all it knows */
+	double up_since;       /* steady; while up */
+	double last_heard_at;  /* steady; of the last exchange that came back */
+	double complete_as_of; /* steady; of our sending of the last one that told us all it knows
+	                        */
 	bool up;
 };
 
@@ -39,17 +40,17 @@
 	struct fl_kv_store kv_store;
 	struct fl_cloud cloud;
 	struct fl_peer peers[FL_CONFIG_PEERS];
-	int n_peers;
+	int peer_count;
 	char process_id[96]; /* names this process, not only this node */
-	bool types_known, jobs_known;
+	bool machine_types_known, jobs_known;
 	/* Indices below it are of the classes for which the settings name an objective. */
-	int n_expected_classes;
+	int slo_class_count;
 	/*
 	 * Steady. Every cancellation that any user was told of, or any controller had learned of,
 	 * up to then is in the cluster state: see "Standby renewal of worker leases" in
 	 * docs/design.md.
 	 */
-	double cancellations_known_until;
+	double cancellation_watermark;
 	struct fl_signal jobs_listed; /* the first list of them has come */
 
 	/* What is known of leadership, with the steady time at which it was surely true. */
@@ -58,11 +59,11 @@
 	double leadership_confirmed_at;
 	struct fl_signal leadership_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
-	struct fl_token_bucket poll_reads;
+	struct fl_token_bucket status_read_budget;
 	struct fl_batch_queue status_queries;     /* for users' polls */
 	struct fl_batch_queue heartbeat_forwards; /* workers' reports */
 	int forwarded_requests; /* users' calls under way to other controllers, one by one */
-	double probed_at;       /* steady; when the users' balancer last asked for /ready */
+	double last_readiness_probe_at; /* steady; when the users' balancer last asked for /ready */
 
 	struct fl_election election;
 	struct fl_leadership leadership;
@@ -75,18 +76,19 @@
 /* Connections that one controller opens to another at most; the last is for the exchange. */
 enum {
 	FL_PEER_CONNS_MAX =
-		FL_HEARTBEAT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_CALLS_MAX + 1
+		FL_HEARTBEAT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_USER_REQUESTS_MAX + 1
 };
 
 /* How many of all connections users and workers may hold. */
 int fl_node_public_conns(const struct fl_config *c);
 /* Answers a user's call here, passing on what only the leader can say. */
-void fl_node_user_call(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
-                       size_t len, enum fl_hop hop, struct fl_response *resp);
+void fl_node_handle_user_request(struct fl_node *n, enum fl_user_request kind, const char *ref,
+                                 const char *body, size_t len, enum fl_forward_hop hop,
+                                 struct fl_response *resp);
 /* Fills a response with an error text. */
-void fl_refuse(struct fl_response *resp, int status, const char *fmt, ...)
+void fl_respond_error(struct fl_response *resp, int status, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 /* "Not now": at once, with when to come back, on another connection. */
-void fl_later(struct fl_response *resp, const char *why);
+void fl_respond_unavailable(struct fl_response *resp, const char *why);
 
 #endif
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -35,7 +35,7 @@
 {
 	if (gap < tunables.timeout_s)
 		return false;
-	if (heartbeat->entry_node && m->entry_node && n->n_peers > 0)
+	if (heartbeat->entry_node && m->entry_node && n->peer_count > 0)
 		return heartbeat->entry_node != m->entry_node;
 	return tunables.report_most * n->config->report_s < tunables.timeout_s;
 }
--- a/src/coordination/redirect.c
+++ b/src/coordination/redirect.c
@@ -54,7 +54,7 @@
 
 	if (strcmp(heartbeat->zone, n->config->location) == 0)
 		return NULL;
-	for (int i = 0; i < n->n_peers; i++) {
+	for (int i = 0; i < n->peer_count; i++) {
 		const struct fl_peer *peer = &n->peers[i];
 
 		if (strcmp(peer->location, heartbeat->zone) == 0 && peer->up &&
@@ -77,12 +77,13 @@
 {
 	double last = fl_gossip_last_heard(n), now = fl_now();
 
-	if (!fl_follower_is_isolated(n) || now > n->probed_at + tunables.probe_s ||
+	if (!fl_follower_is_isolated(n) || now > n->last_readiness_probe_at + tunables.probe_s ||
 	    last < n->kv_store.last_success_at - tunables.at_once_s ||
 	    last > n->kv_store.last_success_at + tunables.at_once_s)
 		return NULL;
-	for (int i = 0; i < n->n_peers; i++) {
-		const struct fl_peer *peer = &n->peers[n->follower.redirect_cursor++ % n->n_peers];
+	for (int i = 0; i < n->peer_count; i++) {
+		const struct fl_peer *peer =
+			&n->peers[n->follower.redirect_cursor++ % n->peer_count];
 
 		/* Not to one that was lost before. */
 		if (peer->last_heard_at > last - tunables.at_once_s)
--- a/src/coordination/request_batch.c
+++ b/src/coordination/request_batch.c
@@ -10,7 +10,7 @@
 
 /* Sends the batch when a request may be sent; who comes later is in the next one. */
 static void send_batch(struct fl_node *n, struct fl_batch_queue *q, struct fl_batch *b,
-                       const struct fl_batch_terms *terms)
+                       const struct fl_batch_policy *terms)
 {
 	double until = fl_now() + terms->wait_s;
 
@@ -40,8 +40,8 @@
 	return b->done ? b->rc : -ETIMEDOUT;
 }
 
-int fl_batch_settle(struct fl_node *n, struct fl_batch_queue *q, struct fl_batch *b, bool began,
-                    const struct fl_batch_terms *terms)
+int fl_batch_await(struct fl_node *n, struct fl_batch_queue *q, struct fl_batch *b, bool began,
+                   const struct fl_batch_policy *terms)
 {
 	b->holder_count++;
 	if (!began)
--- a/src/coordination/request_batch.h
+++ b/src/coordination/request_batch.h
@@ -28,7 +28,7 @@
 };
 
 /* How batches of one kind are sent. */
-struct fl_batch_terms {
+struct fl_batch_policy {
 	int in_flight;     /* requests at once */
 	double wait_s;     /* s for which a batch waits until it may be sent */
 	double exchange_s; /* s that an exchange takes at most */
@@ -44,8 +44,8 @@
  * For each caller, after it has put its part into the batch: 0 when the answers are there, or an
  * errno. The caller that began the batch sends it when it may.
  */
-int fl_batch_settle(struct fl_node *n, struct fl_batch_queue *q, struct fl_batch *b, bool began,
-                    const struct fl_batch_terms *terms);
+int fl_batch_await(struct fl_node *n, struct fl_batch_queue *q, struct fl_batch *b, bool began,
+                   const struct fl_batch_policy *terms);
 /* The caller needs it no more; true: nobody does, and the caller frees it. */
 bool fl_batch_release(struct fl_batch *b);
 
--- a/src/coordination/scheduling_snapshot.c
+++ b/src/coordination/scheduling_snapshot.c
@@ -57,7 +57,7 @@
 /* Urgent work and services count by their priority alone. */
 static bool is_background(const struct fl_node *n, const struct fl_job *job)
 {
-	return n->n_expected_classes > 0 && job->job_class >= n->n_expected_classes &&
+	return n->slo_class_count > 0 && job->job_class >= n->slo_class_count &&
 	       job->kind == FL_ARRAY && job->priority < FL_URGENT;
 }
 
--- a/src/coordination/status_query.c
+++ b/src/coordination/status_query.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/answer.h"
+#include "coordination/job_responses.h"
 #include "coordination/node.h"
-#include "protocol/job_states.h"
+#include "protocol/status_messages.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
@@ -37,7 +37,7 @@
 {
 	struct fl_peer *leader = fl_peer_find(n, n->leader_name);
 
-	return leader && (leader->up || n->n_peers == 1) ? leader : NULL;
+	return leader && (leader->up || n->peer_count == 1) ? leader : NULL;
 }
 
 static int exchange(struct fl_node *n, struct fl_batch *batch)
@@ -66,46 +66,47 @@
 	return rc;
 }
 
-static enum fl_query_result result_of(const struct fl_status_batch *b, int at, int rc,
+static enum fl_query_result result_of(const struct fl_status_batch *batch, int at, int rc,
                                       struct fl_response *resp)
 {
-	const struct fl_job_status_report *status = &b->states[at];
+	const struct fl_job_status_report *status = &batch->states[at];
 
 	if (rc)
 		return FL_QUERY_FAILED;
 	if (!status->known)
-		return FL_QUERY_UNSETTLED;
+		return FL_QUERY_NOT_IN_MEMORY;
 	resp->status = 200;
-	resp->body = fl_status_encode(b->refs[at], status->status, status->done, status->running);
+	resp->body = fl_status_encode(batch->refs[at], status->status, status->done_count,
+	                              status->running_count);
 	return FL_QUERY_ANSWERED;
 }
 
 enum fl_query_result fl_status_query(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
-	const struct fl_batch_terms terms = {tunables.in_flight, tunables.wait_s,
-	                                     tunables.patience_s, exchange};
+	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
+	                                      tunables.patience_s, exchange};
 	struct fl_batch_queue *q = &n->status_queries;
-	struct fl_status_batch *b = (struct fl_status_batch *)q->filling;
-	bool first = !b;
+	struct fl_status_batch *batch = (struct fl_status_batch *)q->filling;
+	bool first = !batch;
 	enum fl_query_result result;
 	int at, rc;
 
 	if (first) {
 		if (!leading_peer(n))
 			return FL_QUERY_FAILED;
-		b = calloc(1, sizeof(*b));
-		if (!b)
+		batch = calloc(1, sizeof(*batch));
+		if (!batch)
 			return FL_QUERY_OVERLOADED;
-		fl_batch_begin(q, &b->batch);
-	} else if (b->count == FL_STATUS_QUERY_MAX) {
+		fl_batch_begin(q, &batch->batch);
+	} else if (batch->count == FL_STATUS_QUERY_MAX) {
 		return FL_QUERY_OVERLOADED;
 	}
-	at = b->count++;
-	fl_copy_string(b->refs[at], sizeof(b->refs[at]), ref);
-	rc = fl_batch_settle(n, q, &b->batch, first, &terms);
-	result = result_of(b, at, rc, resp);
-	if (fl_batch_release(&b->batch))
-		free(b);
+	at = batch->count++;
+	fl_copy_string(batch->refs[at], sizeof(batch->refs[at]), ref);
+	rc = fl_batch_await(n, q, &batch->batch, first, &terms);
+	result = result_of(batch, at, rc, resp);
+	if (fl_batch_release(&batch->batch))
+		free(batch);
 	return result;
 }
 
@@ -118,15 +119,15 @@
 
 	if (count == -EPROTO) {
 		fl_error("peers", "what came as status queries are none");
-		fl_refuse(resp, 400, "not status queries");
+		fl_respond_error(resp, 400, "not status queries");
 	} else if (count < 0) {
-		fl_later(resp, "no memory");
+		fl_respond_unavailable(resp, "no memory");
 	} else if (!fl_is_leader(n)) {
-		fl_refuse(resp, 421, "not the leader");
+		fl_respond_error(resp, 421, "not the leader");
 	} else {
 		/* No wait from here on: all of it is said under the lease that was looked at. */
 		for (int i = 0; i < count; i++)
-			states[i] = fl_answer_from_memory(n, refs[i]);
+			states[i] = fl_job_status_from_memory(n, refs[i]);
 		resp->status = 200;
 		resp->body = fl_status_answer_encode(states, count);
 	}
--- a/src/coordination/status_query.h
+++ b/src/coordination/status_query.h
@@ -15,10 +15,10 @@
 
 /* What came of a query. */
 enum fl_query_result {
-	FL_QUERY_ANSWERED,  /* the response is filled in */
-	FL_QUERY_UNSETTLED, /* the leader has to look into the records for this job */
-	FL_QUERY_FAILED,    /* the leader cannot be reached, or leads no more */
-	FL_QUERY_OVERLOADED /* too many queries are waiting */
+	FL_QUERY_ANSWERED,      /* the response is filled in */
+	FL_QUERY_NOT_IN_MEMORY, /* the leader has to look into the records for this job */
+	FL_QUERY_FAILED,        /* the leader cannot be reached, or leads no more */
+	FL_QUERY_OVERLOADED     /* too many queries are waiting */
 };
 
 /* Asks the leader, together with the other queries of this moment. */
--- a/src/coordination/submission.c
+++ b/src/coordination/submission.c
@@ -6,7 +6,7 @@
 
 #include "coordination/admission.h"
 #include "coordination/node.h"
-#include "coordination/user_calls.h"
+#include "coordination/user_requests.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
@@ -35,7 +35,7 @@
 }
 
 /* NULL, or why the job can never run. */
-static const char *never(const struct fl_node *n, const struct fl_job_spec *spec)
+static const char *infeasible_reason(const struct fl_node *n, const struct fl_job_spec *spec)
 {
 	int team = fl_teams_find(&n->cluster.teams, spec->team), zone;
 	bool at_once = spec->kind != FL_ARRAY && spec->task_count > 1;
@@ -66,20 +66,20 @@
 	return NULL;
 }
 
-static bool state_is_down(const struct fl_node *n)
+static bool kv_store_is_down(const struct fl_node *n)
 {
 	return fl_kv_is_unavailable(&n->kv_store) &&
 	       fl_now() - n->kv_store.last_failure_at < tunables.down_s;
 }
 
 /* Like answer_known, by asking the leader. */
-static int known_to_leader(struct fl_node *n, const char *ref, struct fl_response *resp)
+static int ask_leader_if_known(struct fl_node *n, const char *ref, struct fl_response *resp)
 {
 	struct fl_reply reply;
 
 	if (fl_election_lease_valid(n) ||
-	    fl_user_call_relay(n, FL_CALL_POLL, ref, NULL, FL_FIRST_HOP,
-	                       fl_user_call_patience_s(FL_CALL_POLL), &reply) != 0)
+	    fl_user_request_forward(n, FL_USER_REQUEST_STATUS, ref, NULL, FL_HOP_FIRST,
+	                            fl_user_request_timeout_s(FL_USER_REQUEST_STATUS), &reply) != 0)
 		return -EAGAIN;
 	if (reply.status == 200) {
 		resp->status = 200;
@@ -95,8 +95,8 @@
  * this node alone the leader can tell: else a bad submission would be told to come again, here
  * only, and its user would do so for a minute.
  */
-static int answer_known(struct fl_node *n, const char *ref, enum fl_hop hop,
-                        struct fl_response *resp)
+static int respond_if_known(struct fl_node *n, const char *ref, enum fl_forward_hop hop,
+                            struct fl_response *resp)
 {
 	struct fl_job_record record;
 	uint64_t revision;
@@ -104,16 +104,16 @@
 	int rc;
 
 	if (!fl_finished_job_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
-		rc = state_is_down(n)
+		rc = kv_store_is_down(n)
 		             ? -EAGAIN
 		             : fl_job_record_read(&n->kv_store, ref, &record, &v, &revision);
 		cJSON_Delete(v);
 		if (rc && rc != -ENOENT && !hop)
-			return known_to_leader(n, ref, resp);
+			return ask_leader_if_known(n, ref, resp);
 		if (rc)
 			return rc == -ENOENT ? 0 : rc;
 	}
-	fl_poll_or_cancel(n, FL_CALL_POLL, ref, hop, resp);
+	fl_respond_status_or_cancel(n, FL_USER_REQUEST_STATUS, ref, hop, resp);
 	return 1;
 }
 
@@ -150,8 +150,8 @@
  * The state service may refuse this node alone, or be cut from it: the leader has it. What was
  * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
  */
-static bool submit_by_leader(struct fl_node *n, const struct fl_job_spec *spec,
-                             struct fl_response *resp)
+static bool submit_through_leader(struct fl_node *n, const struct fl_job_spec *spec,
+                                  struct fl_response *resp)
 {
 	struct fl_reply reply;
 	char *text;
@@ -160,8 +160,8 @@
 	if (fl_election_lease_valid(n))
 		return false;
 	text = fl_json_take(fl_job_spec_encode(spec));
-	rc = fl_user_call_relay(n, FL_CALL_SUBMIT, NULL, text, FL_FIRST_HOP,
-	                        fl_user_call_patience_s(FL_CALL_SUBMIT), &reply);
+	rc = fl_user_request_forward(n, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
+	                             fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT), &reply);
 	free(text);
 	if (rc != 0)
 		return false;
@@ -178,61 +178,61 @@
  * Before the rest of a submission is judged: a known job is answered with its state, and what
  * cannot be read is refused for `bad`, the field. False: to be judged on.
  */
-static bool answer_first(struct fl_node *n, const struct fl_job_spec *spec, const char *bad,
-                         enum fl_hop hop, struct fl_response *resp)
+static bool respond_early(struct fl_node *n, const struct fl_job_spec *spec, const char *bad,
+                          enum fl_forward_hop hop, struct fl_response *resp)
 {
 	int rc;
 
-	if (!bad && n->types_known && !fl_finished_job_find(&n->cluster, spec->ref) &&
+	if (!bad && n->machine_types_known && !fl_finished_job_find(&n->cluster, spec->ref) &&
 	    !fl_job_find(&n->cluster, spec->ref))
 		return false;
-	rc = answer_known(n, spec->ref, hop, resp);
+	rc = respond_if_known(n, spec->ref, hop, resp);
 	if (rc == 1)
 		return true;
 	if (rc < 0 || !bad) {
-		fl_later(resp, "cannot decide yet");
+		fl_respond_unavailable(resp, "cannot decide yet");
 	} else {
-		fl_refuse(resp, 400, "%s: missing or invalid", bad);
+		fl_respond_error(resp, 400, "%s: missing or invalid", bad);
 		fl_info("jobs", "%s refused: %s", spec->ref, bad);
 	}
 	return true;
 }
 
 /* Refuses a job that can never run, for the reason `why`, unless it is known. */
-static void refuse_never(struct fl_node *n, const struct fl_job_spec *spec, const char *why,
-                         enum fl_hop hop, struct fl_response *resp)
+static void reject_infeasible(struct fl_node *n, const struct fl_job_spec *spec, const char *why,
+                              enum fl_forward_hop hop, struct fl_response *resp)
 {
-	int rc = answer_known(n, spec->ref, hop, resp);
+	int rc = respond_if_known(n, spec->ref, hop, resp);
 
 	if (rc < 0) {
-		fl_later(resp, "cannot decide yet");
+		fl_respond_unavailable(resp, "cannot decide yet");
 	} else if (rc == 0) {
-		fl_refuse(resp, 422, "%s", why);
+		fl_respond_error(resp, 422, "%s", why);
 		fl_info("jobs", "%s refused: %s", spec->ref, why);
 	}
 }
 
 /* For want of memory: a repeat of an accepted job is answered all the same. */
-static void turn_away(struct fl_node *n, const struct fl_job_spec *spec, enum fl_hop hop,
-                      struct fl_response *resp)
+static void reject_for_memory(struct fl_node *n, const struct fl_job_spec *spec,
+                              enum fl_forward_hop hop, struct fl_response *resp)
 {
-	if (answer_known(n, spec->ref, hop, resp) == 1)
+	if (respond_if_known(n, spec->ref, hop, resp) == 1)
 		return;
-	fl_later(resp, "memory is short at the moment");
+	fl_respond_unavailable(resp, "memory is short at the moment");
 	fl_info("jobs", "%s turned away: memory is short", spec->ref);
 }
 
 /* Stores a job that may run, here or by the leader. */
-static void accept_job(struct fl_node *n, const struct fl_job_spec *spec, enum fl_hop hop,
+static void accept_job(struct fl_node *n, const struct fl_job_spec *spec, enum fl_forward_hop hop,
                        struct fl_response *resp)
 {
 	/* A cut is silent: to try here first would cost the user a second. */
 	bool relayed_first = !hop && fl_kv_is_unavailable(&n->kv_store);
 	int rc;
 
-	if (relayed_first && submit_by_leader(n, spec, resp))
+	if (relayed_first && submit_through_leader(n, spec, resp))
 		return;
-	rc = state_is_down(n) ? -EAGAIN : store_job(n, spec);
+	rc = kv_store_is_down(n) ? -EAGAIN : store_job(n, spec);
 	if (rc == 0) {
 		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", spec->ref,
 		        spec->job_class, spec->team, spec->task_count, spec->cpus, spec->gpus);
@@ -240,14 +240,14 @@
 		resp->body = fl_status_encode(spec->ref, FL_PENDING, -1, 0);
 		return;
 	}
-	if (rc == -ESTALE && answer_known(n, spec->ref, hop, resp) == 1)
+	if (rc == -ESTALE && respond_if_known(n, spec->ref, hop, resp) == 1)
 		return;
-	if (rc != -ESTALE && !hop && !relayed_first && submit_by_leader(n, spec, resp))
+	if (rc != -ESTALE && !hop && !relayed_first && submit_through_leader(n, spec, resp))
 		return;
-	fl_later(resp, "the job could not be stored");
+	fl_respond_unavailable(resp, "the job could not be stored");
 }
 
-void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_hop hop,
+void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_forward_hop hop,
                struct fl_response *resp)
 {
 	cJSON *o = fl_json_parse(body, len);
@@ -256,27 +256,28 @@
 
 	if (!cJSON_IsObject(o)) {
 		cJSON_Delete(o);
-		fl_refuse(resp, 400, "the body must be a JSON object");
+		fl_respond_error(resp, 400, "the body must be a JSON object");
 		return;
 	}
 	bad = fl_job_spec_decode(o, &spec);
 	cJSON_Delete(o);
 	if (!spec.ref[0]) {
-		fl_refuse(resp, 400, "Ref: missing or invalid");
+		fl_respond_error(resp, 400, "Ref: missing or invalid");
 		return;
 	}
 	if (fl_follower_is_isolated(n)) {
 		/* At once: every try at either would cost the user seconds in vain. */
-		fl_later(resp, "neither the state service nor another controller answers");
+		fl_respond_unavailable(resp,
+		                       "neither the state service nor another controller answers");
 		return;
 	}
-	if (answer_first(n, &spec, bad, hop, resp))
+	if (respond_early(n, &spec, bad, hop, resp))
 		return;
-	why = never(n, &spec);
+	why = infeasible_reason(n, &spec);
 	if (why)
-		refuse_never(n, &spec, why, hop, resp);
+		reject_infeasible(n, &spec, why, hop, resp);
 	else if (!fl_admission_has_memory(n->config))
-		turn_away(n, &spec, hop, resp);
+		reject_for_memory(n, &spec, hop, resp);
 	else
 		accept_job(n, &spec, hop, resp);
 }
--- /dev/null
+++ b/src/coordination/user_requests.c
@@ -0,0 +1,208 @@
+#include "coordination/user_requests.h"
+
+#include <errno.h>
+#include <stdio.h>
+
+#include "coordination/job_responses.h"
+#include "coordination/node.h"
+#include "coordination/status_query.h"
+#include "transport/clock.h"
+
+static const struct {
+	double relay_s, relay_write_s;
+} tunables = {
+	.relay_s = 1.2,       /* s for a relayed poll; users wait 2 s for it */
+	.relay_write_s = 2.0, /* s for a relayed cancel or submission; users wait 5 s */
+};
+
+double fl_user_request_timeout_s(enum fl_user_request kind)
+{
+	return kind == FL_USER_REQUEST_STATUS ? tunables.relay_s : tunables.relay_write_s;
+}
+
+/* Polls leave half of the places to cancellations and submissions. */
+static bool may_forward(const struct fl_node *n, enum fl_user_request kind)
+{
+	int most = kind == FL_USER_REQUEST_STATUS ? FL_PEER_USER_REQUESTS_MAX / 2
+	                                          : FL_PEER_USER_REQUESTS_MAX;
+
+	return n->forwarded_requests < most;
+}
+
+struct forwarded_call {
+	enum fl_user_request call;
+	const char *ref, *body;
+};
+
+static char *encode_call(const void *ctx, bool last_hop, bool disconnected)
+{
+	const struct forwarded_call *c = ctx;
+
+	(void)disconnected;
+	return fl_forwarded_request_encode(c->call, last_hop, c->ref, c->body);
+}
+
+int fl_user_request_forward(struct fl_node *n, enum fl_user_request kind, const char *ref,
+                            const char *body, enum fl_forward_hop hop, double patience_s,
+                            struct fl_reply *reply)
+{
+	struct forwarded_call relayed = {kind, ref, body};
+	int rc;
+
+	if (!may_forward(n, kind))
+		return -EBUSY;
+	n->forwarded_requests++;
+	rc = fl_forward(n, FL_PATH_FORWARD, encode_call, &relayed, hop, patience_s, reply);
+	n->forwarded_requests--;
+	return rc;
+}
+
+/* Tasks of a job, summed over its progress records. */
+struct progress {
+	uint32_t done, placed;
+};
+
+static void count_progress(void *ctx, const struct fl_kv_event *event)
+{
+	struct progress *progress = ctx;
+
+	fl_task_block_count(event->value, &progress->done, &progress->placed);
+}
+
+/* Without a leader in reach, the records themselves answer: never older than what was told. */
+static void respond_status_from_records(struct fl_node *n, const char *ref,
+                                        struct fl_response *resp)
+{
+	struct fl_job_record record;
+	struct progress progress = {0};
+	char key[FL_KEY_MAX];
+	uint64_t revision;
+	cJSON *v = NULL;
+	int rc = fl_job_lookup_read(n, ref, &record, &v, &revision);
+
+	/* What a user is told here, the other controllers must hear from here. */
+	if (rc == 0 && record.final && v)
+		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(record.cancelled_wall));
+	cJSON_Delete(v);
+	if (rc == -ENOENT) {
+		fl_respond_error(resp, 404, "no such job");
+		return;
+	}
+	if (rc) {
+		fl_respond_unavailable(resp, "neither the leader nor the state service answers");
+		return;
+	}
+	if (record.final) {
+		resp->status = 200;
+		resp->body = fl_status_encode(ref, record.status,
+		                              record.status == FL_DONE ? record.task_count : 0, 0);
+		return;
+	}
+	if (!fl_job_lookup_within_budget(n, 1)) {
+		fl_respond_unavailable(resp, "there are too many questions at the moment");
+		return;
+	}
+	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
+	fl_kv_list(&n->kv_store, key, count_progress, &progress, &revision);
+	resp->status = 200;
+	resp->body = fl_status_encode(ref, progress.placed ? FL_RUNNING : FL_PENDING, progress.done,
+	                              progress.placed);
+}
+
+/* Takes a relayed call's answer over; false if there is none that a user can be given. */
+static bool take_reply(int rc, struct fl_reply *reply, struct fl_response *resp)
+{
+	if (rc != 0)
+		return false;
+	if (reply->status == 200 || reply->status == 404) {
+		resp->status = reply->status;
+		resp->body = reply->body.data;
+		return true;
+	}
+	fl_buf_free(&reply->body);
+	return false;
+}
+
+static void forward_status_query(struct fl_node *n, const char *ref, struct fl_response *resp)
+{
+	double came = fl_now(), left;
+	struct fl_reply reply;
+
+	switch (fl_status_query(n, ref, resp)) {
+	case FL_QUERY_ANSWERED:
+		return;
+	case FL_QUERY_OVERLOADED:
+		fl_respond_unavailable(resp, "there are too many questions at the moment");
+		return;
+	case FL_QUERY_NOT_IN_MEMORY:
+	case FL_QUERY_FAILED:
+		break;
+	}
+	left = came + tunables.relay_s - fl_now();
+	if (left <= 0 || !take_reply(fl_user_request_forward(n, FL_USER_REQUEST_STATUS, ref, NULL,
+	                                                     FL_HOP_FIRST, left, &reply),
+	                             &reply, resp))
+		respond_status_from_records(n, ref, resp);
+}
+
+/* For another controller: only the leader answers, so this is passed on once at most. */
+static void forward_for_peer(struct fl_node *n, enum fl_user_request kind, const char *ref,
+                             enum fl_forward_hop hop, struct fl_response *resp)
+{
+	double patience = fl_user_request_timeout_s(kind);
+	struct fl_reply reply;
+
+	if (!take_reply(fl_user_request_forward(n, kind, ref, NULL, hop, patience, &reply), &reply,
+	                resp))
+		fl_respond_error(resp, 421, "not the leader");
+}
+
+static void forward_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
+{
+	struct fl_reply reply;
+	int rc = fl_user_request_forward(n, FL_USER_REQUEST_CANCEL, ref, NULL, FL_HOP_FIRST,
+	                                 tunables.relay_write_s, &reply);
+
+	if (!take_reply(rc, &reply, resp))
+		fl_respond_unavailable(resp, "there is no leader at the moment");
+}
+
+void fl_respond_status_or_cancel(struct fl_node *n, enum fl_user_request kind, const char *ref,
+                                 enum fl_forward_hop hop, struct fl_response *resp)
+{
+	struct fl_finished_job *finished;
+
+	if (!ref[0]) {
+		fl_respond_error(resp, 404, "no such job");
+		return;
+	}
+	finished = fl_finished_job_find(&n->cluster, ref);
+	if (finished) {
+		resp->status = 200;
+		resp->body = fl_status_encode(ref, (enum fl_job_status)finished->status,
+		                              kind == FL_USER_REQUEST_CANCEL ? -1
+		                              : finished->status == FL_DONE
+		                                      ? (int64_t)finished->task_count
+		                                      : 0,
+		                              0);
+		return;
+	}
+	if (fl_is_leader(n)) {
+		if (kind == FL_USER_REQUEST_STATUS)
+			fl_respond_job_status(n, ref, resp);
+		else
+			fl_respond_cancel(n, ref, resp);
+		return;
+	}
+	if (fl_follower_is_isolated(n)) {
+		fl_respond_unavailable(resp,
+		                       "neither the state service nor another controller answers");
+		return;
+	}
+	if (hop)
+		forward_for_peer(n, kind, ref, hop, resp);
+	else if (kind == FL_USER_REQUEST_STATUS)
+		forward_status_query(n, ref, resp);
+	else
+		forward_cancel(n, ref, resp);
+}
--- a/src/coordination/user_calls.h
+++ b/src/coordination/user_requests.h
@@ -2,8 +2,8 @@
  * Polls and cancellations: answered from memory, by the leader, or from the stored records; and the
  * relaying of users' calls to the leader, with a limit on how many are under way.
  */
-#ifndef FL_COORDINATION_USER_CALLS_H
-#define FL_COORDINATION_USER_CALLS_H
+#ifndef FL_COORDINATION_USER_REQUESTS_H
+#define FL_COORDINATION_USER_REQUESTS_H
 
 #include "coordination/forwarding.h"
 #include "protocol/users.h"
@@ -13,18 +13,19 @@
 struct fl_node;
 
 /* Most connections for users' calls to one other controller. */
-enum { FL_PEER_CALLS_MAX = 24 };
+enum { FL_PEER_USER_REQUESTS_MAX = 24 };
 
 /* Answers a poll or a cancellation of the job `ref`; an empty one is no job's. */
-void fl_poll_or_cancel(struct fl_node *n, enum fl_user_call call, const char *ref, enum fl_hop hop,
-                       struct fl_response *resp);
+void fl_respond_status_or_cancel(struct fl_node *n, enum fl_user_request kind, const char *ref,
+                                 enum fl_forward_hop hop, struct fl_response *resp);
 /*
  * Passes a user's call to the leader, as fl_forward does: 0 and the answer, which the caller frees,
  * or an errno. -EBUSY at once if too many calls are under way.
  */
-int fl_user_call_relay(struct fl_node *n, enum fl_user_call call, const char *ref, const char *body,
-                       enum fl_hop hop, double patience_s, struct fl_reply *reply);
+int fl_user_request_forward(struct fl_node *n, enum fl_user_request kind, const char *ref,
+                            const char *body, enum fl_forward_hop hop, double patience_s,
+                            struct fl_reply *reply);
 /* How long a relayed call of this kind may take, in s: less than its user waits for an answer. */
-double fl_user_call_patience_s(enum fl_user_call call);
+double fl_user_request_timeout_s(enum fl_user_request kind);
 
 #endif
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -6,22 +6,22 @@
 
 #include "transport/text.h"
 
-char *fl_gossip_encode(const struct fl_gossip *g)
+char *fl_gossip_encode(const struct fl_gossip *gossip)
 {
 	cJSON *o = cJSON_CreateObject(), *list, *e;
 
-	cJSON_AddStringToObject(o, "node", g->node);
-	cJSON_AddStringToObject(o, "leader", g->leader);
-	cJSON_AddNumberToObject(o, "epoch", (double)g->fencing_token);
-	cJSON_AddNumberToObject(o, "proof_age_s", g->proof_age_s);
-	cJSON_AddBoolToObject(o, "leads", g->leads);
-	cJSON_AddNumberToObject(o, "known_age_s", g->known_age_s);
-	cJSON_AddBoolToObject(o, "whole", g->complete);
+	cJSON_AddStringToObject(o, "node", gossip->node);
+	cJSON_AddStringToObject(o, "leader", gossip->leader);
+	cJSON_AddNumberToObject(o, "epoch", (double)gossip->fencing_token);
+	cJSON_AddNumberToObject(o, "proof_age_s", gossip->leadership_age_s);
+	cJSON_AddBoolToObject(o, "leads", gossip->is_leader);
+	cJSON_AddNumberToObject(o, "known_age_s", gossip->watermark_age_s);
+	cJSON_AddBoolToObject(o, "whole", gossip->complete);
 	list = cJSON_AddArrayToObject(o, "cancelled");
-	for (int i = 0; i < g->n_cancelled; i++) {
+	for (int i = 0; i < gossip->cancelled_count; i++) {
 		e = cJSON_CreateArray();
-		cJSON_AddItemToArray(e, cJSON_CreateString(g->cancelled[i].ref));
-		cJSON_AddItemToArray(e, cJSON_CreateNumber(g->cancelled[i].age_s));
+		cJSON_AddItemToArray(e, cJSON_CreateString(gossip->cancelled[i].ref));
+		cJSON_AddItemToArray(e, cJSON_CreateNumber(gossip->cancelled[i].age_s));
 		cJSON_AddItemToArray(list, e);
 	}
 	return fl_json_take(o);
@@ -39,14 +39,14 @@
 		return -ENOMEM;
 	cJSON_ArrayForEach (e, list) {
 		const cJSON *ref = cJSON_GetArrayItem(e, 0), *age = cJSON_GetArrayItem(e, 1);
-		struct fl_cancelled *c = &out->cancelled[out->n_cancelled++];
+		struct fl_cancellation *cancellation = &out->cancelled[out->cancelled_count++];
 
-		if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= sizeof(c->ref) ||
-		    !fl_ref_ok(ref->valuestring) || !cJSON_IsNumber(age) ||
+		if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= sizeof(cancellation->ref) ||
+		    !fl_job_ref_is_valid(ref->valuestring) || !cJSON_IsNumber(age) ||
 		    !(age->valuedouble >= 0))
 			return -EPROTO;
-		fl_copy_string(c->ref, sizeof(c->ref), ref->valuestring);
-		c->age_s = age->valuedouble;
+		fl_copy_string(cancellation->ref, sizeof(cancellation->ref), ref->valuestring);
+		cancellation->age_s = age->valuedouble;
 	}
 	return 0;
 }
@@ -60,9 +60,9 @@
 	if (fl_json_str(o, "node", out->node, sizeof(out->node)) != FL_FIELD_OK ||
 	    fl_json_str(o, "leader", out->leader, sizeof(out->leader)) != FL_FIELD_OK ||
 	    fl_json_count(o, "epoch", &out->fencing_token) != FL_FIELD_OK ||
-	    fl_json_amount(o, "proof_age_s", &out->proof_age_s) != FL_FIELD_OK ||
-	    fl_json_bool(o, "leads", &out->leads) != FL_FIELD_OK ||
-	    fl_json_amount(o, "known_age_s", &out->known_age_s) != FL_FIELD_OK ||
+	    fl_json_amount(o, "proof_age_s", &out->leadership_age_s) != FL_FIELD_OK ||
+	    fl_json_bool(o, "leads", &out->is_leader) != FL_FIELD_OK ||
+	    fl_json_amount(o, "known_age_s", &out->watermark_age_s) != FL_FIELD_OK ||
 	    fl_json_bool(o, "whole", &out->complete) != FL_FIELD_OK)
 		rc = -EPROTO;
 	if (!rc)
@@ -73,19 +73,19 @@
 	return rc;
 }
 
-void fl_gossip_free(struct fl_gossip *g)
+void fl_gossip_free(struct fl_gossip *gossip)
 {
-	free(g->cancelled);
-	g->cancelled = NULL;
-	g->n_cancelled = 0;
+	free(gossip->cancelled);
+	gossip->cancelled = NULL;
+	gossip->cancelled_count = 0;
 }
 
-char *fl_forwarded_request_encode(enum fl_user_call call, bool last_hop, const char *ref,
+char *fl_forwarded_request_encode(enum fl_user_request kind, bool last_hop, const char *ref,
                                   const char *body)
 {
 	cJSON *o = cJSON_CreateObject();
 
-	cJSON_AddNumberToObject(o, "call", call);
+	cJSON_AddNumberToObject(o, "call", kind);
 	cJSON_AddBoolToObject(o, "last_hop", last_hop);
 	if (ref)
 		cJSON_AddStringToObject(o, "ref", ref);
@@ -95,37 +95,40 @@
 }
 
 /* Only what a node relays; nothing else may come by this way, and no id of another form. */
-static bool relayable(uint64_t call, const char *ref, const cJSON *body)
+static bool is_forwardable(uint64_t call, const char *ref, const cJSON *body)
 {
-	if (call == FL_CALL_SUBMIT)
+	if (call == FL_USER_REQUEST_SUBMIT)
 		return cJSON_IsString(body) && !ref[0];
-	return (call == FL_CALL_POLL || call == FL_CALL_CANCEL) && !body && fl_ref_ok(ref);
+	return (call == FL_USER_REQUEST_STATUS || call == FL_USER_REQUEST_CANCEL) && !body &&
+	       fl_job_ref_is_valid(ref);
 }
 
-int fl_forwarded_request_decode(const char *text, size_t len, struct fl_forwarded_request *out)
+int fl_forwarded_request_decode(const char *text, size_t len,
+                                struct fl_forwarded_request *forwarded)
 {
 	const cJSON *body;
 	uint64_t call;
 
-	memset(out, 0, sizeof(*out));
-	out->tree = fl_json_parse(text, len);
-	body = fl_json_get(out->tree, "body");
-	if (fl_json_count(out->tree, "call", &call) != FL_FIELD_OK ||
-	    fl_json_bool(out->tree, "last_hop", &out->last_hop) != FL_FIELD_OK ||
-	    fl_json_str(out->tree, "ref", out->ref, sizeof(out->ref)) == FL_FIELD_BAD ||
-	    !relayable(call, out->ref, body)) {
-		fl_forwarded_request_free(out);
+	memset(forwarded, 0, sizeof(*forwarded));
+	forwarded->tree = fl_json_parse(text, len);
+	body = fl_json_get(forwarded->tree, "body");
+	if (fl_json_count(forwarded->tree, "call", &call) != FL_FIELD_OK ||
+	    fl_json_bool(forwarded->tree, "last_hop", &forwarded->last_hop) != FL_FIELD_OK ||
+	    fl_json_str(forwarded->tree, "ref", forwarded->ref, sizeof(forwarded->ref)) ==
+	            FL_FIELD_BAD ||
+	    !is_forwardable(call, forwarded->ref, body)) {
+		fl_forwarded_request_free(forwarded);
 		return -EPROTO;
 	}
-	out->call = (enum fl_user_call)call;
-	out->body = body ? body->valuestring : NULL;
+	forwarded->kind = (enum fl_user_request)call;
+	forwarded->body = body ? body->valuestring : NULL;
 	return 0;
 }
 
-void fl_forwarded_request_free(struct fl_forwarded_request *r)
+void fl_forwarded_request_free(struct fl_forwarded_request *forwarded)
 {
-	cJSON_Delete(r->tree);
-	r->tree = NULL;
+	cJSON_Delete(forwarded->tree);
+	forwarded->tree = NULL;
 }
 
 /* [host,session,sequence number,epoch,reclaim_in,[[ref,index,attempt,state,exit],...]] */
@@ -160,7 +163,7 @@
 	uint64_t index, attempt, state, why = FL_EXIT_OTHER;
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
-	    !fl_ref_ok(ref->valuestring) ||
+	    !fl_job_ref_is_valid(ref->valuestring) ||
 	    fl_json_item(x, 1, FL_TASKS_MAX - 1, &index) != FL_FIELD_OK ||
 	    fl_json_item(x, 2, UINT32_MAX, &attempt) != FL_FIELD_OK ||
 	    fl_json_item(x, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_FIELD_OK ||
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -8,7 +8,7 @@
 #include "protocol/workers.h"
 
 /* A cancellation, and how long ago it was made. */
-struct fl_cancelled {
+struct fl_cancellation {
 	char ref[FL_REF_MAX];
 	double age_s;
 };
@@ -20,31 +20,32 @@
 struct fl_gossip {
 	char node[FL_NAME_MAX], leader[FL_NAME_MAX]; /* leader empty: none known */
 	uint64_t fencing_token;
-	double proof_age_s; /* since the sending of the state read that leader and epoch rest on */
-	bool leads;         /* the sender holds a valid lease */
-	double known_age_s; /* since when the sender may lack a cancellation */
+	double leadership_age_s; /* since the sending of the state read that leader and epoch rest
+	                            on */
+	bool is_leader;          /* the sender holds a valid lease */
+	double watermark_age_s;  /* since when the sender may lack a cancellation */
 	/*
 	 * Of an answer: `cancelled` is all that the sender has learned since what the asker knows.
 	 * Else it is nothing to rely on.
 	 */
 	bool complete;
-	struct fl_cancelled *cancelled; /* owned; see fl_gossip_free */
-	int n_cancelled;
+	struct fl_cancellation *cancelled; /* owned; see fl_gossip_free */
+	int cancelled_count;
 };
 
 /* The text of a message; the caller frees it. */
-char *fl_gossip_encode(const struct fl_gossip *g);
+char *fl_gossip_encode(const struct fl_gossip *gossip);
 /* Reads a message: 0, or -EPROTO or -ENOMEM with nothing held. */
 int fl_gossip_decode(const char *body, size_t len, struct fl_gossip *out);
 /* Frees what a message holds, not the struct itself. */
-void fl_gossip_free(struct fl_gossip *g);
+void fl_gossip_free(struct fl_gossip *gossip);
 
 /* Where users' calls that are relayed go at another controller. */
 #define FL_PATH_FORWARD "/relay"
 
 /* A user's call travels as it came, wrapped with where it belongs. */
 struct fl_forwarded_request {
-	enum fl_user_call call;
+	enum fl_user_request kind;
 	bool last_hop; /* must not be passed on again */
 	char ref[FL_REF_MAX];
 	const char *body; /* of a submission */
@@ -52,12 +53,13 @@
 };
 
 /* The text of a relayed call; `ref` and `body` may be NULL. The caller frees it. */
-char *fl_forwarded_request_encode(enum fl_user_call call, bool last_hop, const char *ref,
+char *fl_forwarded_request_encode(enum fl_user_request kind, bool last_hop, const char *ref,
                                   const char *body);
 /* Reads a relayed request: 0, or -EPROTO with nothing held. */
-int fl_forwarded_request_decode(const char *text, size_t len, struct fl_forwarded_request *out);
+int fl_forwarded_request_decode(const char *text, size_t len,
+                                struct fl_forwarded_request *forwarded);
 /* Frees what a relayed request holds, its body included. */
-void fl_forwarded_request_free(struct fl_forwarded_request *r);
+void fl_forwarded_request_free(struct fl_forwarded_request *forwarded);
 
 /*
  * A cached report as it goes through the state service, where every byte of hundreds of machines
--- a/src/protocol/job_states.c
+++ b/src/protocol/status_messages.c
@@ -1,4 +1,4 @@
-#include "protocol/job_states.h"
+#include "protocol/status_messages.h"
 
 #include <errno.h>
 #include <string.h>
@@ -24,7 +24,7 @@
 	if (count == 0) {
 		cJSON_ArrayForEach (e, list) {
 			if (!cJSON_IsString(e) || strlen(e->valuestring) >= FL_REF_MAX ||
-			    !fl_ref_ok(e->valuestring)) {
+			    !fl_job_ref_is_valid(e->valuestring)) {
 				count = -EPROTO;
 				break;
 			}
@@ -42,7 +42,7 @@
 
 	for (int i = 0; i < count; i++) {
 		const struct fl_job_status_report *status = &states[i];
-		double values[] = {status->status, status->done, status->running};
+		double values[] = {status->status, status->done_count, status->running_count};
 
 		cJSON_AddItemToArray(list, status->known ? cJSON_CreateDoubleArray(values, 3)
 		                                         : cJSON_CreateNull());
@@ -63,8 +63,8 @@
 		return -EPROTO;
 	*out = (struct fl_job_status_report){.known = true,
 	                                     .status = (enum fl_job_status)status,
-	                                     .done = (uint32_t)done,
-	                                     .running = (uint32_t)running};
+	                                     .done_count = (uint32_t)done,
+	                                     .running_count = (uint32_t)running};
 	return 0;
 }
 
--- a/src/protocol/job_states.h
+++ b/src/protocol/status_messages.h
@@ -1,6 +1,6 @@
 /* Between controllers: status queries for many jobs in one request, answered in the same order. */
-#ifndef FL_PROTOCOL_JOB_STATES_H
-#define FL_PROTOCOL_JOB_STATES_H
+#ifndef FL_PROTOCOL_STATUS_MESSAGES_H
+#define FL_PROTOCOL_STATUS_MESSAGES_H
 
 #include "protocol/users.h"
 
@@ -11,7 +11,7 @@
 struct fl_job_status_report {
 	bool known; /* else the leader's memory does not settle it */
 	enum fl_job_status status;
-	uint32_t done, running; /* tasks, for display */
+	uint32_t done_count, running_count; /* tasks, for display */
 };
 
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count);
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -13,7 +13,7 @@
 
 const char *fl_status_name(enum fl_job_status status) { return status_names[status]; }
 
-bool fl_ref_ok(const char *ref)
+bool fl_job_ref_is_valid(const char *ref)
 {
 	size_t n, begin = sizeof(FL_REF_BEGIN) - 1;
 
@@ -101,7 +101,7 @@
 
 	memset(out, 0, sizeof(*out));
 	if (fl_json_str(o, "Ref", out->ref, sizeof(out->ref)) != FL_FIELD_OK ||
-	    !fl_ref_ok(out->ref)) {
+	    !fl_job_ref_is_valid(out->ref)) {
 		out->ref[0] = 0;
 		return "Ref";
 	}
@@ -183,33 +183,33 @@
 	return fl_json_take(o);
 }
 
-enum fl_user_call fl_user_route(const char *path, char ref[FL_REF_MAX])
+enum fl_user_request fl_user_route(const char *path, char ref[FL_REF_MAX])
 {
 	size_t root = sizeof(runs_path) - 1, n;
 	const char *id, *end;
 
 	ref[0] = 0;
 	if (strcmp(path, "/hello") == 0)
-		return FL_CALL_REPORT;
+		return FL_USER_REQUEST_HEARTBEAT;
 	if (strcmp(path, "/ready") == 0)
-		return FL_CALL_READY;
+		return FL_USER_REQUEST_READY;
 	if (strncmp(path, runs_path, root) != 0)
-		return FL_CALL_NONE;
+		return FL_USER_REQUEST_UNKNOWN;
 	if (path[root] == 0)
-		return FL_CALL_SUBMIT;
+		return FL_USER_REQUEST_SUBMIT;
 	if (path[root] != '/')
-		return FL_CALL_NONE;
+		return FL_USER_REQUEST_UNKNOWN;
 	id = path + root + 1;
 	end = strchr(id, '/');
 	n = end ? (size_t)(end - id) : strlen(id);
 	if (end && strcmp(end, "/cancel") != 0)
-		return FL_CALL_NONE;
+		return FL_USER_REQUEST_UNKNOWN;
 	/* An id that no job can have is a job nobody submitted: found, but with no ref. */
 	if (n > 0 && n < FL_REF_MAX) {
 		memcpy(ref, id, n);
 		ref[n] = 0;
-		if (!fl_ref_ok(ref))
+		if (!fl_job_ref_is_valid(ref))
 			ref[0] = 0;
 	}
-	return end ? FL_CALL_CANCEL : FL_CALL_POLL;
+	return end ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
 }
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -31,7 +31,7 @@
 };
 
 /* Is it a well-formed job id? */
-bool fl_ref_ok(const char *ref);
+bool fl_job_ref_is_valid(const char *ref);
 /* Decodes and checks a description; returns NULL, or the name of the first bad field. */
 const char *fl_job_spec_decode(const cJSON *o, struct fl_job_spec *out);
 /* The description as fl_job_spec_decode reads it. */
@@ -42,15 +42,15 @@
 const char *fl_status_name(enum fl_job_status status);
 
 /* What a path asks for. */
-enum fl_user_call {
-	FL_CALL_NONE,
-	FL_CALL_SUBMIT,
-	FL_CALL_POLL,
-	FL_CALL_CANCEL,
-	FL_CALL_READY,
-	FL_CALL_REPORT
+enum fl_user_request {
+	FL_USER_REQUEST_UNKNOWN,
+	FL_USER_REQUEST_SUBMIT,
+	FL_USER_REQUEST_STATUS,
+	FL_USER_REQUEST_CANCEL,
+	FL_USER_REQUEST_READY,
+	FL_USER_REQUEST_HEARTBEAT
 };
 /* Takes a path apart; `ref` gets the job id, if it has one. */
-enum fl_user_call fl_user_route(const char *path, char ref[FL_REF_MAX]);
+enum fl_user_request fl_user_route(const char *path, char ref[FL_REF_MAX]);
 
 #endif
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -31,7 +31,7 @@
 	memcpy(status->ref, name, (size_t)(slash - name));
 	status->ref[slash - name] = 0;
 	index = strtoul(slash + 1, &end, 10);
-	if (*end || index >= FL_TASKS_MAX || !fl_ref_ok(status->ref))
+	if (*end || index >= FL_TASKS_MAX || !fl_job_ref_is_valid(status->ref))
 		return -EPROTO;
 	status->index = (uint32_t)index;
 	return 0;
--- a/src/storage/keys.c
+++ b/src/storage/keys.c
@@ -34,5 +34,5 @@
 	memcpy(ref, key + skip, (size_t)(slash - key) - skip);
 	ref[(size_t)(slash - key) - skip] = 0;
 	*block_index = (uint32_t)strtoul(slash + 1, &end, 10);
-	return *end || !fl_ref_ok(ref) ? -EPROTO : 0;
+	return *end || !fl_job_ref_is_valid(ref) ? -EPROTO : 0;
 }
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -98,7 +98,7 @@
 	uint64_t block_index;
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
-	    !fl_ref_ok(ref->valuestring) ||
+	    !fl_job_ref_is_valid(ref->valuestring) ||
 	    fl_json_item(e, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
 	            FL_FIELD_OK ||
 	    !cJSON_IsObject(changes))
--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -370,13 +370,13 @@
 	{"stream", "schedule_order.c: rank, growing weight of the wait", 2, stream, 0},
 	{"held_command", "reconciliation.c: absence_proves, may_forget", 3, held_command, 0},
 	{"ten_leaders", "election.c: epochs; failover.c; record_writer.c", 3, ten_leaders, 0},
-	{"cancel_at_end", "answer.c: finishing, unsure; record_writer.c: finalise", 4,
+	{"cancel_at_end", "job_responses.c: finishing, unsure; record_writer.c: finalise", 4,
          cancel_at_end, 0},
 	{"leader_ends_unheard", "reconciliation.c: predates_leadership; reachability.c", 3,
          leader_ends_unheard, 0},
 	{"refused_and_out", "gossip.c: learn; follower.c: knows_jobs", 4, refused_and_out, 0},
 	{"leader_cut", "gossip.c: learn; follower.c: knows_jobs; election.c", 3, leader_cut, 0},
-	{"slow_then_out", "follower.c: knows_jobs; answer.c", 4, slow_then_out, 0},
+	{"slow_then_out", "follower.c: knows_jobs; job_responses.c", 4, slow_then_out, 0},
 	{"chance", "all of them", 14, chance_meeting, 0},
 };
 
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -60,21 +60,21 @@
 {
 	struct fixture *fixture = ctx;
 	struct fl_job_spec spec;
-	struct fl_forwarded_request relay;
+	struct fl_forwarded_request forwarded;
 	cJSON *object;
 
 	resp->status = 400;
-	if (fl_forwarded_request_decode(req->body, req->body_len, &relay) != 0)
+	if (fl_forwarded_request_decode(req->body, req->body_len, &forwarded) != 0)
 		return;
-	if (relay.call == FL_CALL_SUBMIT) {
-		object = fl_json_parse(relay.body, strlen(relay.body));
+	if (forwarded.kind == FL_USER_REQUEST_SUBMIT) {
+		object = fl_json_parse(forwarded.body, strlen(forwarded.body));
 		resp->status = fl_job_spec_decode(object, &spec) ? 400 : 201;
 		cJSON_Delete(object);
 	} else {
 		resp->status = fixture->known ? 200 : 404;
 	}
 	resp->body = strdup("{\"Status\":\"done\"}");
-	fl_forwarded_request_free(&relay);
+	fl_forwarded_request_free(&forwarded);
 }
 
 static void connect_client(struct fl_http_client *client, const struct fl_http_server *server)
@@ -113,11 +113,11 @@
 	connect_client(&node->kv_store.client, fixture->state);
 	connect_client(&node->cloud.http, fixture->state);
 	node->kv_store.last_success_at = node->leadership_confirmed_at =
-		node->cancellations_known_until = fl_now();
+		node->cancellation_watermark = fl_now();
 	node->kv_store.last_failure_at = -1e9;
-	node->types_known = node->jobs_known = true;
+	node->machine_types_known = node->jobs_known = true;
 	strcpy(node->leader_name, "n1");
-	node->n_peers = 1;
+	node->peer_count = 1;
 	strcpy(node->peers[0].name, "n1");
 	node->peers[0].up = true;
 	connect_client(&node->peers[0].http, fixture->leader);
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -24,7 +24,7 @@
 	node->election.lease_valid_until = fl_now() + 1e6;
 	node->election.fencing_token = node->leadership.first_fencing_token = node->fencing_token =
 		fencing_token;
-	node->leadership_confirmed_at = node->cancellations_known_until = fl_now();
+	node->leadership_confirmed_at = node->cancellation_watermark = fl_now();
 	strcpy(node->leader_name, "n0");
 }
 
@@ -152,25 +152,25 @@
 	struct fl_node *node = &fixture->node;
 
 	node->election.lease_held = node->leadership.active = node->cluster.leading = false;
-	node->types_known = node->jobs_known = true;
+	node->machine_types_known = node->jobs_known = true;
 	strcpy(node->leader_name, "n1");
-	node->n_peers = peers;
+	node->peer_count = peers;
 	for (int i = 0; i < peers; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
-		node->peers[i].last_heard_at = node->peers[i].sent_all_at = -1e9;
+		node->peers[i].last_heard_at = node->peers[i].complete_as_of = -1e9;
 	}
-	node->cancellations_known_until = node->kv_store.last_success_at = fl_now();
+	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
 }
 
-struct fl_response user_call(struct fixture *fixture, enum fl_user_call what, const char *ref,
+struct fl_response user_call(struct fixture *fixture, enum fl_user_request kind, const char *ref,
                              const char *body)
 {
 	struct fl_response resp = {.status = 500};
 
-	fl_node_user_call(&fixture->node, what, ref, body, body ? strlen(body) : 0, FL_FIRST_HOP,
-	                  &resp);
+	fl_node_handle_user_request(&fixture->node, kind, ref, body, body ? strlen(body) : 0,
+	                            FL_HOP_FIRST, &resp);
 	return resp;
 }
 
@@ -179,7 +179,7 @@
 int send_report(struct fixture *fixture, struct fl_heartbeat heartbeat, char *to)
 {
 	char *text = fl_heartbeat_encode(&heartbeat);
-	struct fl_response resp = user_call(fixture, FL_CALL_REPORT, NULL, text);
+	struct fl_response resp = user_call(fixture, FL_USER_REQUEST_HEARTBEAT, NULL, text);
 	cJSON *object = resp.body ? fl_json_parse(resp.body, strlen(resp.body)) : NULL;
 	const cJSON *element;
 
--- a/tests/sim_site.c
+++ b/tests/sim_site.c
@@ -20,20 +20,21 @@
 	sim_address((struct sim_end){END_STATE, 0}, c->state);
 	sim_address((struct sim_end){END_CLOUD, 0}, c->cloud);
 	for (int i = 0; i < sim.n_nodes; i++) {
-		struct fl_config_peer *p = &c->peers[c->n_peers];
+		struct fl_config_peer *peer = &c->peers[c->peer_count];
 
 		if (i == node)
 			continue;
-		snprintf(p->node, sizeof(p->node), "host-%d", i + 1);
-		sim_copy(p->location, sizeof(p->location), zones[sim_node_zone(i)]);
-		sim_address((struct sim_end){END_PEER, i}, p->addr);
-		c->n_peers++;
+		snprintf(peer->node, sizeof(peer->node), "host-%d", i + 1);
+		sim_copy(peer->location, sizeof(peer->location), zones[sim_node_zone(i)]);
+		sim_address((struct sim_end){END_PEER, i}, peer->addr);
+		c->peer_count++;
 	}
-	for (c->n_zones = 0; c->n_zones < sim.n_zones; c->n_zones++)
-		sim_copy(c->zones[c->n_zones], sizeof(c->zones[c->n_zones]), zones[c->n_zones]);
+	for (c->zone_count = 0; c->zone_count < sim.n_zones; c->zone_count++)
+		sim_copy(c->zones[c->zone_count], sizeof(c->zones[c->zone_count]),
+		         zones[c->zone_count]);
 	for (int i = 0; i < SIM_TEAMS; i++) {
 		const struct sim_team *t = &sim_teams[i];
-		struct fl_config_team *to = &c->teams[c->n_teams++];
+		struct fl_config_team *to = &c->teams[c->team_count++];
 
 		sim_copy(to->name, sizeof(to->name), t->name);
 		to->cpus = t->cpus;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -43,7 +43,7 @@
 	status.state = FL_TASK_STATE_EXITED;
 	assert_int_equal(send_report(fixture, make_report(1, 23, EPOCH, &status, 1), NULL), 200);
 	/* With the jobs not read for so long, any may have been cancelled. */
-	fixture->node.cancellations_known_until = fl_now() - renewable_s - 1;
+	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	fixture->node.jobs_known = true;
 	assert_int_equal(send_report(fixture, make_report(1, 24, EPOCH, NULL, 0), NULL), 503);
 }
@@ -75,14 +75,14 @@
 	set_up((void **)&other);
 	become_follower(fixture, 2);
 	become_follower(other, 2);
-	fixture->node.cancellations_known_until = fl_now() - renewable_s - 1;
+	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 503);
 	/* The other has read the records 3 s ago, and a job has been cancelled since. */
 	apply_cancellation(other, 1);
-	other->node.cancellations_known_until = fl_now() - 3;
+	other->node.cancellation_watermark = fl_now() - 3;
 	gossip(fixture, 0, other, 0.01);
-	assert_true(fixture->node.cancellations_known_until > fl_now() - 4 &&
-	            fixture->node.cancellations_known_until < fl_now() - 3);
+	assert_true(fixture->node.cancellation_watermark > fl_now() - 4 &&
+	            fixture->node.cancellation_watermark < fl_now() - 3);
 	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &status, 1), NULL), 200);
 	assert_int_equal(kills_in_answer, 1);
 	/* What has ended needs no stop, and what is not cancelled gets none. */
@@ -111,19 +111,19 @@
 	become_follower(fixture, 2);
 	become_follower(a, 2);
 	become_follower(b, 2);
-	old = fixture->node.cancellations_known_until = a->node.cancellations_known_until =
-		b->node.cancellations_known_until = fl_now() - renewable_s - 1;
+	old = fixture->node.cancellation_watermark = a->node.cancellation_watermark =
+		b->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	gossip(fixture, 0, a, 0.1);
-	assert_true(fixture->node.cancellations_known_until <= old);
+	assert_true(fixture->node.cancellation_watermark <= old);
 	b->node.jobs_known = false; /* just restarted: what had it confirmed before? */
 	gossip(fixture, 1, b, 0.1);
-	assert_true(fixture->node.cancellations_known_until <= old);
+	assert_true(fixture->node.cancellation_watermark <= old);
 	b->node.jobs_known = true;
 	gossip(fixture, 1, b, 2.0); /* it was suspended between the question and its sending */
-	assert_true(fixture->node.cancellations_known_until <= old);
+	assert_true(fixture->node.cancellation_watermark <= old);
 	b->node.cluster.finished_dropped_at = fl_now(); /* something learned was dropped */
 	gossip(fixture, 1, b, 0.1);
-	assert_true(fixture->node.cancellations_known_until <= old);
+	assert_true(fixture->node.cancellation_watermark <= old);
 	b->node.cluster.finished_dropped_at = -1e9;
 	for (int i = 0; i <= FL_GOSSIP_CANCELLED_MAX; i++) {
 		char ref[FL_REF_MAX];
@@ -132,23 +132,23 @@
 		fl_finished_job_add(&b->node.cluster, ref, FL_CANCELLED, 1, fl_now());
 	}
 	gossip(fixture, 1, b, 0.1);
-	assert_true(fixture->node.cancellations_known_until <= old);
+	assert_true(fixture->node.cancellation_watermark <= old);
 	for (struct fl_finished_job *entry = b->node.cluster.finished; entry;
 	     entry = entry->hh.next)
 		entry->learned_at = old - 9; /* older than what the asker knows: not sent again */
 	/* The last one that it learned, and the only one that is sent. */
 	fl_finished_job_add(&b->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
 	gossip(fixture, 1, b, 0.1);
-	assert_true(fixture->node.cancellations_known_until > fl_now() - 1 &&
-	            fixture->node.cancellations_known_until < fl_now());
+	assert_true(fixture->node.cancellation_watermark > fl_now() - 1 &&
+	            fixture->node.cancellation_watermark < fl_now());
 	assert_int_equal(HASH_COUNT(fixture->node.cluster.finished), 1);
 	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, NULL, 0), NULL), 200);
 	/* This node itself has not read since it started. */
-	fixture->node.cancellations_known_until = old;
+	fixture->node.cancellation_watermark = old;
 	fixture->node.jobs_known = false;
 	gossip(fixture, 0, a, 0.1);
 	gossip(fixture, 1, b, 0.1);
-	assert_true(fixture->node.cancellations_known_until <= old);
+	assert_true(fixture->node.cancellation_watermark <= old);
 	tear_down((void **)&a);
 	tear_down((void **)&b);
 }
@@ -199,13 +199,13 @@
 
 	fl_routines_init(loop);
 	become_follower(fixture, 0);
-	fixture->node.cancellations_known_until = -1e9;
+	fixture->node.cancellation_watermark = -1e9;
 	fixture->node.jobs_known = false;
 	assert_non_null(fl_spawn(send_and_wait, &waiting));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(waiting.status, 0);
 	apply_cancellation(fixture, fixture->config.cancel_s - fixture->config.lease_s + 1);
-	fixture->node.cancellations_known_until = fl_now();
+	fixture->node.cancellation_watermark = fl_now();
 	fixture->node.jobs_known = true;
 	fl_signal_wake(&fixture->node.jobs_listed);
 	ev_run(loop, EVRUN_NOWAIT);
--- a/tests/test_contract_settings.c
+++ b/tests/test_contract_settings.c
@@ -103,24 +103,24 @@
 
 static void assert_lists(const struct fl_config *config)
 {
-	assert_int_equal(config->n_peers, 1);
+	assert_int_equal(config->peer_count, 1);
 	assert_string_equal(config->peers[0].node, "host-2");
 	assert_string_equal(config->peers[0].location, "south");
 	assert_string_equal(config->peers[0].addr, "10.0.0.4:85");
-	assert_int_equal(config->n_zones, 2);
+	assert_int_equal(config->zone_count, 2);
 	assert_string_equal(config->zones[0], "north");
 	assert_string_equal(config->zones[1], "south");
-	assert_int_equal(config->n_teams, 1);
+	assert_int_equal(config->team_count, 1);
 	assert_string_equal(config->teams[0].name, "physics");
 	assert_true(config->teams[0].cpus == 11.5);
 	assert_true(config->teams[0].cpus_max == 12.5);
 	assert_true(config->teams[0].gpus == 13.5);
 	assert_true(config->teams[0].gpus_max == 14.5);
-	assert_int_equal(config->n_objectives, 1);
-	assert_string_equal(config->objectives[0].kind, "wait");
-	assert_string_equal(config->objectives[0].job_class, "nightly");
-	assert_true(config->objectives[0].within_s == 15.5);
-	assert_true(config->objectives[0].share == 0.625);
+	assert_int_equal(config->slo_count, 1);
+	assert_string_equal(config->slos[0].kind, "wait");
+	assert_string_equal(config->slos[0].job_class, "nightly");
+	assert_true(config->slos[0].within_s == 15.5);
+	assert_true(config->slos[0].share == 0.625);
 }
 
 static void every_setting_is_read_from_its_key(void **state)
@@ -183,8 +183,8 @@
 			continue;
 		settings_without(number, text);
 		assert_int_equal(read_settings(text, &config, error), 0);
-		assert_string_equal(config.objectives[0].job_class, "");
-		assert_string_equal(config.objectives[0].kind, "wait");
+		assert_string_equal(config.slos[0].job_class, "");
+		assert_string_equal(config.slos[0].kind, "wait");
 	}
 }
 
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -165,7 +165,7 @@
 	world.config.report_s = 2;
 	world.config.lease_s = 10;
 	world.config.cancel_s = 40;
-	node->types_known = node->jobs_known = true;
+	node->machine_types_known = node->jobs_known = true;
 	node->kv_store.last_failure_at = -1e9;
 	add_zones_and_teams(&node->cluster);
 	return node;
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -17,7 +17,7 @@
 
 #include "contract_fixture.h"
 #include "protocol/cloud.h"
-#include "protocol/job_states.h"
+#include "protocol/status_messages.h"
 #include "protocol/peer_heartbeats.h"
 #include "protocol/peers.h"
 #include "protocol/kv_store.h"
@@ -272,21 +272,21 @@
 {
 	static const struct {
 		const char *path;
-		enum fl_user_call call;
+		enum fl_user_request call;
 		const char *ref;
 	} paths[] = {
-		{"/v2/runs", FL_CALL_SUBMIT, ""},
-		{"/v2/runs/run-000412", FL_CALL_POLL, "run-000412"},
-		{"/v2/runs/run-000412/cancel", FL_CALL_CANCEL, "run-000412"},
-		{"/ready", FL_CALL_READY, ""},
-		{"/hello", FL_CALL_REPORT, ""},
-		{"/v2/runs/task-000412", FL_CALL_POLL, ""},
-		{"/v2/runs/task-000412/cancel", FL_CALL_CANCEL, ""},
-		{"/v2/runs/run-000412/abort", FL_CALL_NONE, ""},
-		{"/v2/runsrun-000412", FL_CALL_NONE, ""},
-		{"/v1/runs", FL_CALL_NONE, ""},
-		{"/v2/jobs", FL_CALL_NONE, ""},
-		{"/", FL_CALL_NONE, ""},
+		{"/v2/runs", FL_USER_REQUEST_SUBMIT, ""},
+		{"/v2/runs/run-000412", FL_USER_REQUEST_STATUS, "run-000412"},
+		{"/v2/runs/run-000412/cancel", FL_USER_REQUEST_CANCEL, "run-000412"},
+		{"/ready", FL_USER_REQUEST_READY, ""},
+		{"/hello", FL_USER_REQUEST_HEARTBEAT, ""},
+		{"/v2/runs/task-000412", FL_USER_REQUEST_STATUS, ""},
+		{"/v2/runs/task-000412/cancel", FL_USER_REQUEST_CANCEL, ""},
+		{"/v2/runs/run-000412/abort", FL_USER_REQUEST_UNKNOWN, ""},
+		{"/v2/runsrun-000412", FL_USER_REQUEST_UNKNOWN, ""},
+		{"/v1/runs", FL_USER_REQUEST_UNKNOWN, ""},
+		{"/v2/jobs", FL_USER_REQUEST_UNKNOWN, ""},
+		{"/", FL_USER_REQUEST_UNKNOWN, ""},
 	};
 	char ref[FL_REF_MAX];
 
@@ -301,13 +301,13 @@
 {
 	(void)state;
 	assert_string_equal(FL_REF_BEGIN, "run-");
-	assert_true(fl_ref_ok("run-000412"));
-	assert_true(fl_ref_ok("run-000000000412"));
-	assert_false(fl_ref_ok("run-00412"));
-	assert_false(fl_ref_ok("run-0000000000412"));
-	assert_false(fl_ref_ok("job-000412"));
-	assert_false(fl_ref_ok("run-00041x"));
-	assert_false(fl_ref_ok("RUN-000412"));
+	assert_true(fl_job_ref_is_valid("run-000412"));
+	assert_true(fl_job_ref_is_valid("run-000000000412"));
+	assert_false(fl_job_ref_is_valid("run-00412"));
+	assert_false(fl_job_ref_is_valid("run-0000000000412"));
+	assert_false(fl_job_ref_is_valid("job-000412"));
+	assert_false(fl_job_ref_is_valid("run-00041x"));
+	assert_false(fl_job_ref_is_valid("RUN-000412"));
 }
 
 static void an_error_answer_has_the_field_error(void **state)
@@ -1073,12 +1073,12 @@
 	assert_string_equal(got.node, expected->node);
 	assert_string_equal(got.leader, expected->leader);
 	assert_int_equal(got.fencing_token, expected->fencing_token);
-	assert_true(got.proof_age_s == expected->proof_age_s);
-	assert_int_equal(got.leads, expected->leads);
-	assert_true(got.known_age_s == expected->known_age_s);
+	assert_true(got.leadership_age_s == expected->leadership_age_s);
+	assert_int_equal(got.is_leader, expected->is_leader);
+	assert_true(got.watermark_age_s == expected->watermark_age_s);
 	assert_int_equal(got.complete, expected->complete);
-	assert_int_equal(got.n_cancelled, expected->n_cancelled);
-	for (int i = 0; i < expected->n_cancelled; i++) {
+	assert_int_equal(got.cancelled_count, expected->cancelled_count);
+	for (int i = 0; i < expected->cancelled_count; i++) {
 		assert_string_equal(got.cancelled[i].ref, expected->cancelled[i].ref);
 		assert_true(got.cancelled[i].age_s == expected->cancelled[i].age_s);
 	}
@@ -1088,20 +1088,20 @@
 
 static void a_gossip_message_has_leader_epoch_and_cancellations(void **state)
 {
-	struct fl_cancelled cancelled[] = {{"run-000412", 1.5}, {"run-000413", 20}};
+	struct fl_cancellation cancelled[] = {{"run-000412", 1.5}, {"run-000413", 20}};
 	const struct fl_gossip from_the_leader = {.node = "host-1",
 	                                          .leader = "host-1",
 	                                          .fencing_token = 41,
-	                                          .proof_age_s = 0.25,
-	                                          .leads = true,
-	                                          .known_age_s = 3.5,
+	                                          .leadership_age_s = 0.25,
+	                                          .is_leader = true,
+	                                          .watermark_age_s = 3.5,
 	                                          .cancelled = cancelled,
-	                                          .n_cancelled = COUNT_OF(cancelled)};
+	                                          .cancelled_count = COUNT_OF(cancelled)};
 	const struct fl_gossip from_another = {.node = "host-2",
 	                                       .leader = "host-3",
 	                                       .fencing_token = 42,
-	                                       .proof_age_s = 5,
-	                                       .known_age_s = 6,
+	                                       .leadership_age_s = 5,
+	                                       .watermark_age_s = 6,
 	                                       .complete = true};
 
 	(void)state;
@@ -1120,16 +1120,16 @@
 {
 	static const struct {
 		const char *text;
-		enum fl_user_call call;
+		enum fl_user_request call;
 		bool last_hop;
 		const char *ref, *body;
 	} relayed[] = {
 		{"{\"call\":1,\"last_hop\":true,\"body\":\"{\\\"Ref\\\":\\\"run-000412\\\"}\"}",
-	         FL_CALL_SUBMIT, true, NULL, "{\"Ref\":\"run-000412\"}"},
-		{"{\"call\":2,\"last_hop\":false,\"ref\":\"run-000413\"}", FL_CALL_POLL, false,
-	         "run-000413", NULL},
-		{"{\"call\":3,\"last_hop\":true,\"ref\":\"run-000414\"}", FL_CALL_CANCEL, true,
-	         "run-000414", NULL},
+	         FL_USER_REQUEST_SUBMIT, true, NULL, "{\"Ref\":\"run-000412\"}"},
+		{"{\"call\":2,\"last_hop\":false,\"ref\":\"run-000413\"}", FL_USER_REQUEST_STATUS,
+	         false, "run-000413", NULL},
+		{"{\"call\":3,\"last_hop\":true,\"ref\":\"run-000414\"}", FL_USER_REQUEST_CANCEL,
+	         true, "run-000414", NULL},
 	};
 
 	(void)state;
@@ -1139,7 +1139,7 @@
 		assert_int_equal(
 			fl_forwarded_request_decode(relayed[i].text, strlen(relayed[i].text), &got),
 			0);
-		assert_int_equal(got.call, relayed[i].call);
+		assert_int_equal(got.kind, relayed[i].call);
 		assert_int_equal(got.last_hop, relayed[i].last_hop);
 		assert_string_equal(got.ref, relayed[i].ref ? relayed[i].ref : "");
 		if (relayed[i].body)
@@ -1249,8 +1249,8 @@
 	for (int i = 0; i < COUNT_OF(expected); i++) {
 		assert_int_equal(got[i].known, expected[i].known);
 		assert_int_equal(got[i].status, expected[i].status);
-		assert_int_equal(got[i].done, expected[i].done);
-		assert_int_equal(got[i].running, expected[i].running);
+		assert_int_equal(got[i].done_count, expected[i].done_count);
+		assert_int_equal(got[i].running_count, expected[i].running_count);
 	}
 	expect_text(fl_status_answer_encode(expected, COUNT_OF(expected)), text);
 }
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -218,19 +218,19 @@
 		"{\"call\":3,\"last_hop\":true}",
 		"{\"call\":4,\"last_hop\":true}",
 	};
-	char *text = fl_forwarded_request_encode(FL_CALL_SUBMIT, true, NULL, "{}");
-	struct fl_forwarded_request relay;
+	char *text = fl_forwarded_request_encode(FL_USER_REQUEST_SUBMIT, true, NULL, "{}");
+	struct fl_forwarded_request forwarded;
 
 	(void)state;
-	assert_int_equal(fl_forwarded_request_decode(text, strlen(text), &relay), 0);
-	assert_int_equal(relay.call, FL_CALL_SUBMIT);
-	assert_true(relay.last_hop && !relay.ref[0]);
-	assert_string_equal(relay.body, "{}");
-	fl_forwarded_request_free(&relay);
+	assert_int_equal(fl_forwarded_request_decode(text, strlen(text), &forwarded), 0);
+	assert_int_equal(forwarded.kind, FL_USER_REQUEST_SUBMIT);
+	assert_true(forwarded.last_hop && !forwarded.ref[0]);
+	assert_string_equal(forwarded.body, "{}");
+	fl_forwarded_request_free(&forwarded);
 	free(text);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_not_equal(fl_forwarded_request_decode(bad[i], strlen(bad[i]), &relay),
-		                     0);
+		assert_int_not_equal(
+			fl_forwarded_request_decode(bad[i], strlen(bad[i]), &forwarded), 0);
 }
 
 static void paths_are_parsed(void **state)
@@ -238,16 +238,16 @@
 	char ref[FL_REF_MAX];
 
 	(void)state;
-	assert_int_equal(fl_user_route("/v2/runs", ref), FL_CALL_SUBMIT);
-	assert_int_equal(fl_user_route("/v2/runs/run-000001", ref), FL_CALL_POLL);
+	assert_int_equal(fl_user_route("/v2/runs", ref), FL_USER_REQUEST_SUBMIT);
+	assert_int_equal(fl_user_route("/v2/runs/run-000001", ref), FL_USER_REQUEST_STATUS);
 	assert_string_equal(ref, "run-000001");
-	assert_int_equal(fl_user_route("/v2/runs/run-000001/cancel", ref), FL_CALL_CANCEL);
+	assert_int_equal(fl_user_route("/v2/runs/run-000001/cancel", ref), FL_USER_REQUEST_CANCEL);
 	assert_string_equal(ref, "run-000001");
-	assert_int_equal(fl_user_route("/v2/runs/run-000001/stop", ref), FL_CALL_NONE);
-	assert_int_equal(fl_user_route("/v2/runs/whatever", ref), FL_CALL_POLL);
+	assert_int_equal(fl_user_route("/v2/runs/run-000001/stop", ref), FL_USER_REQUEST_UNKNOWN);
+	assert_int_equal(fl_user_route("/v2/runs/whatever", ref), FL_USER_REQUEST_STATUS);
 	assert_string_equal(ref, "");
-	assert_int_equal(fl_user_route("/v2/run", ref), FL_CALL_NONE);
-	assert_int_equal(fl_user_route("/ready", ref), FL_CALL_READY);
+	assert_int_equal(fl_user_route("/v2/run", ref), FL_USER_REQUEST_UNKNOWN);
+	assert_int_equal(fl_user_route("/ready", ref), FL_USER_REQUEST_READY);
 }
 
 int main(void)
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -104,7 +104,7 @@
 	world.config.core_share = 1;
 	world.config.state_rps = world.config.state_write_rps = 100;
 	world.config.cloud_rps = 1;
-	n->types_known = n->jobs_known = true;
+	n->machine_types_known = n->jobs_known = true;
 	assert_non_null(sim_spawn(PROCESS, start_lease, NULL));
 	sim_time_run(fl_now() + begin_busy_s);
 	assert_true(n->election.lease_held);
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -38,7 +38,7 @@
 
 	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
-	fixture->node.n_peers = 1;
+	fixture->node.peer_count = 1;
 	strcpy(peer->location, "a");
 	peer->up = true;
 	/* All controllers well for long: only the machine can be faulty, and a shorter silence is
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -98,7 +98,7 @@
 
 	fl_routines_init(loop);
 	become_follower(early.fixture, 0);
-	node->cancellations_known_until = -1e9;
+	node->cancellation_watermark = -1e9;
 	node->jobs_known = false;
 	node->fencing_token = 0;
 	/* Another report has the epoch read already. */
@@ -111,7 +111,7 @@
 	fl_signal_wake(&node->follower.refreshed);
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
-	node->cancellations_known_until = fl_now();
+	node->cancellation_watermark = fl_now();
 	node->jobs_known = true;
 	fl_signal_wake(&node->jobs_listed);
 	ev_run(loop, EVRUN_NOWAIT);
@@ -126,13 +126,12 @@
 
 	fixture->node.kv_store.last_success_at = now - for_s;
 	fixture->node.kv_store.last_failure_at = now;
-	for (int i = 0; i < fixture->node.n_peers; i++) {
+	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
 		fixture->node.peers[i].last_heard_at = now - for_s;
 	}
-	fixture->node.probed_at = now;
-	fixture->node.leadership_confirmed_at = fixture->node.cancellations_known_until =
-		now - for_s;
+	fixture->node.last_readiness_probe_at = now;
+	fixture->node.leadership_confirmed_at = fixture->node.cancellation_watermark = now - for_s;
 }
 
 /* As if the workers had come a report interval earlier. */
@@ -184,7 +183,7 @@
 	disconnect(fixture, 3);
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
-	fixture->node.probed_at = fl_now() - 10;
+	fixture->node.last_readiness_probe_at = fl_now() - 10;
 	heartbeat.sequence++;
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* The others ended long before the state service failed. */
@@ -235,16 +234,18 @@
 		"\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":1,\"SnapshotEveryS\":0,"
 		"\"SnapshotCostS\":0,\"DueS\":null}";
 	static const struct {
-		enum fl_user_call call;
+		enum fl_user_request call;
 		const char *body;
-	} asks[] = {{FL_CALL_SUBMIT, job}, {FL_CALL_POLL, NULL}, {FL_CALL_CANCEL, NULL}};
+	} asks[] = {{FL_USER_REQUEST_SUBMIT, job},
+	            {FL_USER_REQUEST_STATUS, NULL},
+	            {FL_USER_REQUEST_CANCEL, NULL}};
 	struct fixture *fixture = *state;
 	struct fl_response resp;
 
 	become_follower(fixture, 4);
-	assert_int_equal(user_call(fixture, FL_CALL_READY, NULL, NULL).status, 200);
+	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
 	disconnect(fixture, 3);
-	assert_int_equal(user_call(fixture, FL_CALL_READY, NULL, NULL).status, 503);
+	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
 	for (size_t i = 0; i < sizeof(asks) / sizeof(asks[0]); i++) {
 		/* No routine runs here, so that a try to connect would fail the test. */
 		resp = user_call(fixture, asks[i].call, "run-000001", asks[i].body);
@@ -254,17 +255,17 @@
 	}
 	/* What is over is known for good, by any node. */
 	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
-	resp = user_call(fixture, FL_CALL_POLL, "run-000050", NULL);
+	resp = user_call(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
 	assert_int_equal(resp.status, 200);
 	free(resp.body);
-	resp = user_call(fixture, FL_CALL_CANCEL, "run-000050", NULL);
+	resp = user_call(fixture, FL_USER_REQUEST_CANCEL, "run-000050", NULL);
 	assert_int_equal(resp.status, 200);
 	assert_non_null(strstr(resp.body, "\"done\""));
 	free(resp.body);
 	/* Connected again, it is ready. */
 	fixture->node.peers[0].up = true;
 	fixture->node.kv_store.last_success_at = fl_now() + 1;
-	assert_int_equal(user_call(fixture, FL_CALL_READY, NULL, NULL).status, 200);
+	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
 }
 
 int main(void)
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -157,7 +157,7 @@
 
 static void add_peer(struct fl_node *n, const char *name)
 {
-	struct fl_peer *peer = &n->peers[n->n_peers++];
+	struct fl_peer *peer = &n->peers[n->peer_count++];
 
 	snprintf(peer->name, sizeof(peer->name), "%s", name);
 	peer->up = true;
@@ -180,7 +180,7 @@
 		world.leader.jobs_known = true;
 	world.leader.election.lease_valid_until = fl_now() + 1000;
 	world.leader.election.fencing_token = world.leader.leadership.first_fencing_token = EPOCH;
-	world.leader.cancellations_known_until = fl_now();
+	world.leader.cancellation_watermark = fl_now();
 	assert_int_equal(fl_symbol_intern(&world.leader.cluster.zones, "a"), 0);
 	fl_machine_types_set(&world.leader.cluster.machines, &world.leader.cluster.zones, &type, 1);
 	return 0;
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -28,8 +28,8 @@
 {
 	struct question *question = arg;
 
-	fl_node_user_call(&question->fixture->node, FL_CALL_POLL, question->ref, NULL, 0,
-	                  FL_FIRST_HOP, &question->resp);
+	fl_node_handle_user_request(&question->fixture->node, FL_USER_REQUEST_STATUS, question->ref,
+	                            NULL, 0, FL_HOP_FIRST, &question->resp);
 	if (question->resp.body)
 		copy_text(question->body, sizeof(question->body), question->resp.body);
 	free(question->resp.body);
@@ -70,8 +70,8 @@
 	char ref[FL_REF_MAX];
 
 	/* Nobody leads: each poll is answered from the records, and twenty by one read of them. */
-	fixture->node.n_peers = 0;
-	fixture->node.types_known = fixture->node.jobs_known = true;
+	fixture->node.peer_count = 0;
+	fixture->node.machine_types_known = fixture->node.jobs_known = true;
 	fixture->gated = true;
 	fixture->config.state_rps = 1000;
 	fl_job_lookups_init(&fixture->node);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -146,7 +146,7 @@
 	struct fl_heartbeat heartbeat = make_report(1, 1, EPOCH, NULL, 0);
 
 	fixture->config.report_s = 6;
-	fixture->node.n_peers = 2;
+	fixture->node.peer_count = 2;
 	for (heartbeat.entry_node = 1; heartbeat.entry_node <= 3; heartbeat.entry_node++) {
 		/* It changes its node after a timeout, or when it was redirected. */
 		for (int i = 0; i < 3; i++) {
@@ -165,7 +165,7 @@
 	deliver_report(fixture, heartbeat, FL_HEARTBEAT_FROM_COMMAND);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 	/* Where there is no other node, only a launch without effect shows it. */
-	fixture->node.n_peers = 0;
+	fixture->node.peer_count = 0;
 	for (int i = 0; i < 3; i++) {
 		answered_ago(fixture, 6);
 		heartbeat.sequence++;
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -14,7 +14,7 @@
 
 #include "coordination/node.h"
 #include "coordination/status_query.h"
-#include "protocol/job_states.h"
+#include "protocol/status_messages.h"
 #include "sim.h"
 #include "transport/clock.h"
 
@@ -104,7 +104,7 @@
 	memset(&world, 0, sizeof(world));
 	sim_time_begin();
 	snprintf(world.follower.leader_name, sizeof(world.follower.leader_name), "host-2");
-	world.follower.n_peers = 2;
+	world.follower.peer_count = 2;
 	world.follower.peers[1].up = true;
 	snprintf(world.follower.peers[1].name, sizeof(world.follower.peers[1].name), "host-2");
 	world.leader.leadership.active = true;
@@ -162,7 +162,7 @@
 	fl_job_finalise(&world.leader.cluster, fl_job_find(&world.leader.cluster, arg), FL_DONE);
 }
 
-/* Another controller may have said `done` meanwhile, so no earlier answer will do. */
+/* Another controller may have said `done_count` meanwhile, so no earlier answer will do. */
 static void a_query_rests_on_a_request_sent_after_it(void **state)
 {
 	struct query *queries = calloc(2, sizeof(*queries));
@@ -192,7 +192,7 @@
 	fl_job_find(&world.leader.cluster, queries[2].ref)->final_write_unknown = true;
 	run(queries, 3);
 	for (int i = 0; i < 3; i++) {
-		assert_int_equal(queries[i].result, FL_QUERY_UNSETTLED);
+		assert_int_equal(queries[i].result, FL_QUERY_NOT_IN_MEMORY);
 		assert_null(queries[i].resp.body);
 	}
 	free_answers(queries, 3);
@@ -280,8 +280,8 @@
 	text = fl_status_answer_encode(states, 2);
 	assert_int_equal(fl_status_answer_decode(text, strlen(text), got, 2), 0);
 	assert_true(got[0].known && got[0].status == FL_RUNNING);
-	assert_int_equal(got[0].done, 3);
-	assert_int_equal(got[0].running, 13);
+	assert_int_equal(got[0].done_count, 3);
+	assert_int_equal(got[0].running_count, 13);
 	assert_false(got[1].known);
 	free(text);
 	assert_int_equal(decode_answer("{\"jobs\":[null]}", 2), -EPROTO);
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -21,8 +21,8 @@
 
 	fl_buf_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
 	              ++fixture->ref, BASE);
-	fl_node_user_call(&fixture->node, FL_CALL_SUBMIT, "", body.data, body.len, FL_FIRST_HOP,
-	                  &resp);
+	fl_node_handle_user_request(&fixture->node, FL_USER_REQUEST_SUBMIT, "", body.data, body.len,
+	                            FL_HOP_FIRST, &resp);
 	fl_buf_free(&body);
 	free(resp.body);
 	if (retry_after)
@@ -118,11 +118,11 @@
 	fixture->known = false;
 	fixture->refused = true;
 	fixture->node.peers[0].up = false;
-	fixture->node.n_peers = 0;
+	fixture->node.peer_count = 0;
 	for (int i = 0; i < CASES; i++)
 		if (!cases[i].unreadable)
 			expect_status(fixture, cases[i].fields, 503, "nobody can tell");
-	fixture->refused = fixture->node.types_known = false;
+	fixture->refused = fixture->node.machine_types_known = false;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
 		strcpy(fixture->failed, "machine types unknown");
 	ev_break(fl_loop(), EVBREAK_ALL);
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -348,7 +348,7 @@
 /* Found with 2,000 workers on one controller: their idle connections left none for users. */
 static void a_nearly_full_server_closes_answered_connections(void **state)
 {
-	struct fl_config c = {.max_connections = 3565, .n_peers = 4};
+	struct fl_config c = {.max_connections = 3565, .peer_count = 4};
 	struct fl_http_server *server;
 
 	(void)state;
@@ -379,10 +379,10 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(limits) / sizeof(limits[0]); i++) {
-		struct fl_config c = {.n_peers = 4, .max_connections = limits[i]};
+		struct fl_config c = {.peer_count = 4, .max_connections = limits[i]};
 		int public = fl_node_public_conns(&c);
-		int from_peers = c.n_peers * FL_PEER_CONNS_MAX;
-		int to_leader = FL_PEER_CONNS_MAX + c.n_peers;
+		int from_peers = c.peer_count * FL_PEER_CONNS_MAX;
+		int to_leader = FL_PEER_CONNS_MAX + c.peer_count;
 
 		assert_true(public >= (int)(0.6 * limits[i]));
 		assert_true(limits[i] - public >= from_peers);
@@ -489,14 +489,14 @@
 	char text[256];
 
 	(void)state;
-	assert_false(fl_admission_tight(&c, 0, text, sizeof(text)));
+	assert_false(fl_admission_tight_setting(&c, 0, text, sizeof(text)));
 	c.ram_mb = 16;
-	assert_true(fl_admission_tight(&c, 0, text, sizeof(text)));
+	assert_true(fl_admission_tight_setting(&c, 0, text, sizeof(text)));
 	assert_non_null(strstr(text, "ram_mb is 16: 900 connections take 8 MB"));
 	c.core_share = 0.01;
-	assert_true(fl_admission_tight(&c, 1, text, sizeof(text)));
+	assert_true(fl_admission_tight_setting(&c, 1, text, sizeof(text)));
 	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 reports"));
-	assert_false(fl_admission_tight(&c, 2, text, sizeof(text)));
+	assert_false(fl_admission_tight_setting(&c, 2, text, sizeof(text)));
 }
 
 static void the_write_budget_holds_its_rate(void **state)
