--- a/src/config.c
+++ b/src/config.c
@@ -74,10 +74,10 @@
 static void get_addr(struct reader *reader, const cJSON *o, const char *where, const char *key,
                      char out[FL_CONFIG_NAME])
 {
-	struct sockaddr_in sa;
+	struct sockaddr_in address;
 
 	get_str(reader, o, where, key, out);
-	if (!reader->failed && fl_parse_addr(out, &sa) != 0)
+	if (!reader->failed && fl_address_parse(out, &address) != 0)
 		record_error(reader, "%s%s: must be an IPv4 address and port, like 10.0.0.1:8080",
 		             where, key);
 }
--- a/src/coordination/autoscaler.c
+++ b/src/coordination/autoscaler.c
@@ -7,7 +7,7 @@
 
 #include "transport/clock.h"
 #include "transport/log.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 static const struct {
 	double round_s, list_s, types_s, tombstone_s, spot_prior_s, call_share, burst_s;
@@ -112,5 +112,5 @@
 		}
 	}
 	n->leadership.coroutines_running--;
-	fl_signal_wake(&n->leadership.coroutine_ended);
+	fl_condition_broadcast(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -55,12 +55,12 @@
 	struct command_sender *sender = arg;
 	struct fl_node *n = sender->node;
 
-	while (sender->machine->command_pending && !fl_cancelled())
+	while (sender->machine->command_pending && !fl_coroutine_cancelled())
 		send_once(n, sender->machine);
 	sender->machine->command_in_flight = false;
 	n->leadership.commands_in_flight--;
 	n->leadership.coroutines_running--;
-	fl_signal_wake(&n->leadership.coroutine_ended);
+	fl_condition_broadcast(&n->leadership.coroutine_ended);
 	free(sender);
 }
 
@@ -75,7 +75,7 @@
 	if (!sender)
 		return;
 	*sender = (struct command_sender){n, m};
-	if (!fl_spawn(sender_coroutine, sender)) {
+	if (!fl_coroutine_spawn(sender_coroutine, sender)) {
 		free(sender);
 		return;
 	}
@@ -107,8 +107,8 @@
 		}
 	}
 	fl_job_mark_dirty(&n->cluster, job);
-	fl_signal_wake(&n->leadership.writes_pending);
-	fl_signal_wake(&n->leadership.work_available);
+	fl_condition_broadcast(&n->leadership.writes_pending);
+	fl_condition_broadcast(&n->leadership.work_available);
 }
 
 /* Stops the tasks of cancelled jobs on one machine, or returns the machine when time is short. */
@@ -141,5 +141,5 @@
 			enforce_cancellations(n, n->cluster.machines.by_id[i], now);
 	}
 	n->leadership.coroutines_running--;
-	fl_signal_wake(&n->leadership.coroutine_ended);
+	fl_condition_broadcast(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/election.c
+++ b/src/coordination/election.c
@@ -6,7 +6,7 @@
 #include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/log.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 #include "transport/text.h"
 
 static const struct {
@@ -38,18 +38,19 @@
 	bool found;
 };
 
-static void on_election_key(void *ctx, const struct fl_kv_event *event)
+static void on_election_key(void *context, const struct fl_kv_event *event)
 {
-	struct control *election_state = ctx;
+	struct control *election_state = context;
 
 	if (strcmp(event->key, FL_KEY_LEADER) == 0 && event->value) {
-		election_state->found = fl_json_str(event->value, "node", election_state->leader,
-		                                    sizeof(election_state->leader)) == FL_FIELD_OK;
-		fl_json_str(event->value, "boot", election_state->process_id,
-		            sizeof(election_state->process_id));
+		election_state->found =
+			fl_json_get_string(event->value, "node", election_state->leader,
+		                           sizeof(election_state->leader)) == FL_JSON_OK;
+		fl_json_get_string(event->value, "boot", election_state->process_id,
+		                   sizeof(election_state->process_id));
 		election_state->leader_mod_revision = event->mod_revision;
 	} else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value) {
-		fl_json_count(event->value, "epoch", &election_state->fencing_token);
+		fl_json_get_count(event->value, "epoch", &election_state->fencing_token);
 		election_state->token_mod_revision = event->mod_revision;
 	}
 }
@@ -91,7 +92,7 @@
 	        (unsigned long long)n->election.fencing_token, why);
 	n->election.lease_held = false;
 	n->election.lease_valid_until = 0;
-	fl_signal_wake(&n->leadership_changed);
+	fl_condition_broadcast(&n->leadership_changed);
 }
 
 /* Tries to become the leader, with the next epoch. */
@@ -235,10 +236,10 @@
 	struct fl_node *n = arg;
 	int place = 0;
 
-	fl_urgent();
+	fl_coroutine_set_urgent();
 	for (int i = 0; i < n->peer_count; i++)
 		place += strcmp(n->peers[i].name, n->config->node) < 0;
-	while (!fl_cancelled()) {
+	while (!fl_coroutine_cancelled()) {
 		double pause;
 
 		if (n->election.lease_held) {
@@ -254,25 +255,26 @@
 			pause = n->machine_types_known && n->jobs_known ? campaign(n, place)
 			                                                : tunables.retry_s;
 		}
-		if (pause > 0 && fl_signal_wait(&n->leadership_changed, pause) == -ECANCELED)
+		if (pause > 0 && fl_condition_wait(&n->leadership_changed, pause) == -ECANCELED)
 			break;
 	}
 }
 
-static void on_election_event(void *ctx, const struct fl_kv_event *event)
+static void on_election_event(void *context, const struct fl_kv_event *event)
 {
-	struct fl_node *n = ctx;
+	struct fl_node *n = context;
 	uint64_t fencing_token;
 
 	if (strcmp(event->key, FL_KEY_LEADER) == 0) {
 		if (!event->value)
 			n->leader_name[0] = 0;
 		else
-			fl_json_str(event->value, "node", n->leader_name, sizeof(n->leader_name));
+			fl_json_get_string(event->value, "node", n->leader_name,
+			                   sizeof(n->leader_name));
 		if (!n->election.lease_held)
-			fl_signal_wake(&n->leadership_changed);
+			fl_condition_broadcast(&n->leadership_changed);
 	} else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value &&
-	           fl_json_count(event->value, "epoch", &fencing_token) == FL_FIELD_OK) {
+	           fl_json_get_count(event->value, "epoch", &fencing_token) == FL_JSON_OK) {
 		if (fencing_token > n->fencing_token)
 			n->fencing_token = fencing_token;
 	}
@@ -284,8 +286,8 @@
 	struct fl_node *n = arg;
 	uint64_t revision = 0;
 
-	fl_urgent();
-	while (!fl_cancelled()) {
+	fl_coroutine_set_urgent();
+	while (!fl_coroutine_cancelled()) {
 		double sent = fl_now();
 		int rc;
 
@@ -309,6 +311,6 @@
 void fl_election_start(struct fl_node *n)
 {
 	n->leadership_confirmed_at = n->cancellation_watermark = LONG_AGO;
-	fl_spawn(election_coroutine, n);
-	fl_spawn(watch_coroutine, n);
+	fl_coroutine_spawn(election_coroutine, n);
+	fl_coroutine_spawn(watch_coroutine, n);
 }
--- a/src/coordination/failover.c
+++ b/src/coordination/failover.c
@@ -17,9 +17,9 @@
 	struct fl_wal wal;
 };
 
-static void load_job(void *ctx, const struct fl_kv_event *event)
+static void load_job(void *context, const struct fl_kv_event *event)
 {
-	struct load *load = ctx;
+	struct load *load = context;
 	struct fl_cluster *b = &load->node->cluster;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job_record record;
@@ -54,9 +54,9 @@
 	                    fl_since(record.cancelled_wall));
 }
 
-static void load_progress_record(void *ctx, const struct fl_kv_event *event)
+static void load_progress_record(void *context, const struct fl_kv_event *event)
 {
-	struct load *load = ctx;
+	struct load *load = context;
 	char ref[FL_REF_MAX];
 	uint32_t block_index;
 	struct fl_job *job;
@@ -80,9 +80,9 @@
 	load->progress_record_count++;
 }
 
-static void load_wal_value(void *ctx, const struct fl_kv_event *event)
+static void load_wal_value(void *context, const struct fl_kv_event *event)
 {
-	struct load *load = ctx;
+	struct load *load = context;
 
 	if (fl_wal_read(&load->wal, event->value) != 0) {
 		fl_error("takeover", "%s: cannot be read", event->key);
--- a/src/coordination/follower.c
+++ b/src/coordination/follower.c
@@ -8,7 +8,7 @@
 #include "coordination/heartbeat_forwarding.h"
 #include "transport/clock.h"
 #include "transport/log.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 static const struct {
 	double refresh_s, refresh_wait_s, digest_s, margin_s, alone_s;
@@ -99,13 +99,13 @@
 	struct fl_follower *follower = &n->follower;
 
 	if (follower->refreshing) {
-		fl_signal_wait(&follower->refreshed, until - fl_now());
+		fl_condition_wait(&follower->refreshed, until - fl_now());
 	} else if (fl_now() > follower->refreshed_at + tunables.refresh_s) {
 		follower->refreshing = true;
 		fl_election_refresh(n);
 		follower->refreshing = false;
 		follower->refreshed_at = fl_now();
-		fl_signal_wake(&follower->refreshed);
+		fl_condition_broadcast(&follower->refreshed);
 	}
 }
 
@@ -124,12 +124,12 @@
 	if (!has_fencing_token(n, fencing_token))
 		refresh_fencing_token(n, until);
 	if (has_fencing_token(n, fencing_token) && !n->jobs_known && fl_now() < until)
-		fl_signal_wait(&n->jobs_listed, until - fl_now());
+		fl_condition_wait(&n->jobs_listed, until - fl_now());
 	return may_vouch(n, fencing_token);
 }
 
 static void respond_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat,
-                            struct fl_response *resp)
+                            struct fl_http_response *response)
 {
 	struct fl_command_list commands;
 
@@ -138,19 +138,19 @@
 		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
 		         (unsigned long long)n->fencing_token,
 		         fl_now() - n->cancellation_watermark);
-		fl_respond_error(resp, 503, "no proof of the epoch");
+		fl_respond_error(response, 503, "no proof of the epoch");
 		return;
 	}
 	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
 	if (holds_overdue_cancelled_task(n, heartbeat)) {
 		fl_debug("standby", "%s is refused: it holds what is cancelled", heartbeat->host);
-		fl_respond_error(resp, 503, "a cancelled job's task is there");
+		fl_respond_error(response, 503, "a cancelled job's task is there");
 		return;
 	}
 	fl_command_list_init(&commands, n->fencing_token);
 	stop_cancelled(n, heartbeat, &commands);
-	resp->status = 200;
-	resp->body = fl_command_list_take(&commands);
+	response->status = 200;
+	response->body = fl_command_list_take(&commands);
 	fl_heartbeat_cache(n, heartbeat);
 	if (n->leadership.active)
 		fl_reconcile_renewal(n, heartbeat);
@@ -171,7 +171,7 @@
 }
 
 void fl_follower_reply_as_leader(struct fl_node *n, const struct fl_heartbeat *heartbeat,
-                                 struct fl_response *resp)
+                                 struct fl_http_response *response)
 {
 	struct fl_command_list commands;
 	int rc;
@@ -184,11 +184,11 @@
 		/* The same report relayed twice, or from before this leadership. */
 		if (commands.count == 0)
 			stop_cancelled(n, heartbeat, &commands);
-		resp->status = 200;
-		resp->body = fl_command_list_take(&commands);
+		response->status = 200;
+		response->body = fl_command_list_take(&commands);
 	} else {
 		cJSON_Delete(commands.root);
-		fl_respond_error(resp, 503,
+		fl_respond_error(response, 503,
 		                 rc ? "this machine is not known any more"
 		                 : !watermark_is_fresh(n)
 		                         ? "the jobs have not been heard of for too long"
@@ -197,26 +197,26 @@
 }
 
 void fl_follower_handle_heartbeat(struct fl_node *n, const char *body, size_t len,
-                                  struct fl_response *resp)
+                                  struct fl_http_response *response)
 {
 	const struct fl_peer *home;
 	struct fl_heartbeat heartbeat;
 
 	if (fl_heartbeat_decode(body, len, &heartbeat) != 0) {
 		fl_error("workers", "what came by a worker's way is no report");
-		fl_respond_error(resp, 400, "not a report");
+		fl_respond_error(response, 400, "not a report");
 		return;
 	}
 	heartbeat.entry_node = fl_node_index(n, n->config->node);
 	home = fl_redirect_target(n, &heartbeat);
 	if (home) {
 		fl_debug("standby", "%s is sent to %s", heartbeat.host, home->name);
-		resp->status = 421;
-		resp->body = fl_redirect_encode(home->name);
+		response->status = 421;
+		response->body = fl_redirect_encode(home->name);
 	} else if (fl_is_leader(n)) {
-		fl_follower_reply_as_leader(n, &heartbeat, resp);
-	} else if (fl_heartbeat_forward(n, body, len, resp) != 0) {
-		respond_renewal(n, &heartbeat, resp);
+		fl_follower_reply_as_leader(n, &heartbeat, response);
+	} else if (fl_heartbeat_forward(n, body, len, response) != 0) {
+		respond_renewal(n, &heartbeat, response);
 	}
 	fl_heartbeat_free(&heartbeat);
 }
@@ -238,5 +238,5 @@
 {
 	fl_heartbeat_digest_init(n, tunables.digest_s);
 	fl_gossip_start(n);
-	fl_spawn(upkeep_coroutine, n);
+	fl_coroutine_spawn(upkeep_coroutine, n);
 }
--- a/src/coordination/follower.h
+++ b/src/coordination/follower.h
@@ -11,7 +11,7 @@
 #include "coordination/redirect.h"
 #include "storage/token_bucket.h"
 #include "transport/http_server.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct fl_node;
 
@@ -24,7 +24,7 @@
 	struct fl_token_bucket write_budget;
 	double refreshed_at;
 	bool refreshing;
-	struct fl_signal refreshed; /* the read for a fresher proof has come back */
+	struct fl_condition refreshed; /* the read for a fresher proof has come back */
 };
 
 /* Starts the routines of the exchange between controllers, and of the digests. */
@@ -34,10 +34,10 @@
  * report to.
  */
 void fl_follower_handle_heartbeat(struct fl_node *n, const char *body, size_t len,
-                                  struct fl_response *resp);
+                                  struct fl_http_response *response);
 /* Answers a report with the leader's orders; this node leads. It does not wait. */
 void fl_follower_reply_as_leader(struct fl_node *n, const struct fl_heartbeat *heartbeat,
-                                 struct fl_response *resp);
+                                 struct fl_http_response *response);
 /* s after a proof for which a node renews worker leases with it. */
 double fl_follower_renewal_window_s(const struct fl_node *n);
 /*
--- a/src/coordination/forwarding.c
+++ b/src/coordination/forwarding.c
@@ -40,7 +40,7 @@
 }
 
 static int forward_via(struct fl_peer *peer, const char *path, const char *text, double timeout_s,
-                       struct fl_reply *out)
+                       struct fl_http_reply *out)
 {
 	int rc;
 
@@ -48,14 +48,14 @@
 		return -ETIMEDOUT;
 	rc = fl_http_call(&peer->http, "POST", path, text, timeout_s, out);
 	if (rc == 0 && out->status == 421) {
-		fl_buf_free(&out->body);
+		fl_buffer_free(&out->body);
 		return -EHOSTUNREACH;
 	}
 	return rc;
 }
 
-int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *ctx,
-               enum fl_forward_hop hop, double patience_s, struct fl_reply *out)
+int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *context,
+               enum fl_forward_hop hop, double patience_s, struct fl_http_reply *out)
 {
 	struct fl_peer *leader = fl_peer_find(n, n->leader_name);
 	double until = fl_now() + patience_s;
@@ -65,14 +65,14 @@
 	if (!leader)
 		return rc;
 	if (leader->up || n->peer_count == 1) {
-		text = encode(ctx, true, false);
+		text = encode(context, true, false);
 		rc = forward_via(leader, path, text,
 		                 hop ? patience_s : fmin(tunables.direct_s, patience_s), out);
 		free(text);
 	}
 	if (rc == 0 || hop)
 		return rc;
-	text = encode(ctx, false, fl_kv_is_unavailable(&n->kv_store));
+	text = encode(context, false, fl_kv_is_unavailable(&n->kv_store));
 	for (int i = 0; i < n->peer_count && rc != 0; i++) {
 		struct fl_peer *peer = &n->peers[i];
 
--- a/src/coordination/forwarding.h
+++ b/src/coordination/forwarding.h
@@ -18,7 +18,7 @@
  * Makes the text of a relayed message, to be freed. `last_hop`: the receiver must not pass it on;
  * `disconnected`: this node has lost the state service.
  */
-typedef char *(*fl_forward_encoder)(const void *ctx, bool last_hop, bool disconnected);
+typedef char *(*fl_forward_encoder)(const void *context, bool last_hop, bool disconnected);
 
 /* The other controller of this name, or NULL. */
 struct fl_peer *fl_peer_find(struct fl_node *n, const char *name);
@@ -27,7 +27,7 @@
 /* Whether a relayed message that this node cannot answer must not be passed on from here. */
 bool fl_forward_ends_here(const struct fl_node *n, bool last_hop);
 /* Passes a message to the leader, direct or through a third node: 0 and the answer, or an errno. */
-int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *ctx,
-               enum fl_forward_hop hop, double patience_s, struct fl_reply *out);
+int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *context,
+               enum fl_forward_hop hop, double patience_s, struct fl_http_reply *out);
 
 #endif
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -9,7 +9,7 @@
 #include "protocol/peers.h"
 #include "transport/clock.h"
 #include "transport/log.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 #include "transport/text.h"
 
 static const struct {
@@ -127,14 +127,15 @@
 	gossip->is_leader = fl_election_lease_valid(n);
 }
 
-void fl_gossip_serve(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+void fl_gossip_serve(struct fl_node *n, const char *body, size_t len,
+                     struct fl_http_response *response)
 {
 	struct fl_gossip gossip;
 	double since;
 
 	if (fl_gossip_decode(body, len, &gossip) != 0) {
 		fl_error("peers", "a message that is not gossip");
-		fl_respond_error(resp, 400, "not gossip");
+		fl_respond_error(response, 400, "not gossip");
 		return;
 	}
 	/*
@@ -146,8 +147,8 @@
 	fl_gossip_free(&gossip);
 	describe_self(n, &gossip);
 	add_cancelled(n, since, &gossip);
-	resp->status = 200;
-	resp->body = fl_gossip_encode(&gossip);
+	response->status = 200;
+	response->body = fl_gossip_encode(&gossip);
 	fl_gossip_free(&gossip);
 }
 
@@ -180,7 +181,7 @@
 
 	while (fl_sleep(tunables.gossip_s) == 0) {
 		double sent = fl_now();
-		struct fl_reply reply;
+		struct fl_http_reply reply;
 		char *text = fl_gossip_request(n);
 		int rc;
 
@@ -190,9 +191,9 @@
 		if (rc == 0) {
 			peer->last_heard_at = fl_now();
 			if (reply.status == 200)
-				fl_gossip_handle_reply(n, peer, reply.body.data, reply.body.len,
+				fl_gossip_handle_reply(n, peer, reply.body.data, reply.body.length,
 				                       sent);
-			fl_buf_free(&reply.body);
+			fl_buffer_free(&reply.body);
 		}
 		if (peer->up != (rc == 0)) {
 			peer->up_since = fl_now();
@@ -206,6 +207,6 @@
 {
 	for (int i = 0; i < n->peer_count; i++) {
 		n->peers[i].last_heard_at = n->peers[i].complete_as_of = -1e9;
-		fl_spawn(gossip_coroutine, &n->peers[i]);
+		fl_coroutine_spawn(gossip_coroutine, &n->peers[i]);
 	}
 }
--- a/src/coordination/gossip.h
+++ b/src/coordination/gossip.h
@@ -19,7 +19,8 @@
 /* The text of a request; the caller frees it. */
 char *fl_gossip_request(struct fl_node *n);
 /* Answers another controller's request. */
-void fl_gossip_serve(struct fl_node *n, const char *body, size_t len, struct fl_response *resp);
+void fl_gossip_serve(struct fl_node *n, const char *body, size_t len,
+                     struct fl_http_response *response);
 /* Takes in the answer of `peer` to a request that was sent at `sent` (steady). */
 void fl_gossip_handle_reply(struct fl_node *n, struct fl_peer *peer, const char *body, size_t len,
                             double sent);
--- a/src/coordination/heartbeat_forwarding.c
+++ b/src/coordination/heartbeat_forwarding.c
@@ -31,9 +31,9 @@
 	const char *entry_node;
 };
 
-static char *encode(const void *ctx, bool last_hop, bool disconnected)
+static char *encode(const void *context, bool last_hop, bool disconnected)
 {
-	const struct message *message = ctx;
+	const struct message *message = context;
 
 	return fl_peer_heartbeats_encode(message->heartbeats, message->entry_node, last_hop,
 	                                 disconnected);
@@ -43,18 +43,18 @@
 {
 	struct heartbeat_batch *b = (struct heartbeat_batch *)batch;
 	struct message message = {b->heartbeats, n->config->node};
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &message, FL_HOP_FIRST,
 	                    tunables.patience_s, &reply);
 
 	if (rc)
 		return rc;
 	rc = reply.status != 200 ? -EHOSTUNREACH
-	                         : fl_heartbeat_replies_decode(reply.body.data, reply.body.len,
+	                         : fl_heartbeat_replies_decode(reply.body.data, reply.body.length,
 	                                                       b->replies, b->count);
 	if (rc == -EPROTO)
 		fl_error("peers", "%s answers reports with what is no answer", n->leader_name);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	return rc;
 }
 
@@ -87,17 +87,18 @@
 	return batch;
 }
 
-static int take_reply(struct fl_heartbeat_reply *answer, struct fl_response *resp)
+static int take_reply(struct fl_heartbeat_reply *answer, struct fl_http_response *response)
 {
 	if (answer->status != 200)
 		return -EHOSTUNREACH;
-	resp->status = answer->status;
-	resp->body = answer->body;
+	response->status = answer->status;
+	response->body = answer->body;
 	answer->body = NULL;
 	return 0;
 }
 
-int fl_heartbeat_forward(struct fl_node *n, const char *body, size_t len, struct fl_response *resp)
+int fl_heartbeat_forward(struct fl_node *n, const char *body, size_t len,
+                         struct fl_http_response *response)
 {
 	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
 	                                      tunables.patience_s, exchange};
@@ -116,7 +117,7 @@
 	fl_heartbeat_list_add(batch->heartbeats, body);
 	rc = fl_batch_await(n, q, &batch->batch, began, &terms);
 	if (!rc)
-		rc = take_reply(&batch->replies[at], resp);
+		rc = take_reply(&batch->replies[at], response);
 	if (fl_batch_release(&batch->batch))
 		free_batch(batch);
 	return rc;
@@ -126,14 +127,14 @@
 
 /* No wait from here on: all of them are answered under the lease that was looked at. */
 static void answer_all(struct fl_node *n, const struct fl_peer_heartbeats *message,
-                       struct fl_response *resp)
+                       struct fl_http_response *response)
 {
 	struct fl_heartbeat_reply answers[FL_PEER_HEARTBEATS_MAX] = {0};
 	int entry_node = fl_node_index(n, message->entry_node), count = 0;
 	const cJSON *e;
 
 	cJSON_ArrayForEach (e, message->list) {
-		struct fl_response one = {.status = 500};
+		struct fl_http_response one = {.status = 500};
 		struct fl_heartbeat heartbeat;
 
 		if (fl_heartbeat_decode_json(e, &heartbeat) == 0) {
@@ -146,8 +147,8 @@
 		}
 		answers[count++] = (struct fl_heartbeat_reply){one.status, one.body};
 	}
-	resp->status = 200;
-	resp->body = fl_heartbeat_replies_encode(answers, count);
+	response->status = 200;
+	response->body = fl_heartbeat_replies_encode(answers, count);
 	for (int i = 0; i < count; i++)
 		free(answers[i].body);
 }
@@ -168,40 +169,40 @@
 }
 
 static void forward_again(struct fl_node *n, const struct fl_peer_heartbeats *message,
-                          struct fl_response *resp)
+                          struct fl_http_response *response)
 {
 	struct message again = {(cJSON *)message->list, message->entry_node};
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &again, FL_HOP_LAST, tunables.patience_s,
 	                    &reply);
 
 	if (rc == 0 && reply.status == 200) {
-		resp->status = 200;
-		resp->body = reply.body.data;
+		response->status = 200;
+		response->body = reply.body.data;
 		return;
 	}
 	if (rc == 0)
-		fl_buf_free(&reply.body);
+		fl_buffer_free(&reply.body);
 	if (message->disconnected)
 		cache_all(n, message);
-	fl_respond_error(resp, 421, "not the leader");
+	fl_respond_error(response, 421, "not the leader");
 }
 
 void fl_heartbeat_forward_serve(struct fl_node *n, const char *body, size_t len,
-                                struct fl_response *resp)
+                                struct fl_http_response *response)
 {
 	struct fl_peer_heartbeats message;
 
 	if (fl_peer_heartbeats_decode(body, len, &message) != 0) {
 		fl_error("peers", "what came as reports is none");
-		fl_respond_error(resp, 400, "not reports");
+		fl_respond_error(response, 400, "not reports");
 		return;
 	}
 	if (fl_is_leader(n))
-		answer_all(n, &message, resp);
+		answer_all(n, &message, response);
 	else if (fl_forward_ends_here(n, message.last_hop))
-		fl_respond_error(resp, 421, "not the leader");
+		fl_respond_error(response, 421, "not the leader");
 	else
-		forward_again(n, &message, resp);
+		forward_again(n, &message, response);
 	fl_peer_heartbeats_free(&message);
 }
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -78,7 +78,7 @@
 	if (lookup->next)
 		enter(n, lookup->next);
 	lookup->done = true;
-	fl_signal_wake(&lookup->completed);
+	fl_condition_broadcast(&lookup->completed);
 }
 
 /*
@@ -91,7 +91,7 @@
 
 	before->next = lookup;
 	before->holder_count++;
-	while (!before->done && fl_signal_wait(&before->completed, tunables.patience_s) == 0)
+	while (!before->done && fl_condition_wait(&before->completed, tunables.patience_s) == 0)
 		;
 	if (before->done) {
 		read_records(n, lookup);
@@ -100,7 +100,7 @@
 		before->next = NULL;
 		lookup->rc = -EAGAIN;
 		lookup->done = true;
-		fl_signal_wake(&lookup->completed);
+		fl_condition_broadcast(&lookup->completed);
 	}
 	release(before, 1);
 	return held;
@@ -126,7 +126,7 @@
 		held = read_after(n, sent, lookup);
 	} else {
 		while (!lookup->done &&
-		       fl_signal_wait(&lookup->completed, tunables.patience_s) == 0)
+		       fl_condition_wait(&lookup->completed, tunables.patience_s) == 0)
 			;
 	}
 	rc = lookup->done ? lookup->rc : -EAGAIN;
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/job_lookup.h
@@ -3,7 +3,7 @@
 #define FL_COORDINATION_JOB_LOOKUP_H
 
 #include "storage/records.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct fl_node;
 
@@ -13,7 +13,7 @@
 	char ref[FL_REF_MAX];
 	int holder_count; /* routines that hold it, the table included */
 	bool done;
-	struct fl_signal completed;
+	struct fl_condition completed;
 	struct fl_job_lookup *next; /* requests since the sending wait for this read */
 	int rc;                     /* as of fl_job_record_read, and what it read */
 	struct fl_job_record record;
--- a/src/coordination/job_responses.c
+++ b/src/coordination/job_responses.c
@@ -9,25 +9,27 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-static void respond_finished_job(struct fl_response *resp, const struct fl_finished_job *finished,
-                                 bool counts)
+static void respond_finished_job(struct fl_http_response *response,
+                                 const struct fl_finished_job *finished, bool counts)
 {
-	resp->status = 200;
-	resp->body = fl_status_encode(finished->ref, (enum fl_job_status)finished->status,
-	                              !counts                       ? -1
-	                              : finished->status == FL_DONE ? (int64_t)finished->task_count
-	                                                            : 0,
-	                              0);
+	response->status = 200;
+	response->body =
+		fl_status_encode(finished->ref, (enum fl_job_status)finished->status,
+	                         !counts                       ? -1
+	                         : finished->status == FL_DONE ? (int64_t)finished->task_count
+	                                                       : 0,
+	                         0);
 }
 
-static void respond_cancelled(struct fl_response *resp, const char *ref)
+static void respond_cancelled(struct fl_http_response *response, const char *ref)
 {
-	resp->status = 200;
-	resp->body = fl_status_encode(ref, FL_CANCELLED, -1, 0);
+	response->status = 200;
+	response->body = fl_status_encode(ref, FL_CANCELLED, -1, 0);
 }
 
 /* The record decides: for what this leader has not heard of, or has written and not confirmed. */
-static void respond_status_from_record(struct fl_node *n, const char *ref, struct fl_response *resp)
+static void respond_status_from_record(struct fl_node *n, const char *ref,
+                                       struct fl_http_response *response)
 {
 	struct fl_job_record record;
 	struct fl_job *job;
@@ -38,11 +40,11 @@
 
 	if (finished) {
 		/* It came to its end while the record was on its way here. */
-		respond_finished_job(resp, finished, true);
+		respond_finished_job(response, finished, true);
 	} else if (rc == -ENOENT) {
-		fl_respond_error(resp, 404, "no such job");
+		fl_respond_error(response, 404, "no such job");
 	} else if (rc != 0) {
-		fl_respond_unavailable(resp, "the state service does not answer");
+		fl_respond_unavailable(response, "the state service does not answer");
 	} else if (record.final) {
 		job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
 		if (job && v && revision > job->mod_revision)
@@ -50,13 +52,13 @@
 		else if (!job && v)
 			fl_finished_job_add(&n->cluster, ref, record.status, record.task_count,
 			                    fl_since(record.cancelled_wall));
-		resp->status = 200;
-		resp->body = fl_status_encode(ref, record.status,
-		                              record.status == FL_DONE ? record.task_count : 0, 0);
+		response->status = 200;
+		response->body = fl_status_encode(
+			ref, record.status, record.status == FL_DONE ? record.task_count : 0, 0);
 	} else {
 		job = fl_cluster_apply_job_record(&n->cluster, ref, v, revision);
-		resp->status = 200;
-		resp->body =
+		response->status = 200;
+		response->body =
 			fl_status_encode(ref, job ? fl_job_current_status(job) : FL_PENDING,
 		                         job ? job->done_count : 0, job ? job->running_count : 0);
 	}
@@ -82,16 +84,16 @@
 	                                     .running_count = job->running_count};
 }
 
-void fl_respond_job_status(struct fl_node *n, const char *ref, struct fl_response *resp)
+void fl_respond_job_status(struct fl_node *n, const char *ref, struct fl_http_response *response)
 {
 	struct fl_job_status_report state = fl_job_status_from_memory(n, ref);
 
 	if (!state.known) {
-		respond_status_from_record(n, ref, resp);
+		respond_status_from_record(n, ref, response);
 		return;
 	}
-	resp->status = 200;
-	resp->body = fl_status_encode(ref, state.status, state.done_count, state.running_count);
+	response->status = 200;
+	response->body = fl_status_encode(ref, state.status, state.done_count, state.running_count);
 }
 
 static int store_cancellation(struct fl_node *n, struct fl_job *job, double cancelled,
@@ -110,7 +112,7 @@
 	return fl_kv_txn_commit(&n->kv_store, &txn, revision, NULL);
 }
 
-void fl_respond_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
+void fl_respond_cancel(struct fl_node *n, const char *ref, struct fl_http_response *response)
 {
 	struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
 	struct fl_job *job = finished ? NULL : fl_job_find(&n->cluster, ref);
@@ -121,26 +123,26 @@
 	int rc;
 
 	if (!finished && !job) {
-		respond_status_from_record(n, ref, resp);
+		respond_status_from_record(n, ref, response);
 		job = fl_job_find(&n->cluster, ref);
-		if (resp->status != 200 || !job)
+		if (response->status != 200 || !job)
 			return;
-		free(resp->body);
-		resp->body = NULL;
+		free(response->body);
+		response->body = NULL;
 	}
 	if (finished) {
-		respond_finished_job(resp, finished, false);
+		respond_finished_job(response, finished, false);
 		return;
 	}
 	if (job->final_write_unknown && !job->final_write_in_flight)
 		fl_record_writer_reread_job(n, ref, &done, &status);
 	job = fl_is_leader(n) ? fl_job_find(&n->cluster, ref) : NULL;
 	if (job && job->cancelled) {
-		respond_cancelled(resp, ref);
+		respond_cancelled(response, ref);
 		return;
 	}
 	if (!job || job->final_write_in_flight || job->final_write_unknown) {
-		fl_respond_unavailable(resp, "the job's state is being written");
+		fl_respond_unavailable(response, "the job's state is being written");
 		return;
 	}
 	/* Till this is answered, only the record knows: see fl_respond_job_status. */
@@ -160,10 +162,10 @@
 	}
 	finished = fl_finished_job_find(&n->cluster, ref);
 	if (finished)
-		respond_finished_job(resp, finished, false);
+		respond_finished_job(response, finished, false);
 	else if (rc == 0)
 		/* Stored, though this node leads no more: the next leader stops its tasks. */
-		respond_cancelled(resp, ref);
+		respond_cancelled(response, ref);
 	else
-		fl_respond_unavailable(resp, "the cancellation could not be stored");
+		fl_respond_unavailable(response, "the cancellation could not be stored");
 }
--- a/src/coordination/leadership.c
+++ b/src/coordination/leadership.c
@@ -30,9 +30,9 @@
 
 /* ---- reports that other nodes cached and could not relay ---- */
 
-static void on_digest(void *ctx, const struct fl_kv_event *event)
+static void on_digest(void *context, const struct fl_kv_event *event)
 {
-	struct fl_node *n = ctx;
+	struct fl_node *n = context;
 	const cJSON *e;
 
 	if (!event->value || !fl_is_leader(n))
@@ -55,7 +55,7 @@
 	struct fl_node *n = arg;
 	uint64_t revision = 0;
 
-	while (!fl_cancelled()) {
+	while (!fl_coroutine_cancelled()) {
 		int rc = revision == 0 ? fl_kv_list(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
 		                                    on_digest, n, &revision)
 		                       : fl_kv_watch(&n->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
@@ -66,14 +66,14 @@
 			break;
 	}
 	n->leadership.coroutines_running--;
-	fl_signal_wake(&n->leadership.coroutine_ended);
+	fl_condition_broadcast(&n->leadership.coroutine_ended);
 }
 
 /* ---- jobs that were done before this leadership ---- */
 
-static void on_finished_job(void *ctx, const struct fl_kv_event *event)
+static void on_finished_job(void *context, const struct fl_kv_event *event)
 {
-	struct fl_node *n = ctx;
+	struct fl_node *n = context;
 	const char *ref = event->key + strlen(FL_PREFIX_FINISHED);
 	struct fl_job_record record;
 
@@ -106,7 +106,7 @@
 			digit++;
 	}
 	n->leadership.coroutines_running--;
-	fl_signal_wake(&n->leadership.coroutine_ended);
+	fl_condition_broadcast(&n->leadership.coroutine_ended);
 }
 
 /* ---- start and end ---- */
@@ -114,13 +114,13 @@
 /* Starts one of the leader's routines, which are ended with the leadership. */
 static void start_coroutine(struct fl_node *n, void (*fn)(void *))
 {
-	struct fl_routine *r = fl_spawn(fn, n);
+	struct fl_coroutine *coroutine = fl_coroutine_spawn(fn, n);
 
-	if (!r) {
+	if (!coroutine) {
 		fl_error("leader", "no room for a routine");
 		return;
 	}
-	n->leadership.coroutines[n->leadership.coroutine_count++] = r;
+	n->leadership.coroutines[n->leadership.coroutine_count++] = coroutine;
 	n->leadership.coroutines_running++;
 }
 
@@ -156,7 +156,7 @@
 {
 	fl_record_writer_free_pending(n);
 	memset(&n->leadership, 0, sizeof(n->leadership));
-	n->leadership.loading = fl_spawn(leadership_coroutine, n) != NULL;
+	n->leadership.loading = fl_coroutine_spawn(leadership_coroutine, n) != NULL;
 	if (!n->leadership.loading)
 		fl_error("leader", "no room for a routine");
 }
@@ -165,10 +165,10 @@
 {
 	n->leadership.active = false;
 	for (int i = 0; i < n->leadership.coroutine_count; i++)
-		fl_cancel(n->leadership.coroutines[i]);
+		fl_coroutine_cancel(n->leadership.coroutines[i]);
 	n->leadership.coroutine_count = 0;
 	while (n->leadership.coroutines_running > 0 &&
-	       fl_signal_wait(&n->leadership.coroutine_ended, tunables.end_wait_s) != -ECANCELED)
+	       fl_condition_wait(&n->leadership.coroutine_ended, tunables.end_wait_s) != -ECANCELED)
 		;
 	fl_cluster_forget_tasks(&n->cluster);
 	n->cluster.leading = false;
--- a/src/coordination/leadership.h
+++ b/src/coordination/leadership.h
@@ -3,7 +3,7 @@
 #define FL_COORDINATION_LEADERSHIP_H
 
 #include "storage/records.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct fl_node;
 
@@ -17,11 +17,11 @@
 	uint64_t first_fencing_token; /* the epoch of the takeover; later ones are higher */
 	double heartbeats_since;      /* steady; since when reports could arrive without a break */
 	int coroutines_running;       /* routines that use the leader's cluster state */
-	struct fl_routine *coroutines[FL_LEADER_COROUTINES_MAX];
+	struct fl_coroutine *coroutines[FL_LEADER_COROUTINES_MAX];
 	int coroutine_count;
-	struct fl_signal work_available;     /* something to decide */
-	struct fl_signal writes_pending;     /* something to write */
-	struct fl_signal coroutine_ended;    /* a routine has ended */
+	struct fl_condition work_available;  /* something to decide */
+	struct fl_condition writes_pending;  /* something to write */
+	struct fl_condition coroutine_ended; /* a routine has ended */
 	struct fl_token_bucket write_budget; /* of records, a second */
 	uint64_t wal_mod_revision; /* KeyRev of the log's first value, which every write of it
 	                              replaces */
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -16,7 +16,7 @@
 #include "protocol/peer_heartbeats.h"
 #include "transport/clock.h"
 #include "transport/log.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 #include "transport/text.h"
 
 static const struct {
@@ -38,7 +38,7 @@
 	.idle_least_s = 20.0, /* s for which it is kept in any case: users ask every 5 s */
 };
 
-void fl_respond_error(struct fl_response *resp, int status, const char *fmt, ...)
+void fl_respond_error(struct fl_http_response *response, int status, const char *fmt, ...)
 {
 	char text[256];
 	va_list ap;
@@ -46,60 +46,61 @@
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	free(resp->body);
-	resp->status = status;
-	resp->body = fl_json_error("%s", text);
+	free(response->body);
+	response->status = status;
+	response->body = fl_json_error("%s", text);
 }
 
-void fl_respond_unavailable(struct fl_response *resp, const char *why)
+void fl_respond_unavailable(struct fl_http_response *response, const char *why)
 {
-	fl_respond_error(resp, 503, "%s", why);
-	resp->retry_after_s = tunables.later_s;
+	fl_respond_error(response, 503, "%s", why);
+	response->retry_after_s = tunables.later_s;
 	/* The balancer may find a better node for the next try than this one. */
-	resp->close = true;
+	response->close = true;
 }
 
 /* ---- the two servers ---- */
 
 void fl_node_handle_user_request(struct fl_node *n, enum fl_user_request kind, const char *ref,
                                  const char *body, size_t len, enum fl_forward_hop hop,
-                                 struct fl_response *resp)
+                                 struct fl_http_response *response)
 {
 	switch (kind) {
 	case FL_USER_REQUEST_SUBMIT:
-		fl_submit(n, body, len, hop, resp);
+		fl_submit(n, body, len, hop, response);
 		break;
 	case FL_USER_REQUEST_STATUS:
 	case FL_USER_REQUEST_CANCEL:
-		fl_respond_status_or_cancel(n, kind, ref, hop, resp);
+		fl_respond_status_or_cancel(n, kind, ref, hop, response);
 		break;
 	case FL_USER_REQUEST_HEARTBEAT:
-		fl_follower_handle_heartbeat(n, body, len, resp);
+		fl_follower_handle_heartbeat(n, body, len, response);
 		break;
 	case FL_USER_REQUEST_READY:
 		n->last_readiness_probe_at = fl_now();
-		resp->status =
+		response->status =
 			n->machine_types_known && n->jobs_known && !fl_follower_is_isolated(n)
 				? 200
 				: 503;
 		break;
 	default:
-		fl_respond_error(resp, 404, "no such path");
+		fl_respond_error(response, 404, "no such path");
 	}
 }
 
-static void handle_public_request(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void handle_public_request(void *context, const struct fl_http_request *request,
+                                  struct fl_http_response *response)
 {
 	char ref[FL_REF_MAX];
-	enum fl_user_request kind = fl_user_route(req->path, ref);
+	enum fl_user_request kind = fl_user_route(request->path, ref);
 	enum http_method want = kind == FL_USER_REQUEST_STATUS || kind == FL_USER_REQUEST_READY
 	                                ? HTTP_GET
 	                                : HTTP_POST;
 
-	if (kind != FL_USER_REQUEST_UNKNOWN && req->method != want) {
-		fl_respond_error(resp, 405, "wrong method");
+	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != want) {
+		fl_respond_error(response, 405, "wrong method");
 		/* After a HEAD the body would be taken for the next answer. */
-		resp->close = true;
+		response->close = true;
 		return;
 	}
 	/*
@@ -107,56 +108,58 @@
 	 * A poll comes again in any case, and one that is turned away at once may find a better
 	 * node. Where enough are answered, none goes without for long: one a turn always is.
 	 */
-	if (kind == FL_USER_REQUEST_STATUS && !fl_defer(tunables.polls_waiting)) {
-		fl_respond_unavailable(resp, "there are too many questions at the moment");
+	if (kind == FL_USER_REQUEST_STATUS && !fl_coroutine_defer(tunables.polls_waiting)) {
+		fl_respond_unavailable(response, "there are too many questions at the moment");
 		return;
 	}
-	fl_node_handle_user_request(ctx, kind, ref, req->body, req->body_len, FL_HOP_FIRST, resp);
+	fl_node_handle_user_request(context, kind, ref, request->body, request->body_len,
+	                            FL_HOP_FIRST, response);
 }
 
-static void handle_peer_request(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void handle_peer_request(void *context, const struct fl_http_request *request,
+                                struct fl_http_response *response)
 {
-	struct fl_node *n = ctx;
+	struct fl_node *n = context;
 	struct fl_forwarded_request forwarded;
 
-	if (strcmp(req->path, "/gossip") == 0) {
-		fl_gossip_serve(n, req->body, req->body_len, resp);
+	if (strcmp(request->path, "/gossip") == 0) {
+		fl_gossip_serve(n, request->body, request->body_len, response);
 		return;
 	}
-	if (strcmp(req->path, FL_PATH_STATUS) == 0) {
+	if (strcmp(request->path, FL_PATH_STATUS) == 0) {
 		/* For up to 256 users at once, and answered from memory. */
-		fl_urgent();
-		fl_status_query_serve(n, req->body, req->body_len, resp);
+		fl_coroutine_set_urgent();
+		fl_status_query_serve(n, request->body, request->body_len, response);
 		return;
 	}
-	if (strcmp(req->path, FL_PATH_HEARTBEATS) == 0) {
-		fl_heartbeat_forward_serve(n, req->body, req->body_len, resp);
+	if (strcmp(request->path, FL_PATH_HEARTBEATS) == 0) {
+		fl_heartbeat_forward_serve(n, request->body, request->body_len, response);
 		return;
 	}
-	if (strcmp(req->path, FL_PATH_FORWARD) != 0) {
-		fl_respond_error(resp, 404, "no such path");
+	if (strcmp(request->path, FL_PATH_FORWARD) != 0) {
+		fl_respond_error(response, 404, "no such path");
 		return;
 	}
-	if (fl_forwarded_request_decode(req->body, req->body_len, &forwarded) != 0) {
+	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) != 0) {
 		fl_error("peers", "what came as a relayed call is none");
-		fl_respond_error(resp, 400, "not a relayed call");
+		fl_respond_error(response, 400, "not a relayed call");
 		return;
 	}
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
 	if (!fl_is_leader(n) && fl_forward_ends_here(n, forwarded.last_hop))
-		fl_respond_error(resp, 421, "not the leader");
+		fl_respond_error(response, 421, "not the leader");
 	else
 		fl_node_handle_user_request(n, forwarded.kind, forwarded.ref, forwarded.body,
 		                            forwarded.body ? strlen(forwarded.body) : 0,
-		                            FL_HOP_LAST, resp);
+		                            FL_HOP_LAST, response);
 	fl_forwarded_request_free(&forwarded);
 }
 
 /* ---- what every node knows ---- */
 
-static void on_job_event(void *ctx, const struct fl_kv_event *event)
+static void on_job_event(void *context, const struct fl_kv_event *event)
 {
-	struct fl_node *n = ctx;
+	struct fl_node *n = context;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job *job;
 	bool known;
@@ -173,7 +176,7 @@
 		fl_command_stop_job(n, job);
 	}
 	n->leadership.cycle_due = true;
-	fl_signal_wake(&n->leadership.work_available);
+	fl_condition_broadcast(&n->leadership.work_available);
 }
 
 static void job_watch_coroutine(void *arg)
@@ -184,7 +187,7 @@
 	while (!n->machine_types_known)
 		if (fl_sleep(tunables.retry_s / 5) != 0)
 			return;
-	while (!fl_cancelled()) {
+	while (!fl_coroutine_cancelled()) {
 		double sent = fl_now();
 		int rc;
 
@@ -202,7 +205,7 @@
 			n->cancellation_watermark = fmax(n->cancellation_watermark, sent);
 		if (rc == 0 && !n->jobs_known) {
 			n->jobs_known = true;
-			fl_signal_wake(&n->jobs_listed);
+			fl_condition_broadcast(&n->jobs_listed);
 			fl_info("node", "%s is ready", n->config->node);
 		}
 		if (rc == -ERANGE)
@@ -316,10 +319,10 @@
 	struct fl_node *n = calloc(1, sizeof(*n));
 	int conns = fl_node_public_conns(config);
 	double idle_s = fmax(tunables.idle_least_s, tunables.idle_reports * config->report_s);
-	int allowed = fl_sockets_allow(config->max_connections + tunables.own_conns);
+	int allowed = fl_raise_open_file_limit(config->max_connections + tunables.own_conns);
 
 	log_tight_settings(config);
-	fl_http_limit_bodies(fl_admission_body_bytes(config));
+	fl_http_set_body_memory_limit(fl_admission_body_bytes(config));
 	if (allowed < config->max_connections)
 		fl_error("node", "max_connections is %d, but the system allows %d open files",
 		         config->max_connections, allowed);
@@ -332,8 +335,8 @@
 	}
 	fl_election_start(n);
 	fl_follower_start(n);
-	fl_spawn(machine_types_coroutine, n);
-	fl_spawn(job_watch_coroutine, n);
+	fl_coroutine_spawn(machine_types_coroutine, n);
+	fl_coroutine_spawn(job_watch_coroutine, n);
 	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
 	return 0;
 }
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -51,13 +51,13 @@
 	 * docs/design.md.
 	 */
 	double cancellation_watermark;
-	struct fl_signal jobs_listed; /* the first list of them has come */
+	struct fl_condition jobs_listed; /* the first list of them has come */
 
 	/* What is known of leadership, with the steady time at which it was surely true. */
 	char leader_name[FL_NAME_MAX];
 	uint64_t fencing_token;
 	double leadership_confirmed_at;
-	struct fl_signal leadership_changed;
+	struct fl_condition leadership_changed;
 	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
 	struct fl_token_bucket status_read_budget;
 	struct fl_batch_queue status_queries;     /* for users' polls */
@@ -84,11 +84,11 @@
 /* Answers a user's call here, passing on what only the leader can say. */
 void fl_node_handle_user_request(struct fl_node *n, enum fl_user_request kind, const char *ref,
                                  const char *body, size_t len, enum fl_forward_hop hop,
-                                 struct fl_response *resp);
+                                 struct fl_http_response *response);
 /* Fills a response with an error text. */
-void fl_respond_error(struct fl_response *resp, int status, const char *fmt, ...)
+void fl_respond_error(struct fl_http_response *response, int status, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 /* "Not now": at once, with when to come back, on another connection. */
-void fl_respond_unavailable(struct fl_response *resp, const char *why);
+void fl_respond_unavailable(struct fl_http_response *response, const char *why);
 
 #endif
--- a/src/coordination/reconciliation.c
+++ b/src/coordination/reconciliation.c
@@ -121,7 +121,7 @@
 		job->not_before = 0;
 		m->fault_count = 0;
 		fl_task_done(&n->cluster, job, index);
-		fl_signal_wake(&n->leadership.work_available);
+		fl_condition_broadcast(&n->leadership.work_available);
 		return;
 	case FL_EXIT_STOPPED:
 	case FL_EXIT_GANG_PEERS_LOST:
@@ -139,7 +139,7 @@
 		break;
 	}
 	fl_task_release(&n->cluster, job, index, pause > 0 ? now + pause : 0);
-	fl_signal_wake(&n->leadership.work_available);
+	fl_condition_broadcast(&n->leadership.work_available);
 }
 
 static enum fl_observed_state observed_of(enum fl_task_state s)
@@ -177,7 +177,7 @@
 
 		if (task && task->phase == FL_TASK_WAITING) {
 			fl_task_done(&n->cluster, job, status->index);
-			fl_signal_wake(&n->leadership.work_available);
+			fl_condition_broadcast(&n->leadership.work_available);
 		}
 	}
 	if (!may_forget(m, heartbeat))
@@ -214,7 +214,7 @@
 		                                                             : "saving",
 		         m->name, now - task->running_since);
 		fl_task_observe(job, task, observed_of(status->state), now);
-		fl_signal_wake(&n->leadership.work_available);
+		fl_condition_broadcast(&n->leadership.work_available);
 	}
 	if (!should_run(job, task) && commands)
 		fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
@@ -254,7 +254,7 @@
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
 			        m->name);
 			fl_task_release(&n->cluster, job, index, 0);
-			fl_signal_wake(&n->leadership.work_available);
+			fl_condition_broadcast(&n->leadership.work_available);
 			continue;
 		}
 		if (task->observed != FL_OBSERVED_NONE) {
@@ -265,7 +265,7 @@
 		if (!should_run(job, task)) {
 			if (absence_proves(m, task, heartbeat, source)) {
 				fl_task_release(&n->cluster, job, index, 0);
-				fl_signal_wake(&n->leadership.work_available);
+				fl_condition_broadcast(&n->leadership.work_available);
 			} else if (m->direct_start_token >= heartbeat->fencing_token &&
 			           m->direct_start_token > 0) {
 				n->election.token_raise_wanted = true;
@@ -317,7 +317,7 @@
 		changed = true;
 	}
 	if (changed)
-		fl_signal_wake(&n->leadership.work_available);
+		fl_condition_broadcast(&n->leadership.work_available);
 }
 
 int fl_reconcile_heartbeat(struct fl_node *n, const struct fl_heartbeat *heartbeat,
@@ -396,5 +396,5 @@
 	m->up = false;
 	while (m->assignment_count > 0)
 		fl_task_release(&n->cluster, m->assignments[0].job, m->assignments[0].index, 0);
-	fl_signal_wake(&n->leadership.work_available);
+	fl_condition_broadcast(&n->leadership.work_available);
 }
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -219,8 +219,8 @@
 
 	if (!n->cluster.dirty || left >= 1)
 		return 0;
-	return fl_signal_wait(&n->leadership.writes_pending,
-	                      (1 - left) / n->leadership.write_budget.rate) == -ECANCELED
+	return fl_condition_wait(&n->leadership.writes_pending,
+	                         (1 - left) / n->leadership.write_budget.rate) == -ECANCELED
 	               ? -1
 	               : 0;
 }
@@ -229,11 +229,11 @@
 {
 	struct fl_node *n = arg;
 
-	while (!fl_cancelled()) {
+	while (!fl_coroutine_cancelled()) {
 		if (!fl_is_leader(n) || !n->cluster.dirty) {
 			if (fl_is_leader(n) && n->leadership.pending_deletions)
 				fl_record_writer_delete_pending(n);
-			if (fl_signal_wait(&n->leadership.writes_pending, 0.5) == -ECANCELED)
+			if (fl_condition_wait(&n->leadership.writes_pending, 0.5) == -ECANCELED)
 				break;
 			continue;
 		}
@@ -241,5 +241,5 @@
 			break;
 	}
 	n->leadership.coroutines_running--;
-	fl_signal_wake(&n->leadership.coroutine_ended);
+	fl_condition_broadcast(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/request_batch.c
+++ b/src/coordination/request_batch.c
@@ -15,7 +15,7 @@
 	double until = fl_now() + terms->wait_s;
 
 	while (q->in_flight >= terms->in_flight && fl_now() < until)
-		if (fl_signal_wait(&q->request_returned, until - fl_now()) == -ECANCELED)
+		if (fl_condition_wait(&q->request_returned, until - fl_now()) == -ECANCELED)
 			break;
 	if (q->filling == b)
 		fl_batch_close(q);
@@ -24,10 +24,10 @@
 		q->in_flight++;
 		b->rc = terms->exchange(n, b);
 		q->in_flight--;
-		fl_signal_wake(&q->request_returned);
+		fl_condition_broadcast(&q->request_returned);
 	}
 	b->done = true;
-	fl_signal_wake(&b->completed);
+	fl_condition_broadcast(&b->completed);
 }
 
 static int await_batch(struct fl_batch *b, double patience_s)
@@ -35,7 +35,7 @@
 	double until = fl_now() + patience_s;
 
 	while (!b->done && fl_now() < until)
-		if (fl_signal_wait(&b->completed, until - fl_now()) == -ECANCELED)
+		if (fl_condition_wait(&b->completed, until - fl_now()) == -ECANCELED)
 			return -ECANCELED;
 	return b->done ? b->rc : -ETIMEDOUT;
 }
--- a/src/coordination/request_batch.h
+++ b/src/coordination/request_batch.h
@@ -8,7 +8,7 @@
 
 #include <stdbool.h>
 
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct fl_node;
 
@@ -16,7 +16,7 @@
 struct fl_batch {
 	int holder_count; /* routines that hold it */
 	bool done;
-	struct fl_signal completed;
+	struct fl_condition completed;
 	int rc; /* of the exchange: 0 or an errno */
 };
 
@@ -24,7 +24,7 @@
 struct fl_batch_queue {
 	struct fl_batch *filling; /* collects parts until a request may be sent; NULL: none does */
 	int in_flight;
-	struct fl_signal request_returned; /* a request has come back */
+	struct fl_condition request_returned; /* a request has come back */
 };
 
 /* How batches of one kind are sent. */
--- a/src/coordination/scale_out.c
+++ b/src/coordination/scale_out.c
@@ -73,6 +73,6 @@
 	for (int i = 0; i < count && rc == 0; i++)
 		rc = scale_out_one(n, &requests[i]);
 	n->autoscaler.scale_out_in_flight = false;
-	fl_signal_wake(&n->leadership.work_available);
+	fl_condition_broadcast(&n->leadership.work_available);
 	return rc;
 }
--- a/src/coordination/schedule_order.c
+++ b/src/coordination/schedule_order.c
@@ -82,9 +82,9 @@
 	return job->within_guaranteed ? RANK_WITHIN_GUARANTEE : RANK_OTHER;
 }
 
-static int compare_jobs(const void *pa, const void *pb, void *ctx)
+static int compare_jobs(const void *pa, const void *pb, void *context)
 {
-	const struct fl_sched_cycle *cycle = ctx;
+	const struct fl_sched_cycle *cycle = context;
 	int a = *(const int *)pa, b = *(const int *)pb;
 
 	if (cycle->rank[a] != cycle->rank[b])
--- a/src/coordination/schedule_preemption.c
+++ b/src/coordination/schedule_preemption.c
@@ -67,9 +67,9 @@
 	return !fl_team_within_guaranteed(team, team->used_cpus, team->used_gpus);
 }
 
-static int compare_losses(const void *pa, const void *pb, void *ctx)
+static int compare_losses(const void *pa, const void *pb, void *context)
 {
-	const struct fl_sched_input *input = ctx;
+	const struct fl_sched_input *input = context;
 	const struct fl_sched_attempt *left = &input->attempts[*(const int *)pa];
 	const struct fl_sched_attempt *right = &input->attempts[*(const int *)pb];
 
--- a/src/coordination/scheduling_cycle.c
+++ b/src/coordination/scheduling_cycle.c
@@ -152,7 +152,7 @@
 	         snapshot.input.machine_count, output.start_count, output.preemption_count,
 	         (fl_now() - now) * 1000, output.resume_position ? ", to be continued" : "");
 	if (n->cluster.dirty)
-		fl_signal_wake(&n->leadership.writes_pending);
+		fl_condition_broadcast(&n->leadership.writes_pending);
 out:
 	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
@@ -205,10 +205,10 @@
 	struct fl_node *n = arg;
 	double last = 0, processor, gap = tunables.gap_s;
 
-	while (!fl_cancelled()) {
+	while (!fl_coroutine_cancelled()) {
 		double wait = n->leadership.cycle_due ? tunables.gap_s : tunables.most_s;
 
-		if (fl_signal_wait(&n->leadership.work_available, wait) == -ECANCELED)
+		if (fl_condition_wait(&n->leadership.work_available, wait) == -ECANCELED)
 			break;
 		if (fl_now() < last + gap && fl_sleep(last + gap - fl_now()) != 0)
 			break;
@@ -222,12 +222,12 @@
 		gap = fl_scheduling_cycle_gap_s(n->config->core_share, fl_now() - last,
 		                                fl_cpu_time() - processor);
 		if (n->cluster.dirty)
-			fl_signal_wake(&n->leadership.writes_pending);
+			fl_condition_broadcast(&n->leadership.writes_pending);
 		if (n->leadership.retained_exit_count > 0 &&
 		    last > n->election.token_raised_at + tunables.forget_s)
 			n->election.token_raise_wanted = true;
 		n->leadership.retained_exit_count = 0;
 	}
 	n->leadership.coroutines_running--;
-	fl_signal_wake(&n->leadership.coroutine_ended);
+	fl_condition_broadcast(&n->leadership.coroutine_ended);
 }
--- a/src/coordination/status_query.c
+++ b/src/coordination/status_query.c
@@ -44,7 +44,7 @@
 {
 	struct fl_status_batch *b = (struct fl_status_batch *)batch;
 	struct fl_peer *leader = leading_peer(n);
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	char *text;
 	int rc;
 
@@ -58,16 +58,16 @@
 	if (rc)
 		return rc;
 	rc = reply.status != 200 ? -EHOSTUNREACH
-	                         : fl_status_answer_decode(reply.body.data, reply.body.len,
+	                         : fl_status_answer_decode(reply.body.data, reply.body.length,
 	                                                   b->states, b->count);
 	if (rc == -EPROTO)
 		fl_error("peers", "%s answers status queries with what is no answer", leader->name);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	return rc;
 }
 
 static enum fl_query_result result_of(const struct fl_status_batch *batch, int at, int rc,
-                                      struct fl_response *resp)
+                                      struct fl_http_response *response)
 {
 	const struct fl_job_status_report *status = &batch->states[at];
 
@@ -75,13 +75,14 @@
 		return FL_QUERY_FAILED;
 	if (!status->known)
 		return FL_QUERY_NOT_IN_MEMORY;
-	resp->status = 200;
-	resp->body = fl_status_encode(batch->refs[at], status->status, status->done_count,
-	                              status->running_count);
+	response->status = 200;
+	response->body = fl_status_encode(batch->refs[at], status->status, status->done_count,
+	                                  status->running_count);
 	return FL_QUERY_ANSWERED;
 }
 
-enum fl_query_result fl_status_query(struct fl_node *n, const char *ref, struct fl_response *resp)
+enum fl_query_result fl_status_query(struct fl_node *n, const char *ref,
+                                     struct fl_http_response *response)
 {
 	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
 	                                      tunables.patience_s, exchange};
@@ -104,14 +105,14 @@
 	at = batch->count++;
 	fl_copy_string(batch->refs[at], sizeof(batch->refs[at]), ref);
 	rc = fl_batch_await(n, q, &batch->batch, first, &terms);
-	result = result_of(batch, at, rc, resp);
+	result = result_of(batch, at, rc, response);
 	if (fl_batch_release(&batch->batch))
 		free(batch);
 	return result;
 }
 
 void fl_status_query_serve(struct fl_node *n, const char *body, size_t len,
-                           struct fl_response *resp)
+                           struct fl_http_response *response)
 {
 	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_MAX, sizeof(*refs));
 	struct fl_job_status_report *states = calloc(FL_STATUS_QUERY_MAX, sizeof(*states));
@@ -119,17 +120,17 @@
 
 	if (count == -EPROTO) {
 		fl_error("peers", "what came as status queries are none");
-		fl_respond_error(resp, 400, "not status queries");
+		fl_respond_error(response, 400, "not status queries");
 	} else if (count < 0) {
-		fl_respond_unavailable(resp, "no memory");
+		fl_respond_unavailable(response, "no memory");
 	} else if (!fl_is_leader(n)) {
-		fl_respond_error(resp, 421, "not the leader");
+		fl_respond_error(response, 421, "not the leader");
 	} else {
 		/* No wait from here on: all of it is said under the lease that was looked at. */
 		for (int i = 0; i < count; i++)
 			states[i] = fl_job_status_from_memory(n, refs[i]);
-		resp->status = 200;
-		resp->body = fl_status_answer_encode(states, count);
+		response->status = 200;
+		response->body = fl_status_answer_encode(states, count);
 	}
 	free(refs);
 	free(states);
--- a/src/coordination/submission.c
+++ b/src/coordination/submission.c
@@ -73,20 +73,21 @@
 }
 
 /* Like answer_known, by asking the leader. */
-static int ask_leader_if_known(struct fl_node *n, const char *ref, struct fl_response *resp)
+static int ask_leader_if_known(struct fl_node *n, const char *ref,
+                               struct fl_http_response *response)
 {
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
 	if (fl_election_lease_valid(n) ||
 	    fl_user_request_forward(n, FL_USER_REQUEST_STATUS, ref, NULL, FL_HOP_FIRST,
 	                            fl_user_request_timeout_s(FL_USER_REQUEST_STATUS), &reply) != 0)
 		return -EAGAIN;
 	if (reply.status == 200) {
-		resp->status = 200;
-		resp->body = reply.body.data;
+		response->status = 200;
+		response->body = reply.body.data;
 		return 1;
 	}
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	return reply.status == 404 ? 0 : -EAGAIN;
 }
 
@@ -96,7 +97,7 @@
  * only, and its user would do so for a minute.
  */
 static int respond_if_known(struct fl_node *n, const char *ref, enum fl_forward_hop hop,
-                            struct fl_response *resp)
+                            struct fl_http_response *response)
 {
 	struct fl_job_record record;
 	uint64_t revision;
@@ -109,11 +110,11 @@
 		             : fl_job_record_read(&n->kv_store, ref, &record, &v, &revision);
 		cJSON_Delete(v);
 		if (rc && rc != -ENOENT && !hop)
-			return ask_leader_if_known(n, ref, resp);
+			return ask_leader_if_known(n, ref, response);
 		if (rc)
 			return rc == -ENOENT ? 0 : rc;
 	}
-	fl_respond_status_or_cancel(n, FL_USER_REQUEST_STATUS, ref, hop, resp);
+	fl_respond_status_or_cancel(n, FL_USER_REQUEST_STATUS, ref, hop, response);
 	return 1;
 }
 
@@ -140,7 +141,7 @@
 		job = fl_job_add(&n->cluster, spec, submitted, revision);
 		if (job && n->leadership.active) {
 			n->leadership.cycle_due = true;
-			fl_signal_wake(&n->leadership.work_available);
+			fl_condition_broadcast(&n->leadership.work_available);
 		}
 	}
 	return 0;
@@ -151,26 +152,26 @@
  * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
  */
 static bool submit_through_leader(struct fl_node *n, const struct fl_job_spec *spec,
-                                  struct fl_response *resp)
+                                  struct fl_http_response *response)
 {
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	char *text;
 	int rc;
 
 	if (fl_election_lease_valid(n))
 		return false;
-	text = fl_json_take(fl_job_spec_encode(spec));
+	text = fl_json_print_and_delete(fl_job_spec_encode(spec));
 	rc = fl_user_request_forward(n, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
 	                             fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT), &reply);
 	free(text);
 	if (rc != 0)
 		return false;
 	if (reply.status == 200 || reply.status == 201) {
-		resp->status = reply.status;
-		resp->body = reply.body.data;
+		response->status = reply.status;
+		response->body = reply.body.data;
 		return true;
 	}
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	return false;
 }
 
@@ -179,20 +180,20 @@
  * cannot be read is refused for `bad`, the field. False: to be judged on.
  */
 static bool respond_early(struct fl_node *n, const struct fl_job_spec *spec, const char *bad,
-                          enum fl_forward_hop hop, struct fl_response *resp)
+                          enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	int rc;
 
 	if (!bad && n->machine_types_known && !fl_finished_job_find(&n->cluster, spec->ref) &&
 	    !fl_job_find(&n->cluster, spec->ref))
 		return false;
-	rc = respond_if_known(n, spec->ref, hop, resp);
+	rc = respond_if_known(n, spec->ref, hop, response);
 	if (rc == 1)
 		return true;
 	if (rc < 0 || !bad) {
-		fl_respond_unavailable(resp, "cannot decide yet");
+		fl_respond_unavailable(response, "cannot decide yet");
 	} else {
-		fl_respond_error(resp, 400, "%s: missing or invalid", bad);
+		fl_respond_error(response, 400, "%s: missing or invalid", bad);
 		fl_info("jobs", "%s refused: %s", spec->ref, bad);
 	}
 	return true;
@@ -200,55 +201,55 @@
 
 /* Refuses a job that can never run, for the reason `why`, unless it is known. */
 static void reject_infeasible(struct fl_node *n, const struct fl_job_spec *spec, const char *why,
-                              enum fl_forward_hop hop, struct fl_response *resp)
+                              enum fl_forward_hop hop, struct fl_http_response *response)
 {
-	int rc = respond_if_known(n, spec->ref, hop, resp);
+	int rc = respond_if_known(n, spec->ref, hop, response);
 
 	if (rc < 0) {
-		fl_respond_unavailable(resp, "cannot decide yet");
+		fl_respond_unavailable(response, "cannot decide yet");
 	} else if (rc == 0) {
-		fl_respond_error(resp, 422, "%s", why);
+		fl_respond_error(response, 422, "%s", why);
 		fl_info("jobs", "%s refused: %s", spec->ref, why);
 	}
 }
 
 /* For want of memory: a repeat of an accepted job is answered all the same. */
 static void reject_for_memory(struct fl_node *n, const struct fl_job_spec *spec,
-                              enum fl_forward_hop hop, struct fl_response *resp)
+                              enum fl_forward_hop hop, struct fl_http_response *response)
 {
-	if (respond_if_known(n, spec->ref, hop, resp) == 1)
+	if (respond_if_known(n, spec->ref, hop, response) == 1)
 		return;
-	fl_respond_unavailable(resp, "memory is short at the moment");
+	fl_respond_unavailable(response, "memory is short at the moment");
 	fl_info("jobs", "%s turned away: memory is short", spec->ref);
 }
 
 /* Stores a job that may run, here or by the leader. */
 static void accept_job(struct fl_node *n, const struct fl_job_spec *spec, enum fl_forward_hop hop,
-                       struct fl_response *resp)
+                       struct fl_http_response *response)
 {
 	/* A cut is silent: to try here first would cost the user a second. */
 	bool relayed_first = !hop && fl_kv_is_unavailable(&n->kv_store);
 	int rc;
 
-	if (relayed_first && submit_through_leader(n, spec, resp))
+	if (relayed_first && submit_through_leader(n, spec, response))
 		return;
 	rc = kv_store_is_down(n) ? -EAGAIN : store_job(n, spec);
 	if (rc == 0) {
 		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", spec->ref,
 		        spec->job_class, spec->team, spec->task_count, spec->cpus, spec->gpus);
-		resp->status = 201;
-		resp->body = fl_status_encode(spec->ref, FL_PENDING, -1, 0);
+		response->status = 201;
+		response->body = fl_status_encode(spec->ref, FL_PENDING, -1, 0);
 		return;
 	}
-	if (rc == -ESTALE && respond_if_known(n, spec->ref, hop, resp) == 1)
+	if (rc == -ESTALE && respond_if_known(n, spec->ref, hop, response) == 1)
 		return;
-	if (rc != -ESTALE && !hop && !relayed_first && submit_through_leader(n, spec, resp))
+	if (rc != -ESTALE && !hop && !relayed_first && submit_through_leader(n, spec, response))
 		return;
-	fl_respond_unavailable(resp, "the job could not be stored");
+	fl_respond_unavailable(response, "the job could not be stored");
 }
 
 void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_forward_hop hop,
-               struct fl_response *resp)
+               struct fl_http_response *response)
 {
 	cJSON *o = fl_json_parse(body, len);
 	const char *bad, *why;
@@ -256,28 +257,28 @@
 
 	if (!cJSON_IsObject(o)) {
 		cJSON_Delete(o);
-		fl_respond_error(resp, 400, "the body must be a JSON object");
+		fl_respond_error(response, 400, "the body must be a JSON object");
 		return;
 	}
 	bad = fl_job_spec_decode(o, &spec);
 	cJSON_Delete(o);
 	if (!spec.ref[0]) {
-		fl_respond_error(resp, 400, "Ref: missing or invalid");
+		fl_respond_error(response, 400, "Ref: missing or invalid");
 		return;
 	}
 	if (fl_follower_is_isolated(n)) {
 		/* At once: every try at either would cost the user seconds in vain. */
-		fl_respond_unavailable(resp,
+		fl_respond_unavailable(response,
 		                       "neither the state service nor another controller answers");
 		return;
 	}
-	if (respond_early(n, &spec, bad, hop, resp))
+	if (respond_early(n, &spec, bad, hop, response))
 		return;
 	why = infeasible_reason(n, &spec);
 	if (why)
-		reject_infeasible(n, &spec, why, hop, resp);
+		reject_infeasible(n, &spec, why, hop, response);
 	else if (!fl_admission_has_memory(n->config))
-		reject_for_memory(n, &spec, hop, resp);
+		reject_for_memory(n, &spec, hop, response);
 	else
-		accept_job(n, &spec, hop, resp);
+		accept_job(n, &spec, hop, response);
 }
--- a/src/coordination/submission.h
+++ b/src/coordination/submission.h
@@ -14,6 +14,6 @@
 
 /* Answers a submission: 201 only once the job's record is stored. */
 void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_forward_hop hop,
-               struct fl_response *resp);
+               struct fl_http_response *response);
 
 #endif
--- a/src/coordination/user_requests.c
+++ b/src/coordination/user_requests.c
@@ -34,9 +34,9 @@
 	const char *ref, *body;
 };
 
-static char *encode_call(const void *ctx, bool last_hop, bool disconnected)
+static char *encode_call(const void *context, bool last_hop, bool disconnected)
 {
-	const struct forwarded_call *c = ctx;
+	const struct forwarded_call *c = context;
 
 	(void)disconnected;
 	return fl_forwarded_request_encode(c->call, last_hop, c->ref, c->body);
@@ -44,7 +44,7 @@
 
 int fl_user_request_forward(struct fl_node *n, enum fl_user_request kind, const char *ref,
                             const char *body, enum fl_forward_hop hop, double patience_s,
-                            struct fl_reply *reply)
+                            struct fl_http_reply *reply)
 {
 	struct forwarded_call relayed = {kind, ref, body};
 	int rc;
@@ -62,16 +62,16 @@
 	uint32_t done, placed;
 };
 
-static void count_progress(void *ctx, const struct fl_kv_event *event)
+static void count_progress(void *context, const struct fl_kv_event *event)
 {
-	struct progress *progress = ctx;
+	struct progress *progress = context;
 
 	fl_task_block_count(event->value, &progress->done, &progress->placed);
 }
 
 /* Without a leader in reach, the records themselves answer: never older than what was told. */
 static void respond_status_from_records(struct fl_node *n, const char *ref,
-                                        struct fl_response *resp)
+                                        struct fl_http_response *response)
 {
 	struct fl_job_record record;
 	struct progress progress = {0};
@@ -85,54 +85,56 @@
 		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(record.cancelled_wall));
 	cJSON_Delete(v);
 	if (rc == -ENOENT) {
-		fl_respond_error(resp, 404, "no such job");
+		fl_respond_error(response, 404, "no such job");
 		return;
 	}
 	if (rc) {
-		fl_respond_unavailable(resp, "neither the leader nor the state service answers");
+		fl_respond_unavailable(response,
+		                       "neither the leader nor the state service answers");
 		return;
 	}
 	if (record.final) {
-		resp->status = 200;
-		resp->body = fl_status_encode(ref, record.status,
-		                              record.status == FL_DONE ? record.task_count : 0, 0);
+		response->status = 200;
+		response->body = fl_status_encode(
+			ref, record.status, record.status == FL_DONE ? record.task_count : 0, 0);
 		return;
 	}
 	if (!fl_job_lookup_within_budget(n, 1)) {
-		fl_respond_unavailable(resp, "there are too many questions at the moment");
+		fl_respond_unavailable(response, "there are too many questions at the moment");
 		return;
 	}
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
 	fl_kv_list(&n->kv_store, key, count_progress, &progress, &revision);
-	resp->status = 200;
-	resp->body = fl_status_encode(ref, progress.placed ? FL_RUNNING : FL_PENDING, progress.done,
-	                              progress.placed);
+	response->status = 200;
+	response->body = fl_status_encode(ref, progress.placed ? FL_RUNNING : FL_PENDING,
+	                                  progress.done, progress.placed);
 }
 
 /* Takes a relayed call's answer over; false if there is none that a user can be given. */
-static bool take_reply(int rc, struct fl_reply *reply, struct fl_response *resp)
+static bool take_reply(int rc, struct fl_http_reply *reply, struct fl_http_response *response)
 {
 	if (rc != 0)
 		return false;
 	if (reply->status == 200 || reply->status == 404) {
-		resp->status = reply->status;
-		resp->body = reply->body.data;
+		response->status = reply->status;
+		response->body = reply->body.data;
 		return true;
 	}
-	fl_buf_free(&reply->body);
+	fl_buffer_free(&reply->body);
 	return false;
 }
 
-static void forward_status_query(struct fl_node *n, const char *ref, struct fl_response *resp)
+static void forward_status_query(struct fl_node *n, const char *ref,
+                                 struct fl_http_response *response)
 {
 	double came = fl_now(), left;
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
-	switch (fl_status_query(n, ref, resp)) {
+	switch (fl_status_query(n, ref, response)) {
 	case FL_QUERY_ANSWERED:
 		return;
 	case FL_QUERY_OVERLOADED:
-		fl_respond_unavailable(resp, "there are too many questions at the moment");
+		fl_respond_unavailable(response, "there are too many questions at the moment");
 		return;
 	case FL_QUERY_NOT_IN_MEMORY:
 	case FL_QUERY_FAILED:
@@ -141,68 +143,68 @@
 	left = came + tunables.relay_s - fl_now();
 	if (left <= 0 || !take_reply(fl_user_request_forward(n, FL_USER_REQUEST_STATUS, ref, NULL,
 	                                                     FL_HOP_FIRST, left, &reply),
-	                             &reply, resp))
-		respond_status_from_records(n, ref, resp);
+	                             &reply, response))
+		respond_status_from_records(n, ref, response);
 }
 
 /* For another controller: only the leader answers, so this is passed on once at most. */
 static void forward_for_peer(struct fl_node *n, enum fl_user_request kind, const char *ref,
-                             enum fl_forward_hop hop, struct fl_response *resp)
+                             enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	double patience = fl_user_request_timeout_s(kind);
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
 	if (!take_reply(fl_user_request_forward(n, kind, ref, NULL, hop, patience, &reply), &reply,
-	                resp))
-		fl_respond_error(resp, 421, "not the leader");
+	                response))
+		fl_respond_error(response, 421, "not the leader");
 }
 
-static void forward_cancel(struct fl_node *n, const char *ref, struct fl_response *resp)
+static void forward_cancel(struct fl_node *n, const char *ref, struct fl_http_response *response)
 {
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	int rc = fl_user_request_forward(n, FL_USER_REQUEST_CANCEL, ref, NULL, FL_HOP_FIRST,
 	                                 tunables.relay_write_s, &reply);
 
-	if (!take_reply(rc, &reply, resp))
-		fl_respond_unavailable(resp, "there is no leader at the moment");
+	if (!take_reply(rc, &reply, response))
+		fl_respond_unavailable(response, "there is no leader at the moment");
 }
 
 void fl_respond_status_or_cancel(struct fl_node *n, enum fl_user_request kind, const char *ref,
-                                 enum fl_forward_hop hop, struct fl_response *resp)
+                                 enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	struct fl_finished_job *finished;
 
 	if (!ref[0]) {
-		fl_respond_error(resp, 404, "no such job");
+		fl_respond_error(response, 404, "no such job");
 		return;
 	}
 	finished = fl_finished_job_find(&n->cluster, ref);
 	if (finished) {
-		resp->status = 200;
-		resp->body = fl_status_encode(ref, (enum fl_job_status)finished->status,
-		                              kind == FL_USER_REQUEST_CANCEL ? -1
-		                              : finished->status == FL_DONE
-		                                      ? (int64_t)finished->task_count
-		                                      : 0,
-		                              0);
+		response->status = 200;
+		response->body = fl_status_encode(ref, (enum fl_job_status)finished->status,
+		                                  kind == FL_USER_REQUEST_CANCEL ? -1
+		                                  : finished->status == FL_DONE
+		                                          ? (int64_t)finished->task_count
+		                                          : 0,
+		                                  0);
 		return;
 	}
 	if (fl_is_leader(n)) {
 		if (kind == FL_USER_REQUEST_STATUS)
-			fl_respond_job_status(n, ref, resp);
+			fl_respond_job_status(n, ref, response);
 		else
-			fl_respond_cancel(n, ref, resp);
+			fl_respond_cancel(n, ref, response);
 		return;
 	}
 	if (fl_follower_is_isolated(n)) {
-		fl_respond_unavailable(resp,
+		fl_respond_unavailable(response,
 		                       "neither the state service nor another controller answers");
 		return;
 	}
 	if (hop)
-		forward_for_peer(n, kind, ref, hop, resp);
+		forward_for_peer(n, kind, ref, hop, response);
 	else if (kind == FL_USER_REQUEST_STATUS)
-		forward_status_query(n, ref, resp);
+		forward_status_query(n, ref, response);
 	else
-		forward_cancel(n, ref, resp);
+		forward_cancel(n, ref, response);
 }
--- a/src/main.c
+++ b/src/main.c
@@ -7,7 +7,7 @@
 #include "config.h"
 #include "coordination/node.h"
 #include "transport/log.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 enum { EXIT_USAGE = 2 };
 
@@ -77,12 +77,12 @@
 		return 0;
 	}
 	signal(SIGPIPE, SIG_IGN);
-	fl_routines_init(ev_default_loop(EVFLAG_AUTO));
+	fl_coroutines_init(ev_default_loop(EVFLAG_AUTO));
 	if (fl_node_start(&config) != 0) {
 		fprintf(stderr, "fawnlead: %s: cannot listen on bind or cluster_listen\n",
 		        args.config);
 		return 1;
 	}
-	fl_routines_run();
+	fl_coroutines_run();
 	return 0;
 }
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -13,19 +13,19 @@
 	.timeout_s = 4.0, /* s; the cloud is slow at times, and a rental may be carried out late */
 };
 
-static int call(struct fl_cloud *c, const char *method, const char *path, cJSON *body, cJSON **out,
-                int *status)
+static int call(struct fl_cloud *cloud, const char *method, const char *path, cJSON *body,
+                cJSON **out, int *status)
 {
-	char *text = body ? fl_json_take(body) : NULL;
-	struct fl_reply reply;
-	int rc = fl_http_call(&c->http, method, path, text, tunables.timeout_s, &reply);
+	char *text = body ? fl_json_print_and_delete(body) : NULL;
+	struct fl_http_reply reply;
+	int rc = fl_http_call(&cloud->http, method, path, text, tunables.timeout_s, &reply);
 
 	free(text);
 	if (rc)
 		return rc;
 	*status = reply.status;
-	*out = fl_json_parse(reply.body.data, reply.body.len);
-	fl_buf_free(&reply.body);
+	*out = fl_json_parse(reply.body.data, reply.body.length);
+	fl_buffer_free(&reply.body);
 	if (*status == 429 || *status == 503)
 		rc = -EAGAIN;
 	else if (*status != 200)
@@ -37,18 +37,18 @@
 {
 	const cJSON *zones = fl_json_get(e, "Sites"), *s;
 
-	if (fl_json_str(e, "Name", type->name, sizeof(type->name)) != FL_FIELD_OK ||
-	    fl_json_amount(e, "Vcpus", &type->cpus) != FL_FIELD_OK ||
-	    fl_json_amount(e, "Accelerators", &type->gpus) != FL_FIELD_OK ||
-	    fl_json_amount(e, "RamGb", &type->ram_gb) != FL_FIELD_OK ||
-	    fl_json_amount(e, "Price", &type->price) != FL_FIELD_OK ||
-	    fl_json_amount(e, "ReadyS", &type->ready_s) != FL_FIELD_OK || !cJSON_IsArray(zones))
+	if (fl_json_get_string(e, "Name", type->name, sizeof(type->name)) != FL_JSON_OK ||
+	    fl_json_get_amount(e, "Vcpus", &type->cpus) != FL_JSON_OK ||
+	    fl_json_get_amount(e, "Accelerators", &type->gpus) != FL_JSON_OK ||
+	    fl_json_get_amount(e, "RamGb", &type->ram_gb) != FL_JSON_OK ||
+	    fl_json_get_amount(e, "Price", &type->price) != FL_JSON_OK ||
+	    fl_json_get_amount(e, "ReadyS", &type->ready_s) != FL_JSON_OK || !cJSON_IsArray(zones))
 		return -EPROTO;
 	type->spot_price = type->price;
 	type->pull_gb_s = 1.0;
-	if (fl_json_amount(e, "SpotPrice", &type->spot_price) == FL_FIELD_BAD ||
-	    fl_json_amount(e, "PullGbPerS", &type->pull_gb_s) == FL_FIELD_BAD ||
-	    fl_json_amount(e, "LocalGb", &type->cache_gb) == FL_FIELD_BAD)
+	if (fl_json_get_amount(e, "SpotPrice", &type->spot_price) == FL_JSON_INVALID ||
+	    fl_json_get_amount(e, "PullGbPerS", &type->pull_gb_s) == FL_JSON_INVALID ||
+	    fl_json_get_amount(e, "LocalGb", &type->cache_gb) == FL_JSON_INVALID)
 		return -EPROTO;
 	if (type->pull_gb_s <= 0)
 		type->pull_gb_s = 1.0;
@@ -112,10 +112,10 @@
 	return o;
 }
 
-int fl_cloud_machine_types(struct fl_cloud *c, struct fl_cloud_machine_type **out, int *n)
+int fl_cloud_machine_types(struct fl_cloud *cloud, struct fl_cloud_machine_type **out, int *n)
 {
 	cJSON *o = NULL;
-	int status, rc = call(c, "GET", "/machine_types", NULL, &o, &status);
+	int status, rc = call(cloud, "GET", "/machine_types", NULL, &o, &status);
 
 	*out = NULL;
 	*n = 0;
@@ -125,7 +125,7 @@
 	return rc;
 }
 
-int fl_cloud_rent(struct fl_cloud *c, const char *request, const char *kind, const char *zone,
+int fl_cloud_rent(struct fl_cloud *cloud, const char *request, const char *kind, const char *zone,
                   bool spot, int count, char (**hosts)[FL_NAME_MAX], int *n)
 {
 	cJSON *body = cJSON_CreateObject(), *o = NULL, *e;
@@ -139,11 +139,11 @@
 	cJSON_AddStringToObject(body, "Site", zone);
 	cJSON_AddBoolToObject(body, "Reclaimable", spot);
 	cJSON_AddNumberToObject(body, "Count", count);
-	rc = call(c, "POST", "/rentals", body, &o, &status);
+	rc = call(cloud, "POST", "/rentals", body, &o, &status);
 	if (rc == -EAGAIN && status == 503) {
 		char why[64] = "";
 
-		fl_json_str(o, "error", why, sizeof(why));
+		fl_json_get_string(o, "error", why, sizeof(why));
 		if (strcmp(why, "no capacity") == 0)
 			rc = -ENOSPC;
 	}
@@ -167,13 +167,13 @@
 	return rc;
 }
 
-int fl_cloud_delete(struct fl_cloud *c, const char *const *hosts, int n)
+int fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int n)
 {
 	cJSON *body = cJSON_CreateObject(), *o = NULL;
 	int status, rc;
 
 	cJSON_AddItemToObject(body, "Hosts", cJSON_CreateStringArray(hosts, n));
-	rc = call(c, "POST", "/rentals/delete", body, &o, &status);
+	rc = call(cloud, "POST", "/rentals/delete", body, &o, &status);
 	cJSON_Delete(o);
 	return rc;
 }
@@ -182,22 +182,22 @@
 {
 	char status[32];
 
-	if (fl_json_str(e, "Ref", machine->host, sizeof(machine->host)) != FL_FIELD_OK ||
+	if (fl_json_get_string(e, "Ref", machine->host, sizeof(machine->host)) != FL_JSON_OK ||
 	    !machine->host[0] ||
-	    fl_json_str(e, "HostKind", machine->type, sizeof(machine->type)) != FL_FIELD_OK ||
-	    fl_json_str(e, "Site", machine->zone, sizeof(machine->zone)) != FL_FIELD_OK ||
-	    fl_json_bool(e, "Reclaimable", &machine->spot) != FL_FIELD_OK ||
-	    fl_json_str(e, "Status", status, sizeof(status)) != FL_FIELD_OK)
+	    fl_json_get_string(e, "HostKind", machine->type, sizeof(machine->type)) != FL_JSON_OK ||
+	    fl_json_get_string(e, "Site", machine->zone, sizeof(machine->zone)) != FL_JSON_OK ||
+	    fl_json_get_bool(e, "Reclaimable", &machine->spot) != FL_JSON_OK ||
+	    fl_json_get_string(e, "Status", status, sizeof(status)) != FL_JSON_OK)
 		return -EPROTO;
-	fl_json_str(e, "Endpoint", machine->endpoint, sizeof(machine->endpoint));
-	fl_json_amount(e, "AgeS", &machine->age_s);
+	fl_json_get_string(e, "Endpoint", machine->endpoint, sizeof(machine->endpoint));
+	fl_json_get_amount(e, "AgeS", &machine->age_s);
 	machine->status = strcmp(status, "failed") == 0    ? FL_CLOUD_MACHINE_FAILED
 	                  : strcmp(status, "booting") == 0 ? FL_CLOUD_MACHINE_BOOTING
 	                                                   : FL_CLOUD_MACHINE_RUNNING;
 	return 0;
 }
 
-int fl_cloud_list(struct fl_cloud *c, const char *from, struct fl_cloud_machine **out, int *n,
+int fl_cloud_list(struct fl_cloud *cloud, const char *from, struct fl_cloud_machine **out, int *n,
                   bool *more)
 {
 	char path[FL_NAME_MAX + 64];
@@ -212,7 +212,7 @@
 		snprintf(path, sizeof(path), "/rentals?From=%s&Page=%d", from, FL_LIST_PAGE);
 	else
 		snprintf(path, sizeof(path), "/rentals?Page=%d", FL_LIST_PAGE);
-	rc = call(c, "GET", path, NULL, &o, &status);
+	rc = call(cloud, "GET", path, NULL, &o, &status);
 	if (rc)
 		goto out;
 	list = fl_json_get(o, "Hosts");
@@ -231,7 +231,7 @@
 			break;
 		(*n)++;
 	}
-	if (!rc && fl_json_bool(o, "More", more) != FL_FIELD_OK)
+	if (!rc && fl_json_get_bool(o, "More", more) != FL_JSON_OK)
 		rc = -EPROTO;
 	if (rc) {
 		free(*out);
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -45,14 +45,14 @@
  * The types on offer, `*n` of them, to be freed. This and all calls below return 0 on success,
  * -EAGAIN when refused for now (429, 503), other errnos when unknown.
  */
-int fl_cloud_machine_types(struct fl_cloud *c, struct fl_cloud_machine_type **out, int *n);
+int fl_cloud_machine_types(struct fl_cloud *cloud, struct fl_cloud_machine_type **out, int *n);
 /* Rents machines. -ENOSPC: no capacity. On success `*hosts` holds `*n` names to free. */
-int fl_cloud_rent(struct fl_cloud *c, const char *request, const char *kind, const char *zone,
+int fl_cloud_rent(struct fl_cloud *cloud, const char *request, const char *kind, const char *zone,
                   bool spot, int count, char (**hosts)[FL_NAME_MAX], int *n);
 /* Returns machines. */
-int fl_cloud_delete(struct fl_cloud *c, const char *const *hosts, int n);
+int fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int n);
 /* One page of the rented machines after `from`, to be freed; `*more`: it is not the last. */
-int fl_cloud_list(struct fl_cloud *c, const char *from, struct fl_cloud_machine **out, int *n,
+int fl_cloud_list(struct fl_cloud *cloud, const char *from, struct fl_cloud_machine **out, int *n,
                   bool *more);
 
 #endif
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -118,65 +118,65 @@
 	return v && !cJSON_IsNull(v) ? v : NULL;
 }
 
-enum fl_field fl_json_str(const cJSON *o, const char *key, char *out, size_t cap)
+enum fl_json_result fl_json_get_string(const cJSON *o, const char *key, char *out, size_t cap)
 {
 	const cJSON *v = fl_json_get(o, key);
 
 	if (!v)
-		return FL_FIELD_ABSENT;
+		return FL_JSON_ABSENT;
 	if (!cJSON_IsString(v) || strlen(v->valuestring) >= cap)
-		return FL_FIELD_BAD;
+		return FL_JSON_INVALID;
 	fl_copy_string(out, cap, v->valuestring);
-	return FL_FIELD_OK;
+	return FL_JSON_OK;
 }
 
-enum fl_field fl_json_amount(const cJSON *o, const char *key, double *out)
+enum fl_json_result fl_json_get_amount(const cJSON *o, const char *key, double *out)
 {
 	const cJSON *v = fl_json_get(o, key);
 
 	if (!v)
-		return FL_FIELD_ABSENT;
+		return FL_JSON_ABSENT;
 	if (!cJSON_IsNumber(v) || !isfinite(v->valuedouble) || v->valuedouble < 0 ||
 	    v->valuedouble > 1e12)
-		return FL_FIELD_BAD;
+		return FL_JSON_INVALID;
 	*out = v->valuedouble;
-	return FL_FIELD_OK;
+	return FL_JSON_OK;
 }
 
-static enum fl_field whole_number(const cJSON *v, uint64_t most, uint64_t *out)
+static enum fl_json_result whole_number(const cJSON *v, uint64_t most, uint64_t *out)
 {
 	if (!v)
-		return FL_FIELD_ABSENT;
+		return FL_JSON_ABSENT;
 	if (!cJSON_IsNumber(v) || !(v->valuedouble >= 0) || v->valuedouble > (double)most ||
 	    v->valuedouble != floor(v->valuedouble))
-		return FL_FIELD_BAD;
+		return FL_JSON_INVALID;
 	*out = (uint64_t)v->valuedouble;
-	return FL_FIELD_OK;
+	return FL_JSON_OK;
 }
 
-enum fl_field fl_json_count(const cJSON *o, const char *key, uint64_t *out)
+enum fl_json_result fl_json_get_count(const cJSON *o, const char *key, uint64_t *out)
 {
 	return whole_number(fl_json_get(o, key), FL_COUNT_MAX, out);
 }
 
-enum fl_field fl_json_item(const cJSON *array, int at, uint64_t most, uint64_t *out)
+enum fl_json_result fl_json_get_item(const cJSON *array, int at, uint64_t most, uint64_t *out)
 {
 	return whole_number(cJSON_GetArrayItem(array, at), most, out);
 }
 
-enum fl_field fl_json_bool(const cJSON *o, const char *key, bool *out)
+enum fl_json_result fl_json_get_bool(const cJSON *o, const char *key, bool *out)
 {
 	const cJSON *v = fl_json_get(o, key);
 
 	if (!v)
-		return FL_FIELD_ABSENT;
+		return FL_JSON_ABSENT;
 	if (!cJSON_IsBool(v))
-		return FL_FIELD_BAD;
+		return FL_JSON_INVALID;
 	*out = cJSON_IsTrue(v);
-	return FL_FIELD_OK;
+	return FL_JSON_OK;
 }
 
-char *fl_json_take(cJSON *o)
+char *fl_json_print_and_delete(cJSON *o)
 {
 	char *s = cJSON_PrintUnformatted(o);
 
@@ -194,5 +194,5 @@
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
 	cJSON_AddStringToObject(o, "error", text);
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -57,7 +57,7 @@
                 const char *path, const char *body, double timeout_s, cJSON **out)
 {
 	double sent = fl_now();
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	int rc = fl_http_call(http, method, path, body, timeout_s, &reply);
 
 	*out = NULL;
@@ -71,8 +71,8 @@
 	else if (reply.status != 429 && sent > store->last_success_at)
 		store->last_success_at = sent;
 	rc = to_errno(reply.status);
-	*out = fl_json_parse(reply.body.data, reply.body.len);
-	fl_buf_free(&reply.body);
+	*out = fl_json_parse(reply.body.data, reply.body.length);
+	fl_buffer_free(&reply.body);
 	if (!rc && !cJSON_IsObject(*out))
 		rc = -EPROTO;
 	return rc;
@@ -89,12 +89,12 @@
 	*value = NULL;
 	snprintf(path, sizeof(path), "/keys/%s", key);
 	rc = call(store, &store->client, "GET", path, NULL, tunables.timeout_s, &o);
-	if (!rc && fl_json_count(o, "KeyRev", revision) != FL_FIELD_OK)
+	if (!rc && fl_json_get_count(o, "KeyRev", revision) != FL_JSON_OK)
 		rc = -EPROTO;
 	if (!rc) {
 		if (!lease_id)
 			lease_id = &none;
-		if (fl_json_count(o, "Grant", lease_id) != FL_FIELD_OK)
+		if (fl_json_get_count(o, "Grant", lease_id) != FL_JSON_OK)
 			*lease_id = 0;
 		*value = cJSON_DetachItemFromObjectCaseSensitive(o, "V");
 	}
@@ -102,7 +102,8 @@
 	return rc;
 }
 
-static int each_item(const cJSON *items, fl_kv_event_fn on_event, void *ctx, char last[FL_KEY_MAX])
+static int each_item(const cJSON *items, fl_kv_event_fn on_event, void *context,
+                     char last[FL_KEY_MAX])
 {
 	const cJSON *e;
 
@@ -110,19 +111,19 @@
 		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
-		if (fl_json_str(e, "Key", key, sizeof(key)) != FL_FIELD_OK ||
-		    fl_json_count(e, "KeyRev", &event.mod_revision) != FL_FIELD_OK)
+		if (fl_json_get_string(e, "Key", key, sizeof(key)) != FL_JSON_OK ||
+		    fl_json_get_count(e, "KeyRev", &event.mod_revision) != FL_JSON_OK)
 			return -EPROTO;
 		event.key = key;
 		event.value = fl_json_get(e, "V");
-		on_event(ctx, &event);
+		on_event(context, &event);
 		fl_copy_string(last, FL_KEY_MAX, key);
 	}
 	return 0;
 }
 
-int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event, void *ctx,
-               uint64_t *revision)
+int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
+               void *context, uint64_t *revision)
 {
 	char path[2 * FL_KEY_MAX + 64], last[FL_KEY_MAX] = "";
 	bool more = true, first = true;
@@ -141,11 +142,11 @@
 			more = false;
 			/* A list cut short would pass for a whole one. */
 			if (!cJSON_IsArray(items) ||
-			    fl_json_bool(o, "More", &more) != FL_FIELD_OK ||
-			    fl_json_count(o, "LedgerRev", &at) != FL_FIELD_OK)
+			    fl_json_get_bool(o, "More", &more) != FL_JSON_OK ||
+			    fl_json_get_count(o, "LedgerRev", &at) != FL_JSON_OK)
 				rc = -EPROTO;
 			else
-				rc = each_item(items, on_event, ctx, last);
+				rc = each_item(items, on_event, context, last);
 			if (!rc && cJSON_GetArraySize(items) == 0)
 				more = false;
 			if (!rc && first)
@@ -159,7 +160,7 @@
 	return 0;
 }
 
-static int each_event(const cJSON *log, fl_kv_event_fn on_event, void *ctx)
+static int each_event(const cJSON *log, fl_kv_event_fn on_event, void *context)
 {
 	const cJSON *e;
 
@@ -167,20 +168,20 @@
 		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
-		if (fl_json_count(e, "KeyRev", &event.mod_revision) != FL_FIELD_OK)
+		if (fl_json_get_count(e, "KeyRev", &event.mod_revision) != FL_JSON_OK)
 			return -EPROTO;
-		if (fl_json_str(e, "Put", key, sizeof(key)) == FL_FIELD_OK)
+		if (fl_json_get_string(e, "Put", key, sizeof(key)) == FL_JSON_OK)
 			event.value = fl_json_get(e, "V");
-		else if (fl_json_str(e, "Delete", key, sizeof(key)) != FL_FIELD_OK)
+		else if (fl_json_get_string(e, "Delete", key, sizeof(key)) != FL_JSON_OK)
 			return -EPROTO;
 		event.key = key;
-		on_event(ctx, &event);
+		on_event(context, &event);
 	}
 	return 0;
 }
 
 int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision, double timeout_s,
-                fl_kv_event_fn on_event, void *ctx)
+                fl_kv_event_fn on_event, void *context)
 {
 	char path[FL_KEY_MAX + 128];
 	const cJSON *log;
@@ -193,11 +194,11 @@
 	rc = call(store, &store->watch_client, "GET", path, NULL, timeout_s + tunables.slack_s, &o);
 	if (!rc) {
 		log = fl_json_get(o, "Log");
-		if (fl_json_count(o, "LedgerRev", &at) != FL_FIELD_OK ||
+		if (fl_json_get_count(o, "LedgerRev", &at) != FL_JSON_OK ||
 		    (log && !cJSON_IsArray(log)))
 			rc = -EPROTO;
 		else
-			rc = each_event(log, on_event, ctx);
+			rc = each_event(log, on_event, context);
 		if (!rc && at > *revision)
 			*revision = at;
 	}
@@ -252,14 +253,14 @@
 int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *revision,
                      char failed[FL_KEY_MAX])
 {
-	char *text = fl_json_take(txn->root);
+	char *text = fl_json_print_and_delete(txn->root);
 	cJSON *o;
 	int rc;
 
 	txn->root = NULL;
 	rc = call(store, &store->client, "POST", "/multi", text, tunables.timeout_s, &o);
 	free(text);
-	if (!rc && fl_json_count(o, "LedgerRev", revision) != FL_FIELD_OK)
+	if (!rc && fl_json_get_count(o, "LedgerRev", revision) != FL_JSON_OK)
 		rc = -EPROTO;
 	if (rc == -ESTALE && failed) {
 		const cJSON *first = cJSON_GetArrayItem(fl_json_get(o, "failed"), 0);
@@ -280,7 +281,7 @@
 
 	snprintf(body, sizeof(body), "{\"TtlMs\":%d}", (int)(ttl_s * 1000));
 	rc = call(store, &store->client, "POST", "/holds", body, tunables.timeout_s, &o);
-	if (!rc && fl_json_count(o, "Grant", lease_id) != FL_FIELD_OK)
+	if (!rc && fl_json_get_count(o, "Grant", lease_id) != FL_JSON_OK)
 		rc = -EPROTO;
 	cJSON_Delete(o);
 	return rc;
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -42,13 +42,13 @@
               uint64_t *lease_id);
 
 /* Called for each change; it is valid during the call only. */
-typedef void (*fl_kv_event_fn)(void *ctx, const struct fl_kv_event *event);
+typedef void (*fl_kv_event_fn)(void *context, const struct fl_kv_event *event);
 /* Every key under the prefix, page by page; `*mod_revision` is the revision of the first page. */
-int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event, void *ctx,
-               uint64_t *revision);
+int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
+               void *context, uint64_t *revision);
 /* One watch; -ERANGE: the revision is too old, list again. */
 int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision, double timeout_s,
-                fl_kv_event_fn on_event, void *ctx);
+                fl_kv_event_fn on_event, void *context);
 
 /* An empty transaction. */
 void fl_kv_txn_init(struct fl_kv_txn *txn);
--- a/src/protocol/peer_heartbeats.c
+++ b/src/protocol/peer_heartbeats.c
@@ -25,7 +25,7 @@
 		cJSON_AddBoolToObject(o, "adrift", true);
 	cJSON_AddStringToObject(o, "via", entry_node);
 	cJSON_AddItemReferenceToObject(o, "reports", list);
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
 
 int fl_peer_heartbeats_decode(const char *text, size_t len, struct fl_peer_heartbeats *out)
@@ -33,10 +33,10 @@
 	memset(out, 0, sizeof(*out));
 	out->tree = fl_json_parse(text, len);
 	out->list = fl_json_get(out->tree, "reports");
-	if (fl_json_bool(out->tree, "last_hop", &out->last_hop) != FL_FIELD_OK ||
-	    fl_json_bool(out->tree, "adrift", &out->disconnected) == FL_FIELD_BAD ||
-	    fl_json_str(out->tree, "via", out->entry_node, sizeof(out->entry_node)) !=
-	            FL_FIELD_OK ||
+	if (fl_json_get_bool(out->tree, "last_hop", &out->last_hop) != FL_JSON_OK ||
+	    fl_json_get_bool(out->tree, "adrift", &out->disconnected) == FL_JSON_INVALID ||
+	    fl_json_get_string(out->tree, "via", out->entry_node, sizeof(out->entry_node)) !=
+	            FL_JSON_OK ||
 	    !cJSON_IsArray(out->list) || cJSON_GetArraySize(out->list) > FL_PEER_HEARTBEATS_MAX) {
 		fl_peer_heartbeats_free(out);
 		return -EPROTO;
@@ -63,7 +63,7 @@
 			cJSON_AddStringToObject(e, "body", answers[i].body);
 		cJSON_AddItemToArray(list, e);
 	}
-	return fl_json_take(list);
+	return fl_json_print_and_delete(list);
 }
 
 static int decode_answer(const cJSON *e, struct fl_heartbeat_reply *out)
@@ -71,7 +71,7 @@
 	const cJSON *body = fl_json_get(e, "body");
 	uint64_t status;
 
-	if (fl_json_count(e, "status", &status) != FL_FIELD_OK || status < STATUS_MIN ||
+	if (fl_json_get_count(e, "status", &status) != FL_JSON_OK || status < STATUS_MIN ||
 	    status > STATUS_MAX || (body && !cJSON_IsString(body)))
 		return -EPROTO;
 	out->status = (int)status;
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -24,7 +24,7 @@
 		cJSON_AddItemToArray(e, cJSON_CreateNumber(gossip->cancelled[i].age_s));
 		cJSON_AddItemToArray(list, e);
 	}
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
 
 static int decode_cancelled(const cJSON *list, struct fl_gossip *out)
@@ -57,13 +57,13 @@
 	int rc = 0;
 
 	memset(out, 0, sizeof(*out));
-	if (fl_json_str(o, "node", out->node, sizeof(out->node)) != FL_FIELD_OK ||
-	    fl_json_str(o, "leader", out->leader, sizeof(out->leader)) != FL_FIELD_OK ||
-	    fl_json_count(o, "epoch", &out->fencing_token) != FL_FIELD_OK ||
-	    fl_json_amount(o, "proof_age_s", &out->leadership_age_s) != FL_FIELD_OK ||
-	    fl_json_bool(o, "leads", &out->is_leader) != FL_FIELD_OK ||
-	    fl_json_amount(o, "known_age_s", &out->watermark_age_s) != FL_FIELD_OK ||
-	    fl_json_bool(o, "whole", &out->complete) != FL_FIELD_OK)
+	if (fl_json_get_string(o, "node", out->node, sizeof(out->node)) != FL_JSON_OK ||
+	    fl_json_get_string(o, "leader", out->leader, sizeof(out->leader)) != FL_JSON_OK ||
+	    fl_json_get_count(o, "epoch", &out->fencing_token) != FL_JSON_OK ||
+	    fl_json_get_amount(o, "proof_age_s", &out->leadership_age_s) != FL_JSON_OK ||
+	    fl_json_get_bool(o, "leads", &out->is_leader) != FL_JSON_OK ||
+	    fl_json_get_amount(o, "known_age_s", &out->watermark_age_s) != FL_JSON_OK ||
+	    fl_json_get_bool(o, "whole", &out->complete) != FL_JSON_OK)
 		rc = -EPROTO;
 	if (!rc)
 		rc = decode_cancelled(fl_json_get(o, "cancelled"), out);
@@ -91,7 +91,7 @@
 		cJSON_AddStringToObject(o, "ref", ref);
 	if (body)
 		cJSON_AddStringToObject(o, "body", body);
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
 
 /* Only what a node relays; nothing else may come by this way, and no id of another form. */
@@ -112,10 +112,10 @@
 	memset(forwarded, 0, sizeof(*forwarded));
 	forwarded->tree = fl_json_parse(text, len);
 	body = fl_json_get(forwarded->tree, "body");
-	if (fl_json_count(forwarded->tree, "call", &call) != FL_FIELD_OK ||
-	    fl_json_bool(forwarded->tree, "last_hop", &forwarded->last_hop) != FL_FIELD_OK ||
-	    fl_json_str(forwarded->tree, "ref", forwarded->ref, sizeof(forwarded->ref)) ==
-	            FL_FIELD_BAD ||
+	if (fl_json_get_count(forwarded->tree, "call", &call) != FL_JSON_OK ||
+	    fl_json_get_bool(forwarded->tree, "last_hop", &forwarded->last_hop) != FL_JSON_OK ||
+	    fl_json_get_string(forwarded->tree, "ref", forwarded->ref, sizeof(forwarded->ref)) ==
+	            FL_JSON_INVALID ||
 	    !is_forwardable(call, forwarded->ref, body)) {
 		fl_forwarded_request_free(forwarded);
 		return -EPROTO;
@@ -154,7 +154,7 @@
 		cJSON_AddItemToArray(tasks, x);
 	}
 	cJSON_AddItemToArray(e, tasks);
-	return fl_json_take(e);
+	return fl_json_print_and_delete(e);
 }
 
 static int decode_cached_task(const cJSON *x, struct fl_task_status *status)
@@ -164,10 +164,10 @@
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
 	    !fl_job_ref_is_valid(ref->valuestring) ||
-	    fl_json_item(x, 1, FL_TASKS_MAX - 1, &index) != FL_FIELD_OK ||
-	    fl_json_item(x, 2, UINT32_MAX, &attempt) != FL_FIELD_OK ||
-	    fl_json_item(x, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_FIELD_OK ||
-	    fl_json_item(x, 4, FL_EXIT_OTHER, &why) == FL_FIELD_BAD)
+	    fl_json_get_item(x, 1, FL_TASKS_MAX - 1, &index) != FL_JSON_OK ||
+	    fl_json_get_item(x, 2, UINT32_MAX, &attempt) != FL_JSON_OK ||
+	    fl_json_get_item(x, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_JSON_OK ||
+	    fl_json_get_item(x, 4, FL_EXIT_OTHER, &why) == FL_JSON_INVALID)
 		return -EPROTO;
 	fl_copy_string(status->ref, sizeof(status->ref), ref->valuestring);
 	status->index = (uint32_t)index;
@@ -185,9 +185,9 @@
 	memset(out, 0, sizeof(*out));
 	if (!cJSON_IsString(host) || !host->valuestring[0] ||
 	    strlen(host->valuestring) >= sizeof(out->host) ||
-	    fl_json_item(e, 1, FL_COUNT_MAX, &out->incarnation) != FL_FIELD_OK ||
-	    fl_json_item(e, 2, FL_COUNT_MAX, &out->sequence) != FL_FIELD_OK ||
-	    fl_json_item(e, 3, FL_COUNT_MAX, &out->fencing_token) != FL_FIELD_OK ||
+	    fl_json_get_item(e, 1, FL_COUNT_MAX, &out->incarnation) != FL_JSON_OK ||
+	    fl_json_get_item(e, 2, FL_COUNT_MAX, &out->sequence) != FL_JSON_OK ||
+	    fl_json_get_item(e, 3, FL_COUNT_MAX, &out->fencing_token) != FL_JSON_OK ||
 	    !cJSON_IsNumber(notice) || !cJSON_IsArray(tasks))
 		return -EPROTO;
 	fl_copy_string(out->host, sizeof(out->host), host->valuestring);
--- a/src/protocol/status_messages.c
+++ b/src/protocol/status_messages.c
@@ -10,7 +10,7 @@
 
 	for (int i = 0; i < count; i++)
 		cJSON_AddItemToArray(list, cJSON_CreateString(refs[i]));
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
 
 int fl_status_query_decode(const char *text, size_t len, char (*refs)[FL_REF_MAX])
@@ -47,7 +47,7 @@
 		cJSON_AddItemToArray(list, status->known ? cJSON_CreateDoubleArray(values, 3)
 		                                         : cJSON_CreateNull());
 	}
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
 
 static int decode_state(const cJSON *e, struct fl_job_status_report *out)
@@ -57,9 +57,9 @@
 	*out = (struct fl_job_status_report){0};
 	if (cJSON_IsNull(e))
 		return 0;
-	if (fl_json_item(e, 0, FL_CANCELLED, &status) != FL_FIELD_OK ||
-	    fl_json_item(e, 1, FL_TASKS_MAX, &done) != FL_FIELD_OK ||
-	    fl_json_item(e, 2, FL_TASKS_MAX, &running) != FL_FIELD_OK)
+	if (fl_json_get_item(e, 0, FL_CANCELLED, &status) != FL_JSON_OK ||
+	    fl_json_get_item(e, 1, FL_TASKS_MAX, &done) != FL_JSON_OK ||
+	    fl_json_get_item(e, 2, FL_TASKS_MAX, &running) != FL_JSON_OK)
 		return -EPROTO;
 	*out = (struct fl_job_status_report){.known = true,
 	                                     .status = (enum fl_job_status)status,
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -43,7 +43,7 @@
 
 static bool get_name(const cJSON *o, const char *key, char out[FL_NAME_MAX])
 {
-	return fl_json_str(o, key, out, FL_NAME_MAX) == FL_FIELD_OK && name_ok(out);
+	return fl_json_get_string(o, key, out, FL_NAME_MAX) == FL_JSON_OK && name_ok(out);
 }
 
 static bool get_types(const cJSON *o, struct fl_job_spec *out)
@@ -81,26 +81,26 @@
 		{"SnapshotEveryS", &out->checkpoint_every_s},
 		{"SnapshotCostS", &out->checkpoint_cost_s},
 	};
-	enum fl_field f;
+	enum fl_json_result f;
 
 	for (size_t i = 0; i < sizeof(amounts) / sizeof(amounts[0]); i++)
-		if (fl_json_amount(o, amounts[i].key, amounts[i].to) != FL_FIELD_OK)
+		if (fl_json_get_amount(o, amounts[i].key, amounts[i].to) != FL_JSON_OK)
 			return amounts[i].key;
-	f = fl_json_amount(o, "DueS", &out->due_s);
-	if (f == FL_FIELD_ABSENT)
+	f = fl_json_get_amount(o, "DueS", &out->due_s);
+	if (f == FL_JSON_ABSENT)
 		out->due_s = -1;
-	return f == FL_FIELD_BAD ? "DueS" : NULL;
+	return f == FL_JSON_INVALID ? "DueS" : NULL;
 }
 
 const char *fl_job_spec_decode(const cJSON *o, struct fl_job_spec *out)
 {
 	char word[FL_NAME_MAX];
-	enum fl_field f;
+	enum fl_json_result f;
 	uint64_t n;
 	int k;
 
 	memset(out, 0, sizeof(*out));
-	if (fl_json_str(o, "Ref", out->ref, sizeof(out->ref)) != FL_FIELD_OK ||
+	if (fl_json_get_string(o, "Ref", out->ref, sizeof(out->ref)) != FL_JSON_OK ||
 	    !fl_job_ref_is_valid(out->ref)) {
 		out->ref[0] = 0;
 		return "Ref";
@@ -109,30 +109,30 @@
 		return "JobClass";
 	if (!get_name(o, "Owner", out->team))
 		return "Owner";
-	if (fl_json_str(o, "JobKind", word, sizeof(word)) != FL_FIELD_OK ||
+	if (fl_json_get_string(o, "JobKind", word, sizeof(word)) != FL_JSON_OK ||
 	    (k = pick(word, kind_names, 3)) < 0)
 		return "JobKind";
 	out->kind = (enum fl_job_kind)k;
-	if (fl_json_str(o, "Tier", word, sizeof(word)) != FL_FIELD_OK ||
+	if (fl_json_get_string(o, "Tier", word, sizeof(word)) != FL_JSON_OK ||
 	    (k = pick(word, priority_names, 4)) < 0)
 		return "Tier";
 	out->priority = (enum fl_priority)k;
-	if (fl_json_count(o, "Parts", &n) != FL_FIELD_OK || n < 1 || n > FL_TASKS_MAX)
+	if (fl_json_get_count(o, "Parts", &n) != FL_JSON_OK || n < 1 || n > FL_TASKS_MAX)
 		return "Parts";
 	out->task_count = (uint32_t)n;
 	if (!get_name(o, "Bundle", out->image))
 		return "Bundle";
 	if (!get_types(o, out))
 		return "HostKinds";
-	f = fl_json_str(o, "Site", out->zone, sizeof(out->zone));
-	if (f == FL_FIELD_BAD || (f == FL_FIELD_OK && !name_ok(out->zone)))
+	f = fl_json_get_string(o, "Site", out->zone, sizeof(out->zone));
+	if (f == FL_JSON_INVALID || (f == FL_JSON_OK && !name_ok(out->zone)))
 		return "Site";
-	out->has_zone = f == FL_FIELD_OK;
-	if (fl_json_bool(o, "Together", &out->same_zone) != FL_FIELD_OK)
+	out->has_zone = f == FL_JSON_OK;
+	if (fl_json_get_bool(o, "Together", &out->same_zone) != FL_JSON_OK)
 		return "Together";
-	if (fl_json_bool(o, "Apart", &out->spread_zones) != FL_FIELD_OK)
+	if (fl_json_get_bool(o, "Apart", &out->spread_zones) != FL_JSON_OK)
 		return "Apart";
-	if (fl_json_bool(o, "Reclaimable", &out->spot_allowed) != FL_FIELD_OK)
+	if (fl_json_get_bool(o, "Reclaimable", &out->spot_allowed) != FL_JSON_OK)
 		return "Reclaimable";
 	return decode_amounts(o, out);
 }
@@ -180,7 +180,7 @@
 		cJSON_AddNumberToObject(o, "done", (double)done);
 		cJSON_AddNumberToObject(o, "running", (double)running);
 	}
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
 
 enum fl_user_request fl_user_route(const char *path, char ref[FL_REF_MAX])
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -43,25 +43,25 @@
 	uint64_t attempt;
 	int k;
 
-	if (fl_json_str(e, "Part", name, sizeof(name)) != FL_FIELD_OK ||
+	if (fl_json_get_string(e, "Part", name, sizeof(name)) != FL_JSON_OK ||
 	    split_task(name, status) != 0)
 		return -EPROTO;
-	if (fl_json_count(e, "Try", &attempt) != FL_FIELD_OK || attempt > UINT32_MAX)
+	if (fl_json_get_count(e, "Try", &attempt) != FL_JSON_OK || attempt > UINT32_MAX)
 		return -EPROTO;
 	status->attempt = (uint32_t)attempt;
-	if (fl_json_str(e, "Status", word, sizeof(word)) != FL_FIELD_OK)
+	if (fl_json_get_string(e, "Status", word, sizeof(word)) != FL_JSON_OK)
 		return -EPROTO;
 	k = find(word, state_names, 5);
 	if (k < 0)
 		return -EPROTO;
 	status->state = (enum fl_task_state)k;
 	status->exit = FL_EXIT_OTHER;
-	if (fl_json_str(e, "ExitReason", word, sizeof(word)) == FL_FIELD_OK) {
+	if (fl_json_get_string(e, "ExitReason", word, sizeof(word)) == FL_JSON_OK) {
 		k = find(word, exit_names, 8);
 		if (k >= 0)
 			status->exit = (enum fl_exit)k;
 	}
-	fl_json_bool(e, "Saved", &status->saved);
+	fl_json_get_bool(e, "Saved", &status->saved);
 	return 0;
 }
 
@@ -88,19 +88,20 @@
 static int decode_fields(const cJSON *o, struct fl_heartbeat *out)
 {
 	const cJSON *list = fl_json_get(o, "Parts");
-	enum fl_field f;
-
-	if (fl_json_str(o, "Host", out->host, sizeof(out->host)) != FL_FIELD_OK || !out->host[0] ||
-	    fl_json_str(o, "Endpoint", out->endpoint, sizeof(out->endpoint)) != FL_FIELD_OK ||
-	    fl_json_str(o, "HostKind", out->type, sizeof(out->type)) != FL_FIELD_OK ||
-	    fl_json_str(o, "Site", out->zone, sizeof(out->zone)) != FL_FIELD_OK ||
-	    fl_json_bool(o, "Reclaimable", &out->spot) != FL_FIELD_OK ||
-	    fl_json_count(o, "Tenure", &out->incarnation) != FL_FIELD_OK ||
-	    fl_json_count(o, "Serial", &out->sequence) != FL_FIELD_OK ||
-	    fl_json_count(o, "Epoch", &out->fencing_token) != FL_FIELD_OK)
+	enum fl_json_result f;
+
+	if (fl_json_get_string(o, "Host", out->host, sizeof(out->host)) != FL_JSON_OK ||
+	    !out->host[0] ||
+	    fl_json_get_string(o, "Endpoint", out->endpoint, sizeof(out->endpoint)) != FL_JSON_OK ||
+	    fl_json_get_string(o, "HostKind", out->type, sizeof(out->type)) != FL_JSON_OK ||
+	    fl_json_get_string(o, "Site", out->zone, sizeof(out->zone)) != FL_JSON_OK ||
+	    fl_json_get_bool(o, "Reclaimable", &out->spot) != FL_JSON_OK ||
+	    fl_json_get_count(o, "Tenure", &out->incarnation) != FL_JSON_OK ||
+	    fl_json_get_count(o, "Serial", &out->sequence) != FL_JSON_OK ||
+	    fl_json_get_count(o, "Epoch", &out->fencing_token) != FL_JSON_OK)
 		return -EPROTO;
-	f = fl_json_amount(o, "ReclaimInS", &out->interruption_in_s);
-	if (f != FL_FIELD_OK)
+	f = fl_json_get_amount(o, "ReclaimInS", &out->interruption_in_s);
+	if (f != FL_JSON_OK)
 		out->interruption_in_s = -1;
 	/* Without its tasks a report would say that none is there, and each would start again. */
 	return cJSON_IsArray(list) ? decode_tasks(list, out) : -EPROTO;
@@ -169,7 +170,7 @@
 			cJSON_AddBoolToObject(e, "Saved", true);
 		cJSON_AddItemToArray(list, e);
 	}
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
 
 void fl_command_list_init(struct fl_command_list *commands, uint64_t fencing_token)
@@ -201,7 +202,7 @@
 
 char *fl_command_list_take(struct fl_command_list *commands)
 {
-	char *s = fl_json_take(commands->root);
+	char *s = fl_json_print_and_delete(commands->root);
 
 	commands->root = commands->list = NULL;
 	return s;
@@ -210,24 +211,24 @@
 int fl_worker_send_commands(const char *endpoint, const char *body, double timeout_s,
                             struct fl_heartbeat *out)
 {
-	struct fl_http_client c;
-	struct fl_reply reply;
-	int rc = fl_http_client_init(&c, endpoint, 0);
+	struct fl_http_client client;
+	struct fl_http_reply reply;
+	int rc = fl_http_client_init(&client, endpoint, 0);
 
 	memset(out, 0, sizeof(*out));
 	if (rc)
 		return rc;
-	rc = fl_http_call(&c, "POST", "/commands", body, timeout_s, &reply);
+	rc = fl_http_call(&client, "POST", "/commands", body, timeout_s, &reply);
 	if (rc)
 		return rc;
 	rc = reply.status;
 	if (rc == 200 || rc == 409) {
-		int bad = fl_heartbeat_decode(reply.body.data, reply.body.len, out);
+		int bad = fl_heartbeat_decode(reply.body.data, reply.body.length, out);
 
 		if (bad)
 			rc = bad;
 	}
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	return rc;
 }
 
@@ -237,5 +238,5 @@
 
 	if (node)
 		cJSON_AddStringToObject(o, "Steward", node);
-	return fl_json_take(o);
+	return fl_json_print_and_delete(o);
 }
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -75,22 +75,23 @@
 		out->status = FL_CANCELLED;
 	else
 		return -EPROTO;
-	if (fl_json_count(v, "parts", &task_count) != FL_FIELD_OK || task_count > FL_TASKS_MAX)
+	if (fl_json_get_count(v, "parts", &task_count) != FL_JSON_OK || task_count > FL_TASKS_MAX)
 		return -EPROTO;
 	out->task_count = (uint32_t)task_count;
-	return fl_json_amount(v, "cancelled", &out->cancelled_wall) == FL_FIELD_BAD ? -EPROTO : 0;
+	return fl_json_get_amount(v, "cancelled", &out->cancelled_wall) == FL_JSON_INVALID ? -EPROTO
+	                                                                                   : 0;
 }
 
 int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out)
 {
-	enum fl_field final;
+	enum fl_json_result final;
 	char word[16];
 
 	memset(out, 0, sizeof(*out));
-	final = fl_json_str(v, "final", word, sizeof(word));
-	if (final == FL_FIELD_BAD)
+	final = fl_json_get_string(v, "final", word, sizeof(word));
+	if (final == FL_JSON_INVALID)
 		return -EPROTO;
-	out->final = final == FL_FIELD_OK;
+	out->final = final == FL_JSON_OK;
 	if (out->final && decode_final(v, word, out) != 0)
 		return -EPROTO;
 	/* One that is cancelled and cannot be read has tasks that nobody would count or stop. */
@@ -101,7 +102,7 @@
 		return -EPROTO;
 	if (!out->final)
 		out->task_count = out->spec.task_count;
-	return fl_json_amount(v, "submitted", &out->submitted_wall) == FL_FIELD_OK ? 0 : -EPROTO;
+	return fl_json_get_amount(v, "submitted", &out->submitted_wall) == FL_JSON_OK ? 0 : -EPROTO;
 }
 
 int fl_job_record_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *record,
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -118,12 +118,12 @@
 	const cJSON *name = cJSON_GetArrayItem(e, 2);
 	uint64_t attempt, placed = 0;
 
-	if (fl_json_item(e, 0, FL_TASKS_MAX, index) != FL_FIELD_OK ||
-	    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK ||
-	    fl_json_item(e, 3, FL_COUNT_MAX, &out->incarnation) != FL_FIELD_OK ||
+	if (fl_json_get_item(e, 0, FL_TASKS_MAX, index) != FL_JSON_OK ||
+	    fl_json_get_item(e, 1, UINT32_MAX, &attempt) != FL_JSON_OK ||
+	    fl_json_get_item(e, 3, FL_COUNT_MAX, &out->incarnation) != FL_JSON_OK ||
 	    /* Records of earlier versions have no time: it counts as placed now. */
-	    fl_json_item(e, 4, FL_COUNT_MAX, &placed) == FL_FIELD_BAD || !cJSON_IsString(name) ||
-	    strlen(name->valuestring) >= FL_NAME_MAX)
+	    fl_json_get_item(e, 4, FL_COUNT_MAX, &placed) == FL_JSON_INVALID ||
+	    !cJSON_IsString(name) || strlen(name->valuestring) >= FL_NAME_MAX)
 		return -EPROTO;
 	out->attempt = (uint32_t)attempt;
 	out->machine = name->valuestring;
@@ -142,8 +142,8 @@
 	cJSON_ArrayForEach (e, fl_json_get(v, "d")) {
 		struct task_state state = {.phase = FL_TASK_DONE, .source = source};
 
-		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
-		    fl_json_item(e, 1, FL_TASKS_MAX, &last) != FL_FIELD_OK)
+		if (fl_json_get_item(e, 0, FL_TASKS_MAX, &first) != FL_JSON_OK ||
+		    fl_json_get_item(e, 1, FL_TASKS_MAX, &last) != FL_JSON_OK)
 			return -EPROTO;
 		for (uint64_t i = first; i <= last && !rc; i++)
 			rc = merge_task(job, block_index, states, i, &state);
@@ -151,8 +151,8 @@
 	cJSON_ArrayForEach (e, fl_json_get(v, "t")) {
 		struct task_state state = {.phase = FL_TASK_WAITING, .source = source};
 
-		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
-		    fl_json_item(e, 1, UINT32_MAX, &attempt) != FL_FIELD_OK)
+		if (fl_json_get_item(e, 0, FL_TASKS_MAX, &first) != FL_JSON_OK ||
+		    fl_json_get_item(e, 1, UINT32_MAX, &attempt) != FL_JSON_OK)
 			return -EPROTO;
 		state.attempt = (uint32_t)attempt;
 		if (!rc)
@@ -224,8 +224,8 @@
 	const cJSON *e;
 
 	cJSON_ArrayForEach (e, fl_json_get(v, "d")) {
-		if (fl_json_item(e, 0, FL_TASKS_MAX, &first) != FL_FIELD_OK ||
-		    fl_json_item(e, 1, FL_TASKS_MAX, &last) != FL_FIELD_OK || last < first)
+		if (fl_json_get_item(e, 0, FL_TASKS_MAX, &first) != FL_JSON_OK ||
+		    fl_json_get_item(e, 1, FL_TASKS_MAX, &last) != FL_JSON_OK || last < first)
 			return -EPROTO;
 		*done += (uint32_t)(last - first) + 1;
 	}
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -32,7 +32,7 @@
 	cJSON_AddItemToArray(e, cJSON_CreateString(job->ref));
 	cJSON_AddItemToArray(e, cJSON_CreateNumber(block_index));
 	cJSON_AddItemToArray(e, fl_task_block_encode_unsaved(b, job, block_index));
-	return fl_json_take(e);
+	return fl_json_print_and_delete(e);
 }
 
 cJSON *fl_wal_value_begin(void)
@@ -99,8 +99,8 @@
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
 	    !fl_job_ref_is_valid(ref->valuestring) ||
-	    fl_json_item(e, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
-	            FL_FIELD_OK ||
+	    fl_json_get_item(e, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
+	            FL_JSON_OK ||
 	    !cJSON_IsObject(changes))
 		return -EPROTO;
 	if (wal->group_count == wal->group_capacity) {
--- a/src/transport/http.c
+++ b/src/transport/http.c
@@ -14,30 +14,30 @@
 #include <unistd.h>
 
 #include "transport/clock.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
-int fl_buf_add(struct fl_buf *b, const void *p, size_t n)
+int fl_buffer_append(struct fl_buffer *buffer, const void *p, size_t n)
 {
-	if (b->len + n + 1 > b->cap) {
-		size_t cap = b->cap ? b->cap : 256;
+	if (buffer->length + n + 1 > buffer->capacity) {
+		size_t cap = buffer->capacity ? buffer->capacity : 256;
 		char *d;
 
-		while (cap < b->len + n + 1)
+		while (cap < buffer->length + n + 1)
 			cap *= 2;
-		d = realloc(b->data, cap);
+		d = realloc(buffer->data, cap);
 		if (!d)
 			return -ENOMEM;
-		b->data = d;
-		b->cap = cap;
+		buffer->data = d;
+		buffer->capacity = cap;
 	}
 	if (n)
-		memcpy(b->data + b->len, p, n);
-	b->len += n;
-	b->data[b->len] = 0;
+		memcpy(buffer->data + buffer->length, p, n);
+	buffer->length += n;
+	buffer->data[buffer->length] = 0;
 	return 0;
 }
 
-int fl_buf_printf(struct fl_buf *b, const char *fmt, ...)
+int fl_buffer_printf(struct fl_buffer *buffer, const char *fmt, ...)
 {
 	char *text = NULL;
 	va_list ap;
@@ -48,24 +48,24 @@
 	va_end(ap);
 	if (n < 0)
 		return -ENOMEM;
-	rc = fl_buf_add(b, text, (size_t)n);
+	rc = fl_buffer_append(buffer, text, (size_t)n);
 	free(text);
 	return rc;
 }
 
-void fl_buf_free(struct fl_buf *b)
+void fl_buffer_free(struct fl_buffer *buffer)
 {
-	free(b->data);
-	memset(b, 0, sizeof(*b));
+	free(buffer->data);
+	memset(buffer, 0, sizeof(*buffer));
 }
 
 static int on_url(http_parser *p, const char *at, size_t n)
 {
-	struct fl_msg *m = p->data;
+	struct fl_http_message *message = p->data;
 
-	if (m->url.len + n > 8192)
+	if (message->url.length + n > 8192)
 		return 1;
-	return fl_buf_add(&m->url, at, n) ? 1 : 0;
+	return fl_buffer_append(&message->url, at, n) ? 1 : 0;
 }
 
 /* The bodies of requests that are being read or served. */
@@ -73,52 +73,52 @@
 	size_t held, most;
 } bodies;
 
-void fl_http_limit_bodies(size_t bytes) { bodies.most = bytes; }
+void fl_http_set_body_memory_limit(size_t bytes) { bodies.most = bytes; }
 
-static bool reserve(struct fl_msg *m, size_t bytes)
+static bool reserve(struct fl_http_message *message, size_t bytes)
 {
 	if (bodies.most > 0 && bytes > 0 && bodies.held + bytes > bodies.most)
 		return false;
 	bodies.held += bytes;
-	m->reserved = bytes;
+	message->reserved = bytes;
 	return true;
 }
 
 static int on_headers(http_parser *p)
 {
-	struct fl_msg *m = p->data;
+	struct fl_http_message *message = p->data;
 	bool length_known = p->content_length != ULLONG_MAX;
 	size_t bytes = length_known ? (size_t)p->content_length : 0;
 
-	if (length_known && p->content_length > m->max_body) {
-		m->too_large = true;
+	if (length_known && p->content_length > message->max_body) {
+		message->too_large = true;
 		return -1;
 	}
 	if (p->type != HTTP_REQUEST)
 		return 0;
 	if (p->flags & F_CHUNKED)
-		bytes = m->max_body;
-	m->no_room = !reserve(m, bytes);
-	return m->no_room ? -1 : 0;
+		bytes = message->max_body;
+	message->no_buffer_space = !reserve(message, bytes);
+	return message->no_buffer_space ? -1 : 0;
 }
 
 static int on_body(http_parser *p, const char *at, size_t n)
 {
-	struct fl_msg *m = p->data;
+	struct fl_http_message *message = p->data;
 
-	if (m->body.len + n > m->max_body) {
-		m->too_large = true;
+	if (message->body.length + n > message->max_body) {
+		message->too_large = true;
 		return 1;
 	}
-	return fl_buf_add(&m->body, at, n) ? 1 : 0;
+	return fl_buffer_append(&message->body, at, n) ? 1 : 0;
 }
 
 static int on_complete(http_parser *p)
 {
-	struct fl_msg *m = p->data;
+	struct fl_http_message *message = p->data;
 
-	m->complete = true;
-	m->keep_alive = http_should_keep_alive(p);
+	message->complete = true;
+	message->keep_alive = http_should_keep_alive(p);
 	http_parser_pause(p, 1);
 	return 0;
 }
@@ -130,20 +130,21 @@
 	.on_message_complete = on_complete,
 };
 
-void fl_msg_init(struct fl_msg *m, enum http_parser_type type, size_t max_body)
+void fl_http_message_init(struct fl_http_message *message, enum http_parser_type type,
+                          size_t max_body)
 {
-	memset(m, 0, sizeof(*m));
-	http_parser_init(&m->parser, type);
-	m->parser.data = m;
-	m->max_body = max_body;
+	memset(message, 0, sizeof(*message));
+	http_parser_init(&message->parser, type);
+	message->parser.data = message;
+	message->max_body = max_body;
 }
 
-void fl_msg_free(struct fl_msg *m)
+void fl_http_message_free(struct fl_http_message *message)
 {
-	fl_buf_free(&m->url);
-	fl_buf_free(&m->body);
-	bodies.held -= m->reserved;
-	m->reserved = 0;
+	fl_buffer_free(&message->url);
+	fl_buffer_free(&message->body);
+	bodies.held -= message->reserved;
+	message->reserved = 0;
 }
 
 /*
@@ -152,12 +153,12 @@
  */
 static char chunk[8192];
 
-int fl_msg_read(struct fl_msg *m, int fd, double timeout_s)
+int fl_http_message_read(struct fl_http_message *message, int fd, double timeout_s)
 {
 	double until = fl_now() + timeout_s;
 	bool more = false; /* a full chunk was read: the rest is probably there */
 
-	while (!m->complete) {
+	while (!message->complete) {
 		ssize_t n;
 		size_t done;
 		int rc = 0;
@@ -167,7 +168,7 @@
 		 * has come counts even if its time is over.
 		 */
 		if (!more)
-			rc = fl_wait_io(fd, EV_READ, fmax(0, until - fl_now()));
+			rc = fl_io_wait(fd, EV_READ, fmax(0, until - fl_now()));
 		if (rc)
 			return rc;
 		n = recv(fd, chunk, sizeof(chunk), 0);
@@ -176,21 +177,21 @@
 			continue;
 		if (n < 0)
 			return -ECONNRESET;
-		if (n > 0 && !m->started) {
-			m->started = true;
-			if (m->rest_s > 0)
-				until = fmin(until, fl_now() + m->rest_s);
+		if (n > 0 && !message->started) {
+			message->started = true;
+			if (message->remainder_timeout_s > 0)
+				until = fmin(until, fl_now() + message->remainder_timeout_s);
 		}
-		done = http_parser_execute(&m->parser, &callbacks, chunk, (size_t)n);
-		if (m->too_large)
+		done = http_parser_execute(&message->parser, &callbacks, chunk, (size_t)n);
+		if (message->too_large)
 			return -EMSGSIZE;
-		if (m->no_room)
+		if (message->no_buffer_space)
 			return -ENOBUFS;
-		if (m->complete)
+		if (message->complete)
 			break;
 		if (n == 0)
 			return -ECONNRESET;
-		if (HTTP_PARSER_ERRNO(&m->parser) != HPE_OK || done != (size_t)n)
+		if (HTTP_PARSER_ERRNO(&message->parser) != HPE_OK || done != (size_t)n)
 			return -EPROTO;
 	}
 	return 0;
@@ -210,7 +211,7 @@
 		}
 		if (k < 0 && (errno == EAGAIN || errno == EINTR)) {
 			double left = until - fl_now();
-			int rc = left > 0 ? fl_wait_io(fd, EV_WRITE, left) : -ETIMEDOUT;
+			int rc = left > 0 ? fl_io_wait(fd, EV_WRITE, left) : -ETIMEDOUT;
 
 			if (rc)
 				return rc;
@@ -221,7 +222,7 @@
 	return 0;
 }
 
-int fl_parse_addr(const char *text, struct sockaddr_in *out)
+int fl_address_parse(const char *text, struct sockaddr_in *out)
 {
 	char host[64];
 	const char *colon = strrchr(text, ':');
@@ -253,11 +254,11 @@
 
 void fl_close(int fd)
 {
-	fl_unregister_io(fd);
+	fl_io_unregister(fd);
 	close(fd);
 }
 
-int fl_sockets_allow(int n)
+int fl_raise_open_file_limit(int n)
 {
 	struct rlimit r;
 
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -5,31 +5,31 @@
 #include "transport/http.h"
 
 /* Connections kept at most. */
-enum { FL_IDLE_MAX = 8 };
+enum { FL_HTTP_IDLE_CONNECTIONS_MAX = 8 };
 
 /* A client, and its connections that wait for the next request. */
 struct fl_http_client {
 	struct sockaddr_in addr;
-	int idle[FL_IDLE_MAX];
-	int idles;
+	int idle_fds[FL_HTTP_IDLE_CONNECTIONS_MAX];
+	int idle_count;
 	int max_idle;
 };
 
 /* A response. */
-struct fl_reply {
+struct fl_http_reply {
 	int status;
-	struct fl_buf body;
+	struct fl_buffer body;
 };
 
 /* 0, or -EINVAL for an address that is none. */
-int fl_http_client_init(struct fl_http_client *c, const char *addr, int max_idle);
+int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle);
 /* Closes the kept connections. */
-void fl_http_client_close(struct fl_http_client *c);
+void fl_http_client_close(struct fl_http_client *client);
 /*
  * One request, one reply: 0 and out filled (free out->body), or a negative errno. After a
  * time-out the request may still be carried out: the caller must expect that.
  */
-int fl_http_call(struct fl_http_client *c, const char *method, const char *path, const char *body,
-                 double timeout_s, struct fl_reply *out);
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out);
 
 #endif
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 #include "transport/log.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 static const struct {
 	double write_s;
@@ -30,10 +30,10 @@
 
 struct fl_http_server {
 	int fd;
-	int conns, max_conns;
+	int connection_count, connection_limit;
 	double idle_s; /* a silent peer behind a cut must not hold a socket for ever */
-	fl_handler handler;
-	void *ctx;
+	fl_http_handler handler;
+	void *context;
 };
 
 struct conn {
@@ -41,26 +41,26 @@
 	int fd;
 };
 
-static int send_response(int fd, const struct fl_response *r, bool keep)
+static int send_response(int fd, const struct fl_http_response *response, bool keep)
 {
-	const char *body = r->body ? r->body : "{}";
+	const char *body = response->body ? response->body : "{}";
 	size_t body_len = strlen(body);
-	struct fl_buf out = {0};
+	struct fl_buffer output = {0};
 	char retry[sizeof("Retry-After: \r\n") + FL_INT_DIGITS] = "";
 	int rc;
 
-	if (r->retry_after_s > 0)
-		snprintf(retry, sizeof(retry), "Retry-After: %d\r\n", r->retry_after_s);
-	rc = fl_buf_printf(&out,
-	                   "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n%s%s"
-	                   "Content-Length: %zu\r\n\r\n",
-	                   r->status, http_status_str((enum http_status)r->status), retry,
-	                   keep ? "" : "Connection: close\r\n", body_len);
+	if (response->retry_after_s > 0)
+		snprintf(retry, sizeof(retry), "Retry-After: %d\r\n", response->retry_after_s);
+	rc = fl_buffer_printf(&output,
+	                      "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n%s%s"
+	                      "Content-Length: %zu\r\n\r\n",
+	                      response->status, http_status_str((enum http_status)response->status),
+	                      retry, keep ? "" : "Connection: close\r\n", body_len);
 	if (!rc)
-		rc = fl_buf_add(&out, body, body_len);
+		rc = fl_buffer_append(&output, body, body_len);
 	if (!rc)
-		rc = fl_write_all(fd, out.data, out.len, tunables.write_s);
-	fl_buf_free(&out);
+		rc = fl_write_all(fd, output.data, output.length, tunables.write_s);
+	fl_buffer_free(&output);
 	return rc;
 }
 
@@ -68,9 +68,10 @@
  * Kept connections of thousands of workers must not shut out the balancer's probes and the users:
  * with the last of them gone, a node that could serve would count as dead.
  */
-static bool nearly_full(const struct fl_http_server *s)
+static bool nearly_full(const struct fl_http_server *server)
 {
-	return s->conns > s->max_conns - s->max_conns / tunables.nearly;
+	return server->connection_count >
+	       server->connection_limit - server->connection_limit / tunables.nearly;
 }
 
 /*
@@ -81,7 +82,7 @@
 {
 	char c;
 
-	return fl_routines_behind() && recv(fd, &c, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
+	return fl_coroutines_overloaded() && recv(fd, &c, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
 /*
@@ -90,7 +91,7 @@
  * too, when its caller has closed or sends no more; a caller that sent nothing is within its
  * guarantee nothing.
  */
-static const char *broken(const struct fl_msg *msg, int rc)
+static const char *malformed_request_error(const struct fl_http_message *message, int rc)
 {
 	switch (rc) {
 	case -EMSGSIZE:
@@ -99,19 +100,19 @@
 		return "{\"error\":\"not HTTP/1.1\"}";
 	case -ECONNRESET:
 	case -ETIMEDOUT:
-		return msg->started ? "{\"error\":\"shorter than its length\"}" : NULL;
+		return message->started ? "{\"error\":\"shorter than its length\"}" : NULL;
 	default:
 		return NULL;
 	}
 }
 
-static void refuse_unread(int fd, int status, const char *why, bool drain)
+static void respond_and_drain(int fd, int status, const char *why, bool drain)
 {
-	struct fl_response resp = {.status = status,
-	                           .body = (char *)why,
-	                           .retry_after_s = status == 503 ? tunables.later_s : 0};
+	struct fl_http_response response = {.status = status,
+	                                    .body = (char *)why,
+	                                    .retry_after_s = status == 503 ? tunables.later_s : 0};
 
-	send_response(fd, &resp, false);
+	send_response(fd, &response, false);
 	/* Let the answer reach a peer that is still writing its body. */
 	shutdown(fd, SHUT_WR);
 	for (int i = 0; i < 200 && drain; i++) {
@@ -120,137 +121,141 @@
 
 		if (n == 0 || (n < 0 && errno != EAGAIN))
 			break;
-		if (n < 0 && fl_wait_io(fd, EV_READ, 1.0) != 0)
+		if (n < 0 && fl_io_wait(fd, EV_READ, 1.0) != 0)
 			break;
 	}
 }
 
-static bool serve_one(struct conn *c)
+static bool serve_one(struct conn *connection)
 {
-	struct fl_request req = {0};
-	struct fl_response resp = {.status = 500};
-	struct fl_msg msg;
+	struct fl_http_request request = {0};
+	struct fl_http_response response = {.status = 500};
+	struct fl_http_message message;
 	const char *why;
 	bool keep = false;
 	char *query;
 	int rc;
 
-	fl_msg_init(&msg, HTTP_REQUEST, tunables.max_body);
-	msg.rest_s = tunables.rest_s;
-	rc = fl_msg_read(&msg, c->fd, c->server->idle_s);
-	why = broken(&msg, rc);
+	fl_http_message_init(&message, HTTP_REQUEST, tunables.max_body);
+	message.remainder_timeout_s = tunables.rest_s;
+	rc = fl_http_message_read(&message, connection->fd, connection->server->idle_s);
+	why = malformed_request_error(&message, rc);
 	if (why)
-		refuse_unread(c->fd, 400, why, rc == -EMSGSIZE);
+		respond_and_drain(connection->fd, 400, why, rc == -EMSGSIZE);
 	else if (rc == -ENOBUFS)
-		refuse_unread(c->fd, 503, "{\"error\":\"too much is being sent at the moment\"}",
-		              true);
-	if (rc || caller_has_gone(c->fd))
+		respond_and_drain(connection->fd, 503,
+		                  "{\"error\":\"too much is being sent at the moment\"}", true);
+	if (rc || caller_has_gone(connection->fd))
 		goto out;
-	query = strchr(msg.url.data ? msg.url.data : "", '?');
+	query = strchr(message.url.data ? message.url.data : "", '?');
 	if (query)
 		*query++ = 0;
-	req.query = query ? query : "";
-	req.method = (enum http_method)msg.parser.method;
-	req.path = msg.url.data ? msg.url.data : "";
-	req.body = msg.body.data ? msg.body.data : "";
-	req.body_len = msg.body.len;
-	c->server->handler(c->server->ctx, &req, &resp);
-	keep = msg.keep_alive && !resp.close && !nearly_full(c->server);
-	if (send_response(c->fd, &resp, keep) != 0)
+	request.query = query ? query : "";
+	request.method = (enum http_method)message.parser.method;
+	request.path = message.url.data ? message.url.data : "";
+	request.body = message.body.data ? message.body.data : "";
+	request.body_len = message.body.length;
+	connection->server->handler(connection->server->context, &request, &response);
+	keep = message.keep_alive && !response.close && !nearly_full(connection->server);
+	if (send_response(connection->fd, &response, keep) != 0)
 		keep = false;
 out:
-	free(resp.body);
-	fl_msg_free(&msg);
+	free(response.body);
+	fl_http_message_free(&message);
 	return keep;
 }
 
 static void serve_conn(void *arg)
 {
-	struct conn *c = arg;
+	struct conn *connection = arg;
 
-	while (!fl_cancelled() && serve_one(c))
+	while (!fl_coroutine_cancelled() && serve_one(connection))
 		;
-	fl_close(c->fd);
-	c->server->conns--;
-	free(c);
+	fl_close(connection->fd);
+	connection->server->connection_count--;
+	free(connection);
 }
 
 static void accept_loop(void *arg)
 {
-	struct fl_http_server *s = arg;
+	struct fl_http_server *server = arg;
 
-	while (!fl_cancelled()) {
-		struct conn *c;
+	while (!fl_coroutine_cancelled()) {
+		struct conn *connection;
 		int one = 1;
-		int fd = accept4(s->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+		int fd = accept4(server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 
 		if (fd < 0) {
-			int rc = errno == EAGAIN ? fl_wait_io(s->fd, EV_READ, -1)
+			int rc = errno == EAGAIN ? fl_io_wait(server->fd, EV_READ, -1)
 			                         : fl_sleep(tunables.pause_s);
 			if (rc == -ECANCELED)
 				break;
 			continue;
 		}
 		setsockopt(fd, IPPROTO_TCP, 1 /* TCP_NODELAY */, &one, sizeof(one));
-		c = s->conns < s->max_conns ? malloc(sizeof(*c)) : NULL;
-		if (c) {
-			c->server = s;
-			c->fd = fd;
-			if (fl_spawn(serve_conn, c)) {
-				s->conns++;
+		connection = server->connection_count < server->connection_limit
+		                     ? malloc(sizeof(*connection))
+		                     : NULL;
+		if (connection) {
+			connection->server = server;
+			connection->fd = fd;
+			if (fl_coroutine_spawn(serve_conn, connection)) {
+				server->connection_count++;
 				continue;
 			}
-			free(c);
+			free(connection);
 		}
-		fl_error("transport", "no room for a connection (%d open)", s->conns);
+		fl_error("transport", "no room for a connection (%d open)",
+		         server->connection_count);
 		close(fd);
 	}
-	fl_close(s->fd);
-	s->fd = -1;
+	fl_close(server->fd);
+	server->fd = -1;
 }
 
 struct fl_http_server *fl_http_serve(const char *addr, int max_conns, double idle_s,
-                                     fl_handler handler, void *ctx)
+                                     fl_http_handler handler, void *context)
 {
-	struct fl_http_server *s;
-	struct sockaddr_in sa;
+	struct fl_http_server *server;
+	struct sockaddr_in address;
 	int one = 1;
 
-	if (fl_parse_addr(addr, &sa) != 0) {
+	if (fl_address_parse(addr, &address) != 0) {
 		errno = EINVAL;
 		return NULL;
 	}
-	s = calloc(1, sizeof(*s));
-	if (!s)
+	server = calloc(1, sizeof(*server));
+	if (!server)
 		return NULL;
-	s->handler = handler;
-	s->ctx = ctx;
-	s->max_conns = max_conns;
-	s->idle_s = idle_s;
-	s->fd = fl_socket();
-	if (s->fd < 0)
+	server->handler = handler;
+	server->context = context;
+	server->connection_limit = max_conns;
+	server->idle_s = idle_s;
+	server->fd = fl_socket();
+	if (server->fd < 0)
 		goto fail;
-	setsockopt(s->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	if (bind(s->fd, (struct sockaddr *)&sa, sizeof(sa)) != 0 || listen(s->fd, 512) != 0)
+	setsockopt(server->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
+	if (bind(server->fd, (struct sockaddr *)&address, sizeof(address)) != 0 ||
+	    listen(server->fd, 512) != 0)
 		goto fail;
-	if (!fl_spawn(accept_loop, s)) {
+	if (!fl_coroutine_spawn(accept_loop, server)) {
 		errno = ENOMEM;
 		goto fail;
 	}
-	return s;
+	return server;
 fail:
-	if (s->fd >= 0)
-		close(s->fd);
-	free(s);
+	if (server->fd >= 0)
+		close(server->fd);
+	free(server);
 	return NULL;
 }
 
-int fl_http_server_port(const struct fl_http_server *s)
+int fl_http_server_port(const struct fl_http_server *server)
 {
-	struct sockaddr_in sa = {0};
-	socklen_t len = sizeof(sa);
+	struct sockaddr_in address = {0};
+	socklen_t len = sizeof(address);
 
-	if (getsockname(s->fd, (struct sockaddr *)&sa, &len) != 0)
+	if (getsockname(server->fd, (struct sockaddr *)&address, &len) != 0)
 		return -1;
-	return ntohs(sa.sin_port);
+	return ntohs(address.sin_port);
 }
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -6,7 +6,7 @@
 
 #include "transport/http.h"
 
-struct fl_request {
+struct fl_http_request {
 	enum http_method method;
 	const char *path;  /* without the query */
 	const char *query; /* what follows the question mark, or an empty string */
@@ -14,14 +14,15 @@
 	size_t body_len;
 };
 
-struct fl_response {
+struct fl_http_response {
 	int status;
 	char *body;        /* owned by the response, malloc'd */
 	int retry_after_s; /* 0: no such header */
 	bool close;
 };
 
-typedef void (*fl_handler)(void *ctx, const struct fl_request *req, struct fl_response *resp);
+typedef void (*fl_http_handler)(void *context, const struct fl_http_request *request,
+                                struct fl_http_response *response);
 
 struct fl_http_server;
 
@@ -30,7 +31,7 @@
  * once and closes it, so that everybody gets a turn; full, it closes new ones at once.
  */
 struct fl_http_server *fl_http_serve(const char *addr, int max_conns, double idle_s,
-                                     fl_handler handler, void *ctx);
-int fl_http_server_port(const struct fl_http_server *s);
+                                     fl_http_handler handler, void *context);
+int fl_http_server_port(const struct fl_http_server *server);
 
 #endif
--- a/src/transport/log.c
+++ b/src/transport/log.c
@@ -20,7 +20,7 @@
 	return -EINVAL;
 }
 
-int fl_log_on(enum fl_log_level level) { return level <= level_now; }
+int fl_log_enabled(enum fl_log_level level) { return level <= level_now; }
 
 void fl_log(enum fl_log_level level, const char *area, const char *fmt, ...)
 {
@@ -28,7 +28,7 @@
 	va_list ap;
 	int n;
 
-	if (!fl_log_on(level))
+	if (!fl_log_enabled(level))
 		return;
 	n = snprintf(line, sizeof(line), "%s %s: ", level_names[level], area);
 	va_start(ap, fmt);
--- a/src/transport/log.h
+++ b/src/transport/log.h
@@ -9,7 +9,7 @@
  * exist. */
 int fl_log_set_level(const char *name);
 /* Are lines of this level written? */
-int fl_log_on(enum fl_log_level level);
+int fl_log_enabled(enum fl_log_level level);
 /* Writes a line; fl_error, fl_info and fl_debug are short for it. */
 void fl_log(enum fl_log_level level, const char *area, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
@@ -17,12 +17,12 @@
 #define fl_error(area, ...) fl_log(FL_LOG_ERROR, area, __VA_ARGS__)
 #define fl_info(area, ...)                                                                         \
 	do {                                                                                       \
-		if (fl_log_on(FL_LOG_INFO))                                                        \
+		if (fl_log_enabled(FL_LOG_INFO))                                                   \
 			fl_log(FL_LOG_INFO, area, __VA_ARGS__);                                    \
 	} while (0)
 #define fl_debug(area, ...)                                                                        \
 	do {                                                                                       \
-		if (fl_log_on(FL_LOG_DEBUG))                                                       \
+		if (fl_log_enabled(FL_LOG_DEBUG))                                                  \
 			fl_log(FL_LOG_DEBUG, area, __VA_ARGS__);                                   \
 	} while (0)
 
--- a/src/transport/memory.c
+++ b/src/transport/memory.c
@@ -2,7 +2,7 @@
 
 #include <malloc.h>
 
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 static const struct {
 	size_t program, stack;
@@ -15,6 +15,6 @@
 {
 	struct mallinfo2 heap = mallinfo2();
 
-	return tunables.program + (size_t)fl_routines_count() * tunables.stack + heap.uordblks +
+	return tunables.program + (size_t)fl_coroutines_count() * tunables.stack + heap.uordblks +
 	       heap.hblkhd;
 }
--- a/tests/contract_fixture.c
+++ b/tests/contract_fixture.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #include "transport/http_server.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 enum { EXCHANGES_MAX = 16, REQUEST_MAX = 2048 };
 
@@ -25,8 +25,8 @@
 	bool finished;
 } run;
 
-static void answer_by_script(void *context, const struct fl_request *request,
-                             struct fl_response *response)
+static void answer_by_script(void *context, const struct fl_http_request *request,
+                             struct fl_http_response *response)
 {
 	int at = run.served++;
 
@@ -60,13 +60,13 @@
 	run.count = count;
 	run.calls = calls;
 	run.results = results;
-	fl_routines_init(ev_default_loop(0));
+	fl_coroutines_init(ev_default_loop(0));
 	server = fl_http_serve("127.0.0.1:0", 16, 90, answer_by_script, NULL);
 	assert_non_null(server);
 	snprintf(run.address, sizeof(run.address), "127.0.0.1:%d", fl_http_server_port(server));
-	assert_non_null(fl_spawn(make_calls, NULL));
-	fl_routines_run();
-	fl_routines_shutdown();
+	assert_non_null(fl_coroutine_spawn(make_calls, NULL));
+	fl_coroutines_run();
+	fl_coroutines_shutdown();
 	free(server);
 	assert_true(run.finished);
 	for (int i = 0; i < count; i++)
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -52,7 +52,7 @@
 
 void assert_text(cJSON *tree, const char *expected)
 {
-	char *text = fl_json_take(tree);
+	char *text = fl_json_print_and_delete(tree);
 
 	assert_string_equal(text, expected);
 	free(text);
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -13,67 +13,69 @@
 
 #include "transport/clock.h"
 
-static void on_state(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void on_state(void *context, const struct fl_http_request *request,
+                     struct fl_http_response *response)
 {
-	struct fixture *fixture = ctx;
-	struct fl_buf body = {0};
+	struct fixture *fixture = context;
+	struct fl_buffer body = {0};
 
-	resp->status = 503;
+	response->status = 503;
 	if (fixture->refused)
 		return;
-	resp->status = 200;
-	if (strcmp(req->path, "/multi") == 0) {
+	response->status = 200;
+	if (strcmp(request->path, "/multi") == 0) {
 		fixture->writes++;
-		fl_buf_printf(&body, "{\"LedgerRev\":9}");
-	} else if (strcmp(req->path, "/keys") == 0) {
-		if (fixture->record && strstr(req->query, "Prefix=" FL_PREFIX_JOBS))
-			fl_buf_printf(&body,
-			              "{\"Items\":[{\"Key\":\"j/run-000001\",\"V\":%s,"
-			              "\"KeyRev\":3}],\"More\":false,\"LedgerRev\":9}",
-			              fixture->record);
-		else if (fixture->progress && strstr(req->query, "Prefix=" FL_PREFIX_PROGRESS))
-			fl_buf_printf(&body,
-			              "{\"Items\":[{\"Key\":\"p/run-000001/0\",\"V\":%s,"
-			              "\"KeyRev\":4}],\"More\":false,\"LedgerRev\":9}",
-			              fixture->progress);
+		fl_buffer_printf(&body, "{\"LedgerRev\":9}");
+	} else if (strcmp(request->path, "/keys") == 0) {
+		if (fixture->record && strstr(request->query, "Prefix=" FL_PREFIX_JOBS))
+			fl_buffer_printf(&body,
+			                 "{\"Items\":[{\"Key\":\"j/run-000001\",\"V\":%s,"
+			                 "\"KeyRev\":3}],\"More\":false,\"LedgerRev\":9}",
+			                 fixture->record);
+		else if (fixture->progress && strstr(request->query, "Prefix=" FL_PREFIX_PROGRESS))
+			fl_buffer_printf(&body,
+			                 "{\"Items\":[{\"Key\":\"p/run-000001/0\",\"V\":%s,"
+			                 "\"KeyRev\":4}],\"More\":false,\"LedgerRev\":9}",
+			                 fixture->progress);
 		else
-			fl_buf_printf(&body, "{\"Items\":[],%s\"LedgerRev\":9}",
-			              fixture->without_more ? "" : "\"More\":false,");
-	} else if (strcmp(req->path, "/rentals") == 0) {
-		fl_buf_printf(&body, "{%s\"Hosts\":[]}",
-		              fixture->without_more ? "" : "\"More\":false,");
+			fl_buffer_printf(&body, "{\"Items\":[],%s\"LedgerRev\":9}",
+			                 fixture->without_more ? "" : "\"More\":false,");
+	} else if (strcmp(request->path, "/rentals") == 0) {
+		fl_buffer_printf(&body, "{%s\"Hosts\":[]}",
+		                 fixture->without_more ? "" : "\"More\":false,");
 	} else if ((fixture->gated ? fixture->seen : fixture->known) &&
-	           strncmp(req->path, "/keys/f/", 8) == 0) {
+	           strncmp(request->path, "/keys/f/", 8) == 0) {
 		fixture->reads++;
-		fl_buf_printf(&body, "{\"V\":{\"final\":\"done\",\"parts\":4},\"KeyRev\":3}");
+		fl_buffer_printf(&body, "{\"V\":{\"final\":\"done\",\"parts\":4},\"KeyRev\":3}");
 	} else {
 		fixture->reads++;
 		fixture->seen = fixture->known;
 		if (fixture->gated)
-			fl_signal_wait(&fixture->gate, -1);
-		resp->status = 404;
+			fl_condition_wait(&fixture->gate, -1);
+		response->status = 404;
 	}
-	resp->body = body.data;
+	response->body = body.data;
 }
 
-static void on_leader(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void on_leader(void *context, const struct fl_http_request *request,
+                      struct fl_http_response *response)
 {
-	struct fixture *fixture = ctx;
+	struct fixture *fixture = context;
 	struct fl_job_spec spec;
 	struct fl_forwarded_request forwarded;
 	cJSON *object;
 
-	resp->status = 400;
-	if (fl_forwarded_request_decode(req->body, req->body_len, &forwarded) != 0)
+	response->status = 400;
+	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) != 0)
 		return;
 	if (forwarded.kind == FL_USER_REQUEST_SUBMIT) {
 		object = fl_json_parse(forwarded.body, strlen(forwarded.body));
-		resp->status = fl_job_spec_decode(object, &spec) ? 400 : 201;
+		response->status = fl_job_spec_decode(object, &spec) ? 400 : 201;
 		cJSON_Delete(object);
 	} else {
-		resp->status = fixture->known ? 200 : 404;
+		response->status = fixture->known ? 200 : 404;
 	}
-	resp->body = strdup("{\"Status\":\"done\"}");
+	response->body = strdup("{\"Status\":\"done\"}");
 	fl_forwarded_request_free(&forwarded);
 }
 
@@ -95,7 +97,7 @@
 	struct fixture *fixture = calloc(1, sizeof(*fixture));
 	struct fl_node *node = &fixture->node;
 
-	fl_routines_init(ev_default_loop(0));
+	fl_coroutines_init(ev_default_loop(0));
 	node->config = &fixture->config;
 	strcpy(fixture->config.node, "n0");
 	fixture->config.lease_s = 10;
@@ -132,7 +134,7 @@
 	fl_http_client_close(&fixture->node.kv_store.client);
 	fl_http_client_close(&fixture->node.cloud.http);
 	fl_http_client_close(&fixture->node.peers[0].http);
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	fl_cluster_free(&fixture->node.cluster);
 	free(fixture->state);
 	free(fixture->leader);
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -8,7 +8,7 @@
 #include "coordination/node.h"
 #include "storage/records.h"
 #include "transport/http_server.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct fixture {
 	struct fl_node node;
@@ -21,7 +21,7 @@
 	bool without_more;    /* a list does not say whether there is more of it */
 	int writes, reads;    /* of job records */
 	bool gated;           /* a read of one waits for the gate */
-	struct fl_signal gate;
+	struct fl_condition gate;
 	bool seen; /* whether the job was known when it began */
 	int ref;
 	char failed[400];
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -164,14 +164,14 @@
 	node->kv_store.last_failure_at = -1e9;
 }
 
-struct fl_response user_call(struct fixture *fixture, enum fl_user_request kind, const char *ref,
-                             const char *body)
+struct fl_http_response user_call(struct fixture *fixture, enum fl_user_request kind,
+                                  const char *ref, const char *body)
 {
-	struct fl_response resp = {.status = 500};
+	struct fl_http_response response = {.status = 500};
 
 	fl_node_handle_user_request(&fixture->node, kind, ref, body, body ? strlen(body) : 0,
-	                            FL_HOP_FIRST, &resp);
-	return resp;
+	                            FL_HOP_FIRST, &response);
+	return response;
 }
 
 int kills_in_answer;
@@ -179,25 +179,26 @@
 int send_report(struct fixture *fixture, struct fl_heartbeat heartbeat, char *to)
 {
 	char *text = fl_heartbeat_encode(&heartbeat);
-	struct fl_response resp = user_call(fixture, FL_USER_REQUEST_HEARTBEAT, NULL, text);
-	cJSON *object = resp.body ? fl_json_parse(resp.body, strlen(resp.body)) : NULL;
+	struct fl_http_response response =
+		user_call(fixture, FL_USER_REQUEST_HEARTBEAT, NULL, text);
+	cJSON *object = response.body ? fl_json_parse(response.body, strlen(response.body)) : NULL;
 	const cJSON *element;
 
 	kills_in_answer = 0;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16];
 
-		fl_json_str(element, "Verb", verb, sizeof(verb));
+		fl_json_get_string(element, "Verb", verb, sizeof(verb));
 		assert_string_not_equal(verb, "launch");
 		kills_in_answer += strcmp(verb, "kill") == 0;
 	}
 
-	if (to && fl_json_str(object, "Steward", to, FL_NAME_MAX) != FL_FIELD_OK)
+	if (to && fl_json_get_string(object, "Steward", to, FL_NAME_MAX) != FL_JSON_OK)
 		to[0] = 0;
 	cJSON_Delete(object);
-	free(resp.body);
+	free(response.body);
 	free(text);
-	return resp.status;
+	return response.status;
 }
 
 cJSON *cancelled_record(struct fixture *fixture, double seconds)
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -49,8 +49,8 @@
 /* Another node leads, and this one is in contact with the state service. */
 void become_follower(struct fixture *fixture, int peers);
 
-struct fl_response user_call(struct fixture *fixture, enum fl_user_request kind, const char *ref,
-                             const char *body);
+struct fl_http_response user_call(struct fixture *fixture, enum fl_user_request kind,
+                                  const char *ref, const char *body);
 
 extern int kills_in_answer; /* of the report sent last */
 
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -129,10 +129,10 @@
 	uint64_t fencing_token, incarnation;
 	const cJSON *element;
 
-	assert_int_equal(fl_json_count(object, "Epoch", &fencing_token), FL_FIELD_OK);
+	assert_int_equal(fl_json_get_count(object, "Epoch", &fencing_token), FL_JSON_OK);
 	if (fencing_token < worker->fencing_token)
 		goto out;
-	if (direct && (fl_json_count(object, "Tenure", &incarnation) != FL_FIELD_OK ||
+	if (direct && (fl_json_get_count(object, "Tenure", &incarnation) != FL_JSON_OK ||
 	               incarnation != worker->incarnation))
 		goto out;
 	worker->fencing_token = fencing_token;
@@ -142,9 +142,9 @@
 		struct entry *entry;
 		uint64_t attempt;
 
-		fl_json_str(element, "Verb", verb, sizeof(verb));
-		fl_json_str(element, "Part", name, sizeof(name));
-		fl_json_count(element, "Try", &attempt);
+		fl_json_get_string(element, "Verb", verb, sizeof(verb));
+		fl_json_get_string(element, "Part", name, sizeof(name));
+		fl_json_get_count(element, "Try", &attempt);
 		status.attempt = (uint32_t)attempt;
 		status.index = (uint32_t)atoi(strchr(name, '/') + 1);
 		*strchr(name, '/') = 0;
@@ -272,7 +272,7 @@
 			continue;
 		}
 		free(sim->log[i]);
-		sim->log[i] = fl_json_take(value[i]);
+		sim->log[i] = fl_json_print_and_delete(value[i]);
 	}
 	sim->logs++;
 }
@@ -295,7 +295,8 @@
 		if (!job || !fl_job_task_block(job, 0))
 			continue;
 		free(sim->record[j]);
-		sim->record[j] = fl_json_take(fl_task_block_encode(&sim->node.cluster, job, 0));
+		sim->record[j] =
+			fl_json_print_and_delete(fl_task_block_encode(&sim->node.cluster, job, 0));
 		fl_job_task_block(job, 0)->saved_generation = fl_job_task_block(job, 0)->generation;
 	}
 }
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -15,7 +15,7 @@
 #include "protocol/workers.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 enum {
 	SIM_NODES = 5,
@@ -68,7 +68,7 @@
 void sim_clock_end(void);
 /* A process is a number above 0; 0 is whatever is no controller. */
 int sim_process(void);
-struct fl_routine *sim_spawn(int process, void (*fn)(void *), void *arg);
+struct fl_coroutine *sim_spawn(int process, void (*fn)(void *), void *arg);
 /* Its routines unwind at this very moment: gone after the caller's next wait. */
 void sim_process_cancel(int process);
 int sim_process_routines(int process);
@@ -96,7 +96,7 @@
 enum { SIM_SILENCE = -1 };
 
 int sim_call(struct sim_end from, struct sim_end to, const char *method, const char *path,
-             const char *body, double timeout_s, struct fl_reply *out);
+             const char *body, double timeout_s, struct fl_http_reply *out);
 void sim_address(struct sim_end e, char out[FL_CONFIG_NAME]);
 bool sim_node_alive(int node);
 /* The process that runs as this node now; 0: none. */
@@ -105,10 +105,12 @@
 void sim_node_kill(int node);
 void sim_net_end(void);
 
-void sim_state_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp);
-void sim_cloud_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp);
-void sim_worker_serve(struct sim_end from, int process, int machine, const struct fl_request *req,
-                      struct fl_response *resp);
+void sim_state_serve(struct sim_end from, const struct fl_http_request *request,
+                     struct fl_http_response *response);
+void sim_cloud_serve(struct sim_end from, const struct fl_http_request *request,
+                     struct fl_http_response *response);
+void sim_worker_serve(struct sim_end from, int process, int machine,
+                      const struct fl_http_request *request, struct fl_http_response *response);
 
 /* ---- troubles ---- */
 
@@ -229,7 +231,7 @@
 	double looked;     /* when its fetches were last looked at */
 	double token_told_at, last_sent;
 	bool changed;
-	struct fl_signal work, goes_on;
+	struct fl_condition work, goes_on;
 	int node;
 	struct sim_task task[SIM_TASKS];
 	int n_tasks; /* places ever used */
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -185,8 +185,8 @@
 	char status[32] = "", ref[FL_REF_MAX] = "";
 	bool cancelled, done;
 
-	fl_json_str(o, "Status", status, sizeof(status));
-	fl_json_str(o, "Ref", ref, sizeof(ref));
+	fl_json_get_string(o, "Status", status, sizeof(status));
+	fl_json_get_string(o, "Ref", ref, sizeof(ref));
 	cJSON_Delete(o);
 	cancelled = strcmp(status, "aborted") == 0;
 	done = strcmp(status, "done") == 0;
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -23,21 +23,21 @@
 	int n;
 } cl;
 
-static void say(struct fl_response *resp, int status, cJSON *o)
+static void say(struct fl_http_response *response, int status, cJSON *o)
 {
-	resp->status = status;
-	resp->body = fl_json_take(o ? o : cJSON_CreateObject());
+	response->status = status;
+	response->body = fl_json_print_and_delete(o ? o : cJSON_CreateObject());
 }
 
-static void trouble(struct fl_response *resp, const char *why)
+static void trouble(struct fl_http_response *response, const char *why)
 {
 	cJSON *o = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(o, "error", why);
-	say(resp, 503, o);
+	say(response, 503, o);
 }
 
-static void types(struct fl_response *resp)
+static void types(struct fl_http_response *response)
 {
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "HostKinds");
 
@@ -59,7 +59,7 @@
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
 		cJSON_AddItemToArray(list, e);
 	}
-	say(resp, 200, o);
+	say(response, 200, o);
 }
 
 static int type_of(const char *name)
@@ -132,44 +132,45 @@
 	sim_worker_boot(sim.n_machines++);
 }
 
-static void hosts_of(const struct rental *r, struct fl_response *resp)
+static void hosts_of(const struct rental *r, struct fl_http_response *response)
 {
 	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "Hosts");
 
 	for (int i = 0; i < r->count; i++)
 		cJSON_AddItemToArray(list, cJSON_CreateString(sim.machine[r->first + i].name));
-	say(resp, 200, o);
+	say(response, 200, o);
 }
 
-static void rent(int process, const struct fl_request *req, struct fl_response *resp)
+static void rent(int process, const struct fl_http_request *request,
+                 struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(req->body, req->body_len);
+	cJSON *o = fl_json_parse(request->body, request->body_len);
 	char name[64] = "", type[64] = "", zone[64] = "";
 	double count = 0;
 	bool spot = false;
 	int k, z, room;
 
-	fl_json_str(o, "Rental", name, sizeof(name));
-	fl_json_str(o, "HostKind", type, sizeof(type));
-	fl_json_str(o, "Site", zone, sizeof(zone));
-	fl_json_bool(o, "Reclaimable", &spot);
-	fl_json_amount(o, "Count", &count);
+	fl_json_get_string(o, "Rental", name, sizeof(name));
+	fl_json_get_string(o, "HostKind", type, sizeof(type));
+	fl_json_get_string(o, "Site", zone, sizeof(zone));
+	fl_json_get_bool(o, "Reclaimable", &spot);
+	fl_json_get_amount(o, "Count", &count);
 	cJSON_Delete(o);
 	k = type_of(type);
 	z = zone_of(zone);
 	if (!name[0] || k < 0 || z < 0 || count < 1 || count > 50) {
-		say(resp, 400, NULL);
+		say(response, 400, NULL);
 		return;
 	}
 	sim_check_rental(name, process);
 	for (int i = 0; i < cl.n; i++)
 		if (strcmp(cl.rental[i].name, name) == 0) {
-			hosts_of(&cl.rental[i], resp);
+			hosts_of(&cl.rental[i], response);
 			return;
 		}
 	room = sim.capacity - rented(k, z, spot);
 	if (room <= 0) {
-		trouble(resp, "no capacity");
+		trouble(response, "no capacity");
 		return;
 	}
 	sim_must(cl.n < RENTALS);
@@ -178,7 +179,7 @@
 	cl.rental[cl.n].count = count < room ? (int)count : room;
 	for (int i = 0; i < cl.rental[cl.n].count; i++)
 		rent_one(k, z, spot);
-	hosts_of(&cl.rental[cl.n++], resp);
+	hosts_of(&cl.rental[cl.n++], response);
 }
 
 static int machine_of(const char *name)
@@ -189,9 +190,9 @@
 	return -1;
 }
 
-static void give_back(const struct fl_request *req, struct fl_response *resp)
+static void give_back(const struct fl_http_request *request, struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(req->body, req->body_len), *e;
+	cJSON *o = fl_json_parse(request->body, request->body_len), *e;
 
 	cJSON_ArrayForEach (e, fl_json_get(o, "Hosts")) {
 		int at = cJSON_IsString(e) ? machine_of(e->valuestring) : -1;
@@ -202,7 +203,7 @@
 		}
 	}
 	cJSON_Delete(o);
-	say(resp, 200, NULL);
+	say(response, 200, NULL);
 }
 
 /* At a moment past: once listed it stays so till it is gone. */
@@ -218,11 +219,11 @@
 	return true;
 }
 
-static void list(const struct fl_request *req, struct fl_response *resp)
+static void list(const struct fl_http_request *request, struct fl_http_response *response)
 {
 	double then = fl_now() - sim_between(0, sim_chance(0.1) ? 2 : 1) * sim.config[0].list_lag_s;
 	cJSON *o = cJSON_CreateObject(), *hosts = cJSON_AddArrayToObject(o, "Hosts");
-	const char *from = strstr(req->query, "From=");
+	const char *from = strstr(request->query, "From=");
 	bool more = false;
 	int count = 0;
 
@@ -253,23 +254,24 @@
 		cJSON_AddItemToArray(hosts, e);
 	}
 	cJSON_AddBoolToObject(o, "More", more);
-	say(resp, 200, o);
+	say(response, 200, o);
 }
 
-void sim_cloud_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp)
+void sim_cloud_serve(struct sim_end from, const struct fl_http_request *request,
+                     struct fl_http_response *response)
 {
 	if (fl_sleep(sim_between(0.01, 0.1)) != 0)
 		return;
 	if (sim_troubled(CLOUD_OUT, -1))
-		trouble(resp, "trouble");
-	else if (strcmp(req->path, "/machine_types") == 0)
-		types(resp);
-	else if (strcmp(req->path, "/rentals") == 0 && req->method == HTTP_POST)
-		rent(sim_node_process(from.at), req, resp);
-	else if (strcmp(req->path, "/rentals/delete") == 0)
-		give_back(req, resp);
+		trouble(response, "trouble");
+	else if (strcmp(request->path, "/machine_types") == 0)
+		types(response);
+	else if (strcmp(request->path, "/rentals") == 0 && request->method == HTTP_POST)
+		rent(sim_node_process(from.at), request, response);
+	else if (strcmp(request->path, "/rentals/delete") == 0)
+		give_back(request, response);
 	else
-		list(req, resp);
+		list(request, response);
 }
 
 void sim_cloud_end(void) { memset(&cl, 0, sizeof(cl)); }
--- a/tests/sim_looks.c
+++ b/tests/sim_looks.c
@@ -20,7 +20,7 @@
 static void look_once(const struct look *l)
 {
 	double sent = fl_now();
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	char path[64];
 
 	snprintf(path, sizeof(path), l->repeat ? "/v2/runs" : "/v2/runs/%s", l->job->run.ref);
@@ -33,7 +33,7 @@
 		sim_check_submitted(l->job, sent, reply.status, reply.body.data);
 	else
 		sim_check_polled(l->job, sent, reply.status, reply.body.data);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 }
 
 static void look_routine(void *arg)
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -15,16 +15,16 @@
 	struct sim_end from, to;
 	int process; /* of the caller */
 	char *method, *path, *body;
-	struct fl_response resp;
+	struct fl_http_response resp;
 	int result;
 	bool done;
 	int refs;
-	struct fl_signal answered;
+	struct fl_condition answered;
 	struct sim_timer timer;
 };
 
 struct served {
-	fl_handler handler;
+	fl_http_handler handler;
 	void *ctx;
 };
 
@@ -44,22 +44,22 @@
 	         9000);
 }
 
-static struct sim_end end_of(const struct sockaddr_in *sa)
+static struct sim_end end_of(const struct sockaddr_in *address)
 {
-	uint32_t ip = ntohl(sa->sin_addr.s_addr);
+	uint32_t ip = ntohl(address->sin_addr.s_addr);
 
 	return (struct sim_end){(enum sim_kind)((ip >> 16 & 255) - 1),
 	                        (int)(ip >> 8 & 255) * 200 + (int)(ip & 255) - 1};
 }
 
-int fl_http_client_init(struct fl_http_client *c, const char *addr, int max_idle)
+int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
 {
-	memset(c, 0, sizeof(*c));
-	c->max_idle = max_idle;
-	return fl_parse_addr(addr, &c->addr);
+	memset(client, 0, sizeof(*client));
+	client->max_idle = max_idle;
+	return fl_address_parse(addr, &client->addr);
 }
 
-void fl_http_client_close(struct fl_http_client *c) { (void)c; }
+void fl_http_client_close(struct fl_http_client *client) { (void)client; }
 
 /* ---- calls ---- */
 
@@ -78,7 +78,7 @@
 {
 	c->result = result;
 	c->done = true;
-	fl_signal_wake(&c->answered);
+	fl_condition_broadcast(&c->answered);
 	release(c);
 }
 
@@ -106,23 +106,23 @@
 	                                   : HTTP_DELETE;
 }
 
-static void dispatch(struct call *c, const struct fl_request *req)
+static void dispatch(struct call *c, const struct fl_http_request *request)
 {
 	const struct served *s;
 
 	switch (c->to.kind) {
 	case END_STATE:
-		sim_state_serve(c->from, req, &c->resp);
+		sim_state_serve(c->from, request, &c->resp);
 		break;
 	case END_CLOUD:
-		sim_cloud_serve(c->from, req, &c->resp);
+		sim_cloud_serve(c->from, request, &c->resp);
 		break;
 	case END_WORKER:
-		sim_worker_serve(c->from, c->process, c->to.at, req, &c->resp);
+		sim_worker_serve(c->from, c->process, c->to.at, request, &c->resp);
 		break;
 	default:
 		s = &net.face[c->to.at][c->to.kind == END_PEER];
-		s->handler(s->ctx, req, &c->resp);
+		s->handler(s->ctx, request, &c->resp);
 	}
 }
 
@@ -130,20 +130,20 @@
 {
 	struct call *c = arg;
 	char *query = strchr(c->path, '?');
-	struct fl_request req = {.method = method_of(c->method),
-	                         .path = c->path,
-	                         .query = query ? query + 1 : "",
-	                         .body = c->body,
-	                         .body_len = strlen(c->body)};
+	struct fl_http_request request = {.method = method_of(c->method),
+	                                  .path = c->path,
+	                                  .query = query ? query + 1 : "",
+	                                  .body = c->body,
+	                                  .body_len = strlen(c->body)};
 
 	if (query)
 		*query = 0;
 	sim.calls[c->to.kind]++;
-	if (!fl_cancelled())
-		dispatch(c, &req);
+	if (!fl_coroutine_cancelled())
+		dispatch(c, &request);
 	if (net.over || c->resp.status == SIM_SILENCE)
 		release(c);
-	else if (fl_cancelled())
+	else if (fl_coroutine_cancelled())
 		complete(c, -ECONNRESET);
 	else
 		answer(c);
@@ -180,13 +180,13 @@
 }
 
 int sim_call(struct sim_end from, struct sim_end to, const char *method, const char *path,
-             const char *body, double timeout_s, struct fl_reply *out)
+             const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	struct call *c;
 	int rc;
 
 	memset(out, 0, sizeof(*out));
-	if (fl_cancelled())
+	if (fl_coroutine_cancelled())
 		return -ECANCELED;
 	c = calloc(1, sizeof(*c));
 	sim_must(c != NULL);
@@ -200,21 +200,21 @@
 	c->timer.fn = arrive;
 	c->timer.arg = c;
 	sim_timer_arm(&c->timer, sim_latency(from, to));
-	rc = fl_signal_wait(&c->answered, timeout_s);
+	rc = fl_condition_wait(&c->answered, timeout_s);
 	if (rc == 0)
 		rc = c->result;
 	if (rc == 0) {
 		out->status = c->resp.status;
 		out->body.data = c->resp.body ? c->resp.body : strdup("");
-		out->body.len = strlen(out->body.data);
+		out->body.length = strlen(out->body.data);
 		c->resp.body = NULL;
 	}
 	release(c);
 	return rc;
 }
 
-int fl_http_call(struct fl_http_client *c, const char *method, const char *path, const char *body,
-                 double timeout_s, struct fl_reply *out)
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	struct sim_end from = {END_PEER, -1};
 
@@ -223,19 +223,20 @@
 			from.at = i;
 	if (from.at < 0) /* a process that has just been ended */
 		return -ECANCELED;
-	return sim_call(from, end_of(&c->addr), method, path, body, timeout_s, out);
+	return sim_call(from, end_of(&client->addr), method, path, body, timeout_s, out);
 }
 
 /* ---- controllers ---- */
 
 struct fl_http_server *fl_http_serve(const char *addr, int max_conns, double idle_s,
-                                     fl_handler handler, void *ctx)
+                                     fl_http_handler handler, void *context)
 {
-	struct sockaddr_in sa;
+	struct sockaddr_in address;
 
 	(void)max_conns, (void)idle_s;
-	sim_must(fl_parse_addr(addr, &sa) == 0);
-	net.face[net.starting][end_of(&sa).kind == END_PEER] = (struct served){handler, ctx};
+	sim_must(fl_address_parse(addr, &address) == 0);
+	net.face[net.starting][end_of(&address).kind == END_PEER] =
+		(struct served){handler, context};
 	return (struct fl_http_server *)&net;
 }
 
@@ -297,8 +298,8 @@
 	net.process[node] = 0;
 	sim_process_cancel(process);
 	fl_sleep(0);
-	sim_must(fl_cancelled() || sim_process_routines(process) == 0);
-	if (!fl_cancelled())
+	sim_must(fl_coroutine_cancelled() || sim_process_routines(process) == 0);
+	if (!fl_coroutine_cancelled())
 		free_node(node);
 }
 
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -10,38 +10,38 @@
 #include "sim_store.h"
 #include "transport/clock.h"
 
-static void say(struct fl_response *resp, int status, cJSON *o)
+static void say(struct fl_http_response *response, int status, cJSON *o)
 {
-	resp->status = status;
-	resp->body = fl_json_take(o ? o : cJSON_CreateObject());
+	response->status = status;
+	response->body = fl_json_print_and_delete(o ? o : cJSON_CreateObject());
 }
 
-static void holds(const struct fl_request *req, struct fl_response *resp)
+static void holds(const struct fl_http_request *request, struct fl_http_response *response)
 {
 	uint64_t lease_id =
-		strtoull(req->path + strlen("/holds") + (req->path[6] == '/'), NULL, 10);
+		strtoull(request->path + strlen("/holds") + (request->path[6] == '/'), NULL, 10);
 	int at = sim_store_hold(lease_id);
 	cJSON *o, *in;
 	double ttl = 0;
 
-	if (strcmp(req->path, "/holds") == 0) {
-		in = fl_json_parse(req->body, req->body_len);
-		fl_json_amount(in, "TtlMs", &ttl);
+	if (strcmp(request->path, "/holds") == 0) {
+		in = fl_json_parse(request->body, request->body_len);
+		fl_json_get_amount(in, "TtlMs", &ttl);
 		cJSON_Delete(in);
 		sim_must(ttl >= 100 && ttl <= 600000 && sim_store.n_holds < SIM_HOLDS);
 		sim_store.hold[sim_store.n_holds++] =
 			(struct sim_hold){++sim_store.grants, ttl / 1000, fl_now() + ttl / 1000};
 		o = cJSON_CreateObject();
 		cJSON_AddNumberToObject(o, "Grant", (double)sim_store.grants);
-		say(resp, 200, o);
+		say(response, 200, o);
 	} else if (at < 0) {
-		say(resp, 404, NULL);
-	} else if (req->method == HTTP_DELETE) {
+		say(response, 404, NULL);
+	} else if (request->method == HTTP_DELETE) {
 		sim_store_end_hold(at);
-		say(resp, 200, NULL);
+		say(response, 200, NULL);
 	} else {
 		sim_store.hold[at].until = fl_now() + sim_store.hold[at].ttl;
-		say(resp, 200, NULL);
+		say(response, 200, NULL);
 	}
 }
 
@@ -80,7 +80,7 @@
 	return strcmp((*(struct sim_key *const *)a)->name, (*(struct sim_key *const *)b)->name);
 }
 
-static void list(const char *query, struct fl_response *resp)
+static void list(const char *query, struct fl_http_response *response)
 {
 	struct sim_key *k, *tmp, **all = calloc(HASH_COUNT(sim_store.keys) + 1, sizeof(*all));
 	cJSON *o = cJSON_CreateObject(), *items = cJSON_AddArrayToObject(o, "Items");
@@ -99,11 +99,11 @@
 		cJSON_AddItemToArray(items, item("Key", all[i]->name, all[i]->value, all[i]->rev));
 	cJSON_AddBoolToObject(o, "More", n > limit);
 	cJSON_AddNumberToObject(o, "LedgerRev", (double)sim_store.rev);
-	say(resp, 200, o);
+	say(response, 200, o);
 	free(all);
 }
 
-static void get(const char *name, struct fl_response *resp)
+static void get(const char *name, struct fl_http_response *response)
 {
 	struct sim_key *k = sim_store_find(name);
 	cJSON *o;
@@ -111,13 +111,13 @@
 	if (!k) {
 		o = cJSON_CreateObject();
 		cJSON_AddNumberToObject(o, "LedgerRev", (double)sim_store.rev);
-		say(resp, 404, o);
+		say(response, 404, o);
 		return;
 	}
 	o = item("Key", k->name, k->value, k->rev);
 	if (k->grant)
 		cJSON_AddNumberToObject(o, "Grant", (double)k->grant);
-	say(resp, 200, o);
+	say(response, 200, o);
 }
 
 static bool refuses(struct sim_end from)
@@ -137,7 +137,7 @@
 }
 
 /* Open watches stay open in an outage, and while one node is refused. */
-static void follow(struct sim_end who, const char *query, struct fl_response *resp)
+static void follow(struct sim_end who, const char *query, struct fl_http_response *response)
 {
 	char prefix[SIM_KEY], word[32];
 	uint64_t from = strtoull(param(query, "From=", word, sizeof(word)), NULL, 10);
@@ -155,7 +155,7 @@
 			if (first >= 0 || fl_now() >= until)
 				break;
 		}
-		if (fl_signal_wait(&sim_store.changed, wait) == -ECANCELED)
+		if (fl_condition_wait(&sim_store.changed, wait) == -ECANCELED)
 			return;
 	}
 	o = cJSON_CreateObject();
@@ -168,7 +168,7 @@
 			cJSON_AddItemToArray(
 				log, item(c->value ? "Put" : "Delete", c->name, c->value, c->rev));
 	}
-	say(resp, 200, o);
+	say(response, 200, o);
 }
 
 /* ---- transactions ---- */
@@ -179,7 +179,7 @@
 	uint64_t lease_id;
 
 	cJSON_ArrayForEach (e, apply)
-		if (fl_json_count(e, "Grant", &lease_id) == FL_FIELD_OK &&
+		if (fl_json_get_count(e, "Grant", &lease_id) == FL_JSON_OK &&
 		    sim_store_hold(lease_id) < 0)
 			return true;
 	return false;
@@ -213,11 +213,11 @@
 	if (cJSON_GetArraySize(ops) > 0)
 		sim_store.rev++;
 	cJSON_ArrayForEach (e, ops) {
-		if (fl_json_str(e, "Put", name, sizeof(name)) == FL_FIELD_OK) {
-			if (fl_json_count(e, "Grant", &lease_id) != FL_FIELD_OK)
+		if (fl_json_get_string(e, "Put", name, sizeof(name)) == FL_JSON_OK) {
+			if (fl_json_get_count(e, "Grant", &lease_id) != FL_JSON_OK)
 				lease_id = 0;
 			sim_store_put(name, cJSON_PrintUnformatted(fl_json_get(e, "V")), lease_id);
-		} else if (fl_json_str(e, "Delete", name, sizeof(name)) == FL_FIELD_OK) {
+		} else if (fl_json_get_string(e, "Delete", name, sizeof(name)) == FL_JSON_OK) {
 			struct sim_key *k = sim_store_find(name);
 
 			if (k)
@@ -226,7 +226,7 @@
 	}
 }
 
-static void multi(const cJSON *o, struct fl_response *resp)
+static void multi(const cJSON *o, struct fl_http_response *response)
 {
 	cJSON *out = cJSON_CreateObject(), *failed = cJSON_CreateArray();
 	const cJSON *e;
@@ -237,8 +237,8 @@
 		uint64_t revision = 0;
 		struct sim_key *k;
 
-		fl_json_str(e, "Key", name, sizeof(name));
-		fl_json_count(e, "KeyRev", &revision);
+		fl_json_get_string(e, "Key", name, sizeof(name));
+		fl_json_get_count(e, "KeyRev", &revision);
 		k = sim_store_find(name);
 		if ((k ? k->rev : 0) != revision)
 			cJSON_AddItemToArray(failed, cJSON_CreateString(name));
@@ -246,19 +246,19 @@
 	if (no_such_lease(fl_json_get(o, "Apply"))) {
 		cJSON_Delete(failed);
 		cJSON_AddStringToObject(out, "error", "no such lease");
-		say(resp, 400, out);
+		say(response, 400, out);
 		return;
 	}
 	if (cJSON_GetArraySize(failed) > 0) {
 		cJSON_AddItemToObject(out, "failed", failed);
 		cJSON_AddNumberToObject(out, "LedgerRev", (double)sim_store.rev);
-		say(resp, 409, out);
+		say(response, 409, out);
 		return;
 	}
 	cJSON_Delete(failed);
 	apply(fl_json_get(o, "Apply"));
 	cJSON_AddNumberToObject(out, "LedgerRev", (double)sim_store.rev);
-	say(resp, 200, out);
+	say(response, 200, out);
 }
 
 /* ---- limits and troubles ---- */
@@ -302,51 +302,53 @@
 	return fl_sleep(s);
 }
 
-static void carry_out(struct sim_end from, const struct fl_request *req, const cJSON *o,
-                      struct fl_response *resp)
+static void carry_out(struct sim_end from, const struct fl_http_request *request, const cJSON *o,
+                      struct fl_http_response *response)
 {
 	bool lost = false;
 	double after = 0;
 
-	if (delay(strcmp(req->path, "/multi") == 0, &lost, &after) != 0)
+	if (delay(strcmp(request->path, "/multi") == 0, &lost, &after) != 0)
 		return;
 	/* What is on its way when the service goes down is carried out when it is back. */
 	while (lost && sim_troubled(STATE_OUT, -1))
 		if (fl_sleep(0.3) != 0)
 			return;
 	if (!lost && refuses(from)) {
-		say(resp, 503, NULL);
+		say(response, 503, NULL);
 		return;
 	}
-	if (strcmp(req->path, "/multi") == 0)
-		multi(o, resp);
-	else if (strncmp(req->path, "/holds", 6) == 0)
-		holds(req, resp);
-	else if (strcmp(req->path, "/keys") == 0)
-		list(req->query, resp);
+	if (strcmp(request->path, "/multi") == 0)
+		multi(o, response);
+	else if (strncmp(request->path, "/holds", 6) == 0)
+		holds(request, response);
+	else if (strcmp(request->path, "/keys") == 0)
+		list(request->query, response);
 	else
-		get(req->path + strlen("/keys/"), resp);
+		get(request->path + strlen("/keys/"), response);
 	if (lost)
-		resp->status = SIM_SILENCE;
+		response->status = SIM_SILENCE;
 	else if (after > 0)
 		fl_sleep(after);
 }
 
-void sim_state_serve(struct sim_end from, const struct fl_request *req, struct fl_response *resp)
+void sim_state_serve(struct sim_end from, const struct fl_http_request *request,
+                     struct fl_http_response *response)
 {
 	cJSON *o;
 
 	if (refuses(from)) {
-		say(resp, 503, NULL);
+		say(response, 503, NULL);
 		return;
 	}
-	o = strcmp(req->path, "/multi") == 0 ? fl_json_parse(req->body, req->body_len) : NULL;
+	o = strcmp(request->path, "/multi") == 0 ? fl_json_parse(request->body, request->body_len)
+	                                         : NULL;
 	if (over_limit(o))
-		say(resp, 429, NULL);
-	else if (strcmp(req->path, "/follow") == 0)
-		follow(from, req->query, resp);
+		say(response, 429, NULL);
+	else if (strcmp(request->path, "/follow") == 0)
+		follow(from, request->query, response);
 	else
-		carry_out(from, req, o, resp);
+		carry_out(from, request, o, response);
 	cJSON_Delete(o);
 }
 
@@ -357,7 +359,7 @@
 	char name[FL_NAME_MAX];
 	int at = -1;
 
-	if (fl_json_str(v, "node", name, sizeof(name)) == FL_FIELD_OK)
+	if (fl_json_get_string(v, "node", name, sizeof(name)) == FL_JSON_OK)
 		for (int i = 0; i < sim.n_nodes; i++)
 			if (strcmp(sim.config[i].node, name) == 0)
 				at = i;
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -31,7 +31,7 @@
 	snprintf(c->name, sizeof(c->name), "%s", name);
 	c->value = value ? strdup(value) : NULL;
 	c->rev = sim_store.rev;
-	fl_signal_wake(&sim_store.changed);
+	fl_condition_broadcast(&sim_store.changed);
 }
 
 void sim_store_remove(struct sim_key *k)
@@ -102,7 +102,7 @@
 				sim_store_end_hold(i);
 		}
 		if (was_out && !out)
-			fl_signal_wake(&sim_store.changed);
+			fl_condition_broadcast(&sim_store.changed);
 		was_out = out;
 	}
 }
--- a/tests/sim_store.h
+++ b/tests/sim_store.h
@@ -34,7 +34,7 @@
 	struct sim_hold hold[SIM_HOLDS];
 	int n_holds;
 	uint64_t rev, grants;
-	struct fl_signal changed;
+	struct fl_condition changed;
 	double calls, writes, counted; /* token buckets */
 };
 extern struct sim_store sim_store;
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -278,10 +278,10 @@
 	struct sim_task *t;
 	char *slash;
 
-	fl_json_str(e, "Verb", verb, sizeof(verb));
-	fl_json_str(e, "Part", name, sizeof(name));
-	fl_json_count(e, "Try", &attempt);
-	fl_json_amount(e, "WindDownS", &grace_period_s);
+	fl_json_get_string(e, "Verb", verb, sizeof(verb));
+	fl_json_get_string(e, "Part", name, sizeof(name));
+	fl_json_get_count(e, "Try", &attempt);
+	fl_json_get_amount(e, "WindDownS", &grace_period_s);
 	slash = strchr(name, '/');
 	sim_must(slash);
 	*slash = 0;
--- a/tests/sim_time.c
+++ b/tests/sim_time.c
@@ -26,15 +26,15 @@
 extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(struct transfer));
 
 enum { STACK = 256 * 1024, SPARE = 256, PROCESSES = 256 };
-struct fl_routine {
-	fcontext_t ctx;
+struct fl_coroutine {
+	fcontext_t context;
 	char *stack;
-	void (*fn)(void *);
-	void *arg;
+	void (*function)(void *);
+	void *argument;
 	int process;
-	struct fl_routine *next_ready, *prev, *next;
-	struct fl_routine *sig_prev, *sig_next;
-	struct fl_signal *sig;
+	struct fl_coroutine *next_ready, *prev, *next;
+	struct fl_coroutine *condition_prev, *condition_next;
+	struct fl_condition *condition;
 	struct sim_timer timer;
 	void *fake_stack;
 	int result;
@@ -42,11 +42,11 @@
 };
 
 struct queue {
-	struct fl_routine *head, *tail;
+	struct fl_coroutine *head, *tail;
 };
 
 static struct {
-	struct fl_routine *all, *current;
+	struct fl_coroutine *all, *current;
 	struct queue ready, urgent;
 	int dying; /* the last process that was cancelled */
 	bool ending;
@@ -74,70 +74,70 @@
 
 /* ---- routines ---- */
 
-static void append(struct queue *q, struct fl_routine *r)
+static void append(struct queue *queue, struct fl_coroutine *coroutine)
 {
-	r->next_ready = NULL;
-	if (q->tail)
-		q->tail->next_ready = r;
+	coroutine->next_ready = NULL;
+	if (queue->tail)
+		queue->tail->next_ready = coroutine;
 	else
-		q->head = r;
-	q->tail = r;
+		queue->head = coroutine;
+	queue->tail = coroutine;
 }
 
-static void make_ready(struct fl_routine *r, int result)
+static void make_ready(struct fl_coroutine *coroutine, int result)
 {
-	if (r->ready)
+	if (coroutine->ready)
 		return;
-	r->ready = true;
-	r->result = result;
-	append(r->urgent ? &rt.urgent : &rt.ready, r);
+	coroutine->ready = true;
+	coroutine->result = result;
+	append(coroutine->urgent ? &rt.urgent : &rt.ready, coroutine);
 }
 
-static struct fl_routine *take_ready(struct queue *q)
+static struct fl_coroutine *take_ready(struct queue *queue)
 {
-	struct fl_routine *r = q->head;
+	struct fl_coroutine *coroutine = queue->head;
 
-	if (!r)
+	if (!coroutine)
 		return NULL;
-	q->head = r->next_ready;
-	if (!q->head)
-		q->tail = NULL;
-	return r;
+	queue->head = coroutine->next_ready;
+	if (!queue->head)
+		queue->tail = NULL;
+	return coroutine;
 }
 
-static void sig_unlink(struct fl_routine *r)
+static void condition_unlink(struct fl_coroutine *coroutine)
 {
-	if (!r->sig)
+	if (!coroutine->condition)
 		return;
-	if (r->sig_prev)
-		r->sig_prev->sig_next = r->sig_next;
+	if (coroutine->condition_prev)
+		coroutine->condition_prev->condition_next = coroutine->condition_next;
 	else
-		r->sig->first = r->sig_next;
-	if (r->sig_next)
-		r->sig_next->sig_prev = r->sig_prev;
+		coroutine->condition->first = coroutine->condition_next;
+	if (coroutine->condition_next)
+		coroutine->condition_next->condition_prev = coroutine->condition_prev;
 	else
-		r->sig->last = r->sig_prev;
-	r->sig = NULL;
-	r->sig_prev = r->sig_next = NULL;
+		coroutine->condition->last = coroutine->condition_prev;
+	coroutine->condition = NULL;
+	coroutine->condition_prev = coroutine->condition_next = NULL;
 }
 
-static void wake(struct fl_routine *r, int result)
+static void wake(struct fl_coroutine *coroutine, int result)
 {
-	sim_timer_disarm(&r->timer);
-	sig_unlink(r);
-	make_ready(r, result);
+	sim_timer_disarm(&coroutine->timer);
+	condition_unlink(coroutine);
+	make_ready(coroutine, result);
 }
 
 static void on_timer(void *arg) { wake(arg, -ETIMEDOUT); }
 
-static void entry(struct transfer t)
+static void entry(struct transfer transfer)
 {
-	struct fl_routine *r = t.data;
+	struct fl_coroutine *coroutine = transfer.data;
 
 	FIBER_FINISH(NULL, &rt.main_bottom, &rt.main_size);
-	rt.main_ctx = t.fctx;
-	r->fn(r->arg);
-	r->finished = true;
+	rt.main_ctx = transfer.fctx;
+	coroutine->function(coroutine->argument);
+	coroutine->finished = true;
 	FIBER_START(NULL, rt.main_bottom, rt.main_size);
 	jump_fcontext(rt.main_ctx, NULL);
 	abort();
@@ -163,41 +163,41 @@
 		munmap(p, STACK);
 }
 
-static void resume(struct fl_routine *r)
+static void resume(struct fl_coroutine *coroutine)
 {
-	struct transfer t;
+	struct transfer transfer;
 
-	rt.current = r;
-	r->ready = r->parked = false;
-	FIBER_START(&rt.main_fake, r->stack, STACK);
-	t = jump_fcontext(r->ctx, r);
+	rt.current = coroutine;
+	coroutine->ready = coroutine->parked = false;
+	FIBER_START(&rt.main_fake, coroutine->stack, STACK);
+	transfer = jump_fcontext(coroutine->context, coroutine);
 	FIBER_FINISH(rt.main_fake, NULL, NULL);
 	rt.current = NULL;
-	if (!r->finished) {
-		r->ctx = t.fctx;
+	if (!coroutine->finished) {
+		coroutine->context = transfer.fctx;
 		return;
 	}
-	if (r->prev)
-		r->prev->next = r->next;
+	if (coroutine->prev)
+		coroutine->prev->next = coroutine->next;
 	else
-		rt.all = r->next;
-	if (r->next)
-		r->next->prev = r->prev;
-	stack_put(r->stack);
-	free(r);
+		rt.all = coroutine->next;
+	if (coroutine->next)
+		coroutine->next->prev = coroutine->prev;
+	stack_put(coroutine->stack);
+	free(coroutine);
 }
 
 static int park(void)
 {
-	struct fl_routine *r = rt.current;
-	struct transfer t;
-
-	r->parked = true;
-	FIBER_START(&r->fake_stack, rt.main_bottom, rt.main_size);
-	t = jump_fcontext(rt.main_ctx, NULL);
-	FIBER_FINISH(r->fake_stack, &rt.main_bottom, &rt.main_size);
-	rt.main_ctx = t.fctx;
-	return r->cancelled ? -ECANCELED : r->result;
+	struct fl_coroutine *coroutine = rt.current;
+	struct transfer transfer;
+
+	coroutine->parked = true;
+	FIBER_START(&coroutine->fake_stack, rt.main_bottom, rt.main_size);
+	transfer = jump_fcontext(rt.main_ctx, NULL);
+	FIBER_FINISH(coroutine->fake_stack, &rt.main_bottom, &rt.main_size);
+	rt.main_ctx = transfer.fctx;
+	return coroutine->cancelled ? -ECANCELED : coroutine->result;
 }
 
 /* ---- processes that are slow or stand still ---- */
@@ -206,12 +206,12 @@
 static void goes_on(void *arg)
 {
 	struct waiting *w = arg;
-	struct fl_routine *r;
+	struct fl_coroutine *coroutine;
 
-	while ((r = take_ready(&w->urgent)))
-		append(&rt.urgent, r);
-	while ((r = take_ready(&w->ready)))
-		append(&rt.ready, r);
+	while ((coroutine = take_ready(&w->urgent)))
+		append(&rt.urgent, coroutine);
+	while ((coroutine = take_ready(&w->ready)))
+		append(&rt.ready, coroutine);
 }
 
 void sim_process_waits(int process, double until)
@@ -228,50 +228,51 @@
 	sim_timer_arm(&w->timer, until - fl_now());
 }
 
-static bool has_to_wait(const struct fl_routine *r)
+static bool has_to_wait(const struct fl_coroutine *coroutine)
 {
-	return r->process && !r->cancelled && !rt.ending && rt.waiting[r->process].until > fl_now();
+	return coroutine->process && !coroutine->cancelled && !rt.ending &&
+	       rt.waiting[coroutine->process].until > fl_now();
 }
 
 static void drain(void)
 {
-	struct fl_routine *r;
+	struct fl_coroutine *coroutine;
 
-	while ((r = take_ready(&rt.urgent)) || (r = take_ready(&rt.ready))) {
-		struct waiting *w = &rt.waiting[r->process];
+	while ((coroutine = take_ready(&rt.urgent)) || (coroutine = take_ready(&rt.ready))) {
+		struct waiting *w = &rt.waiting[coroutine->process];
 
-		if (has_to_wait(r)) {
-			append(r->urgent ? &w->urgent : &w->ready, r);
+		if (has_to_wait(coroutine)) {
+			append(coroutine->urgent ? &w->urgent : &w->ready, coroutine);
 			continue;
 		}
-		if (r->process)
-			sim_process_computes(r->process);
-		resume(r);
+		if (coroutine->process)
+			sim_process_computes(coroutine->process);
+		resume(coroutine);
 	}
 }
 
 static bool dying(int process) { return process && process == rt.dying; }
 
-struct fl_routine *sim_spawn(int process, void (*fn)(void *), void *arg)
+struct fl_coroutine *sim_spawn(int process, void (*fn)(void *), void *arg)
 {
-	struct fl_routine *r = calloc(1, sizeof(*r));
+	struct fl_coroutine *coroutine = calloc(1, sizeof(*coroutine));
 
-	sim_must(r != NULL && process < PROCESSES);
-	r->stack = stack_get();
-	r->fn = fn;
-	r->arg = arg;
-	r->process = process;
+	sim_must(coroutine != NULL && process < PROCESSES);
+	coroutine->stack = stack_get();
+	coroutine->function = fn;
+	coroutine->argument = arg;
+	coroutine->process = process;
 	/* What a dying process still begins, dies with it. */
-	r->cancelled = dying(process);
-	r->ctx = make_fcontext(r->stack + STACK, STACK, entry);
-	r->timer.fn = on_timer;
-	r->timer.arg = r;
-	r->next = rt.all;
+	coroutine->cancelled = dying(process);
+	coroutine->context = make_fcontext(coroutine->stack + STACK, STACK, entry);
+	coroutine->timer.fn = on_timer;
+	coroutine->timer.arg = coroutine;
+	coroutine->next = rt.all;
 	if (rt.all)
-		rt.all->prev = r;
-	rt.all = r;
-	make_ready(r, 0);
-	return r;
+		rt.all->prev = coroutine;
+	rt.all = coroutine;
+	make_ready(coroutine, 0);
+	return coroutine;
 }
 
 int sim_process(void) { return rt.current ? rt.current->process : 0; }
@@ -280,17 +281,17 @@
 {
 	rt.dying = process;
 	goes_on(&rt.waiting[process]);
-	for (struct fl_routine *r = rt.all; r; r = r->next)
-		if (r->process == process)
-			fl_cancel(r);
+	for (struct fl_coroutine *coroutine = rt.all; coroutine; coroutine = coroutine->next)
+		if (coroutine->process == process)
+			fl_coroutine_cancel(coroutine);
 }
 
 int sim_process_routines(int process)
 {
 	int n = 0;
 
-	for (const struct fl_routine *r = rt.all; r; r = r->next)
-		n += r->process == process;
+	for (const struct fl_coroutine *coroutine = rt.all; coroutine; coroutine = coroutine->next)
+		n += coroutine->process == process;
 	return n;
 }
 
@@ -318,8 +319,9 @@
 	for (int i = 0; i < PROCESSES; i++)
 		goes_on(&rt.waiting[i]);
 	do {
-		for (struct fl_routine *r = rt.all; r; r = r->next)
-			fl_cancel(r);
+		for (struct fl_coroutine *coroutine = rt.all; coroutine;
+		     coroutine = coroutine->next)
+			fl_coroutine_cancel(coroutine);
 		drain();
 		while ((t = sim_timer_any()))
 			drop(t);
@@ -332,75 +334,75 @@
 
 /* ---- what the controllers' code calls ---- */
 
-struct fl_routine *fl_spawn(void (*fn)(void *), void *arg)
+struct fl_coroutine *fl_coroutine_spawn(void (*fn)(void *), void *arg)
 {
 	return sim_spawn(sim_process(), fn, arg);
 }
 
-void fl_cancel(struct fl_routine *r)
+void fl_coroutine_cancel(struct fl_coroutine *coroutine)
 {
-	r->cancelled = true;
-	if (r->parked)
-		wake(r, -ECANCELED);
+	coroutine->cancelled = true;
+	if (coroutine->parked)
+		wake(coroutine, -ECANCELED);
 }
 
-bool fl_cancelled(void) { return rt.current && rt.current->cancelled; }
+bool fl_coroutine_cancelled(void) { return rt.current && rt.current->cancelled; }
 
-void fl_urgent(void) { rt.current->urgent = true; }
+void fl_coroutine_set_urgent(void) { rt.current->urgent = true; }
 
 /* Work takes no virtual time, unless its process is made slow. */
-bool fl_routines_behind(void) { return rt.waiting[sim_process()].ready.head != NULL; }
+bool fl_coroutines_overloaded(void) { return rt.waiting[sim_process()].ready.head != NULL; }
 
 /* Computing takes no time here: nothing is ever behind. */
-bool fl_defer(int max_waiting) { return max_waiting > 0; }
+bool fl_coroutine_defer(int max_waiting) { return max_waiting > 0; }
 
 int fl_sleep(double seconds)
 {
-	struct fl_routine *r = rt.current;
+	struct fl_coroutine *coroutine = rt.current;
 	int rc;
 
-	if (r->cancelled)
+	if (coroutine->cancelled)
 		return -ECANCELED;
-	sim_timer_arm(&r->timer, seconds);
+	sim_timer_arm(&coroutine->timer, seconds);
 	rc = park();
 	return rc == -ETIMEDOUT ? 0 : rc;
 }
 
-int fl_signal_wait(struct fl_signal *sig, double timeout_s)
+int fl_condition_wait(struct fl_condition *condition, double timeout_s)
 {
-	struct fl_routine *r = rt.current;
+	struct fl_coroutine *coroutine = rt.current;
 
-	if (r->cancelled)
+	if (coroutine->cancelled)
 		return -ECANCELED;
-	r->sig = sig;
-	r->sig_prev = sig->last;
-	r->sig_next = NULL;
-	if (sig->last)
-		sig->last->sig_next = r;
+	coroutine->condition = condition;
+	coroutine->condition_prev = condition->last;
+	coroutine->condition_next = NULL;
+	if (condition->last)
+		condition->last->condition_next = coroutine;
 	else
-		sig->first = r;
-	sig->last = r;
+		condition->first = coroutine;
+	condition->last = coroutine;
 	if (timeout_s >= 0)
-		sim_timer_arm(&r->timer, timeout_s);
+		sim_timer_arm(&coroutine->timer, timeout_s);
 	return park();
 }
 
-void fl_signal_wake(struct fl_signal *sig)
+void fl_condition_broadcast(struct fl_condition *condition)
 {
-	while (sig->first)
-		wake(sig->first, 0);
+	while (condition->first)
+		wake(condition->first, 0);
 }
 
 /* There are no sockets here. */
-void fl_unregister_io(int fd) { (void)fd; }
+void fl_io_unregister(int fd) { (void)fd; }
 
-int fl_wait_io(int fd, int events, double timeout_s)
+int fl_io_wait(int fd, int events, double timeout_s)
 {
 	(void)fd, (void)events, (void)timeout_s;
 	abort();
 }
 
-void fl_routines_init(struct ev_loop *loop) { (void)loop; }
+void fl_coroutines_init(struct ev_loop *loop) { (void)loop; }
 struct ev_loop *fl_loop(void) { return NULL; }
-void fl_routines_run(void) { abort(); }
-void fl_routines_shutdown(void) { abort(); }
+void fl_coroutines_run(void) { abort(); }
+void fl_coroutines_shutdown(void) { abort(); }
--- a/tests/sim_troubles.c
+++ b/tests/sim_troubles.c
@@ -201,7 +201,7 @@
 		hang_all(t, false);
 }
 
-static void trouble(void *arg)
+static void run_trouble(void *arg)
 {
 	struct sim_trouble *t = arg;
 
@@ -223,7 +223,7 @@
 
 		if (over > sim.calm_s)
 			sim.calm_s = over;
-		sim_spawn(0, trouble, t);
+		sim_spawn(0, run_trouble, t);
 	}
 }
 
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -36,13 +36,13 @@
 	int at = *(const int *)arg;
 
 	while (fl_sleep(1.0) == 0) {
-		struct fl_reply reply;
+		struct fl_http_reply reply;
 		int rc = sim_call((struct sim_end){END_USER, 0}, (struct sim_end){END_NODE, at},
 		                  "GET", "/ready", NULL, 1.0, &reply);
 		bool good = rc == 0 && reply.status == 200;
 
 		if (rc == 0)
-			fl_buf_free(&reply.body);
+			fl_buffer_free(&reply.body);
 		node[at].fails = good ? 0 : node[at].fails + 1;
 		node[at].good = good ? node[at].good + 1 : 0;
 		if (node[at].fails == 2 && node[at].healthy) {
@@ -55,7 +55,7 @@
 }
 
 static int user_call(const char *method, const char *path, const char *body, double timeout_s,
-                     struct fl_reply *out)
+                     struct fl_http_reply *out)
 {
 	double until = fl_now() + timeout_s;
 	int rc = -EHOSTUNREACH;
@@ -67,7 +67,7 @@
 			if (node[i].healthy && sim_pick(++fit) == 0)
 				at = i;
 		if (at < 0)
-			return fl_cancelled() ? -ECANCELED : -EHOSTUNREACH;
+			return fl_coroutine_cancelled() ? -ECANCELED : -EHOSTUNREACH;
 		rc = sim_call((struct sim_end){END_USER, 0}, (struct sim_end){END_NODE, at}, method,
 		              path, body, until - fl_now(), out);
 		if (rc == -ECANCELED)
@@ -109,14 +109,14 @@
 {
 	struct news before = news_of(job);
 	double sent = fl_now();
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
 	if (job->sent == 0)
 		job->sent = sent;
 	if (user_call("POST", "/v2/runs", job->text, rule.submit_s, &reply) != 0)
 		return;
 	sim_check_submitted(job, sent, reply.status, reply.body.data);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	look_if_new(job, before);
 }
 
@@ -124,7 +124,7 @@
 {
 	struct news before = news_of(job);
 	double sent = fl_now();
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	char path[64];
 
 	snprintf(path, sizeof(path), "/v2/runs/%s", job->run.ref);
@@ -132,7 +132,7 @@
 		return;
 	sim.polls++;
 	sim_check_polled(job, sent, reply.status, reply.body.data);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	look_if_new(job, before);
 }
 
@@ -192,12 +192,12 @@
 	while (!answered) {
 		struct news before = news_of(job);
 		double sent = fl_now();
-		struct fl_reply reply;
+		struct fl_http_reply reply;
 
 		if (user_call("POST", path, NULL, rule.submit_s, &reply) == 0) {
 			answered = reply.status == 200;
 			sim_check_cancelled(job, sent, reply.status, reply.body.data);
-			fl_buf_free(&reply.body);
+			fl_buffer_free(&reply.body);
 			look_if_new(job, before);
 		}
 		if (!answered && fl_sleep(rule.retry_s * sim_between(1, 1.5)) != 0)
@@ -246,13 +246,13 @@
 
 static void ask_for_nothing(const char *method, const char *path)
 {
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
 	if (user_call(method, path, NULL, rule.poll_s, &reply) != 0)
 		return;
 	if (reply.status == 200)
 		sim_broken("invented", "%s %s is answered 200", method, path);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 }
 
 static void odd_duty(void *arg)
@@ -338,7 +338,7 @@
 	job->cancel = -1;
 	if (spec->kind == FL_SERVICE ? sim_chance(0.5) : sim_chance(0.15))
 		job->cancel = submit + sim_between(20, 90);
-	job->text = fl_json_take(fl_job_spec_encode(spec));
+	job->text = fl_json_print_and_delete(fl_job_spec_encode(spec));
 	sim.n_jobs++;
 	return job;
 }
@@ -346,7 +346,7 @@
 void sim_job_rewritten(struct sim_job *job)
 {
 	free(job->text);
-	job->text = fl_json_take(fl_job_spec_encode(&job->run));
+	job->text = fl_json_print_and_delete(fl_job_spec_encode(&job->run));
 }
 
 void sim_user_submits(struct sim_job *job)
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -26,7 +26,7 @@
 void sim_machine_changed(struct sim_machine *m)
 {
 	m->changed = true;
-	fl_signal_wake(&m->work);
+	fl_condition_broadcast(&m->work);
 }
 
 /* The lease has run out: everything goes, and a new session begins. */
@@ -111,7 +111,7 @@
 static void copy_routine(void *arg)
 {
 	struct copy *c = arg;
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
 	if (c->after_s < 0)
 		c->after_s = sim_between(2, 2.5 * sim.lease_s);
@@ -119,7 +119,7 @@
 	if (fl_sleep(c->after_s) == 0 &&
 	    sim_call((struct sim_end){END_WORKER, c->machine}, (struct sim_end){END_NODE, c->node},
 	             "POST", "/hello", c->text, 4, &reply) == 0)
-		fl_buf_free(&reply.body);
+		fl_buffer_free(&reply.body);
 	free(c->text);
 	free(c);
 }
@@ -182,7 +182,7 @@
 {
 	uint64_t fencing_token = 0;
 
-	if (fl_json_count(o, "Epoch", &fencing_token) != FL_FIELD_OK ||
+	if (fl_json_get_count(o, "Epoch", &fencing_token) != FL_JSON_OK ||
 	    fencing_token < m->fencing_token || incarnation != m->incarnation)
 		return; /* dropped: it stays here while its lease runs out */
 	see_epoch(m, fencing_token);
@@ -191,15 +191,15 @@
 }
 
 /* Where to next, and in how many seconds. */
-static double move_on(struct sim_machine *m, const struct fl_reply *reply, int rc)
+static double move_on(struct sim_machine *m, const struct fl_http_reply *reply, int rc)
 {
 	cJSON *o = rc == 0 && reply->status == 421
-	                   ? fl_json_parse(reply->body.data, reply->body.len)
+	                   ? fl_json_parse(reply->body.data, reply->body.length)
 	                   : NULL;
 	char name[FL_NAME_MAX] = "";
 	int to = -1;
 
-	fl_json_str(o, "Steward", name, sizeof(name));
+	fl_json_get_string(o, "Steward", name, sizeof(name));
 	cJSON_Delete(o);
 	for (int i = 0; i < sim.n_nodes; i++)
 		if (strcmp(sim.config[i].node, name) == 0)
@@ -216,9 +216,9 @@
 static bool goes_on(struct sim_machine *m)
 {
 	while (m->hung && !m->gone)
-		if (fl_signal_wait(&m->goes_on, -1) == -ECANCELED)
+		if (fl_condition_wait(&m->goes_on, -1) == -ECANCELED)
 			return false;
-	return !m->gone && !fl_cancelled();
+	return !m->gone && !fl_coroutine_cancelled();
 }
 
 /* s until the next report may be due; < 0: as usual. */
@@ -227,7 +227,7 @@
 	double sent = fl_now(), pause = -1;
 	uint64_t incarnation = m->incarnation;
 	char *text = report_text(m);
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	int rc;
 
 	if (strlen(text) > BODY_MOST)
@@ -241,12 +241,12 @@
 	free(text);
 	if (goes_on(m)) {
 		if (rc == 0 && fl_now() > sent + rule.patience_s) {
-			fl_buf_free(&reply.body);
+			fl_buffer_free(&reply.body);
 			rc = -ETIMEDOUT;
 		}
 		lapse(m);
 		if (rc == 0 && reply.status == 200) {
-			cJSON *o = fl_json_parse(reply.body.data, reply.body.len);
+			cJSON *o = fl_json_parse(reply.body.data, reply.body.length);
 
 			heed(m, sent, incarnation, o);
 			cJSON_Delete(o);
@@ -255,7 +255,7 @@
 		}
 	}
 	if (rc == 0)
-		fl_buf_free(&reply.body);
+		fl_buffer_free(&reply.body);
 	return pause;
 }
 
@@ -283,7 +283,7 @@
 	due = fl_now();
 	while (!m->gone) {
 		while (!m->gone && (wait = due_in(m, due)) > 0)
-			if (fl_signal_wait(&m->work, wait) == -ECANCELED)
+			if (fl_condition_wait(&m->work, wait) == -ECANCELED)
 				return;
 		if (!goes_on(m))
 			return;
@@ -297,29 +297,29 @@
 
 /* ---- direct commands ---- */
 
-static void say_report(struct sim_machine *m, struct fl_response *resp, int status)
+static void say_report(struct sim_machine *m, struct fl_http_response *response, int status)
 {
-	resp->status = status;
-	resp->body = report_text(m);
+	response->status = status;
+	response->body = report_text(m);
 }
 
-static void command(struct sim_machine *m, int process, const struct fl_request *req,
-                    struct fl_response *resp)
+static void command(struct sim_machine *m, int process, const struct fl_http_request *request,
+                    struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(req->body, req->body_len);
+	cJSON *o = fl_json_parse(request->body, request->body_len);
 	uint64_t fencing_token = 0, incarnation = 0;
 
-	if (fl_json_count(o, "Epoch", &fencing_token) != FL_FIELD_OK ||
-	    fl_json_count(o, "Tenure", &incarnation) != FL_FIELD_OK) {
-		resp->status = 400;
+	if (fl_json_get_count(o, "Epoch", &fencing_token) != FL_JSON_OK ||
+	    fl_json_get_count(o, "Tenure", &incarnation) != FL_JSON_OK) {
+		response->status = 400;
 	} else if (fencing_token < m->fencing_token || incarnation != m->incarnation) {
 		sim_check_epoch(fencing_token, process);
-		say_report(m, resp, 409);
+		say_report(m, response, 409);
 	} else {
 		sim_check_epoch(fencing_token, process);
 		see_epoch(m, fencing_token);
 		sim_tasks_command(m, o);
-		say_report(m, resp, 200);
+		say_report(m, response, 200);
 	}
 	cJSON_Delete(o);
 }
@@ -333,11 +333,11 @@
 	return late && sim_chance(late->much);
 }
 
-void sim_worker_serve(struct sim_end from, int process, int machine, const struct fl_request *req,
-                      struct fl_response *resp)
+void sim_worker_serve(struct sim_end from, int process, int machine,
+                      const struct fl_http_request *request, struct fl_http_response *response)
 {
 	struct sim_machine *m = &sim.machine[machine];
-	bool show = strcmp(req->path, "/show") == 0, late = !show && held_up();
+	bool show = strcmp(request->path, "/show") == 0, late = !show && held_up();
 
 	(void)from;
 	if (late)
@@ -345,15 +345,15 @@
 	if (goes_on(m)) {
 		lapse(m);
 		if (show)
-			say_report(m, resp, 200);
+			say_report(m, response, 200);
 		else
-			command(m, process, req, resp);
+			command(m, process, request, response);
 		if (!late)
 			return;
 	}
-	free(resp->body);
-	resp->body = NULL;
-	resp->status = SIM_SILENCE;
+	free(response->body);
+	response->body = NULL;
+	response->status = SIM_SILENCE;
 }
 
 /* ---- their comings and goings ---- */
@@ -369,8 +369,8 @@
 	m->gone = true;
 	m->gone_at = fl_now();
 	sim_tasks_drop(m);
-	fl_signal_wake(&m->work);
-	fl_signal_wake(&m->goes_on);
+	fl_condition_broadcast(&m->work);
+	fl_condition_broadcast(&m->goes_on);
 }
 
 void sim_machine_hangs(int machine, bool hangs)
@@ -387,7 +387,7 @@
 	sim_tasks_stood_still(m, fl_now() - m->hung_since);
 	m->looked = fl_now();
 	lapse(m);
-	fl_signal_wake(&m->goes_on);
+	fl_condition_broadcast(&m->goes_on);
 }
 
 void sim_workers_begin(void) { sim_spawn(0, tick_duty, NULL); }
