--- a/tests/standins.c
+++ b/tests/standins.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "copy_text.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct standins standins;
 
@@ -20,10 +20,10 @@
 	servers[n_servers++] = server;
 }
 
-void respond(struct fl_response *resp, int status, cJSON *object)
+void respond(struct fl_http_response *response, int status, cJSON *object)
 {
-	resp->status = status;
-	resp->body = fl_json_take(object ? object : cJSON_CreateObject());
+	response->status = status;
+	response->body = fl_json_print_and_delete(object ? object : cJSON_CreateObject());
 }
 
 bool every_nth(int every, unsigned count) { return every > 0 && count % (unsigned)every == 0; }
@@ -44,7 +44,7 @@
 	struct rental *rental;
 	struct key *key = find_key("c/lead");
 
-	fl_json_str(in, "Rental", name, sizeof(name));
+	fl_json_get_string(in, "Rental", name, sizeof(name));
 	HASH_FIND_STR(rentals, name, rental);
 	if (rental) {
 		standins.names_reused += key && rental->fencing_token != key->rev;
@@ -60,7 +60,8 @@
 	return rental;
 }
 
-static void on_cloud(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void on_cloud(void *context, const struct fl_http_request *request,
+                     struct fl_http_response *response)
 {
 	static const char types[] =
 		"{\"HostKinds\":[{\"Name\":\"small\",\"Vcpus\":4,\"Accelerators\":0,\"RamGb\":16,"
@@ -70,26 +71,26 @@
 	const cJSON *element;
 	uint64_t count = 0;
 
-	(void)ctx;
+	(void)context;
 	if (standins.cloud_out) {
 		cJSON_AddStringToObject(object, "error", "trouble");
-		respond(resp, 503, object);
+		respond(response, 503, object);
 		return;
 	}
-	if (strcmp(req->path, "/machine_types") == 0) {
+	if (strcmp(request->path, "/machine_types") == 0) {
 		cJSON_Delete(object);
-		respond(resp, 200, fl_json_parse(types, strlen(types)));
+		respond(response, 200, fl_json_parse(types, strlen(types)));
 		return;
 	}
 	list = cJSON_AddArrayToObject(object, "Hosts");
-	in = fl_json_parse(req->body, req->body_len);
-	if (strcmp(req->path, "/rentals/delete") == 0) {
+	in = fl_json_parse(request->body, request->body_len);
+	if (strcmp(request->path, "/rentals/delete") == 0) {
 		cJSON_ArrayForEach (element, fl_json_get(in, "Hosts"))
 			for (int i = 0; i < n_machines; i++)
 				if (strcmp(machines[i]->name, element->valuestring) == 0)
 					machines[i]->gone = true;
-	} else if (req->method == HTTP_POST) {
-		fl_json_count(in, "Count", &count);
+	} else if (request->method == HTTP_POST) {
+		fl_json_get_count(in, "Count", &count);
 		cJSON_ReplaceItemInObject(object, "Hosts",
 		                          cJSON_Duplicate(rental_of(in, count)->hosts, true));
 	} else {
@@ -110,7 +111,7 @@
 		cJSON_AddBoolToObject(object, "More", false);
 	}
 	cJSON_Delete(in);
-	respond(resp, 200, object);
+	respond(response, 200, object);
 }
 
 void standins_start(void)
@@ -125,7 +126,7 @@
 	         fl_http_server_port(state));
 	snprintf(standins.cloud_addr, sizeof(standins.cloud_addr), "127.0.0.1:%d",
 	         fl_http_server_port(cloud));
-	fl_spawn(hold_routine, NULL);
+	fl_coroutine_spawn(hold_routine, NULL);
 }
 
 void standins_free(void)
--- a/tests/standins_internal.h
+++ b/tests/standins_internal.h
@@ -9,7 +9,7 @@
 #include "transport/http_server.h"
 
 /* The response has this status and body, an empty object if NULL; takes `object`. */
-void respond(struct fl_response *resp, int status, cJSON *object);
+void respond(struct fl_http_response *response, int status, cJSON *object);
 
 /* Does a fault that comes with every so many requests come with this one? 0: never. */
 bool every_nth(int every, unsigned count);
@@ -32,7 +32,8 @@
 /* Ends holds that are not renewed; a routine that runs throughout. */
 void hold_routine(void *arg);
 
-void on_state(void *ctx, const struct fl_request *req, struct fl_response *resp);
+void on_state(void *context, const struct fl_http_request *request,
+              struct fl_http_response *response);
 
 /* ---- workers ---- */
 
--- a/tests/standins_state.c
+++ b/tests/standins_state.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "transport/clock.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct change {
 	char name[200];
@@ -28,7 +28,7 @@
 	struct hold holds[64];
 	int n_holds;
 	uint64_t rev, grants;
-	struct fl_signal changed;
+	struct fl_condition changed;
 	unsigned requests;
 } store;
 
@@ -37,7 +37,7 @@
 	cJSON *v = fl_json_parse(value, strlen(value));
 	uint64_t fencing_token = 0;
 
-	fl_json_count(v, "epoch", &fencing_token);
+	fl_json_get_count(v, "epoch", &fencing_token);
 	cJSON_Delete(v);
 	return fencing_token;
 }
@@ -51,7 +51,7 @@
 	snprintf(store.log[store.n_log].name, sizeof(store.log[0].name), "%s", name);
 	store.log[store.n_log].value = value ? strdup(value) : NULL;
 	store.log[store.n_log++].rev = store.rev;
-	fl_signal_wake(&store.changed);
+	fl_condition_broadcast(&store.changed);
 }
 
 struct key *find_key(const char *name)
@@ -134,7 +134,7 @@
 	return element;
 }
 
-static void multi(const char *body, size_t len, struct fl_response *resp)
+static void multi(const char *body, size_t len, struct fl_http_response *response)
 {
 	cJSON *object = fl_json_parse(body, len), *out = cJSON_CreateObject();
 	const cJSON *element, *failed = NULL;
@@ -144,35 +144,36 @@
 	cJSON_ArrayForEach (element, fl_json_get(object, "When")) {
 		struct key *key;
 
-		fl_json_str(element, "Key", name, sizeof(name));
-		fl_json_count(element, "KeyRev", &revision);
+		fl_json_get_string(element, "Key", name, sizeof(name));
+		fl_json_get_count(element, "KeyRev", &revision);
 		key = find_key(name);
 		if ((key ? key->rev : 0) != revision && !failed)
 			failed = element;
 	}
 	cJSON_ArrayForEach (element, fl_json_get(object, "Apply"))
-		if (fl_json_count(element, "Grant", &lease_id) == FL_FIELD_OK &&
+		if (fl_json_get_count(element, "Grant", &lease_id) == FL_JSON_OK &&
 		    find_hold(lease_id) < 0) {
-			respond(resp, 400, out);
+			respond(response, 400, out);
 			cJSON_Delete(object);
 			return;
 		}
 	if (failed) {
 		cJSON *list = cJSON_AddArrayToObject(out, "failed");
 
-		fl_json_str(failed, "Key", name, sizeof(name));
+		fl_json_get_string(failed, "Key", name, sizeof(name));
 		cJSON_AddItemToArray(list, cJSON_CreateString(name));
-		respond(resp, 409, out);
+		respond(response, 409, out);
 		cJSON_Delete(object);
 		return;
 	}
 	store.rev++;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Apply")) {
-		if (fl_json_str(element, "Put", name, sizeof(name)) == FL_FIELD_OK) {
-			if (fl_json_count(element, "Grant", &lease_id) != FL_FIELD_OK)
+		if (fl_json_get_string(element, "Put", name, sizeof(name)) == FL_JSON_OK) {
+			if (fl_json_get_count(element, "Grant", &lease_id) != FL_JSON_OK)
 				lease_id = 0;
 			put_key(name, cJSON_PrintUnformatted(fl_json_get(element, "V")), lease_id);
-		} else if (fl_json_str(element, "Delete", name, sizeof(name)) == FL_FIELD_OK) {
+		} else if (fl_json_get_string(element, "Delete", name, sizeof(name)) ==
+		           FL_JSON_OK) {
 			struct key *key = find_key(name);
 
 			if (key)
@@ -180,7 +181,7 @@
 		}
 	}
 	cJSON_AddNumberToObject(out, "LedgerRev", (double)store.rev);
-	respond(resp, 200, out);
+	respond(response, 200, out);
 	cJSON_Delete(object);
 }
 
@@ -206,7 +207,7 @@
 	return out;
 }
 
-static void list_keys(const char *query, struct fl_response *resp)
+static void list_keys(const char *query, struct fl_http_response *response)
 {
 	struct key *key, *tmp, **all = calloc(HASH_COUNT(store.keys) + 1, sizeof(*all));
 	cJSON *object = cJSON_CreateObject(), *items = cJSON_AddArrayToObject(object, "Items");
@@ -232,11 +233,11 @@
 	}
 	cJSON_AddBoolToObject(object, "More", more);
 	cJSON_AddNumberToObject(object, "LedgerRev", (double)store.rev);
-	respond(resp, 200, object);
+	respond(response, 200, object);
 	free(all);
 }
 
-static void follow(const char *query, struct fl_response *resp)
+static void follow(const char *query, struct fl_http_response *response)
 {
 	char prefix[200], word[32];
 	uint64_t from;
@@ -253,7 +254,7 @@
 			      strncmp(store.log[i].name, prefix, strlen(prefix)) == 0;
 		if (any || fl_now() >= until)
 			break;
-		if (fl_signal_wait(&store.changed, until - fl_now()) == -ECANCELED)
+		if (fl_condition_wait(&store.changed, until - fl_now()) == -ECANCELED)
 			return;
 	}
 	object = cJSON_CreateObject();
@@ -267,48 +268,49 @@
 	}
 	cJSON_AddNumberToObject(object, "LedgerRev", (double)store.rev);
 	cJSON_AddItemToObject(object, "Log", log);
-	respond(resp, 200, object);
+	respond(response, 200, object);
 }
 
-static void holds(const struct fl_request *req, struct fl_response *resp)
+static void holds(const struct fl_http_request *request, struct fl_http_response *response)
 {
 	uint64_t lease_id =
-		strtoull(req->path + strlen("/holds") + (req->path[6] == '/'), NULL, 10);
+		strtoull(request->path + strlen("/holds") + (request->path[6] == '/'), NULL, 10);
 	int at = find_hold(lease_id);
 	cJSON *object, *in;
 	double ttl;
 
-	if (strcmp(req->path, "/holds") == 0) {
-		in = fl_json_parse(req->body, req->body_len);
-		fl_json_amount(in, "TtlMs", &ttl);
+	if (strcmp(request->path, "/holds") == 0) {
+		in = fl_json_parse(request->body, request->body_len);
+		fl_json_get_amount(in, "TtlMs", &ttl);
 		cJSON_Delete(in);
 		assert(store.n_holds < 64);
 		store.holds[store.n_holds++] =
 			(struct hold){++store.grants, ttl / 1000, fl_now() + ttl / 1000};
 		object = cJSON_CreateObject();
 		cJSON_AddNumberToObject(object, "Grant", (double)store.grants);
-		respond(resp, 200, object);
+		respond(response, 200, object);
 	} else if (at < 0) {
-		respond(resp, 404, NULL);
-	} else if (req->method == HTTP_DELETE) {
+		respond(response, 404, NULL);
+	} else if (request->method == HTTP_DELETE) {
 		end_hold(at);
-		respond(resp, 200, NULL);
+		respond(response, 200, NULL);
 	} else {
 		store.holds[at].until = fl_now() + store.holds[at].ttl;
-		respond(resp, 200, NULL);
+		respond(response, 200, NULL);
 	}
 }
 
-void on_state(void *ctx, const struct fl_request *req, struct fl_response *resp)
+void on_state(void *context, const struct fl_http_request *request,
+              struct fl_http_response *response)
 {
-	const char *query = req->query;
+	const char *query = request->query;
 	unsigned at = ++store.requests;
 	struct key *key;
 	cJSON *object;
 
-	(void)ctx;
-	if (strcmp(req->path, "/follow") == 0) {
-		follow(query, resp);
+	(void)context;
+	if (strcmp(request->path, "/follow") == 0) {
+		follow(query, response);
 		return;
 	}
 	if (standins.cut_after > 0 && --standins.cut_after == 0) {
@@ -317,19 +319,19 @@
 			return;
 	}
 	if (every_nth(standins.state_refuses, at)) {
-		respond(resp, 503, NULL);
+		respond(response, 503, NULL);
 		return;
 	}
 	if (every_nth(standins.state_slow, at) && fl_sleep(0.3) != 0)
 		return;
-	if (strcmp(req->path, "/multi") == 0) {
-		multi(req->body, req->body_len, resp);
-	} else if (strncmp(req->path, "/holds", 6) == 0) {
-		holds(req, resp);
-	} else if (strcmp(req->path, "/keys") == 0) {
-		list_keys(query, resp);
+	if (strcmp(request->path, "/multi") == 0) {
+		multi(request->body, request->body_len, response);
+	} else if (strncmp(request->path, "/holds", 6) == 0) {
+		holds(request, response);
+	} else if (strcmp(request->path, "/keys") == 0) {
+		list_keys(query, response);
 	} else {
-		key = find_key(req->path + strlen("/keys/"));
+		key = find_key(request->path + strlen("/keys/"));
 		object = cJSON_CreateObject();
 		cJSON_AddNumberToObject(object, "LedgerRev", (double)store.rev);
 		if (key) {
@@ -338,7 +340,7 @@
 			if (key->grant)
 				cJSON_AddNumberToObject(object, "Grant", (double)key->grant);
 		}
-		respond(resp, key ? 200 : 404, object);
+		respond(response, key ? 200 : 404, object);
 	}
 	/* Carried out, but the answer comes after the client's timeout. */
 	if (every_nth(standins.state_loses, at))
@@ -352,7 +354,7 @@
 	cJSON *value = key ? fl_json_parse(key->value, strlen(key->value)) : NULL;
 
 	node[0] = 0;
-	fl_json_str(value, "node", node, sizeof(node));
+	fl_json_get_string(value, "node", node, sizeof(node));
 	cJSON_Delete(value);
 	return node;
 }
--- a/tests/standins_workers.c
+++ b/tests/standins_workers.c
@@ -9,7 +9,7 @@
 #include "copy_text.h"
 #include "transport/clock.h"
 #include "transport/http_client.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 struct copy {
 	char *text;
@@ -21,7 +21,7 @@
 {
 	struct copy *copy = arg;
 	struct fl_http_client http;
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	char addr[32];
 
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d",
@@ -29,7 +29,7 @@
 	fl_http_client_init(&http, addr, 0);
 	if (fl_sleep(2 * standins.lease_s) == 0 &&
 	    fl_http_call(&http, "POST", "/hello", copy->text, 4.0, &reply) == 0)
-		fl_buf_free(&reply.body);
+		fl_buffer_free(&reply.body);
 	free(copy->text);
 	free(copy);
 }
@@ -39,7 +39,7 @@
 	struct copy *copy = malloc(sizeof(*copy));
 
 	*copy = (struct copy){strdup(text), node};
-	fl_spawn(copy_routine, copy);
+	fl_coroutine_spawn(copy_routine, copy);
 }
 
 struct machine *machines[MACHINES];
@@ -134,9 +134,9 @@
 		struct fl_task_status status = {0};
 		uint64_t attempt = 0;
 
-		fl_json_str(element, "Verb", verb, sizeof(verb));
-		fl_json_str(element, "Part", name, sizeof(name));
-		fl_json_count(element, "Try", &attempt);
+		fl_json_get_string(element, "Verb", verb, sizeof(verb));
+		fl_json_get_string(element, "Part", name, sizeof(name));
+		fl_json_get_count(element, "Try", &attempt);
 		status.attempt = (uint32_t)attempt;
 		status.index = (uint32_t)atoi(strchr(name, '/') + 1);
 		*strchr(name, '/') = 0;
@@ -168,8 +168,8 @@
 	uint64_t fencing_token = 0, incarnation = 0;
 	bool good;
 
-	fl_json_count(object, "Epoch", &fencing_token);
-	fl_json_count(object, "Tenure", &incarnation);
+	fl_json_get_count(object, "Epoch", &fencing_token);
+	fl_json_get_count(object, "Tenure", &incarnation);
 	good = fencing_token >= machine->fencing_token && incarnation == machine->incarnation;
 	if (good) {
 		machine->fencing_token = fencing_token;
@@ -179,32 +179,33 @@
 	return good;
 }
 
-static void on_command(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void on_command(void *context, const struct fl_http_request *request,
+                       struct fl_http_response *response)
 {
-	struct machine *machine = ctx;
+	struct machine *machine = context;
 	bool good;
 
 	if (machine->unreachable) {
 		fl_sleep(3.0); /* it does not arrive, and nobody answers */
 		return;
 	}
-	if (machine->gone || strcmp(req->path, "/commands") != 0) {
-		respond(resp, 404, NULL);
+	if (machine->gone || strcmp(request->path, "/commands") != 0) {
+		respond(response, 404, NULL);
 		return;
 	}
-	good = take_command(machine, req->body);
+	good = take_command(machine, request->body);
 	if (every_nth(standins.commands_repeat, ++commands)) {
 		free(machine->late);
-		machine->late = strdup(req->body);
+		machine->late = strdup(request->body);
 	}
-	resp->status = good ? 200 : 409;
-	resp->body = next_report(machine);
+	response->status = good ? 200 : 409;
+	response->body = next_report(machine);
 }
 
 static void report_once(struct machine *machine)
 {
 	struct fl_http_client client;
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 	double sent = fl_now();
 	uint64_t fencing_token = 0;
 	char addr[32], *text = next_report(machine);
@@ -222,14 +223,15 @@
 	}
 	if (machine->unreachable) {
 		/* It waits for its timeout, and tries another node. */
-		fl_buf_free(&reply.body);
+		fl_buffer_free(&reply.body);
 		free(text);
 		fl_sleep(5.0);
 		machine->node++;
 		return;
 	}
-	object = fl_json_parse(reply.body.data, reply.body.len);
-	if (reply.status == 200 && fl_json_count(object, "Epoch", &fencing_token) == FL_FIELD_OK &&
+	object = fl_json_parse(reply.body.data, reply.body.length);
+	if (reply.status == 200 &&
+	    fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
 	    fencing_token >= machine->fencing_token &&
 	    fl_now() < machine->answered + standins.lease_s) {
 		machine->fencing_token = fencing_token;
@@ -239,7 +241,7 @@
 		machine->node++;
 	}
 	cJSON_Delete(object);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	free(text);
 }
 
@@ -278,7 +280,7 @@
 	assert(server);
 	add_server(server);
 	snprintf(machine->addr, sizeof(machine->addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_spawn(machine_routine, machine);
+	fl_coroutine_spawn(machine_routine, machine);
 	if (n_machines > standins.max_machines)
 		standins.max_machines = n_machines;
 	return machine->name;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -52,13 +52,13 @@
 static void gossip(struct fixture *from, int peer, struct fixture *to, double ago_s)
 {
 	char *ask = fl_gossip_request(&from->node);
-	struct fl_response resp = {0};
+	struct fl_http_response response = {0};
 
-	fl_gossip_serve(&to->node, ask, strlen(ask), &resp);
-	assert_int_equal(resp.status, 200);
-	fl_gossip_handle_reply(&from->node, &from->node.peers[peer], resp.body, strlen(resp.body),
-	                       fl_now() - ago_s);
-	free(resp.body);
+	fl_gossip_serve(&to->node, ask, strlen(ask), &response);
+	assert_int_equal(response.status, 200);
+	fl_gossip_handle_reply(&from->node, &from->node.peers[peer], response.body,
+	                       strlen(response.body), fl_now() - ago_s);
+	free(response.body);
 	free(ask);
 }
 
@@ -197,20 +197,20 @@
 	                                 .report = make_report(1, 20, EPOCH, &status, 1)};
 	struct ev_loop *loop = ev_loop_new(0);
 
-	fl_routines_init(loop);
+	fl_coroutines_init(loop);
 	become_follower(fixture, 0);
 	fixture->node.cancellation_watermark = -1e9;
 	fixture->node.jobs_known = false;
-	assert_non_null(fl_spawn(send_and_wait, &waiting));
+	assert_non_null(fl_coroutine_spawn(send_and_wait, &waiting));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(waiting.status, 0);
 	apply_cancellation(fixture, fixture->config.cancel_s - fixture->config.lease_s + 1);
 	fixture->node.cancellation_watermark = fl_now();
 	fixture->node.jobs_known = true;
-	fl_signal_wake(&fixture->node.jobs_listed);
+	fl_condition_broadcast(&fixture->node.jobs_listed);
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(waiting.status, 503);
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	ev_loop_destroy(loop);
 }
 
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -60,39 +60,39 @@
 	world.stored[at].grant = grant;
 }
 
-static int answer_get(const char *key, struct fl_buf *body)
+static int answer_get(const char *key, struct fl_buffer *body)
 {
 	for (int number = 0; number < world.n_stored; number++)
 		if (strcmp(world.stored[number].key, key) == 0) {
-			fl_buf_printf(body, "{\"V\":%s,\"KeyRev\":%d,\"Grant\":%d}",
-			              world.stored[number].value, world.stored[number].rev,
-			              world.stored[number].grant);
+			fl_buffer_printf(body, "{\"V\":%s,\"KeyRev\":%d,\"Grant\":%d}",
+			                 world.stored[number].value, world.stored[number].rev,
+			                 world.stored[number].grant);
 			return 200;
 		}
-	fl_buf_printf(body, "{}");
+	fl_buffer_printf(body, "{}");
 	return 404;
 }
 
-static int answer_list(const char *query, struct fl_buf *body)
+static int answer_list(const char *query, struct fl_buffer *body)
 {
 	size_t length = strcspn(query, "&");
 	const char *comma = "";
 
 	if (world.lists_refused)
 		return 503;
-	fl_buf_printf(body, "{\"Items\":[");
+	fl_buffer_printf(body, "{\"Items\":[");
 	for (int number = 0; number < world.n_stored; number++)
 		if (strncmp(world.stored[number].key, query, length) == 0) {
-			fl_buf_printf(body, "%s{\"Key\":\"%s\",\"V\":%s,\"KeyRev\":%d}", comma,
-			              world.stored[number].key, world.stored[number].value,
-			              world.stored[number].rev);
+			fl_buffer_printf(body, "%s{\"Key\":\"%s\",\"V\":%s,\"KeyRev\":%d}", comma,
+			                 world.stored[number].key, world.stored[number].value,
+			                 world.stored[number].rev);
 			comma = ",";
 		}
-	fl_buf_printf(body, "],\"More\":false,\"LedgerRev\":90}");
+	fl_buffer_printf(body, "],\"More\":false,\"LedgerRev\":90}");
 	return 200;
 }
 
-static int answer_watch(const char *query, struct fl_buf *body)
+static int answer_watch(const char *query, struct fl_buffer *body)
 {
 	const char *event = strncmp(query, "c/", 2) == 0 ? world.event : NULL;
 
@@ -100,11 +100,11 @@
 		world.event = NULL;
 	else
 		fl_sleep(1);
-	fl_buf_printf(body, "{\"LedgerRev\":91,\"Log\":[%s]}", event ? event : "");
+	fl_buffer_printf(body, "{\"LedgerRev\":91,\"Log\":[%s]}", event ? event : "");
 	return 200;
 }
 
-static int answer(const char *method, const char *path, const char *text, struct fl_buf *body)
+static int answer(const char *method, const char *path, const char *text, struct fl_buffer *body)
 {
 	static const char key[] = "/keys/", list[] = "/keys?Prefix=", watch[] = "/follow?Prefix=";
 
@@ -117,27 +117,27 @@
 	if (strcmp(path, "/multi") == 0) {
 		sim_must(world.n_written < WRITES_MAX);
 		sim_copy(world.written[world.n_written++], TEXT_MAX, text);
-		fl_buf_printf(body, "{\"LedgerRev\":92}");
+		fl_buffer_printf(body, "{\"LedgerRev\":92}");
 	} else if (strcmp(path, "/machine_types") == 0) {
-		fl_buf_printf(body, "%s", MACHINE_TYPES);
+		fl_buffer_printf(body, "%s", MACHINE_TYPES);
 	} else if (strcmp(path, "/holds") == 0) {
 		world.holds++;
-		fl_buf_printf(body, "{\"Grant\":%d}", GRANT);
+		fl_buffer_printf(body, "{\"Grant\":%d}", GRANT);
 	} else if (strcmp(method, "DELETE") == 0) {
 		world.released = atoi(path + strlen("/holds/"));
 		/* The key ends with its lease. */
 		for (int number = 0; number < world.n_stored; number++)
 			if (world.stored[number].grant == world.released)
 				world.stored[number].key = "gone";
-		fl_buf_printf(body, "{}");
+		fl_buffer_printf(body, "{}");
 	} else {
-		fl_buf_printf(body, "{\"Hosts\":[],\"More\":false}");
+		fl_buffer_printf(body, "{\"Hosts\":[],\"More\":false}");
 	}
 	return 200;
 }
 
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_reply *out)
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	(void)client, (void)timeout_s;
 	memset(out, 0, sizeof(*out));
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -151,7 +151,7 @@
 	assert_null(fl_job_spec_decode(tree, &got));
 	cJSON_Delete(tree);
 	expect_job_spec(&got, expected);
-	expect_text(fl_json_take(fl_job_spec_encode(expected)), text);
+	expect_text(fl_json_print_and_delete(fl_job_spec_encode(expected)), text);
 }
 
 static void a_job_description_has_the_agreed_fields_for_each_kind(void **state)
@@ -203,7 +203,7 @@
 	assert_null(fl_job_spec_decode(tree, &got));
 	cJSON_Delete(tree);
 	expect_job_spec(&got, &expected);
-	expect_text(fl_json_take(fl_job_spec_encode(&expected)), critical_job_encoded);
+	expect_text(fl_json_print_and_delete(fl_job_spec_encode(&expected)), critical_job_encoded);
 }
 
 /* The user is told the name of the field. */
@@ -660,7 +660,8 @@
 	cJSON_Delete(tree);
 	expect_types(got, count);
 	free(got);
-	expect_text(fl_json_take(fl_machine_types_encode(offered_types, COUNT_OF(offered_types))),
+	expect_text(fl_json_print_and_delete(
+			    fl_machine_types_encode(offered_types, COUNT_OF(offered_types))),
 	            types_text);
 }
 
@@ -882,11 +883,11 @@
 	assert_int_equal(got.rc[0], 0);
 	assert_int_equal(got.rev[0], 412);
 	assert_int_equal(got.grant[0], 7);
-	expect_text(fl_json_take(got.value[0]), "{\"n\":5}");
+	expect_text(fl_json_print_and_delete(got.value[0]), "{\"n\":5}");
 	assert_int_equal(got.rc[1], 0);
 	assert_int_equal(got.rev[1], 413);
 	assert_int_equal(got.grant[1], 0);
-	expect_text(fl_json_take(got.value[1]), "[6]");
+	expect_text(fl_json_print_and_delete(got.value[1]), "[6]");
 	assert_int_equal(got.rc[2], -ENOENT);
 	assert_null(got.value[2]);
 }
@@ -1309,7 +1310,7 @@
 	cJSON_Delete(tree);
 	fl_digest_add(digest, cached_idle_report_text);
 	fl_digest_add(digest, cached_idle_report_text);
-	expect_text(fl_json_take(digest), text);
+	expect_text(fl_json_print_and_delete(digest), text);
 }
 
 int main(void)
--- a/tests/test_routine_order.c
+++ b/tests/test_coroutine_order.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "transport/clock.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 enum { MAX_WAITING = 2, ORDER_SIZE = 32, ROUNDS = 16 };
 static const double longer_than_a_turn_s = 0.02;
@@ -32,7 +32,7 @@
 
 static void deferred(void *arg)
 {
-	if (fl_defer(MAX_WAITING))
+	if (fl_coroutine_defer(MAX_WAITING))
 		note(*(const char *)arg);
 	else
 		note('-');
@@ -40,14 +40,14 @@
 
 static void urgent(void *arg)
 {
-	fl_urgent();
+	fl_coroutine_set_urgent();
 	fl_sleep(0);
 	note(*(const char *)arg);
 }
 
 static void cancelled(void *arg)
 {
-	fl_cancel(arg);
+	fl_coroutine_cancel(arg);
 	note('c');
 }
 
@@ -62,7 +62,7 @@
 {
 	(void)state;
 	memset(order, 0, sizeof(order));
-	fl_routines_init(ev_loop_new(EVFLAG_AUTO));
+	fl_coroutines_init(ev_loop_new(EVFLAG_AUTO));
 	return 0;
 }
 
@@ -71,7 +71,7 @@
 	struct ev_loop *loop = fl_loop();
 
 	(void)state;
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	ev_loop_destroy(loop);
 	return 0;
 }
@@ -79,10 +79,10 @@
 static void deferred_work_lets_all_else_go_first(void **state)
 {
 	(void)state;
-	assert_non_null(fl_spawn(deferred, "1"));
-	assert_non_null(fl_spawn(ordinary, "a"));
-	assert_non_null(fl_spawn(deferred, "2"));
-	assert_non_null(fl_spawn(ordinary, "b"));
+	assert_non_null(fl_coroutine_spawn(deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(ordinary, "a"));
+	assert_non_null(fl_coroutine_spawn(deferred, "2"));
+	assert_non_null(fl_coroutine_spawn(ordinary, "b"));
 	run_all();
 	assert_string_equal(order, "ab12");
 }
@@ -91,11 +91,11 @@
 static void deferred_work_is_not_starved(void **state)
 {
 	(void)state;
-	assert_non_null(fl_spawn(deferred, "1"));
-	assert_non_null(fl_spawn(deferred, "2"));
-	assert_non_null(fl_spawn(slow, "a"));
-	assert_non_null(fl_spawn(slow, "b"));
-	assert_non_null(fl_spawn(slow, "c"));
+	assert_non_null(fl_coroutine_spawn(deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(deferred, "2"));
+	assert_non_null(fl_coroutine_spawn(slow, "a"));
+	assert_non_null(fl_coroutine_spawn(slow, "b"));
+	assert_non_null(fl_coroutine_spawn(slow, "c"));
 	run_all();
 	assert_string_equal(order, "a1b2c");
 }
@@ -103,10 +103,10 @@
 static void who_finds_too_many_waiting_is_told_at_once(void **state)
 {
 	(void)state;
-	assert_non_null(fl_spawn(deferred, "1"));
-	assert_non_null(fl_spawn(deferred, "2"));
-	assert_non_null(fl_spawn(deferred, "3"));
-	assert_non_null(fl_spawn(ordinary, "a"));
+	assert_non_null(fl_coroutine_spawn(deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(deferred, "2"));
+	assert_non_null(fl_coroutine_spawn(deferred, "3"));
+	assert_non_null(fl_coroutine_spawn(ordinary, "a"));
 	run_all();
 	assert_string_equal(order, "-a12");
 }
@@ -114,10 +114,10 @@
 static void urgent_work_goes_before_deferred(void **state)
 {
 	(void)state;
-	assert_non_null(fl_spawn(urgent, "u"));
-	assert_non_null(fl_spawn(slow, "a"));
-	assert_non_null(fl_spawn(deferred, "1"));
-	assert_non_null(fl_spawn(slow, "b"));
+	assert_non_null(fl_coroutine_spawn(urgent, "u"));
+	assert_non_null(fl_coroutine_spawn(slow, "a"));
+	assert_non_null(fl_coroutine_spawn(deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(slow, "b"));
 	run_all();
 	/* The urgent one's timer is due when the first turn is over. */
 	assert_string_equal(order, "aub1");
@@ -125,12 +125,12 @@
 
 static void a_cancelled_one_goes_on_without_its_turn(void **state)
 {
-	struct fl_routine *r;
+	struct fl_coroutine *coroutine;
 
 	(void)state;
-	r = fl_spawn(deferred, "1");
-	assert_non_null(r);
-	assert_non_null(fl_spawn(cancelled, r));
+	coroutine = fl_coroutine_spawn(deferred, "1");
+	assert_non_null(coroutine);
+	assert_non_null(fl_coroutine_spawn(cancelled, coroutine));
 	run_all();
 	assert_string_equal(order, "c-");
 }
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -44,7 +44,7 @@
 		cJSON_ReplaceItemInObjectCaseSensitive(object, field, v);
 	else
 		cJSON_DeleteItemFromObjectCaseSensitive(object, field);
-	text = fl_json_take(object);
+	text = fl_json_print_and_delete(object);
 	bad = decode(text, &spec);
 	free(text);
 	return bad;
@@ -61,7 +61,7 @@
 	assert_int_equal(spec.task_count, 16);
 	assert_int_equal(spec.priority, FL_URGENT);
 	assert_false(spec.has_zone);
-	text = fl_json_take(fl_job_spec_encode(&spec));
+	text = fl_json_print_and_delete(fl_job_spec_encode(&spec));
 	assert_null(decode(text, &again));
 	assert_memory_equal(&spec, &again, sizeof(spec));
 	free(text);
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -57,19 +57,19 @@
 	return "{\"Items\":[],\"More\":false,\"LedgerRev\":1,\"HostKinds\":[]}";
 }
 
-int fl_http_call(struct fl_http_client *c, const char *method, const char *path, const char *body,
-                 double timeout_s, struct fl_reply *out)
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	const char *text;
 
-	(void)c, (void)method, (void)body, (void)timeout_s;
+	(void)client, (void)method, (void)body, (void)timeout_s;
 	memset(out, 0, sizeof(*out));
 	fl_sleep(way_s);
 	text = answer(path);
 	if (fl_sleep(way_s) != 0)
 		return -ECANCELED;
 	out->status = 200;
-	return fl_buf_add(&out->body, text, strlen(text));
+	return fl_buffer_append(&out->body, text, strlen(text));
 }
 
 static void start_lease(void *arg)
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -76,8 +76,8 @@
 {
 	struct fixture *fixture = *state;
 
-	fl_spawn(load_bad_records, fixture);
-	fl_routines_run();
+	fl_coroutine_spawn(load_bad_records, fixture);
+	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
@@ -135,8 +135,8 @@
 {
 	struct fixture *fixture = *state;
 
-	fl_spawn(load_finished_jobs, fixture);
-	fl_routines_run();
+	fl_coroutine_spawn(load_finished_jobs, fixture);
+	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -96,27 +96,27 @@
 	struct fl_node *node = &early.fixture->node;
 	struct ev_loop *loop = ev_loop_new(0);
 
-	fl_routines_init(loop);
+	fl_coroutines_init(loop);
 	become_follower(early.fixture, 0);
 	node->cancellation_watermark = -1e9;
 	node->jobs_known = false;
 	node->fencing_token = 0;
 	/* Another report has the epoch read already. */
 	node->follower.refreshing = true;
-	assert_non_null(fl_spawn(send_early, &early));
+	assert_non_null(fl_coroutine_spawn(send_early, &early));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
 	node->fencing_token = EPOCH;
 	node->follower.refreshing = false;
-	fl_signal_wake(&node->follower.refreshed);
+	fl_condition_broadcast(&node->follower.refreshed);
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
 	node->cancellation_watermark = fl_now();
 	node->jobs_known = true;
-	fl_signal_wake(&node->jobs_listed);
+	fl_condition_broadcast(&node->jobs_listed);
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 200);
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	ev_loop_destroy(loop);
 }
 
@@ -240,7 +240,7 @@
 	            {FL_USER_REQUEST_STATUS, NULL},
 	            {FL_USER_REQUEST_CANCEL, NULL}};
 	struct fixture *fixture = *state;
-	struct fl_response resp;
+	struct fl_http_response response;
 
 	become_follower(fixture, 4);
 	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
@@ -248,20 +248,20 @@
 	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
 	for (size_t i = 0; i < sizeof(asks) / sizeof(asks[0]); i++) {
 		/* No routine runs here, so that a try to connect would fail the test. */
-		resp = user_call(fixture, asks[i].call, "run-000001", asks[i].body);
-		assert_int_equal(resp.status, 503);
-		assert_true(resp.retry_after_s > 0 && resp.close);
-		free(resp.body);
+		response = user_call(fixture, asks[i].call, "run-000001", asks[i].body);
+		assert_int_equal(response.status, 503);
+		assert_true(response.retry_after_s > 0 && response.close);
+		free(response.body);
 	}
 	/* What is over is known for good, by any node. */
 	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
-	resp = user_call(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
-	assert_int_equal(resp.status, 200);
-	free(resp.body);
-	resp = user_call(fixture, FL_USER_REQUEST_CANCEL, "run-000050", NULL);
-	assert_int_equal(resp.status, 200);
-	assert_non_null(strstr(resp.body, "\"done\""));
-	free(resp.body);
+	response = user_call(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
+	assert_int_equal(response.status, 200);
+	free(response.body);
+	response = user_call(fixture, FL_USER_REQUEST_CANCEL, "run-000050", NULL);
+	assert_int_equal(response.status, 200);
+	assert_non_null(strstr(response.body, "\"done\""));
+	free(response.body);
 	/* Connected again, it is ready. */
 	fixture->node.peers[0].up = true;
 	fixture->node.kv_store.last_success_at = fl_now() + 1;
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -37,7 +37,7 @@
 	char host[FL_NAME_MAX];
 	double at; /* s from the beginning */
 	int rc;
-	struct fl_response resp;
+	struct fl_http_response resp;
 	bool over;
 	double took;
 };
@@ -46,28 +46,29 @@
 void sim_process_computes(int process) { (void)process; }
 
 /* To the leader, or to the third controller, which passes messages on. */
-int fl_http_call(struct fl_http_client *c, const char *method, const char *path, const char *body,
-                 double timeout_s, struct fl_reply *out)
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	bool to_leader = c == &world.follower.peers[0].http || c == &world.third.peers[0].http;
-	struct fl_response resp = {0};
+	bool to_leader =
+		client == &world.follower.peers[0].http || client == &world.third.peers[0].http;
+	struct fl_http_response response = {0};
 
 	(void)method;
 	assert_string_equal(path, FL_PATH_HEARTBEATS);
 	world.messages += to_leader;
 	if ((to_leader && world.leader_stalls) ||
-	    (c == &world.follower.peers[0].http && world.link_down)) {
+	    (client == &world.follower.peers[0].http && world.link_down)) {
 		fl_sleep(timeout_s);
 		return -ETIMEDOUT;
 	}
 	fl_sleep(way_s);
 	fl_heartbeat_forward_serve(to_leader ? &world.leader : &world.third, body, strlen(body),
-	                           &resp);
+	                           &response);
 	fl_sleep(way_s);
 	memset(out, 0, sizeof(*out));
-	out->status = resp.status;
-	fl_buf_add(&out->body, resp.body, strlen(resp.body));
-	free(resp.body);
+	out->status = response.status;
+	fl_buffer_append(&out->body, response.body, strlen(response.body));
+	free(response.body);
 	return 0;
 }
 
@@ -257,7 +258,7 @@
 		"{\"last_hop\":true,\"via\":\"a\",\"adrift\":3,\"reports\":[]}",
 	};
 	struct fl_peer_heartbeats message;
-	struct fl_response resp = {0};
+	struct fl_http_response response = {0};
 	struct fl_heartbeat heartbeat;
 	cJSON *list = fl_heartbeat_list_begin();
 	char *text;
@@ -278,10 +279,10 @@
 	assert_true(message.last_hop && message.disconnected);
 	assert_string_equal(message.entry_node, "host-2");
 	fl_peer_heartbeats_free(&message);
-	fl_heartbeat_forward_serve(&world.leader, text, strlen(text), &resp);
-	assert_int_equal(resp.status, 200);
-	assert_non_null(strstr(resp.body, "400"));
-	free(resp.body);
+	fl_heartbeat_forward_serve(&world.leader, text, strlen(text), &response);
+	assert_int_equal(response.status, 200);
+	assert_non_null(strstr(response.body, "400"));
+	free(response.body);
 	free(text);
 	cJSON_Delete(list);
 }
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -19,7 +19,7 @@
 struct question {
 	struct fixture *fixture;
 	char ref[FL_REF_MAX];
-	struct fl_response resp;
+	struct fl_http_response resp;
 	char body[256]; /* of the answer, once it is there */
 	bool answered;
 };
@@ -60,7 +60,7 @@
 	memset(question, 0, sizeof(*question));
 	question->fixture = fixture;
 	copy_text(question->ref, sizeof(question->ref), ref);
-	fl_spawn(ask, question);
+	fl_coroutine_spawn(ask, question);
 }
 
 static void ask_many(void *arg)
@@ -85,7 +85,7 @@
 		spawn_question(fixture, &question[i], "run-000001");
 	fl_sleep(0.01);
 	while (!answered_by_all(question)) {
-		fl_signal_wake(&fixture->gate);
+		fl_condition_broadcast(&fixture->gate);
 		fl_sleep(0.01);
 	}
 	if (answered_with(question, 0, 1, 404) != 1 ||
@@ -129,8 +129,8 @@
 {
 	struct fixture *fixture = *state;
 
-	fl_spawn(ask_many, fixture);
-	fl_routines_run();
+	fl_coroutine_spawn(ask_many, fixture);
+	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
@@ -163,7 +163,7 @@
 		fl_sleep(0.01);
 	fl_job_finalise(&node->cluster, job, FL_DONE);
 	while (!question.answered) {
-		fl_signal_wake(&fixture->gate);
+		fl_condition_broadcast(&fixture->gate);
 		fl_sleep(0.01);
 	}
 	if (question.resp.status != 200 || !strstr(question.body, "done"))
@@ -176,8 +176,8 @@
 {
 	struct fixture *fixture = *state;
 
-	fl_spawn(end_while_read, fixture);
-	fl_routines_run();
+	fl_coroutine_spawn(end_while_read, fixture);
+	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -172,7 +172,7 @@
 		groups++;
 		log_bytes += strlen(group);
 		free(group);
-		record = fl_json_take(fl_task_block_encode(cluster, site->job, i));
+		record = fl_json_print_and_delete(fl_task_block_encode(cluster, site->job, i));
 		assert_true(strlen(record) < VALUE_LIMIT);
 		free(record);
 	}
@@ -190,7 +190,7 @@
 	fill_machines(site);
 	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE; i++)
 		fl_task_done(cluster, site->job, i);
-	record = fl_json_take(fl_task_block_encode(cluster, site->job, 0));
+	record = fl_json_print_and_delete(fl_task_block_encode(cluster, site->job, 0));
 	assert_true(strlen(record) <= 64);
 	free(record);
 }
--- a/tests/test_message_costs.c
+++ b/tests/test_message_costs.c
@@ -18,7 +18,7 @@
 #include "protocol/json.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 enum { MESSAGES = 200, IDLE_CONNECTIONS = 400, FIRST_MESSAGES = 3 };
 
@@ -61,15 +61,16 @@
 }
 
 /* As deep as a report is read: the stack below is touched. */
-static void on_request(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void on_request(void *context, const struct fl_http_request *request,
+                       struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(req->body, req->body_len);
+	cJSON *o = fl_json_parse(request->body, request->body_len);
 
-	(void)ctx;
+	(void)context;
 	if (run.handler_waits)
 		fl_sleep(0);
-	resp->status = o ? 200 : 400;
-	resp->body = fl_json_take(o ? o : cJSON_CreateObject());
+	response->status = o ? 200 : 400;
+	response->body = fl_json_print_and_delete(o ? o : cJSON_CreateObject());
 }
 
 static const char *const report =
@@ -77,27 +78,27 @@
 	"{\"Part\":\"run-000412/3\",\"Try\":2,\"Status\":\"running\"},"
 	"{\"Part\":\"run-000398/0\",\"Try\":1,\"Status\":\"ended\",\"ExitReason\":\"done\"}]}";
 
-static void exchange(struct fl_http_client *c)
+static void exchange(struct fl_http_client *client)
 {
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
-	assert_int_equal(fl_http_call(c, "POST", "/hello", report, 10, &reply), 0);
+	assert_int_equal(fl_http_call(client, "POST", "/hello", report, 10, &reply), 0);
 	assert_int_equal(reply.status, 200);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 }
 
 static void exchange_messages(void *arg)
 {
-	struct fl_http_client c;
+	struct fl_http_client client;
 
 	(void)arg;
-	assert_int_equal(fl_http_client_init(&c, run.addr, 1), 0);
+	assert_int_equal(fl_http_client_init(&client, run.addr, 1), 0);
 	for (int i = 0; i < FIRST_MESSAGES; i++)
-		exchange(&c);
+		exchange(&client);
 	memset(&calls, 0, sizeof(calls));
 	for (int i = 0; i < MESSAGES; i++)
-		exchange(&c);
-	fl_http_client_close(&c);
+		exchange(&client);
+	fl_http_client_close(&client);
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
@@ -105,13 +106,13 @@
 {
 	struct fl_http_server *server;
 
-	fl_routines_init(ev_default_loop(0));
+	fl_coroutines_init(ev_default_loop(0));
 	server = fl_http_serve("127.0.0.1:0", connections, 90, on_request, NULL);
 	assert_non_null(server);
 	snprintf(run.addr, sizeof(run.addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_spawn(routine, NULL);
-	fl_routines_run();
-	fl_routines_shutdown();
+	fl_coroutine_spawn(routine, NULL);
+	fl_coroutines_run();
+	fl_coroutines_shutdown();
 	free(server);
 }
 
@@ -175,7 +176,7 @@
 {
 	(void)state;
 	run.handler_waits = false;
-	assert_true(fl_sockets_allow(3 * IDLE_CONNECTIONS) >= 2 * IDLE_CONNECTIONS + 16);
+	assert_true(fl_raise_open_file_limit(3 * IDLE_CONNECTIONS) >= 2 * IDLE_CONNECTIONS + 16);
 	with_server(open_connections, IDLE_CONNECTIONS + 16);
 	print_message("%ld bytes an idle connection\n", run.idle_bytes);
 	assert_true(run.idle_bytes > 0);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -145,7 +145,7 @@
 	cJSON_AddItemToArray(e, cJSON_CreateString(w->job[g->job]->ref));
 	cJSON_AddItemToArray(e, cJSON_CreateNumber(g->chunk));
 	cJSON_AddItemToArray(e, encode(g));
-	text = fl_json_take(e);
+	text = fl_json_print_and_delete(e);
 	fl_wal_value_add(value, text);
 	free(text);
 }
@@ -158,7 +158,7 @@
 
 	for (int i = from; i < to; i++)
 		add_to_value(value, w, &w->group[i]);
-	text = fl_json_take(value);
+	text = fl_json_print_and_delete(value);
 	parsed = fl_json_parse(text, strlen(text));
 	assert_non_null(parsed);
 	assert_int_equal(fl_wal_read(wal, parsed), 0);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -15,9 +15,9 @@
 
 static int allowance;
 
-static bool allowance_spent(void *ctx)
+static bool allowance_spent(void *context)
 {
-	(void)ctx;
+	(void)context;
 	return allowance-- <= 0;
 }
 
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -23,7 +23,7 @@
 #include "transport/clock.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 enum { NODES = 3, PATIENCE_S = 90 };
 
@@ -38,15 +38,15 @@
 
 static int free_port(void)
 {
-	struct sockaddr_in sa = {.sin_family = AF_INET};
-	socklen_t len = sizeof(sa);
+	struct sockaddr_in address = {.sin_family = AF_INET};
+	socklen_t len = sizeof(address);
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
-	sa.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	assert_int_equal(bind(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
-	assert_int_equal(getsockname(fd, (struct sockaddr *)&sa, &len), 0);
+	address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+	assert_int_equal(bind(fd, (struct sockaddr *)&address, sizeof(address)), 0);
+	assert_int_equal(getsockname(fd, (struct sockaddr *)&address, &len), 0);
 	close(fd);
-	return ntohs(sa.sin_port);
+	return ntohs(address.sin_port);
 }
 
 static void write_settings(int node)
@@ -112,13 +112,13 @@
 {
 	for (int i = 0; i < NODES; i++) {
 		int node = (first + i) % NODES;
-		struct fl_reply reply;
+		struct fl_http_reply reply;
 
 		if (!run.pid[node] ||
 		    fl_http_call(&run.client[node], method, path, body, 5.0, &reply) != 0)
 			continue;
 		snprintf(text, cap, "%s", reply.body.data);
-		fl_buf_free(&reply.body);
+		fl_buffer_free(&reply.body);
 		return reply.status;
 	}
 	return -1;
@@ -360,7 +360,7 @@
 {
 	(void)state;
 	signal(SIGPIPE, SIG_IGN);
-	fl_routines_init(ev_default_loop(0));
+	fl_coroutines_init(ev_default_loop(0));
 	standins.report_s = 0.25;
 	standins.lease_s = 8;
 	standins.run_s = 0.5;
@@ -379,8 +379,8 @@
 		write_settings(i);
 		start_node(i);
 	}
-	fl_spawn(play_stages, NULL);
-	fl_routines_run();
+	fl_coroutine_spawn(play_stages, NULL);
+	fl_coroutines_run();
 	for (int i = 0; i < NODES; i++) {
 		if (run.pid[i]) {
 			kill(run.pid[i], SIGKILL);
@@ -389,7 +389,7 @@
 		unlink(run.file[i]);
 	}
 	/* What suspended routines hold is given back by their own cleanup. */
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	standins_free();
 	for (int i = 0; i < NODES; i++)
 		fl_http_client_close(&run.client[i]);
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -34,7 +34,7 @@
 	char ref[FL_REF_MAX];
 	double at; /* s from the beginning */
 	enum fl_query_result result;
-	struct fl_response resp;
+	struct fl_http_response resp;
 	bool over;
 	double took;
 };
@@ -43,12 +43,12 @@
 void sim_process_computes(int process) { (void)process; }
 
 /* The link between the two: the leader answers half-way, by what it knows at that moment. */
-int fl_http_call(struct fl_http_client *c, const char *method, const char *path, const char *body,
-                 double timeout_s, struct fl_reply *out)
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	struct fl_response resp = {0};
+	struct fl_http_response response = {0};
 
-	(void)c, (void)method;
+	(void)client, (void)method;
 	assert_string_equal(path, FL_PATH_STATUS);
 	world.requests++;
 	if (world.link_down) {
@@ -60,12 +60,12 @@
 		return -ETIMEDOUT;
 	}
 	fl_sleep(world.leader_stands_still ? standstill_s : way_s);
-	fl_status_query_serve(&world.leader, body, strlen(body), &resp);
+	fl_status_query_serve(&world.leader, body, strlen(body), &response);
 	fl_sleep(way_s);
 	memset(out, 0, sizeof(*out));
-	out->status = resp.status;
-	fl_buf_add(&out->body, resp.body, strlen(resp.body));
-	free(resp.body);
+	out->status = response.status;
+	fl_buffer_append(&out->body, response.body, strlen(response.body));
+	free(response.body);
 	return 0;
 }
 
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -16,18 +16,18 @@
 
 static int submit(struct fixture *fixture, const char *fields, int *retry_after)
 {
-	struct fl_response resp = {.status = 500};
-	struct fl_buf body = {0};
-
-	fl_buf_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
-	              ++fixture->ref, BASE);
-	fl_node_handle_user_request(&fixture->node, FL_USER_REQUEST_SUBMIT, "", body.data, body.len,
-	                            FL_HOP_FIRST, &resp);
-	fl_buf_free(&body);
-	free(resp.body);
+	struct fl_http_response response = {.status = 500};
+	struct fl_buffer body = {0};
+
+	fl_buffer_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
+	                 ++fixture->ref, BASE);
+	fl_node_handle_user_request(&fixture->node, FL_USER_REQUEST_SUBMIT, "", body.data,
+	                            body.length, FL_HOP_FIRST, &response);
+	fl_buffer_free(&body);
+	free(response.body);
 	if (retry_after)
-		*retry_after = resp.retry_after_s;
-	return resp.status;
+		*retry_after = response.retry_after_s;
+	return response.status;
 }
 
 static void expect_status(struct fixture *fixture, const char *fields, int want, const char *where)
@@ -132,8 +132,8 @@
 {
 	struct fixture *fixture = *state;
 
-	fl_spawn(check_verdicts, fixture);
-	fl_routines_run();
+	fl_coroutine_spawn(check_verdicts, fixture);
+	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
@@ -161,8 +161,8 @@
 {
 	struct fixture *fixture = *state;
 
-	fl_spawn(submit_without_memory, fixture);
-	fl_routines_run();
+	fl_coroutine_spawn(submit_without_memory, fixture);
+	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -19,10 +19,10 @@
 #include "transport/clock.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
-#include "transport/routine.h"
+#include "transport/coroutine.h"
 
 static struct {
-	struct fl_signal signal;
+	struct fl_condition signal;
 	int woken, cancelled, cleaned;
 	char addr[32];
 	int status[4], served;
@@ -31,7 +31,7 @@
 
 static void wait_for_signal(void *arg)
 {
-	int rc = fl_signal_wait(&seen.signal, -1);
+	int rc = fl_condition_wait(&seen.signal, -1);
 
 	(void)arg;
 	if (rc == 0)
@@ -39,25 +39,25 @@
 	if (rc == -ECANCELED) {
 		seen.cancelled++;
 		/* Once cancelled, no wait waits any more: the routine unwinds. */
-		if (fl_sleep(1000) == -ECANCELED && fl_wait_io(0, EV_READ, -1) == -ECANCELED)
+		if (fl_sleep(1000) == -ECANCELED && fl_io_wait(0, EV_READ, -1) == -ECANCELED)
 			seen.cleaned++;
 	}
 }
 
 static void cancel_one_waiter(void *arg)
 {
-	struct fl_routine *victim;
+	struct fl_coroutine *victim;
 
 	(void)arg;
-	fl_spawn(wait_for_signal, NULL);
-	fl_spawn(wait_for_signal, NULL);
-	victim = fl_spawn(wait_for_signal, NULL);
+	fl_coroutine_spawn(wait_for_signal, NULL);
+	fl_coroutine_spawn(wait_for_signal, NULL);
+	victim = fl_coroutine_spawn(wait_for_signal, NULL);
 	fl_sleep(0);
-	fl_cancel(victim);
+	fl_coroutine_cancel(victim);
 	fl_sleep(0);
-	fl_signal_wake(&seen.signal);
+	fl_condition_broadcast(&seen.signal);
 	fl_sleep(0);
-	assert_int_equal(fl_signal_wait(&seen.signal, 0.001), -ETIMEDOUT);
+	assert_int_equal(fl_condition_wait(&seen.signal, 0.001), -ETIMEDOUT);
 	seen.finished = true;
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
@@ -66,14 +66,14 @@
 {
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
-	fl_routines_init(ev_default_loop(0));
-	fl_spawn(cancel_one_waiter, NULL);
-	fl_routines_run();
+	fl_coroutines_init(ev_default_loop(0));
+	fl_coroutine_spawn(cancel_one_waiter, NULL);
+	fl_coroutines_run();
 	assert_true(seen.finished);
 	assert_int_equal(seen.woken, 2);
 	assert_int_equal(seen.cancelled, 1);
 	assert_int_equal(seen.cleaned, 1);
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 }
 
 /* ---- turns ---- */
@@ -101,13 +101,13 @@
 {
 	struct turns *turns = arg;
 
-	fl_urgent();
+	fl_coroutine_set_urgent();
 	for (int i = 0; i < 3; i++)
-		fl_spawn(spin, turns);
-	assert_int_equal(fl_wait_io(turns->pipe[0], EV_READ, 10), 0);
+		fl_coroutine_spawn(spin, turns);
+	assert_int_equal(fl_io_wait(turns->pipe[0], EV_READ, 10), 0);
 	turns->order[turns->n++] = 'u';
 	/* After a standstill the answer and the end of its time come at once: it was not missed. */
-	assert_int_equal(fl_wait_io(turns->pipe[0], EV_READ, 0), 0);
+	assert_int_equal(fl_io_wait(turns->pipe[0], EV_READ, 0), 0);
 }
 
 /*
@@ -120,58 +120,59 @@
 
 	(void)state;
 	assert_int_equal(pipe(turns.pipe), 0);
-	fl_routines_init(ev_default_loop(0));
-	fl_spawn(wait_urgently, &turns);
-	fl_routines_run();
+	fl_coroutines_init(ev_default_loop(0));
+	fl_coroutine_spawn(wait_urgently, &turns);
+	fl_coroutines_run();
 	assert_string_equal(turns.order, "bubb");
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	close(turns.pipe[0]);
 	close(turns.pipe[1]);
 }
 
-static void on_request(void *ctx, const struct fl_request *req, struct fl_response *resp)
+static void on_request(void *context, const struct fl_http_request *request,
+                       struct fl_http_response *response)
 {
-	(void)ctx;
+	(void)context;
 	seen.served++;
-	resp->status = 200;
-	resp->body = strdup(req->body);
-	if (strcmp(req->path, "/close") == 0)
-		resp->close = true;
-	if (strcmp(req->path, "/slow") == 0)
+	response->status = 200;
+	response->body = strdup(request->body);
+	if (strcmp(request->path, "/close") == 0)
+		response->close = true;
+	if (strcmp(request->path, "/slow") == 0)
 		fl_sleep(5);
 }
 
 static void make_calls(void *arg)
 {
-	struct fl_http_client c;
-	struct fl_reply reply;
+	struct fl_http_client client;
+	struct fl_http_reply reply;
 	char *big = malloc(70000);
 
 	(void)arg;
-	assert_int_equal(fl_http_client_init(&c, seen.addr, 2), 0);
+	assert_int_equal(fl_http_client_init(&client, seen.addr, 2), 0);
 	for (int i = 0; i < 3; i++) {
-		assert_int_equal(
-			fl_http_call(&c, "POST", i == 1 ? "/close" : "/x", "{\"a\":1}", 5, &reply),
-			0);
+		assert_int_equal(fl_http_call(&client, "POST", i == 1 ? "/close" : "/x",
+		                              "{\"a\":1}", 5, &reply),
+		                 0);
 		assert_int_equal(reply.status, 200);
 		assert_string_equal(reply.body.data, "{\"a\":1}");
-		fl_buf_free(&reply.body);
+		fl_buffer_free(&reply.body);
 	}
 	/* An idle connection that the other side has closed must not fail the next call. */
-	assert_int_equal(c.idles, 1);
-	shutdown(c.idle[0], SHUT_RDWR);
-	assert_int_equal(fl_http_call(&c, "POST", "/x", "{}", 5, &reply), 0);
+	assert_int_equal(client.idle_count, 1);
+	shutdown(client.idle_fds[0], SHUT_RDWR);
+	assert_int_equal(fl_http_call(&client, "POST", "/x", "{}", 5, &reply), 0);
 	assert_int_equal(reply.status, 200);
-	fl_buf_free(&reply.body);
+	fl_buffer_free(&reply.body);
 	memset(big, 'x', 69999);
 	big[69999] = 0;
-	assert_int_equal(fl_http_call(&c, "POST", "/x", big, 5, &reply), 0);
+	assert_int_equal(fl_http_call(&client, "POST", "/x", big, 5, &reply), 0);
 	/* Not 413: users repeat a call after any status other than 400 and 422. */
 	assert_int_equal(reply.status, 400);
-	fl_buf_free(&reply.body);
-	assert_int_equal(fl_http_call(&c, "POST", "/slow", "{}", 0.05, &reply), -ETIMEDOUT);
+	fl_buffer_free(&reply.body);
+	assert_int_equal(fl_http_call(&client, "POST", "/slow", "{}", 0.05, &reply), -ETIMEDOUT);
 	free(big);
-	fl_http_client_close(&c);
+	fl_http_client_close(&client);
 	seen.finished = true;
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
@@ -181,10 +182,10 @@
 	struct sockaddr_in address;
 	int fd = fl_socket();
 
-	assert_int_equal(fl_parse_addr(seen.addr, &address), 0);
+	assert_int_equal(fl_address_parse(seen.addr, &address), 0);
 	assert_true(connect(fd, (struct sockaddr *)&address, sizeof(address)) == 0 ||
 	            errno == EINPROGRESS);
-	assert_int_equal(fl_wait_io(fd, EV_WRITE, 1), 0);
+	assert_int_equal(fl_io_wait(fd, EV_WRITE, 1), 0);
 	return fd;
 }
 
@@ -199,7 +200,7 @@
 	assert_int_equal(fl_write_all(fd, text, sizeof(text) - 1, 1), 0);
 	if (end)
 		shutdown(fd, SHUT_WR);
-	if (fl_wait_io(fd, EV_READ, 5) == 0) {
+	if (fl_io_wait(fd, EV_READ, 5) == 0) {
 		n = recv(fd, line, cap - 1, 0);
 		line[n > 0 ? n : 0] = 0;
 	}
@@ -225,15 +226,15 @@
 
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
-	fl_routines_init(ev_default_loop(0));
+	fl_coroutines_init(ev_default_loop(0));
 	server = fl_http_serve("127.0.0.1:0", 16, 90, on_request, NULL);
 	assert_non_null(server);
 	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_spawn(send_short_bodies, NULL);
-	fl_routines_run();
+	fl_coroutine_spawn(send_short_bodies, NULL);
+	fl_coroutines_run();
 	assert_true(seen.finished);
 	assert_int_equal(seen.served, 0);
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	free(server);
 }
 
@@ -253,7 +254,7 @@
 {
 	ssize_t n;
 
-	assert_int_equal(fl_wait_io(fd, EV_READ, 5), 0);
+	assert_int_equal(fl_io_wait(fd, EV_READ, 5), 0);
 	n = recv(fd, text, cap - 1, 0);
 	text[n > 0 ? n : 0] = 0;
 	fl_close(fd);
@@ -292,16 +293,16 @@
 
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
-	fl_routines_init(ev_default_loop(0));
-	fl_http_limit_bodies(BODIES_MOST);
+	fl_coroutines_init(ev_default_loop(0));
+	fl_http_set_body_memory_limit(BODIES_MOST);
 	server = fl_http_serve("127.0.0.1:0", 16, 90, on_request, NULL);
 	assert_non_null(server);
 	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_spawn(send_large_bodies, NULL);
-	fl_routines_run();
+	fl_coroutine_spawn(send_large_bodies, NULL);
+	fl_coroutines_run();
 	assert_true(seen.finished);
-	fl_routines_shutdown();
-	fl_http_limit_bodies(0);
+	fl_coroutines_shutdown();
+	fl_http_set_body_memory_limit(0);
 	free(server);
 }
 
@@ -311,15 +312,15 @@
 
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
-	fl_routines_init(ev_default_loop(0));
+	fl_coroutines_init(ev_default_loop(0));
 	server = fl_http_serve("127.0.0.1:0", 16, 90, on_request, NULL);
 	assert_non_null(server);
 	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_spawn(make_calls, NULL);
-	fl_routines_run();
+	fl_coroutine_spawn(make_calls, NULL);
+	fl_coroutines_run();
 	assert_true(seen.finished);
 	assert_int_equal(seen.served, 5);
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	free(server);
 }
 
@@ -328,7 +329,7 @@
 static void fill_server(void *arg)
 {
 	struct fl_http_client c[CLIENTS + 1];
-	struct fl_reply reply;
+	struct fl_http_reply reply;
 
 	(void)arg;
 	/* All stay open but the last, closed once answered, so that one more can connect. */
@@ -336,8 +337,8 @@
 		assert_int_equal(fl_http_client_init(&c[i], seen.addr, 1), 0);
 		assert_int_equal(fl_http_call(&c[i], "POST", "/x", "{}", 5, &reply), 0);
 		assert_int_equal(reply.status, 200);
-		assert_int_equal(c[i].idles, i < CLIENTS - 1);
-		fl_buf_free(&reply.body);
+		assert_int_equal(c[i].idle_count, i < CLIENTS - 1);
+		fl_buffer_free(&reply.body);
 	}
 	for (int i = 0; i <= CLIENTS; i++)
 		fl_http_client_close(&c[i]);
@@ -353,14 +354,14 @@
 
 	(void)state;
 	memset(&seen, 0, sizeof(seen));
-	fl_routines_init(ev_default_loop(0));
+	fl_coroutines_init(ev_default_loop(0));
 	server = fl_http_serve("127.0.0.1:0", CLIENTS, 90, on_request, NULL);
 	assert_non_null(server);
 	snprintf(seen.addr, sizeof(seen.addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_spawn(fill_server, NULL);
-	fl_routines_run();
+	fl_coroutine_spawn(fill_server, NULL);
+	fl_coroutines_run();
 	assert_true(seen.finished);
-	fl_routines_shutdown();
+	fl_coroutines_shutdown();
 	free(server);
 	/* What is set aside for peers grows with them, and not with the machines. */
 	assert_true(fl_node_public_conns(&c) >= 3000);
@@ -395,11 +396,11 @@
 	struct sockaddr_in address;
 
 	(void)state;
-	assert_int_equal(fl_parse_addr("10.0.0.1:8080", &address), 0);
-	assert_int_not_equal(fl_parse_addr("host:8080", &address), 0);
-	assert_int_not_equal(fl_parse_addr("10.0.0.1", &address), 0);
-	assert_int_not_equal(fl_parse_addr("10.0.0.1:99999", &address), 0);
-	assert_int_not_equal(fl_parse_addr("10.0.0.1:", &address), 0);
+	assert_int_equal(fl_address_parse("10.0.0.1:8080", &address), 0);
+	assert_int_not_equal(fl_address_parse("host:8080", &address), 0);
+	assert_int_not_equal(fl_address_parse("10.0.0.1", &address), 0);
+	assert_int_not_equal(fl_address_parse("10.0.0.1:99999", &address), 0);
+	assert_int_not_equal(fl_address_parse("10.0.0.1:", &address), 0);
 }
 
 static const char good_settings[] =
