--- a/src/config.c
+++ b/src/config.c
@@ -43,204 +43,207 @@
 	va_end(ap);
 }
 
-static const cJSON *require_key(struct reader *reader, const cJSON *o, const char *where,
+static const cJSON *require_key(struct reader *reader, const cJSON *object, const char *where,
                                 const char *key)
 {
-	const cJSON *v = cJSON_GetObjectItemCaseSensitive(o, key);
+	const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, key);
 
-	if (!v)
+	if (!value)
 		record_error(reader, "%s%s: missing", where, key);
-	return v;
+	return value;
 }
 
-static void get_str(struct reader *reader, const cJSON *o, const char *where, const char *key,
+static void get_str(struct reader *reader, const cJSON *object, const char *where, const char *key,
                     char out[FL_CONFIG_NAME])
 {
-	const cJSON *v = require_key(reader, o, where, key);
+	const cJSON *value = require_key(reader, object, where, key);
 
-	if (!v)
+	if (!value)
 		return;
-	if (!cJSON_IsString(v))
+	if (!cJSON_IsString(value))
 		record_error(reader, "%s%s: must be a string", where, key);
-	else if (!v->valuestring[0])
+	else if (!value->valuestring[0])
 		record_error(reader, "%s%s: must not be empty", where, key);
-	else if (strlen(v->valuestring) >= FL_CONFIG_NAME)
+	else if (strlen(value->valuestring) >= FL_CONFIG_NAME)
 		record_error(reader, "%s%s: longer than %d characters", where, key,
 		             FL_CONFIG_NAME - 1);
 	else
-		fl_copy_string(out, FL_CONFIG_NAME, v->valuestring);
+		fl_copy_string(out, FL_CONFIG_NAME, value->valuestring);
 }
 
-static void get_addr(struct reader *reader, const cJSON *o, const char *where, const char *key,
+static void get_addr(struct reader *reader, const cJSON *object, const char *where, const char *key,
                      char out[FL_CONFIG_NAME])
 {
 	struct sockaddr_in address;
 
-	get_str(reader, o, where, key, out);
+	get_str(reader, object, where, key, out);
 	if (!reader->failed && fl_address_parse(out, &address) != 0)
 		record_error(reader, "%s%s: must be an IPv4 address and port, like 10.0.0.1:8080",
 		             where, key);
 }
 
-static void get_num(struct reader *reader, const cJSON *o, const char *where, const char *key,
+static void get_num(struct reader *reader, const cJSON *object, const char *where, const char *key,
                     double low, double high, double *out)
 {
-	const cJSON *v = require_key(reader, o, where, key);
+	const cJSON *value = require_key(reader, object, where, key);
 
-	if (!v)
+	if (!value)
 		return;
-	if (!cJSON_IsNumber(v) || !isfinite(v->valuedouble))
+	if (!cJSON_IsNumber(value) || !isfinite(value->valuedouble))
 		record_error(reader, "%s%s: must be a number", where, key);
-	else if (v->valuedouble < low || v->valuedouble > high)
+	else if (value->valuedouble < low || value->valuedouble > high)
 		record_error(reader, "%s%s: must lie between %g and %g", where, key, low, high);
 	else
-		*out = v->valuedouble;
+		*out = value->valuedouble;
 }
 
-static void get_int(struct reader *reader, const cJSON *o, const char *where, const char *key,
+static void get_int(struct reader *reader, const cJSON *object, const char *where, const char *key,
                     double low, double high, int *out)
 {
 	double d = 0;
 
-	get_num(reader, o, where, key, low, high, &d);
+	get_num(reader, object, where, key, low, high, &d);
 	if (!reader->failed && d != floor(d))
 		record_error(reader, "%s%s: must be a whole number", where, key);
 	*out = (int)d;
 }
 
-static const cJSON *get_table(struct reader *reader, const cJSON *o, const char *where,
+static const cJSON *get_table(struct reader *reader, const cJSON *object, const char *where,
                               const char *key)
 {
-	const cJSON *v = require_key(reader, o, where, key);
+	const cJSON *value = require_key(reader, object, where, key);
 
-	if (v && !cJSON_IsObject(v)) {
+	if (value && !cJSON_IsObject(value)) {
 		record_error(reader, "%s%s: must be a table", where, key);
 		return NULL;
 	}
-	return v;
+	return value;
 }
 
 /* An array that may be missing; NULL then, or when it is ill-typed. */
-static const cJSON *get_list(struct reader *reader, const cJSON *o, const char *where,
+static const cJSON *get_list(struct reader *reader, const cJSON *object, const char *where,
                              const char *key, int most)
 {
-	const cJSON *v = cJSON_GetObjectItemCaseSensitive(o, key);
+	const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, key);
 
-	if (!v)
+	if (!value)
 		return NULL;
-	if (!cJSON_IsArray(v)) {
+	if (!cJSON_IsArray(value)) {
 		record_error(reader, "%s%s: must be an array", where, key);
 		return NULL;
 	}
-	if (cJSON_GetArraySize(v) > most) {
+	if (cJSON_GetArraySize(value) > most) {
 		record_error(reader, "%s%s: more than %d entries", where, key, most);
 		return NULL;
 	}
-	return v;
+	return value;
 }
 
-static void read_peers(struct reader *reader, const cJSON *root, struct fl_config *c)
+static void read_peers(struct reader *reader, const cJSON *root, struct fl_config *config)
 {
-	const cJSON *list = get_list(reader, root, "", "known", FL_CONFIG_PEERS), *e;
+	const cJSON *list = get_list(reader, root, "", "known", FL_CONFIG_PEERS), *item;
 	char where[48];
 
-	cJSON_ArrayForEach (e, list) {
-		struct fl_config_peer *peer = &c->peers[c->peer_count];
+	cJSON_ArrayForEach (item, list) {
+		struct fl_config_peer *peer = &config->peers[config->peer_count];
 
-		snprintf(where, sizeof(where), "known[%d].", c->peer_count);
-		get_str(reader, e, where, "node", peer->node);
-		get_str(reader, e, where, "location", peer->location);
-		get_addr(reader, e, where, "addr", peer->addr);
-		c->peer_count++;
+		snprintf(where, sizeof(where), "known[%d].", config->peer_count);
+		get_str(reader, item, where, "node", peer->node);
+		get_str(reader, item, where, "location", peer->location);
+		get_addr(reader, item, where, "addr", peer->addr);
+		config->peer_count++;
 	}
 }
 
-static void read_zones(struct reader *reader, const cJSON *s, struct fl_config *c)
+static void read_zones(struct reader *reader, const cJSON *s, struct fl_config *config)
 {
-	const cJSON *list, *e;
+	const cJSON *list, *item;
 
 	if (!require_key(reader, s, "settings.", "zones"))
 		return;
 	list = get_list(reader, s, "settings.", "zones", FL_CONFIG_ZONES);
-	cJSON_ArrayForEach (e, list) {
-		if (!cJSON_IsString(e) || strlen(e->valuestring) >= FL_CONFIG_NAME) {
+	cJSON_ArrayForEach (item, list) {
+		if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_CONFIG_NAME) {
 			record_error(reader, "settings.zones: must hold names");
 			return;
 		}
-		fl_copy_string(c->zones[c->zone_count++], FL_CONFIG_NAME, e->valuestring);
+		fl_copy_string(config->zones[config->zone_count++], FL_CONFIG_NAME,
+		               item->valuestring);
 	}
-	if (c->zone_count == 0)
+	if (config->zone_count == 0)
 		record_error(reader, "settings.zones: must name at least one zone");
 }
 
-static void read_teams(struct reader *reader, const cJSON *s, struct fl_config *c)
+static void read_teams(struct reader *reader, const cJSON *s, struct fl_config *config)
 {
-	const cJSON *list = get_list(reader, s, "settings.", "teams", FL_CONFIG_TEAMS), *e;
+	const cJSON *list = get_list(reader, s, "settings.", "teams", FL_CONFIG_TEAMS), *item;
 	char where[48];
 
-	cJSON_ArrayForEach (e, list) {
-		struct fl_config_team *team = &c->teams[c->team_count];
+	cJSON_ArrayForEach (item, list) {
+		struct fl_config_team *team = &config->teams[config->team_count];
 
-		snprintf(where, sizeof(where), "settings.teams[%d].", c->team_count);
-		get_str(reader, e, where, "name", team->name);
-		get_num(reader, e, where, "cpus", 0, 1e9, &team->cpus);
-		get_num(reader, e, where, "cpus_max", 0, 1e9, &team->cpus_max);
-		get_num(reader, e, where, "gpus", 0, 1e9, &team->gpus);
-		get_num(reader, e, where, "gpus_max", 0, 1e9, &team->gpus_max);
-		c->team_count++;
+		snprintf(where, sizeof(where), "settings.teams[%d].", config->team_count);
+		get_str(reader, item, where, "name", team->name);
+		get_num(reader, item, where, "cpus", 0, 1e9, &team->cpus);
+		get_num(reader, item, where, "cpus_max", 0, 1e9, &team->cpus_max);
+		get_num(reader, item, where, "gpus", 0, 1e9, &team->gpus);
+		get_num(reader, item, where, "gpus_max", 0, 1e9, &team->gpus_max);
+		config->team_count++;
 	}
 }
 
-static void read_objectives(struct reader *reader, const cJSON *s, struct fl_config *c)
+static void read_objectives(struct reader *reader, const cJSON *s, struct fl_config *config)
 {
-	const cJSON *list = get_list(reader, s, "settings.", "objectives", FL_CONFIG_SLOS), *e;
+	const cJSON *list = get_list(reader, s, "settings.", "objectives", FL_CONFIG_SLOS), *item;
 	char where[48];
 
-	cJSON_ArrayForEach (e, list) {
-		struct fl_config_slo *slo = &c->slos[c->slo_count];
+	cJSON_ArrayForEach (item, list) {
+		struct fl_config_slo *slo = &config->slos[config->slo_count];
 
-		snprintf(where, sizeof(where), "settings.objectives[%d].", c->slo_count);
-		get_str(reader, e, where, "kind", slo->kind);
-		if (cJSON_GetObjectItemCaseSensitive(e, "class"))
-			get_str(reader, e, where, "class", slo->job_class);
-		get_num(reader, e, where, "within_s", 0, 1e9, &slo->within_s);
-		get_num(reader, e, where, "share", 0, 1, &slo->share);
-		c->slo_count++;
+		snprintf(where, sizeof(where), "settings.objectives[%d].", config->slo_count);
+		get_str(reader, item, where, "kind", slo->kind);
+		if (cJSON_GetObjectItemCaseSensitive(item, "class"))
+			get_str(reader, item, where, "class", slo->job_class);
+		get_num(reader, item, where, "within_s", 0, 1e9, &slo->within_s);
+		get_num(reader, item, where, "share", 0, 1, &slo->share);
+		config->slo_count++;
 	}
 }
 
-static void read_settings(struct reader *reader, const cJSON *s, struct fl_config *c)
+static void read_settings(struct reader *reader, const cJSON *s, struct fl_config *config)
 {
 	const cJSON *t;
 
-	read_zones(reader, s, c);
-	read_teams(reader, s, c);
-	read_objectives(reader, s, c);
+	read_zones(reader, s, config);
+	read_teams(reader, s, config);
+	read_objectives(reader, s, config);
 	t = get_table(reader, s, "settings.", "workers");
 	if (t) {
-		get_num(reader, t, "settings.workers.", "report_s", 0.05, 600, &c->report_s);
-		get_num(reader, t, "settings.workers.", "lease_s", 0.5, 3600, &c->lease_s);
-		get_num(reader, t, "settings.workers.", "cancel_s", 0.5, 36000, &c->cancel_s);
+		get_num(reader, t, "settings.workers.", "report_s", 0.05, 600, &config->report_s);
+		get_num(reader, t, "settings.workers.", "lease_s", 0.5, 3600, &config->lease_s);
+		get_num(reader, t, "settings.workers.", "cancel_s", 0.5, 36000, &config->cancel_s);
 	}
 	t = get_table(reader, s, "settings.", "state");
 	if (t) {
-		get_num(reader, t, "settings.state.", "rps", 1, 1e6, &c->state_rps);
-		get_num(reader, t, "settings.state.", "write_rps", 1, 1e6, &c->state_write_rps);
-		get_num(reader, t, "settings.state.", "value_kb", 1, 1e6, &c->value_kb);
-		get_int(reader, t, "settings.state.", "txn_ops", 2, 1e6, &c->txn_ops);
+		get_num(reader, t, "settings.state.", "rps", 1, 1e6, &config->state_rps);
+		get_num(reader, t, "settings.state.", "write_rps", 1, 1e6,
+		        &config->state_write_rps);
+		get_num(reader, t, "settings.state.", "value_kb", 1, 1e6, &config->value_kb);
+		get_int(reader, t, "settings.state.", "txn_ops", 2, 1e6, &config->txn_ops);
 	}
 	t = get_table(reader, s, "settings.", "cloud");
 	if (t) {
-		get_num(reader, t, "settings.cloud.", "rps", 0.01, 1e6, &c->cloud_rps);
-		get_num(reader, t, "settings.cloud.", "list_lag_s", 0, 3600, &c->list_lag_s);
+		get_num(reader, t, "settings.cloud.", "rps", 0.01, 1e6, &config->cloud_rps);
+		get_num(reader, t, "settings.cloud.", "list_lag_s", 0, 3600, &config->list_lag_s);
 	}
 	t = get_table(reader, s, "settings.", "resources");
 	if (t) {
 		get_num(reader, t, "settings.resources.", "core_share", least.core_share, 1024,
-		        &c->core_share);
-		get_num(reader, t, "settings.resources.", "ram_mb", least.ram_mb, 1e9, &c->ram_mb);
+		        &config->core_share);
+		get_num(reader, t, "settings.resources.", "ram_mb", least.ram_mb, 1e9,
+		        &config->ram_mb);
 		get_int(reader, t, "settings.resources.", "max_connections", least.connections, 1e6,
-		        &c->max_connections);
+		        &config->max_connections);
 	}
 }
 
--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -17,48 +17,48 @@
 
 static const double bytes_a_mb = 1024.0 * 1024.0;
 
-bool fl_admission_has_memory(const struct fl_config *c)
+bool fl_admission_has_memory(const struct fl_config *config)
 {
-	return (double)fl_memory_in_use() < c->ram_mb * bytes_a_mb * tunables.memory_share;
+	return (double)fl_memory_in_use() < config->ram_mb * bytes_a_mb * tunables.memory_share;
 }
 
-size_t fl_admission_body_bytes(const struct fl_config *c)
+size_t fl_admission_body_bytes(const struct fl_config *config)
 {
-	return (size_t)(c->ram_mb * bytes_a_mb * tunables.body_share);
+	return (size_t)(config->ram_mb * bytes_a_mb * tunables.body_share);
 }
 
-static bool tight_memory(const struct fl_config *c, char *text, size_t cap)
+static bool tight_memory(const struct fl_config *config, char *text, size_t cap)
 {
-	double connections_mb = c->max_connections * tunables.connection_kb / 1024;
-	double usable_mb = c->ram_mb * tunables.memory_share;
+	double connections_mb = config->max_connections * tunables.connection_kb / 1024;
+	double usable_mb = config->ram_mb * tunables.memory_share;
 
 	if (tunables.program_mb + connections_mb <= usable_mb)
 		return false;
 	snprintf(text, cap,
 	         "ram_mb is %g: %d connections take %.0f MB, and beyond %.0f MB in use submissions "
 	         "get 503",
-	         c->ram_mb, c->max_connections, connections_mb, usable_mb);
+	         config->ram_mb, config->max_connections, connections_mb, usable_mb);
 	return true;
 }
 
-static bool tight_processor(const struct fl_config *c, char *text, size_t cap)
+static bool tight_processor(const struct fl_config *config, char *text, size_t cap)
 {
-	if (c->core_share >= tunables.roomy_share)
+	if (config->core_share >= tunables.roomy_share)
 		return false;
 	snprintf(text, cap,
 	         "core_share is %g: a leader answers about %.0f reports a second, and what comes "
 	         "beyond waits",
-	         c->core_share, c->core_share / tunables.report_s);
+	         config->core_share, config->core_share / tunables.report_s);
 	return true;
 }
 
-bool fl_admission_tight_setting(const struct fl_config *c, int at, char *text, size_t cap)
+bool fl_admission_tight_setting(const struct fl_config *config, int at, char *text, size_t cap)
 {
 	bool (*const checks[])(const struct fl_config *, char *, size_t) = {tight_memory,
 	                                                                    tight_processor};
 
 	for (size_t i = 0; i < sizeof(checks) / sizeof(checks[0]); i++)
-		if (checks[i](c, text, cap) && at-- == 0)
+		if (checks[i](config, text, cap) && at-- == 0)
 			return true;
 	return false;
 }
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -11,13 +11,13 @@
 #include "config.h"
 
 /* Whether there is memory for one more job, with all that is accepted already. */
-bool fl_admission_has_memory(const struct fl_config *c);
+bool fl_admission_has_memory(const struct fl_config *config);
 /* Bytes that the bodies of all requests being received may take together. */
-size_t fl_admission_body_bytes(const struct fl_config *c);
+size_t fl_admission_body_bytes(const struct fl_config *config);
 /*
  * A text that names a tight setting and what it costs; false: none is. `at` counts from 0, so that
  * all of them can be had.
  */
-bool fl_admission_tight_setting(const struct fl_config *c, int at, char *text, size_t cap);
+bool fl_admission_tight_setting(const struct fl_config *config, int at, char *text, size_t cap);
 
 #endif
--- a/src/coordination/autoscaler.c
+++ b/src/coordination/autoscaler.c
@@ -24,93 +24,95 @@
 /* A steady time before any other. */
 #define LONG_AGO (-1e9)
 
-int fl_autoscaler_await_call_budget(struct fl_node *n)
+int fl_autoscaler_await_call_budget(struct fl_node *node)
 {
 	double wait;
 
-	while ((wait = fl_token_bucket_take(&n->autoscaler.call_budget, 1, fl_now())) > 0)
+	while ((wait = fl_token_bucket_take(&node->autoscaler.call_budget, 1, fl_now())) > 0)
 		if (fl_sleep(wait) != 0)
 			return -ECANCELED;
-	return fl_election_lease_valid(n) ? 0 : -EAGAIN;
+	return fl_election_lease_valid(node) ? 0 : -EAGAIN;
 }
 
 /* For controllers that start while the cloud is out: see read_types in node.c. */
-static void store_machine_types(struct fl_node *n, const struct fl_cloud_machine_type *types,
+static void store_machine_types(struct fl_node *node, const struct fl_cloud_machine_type *types,
                                 int count)
 {
 	struct fl_kv_txn txn;
 	uint64_t revision;
 
-	if (fl_token_bucket_take(&n->leadership.write_budget, 1, fl_now()) > 0)
+	if (fl_token_bucket_take(&node->leadership.write_budget, 1, fl_now()) > 0)
 		return; /* launches need the writes: the next look will do */
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->election.leader_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
-	if (fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL) != 0)
+	if (fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL) != 0)
 		fl_debug("cloud", "machine types not stored");
 }
 
-static void refresh_machine_types(struct fl_node *n)
+static void refresh_machine_types(struct fl_node *node)
 {
 	struct fl_cloud_machine_type *types;
 	int count;
 
-	if (fl_autoscaler_await_call_budget(n) != 0 ||
-	    fl_cloud_machine_types(&n->cloud, &types, &count) != 0)
+	if (fl_autoscaler_await_call_budget(node) != 0 ||
+	    fl_cloud_machine_types(&node->cloud, &types, &count) != 0)
 		return;
-	fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, count);
-	store_machine_types(n, types, count);
+	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, count);
+	store_machine_types(node, types, count);
 	free(types);
 }
 
-double fl_autoscaler_spot_loss_rate(const struct fl_node *n)
+double fl_autoscaler_spot_loss_rate(const struct fl_node *node)
 {
-	return n->autoscaler.spot_losses /
-	       (n->autoscaler.spot_machine_seconds + tunables.spot_prior_s);
+	return node->autoscaler.spot_losses /
+	       (node->autoscaler.spot_machine_seconds + tunables.spot_prior_s);
 }
 
-static void count_spot_time(struct fl_node *n)
+static void count_spot_time(struct fl_node *node)
 {
-	double now = fl_now(), since = now - n->autoscaler.spot_counted_at;
+	double now = fl_now(), since = now - node->autoscaler.spot_counted_at;
 
-	for (int i = 0; i < n->cluster.machines.count && n->autoscaler.spot_counted_at > 0; i++) {
-		const struct fl_machine *m = n->cluster.machines.by_id[i];
+	for (int i = 0; i < node->cluster.machines.count && node->autoscaler.spot_counted_at > 0;
+	     i++) {
+		const struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (m->spot && m->up && !m->decommissioned)
-			n->autoscaler.spot_machine_seconds += since;
+		if (machine->spot && machine->up && !machine->decommissioned)
+			node->autoscaler.spot_machine_seconds += since;
 	}
-	n->autoscaler.spot_counted_at = now;
+	node->autoscaler.spot_counted_at = now;
 }
 
-void fl_autoscaler_begin(struct fl_node *n)
+void fl_autoscaler_begin(struct fl_node *node)
 {
 	double now = fl_now();
 
-	memset(&n->autoscaler, 0, sizeof(n->autoscaler));
-	n->autoscaler.types_at = LONG_AGO; /* what was read from a record may be old */
-	fl_token_bucket_init(&n->autoscaler.call_budget, n->config->cloud_rps * tunables.call_share,
-	                     tunables.burst_s * n->config->cloud_rps * tunables.call_share, now);
+	memset(&node->autoscaler, 0, sizeof(node->autoscaler));
+	node->autoscaler.types_at = LONG_AGO; /* what was read from a record may be old */
+	fl_token_bucket_init(&node->autoscaler.call_budget,
+	                     node->config->cloud_rps * tunables.call_share,
+	                     tunables.burst_s * node->config->cloud_rps * tunables.call_share, now);
 }
 
 void fl_autoscaler_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 
 	while (fl_sleep(tunables.round_s) == 0) {
-		if (!fl_election_lease_valid(n))
+		if (!fl_election_lease_valid(node))
 			continue;
 		/* No call of this duty is under way here, and machines with a command are kept. */
-		fl_cluster_purge_tombstones(&n->cluster, fl_now() - tunables.tombstone_s);
-		count_spot_time(n);
-		fl_autoscaler_scale_in(n);
-		fl_autoscaler_scale_out(n);
-		if (fl_now() > n->autoscaler.listed_at + tunables.list_s)
-			fl_autoscaler_list_machines(n);
-		if (fl_now() > n->autoscaler.types_at + tunables.types_s) {
-			n->autoscaler.types_at = fl_now();
-			refresh_machine_types(n);
+		fl_cluster_purge_tombstones(&node->cluster, fl_now() - tunables.tombstone_s);
+		count_spot_time(node);
+		fl_autoscaler_scale_in(node);
+		fl_autoscaler_scale_out(node);
+		if (fl_now() > node->autoscaler.listed_at + tunables.list_s)
+			fl_autoscaler_list_machines(node);
+		if (fl_now() > node->autoscaler.types_at + tunables.types_s) {
+			node->autoscaler.types_at = fl_now();
+			refresh_machine_types(node);
 		}
 	}
-	n->leadership.coroutines_running--;
-	fl_condition_broadcast(&n->leadership.coroutine_ended);
+	node->leadership.coroutines_running--;
+	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
--- a/src/coordination/autoscaler.h
+++ b/src/coordination/autoscaler.h
@@ -44,13 +44,13 @@
 };
 
 /* Resets all this, when a leader begins. */
-void fl_autoscaler_begin(struct fl_node *n);
+void fl_autoscaler_begin(struct fl_node *node);
 /* The routine of a leader, with its fl_node. */
 void fl_autoscaler_coroutine(void *arg);
 /* Chance a second that a spot machine is reclaimed, as seen lately. */
-double fl_autoscaler_spot_loss_rate(const struct fl_node *n);
+double fl_autoscaler_spot_loss_rate(const struct fl_node *node);
 /* Plans rentals for what the last pass left without room; `unplaced_tasks`: tasks, by job. */
-void fl_autoscaler_plan_scale_out(struct fl_node *n, struct fl_job **jobs,
+void fl_autoscaler_plan_scale_out(struct fl_node *node, struct fl_job **jobs,
                                   const uint32_t *unplaced_tasks, int count);
 
 #endif
--- a/src/coordination/autoscaler_plan.c
+++ b/src/coordination/autoscaler_plan.c
@@ -167,9 +167,9 @@
 }
 
 /* Of `count` tasks, how many the maximum of the job's team lets run: more need no machine. */
-static uint32_t limit_by_team(const struct fl_node *n, const struct fl_job *job, uint32_t count)
+static uint32_t limit_by_team(const struct fl_node *node, const struct fl_job *job, uint32_t count)
 {
-	const struct fl_team *team = &n->cluster.teams.by_index[job->team];
+	const struct fl_team *team = &node->cluster.teams.by_index[job->team];
 	double most = count;
 
 	if (team->max_gpus > 0 && job->gpus > 0)
@@ -202,20 +202,22 @@
 	struct fl_machines *machines = &plan->node->cluster.machines;
 
 	for (int i = 0; i < machines->count; i++) {
-		struct fl_machine *m = machines->by_id[i];
+		struct fl_machine *machine = machines->by_id[i];
 		double boot_s;
 
-		if (m->decommissioned || !m->described)
+		if (machine->decommissioned || !machine->described)
 			continue;
-		boot_s = machines->types[m->type].ready_s;
-		plan->machines_by_zone[m->zone]++;
+		boot_s = machines->types[machine->type].ready_s;
+		plan->machines_by_zone[machine->zone]++;
 		/* Some boot for minutes and a few never end: nothing must wait for those. */
-		if (!m->up && !m->draining && m->assignment_count == 0 &&
-		    plan->now - m->first_seen_at < tunables.boot_late * boot_s)
-			add_planned(plan, m->type, m->zone, m->spot, FL_PLANNED_BOOTING);
-		for (int k = 0; m->up && k < m->assignment_count; k++) {
-			const struct fl_job *job = m->assignments[k].job;
-			const struct fl_task *task = fl_task_peek(job, m->assignments[k].index);
+		if (!machine->up && !machine->draining && machine->assignment_count == 0 &&
+		    plan->now - machine->first_seen_at < tunables.boot_late * boot_s)
+			add_planned(plan, machine->type, machine->zone, machine->spot,
+			            FL_PLANNED_BOOTING);
+		for (int k = 0; machine->up && k < machine->assignment_count; k++) {
+			const struct fl_job *job = machine->assignments[k].job;
+			const struct fl_task *task =
+				fl_task_peek(job, machine->assignments[k].index);
 
 			if (job->kind == FL_ARRAY && task->observed == FL_OBSERVED_RUNNING &&
 			    job->expected_s - (plan->now - task->running_since) <
@@ -253,15 +255,15 @@
 	}
 }
 
-void fl_autoscaler_plan_scale_out(struct fl_node *n, struct fl_job **jobs,
+void fl_autoscaler_plan_scale_out(struct fl_node *node, struct fl_job **jobs,
                                   const uint32_t *unplaced_tasks, int count)
 {
-	struct fl_autoscaler_plan plan = {.node = n, .now = fl_now(), .wall = fl_wall()};
+	struct fl_autoscaler_plan plan = {.node = node, .now = fl_now(), .wall = fl_wall()};
 
-	if (n->autoscaler.scale_out_in_flight)
+	if (node->autoscaler.scale_out_in_flight)
 		return;
-	n->autoscaler.machines_examined = 0;
-	plan.capacity = n->cluster.machines.count + tunables.rentals_most + 1;
+	node->autoscaler.machines_examined = 0;
+	plan.capacity = node->cluster.machines.count + tunables.rentals_most + 1;
 	plan.machines = malloc((size_t)plan.capacity * sizeof(*plan.machines));
 	if (!plan.machines)
 		return;
@@ -271,6 +273,6 @@
 			if ((int)jobs[i]->priority == priority && unplaced_tasks[i] > 0)
 				plan_job(&plan, jobs[i], unplaced_tasks[i]);
 	fl_autoscaler_plan_headroom(&plan);
-	store_requests(&n->autoscaler, &plan);
+	store_requests(&node->autoscaler, &plan);
 	free(plan.machines);
 }
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -7,11 +7,11 @@
 struct fl_machine;
 
 /* Sends the machine its orders with a direct command, unless one is under way. */
-void fl_command_send(struct fl_node *n, struct fl_machine *m);
+void fl_command_send(struct fl_node *node, struct fl_machine *machine);
 /* The same for all machines with new tasks, now that their records are written. */
-void fl_command_send_pending(struct fl_node *n);
+void fl_command_send_pending(struct fl_node *node);
 /* Stops the tasks of a job that the cluster state has as cancelled, on all machines. */
-void fl_command_stop_job(struct fl_node *n, struct fl_job *job);
+void fl_command_stop_job(struct fl_node *node, struct fl_job *job);
 /* The routine of a leader, with its fl_node. */
 void fl_command_enforce_coroutine(void *arg);
 
--- a/src/coordination/election.c
+++ b/src/coordination/election.c
@@ -23,9 +23,9 @@
 	.epoch_gap_s = 4.0, /* s; least time between two raised epochs */
 };
 
-bool fl_election_lease_valid(const struct fl_node *n)
+bool fl_election_lease_valid(const struct fl_node *node)
 {
-	return n->election.lease_held && fl_now() < n->election.lease_valid_until;
+	return node->election.lease_held && fl_now() < node->election.lease_valid_until;
 }
 
 /* A steady time before any other. */
@@ -56,60 +56,60 @@
 }
 
 /* Reads who leads. If the epoch is not outdated, it confirms the leadership. */
-static int read_leadership(struct fl_node *n, struct control *election_state)
+static int read_leadership(struct fl_node *node, struct control *election_state)
 {
 	double sent = fl_now();
 	uint64_t revision;
 	int rc;
 
 	memset(election_state, 0, sizeof(*election_state));
-	rc = fl_kv_list(&n->kv_store, FL_PREFIX_ELECTION, on_election_key, election_state,
+	rc = fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_key, election_state,
 	                &revision);
 	if (rc)
 		return rc;
-	if (election_state->fencing_token >= n->fencing_token) {
-		n->fencing_token = election_state->fencing_token;
-		if (sent > n->leadership_confirmed_at)
-			n->leadership_confirmed_at = sent;
-		fl_copy_string(n->leader_name, sizeof(n->leader_name),
+	if (election_state->fencing_token >= node->fencing_token) {
+		node->fencing_token = election_state->fencing_token;
+		if (sent > node->leadership_confirmed_at)
+			node->leadership_confirmed_at = sent;
+		fl_copy_string(node->leader_name, sizeof(node->leader_name),
 		               election_state->found ? election_state->leader : "");
 	}
 	return 0;
 }
 
-int fl_election_refresh(struct fl_node *n)
+int fl_election_refresh(struct fl_node *node)
 {
 	struct control election_state;
 
-	return read_leadership(n, &election_state);
+	return read_leadership(node, &election_state);
 }
 
-void fl_election_step_down(struct fl_node *n, const char *why)
+void fl_election_step_down(struct fl_node *node, const char *why)
 {
-	if (!n->election.lease_held)
+	if (!node->election.lease_held)
 		return;
-	fl_info("lease", "%s leads no more (epoch %llu): %s", n->config->node,
-	        (unsigned long long)n->election.fencing_token, why);
-	n->election.lease_held = false;
-	n->election.lease_valid_until = 0;
-	fl_condition_broadcast(&n->leadership_changed);
+	fl_info("lease", "%s leads no more (epoch %llu): %s", node->config->node,
+	        (unsigned long long)node->election.fencing_token, why);
+	node->election.lease_held = false;
+	node->election.lease_valid_until = 0;
+	fl_condition_broadcast(&node->leadership_changed);
 }
 
 /* Tries to become the leader, with the next epoch. */
-static void acquire_leadership(struct fl_node *n, const struct control *election_state)
+static void acquire_leadership(struct fl_node *node, const struct control *election_state)
 {
-	struct fl_election *lease = &n->election;
+	struct fl_election *lease = &node->election;
 	uint64_t lease_id, revision, fencing_token = election_state->fencing_token + 1;
 	double sent = fl_now();
 	struct fl_kv_txn txn;
 	cJSON *leader_value, *token_value;
-	int rc = fl_kv_lease_grant(&n->kv_store, tunables.ttl_s, &lease_id);
+	int rc = fl_kv_lease_grant(&node->kv_store, tunables.ttl_s, &lease_id);
 
 	if (rc)
 		return;
 	leader_value = cJSON_CreateObject();
-	cJSON_AddStringToObject(leader_value, "node", n->config->node);
-	cJSON_AddStringToObject(leader_value, "boot", n->process_id);
+	cJSON_AddStringToObject(leader_value, "node", node->config->node);
+	cJSON_AddStringToObject(leader_value, "boot", node->process_id);
 	token_value = cJSON_CreateObject();
 	cJSON_AddNumberToObject(token_value, "epoch", (double)fencing_token);
 	fl_kv_txn_init(&txn);
@@ -117,10 +117,10 @@
 	fl_kv_txn_expect_revision(&txn, FL_KEY_FENCING_TOKEN, election_state->token_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_LEADER, leader_value, lease_id);
 	fl_kv_txn_put(&txn, FL_KEY_FENCING_TOKEN, token_value, 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
+	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
 	if (rc) {
 		/* If it was, or will yet be, carried out: the key goes with its lease. */
-		fl_kv_lease_revoke(&n->kv_store, lease_id);
+		fl_kv_lease_revoke(&node->kv_store, lease_id);
 		return;
 	}
 	lease->lease_id = lease_id;
@@ -130,17 +130,17 @@
 	lease->lease_held = true;
 	lease->token_raise_wanted = false;
 	lease->token_raised_at = fl_now();
-	n->fencing_token = fencing_token;
-	n->leadership_confirmed_at = sent;
-	fl_copy_string(n->leader_name, sizeof(n->leader_name), n->config->node);
-	fl_info("lease", "%s leads with epoch %llu", n->config->node,
+	node->fencing_token = fencing_token;
+	node->leadership_confirmed_at = sent;
+	fl_copy_string(node->leader_name, sizeof(node->leader_name), node->config->node);
+	fl_info("lease", "%s leads with epoch %llu", node->config->node,
 	        (unsigned long long)fencing_token);
 }
 
 /* Raises the epoch of a leader, so that what carries the old one is fenced. */
-static void raise_fencing_token(struct fl_node *n)
+static void raise_fencing_token(struct fl_node *node)
 {
-	struct fl_election *lease = &n->election;
+	struct fl_election *lease = &node->election;
 	uint64_t revision, lease_id = lease->lease_id;
 	struct fl_kv_txn txn;
 	struct control election_state;
@@ -153,30 +153,30 @@
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, lease->leader_mod_revision);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_FENCING_TOKEN, lease->token_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_FENCING_TOKEN, token_value, 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
+	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
 	if (!lease->lease_held || lease->lease_id != lease_id)
 		return;
 	if (!rc) {
 		lease->fencing_token++;
 		lease->token_mod_revision = revision;
 		lease->token_raise_wanted = false;
-	} else if (read_leadership(n, &election_state) == 0 && lease->lease_held &&
+	} else if (read_leadership(node, &election_state) == 0 && lease->lease_held &&
 	           election_state.leader_mod_revision == lease->leader_mod_revision) {
 		/* The result is unknown: what is stored now counts. */
 		lease->fencing_token = election_state.fencing_token;
 		lease->token_mod_revision = election_state.token_mod_revision;
 	}
 	if (lease->lease_held)
-		n->fencing_token = lease->fencing_token;
+		node->fencing_token = lease->fencing_token;
 }
 
 /* Renews the lease; returns the time until the next renewal. */
-static double renew(struct fl_node *n)
+static double renew(struct fl_node *node)
 {
-	struct fl_election *lease = &n->election;
+	struct fl_election *lease = &node->election;
 	uint64_t lease_id = lease->lease_id;
 	double sent = fl_now();
-	int rc = fl_kv_lease_keep_alive(&n->kv_store, lease_id, tunables.renew_s);
+	int rc = fl_kv_lease_keep_alive(&node->kv_store, lease_id, tunables.renew_s);
 
 	if (!lease->lease_held || lease->lease_id != lease_id)
 		return 0;
@@ -184,18 +184,18 @@
 		/* While the lease was in doubt no digest could come: silence is counted from now.
 		 */
 		if (fl_now() > lease->lease_valid_until)
-			n->leadership.heartbeats_since = fl_now();
+			node->leadership.heartbeats_since = fl_now();
 		lease->lease_valid_until =
 			sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
-		if (sent > n->leadership_confirmed_at)
-			n->leadership_confirmed_at = sent;
+		if (sent > node->leadership_confirmed_at)
+			node->leadership_confirmed_at = sent;
 		if (lease->token_raise_wanted &&
 		    fl_now() > lease->token_raised_at + tunables.epoch_gap_s)
-			raise_fencing_token(n);
+			raise_fencing_token(node);
 		return tunables.renew_s;
 	}
 	if (rc == -ENOENT) {
-		fl_election_step_down(n, "the lease has ended");
+		fl_election_step_down(node, "the lease has ended");
 		return 0;
 	}
 	if (fl_now() > lease->lease_valid_until)
@@ -204,22 +204,22 @@
 }
 
 /* Tries for the lease if nobody has it; returns the time until the next try. */
-static double campaign(struct fl_node *n, int place)
+static double campaign(struct fl_node *node, int place)
 {
 	struct control election_state;
 	uint64_t revision, lease_id = 0;
 	cJSON *value;
 
-	if (read_leadership(n, &election_state) != 0)
+	if (read_leadership(node, &election_state) != 0)
 		return tunables.retry_s;
-	if (election_state.found && strcmp(election_state.leader, n->config->node) != 0)
+	if (election_state.found && strcmp(election_state.leader, node->config->node) != 0)
 		return tunables.poll_s;
-	if (election_state.found && strcmp(election_state.process_id, n->process_id) != 0) {
+	if (election_state.found && strcmp(election_state.process_id, node->process_id) != 0) {
 		/* An earlier process of this node; it is dead, or this one would not run. */
-		if (fl_kv_get(&n->kv_store, FL_KEY_LEADER, &value, &revision, &lease_id) == 0) {
+		if (fl_kv_get(&node->kv_store, FL_KEY_LEADER, &value, &revision, &lease_id) == 0) {
 			cJSON_Delete(value);
 			if (lease_id && revision == election_state.leader_mod_revision)
-				fl_kv_lease_revoke(&n->kv_store, lease_id);
+				fl_kv_lease_revoke(&node->kv_store, lease_id);
 		}
 		return 0;
 	}
@@ -227,63 +227,64 @@
 		return tunables.retry_s; /* our own key, given up, about to expire */
 	if (fl_sleep(tunables.stagger_s * place) != 0)
 		return 0;
-	acquire_leadership(n, &election_state);
-	return n->election.lease_held ? 0 : tunables.retry_s;
+	acquire_leadership(node, &election_state);
+	return node->election.lease_held ? 0 : tunables.retry_s;
 }
 
 static void election_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 	int place = 0;
 
 	fl_coroutine_set_urgent();
-	for (int i = 0; i < n->peer_count; i++)
-		place += strcmp(n->peers[i].name, n->config->node) < 0;
+	for (int i = 0; i < node->peer_count; i++)
+		place += strcmp(node->peers[i].name, node->config->node) < 0;
 	while (!fl_coroutine_cancelled()) {
 		double pause;
 
-		if (n->election.lease_held) {
-			if (!n->leadership.active && !n->leadership.loading)
-				fl_leadership_begin(n);
-			pause = renew(n);
-		} else if (n->leadership.loading) {
+		if (node->election.lease_held) {
+			if (!node->leadership.active && !node->leadership.loading)
+				fl_leadership_begin(node);
+			pause = renew(node);
+		} else if (node->leadership.loading) {
 			pause = tunables.retry_s; /* the loading ends by itself, as the lease is
 			                             lost */
 		} else {
-			if (n->leadership.active)
-				fl_leadership_end(n);
-			pause = n->machine_types_known && n->jobs_known ? campaign(n, place)
-			                                                : tunables.retry_s;
+			if (node->leadership.active)
+				fl_leadership_end(node);
+			pause = node->machine_types_known && node->jobs_known
+			                ? campaign(node, place)
+			                : tunables.retry_s;
 		}
-		if (pause > 0 && fl_condition_wait(&n->leadership_changed, pause) == -ECANCELED)
+		if (pause > 0 && fl_condition_wait(&node->leadership_changed, pause) == -ECANCELED)
 			break;
 	}
 }
 
 static void on_election_event(void *context, const struct fl_kv_event *event)
 {
-	struct fl_node *n = context;
+	struct fl_node *node = context;
 	uint64_t fencing_token;
 
 	if (strcmp(event->key, FL_KEY_LEADER) == 0) {
 		if (!event->value)
-			n->leader_name[0] = 0;
+			node->leader_name[0] = 0;
 		else
-			fl_json_get_string(event->value, "node", n->leader_name,
-			                   sizeof(n->leader_name));
-		if (!n->election.lease_held)
-			fl_condition_broadcast(&n->leadership_changed);
+			fl_json_get_string(event->value, "node", node->leader_name,
+			                   sizeof(node->leader_name));
+		if (!node->election.lease_held)
+			fl_condition_broadcast(&node->leadership_changed);
 	} else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value &&
 	           fl_json_get_count(event->value, "epoch", &fencing_token) == FL_JSON_OK) {
-		if (fencing_token > n->fencing_token)
-			n->fencing_token = fencing_token;
+		if (fencing_token > node->fencing_token)
+			node->fencing_token = fencing_token;
 	}
 }
 
 /* Learns of a leader's end within milliseconds, where polling alone would take a second. */
 static void watch_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 	uint64_t revision = 0;
 
 	fl_coroutine_set_urgent();
@@ -292,14 +293,14 @@
 		int rc;
 
 		if (revision == 0) {
-			rc = fl_kv_list(&n->kv_store, FL_PREFIX_ELECTION, on_election_event, n,
-			                &revision);
+			rc = fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_event,
+			                node, &revision);
 			/* A read like any other: with it a node just started can renew at once. */
-			if (rc == 0 && sent > n->leadership_confirmed_at)
-				n->leadership_confirmed_at = sent;
+			if (rc == 0 && sent > node->leadership_confirmed_at)
+				node->leadership_confirmed_at = sent;
 		} else {
-			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_ELECTION, &revision,
-			                 tunables.watch_s, on_election_event, n);
+			rc = fl_kv_watch(&node->kv_store, FL_PREFIX_ELECTION, &revision,
+			                 tunables.watch_s, on_election_event, node);
 		}
 		if (rc == -ERANGE)
 			revision = 0;
@@ -308,9 +309,9 @@
 	}
 }
 
-void fl_election_start(struct fl_node *n)
+void fl_election_start(struct fl_node *node)
 {
-	n->leadership_confirmed_at = n->cancellation_watermark = LONG_AGO;
-	fl_coroutine_spawn(election_coroutine, n);
-	fl_coroutine_spawn(watch_coroutine, n);
+	node->leadership_confirmed_at = node->cancellation_watermark = LONG_AGO;
+	fl_coroutine_spawn(election_coroutine, node);
+	fl_coroutine_spawn(watch_coroutine, node);
 }
--- a/src/coordination/election.h
+++ b/src/coordination/election.h
@@ -18,12 +18,12 @@
 };
 
 /* Whether this node leads at this moment. To be asked again after every wait. */
-bool fl_election_lease_valid(const struct fl_node *n);
+bool fl_election_lease_valid(const struct fl_node *node);
 /* Gives up the leadership: the lease has ended, or a higher epoch is known. */
-void fl_election_step_down(struct fl_node *n, const char *why);
+void fl_election_step_down(struct fl_node *node, const char *why);
 /* Reads leader and epoch; 0 if that confirmed the leadership. */
-int fl_election_refresh(struct fl_node *n);
+int fl_election_refresh(struct fl_node *node);
 /* Starts the routines that seek the lease, renew it and watch the leader. */
-void fl_election_start(struct fl_node *n);
+void fl_election_start(struct fl_node *node);
 
 #endif
--- a/src/coordination/failover.c
+++ b/src/coordination/failover.c
@@ -20,7 +20,7 @@
 static void load_job(void *context, const struct fl_kv_event *event)
 {
 	struct load *load = context;
-	struct fl_cluster *b = &load->node->cluster;
+	struct fl_cluster *cluster = &load->node->cluster;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job_record record;
 	struct fl_job *job;
@@ -32,7 +32,7 @@
 		return;
 	}
 	if (record.has_spec) {
-		job = fl_job_add(b, &record.spec, record.submitted_wall, event->mod_revision);
+		job = fl_job_add(cluster, &record.spec, record.submitted_wall, event->mod_revision);
 		if (!job) {
 			/* Its progress would pass for left behind, and be deleted. */
 			fl_error("takeover", "%s: names what is unknown here", event->key);
@@ -50,7 +50,7 @@
 		/* Each new leader counting anew, one that leads briefly stops nothing. */
 		job->cancelled_at = fl_since(record.cancelled_wall);
 	}
-	fl_finished_job_add(b, ref, record.status, record.task_count,
+	fl_finished_job_add(cluster, ref, record.status, record.task_count,
 	                    fl_since(record.cancelled_wall));
 }
 
@@ -95,16 +95,16 @@
 /* Chunks that only the log tells of: their records were still to be made. */
 static void restore_wal_only_blocks(struct load *load)
 {
-	struct fl_cluster *b = &load->node->cluster;
+	struct fl_cluster *cluster = &load->node->cluster;
 
 	for (int i = 0; i < load->wal.group_count; i++) {
 		const struct fl_wal_group *group = &load->wal.groups[i];
-		struct fl_job *job = fl_job_find(b, group->ref);
+		struct fl_job *job = fl_job_find(cluster, group->ref);
 
 		/* No such job: it is over, and older writes of the log may stand for ever. */
 		if (group->restored || !job)
 			continue;
-		if (fl_task_block_restore(b, job, group->block_index, NULL, 0, &load->wal,
+		if (fl_task_block_restore(cluster, job, group->block_index, NULL, 0, &load->wal,
 		                          load->now) != 0) {
 			fl_error("takeover", "the log's %s/%u: cannot be read", group->ref,
 			         group->block_index);
@@ -113,33 +113,33 @@
 	}
 }
 
-int fl_failover_load(struct fl_node *n)
+int fl_failover_load(struct fl_node *node)
 {
-	struct load load = {.node = n, .now = fl_now()};
+	struct load load = {.node = node, .now = fl_now()};
 	struct fl_job *job, *tmp;
 	uint64_t revision;
 	int rc, jobs = 0;
 	double sent = fl_now();
 
-	fl_cluster_forget_tasks(&n->cluster);
-	n->cluster.leading = true;
-	fl_cluster_list_begin(&n->cluster);
-	rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, load_job, &load, &revision);
+	fl_cluster_forget_tasks(&node->cluster);
+	node->cluster.leading = true;
+	fl_cluster_list_begin(&node->cluster);
+	rc = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, load_job, &load, &revision);
 	if (!rc) {
-		fl_cluster_list_end(&n->cluster, revision);
-		n->cluster.list_revision = revision;
-		n->cancellation_watermark = fmax(n->cancellation_watermark, sent);
-		rc = fl_kv_list(&n->kv_store, FL_PREFIX_WAL, load_wal_value, &load, &revision);
+		fl_cluster_list_end(&node->cluster, revision);
+		node->cluster.list_revision = revision;
+		node->cancellation_watermark = fmax(node->cancellation_watermark, sent);
+		rc = fl_kv_list(&node->kv_store, FL_PREFIX_WAL, load_wal_value, &load, &revision);
 	}
-	if (!rc && !n->election.lease_held)
+	if (!rc && !node->election.lease_held)
 		rc = -EAGAIN; /* lost meanwhile: the rest is no use, and half a state must not be
 		                 used */
 	if (!rc)
-		rc = fl_kv_list(&n->kv_store, FL_PREFIX_PROGRESS, load_progress_record, &load,
+		rc = fl_kv_list(&node->kv_store, FL_PREFIX_PROGRESS, load_progress_record, &load,
 		                &revision);
 	if (!rc)
 		restore_wal_only_blocks(&load);
-	n->leadership.wal_revision_known = rc == 0;
+	node->leadership.wal_revision_known = rc == 0;
 	fl_wal_free(&load.wal);
 	if (rc)
 		return rc;
@@ -148,7 +148,7 @@
 		fl_error("takeover", "%d records cannot be read", load.unreadable_record_count);
 		return -EPROTO;
 	}
-	HASH_ITER (hh, n->cluster.jobs, job, tmp) {
+	HASH_ITER (hh, node->cluster.jobs, job, tmp) {
 		jobs++;
 		/*
 		 * Found when all controllers ended again and again: the leader before had recorded
@@ -156,7 +156,7 @@
 		 * nothing else would ever have it finished.
 		 */
 		if (fl_job_is_over(job))
-			fl_job_mark_dirty(&n->cluster, job);
+			fl_job_mark_dirty(&node->cluster, job);
 	}
 	fl_info("takeover", "%d jobs, %d progress records, %d left over; took %.2f s", jobs,
 	        load.progress_record_count, load.orphan_record_count, fl_now() - load.now);
--- a/src/coordination/failover.h
+++ b/src/coordination/failover.h
@@ -6,6 +6,6 @@
 struct fl_node;
 
 /* Loads jobs and progress; 0, or an errno after which it must be tried again from the start. */
-int fl_failover_load(struct fl_node *n);
+int fl_failover_load(struct fl_node *node);
 
 #endif
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/failure_detector.c
@@ -24,13 +24,14 @@
 };
 
 /* The last time at which the machine was surely in contact both ways. */
-static double last_contact(const struct fl_node *n, const struct fl_machine *m)
+static double last_contact(const struct fl_node *node, const struct fl_machine *machine)
 {
 	double heartbeat_at =
-		fmax(fmax(m->last_heartbeat_at, n->leadership.heartbeats_since), m->first_seen_at);
+		fmax(fmax(machine->last_heartbeat_at, node->leadership.heartbeats_since),
+	             machine->first_seen_at);
 
 	/* Reports from a machine that our answers do not reach do not count. */
-	return fmin(heartbeat_at, fl_reachability_lost_since(m));
+	return fmin(heartbeat_at, fl_reachability_lost_since(machine));
 }
 
 /*
@@ -39,35 +40,36 @@
  * of the leadership. Its machines fall silent together with them, and until then their work is
  * valid: considered lost early, it would all start again, on machines that are still to boot.
  */
-static double renewal_by_zone_s(const struct fl_node *n, const struct fl_machine *m)
+static double renewal_by_zone_s(const struct fl_node *node, const struct fl_machine *machine)
 {
-	double last = last_contact(n, m), slack = tunables.zone_slack_s;
+	double last = last_contact(node, machine), slack = tunables.zone_slack_s;
 
-	for (int i = 0; i < n->peer_count; i++) {
-		const struct fl_peer *peer = &n->peers[i];
+	for (int i = 0; i < node->peer_count; i++) {
+		const struct fl_peer *peer = &node->peers[i];
 
-		if (m->zone >= 0 && !peer->up &&
-		    strcmp(peer->location, fl_symbol_name(&n->cluster.zones, m->zone)) == 0 &&
+		if (machine->zone >= 0 && !peer->up &&
+		    strcmp(peer->location, fl_symbol_name(&node->cluster.zones, machine->zone)) ==
+		            0 &&
 		    peer->last_heard_at > last - slack && peer->last_heard_at < last + slack)
-			return fl_follower_renewal_window_s(n);
+			return fl_follower_renewal_window_s(node);
 	}
 	return 0;
 }
 
-bool fl_failure_detector_expired(const struct fl_node *n, const struct fl_machine *m, double now,
-                                 const double leases[FL_ZONES_MAX])
+bool fl_failure_detector_expired(const struct fl_node *node, const struct fl_machine *machine,
+                                 double now, const double leases[FL_ZONES_MAX])
 {
-	double allowed, silent = now - last_contact(n, m) - tunables.margin_s, renewed;
+	double allowed, silent = now - last_contact(node, machine) - tunables.margin_s, renewed;
 
-	if (!m->up && m->assignment_count == 0)
+	if (!machine->up && machine->assignment_count == 0)
 		return false;
-	allowed = (m->zone >= 0 ? leases[m->zone] : 1) * n->config->lease_s;
+	allowed = (machine->zone >= 0 ? leases[machine->zone] : 1) * node->config->lease_s;
 	/* Thousands report in time; only for the few others the zone's controllers are looked up.
 	 */
 	if (silent <= allowed)
 		return false;
-	renewed = renewal_by_zone_s(n, m);
-	return renewed <= 0 || silent > n->config->lease_s + renewed;
+	renewed = renewal_by_zone_s(node, machine);
+	return renewed <= 0 || silent > node->config->lease_s + renewed;
 }
 
 /* Of a set of machines, how many are silent. */
@@ -85,12 +87,12 @@
  * machine that is silent now is dead or partitioned alone, and its tasks end with its lease in any
  * case.
  */
-static bool controllers_stable(const struct fl_node *n, double now)
+static bool controllers_stable(const struct fl_node *node, double now)
 {
-	for (int i = 0; i < n->peer_count; i++)
-		if (!n->peers[i].up || now < n->peers[i].up_since + n->config->lease_s)
+	for (int i = 0; i < node->peer_count; i++)
+		if (!node->peers[i].up || now < node->peers[i].up_since + node->config->lease_s)
 			return false;
-	return now > n->leadership.heartbeats_since + n->config->lease_s;
+	return now > node->leadership.heartbeats_since + node->config->lease_s;
 }
 
 /*
@@ -99,31 +101,33 @@
  * are lost by twos and threes. Spot machines are reclaimed in waves, so ordinary ones are counted,
  * in all and in each zone.
  */
-void fl_failure_detector_timeouts(const struct fl_node *n, double now, double leases[FL_ZONES_MAX])
+void fl_failure_detector_timeouts(const struct fl_node *node, double now,
+                                  double leases[FL_ZONES_MAX])
 {
 	struct silent_count all = {0}, by_zone[FL_ZONES_MAX] = {{0}};
 
-	for (int i = 0; i < n->cluster.machines.count; i++) {
-		const struct fl_machine *m = n->cluster.machines.by_id[i];
+	for (int i = 0; i < node->cluster.machines.count; i++) {
+		const struct fl_machine *machine = node->cluster.machines.by_id[i];
 		bool silent;
 
-		if (m->decommissioned || m->draining || m->spot ||
-		    (!m->up && m->assignment_count == 0))
+		if (machine->decommissioned || machine->draining || machine->spot ||
+		    (!machine->up && machine->assignment_count == 0))
 			continue;
-		silent = now - last_contact(n, m) > tunables.silent_leases * n->config->lease_s;
+		silent = now - last_contact(node, machine) >
+		         tunables.silent_leases * node->config->lease_s;
 		all.total++;
 		all.silent += silent;
-		if (m->zone < 0)
+		if (machine->zone < 0)
 			continue;
-		by_zone[m->zone].total++;
-		by_zone[m->zone].silent += silent;
+		by_zone[machine->zone].total++;
+		by_zone[machine->zone].silent += silent;
 	}
 	for (int z = 0; z < FL_ZONES_MAX; z++) {
 		leases[z] = 1;
 		if (exceeds(all, tunables.network_share) ||
 		    exceeds(by_zone[z], tunables.network_zone_share))
 			leases[z] = tunables.network_leases;
-		else if (!exceeds(all, tunables.machine_share) && controllers_stable(n, now))
+		else if (!exceeds(all, tunables.machine_share) && controllers_stable(node, now))
 			leases[z] = tunables.machine_leases;
 	}
 }
--- a/src/coordination/failure_detector.h
+++ b/src/coordination/failure_detector.h
@@ -15,9 +15,10 @@
  * How long machines may be silent now, by zone, in worker leases: longer where many are silent at
  * once, shorter where single machines must be the cause.
  */
-void fl_failure_detector_timeouts(const struct fl_node *n, double now, double leases[FL_ZONES_MAX]);
+void fl_failure_detector_timeouts(const struct fl_node *node, double now,
+                                  double leases[FL_ZONES_MAX]);
 /* Whether the machine has been silent for longer than that. */
-bool fl_failure_detector_expired(const struct fl_node *n, const struct fl_machine *m, double now,
-                                 const double leases[FL_ZONES_MAX]);
+bool fl_failure_detector_expired(const struct fl_node *node, const struct fl_machine *machine,
+                                 double now, const double leases[FL_ZONES_MAX]);
 
 #endif
--- a/src/coordination/follower.c
+++ b/src/coordination/follower.c
@@ -24,11 +24,11 @@
  * A cancellation is answered only after it is stored, so a proof read before it is at most this
  * old when the last standby refuses; then the worker's own lease ends the tasks within cancel_s.
  */
-double fl_follower_renewal_window_s(const struct fl_node *n)
+double fl_follower_renewal_window_s(const struct fl_node *node)
 {
-	const struct fl_config *c = n->config;
+	const struct fl_config *config = node->config;
 
-	return c->cancel_s - c->lease_s - tunables.margin_s;
+	return config->cancel_s - config->lease_s - tunables.margin_s;
 }
 
 /*
@@ -36,19 +36,19 @@
  * does not matter: a lease renewed with an old epoch decides nothing, and a worker that has met a
  * newer one drops the answer.
  */
-static bool has_fencing_token(const struct fl_node *n, uint64_t fencing_token)
+static bool has_fencing_token(const struct fl_node *node, uint64_t fencing_token)
 {
-	return n->fencing_token > 0 && n->fencing_token >= fencing_token;
+	return node->fencing_token > 0 && node->fencing_token >= fencing_token;
 }
 
-static bool watermark_is_fresh(const struct fl_node *n)
+static bool watermark_is_fresh(const struct fl_node *node)
 {
-	return fl_now() - n->cancellation_watermark <= fl_follower_renewal_window_s(n);
+	return fl_now() - node->cancellation_watermark <= fl_follower_renewal_window_s(node);
 }
 
-static bool may_vouch(const struct fl_node *n, uint64_t fencing_token)
+static bool may_vouch(const struct fl_node *node, uint64_t fencing_token)
 {
-	return has_fencing_token(n, fencing_token) && watermark_is_fresh(n);
+	return has_fencing_token(node, fencing_token) && watermark_is_fresh(node);
 }
 
 /*
@@ -57,14 +57,14 @@
  * long ago that it may outlive its time with another lease is therefore nobody's to renew; and a
  * cancellation that this node has not heard of is younger than what it knows of the jobs.
  */
-static bool holds_overdue_cancelled_task(const struct fl_node *n,
+static bool holds_overdue_cancelled_task(const struct fl_node *node,
                                          const struct fl_heartbeat *heartbeat)
 {
-	double before = fl_now() - fl_follower_renewal_window_s(n);
+	double before = fl_now() - fl_follower_renewal_window_s(node);
 
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_finished_job *finished =
-			fl_finished_job_find(&n->cluster, heartbeat->tasks[i].ref);
+			fl_finished_job_find(&node->cluster, heartbeat->tasks[i].ref);
 
 		if (heartbeat->tasks[i].state != FL_TASK_STATE_EXITED && finished &&
 		    finished->status == FL_CANCELLED && finished->cancelled_at < before)
@@ -78,13 +78,13 @@
  * final state is stored, so the stop is right whichever node orders it, and comes with the answer
  * that renews the lease, or neither does.
  */
-static void stop_cancelled(const struct fl_node *n, const struct fl_heartbeat *heartbeat,
+static void stop_cancelled(const struct fl_node *node, const struct fl_heartbeat *heartbeat,
                            struct fl_command_list *commands)
 {
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_task_status *status = &heartbeat->tasks[i];
 		const struct fl_finished_job *finished =
-			fl_finished_job_find(&n->cluster, status->ref);
+			fl_finished_job_find(&node->cluster, status->ref);
 
 		if (status->state != FL_TASK_STATE_EXITED && finished &&
 		    finished->status == FL_CANCELLED)
@@ -94,15 +94,15 @@
 }
 
 /* Reads who leads; one read serves all that wait for it. */
-static void refresh_fencing_token(struct fl_node *n, double until)
+static void refresh_fencing_token(struct fl_node *node, double until)
 {
-	struct fl_follower *follower = &n->follower;
+	struct fl_follower *follower = &node->follower;
 
 	if (follower->refreshing) {
 		fl_condition_wait(&follower->refreshed, until - fl_now());
 	} else if (fl_now() > follower->refreshed_at + tunables.refresh_s) {
 		follower->refreshing = true;
-		fl_election_refresh(n);
+		fl_election_refresh(node);
 		follower->refreshing = false;
 		follower->refreshed_at = fl_now();
 		fl_condition_broadcast(&follower->refreshed);
@@ -115,88 +115,88 @@
  * nodes that are down. Found in logs of the return of all controllers: whoever had waited for the
  * epoch was refused because the jobs were not listed yet, some 50 workers each time.
  */
-static bool may_renew(struct fl_node *n, uint64_t fencing_token)
+static bool may_renew(struct fl_node *node, uint64_t fencing_token)
 {
 	double until = fl_now() + tunables.refresh_wait_s;
 
-	if (may_vouch(n, fencing_token))
+	if (may_vouch(node, fencing_token))
 		return true;
-	if (!has_fencing_token(n, fencing_token))
-		refresh_fencing_token(n, until);
-	if (has_fencing_token(n, fencing_token) && !n->jobs_known && fl_now() < until)
-		fl_condition_wait(&n->jobs_listed, until - fl_now());
-	return may_vouch(n, fencing_token);
+	if (!has_fencing_token(node, fencing_token))
+		refresh_fencing_token(node, until);
+	if (has_fencing_token(node, fencing_token) && !node->jobs_known && fl_now() < until)
+		fl_condition_wait(&node->jobs_listed, until - fl_now());
+	return may_vouch(node, fencing_token);
 }
 
-static void respond_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+static void respond_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                             struct fl_http_response *response)
 {
 	struct fl_command_list commands;
 
-	if (!may_renew(n, heartbeat->fencing_token)) {
+	if (!may_renew(node, heartbeat->fencing_token)) {
 		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
 		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
-		         (unsigned long long)n->fencing_token,
-		         fl_now() - n->cancellation_watermark);
+		         (unsigned long long)node->fencing_token,
+		         fl_now() - node->cancellation_watermark);
 		fl_respond_error(response, 503, "no proof of the epoch");
 		return;
 	}
 	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
-	if (holds_overdue_cancelled_task(n, heartbeat)) {
+	if (holds_overdue_cancelled_task(node, heartbeat)) {
 		fl_debug("standby", "%s is refused: it holds what is cancelled", heartbeat->host);
 		fl_respond_error(response, 503, "a cancelled job's task is there");
 		return;
 	}
-	fl_command_list_init(&commands, n->fencing_token);
-	stop_cancelled(n, heartbeat, &commands);
+	fl_command_list_init(&commands, node->fencing_token);
+	stop_cancelled(node, heartbeat, &commands);
 	response->status = 200;
 	response->body = fl_command_list_take(&commands);
-	fl_heartbeat_cache(n, heartbeat);
-	if (n->leadership.active)
-		fl_reconcile_renewal(n, heartbeat);
+	fl_heartbeat_cache(node, heartbeat);
+	if (node->leadership.active)
+		fl_reconcile_renewal(node, heartbeat);
 }
 
-bool fl_follower_is_isolated(const struct fl_node *n)
+bool fl_follower_is_isolated(const struct fl_node *node)
 {
-	double last = fl_gossip_last_heard(n);
+	double last = fl_gossip_last_heard(node);
 
-	if (n->peer_count == 0 || !fl_kv_is_unavailable(&n->kv_store))
+	if (node->peer_count == 0 || !fl_kv_is_unavailable(&node->kv_store))
 		return false;
-	for (int i = 0; i < n->peer_count; i++)
-		if (n->peers[i].up)
+	for (int i = 0; i < node->peer_count; i++)
+		if (node->peers[i].up)
 			return false;
-	if (n->kv_store.last_success_at > last)
-		last = n->kv_store.last_success_at;
+	if (node->kv_store.last_success_at > last)
+		last = node->kv_store.last_success_at;
 	return fl_now() > last + tunables.alone_s;
 }
 
-void fl_follower_reply_as_leader(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+void fl_follower_reply_as_leader(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                                  struct fl_http_response *response)
 {
 	struct fl_command_list commands;
 	int rc;
 
-	fl_command_list_init(&commands, n->election.fencing_token);
-	rc = fl_reconcile_heartbeat(n, heartbeat, &commands, FL_HEARTBEAT_FROM_WORKER);
+	fl_command_list_init(&commands, node->election.fencing_token);
+	rc = fl_reconcile_heartbeat(node, heartbeat, &commands, FL_HEARTBEAT_FROM_WORKER);
 	/* What is only answered, not taken in, gets no stop either: see holds_overdue. */
-	if (rc == 0 && watermark_is_fresh(n) &&
-	    (commands.count > 0 || !holds_overdue_cancelled_task(n, heartbeat))) {
+	if (rc == 0 && watermark_is_fresh(node) &&
+	    (commands.count > 0 || !holds_overdue_cancelled_task(node, heartbeat))) {
 		/* The same report relayed twice, or from before this leadership. */
 		if (commands.count == 0)
-			stop_cancelled(n, heartbeat, &commands);
+			stop_cancelled(node, heartbeat, &commands);
 		response->status = 200;
 		response->body = fl_command_list_take(&commands);
 	} else {
 		cJSON_Delete(commands.root);
 		fl_respond_error(response, 503,
 		                 rc ? "this machine is not known any more"
-		                 : !watermark_is_fresh(n)
+		                 : !watermark_is_fresh(node)
 		                         ? "the jobs have not been heard of for too long"
 		                         : "a cancelled job's task is there");
 	}
 }
 
-void fl_follower_handle_heartbeat(struct fl_node *n, const char *body, size_t len,
+void fl_follower_handle_heartbeat(struct fl_node *node, const char *body, size_t len,
                                   struct fl_http_response *response)
 {
 	const struct fl_peer *home;
@@ -207,16 +207,16 @@
 		fl_respond_error(response, 400, "not a report");
 		return;
 	}
-	heartbeat.entry_node = fl_node_index(n, n->config->node);
-	home = fl_redirect_target(n, &heartbeat);
+	heartbeat.entry_node = fl_node_index(node, node->config->node);
+	home = fl_redirect_target(node, &heartbeat);
 	if (home) {
 		fl_debug("standby", "%s is sent to %s", heartbeat.host, home->name);
 		response->status = 421;
 		response->body = fl_redirect_encode(home->name);
-	} else if (fl_is_leader(n)) {
-		fl_follower_reply_as_leader(n, &heartbeat, response);
-	} else if (fl_heartbeat_forward(n, body, len, response) != 0) {
-		respond_renewal(n, &heartbeat, response);
+	} else if (fl_is_leader(node)) {
+		fl_follower_reply_as_leader(node, &heartbeat, response);
+	} else if (fl_heartbeat_forward(node, body, len, response) != 0) {
+		respond_renewal(node, &heartbeat, response);
 	}
 	fl_heartbeat_free(&heartbeat);
 }
@@ -224,19 +224,19 @@
 /* One routine for both: what is kept about workers is dropped before a digest is written. */
 static void upkeep_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 
 	while (fl_sleep(tunables.digest_s) == 0) {
 		double now = fl_now();
 
-		fl_redirect_forget(n, now);
-		fl_heartbeat_digest_write(n, now, tunables.digest_s);
+		fl_redirect_forget(node, now);
+		fl_heartbeat_digest_write(node, now, tunables.digest_s);
 	}
 }
 
-void fl_follower_start(struct fl_node *n)
+void fl_follower_start(struct fl_node *node)
 {
-	fl_heartbeat_digest_init(n, tunables.digest_s);
-	fl_gossip_start(n);
-	fl_coroutine_spawn(upkeep_coroutine, n);
+	fl_heartbeat_digest_init(node, tunables.digest_s);
+	fl_gossip_start(node);
+	fl_coroutine_spawn(upkeep_coroutine, node);
 }
--- a/src/coordination/follower.h
+++ b/src/coordination/follower.h
@@ -28,22 +28,22 @@
 };
 
 /* Starts the routines of the exchange between controllers, and of the digests. */
-void fl_follower_start(struct fl_node *n);
+void fl_follower_start(struct fl_node *node);
 /*
  * Answers a worker's report: with orders from the leader, with a renewal, or with another node to
  * report to.
  */
-void fl_follower_handle_heartbeat(struct fl_node *n, const char *body, size_t len,
+void fl_follower_handle_heartbeat(struct fl_node *node, const char *body, size_t len,
                                   struct fl_http_response *response);
 /* Answers a report with the leader's orders; this node leads. It does not wait. */
-void fl_follower_reply_as_leader(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+void fl_follower_reply_as_leader(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                                  struct fl_http_response *response);
 /* s after a proof for which a node renews worker leases with it. */
-double fl_follower_renewal_window_s(const struct fl_node *n);
+double fl_follower_renewal_window_s(const struct fl_node *node);
 /*
  * This node hears neither the state service nor any other controller: it can decide nothing, pass
  * nothing on, and nobody can order its workers' machines through it.
  */
-bool fl_follower_is_isolated(const struct fl_node *n);
+bool fl_follower_is_isolated(const struct fl_node *node);
 
 #endif
--- a/src/coordination/forwarding.c
+++ b/src/coordination/forwarding.c
@@ -14,29 +14,29 @@
 	.direct_s = 0.7, /* s for the straight way to the leader, if there is another */
 };
 
-struct fl_peer *fl_peer_find(struct fl_node *n, const char *name)
+struct fl_peer *fl_peer_find(struct fl_node *node, const char *name)
 {
-	for (int i = 0; i < n->peer_count; i++)
-		if (strcmp(n->peers[i].name, name) == 0)
-			return &n->peers[i];
+	for (int i = 0; i < node->peer_count; i++)
+		if (strcmp(node->peers[i].name, name) == 0)
+			return &node->peers[i];
 	return NULL;
 }
 
-int fl_node_index(struct fl_node *n, const char *name)
+int fl_node_index(struct fl_node *node, const char *name)
 {
 	const struct fl_peer *peer;
 
 	if (!name[0])
 		return 0;
-	if (strcmp(name, n->config->node) == 0)
+	if (strcmp(name, node->config->node) == 0)
 		return 1;
-	peer = fl_peer_find(n, name);
-	return peer ? 2 + (int)(peer - n->peers) : 0;
+	peer = fl_peer_find(node, name);
+	return peer ? 2 + (int)(peer - node->peers) : 0;
 }
 
-bool fl_forward_ends_here(const struct fl_node *n, bool last_hop)
+bool fl_forward_ends_here(const struct fl_node *node, bool last_hop)
 {
-	return last_hop || strcmp(n->leader_name, n->config->node) == 0;
+	return last_hop || strcmp(node->leader_name, node->config->node) == 0;
 }
 
 static int forward_via(struct fl_peer *peer, const char *path, const char *text, double timeout_s,
@@ -54,17 +54,18 @@
 	return rc;
 }
 
-int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *context,
-               enum fl_forward_hop hop, double patience_s, struct fl_http_reply *out)
+int fl_forward(struct fl_node *node, const char *path, fl_forward_encoder encode,
+               const void *context, enum fl_forward_hop hop, double patience_s,
+               struct fl_http_reply *out)
 {
-	struct fl_peer *leader = fl_peer_find(n, n->leader_name);
+	struct fl_peer *leader = fl_peer_find(node, node->leader_name);
 	double until = fl_now() + patience_s;
 	int rc = -EHOSTUNREACH;
 	char *text;
 
 	if (!leader)
 		return rc;
-	if (leader->up || n->peer_count == 1) {
+	if (leader->up || node->peer_count == 1) {
 		text = encode(context, true, false);
 		rc = forward_via(leader, path, text,
 		                 hop ? patience_s : fmin(tunables.direct_s, patience_s), out);
@@ -72,9 +73,9 @@
 	}
 	if (rc == 0 || hop)
 		return rc;
-	text = encode(context, false, fl_kv_is_unavailable(&n->kv_store));
-	for (int i = 0; i < n->peer_count && rc != 0; i++) {
-		struct fl_peer *peer = &n->peers[i];
+	text = encode(context, false, fl_kv_is_unavailable(&node->kv_store));
+	for (int i = 0; i < node->peer_count && rc != 0; i++) {
+		struct fl_peer *peer = &node->peers[i];
 
 		if (peer != leader && peer->up)
 			rc = forward_via(peer, path, text, until - fl_now(), out);
--- a/src/coordination/forwarding.h
+++ b/src/coordination/forwarding.h
@@ -21,13 +21,14 @@
 typedef char *(*fl_forward_encoder)(const void *context, bool last_hop, bool disconnected);
 
 /* The other controller of this name, or NULL. */
-struct fl_peer *fl_peer_find(struct fl_node *n, const char *name);
+struct fl_peer *fl_peer_find(struct fl_node *node, const char *name);
 /* A small number for a controller's name: 1 this node, above it the others; 0: not known. */
-int fl_node_index(struct fl_node *n, const char *name);
+int fl_node_index(struct fl_node *node, const char *name);
 /* Whether a relayed message that this node cannot answer must not be passed on from here. */
-bool fl_forward_ends_here(const struct fl_node *n, bool last_hop);
+bool fl_forward_ends_here(const struct fl_node *node, bool last_hop);
 /* Passes a message to the leader, direct or through a third node: 0 and the answer, or an errno. */
-int fl_forward(struct fl_node *n, const char *path, fl_forward_encoder encode, const void *context,
-               enum fl_forward_hop hop, double patience_s, struct fl_http_reply *out);
+int fl_forward(struct fl_node *node, const char *path, fl_forward_encoder encode,
+               const void *context, enum fl_forward_hop hop, double patience_s,
+               struct fl_http_reply *out);
 
 #endif
--- a/src/coordination/gossip.c
+++ b/src/coordination/gossip.c
@@ -20,29 +20,30 @@
 	.gossip_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
 };
 
-double fl_gossip_last_heard(const struct fl_node *n)
+double fl_gossip_last_heard(const struct fl_node *node)
 {
 	double last = -1e9;
 
-	for (int i = 0; i < n->peer_count; i++)
-		if (n->peers[i].last_heard_at > last)
-			last = n->peers[i].last_heard_at;
+	for (int i = 0; i < node->peer_count; i++)
+		if (node->peers[i].last_heard_at > last)
+			last = node->peers[i].last_heard_at;
 	return last;
 }
 
-static void learn_cancelled(struct fl_node *n, const struct fl_gossip *gossip)
+static void learn_cancelled(struct fl_node *node, const struct fl_gossip *gossip)
 {
 	for (int i = 0; i < gossip->cancelled_count; i++) {
 		const struct fl_cancellation *cancellation = &gossip->cancelled[i];
 		struct fl_job *job;
 
-		if (fl_finished_job_find(&n->cluster, cancellation->ref))
+		if (fl_finished_job_find(&node->cluster, cancellation->ref))
 			continue;
-		fl_cluster_learn_cancelled(&n->cluster, cancellation->ref,
+		fl_cluster_learn_cancelled(&node->cluster, cancellation->ref,
 		                           fl_now() - cancellation->age_s);
-		job = n->leadership.active ? fl_job_find(&n->cluster, cancellation->ref) : NULL;
+		job = node->leadership.active ? fl_job_find(&node->cluster, cancellation->ref)
+		                              : NULL;
 		if (job)
-			fl_command_stop_job(n, job);
+			fl_command_stop_job(node, job);
 		fl_info("jobs", "%s is cancelled, says %s", cancellation->ref, gossip->node);
 	}
 }
@@ -54,55 +55,57 @@
  * whatever the state service does meanwhile. A process that has not read the jobs itself since it
  * started speaks for nobody: the one before it may have told a user.
  */
-static void learn(struct fl_node *n, struct fl_peer *peer, const struct fl_gossip *gossip,
+static void learn(struct fl_node *node, struct fl_peer *peer, const struct fl_gossip *gossip,
                   double sent)
 {
 	double all = sent;
 
-	learn_cancelled(n, gossip);
+	learn_cancelled(node, gossip);
 	/* Standing still after it was said how old our knowledge is, we were told too little. */
-	if (!gossip->complete || !n->jobs_known ||
+	if (!gossip->complete || !node->jobs_known ||
 	    fl_now() > sent + tunables.gossip_wait_s + tunables.gossip_slack_s / 2)
 		return;
 	peer->complete_as_of = sent;
-	for (int i = 0; i < n->peer_count; i++)
-		all = fmin(all, n->peers[i].complete_as_of);
-	n->cancellation_watermark =
-		fmax(n->cancellation_watermark, fmax(all, sent - gossip->watermark_age_s));
+	for (int i = 0; i < node->peer_count; i++)
+		all = fmin(all, node->peers[i].complete_as_of);
+	node->cancellation_watermark =
+		fmax(node->cancellation_watermark, fmax(all, sent - gossip->watermark_age_s));
 }
 
-static void learn_leadership(struct fl_node *n, const struct fl_gossip *gossip, double sent)
+static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent)
 {
 	double proof = sent - gossip->leadership_age_s;
 
-	if (gossip->fencing_token < n->fencing_token || gossip->fencing_token == 0)
+	if (gossip->fencing_token < node->fencing_token || gossip->fencing_token == 0)
 		return;
 	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
 	 */
-	if (gossip->fencing_token > n->fencing_token && n->election.lease_held) {
-		if (fl_election_lease_valid(n) || strcmp(gossip->leader, n->config->node) == 0)
+	if (gossip->fencing_token > node->fencing_token && node->election.lease_held) {
+		if (fl_election_lease_valid(node) ||
+		    strcmp(gossip->leader, node->config->node) == 0)
 			return;
-		fl_election_step_down(n, "a peer knows a higher epoch");
+		fl_election_step_down(node, "a peer knows a higher epoch");
 	}
-	if (gossip->fencing_token > n->fencing_token || proof > n->leadership_confirmed_at) {
-		n->fencing_token = gossip->fencing_token;
+	if (gossip->fencing_token > node->fencing_token || proof > node->leadership_confirmed_at) {
+		node->fencing_token = gossip->fencing_token;
 		if (gossip->leader[0])
-			fl_copy_string(n->leader_name, sizeof(n->leader_name), gossip->leader);
-		if (proof > n->leadership_confirmed_at)
-			n->leadership_confirmed_at = proof;
+			fl_copy_string(node->leader_name, sizeof(node->leader_name),
+			               gossip->leader);
+		if (proof > node->leadership_confirmed_at)
+			node->leadership_confirmed_at = proof;
 	}
 }
 
 static double age(double at) { return fmin(1e6, fmax(0, fl_now() - at)); }
 
 /* What this node has learned since `since`, for an answer that can be relied on. */
-static void add_cancelled(const struct fl_node *n, double since, struct fl_gossip *gossip)
+static void add_cancelled(const struct fl_node *node, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
-	int count =
-		fl_finished_jobs_cancelled_since(&n->cluster, since, list, FL_GOSSIP_CANCELLED_MAX);
+	int count = fl_finished_jobs_cancelled_since(&node->cluster, since, list,
+	                                             FL_GOSSIP_CANCELLED_MAX);
 
-	if (!n->jobs_known || count < 0)
+	if (!node->jobs_known || count < 0)
 		return;
 	gossip->cancelled = calloc((size_t)count + 1, sizeof(*gossip->cancelled));
 	if (!gossip->cancelled)
@@ -116,18 +119,18 @@
 	}
 }
 
-static void describe_self(struct fl_node *n, struct fl_gossip *gossip)
+static void describe_self(struct fl_node *node, struct fl_gossip *gossip)
 {
 	memset(gossip, 0, sizeof(*gossip));
-	fl_copy_string(gossip->node, sizeof(gossip->node), n->config->node);
-	fl_copy_string(gossip->leader, sizeof(gossip->leader), n->leader_name);
-	gossip->fencing_token = n->fencing_token;
-	gossip->leadership_age_s = age(n->leadership_confirmed_at);
-	gossip->watermark_age_s = age(n->cancellation_watermark);
-	gossip->is_leader = fl_election_lease_valid(n);
+	fl_copy_string(gossip->node, sizeof(gossip->node), node->config->node);
+	fl_copy_string(gossip->leader, sizeof(gossip->leader), node->leader_name);
+	gossip->fencing_token = node->fencing_token;
+	gossip->leadership_age_s = age(node->leadership_confirmed_at);
+	gossip->watermark_age_s = age(node->cancellation_watermark);
+	gossip->is_leader = fl_election_lease_valid(node);
 }
 
-void fl_gossip_serve(struct fl_node *n, const char *body, size_t len,
+void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
                      struct fl_http_response *response)
 {
 	struct fl_gossip gossip;
@@ -145,23 +148,23 @@
 	since = fl_now() - gossip.watermark_age_s - tunables.gossip_wait_s -
 	        tunables.gossip_slack_s;
 	fl_gossip_free(&gossip);
-	describe_self(n, &gossip);
-	add_cancelled(n, since, &gossip);
+	describe_self(node, &gossip);
+	add_cancelled(node, since, &gossip);
 	response->status = 200;
 	response->body = fl_gossip_encode(&gossip);
 	fl_gossip_free(&gossip);
 }
 
-char *fl_gossip_request(struct fl_node *n)
+char *fl_gossip_request(struct fl_node *node)
 {
 	struct fl_gossip mine;
 
-	describe_self(n, &mine);
+	describe_self(node, &mine);
 	return fl_gossip_encode(&mine);
 }
 
-void fl_gossip_handle_reply(struct fl_node *n, struct fl_peer *peer, const char *body, size_t len,
-                            double sent)
+void fl_gossip_handle_reply(struct fl_node *node, struct fl_peer *peer, const char *body,
+                            size_t len, double sent)
 {
 	struct fl_gossip theirs;
 
@@ -169,20 +172,20 @@
 		fl_error("peers", "%s answers what is not gossip", peer->name);
 		return;
 	}
-	learn(n, peer, &theirs, sent);
-	learn_leadership(n, &theirs, sent);
+	learn(node, peer, &theirs, sent);
+	learn_leadership(node, &theirs, sent);
 	fl_gossip_free(&theirs);
 }
 
 static void gossip_coroutine(void *arg)
 {
 	struct fl_peer *peer = arg;
-	struct fl_node *n = peer->node;
+	struct fl_node *node = peer->node;
 
 	while (fl_sleep(tunables.gossip_s) == 0) {
 		double sent = fl_now();
 		struct fl_http_reply reply;
-		char *text = fl_gossip_request(n);
+		char *text = fl_gossip_request(node);
 		int rc;
 
 		rc = fl_http_call(&peer->http, "POST", "/gossip", text, tunables.gossip_wait_s,
@@ -191,8 +194,8 @@
 		if (rc == 0) {
 			peer->last_heard_at = fl_now();
 			if (reply.status == 200)
-				fl_gossip_handle_reply(n, peer, reply.body.data, reply.body.length,
-				                       sent);
+				fl_gossip_handle_reply(node, peer, reply.body.data,
+				                       reply.body.length, sent);
 			fl_buffer_free(&reply.body);
 		}
 		if (peer->up != (rc == 0)) {
@@ -203,10 +206,10 @@
 	}
 }
 
-void fl_gossip_start(struct fl_node *n)
+void fl_gossip_start(struct fl_node *node)
 {
-	for (int i = 0; i < n->peer_count; i++) {
-		n->peers[i].last_heard_at = n->peers[i].complete_as_of = -1e9;
-		fl_coroutine_spawn(gossip_coroutine, &n->peers[i]);
+	for (int i = 0; i < node->peer_count; i++) {
+		node->peers[i].last_heard_at = node->peers[i].complete_as_of = -1e9;
+		fl_coroutine_spawn(gossip_coroutine, &node->peers[i]);
 	}
 }
--- a/src/coordination/gossip.h
+++ b/src/coordination/gossip.h
@@ -13,16 +13,16 @@
 struct fl_peer;
 
 /* Starts a routine for each other controller, none of which counts as heard of yet. */
-void fl_gossip_start(struct fl_node *n);
+void fl_gossip_start(struct fl_node *node);
 /* When an exchange with any other controller last came back (steady); long ago if none did. */
-double fl_gossip_last_heard(const struct fl_node *n);
+double fl_gossip_last_heard(const struct fl_node *node);
 /* The text of a request; the caller frees it. */
-char *fl_gossip_request(struct fl_node *n);
+char *fl_gossip_request(struct fl_node *node);
 /* Answers another controller's request. */
-void fl_gossip_serve(struct fl_node *n, const char *body, size_t len,
+void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
                      struct fl_http_response *response);
 /* Takes in the answer of `peer` to a request that was sent at `sent` (steady). */
-void fl_gossip_handle_reply(struct fl_node *n, struct fl_peer *peer, const char *body, size_t len,
-                            double sent);
+void fl_gossip_handle_reply(struct fl_node *node, struct fl_peer *peer, const char *body,
+                            size_t len, double sent);
 
 #endif
--- a/src/coordination/headroom.c
+++ b/src/coordination/headroom.c
@@ -11,16 +11,17 @@
 };
 
 /* Room that a service could have at once: free, or used by what it may preempt. */
-static uint32_t service_capacity(const struct fl_node *n, const struct fl_machine *m,
+static uint32_t service_capacity(const struct fl_node *node, const struct fl_machine *machine,
                                  const struct fl_job *service)
 {
-	const struct fl_machine_type *machine_type = &n->cluster.machines.types[m->type];
+	const struct fl_machine_type *machine_type = &node->cluster.machines.types[machine->type];
 	double cpus = machine_type->cpus, gpus = machine_type->gpus, ram_gb = machine_type->ram_gb;
 
-	if (m->spot || m->draining || !fl_autoscaler_job_allows(service, m->type, m->zone, m->spot))
+	if (machine->spot || machine->draining ||
+	    !fl_autoscaler_job_allows(service, machine->type, machine->zone, machine->spot))
 		return 0;
-	for (int i = 0; i < m->assignment_count; i++) {
-		const struct fl_job *job = m->assignments[i].job;
+	for (int i = 0; i < machine->assignment_count; i++) {
+		const struct fl_job *job = machine->assignments[i].job;
 
 		if (job->priority < service->priority)
 			continue;
@@ -90,10 +91,11 @@
 	need = tasks / tunables.learn_s * machines->types[0].ready_s;
 	need = ceil((need + tunables.spread * sqrt(need)) / shares);
 	for (int i = 0; i < machines->count; i++) {
-		const struct fl_machine *m = machines->by_id[i];
+		const struct fl_machine *machine = machines->by_id[i];
 
-		if (!m->decommissioned && m->described && m->up)
-			room[m->zone % shares] += service_capacity(plan->node, m, service);
+		if (!machine->decommissioned && machine->described && machine->up)
+			room[machine->zone % shares] +=
+				service_capacity(plan->node, machine, service);
 	}
 	for (int z = 0; z < shares; z++)
 		autoscaler->headroom_surplus[z] = (int)(room[z] - need);
--- a/src/coordination/heartbeat_digest.c
+++ b/src/coordination/heartbeat_digest.c
@@ -22,12 +22,12 @@
  * A copy of a report may come long after it, also to a node that has cached newer ones: it is no
  * sign of life, and takes nothing's place.
  */
-void fl_heartbeat_cache(struct fl_node *n, const struct fl_heartbeat *heartbeat)
+void fl_heartbeat_cache(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
 	struct fl_cached_heartbeat *cached;
 	char *text;
 
-	HASH_FIND_STR(n->follower.cached_heartbeats, heartbeat->host, cached);
+	HASH_FIND_STR(node->follower.cached_heartbeats, heartbeat->host, cached);
 	if (cached && (heartbeat->incarnation < cached->incarnation ||
 	               (heartbeat->incarnation == cached->incarnation &&
 	                heartbeat->sequence <= cached->sequence)))
@@ -42,7 +42,7 @@
 			return;
 		}
 		fl_copy_string(cached->host, sizeof(cached->host), heartbeat->host);
-		HASH_ADD_STR(n->follower.cached_heartbeats, host, cached);
+		HASH_ADD_STR(node->follower.cached_heartbeats, host, cached);
 	}
 	free(cached->text);
 	cached->text = text;
@@ -52,9 +52,9 @@
 	cached->stored = false;
 }
 
-static void uncache(struct fl_node *n, struct fl_cached_heartbeat *cached)
+static void uncache(struct fl_node *node, struct fl_cached_heartbeat *cached)
 {
-	HASH_DEL(n->follower.cached_heartbeats, cached);
+	HASH_DEL(node->follower.cached_heartbeats, cached);
 	free(cached->text);
 	free(cached);
 }
@@ -63,19 +63,19 @@
  * Each record is written only over what this process knows to stand there: a write of its own, or
  * of the process before it, that is carried out late must not take a newer one's place.
  */
-static int write_digest(struct fl_node *n, int at, cJSON *digest)
+static int write_digest(struct fl_node *node, int at, cJSON *digest)
 {
-	struct fl_digest_slot *slot = &n->follower.digests[at];
+	struct fl_digest_slot *slot = &node->follower.digests[at];
 	char key[FL_KEY_MAX];
 	struct fl_kv_txn txn;
 	uint64_t revision = 0;
-	cJSON *v;
+	cJSON *value;
 	int rc = 0;
 
-	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", n->config->node, at);
+	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", node->config->node, at);
 	if (!slot->revision_known) {
-		rc = fl_kv_get(&n->kv_store, key, &v, &revision, NULL);
-		cJSON_Delete(v);
+		rc = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
+		cJSON_Delete(value);
 		slot->revision_known = rc == 0 || rc == -ENOENT;
 		slot->mod_revision = rc == 0 ? revision : 0;
 	}
@@ -86,7 +86,7 @@
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, key, slot->mod_revision);
 	fl_kv_txn_put(&txn, key, digest, 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
+	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
 	if (rc == 0)
 		slot->mod_revision = revision;
 	else if (rc != -EAGAIN)
@@ -96,13 +96,13 @@
 }
 
 /* What fits into one record, of what no digest holds yet. NULL: nothing is left. */
-static cJSON *fill_digest(struct fl_node *n, double since)
+static cJSON *fill_digest(struct fl_node *node, double since)
 {
-	size_t limit = (size_t)(n->config->value_kb * 1024 * tunables.record_use), used = 0;
+	size_t limit = (size_t)(node->config->value_kb * 1024 * tunables.record_use), used = 0;
 	struct fl_cached_heartbeat *cached, *tmp;
 	cJSON *digest = NULL;
 
-	HASH_ITER (hh, n->follower.cached_heartbeats, cached, tmp) {
+	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp) {
 		size_t len = strlen(cached->text) + 1;
 
 		if (cached->stored || cached->at < since || len > limit)
@@ -110,13 +110,13 @@
 		if (used + len > limit)
 			break;
 		if (!digest)
-			digest = fl_digest_begin(n->fencing_token);
+			digest = fl_digest_begin(node->fencing_token);
 		fl_digest_add(digest, cached->text);
 		used += len;
 		cached->stored = true;
 		/* Last in turn from now on: where writes are short, each machine gets its share. */
-		HASH_DEL(n->follower.cached_heartbeats, cached);
-		HASH_ADD_STR(n->follower.cached_heartbeats, host, cached);
+		HASH_DEL(node->follower.cached_heartbeats, cached);
+		HASH_ADD_STR(node->follower.cached_heartbeats, host, cached);
 	}
 	return digest;
 }
@@ -126,35 +126,35 @@
  * reports travel through the state service, many to a record, within a share of its writes: the
  * leader's own records and the users' submissions need the rest.
  */
-static void write_digests(struct fl_node *n, double since)
+static void write_digests(struct fl_node *node, double since)
 {
 	for (int at = 0; at < FL_DIGESTS_MAX; at++) {
 		cJSON *digest;
 
-		if (fl_token_bucket_take(&n->follower.write_budget, 1, fl_now()) > 0)
+		if (fl_token_bucket_take(&node->follower.write_budget, 1, fl_now()) > 0)
 			return;
-		digest = fill_digest(n, since);
-		if (!digest || write_digest(n, at, digest) != 0)
+		digest = fill_digest(node, since);
+		if (!digest || write_digest(node, at, digest) != 0)
 			return;
 	}
 }
 
-void fl_heartbeat_digest_init(struct fl_node *n, double interval_s)
+void fl_heartbeat_digest_init(struct fl_node *node, double interval_s)
 {
-	double rate = n->config->state_write_rps * tunables.write_share;
+	double rate = node->config->state_write_rps * tunables.write_share;
 
-	fl_token_bucket_init(&n->follower.write_budget, rate, rate * interval_s, fl_now());
+	fl_token_bucket_init(&node->follower.write_budget, rate, rate * interval_s, fl_now());
 }
 
-void fl_heartbeat_digest_write(struct fl_node *n, double now, double interval_s)
+void fl_heartbeat_digest_write(struct fl_node *node, double now, double interval_s)
 {
 	struct fl_cached_heartbeat *cached, *tmp;
 
-	HASH_ITER (hh, n->follower.cached_heartbeats, cached, tmp)
+	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp)
 		if (cached->at < now - 5 * interval_s)
-			uncache(n, cached);
-	if (!n->follower.cached_heartbeats || fl_election_lease_valid(n) || !n->leader_name[0] ||
-	    fl_kv_is_unavailable(&n->kv_store))
+			uncache(node, cached);
+	if (!node->follower.cached_heartbeats || fl_election_lease_valid(node) ||
+	    !node->leader_name[0] || fl_kv_is_unavailable(&node->kv_store))
 		return;
-	write_digests(n, now - 2 * interval_s);
+	write_digests(node, now - 2 * interval_s);
 }
--- a/src/coordination/heartbeat_digest.h
+++ b/src/coordination/heartbeat_digest.h
@@ -34,13 +34,13 @@
 };
 
 /* Sets up the budget of writes, for digests that are written every `interval_s` seconds. */
-void fl_heartbeat_digest_init(struct fl_node *n, double interval_s);
+void fl_heartbeat_digest_init(struct fl_node *node, double interval_s);
 /* Caches a report for the next digest, unless a newer one of its worker is cached. */
-void fl_heartbeat_cache(struct fl_node *n, const struct fl_heartbeat *heartbeat);
+void fl_heartbeat_cache(struct fl_node *node, const struct fl_heartbeat *heartbeat);
 /*
  * Drops old reports and writes the others that no digest holds yet, unless this node leads, knows
  * of no leader or does not reach the state service. `now`: steady, as of the call.
  */
-void fl_heartbeat_digest_write(struct fl_node *n, double now, double interval_s);
+void fl_heartbeat_digest_write(struct fl_node *node, double now, double interval_s);
 
 #endif
--- a/src/coordination/heartbeat_forwarding.c
+++ b/src/coordination/heartbeat_forwarding.c
@@ -39,12 +39,12 @@
 	                                 disconnected);
 }
 
-static int exchange(struct fl_node *n, struct fl_batch *batch)
+static int exchange(struct fl_node *node, struct fl_batch *batch)
 {
 	struct heartbeat_batch *b = (struct heartbeat_batch *)batch;
-	struct message message = {b->heartbeats, n->config->node};
+	struct message message = {b->heartbeats, node->config->node};
 	struct fl_http_reply reply;
-	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &message, FL_HOP_FIRST,
+	int rc = fl_forward(node, FL_PATH_HEARTBEATS, encode, &message, FL_HOP_FIRST,
 	                    tunables.patience_s, &reply);
 
 	if (rc)
@@ -53,7 +53,7 @@
 	                         : fl_heartbeat_replies_decode(reply.body.data, reply.body.length,
 	                                                       b->replies, b->count);
 	if (rc == -EPROTO)
-		fl_error("peers", "%s answers reports with what is no answer", n->leader_name);
+		fl_error("peers", "%s answers reports with what is no answer", node->leader_name);
 	fl_buffer_free(&reply.body);
 	return rc;
 }
@@ -67,13 +67,13 @@
 }
 
 /* The batch that this report goes into: the one being filled, or a new one. NULL: no memory. */
-static struct heartbeat_batch *batch_for(struct fl_batch_queue *q, size_t len, bool *began)
+static struct heartbeat_batch *batch_for(struct fl_batch_queue *queue, size_t len, bool *began)
 {
-	struct heartbeat_batch *batch = (struct heartbeat_batch *)q->filling;
+	struct heartbeat_batch *batch = (struct heartbeat_batch *)queue->filling;
 
 	if (batch && (batch->count == FL_PEER_HEARTBEATS_MAX ||
 	              batch->bytes + len > FL_PEER_HEARTBEATS_BYTES)) {
-		fl_batch_close(q);
+		fl_batch_close(queue);
 		batch = NULL;
 	}
 	*began = !batch;
@@ -83,7 +83,7 @@
 	if (!batch)
 		return NULL;
 	batch->heartbeats = fl_heartbeat_list_begin();
-	fl_batch_begin(q, &batch->batch);
+	fl_batch_begin(queue, &batch->batch);
 	return batch;
 }
 
@@ -97,25 +97,25 @@
 	return 0;
 }
 
-int fl_heartbeat_forward(struct fl_node *n, const char *body, size_t len,
+int fl_heartbeat_forward(struct fl_node *node, const char *body, size_t len,
                          struct fl_http_response *response)
 {
 	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
 	                                      tunables.patience_s, exchange};
-	struct fl_batch_queue *q = &n->heartbeat_forwards;
+	struct fl_batch_queue *queue = &node->heartbeat_forwards;
 	struct heartbeat_batch *batch;
 	bool began;
 	int at, rc;
 
 	if (len > FL_PEER_HEARTBEATS_BYTES)
 		return -EMSGSIZE;
-	batch = batch_for(q, len, &began);
+	batch = batch_for(queue, len, &began);
 	if (!batch)
 		return -ENOMEM;
 	at = batch->count++;
 	batch->bytes += len;
 	fl_heartbeat_list_add(batch->heartbeats, body);
-	rc = fl_batch_await(n, q, &batch->batch, began, &terms);
+	rc = fl_batch_await(node, queue, &batch->batch, began, &terms);
 	if (!rc)
 		rc = take_reply(&batch->replies[at], response);
 	if (fl_batch_release(&batch->batch))
@@ -126,20 +126,20 @@
 /* ---- for another controller ---- */
 
 /* No wait from here on: all of them are answered under the lease that was looked at. */
-static void answer_all(struct fl_node *n, const struct fl_peer_heartbeats *message,
+static void answer_all(struct fl_node *node, const struct fl_peer_heartbeats *message,
                        struct fl_http_response *response)
 {
 	struct fl_heartbeat_reply answers[FL_PEER_HEARTBEATS_MAX] = {0};
-	int entry_node = fl_node_index(n, message->entry_node), count = 0;
-	const cJSON *e;
+	int entry_node = fl_node_index(node, message->entry_node), count = 0;
+	const cJSON *item;
 
-	cJSON_ArrayForEach (e, message->list) {
+	cJSON_ArrayForEach (item, message->list) {
 		struct fl_http_response one = {.status = 500};
 		struct fl_heartbeat heartbeat;
 
-		if (fl_heartbeat_decode_json(e, &heartbeat) == 0) {
+		if (fl_heartbeat_decode_json(item, &heartbeat) == 0) {
 			heartbeat.entry_node = entry_node;
-			fl_follower_reply_as_leader(n, &heartbeat, &one);
+			fl_follower_reply_as_leader(node, &heartbeat, &one);
 			fl_heartbeat_free(&heartbeat);
 		} else {
 			fl_error("peers", "what came by %s is no report", message->entry_node);
@@ -154,27 +154,27 @@
 }
 
 /* The sender is cut from the state service too: its reports go with our digest. */
-static void cache_all(struct fl_node *n, const struct fl_peer_heartbeats *message)
+static void cache_all(struct fl_node *node, const struct fl_peer_heartbeats *message)
 {
-	const cJSON *e;
+	const cJSON *item;
 
-	cJSON_ArrayForEach (e, message->list) {
+	cJSON_ArrayForEach (item, message->list) {
 		struct fl_heartbeat heartbeat;
 
-		if (fl_heartbeat_decode_json(e, &heartbeat) != 0)
+		if (fl_heartbeat_decode_json(item, &heartbeat) != 0)
 			continue;
-		fl_heartbeat_cache(n, &heartbeat);
+		fl_heartbeat_cache(node, &heartbeat);
 		fl_heartbeat_free(&heartbeat);
 	}
 }
 
-static void forward_again(struct fl_node *n, const struct fl_peer_heartbeats *message,
+static void forward_again(struct fl_node *node, const struct fl_peer_heartbeats *message,
                           struct fl_http_response *response)
 {
 	struct message again = {(cJSON *)message->list, message->entry_node};
 	struct fl_http_reply reply;
-	int rc = fl_forward(n, FL_PATH_HEARTBEATS, encode, &again, FL_HOP_LAST, tunables.patience_s,
-	                    &reply);
+	int rc = fl_forward(node, FL_PATH_HEARTBEATS, encode, &again, FL_HOP_LAST,
+	                    tunables.patience_s, &reply);
 
 	if (rc == 0 && reply.status == 200) {
 		response->status = 200;
@@ -184,11 +184,11 @@
 	if (rc == 0)
 		fl_buffer_free(&reply.body);
 	if (message->disconnected)
-		cache_all(n, message);
+		cache_all(node, message);
 	fl_respond_error(response, 421, "not the leader");
 }
 
-void fl_heartbeat_forward_serve(struct fl_node *n, const char *body, size_t len,
+void fl_heartbeat_forward_serve(struct fl_node *node, const char *body, size_t len,
                                 struct fl_http_response *response)
 {
 	struct fl_peer_heartbeats message;
@@ -198,11 +198,11 @@
 		fl_respond_error(response, 400, "not reports");
 		return;
 	}
-	if (fl_is_leader(n))
-		answer_all(n, &message, response);
-	else if (fl_forward_ends_here(n, message.last_hop))
+	if (fl_is_leader(node))
+		answer_all(node, &message, response);
+	else if (fl_forward_ends_here(node, message.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
-		forward_again(n, &message, response);
+		forward_again(node, &message, response);
 	fl_peer_heartbeats_free(&message);
 }
--- a/src/coordination/heartbeat_forwarding.h
+++ b/src/coordination/heartbeat_forwarding.h
@@ -19,10 +19,10 @@
  * Passes a report, which was read without error, to the leader: 0 with its answer in `response`, or
  * an errno if there is none that the worker can be given.
  */
-int fl_heartbeat_forward(struct fl_node *n, const char *body, size_t len,
+int fl_heartbeat_forward(struct fl_node *node, const char *body, size_t len,
                          struct fl_http_response *response);
 /* Answers another controller's message: as the leader, or by passing it on once. */
-void fl_heartbeat_forward_serve(struct fl_node *n, const char *body, size_t len,
+void fl_heartbeat_forward_serve(struct fl_node *node, const char *body, size_t len,
                                 struct fl_http_response *response);
 
 #endif
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/job_lookup.c
@@ -17,11 +17,11 @@
 	.patience_s = 1.8, /* s that a question waits for another's read; users wait 2 s */
 };
 
-void fl_job_lookups_init(struct fl_node *n)
+void fl_job_lookups_init(struct fl_node *node)
 {
-	double rate = n->config->state_rps * tunables.share / (n->peer_count + 1);
+	double rate = node->config->state_rps * tunables.share / (node->peer_count + 1);
 
-	fl_token_bucket_init(&n->status_read_budget, rate, rate * tunables.burst_s, fl_now());
+	fl_token_bucket_init(&node->status_read_budget, rate, rate * tunables.burst_s, fl_now());
 }
 
 /*
@@ -29,12 +29,12 @@
  * the 70 requests that the state service takes. The new leader's own reads were refused, and it was
  * 14 s before it led. Beyond their share polls are told to come again, at once.
  */
-bool fl_job_lookup_within_budget(struct fl_node *n, double requests)
+bool fl_job_lookup_within_budget(struct fl_node *node, double requests)
 {
 	/* While one leads, the others pass their polls on to it, and ask nothing themselves. */
-	if (fl_is_leader(n))
-		requests /= n->peer_count + 1;
-	return fl_token_bucket_take(&n->status_read_budget, requests, fl_now()) <= 0;
+	if (fl_is_leader(node))
+		requests /= node->peer_count + 1;
+	return fl_token_bucket_take(&node->status_read_budget, requests, fl_now()) <= 0;
 }
 
 static struct fl_job_lookup *create(const char *ref)
@@ -56,27 +56,27 @@
 }
 
 /* From here on it is being asked: who comes later waits for the next. */
-static void enter(struct fl_node *n, struct fl_job_lookup *lookup)
+static void enter(struct fl_node *node, struct fl_job_lookup *lookup)
 {
-	HASH_ADD_STR(n->job_lookups, ref, lookup);
+	HASH_ADD_STR(node->job_lookups, ref, lookup);
 	lookup->holder_count++;
 }
 
 /* The table's hold on it passes to the caller. */
-static void read_records(struct fl_node *n, struct fl_job_lookup *lookup)
+static void read_records(struct fl_node *node, struct fl_job_lookup *lookup)
 {
-	lookup->rc = fl_job_lookup_within_budget(n, tunables.reads)
-	                     ? fl_job_record_read(&n->kv_store, lookup->ref, &lookup->record,
+	lookup->rc = fl_job_lookup_within_budget(node, tunables.reads)
+	                     ? fl_job_record_read(&node->kv_store, lookup->ref, &lookup->record,
 	                                          &lookup->value, &lookup->mod_revision)
 	                     : -EAGAIN;
 	/* It never changes again: who asks next is answered from memory. */
 	if (!lookup->rc && lookup->record.final && !lookup->value &&
 	    lookup->record.status == FL_DONE)
-		fl_finished_job_add(&n->cluster, lookup->ref, FL_DONE, lookup->record.task_count,
+		fl_finished_job_add(&node->cluster, lookup->ref, FL_DONE, lookup->record.task_count,
 		                    0);
-	HASH_DEL(n->job_lookups, lookup);
+	HASH_DEL(node->job_lookups, lookup);
 	if (lookup->next)
-		enter(n, lookup->next);
+		enter(node, lookup->next);
 	lookup->done = true;
 	fl_condition_broadcast(&lookup->completed);
 }
@@ -85,7 +85,8 @@
  * The first of those that came after the sending reads for all of them. Returns how often the
  * caller holds `lookup` then.
  */
-static int read_after(struct fl_node *n, struct fl_job_lookup *before, struct fl_job_lookup *lookup)
+static int read_after(struct fl_node *node, struct fl_job_lookup *before,
+                      struct fl_job_lookup *lookup)
 {
 	int held = 1;
 
@@ -94,7 +95,7 @@
 	while (!before->done && fl_condition_wait(&before->completed, tunables.patience_s) == 0)
 		;
 	if (before->done) {
-		read_records(n, lookup);
+		read_records(node, lookup);
 		held++;
 	} else {
 		before->next = NULL;
@@ -106,24 +107,24 @@
 	return held;
 }
 
-int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *record, cJSON **v,
-                       uint64_t *revision)
+int fl_job_lookup_read(struct fl_node *node, const char *ref, struct fl_job_record *record,
+                       cJSON **value, uint64_t *revision)
 {
 	struct fl_job_lookup *lookup, *sent;
 	int rc, held = 1;
 
-	*v = NULL;
-	HASH_FIND_STR(n->job_lookups, ref, sent);
+	*value = NULL;
+	HASH_FIND_STR(node->job_lookups, ref, sent);
 	lookup = sent && sent->next ? sent->next : create(ref);
 	if (!lookup)
 		return -ENOMEM;
 	lookup->holder_count++;
 	if (!sent) {
-		enter(n, lookup);
-		read_records(n, lookup);
+		enter(node, lookup);
+		read_records(node, lookup);
 		held++;
 	} else if (!sent->next) {
-		held = read_after(n, sent, lookup);
+		held = read_after(node, sent, lookup);
 	} else {
 		while (!lookup->done &&
 		       fl_condition_wait(&lookup->completed, tunables.patience_s) == 0)
@@ -133,8 +134,8 @@
 	if (!rc) {
 		*record = lookup->record;
 		*revision = lookup->mod_revision;
-		*v = lookup->value ? cJSON_Duplicate(lookup->value, true) : NULL;
-		if (lookup->value && !*v)
+		*value = lookup->value ? cJSON_Duplicate(lookup->value, true) : NULL;
+		if (lookup->value && !*value)
 			rc = -ENOMEM;
 	}
 	release(lookup, held);
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/job_lookup.h
@@ -22,14 +22,14 @@
 };
 
 /* Sets up the budget of reads that polls may cause. */
-void fl_job_lookups_init(struct fl_node *n);
+void fl_job_lookups_init(struct fl_node *node);
 /*
  * Like fl_job_record_read, of a read sent after the call. -EAGAIN also when polls have had their
  * share of the state service. `*value` is the caller's.
  */
-int fl_job_lookup_read(struct fl_node *n, const char *ref, struct fl_job_record *record, cJSON **v,
-                       uint64_t *revision);
+int fl_job_lookup_read(struct fl_node *node, const char *ref, struct fl_job_record *record,
+                       cJSON **value, uint64_t *revision);
 /* May a poll make one more request to the state service now? */
-bool fl_job_lookup_within_budget(struct fl_node *n, double requests);
+bool fl_job_lookup_within_budget(struct fl_node *node, double requests);
 
 #endif
--- a/src/coordination/job_responses.c
+++ b/src/coordination/job_responses.c
@@ -28,15 +28,15 @@
 }
 
 /* The record decides: for what this leader has not heard of, or has written and not confirmed. */
-static void respond_status_from_record(struct fl_node *n, const char *ref,
+static void respond_status_from_record(struct fl_node *node, const char *ref,
                                        struct fl_http_response *response)
 {
 	struct fl_job_record record;
 	struct fl_job *job;
 	uint64_t revision;
-	cJSON *v = NULL;
-	int rc = fl_job_lookup_read(n, ref, &record, &v, &revision);
-	const struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
+	cJSON *value = NULL;
+	int rc = fl_job_lookup_read(node, ref, &record, &value, &revision);
+	const struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
 
 	if (finished) {
 		/* It came to its end while the record was on its way here. */
@@ -46,29 +46,29 @@
 	} else if (rc != 0) {
 		fl_respond_unavailable(response, "the state service does not answer");
 	} else if (record.final) {
-		job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
-		if (job && v && revision > job->mod_revision)
-			fl_record_writer_apply_record(n, job, &record, revision);
-		else if (!job && v)
-			fl_finished_job_add(&n->cluster, ref, record.status, record.task_count,
+		job = node->leadership.active ? fl_job_find(&node->cluster, ref) : NULL;
+		if (job && value && revision > job->mod_revision)
+			fl_record_writer_apply_record(node, job, &record, revision);
+		else if (!job && value)
+			fl_finished_job_add(&node->cluster, ref, record.status, record.task_count,
 			                    fl_since(record.cancelled_wall));
 		response->status = 200;
 		response->body = fl_status_encode(
 			ref, record.status, record.status == FL_DONE ? record.task_count : 0, 0);
 	} else {
-		job = fl_cluster_apply_job_record(&n->cluster, ref, v, revision);
+		job = fl_cluster_apply_job_record(&node->cluster, ref, value, revision);
 		response->status = 200;
 		response->body =
 			fl_status_encode(ref, job ? fl_job_current_status(job) : FL_PENDING,
 		                         job ? job->done_count : 0, job ? job->running_count : 0);
 	}
-	cJSON_Delete(v);
+	cJSON_Delete(value);
 }
 
-struct fl_job_status_report fl_job_status_from_memory(const struct fl_node *n, const char *ref)
+struct fl_job_status_report fl_job_status_from_memory(const struct fl_node *node, const char *ref)
 {
-	const struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
-	const struct fl_job *job = finished ? NULL : fl_job_find(&n->cluster, ref);
+	const struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
+	const struct fl_job *job = finished ? NULL : fl_job_find(&node->cluster, ref);
 
 	if (finished)
 		return (struct fl_job_status_report){
@@ -84,19 +84,19 @@
 	                                     .running_count = job->running_count};
 }
 
-void fl_respond_job_status(struct fl_node *n, const char *ref, struct fl_http_response *response)
+void fl_respond_job_status(struct fl_node *node, const char *ref, struct fl_http_response *response)
 {
-	struct fl_job_status_report state = fl_job_status_from_memory(n, ref);
+	struct fl_job_status_report state = fl_job_status_from_memory(node, ref);
 
 	if (!state.known) {
-		respond_status_from_record(n, ref, response);
+		respond_status_from_record(node, ref, response);
 		return;
 	}
 	response->status = 200;
 	response->body = fl_status_encode(ref, state.status, state.done_count, state.running_count);
 }
 
-static int store_cancellation(struct fl_node *n, struct fl_job *job, double cancelled,
+static int store_cancellation(struct fl_node *node, struct fl_job *job, double cancelled,
                               uint64_t *revision)
 {
 	struct fl_kv_txn txn;
@@ -104,18 +104,18 @@
 	char key[FL_KEY_MAX];
 
 	fl_key_job(key, job->ref);
-	fl_job_describe(&n->cluster, job, &spec);
+	fl_job_describe(&node->cluster, job, &spec);
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->election.leader_mod_revision);
 	fl_kv_txn_expect_revision(&txn, key, job->mod_revision);
 	fl_kv_txn_put(&txn, key, fl_job_record_cancelled(&spec, job->submitted_wall, cancelled), 0);
-	return fl_kv_txn_commit(&n->kv_store, &txn, revision, NULL);
+	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
 }
 
-void fl_respond_cancel(struct fl_node *n, const char *ref, struct fl_http_response *response)
+void fl_respond_cancel(struct fl_node *node, const char *ref, struct fl_http_response *response)
 {
-	struct fl_finished_job *finished = fl_finished_job_find(&n->cluster, ref);
-	struct fl_job *job = finished ? NULL : fl_job_find(&n->cluster, ref);
+	struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
+	struct fl_job *job = finished ? NULL : fl_job_find(&node->cluster, ref);
 	enum fl_job_status status;
 	struct fl_job_record record = {.final = true, .cancelled_wall = fl_wall()};
 	uint64_t revision;
@@ -123,8 +123,8 @@
 	int rc;
 
 	if (!finished && !job) {
-		respond_status_from_record(n, ref, response);
-		job = fl_job_find(&n->cluster, ref);
+		respond_status_from_record(node, ref, response);
+		job = fl_job_find(&node->cluster, ref);
 		if (response->status != 200 || !job)
 			return;
 		free(response->body);
@@ -135,8 +135,8 @@
 		return;
 	}
 	if (job->final_write_unknown && !job->final_write_in_flight)
-		fl_record_writer_reread_job(n, ref, &done, &status);
-	job = fl_is_leader(n) ? fl_job_find(&n->cluster, ref) : NULL;
+		fl_record_writer_reread_job(node, ref, &done, &status);
+	job = fl_is_leader(node) ? fl_job_find(&node->cluster, ref) : NULL;
 	if (job && job->cancelled) {
 		respond_cancelled(response, ref);
 		return;
@@ -147,20 +147,20 @@
 	}
 	/* Till this is answered, only the record knows: see fl_respond_job_status. */
 	job->final_write_unknown = true;
-	rc = store_cancellation(n, job, record.cancelled_wall, &revision);
-	job = n->leadership.active ? fl_job_find(&n->cluster, ref) : NULL;
+	rc = store_cancellation(node, job, record.cancelled_wall, &revision);
+	job = node->leadership.active ? fl_job_find(&node->cluster, ref) : NULL;
 	if (job && rc == 0) {
-		fl_cluster_apply_cancellation(&n->cluster, job, &record, revision);
-		fl_command_stop_job(n, job);
+		fl_cluster_apply_cancellation(&node->cluster, job, &record, revision);
+		fl_command_stop_job(node, job);
 		fl_info("jobs", "%s is cancelled", ref);
 	} else if (job && rc == -EAGAIN) {
 		job->final_write_unknown = false;
 	} else if (job) {
-		fl_record_writer_reread_job(n, ref, &done, &status);
+		fl_record_writer_reread_job(node, ref, &done, &status);
 	} else if (rc == 0) {
-		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(record.cancelled_wall));
+		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record.cancelled_wall));
 	}
-	finished = fl_finished_job_find(&n->cluster, ref);
+	finished = fl_finished_job_find(&node->cluster, ref);
 	if (finished)
 		respond_finished_job(response, finished, false);
 	else if (rc == 0)
--- a/src/coordination/leadership.h
+++ b/src/coordination/leadership.h
@@ -36,14 +36,14 @@
 };
 
 /* Whether the cluster state is loaded and the lease is valid. */
-bool fl_is_leader(const struct fl_node *n);
+bool fl_is_leader(const struct fl_node *node);
 /*
  * Loads the cluster state and starts the leader's routines, in a routine of its own: the lease must
  * be renewed meanwhile. It gives up when the lease is lost, and may be called again when `loading`
  * is false.
  */
-void fl_leadership_begin(struct fl_node *n);
+void fl_leadership_begin(struct fl_node *node);
 /* Ends the routines, waits for them, and forgets what only a leader knows. */
-void fl_leadership_end(struct fl_node *n);
+void fl_leadership_end(struct fl_node *node);
 
 #endif
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -61,27 +61,27 @@
 
 /* ---- the two servers ---- */
 
-void fl_node_handle_user_request(struct fl_node *n, enum fl_user_request kind, const char *ref,
+void fl_node_handle_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
                                  const char *body, size_t len, enum fl_forward_hop hop,
                                  struct fl_http_response *response)
 {
 	switch (kind) {
 	case FL_USER_REQUEST_SUBMIT:
-		fl_submit(n, body, len, hop, response);
+		fl_submit(node, body, len, hop, response);
 		break;
 	case FL_USER_REQUEST_STATUS:
 	case FL_USER_REQUEST_CANCEL:
-		fl_respond_status_or_cancel(n, kind, ref, hop, response);
+		fl_respond_status_or_cancel(node, kind, ref, hop, response);
 		break;
 	case FL_USER_REQUEST_HEARTBEAT:
-		fl_follower_handle_heartbeat(n, body, len, response);
+		fl_follower_handle_heartbeat(node, body, len, response);
 		break;
 	case FL_USER_REQUEST_READY:
-		n->last_readiness_probe_at = fl_now();
-		response->status =
-			n->machine_types_known && n->jobs_known && !fl_follower_is_isolated(n)
-				? 200
-				: 503;
+		node->last_readiness_probe_at = fl_now();
+		response->status = node->machine_types_known && node->jobs_known &&
+		                                   !fl_follower_is_isolated(node)
+		                           ? 200
+		                           : 503;
 		break;
 	default:
 		fl_respond_error(response, 404, "no such path");
@@ -119,21 +119,21 @@
 static void handle_peer_request(void *context, const struct fl_http_request *request,
                                 struct fl_http_response *response)
 {
-	struct fl_node *n = context;
+	struct fl_node *node = context;
 	struct fl_forwarded_request forwarded;
 
 	if (strcmp(request->path, "/gossip") == 0) {
-		fl_gossip_serve(n, request->body, request->body_len, response);
+		fl_gossip_serve(node, request->body, request->body_len, response);
 		return;
 	}
 	if (strcmp(request->path, FL_PATH_STATUS) == 0) {
 		/* For up to 256 users at once, and answered from memory. */
 		fl_coroutine_set_urgent();
-		fl_status_query_serve(n, request->body, request->body_len, response);
+		fl_status_query_serve(node, request->body, request->body_len, response);
 		return;
 	}
 	if (strcmp(request->path, FL_PATH_HEARTBEATS) == 0) {
-		fl_heartbeat_forward_serve(n, request->body, request->body_len, response);
+		fl_heartbeat_forward_serve(node, request->body, request->body_len, response);
 		return;
 	}
 	if (strcmp(request->path, FL_PATH_FORWARD) != 0) {
@@ -146,10 +146,10 @@
 		return;
 	}
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
-	if (!fl_is_leader(n) && fl_forward_ends_here(n, forwarded.last_hop))
+	if (!fl_is_leader(node) && fl_forward_ends_here(node, forwarded.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
-		fl_node_handle_user_request(n, forwarded.kind, forwarded.ref, forwarded.body,
+		fl_node_handle_user_request(node, forwarded.kind, forwarded.ref, forwarded.body,
 		                            forwarded.body ? strlen(forwarded.body) : 0,
 		                            FL_HOP_LAST, response);
 	fl_forwarded_request_free(&forwarded);
@@ -159,32 +159,32 @@
 
 static void on_job_event(void *context, const struct fl_kv_event *event)
 {
-	struct fl_node *n = context;
+	struct fl_node *node = context;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job *job;
 	bool known;
 
 	if (strlen(ref) >= FL_REF_MAX)
 		return;
-	job = fl_job_find(&n->cluster, ref);
+	job = fl_job_find(&node->cluster, ref);
 	known = job && job->cancelled;
-	job = fl_cluster_apply_job_record(&n->cluster, ref, event->value, event->mod_revision);
-	if (!job || !n->leadership.active)
+	job = fl_cluster_apply_job_record(&node->cluster, ref, event->value, event->mod_revision);
+	if (!job || !node->leadership.active)
 		return;
 	if (job->cancelled && !known) {
 		fl_info("jobs", "%s is cancelled, says its record", ref);
-		fl_command_stop_job(n, job);
+		fl_command_stop_job(node, job);
 	}
-	n->leadership.cycle_due = true;
-	fl_condition_broadcast(&n->leadership.work_available);
+	node->leadership.cycle_due = true;
+	fl_condition_broadcast(&node->leadership.work_available);
 }
 
 static void job_watch_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 	uint64_t revision = 0;
 
-	while (!n->machine_types_known)
+	while (!node->machine_types_known)
 		if (fl_sleep(tunables.retry_s / 5) != 0)
 			return;
 	while (!fl_coroutine_cancelled()) {
@@ -192,21 +192,22 @@
 		int rc;
 
 		if (revision == 0) {
-			if (!n->cluster.leading)
-				fl_cluster_list_begin(&n->cluster);
-			rc = fl_kv_list(&n->kv_store, FL_PREFIX_JOBS, on_job_event, n, &revision);
-			if (rc == 0 && !n->cluster.leading)
-				fl_cluster_list_end(&n->cluster, revision);
+			if (!node->cluster.leading)
+				fl_cluster_list_begin(&node->cluster);
+			rc = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, on_job_event, node,
+			                &revision);
+			if (rc == 0 && !node->cluster.leading)
+				fl_cluster_list_end(&node->cluster, revision);
 		} else {
-			rc = fl_kv_watch(&n->kv_store, FL_PREFIX_JOBS, &revision, tunables.hold_s,
-			                 on_job_event, n);
+			rc = fl_kv_watch(&node->kv_store, FL_PREFIX_JOBS, &revision,
+			                 tunables.hold_s, on_job_event, node);
 		}
 		if (rc == 0)
-			n->cancellation_watermark = fmax(n->cancellation_watermark, sent);
-		if (rc == 0 && !n->jobs_known) {
-			n->jobs_known = true;
-			fl_condition_broadcast(&n->jobs_listed);
-			fl_info("node", "%s is ready", n->config->node);
+			node->cancellation_watermark = fmax(node->cancellation_watermark, sent);
+		if (rc == 0 && !node->jobs_known) {
+			node->jobs_known = true;
+			fl_condition_broadcast(&node->jobs_listed);
+			fl_info("node", "%s is ready", node->config->node);
 		}
 		if (rc == -ERANGE)
 			revision = 0;
@@ -219,32 +220,34 @@
  * From the record that a leader keeps of them, else from the cloud. Found on a day of our own: all
  * controllers ended while the cloud was out, and none of them could serve until it was back.
  */
-static int read_machine_types(struct fl_node *n, struct fl_cloud_machine_type **types, int *count)
+static int read_machine_types(struct fl_node *node, struct fl_cloud_machine_type **types,
+                              int *count)
 {
 	uint64_t revision;
-	cJSON *v = NULL;
-	int rc = fl_kv_get(&n->kv_store, FL_KEY_MACHINE_TYPES, &v, &revision, NULL);
+	cJSON *value = NULL;
+	int rc = fl_kv_get(&node->kv_store, FL_KEY_MACHINE_TYPES, &value, &revision, NULL);
 
 	if (!rc)
-		rc = fl_machine_types_decode(v, types, count);
-	cJSON_Delete(v);
-	return rc ? fl_cloud_machine_types(&n->cloud, types, count) : 0;
+		rc = fl_machine_types_decode(value, types, count);
+	cJSON_Delete(value);
+	return rc ? fl_cloud_machine_types(&node->cloud, types, count) : 0;
 }
 
 static void machine_types_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 
-	while (!n->machine_types_known) {
+	while (!node->machine_types_known) {
 		struct fl_cloud_machine_type *types;
-		int count, rc = read_machine_types(n, &types, &count);
+		int count, rc = read_machine_types(node, &types, &count);
 
 		if (rc == -EPROTO)
 			fl_error("cloud", "its machine types cannot be read");
 		if (rc == 0) {
-			fl_machine_types_set(&n->cluster.machines, &n->cluster.zones, types, count);
+			fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types,
+			                     count);
 			free(types);
-			n->machine_types_known = true;
+			node->machine_types_known = true;
 			return;
 		}
 		if (fl_sleep(tunables.retry_s) != 0)
@@ -252,56 +255,58 @@
 	}
 }
 
-static int init_node(struct fl_node *n, const struct fl_config *c)
+static int init_node(struct fl_node *node, const struct fl_config *config)
 {
-	n->config = c;
-	n->cluster.finished_dropped_at = -1e9;
-	n->cluster.finished_max = (unsigned)(c->ram_mb * 1024 * 1024 * tunables.finished_share /
-	                                     sizeof(struct fl_finished_job));
-	snprintf(n->process_id, sizeof(n->process_id), "%s-%.6f", c->node, fl_wall());
-	for (int i = 0; i < c->zone_count; i++)
-		if (fl_symbol_intern(&n->cluster.zones, c->zones[i]) < 0)
+	node->config = config;
+	node->cluster.finished_dropped_at = -1e9;
+	node->cluster.finished_max =
+		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_share /
+	                   sizeof(struct fl_finished_job));
+	snprintf(node->process_id, sizeof(node->process_id), "%s-%.6f", config->node, fl_wall());
+	for (int i = 0; i < config->zone_count; i++)
+		if (fl_symbol_intern(&node->cluster.zones, config->zones[i]) < 0)
 			return -ENOMEM;
-	for (int i = 0; i < c->slo_count; i++)
-		if (c->slos[i].job_class[0] &&
-		    fl_symbol_intern(&n->cluster.classes, c->slos[i].job_class) < 0)
+	for (int i = 0; i < config->slo_count; i++)
+		if (config->slos[i].job_class[0] &&
+		    fl_symbol_intern(&node->cluster.classes, config->slos[i].job_class) < 0)
 			return -ENOMEM;
-	n->slo_class_count = n->cluster.classes.count;
-	for (int i = 0; i < c->team_count; i++) {
-		struct fl_team *team = &n->cluster.teams.by_index[n->cluster.teams.count++];
-
-		fl_copy_string(team->name, sizeof(team->name), c->teams[i].name);
-		team->guaranteed_cpus = c->teams[i].cpus;
-		team->guaranteed_gpus = c->teams[i].gpus;
-		team->max_cpus = c->teams[i].cpus_max;
-		team->max_gpus = c->teams[i].gpus_max;
+	node->slo_class_count = node->cluster.classes.count;
+	for (int i = 0; i < config->team_count; i++) {
+		struct fl_team *team = &node->cluster.teams.by_index[node->cluster.teams.count++];
+
+		fl_copy_string(team->name, sizeof(team->name), config->teams[i].name);
+		team->guaranteed_cpus = config->teams[i].cpus;
+		team->guaranteed_gpus = config->teams[i].gpus;
+		team->max_cpus = config->teams[i].cpus_max;
+		team->max_gpus = config->teams[i].gpus_max;
 	}
-	for (int i = 0; i < c->peer_count; i++) {
-		struct fl_peer *peer = &n->peers[n->peer_count++];
-
-		peer->node = n;
-		fl_copy_string(peer->name, sizeof(peer->name), c->peers[i].node);
-		fl_copy_string(peer->location, sizeof(peer->location), c->peers[i].location);
-		if (fl_http_client_init(&peer->http, c->peers[i].addr, tunables.peer_conns) != 0)
+	for (int i = 0; i < config->peer_count; i++) {
+		struct fl_peer *peer = &node->peers[node->peer_count++];
+
+		peer->node = node;
+		fl_copy_string(peer->name, sizeof(peer->name), config->peers[i].node);
+		fl_copy_string(peer->location, sizeof(peer->location), config->peers[i].location);
+		if (fl_http_client_init(&peer->http, config->peers[i].addr, tunables.peer_conns) !=
+		    0)
 			return -EINVAL;
 	}
-	fl_job_lookups_init(n);
-	if (fl_kv_init(&n->kv_store, c->state) != 0)
+	fl_job_lookups_init(node);
+	if (fl_kv_init(&node->kv_store, config->state) != 0)
 		return -EINVAL;
-	return fl_http_client_init(&n->cloud.http, c->cloud, 2);
+	return fl_http_client_init(&node->cloud.http, config->cloud, 2);
 }
 
 /*
  * Found with 2,000 workers on one controller: the fifth of all sockets that was set aside for the
  * peers was missing for users. What peers need does not grow with the machines.
  */
-int fl_node_public_conns(const struct fl_config *c)
+int fl_node_public_conns(const struct fl_config *config)
 {
 	/* Of each peer what it may open here, and to one of them, the leader, the same from here.
 	 */
-	int peers = (c->peer_count + 1) * FL_PEER_CONNS_MAX + c->peer_count;
-	int rest = c->max_connections - peers - tunables.own_conns;
-	int least = (int)(c->max_connections * tunables.user_least);
+	int peers = (config->peer_count + 1) * FL_PEER_CONNS_MAX + config->peer_count;
+	int rest = config->max_connections - peers - tunables.own_conns;
+	int least = (int)(config->max_connections * tunables.user_least);
 
 	return rest > least ? rest : least;
 }
@@ -316,7 +321,7 @@
 
 int fl_node_start(const struct fl_config *config)
 {
-	struct fl_node *n = calloc(1, sizeof(*n));
+	struct fl_node *node = calloc(1, sizeof(*node));
 	int conns = fl_node_public_conns(config);
 	double idle_s = fmax(tunables.idle_least_s, tunables.idle_reports * config->report_s);
 	int allowed = fl_raise_open_file_limit(config->max_connections + tunables.own_conns);
@@ -326,17 +331,17 @@
 	if (allowed < config->max_connections)
 		fl_error("node", "max_connections is %d, but the system allows %d open files",
 		         config->max_connections, allowed);
-	if (!n || init_node(n, config) != 0 ||
-	    !fl_http_serve(config->bind, conns, idle_s, handle_public_request, n) ||
+	if (!node || init_node(node, config) != 0 ||
+	    !fl_http_serve(config->bind, conns, idle_s, handle_public_request, node) ||
 	    !fl_http_serve(config->cluster_listen, config->max_connections - conns, idle_s,
-	                   handle_peer_request, n)) {
-		free(n);
+	                   handle_peer_request, node)) {
+		free(node);
 		return -1;
 	}
-	fl_election_start(n);
-	fl_follower_start(n);
-	fl_coroutine_spawn(machine_types_coroutine, n);
-	fl_coroutine_spawn(job_watch_coroutine, n);
+	fl_election_start(node);
+	fl_follower_start(node);
+	fl_coroutine_spawn(machine_types_coroutine, node);
+	fl_coroutine_spawn(job_watch_coroutine, node);
 	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
 	return 0;
 }
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -80,9 +80,9 @@
 };
 
 /* How many of all connections users and workers may hold. */
-int fl_node_public_conns(const struct fl_config *c);
+int fl_node_public_conns(const struct fl_config *config);
 /* Answers a user's call here, passing on what only the leader can say. */
-void fl_node_handle_user_request(struct fl_node *n, enum fl_user_request kind, const char *ref,
+void fl_node_handle_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
                                  const char *body, size_t len, enum fl_forward_hop hop,
                                  struct fl_http_response *response);
 /* Fills a response with an error text. */
--- a/src/coordination/reachability.c
+++ b/src/coordination/reachability.c
@@ -15,11 +15,11 @@
 	.report_most = 1.25, /* report intervals between two reports at most */
 };
 
-void fl_reachability_confirm(struct fl_machine *m)
+void fl_reachability_confirm(struct fl_machine *machine)
 {
-	m->unacknowledged_replies = 0;
-	m->unacknowledged_since = 0;
-	m->last_reply_timed_out = false;
+	machine->unacknowledged_replies = 0;
+	machine->unacknowledged_since = 0;
+	machine->last_reply_timed_out = false;
 }
 
 /*
@@ -30,28 +30,28 @@
  * no new work. Where only one node is known, the time decides, if reports are more frequent than
  * the timeout.
  */
-static bool timed_out(const struct fl_node *n, const struct fl_machine *m,
+static bool timed_out(const struct fl_node *node, const struct fl_machine *machine,
                       const struct fl_heartbeat *heartbeat, double gap)
 {
 	if (gap < tunables.timeout_s)
 		return false;
-	if (heartbeat->entry_node && m->entry_node && n->peer_count > 0)
-		return heartbeat->entry_node != m->entry_node;
-	return tunables.report_most * n->config->report_s < tunables.timeout_s;
+	if (heartbeat->entry_node && machine->entry_node && node->peer_count > 0)
+		return heartbeat->entry_node != machine->entry_node;
+	return tunables.report_most * node->config->report_s < tunables.timeout_s;
 }
 
 /* Whether the report has every attempt that the last answer ordered, be it as refused. */
-static bool starts_reported(const struct fl_machine *m, const struct fl_heartbeat *heartbeat)
+static bool starts_reported(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
 {
-	for (int i = 0; i < m->assignment_count; i++) {
-		const struct fl_job *job = m->assignments[i].job;
-		const struct fl_task *task = fl_task_peek(job, m->assignments[i].index);
+	for (int i = 0; i < machine->assignment_count; i++) {
+		const struct fl_job *job = machine->assignments[i].job;
+		const struct fl_task *task = fl_task_peek(job, machine->assignments[i].index);
 		bool found = false;
 
 		if (!task->start_sent)
 			continue;
 		for (int k = 0; k < heartbeat->task_count && !found; k++)
-			found = heartbeat->tasks[k].index == m->assignments[i].index &&
+			found = heartbeat->tasks[k].index == machine->assignments[i].index &&
 			        heartbeat->tasks[k].attempt == task->attempt &&
 			        strcmp(heartbeat->tasks[k].ref, job->ref) == 0;
 		if (!found)
@@ -60,48 +60,50 @@
 	return true;
 }
 
-void fl_reachability_on_heartbeat(struct fl_node *n, struct fl_machine *m,
+void fl_reachability_on_heartbeat(struct fl_node *node, struct fl_machine *machine,
                                   const struct fl_heartbeat *heartbeat, double now)
 {
 	bool incarnation_lost, no_effect;
-	double gap = m->last_reply_at > 0 ? now - m->last_reply_at : 0;
+	double gap = machine->last_reply_at > 0 ? now - machine->last_reply_at : 0;
 
-	m->last_reply_timed_out = timed_out(n, m, heartbeat, gap);
-	m->entry_node = heartbeat->entry_node;
-	if (m->last_reply_at <= 0)
+	machine->last_reply_timed_out = timed_out(node, machine, heartbeat, gap);
+	machine->entry_node = heartbeat->entry_node;
+	if (machine->last_reply_at <= 0)
 		return;
 	/* Had the last answer arrived, the lease could not have ended by now. */
-	incarnation_lost = heartbeat->incarnation > m->incarnation && m->incarnation > 0 &&
-	                   gap < n->config->lease_s - tunables.timeout_s;
-	no_effect = heartbeat->fencing_token < m->last_reply_token || incarnation_lost ||
-	            (m->last_reply_had_start && !starts_reported(m, heartbeat));
+	incarnation_lost = heartbeat->incarnation > machine->incarnation &&
+	                   machine->incarnation > 0 &&
+	                   gap < node->config->lease_s - tunables.timeout_s;
+	no_effect = heartbeat->fencing_token < machine->last_reply_token || incarnation_lost ||
+	            (machine->last_reply_had_start && !starts_reported(machine, heartbeat));
 	if (no_effect) {
-		if (m->unacknowledged_replies++ == 0)
-			m->unacknowledged_since = m->last_reply_at;
-		if (m->unacknowledged_replies == tunables.doubts)
+		if (machine->unacknowledged_replies++ == 0)
+			machine->unacknowledged_since = machine->last_reply_at;
+		if (machine->unacknowledged_replies == tunables.doubts)
 			fl_info("workers", "%s does not seem to hear us: nothing new is placed",
-			        m->name);
+			        machine->name);
 		return;
 	}
 	/* An answer without an order proves nothing, unless the worker did not time out. */
-	if (m->last_reply_had_start || !m->last_reply_timed_out)
-		fl_reachability_confirm(m);
+	if (machine->last_reply_had_start || !machine->last_reply_timed_out)
+		fl_reachability_confirm(machine);
 }
 
-void fl_reachability_on_reply(struct fl_node *n, struct fl_machine *m, enum fl_reply_kind kind,
-                              double now)
+void fl_reachability_on_reply(struct fl_node *node, struct fl_machine *machine,
+                              enum fl_reply_kind kind, double now)
 {
-	m->last_reply_at = now;
-	m->last_reply_token = n->election.fencing_token;
-	m->last_reply_had_start = kind == FL_REPLY_WITH_START;
+	machine->last_reply_at = now;
+	machine->last_reply_token = node->election.fencing_token;
+	machine->last_reply_had_start = kind == FL_REPLY_WITH_START;
 }
 
-bool fl_reachability_is_suspect(const struct fl_machine *m)
+bool fl_reachability_is_suspect(const struct fl_machine *machine)
 {
-	return m->unacknowledged_replies >= tunables.doubts || m->last_reply_timed_out;
+	return machine->unacknowledged_replies >= tunables.doubts || machine->last_reply_timed_out;
 }
 
-double fl_reachability_lost_since(const struct fl_machine *m)
+double fl_reachability_lost_since(const struct fl_machine *machine)
 {
-	return m->unacknowledged_replies >= tunables.doubts ? m->unacknowledged_since : INFINITY;
+	return machine->unacknowledged_replies >= tunables.doubts ? machine->unacknowledged_since
+	                                                          : INFINITY;
 }
--- a/src/coordination/reachability.h
+++ b/src/coordination/reachability.h
@@ -18,19 +18,19 @@
  * A newer report has come on a connection that is answered. To be called before the report changes
  * the cluster state.
  */
-void fl_reachability_on_heartbeat(struct fl_node *n, struct fl_machine *m,
+void fl_reachability_on_heartbeat(struct fl_node *node, struct fl_machine *machine,
                                   const struct fl_heartbeat *heartbeat, double now);
 /* Whether an answer orders a launch, whose effect the next report must show. */
 enum fl_reply_kind { FL_REPLY_WITHOUT_START, FL_REPLY_WITH_START };
 
 /* The report is being answered. */
-void fl_reachability_on_reply(struct fl_node *n, struct fl_machine *m, enum fl_reply_kind kind,
-                              double now);
+void fl_reachability_on_reply(struct fl_node *node, struct fl_machine *machine,
+                              enum fl_reply_kind kind, double now);
 /* The machine itself has answered a command. */
-void fl_reachability_confirm(struct fl_machine *m);
+void fl_reachability_confirm(struct fl_machine *machine);
 /* Whether the machine is in doubt, so that nothing new is placed there. */
-bool fl_reachability_is_suspect(const struct fl_machine *m);
+bool fl_reachability_is_suspect(const struct fl_machine *machine);
 /* The last time at which our messages surely reached it, if they do not now; else INFINITY. */
-double fl_reachability_lost_since(const struct fl_machine *m);
+double fl_reachability_lost_since(const struct fl_machine *machine);
 
 #endif
--- a/src/coordination/reconciliation.c
+++ b/src/coordination/reconciliation.c
@@ -28,12 +28,13 @@
 };
 
 /* Newer by session, then sequence number; the first report received is always newer. */
-static bool newer(const struct fl_machine *m, const struct fl_heartbeat *heartbeat)
+static bool newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
 {
-	if (m->last_heartbeat_at <= 0)
+	if (machine->last_heartbeat_at <= 0)
 		return true;
-	return heartbeat->incarnation > m->incarnation ||
-	       (heartbeat->incarnation == m->incarnation && heartbeat->sequence > m->sequence);
+	return heartbeat->incarnation > machine->incarnation ||
+	       (heartbeat->incarnation == machine->incarnation &&
+	        heartbeat->sequence > machine->sequence);
 }
 
 /*
@@ -43,22 +44,23 @@
  * carry. Nor if the report replies to a command and an answer has ordered the launch: the reply may
  * overtake the answer, which may be under way until the worker sends its next report of its own.
  */
-static bool absence_proves(const struct fl_machine *m, const struct fl_task *task,
+static bool absence_proves(const struct fl_machine *machine, const struct fl_task *task,
                            const struct fl_heartbeat *heartbeat, enum fl_heartbeat_source source)
 {
 	if (task->start_sent && source == FL_HEARTBEAT_FROM_COMMAND)
 		return false;
 	/* The launch of an answer is executed before the worker's next report or never. */
-	return m->direct_start_token == 0 || heartbeat->fencing_token > m->direct_start_token;
+	return machine->direct_start_token == 0 ||
+	       heartbeat->fencing_token > machine->direct_start_token;
 }
 
 /*
  * A finished entry may be dropped by the worker only when no late launch can restart it. One of an
  * older leader cannot: a report that counts carries this leadership's epoch.
  */
-static bool may_forget(const struct fl_machine *m, const struct fl_heartbeat *heartbeat)
+static bool may_forget(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
 {
-	return heartbeat->fencing_token > m->direct_start_token;
+	return heartbeat->fencing_token > machine->direct_start_token;
 }
 
 /* Whether the attempt is to run on, rather than be stopped. */
@@ -83,7 +85,7 @@
 	            tunables.backoff_s * pow(2, fmin(failures, tunables.doublings_most) - 1));
 }
 
-static void record_failure(struct fl_machine *m, struct fl_job *job, struct fl_task *task,
+static void record_failure(struct fl_machine *machine, struct fl_job *job, struct fl_task *task,
                            double now)
 {
 	int faults;
@@ -91,7 +93,7 @@
 	if (task->failure_count < tunables.doublings_most)
 		task->failure_count++;
 	job->consecutive_failures++;
-	m->fault_count++;
+	machine->fault_count++;
 	/* A job submitted with a mistake fails everywhere, each of its tasks for the first time. */
 	if (job->consecutive_failures > tunables.consecutive_failures)
 		job->not_before =
@@ -101,27 +103,28 @@
 	 * machine are no evidence, unless others of them have completed.
 	 */
 	faults = job->done_count > 0 ? tunables.faults : tunables.unproven_faults;
-	if (m->fault_count >= faults &&
+	if (machine->fault_count >= faults &&
 	    job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
-		m->quarantined_until = now + tunables.avoid_s;
+		machine->quarantined_until = now + tunables.avoid_s;
 	fl_info("workers", "%s failed on %s (machine faults %d, job consecutive failures %u)",
-	        job->ref, m->name, m->fault_count, job->consecutive_failures);
+	        job->ref, machine->name, machine->fault_count, job->consecutive_failures);
 }
 
-static void handle_exit(struct fl_node *n, struct fl_machine *m, struct fl_job *job, uint32_t index,
-                        struct fl_task *task, const struct fl_task_status *status, double now)
+static void handle_exit(struct fl_node *node, struct fl_machine *machine, struct fl_job *job,
+                        uint32_t index, struct fl_task *task, const struct fl_task_status *status,
+                        double now)
 {
 	double pause = 0;
 
 	switch (status->exit) {
 	case FL_EXIT_DONE:
 		fl_debug("workers", "%s/%u done on %s after %.1f s of %.1f", job->ref, index,
-		         m->name, now - task->running_since, job->expected_s);
+		         machine->name, now - task->running_since, job->expected_s);
 		job->consecutive_failures = 0;
 		job->not_before = 0;
-		m->fault_count = 0;
-		fl_task_done(&n->cluster, job, index);
-		fl_condition_broadcast(&n->leadership.work_available);
+		machine->fault_count = 0;
+		fl_task_done(&node->cluster, job, index);
+		fl_condition_broadcast(&node->leadership.work_available);
 		return;
 	case FL_EXIT_STOPPED:
 	case FL_EXIT_GANG_PEERS_LOST:
@@ -130,16 +133,16 @@
 	case FL_EXIT_NO_ROOM:
 	case FL_EXIT_BUSY:
 		pause = tunables.refused_s;
-		fl_info("workers", "%s refused %s/%u (%s)", m->name, job->ref, index,
+		fl_info("workers", "%s refused %s/%u (%s)", machine->name, job->ref, index,
 		        status->exit == FL_EXIT_BUSY ? "busy" : "no room");
 		break;
 	default:
-		record_failure(m, job, task, now);
+		record_failure(machine, job, task, now);
 		pause = backoff(task->failure_count);
 		break;
 	}
-	fl_task_release(&n->cluster, job, index, pause > 0 ? now + pause : 0);
-	fl_condition_broadcast(&n->leadership.work_available);
+	fl_task_release(&node->cluster, job, index, pause > 0 ? now + pause : 0);
+	fl_condition_broadcast(&node->leadership.work_available);
 }
 
 static enum fl_observed_state observed_of(enum fl_task_state s)
@@ -159,12 +162,12 @@
  * An entry that is not a current attempt: it is stopped if it runs, and forgotten by the worker
  * when that is safe.
  */
-static void handle_stale(struct fl_node *n, struct fl_machine *m, struct fl_job *job,
+static void handle_stale(struct fl_node *node, struct fl_machine *machine, struct fl_job *job,
                          const struct fl_task_status *status, const struct fl_heartbeat *heartbeat,
                          struct fl_command_list *commands)
 {
 	if (status->state != FL_TASK_STATE_EXITED) {
-		m->orphan_task_count++;
+		machine->orphan_task_count++;
 		if (commands)
 			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
 			                    status->attempt, 0);
@@ -176,35 +179,35 @@
 		struct fl_task *task = fl_task_get(job, status->index);
 
 		if (task && task->phase == FL_TASK_WAITING) {
-			fl_task_done(&n->cluster, job, status->index);
-			fl_condition_broadcast(&n->leadership.work_available);
+			fl_task_done(&node->cluster, job, status->index);
+			fl_condition_broadcast(&node->leadership.work_available);
 		}
 	}
-	if (!may_forget(m, heartbeat))
-		n->leadership.retained_exit_count++;
+	if (!may_forget(machine, heartbeat))
+		node->leadership.retained_exit_count++;
 	else if (commands &&
 	         (!job || status->index >= job->task_count || fl_task_durable(job, status->index)))
 		fl_command_list_add(commands, FL_COMMAND_FORGET, status->ref, status->index,
 		                    status->attempt, 0);
 }
 
-static void handle_reported(struct fl_node *n, struct fl_machine *m,
+static void handle_reported(struct fl_node *node, struct fl_machine *machine,
                             const struct fl_task_status *status,
                             const struct fl_heartbeat *heartbeat, struct fl_command_list *commands,
                             double now)
 {
-	struct fl_job *job = fl_job_find(&n->cluster, status->ref);
+	struct fl_job *job = fl_job_find(&node->cluster, status->ref);
 	struct fl_task *task =
 		job && status->index < job->task_count ? fl_task_peek(job, status->index) : NULL;
 
-	if (!task || task->phase != FL_TASK_PLACED || task->machine != m->id ||
+	if (!task || task->phase != FL_TASK_PLACED || task->machine != machine->id ||
 	    task->attempt != status->attempt) {
-		handle_stale(n, m, job, status, heartbeat, commands);
+		handle_stale(node, machine, job, status, heartbeat, commands);
 		return;
 	}
-	fl_machine_record_image(m, job->image);
+	fl_machine_record_image(machine, job->image);
 	if (status->state == FL_TASK_STATE_EXITED) {
-		handle_exit(n, m, job, status->index, task, status, now);
+		handle_exit(node, machine, job, status->index, task, status, now);
 		return;
 	}
 	if (task->observed != observed_of(status->state)) {
@@ -212,9 +215,9 @@
 		         observed_of(status->state) == FL_OBSERVED_RUNNING   ? "running"
 		         : observed_of(status->state) == FL_OBSERVED_PULLING ? "pulling"
 		                                                             : "saving",
-		         m->name, now - task->running_since);
+		         machine->name, now - task->running_since);
 		fl_task_observe(job, task, observed_of(status->state), now);
-		fl_condition_broadcast(&n->leadership.work_available);
+		fl_condition_broadcast(&node->leadership.work_available);
 	}
 	if (!should_run(job, task) && commands)
 		fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
@@ -235,16 +238,16 @@
  * The attempts that are placed on the machine and were not reported: each is launched, or concluded
  * to be gone.
  */
-static enum fl_reply_kind handle_unreported(struct fl_node *n, struct fl_machine *m,
+static enum fl_reply_kind handle_unreported(struct fl_node *node, struct fl_machine *machine,
                                             const struct fl_heartbeat *heartbeat,
                                             struct fl_command_list *commands,
                                             enum fl_heartbeat_source source, double now)
 {
 	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
 
-	for (int i = m->assignment_count - 1; i >= 0; i--) {
-		struct fl_job *job = m->assignments[i].job;
-		uint32_t index = m->assignments[i].index;
+	for (int i = machine->assignment_count - 1; i >= 0; i--) {
+		struct fl_job *job = machine->assignments[i].job;
+		uint32_t index = machine->assignments[i].index;
 		struct fl_task *task = fl_task_peek(job, index);
 
 		if (in_report(heartbeat, job, index, task->attempt))
@@ -252,23 +255,24 @@
 		if (task->incarnation < heartbeat->incarnation) {
 			/* The session in which it was placed is over, and so is the attempt. */
 			fl_info("workers", "%s/%u lost: %s began a new session", job->ref, index,
-			        m->name);
-			fl_task_release(&n->cluster, job, index, 0);
-			fl_condition_broadcast(&n->leadership.work_available);
+			        machine->name);
+			fl_task_release(&node->cluster, job, index, 0);
+			fl_condition_broadcast(&node->leadership.work_available);
 			continue;
 		}
 		if (task->observed != FL_OBSERVED_NONE) {
 			/* Was seen in this session, was never forgotten, and is no more. */
-			fl_error("workers", "%s/%u vanished from %s", job->ref, index, m->name);
+			fl_error("workers", "%s/%u vanished from %s", job->ref, index,
+			         machine->name);
 			fl_task_observe(job, task, FL_OBSERVED_NONE, now);
 		}
 		if (!should_run(job, task)) {
-			if (absence_proves(m, task, heartbeat, source)) {
-				fl_task_release(&n->cluster, job, index, 0);
-				fl_condition_broadcast(&n->leadership.work_available);
-			} else if (m->direct_start_token >= heartbeat->fencing_token &&
-			           m->direct_start_token > 0) {
-				n->election.token_raise_wanted = true;
+			if (absence_proves(machine, task, heartbeat, source)) {
+				fl_task_release(&node->cluster, job, index, 0);
+				fl_condition_broadcast(&node->leadership.work_available);
+			} else if (machine->direct_start_token >= heartbeat->fencing_token &&
+			           machine->direct_start_token > 0) {
+				node->election.token_raise_wanted = true;
 			}
 		} else if (commands && fl_task_durable(job, index)) {
 			fl_command_list_add(commands, FL_COMMAND_START, job->ref, index,
@@ -280,12 +284,14 @@
 	return kind;
 }
 
-static void describe(struct fl_node *n, struct fl_machine *m, const struct fl_heartbeat *heartbeat)
+static void describe(struct fl_node *node, struct fl_machine *machine,
+                     const struct fl_heartbeat *heartbeat)
 {
-	int type = fl_machine_type_find(&n->cluster.machines, heartbeat->type);
-	int zone = fl_symbol_find(&n->cluster.zones, heartbeat->zone);
+	int type = fl_machine_type_find(&node->cluster.machines, heartbeat->type);
+	int zone = fl_symbol_find(&node->cluster.zones, heartbeat->zone);
 
-	fl_cluster_describe(&n->cluster, m, type, zone, heartbeat->spot, heartbeat->endpoint);
+	fl_cluster_describe(&node->cluster, machine, type, zone, heartbeat->spot,
+	                    heartbeat->endpoint);
 }
 
 /*
@@ -294,82 +300,82 @@
  * and does not count as contact. A worker that receives the answer reports again at once, with the
  * epoch.
  */
-static bool predates_leadership(const struct fl_node *n, const struct fl_heartbeat *heartbeat)
+static bool predates_leadership(const struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
-	return heartbeat->fencing_token < n->leadership.first_fencing_token;
+	return heartbeat->fencing_token < node->leadership.first_fencing_token;
 }
 
-static void record_contact(struct fl_node *n, struct fl_machine *m,
+static void record_contact(struct fl_node *node, struct fl_machine *machine,
                            const struct fl_heartbeat *heartbeat, double now)
 {
-	bool changed = !m->up;
-
-	describe(n, m, heartbeat);
-	m->incarnation = heartbeat->incarnation;
-	m->sequence = heartbeat->sequence;
-	m->last_heartbeat_at = now;
-	m->up = true;
-	m->orphan_task_count = 0;
-	if (heartbeat->interruption_in_s >= 0 && m->interruption_at == 0) {
-		m->interruption_at = now + heartbeat->interruption_in_s;
-		fl_info("cloud", "%s will be taken back in %.0f s", m->name,
+	bool changed = !machine->up;
+
+	describe(node, machine, heartbeat);
+	machine->incarnation = heartbeat->incarnation;
+	machine->sequence = heartbeat->sequence;
+	machine->last_heartbeat_at = now;
+	machine->up = true;
+	machine->orphan_task_count = 0;
+	if (heartbeat->interruption_in_s >= 0 && machine->interruption_at == 0) {
+		machine->interruption_at = now + heartbeat->interruption_in_s;
+		fl_info("cloud", "%s will be taken back in %.0f s", machine->name,
 		        heartbeat->interruption_in_s);
 		changed = true;
 	}
 	if (changed)
-		fl_condition_broadcast(&n->leadership.work_available);
+		fl_condition_broadcast(&node->leadership.work_available);
 }
 
-int fl_reconcile_heartbeat(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+int fl_reconcile_heartbeat(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                            struct fl_command_list *commands, enum fl_heartbeat_source source)
 {
 	double now = fl_now();
-	struct fl_machine *m = fl_machine_find(&n->cluster.machines, heartbeat->host);
+	struct fl_machine *machine = fl_machine_find(&node->cluster.machines, heartbeat->host);
 	enum fl_reply_kind kind;
 
-	if (m && m->decommissioned)
+	if (machine && machine->decommissioned)
 		return -ENOENT;
-	if (heartbeat->fencing_token > n->election.fencing_token)
+	if (heartbeat->fencing_token > node->election.fencing_token)
 		return -ENOENT; /* our own epoch, being raised: the next report is taken */
-	if (predates_leadership(n, heartbeat))
+	if (predates_leadership(node, heartbeat))
 		return 0;
-	if (!m)
-		m = fl_machine_get(&n->cluster.machines, heartbeat->host, now);
-	if (!m)
+	if (!machine)
+		machine = fl_machine_get(&node->cluster.machines, heartbeat->host, now);
+	if (!machine)
 		return -ENOENT;
-	if (!newer(m, heartbeat))
+	if (!newer(machine, heartbeat))
 		return 0;
 	if (source == FL_HEARTBEAT_FROM_COMMAND)
-		fl_reachability_confirm(m);
+		fl_reachability_confirm(machine);
 	else if (source == FL_HEARTBEAT_FROM_WORKER)
-		fl_reachability_on_heartbeat(n, m, heartbeat, now);
-	record_contact(n, m, heartbeat, now);
+		fl_reachability_on_heartbeat(node, machine, heartbeat, now);
+	record_contact(node, machine, heartbeat, now);
 	if (source != FL_HEARTBEAT_FROM_DIGEST)
-		m->last_reachable_at = now;
+		machine->last_reachable_at = now;
 	for (int i = 0; i < heartbeat->task_count; i++)
-		handle_reported(n, m, &heartbeat->tasks[i], heartbeat, commands, now);
-	kind = handle_unreported(n, m, heartbeat, commands, source, now);
+		handle_reported(node, machine, &heartbeat->tasks[i], heartbeat, commands, now);
+	kind = handle_unreported(node, machine, heartbeat, commands, source, now);
 	if (source == FL_HEARTBEAT_FROM_WORKER)
-		fl_reachability_on_reply(n, m, kind, now);
+		fl_reachability_on_reply(node, machine, kind, now);
 	return 0;
 }
 
-void fl_reconcile_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat)
+void fl_reconcile_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
-	struct fl_machine *m = fl_machine_find(&n->cluster.machines, heartbeat->host);
+	struct fl_machine *machine = fl_machine_find(&node->cluster.machines, heartbeat->host);
 
-	if (m && m->up && newer(m, heartbeat))
-		fl_reachability_on_reply(n, m, FL_REPLY_WITHOUT_START, fl_now());
+	if (machine && machine->up && newer(machine, heartbeat))
+		fl_reachability_on_reply(node, machine, FL_REPLY_WITHOUT_START, fl_now());
 }
 
-bool fl_reconcile_collect_commands(struct fl_node *n, struct fl_machine *m,
+bool fl_reconcile_collect_commands(struct fl_node *node, struct fl_machine *machine,
                                    struct fl_command_list *commands)
 {
 	bool starts = false;
 
-	for (int i = 0; i < m->assignment_count; i++) {
-		struct fl_job *job = m->assignments[i].job;
-		uint32_t index = m->assignments[i].index;
+	for (int i = 0; i < machine->assignment_count; i++) {
+		struct fl_job *job = machine->assignments[i].job;
+		uint32_t index = machine->assignments[i].index;
 		struct fl_task *task = fl_task_peek(job, index);
 
 		if (!should_run(job, task)) {
@@ -382,19 +388,21 @@
 		}
 	}
 	if (starts)
-		m->direct_start_token = n->election.fencing_token;
+		machine->direct_start_token = node->election.fencing_token;
 	return commands->count > 0;
 }
 
-void fl_reconcile_decommission(struct fl_node *n, struct fl_machine *m, const char *why)
+void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine, const char *why)
 {
-	if (m->decommissioned)
+	if (machine->decommissioned)
 		return;
-	fl_info("cloud", "%s is gone: %s (%d tasks on it)", m->name, why, m->assignment_count);
-	m->decommissioned = true;
-	m->decommissioned_at = fl_now();
-	m->up = false;
-	while (m->assignment_count > 0)
-		fl_task_release(&n->cluster, m->assignments[0].job, m->assignments[0].index, 0);
-	fl_condition_broadcast(&n->leadership.work_available);
+	fl_info("cloud", "%s is gone: %s (%d tasks on it)", machine->name, why,
+	        machine->assignment_count);
+	machine->decommissioned = true;
+	machine->decommissioned_at = fl_now();
+	machine->up = false;
+	while (machine->assignment_count > 0)
+		fl_task_release(&node->cluster, machine->assignments[0].job,
+		                machine->assignments[0].index, 0);
+	fl_condition_broadcast(&node->leadership.work_available);
 }
--- a/src/coordination/reconciliation.h
+++ b/src/coordination/reconciliation.h
@@ -23,14 +23,14 @@
  * Applies a report to the cluster state; with FL_HEARTBEAT_FROM_WORKER orders are added to its
  * answer, else `commands` is NULL. -ENOENT: the machine is proven gone.
  */
-int fl_reconcile_heartbeat(struct fl_node *n, const struct fl_heartbeat *heartbeat,
+int fl_reconcile_heartbeat(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                            struct fl_command_list *commands, enum fl_heartbeat_source source);
 /* To be called when a leader whose lease is in doubt has answered a report, without orders. */
-void fl_reconcile_renewal(struct fl_node *n, const struct fl_heartbeat *heartbeat);
+void fl_reconcile_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat);
 /* Collects the orders for a direct command; false if there are none. */
-bool fl_reconcile_collect_commands(struct fl_node *n, struct fl_machine *m,
+bool fl_reconcile_collect_commands(struct fl_node *node, struct fl_machine *machine,
                                    struct fl_command_list *commands);
 /* The machine is proven gone, for the reason `why`: so is all that was on it. */
-void fl_reconcile_decommission(struct fl_node *n, struct fl_machine *m, const char *why);
+void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine, const char *why);
 
 #endif
--- a/src/coordination/record_writer.c
+++ b/src/coordination/record_writer.c
@@ -21,17 +21,17 @@
 enum scope { UNSAVED_CHUNKS, URGENT_CHUNKS };
 
 /* A write of this record went unanswered or met another revision: read what stands. */
-static int reread_progress_record(struct fl_node *n, struct fl_job *job, uint32_t block_index)
+static int reread_progress_record(struct fl_node *node, struct fl_job *job, uint32_t block_index)
 {
 	struct fl_task_block *block = job->blocks[block_index];
 	char key[FL_KEY_MAX];
 	uint64_t revision = 0;
-	cJSON *v;
+	cJSON *value;
 	int rc;
 
 	fl_key_progress(key, job->ref, block_index);
-	rc = fl_kv_get(&n->kv_store, key, &v, &revision, NULL);
-	cJSON_Delete(v);
+	rc = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
+	cJSON_Delete(value);
 	if (rc && rc != -ENOENT)
 		return rc;
 	block->mod_revision = rc == -ENOENT ? 0 : revision;
@@ -39,11 +39,11 @@
 	return 0;
 }
 
-int fl_record_writer_await_budget(struct fl_node *n, double writes)
+int fl_record_writer_await_budget(struct fl_node *node, double writes)
 {
 	double wait;
 
-	while ((wait = fl_token_bucket_take(&n->leadership.write_budget, writes, fl_now())) > 0)
+	while ((wait = fl_token_bucket_take(&node->leadership.write_budget, writes, fl_now())) > 0)
 		if (fl_sleep(wait) != 0)
 			return -ECANCELED;
 	return 0;
@@ -64,11 +64,11 @@
 	return false;
 }
 
-static int count_urgent(const struct fl_node *n)
+static int count_urgent(const struct fl_node *node)
 {
 	int count = 0;
 
-	for (const struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
+	for (const struct fl_job *job = node->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 
@@ -78,14 +78,14 @@
 }
 
 /* Adds the chunks to write; 1: the record of one must be read first. */
-static int collect(struct fl_node *n, struct fl_kv_txn *txn, struct fl_batch_item *items,
+static int collect(struct fl_node *node, struct fl_kv_txn *txn, struct fl_batch_item *items,
                    int *count, int most, enum scope scope)
 {
 	struct fl_job *job, *next;
 	char key[FL_KEY_MAX];
 
 	*count = 0;
-	for (job = n->cluster.dirty; job; job = next) {
+	for (job = node->cluster.dirty; job; job = next) {
 		next = job->next_dirty;
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			struct fl_task_block *block = fl_job_task_block(job, i);
@@ -93,33 +93,34 @@
 			if (!block || block->generation <= block->saved_generation ||
 			    (scope == URGENT_CHUNKS && !is_urgent(block)))
 				continue;
-			if (*count >= most || *count >= n->config->txn_ops || *count >= BATCH_MAX ||
-			    *count * n->config->value_kb * 1024 > FL_BATCH_BYTES)
+			if (*count >= most || *count >= node->config->txn_ops ||
+			    *count >= BATCH_MAX ||
+			    *count * node->config->value_kb * 1024 > FL_BATCH_BYTES)
 				return 0;
 			if (block->revision_unknown)
 				return 1; /* must be read first; the caller does so */
 			fl_key_progress(key, job->ref, i);
 			fl_kv_txn_expect_revision(txn, key, block->mod_revision);
-			fl_kv_txn_put(txn, key, fl_task_block_encode(&n->cluster, job, i), 0);
+			fl_kv_txn_put(txn, key, fl_task_block_encode(&node->cluster, job, i), 0);
 			items[(*count)++] = (struct fl_batch_item){job, i, block->generation};
 		}
 	}
 	return 0;
 }
 
-static int reread_unknown_revisions(struct fl_node *n)
+static int reread_unknown_revisions(struct fl_node *node)
 {
-	for (struct fl_job *job = n->cluster.dirty; job; job = job->next_dirty)
+	for (struct fl_job *job = node->cluster.dirty; job; job = job->next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 
 			if (block && block->revision_unknown)
-				return reread_progress_record(n, job, i);
+				return reread_progress_record(node, job, i);
 		}
 	return 0;
 }
 
-static int write_batch(struct fl_node *n, int most, enum scope scope)
+static int write_batch(struct fl_node *node, int most, enum scope scope)
 {
 	struct fl_batch_item items[BATCH_MAX];
 	char failed[FL_KEY_MAX];
@@ -128,18 +129,18 @@
 	int count, rc;
 
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, n->election.leader_mod_revision);
-	rc = collect(n, &txn, items, &count, most, scope);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->election.leader_mod_revision);
+	rc = collect(node, &txn, items, &count, most, scope);
 	if (rc || count == 0) {
 		fl_kv_txn_free(&txn);
-		return rc ? reread_unknown_revisions(n) : 0;
+		return rc ? reread_unknown_revisions(node) : 0;
 	}
-	rc = fl_record_writer_await_budget(n, count);
-	if (rc || !fl_is_leader(n)) {
+	rc = fl_record_writer_await_budget(node, count);
+	if (rc || !fl_is_leader(node)) {
 		fl_kv_txn_free(&txn);
 		return rc ? rc : -EAGAIN;
 	}
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, failed);
+	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, failed);
 	for (int i = 0; i < count; i++) {
 		struct fl_task_block *block = items[i].job->blocks[items[i].block_index];
 
@@ -151,34 +152,34 @@
 		}
 	}
 	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
-		fl_election_step_down(n, "another leads");
+		fl_election_step_down(node, "another leads");
 	return rc;
 }
 
 /* What launches wait for: a few records by themselves, many at once by the log. */
-static int write_urgent(struct fl_node *n)
+static int write_urgent(struct fl_node *node)
 {
-	int count = count_urgent(n), rc = -E2BIG;
+	int count = count_urgent(node), rc = -E2BIG;
 
 	if (count == 0)
 		return 0;
 	if (count >= tunables.log_from)
-		rc = fl_record_writer_write_wal(n);
-	return rc == -E2BIG ? write_batch(n, n->config->txn_ops, URGENT_CHUNKS) : rc;
+		rc = fl_record_writer_write_wal(node);
+	return rc == -E2BIG ? write_batch(node, node->config->txn_ops, URGENT_CHUNKS) : rc;
 }
 
 /* The records follow as the budget allows, and leave room for what is urgent. */
-static int write_as_budget_allows(struct fl_node *n)
+static int write_as_budget_allows(struct fl_node *node)
 {
-	double left = fl_token_bucket_available(&n->leadership.write_budget, fl_now());
+	double left = fl_token_bucket_available(&node->leadership.write_budget, fl_now());
 
-	return left < 1 ? 0 : write_batch(n, (int)left, UNSAVED_CHUNKS);
+	return left < 1 ? 0 : write_batch(node, (int)left, UNSAVED_CHUNKS);
 }
 
 /* Takes jobs with nothing left to write off the list of the dirty ones. */
-static void clear_saved(struct fl_node *n)
+static void clear_saved(struct fl_node *node)
 {
-	struct fl_job **at = &n->cluster.dirty;
+	struct fl_job **at = &node->cluster.dirty;
 
 	while (*at) {
 		struct fl_job *job = *at;
@@ -198,48 +199,48 @@
 	}
 }
 
-static int write_all(struct fl_node *n)
+static int write_all(struct fl_node *node)
 {
-	int rc = write_urgent(n), finished;
+	int rc = write_urgent(node), finished;
 
 	if (rc)
 		return rc;
-	fl_command_send_pending(n);
-	finished = fl_record_writer_finalise_one(n);
-	rc = fl_is_leader(n) ? write_as_budget_allows(n) : -EAGAIN;
+	fl_command_send_pending(node);
+	finished = fl_record_writer_finalise_one(node);
+	rc = fl_is_leader(node) ? write_as_budget_allows(node) : -EAGAIN;
 	if (!rc)
-		clear_saved(n);
+		clear_saved(node);
 	return rc ? rc : finished;
 }
 
 /* Nothing can be written before the budget allows, but something urgent may come up. */
-static int pause_for(struct fl_node *n)
+static int pause_for(struct fl_node *node)
 {
-	double left = fl_token_bucket_available(&n->leadership.write_budget, fl_now());
+	double left = fl_token_bucket_available(&node->leadership.write_budget, fl_now());
 
-	if (!n->cluster.dirty || left >= 1)
+	if (!node->cluster.dirty || left >= 1)
 		return 0;
-	return fl_condition_wait(&n->leadership.writes_pending,
-	                         (1 - left) / n->leadership.write_budget.rate) == -ECANCELED
+	return fl_condition_wait(&node->leadership.writes_pending,
+	                         (1 - left) / node->leadership.write_budget.rate) == -ECANCELED
 	               ? -1
 	               : 0;
 }
 
 void fl_record_writer_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 
 	while (!fl_coroutine_cancelled()) {
-		if (!fl_is_leader(n) || !n->cluster.dirty) {
-			if (fl_is_leader(n) && n->leadership.pending_deletions)
-				fl_record_writer_delete_pending(n);
-			if (fl_condition_wait(&n->leadership.writes_pending, 0.5) == -ECANCELED)
+		if (!fl_is_leader(node) || !node->cluster.dirty) {
+			if (fl_is_leader(node) && node->leadership.pending_deletions)
+				fl_record_writer_delete_pending(node);
+			if (fl_condition_wait(&node->leadership.writes_pending, 0.5) == -ECANCELED)
 				break;
 			continue;
 		}
-		if (write_all(n) != 0 ? fl_sleep(tunables.retry_s) != 0 : pause_for(n) != 0)
+		if (write_all(node) != 0 ? fl_sleep(tunables.retry_s) != 0 : pause_for(node) != 0)
 			break;
 	}
-	n->leadership.coroutines_running--;
-	fl_condition_broadcast(&n->leadership.coroutine_ended);
+	node->leadership.coroutines_running--;
+	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
--- a/src/coordination/record_writer_internal.h
+++ b/src/coordination/record_writer_internal.h
@@ -19,12 +19,12 @@
 };
 
 /* Waits until the budget of writes allows that many; 0 or -ECANCELED. */
-int fl_record_writer_await_budget(struct fl_node *n, double writes);
+int fl_record_writer_await_budget(struct fl_node *node, double writes);
 /* Writes all that is unsaved to the log. -E2BIG: it does not fit, the records must be written. */
-int fl_record_writer_write_wal(struct fl_node *n);
+int fl_record_writer_write_wal(struct fl_node *node);
 /* Writes the final record of one job that is over; one that cannot be does not hold up others. */
-int fl_record_writer_finalise_one(struct fl_node *n);
+int fl_record_writer_finalise_one(struct fl_node *node);
 /* Deletes as many of the progress records that nothing needs any more as fit one transaction. */
-int fl_record_writer_delete_pending(struct fl_node *n);
+int fl_record_writer_delete_pending(struct fl_node *node);
 
 #endif
--- a/src/coordination/redirect.h
+++ b/src/coordination/redirect.h
@@ -21,8 +21,9 @@
 };
 
 /* The node that this report's worker is to be sent to now, or NULL: it is served here. */
-const struct fl_peer *fl_redirect_target(struct fl_node *n, const struct fl_heartbeat *heartbeat);
+const struct fl_peer *fl_redirect_target(struct fl_node *node,
+                                         const struct fl_heartbeat *heartbeat);
 /* Drops what is known of workers that neither came nor were sent away for long. */
-void fl_redirect_forget(struct fl_node *n, double now);
+void fl_redirect_forget(struct fl_node *node, double now);
 
 #endif
--- a/src/coordination/request_batch.h
+++ b/src/coordination/request_batch.h
@@ -33,20 +33,20 @@
 	double wait_s;     /* s for which a batch waits until it may be sent */
 	double exchange_s; /* s that an exchange takes at most */
 	/* Sends the request and reads the answers: 0 or an errno. */
-	int (*exchange)(struct fl_node *n, struct fl_batch *b);
+	int (*exchange)(struct fl_node *node, struct fl_batch *batch);
 };
 
 /* From now on this batch collects parts. */
-void fl_batch_begin(struct fl_batch_queue *q, struct fl_batch *b);
+void fl_batch_begin(struct fl_batch_queue *queue, struct fl_batch *batch);
 /* No more parts go into the batch that collects them now. */
-void fl_batch_close(struct fl_batch_queue *q);
+void fl_batch_close(struct fl_batch_queue *queue);
 /*
  * For each caller, after it has put its part into the batch: 0 when the answers are there, or an
  * errno. The caller that began the batch sends it when it may.
  */
-int fl_batch_await(struct fl_node *n, struct fl_batch_queue *q, struct fl_batch *b, bool began,
-                   const struct fl_batch_policy *terms);
+int fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue, struct fl_batch *batch,
+                   bool began, const struct fl_batch_policy *terms);
 /* The caller needs it no more; true: nobody does, and the caller frees it. */
-bool fl_batch_release(struct fl_batch *b);
+bool fl_batch_release(struct fl_batch *batch);
 
 #endif
--- a/src/coordination/scale_in.c
+++ b/src/coordination/scale_in.c
@@ -25,82 +25,84 @@
 	.faults_most = 2,    /* failures on a machine that is avoided before it is returned */
 };
 
-static void apply_listed_machine(struct fl_node *n, const struct fl_cloud_machine *listed,
+static void apply_listed_machine(struct fl_node *node, const struct fl_cloud_machine *listed,
                                  double now, int known)
 {
-	struct fl_machine *m = fl_machine_get(&n->cluster.machines, listed->host, now);
+	struct fl_machine *machine = fl_machine_get(&node->cluster.machines, listed->host, now);
 
-	if (!m)
+	if (!machine)
 		return;
-	fl_cluster_describe(
-		&n->cluster, m, fl_machine_type_find(&n->cluster.machines, listed->type),
-		fl_symbol_find(&n->cluster.zones, listed->zone), listed->spot, listed->endpoint);
-	if (m->id < known)
-		m->listed = true;
-	if (listed->status == FL_CLOUD_MACHINE_FAILED && !m->decommissioned)
-		fl_reconcile_decommission(n, m, "it failed");
+	fl_cluster_describe(&node->cluster, machine,
+	                    fl_machine_type_find(&node->cluster.machines, listed->type),
+	                    fl_symbol_find(&node->cluster.zones, listed->zone), listed->spot,
+	                    listed->endpoint);
+	if (machine->id < known)
+		machine->listed = true;
+	if (listed->status == FL_CLOUD_MACHINE_FAILED && !machine->decommissioned)
+		fl_reconcile_decommission(node, machine, "it failed");
 	if (listed->status == FL_CLOUD_MACHINE_FAILED)
-		m->draining = true;
+		machine->draining = true;
 }
 
 /*
  * Missing from a list proves a machine gone only if that list, which may be twice the lag old,
  * must have been made after the machine was there.
  */
-static void decommission_missing(struct fl_node *n, double sent, int known)
+static void decommission_missing(struct fl_node *node, double sent, int known)
 {
-	double age_s = tunables.list_lags * n->config->list_lag_s + tunables.list_slack_s;
+	double age_s = tunables.list_lags * node->config->list_lag_s + tunables.list_slack_s;
 
 	for (int i = 0; i < known; i++) {
-		struct fl_machine *m = n->cluster.machines.by_id[i];
+		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (m->decommissioned || m->listed || sent <= m->first_seen_at + age_s)
+		if (machine->decommissioned || machine->listed ||
+		    sent <= machine->first_seen_at + age_s)
 			continue;
-		n->autoscaler.spot_losses += m->spot;
-		fl_reconcile_decommission(n, m, "no longer listed");
+		node->autoscaler.spot_losses += machine->spot;
+		fl_reconcile_decommission(node, machine, "no longer listed");
 	}
 }
 
-int fl_autoscaler_list_machines(struct fl_node *n)
+int fl_autoscaler_list_machines(struct fl_node *node)
 {
 	double sent = fl_now();
-	int known = n->cluster.machines.count, rc;
+	int known = node->cluster.machines.count, rc;
 	char from[FL_NAME_MAX] = "";
 	bool more = true;
 
 	for (int i = 0; i < known; i++)
-		n->cluster.machines.by_id[i]->listed = false;
+		node->cluster.machines.by_id[i]->listed = false;
 	while (more) {
 		struct fl_cloud_machine *listed;
 		int count;
 
-		rc = fl_autoscaler_await_call_budget(n);
+		rc = fl_autoscaler_await_call_budget(node);
 		if (!rc)
-			rc = fl_cloud_list(&n->cloud, from, &listed, &count, &more);
+			rc = fl_cloud_list(&node->cloud, from, &listed, &count, &more);
 		if (rc)
 			return rc;
 		for (int i = 0; i < count; i++)
-			apply_listed_machine(n, &listed[i], fl_now(), known);
+			apply_listed_machine(node, &listed[i], fl_now(), known);
 		if (count > 0)
 			fl_copy_string(from, sizeof(from), listed[count - 1].host);
 		else
 			more = false;
 		free(listed);
 	}
-	n->autoscaler.listed_at = sent;
-	decommission_missing(n, sent, known);
+	node->autoscaler.listed_at = sent;
+	decommission_missing(node, sent, known);
 	return 0;
 }
 
 /* Whether an ordinary machine may go without cutting into the reserve for services. */
-static bool take_surplus(struct fl_autoscaler *autoscaler, const struct fl_machine *m,
+static bool take_surplus(struct fl_autoscaler *autoscaler, const struct fl_machine *machine,
                          const struct fl_machine_type *machine_type)
 {
 	int *surplus;
 
 	if (autoscaler->headroom_shares == 0)
 		return true;
-	surplus = &autoscaler->headroom_surplus[m->zone % autoscaler->headroom_shares];
+	surplus = &autoscaler->headroom_surplus[machine->zone % autoscaler->headroom_shares];
 	if (*surplus < machine_type->gpus)
 		return false;
 	*surplus -= (int)machine_type->gpus;
@@ -108,74 +110,76 @@
 }
 
 /* Why a machine is to be returned; NULL: it is kept. */
-static const char *scale_in_reason(struct fl_node *n, struct fl_machine *m, double now,
+static const char *scale_in_reason(struct fl_node *node, struct fl_machine *machine, double now,
                                    const double leases[FL_ZONES_MAX])
 {
 	const struct fl_machine_type *machine_type =
-		m->type >= 0 ? &n->cluster.machines.types[m->type] : NULL;
-	bool empty = m->assignment_count == 0 && m->orphan_task_count == 0;
+		machine->type >= 0 ? &node->cluster.machines.types[machine->type] : NULL;
+	bool empty = machine->assignment_count == 0 && machine->orphan_task_count == 0;
 
-	if (m->draining)
+	if (machine->draining)
 		return "given up";
-	if (m->decommissioned)
+	if (machine->decommissioned)
 		return NULL;
-	if (fl_failure_detector_expired(n, m, now, leases))
-		return fl_reachability_lost_since(m) < INFINITY ? "does not hear us" : "silent";
+	if (fl_failure_detector_expired(node, machine, now, leases))
+		return fl_reachability_lost_since(machine) < INFINITY ? "does not hear us"
+		                                                      : "silent";
 	if (!machine_type)
 		return NULL;
-	if (!m->up && m->assignment_count == 0 &&
-	    now - m->first_seen_at >
+	if (!machine->up && machine->assignment_count == 0 &&
+	    now - machine->first_seen_at >
 	            tunables.boot_most * machine_type->ready_s + tunables.boot_slack_s)
 		return "never came up";
-	if (!m->up || !empty) {
-		m->idle_since = 0;
+	if (!machine->up || !empty) {
+		machine->idle_since = 0;
 		return NULL;
 	}
-	if (m->idle_since <= 0)
-		m->idle_since = now;
-	if (m->quarantined_until > now && m->fault_count > tunables.faults_most)
+	if (machine->idle_since <= 0)
+		machine->idle_since = now;
+	if (machine->quarantined_until > now && machine->fault_count > tunables.faults_most)
 		return "faulty";
-	if (now - m->idle_since <= tunables.idle_boots * machine_type->ready_s)
+	if (now - machine->idle_since <= tunables.idle_boots * machine_type->ready_s)
 		return NULL;
-	if (m->spot)
+	if (machine->spot)
 		return "idle";
-	return take_surplus(&n->autoscaler, m, machine_type) ? "idle" : NULL;
+	return take_surplus(&node->autoscaler, machine, machine_type) ? "idle" : NULL;
 }
 
-int fl_autoscaler_scale_in(struct fl_node *n)
+int fl_autoscaler_scale_in(struct fl_node *node)
 {
 	const char *names[FL_DELETE_MAX];
 	struct fl_machine *returning[FL_DELETE_MAX];
 	double now = fl_now(), leases[FL_ZONES_MAX];
 	int count = 0, rc;
 
-	fl_failure_detector_timeouts(n, now, leases);
+	fl_failure_detector_timeouts(node, now, leases);
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (leases[z] > 1)
-			n->autoscaler.zone_suspected_until[z] = now + tunables.suspected_s;
+			node->autoscaler.zone_suspected_until[z] = now + tunables.suspected_s;
 
-	for (int i = 0; i < n->cluster.machines.count && count < FL_DELETE_MAX; i++) {
-		struct fl_machine *m = n->cluster.machines.by_id[i];
-		const char *why = m->scaled_in ? NULL : scale_in_reason(n, m, now, leases);
+	for (int i = 0; i < node->cluster.machines.count && count < FL_DELETE_MAX; i++) {
+		struct fl_machine *machine = node->cluster.machines.by_id[i];
+		const char *why =
+			machine->scaled_in ? NULL : scale_in_reason(node, machine, now, leases);
 
 		if (!why)
 			continue;
-		fl_info("cloud", "returning %s: %s", m->name, why);
+		fl_info("cloud", "returning %s: %s", machine->name, why);
 		/* Half of those that are reclaimed give no notice: their silence is the first sign.
 		 */
-		n->autoscaler.spot_losses += m->spot && strcmp(why, "silent") == 0;
-		m->draining = true;
-		returning[count] = m;
-		names[count++] = m->name;
+		node->autoscaler.spot_losses += machine->spot && strcmp(why, "silent") == 0;
+		machine->draining = true;
+		returning[count] = machine;
+		names[count++] = machine->name;
 	}
 	if (count == 0)
 		return 0;
-	rc = fl_autoscaler_await_call_budget(n);
+	rc = fl_autoscaler_await_call_budget(node);
 	if (!rc)
-		rc = fl_cloud_delete(&n->cloud, names, count);
+		rc = fl_cloud_delete(&node->cloud, names, count);
 	for (int i = 0; i < count && rc == 0; i++) {
 		returning[i]->scaled_in = true;
-		fl_reconcile_decommission(n, returning[i], "returned");
+		fl_reconcile_decommission(node, returning[i], "returned");
 	}
 	return rc;
 }
--- a/src/coordination/scale_out.c
+++ b/src/coordination/scale_out.c
@@ -17,35 +17,37 @@
 	.tries = 3,        /* of one rental that goes unanswered */
 };
 
-static int scale_out_one(struct fl_node *n, const struct fl_scale_out_request *request)
+static int scale_out_one(struct fl_node *node, const struct fl_scale_out_request *request)
 {
-	const char *type = n->cluster.machines.types[request->type].name;
-	const char *zone = fl_symbol_name(&n->cluster.zones, request->zone);
+	const char *type = node->cluster.machines.types[request->type].name;
+	const char *zone = fl_symbol_name(&node->cluster.zones, request->zone);
 	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
 	int got = 0, rc = -EAGAIN;
 
 	/* With the epoch of the takeover in it no other leader uses the name, ever. */
 	snprintf(name, sizeof(name), "r-%llu-%llu",
-	         (unsigned long long)n->leadership.first_fencing_token,
-	         (unsigned long long)++n->autoscaler.rental_name_count);
+	         (unsigned long long)node->leadership.first_fencing_token,
+	         (unsigned long long)++node->autoscaler.rental_name_count);
 	for (int i = 0; i < tunables.tries; i++) {
-		int rc_call = fl_autoscaler_await_call_budget(n);
+		int rc_call = fl_autoscaler_await_call_budget(node);
 
 		if (rc_call)
 			return rc_call;
-		rc = fl_cloud_rent(&n->cloud, name, type, zone, request->spot, request->count,
+		rc = fl_cloud_rent(&node->cloud, name, type, zone, request->spot, request->count,
 		                   &hosts, &got);
 		if (rc == 0 || rc == -ENOSPC || rc == -EAGAIN || rc == -ECANCELED)
 			break;
 	}
 	for (int i = 0; i < got; i++) {
-		struct fl_machine *m = fl_machine_get(&n->cluster.machines, hosts[i], fl_now());
+		struct fl_machine *machine =
+			fl_machine_get(&node->cluster.machines, hosts[i], fl_now());
 
-		if (!m)
+		if (!machine)
 			continue;
-		fl_cluster_describe(&n->cluster, m, request->type, request->zone, request->spot,
-		                    NULL);
-		fl_debug("cloud", "%s is %s", m->name, request->spot ? "reclaimable" : "ordinary");
+		fl_cluster_describe(&node->cluster, machine, request->type, request->zone,
+		                    request->spot, NULL);
+		fl_debug("cloud", "%s is %s", machine->name,
+		         request->spot ? "reclaimable" : "ordinary");
 	}
 	free(hosts);
 	if (rc == 0)
@@ -55,24 +57,24 @@
 		fl_info("cloud", "no %s%s in %s: %s", request->spot ? "reclaimable " : "", type,
 		        zone, strerror(-rc));
 	if (rc == -ENOSPC || (rc == 0 && got < request->count))
-		n->autoscaler.no_capacity_until[request->type][request->zone][request->spot] =
+		node->autoscaler.no_capacity_until[request->type][request->zone][request->spot] =
 			fl_now() + tunables.refused_s;
 	return rc == -ENOSPC ? 0 : rc;
 }
 
-int fl_autoscaler_scale_out(struct fl_node *n)
+int fl_autoscaler_scale_out(struct fl_node *node)
 {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
-	int count = n->autoscaler.request_count, rc = 0;
+	int count = node->autoscaler.request_count, rc = 0;
 
 	if (count == 0)
 		return 0;
-	memcpy(requests, n->autoscaler.requests, sizeof(requests));
-	n->autoscaler.scale_out_in_flight = true;
-	n->autoscaler.request_count = 0;
+	memcpy(requests, node->autoscaler.requests, sizeof(requests));
+	node->autoscaler.scale_out_in_flight = true;
+	node->autoscaler.request_count = 0;
 	for (int i = 0; i < count && rc == 0; i++)
-		rc = scale_out_one(n, &requests[i]);
-	n->autoscaler.scale_out_in_flight = false;
-	fl_condition_broadcast(&n->leadership.work_available);
+		rc = scale_out_one(node, &requests[i]);
+	node->autoscaler.scale_out_in_flight = false;
+	fl_condition_broadcast(&node->leadership.work_available);
 	return rc;
 }
--- a/src/coordination/scheduling_cycle.c
+++ b/src/coordination/scheduling_cycle.c
@@ -46,30 +46,31 @@
 	return fl_now() > *deadline;
 }
 
-static void apply_starts(struct fl_node *n, const struct fl_snapshot *snapshot,
+static void apply_starts(struct fl_node *node, const struct fl_snapshot *snapshot,
                          const struct fl_sched_output *output, double now)
 {
 	for (int i = 0; i < output->start_count; i++) {
 		struct fl_job *job = snapshot->jobs[output->starts[i].job];
-		struct fl_machine *m = snapshot->machines[output->starts[i].machine];
+		struct fl_machine *machine = snapshot->machines[output->starts[i].machine];
 		uint32_t index = fl_task_next_waiting(job, 0, now);
 
 		if (index >= job->task_count ||
-		    fl_task_place(&n->cluster, job, index, m, n->election.fencing_token, now) != 0)
+		    fl_task_place(&node->cluster, job, index, machine, node->election.fencing_token,
+		                  now) != 0)
 			continue;
-		fl_machine_record_image(m, job->image);
+		fl_machine_record_image(machine, job->image);
 		/* What it was reserved for has started; who still waits requests it again in each
 		 * pass. */
-		if ((uint8_t)job->priority >= m->reserved_priority)
-			m->reserved_at = 0;
+		if ((uint8_t)job->priority >= machine->reserved_priority)
+			machine->reserved_at = 0;
 		job->window_until = 0;
-		m->command_pending = true;
+		machine->command_pending = true;
 		fl_info("schedule", "%s/%u try %u on %s", job->ref, index,
-		        fl_task_peek(job, index)->attempt, m->name);
+		        fl_task_peek(job, index)->attempt, machine->name);
 	}
 }
 
-static void apply_stops(struct fl_node *n, const struct fl_snapshot *snapshot,
+static void apply_stops(struct fl_node *node, const struct fl_snapshot *snapshot,
                         const struct fl_sched_output *output)
 {
 	for (int i = 0; i < output->preemption_count; i++) {
@@ -79,7 +80,7 @@
 
 		task->stop_reason = FL_STOP_PREEMPT;
 		fl_info("schedule", "%s/%u is stopped to make room", job->ref, index);
-		fl_command_send(n, n->cluster.machines.by_id[task->machine]);
+		fl_command_send(node, node->cluster.machines.by_id[task->machine]);
 	}
 }
 
@@ -100,39 +101,39 @@
 	for (int i = 0; i < snapshot->input.machine_count; i++) {
 		const struct fl_sched_machine *from = &snapshot->input.machines[i];
 		const struct fl_reservation *requested = &from->requested;
-		struct fl_machine *m = snapshot->machines[i];
+		struct fl_machine *machine = snapshot->machines[i];
 
 		/* A request for the rest of the room does not replace a higher reservation. */
 		if (!requested->made ||
 		    (from->reserved.made && from->reserved.priority > requested->priority))
 			continue;
-		m->reserved_at = now;
-		m->reserved_within_guaranteed = requested->within_guaranteed;
-		m->reserved_priority = (uint8_t)requested->priority;
-		m->reserved_cpus = requested->cpus;
-		m->reserved_gpus = requested->gpus;
-		m->reserved_ram_gb = requested->ram_gb;
+		machine->reserved_at = now;
+		machine->reserved_within_guaranteed = requested->within_guaranteed;
+		machine->reserved_priority = (uint8_t)requested->priority;
+		machine->reserved_cpus = requested->cpus;
+		machine->reserved_gpus = requested->gpus;
+		machine->reserved_ram_gb = requested->ram_gb;
 	}
 }
 
-static void apply_decisions(struct fl_node *n, const struct fl_snapshot *snapshot,
+static void apply_decisions(struct fl_node *node, const struct fl_snapshot *snapshot,
                             const struct fl_sched_output *output, double now)
 {
-	apply_starts(n, snapshot, output, now);
-	apply_stops(n, snapshot, output);
+	apply_starts(node, snapshot, output, now);
+	apply_stops(node, snapshot, output);
 	apply_window(snapshot, output, now);
 	apply_reservations(snapshot, now);
 }
 
-static void run_cycle(struct fl_node *n)
+static void run_cycle(struct fl_node *node)
 {
 	double now = fl_now();
-	double deadline = now + fl_scheduling_cycle_budget_s(n->config->core_share);
+	double deadline = now + fl_scheduling_cycle_budget_s(node->config->core_share);
 	struct fl_sched_output output = {0};
 	struct fl_snapshot snapshot;
 
-	n->leadership.cycle_due = false;
-	if (fl_snapshot_take(n, &snapshot, now) != 0)
+	node->leadership.cycle_due = false;
+	if (fl_snapshot_take(node, &snapshot, now) != 0)
 		goto out;
 	snapshot.input.out_of_time = out_of_time;
 	snapshot.input.ctx = &deadline;
@@ -140,94 +141,94 @@
 		fl_error("schedule", "a pass failed for want of memory");
 		goto out;
 	}
-	n->leadership.resume_position = output.resume_position;
+	node->leadership.resume_position = output.resume_position;
 	if (output.resume_position)
-		n->leadership.cycle_due = true;
-	apply_decisions(n, &snapshot, &output, now);
-	fl_autoscaler_plan_scale_out(n, snapshot.jobs, output.unplaced_tasks,
+		node->leadership.cycle_due = true;
+	apply_decisions(node, &snapshot, &output, now);
+	fl_autoscaler_plan_scale_out(node, snapshot.jobs, output.unplaced_tasks,
 	                             snapshot.input.job_count);
-	n->leadership.cycle_count++;
+	node->leadership.cycle_count++;
 	fl_debug("schedule", "pass %llu: %d jobs, %d machines, %d starts, %d stops, %.1f ms%s",
-	         (unsigned long long)n->leadership.cycle_count, snapshot.input.job_count,
+	         (unsigned long long)node->leadership.cycle_count, snapshot.input.job_count,
 	         snapshot.input.machine_count, output.start_count, output.preemption_count,
 	         (fl_now() - now) * 1000, output.resume_position ? ", to be continued" : "");
-	if (n->cluster.dirty)
-		fl_condition_broadcast(&n->leadership.writes_pending);
+	if (node->cluster.dirty)
+		fl_condition_broadcast(&node->leadership.writes_pending);
 out:
 	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
 }
 
 /* Stops what can save its state on machines that will be reclaimed. */
-static void drain_interrupted_machines(struct fl_node *n)
+static void drain_interrupted_machines(struct fl_node *node)
 {
-	for (int i = 0; i < n->cluster.machines.count; i++) {
-		struct fl_machine *m = n->cluster.machines.by_id[i];
+	for (int i = 0; i < node->cluster.machines.count; i++) {
+		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (m->decommissioned || m->interruption_at == 0)
+		if (machine->decommissioned || machine->interruption_at == 0)
 			continue;
-		for (int k = 0; k < m->assignment_count; k++) {
-			struct fl_job *job = m->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, m->assignments[k].index);
+		for (int k = 0; k < machine->assignment_count; k++) {
+			struct fl_job *job = machine->assignments[k].job;
+			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
 
 			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
 			/* What cannot save runs on: it may end before the machine is reclaimed. */
 			if (job->kind == FL_SERVICE || job->checkpoint_every_s > 0) {
 				task->stop_reason = FL_STOP_DRAIN;
-				fl_command_send(n, m);
+				fl_command_send(node, machine);
 			}
 		}
 	}
 }
 
 /* A gang that lost a task cannot go on: the rest is stopped, and it starts again as a whole. */
-static void stop_incomplete_gangs(struct fl_node *n)
+static void stop_incomplete_gangs(struct fl_node *node)
 {
-	for (int i = 0; i < n->cluster.machines.count; i++) {
-		struct fl_machine *m = n->cluster.machines.by_id[i];
+	for (int i = 0; i < node->cluster.machines.count; i++) {
+		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		for (int k = 0; k < m->assignment_count; k++) {
-			struct fl_job *job = m->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, m->assignments[k].index);
+		for (int k = 0; k < machine->assignment_count; k++) {
+			struct fl_job *job = machine->assignments[k].job;
+			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
 
 			if (job->kind != FL_GANG || job->waiting_count == 0 ||
 			    task->stop_reason != FL_STOP_NONE)
 				continue;
 			task->stop_reason = FL_STOP_DRAIN;
-			fl_command_send(n, m);
+			fl_command_send(node, machine);
 		}
 	}
 }
 
 void fl_scheduling_cycle_coroutine(void *arg)
 {
-	struct fl_node *n = arg;
+	struct fl_node *node = arg;
 	double last = 0, processor, gap = tunables.gap_s;
 
 	while (!fl_coroutine_cancelled()) {
-		double wait = n->leadership.cycle_due ? tunables.gap_s : tunables.most_s;
+		double wait = node->leadership.cycle_due ? tunables.gap_s : tunables.most_s;
 
-		if (fl_condition_wait(&n->leadership.work_available, wait) == -ECANCELED)
+		if (fl_condition_wait(&node->leadership.work_available, wait) == -ECANCELED)
 			break;
 		if (fl_now() < last + gap && fl_sleep(last + gap - fl_now()) != 0)
 			break;
-		if (!fl_is_leader(n))
+		if (!fl_is_leader(node))
 			continue;
 		last = fl_now();
 		processor = fl_cpu_time();
-		drain_interrupted_machines(n);
-		stop_incomplete_gangs(n);
-		run_cycle(n);
-		gap = fl_scheduling_cycle_gap_s(n->config->core_share, fl_now() - last,
+		drain_interrupted_machines(node);
+		stop_incomplete_gangs(node);
+		run_cycle(node);
+		gap = fl_scheduling_cycle_gap_s(node->config->core_share, fl_now() - last,
 		                                fl_cpu_time() - processor);
-		if (n->cluster.dirty)
-			fl_condition_broadcast(&n->leadership.writes_pending);
-		if (n->leadership.retained_exit_count > 0 &&
-		    last > n->election.token_raised_at + tunables.forget_s)
-			n->election.token_raise_wanted = true;
-		n->leadership.retained_exit_count = 0;
+		if (node->cluster.dirty)
+			fl_condition_broadcast(&node->leadership.writes_pending);
+		if (node->leadership.retained_exit_count > 0 &&
+		    last > node->election.token_raised_at + tunables.forget_s)
+			node->election.token_raise_wanted = true;
+		node->leadership.retained_exit_count = 0;
 	}
-	n->leadership.coroutines_running--;
-	fl_condition_broadcast(&n->leadership.coroutine_ended);
+	node->leadership.coroutines_running--;
+	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
--- a/src/coordination/scheduling_snapshot.c
+++ b/src/coordination/scheduling_snapshot.c
@@ -55,13 +55,13 @@
 }
 
 /* Urgent work and services count by their priority alone. */
-static bool is_background(const struct fl_node *n, const struct fl_job *job)
+static bool is_background(const struct fl_node *node, const struct fl_job *job)
 {
-	return n->slo_class_count > 0 && job->job_class >= n->slo_class_count &&
+	return node->slo_class_count > 0 && job->job_class >= node->slo_class_count &&
 	       job->kind == FL_ARRAY && job->priority < FL_URGENT;
 }
 
-static void add_job(const struct fl_node *n, struct fl_snapshot *snapshot, struct fl_job *job,
+static void add_job(const struct fl_node *node, struct fl_snapshot *snapshot, struct fl_job *job,
                     uint32_t considered, double now, double wall)
 {
 	struct fl_sched_job *target = &snapshot->input.jobs[snapshot->input.job_count];
@@ -90,30 +90,30 @@
 	target->placed_in_unknown_zone = job->placed_in_unknown_zone;
 	target->image = job->image;
 	target->within_guaranteed = job->within_guaranteed;
-	target->background = is_background(n, job);
+	target->background = is_background(node, job);
 	target->begun = job->placed_count > 0 || job->done_count > 0;
 	target->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
-static bool is_schedulable(const struct fl_node *n, const struct fl_machine *m, double now)
+static bool is_schedulable(const struct fl_node *node, const struct fl_machine *machine, double now)
 {
-	return m && m->up && m->described && !m->draining && !m->decommissioned &&
-	       m->orphan_task_count == 0 && m->interruption_at == 0 &&
-	       m->quarantined_until <= now &&
-	       now - m->last_reachable_at < tunables.fresh_reports * n->config->report_s &&
-	       !fl_reachability_is_suspect(m);
+	return machine && machine->up && machine->described && !machine->draining &&
+	       !machine->decommissioned && machine->orphan_task_count == 0 &&
+	       machine->interruption_at == 0 && machine->quarantined_until <= now &&
+	       now - machine->last_reachable_at < tunables.fresh_reports * node->config->report_s &&
+	       !fl_reachability_is_suspect(machine);
 }
 
-static double estimated_left(const struct fl_job *job, const struct fl_task *t, double now)
+static double estimated_left(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double estimate_s =
 		job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_estimate_s;
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
-	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING)
-		estimate_s -= now - t->running_since;
+	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
+		estimate_s -= now - task->running_since;
 	/* Past its estimate: it counts as ending by the next pass. */
 	return fmax(estimate_s, tunables.overdue_left_s);
 }
@@ -180,40 +180,40 @@
  * combinations: the room then went to what had been stopped, which was stopped again, every second
  * for minutes.
  */
-static struct fl_reservation active_reservation(const struct fl_machine *m, double now)
+static struct fl_reservation active_reservation(const struct fl_machine *machine, double now)
 {
-	if (m->reserved_at <= 0 || now > m->reserved_at + tunables.reservation_s)
+	if (machine->reserved_at <= 0 || now > machine->reserved_at + tunables.reservation_s)
 		return (struct fl_reservation){0};
 	return (struct fl_reservation){.made = true,
-	                               .within_guaranteed = m->reserved_within_guaranteed,
-	                               .priority = (enum fl_priority)m->reserved_priority,
-	                               .cpus = m->reserved_cpus,
-	                               .gpus = m->reserved_gpus,
-	                               .ram_gb = m->reserved_ram_gb};
+	                               .within_guaranteed = machine->reserved_within_guaranteed,
+	                               .priority = (enum fl_priority)machine->reserved_priority,
+	                               .cpus = machine->reserved_cpus,
+	                               .gpus = machine->reserved_gpus,
+	                               .ram_gb = machine->reserved_ram_gb};
 }
 
-static void add_machine(struct fl_node *n, struct fl_snapshot *snapshot, struct fl_machine *m,
-                        double now, double wall)
+static void add_machine(struct fl_node *node, struct fl_snapshot *snapshot,
+                        struct fl_machine *machine, double now, double wall)
 {
-	const struct fl_machine_type *type = &n->cluster.machines.types[m->type];
+	const struct fl_machine_type *type = &node->cluster.machines.types[machine->type];
 	int machine_index = snapshot->input.machine_count++;
 	struct fl_sched_machine *target = &snapshot->input.machines[machine_index];
 
-	*target = (struct fl_sched_machine){.type = m->type,
-	                                    .zone = m->zone,
-	                                    .spot = m->spot,
-	                                    .reserved = active_reservation(m, now),
-	                                    .cpus = type->cpus - m->used_cpus,
-	                                    .gpus = type->gpus - m->used_gpus,
-	                                    .ram_gb = type->ram_gb - m->used_ram_gb,
+	*target = (struct fl_sched_machine){.type = machine->type,
+	                                    .zone = machine->zone,
+	                                    .spot = machine->spot,
+	                                    .reserved = active_reservation(machine, now),
+	                                    .cpus = type->cpus - machine->used_cpus,
+	                                    .gpus = type->gpus - machine->used_gpus,
+	                                    .ram_gb = type->ram_gb - machine->used_ram_gb,
 	                                    .pull_gb_s = type->pull_gb_s,
-	                                    .cached_images = m->cached_images};
-	for (int k = 0; k < m->assignment_count; k++) {
-		add_attempt(snapshot, machine_index, &m->assignments[k], now, wall);
+	                                    .cached_images = machine->cached_images};
+	for (int k = 0; k < machine->assignment_count; k++) {
+		add_attempt(snapshot, machine_index, &machine->assignments[k], now, wall);
 		target->runs_service =
-			target->runs_service || m->assignments[k].job->kind == FL_SERVICE;
+			target->runs_service || machine->assignments[k].job->kind == FL_SERVICE;
 	}
-	snapshot->machines[machine_index] = m;
+	snapshot->machines[machine_index] = machine;
 }
 
 static bool allocate(struct fl_snapshot *snapshot, const struct fl_cluster *cluster)
@@ -234,9 +234,9 @@
 	       snapshot->input.machines && snapshot->input.attempts && snapshot->input.teams;
 }
 
-int fl_snapshot_take(struct fl_node *n, struct fl_snapshot *snapshot, double now)
+int fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot, double now)
 {
-	struct fl_cluster *cluster = &n->cluster;
+	struct fl_cluster *cluster = &node->cluster;
 	uint32_t considered = max_tasks_considered(&cluster->machines);
 	double wall = fl_wall();
 	struct fl_job *job, *tmp;
@@ -249,12 +249,12 @@
 	mark_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, tmp)
 		if (!job->cancelled && job->waiting_count > 0)
-			add_job(n, snapshot, job, considered, now, wall);
+			add_job(node, snapshot, job, considered, now, wall);
 	for (int i = 0; i < cluster->machines.count; i++)
-		if (is_schedulable(n, cluster->machines.by_id[i], now))
-			add_machine(n, snapshot, cluster->machines.by_id[i], now, wall);
-	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(n);
-	snapshot->input.resume_position = n->leadership.resume_position;
+		if (is_schedulable(node, cluster->machines.by_id[i], now))
+			add_machine(node, snapshot, cluster->machines.by_id[i], now, wall);
+	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(node);
+	snapshot->input.resume_position = node->leadership.resume_position;
 	return 0;
 }
 
--- a/src/coordination/scheduling_snapshot.h
+++ b/src/coordination/scheduling_snapshot.h
@@ -17,7 +17,7 @@
 };
 
 /* Takes a snapshot; -ENOMEM without memory. Free it in any case. */
-int fl_snapshot_take(struct fl_node *n, struct fl_snapshot *snapshot, double now);
+int fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot, double now);
 /* Frees what a snapshot consists of. */
 void fl_snapshot_free(struct fl_snapshot *snapshot);
 
--- a/src/coordination/status_query.c
+++ b/src/coordination/status_query.c
@@ -33,17 +33,17 @@
 	struct fl_job_status_report states[FL_STATUS_QUERY_MAX];
 };
 
-static struct fl_peer *leading_peer(struct fl_node *n)
+static struct fl_peer *leading_peer(struct fl_node *node)
 {
-	struct fl_peer *leader = fl_peer_find(n, n->leader_name);
+	struct fl_peer *leader = fl_peer_find(node, node->leader_name);
 
-	return leader && (leader->up || n->peer_count == 1) ? leader : NULL;
+	return leader && (leader->up || node->peer_count == 1) ? leader : NULL;
 }
 
-static int exchange(struct fl_node *n, struct fl_batch *batch)
+static int exchange(struct fl_node *node, struct fl_batch *batch)
 {
 	struct fl_status_batch *b = (struct fl_status_batch *)batch;
-	struct fl_peer *leader = leading_peer(n);
+	struct fl_peer *leader = leading_peer(node);
 	struct fl_http_reply reply;
 	char *text;
 	int rc;
@@ -81,37 +81,37 @@
 	return FL_QUERY_ANSWERED;
 }
 
-enum fl_query_result fl_status_query(struct fl_node *n, const char *ref,
+enum fl_query_result fl_status_query(struct fl_node *node, const char *ref,
                                      struct fl_http_response *response)
 {
 	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
 	                                      tunables.patience_s, exchange};
-	struct fl_batch_queue *q = &n->status_queries;
-	struct fl_status_batch *batch = (struct fl_status_batch *)q->filling;
+	struct fl_batch_queue *queue = &node->status_queries;
+	struct fl_status_batch *batch = (struct fl_status_batch *)queue->filling;
 	bool first = !batch;
 	enum fl_query_result result;
 	int at, rc;
 
 	if (first) {
-		if (!leading_peer(n))
+		if (!leading_peer(node))
 			return FL_QUERY_FAILED;
 		batch = calloc(1, sizeof(*batch));
 		if (!batch)
 			return FL_QUERY_OVERLOADED;
-		fl_batch_begin(q, &batch->batch);
+		fl_batch_begin(queue, &batch->batch);
 	} else if (batch->count == FL_STATUS_QUERY_MAX) {
 		return FL_QUERY_OVERLOADED;
 	}
 	at = batch->count++;
 	fl_copy_string(batch->refs[at], sizeof(batch->refs[at]), ref);
-	rc = fl_batch_await(n, q, &batch->batch, first, &terms);
+	rc = fl_batch_await(node, queue, &batch->batch, first, &terms);
 	result = result_of(batch, at, rc, response);
 	if (fl_batch_release(&batch->batch))
 		free(batch);
 	return result;
 }
 
-void fl_status_query_serve(struct fl_node *n, const char *body, size_t len,
+void fl_status_query_serve(struct fl_node *node, const char *body, size_t len,
                            struct fl_http_response *response)
 {
 	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_MAX, sizeof(*refs));
@@ -123,12 +123,12 @@
 		fl_respond_error(response, 400, "not status queries");
 	} else if (count < 0) {
 		fl_respond_unavailable(response, "no memory");
-	} else if (!fl_is_leader(n)) {
+	} else if (!fl_is_leader(node)) {
 		fl_respond_error(response, 421, "not the leader");
 	} else {
 		/* No wait from here on: all of it is said under the lease that was looked at. */
 		for (int i = 0; i < count; i++)
-			states[i] = fl_job_status_from_memory(n, refs[i]);
+			states[i] = fl_job_status_from_memory(node, refs[i]);
 		response->status = 200;
 		response->body = fl_status_answer_encode(states, count);
 	}
--- a/src/coordination/status_query.h
+++ b/src/coordination/status_query.h
@@ -22,10 +22,10 @@
 };
 
 /* Asks the leader, together with the other queries of this moment. */
-enum fl_query_result fl_status_query(struct fl_node *n, const char *ref,
+enum fl_query_result fl_status_query(struct fl_node *node, const char *ref,
                                      struct fl_http_response *response);
 /* Answers another controller's request for many jobs, from memory alone. */
-void fl_status_query_serve(struct fl_node *n, const char *body, size_t len,
+void fl_status_query_serve(struct fl_node *node, const char *body, size_t len,
                            struct fl_http_response *response);
 
 #endif
