--- a/src/coordination/submission.c
+++ b/src/coordination/submission.c
@@ -17,12 +17,12 @@
 };
 
 /* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t zones_for(const struct fl_node *n, const struct fl_job_spec *spec)
+static uint32_t zones_for(const struct fl_node *node, const struct fl_job_spec *spec)
 {
 	uint32_t zones = 0;
 
-	for (int i = 0; i < n->cluster.machines.type_count; i++) {
-		const struct fl_machine_type *machine_type = &n->cluster.machines.types[i];
+	for (int i = 0; i < node->cluster.machines.type_count; i++) {
+		const struct fl_machine_type *machine_type = &node->cluster.machines.types[i];
 		bool named = spec->machine_type_count < 0;
 
 		for (int h = 0; h < spec->machine_type_count && !named; h++)
@@ -35,12 +35,12 @@
 }
 
 /* NULL, or why the job can never run. */
-static const char *infeasible_reason(const struct fl_node *n, const struct fl_job_spec *spec)
+static const char *infeasible_reason(const struct fl_node *node, const struct fl_job_spec *spec)
 {
-	int team = fl_teams_find(&n->cluster.teams, spec->team), zone;
+	int team = fl_teams_find(&node->cluster.teams, spec->team), zone;
 	bool at_once = spec->kind != FL_ARRAY && spec->task_count > 1;
 	double tasks = at_once ? spec->task_count : 1;
-	uint32_t zones = zones_for(n, spec);
+	uint32_t zones = zones_for(node, spec);
 	const struct fl_team *t;
 
 	if (team < 0)
@@ -48,7 +48,7 @@
 	if (spec->cpus <= 0 && spec->gpus <= 0 && spec->ram_gb <= 0)
 		return "a task takes nothing of its machine";
 	if (spec->has_zone) {
-		zone = fl_symbol_find(&n->cluster.zones, spec->zone);
+		zone = fl_symbol_find(&node->cluster.zones, spec->zone);
 		if (zone < 0)
 			return "Site: unknown zone";
 		zones &= 1u << zone;
@@ -60,26 +60,26 @@
 	 */
 	if (at_once && spec->spread_zones && (spec->same_zone || !(zones & (zones - 1))))
 		return "Apart: half of the tasks fit no allowed machine type";
-	t = &n->cluster.teams.by_index[team];
+	t = &node->cluster.teams.by_index[team];
 	if (!fl_team_within_maximum(t, spec->cpus * tasks, spec->gpus * tasks))
 		return "more than the team's limit";
 	return NULL;
 }
 
-static bool kv_store_is_down(const struct fl_node *n)
+static bool kv_store_is_down(const struct fl_node *node)
 {
-	return fl_kv_is_unavailable(&n->kv_store) &&
-	       fl_now() - n->kv_store.last_failure_at < tunables.down_s;
+	return fl_kv_is_unavailable(&node->kv_store) &&
+	       fl_now() - node->kv_store.last_failure_at < tunables.down_s;
 }
 
 /* Like answer_known, by asking the leader. */
-static int ask_leader_if_known(struct fl_node *n, const char *ref,
+static int ask_leader_if_known(struct fl_node *node, const char *ref,
                                struct fl_http_response *response)
 {
 	struct fl_http_reply reply;
 
-	if (fl_election_lease_valid(n) ||
-	    fl_user_request_forward(n, FL_USER_REQUEST_STATUS, ref, NULL, FL_HOP_FIRST,
+	if (fl_election_lease_valid(node) ||
+	    fl_user_request_forward(node, FL_USER_REQUEST_STATUS, ref, NULL, FL_HOP_FIRST,
 	                            fl_user_request_timeout_s(FL_USER_REQUEST_STATUS), &reply) != 0)
 		return -EAGAIN;
 	if (reply.status == 200) {
@@ -96,29 +96,29 @@
  * this node alone the leader can tell: else a bad submission would be told to come again, here
  * only, and its user would do so for a minute.
  */
-static int respond_if_known(struct fl_node *n, const char *ref, enum fl_forward_hop hop,
+static int respond_if_known(struct fl_node *node, const char *ref, enum fl_forward_hop hop,
                             struct fl_http_response *response)
 {
 	struct fl_job_record record;
 	uint64_t revision;
-	cJSON *v = NULL;
+	cJSON *value = NULL;
 	int rc;
 
-	if (!fl_finished_job_find(&n->cluster, ref) && !fl_job_find(&n->cluster, ref)) {
-		rc = kv_store_is_down(n)
+	if (!fl_finished_job_find(&node->cluster, ref) && !fl_job_find(&node->cluster, ref)) {
+		rc = kv_store_is_down(node)
 		             ? -EAGAIN
-		             : fl_job_record_read(&n->kv_store, ref, &record, &v, &revision);
-		cJSON_Delete(v);
+		             : fl_job_record_read(&node->kv_store, ref, &record, &value, &revision);
+		cJSON_Delete(value);
 		if (rc && rc != -ENOENT && !hop)
-			return ask_leader_if_known(n, ref, response);
+			return ask_leader_if_known(node, ref, response);
 		if (rc)
 			return rc == -ENOENT ? 0 : rc;
 	}
-	fl_respond_status_or_cancel(n, FL_USER_REQUEST_STATUS, ref, hop, response);
+	fl_respond_status_or_cancel(node, FL_USER_REQUEST_STATUS, ref, hop, response);
 	return 1;
 }
 
-static int store_job(struct fl_node *n, const struct fl_job_spec *spec)
+static int store_job(struct fl_node *node, const struct fl_job_spec *spec)
 {
 	double submitted = fl_wall();
 	struct fl_kv_txn txn;
@@ -133,15 +133,16 @@
 	fl_key_job(key, spec->ref);
 	fl_kv_txn_expect_revision(&txn, key, 0);
 	fl_kv_txn_put(&txn, key, fl_job_record_live(spec, submitted), 0);
-	rc = fl_kv_txn_commit(&n->kv_store, &txn, &revision, NULL);
+	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
 	if (rc)
 		return rc;
-	if (!fl_finished_job_find(&n->cluster, spec->ref) && !fl_job_find(&n->cluster, spec->ref) &&
-	    !(n->cluster.leading && revision <= n->cluster.list_revision)) {
-		job = fl_job_add(&n->cluster, spec, submitted, revision);
-		if (job && n->leadership.active) {
-			n->leadership.cycle_due = true;
-			fl_condition_broadcast(&n->leadership.work_available);
+	if (!fl_finished_job_find(&node->cluster, spec->ref) &&
+	    !fl_job_find(&node->cluster, spec->ref) &&
+	    !(node->cluster.leading && revision <= node->cluster.list_revision)) {
+		job = fl_job_add(&node->cluster, spec, submitted, revision);
+		if (job && node->leadership.active) {
+			node->leadership.cycle_due = true;
+			fl_condition_broadcast(&node->leadership.work_available);
 		}
 	}
 	return 0;
@@ -151,17 +152,17 @@
  * The state service may refuse this node alone, or be cut from it: the leader has it. What was
  * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
  */
-static bool submit_through_leader(struct fl_node *n, const struct fl_job_spec *spec,
+static bool submit_through_leader(struct fl_node *node, const struct fl_job_spec *spec,
                                   struct fl_http_response *response)
 {
 	struct fl_http_reply reply;
 	char *text;
 	int rc;
 
-	if (fl_election_lease_valid(n))
+	if (fl_election_lease_valid(node))
 		return false;
 	text = fl_json_print_and_delete(fl_job_spec_encode(spec));
-	rc = fl_user_request_forward(n, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
+	rc = fl_user_request_forward(node, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
 	                             fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT), &reply);
 	free(text);
 	if (rc != 0)
@@ -179,15 +180,15 @@
  * Before the rest of a submission is judged: a known job is answered with its state, and what
  * cannot be read is refused for `bad`, the field. False: to be judged on.
  */
-static bool respond_early(struct fl_node *n, const struct fl_job_spec *spec, const char *bad,
+static bool respond_early(struct fl_node *node, const struct fl_job_spec *spec, const char *bad,
                           enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	int rc;
 
-	if (!bad && n->machine_types_known && !fl_finished_job_find(&n->cluster, spec->ref) &&
-	    !fl_job_find(&n->cluster, spec->ref))
+	if (!bad && node->machine_types_known && !fl_finished_job_find(&node->cluster, spec->ref) &&
+	    !fl_job_find(&node->cluster, spec->ref))
 		return false;
-	rc = respond_if_known(n, spec->ref, hop, response);
+	rc = respond_if_known(node, spec->ref, hop, response);
 	if (rc == 1)
 		return true;
 	if (rc < 0 || !bad) {
@@ -200,10 +201,10 @@
 }
 
 /* Refuses a job that can never run, for the reason `why`, unless it is known. */
-static void reject_infeasible(struct fl_node *n, const struct fl_job_spec *spec, const char *why,
+static void reject_infeasible(struct fl_node *node, const struct fl_job_spec *spec, const char *why,
                               enum fl_forward_hop hop, struct fl_http_response *response)
 {
-	int rc = respond_if_known(n, spec->ref, hop, response);
+	int rc = respond_if_known(node, spec->ref, hop, response);
 
 	if (rc < 0) {
 		fl_respond_unavailable(response, "cannot decide yet");
@@ -214,26 +215,26 @@
 }
 
 /* For want of memory: a repeat of an accepted job is answered all the same. */
-static void reject_for_memory(struct fl_node *n, const struct fl_job_spec *spec,
+static void reject_for_memory(struct fl_node *node, const struct fl_job_spec *spec,
                               enum fl_forward_hop hop, struct fl_http_response *response)
 {
-	if (respond_if_known(n, spec->ref, hop, response) == 1)
+	if (respond_if_known(node, spec->ref, hop, response) == 1)
 		return;
 	fl_respond_unavailable(response, "memory is short at the moment");
 	fl_info("jobs", "%s turned away: memory is short", spec->ref);
 }
 
 /* Stores a job that may run, here or by the leader. */
-static void accept_job(struct fl_node *n, const struct fl_job_spec *spec, enum fl_forward_hop hop,
-                       struct fl_http_response *response)
+static void accept_job(struct fl_node *node, const struct fl_job_spec *spec,
+                       enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	/* A cut is silent: to try here first would cost the user a second. */
-	bool relayed_first = !hop && fl_kv_is_unavailable(&n->kv_store);
+	bool relayed_first = !hop && fl_kv_is_unavailable(&node->kv_store);
 	int rc;
 
-	if (relayed_first && submit_through_leader(n, spec, response))
+	if (relayed_first && submit_through_leader(node, spec, response))
 		return;
-	rc = kv_store_is_down(n) ? -EAGAIN : store_job(n, spec);
+	rc = kv_store_is_down(node) ? -EAGAIN : store_job(node, spec);
 	if (rc == 0) {
 		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", spec->ref,
 		        spec->job_class, spec->team, spec->task_count, spec->cpus, spec->gpus);
@@ -241,44 +242,44 @@
 		response->body = fl_status_encode(spec->ref, FL_PENDING, -1, 0);
 		return;
 	}
-	if (rc == -ESTALE && respond_if_known(n, spec->ref, hop, response) == 1)
+	if (rc == -ESTALE && respond_if_known(node, spec->ref, hop, response) == 1)
 		return;
-	if (rc != -ESTALE && !hop && !relayed_first && submit_through_leader(n, spec, response))
+	if (rc != -ESTALE && !hop && !relayed_first && submit_through_leader(node, spec, response))
 		return;
 	fl_respond_unavailable(response, "the job could not be stored");
 }
 
-void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_forward_hop hop,
+void fl_submit(struct fl_node *node, const char *body, size_t len, enum fl_forward_hop hop,
                struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(body, len);
+	cJSON *object = fl_json_parse(body, len);
 	const char *bad, *why;
 	struct fl_job_spec spec;
 
-	if (!cJSON_IsObject(o)) {
-		cJSON_Delete(o);
+	if (!cJSON_IsObject(object)) {
+		cJSON_Delete(object);
 		fl_respond_error(response, 400, "the body must be a JSON object");
 		return;
 	}
-	bad = fl_job_spec_decode(o, &spec);
-	cJSON_Delete(o);
+	bad = fl_job_spec_decode(object, &spec);
+	cJSON_Delete(object);
 	if (!spec.ref[0]) {
 		fl_respond_error(response, 400, "Ref: missing or invalid");
 		return;
 	}
-	if (fl_follower_is_isolated(n)) {
+	if (fl_follower_is_isolated(node)) {
 		/* At once: every try at either would cost the user seconds in vain. */
 		fl_respond_unavailable(response,
 		                       "neither the state service nor another controller answers");
 		return;
 	}
-	if (respond_early(n, &spec, bad, hop, response))
+	if (respond_early(node, &spec, bad, hop, response))
 		return;
-	why = infeasible_reason(n, &spec);
+	why = infeasible_reason(node, &spec);
 	if (why)
-		reject_infeasible(n, &spec, why, hop, response);
-	else if (!fl_admission_has_memory(n->config))
-		reject_for_memory(n, &spec, hop, response);
+		reject_infeasible(node, &spec, why, hop, response);
+	else if (!fl_admission_has_memory(node->config))
+		reject_for_memory(node, &spec, hop, response);
 	else
-		accept_job(n, &spec, hop, response);
+		accept_job(node, &spec, hop, response);
 }
--- a/src/coordination/submission.h
+++ b/src/coordination/submission.h
@@ -13,7 +13,7 @@
 struct fl_node;
 
 /* Answers a submission: 201 only once the job's record is stored. */
-void fl_submit(struct fl_node *n, const char *body, size_t len, enum fl_forward_hop hop,
+void fl_submit(struct fl_node *node, const char *body, size_t len, enum fl_forward_hop hop,
                struct fl_http_response *response);
 
 #endif
--- a/src/coordination/user_requests.c
+++ b/src/coordination/user_requests.c
@@ -21,12 +21,12 @@
 }
 
 /* Polls leave half of the places to cancellations and submissions. */
-static bool may_forward(const struct fl_node *n, enum fl_user_request kind)
+static bool may_forward(const struct fl_node *node, enum fl_user_request kind)
 {
 	int most = kind == FL_USER_REQUEST_STATUS ? FL_PEER_USER_REQUESTS_MAX / 2
 	                                          : FL_PEER_USER_REQUESTS_MAX;
 
-	return n->forwarded_requests < most;
+	return node->forwarded_requests < most;
 }
 
 struct forwarded_call {
@@ -42,18 +42,18 @@
 	return fl_forwarded_request_encode(c->call, last_hop, c->ref, c->body);
 }
 
-int fl_user_request_forward(struct fl_node *n, enum fl_user_request kind, const char *ref,
+int fl_user_request_forward(struct fl_node *node, enum fl_user_request kind, const char *ref,
                             const char *body, enum fl_forward_hop hop, double patience_s,
                             struct fl_http_reply *reply)
 {
 	struct forwarded_call relayed = {kind, ref, body};
 	int rc;
 
-	if (!may_forward(n, kind))
+	if (!may_forward(node, kind))
 		return -EBUSY;
-	n->forwarded_requests++;
-	rc = fl_forward(n, FL_PATH_FORWARD, encode_call, &relayed, hop, patience_s, reply);
-	n->forwarded_requests--;
+	node->forwarded_requests++;
+	rc = fl_forward(node, FL_PATH_FORWARD, encode_call, &relayed, hop, patience_s, reply);
+	node->forwarded_requests--;
 	return rc;
 }
 
@@ -70,20 +70,20 @@
 }
 
 /* Without a leader in reach, the records themselves answer: never older than what was told. */
-static void respond_status_from_records(struct fl_node *n, const char *ref,
+static void respond_status_from_records(struct fl_node *node, const char *ref,
                                         struct fl_http_response *response)
 {
 	struct fl_job_record record;
 	struct progress progress = {0};
 	char key[FL_KEY_MAX];
 	uint64_t revision;
-	cJSON *v = NULL;
-	int rc = fl_job_lookup_read(n, ref, &record, &v, &revision);
+	cJSON *value = NULL;
+	int rc = fl_job_lookup_read(node, ref, &record, &value, &revision);
 
 	/* What a user is told here, the other controllers must hear from here. */
-	if (rc == 0 && record.final && v)
-		fl_cluster_learn_cancelled(&n->cluster, ref, fl_since(record.cancelled_wall));
-	cJSON_Delete(v);
+	if (rc == 0 && record.final && value)
+		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record.cancelled_wall));
+	cJSON_Delete(value);
 	if (rc == -ENOENT) {
 		fl_respond_error(response, 404, "no such job");
 		return;
@@ -99,12 +99,12 @@
 			ref, record.status, record.status == FL_DONE ? record.task_count : 0, 0);
 		return;
 	}
-	if (!fl_job_lookup_within_budget(n, 1)) {
+	if (!fl_job_lookup_within_budget(node, 1)) {
 		fl_respond_unavailable(response, "there are too many questions at the moment");
 		return;
 	}
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
-	fl_kv_list(&n->kv_store, key, count_progress, &progress, &revision);
+	fl_kv_list(&node->kv_store, key, count_progress, &progress, &revision);
 	response->status = 200;
 	response->body = fl_status_encode(ref, progress.placed ? FL_RUNNING : FL_PENDING,
 	                                  progress.done, progress.placed);
@@ -124,13 +124,13 @@
 	return false;
 }
 
-static void forward_status_query(struct fl_node *n, const char *ref,
+static void forward_status_query(struct fl_node *node, const char *ref,
                                  struct fl_http_response *response)
 {
 	double came = fl_now(), left;
 	struct fl_http_reply reply;
 
-	switch (fl_status_query(n, ref, response)) {
+	switch (fl_status_query(node, ref, response)) {
 	case FL_QUERY_ANSWERED:
 		return;
 	case FL_QUERY_OVERLOADED:
@@ -141,35 +141,35 @@
 		break;
 	}
 	left = came + tunables.relay_s - fl_now();
-	if (left <= 0 || !take_reply(fl_user_request_forward(n, FL_USER_REQUEST_STATUS, ref, NULL,
-	                                                     FL_HOP_FIRST, left, &reply),
+	if (left <= 0 || !take_reply(fl_user_request_forward(node, FL_USER_REQUEST_STATUS, ref,
+	                                                     NULL, FL_HOP_FIRST, left, &reply),
 	                             &reply, response))
-		respond_status_from_records(n, ref, response);
+		respond_status_from_records(node, ref, response);
 }
 
 /* For another controller: only the leader answers, so this is passed on once at most. */
-static void forward_for_peer(struct fl_node *n, enum fl_user_request kind, const char *ref,
+static void forward_for_peer(struct fl_node *node, enum fl_user_request kind, const char *ref,
                              enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	double patience = fl_user_request_timeout_s(kind);
 	struct fl_http_reply reply;
 
-	if (!take_reply(fl_user_request_forward(n, kind, ref, NULL, hop, patience, &reply), &reply,
-	                response))
+	if (!take_reply(fl_user_request_forward(node, kind, ref, NULL, hop, patience, &reply),
+	                &reply, response))
 		fl_respond_error(response, 421, "not the leader");
 }
 
-static void forward_cancel(struct fl_node *n, const char *ref, struct fl_http_response *response)
+static void forward_cancel(struct fl_node *node, const char *ref, struct fl_http_response *response)
 {
 	struct fl_http_reply reply;
-	int rc = fl_user_request_forward(n, FL_USER_REQUEST_CANCEL, ref, NULL, FL_HOP_FIRST,
+	int rc = fl_user_request_forward(node, FL_USER_REQUEST_CANCEL, ref, NULL, FL_HOP_FIRST,
 	                                 tunables.relay_write_s, &reply);
 
 	if (!take_reply(rc, &reply, response))
 		fl_respond_unavailable(response, "there is no leader at the moment");
 }
 
-void fl_respond_status_or_cancel(struct fl_node *n, enum fl_user_request kind, const char *ref,
+void fl_respond_status_or_cancel(struct fl_node *node, enum fl_user_request kind, const char *ref,
                                  enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	struct fl_finished_job *finished;
@@ -178,7 +178,7 @@
 		fl_respond_error(response, 404, "no such job");
 		return;
 	}
-	finished = fl_finished_job_find(&n->cluster, ref);
+	finished = fl_finished_job_find(&node->cluster, ref);
 	if (finished) {
 		response->status = 200;
 		response->body = fl_status_encode(ref, (enum fl_job_status)finished->status,
@@ -189,22 +189,22 @@
 		                                  0);
 		return;
 	}
-	if (fl_is_leader(n)) {
+	if (fl_is_leader(node)) {
 		if (kind == FL_USER_REQUEST_STATUS)
-			fl_respond_job_status(n, ref, response);
+			fl_respond_job_status(node, ref, response);
 		else
-			fl_respond_cancel(n, ref, response);
+			fl_respond_cancel(node, ref, response);
 		return;
 	}
-	if (fl_follower_is_isolated(n)) {
+	if (fl_follower_is_isolated(node)) {
 		fl_respond_unavailable(response,
 		                       "neither the state service nor another controller answers");
 		return;
 	}
 	if (hop)
-		forward_for_peer(n, kind, ref, hop, response);
+		forward_for_peer(node, kind, ref, hop, response);
 	else if (kind == FL_USER_REQUEST_STATUS)
-		forward_status_query(n, ref, response);
+		forward_status_query(node, ref, response);
 	else
-		forward_cancel(n, ref, response);
+		forward_cancel(node, ref, response);
 }
--- a/src/coordination/user_requests.h
+++ b/src/coordination/user_requests.h
@@ -16,13 +16,13 @@
 enum { FL_PEER_USER_REQUESTS_MAX = 24 };
 
 /* Answers a poll or a cancellation of the job `ref`; an empty one is no job's. */
-void fl_respond_status_or_cancel(struct fl_node *n, enum fl_user_request kind, const char *ref,
+void fl_respond_status_or_cancel(struct fl_node *node, enum fl_user_request kind, const char *ref,
                                  enum fl_forward_hop hop, struct fl_http_response *response);
 /*
  * Passes a user's call to the leader, as fl_forward does: 0 and the answer, which the caller frees,
  * or an errno. -EBUSY at once if too many calls are under way.
  */
-int fl_user_request_forward(struct fl_node *n, enum fl_user_request kind, const char *ref,
+int fl_user_request_forward(struct fl_node *node, enum fl_user_request kind, const char *ref,
                             const char *body, enum fl_forward_hop hop, double patience_s,
                             struct fl_http_reply *reply);
 /* How long a relayed call of this kind may take, in s: less than its user waits for an answer. */
--- a/src/main.c
+++ b/src/main.c
@@ -26,20 +26,20 @@
 
 static error_t parse(int key, char *arg, struct argp_state *state)
 {
-	struct args *a = state->input;
+	struct args *arguments = state->input;
 
 	switch (key) {
 	case 'c':
-		a->config = arg;
+		arguments->config = arg;
 		return 0;
 	case 'n':
-		a->check = true;
+		arguments->check = true;
 		return 0;
 	case ARGP_KEY_ARG:
 		argp_error(state, "unexpected argument '%s'", arg);
 		return 0;
 	case ARGP_KEY_END:
-		if (!a->config)
+		if (!arguments->config)
 			argp_error(state, "--config FILE is required");
 		return 0;
 	default:
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -37,7 +37,7 @@
 };
 
 /* Machine types in the shape of the cloud, also for a record. 0, or an errno with nothing held. */
-int fl_machine_types_decode(const cJSON *o, struct fl_cloud_machine_type **out, int *n);
+int fl_machine_types_decode(const cJSON *object, struct fl_cloud_machine_type **out, int *n);
 /* Undoes fl_machine_types_decode. */
 cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int n);
 
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -111,52 +111,52 @@
 	return cJSON_ParseWithLengthOpts(text, len + 1, NULL, 1);
 }
 
-const cJSON *fl_json_get(const cJSON *o, const char *key)
+const cJSON *fl_json_get(const cJSON *object, const char *key)
 {
-	const cJSON *v = cJSON_GetObjectItemCaseSensitive(o, key);
+	const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, key);
 
-	return v && !cJSON_IsNull(v) ? v : NULL;
+	return value && !cJSON_IsNull(value) ? value : NULL;
 }
 
-enum fl_json_result fl_json_get_string(const cJSON *o, const char *key, char *out, size_t cap)
+enum fl_json_result fl_json_get_string(const cJSON *object, const char *key, char *out, size_t cap)
 {
-	const cJSON *v = fl_json_get(o, key);
+	const cJSON *value = fl_json_get(object, key);
 
-	if (!v)
+	if (!value)
 		return FL_JSON_ABSENT;
-	if (!cJSON_IsString(v) || strlen(v->valuestring) >= cap)
+	if (!cJSON_IsString(value) || strlen(value->valuestring) >= cap)
 		return FL_JSON_INVALID;
-	fl_copy_string(out, cap, v->valuestring);
+	fl_copy_string(out, cap, value->valuestring);
 	return FL_JSON_OK;
 }
 
-enum fl_json_result fl_json_get_amount(const cJSON *o, const char *key, double *out)
+enum fl_json_result fl_json_get_amount(const cJSON *object, const char *key, double *out)
 {
-	const cJSON *v = fl_json_get(o, key);
+	const cJSON *value = fl_json_get(object, key);
 
-	if (!v)
+	if (!value)
 		return FL_JSON_ABSENT;
-	if (!cJSON_IsNumber(v) || !isfinite(v->valuedouble) || v->valuedouble < 0 ||
-	    v->valuedouble > 1e12)
+	if (!cJSON_IsNumber(value) || !isfinite(value->valuedouble) || value->valuedouble < 0 ||
+	    value->valuedouble > 1e12)
 		return FL_JSON_INVALID;
-	*out = v->valuedouble;
+	*out = value->valuedouble;
 	return FL_JSON_OK;
 }
 
-static enum fl_json_result whole_number(const cJSON *v, uint64_t most, uint64_t *out)
+static enum fl_json_result whole_number(const cJSON *value, uint64_t most, uint64_t *out)
 {
-	if (!v)
+	if (!value)
 		return FL_JSON_ABSENT;
-	if (!cJSON_IsNumber(v) || !(v->valuedouble >= 0) || v->valuedouble > (double)most ||
-	    v->valuedouble != floor(v->valuedouble))
+	if (!cJSON_IsNumber(value) || !(value->valuedouble >= 0) ||
+	    value->valuedouble > (double)most || value->valuedouble != floor(value->valuedouble))
 		return FL_JSON_INVALID;
-	*out = (uint64_t)v->valuedouble;
+	*out = (uint64_t)value->valuedouble;
 	return FL_JSON_OK;
 }
 
-enum fl_json_result fl_json_get_count(const cJSON *o, const char *key, uint64_t *out)
+enum fl_json_result fl_json_get_count(const cJSON *object, const char *key, uint64_t *out)
 {
-	return whole_number(fl_json_get(o, key), FL_COUNT_MAX, out);
+	return whole_number(fl_json_get(object, key), FL_COUNT_MAX, out);
 }
 
 enum fl_json_result fl_json_get_item(const cJSON *array, int at, uint64_t most, uint64_t *out)
@@ -164,35 +164,35 @@
 	return whole_number(cJSON_GetArrayItem(array, at), most, out);
 }
 
-enum fl_json_result fl_json_get_bool(const cJSON *o, const char *key, bool *out)
+enum fl_json_result fl_json_get_bool(const cJSON *object, const char *key, bool *out)
 {
-	const cJSON *v = fl_json_get(o, key);
+	const cJSON *value = fl_json_get(object, key);
 
-	if (!v)
+	if (!value)
 		return FL_JSON_ABSENT;
-	if (!cJSON_IsBool(v))
+	if (!cJSON_IsBool(value))
 		return FL_JSON_INVALID;
-	*out = cJSON_IsTrue(v);
+	*out = cJSON_IsTrue(value);
 	return FL_JSON_OK;
 }
 
-char *fl_json_print_and_delete(cJSON *o)
+char *fl_json_print_and_delete(cJSON *object)
 {
-	char *s = cJSON_PrintUnformatted(o);
+	char *s = cJSON_PrintUnformatted(object);
 
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return s;
 }
 
 char *fl_json_error(const char *fmt, ...)
 {
-	cJSON *o = cJSON_CreateObject();
+	cJSON *object = cJSON_CreateObject();
 	char text[256];
 	va_list ap;
 
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	cJSON_AddStringToObject(o, "error", text);
-	return fl_json_print_and_delete(o);
+	cJSON_AddStringToObject(object, "error", text);
+	return fl_json_print_and_delete(object);
 }
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -83,39 +83,39 @@
 {
 	char path[FL_KEY_MAX + 16];
 	uint64_t none;
-	cJSON *o;
+	cJSON *object;
 	int rc;
 
 	*value = NULL;
 	snprintf(path, sizeof(path), "/keys/%s", key);
-	rc = call(store, &store->client, "GET", path, NULL, tunables.timeout_s, &o);
-	if (!rc && fl_json_get_count(o, "KeyRev", revision) != FL_JSON_OK)
+	rc = call(store, &store->client, "GET", path, NULL, tunables.timeout_s, &object);
+	if (!rc && fl_json_get_count(object, "KeyRev", revision) != FL_JSON_OK)
 		rc = -EPROTO;
 	if (!rc) {
 		if (!lease_id)
 			lease_id = &none;
-		if (fl_json_get_count(o, "Grant", lease_id) != FL_JSON_OK)
+		if (fl_json_get_count(object, "Grant", lease_id) != FL_JSON_OK)
 			*lease_id = 0;
-		*value = cJSON_DetachItemFromObjectCaseSensitive(o, "V");
+		*value = cJSON_DetachItemFromObjectCaseSensitive(object, "V");
 	}
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return rc;
 }
 
 static int each_item(const cJSON *items, fl_kv_event_fn on_event, void *context,
                      char last[FL_KEY_MAX])
 {
-	const cJSON *e;
+	const cJSON *item;
 
-	cJSON_ArrayForEach (e, items) {
+	cJSON_ArrayForEach (item, items) {
 		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
-		if (fl_json_get_string(e, "Key", key, sizeof(key)) != FL_JSON_OK ||
-		    fl_json_get_count(e, "KeyRev", &event.mod_revision) != FL_JSON_OK)
+		if (fl_json_get_string(item, "Key", key, sizeof(key)) != FL_JSON_OK ||
+		    fl_json_get_count(item, "KeyRev", &event.mod_revision) != FL_JSON_OK)
 			return -EPROTO;
 		event.key = key;
-		event.value = fl_json_get(e, "V");
+		event.value = fl_json_get(item, "V");
 		on_event(context, &event);
 		fl_copy_string(last, FL_KEY_MAX, key);
 	}
@@ -131,19 +131,20 @@
 	while (more) {
 		const cJSON *items;
 		uint64_t at;
-		cJSON *o;
+		cJSON *object;
 		int rc;
 
 		snprintf(path, sizeof(path), "/keys?Prefix=%s%s%s&Page=%d", prefix,
 		         last[0] ? "&From=" : "", last, tunables.page);
-		rc = call(store, &store->client, "GET", path, NULL, 2 * tunables.timeout_s, &o);
+		rc = call(store, &store->client, "GET", path, NULL, 2 * tunables.timeout_s,
+		          &object);
 		if (!rc) {
-			items = fl_json_get(o, "Items");
+			items = fl_json_get(object, "Items");
 			more = false;
 			/* A list cut short would pass for a whole one. */
 			if (!cJSON_IsArray(items) ||
-			    fl_json_get_bool(o, "More", &more) != FL_JSON_OK ||
-			    fl_json_get_count(o, "LedgerRev", &at) != FL_JSON_OK)
+			    fl_json_get_bool(object, "More", &more) != FL_JSON_OK ||
+			    fl_json_get_count(object, "LedgerRev", &at) != FL_JSON_OK)
 				rc = -EPROTO;
 			else
 				rc = each_item(items, on_event, context, last);
@@ -153,7 +154,7 @@
 				*revision = at;
 			first = false;
 		}
-		cJSON_Delete(o);
+		cJSON_Delete(object);
 		if (rc)
 			return rc;
 	}
@@ -162,17 +163,17 @@
 
 static int each_event(const cJSON *log, fl_kv_event_fn on_event, void *context)
 {
-	const cJSON *e;
+	const cJSON *item;
 
-	cJSON_ArrayForEach (e, log) {
+	cJSON_ArrayForEach (item, log) {
 		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
-		if (fl_json_get_count(e, "KeyRev", &event.mod_revision) != FL_JSON_OK)
+		if (fl_json_get_count(item, "KeyRev", &event.mod_revision) != FL_JSON_OK)
 			return -EPROTO;
-		if (fl_json_get_string(e, "Put", key, sizeof(key)) == FL_JSON_OK)
-			event.value = fl_json_get(e, "V");
-		else if (fl_json_get_string(e, "Delete", key, sizeof(key)) != FL_JSON_OK)
+		if (fl_json_get_string(item, "Put", key, sizeof(key)) == FL_JSON_OK)
+			event.value = fl_json_get(item, "V");
+		else if (fl_json_get_string(item, "Delete", key, sizeof(key)) != FL_JSON_OK)
 			return -EPROTO;
 		event.key = key;
 		on_event(context, &event);
@@ -186,15 +187,16 @@
 	char path[FL_KEY_MAX + 128];
 	const cJSON *log;
 	uint64_t at;
-	cJSON *o;
+	cJSON *object;
 	int rc;
 
 	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", prefix,
 	         (unsigned long long)*revision, (int)(timeout_s * 1000));
-	rc = call(store, &store->watch_client, "GET", path, NULL, timeout_s + tunables.slack_s, &o);
+	rc = call(store, &store->watch_client, "GET", path, NULL, timeout_s + tunables.slack_s,
+	          &object);
 	if (!rc) {
-		log = fl_json_get(o, "Log");
-		if (fl_json_get_count(o, "LedgerRev", &at) != FL_JSON_OK ||
+		log = fl_json_get(object, "Log");
+		if (fl_json_get_count(object, "LedgerRev", &at) != FL_JSON_OK ||
 		    (log && !cJSON_IsArray(log)))
 			rc = -EPROTO;
 		else
@@ -202,7 +204,7 @@
 		if (!rc && at > *revision)
 			*revision = at;
 	}
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return rc;
 }
 
@@ -222,31 +224,31 @@
 
 void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t revision)
 {
-	cJSON *e = cJSON_CreateObject();
+	cJSON *item = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(e, "Key", key);
-	cJSON_AddNumberToObject(e, "KeyRev", (double)revision);
-	cJSON_AddItemToArray(txn->conditions, e);
+	cJSON_AddStringToObject(item, "Key", key);
+	cJSON_AddNumberToObject(item, "KeyRev", (double)revision);
+	cJSON_AddItemToArray(txn->conditions, item);
 }
 
 void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id)
 {
-	cJSON *e = cJSON_CreateObject();
+	cJSON *item = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(e, "Put", key);
-	cJSON_AddItemToObject(e, "V", value);
+	cJSON_AddStringToObject(item, "Put", key);
+	cJSON_AddItemToObject(item, "V", value);
 	if (lease_id)
-		cJSON_AddNumberToObject(e, "Grant", (double)lease_id);
-	cJSON_AddItemToArray(txn->operations, e);
+		cJSON_AddNumberToObject(item, "Grant", (double)lease_id);
+	cJSON_AddItemToArray(txn->operations, item);
 	txn->operation_count++;
 }
 
 void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key)
 {
-	cJSON *e = cJSON_CreateObject();
+	cJSON *item = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(e, "Delete", key);
-	cJSON_AddItemToArray(txn->operations, e);
+	cJSON_AddStringToObject(item, "Delete", key);
+	cJSON_AddItemToArray(txn->operations, item);
 	txn->operation_count++;
 }
 
@@ -254,48 +256,48 @@
                      char failed[FL_KEY_MAX])
 {
 	char *text = fl_json_print_and_delete(txn->root);
-	cJSON *o;
+	cJSON *object;
 	int rc;
 
 	txn->root = NULL;
-	rc = call(store, &store->client, "POST", "/multi", text, tunables.timeout_s, &o);
+	rc = call(store, &store->client, "POST", "/multi", text, tunables.timeout_s, &object);
 	free(text);
-	if (!rc && fl_json_get_count(o, "LedgerRev", revision) != FL_JSON_OK)
+	if (!rc && fl_json_get_count(object, "LedgerRev", revision) != FL_JSON_OK)
 		rc = -EPROTO;
 	if (rc == -ESTALE && failed) {
-		const cJSON *first = cJSON_GetArrayItem(fl_json_get(o, "failed"), 0);
+		const cJSON *first = cJSON_GetArrayItem(fl_json_get(object, "failed"), 0);
 
 		failed[0] = 0;
 		if (cJSON_IsString(first) && strlen(first->valuestring) < FL_KEY_MAX)
 			fl_copy_string(failed, FL_KEY_MAX, first->valuestring);
 	}
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return rc;
 }
 
 int fl_kv_lease_grant(struct fl_kv_store *store, double ttl_s, uint64_t *lease_id)
 {
 	char body[48];
-	cJSON *o;
+	cJSON *object;
 	int rc;
 
 	snprintf(body, sizeof(body), "{\"TtlMs\":%d}", (int)(ttl_s * 1000));
-	rc = call(store, &store->client, "POST", "/holds", body, tunables.timeout_s, &o);
-	if (!rc && fl_json_get_count(o, "Grant", lease_id) != FL_JSON_OK)
+	rc = call(store, &store->client, "POST", "/holds", body, tunables.timeout_s, &object);
+	if (!rc && fl_json_get_count(object, "Grant", lease_id) != FL_JSON_OK)
 		rc = -EPROTO;
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return rc;
 }
 
 int fl_kv_lease_keep_alive(struct fl_kv_store *store, uint64_t lease_id, double timeout_s)
 {
 	char path[64];
-	cJSON *o;
+	cJSON *object;
 	int rc;
 
 	snprintf(path, sizeof(path), "/holds/%llu/extend", (unsigned long long)lease_id);
-	rc = call(store, &store->client, "POST", path, "{}", timeout_s, &o);
-	cJSON_Delete(o);
+	rc = call(store, &store->client, "POST", path, "{}", timeout_s, &object);
+	cJSON_Delete(object);
 	/* A 200 with a body of any shape is a renewal. */
 	return rc == -EPROTO ? -EAGAIN : rc;
 }
@@ -303,11 +305,11 @@
 int fl_kv_lease_revoke(struct fl_kv_store *store, uint64_t lease_id)
 {
 	char path[64];
-	cJSON *o;
+	cJSON *object;
 	int rc;
 
 	snprintf(path, sizeof(path), "/holds/%llu", (unsigned long long)lease_id);
-	rc = call(store, &store->client, "DELETE", path, NULL, tunables.timeout_s, &o);
-	cJSON_Delete(o);
+	rc = call(store, &store->client, "DELETE", path, NULL, tunables.timeout_s, &object);
+	cJSON_Delete(object);
 	return rc == -EPROTO ? 0 : rc;
 }
--- a/src/protocol/peer_heartbeats.c
+++ b/src/protocol/peer_heartbeats.c
@@ -18,14 +18,14 @@
 char *fl_peer_heartbeats_encode(cJSON *list, const char *entry_node, bool last_hop,
                                 bool disconnected)
 {
-	cJSON *o = cJSON_CreateObject();
+	cJSON *object = cJSON_CreateObject();
 
-	cJSON_AddBoolToObject(o, "last_hop", last_hop);
+	cJSON_AddBoolToObject(object, "last_hop", last_hop);
 	if (disconnected)
-		cJSON_AddBoolToObject(o, "adrift", true);
-	cJSON_AddStringToObject(o, "via", entry_node);
-	cJSON_AddItemReferenceToObject(o, "reports", list);
-	return fl_json_print_and_delete(o);
+		cJSON_AddBoolToObject(object, "adrift", true);
+	cJSON_AddStringToObject(object, "via", entry_node);
+	cJSON_AddItemReferenceToObject(object, "reports", list);
+	return fl_json_print_and_delete(object);
 }
 
 int fl_peer_heartbeats_decode(const char *text, size_t len, struct fl_peer_heartbeats *out)
@@ -56,22 +56,22 @@
 	cJSON *list = cJSON_CreateArray();
 
 	for (int i = 0; i < n; i++) {
-		cJSON *e = cJSON_CreateObject();
+		cJSON *item = cJSON_CreateObject();
 
-		cJSON_AddNumberToObject(e, "status", answers[i].status);
+		cJSON_AddNumberToObject(item, "status", answers[i].status);
 		if (answers[i].body)
-			cJSON_AddStringToObject(e, "body", answers[i].body);
-		cJSON_AddItemToArray(list, e);
+			cJSON_AddStringToObject(item, "body", answers[i].body);
+		cJSON_AddItemToArray(list, item);
 	}
 	return fl_json_print_and_delete(list);
 }
 
-static int decode_answer(const cJSON *e, struct fl_heartbeat_reply *out)
+static int decode_answer(const cJSON *item, struct fl_heartbeat_reply *out)
 {
-	const cJSON *body = fl_json_get(e, "body");
+	const cJSON *body = fl_json_get(item, "body");
 	uint64_t status;
 
-	if (fl_json_get_count(e, "status", &status) != FL_JSON_OK || status < STATUS_MIN ||
+	if (fl_json_get_count(item, "status", &status) != FL_JSON_OK || status < STATUS_MIN ||
 	    status > STATUS_MAX || (body && !cJSON_IsString(body)))
 		return -EPROTO;
 	out->status = (int)status;
@@ -86,14 +86,14 @@
 {
 	cJSON *list = fl_json_parse(text, len);
 	int rc = cJSON_IsArray(list) && cJSON_GetArraySize(list) == n ? 0 : -EPROTO;
-	const cJSON *e;
+	const cJSON *item;
 	int at = 0;
 
 	memset(answers, 0, (size_t)n * sizeof(*answers));
-	cJSON_ArrayForEach (e, list) {
+	cJSON_ArrayForEach (item, list) {
 		if (rc)
 			break;
-		rc = decode_answer(e, &answers[at++]);
+		rc = decode_answer(item, &answers[at++]);
 	}
 	for (int i = 0; i < at && rc; i++) {
 		free(answers[i].body);
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -8,37 +8,37 @@
 
 char *fl_gossip_encode(const struct fl_gossip *gossip)
 {
-	cJSON *o = cJSON_CreateObject(), *list, *e;
-
-	cJSON_AddStringToObject(o, "node", gossip->node);
-	cJSON_AddStringToObject(o, "leader", gossip->leader);
-	cJSON_AddNumberToObject(o, "epoch", (double)gossip->fencing_token);
-	cJSON_AddNumberToObject(o, "proof_age_s", gossip->leadership_age_s);
-	cJSON_AddBoolToObject(o, "leads", gossip->is_leader);
-	cJSON_AddNumberToObject(o, "known_age_s", gossip->watermark_age_s);
-	cJSON_AddBoolToObject(o, "whole", gossip->complete);
-	list = cJSON_AddArrayToObject(o, "cancelled");
+	cJSON *object = cJSON_CreateObject(), *list, *item;
+
+	cJSON_AddStringToObject(object, "node", gossip->node);
+	cJSON_AddStringToObject(object, "leader", gossip->leader);
+	cJSON_AddNumberToObject(object, "epoch", (double)gossip->fencing_token);
+	cJSON_AddNumberToObject(object, "proof_age_s", gossip->leadership_age_s);
+	cJSON_AddBoolToObject(object, "leads", gossip->is_leader);
+	cJSON_AddNumberToObject(object, "known_age_s", gossip->watermark_age_s);
+	cJSON_AddBoolToObject(object, "whole", gossip->complete);
+	list = cJSON_AddArrayToObject(object, "cancelled");
 	for (int i = 0; i < gossip->cancelled_count; i++) {
-		e = cJSON_CreateArray();
-		cJSON_AddItemToArray(e, cJSON_CreateString(gossip->cancelled[i].ref));
-		cJSON_AddItemToArray(e, cJSON_CreateNumber(gossip->cancelled[i].age_s));
-		cJSON_AddItemToArray(list, e);
+		item = cJSON_CreateArray();
+		cJSON_AddItemToArray(item, cJSON_CreateString(gossip->cancelled[i].ref));
+		cJSON_AddItemToArray(item, cJSON_CreateNumber(gossip->cancelled[i].age_s));
+		cJSON_AddItemToArray(list, item);
 	}
-	return fl_json_print_and_delete(o);
+	return fl_json_print_and_delete(object);
 }
 
 static int decode_cancelled(const cJSON *list, struct fl_gossip *out)
 {
 	int n = cJSON_GetArraySize(list);
-	const cJSON *e;
+	const cJSON *item;
 
 	if (!cJSON_IsArray(list) || n > FL_GOSSIP_CANCELLED_MAX)
 		return -EPROTO;
 	out->cancelled = calloc((size_t)n + 1, sizeof(*out->cancelled));
 	if (!out->cancelled)
 		return -ENOMEM;
-	cJSON_ArrayForEach (e, list) {
-		const cJSON *ref = cJSON_GetArrayItem(e, 0), *age = cJSON_GetArrayItem(e, 1);
+	cJSON_ArrayForEach (item, list) {
+		const cJSON *ref = cJSON_GetArrayItem(item, 0), *age = cJSON_GetArrayItem(item, 1);
 		struct fl_cancellation *cancellation = &out->cancelled[out->cancelled_count++];
 
 		if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= sizeof(cancellation->ref) ||
@@ -53,23 +53,23 @@
 
 int fl_gossip_decode(const char *body, size_t len, struct fl_gossip *out)
 {
-	cJSON *o = fl_json_parse(body, len);
+	cJSON *object = fl_json_parse(body, len);
 	int rc = 0;
 
 	memset(out, 0, sizeof(*out));
-	if (fl_json_get_string(o, "node", out->node, sizeof(out->node)) != FL_JSON_OK ||
-	    fl_json_get_string(o, "leader", out->leader, sizeof(out->leader)) != FL_JSON_OK ||
-	    fl_json_get_count(o, "epoch", &out->fencing_token) != FL_JSON_OK ||
-	    fl_json_get_amount(o, "proof_age_s", &out->leadership_age_s) != FL_JSON_OK ||
-	    fl_json_get_bool(o, "leads", &out->is_leader) != FL_JSON_OK ||
-	    fl_json_get_amount(o, "known_age_s", &out->watermark_age_s) != FL_JSON_OK ||
-	    fl_json_get_bool(o, "whole", &out->complete) != FL_JSON_OK)
+	if (fl_json_get_string(object, "node", out->node, sizeof(out->node)) != FL_JSON_OK ||
+	    fl_json_get_string(object, "leader", out->leader, sizeof(out->leader)) != FL_JSON_OK ||
+	    fl_json_get_count(object, "epoch", &out->fencing_token) != FL_JSON_OK ||
+	    fl_json_get_amount(object, "proof_age_s", &out->leadership_age_s) != FL_JSON_OK ||
+	    fl_json_get_bool(object, "leads", &out->is_leader) != FL_JSON_OK ||
+	    fl_json_get_amount(object, "known_age_s", &out->watermark_age_s) != FL_JSON_OK ||
+	    fl_json_get_bool(object, "whole", &out->complete) != FL_JSON_OK)
 		rc = -EPROTO;
 	if (!rc)
-		rc = decode_cancelled(fl_json_get(o, "cancelled"), out);
+		rc = decode_cancelled(fl_json_get(object, "cancelled"), out);
 	if (rc)
 		fl_gossip_free(out);
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return rc;
 }
 
@@ -83,15 +83,15 @@
 char *fl_forwarded_request_encode(enum fl_user_request kind, bool last_hop, const char *ref,
                                   const char *body)
 {
-	cJSON *o = cJSON_CreateObject();
+	cJSON *object = cJSON_CreateObject();
 
-	cJSON_AddNumberToObject(o, "call", kind);
-	cJSON_AddBoolToObject(o, "last_hop", last_hop);
+	cJSON_AddNumberToObject(object, "call", kind);
+	cJSON_AddBoolToObject(object, "last_hop", last_hop);
 	if (ref)
-		cJSON_AddStringToObject(o, "ref", ref);
+		cJSON_AddStringToObject(object, "ref", ref);
 	if (body)
-		cJSON_AddStringToObject(o, "body", body);
-	return fl_json_print_and_delete(o);
+		cJSON_AddStringToObject(object, "body", body);
+	return fl_json_print_and_delete(object);
 }
 
 /* Only what a node relays; nothing else may come by this way, and no id of another form. */
@@ -134,40 +134,40 @@
 /* [host,session,sequence number,epoch,reclaim_in,[[ref,index,attempt,state,exit],...]] */
 char *fl_cached_heartbeat_encode(const struct fl_heartbeat *heartbeat)
 {
-	cJSON *e = cJSON_CreateArray(), *tasks = cJSON_CreateArray();
+	cJSON *item = cJSON_CreateArray(), *tasks = cJSON_CreateArray();
 
-	cJSON_AddItemToArray(e, cJSON_CreateString(heartbeat->host));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)heartbeat->incarnation));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)heartbeat->sequence));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber((double)heartbeat->fencing_token));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber(heartbeat->interruption_in_s));
+	cJSON_AddItemToArray(item, cJSON_CreateString(heartbeat->host));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber((double)heartbeat->incarnation));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber((double)heartbeat->sequence));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber((double)heartbeat->fencing_token));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber(heartbeat->interruption_in_s));
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_task_status *status = &heartbeat->tasks[i];
-		cJSON *x = cJSON_CreateArray();
+		cJSON *entry = cJSON_CreateArray();
 
-		cJSON_AddItemToArray(x, cJSON_CreateString(status->ref));
-		cJSON_AddItemToArray(x, cJSON_CreateNumber(status->index));
-		cJSON_AddItemToArray(x, cJSON_CreateNumber(status->attempt));
-		cJSON_AddItemToArray(x, cJSON_CreateNumber(status->state));
+		cJSON_AddItemToArray(entry, cJSON_CreateString(status->ref));
+		cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->index));
+		cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->attempt));
+		cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->state));
 		if (status->state == FL_TASK_STATE_EXITED)
-			cJSON_AddItemToArray(x, cJSON_CreateNumber(status->exit));
-		cJSON_AddItemToArray(tasks, x);
+			cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->exit));
+		cJSON_AddItemToArray(tasks, entry);
 	}
-	cJSON_AddItemToArray(e, tasks);
-	return fl_json_print_and_delete(e);
+	cJSON_AddItemToArray(item, tasks);
+	return fl_json_print_and_delete(item);
 }
 
-static int decode_cached_task(const cJSON *x, struct fl_task_status *status)
+static int decode_cached_task(const cJSON *entry, struct fl_task_status *status)
 {
-	const cJSON *ref = cJSON_GetArrayItem(x, 0);
+	const cJSON *ref = cJSON_GetArrayItem(entry, 0);
 	uint64_t index, attempt, state, why = FL_EXIT_OTHER;
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
 	    !fl_job_ref_is_valid(ref->valuestring) ||
-	    fl_json_get_item(x, 1, FL_TASKS_MAX - 1, &index) != FL_JSON_OK ||
-	    fl_json_get_item(x, 2, UINT32_MAX, &attempt) != FL_JSON_OK ||
-	    fl_json_get_item(x, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_JSON_OK ||
-	    fl_json_get_item(x, 4, FL_EXIT_OTHER, &why) == FL_JSON_INVALID)
+	    fl_json_get_item(entry, 1, FL_TASKS_MAX - 1, &index) != FL_JSON_OK ||
+	    fl_json_get_item(entry, 2, UINT32_MAX, &attempt) != FL_JSON_OK ||
+	    fl_json_get_item(entry, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_JSON_OK ||
+	    fl_json_get_item(entry, 4, FL_EXIT_OTHER, &why) == FL_JSON_INVALID)
 		return -EPROTO;
 	fl_copy_string(status->ref, sizeof(status->ref), ref->valuestring);
 	status->index = (uint32_t)index;
@@ -177,17 +177,17 @@
 	return 0;
 }
 
-int fl_cached_heartbeat_decode(const cJSON *e, struct fl_heartbeat *out)
+int fl_cached_heartbeat_decode(const cJSON *item, struct fl_heartbeat *out)
 {
-	const cJSON *host = cJSON_GetArrayItem(e, 0), *notice = cJSON_GetArrayItem(e, 4);
-	const cJSON *tasks = cJSON_GetArrayItem(e, 5), *x;
+	const cJSON *host = cJSON_GetArrayItem(item, 0), *notice = cJSON_GetArrayItem(item, 4);
+	const cJSON *tasks = cJSON_GetArrayItem(item, 5), *entry;
 
 	memset(out, 0, sizeof(*out));
 	if (!cJSON_IsString(host) || !host->valuestring[0] ||
 	    strlen(host->valuestring) >= sizeof(out->host) ||
-	    fl_json_get_item(e, 1, FL_COUNT_MAX, &out->incarnation) != FL_JSON_OK ||
-	    fl_json_get_item(e, 2, FL_COUNT_MAX, &out->sequence) != FL_JSON_OK ||
-	    fl_json_get_item(e, 3, FL_COUNT_MAX, &out->fencing_token) != FL_JSON_OK ||
+	    fl_json_get_item(item, 1, FL_COUNT_MAX, &out->incarnation) != FL_JSON_OK ||
+	    fl_json_get_item(item, 2, FL_COUNT_MAX, &out->sequence) != FL_JSON_OK ||
+	    fl_json_get_item(item, 3, FL_COUNT_MAX, &out->fencing_token) != FL_JSON_OK ||
 	    !cJSON_IsNumber(notice) || !cJSON_IsArray(tasks))
 		return -EPROTO;
 	fl_copy_string(out->host, sizeof(out->host), host->valuestring);
@@ -195,8 +195,8 @@
 	out->tasks = calloc((size_t)cJSON_GetArraySize(tasks) + 1, sizeof(*out->tasks));
 	if (!out->tasks)
 		return -ENOMEM;
-	cJSON_ArrayForEach (x, tasks) {
-		if (decode_cached_task(x, &out->tasks[out->task_count]) != 0) {
+	cJSON_ArrayForEach (entry, tasks) {
+		if (decode_cached_task(entry, &out->tasks[out->task_count]) != 0) {
 			fl_heartbeat_free(out);
 			return -EPROTO;
 		}
@@ -207,11 +207,11 @@
 
 cJSON *fl_digest_begin(uint64_t fencing_token)
 {
-	cJSON *o = cJSON_CreateObject();
+	cJSON *object = cJSON_CreateObject();
 
-	cJSON_AddNumberToObject(o, "epoch", (double)fencing_token);
-	cJSON_AddArrayToObject(o, "kept");
-	return o;
+	cJSON_AddNumberToObject(object, "epoch", (double)fencing_token);
+	cJSON_AddArrayToObject(object, "kept");
+	return object;
 }
 
 void fl_digest_add(cJSON *digest, const char *cached)
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -67,7 +67,7 @@
  */
 char *fl_cached_heartbeat_encode(const struct fl_heartbeat *heartbeat);
 /* Machine type, zone and endpoint stay empty. 0, or -EPROTO or -ENOMEM with nothing held. */
-int fl_cached_heartbeat_decode(const cJSON *e, struct fl_heartbeat *out);
+int fl_cached_heartbeat_decode(const cJSON *item, struct fl_heartbeat *out);
 /* A new record of cached reports, without any. */
 cJSON *fl_digest_begin(uint64_t fencing_token);
 /* Adds a text of fl_cached_heartbeat_encode. */
--- a/src/protocol/status_messages.c
+++ b/src/protocol/status_messages.c
@@ -6,39 +6,39 @@
 /* {"refs":["run-000412",...]} */
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count)
 {
-	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "refs");
+	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "refs");
 
 	for (int i = 0; i < count; i++)
 		cJSON_AddItemToArray(list, cJSON_CreateString(refs[i]));
-	return fl_json_print_and_delete(o);
+	return fl_json_print_and_delete(object);
 }
 
 int fl_status_query_decode(const char *text, size_t len, char (*refs)[FL_REF_MAX])
 {
-	cJSON *o = fl_json_parse(text, len);
-	const cJSON *list = fl_json_get(o, "refs"), *e;
+	cJSON *object = fl_json_parse(text, len);
+	const cJSON *list = fl_json_get(object, "refs"), *item;
 	int count = cJSON_IsArray(list) ? 0 : -EPROTO;
 
 	if (cJSON_GetArraySize(list) > FL_STATUS_QUERY_MAX)
 		count = -EPROTO;
 	if (count == 0) {
-		cJSON_ArrayForEach (e, list) {
-			if (!cJSON_IsString(e) || strlen(e->valuestring) >= FL_REF_MAX ||
-			    !fl_job_ref_is_valid(e->valuestring)) {
+		cJSON_ArrayForEach (item, list) {
+			if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_REF_MAX ||
+			    !fl_job_ref_is_valid(item->valuestring)) {
 				count = -EPROTO;
 				break;
 			}
-			memcpy(refs[count++], e->valuestring, strlen(e->valuestring) + 1);
+			memcpy(refs[count++], item->valuestring, strlen(item->valuestring) + 1);
 		}
 	}
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return count;
 }
 
 /* {"jobs":[[status,done,running],null,...]} */
 char *fl_status_answer_encode(const struct fl_job_status_report *states, int count)
 {
-	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "jobs");
+	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "jobs");
 
 	for (int i = 0; i < count; i++) {
 		const struct fl_job_status_report *status = &states[i];
@@ -47,19 +47,19 @@
 		cJSON_AddItemToArray(list, status->known ? cJSON_CreateDoubleArray(values, 3)
 		                                         : cJSON_CreateNull());
 	}
-	return fl_json_print_and_delete(o);
+	return fl_json_print_and_delete(object);
 }
 
-static int decode_state(const cJSON *e, struct fl_job_status_report *out)
+static int decode_state(const cJSON *item, struct fl_job_status_report *out)
 {
 	uint64_t status, done, running;
 
 	*out = (struct fl_job_status_report){0};
-	if (cJSON_IsNull(e))
+	if (cJSON_IsNull(item))
 		return 0;
-	if (fl_json_get_item(e, 0, FL_CANCELLED, &status) != FL_JSON_OK ||
-	    fl_json_get_item(e, 1, FL_TASKS_MAX, &done) != FL_JSON_OK ||
-	    fl_json_get_item(e, 2, FL_TASKS_MAX, &running) != FL_JSON_OK)
+	if (fl_json_get_item(item, 0, FL_CANCELLED, &status) != FL_JSON_OK ||
+	    fl_json_get_item(item, 1, FL_TASKS_MAX, &done) != FL_JSON_OK ||
+	    fl_json_get_item(item, 2, FL_TASKS_MAX, &running) != FL_JSON_OK)
 		return -EPROTO;
 	*out = (struct fl_job_status_report){.known = true,
 	                                     .status = (enum fl_job_status)status,
@@ -71,19 +71,19 @@
 int fl_status_answer_decode(const char *text, size_t len, struct fl_job_status_report *states,
                             int count)
 {
-	cJSON *o = fl_json_parse(text, len);
-	const cJSON *list = fl_json_get(o, "jobs"), *e;
+	cJSON *object = fl_json_parse(text, len);
+	const cJSON *list = fl_json_get(object, "jobs"), *item;
 	int at = 0, rc = 0;
 
 	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) != count)
 		rc = -EPROTO;
 	if (rc == 0) {
-		cJSON_ArrayForEach (e, list) {
-			rc = decode_state(e, &states[at++]);
+		cJSON_ArrayForEach (item, list) {
+			rc = decode_state(item, &states[at++]);
 			if (rc)
 				break;
 		}
 	}
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return rc;
 }
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -33,7 +33,7 @@
 /* Is it a well-formed job id? */
 bool fl_job_ref_is_valid(const char *ref);
 /* Decodes and checks a description; returns NULL, or the name of the first bad field. */
-const char *fl_job_spec_decode(const cJSON *o, struct fl_job_spec *out);
+const char *fl_job_spec_decode(const cJSON *object, struct fl_job_spec *out);
 /* The description as fl_job_spec_decode reads it. */
 cJSON *fl_job_spec_encode(const struct fl_job_spec *spec);
 /* The answer to a poll, to be freed. */
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -37,37 +37,37 @@
 	return 0;
 }
 
-static int decode_task(const cJSON *e, struct fl_task_status *status)
+static int decode_task(const cJSON *item, struct fl_task_status *status)
 {
 	char name[FL_REF_MAX + 16], word[32];
 	uint64_t attempt;
 	int k;
 
-	if (fl_json_get_string(e, "Part", name, sizeof(name)) != FL_JSON_OK ||
+	if (fl_json_get_string(item, "Part", name, sizeof(name)) != FL_JSON_OK ||
 	    split_task(name, status) != 0)
 		return -EPROTO;
-	if (fl_json_get_count(e, "Try", &attempt) != FL_JSON_OK || attempt > UINT32_MAX)
+	if (fl_json_get_count(item, "Try", &attempt) != FL_JSON_OK || attempt > UINT32_MAX)
 		return -EPROTO;
 	status->attempt = (uint32_t)attempt;
-	if (fl_json_get_string(e, "Status", word, sizeof(word)) != FL_JSON_OK)
+	if (fl_json_get_string(item, "Status", word, sizeof(word)) != FL_JSON_OK)
 		return -EPROTO;
 	k = find(word, state_names, 5);
 	if (k < 0)
 		return -EPROTO;
 	status->state = (enum fl_task_state)k;
 	status->exit = FL_EXIT_OTHER;
-	if (fl_json_get_string(e, "ExitReason", word, sizeof(word)) == FL_JSON_OK) {
+	if (fl_json_get_string(item, "ExitReason", word, sizeof(word)) == FL_JSON_OK) {
 		k = find(word, exit_names, 8);
 		if (k >= 0)
 			status->exit = (enum fl_exit)k;
 	}
-	fl_json_get_bool(e, "Saved", &status->saved);
+	fl_json_get_bool(item, "Saved", &status->saved);
 	return 0;
 }
 
 static int decode_tasks(const cJSON *list, struct fl_heartbeat *out)
 {
-	const cJSON *e;
+	const cJSON *item;
 	int n = cJSON_GetArraySize(list);
 
 	if (n == 0)
@@ -75,8 +75,8 @@
 	out->tasks = calloc((size_t)n, sizeof(*out->tasks));
 	if (!out->tasks)
 		return -ENOMEM;
-	cJSON_ArrayForEach (e, list) {
-		int rc = decode_task(e, &out->tasks[out->task_count]);
+	cJSON_ArrayForEach (item, list) {
+		int rc = decode_task(item, &out->tasks[out->task_count]);
 
 		if (rc)
 			return rc;
@@ -85,34 +85,35 @@
 	return 0;
 }
 
-static int decode_fields(const cJSON *o, struct fl_heartbeat *out)
+static int decode_fields(const cJSON *object, struct fl_heartbeat *out)
 {
-	const cJSON *list = fl_json_get(o, "Parts");
+	const cJSON *list = fl_json_get(object, "Parts");
 	enum fl_json_result f;
 
-	if (fl_json_get_string(o, "Host", out->host, sizeof(out->host)) != FL_JSON_OK ||
+	if (fl_json_get_string(object, "Host", out->host, sizeof(out->host)) != FL_JSON_OK ||
 	    !out->host[0] ||
-	    fl_json_get_string(o, "Endpoint", out->endpoint, sizeof(out->endpoint)) != FL_JSON_OK ||
-	    fl_json_get_string(o, "HostKind", out->type, sizeof(out->type)) != FL_JSON_OK ||
-	    fl_json_get_string(o, "Site", out->zone, sizeof(out->zone)) != FL_JSON_OK ||
-	    fl_json_get_bool(o, "Reclaimable", &out->spot) != FL_JSON_OK ||
-	    fl_json_get_count(o, "Tenure", &out->incarnation) != FL_JSON_OK ||
-	    fl_json_get_count(o, "Serial", &out->sequence) != FL_JSON_OK ||
-	    fl_json_get_count(o, "Epoch", &out->fencing_token) != FL_JSON_OK)
+	    fl_json_get_string(object, "Endpoint", out->endpoint, sizeof(out->endpoint)) !=
+	            FL_JSON_OK ||
+	    fl_json_get_string(object, "HostKind", out->type, sizeof(out->type)) != FL_JSON_OK ||
+	    fl_json_get_string(object, "Site", out->zone, sizeof(out->zone)) != FL_JSON_OK ||
+	    fl_json_get_bool(object, "Reclaimable", &out->spot) != FL_JSON_OK ||
+	    fl_json_get_count(object, "Tenure", &out->incarnation) != FL_JSON_OK ||
+	    fl_json_get_count(object, "Serial", &out->sequence) != FL_JSON_OK ||
+	    fl_json_get_count(object, "Epoch", &out->fencing_token) != FL_JSON_OK)
 		return -EPROTO;
-	f = fl_json_get_amount(o, "ReclaimInS", &out->interruption_in_s);
+	f = fl_json_get_amount(object, "ReclaimInS", &out->interruption_in_s);
 	if (f != FL_JSON_OK)
 		out->interruption_in_s = -1;
 	/* Without its tasks a report would say that none is there, and each would start again. */
 	return cJSON_IsArray(list) ? decode_tasks(list, out) : -EPROTO;
 }
 
-int fl_heartbeat_decode_json(const cJSON *o, struct fl_heartbeat *out)
+int fl_heartbeat_decode_json(const cJSON *object, struct fl_heartbeat *out)
 {
 	int rc;
 
 	memset(out, 0, sizeof(*out));
-	rc = cJSON_IsObject(o) ? decode_fields(o, out) : -EPROTO;
+	rc = cJSON_IsObject(object) ? decode_fields(object, out) : -EPROTO;
 	if (rc)
 		fl_heartbeat_free(out);
 	return rc;
@@ -120,10 +121,10 @@
 
 int fl_heartbeat_decode(const char *body, size_t len, struct fl_heartbeat *out)
 {
-	cJSON *o = fl_json_parse(body, len);
-	int rc = fl_heartbeat_decode_json(o, out);
+	cJSON *object = fl_json_parse(body, len);
+	int rc = fl_heartbeat_decode_json(object, out);
 
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	return rc;
 }
 
@@ -134,43 +135,43 @@
 	heartbeat->task_count = 0;
 }
 
-static void add_part_name(cJSON *o, const char *ref, uint32_t index)
+static void add_part_name(cJSON *object, const char *ref, uint32_t index)
 {
 	char name[FL_REF_MAX + 16];
 
 	snprintf(name, sizeof(name), "%s/%u", ref, index);
-	cJSON_AddStringToObject(o, "Part", name);
+	cJSON_AddStringToObject(object, "Part", name);
 }
 
 char *fl_heartbeat_encode(const struct fl_heartbeat *heartbeat)
 {
-	cJSON *o = cJSON_CreateObject(), *list;
+	cJSON *object = cJSON_CreateObject(), *list;
 
-	cJSON_AddStringToObject(o, "Host", heartbeat->host);
-	cJSON_AddStringToObject(o, "Endpoint", heartbeat->endpoint);
-	cJSON_AddStringToObject(o, "HostKind", heartbeat->type);
-	cJSON_AddStringToObject(o, "Site", heartbeat->zone);
-	cJSON_AddBoolToObject(o, "Reclaimable", heartbeat->spot);
-	cJSON_AddNumberToObject(o, "Tenure", (double)heartbeat->incarnation);
-	cJSON_AddNumberToObject(o, "Serial", (double)heartbeat->sequence);
-	cJSON_AddNumberToObject(o, "Epoch", (double)heartbeat->fencing_token);
+	cJSON_AddStringToObject(object, "Host", heartbeat->host);
+	cJSON_AddStringToObject(object, "Endpoint", heartbeat->endpoint);
+	cJSON_AddStringToObject(object, "HostKind", heartbeat->type);
+	cJSON_AddStringToObject(object, "Site", heartbeat->zone);
+	cJSON_AddBoolToObject(object, "Reclaimable", heartbeat->spot);
+	cJSON_AddNumberToObject(object, "Tenure", (double)heartbeat->incarnation);
+	cJSON_AddNumberToObject(object, "Serial", (double)heartbeat->sequence);
+	cJSON_AddNumberToObject(object, "Epoch", (double)heartbeat->fencing_token);
 	if (heartbeat->interruption_in_s >= 0)
-		cJSON_AddNumberToObject(o, "ReclaimInS", heartbeat->interruption_in_s);
-	list = cJSON_AddArrayToObject(o, "Parts");
+		cJSON_AddNumberToObject(object, "ReclaimInS", heartbeat->interruption_in_s);
+	list = cJSON_AddArrayToObject(object, "Parts");
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_task_status *status = &heartbeat->tasks[i];
-		cJSON *e = cJSON_CreateObject();
+		cJSON *item = cJSON_CreateObject();
 
-		add_part_name(e, status->ref, status->index);
-		cJSON_AddNumberToObject(e, "Try", status->attempt);
-		cJSON_AddStringToObject(e, "Status", state_names[status->state]);
+		add_part_name(item, status->ref, status->index);
+		cJSON_AddNumberToObject(item, "Try", status->attempt);
+		cJSON_AddStringToObject(item, "Status", state_names[status->state]);
 		if (status->state == FL_TASK_STATE_EXITED && status->exit != FL_EXIT_OTHER)
-			cJSON_AddStringToObject(e, "ExitReason", exit_names[status->exit]);
+			cJSON_AddStringToObject(item, "ExitReason", exit_names[status->exit]);
 		if (status->saved)
-			cJSON_AddBoolToObject(e, "Saved", true);
-		cJSON_AddItemToArray(list, e);
+			cJSON_AddBoolToObject(item, "Saved", true);
+		cJSON_AddItemToArray(list, item);
 	}
-	return fl_json_print_and_delete(o);
+	return fl_json_print_and_delete(object);
 }
 
 void fl_command_list_init(struct fl_command_list *commands, uint64_t fencing_token)
@@ -189,14 +190,14 @@
 void fl_command_list_add(struct fl_command_list *commands, enum fl_command_kind kind,
                          const char *ref, uint32_t index, uint32_t attempt, double grace_period_s)
 {
-	cJSON *e = cJSON_CreateObject();
+	cJSON *item = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(e, "Verb", verb_names[kind]);
-	add_part_name(e, ref, index);
-	cJSON_AddNumberToObject(e, "Try", attempt);
+	cJSON_AddStringToObject(item, "Verb", verb_names[kind]);
+	add_part_name(item, ref, index);
+	cJSON_AddNumberToObject(item, "Try", attempt);
 	if (kind == FL_COMMAND_STOP)
-		cJSON_AddNumberToObject(e, "WindDownS", grace_period_s);
-	cJSON_AddItemToArray(commands->list, e);
+		cJSON_AddNumberToObject(item, "WindDownS", grace_period_s);
+	cJSON_AddItemToArray(commands->list, item);
 	commands->count++;
 }
 
@@ -234,9 +235,9 @@
 
 char *fl_redirect_encode(const char *node)
 {
-	cJSON *o = cJSON_CreateObject();
+	cJSON *object = cJSON_CreateObject();
 
 	if (node)
-		cJSON_AddStringToObject(o, "Steward", node);
-	return fl_json_print_and_delete(o);
+		cJSON_AddStringToObject(object, "Steward", node);
+	return fl_json_print_and_delete(object);
 }
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -59,7 +59,7 @@
 /* Decodes a report: 0, or -EPROTO with nothing held. */
 int fl_heartbeat_decode(const char *body, size_t len, struct fl_heartbeat *out);
 /* The same from JSON that has been read; NULL is no report. */
-int fl_heartbeat_decode_json(const cJSON *o, struct fl_heartbeat *out);
+int fl_heartbeat_decode_json(const cJSON *object, struct fl_heartbeat *out);
 /* Frees what a report holds. */
 void fl_heartbeat_free(struct fl_heartbeat *heartbeat);
 /* The report as fl_heartbeat_decode reads it, to be freed; the tests' workers send it. */
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -109,15 +109,15 @@
 };
 
 /* Another controller says that this job is cancelled; what the record says comes later. */
-void fl_cluster_learn_cancelled(struct fl_cluster *b, const char *ref, double cancelled_at);
+void fl_cluster_learn_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at);
 /* A machine's place becomes known: its attempts now count in their zone. */
-void fl_cluster_describe(struct fl_cluster *b, struct fl_machine *m, int type, int zone, bool spot,
-                         const char *endpoint);
+void fl_cluster_describe(struct fl_cluster *cluster, struct fl_machine *machine, int type, int zone,
+                         bool spot, const char *endpoint);
 /* Drops tombstones older than `before`. Only where no machine or id is held across a wait. */
-void fl_cluster_purge_tombstones(struct fl_cluster *b, double before);
+void fl_cluster_purge_tombstones(struct fl_cluster *cluster, double before);
 /* Everything that only a leader knows goes: tasks, machines, usage. */
-void fl_cluster_forget_tasks(struct fl_cluster *b);
+void fl_cluster_forget_tasks(struct fl_cluster *cluster);
 /* Frees all that the cluster holds, but not the cluster itself. */
-void fl_cluster_free(struct fl_cluster *b);
+void fl_cluster_free(struct fl_cluster *cluster);
 
 #endif
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -6,24 +6,24 @@
 #include "transport/clock.h"
 #include "transport/text.h"
 
-struct fl_finished_job *fl_finished_job_find(const struct fl_cluster *b, const char *ref)
+struct fl_finished_job *fl_finished_job_find(const struct fl_cluster *cluster, const char *ref)
 {
 	struct fl_finished_job *finished;
 
-	HASH_FIND_STR(b->finished, ref, finished);
+	HASH_FIND_STR(cluster->finished, ref, finished);
 	return finished;
 }
 
-void fl_finished_job_add(struct fl_cluster *b, const char *ref, enum fl_job_status status,
+void fl_finished_job_add(struct fl_cluster *cluster, const char *ref, enum fl_job_status status,
                          uint32_t task_count, double cancelled_at)
 {
-	struct fl_finished_job *finished = fl_finished_job_find(b, ref);
+	struct fl_finished_job *finished = fl_finished_job_find(cluster, ref);
 
 	if (finished)
 		return; /* a final state never changes */
 	finished = calloc(1, sizeof(*finished));
 	if (!finished) {
-		b->finished_dropped_at = fl_now();
+		cluster->finished_dropped_at = fl_now();
 		return;
 	}
 	fl_copy_string(finished->ref, sizeof(finished->ref), ref);
@@ -31,26 +31,26 @@
 	finished->task_count = task_count;
 	finished->cancelled_at = cancelled_at;
 	finished->learned_at = fl_now();
-	HASH_ADD_STR(b->finished, ref, finished);
-	if (b->finished_max > 0 && HASH_COUNT(b->finished) > b->finished_max) {
-		struct fl_finished_job *oldest = b->finished;
+	HASH_ADD_STR(cluster->finished, ref, finished);
+	if (cluster->finished_max > 0 && HASH_COUNT(cluster->finished) > cluster->finished_max) {
+		struct fl_finished_job *oldest = cluster->finished;
 
-		HASH_DEL(b->finished, oldest);
-		b->finished_dropped_at = oldest->learned_at;
+		HASH_DEL(cluster->finished, oldest);
+		cluster->finished_dropped_at = oldest->learned_at;
 		free(oldest);
 	}
 }
 
-int fl_finished_jobs_cancelled_since(const struct fl_cluster *b, double since,
+int fl_finished_jobs_cancelled_since(const struct fl_cluster *cluster, double since,
                                      const struct fl_finished_job **out, int most)
 {
 	const struct fl_finished_job *finished = NULL;
 	int n = 0;
 
-	if (b->finished_dropped_at > since)
+	if (cluster->finished_dropped_at > since)
 		return -E2BIG;
-	if (b->finished)
-		finished = ELMT_FROM_HH(b->finished->hh.tbl, b->finished->hh.tbl->tail);
+	if (cluster->finished)
+		finished = ELMT_FROM_HH(cluster->finished->hh.tbl, cluster->finished->hh.tbl->tail);
 	for (; finished && finished->learned_at >= since; finished = finished->hh.prev) {
 		if (finished->status != FL_CANCELLED)
 			continue;
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -8,17 +8,17 @@
 
 cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted)
 {
-	cJSON *o = fl_job_spec_encode(spec);
+	cJSON *object = fl_job_spec_encode(spec);
 
-	cJSON_AddNumberToObject(o, "submitted", submitted);
-	return o;
+	cJSON_AddNumberToObject(object, "submitted", submitted);
+	return object;
 }
 
-static cJSON *add_final(cJSON *o, enum fl_job_status status, uint32_t task_count)
+static cJSON *add_final(cJSON *object, enum fl_job_status status, uint32_t task_count)
 {
-	cJSON_AddStringToObject(o, "final", fl_status_name(status));
-	cJSON_AddNumberToObject(o, "parts", task_count);
-	return o;
+	cJSON_AddStringToObject(object, "final", fl_status_name(status));
+	cJSON_AddNumberToObject(object, "parts", task_count);
+	return object;
 }
 
 cJSON *fl_job_record_final(enum fl_job_status status, uint32_t task_count)
@@ -28,27 +28,30 @@
 
 cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled)
 {
-	cJSON *o = add_final(fl_job_record_live(spec, submitted), FL_CANCELLED, spec->task_count);
+	cJSON *object =
+		add_final(fl_job_record_live(spec, submitted), FL_CANCELLED, spec->task_count);
 
-	cJSON_AddNumberToObject(o, "cancelled", cancelled);
-	return o;
+	cJSON_AddNumberToObject(object, "cancelled", cancelled);
+	return object;
 }
 
-void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out)
+void fl_job_describe(const struct fl_cluster *cluster, const struct fl_job *job,
+                     struct fl_job_spec *out)
 {
 	memset(out, 0, sizeof(*out));
 	fl_copy_string(out->ref, sizeof(out->ref), job->ref);
 	fl_copy_string(out->job_class, sizeof(out->job_class),
-	               fl_symbol_name(&b->classes, job->job_class));
-	fl_copy_string(out->team, sizeof(out->team), b->teams.by_index[job->team].name);
-	fl_copy_string(out->image, sizeof(out->image), fl_symbol_name(&b->images, job->image));
+	               fl_symbol_name(&cluster->classes, job->job_class));
+	fl_copy_string(out->team, sizeof(out->team), cluster->teams.by_index[job->team].name);
+	fl_copy_string(out->image, sizeof(out->image),
+	               fl_symbol_name(&cluster->images, job->image));
 	out->has_zone = job->zone >= 0;
-	fl_copy_string(out->zone, sizeof(out->zone), fl_symbol_name(&b->zones, job->zone));
+	fl_copy_string(out->zone, sizeof(out->zone), fl_symbol_name(&cluster->zones, job->zone));
 	out->machine_type_count = job->types == UINT32_MAX ? -1 : 0;
-	for (int k = 0; out->machine_type_count >= 0 && k < b->machines.type_count; k++)
+	for (int k = 0; out->machine_type_count >= 0 && k < cluster->machines.type_count; k++)
 		if ((job->types >> k & 1) && out->machine_type_count < FL_ALLOWED_TYPES_MAX)
 			fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
-			               b->machines.types[k].name);
+			               cluster->machines.types[k].name);
 	out->kind = job->kind;
 	out->priority = job->priority;
 	out->task_count = job->task_count;
@@ -65,7 +68,7 @@
 	out->spot_allowed = job->spot_allowed;
 }
 
-static int decode_final(const cJSON *v, const char *word, struct fl_job_record *out)
+static int decode_final(const cJSON *value, const char *word, struct fl_job_record *out)
 {
 	uint64_t task_count;
 
@@ -75,47 +78,50 @@
 		out->status = FL_CANCELLED;
 	else
 		return -EPROTO;
-	if (fl_json_get_count(v, "parts", &task_count) != FL_JSON_OK || task_count > FL_TASKS_MAX)
+	if (fl_json_get_count(value, "parts", &task_count) != FL_JSON_OK ||
+	    task_count > FL_TASKS_MAX)
 		return -EPROTO;
 	out->task_count = (uint32_t)task_count;
-	return fl_json_get_amount(v, "cancelled", &out->cancelled_wall) == FL_JSON_INVALID ? -EPROTO
-	                                                                                   : 0;
+	return fl_json_get_amount(value, "cancelled", &out->cancelled_wall) == FL_JSON_INVALID
+	               ? -EPROTO
+	               : 0;
 }
 
-int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out)
+int fl_job_record_decode(const cJSON *value, const char *ref, struct fl_job_record *out)
 {
 	enum fl_json_result final;
 	char word[16];
 
 	memset(out, 0, sizeof(*out));
-	final = fl_json_get_string(v, "final", word, sizeof(word));
+	final = fl_json_get_string(value, "final", word, sizeof(word));
 	if (final == FL_JSON_INVALID)
 		return -EPROTO;
 	out->final = final == FL_JSON_OK;
-	if (out->final && decode_final(v, word, out) != 0)
+	if (out->final && decode_final(value, word, out) != 0)
 		return -EPROTO;
 	/* One that is cancelled and cannot be read has tasks that nobody would count or stop. */
-	out->has_spec = !out->final || fl_json_get(v, "Ref");
+	out->has_spec = !out->final || fl_json_get(value, "Ref");
 	if (!out->has_spec)
 		return 0;
-	if (fl_job_spec_decode(v, &out->spec) != NULL || strcmp(out->spec.ref, ref) != 0)
+	if (fl_job_spec_decode(value, &out->spec) != NULL || strcmp(out->spec.ref, ref) != 0)
 		return -EPROTO;
 	if (!out->final)
 		out->task_count = out->spec.task_count;
-	return fl_json_get_amount(v, "submitted", &out->submitted_wall) == FL_JSON_OK ? 0 : -EPROTO;
+	return fl_json_get_amount(value, "submitted", &out->submitted_wall) == FL_JSON_OK ? 0
+	                                                                                  : -EPROTO;
 }
 
 int fl_job_record_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *record,
-                       cJSON **v, uint64_t *revision)
+                       cJSON **value, uint64_t *revision)
 {
 	char key[FL_KEY_MAX];
 	cJSON *final = NULL;
 	int rc;
 
 	fl_key_job(key, ref);
-	rc = fl_kv_get(store, key, v, revision, NULL);
+	rc = fl_kv_get(store, key, value, revision, NULL);
 	if (rc != -ENOENT)
-		return rc ? rc : fl_job_record_decode(*v, ref, record);
+		return rc ? rc : fl_job_record_decode(*value, ref, record);
 	fl_key_finished(key, ref);
 	rc = fl_kv_get(store, key, &final, revision, NULL);
 	if (!rc)
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -18,11 +18,11 @@
 
 /*
  * What the records say of a job: its live record, or the final one that took its place in one
- * transaction, so that reading them in this order misses neither. `*v` is the live record's value,
- * owned by the caller, or NULL. -ENOENT: no such job.
+ * transaction, so that reading them in this order misses neither. `*value` is the live record's
+ * value, owned by the caller, or NULL. -ENOENT: no such job.
  */
 int fl_job_record_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *record,
-                       cJSON **v, uint64_t *revision);
+                       cJSON **value, uint64_t *revision);
 
 /* The record of a live job. */
 cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted);
@@ -31,8 +31,9 @@
 /* A job that its user has cancelled and whose tasks have still to go. */
 cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled);
 /* The description that a job was submitted with, from its state here. */
-void fl_job_describe(const struct fl_cluster *b, const struct fl_job *job, struct fl_job_spec *out);
+void fl_job_describe(const struct fl_cluster *cluster, const struct fl_job *job,
+                     struct fl_job_spec *out);
 /* Decodes the record of the job with this id; -EPROTO if any of it cannot be read. */
-int fl_job_record_decode(const cJSON *v, const char *ref, struct fl_job_record *out);
+int fl_job_record_decode(const cJSON *value, const char *ref, struct fl_job_record *out);
 
 #endif
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -3,25 +3,25 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-void fl_cluster_list_begin(struct fl_cluster *b)
+void fl_cluster_list_begin(struct fl_cluster *cluster)
 {
 	struct fl_job *job, *tmp;
 
-	HASH_ITER (hh, b->jobs, job, tmp)
+	HASH_ITER (hh, cluster->jobs, job, tmp)
 		job->listed = false;
 }
 
-void fl_cluster_list_end(struct fl_cluster *b, uint64_t revision)
+void fl_cluster_list_end(struct fl_cluster *cluster, uint64_t revision)
 {
 	struct fl_job *job, *tmp;
 
 	/* One that was stored after the list was made is not in it and not over. */
-	HASH_ITER (hh, b->jobs, job, tmp)
+	HASH_ITER (hh, cluster->jobs, job, tmp)
 		if (!job->listed && job->mod_revision <= revision && job->placed_count == 0)
-			fl_job_drop(b, job);
+			fl_job_drop(cluster, job);
 }
 
-bool fl_cluster_apply_cancellation(struct fl_cluster *b, struct fl_job *job,
+bool fl_cluster_apply_cancellation(struct fl_cluster *cluster, struct fl_job *job,
                                    const struct fl_job_record *record, uint64_t revision)
 {
 	job->mod_revision = revision;
@@ -30,23 +30,23 @@
 		return false;
 	job->cancelled = true;
 	job->cancelled_at = fl_since(record->cancelled_wall);
-	fl_finished_job_add(b, job->ref, FL_CANCELLED, job->task_count, job->cancelled_at);
+	fl_finished_job_add(cluster, job->ref, FL_CANCELLED, job->task_count, job->cancelled_at);
 	return true;
 }
 
-static struct fl_job *apply_live(struct fl_cluster *b, struct fl_job *job, const char *ref,
+static struct fl_job *apply_live(struct fl_cluster *cluster, struct fl_job *job, const char *ref,
                                  const struct fl_job_record *record, uint64_t revision)
 {
 	if (!job)
-		job = fl_job_add(b, &record->spec, record->submitted_wall, revision);
+		job = fl_job_add(cluster, &record->spec, record->submitted_wall, revision);
 	if (!job)
 		fl_error("jobs", "the record of %s names what is unknown here", ref);
-	if (job && !b->leading)
+	if (job && !cluster->leading)
 		job->listed = true;
 	return job;
 }
 
-static struct fl_job *apply_final(struct fl_cluster *b, struct fl_job *job, const char *ref,
+static struct fl_job *apply_final(struct fl_cluster *cluster, struct fl_job *job, const char *ref,
                                   const struct fl_job_record *record, uint64_t revision)
 {
 	/*
@@ -54,41 +54,41 @@
 	 * while it was still loading its cluster state, another may have led and cancelled, and
 	 * what was passed over then was kept as live by this node for ever.
 	 */
-	if (job && b->leading) {
-		fl_cluster_apply_cancellation(b, job, record, revision);
+	if (job && cluster->leading) {
+		fl_cluster_apply_cancellation(cluster, job, record, revision);
 		return job;
 	}
 	if (job) {
 		job->cancelled_at = fl_since(record->cancelled_wall);
-		fl_job_finalise(b, job, record->status);
+		fl_job_finalise(cluster, job, record->status);
 	} else {
-		fl_finished_job_add(b, ref, record->status, record->task_count,
+		fl_finished_job_add(cluster, ref, record->status, record->task_count,
 		                    fl_since(record->cancelled_wall));
 	}
 	return NULL;
 }
 
-struct fl_job *fl_cluster_apply_job_record(struct fl_cluster *b, const char *ref,
+struct fl_job *fl_cluster_apply_job_record(struct fl_cluster *cluster, const char *ref,
                                            const cJSON *value, uint64_t revision)
 {
-	struct fl_job *job = fl_job_find(b, ref);
+	struct fl_job *job = fl_job_find(cluster, ref);
 	struct fl_job_record record;
 
 	/*
 	 * A leader's marks are its takeover's alone: a watch that lists anew or lags meanwhile must
 	 * neither keep what the takeover's list no longer holds nor hide what it does.
 	 */
-	if (job && !b->leading)
+	if (job && !cluster->leading)
 		job->listed = true;
-	if (job && !value && !b->leading && revision > job->mod_revision)
-		fl_job_drop(b, job);
-	if (!value || fl_finished_job_find(b, ref))
+	if (job && !value && !cluster->leading && revision > job->mod_revision)
+		fl_job_drop(cluster, job);
+	if (!value || fl_finished_job_find(cluster, ref))
 		return NULL;
 	/*
 	 * A watch may lag behind the list that a leader began with: what the list no longer held is
 	 * over, and a late event of its submission must not make it live again.
 	 */
-	if (!job && b->leading && revision <= b->list_revision)
+	if (!job && cluster->leading && revision <= cluster->list_revision)
 		return NULL;
 	if (job && revision <= job->mod_revision)
 		return job;
@@ -96,6 +96,6 @@
 		fl_error("jobs", "the record of %s cannot be read", ref);
 		return NULL;
 	}
-	return record.final ? apply_final(b, job, ref, &record, revision)
-	                    : apply_live(b, job, ref, &record, revision);
+	return record.final ? apply_final(cluster, job, ref, &record, revision)
+	                    : apply_live(cluster, job, ref, &record, revision);
 }
--- a/src/storage/job_updates.h
+++ b/src/storage/job_updates.h
@@ -9,16 +9,16 @@
  * deletion (no value) means that the job is over: only a leader keeps it, to finish what it is
  * doing. One that is cancelled it keeps as `cancelled`, until its tasks are gone.
  */
-struct fl_job *fl_cluster_apply_job_record(struct fl_cluster *b, const char *ref,
+struct fl_job *fl_cluster_apply_job_record(struct fl_cluster *cluster, const char *ref,
                                            const cJSON *value, uint64_t revision);
 
 /* Takes in what the record of a leader's live job says; true if it is newly cancelled. */
-bool fl_cluster_apply_cancellation(struct fl_cluster *b, struct fl_job *job,
+bool fl_cluster_apply_cancellation(struct fl_cluster *cluster, struct fl_job *job,
                                    const struct fl_job_record *record, uint64_t revision);
 
 /* Called before a whole list of job records is read: no live job counts as listed yet. */
-void fl_cluster_list_begin(struct fl_cluster *b);
+void fl_cluster_list_begin(struct fl_cluster *cluster);
 /* Called after it, with the list's revision: live jobs that it no longer holds are dropped. */
-void fl_cluster_list_end(struct fl_cluster *b, uint64_t revision);
+void fl_cluster_list_end(struct fl_cluster *cluster, uint64_t revision);
 
 #endif
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -4,22 +4,22 @@
 
 #include "transport/text.h"
 
-struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref)
+struct fl_job *fl_job_find(const struct fl_cluster *cluster, const char *ref)
 {
 	struct fl_job *job;
 
-	HASH_FIND_STR(b->jobs, ref, job);
+	HASH_FIND_STR(cluster->jobs, ref, job);
 	return job;
 }
 
-static uint32_t machine_types_mask(const struct fl_cluster *b, const struct fl_job_spec *spec)
+static uint32_t machine_types_mask(const struct fl_cluster *cluster, const struct fl_job_spec *spec)
 {
 	uint32_t mask = 0;
 
 	if (spec->machine_type_count < 0)
 		return UINT32_MAX;
 	for (int i = 0; i < spec->machine_type_count; i++) {
-		int k = fl_machine_type_find(&b->machines, spec->machine_types[i]);
+		int k = fl_machine_type_find(&cluster->machines, spec->machine_types[i]);
 
 		if (k >= 0)
 			mask |= 1u << k;
@@ -27,12 +27,12 @@
 	return mask;
 }
 
-struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *spec, double submitted,
-                          uint64_t revision)
+struct fl_job *fl_job_add(struct fl_cluster *cluster, const struct fl_job_spec *spec,
+                          double submitted, uint64_t revision)
 {
-	struct fl_job *job = fl_job_find(b, spec->ref);
-	int team = fl_teams_find(&b->teams, spec->team);
-	int zone = spec->has_zone ? fl_symbol_find(&b->zones, spec->zone) : -1;
+	struct fl_job *job = fl_job_find(cluster, spec->ref);
+	int team = fl_teams_find(&cluster->teams, spec->team);
+	int zone = spec->has_zone ? fl_symbol_find(&cluster->zones, spec->zone) : -1;
 
 	/* A zone that is not known must not pass for any zone. */
 	if (job || team < 0 || (spec->has_zone && zone < 0))
@@ -41,8 +41,8 @@
 	if (!job)
 		return NULL;
 	fl_copy_string(job->ref, sizeof(job->ref), spec->ref);
-	job->job_class = fl_symbol_intern(&b->classes, spec->job_class);
-	job->image = fl_symbol_intern(&b->images, spec->image);
+	job->job_class = fl_symbol_intern(&cluster->classes, spec->job_class);
+	job->image = fl_symbol_intern(&cluster->images, spec->image);
 	job->team = team;
 	job->zone = zone;
 	job->kind = spec->kind;
@@ -56,7 +56,7 @@
 	job->checkpoint_every_s = spec->checkpoint_every_s;
 	job->checkpoint_cost_s = spec->checkpoint_cost_s;
 	job->due_s = spec->due_s;
-	job->types = machine_types_mask(b, spec);
+	job->types = machine_types_mask(cluster, spec);
 	job->same_zone = spec->same_zone;
 	job->spread_zones = spec->spread_zones;
 	job->spot_allowed = spec->spot_allowed;
@@ -64,7 +64,7 @@
 	job->mod_revision = revision;
 	job->waiting_count = spec->task_count;
 	job->block_count = (spec->task_count + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE;
-	HASH_ADD_STR(b->jobs, ref, job);
+	HASH_ADD_STR(cluster->jobs, ref, job);
 	return job;
 }
 
@@ -76,9 +76,9 @@
 	job->blocks = NULL;
 }
 
-static void unlink_dirty(struct fl_cluster *b, struct fl_job *job)
+static void unlink_dirty(struct fl_cluster *cluster, struct fl_job *job)
 {
-	struct fl_job **at = &b->dirty;
+	struct fl_job **at = &cluster->dirty;
 
 	while (*at && *at != job)
 		at = &(*at)->next_dirty;
@@ -87,27 +87,27 @@
 	job->is_dirty = false;
 }
 
-void fl_job_drop(struct fl_cluster *b, struct fl_job *job)
+void fl_job_drop(struct fl_cluster *cluster, struct fl_job *job)
 {
-	unlink_dirty(b, job);
-	HASH_DEL(b->jobs, job);
+	unlink_dirty(cluster, job);
+	HASH_DEL(cluster->jobs, job);
 	fl_job_free_task_blocks(job);
 	free(job);
 }
 
-void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_job_status status)
+void fl_job_finalise(struct fl_cluster *cluster, struct fl_job *job, enum fl_job_status status)
 {
-	fl_finished_job_add(b, job->ref, status, job->task_count, job->cancelled_at);
-	fl_job_drop(b, job);
+	fl_finished_job_add(cluster, job->ref, status, job->task_count, job->cancelled_at);
+	fl_job_drop(cluster, job);
 }
 
-void fl_job_mark_dirty(struct fl_cluster *b, struct fl_job *job)
+void fl_job_mark_dirty(struct fl_cluster *cluster, struct fl_job *job)
 {
 	if (job->is_dirty)
 		return;
 	job->is_dirty = true;
-	job->next_dirty = b->dirty;
-	b->dirty = job;
+	job->next_dirty = cluster->dirty;
+	cluster->dirty = job;
 }
 
 bool fl_job_is_over(const struct fl_job *job)
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -7,14 +7,14 @@
 #include "storage/tasks.h"
 
 /* NULL: no such live job. */
-struct fl_job *fl_job_find(const struct fl_cluster *b, const char *ref);
+struct fl_job *fl_job_find(const struct fl_cluster *cluster, const char *ref);
 /* Adds a live job from its description; NULL if it cannot be read here (unknown team). */
-struct fl_job *fl_job_add(struct fl_cluster *b, const struct fl_job_spec *spec, double submitted,
-                          uint64_t revision);
+struct fl_job *fl_job_add(struct fl_cluster *cluster, const struct fl_job_spec *spec,
+                          double submitted, uint64_t revision);
 /* Turns a live job into its final state; its tasks must hold no machine. */
-void fl_job_finalise(struct fl_cluster *b, struct fl_job *job, enum fl_job_status status);
+void fl_job_finalise(struct fl_cluster *cluster, struct fl_job *job, enum fl_job_status status);
 /* Forgets a live job; its tasks must hold no machine. */
-void fl_job_drop(struct fl_cluster *b, struct fl_job *job);
+void fl_job_drop(struct fl_cluster *cluster, struct fl_job *job);
 /*
  * NULL for a chunk that was never touched. A job that was cancelled before any of its tasks was
  * placed has no chunks at all and is still on the dirty list: never index job->chunks directly.
@@ -23,7 +23,7 @@
 /* Forgets all that is held of its tasks. */
 void fl_job_free_task_blocks(struct fl_job *job);
 /* Something of the job is to be written: a chunk's changes or, when it is over, its final state. */
-void fl_job_mark_dirty(struct fl_cluster *b, struct fl_job *job);
+void fl_job_mark_dirty(struct fl_cluster *cluster, struct fl_job *job);
 /* All its tasks are done; or it is cancelled, and none may be on a machine any more. */
 bool fl_job_is_over(const struct fl_job *job);
 /* The status that its user is told. */
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -7,28 +7,28 @@
 #include "transport/log.h"
 #include "transport/text.h"
 
-int fl_machine_type_find(const struct fl_machines *ms, const char *name)
+int fl_machine_type_find(const struct fl_machines *machines, const char *name)
 {
-	for (int i = 0; i < ms->type_count; i++)
-		if (strcmp(ms->types[i].name, name) == 0)
+	for (int i = 0; i < machines->type_count; i++)
+		if (strcmp(machines->types[i].name, name) == 0)
 			return i;
 	return -1;
 }
 
-void fl_machine_types_set(struct fl_machines *ms, const struct fl_symbol_table *zones,
+void fl_machine_types_set(struct fl_machines *machines, const struct fl_symbol_table *zones,
                           const struct fl_cloud_machine_type *types, int n)
 {
 	for (int i = 0; i < n; i++) {
 		const struct fl_cloud_machine_type *offered = &types[i];
-		int at = fl_machine_type_find(ms, offered->name);
+		int at = fl_machine_type_find(machines, offered->name);
 		struct fl_machine_type *machine_type;
 
-		if (at < 0 && ms->type_count == FL_MACHINE_TYPES_MAX) {
+		if (at < 0 && machines->type_count == FL_MACHINE_TYPES_MAX) {
 			fl_error("cloud", "more than %d machine types: %s is not used",
 			         FL_MACHINE_TYPES_MAX, offered->name);
 			continue;
 		}
-		machine_type = &ms->types[at >= 0 ? at : ms->type_count++];
+		machine_type = &machines->types[at >= 0 ? at : machines->type_count++];
 		memset(machine_type, 0, sizeof(*machine_type));
 		fl_copy_string(machine_type->name, sizeof(machine_type->name), offered->name);
 		machine_type->cpus = offered->cpus;
@@ -48,90 +48,93 @@
 	}
 }
 
-struct fl_machine *fl_machine_find(const struct fl_machines *ms, const char *name)
+struct fl_machine *fl_machine_find(const struct fl_machines *machines, const char *name)
 {
-	struct fl_machine *m;
+	struct fl_machine *machine;
 
-	HASH_FIND_STR(ms->by_name, name, m);
-	return m;
+	HASH_FIND_STR(machines->by_name, name, machine);
+	return machine;
 }
 
-struct fl_machine *fl_machine_get(struct fl_machines *ms, const char *name, double now)
+struct fl_machine *fl_machine_get(struct fl_machines *machines, const char *name, double now)
 {
-	struct fl_machine *m = fl_machine_find(ms, name);
+	struct fl_machine *machine = fl_machine_find(machines, name);
 
-	if (m)
-		return m;
-	if (ms->count == ms->capacity) {
-		int cap = ms->capacity ? ms->capacity * 2 : 64;
-		struct fl_machine **at = realloc(ms->by_id, (size_t)cap * sizeof(*at));
+	if (machine)
+		return machine;
+	if (machines->count == machines->capacity) {
+		int cap = machines->capacity ? machines->capacity * 2 : 64;
+		struct fl_machine **at = realloc(machines->by_id, (size_t)cap * sizeof(*at));
 
 		if (!at)
 			return NULL;
-		ms->by_id = at;
-		ms->capacity = cap;
+		machines->by_id = at;
+		machines->capacity = cap;
 	}
-	m = calloc(1, sizeof(*m));
-	if (!m)
+	machine = calloc(1, sizeof(*machine));
+	if (!machine)
 		return NULL;
-	strncpy(m->name, name, sizeof(m->name) - 1);
-	m->id = ms->count;
-	m->type = m->zone = -1;
-	m->first_seen_at = now;
+	strncpy(machine->name, name, sizeof(machine->name) - 1);
+	machine->id = machines->count;
+	machine->type = machine->zone = -1;
+	machine->first_seen_at = now;
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
-		m->cached_images[i] = -1;
-	ms->by_id[ms->count++] = m;
-	HASH_ADD_STR(ms->by_name, name, m);
-	return m;
+		machine->cached_images[i] = -1;
+	machines->by_id[machines->count++] = machine;
+	HASH_ADD_STR(machines->by_name, name, machine);
+	return machine;
 }
 
-void fl_machine_describe(struct fl_machine *m, int type, int zone, bool spot, const char *endpoint)
+void fl_machine_describe(struct fl_machine *machine, int type, int zone, bool spot,
+                         const char *endpoint)
 {
 	if (type < 0 || zone < 0)
 		return;
-	if (!m->described) {
-		m->type = type;
-		m->zone = zone;
-		m->spot = spot;
-		m->described = true;
+	if (!machine->described) {
+		machine->type = type;
+		machine->zone = zone;
+		machine->spot = spot;
+		machine->described = true;
 	}
 	if (endpoint && *endpoint)
-		strncpy(m->endpoint, endpoint, sizeof(m->endpoint) - 1);
+		strncpy(machine->endpoint, endpoint, sizeof(machine->endpoint) - 1);
 }
 
-int fl_machine_add_assignment(struct fl_machine *m, struct fl_job *job, uint32_t index)
+int fl_machine_add_assignment(struct fl_machine *machine, struct fl_job *job, uint32_t index)
 {
-	if (m->assignment_count == m->assignment_capacity) {
-		int cap = m->assignment_capacity ? m->assignment_capacity * 2 : 4;
-		struct fl_assignment *s = realloc(m->assignments, (size_t)cap * sizeof(*s));
+	if (machine->assignment_count == machine->assignment_capacity) {
+		int cap = machine->assignment_capacity ? machine->assignment_capacity * 2 : 4;
+		struct fl_assignment *s = realloc(machine->assignments, (size_t)cap * sizeof(*s));
 
 		if (!s)
 			return -1;
-		m->assignments = s;
-		m->assignment_capacity = cap;
+		machine->assignments = s;
+		machine->assignment_capacity = cap;
 	}
-	m->assignments[m->assignment_count++] = (struct fl_assignment){job, index};
+	machine->assignments[machine->assignment_count++] = (struct fl_assignment){job, index};
 	return 0;
 }
 
-void fl_machine_remove_assignment(struct fl_machine *m, const struct fl_job *job, uint32_t index)
+void fl_machine_remove_assignment(struct fl_machine *machine, const struct fl_job *job,
+                                  uint32_t index)
 {
-	for (int i = 0; i < m->assignment_count; i++) {
-		if (m->assignments[i].job == job && m->assignments[i].index == index) {
-			m->assignments[i] = m->assignments[--m->assignment_count];
+	for (int i = 0; i < machine->assignment_count; i++) {
+		if (machine->assignments[i].job == job && machine->assignments[i].index == index) {
+			machine->assignments[i] = machine->assignments[--machine->assignment_count];
 			return;
 		}
 	}
 }
 
-void fl_machine_record_image(struct fl_machine *m, int image)
+void fl_machine_record_image(struct fl_machine *machine, int image)
 {
 	int i = 0;
 
-	while (i < FL_IMAGE_CACHE_MAX - 1 && m->cached_images[i] != image)
+	while (i < FL_IMAGE_CACHE_MAX - 1 && machine->cached_images[i] != image)
 		i++;
-	memmove(m->cached_images + 1, m->cached_images, (size_t)i * sizeof(m->cached_images[0]));
-	m->cached_images[0] = image;
+	memmove(machine->cached_images + 1, machine->cached_images,
+	        (size_t)i * sizeof(machine->cached_images[0]));
+	machine->cached_images[0] = image;
 }
 
 uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available)
@@ -148,28 +151,28 @@
 	return n > 0 ? (uint32_t)n : 0;
 }
 
-struct fl_machine *fl_machine_drop(struct fl_machines *ms, struct fl_machine *m)
+struct fl_machine *fl_machine_drop(struct fl_machines *machines, struct fl_machine *machine)
 {
-	struct fl_machine *last = ms->by_id[--ms->count];
+	struct fl_machine *last = machines->by_id[--machines->count];
 
-	HASH_DEL(ms->by_name, m);
-	if (last != m) {
-		ms->by_id[m->id] = last;
-		last->id = m->id;
+	HASH_DEL(machines->by_name, machine);
+	if (last != machine) {
+		machines->by_id[machine->id] = last;
+		last->id = machine->id;
 	}
-	free(m->assignments);
-	free(m);
-	return last != m ? last : NULL;
+	free(machine->assignments);
+	free(machine);
+	return last != machine ? last : NULL;
 }
 
-void fl_machines_clear(struct fl_machines *ms)
+void fl_machines_clear(struct fl_machines *machines)
 {
-	HASH_CLEAR(hh, ms->by_name);
-	for (int i = 0; i < ms->count; i++) {
-		free(ms->by_id[i]->assignments);
-		free(ms->by_id[i]);
+	HASH_CLEAR(hh, machines->by_name);
+	for (int i = 0; i < machines->count; i++) {
+		free(machines->by_id[i]->assignments);
+		free(machines->by_id[i]);
 	}
-	free(ms->by_id);
-	ms->by_id = NULL;
-	ms->count = ms->capacity = 0;
+	free(machines->by_id);
+	machines->by_id = NULL;
+	machines->count = machines->capacity = 0;
 }
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -81,22 +81,24 @@
 };
 
 /* Index of the type; -1: unknown. */
-int fl_machine_type_find(const struct fl_machines *ms, const char *name);
+int fl_machine_type_find(const struct fl_machines *machines, const char *name);
 /* Replaces what is known of the types; indices of known names stay. */
-void fl_machine_types_set(struct fl_machines *ms, const struct fl_symbol_table *zones,
+void fl_machine_types_set(struct fl_machines *machines, const struct fl_symbol_table *zones,
                           const struct fl_cloud_machine_type *types, int n);
 /* NULL: no such machine. */
-struct fl_machine *fl_machine_find(const struct fl_machines *ms, const char *name);
+struct fl_machine *fl_machine_find(const struct fl_machines *machines, const char *name);
 /* The machine, added if it is not known yet; NULL without memory. */
-struct fl_machine *fl_machine_get(struct fl_machines *ms, const char *name, double now);
+struct fl_machine *fl_machine_get(struct fl_machines *machines, const char *name, double now);
 /* Sets type, zone and kind of rental, once, and the newest endpoint; -1 of either: not known. */
-void fl_machine_describe(struct fl_machine *m, int type, int zone, bool spot, const char *endpoint);
+void fl_machine_describe(struct fl_machine *machine, int type, int zone, bool spot,
+                         const char *endpoint);
 /* Notes that an attempt may be on the machine; -1 without memory. */
-int fl_machine_add_assignment(struct fl_machine *m, struct fl_job *job, uint32_t index);
+int fl_machine_add_assignment(struct fl_machine *machine, struct fl_job *job, uint32_t index);
 /* Undoes fl_machine_add_assignment. */
-void fl_machine_remove_assignment(struct fl_machine *m, const struct fl_job *job, uint32_t index);
+void fl_machine_remove_assignment(struct fl_machine *machine, const struct fl_job *job,
+                                  uint32_t index);
 /* Notes that the image is on the machine; the one used longest ago is forgotten. */
-void fl_machine_record_image(struct fl_machine *m, int image);
+void fl_machine_record_image(struct fl_machine *machine, int image);
 /* Amounts of the three resources. */
 struct fl_resources {
 	double cpus, gpus, ram_gb;
@@ -104,8 +106,8 @@
 /* How many tasks that need `need` each there is room for in `available`. */
 uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available);
 /* Forgets a machine with no slots; the last one takes its id. Returns that one, or NULL. */
-struct fl_machine *fl_machine_drop(struct fl_machines *ms, struct fl_machine *m);
+struct fl_machine *fl_machine_drop(struct fl_machines *machines, struct fl_machine *machine);
 /* Forgets all machines; the types stay. */
-void fl_machines_clear(struct fl_machines *ms);
+void fl_machines_clear(struct fl_machines *machines);
 
 #endif
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -36,17 +36,17 @@
 	       block->tasks[index % FL_TASK_BLOCK_SIZE].generation <= block->logged_generation;
 }
 
-bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *t)
+bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *task)
 {
-	return t->generation <= block->saved_generation;
+	return task->generation <= block->saved_generation;
 }
 
-void fl_task_touch(struct fl_cluster *b, struct fl_job *job, uint32_t index)
+void fl_task_touch(struct fl_cluster *cluster, struct fl_job *job, uint32_t index)
 {
 	struct fl_task_block *block = job->blocks[index / FL_TASK_BLOCK_SIZE];
 
 	block->tasks[index % FL_TASK_BLOCK_SIZE].generation = ++block->generation;
-	fl_job_mark_dirty(b, job);
+	fl_job_mark_dirty(cluster, job);
 }
 
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now)
@@ -55,144 +55,149 @@
 	bool lowest = i == job->scan_from;
 
 	for (; i < job->task_count; i++) {
-		const struct fl_task *t = fl_task_peek(job, i);
+		const struct fl_task *task = fl_task_peek(job, i);
 
-		if (t && t->phase != FL_TASK_WAITING) {
+		if (task && task->phase != FL_TASK_WAITING) {
 			if (lowest)
 				job->scan_from = i + 1;
 			continue;
 		}
 		lowest = false;
-		if (!t || t->not_before <= now)
+		if (!task || task->not_before <= now)
 			return i;
 	}
 	return job->task_count;
 }
 
-static int assign(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m)
+static int assign(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                  struct fl_machine *machine)
 {
-	struct fl_team *team = &b->teams.by_index[job->team];
+	struct fl_team *team = &cluster->teams.by_index[job->team];
 
-	if (fl_machine_add_assignment(m, job, index) != 0)
+	if (fl_machine_add_assignment(machine, job, index) != 0)
 		return -1;
-	m->used_cpus += job->cpus;
-	m->used_gpus += job->gpus;
-	m->used_ram_gb += job->ram_gb;
+	machine->used_cpus += job->cpus;
+	machine->used_gpus += job->gpus;
+	machine->used_ram_gb += job->ram_gb;
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
-	if (m->zone >= 0)
-		job->placed_by_zone[m->zone]++;
+	if (machine->zone >= 0)
+		job->placed_by_zone[machine->zone]++;
 	else
 		job->placed_in_unknown_zone++;
 	job->placed_count++;
 	return 0;
 }
 
-static void unassign(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_task *t)
+static void unassign(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                     struct fl_task *task)
 {
-	struct fl_machine *m = b->machines.by_id[t->machine];
-	struct fl_team *team = &b->teams.by_index[job->team];
-
-	fl_machine_remove_assignment(m, job, index);
-	m->used_cpus -= job->cpus;
-	m->used_gpus -= job->gpus;
-	m->used_ram_gb -= job->ram_gb;
-	if (m->assignment_count == 0)
-		m->used_cpus = m->used_gpus = m->used_ram_gb = 0;
+	struct fl_machine *machine = cluster->machines.by_id[task->machine];
+	struct fl_team *team = &cluster->teams.by_index[job->team];
+
+	fl_machine_remove_assignment(machine, job, index);
+	machine->used_cpus -= job->cpus;
+	machine->used_gpus -= job->gpus;
+	machine->used_ram_gb -= job->ram_gb;
+	if (machine->assignment_count == 0)
+		machine->used_cpus = machine->used_gpus = machine->used_ram_gb = 0;
 	team->used_cpus -= job->cpus;
 	team->used_gpus -= job->gpus;
-	if (m->zone >= 0)
-		job->placed_by_zone[m->zone]--;
+	if (machine->zone >= 0)
+		job->placed_by_zone[machine->zone]--;
 	else
 		job->placed_in_unknown_zone--;
 	job->placed_count--;
-	if (t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING)
+	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
 		job->running_count--;
-	t->observed = FL_OBSERVED_NONE;
-	t->start_sent = false;
-	t->stop_reason = FL_STOP_NONE;
-	t->machine = -1;
-	t->fencing_token = 0;
+	task->observed = FL_OBSERVED_NONE;
+	task->start_sent = false;
+	task->stop_reason = FL_STOP_NONE;
+	task->machine = -1;
+	task->fencing_token = 0;
 }
 
-int fl_task_place(struct fl_cluster *b, struct fl_job *job, uint32_t index, struct fl_machine *m,
-                  uint64_t fencing_token, double now)
+int fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                  struct fl_machine *machine, uint64_t fencing_token, double now)
 {
-	struct fl_task *t = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get(job, index);
 
-	if (!t || t->phase != FL_TASK_WAITING || assign(b, job, index, m) != 0)
+	if (!task || task->phase != FL_TASK_WAITING || assign(cluster, job, index, machine) != 0)
 		return -1;
-	t->phase = FL_TASK_PLACED;
-	t->attempt++;
-	t->machine = m->id;
-	t->incarnation = m->incarnation;
-	t->fencing_token = fencing_token;
-	t->observed = FL_OBSERVED_NONE;
-	t->stop_reason = FL_STOP_NONE;
-	t->running_since = now;
-	t->placed_wall = fl_wall();
+	task->phase = FL_TASK_PLACED;
+	task->attempt++;
+	task->machine = machine->id;
+	task->incarnation = machine->incarnation;
+	task->fencing_token = fencing_token;
+	task->observed = FL_OBSERVED_NONE;
+	task->stop_reason = FL_STOP_NONE;
+	task->running_since = now;
+	task->placed_wall = fl_wall();
 	job->waiting_count--;
-	fl_task_touch(b, job, index);
+	fl_task_touch(cluster, job, index);
 	return 0;
 }
 
-int fl_task_restore(struct fl_cluster *b, struct fl_job *job, uint32_t index, uint32_t attempt,
-                    struct fl_machine *m, uint64_t incarnation, double placed, double now)
+int fl_task_restore(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                    uint32_t attempt, struct fl_machine *machine, uint64_t incarnation,
+                    double placed, double now)
 {
-	struct fl_task *t = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get(job, index);
 
-	if (!t || t->phase != FL_TASK_WAITING || assign(b, job, index, m) != 0)
+	if (!task || task->phase != FL_TASK_WAITING || assign(cluster, job, index, machine) != 0)
 		return -1;
-	t->phase = FL_TASK_PLACED;
-	t->attempt = attempt;
-	t->machine = m->id;
-	t->incarnation = incarnation;
-	t->placed_wall = placed;
+	task->phase = FL_TASK_PLACED;
+	task->attempt = attempt;
+	task->machine = machine->id;
+	task->incarnation = incarnation;
+	task->placed_wall = placed;
 	/* Placed by an earlier leader: what it has run since would be lost by stopping it. */
-	t->running_since = fmin(now, fl_since(placed));
+	task->running_since = fmin(now, fl_since(placed));
 	/*
 	 * Its image is there, and stays when the task is lost with its worker's session: after an
 	 * end of all controllers hundreds of tasks start again, and best where they ran.
 	 */
-	fl_machine_record_image(m, job->image);
+	fl_machine_record_image(machine, job->image);
 	job->waiting_count--;
 	return 0;
 }
 
-void fl_task_release(struct fl_cluster *b, struct fl_job *job, uint32_t index, double not_before)
+void fl_task_release(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                     double not_before)
 {
-	struct fl_task *t = fl_task_peek(job, index);
+	struct fl_task *task = fl_task_peek(job, index);
 
-	if (!t || t->phase != FL_TASK_PLACED)
+	if (!task || task->phase != FL_TASK_PLACED)
 		return;
-	unassign(b, job, index, t);
-	t->phase = FL_TASK_WAITING;
-	t->not_before = not_before;
+	unassign(cluster, job, index, task);
+	task->phase = FL_TASK_WAITING;
+	task->not_before = not_before;
 	job->waiting_count++;
 	if (index < job->scan_from)
 		job->scan_from = index;
-	fl_task_touch(b, job, index);
+	fl_task_touch(cluster, job, index);
 }
 
-void fl_task_done(struct fl_cluster *b, struct fl_job *job, uint32_t index)
+void fl_task_done(struct fl_cluster *cluster, struct fl_job *job, uint32_t index)
 {
-	struct fl_task *t = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get(job, index);
 
-	if (!t || t->phase == FL_TASK_DONE)
+	if (!task || task->phase == FL_TASK_DONE)
 		return;
-	if (t->phase == FL_TASK_PLACED)
-		unassign(b, job, index, t);
+	if (task->phase == FL_TASK_PLACED)
+		unassign(cluster, job, index, task);
 	else
 		job->waiting_count--;
-	t->phase = FL_TASK_DONE;
+	task->phase = FL_TASK_DONE;
 	job->done_count++;
-	fl_task_touch(b, job, index);
+	fl_task_touch(cluster, job, index);
 }
 
-void fl_task_observe(struct fl_job *job, struct fl_task *t, enum fl_observed_state observed,
+void fl_task_observe(struct fl_job *job, struct fl_task *task, enum fl_observed_state observed,
                      double now)
 {
-	bool was = t->observed == FL_OBSERVED_RUNNING || t->observed == FL_OBSERVED_CHECKPOINTING;
+	bool was = task->observed == FL_OBSERVED_RUNNING ||
+	           task->observed == FL_OBSERVED_CHECKPOINTING;
 	bool is = observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
 
 	if (is && !was) {
@@ -202,11 +207,11 @@
 		 * placement. Counted from now, every new leader would take old work for fresh, and
 		 * stop what is nearly done to make room.
 		 */
-		if (t->fencing_token != 0 || t->observed != FL_OBSERVED_NONE)
-			t->running_since = now;
+		if (task->fencing_token != 0 || task->observed != FL_OBSERVED_NONE)
+			task->running_since = now;
 	} else if (was && !is) {
 		job->running_count--;
 	}
-	t->observed = (uint8_t)observed;
-	t->start_sent = false;
+	task->observed = (uint8_t)observed;
+	task->start_sent = false;
 }
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -20,27 +20,27 @@
 };
 
 /* A group: ["run-000412",3,{...}] */
-char *fl_wal_group_encode(const struct fl_cluster *b, const struct fl_job *job,
+char *fl_wal_group_encode(const struct fl_cluster *cluster, const struct fl_job *job,
                           uint32_t block_index)
 {
 	const struct fl_task_block *block = fl_job_task_block(job, block_index);
-	cJSON *e;
+	cJSON *item;
 
 	if (!block || block->generation <= block->saved_generation)
 		return NULL;
-	e = cJSON_CreateArray();
-	cJSON_AddItemToArray(e, cJSON_CreateString(job->ref));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber(block_index));
-	cJSON_AddItemToArray(e, fl_task_block_encode_unsaved(b, job, block_index));
-	return fl_json_print_and_delete(e);
+	item = cJSON_CreateArray();
+	cJSON_AddItemToArray(item, cJSON_CreateString(job->ref));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber(block_index));
+	cJSON_AddItemToArray(item, fl_task_block_encode_unsaved(cluster, job, block_index));
+	return fl_json_print_and_delete(item);
 }
 
 cJSON *fl_wal_value_begin(void)
 {
-	cJSON *o = cJSON_CreateObject();
+	cJSON *object = cJSON_CreateObject();
 
-	cJSON_AddArrayToObject(o, "log");
-	return o;
+	cJSON_AddArrayToObject(object, "log");
+	return object;
 }
 
 void fl_wal_value_add(cJSON *value, const char *group)
@@ -91,15 +91,15 @@
 	return block ? block->first : -1;
 }
 
-static int read_group(struct fl_wal *wal, const cJSON *e)
+static int read_group(struct fl_wal *wal, const cJSON *item)
 {
-	const cJSON *ref = cJSON_GetArrayItem(e, 0), *changes = cJSON_GetArrayItem(e, 2);
+	const cJSON *ref = cJSON_GetArrayItem(item, 0), *changes = cJSON_GetArrayItem(item, 2);
 	struct fl_wal_group *group;
 	uint64_t block_index;
 
 	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
 	    !fl_job_ref_is_valid(ref->valuestring) ||
-	    fl_json_get_item(e, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
+	    fl_json_get_item(item, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
 	            FL_JSON_OK ||
 	    !cJSON_IsObject(changes))
 		return -EPROTO;
@@ -121,12 +121,12 @@
 
 int fl_wal_read(struct fl_wal *wal, const cJSON *value)
 {
-	const cJSON *list = fl_json_get(value, "log"), *e;
+	const cJSON *list = fl_json_get(value, "log"), *item;
 
 	if (!cJSON_IsArray(list))
 		return -EPROTO;
-	cJSON_ArrayForEach (e, list) {
-		int rc = read_group(wal, e);
+	cJSON_ArrayForEach (item, list) {
+		int rc = read_group(wal, item);
 
 		if (rc)
 			return rc;
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -28,7 +28,7 @@
 };
 
 /* One group as it goes into a value: the unsaved changes of a chunk; NULL if there are none. */
-char *fl_wal_group_encode(const struct fl_cluster *b, const struct fl_job *job,
+char *fl_wal_group_encode(const struct fl_cluster *cluster, const struct fl_job *job,
                           uint32_t block_index);
 /* A value without groups. */
 cJSON *fl_wal_value_begin(void);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -56,9 +56,9 @@
 /* Runs everything that is due up to then. */
 void sim_time_run(double until);
 /* Cancels every routine and drops every timer through `drop`. */
-void sim_time_end(void (*drop)(struct sim_timer *t));
-void sim_timer_arm(struct sim_timer *t, double seconds);
-void sim_timer_disarm(struct sim_timer *t);
+void sim_time_end(void (*drop)(struct sim_timer *timer));
+void sim_timer_arm(struct sim_timer *timer, double seconds);
+void sim_timer_disarm(struct sim_timer *timer);
 /* The first that is due by then, disarmed, with the clocks put to it; NULL: none. */
 struct sim_timer *sim_timer_next(double until);
 /* Any one, disarmed, and no clock moves. */
@@ -279,12 +279,12 @@
 void sim_reports_for_leader(void);
 void sim_reports_end(void);
 /* It has something to report. */
-void sim_machine_changed(struct sim_machine *m);
-void sim_tasks_tick(struct sim_machine *m);
+void sim_machine_changed(struct sim_machine *machine);
+void sim_tasks_tick(struct sim_machine *machine);
 /* All tasks are gone. */
-void sim_tasks_drop(struct sim_machine *m);
-void sim_tasks_stood_still(struct sim_machine *m, double seconds);
-void sim_tasks_command(struct sim_machine *m, const cJSON *o);
+void sim_tasks_drop(struct sim_machine *machine);
+void sim_tasks_stood_still(struct sim_machine *machine, double seconds);
+void sim_tasks_command(struct sim_machine *machine, const cJSON *object);
 void sim_worker_boot(int machine);
 /* The machine ends now, with all on it. */
 void sim_machine_ends(int machine);
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -90,17 +90,17 @@
 }
 
 /* NULL, or why no further task of the job may begin here. */
-static const char *misplaced(const struct sim_job *job, const struct sim_machine *m)
+static const char *misplaced(const struct sim_job *job, const struct sim_machine *machine)
 {
 	const struct fl_job_spec *spec = &job->run;
 	int here, away;
 
-	spread(job, m->zone, &here, &away);
-	if (!type_allowed(spec, sim_machine_types[m->type].name))
+	spread(job, machine->zone, &here, &away);
+	if (!type_allowed(spec, sim_machine_types[machine->type].name))
 		return "type";
-	if (spec->has_zone && strcmp(spec->zone, sim.config[0].zones[m->zone]) != 0)
+	if (spec->has_zone && strcmp(spec->zone, sim.config[0].zones[machine->zone]) != 0)
 		return "zone";
-	if (m->spot && !spec->spot_allowed)
+	if (machine->spot && !spec->spot_allowed)
 		return "spot";
 	if (spec->same_zone && away > 0)
 		return "not together";
@@ -150,20 +150,21 @@
 static void check_cancelled_tasks(void)
 {
 	for (int i = 0; i < sim.n_machines; i++) {
-		struct sim_machine *m = &sim.machine[i];
+		struct sim_machine *machine = &sim.machine[i];
 		/* A machine that stands still ends its tasks before it goes on. */
-		bool lapsed = m->hung && fl_now() > m->lease_from + sim.lease_s;
+		bool lapsed = machine->hung && fl_now() > machine->lease_from + sim.lease_s;
 
-		for (int k = 0; k < m->n_tasks && !m->gone && !lapsed; k++) {
-			struct sim_task *t = &m->task[k];
+		for (int k = 0; k < machine->n_tasks && !machine->gone && !lapsed; k++) {
+			struct sim_task *task = &machine->task[k];
 
-			if (!t->used || !t->counted || !overdue(t->job) || t->job->said_overdue)
+			if (!task->used || !task->counted || !overdue(task->job) ||
+			    task->job->said_overdue)
 				continue;
 			sim_broken("ran_cancelled",
 			           "%s/%u is on %s, %.1f s after its user was told",
-			           t->job->run.ref, t->status.index, m->name,
-			           fl_now() - t->job->told_cancelled);
-			t->job->said_overdue = true;
+			           task->job->run.ref, task->status.index, machine->name,
+			           fl_now() - task->job->told_cancelled);
+			task->job->said_overdue = true;
 		}
 	}
 }
@@ -181,13 +182,13 @@
 /* Only an answer to a question asked after it shows that something was taken back. */
 static void told(struct sim_job *job, double sent, const char *body, const char *how)
 {
-	cJSON *o = fl_json_parse(body, strlen(body));
+	cJSON *object = fl_json_parse(body, strlen(body));
 	char status[32] = "", ref[FL_REF_MAX] = "";
 	bool cancelled, done;
 
-	fl_json_get_string(o, "Status", status, sizeof(status));
-	fl_json_get_string(o, "Ref", ref, sizeof(ref));
-	cJSON_Delete(o);
+	fl_json_get_string(object, "Status", status, sizeof(status));
+	fl_json_get_string(object, "Ref", ref, sizeof(ref));
+	cJSON_Delete(object);
 	cancelled = strcmp(status, "aborted") == 0;
 	done = strcmp(status, "done") == 0;
 	if (strcmp(ref, job->run.ref) != 0)
@@ -277,18 +278,20 @@
 
 /* ---- once the troubles are over ---- */
 
-static bool has_room(const struct sim_machine *m, const struct sim_job *job)
+static bool has_room(const struct sim_machine *machine, const struct sim_job *job)
 {
-	const struct sim_machine_type *k = &sim_machine_types[m->type];
+	const struct sim_machine_type *k = &sim_machine_types[machine->type];
 	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
 
-	if (!m->up || m->gone || m->hung || m->interruption_at > 0 || misplaced(job, m))
+	if (!machine->up || machine->gone || machine->hung || machine->interruption_at > 0 ||
+	    misplaced(job, machine))
 		return false;
-	for (int i = 0; i < m->n_tasks; i++)
-		if (m->task[i].used && m->task[i].status.state != FL_TASK_STATE_EXITED) {
-			cpus += m->task[i].job->run.cpus;
-			gpus += m->task[i].job->run.gpus;
-			ram += m->task[i].job->run.ram_gb;
+	for (int i = 0; i < machine->n_tasks; i++)
+		if (machine->task[i].used &&
+		    machine->task[i].status.state != FL_TASK_STATE_EXITED) {
+			cpus += machine->task[i].job->run.cpus;
+			gpus += machine->task[i].job->run.gpus;
+			ram += machine->task[i].job->run.ram_gb;
 		}
 	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
 }
--- a/tests/sim_clock.c
+++ b/tests/sim_clock.c
@@ -39,24 +39,24 @@
 	return a->when < b->when || (a->when == b->when && a->seq < b->seq);
 }
 
-static void heap_set(int at, struct sim_timer *t)
+static void heap_set(int at, struct sim_timer *timer)
 {
-	clocks.heap[at] = t;
-	t->at = at;
+	clocks.heap[at] = timer;
+	timer->at = at;
 }
 
 static void heap_up(int at)
 {
-	struct sim_timer *t = clocks.heap[at];
+	struct sim_timer *timer = clocks.heap[at];
 
-	for (; at > 1 && before(t, clocks.heap[at / 2]); at /= 2)
+	for (; at > 1 && before(timer, clocks.heap[at / 2]); at /= 2)
 		heap_set(at, clocks.heap[at / 2]);
-	heap_set(at, t);
+	heap_set(at, timer);
 }
 
 static void heap_down(int at)
 {
-	struct sim_timer *t = clocks.heap[at];
+	struct sim_timer *timer = clocks.heap[at];
 
 	for (;;) {
 		int child = 2 * at;
@@ -65,17 +65,17 @@
 			break;
 		if (child < clocks.n && before(clocks.heap[child + 1], clocks.heap[child]))
 			child++;
-		if (!before(clocks.heap[child], t))
+		if (!before(clocks.heap[child], timer))
 			break;
 		heap_set(at, clocks.heap[child]);
 		at = child;
 	}
-	heap_set(at, t);
+	heap_set(at, timer);
 }
 
-void sim_timer_arm(struct sim_timer *t, double seconds)
+void sim_timer_arm(struct sim_timer *timer, double seconds)
 {
-	sim_must(t->at == 0);
+	sim_must(timer->at == 0);
 	if (clocks.n + 1 >= clocks.cap) {
 		clocks.cap = clocks.cap ? 2 * clocks.cap : 256;
 		clocks.heap = realloc(clocks.heap, (size_t)clocks.cap * sizeof(*clocks.heap));
@@ -84,23 +84,23 @@
 	/* No span is shorter than this: a remainder lost in rounding would be slept for ever. */
 	if (seconds > 0 && seconds < tick)
 		seconds = tick;
-	t->when = clocks.now + (seconds > 0 ? seconds : 0);
-	t->seq = ++clocks.seq;
-	clocks.heap[++clocks.n] = t;
-	t->at = clocks.n;
+	timer->when = clocks.now + (seconds > 0 ? seconds : 0);
+	timer->seq = ++clocks.seq;
+	clocks.heap[++clocks.n] = timer;
+	timer->at = clocks.n;
 	heap_up(clocks.n);
 }
 
-void sim_timer_disarm(struct sim_timer *t)
+void sim_timer_disarm(struct sim_timer *timer)
 {
-	int at = t->at;
+	int at = timer->at;
 	struct sim_timer *last;
 
 	if (!at)
 		return;
-	t->at = 0;
+	timer->at = 0;
 	last = clocks.heap[clocks.n--];
-	if (last == t)
+	if (last == timer)
 		return;
 	heap_set(at, last);
 	heap_up(at);
@@ -113,22 +113,22 @@
 
 struct sim_timer *sim_timer_next(double until)
 {
-	struct sim_timer *t = clocks.n > 0 ? clocks.heap[1] : NULL;
+	struct sim_timer *timer = clocks.n > 0 ? clocks.heap[1] : NULL;
 
-	if (!t || t->when > until)
+	if (!timer || timer->when > until)
 		return NULL;
-	clocks.now = t->when;
-	sim_timer_disarm(t);
-	return t;
+	clocks.now = timer->when;
+	sim_timer_disarm(timer);
+	return timer;
 }
 
 struct sim_timer *sim_timer_any(void)
 {
-	struct sim_timer *t = clocks.n > 0 ? clocks.heap[1] : NULL;
+	struct sim_timer *timer = clocks.n > 0 ? clocks.heap[1] : NULL;
 
-	if (t)
-		sim_timer_disarm(t);
-	return t;
+	if (timer)
+		sim_timer_disarm(timer);
+	return timer;
 }
 
 void sim_clock_end(void)
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -23,43 +23,43 @@
 	int n;
 } cl;
 
-static void say(struct fl_http_response *response, int status, cJSON *o)
+static void say(struct fl_http_response *response, int status, cJSON *object)
 {
 	response->status = status;
-	response->body = fl_json_print_and_delete(o ? o : cJSON_CreateObject());
+	response->body = fl_json_print_and_delete(object ? object : cJSON_CreateObject());
 }
 
 static void trouble(struct fl_http_response *response, const char *why)
 {
-	cJSON *o = cJSON_CreateObject();
+	cJSON *object = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(o, "error", why);
-	say(response, 503, o);
+	cJSON_AddStringToObject(object, "error", why);
+	say(response, 503, object);
 }
 
 static void types(struct fl_http_response *response)
 {
-	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "HostKinds");
+	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "HostKinds");
 
 	for (int i = 0; i < SIM_MACHINE_TYPES; i++) {
 		const struct sim_machine_type *k = &sim_machine_types[i];
-		cJSON *e = cJSON_CreateObject(), *zones;
-
-		cJSON_AddStringToObject(e, "Name", k->name);
-		cJSON_AddNumberToObject(e, "Vcpus", k->cpus);
-		cJSON_AddNumberToObject(e, "Accelerators", k->gpus);
-		cJSON_AddNumberToObject(e, "RamGb", k->ram_gb);
-		cJSON_AddNumberToObject(e, "LocalGb", 100);
-		cJSON_AddNumberToObject(e, "PullGbPerS", 1.0);
-		cJSON_AddNumberToObject(e, "Price", k->price);
-		cJSON_AddNumberToObject(e, "SpotPrice", k->price * 0.4);
-		cJSON_AddNumberToObject(e, "ReadyS", k->ready_s);
-		zones = cJSON_AddArrayToObject(e, "Sites");
+		cJSON *item = cJSON_CreateObject(), *zones;
+
+		cJSON_AddStringToObject(item, "Name", k->name);
+		cJSON_AddNumberToObject(item, "Vcpus", k->cpus);
+		cJSON_AddNumberToObject(item, "Accelerators", k->gpus);
+		cJSON_AddNumberToObject(item, "RamGb", k->ram_gb);
+		cJSON_AddNumberToObject(item, "LocalGb", 100);
+		cJSON_AddNumberToObject(item, "PullGbPerS", 1.0);
+		cJSON_AddNumberToObject(item, "Price", k->price);
+		cJSON_AddNumberToObject(item, "SpotPrice", k->price * 0.4);
+		cJSON_AddNumberToObject(item, "ReadyS", k->ready_s);
+		zones = cJSON_AddArrayToObject(item, "Sites");
 		for (int z = 0; z < sim.n_zones; z++)
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
-		cJSON_AddItemToArray(list, e);
+		cJSON_AddItemToArray(list, item);
 	}
-	say(response, 200, o);
+	say(response, 200, object);
 }
 
 static int type_of(const char *name)
@@ -83,15 +83,16 @@
 	int n = 0;
 
 	for (int i = 0; i < sim.n_machines; i++) {
-		const struct sim_machine *m = &sim.machine[i];
+		const struct sim_machine *machine = &sim.machine[i];
 
-		n += !m->gone && m->type == type && m->zone == zone && m->spot == spot;
+		n += !machine->gone && machine->type == type && machine->zone == zone &&
+		     machine->spot == spot;
 	}
 	return n;
 }
 
 /* Up within a second or two, several times too late, or never. */
-static void odd_boot(struct sim_machine *m)
+static void odd_boot(struct sim_machine *machine)
 {
 	const struct sim_trouble *odd = sim_troubled(ODD_BOOTS, -1);
 
@@ -99,63 +100,64 @@
 		return;
 	switch (sim_pick(4)) {
 	case 0:
-		m->never_up = true;
+		machine->never_up = true;
 		break;
 	case 1:
-		m->ready = fl_now() + sim_between(2, 6) * sim_machine_types[m->type].ready_s;
+		machine->ready =
+			fl_now() + sim_between(2, 6) * sim_machine_types[machine->type].ready_s;
 		break;
 	default:
-		m->ready = fl_now() + sim_between(0.2, 2);
+		machine->ready = fl_now() + sim_between(0.2, 2);
 		break;
 	}
 }
 
 static void rent_one(int type, int zone, bool spot)
 {
-	struct sim_machine *m = &sim.machine[sim.n_machines];
+	struct sim_machine *machine = &sim.machine[sim.n_machines];
 
 	sim_must(sim.n_machines < SIM_MACHINES);
-	memset(m, 0, sizeof(*m));
-	snprintf(m->name, sizeof(m->name), "m-%06d", sim.n_machines + 1);
-	m->type = type;
-	m->zone = zone;
-	m->spot = spot;
-	m->rented = fl_now();
-	m->never_up = sim_chance(0.04) && !sim.reliable;
+	memset(machine, 0, sizeof(*machine));
+	snprintf(machine->name, sizeof(machine->name), "m-%06d", sim.n_machines + 1);
+	machine->type = type;
+	machine->zone = zone;
+	machine->spot = spot;
+	machine->rented = fl_now();
+	machine->never_up = sim_chance(0.04) && !sim.reliable;
 	/* At times up within a second or two: long before it is listed. */
-	m->ready = fl_now() + (sim_chance(0.2)
-	                               ? sim_between(0.5, 2)
-	                               : sim_between(0.6, 1.5) * sim_machine_types[type].ready_s);
-	odd_boot(m);
+	machine->ready = fl_now() + (sim_chance(0.2) ? sim_between(0.5, 2)
+	                                             : sim_between(0.6, 1.5) *
+	                                                       sim_machine_types[type].ready_s);
+	odd_boot(machine);
 	if (spot && sim_chance(0.15) && !sim.reliable)
-		m->interruption_at = fl_now() + sim_between(30, 120);
+		machine->interruption_at = fl_now() + sim_between(30, 120);
 	sim_worker_boot(sim.n_machines++);
 }
 
 static void hosts_of(const struct rental *r, struct fl_http_response *response)
 {
-	cJSON *o = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(o, "Hosts");
+	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "Hosts");
 
 	for (int i = 0; i < r->count; i++)
 		cJSON_AddItemToArray(list, cJSON_CreateString(sim.machine[r->first + i].name));
-	say(response, 200, o);
+	say(response, 200, object);
 }
 
 static void rent(int process, const struct fl_http_request *request,
                  struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(request->body, request->body_len);
+	cJSON *object = fl_json_parse(request->body, request->body_len);
 	char name[64] = "", type[64] = "", zone[64] = "";
 	double count = 0;
 	bool spot = false;
 	int k, z, room;
 
-	fl_json_get_string(o, "Rental", name, sizeof(name));
-	fl_json_get_string(o, "HostKind", type, sizeof(type));
-	fl_json_get_string(o, "Site", zone, sizeof(zone));
-	fl_json_get_bool(o, "Reclaimable", &spot);
-	fl_json_get_amount(o, "Count", &count);
-	cJSON_Delete(o);
+	fl_json_get_string(object, "Rental", name, sizeof(name));
+	fl_json_get_string(object, "HostKind", type, sizeof(type));
+	fl_json_get_string(object, "Site", zone, sizeof(zone));
+	fl_json_get_bool(object, "Reclaimable", &spot);
+	fl_json_get_amount(object, "Count", &count);
+	cJSON_Delete(object);
 	k = type_of(type);
 	z = zone_of(zone);
 	if (!name[0] || k < 0 || z < 0 || count < 1 || count > 50) {
@@ -192,69 +194,70 @@
 
 static void give_back(const struct fl_http_request *request, struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(request->body, request->body_len), *e;
+	cJSON *object = fl_json_parse(request->body, request->body_len), *item;
 
-	cJSON_ArrayForEach (e, fl_json_get(o, "Hosts")) {
-		int at = cJSON_IsString(e) ? machine_of(e->valuestring) : -1;
+	cJSON_ArrayForEach (item, fl_json_get(object, "Hosts")) {
+		int at = cJSON_IsString(item) ? machine_of(item->valuestring) : -1;
 
 		if (at >= 0) {
 			sim.machine[at].failed = false;
 			sim_machine_ends(at);
 		}
 	}
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 	say(response, 200, NULL);
 }
 
 /* At a moment past: once listed it stays so till it is gone. */
-static bool is_listed(struct sim_machine *m, double then)
+static bool is_listed(struct sim_machine *machine, double then)
 {
-	if (m->failed)
+	if (machine->failed)
 		return true;
-	if (m->gone && m->gone_at <= then)
+	if (machine->gone && machine->gone_at <= then)
 		return false;
-	if (m->rented > then && !m->listed)
+	if (machine->rented > then && !machine->listed)
 		return false;
-	m->listed = true;
+	machine->listed = true;
 	return true;
 }
 
 static void list(const struct fl_http_request *request, struct fl_http_response *response)
 {
 	double then = fl_now() - sim_between(0, sim_chance(0.1) ? 2 : 1) * sim.config[0].list_lag_s;
-	cJSON *o = cJSON_CreateObject(), *hosts = cJSON_AddArrayToObject(o, "Hosts");
+	cJSON *object = cJSON_CreateObject(), *hosts = cJSON_AddArrayToObject(object, "Hosts");
 	const char *from = strstr(request->query, "From=");
 	bool more = false;
 	int count = 0;
 
 	for (int i = 0; i < sim.n_machines && !more; i++) {
-		struct sim_machine *m = &sim.machine[i];
+		struct sim_machine *machine = &sim.machine[i];
 		char addr[FL_CONFIG_NAME];
-		cJSON *e;
+		cJSON *item;
 
-		if (from && strncmp(m->name, from + 5, strlen(m->name)) <= 0)
+		if (from && strncmp(machine->name, from + 5, strlen(machine->name)) <= 0)
 			continue;
-		if (!is_listed(m, then))
+		if (!is_listed(machine, then))
 			continue;
 		more = ++count > PAGE;
 		if (more)
 			break;
-		e = cJSON_CreateObject();
+		item = cJSON_CreateObject();
 		sim_address((struct sim_end){END_WORKER, i}, addr);
-		cJSON_AddStringToObject(e, "Ref", m->name);
-		cJSON_AddStringToObject(e, "Endpoint", addr);
-		cJSON_AddStringToObject(e, "HostKind", sim_machine_types[m->type].name);
-		cJSON_AddStringToObject(e, "Site", sim.config[0].zones[m->zone]);
-		cJSON_AddBoolToObject(e, "Reclaimable", m->spot);
-		cJSON_AddStringToObject(e, "Status",
-		                        m->failed                        ? "failed"
-		                        : m->never_up || m->ready > then ? "booting"
-		                                                         : "running");
-		cJSON_AddNumberToObject(e, "AgeS", then > m->rented ? then - m->rented : 0);
-		cJSON_AddItemToArray(hosts, e);
+		cJSON_AddStringToObject(item, "Ref", machine->name);
+		cJSON_AddStringToObject(item, "Endpoint", addr);
+		cJSON_AddStringToObject(item, "HostKind", sim_machine_types[machine->type].name);
+		cJSON_AddStringToObject(item, "Site", sim.config[0].zones[machine->zone]);
+		cJSON_AddBoolToObject(item, "Reclaimable", machine->spot);
+		cJSON_AddStringToObject(item, "Status",
+		                        machine->failed                              ? "failed"
+		                        : machine->never_up || machine->ready > then ? "booting"
+		                                                                     : "running");
+		cJSON_AddNumberToObject(item, "AgeS",
+		                        then > machine->rented ? then - machine->rented : 0);
+		cJSON_AddItemToArray(hosts, item);
 	}
-	cJSON_AddBoolToObject(o, "More", more);
-	say(response, 200, o);
+	cJSON_AddBoolToObject(object, "More", more);
+	say(response, 200, object);
 }
 
 void sim_cloud_serve(struct sim_end from, const struct fl_http_request *request,
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -303,10 +303,10 @@
 		free_node(node);
 }
 
-static void drop(struct sim_timer *t)
+static void drop(struct sim_timer *timer)
 {
-	if (t->fn == arrive || t->fn == deliver)
-		t->fn(t->arg);
+	if (timer->fn == arrive || timer->fn == deliver)
+		timer->fn(timer->arg);
 }
 
 void sim_net_end(void)
--- a/tests/sim_site.c
+++ b/tests/sim_site.c
@@ -10,31 +10,31 @@
 void sim_configure(int node)
 {
 	static const char *const zones[SIM_ZONES] = {"a", "b", "c"};
-	struct fl_config *c = &sim.config[node];
+	struct fl_config *config = &sim.config[node];
 
-	memset(c, 0, sizeof(*c));
-	snprintf(c->node, sizeof(c->node), "host-%d", node + 1);
-	sim_copy(c->location, sizeof(c->location), zones[sim_node_zone(node)]);
-	sim_address((struct sim_end){END_NODE, node}, c->bind);
-	sim_address((struct sim_end){END_PEER, node}, c->cluster_listen);
-	sim_address((struct sim_end){END_STATE, 0}, c->state);
-	sim_address((struct sim_end){END_CLOUD, 0}, c->cloud);
+	memset(config, 0, sizeof(*config));
+	snprintf(config->node, sizeof(config->node), "host-%d", node + 1);
+	sim_copy(config->location, sizeof(config->location), zones[sim_node_zone(node)]);
+	sim_address((struct sim_end){END_NODE, node}, config->bind);
+	sim_address((struct sim_end){END_PEER, node}, config->cluster_listen);
+	sim_address((struct sim_end){END_STATE, 0}, config->state);
+	sim_address((struct sim_end){END_CLOUD, 0}, config->cloud);
 	for (int i = 0; i < sim.n_nodes; i++) {
-		struct fl_config_peer *peer = &c->peers[c->peer_count];
+		struct fl_config_peer *peer = &config->peers[config->peer_count];
 
 		if (i == node)
 			continue;
 		snprintf(peer->node, sizeof(peer->node), "host-%d", i + 1);
 		sim_copy(peer->location, sizeof(peer->location), zones[sim_node_zone(i)]);
 		sim_address((struct sim_end){END_PEER, i}, peer->addr);
-		c->peer_count++;
+		config->peer_count++;
 	}
-	for (c->zone_count = 0; c->zone_count < sim.n_zones; c->zone_count++)
-		sim_copy(c->zones[c->zone_count], sizeof(c->zones[c->zone_count]),
-		         zones[c->zone_count]);
+	for (config->zone_count = 0; config->zone_count < sim.n_zones; config->zone_count++)
+		sim_copy(config->zones[config->zone_count],
+		         sizeof(config->zones[config->zone_count]), zones[config->zone_count]);
 	for (int i = 0; i < SIM_TEAMS; i++) {
 		const struct sim_team *t = &sim_teams[i];
-		struct fl_config_team *to = &c->teams[c->team_count++];
+		struct fl_config_team *to = &config->teams[config->team_count++];
 
 		sim_copy(to->name, sizeof(to->name), t->name);
 		to->cpus = t->cpus;
@@ -42,18 +42,18 @@
 		to->gpus = t->gpus;
 		to->gpus_max = t->gpus_max;
 	}
-	c->report_s = sim.report_s;
-	c->lease_s = sim.lease_s;
-	c->cancel_s = sim.cancel_s;
-	c->state_rps = 220;
-	c->state_write_rps = 70;
-	c->value_kb = 4;
-	c->txn_ops = 16;
-	c->cloud_rps = 4;
-	c->list_lag_s = 5;
-	c->core_share = 1;
-	c->ram_mb = 64;
-	c->max_connections = 400;
+	config->report_s = sim.report_s;
+	config->lease_s = sim.lease_s;
+	config->cancel_s = sim.cancel_s;
+	config->state_rps = 220;
+	config->state_write_rps = 70;
+	config->value_kb = 4;
+	config->txn_ops = 16;
+	config->cloud_rps = 4;
+	config->list_lag_s = 5;
+	config->core_share = 1;
+	config->ram_mb = 64;
+	config->max_connections = 400;
 }
 
 void sim_start(void)
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -10,10 +10,10 @@
 #include "sim_store.h"
 #include "transport/clock.h"
 
-static void say(struct fl_http_response *response, int status, cJSON *o)
+static void say(struct fl_http_response *response, int status, cJSON *object)
 {
 	response->status = status;
-	response->body = fl_json_print_and_delete(o ? o : cJSON_CreateObject());
+	response->body = fl_json_print_and_delete(object ? object : cJSON_CreateObject());
 }
 
 static void holds(const struct fl_http_request *request, struct fl_http_response *response)
@@ -21,7 +21,7 @@
 	uint64_t lease_id =
 		strtoull(request->path + strlen("/holds") + (request->path[6] == '/'), NULL, 10);
 	int at = sim_store_hold(lease_id);
-	cJSON *o, *in;
+	cJSON *object, *in;
 	double ttl = 0;
 
 	if (strcmp(request->path, "/holds") == 0) {
@@ -31,9 +31,9 @@
 		sim_must(ttl >= 100 && ttl <= 600000 && sim_store.n_holds < SIM_HOLDS);
 		sim_store.hold[sim_store.n_holds++] =
 			(struct sim_hold){++sim_store.grants, ttl / 1000, fl_now() + ttl / 1000};
-		o = cJSON_CreateObject();
-		cJSON_AddNumberToObject(o, "Grant", (double)sim_store.grants);
-		say(response, 200, o);
+		object = cJSON_CreateObject();
+		cJSON_AddNumberToObject(object, "Grant", (double)sim_store.grants);
+		say(response, 200, object);
 	} else if (at < 0) {
 		say(response, 404, NULL);
 	} else if (request->method == HTTP_DELETE) {
@@ -66,13 +66,13 @@
 
 static cJSON *item(const char *field, const char *name, const char *value, uint64_t revision)
 {
-	cJSON *e = cJSON_CreateObject();
+	cJSON *item = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(e, field, name);
+	cJSON_AddStringToObject(item, field, name);
 	if (value)
-		cJSON_AddItemToObject(e, "V", cJSON_CreateRaw(value));
-	cJSON_AddNumberToObject(e, "KeyRev", (double)revision);
-	return e;
+		cJSON_AddItemToObject(item, "V", cJSON_CreateRaw(value));
+	cJSON_AddNumberToObject(item, "KeyRev", (double)revision);
+	return item;
 }
 
 static int by_name(const void *a, const void *b)
@@ -82,8 +82,8 @@
 
 static void list(const char *query, struct fl_http_response *response)
 {
-	struct sim_key *k, *tmp, **all = calloc(HASH_COUNT(sim_store.keys) + 1, sizeof(*all));
-	cJSON *o = cJSON_CreateObject(), *items = cJSON_AddArrayToObject(o, "Items");
+	struct sim_key *entry, *tmp, **all = calloc(HASH_COUNT(sim_store.keys) + 1, sizeof(*all));
+	cJSON *object = cJSON_CreateObject(), *items = cJSON_AddArrayToObject(object, "Items");
 	char prefix[SIM_KEY], from[SIM_KEY], page[16];
 	/* Small pages, so that paging is really used. */
 	int n = 0, limit = atoi(param(query, "Page=", page, sizeof(page))) > 7 ? 7 : 3;
@@ -91,33 +91,34 @@
 	sim_must(all);
 	param(query, "Prefix=", prefix, sizeof(prefix));
 	param(query, "From=", from, sizeof(from));
-	HASH_ITER (hh, sim_store.keys, k, tmp)
-		if (strncmp(k->name, prefix, strlen(prefix)) == 0 && strcmp(k->name, from) > 0)
-			all[n++] = k;
+	HASH_ITER (hh, sim_store.keys, entry, tmp)
+		if (strncmp(entry->name, prefix, strlen(prefix)) == 0 &&
+		    strcmp(entry->name, from) > 0)
+			all[n++] = entry;
 	qsort(all, (size_t)n, sizeof(*all), by_name);
 	for (int i = 0; i < n && i < limit; i++)
 		cJSON_AddItemToArray(items, item("Key", all[i]->name, all[i]->value, all[i]->rev));
-	cJSON_AddBoolToObject(o, "More", n > limit);
-	cJSON_AddNumberToObject(o, "LedgerRev", (double)sim_store.rev);
-	say(response, 200, o);
+	cJSON_AddBoolToObject(object, "More", n > limit);
+	cJSON_AddNumberToObject(object, "LedgerRev", (double)sim_store.rev);
+	say(response, 200, object);
 	free(all);
 }
 
 static void get(const char *name, struct fl_http_response *response)
 {
-	struct sim_key *k = sim_store_find(name);
-	cJSON *o;
+	struct sim_key *entry = sim_store_find(name);
+	cJSON *object;
 
-	if (!k) {
-		o = cJSON_CreateObject();
-		cJSON_AddNumberToObject(o, "LedgerRev", (double)sim_store.rev);
-		say(response, 404, o);
+	if (!entry) {
+		object = cJSON_CreateObject();
+		cJSON_AddNumberToObject(object, "LedgerRev", (double)sim_store.rev);
+		say(response, 404, object);
 		return;
 	}
-	o = item("Key", k->name, k->value, k->rev);
-	if (k->grant)
-		cJSON_AddNumberToObject(o, "Grant", (double)k->grant);
-	say(response, 200, o);
+	object = item("Key", entry->name, entry->value, entry->rev);
+	if (entry->grant)
+		cJSON_AddNumberToObject(object, "Grant", (double)entry->grant);
+	say(response, 200, object);
 }
 
 static bool refuses(struct sim_end from)
@@ -143,7 +144,7 @@
 	uint64_t from = strtoull(param(query, "From=", word, sizeof(word)), NULL, 10);
 	double until = fl_now() + atof(param(query, "HoldMs=", word, sizeof(word))) / 1000;
 	int first = -1;
-	cJSON *o, *log;
+	cJSON *object, *log;
 
 	param(query, "Prefix=", prefix, sizeof(prefix));
 	for (;;) {
@@ -158,9 +159,9 @@
 		if (fl_condition_wait(&sim_store.changed, wait) == -ECANCELED)
 			return;
 	}
-	o = cJSON_CreateObject();
-	cJSON_AddNumberToObject(o, "LedgerRev", (double)sim_store.rev);
-	log = cJSON_AddArrayToObject(o, "Log");
+	object = cJSON_CreateObject();
+	cJSON_AddNumberToObject(object, "LedgerRev", (double)sim_store.rev);
+	log = cJSON_AddArrayToObject(object, "Log");
 	for (int i = first; i >= 0 && i < sim_store.n_log; i++) {
 		const struct sim_change *c = &sim_store.log[i];
 
@@ -168,37 +169,37 @@
 			cJSON_AddItemToArray(
 				log, item(c->value ? "Put" : "Delete", c->name, c->value, c->rev));
 	}
-	say(response, 200, o);
+	say(response, 200, object);
 }
 
 /* ---- transactions ---- */
 
 static bool no_such_lease(const cJSON *apply)
 {
-	const cJSON *e;
+	const cJSON *item;
 	uint64_t lease_id;
 
-	cJSON_ArrayForEach (e, apply)
-		if (fl_json_get_count(e, "Grant", &lease_id) == FL_JSON_OK &&
+	cJSON_ArrayForEach (item, apply)
+		if (fl_json_get_count(item, "Grant", &lease_id) == FL_JSON_OK &&
 		    sim_store_hold(lease_id) < 0)
 			return true;
 	return false;
 }
 
 /* What the real service would refuse. */
-static void check_limits(const cJSON *o)
+static void check_limits(const cJSON *object)
 {
-	const struct fl_config *c = &sim.config[0];
-	const cJSON *ops = fl_json_get(o, "Apply"), *e;
+	const struct fl_config *config = &sim.config[0];
+	const cJSON *ops = fl_json_get(object, "Apply"), *item;
 
-	if (cJSON_GetArraySize(ops) > c->txn_ops ||
-	    cJSON_GetArraySize(fl_json_get(o, "When")) > 4 * c->txn_ops)
+	if (cJSON_GetArraySize(ops) > config->txn_ops ||
+	    cJSON_GetArraySize(fl_json_get(object, "When")) > 4 * config->txn_ops)
 		sim_broken("transaction", "%d changes, %d conditions", cJSON_GetArraySize(ops),
-		           cJSON_GetArraySize(fl_json_get(o, "When")));
-	cJSON_ArrayForEach (e, ops) {
-		char *value = cJSON_PrintUnformatted(fl_json_get(e, "V"));
+		           cJSON_GetArraySize(fl_json_get(object, "When")));
+	cJSON_ArrayForEach (item, ops) {
+		char *value = cJSON_PrintUnformatted(fl_json_get(item, "V"));
 
-		if (value && (double)strlen(value) > c->value_kb * 1024)
+		if (value && (double)strlen(value) > config->value_kb * 1024)
 			sim_broken("value", "a value of %zu bytes", strlen(value));
 		free(value);
 	}
@@ -206,44 +207,45 @@
 
 static void apply(const cJSON *ops)
 {
-	const cJSON *e;
+	const cJSON *item;
 	char name[SIM_KEY];
 	uint64_t lease_id;
 
 	if (cJSON_GetArraySize(ops) > 0)
 		sim_store.rev++;
-	cJSON_ArrayForEach (e, ops) {
-		if (fl_json_get_string(e, "Put", name, sizeof(name)) == FL_JSON_OK) {
-			if (fl_json_get_count(e, "Grant", &lease_id) != FL_JSON_OK)
+	cJSON_ArrayForEach (item, ops) {
+		if (fl_json_get_string(item, "Put", name, sizeof(name)) == FL_JSON_OK) {
+			if (fl_json_get_count(item, "Grant", &lease_id) != FL_JSON_OK)
 				lease_id = 0;
-			sim_store_put(name, cJSON_PrintUnformatted(fl_json_get(e, "V")), lease_id);
-		} else if (fl_json_get_string(e, "Delete", name, sizeof(name)) == FL_JSON_OK) {
-			struct sim_key *k = sim_store_find(name);
+			sim_store_put(name, cJSON_PrintUnformatted(fl_json_get(item, "V")),
+			              lease_id);
+		} else if (fl_json_get_string(item, "Delete", name, sizeof(name)) == FL_JSON_OK) {
+			struct sim_key *entry = sim_store_find(name);
 
-			if (k)
-				sim_store_remove(k);
+			if (entry)
+				sim_store_remove(entry);
 		}
 	}
 }
 
-static void multi(const cJSON *o, struct fl_http_response *response)
+static void multi(const cJSON *object, struct fl_http_response *response)
 {
 	cJSON *out = cJSON_CreateObject(), *failed = cJSON_CreateArray();
-	const cJSON *e;
+	const cJSON *item;
 
-	check_limits(o);
-	cJSON_ArrayForEach (e, fl_json_get(o, "When")) {
+	check_limits(object);
+	cJSON_ArrayForEach (item, fl_json_get(object, "When")) {
 		char name[SIM_KEY] = "";
 		uint64_t revision = 0;
-		struct sim_key *k;
+		struct sim_key *entry;
 
-		fl_json_get_string(e, "Key", name, sizeof(name));
-		fl_json_get_count(e, "KeyRev", &revision);
-		k = sim_store_find(name);
-		if ((k ? k->rev : 0) != revision)
+		fl_json_get_string(item, "Key", name, sizeof(name));
+		fl_json_get_count(item, "KeyRev", &revision);
+		entry = sim_store_find(name);
+		if ((entry ? entry->rev : 0) != revision)
 			cJSON_AddItemToArray(failed, cJSON_CreateString(name));
 	}
-	if (no_such_lease(fl_json_get(o, "Apply"))) {
+	if (no_such_lease(fl_json_get(object, "Apply"))) {
 		cJSON_Delete(failed);
 		cJSON_AddStringToObject(out, "error", "no such lease");
 		say(response, 400, out);
@@ -256,16 +258,16 @@
 		return;
 	}
 	cJSON_Delete(failed);
-	apply(fl_json_get(o, "Apply"));
+	apply(fl_json_get(object, "Apply"));
 	cJSON_AddNumberToObject(out, "LedgerRev", (double)sim_store.rev);
 	say(response, 200, out);
 }
 
 /* ---- limits and troubles ---- */
 
-static bool over_limit(const cJSON *o)
+static bool over_limit(const cJSON *object)
 {
-	double writes = cJSON_GetArraySize(fl_json_get(o, "Apply")),
+	double writes = cJSON_GetArraySize(fl_json_get(object, "Apply")),
 	       since = fl_now() - sim_store.counted;
 
 	sim_store.counted = fl_now();
@@ -302,8 +304,8 @@
 	return fl_sleep(s);
 }
 
-static void carry_out(struct sim_end from, const struct fl_http_request *request, const cJSON *o,
-                      struct fl_http_response *response)
+static void carry_out(struct sim_end from, const struct fl_http_request *request,
+                      const cJSON *object, struct fl_http_response *response)
 {
 	bool lost = false;
 	double after = 0;
@@ -319,7 +321,7 @@
 		return;
 	}
 	if (strcmp(request->path, "/multi") == 0)
-		multi(o, response);
+		multi(object, response);
 	else if (strncmp(request->path, "/holds", 6) == 0)
 		holds(request, response);
 	else if (strcmp(request->path, "/keys") == 0)
@@ -335,34 +337,35 @@
 void sim_state_serve(struct sim_end from, const struct fl_http_request *request,
                      struct fl_http_response *response)
 {
-	cJSON *o;
+	cJSON *object;
 
 	if (refuses(from)) {
 		say(response, 503, NULL);
 		return;
 	}
-	o = strcmp(request->path, "/multi") == 0 ? fl_json_parse(request->body, request->body_len)
-	                                         : NULL;
-	if (over_limit(o))
+	object = strcmp(request->path, "/multi") == 0
+	                 ? fl_json_parse(request->body, request->body_len)
+	                 : NULL;
+	if (over_limit(object))
 		say(response, 429, NULL);
 	else if (strcmp(request->path, "/follow") == 0)
 		follow(from, request->query, response);
 	else
-		carry_out(from, request, o, response);
-	cJSON_Delete(o);
+		carry_out(from, request, object, response);
+	cJSON_Delete(object);
 }
 
 int sim_leader(void)
 {
-	struct sim_key *k = sim_store_find("c/lead");
-	cJSON *v = k ? fl_json_parse(k->value, strlen(k->value)) : NULL;
+	struct sim_key *entry = sim_store_find("c/lead");
+	cJSON *value = entry ? fl_json_parse(entry->value, strlen(entry->value)) : NULL;
 	char name[FL_NAME_MAX];
 	int at = -1;
 
-	if (fl_json_get_string(v, "node", name, sizeof(name)) == FL_JSON_OK)
+	if (fl_json_get_string(value, "node", name, sizeof(name)) == FL_JSON_OK)
 		for (int i = 0; i < sim.n_nodes; i++)
 			if (strcmp(sim.config[i].node, name) == 0)
 				at = i;
-	cJSON_Delete(v);
+	cJSON_Delete(value);
 	return at;
 }
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -11,10 +11,10 @@
 
 struct sim_key *sim_store_find(const char *name)
 {
-	struct sim_key *k;
+	struct sim_key *entry;
 
-	HASH_FIND_STR(sim_store.keys, name, k);
-	return k;
+	HASH_FIND_STR(sim_store.keys, name, entry);
+	return entry;
 }
 
 static void note(const char *name, const char *value)
@@ -34,32 +34,32 @@
 	fl_condition_broadcast(&sim_store.changed);
 }
 
-void sim_store_remove(struct sim_key *k)
+void sim_store_remove(struct sim_key *entry)
 {
 	sim.changes++;
-	note(k->name, NULL);
-	HASH_DEL(sim_store.keys, k);
-	free(k->value);
-	free(k);
+	note(entry->name, NULL);
+	HASH_DEL(sim_store.keys, entry);
+	free(entry->value);
+	free(entry);
 }
 
 void sim_store_put(const char *name, char *value, uint64_t lease_id)
 {
-	struct sim_key *k = sim_store_find(name);
+	struct sim_key *entry = sim_store_find(name);
 
-	if (!k && strcmp(name, "c/lead") == 0)
+	if (!entry && strcmp(name, "c/lead") == 0)
 		sim_reports_for_leader();
-	if (!k) {
-		k = calloc(1, sizeof(*k));
-		if (!k)
+	if (!entry) {
+		entry = calloc(1, sizeof(*entry));
+		if (!entry)
 			abort();
-		snprintf(k->name, sizeof(k->name), "%s", name);
-		HASH_ADD_STR(sim_store.keys, name, k);
+		snprintf(entry->name, sizeof(entry->name), "%s", name);
+		HASH_ADD_STR(sim_store.keys, name, entry);
 	}
-	free(k->value);
-	k->value = value;
-	k->rev = sim_store.rev;
-	k->grant = lease_id;
+	free(entry->value);
+	entry->value = value;
+	entry->rev = sim_store.rev;
+	entry->grant = lease_id;
 	sim.changes++;
 	note(name, value);
 }
@@ -77,13 +77,13 @@
 void sim_store_end_hold(int at)
 {
 	uint64_t lease_id = sim_store.hold[at].grant;
-	struct sim_key *k, *tmp;
+	struct sim_key *entry, *tmp;
 
 	sim_store.hold[at] = sim_store.hold[--sim_store.n_holds];
 	sim_store.rev++;
-	HASH_ITER (hh, sim_store.keys, k, tmp)
-		if (k->grant == lease_id)
-			sim_store_remove(k);
+	HASH_ITER (hh, sim_store.keys, entry, tmp)
+		if (entry->grant == lease_id)
+			sim_store_remove(entry);
 }
 
 /* After an outage every lease has its full time again. */
@@ -117,12 +117,12 @@
 
 void sim_state_end(void)
 {
-	struct sim_key *k, *tmp;
+	struct sim_key *entry, *tmp;
 
-	HASH_ITER (hh, sim_store.keys, k, tmp) {
-		HASH_DEL(sim_store.keys, k);
-		free(k->value);
-		free(k);
+	HASH_ITER (hh, sim_store.keys, entry, tmp) {
+		HASH_DEL(sim_store.keys, entry);
+		free(entry->value);
+		free(entry);
 	}
 	for (int i = 0; i < sim_store.n_log; i++)
 		free(sim_store.log[i].value);
--- a/tests/sim_store.h
+++ b/tests/sim_store.h
@@ -42,7 +42,7 @@
 struct sim_key *sim_store_find(const char *name);
 /* Takes the value. */
 void sim_store_put(const char *name, char *value, uint64_t lease_id);
-void sim_store_remove(struct sim_key *k);
+void sim_store_remove(struct sim_key *entry);
 /* The place of a lease; -1: there is none. */
 int sim_store_hold(uint64_t lease_id);
 void sim_store_end_hold(int at);
--- a/tests/sim_time.c
+++ b/tests/sim_time.c
@@ -300,20 +300,20 @@
 void sim_time_run(double until)
 {
 	for (;;) {
-		struct sim_timer *t;
+		struct sim_timer *timer;
 
 		drain();
-		t = sim_timer_next(until);
-		if (!t)
+		timer = sim_timer_next(until);
+		if (!timer)
 			break;
-		t->fn(t->arg);
+		timer->fn(timer->arg);
 	}
 	sim_clock_set(until);
 }
 
-void sim_time_end(void (*drop)(struct sim_timer *t))
+void sim_time_end(void (*drop)(struct sim_timer *timer))
 {
-	struct sim_timer *t;
+	struct sim_timer *timer;
 
 	rt.ending = true;
 	for (int i = 0; i < PROCESSES; i++)
@@ -323,8 +323,8 @@
 		     coroutine = coroutine->next)
 			fl_coroutine_cancel(coroutine);
 		drain();
-		while ((t = sim_timer_any()))
-			drop(t);
+		while ((timer = sim_timer_any()))
+			drop(timer);
 	} while (rt.all);
 	while (rt.spares > 0)
 		munmap(rt.spare[--rt.spares], STACK);
--- a/tests/sim_troubles.c
+++ b/tests/sim_troubles.c
@@ -44,55 +44,56 @@
 
 static bool meets_zone(enum sim_trouble_kind kind) { return kind == CUT_ZONE; }
 
-static void choose_whom(struct sim_trouble *t)
+static void choose_whom(struct sim_trouble *trouble)
 {
-	if (t->whom == THE_LEADER)
-		t->whom = meets_zone(t->kind) ? sim_node_zone(leader_or_last()) : leader_or_last();
-	else if (t->whom == ANY_NODE)
-		t->whom = sim_pick(sim.n_nodes);
-	else if (t->whom == ANY_ZONE)
-		t->whom = sim_pick(sim.n_zones);
+	if (trouble->whom == THE_LEADER)
+		trouble->whom = meets_zone(trouble->kind) ? sim_node_zone(leader_or_last())
+		                                          : leader_or_last();
+	else if (trouble->whom == ANY_NODE)
+		trouble->whom = sim_pick(sim.n_nodes);
+	else if (trouble->whom == ANY_ZONE)
+		trouble->whom = sim_pick(sim.n_zones);
 }
 
-static bool has_tasks(const struct sim_machine *m)
+static bool has_tasks(const struct sim_machine *machine)
 {
-	for (int i = 0; i < m->n_tasks; i++)
-		if (m->task[i].counted && m->task[i].used)
+	for (int i = 0; i < machine->n_tasks; i++)
+		if (machine->task[i].counted && machine->task[i].used)
 			return true;
 	return false;
 }
 
 /* Machines with tasks, so that it matters; a count, or else a share of them. */
-static void choose_machines(struct sim_trouble *t)
+static void choose_machines(struct sim_trouble *trouble)
 {
 	int fit = 0, left, of;
 
 	for (int i = 0; i < sim.n_machines; i++)
 		fit += has_tasks(&sim.machine[i]);
-	left = t->count > 0 ? t->count : (int)(t->much * fit + 0.999);
+	left = trouble->count > 0 ? trouble->count : (int)(trouble->much * fit + 0.999);
 	of = fit;
 	for (int i = 0; i < sim.n_machines; i++) {
 		if (!has_tasks(&sim.machine[i]))
 			continue;
-		t->machine[i] = sim_pick(of--) < left;
-		left -= t->machine[i];
+		trouble->machine[i] = sim_pick(of--) < left;
+		left -= trouble->machine[i];
 	}
 }
 
 struct sim_trouble *sim_trouble(enum sim_trouble_kind kind, double at, double for_s, int whom,
                                 double much, int count)
 {
-	struct sim_trouble *t = &sim.trouble[sim.n_troubles++];
+	struct sim_trouble *trouble = &sim.trouble[sim.n_troubles++];
 
 	sim_must(sim.n_troubles <= SIM_TROUBLES);
-	memset(t, 0, sizeof(*t));
-	t->kind = kind;
-	t->at = at;
-	t->for_s = for_s;
-	t->whom = whom;
-	t->much = much;
-	t->count = count;
-	return t;
+	memset(trouble, 0, sizeof(*trouble));
+	trouble->kind = kind;
+	trouble->at = at;
+	trouble->for_s = for_s;
+	trouble->whom = whom;
+	trouble->much = much;
+	trouble->count = count;
+	return trouble;
 }
 
 /* ---- what some do when they begin and end ---- */
@@ -105,16 +106,16 @@
 	return false;
 }
 
-static void hang_hosts(struct sim_trouble *t, const struct sim_job *job)
+static void hang_hosts(struct sim_trouble *trouble, const struct sim_job *job)
 {
-	for (uint32_t i = 0; i < job->run.task_count && t->hang_s > 0; i++)
+	for (uint32_t i = 0; i < job->run.task_count && trouble->hang_s > 0; i++)
 		if (job->on[i] > 0)
-			t->machine[job->host[i]] = 1;
+			trouble->machine[job->host[i]] = 1;
 }
 
-static void cancel_now(struct sim_trouble *t)
+static void cancel_now(struct sim_trouble *trouble)
 {
-	int fit = 0, left = t->count;
+	int fit = 0, left = trouble->count;
 
 	for (int i = 0; i < sim.n_jobs; i++)
 		fit += runs(&sim.job[i]) && !sim.job[i].cancelling;
@@ -124,15 +125,15 @@
 		if (!runs(job) || job->cancelling || sim_pick(fit--) >= left)
 			continue;
 		left--;
-		hang_hosts(t, job);
+		hang_hosts(trouble, job);
 		sim_user_cancels(job);
 	}
 }
 
-static void nodes_down(const struct sim_trouble *t, bool down)
+static void nodes_down(const struct sim_trouble *trouble, bool down)
 {
 	for (int i = 0; i < sim.n_nodes; i++) {
-		if (t->whom != ALL_NODES && t->whom != i)
+		if (trouble->whom != ALL_NODES && trouble->whom != i)
 			continue;
 		if (down)
 			sim_node_kill(i);
@@ -141,18 +142,18 @@
 	}
 }
 
-static void hang_all(const struct sim_trouble *t, bool hangs)
+static void hang_all(const struct sim_trouble *trouble, bool hangs)
 {
 	for (int i = 0; i < sim.n_machines; i++)
-		if (t->machine[i])
+		if (trouble->machine[i])
 			sim_machine_hangs(i, hangs);
 }
 
-static void freeze(const struct sim_trouble *t)
+static void freeze(const struct sim_trouble *trouble)
 {
 	for (int i = 0; i < sim.n_nodes; i++)
-		if ((t->whom == ALL_NODES || t->whom == i) && sim_node_alive(i))
-			sim_process_waits(sim_node_process(i), fl_now() + t->for_s);
+		if ((trouble->whom == ALL_NODES || trouble->whom == i) && sim_node_alive(i))
+			sim_process_waits(sim_node_process(i), fl_now() + trouble->for_s);
 }
 
 void sim_process_computes(int process)
@@ -167,50 +168,51 @@
 	}
 }
 
-static void begin(struct sim_trouble *t)
+static void begin(struct sim_trouble *trouble)
 {
-	choose_whom(t);
-	if (t->kind == MUTE || t->kind == DEAF || t->kind == HANG || t->kind == TAKE_MACHINES)
-		choose_machines(t);
-	t->active = true;
-	if (t->kind == NODE_DOWN)
-		nodes_down(t, true);
-	if (t->kind == CANCEL_NOW)
-		cancel_now(t);
-	if (t->kind == HANG || t->kind == CANCEL_NOW)
-		hang_all(t, true);
-	if (t->kind == FROZEN)
-		freeze(t);
-	for (int i = 0; i < sim.n_machines && t->kind == TAKE_MACHINES; i++)
-		if (t->machine[i]) {
+	choose_whom(trouble);
+	if (trouble->kind == MUTE || trouble->kind == DEAF || trouble->kind == HANG ||
+	    trouble->kind == TAKE_MACHINES)
+		choose_machines(trouble);
+	trouble->active = true;
+	if (trouble->kind == NODE_DOWN)
+		nodes_down(trouble, true);
+	if (trouble->kind == CANCEL_NOW)
+		cancel_now(trouble);
+	if (trouble->kind == HANG || trouble->kind == CANCEL_NOW)
+		hang_all(trouble, true);
+	if (trouble->kind == FROZEN)
+		freeze(trouble);
+	for (int i = 0; i < sim.n_machines && trouble->kind == TAKE_MACHINES; i++)
+		if (trouble->machine[i]) {
 			sim_machine_ends(i);
 			sim.machine[i].gone_at += 30; /* listed as running for so long */
 		}
-	for (int i = 0; i < t->count && t->kind == MORE_JOBS; i++)
+	for (int i = 0; i < trouble->count && trouble->kind == MORE_JOBS; i++)
 		if (sim.n_jobs < SIM_USUAL_JOBS - 16)
 			sim_user_submits(sim_job_add(sim_time() + sim_between(0, 2)));
 }
 
-static void end(struct sim_trouble *t)
+static void end(struct sim_trouble *trouble)
 {
-	t->active = false;
-	t->over = true;
-	if (t->kind == NODE_DOWN)
-		nodes_down(t, false);
-	if (t->kind == HANG || t->kind == CANCEL_NOW)
-		hang_all(t, false);
+	trouble->active = false;
+	trouble->over = true;
+	if (trouble->kind == NODE_DOWN)
+		nodes_down(trouble, false);
+	if (trouble->kind == HANG || trouble->kind == CANCEL_NOW)
+		hang_all(trouble, false);
 }
 
 static void run_trouble(void *arg)
 {
-	struct sim_trouble *t = arg;
+	struct sim_trouble *trouble = arg;
 
-	if (fl_sleep(t->at) != 0)
+	if (fl_sleep(trouble->at) != 0)
 		return;
-	begin(t);
-	if (fl_sleep(t->kind == CANCEL_NOW ? t->hang_s : t->for_s) != 0)
+	begin(trouble);
+	if (fl_sleep(trouble->kind == CANCEL_NOW ? trouble->hang_s : trouble->for_s) != 0)
 		return;
-	end(t);
+	end(trouble);
 }
 
 void sim_troubles_start(void)
@@ -218,23 +220,24 @@
 	last_leader = 0;
 	sim.calm_s = 0;
 	for (int i = 0; i < sim.n_troubles; i++) {
-		struct sim_trouble *t = &sim.trouble[i];
-		double over = t->at + (t->for_s > t->hang_s ? t->for_s : t->hang_s);
+		struct sim_trouble *trouble = &sim.trouble[i];
+		double over = trouble->at +
+		              (trouble->for_s > trouble->hang_s ? trouble->for_s : trouble->hang_s);
 
 		if (over > sim.calm_s)
 			sim.calm_s = over;
-		sim_spawn(0, run_trouble, t);
+		sim_spawn(0, run_trouble, trouble);
 	}
 }
 
 const struct sim_trouble *sim_troubled(enum sim_trouble_kind kind, int whom)
 {
 	for (int i = 0; i < sim.n_troubles; i++) {
-		const struct sim_trouble *t = &sim.trouble[i];
+		const struct sim_trouble *trouble = &sim.trouble[i];
 
-		if (t->active && t->kind == kind &&
-		    (whom < 0 || t->whom == whom || t->whom == ALL_NODES))
-			return t;
+		if (trouble->active && trouble->kind == kind &&
+		    (whom < 0 || trouble->whom == whom || trouble->whom == ALL_NODES))
+			return trouble;
 	}
 	return NULL;
 }
@@ -264,9 +267,9 @@
 static bool among(enum sim_trouble_kind kind, struct sim_end e)
 {
 	for (int i = 0; i < sim.n_troubles && e.kind == END_WORKER; i++) {
-		const struct sim_trouble *t = &sim.trouble[i];
+		const struct sim_trouble *trouble = &sim.trouble[i];
 
-		if (t->active && t->kind == kind && t->machine[e.at])
+		if (trouble->active && trouble->kind == kind && trouble->machine[e.at])
 			return true;
 	}
 	return false;
@@ -282,7 +285,7 @@
 
 bool sim_lost(struct sim_end from, struct sim_end to, bool reply)
 {
-	const struct sim_trouble *t;
+	const struct sim_trouble *trouble;
 	int node;
 
 	if (cut_zones(from, to))
@@ -295,8 +298,8 @@
 		return false;
 	if (sim_troubled(CUT_WORKERS, node))
 		return true;
-	t = sim_troubled(LOST_ANSWERS, -1);
-	if (reply && t && sim_chance(t->much))
+	trouble = sim_troubled(LOST_ANSWERS, -1);
+	if (reply && trouble && sim_chance(trouble->much))
 		return true;
 	if (from.kind == END_WORKER)
 		return (!reply && among(MUTE, from)) || (reply && among(DEAF, from));
@@ -312,8 +315,8 @@
 
 double sim_latency(struct sim_end from, struct sim_end to)
 {
-	const struct sim_trouble *t = sim_troubled(SLOW_LINKS, -1);
+	const struct sim_trouble *trouble = sim_troubled(SLOW_LINKS, -1);
 
 	(void)from, (void)to;
-	return t ? sim_between(0, t->much) : sim_between(0.001, 0.006);
+	return trouble ? sim_between(0, trouble->much) : sim_between(0.001, 0.006);
 }
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -138,9 +138,9 @@
 
 static double storm(void)
 {
-	const struct sim_trouble *t = sim_troubled(POLL_STORM, -1);
+	const struct sim_trouble *trouble = sim_troubled(POLL_STORM, -1);
 
-	return t ? t->much : 1;
+	return trouble ? trouble->much : 1;
 }
 
 static void user(void *arg)
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -21,31 +21,31 @@
 	double late_least_s, late_most_s;
 } rule = {4.0, 1.0, 0.5, 0.05, 20.0, 2.0, 16.0};
 
-static int index_of(const struct sim_machine *m) { return (int)(m - sim.machine); }
+static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machine); }
 
-void sim_machine_changed(struct sim_machine *m)
+void sim_machine_changed(struct sim_machine *machine)
 {
-	m->changed = true;
-	fl_condition_broadcast(&m->work);
+	machine->changed = true;
+	fl_condition_broadcast(&machine->work);
 }
 
 /* The lease has run out: everything goes, and a new session begins. */
-static void lapse(struct sim_machine *m)
+static void lapse(struct sim_machine *machine)
 {
-	if (fl_now() <= m->lease_from + sim.lease_s)
+	if (fl_now() <= machine->lease_from + sim.lease_s)
 		return;
-	sim_tasks_drop(m);
-	m->incarnation++;
-	m->lease_from = fl_now();
-	sim_machine_changed(m);
+	sim_tasks_drop(machine);
+	machine->incarnation++;
+	machine->lease_from = fl_now();
+	sim_machine_changed(machine);
 }
 
-static void tick(struct sim_machine *m)
+static void tick(struct sim_machine *machine)
 {
-	lapse(m);
-	sim_tasks_tick(m);
-	if (m->interruption_at > 0 && fl_now() > m->interruption_at)
-		sim_machine_ends(index_of(m));
+	lapse(machine);
+	sim_tasks_tick(machine);
+	if (machine->interruption_at > 0 && fl_now() > machine->interruption_at)
+		sim_machine_ends(index_of(machine));
 }
 
 static void tick_duty(void *arg)
@@ -53,46 +53,47 @@
 	(void)arg;
 	while (fl_sleep(rule.tick_s) == 0)
 		for (int i = 0; i < sim.n_machines; i++) {
-			struct sim_machine *m = &sim.machine[i];
+			struct sim_machine *machine = &sim.machine[i];
 
-			if (m->up && !m->gone && !m->hung)
-				tick(m);
+			if (machine->up && !machine->gone && !machine->hung)
+				tick(machine);
 		}
 }
 
-static void see_epoch(struct sim_machine *m, uint64_t fencing_token)
+static void see_epoch(struct sim_machine *machine, uint64_t fencing_token)
 {
-	if (fencing_token <= m->fencing_token)
+	if (fencing_token <= machine->fencing_token)
 		return;
-	m->fencing_token = fencing_token;
-	if (fl_now() < m->token_told_at + sim.lease_s / 2)
+	machine->fencing_token = fencing_token;
+	if (fl_now() < machine->token_told_at + sim.lease_s / 2)
 		return;
-	m->token_told_at = fl_now();
-	sim_machine_changed(m);
+	machine->token_told_at = fl_now();
+	sim_machine_changed(machine);
 }
 
 /* ---- reports ---- */
 
-static char *report_text(struct sim_machine *m)
+static char *report_text(struct sim_machine *machine)
 {
 	struct fl_task_status tasks[SIM_TASKS];
-	struct fl_heartbeat heartbeat = {.incarnation = m->incarnation,
-	                                 .sequence = ++m->sequence,
-	                                 .fencing_token = m->fencing_token,
-	                                 .spot = m->spot,
+	struct fl_heartbeat heartbeat = {.incarnation = machine->incarnation,
+	                                 .sequence = ++machine->sequence,
+	                                 .fencing_token = machine->fencing_token,
+	                                 .spot = machine->spot,
 	                                 .interruption_in_s = -1,
 	                                 .tasks = tasks};
 
-	sim_copy(heartbeat.host, sizeof(heartbeat.host), m->name);
-	sim_address((struct sim_end){END_WORKER, index_of(m)}, heartbeat.endpoint);
-	sim_copy(heartbeat.type, sizeof(heartbeat.type), sim_machine_types[m->type].name);
-	sim_copy(heartbeat.zone, sizeof(heartbeat.zone), sim.config[0].zones[m->zone]);
-	if (m->interruption_at > 0 && fl_now() > m->interruption_at - rule.notice_s)
-		heartbeat.interruption_in_s =
-			m->interruption_at > fl_now() ? m->interruption_at - fl_now() : 0;
-	for (int i = 0; i < m->n_tasks; i++)
-		if (m->task[i].used)
-			tasks[heartbeat.task_count++] = m->task[i].status;
+	sim_copy(heartbeat.host, sizeof(heartbeat.host), machine->name);
+	sim_address((struct sim_end){END_WORKER, index_of(machine)}, heartbeat.endpoint);
+	sim_copy(heartbeat.type, sizeof(heartbeat.type), sim_machine_types[machine->type].name);
+	sim_copy(heartbeat.zone, sizeof(heartbeat.zone), sim.config[0].zones[machine->zone]);
+	if (machine->interruption_at > 0 && fl_now() > machine->interruption_at - rule.notice_s)
+		heartbeat.interruption_in_s = machine->interruption_at > fl_now()
+		                                      ? machine->interruption_at - fl_now()
+		                                      : 0;
+	for (int i = 0; i < machine->n_tasks; i++)
+		if (machine->task[i].used)
+			tasks[heartbeat.task_count++] = machine->task[i].status;
 	return fl_heartbeat_encode(&heartbeat);
 }
 
@@ -153,7 +154,7 @@
 	memset(&kept, 0, sizeof(kept));
 }
 
-static void keep_copy(const struct sim_machine *m, const char *text)
+static void keep_copy(const struct sim_machine *machine, const char *text)
 {
 	int at = kept.n;
 
@@ -163,95 +164,97 @@
 		at = sim_pick(COPIES);
 		free(kept.copy[at].text);
 	}
-	kept.copy[at] = (struct copy){.text = strdup(text), .machine = index_of(m)};
+	kept.copy[at] = (struct copy){.text = strdup(text), .machine = index_of(machine)};
 }
 
-static void copy_later(const struct sim_machine *m, const char *text)
+static void copy_later(const struct sim_machine *machine, const char *text)
 {
 	const struct sim_trouble *late = sim_troubled(LATE_REPORTS, -1);
 
 	if (!late || !sim_chance(late->much))
 		return;
 	if (late->for_next)
-		keep_copy(m, text);
+		keep_copy(machine, text);
 	else
-		send_copy(text, index_of(m), sim_pick(sim.n_nodes), -1);
+		send_copy(text, index_of(machine), sim_pick(sim.n_nodes), -1);
 }
 
-static void heed(struct sim_machine *m, double sent, uint64_t incarnation, const cJSON *o)
+static void heed(struct sim_machine *machine, double sent, uint64_t incarnation,
+                 const cJSON *object)
 {
 	uint64_t fencing_token = 0;
 
-	if (fl_json_get_count(o, "Epoch", &fencing_token) != FL_JSON_OK ||
-	    fencing_token < m->fencing_token || incarnation != m->incarnation)
+	if (fl_json_get_count(object, "Epoch", &fencing_token) != FL_JSON_OK ||
+	    fencing_token < machine->fencing_token || incarnation != machine->incarnation)
 		return; /* dropped: it stays here while its lease runs out */
-	see_epoch(m, fencing_token);
-	m->lease_from = sent;
-	sim_tasks_command(m, o);
+	see_epoch(machine, fencing_token);
+	machine->lease_from = sent;
+	sim_tasks_command(machine, object);
 }
 
 /* Where to next, and in how many seconds. */
-static double move_on(struct sim_machine *m, const struct fl_http_reply *reply, int rc)
+static double move_on(struct sim_machine *machine, const struct fl_http_reply *reply, int rc)
 {
-	cJSON *o = rc == 0 && reply->status == 421
-	                   ? fl_json_parse(reply->body.data, reply->body.length)
-	                   : NULL;
+	cJSON *object = rc == 0 && reply->status == 421
+	                        ? fl_json_parse(reply->body.data, reply->body.length)
+	                        : NULL;
 	char name[FL_NAME_MAX] = "";
 	int to = -1;
 
-	fl_json_get_string(o, "Steward", name, sizeof(name));
-	cJSON_Delete(o);
+	fl_json_get_string(object, "Steward", name, sizeof(name));
+	cJSON_Delete(object);
 	for (int i = 0; i < sim.n_nodes; i++)
 		if (strcmp(sim.config[i].node, name) == 0)
 			to = i;
-	if (to >= 0 && to != m->node) {
-		m->node = to;
+	if (to >= 0 && to != machine->node) {
+		machine->node = to;
 		return sim_chance(0.5) ? 0 : sim_between(0, 0.5);
 	}
-	m->node = (m->node + 1) % sim.n_nodes;
+	machine->node = (machine->node + 1) % sim.n_nodes;
 	return rule.next_s;
 }
 
 /* Standing still: what comes meanwhile waits. False if the machine has ended. */
-static bool goes_on(struct sim_machine *m)
+static bool goes_on(struct sim_machine *machine)
 {
-	while (m->hung && !m->gone)
-		if (fl_condition_wait(&m->goes_on, -1) == -ECANCELED)
+	while (machine->hung && !machine->gone)
+		if (fl_condition_wait(&machine->goes_on, -1) == -ECANCELED)
 			return false;
-	return !m->gone && !fl_coroutine_cancelled();
+	return !machine->gone && !fl_coroutine_cancelled();
 }
 
 /* s until the next report may be due; < 0: as usual. */
-static double report(struct sim_machine *m)
+static double report(struct sim_machine *machine)
 {
 	double sent = fl_now(), pause = -1;
-	uint64_t incarnation = m->incarnation;
-	char *text = report_text(m);
+	uint64_t incarnation = machine->incarnation;
+	char *text = report_text(machine);
 	struct fl_http_reply reply;
 	int rc;
 
 	if (strlen(text) > BODY_MOST)
-		sim_broken("too_large", "%s has to report %d tasks", m->name, m->n_tasks);
-	m->last_sent = sent;
-	m->changed = false;
-	copy_later(m, text);
-	rc = sim_call((struct sim_end){END_WORKER, index_of(m)},
-	              (struct sim_end){END_NODE, m->node}, "POST", "/hello", text, rule.patience_s,
-	              &reply);
+		sim_broken("too_large", "%s has to report %d tasks", machine->name,
+		           machine->n_tasks);
+	machine->last_sent = sent;
+	machine->changed = false;
+	copy_later(machine, text);
+	rc = sim_call((struct sim_end){END_WORKER, index_of(machine)},
+	              (struct sim_end){END_NODE, machine->node}, "POST", "/hello", text,
+	              rule.patience_s, &reply);
 	free(text);
-	if (goes_on(m)) {
+	if (goes_on(machine)) {
 		if (rc == 0 && fl_now() > sent + rule.patience_s) {
 			fl_buffer_free(&reply.body);
 			rc = -ETIMEDOUT;
 		}
-		lapse(m);
+		lapse(machine);
 		if (rc == 0 && reply.status == 200) {
-			cJSON *o = fl_json_parse(reply.body.data, reply.body.length);
+			cJSON *object = fl_json_parse(reply.body.data, reply.body.length);
 
-			heed(m, sent, incarnation, o);
-			cJSON_Delete(o);
+			heed(machine, sent, incarnation, object);
+			cJSON_Delete(object);
 		} else {
-			pause = move_on(m, &reply, rc);
+			pause = move_on(machine, &reply, rc);
 		}
 	}
 	if (rc == 0)
@@ -259,69 +262,70 @@
 	return pause;
 }
 
-static double due_in(const struct sim_machine *m, double due)
+static double due_in(const struct sim_machine *machine, double due)
 {
-	double soonest = m->last_sent + rule.gap_s;
+	double soonest = machine->last_sent + rule.gap_s;
 
-	if (m->changed && soonest < due)
+	if (machine->changed && soonest < due)
 		due = soonest;
 	return due - fl_now();
 }
 
 static void worker(void *arg)
 {
-	struct sim_machine *m = arg;
+	struct sim_machine *machine = arg;
 	double due, wait, pause;
 
-	if (m->never_up || fl_sleep(m->ready - fl_now()) != 0 || m->gone)
+	if (machine->never_up || fl_sleep(machine->ready - fl_now()) != 0 || machine->gone)
 		return;
-	m->up = true;
-	m->incarnation = 1;
-	m->lease_from = fl_now();
-	m->node = sim_pick(sim.n_nodes);
-	m->last_sent = -1;
+	machine->up = true;
+	machine->incarnation = 1;
+	machine->lease_from = fl_now();
+	machine->node = sim_pick(sim.n_nodes);
+	machine->last_sent = -1;
 	due = fl_now();
-	while (!m->gone) {
-		while (!m->gone && (wait = due_in(m, due)) > 0)
-			if (fl_condition_wait(&m->work, wait) == -ECANCELED)
+	while (!machine->gone) {
+		while (!machine->gone && (wait = due_in(machine, due)) > 0)
+			if (fl_condition_wait(&machine->work, wait) == -ECANCELED)
 				return;
-		if (!goes_on(m))
+		if (!goes_on(machine))
 			return;
-		lapse(m);
-		pause = report(m);
+		lapse(machine);
+		pause = report(machine);
 		if (pause > 0 && fl_sleep(pause) != 0)
 			return;
-		due = pause >= 0 ? fl_now() : m->last_sent + sim.report_s * sim_between(0.75, 1.25);
+		due = pause >= 0 ? fl_now()
+		                 : machine->last_sent + sim.report_s * sim_between(0.75, 1.25);
 	}
 }
 
 /* ---- direct commands ---- */
 
-static void say_report(struct sim_machine *m, struct fl_http_response *response, int status)
+static void say_report(struct sim_machine *machine, struct fl_http_response *response, int status)
 {
 	response->status = status;
-	response->body = report_text(m);
+	response->body = report_text(machine);
 }
 
-static void command(struct sim_machine *m, int process, const struct fl_http_request *request,
+static void command(struct sim_machine *machine, int process, const struct fl_http_request *request,
                     struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(request->body, request->body_len);
+	cJSON *object = fl_json_parse(request->body, request->body_len);
 	uint64_t fencing_token = 0, incarnation = 0;
 
-	if (fl_json_get_count(o, "Epoch", &fencing_token) != FL_JSON_OK ||
-	    fl_json_get_count(o, "Tenure", &incarnation) != FL_JSON_OK) {
+	if (fl_json_get_count(object, "Epoch", &fencing_token) != FL_JSON_OK ||
+	    fl_json_get_count(object, "Tenure", &incarnation) != FL_JSON_OK) {
 		response->status = 400;
-	} else if (fencing_token < m->fencing_token || incarnation != m->incarnation) {
+	} else if (fencing_token < machine->fencing_token || incarnation != machine->incarnation) {
 		sim_check_epoch(fencing_token, process);
-		say_report(m, response, 409);
+		say_report(machine, response, 409);
 	} else {
 		sim_check_epoch(fencing_token, process);
-		see_epoch(m, fencing_token);
-		sim_tasks_command(m, o);
-		say_report(m, response, 200);
+		see_epoch(machine, fencing_token);
+		sim_tasks_command(machine, object);
+		say_report(machine, response, 200);
 	}
-	cJSON_Delete(o);
+	cJSON_Delete(object);
 }
 
 /* Is it to be held up on its way? Then nobody gets the answer, and it is carried out all the same.
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -40,15 +40,15 @@
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_cluster *cluster;
 	struct fl_job *job;
-	cJSON *v;
+	cJSON *value;
 
 	(void)state;
 	set_up(sim, 1);
 	cluster = &sim->node.cluster;
 	job = fl_job_find(cluster, "run-000001");
-	v = fl_json_parse(record, strlen(record));
-	assert_int_equal(fl_task_block_restore(cluster, job, 0, v, 5, NULL, fl_now()), 0);
-	cJSON_Delete(v);
+	value = fl_json_parse(record, strlen(record));
+	assert_int_equal(fl_task_block_restore(cluster, job, 0, value, 5, NULL, fl_now()), 0);
+	cJSON_Delete(value);
 	assert_int_equal(job->done_count, 2);
 	assert_int_equal(job->placed_in_unknown_zone, 1);
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 7);
@@ -83,20 +83,20 @@
 	struct fl_wal wal = {0};
 	struct fl_cluster *cluster;
 	struct fl_job *job;
-	cJSON *v;
+	cJSON *value;
 
 	(void)state;
 	set_up(sim, 1);
 	cluster = &sim->node.cluster;
 	job = fl_job_find(cluster, "run-000001");
 	for (int i = 0; i < 2; i++) {
-		v = fl_json_parse(i ? newer : older, strlen(i ? newer : older));
-		assert_int_equal(fl_wal_read(&wal, v), 0);
-		cJSON_Delete(v);
+		value = fl_json_parse(i ? newer : older, strlen(i ? newer : older));
+		assert_int_equal(fl_wal_read(&wal, value), 0);
+		cJSON_Delete(value);
 	}
-	v = fl_json_parse(record, strlen(record));
-	assert_int_equal(fl_task_block_restore(cluster, job, 0, v, 5, &wal, fl_now()), 0);
-	cJSON_Delete(v);
+	value = fl_json_parse(record, strlen(record));
+	assert_int_equal(fl_task_block_restore(cluster, job, 0, value, 5, &wal, fl_now()), 0);
+	cJSON_Delete(value);
 	assert_true(wal.groups[0].restored && wal.groups[1].restored);
 	assert_int_equal(fl_task_peek(job, 0)->phase, FL_TASK_DONE);
 	assert_int_equal(fl_task_peek(job, 1)->phase, FL_TASK_WAITING);
@@ -113,9 +113,9 @@
 	assert_true(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 1)));
 	fl_wal_free(&wal);
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		v = fl_json_parse(bad[i], strlen(bad[i]));
-		assert_int_not_equal(fl_wal_read(&wal, v), 0);
-		cJSON_Delete(v);
+		value = fl_json_parse(bad[i], strlen(bad[i]));
+		assert_int_not_equal(fl_wal_read(&wal, value), 0);
+		cJSON_Delete(value);
 		fl_wal_free(&wal);
 	}
 	tear_down(sim);
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -86,7 +86,7 @@
 		;
 }
 
-static void drop_timer(struct sim_timer *t) { (void)t; }
+static void drop_timer(struct sim_timer *timer) { (void)timer; }
 
 /*
  * Without it each wait of a renewal is as long as a round of all that is ready, 1.5 s here, and the
@@ -94,31 +94,31 @@
  */
 static void a_busy_controller_keeps_its_lease(void **state)
 {
-	struct fl_node *n = &world.node;
+	struct fl_node *node = &world.node;
 	int before;
 
 	(void)state;
 	sim_time_begin();
-	n->config = &world.config;
+	node->config = &world.config;
 	strcpy(world.config.node, "host-1");
 	world.config.core_share = 1;
 	world.config.state_rps = world.config.state_write_rps = 100;
 	world.config.cloud_rps = 1;
-	n->machine_types_known = n->jobs_known = true;
+	node->machine_types_known = node->jobs_known = true;
 	assert_non_null(sim_spawn(PROCESS, start_lease, NULL));
 	sim_time_run(fl_now() + begin_busy_s);
-	assert_true(n->election.lease_held);
+	assert_true(node->election.lease_held);
 	before = world.renewals;
 	world.busy = true;
 	for (int i = 0; i < BUSY_ROUTINES; i++)
 		assert_non_null(sim_spawn(PROCESS, busy, NULL));
 	sim_time_run(fl_now() + end_s);
-	assert_true(fl_election_lease_valid(n));
+	assert_true(fl_election_lease_valid(node));
 	assert_int_equal(world.holds, 1);
 	/* One each 0.8 s, and what the work before it takes. */
 	assert_true(world.renewals - before >= (int)end_s);
 	sim_time_end(drop_timer);
-	fl_cluster_free(&n->cluster);
+	fl_cluster_free(&node->cluster);
 }
 
 int main(void)
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -63,11 +63,12 @@
 static void describe_troubles(void)
 {
 	for (int i = 0; i < sim.n_troubles; i++) {
-		const struct sim_trouble *t = &sim.trouble[i];
+		const struct sim_trouble *trouble = &sim.trouble[i];
 
 		print_message("  trouble %d at %.2f for %.2f s: whom %d, much %g, count %d, hang "
 		              "%g\n",
-		              (int)t->kind, t->at, t->for_s, t->whom, t->much, t->count, t->hang_s);
+		              (int)trouble->kind, trouble->at, trouble->for_s, trouble->whom,
+		              trouble->much, trouble->count, trouble->hang_s);
 	}
 }
 
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -107,7 +107,7 @@
 	free(text);
 }
 
-static void drop_timer(struct sim_timer *t) { (void)t; }
+static void drop_timer(struct sim_timer *timer) { (void)timer; }
 
 /* All of them report, `apart_s` after one another. */
 static struct worker *run(double apart_s)
@@ -144,21 +144,21 @@
 	return count;
 }
 
-static void name_node(struct fl_node *n, struct fl_config *c, const char *name)
+static void name_node(struct fl_node *node, struct fl_config *config, const char *name)
 {
-	n->config = c;
-	snprintf(c->node, sizeof(c->node), "%s", name);
-	c->cancel_s = 44;
-	c->lease_s = 14;
-	c->report_s = 2;
-	snprintf(n->leader_name, sizeof(n->leader_name), "host-1");
-	n->kv_store.last_success_at = fl_now();
-	n->kv_store.last_failure_at = -INFINITY;
+	node->config = config;
+	snprintf(config->node, sizeof(config->node), "%s", name);
+	config->cancel_s = 44;
+	config->lease_s = 14;
+	config->report_s = 2;
+	snprintf(node->leader_name, sizeof(node->leader_name), "host-1");
+	node->kv_store.last_success_at = fl_now();
+	node->kv_store.last_failure_at = -INFINITY;
 }
 
-static void add_peer(struct fl_node *n, const char *name)
+static void add_peer(struct fl_node *node, const char *name)
 {
-	struct fl_peer *peer = &n->peers[n->peer_count++];
+	struct fl_peer *peer = &node->peers[node->peer_count++];
 
 	snprintf(peer->name, sizeof(peer->name), "%s", name);
 	peer->up = true;
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -107,13 +107,13 @@
 	int count = 0;
 
 	for (int i = 0; i < sim.n_machines; i++) {
-		const struct sim_machine *m = &sim.machine[i];
+		const struct sim_machine *machine = &sim.machine[i];
 		int running = 0;
 
-		for (int k = 0; k < m->n_tasks; k++)
-			running +=
-				m->task[k].used && m->task[k].status.state == FL_TASK_STATE_RUNNING;
-		count += m->up && !m->gone && running == TASKS_A_MACHINE;
+		for (int k = 0; k < machine->n_tasks; k++)
+			running += machine->task[k].used &&
+			           machine->task[k].status.state == FL_TASK_STATE_RUNNING;
+		count += machine->up && !machine->gone && running == TASKS_A_MACHINE;
 	}
 	return count;
 }
--- a/tests/test_message_costs.c
+++ b/tests/test_message_costs.c
@@ -64,13 +64,13 @@
 static void on_request(void *context, const struct fl_http_request *request,
                        struct fl_http_response *response)
 {
-	cJSON *o = fl_json_parse(request->body, request->body_len);
+	cJSON *object = fl_json_parse(request->body, request->body_len);
 
 	(void)context;
 	if (run.handler_waits)
 		fl_sleep(0);
-	response->status = o ? 200 : 400;
-	response->body = fl_json_print_and_delete(o ? o : cJSON_CreateObject());
+	response->status = object ? 200 : 400;
+	response->body = fl_json_print_and_delete(object ? object : cJSON_CreateObject());
 }
 
 static const char *const report =
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -114,38 +114,39 @@
 
 static cJSON *encode(const struct group *g)
 {
-	cJSON *o = cJSON_CreateObject();
-	cJSON *done = cJSON_AddArrayToObject(o, "d"), *waiting = cJSON_AddArrayToObject(o, "t");
-	cJSON *placed = cJSON_AddArrayToObject(o, "m");
+	cJSON *object = cJSON_CreateObject();
+	cJSON *done = cJSON_AddArrayToObject(object, "d"),
+	      *waiting = cJSON_AddArrayToObject(object, "t");
+	cJSON *placed = cJSON_AddArrayToObject(object, "m");
 
 	for (int i = 0; i < g->n; i++) {
 		const struct change *c = &g->at[i];
 		char name[16];
-		cJSON *e = numbers(c->index, c->phase == FL_TASK_DONE ? c->index : c->attempt);
+		cJSON *item = numbers(c->index, c->phase == FL_TASK_DONE ? c->index : c->attempt);
 
 		if (c->phase == FL_TASK_PLACED) {
 			snprintf(name, sizeof(name), "host-%d", c->machine);
-			cJSON_AddItemToArray(e, cJSON_CreateString(name));
-			cJSON_AddItemToArray(e, cJSON_CreateNumber((double)c->incarnation));
-			cJSON_AddItemToArray(e, cJSON_CreateNumber(1000));
+			cJSON_AddItemToArray(item, cJSON_CreateString(name));
+			cJSON_AddItemToArray(item, cJSON_CreateNumber((double)c->incarnation));
+			cJSON_AddItemToArray(item, cJSON_CreateNumber(1000));
 		}
 		cJSON_AddItemToArray(c->phase == FL_TASK_DONE     ? done
 		                     : c->phase == FL_TASK_PLACED ? placed
 		                                                  : waiting,
-		                     e);
+		                     item);
 	}
-	return o;
+	return object;
 }
 
 static void add_to_value(cJSON *value, const struct world *w, const struct group *g)
 {
-	cJSON *e = cJSON_CreateArray();
+	cJSON *item = cJSON_CreateArray();
 	char *text;
 
-	cJSON_AddItemToArray(e, cJSON_CreateString(w->job[g->job]->ref));
-	cJSON_AddItemToArray(e, cJSON_CreateNumber(g->chunk));
-	cJSON_AddItemToArray(e, encode(g));
-	text = fl_json_print_and_delete(e);
+	cJSON_AddItemToArray(item, cJSON_CreateString(w->job[g->job]->ref));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber(g->chunk));
+	cJSON_AddItemToArray(item, encode(g));
+	text = fl_json_print_and_delete(item);
 	fl_wal_value_add(value, text);
 	free(text);
 }
@@ -180,13 +181,13 @@
 {
 	for (int j = 0; j < JOBS; j++)
 		for (uint32_t k = 0; k < w->job[j]->block_count; k++) {
-			cJSON *v = w->record[j][k].n > 0 ? encode(&w->record[j][k]) : NULL;
+			cJSON *value = w->record[j][k].n > 0 ? encode(&w->record[j][k]) : NULL;
 
-			if (v)
-				assert_int_equal(fl_task_block_restore(&w->cluster, w->job[j], k, v,
-				                                       7, wal, 0),
+			if (value)
+				assert_int_equal(fl_task_block_restore(&w->cluster, w->job[j], k,
+				                                       value, 7, wal, 0),
 				                 0);
-			cJSON_Delete(v);
+			cJSON_Delete(value);
 		}
 	for (int i = 0; i < wal->group_count; i++)
 		if (!wal->groups[i].restored)
@@ -219,7 +220,7 @@
 
 static void compare_task(const struct world *w, int j, uint32_t index, uint32_t counts[3])
 {
-	const struct fl_task *t = fl_task_peek(w->job[j], index);
+	const struct fl_task *task = fl_task_peek(w->job[j], index);
 	const struct fl_task_block *chunk =
 		fl_job_task_block(w->job[j], index / FL_TASK_BLOCK_SIZE);
 	struct change best = {.phase = FL_TASK_WAITING};
@@ -230,20 +231,20 @@
 		if (w->group[i].job == j && w->group[i].chunk == index / FL_TASK_BLOCK_SIZE)
 			consider(&best, &w->group[i], index, true);
 	counts[best.phase]++;
-	if (!t) {
+	if (!task) {
 		assert_true(best.phase == FL_TASK_WAITING && best.attempt == 0);
 		return;
 	}
-	assert_int_equal(t->phase, best.phase);
-	assert_int_equal(!fl_task_saved(chunk, t), best.logged);
+	assert_int_equal(task->phase, best.phase);
+	assert_int_equal(!fl_task_saved(chunk, task), best.logged);
 	if (best.phase == FL_TASK_DONE)
 		return;
-	assert_int_equal(t->attempt, best.attempt);
+	assert_int_equal(task->attempt, best.attempt);
 	if (best.phase != FL_TASK_PLACED)
 		return;
 	snprintf(name, sizeof(name), "host-%d", best.machine);
-	assert_string_equal(w->cluster.machines.by_id[t->machine]->name, name);
-	assert_int_equal(t->incarnation, best.incarnation);
+	assert_string_equal(w->cluster.machines.by_id[task->machine]->name, name);
+	assert_int_equal(task->incarnation, best.incarnation);
 }
 
 static void compare(const struct world *w)
@@ -294,14 +295,14 @@
 
 	for (uint32_t j = 0; j < jobs; j++)
 		for (uint32_t k = 0; k < chunks; k++) {
-			cJSON *e = cJSON_CreateArray();
+			cJSON *item = cJSON_CreateArray();
 			char ref[FL_REF_MAX];
 
 			snprintf(ref, sizeof(ref), "run-%06u", j);
-			cJSON_AddItemToArray(e, cJSON_CreateString(ref));
-			cJSON_AddItemToArray(e, cJSON_CreateNumber(k));
-			cJSON_AddItemToArray(e, cJSON_CreateObject());
-			cJSON_AddItemToArray(list, e);
+			cJSON_AddItemToArray(item, cJSON_CreateString(ref));
+			cJSON_AddItemToArray(item, cJSON_CreateNumber(k));
+			cJSON_AddItemToArray(item, cJSON_CreateObject());
+			cJSON_AddItemToArray(list, item);
 		}
 	assert_int_equal(fl_wal_read(wal, value), 0);
 	cJSON_Delete(value);
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -82,7 +82,7 @@
 	q->over = true;
 }
 
-static void drop_timer(struct sim_timer *t) { (void)t; }
+static void drop_timer(struct sim_timer *timer) { (void)timer; }
 
 static void run(struct query *queries, int count)
 {
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -416,7 +416,7 @@
 /* Reads the settings with one piece of text replaced. */
 static int read_with(const char *old, const char *new, char *error, size_t cap)
 {
-	struct fl_config *c = calloc(1, sizeof(*c));
+	struct fl_config *config = calloc(1, sizeof(*config));
 	const char *at = old ? strstr(good_settings, old) : NULL;
 	char name[64];
 	FILE *f;
@@ -433,9 +433,9 @@
 		fputs(good_settings, f);
 	fclose(f);
 	error[0] = 0;
-	rc = fl_config_read(name, c, error, cap);
+	rc = fl_config_read(name, config, error, cap);
 	unlink(name);
-	free(c);
+	free(config);
 	return rc;
 }
 
@@ -476,11 +476,12 @@
 			fail_msg("'%s' does not say '%s'", error, bad[i].named);
 	}
 	{
-		struct fl_config *c = calloc(1, sizeof(*c));
+		struct fl_config *config = calloc(1, sizeof(*config));
 
-		assert_int_not_equal(fl_config_read("no/such/file", c, error, sizeof(error)), 0);
+		assert_int_not_equal(fl_config_read("no/such/file", config, error, sizeof(error)),
+		                     0);
 		assert_non_null(strstr(error, "no/such/file"));
-		free(c);
+		free(config);
 	}
 }
 
