--- a/tests/standins_state.c
+++ b/tests/fake_kv_store.c
@@ -1,5 +1,5 @@
 /* The stand-in of the state service: keys, revisions, holds, lists and a watch. */
-#include "standins_internal.h"
+#include "fake_services_internal.h"
 
 #include <assert.h>
 #include <errno.h>
@@ -13,11 +13,11 @@
 struct change {
 	char name[200];
 	char *value;
-	uint64_t rev;
+	uint64_t mod_revision;
 };
 
 struct hold {
-	uint64_t grant;
+	uint64_t lease_id;
 	double ttl, until;
 };
 
@@ -50,7 +50,7 @@
 	}
 	snprintf(store.log[store.n_log].name, sizeof(store.log[0].name), "%s", name);
 	store.log[store.n_log].value = value ? strdup(value) : NULL;
-	store.log[store.n_log++].rev = store.rev;
+	store.log[store.n_log++].mod_revision = store.rev;
 	fl_condition_broadcast(&store.changed);
 }
 
@@ -73,7 +73,7 @@
 static void check_epoch(const struct key *old, const char *name, const char *value)
 {
 	if (strcmp(name, "c/epoch") == 0 && old)
-		standins.tokens_reused += epoch_of_value(old->value) >= epoch_of_value(value);
+		fake_services.tokens_reused += epoch_of_value(old->value) >= epoch_of_value(value);
 }
 
 static void put_key(const char *name, char *value, uint64_t lease_id)
@@ -89,27 +89,27 @@
 	}
 	free(key->value);
 	key->value = value;
-	key->rev = store.rev;
-	key->grant = lease_id;
+	key->mod_revision = store.rev;
+	key->lease_id = lease_id;
 	append_change(name, value);
 }
 
 static void end_hold(int at)
 {
-	uint64_t lease_id = store.holds[at].grant;
+	uint64_t lease_id = store.holds[at].lease_id;
 	struct key *key, *tmp;
 
 	store.holds[at] = store.holds[--store.n_holds];
 	store.rev++;
 	HASH_ITER (hh, store.keys, key, tmp)
-		if (key->grant == lease_id)
+		if (key->lease_id == lease_id)
 			delete_key(key);
 }
 
 static int find_hold(uint64_t lease_id)
 {
 	for (int i = 0; i < store.n_holds; i++)
-		if (store.holds[i].grant == lease_id)
+		if (store.holds[i].lease_id == lease_id)
 			return i;
 	return -1;
 }
@@ -147,7 +147,7 @@
 		fl_json_get_string(element, "Key", name, sizeof(name));
 		fl_json_get_count(element, "KeyRev", &revision);
 		key = find_key(name);
-		if ((key ? key->rev : 0) != revision && !failed)
+		if ((key ? key->mod_revision : 0) != revision && !failed)
 			failed = element;
 	}
 	cJSON_ArrayForEach (element, fl_json_get(object, "Apply"))
@@ -228,7 +228,8 @@
 			more = true;
 			break;
 		}
-		cJSON_AddItemToArray(items, item("Key", all[i]->name, all[i]->value, all[i]->rev));
+		cJSON_AddItemToArray(
+			items, item("Key", all[i]->name, all[i]->value, all[i]->mod_revision));
 		given++;
 	}
 	cJSON_AddBoolToObject(object, "More", more);
@@ -250,7 +251,7 @@
 	until = fl_now() + atof(param(query, "HoldMs=", word, sizeof(word))) / 1000;
 	for (;;) {
 		for (int i = 0; i < store.n_log && !any; i++)
-			any = store.log[i].rev > from &&
+			any = store.log[i].mod_revision > from &&
 			      strncmp(store.log[i].name, prefix, strlen(prefix)) == 0;
 		if (any || fl_now() >= until)
 			break;
@@ -262,9 +263,11 @@
 	for (int i = 0; i < store.n_log; i++) {
 		const struct change *change = &store.log[i];
 
-		if (change->rev > from && strncmp(change->name, prefix, strlen(prefix)) == 0)
-			cJSON_AddItemToArray(log, item(change->value ? "Put" : "Delete",
-			                               change->name, change->value, change->rev));
+		if (change->mod_revision > from &&
+		    strncmp(change->name, prefix, strlen(prefix)) == 0)
+			cJSON_AddItemToArray(log,
+			                     item(change->value ? "Put" : "Delete", change->name,
+			                          change->value, change->mod_revision));
 	}
 	cJSON_AddNumberToObject(object, "LedgerRev", (double)store.rev);
 	cJSON_AddItemToObject(object, "Log", log);
@@ -313,16 +316,16 @@
 		follow(query, response);
 		return;
 	}
-	if (standins.cut_after > 0 && --standins.cut_after == 0) {
-		standins.cut();
+	if (fake_services.cut_after > 0 && --fake_services.cut_after == 0) {
+		fake_services.cut();
 		if (fl_sleep(0.2) != 0)
 			return;
 	}
-	if (every_nth(standins.state_refuses, at)) {
+	if (every_nth(fake_services.kv_refuses_every, at)) {
 		respond(response, 503, NULL);
 		return;
 	}
-	if (every_nth(standins.state_slow, at) && fl_sleep(0.3) != 0)
+	if (every_nth(fake_services.kv_slow_every, at) && fl_sleep(0.3) != 0)
 		return;
 	if (strcmp(request->path, "/multi") == 0) {
 		multi(request->body, request->body_len, response);
@@ -336,18 +339,18 @@
 		cJSON_AddNumberToObject(object, "LedgerRev", (double)store.rev);
 		if (key) {
 			cJSON_Delete(object);
-			object = item("Key", key->name, key->value, key->rev);
-			if (key->grant)
-				cJSON_AddNumberToObject(object, "Grant", (double)key->grant);
+			object = item("Key", key->name, key->value, key->mod_revision);
+			if (key->lease_id)
+				cJSON_AddNumberToObject(object, "Grant", (double)key->lease_id);
 		}
 		respond(response, key ? 200 : 404, object);
 	}
 	/* Carried out, but the answer comes after the client's timeout. */
-	if (every_nth(standins.state_loses, at))
+	if (every_nth(fake_services.kv_loses_every, at))
 		fl_sleep(2.5);
 }
 
-const char *standins_leader(void)
+const char *fake_services_leader(void)
 {
 	static char node[64];
 	struct key *key = find_key("c/lead");
--- a/tests/standins.c
+++ b/tests/fake_services.c
@@ -1,5 +1,5 @@
 /* The stand-in of the cloud, and what starts and ends all of the stand-ins. */
-#include "standins_internal.h"
+#include "fake_services_internal.h"
 
 #include <assert.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 #include "copy_text.h"
 #include "transport/coroutine.h"
 
-struct standins standins;
+struct fake_services fake_services;
 
 static struct fl_http_server *servers[MACHINES + 2];
 static int n_servers;
@@ -47,12 +47,12 @@
 	fl_json_get_string(in, "Rental", name, sizeof(name));
 	HASH_FIND_STR(rentals, name, rental);
 	if (rental) {
-		standins.names_reused += key && rental->fencing_token != key->rev;
+		fake_services.names_reused += key && rental->fencing_token != key->mod_revision;
 		return rental;
 	}
 	rental = calloc(1, sizeof(*rental));
 	copy_text(rental->name, sizeof(rental->name), name);
-	rental->fencing_token = key ? key->rev : 0;
+	rental->fencing_token = key ? key->mod_revision : 0;
 	rental->hosts = cJSON_CreateArray();
 	for (uint64_t i = 0; i < count && n_machines < MACHINES; i++)
 		cJSON_AddItemToArray(rental->hosts, cJSON_CreateString(add_machine()));
@@ -72,7 +72,7 @@
 	uint64_t count = 0;
 
 	(void)context;
-	if (standins.cloud_out) {
+	if (fake_services.cloud_out) {
 		cJSON_AddStringToObject(object, "error", "trouble");
 		respond(response, 503, object);
 		return;
@@ -114,7 +114,7 @@
 	respond(response, 200, object);
 }
 
-void standins_start(void)
+void fake_services_start(void)
 {
 	struct fl_http_server *state = fl_http_serve("127.0.0.1:0", 256, 90, on_state, NULL);
 	struct fl_http_server *cloud = fl_http_serve("127.0.0.1:0", 64, 90, on_cloud, NULL);
@@ -122,14 +122,14 @@
 	assert(state && cloud);
 	add_server(state);
 	add_server(cloud);
-	snprintf(standins.state_addr, sizeof(standins.state_addr), "127.0.0.1:%d",
+	snprintf(fake_services.kv_store_addr, sizeof(fake_services.kv_store_addr), "127.0.0.1:%d",
 	         fl_http_server_port(state));
-	snprintf(standins.cloud_addr, sizeof(standins.cloud_addr), "127.0.0.1:%d",
+	snprintf(fake_services.cloud_addr, sizeof(fake_services.cloud_addr), "127.0.0.1:%d",
 	         fl_http_server_port(cloud));
 	fl_coroutine_spawn(hold_routine, NULL);
 }
 
-void standins_free(void)
+void fake_services_free(void)
 {
 	struct rental *rental, *tmp;
 
--- a/tests/standins.h
+++ b/tests/fake_services.h
@@ -2,23 +2,24 @@
  * Stand-ins for the external systems: state service, cloud and workers, on loopback, speaking the
  * published protocol. They can be slow, refuse, lose answers, carry requests out late or twice.
  */
-#ifndef FL_TESTS_STANDINS_H
-#define FL_TESTS_STANDINS_H
+#ifndef FL_TESTS_FAKE_SERVICES_H
+#define FL_TESTS_FAKE_SERVICES_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 #include "protocol/workers.h"
 
-struct standins {
-	char state_addr[32], cloud_addr[32];
+struct fake_services {
+	char kv_store_addr[32], cloud_addr[32];
 	int controller_ports[8]; /* public ones, for the workers */
-	int n_controllers;
+	int controller_count;
 	/* Every so many requests; 0: never. */
-	int state_refuses, state_loses, state_slow, commands_repeat;
-	int copies_late; /* every so many reports: a copy comes two leases later, to another node */
-	int unreachable; /* so many machines report and receive nothing */
-	bool cloud_out;  /* the cloud refuses everything */
+	int kv_refuses_every, kv_loses_every, kv_slow_every, commands_repeat_every;
+	int heartbeat_copies_every; /* every so many reports: a copy comes two leases later, to
+	                               another node */
+	int unreachable;            /* so many machines report and receive nothing */
+	bool cloud_out;             /* the cloud refuses everything */
 	/* Counts down with the state service's requests; at 0 `cut` is called, and that request is
 	 * carried out after it, late. */
 	int cut_after;
@@ -31,17 +32,17 @@
 	int tokens_reused, names_reused, starts_on_deleted;
 };
 
-extern struct standins standins;
+extern struct fake_services fake_services;
 
 /* Starts all of them in this process's loop. */
-void standins_start(void);
+void fake_services_start(void);
 /* Once their routines have ended. */
-void standins_free(void);
+void fake_services_free(void);
 /* The node that holds the lead, or an empty string. */
-const char *standins_leader(void);
+const char *fake_services_leader(void);
 /* Machines that were rented, received nothing, and are not returned yet. */
-int standins_unreachable_left(void);
+int fake_services_unreachable_left(void);
 /* Is anything of this job on any machine? */
-int standins_live(const char *ref);
+int fake_services_task_is_live(const char *ref);
 
 #endif
--- a/tests/standins_internal.h
+++ b/tests/fake_services_internal.h
@@ -1,11 +1,11 @@
 /* What the sources of the stand-ins share among themselves. */
-#ifndef FL_TESTS_STANDINS_INTERNAL_H
-#define FL_TESTS_STANDINS_INTERNAL_H
+#ifndef FL_TESTS_FAKE_SERVICES_INTERNAL_H
+#define FL_TESTS_FAKE_SERVICES_INTERNAL_H
 
 #include <uthash.h>
 
 #include "protocol/json.h"
-#include "standins.h"
+#include "fake_services.h"
 #include "transport/http_server.h"
 
 /* The response has this status and body, an empty object if NULL; takes `object`. */
@@ -14,7 +14,7 @@
 /* Does a fault that comes with every so many requests come with this one? 0: never. */
 bool every_nth(int every, unsigned count);
 
-/* For standins_free(). */
+/* For fake_services_free(). */
 void add_server(struct fl_http_server *server);
 
 /* ---- state service ---- */
@@ -23,7 +23,7 @@
 	UT_hash_handle hh;
 	char name[200];
 	char *value;
-	uint64_t rev, grant;
+	uint64_t mod_revision, lease_id;
 };
 
 /* Or NULL. */
--- a/tests/standins_workers.c
+++ b/tests/fake_workers.c
@@ -1,5 +1,5 @@
 /* The stand-ins of the workers: machines that report, carry out orders and see faults. */
-#include "standins_internal.h"
+#include "fake_services_internal.h"
 
 #include <assert.h>
 #include <stdio.h>
@@ -25,9 +25,9 @@
 	char addr[32];
 
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d",
-	         standins.controller_ports[copy->node % standins.n_controllers]);
+	         fake_services.controller_ports[copy->node % fake_services.controller_count]);
 	fl_http_client_init(&http, addr, 0);
-	if (fl_sleep(2 * standins.lease_s) == 0 &&
+	if (fl_sleep(2 * fake_services.lease_s) == 0 &&
 	    fl_http_call(&http, "POST", "/hello", copy->text, 4.0, &reply) == 0)
 		fl_buffer_free(&reply.body);
 	free(copy->text);
@@ -80,14 +80,14 @@
 		    fl_now() > task->until) {
 			task->status.state = FL_TASK_STATE_EXITED;
 			task->status.exit = FL_EXIT_DONE;
-			standins.completed++;
+			fake_services.completed++;
 		}
 		tasks[heartbeat.task_count++] = task->status;
 	}
 	return fl_heartbeat_encode(&heartbeat);
 }
 
-int standins_live(const char *ref)
+int fake_services_task_is_live(const char *ref)
 {
 	int n = 0;
 
@@ -101,7 +101,7 @@
 
 static void launch(struct machine *machine, const struct fl_task_status *status)
 {
-	standins.starts_on_deleted += machine->gone;
+	fake_services.starts_on_deleted += machine->gone;
 	for (int k = 0; k < n_machines; k++) {
 		for (int i = 0; i < TASKS && !machines[k]->gone; i++) {
 			const struct task *task = &machines[k]->at[i];
@@ -111,16 +111,16 @@
 				continue;
 			if (machines[k] == machine && task->status.attempt == status->attempt)
 				return;
-			standins.twice += task->status.state != FL_TASK_STATE_EXITED;
+			fake_services.twice += task->status.state != FL_TASK_STATE_EXITED;
 		}
 	}
 	for (int i = 0; i < TASKS; i++) {
 		if (machine->at[i].used)
 			continue;
-		machine->at[i] = (struct task){*status, fl_now() + standins.run_s, true,
+		machine->at[i] = (struct task){*status, fl_now() + fake_services.run_s, true,
 		                               is_service(status->ref)};
 		machine->at[i].status.state = FL_TASK_STATE_RUNNING;
-		standins.starts++;
+		fake_services.starts++;
 		return;
 	}
 }
@@ -194,7 +194,7 @@
 		return;
 	}
 	good = take_command(machine, request->body);
-	if (every_nth(standins.commands_repeat, ++commands)) {
+	if (every_nth(fake_services.commands_repeat_every, ++commands)) {
 		free(machine->late);
 		machine->late = strdup(request->body);
 	}
@@ -212,9 +212,9 @@
 	cJSON *object;
 
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d",
-	         standins.controller_ports[machine->node % standins.n_controllers]);
+	         fake_services.controller_ports[machine->node % fake_services.controller_count]);
 	fl_http_client_init(&client, addr, 0);
-	if (every_nth(standins.copies_late, ++machine->reports))
+	if (every_nth(fake_services.heartbeat_copies_every, ++machine->reports))
 		send_copy_later(text, machine->node + 1);
 	if (fl_http_call(&client, "POST", "/hello", text, 4.0, &reply) != 0) {
 		machine->node++;
@@ -233,7 +233,7 @@
 	if (reply.status == 200 &&
 	    fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
 	    fencing_token >= machine->fencing_token &&
-	    fl_now() < machine->answered + standins.lease_s) {
+	    fl_now() < machine->answered + fake_services.lease_s) {
 		machine->fencing_token = fencing_token;
 		machine->answered = sent;
 		execute_orders(machine, object);
@@ -250,8 +250,8 @@
 	struct machine *machine = arg;
 
 	machine->answered = fl_now();
-	while (!machine->gone && fl_sleep(standins.report_s) == 0) {
-		if (fl_now() > machine->answered + standins.lease_s) {
+	while (!machine->gone && fl_sleep(fake_services.report_s) == 0) {
+		if (fl_now() > machine->answered + fake_services.lease_s) {
 			memset(machine->at, 0, sizeof(machine->at));
 			machine->incarnation++;
 			machine->answered = fl_now();
@@ -274,19 +274,19 @@
 	snprintf(machine->name, sizeof(machine->name), "m-%06d", n_machines);
 	machine->incarnation = 1;
 	machine->node = n_machines;
-	machine->unreachable = standins.unreachable > 0 && standins.unreachable--;
+	machine->unreachable = fake_services.unreachable > 0 && fake_services.unreachable--;
 	machines[n_machines++] = machine;
 	server = fl_http_serve("127.0.0.1:0", 64, 90, on_command, machine);
 	assert(server);
 	add_server(server);
 	snprintf(machine->addr, sizeof(machine->addr), "127.0.0.1:%d", fl_http_server_port(server));
 	fl_coroutine_spawn(machine_routine, machine);
-	if (n_machines > standins.max_machines)
-		standins.max_machines = n_machines;
+	if (n_machines > fake_services.max_machines)
+		fake_services.max_machines = n_machines;
 	return machine->name;
 }
 
-int standins_unreachable_left(void)
+int fake_services_unreachable_left(void)
 {
 	int n = 0;
 
--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -8,12 +8,12 @@
 
 void play_cancel(double at, int count, double hang_s)
 {
-	sim_trouble(CANCEL_NOW, at, 0, 0, 0, count)->hang_s = hang_s;
+	sim_fault(FAULT_CANCEL_RUNNING, at, 0, 0, 0, count)->hang_s = hang_s;
 }
 
 void play_leader_down(double at, double for_s)
 {
-	sim_trouble(NODE_DOWN, at, for_s, THE_LEADER, 0, 0);
+	sim_fault(FAULT_NODE_DOWN, at, for_s, TARGET_LEADER, 0, 0);
 }
 
 /* What keeps the leader's stops from the machines at that moment. */
@@ -21,13 +21,13 @@
 {
 	switch (sim_pick(3)) {
 	case 0:
-		sim_trouble(CUT_WORKERS, at, for_s, THE_LEADER, 0, 0);
+		sim_fault(FAULT_PARTITION_FROM_WORKERS, at, for_s, TARGET_LEADER, 0, 0);
 		break;
 	case 1:
 		play_leader_down(at + 0.01, for_s);
 		break;
 	default:
-		sim_trouble(DEAF, at, 5, 0, 0.7, 0);
+		sim_fault(FAULT_INBOUND_PARTITION, at, 5, 0, 0.7, 0);
 		break;
 	}
 }
@@ -42,27 +42,28 @@
 	double out = led + sim_between(0.2, 6);
 	double over = out + sim.cancel_s + sim_between(5, 15);
 
-	sim_trouble(STATE_REFUSES, t, over - t, THE_LEADER, 0, 0);
+	sim_fault(FAULT_KV_REFUSES_NODE, t, over - t, TARGET_LEADER, 0, 0);
 	play_cancel(led, 3 + sim_pick(4), sim_chance(0.5) ? sim_between(2, 9) : 0);
 	play_cancel(sim_between(led, out), 2, 0);
-	sim_trouble(STATE_OUT, out, over - out, 0, 0, 0);
+	sim_fault(FAULT_KV_UNAVAILABLE, out, over - out, 0, 0, 0);
 	if (variant % 2)
-		sim_trouble(CUT_WORKERS, led - 0.1, over - led, THE_LEADER, 0, 0);
+		sim_fault(FAULT_PARTITION_FROM_WORKERS, led - 0.1, over - led, TARGET_LEADER, 0, 0);
 	switch (variant / 2 % 6) {
 	case 1:
-		sim_trouble(LATE_WRITES, t, over - t, 0, 0.3, 0);
+		sim_fault(FAULT_DELAYED_WRITES, t, over - t, 0, 0.3, 0);
 		break;
 	case 2:
-		sim_trouble(STATE_SLOW, t, over - t, 0, 0.8, 0);
+		sim_fault(FAULT_KV_SLOW, t, over - t, 0, 0.8, 0);
 		break;
 	case 3:
-		sim_trouble(sim_chance(0.5) ? HANG : MUTE, led, 15, 0, 0.4, 0);
+		sim_fault(sim_chance(0.5) ? FAULT_MACHINE_HANG : FAULT_OUTBOUND_PARTITION, led, 15,
+		          0, 0.4, 0);
 		break;
 	case 4:
 		play_leader_down(led + 0.1, over - led);
 		break;
 	case 5:
-		sim_trouble(CUT_PEERS, t, over - t, THE_LEADER, 0, 0);
+		sim_fault(FAULT_PARTITION_FROM_PEERS, t, over - t, TARGET_LEADER, 0, 0);
 		break;
 	}
 }
@@ -70,12 +71,12 @@
 /* Jobs of two or three tasks end far apart across a change of leader. */
 static void ends_apart(int variant)
 {
-	for (int i = 0; i < sim.n_jobs; i++) {
-		struct sim_job *job = &sim.job[i];
+	for (int i = 0; i < sim.job_count; i++) {
+		struct sim_job *job = &sim.jobs[i];
 
-		job->cancel = job->run.kind == FL_SERVICE ? job->cancel : -1;
-		for (uint32_t k = 0; k < job->run.task_count; k++)
-			job->real_s[k] = k == 0 ? sim_between(3, 15) : sim_between(40, 110);
+		job->cancel = job->spec.kind == FL_SERVICE ? job->cancel : -1;
+		for (uint32_t k = 0; k < job->spec.task_count; k++)
+			job->duration_s[k] = k == 0 ? sim_between(3, 15) : sim_between(40, 110);
 	}
 	for (int i = 0; i < 2 + variant % 2; i++)
 		play_leader_down(45 + 25 * i + sim_between(0, 10), sim_between(4, 20));
@@ -85,19 +86,19 @@
 static void old_report(int variant)
 {
 	/* Tasks that are long in saving: a report from before their launch may come meanwhile. */
-	for (int i = 0; i < sim.n_jobs; i++) {
-		struct fl_job_spec *spec = &sim.job[i].run;
+	for (int i = 0; i < sim.job_count; i++) {
+		struct fl_job_spec *spec = &sim.jobs[i].spec;
 
 		if (spec->kind != FL_ARRAY)
 			continue;
 		spec->checkpoint_every_s = 2;
 		spec->checkpoint_cost_s = sim_between(3, 8);
-		sim_job_rewritten(&sim.job[i]);
+		sim_job_rewritten(&sim.jobs[i]);
 	}
-	sim_trouble(LATE_REPORTS, 5, 90, 0, 0.9, 0);
-	sim_trouble(MORE_JOBS, 25, 1, 0, 0, 10);
+	sim_fault(FAULT_DELAYED_HEARTBEATS, 5, 90, 0, 0.9, 0);
+	sim_fault(FAULT_SUBMISSION_BURST, 25, 1, 0, 0, 10);
 	play_leader_down(sim_between(45, 55), sim_between(1, 20));
-	sim_trouble(MUTE, sim_between(50, 65), sim.lease_s + 4, 0, 0.4, 0);
+	sim_fault(FAULT_OUTBOUND_PARTITION, sim_between(50, 65), sim.lease_s + 4, 0, 0.4, 0);
 	if (variant % 2)
 		play_leader_down(sim_between(70, 85), 10);
 }
@@ -107,8 +108,8 @@
 {
 	double t = sim_between(35, 55);
 
-	sim_trouble(MUTE, t, sim_between(5, 40), 0, variant % 2 ? 1 : 0.5, 0);
-	sim_trouble(MORE_JOBS, t + 2, 1, 0, 0, 8);
+	sim_fault(FAULT_OUTBOUND_PARTITION, t, sim_between(5, 40), 0, variant % 2 ? 1 : 0.5, 0);
+	sim_fault(FAULT_SUBMISSION_BURST, t + 2, 1, 0, 0, 8);
 	play_cancel(t + sim_between(1, 6), 4, 0);
 	if (variant % 3 == 2)
 		play_leader_down(t + 3, 15);
@@ -119,7 +120,7 @@
 {
 	double t = sim_between(40, 55), s = sim.lease_s * sim_between(1.2, 6);
 
-	sim_trouble(CUT_ZONE, t, s, variant % 2 ? THE_LEADER : ANY_ZONE, 0, 0);
+	sim_fault(FAULT_ZONE_PARTITION, t, s, variant % 2 ? TARGET_LEADER : TARGET_ANY_ZONE, 0, 0);
 	play_cancel(t + sim_between(-1, 8), 4, 0);
 	play_cancel(t + s * 0.8, 2, 0);
 	if (variant % 3 == 2)
@@ -131,12 +132,12 @@
 {
 	double t = sim_between(10, 30);
 
-	sim_trouble(LATE_WRITES, t, 70, 0, variant % 2 ? 0.15 : 0.35, 0);
+	sim_fault(FAULT_DELAYED_WRITES, t, 70, 0, variant % 2 ? 0.15 : 0.35, 0);
 	play_cancel(t + sim_between(25, 40), 4, 0);
 	if (variant % 3 == 1)
 		play_leader_down(t + sim_between(20, 40), 8);
 	if (variant % 3 == 2)
-		sim_trouble(STATE_REFUSES, t + 30, 12, THE_LEADER, 0, 0);
+		sim_fault(FAULT_KV_REFUSES_NODE, t + 30, 12, TARGET_LEADER, 0, 0);
 }
 
 /* All controllers are away for longer than a lease. */
@@ -144,12 +145,12 @@
 {
 	double t = sim_between(40, 55);
 
-	sim_trouble(NODE_DOWN, t, sim.lease_s * sim_between(1.1, 2.5), ALL_NODES, 0, 0);
+	sim_fault(FAULT_NODE_DOWN, t, sim.lease_s * sim_between(1.1, 2.5), TARGET_ALL_NODES, 0, 0);
 	play_cancel(t - sim_between(0.02, 1), 4, variant % 2 ? sim.lease_s * 0.8 : 0);
 	if (variant % 3 == 2)
-		sim_trouble(CLOUD_OUT, t - 5, 50, 0, 0, 0);
+		sim_fault(FAULT_CLOUD_UNAVAILABLE, t - 5, 50, 0, 0, 0);
 	if (variant % 2)
-		sim_trouble(LATE_REPORTS, t - 20, 40, 0, 0.4, 0);
+		sim_fault(FAULT_DELAYED_HEARTBEATS, t - 20, 40, 0, 0.4, 0);
 }
 
 /* A team at its limit, a new leader, machines that cannot be asked, a cancellation meanwhile. */
@@ -157,12 +158,13 @@
 {
 	double t = sim_between(45, 55);
 
-	sim_trouble(MORE_JOBS, 20, 1, 0, 0, 24);
+	sim_fault(FAULT_SUBMISSION_BURST, 20, 1, 0, 0, 24);
 	/* Copies from before the cancelled tasks began, which must free no room. */
-	sim_trouble(LATE_REPORTS, 15, 80, 0, 0.9, 0);
+	sim_fault(FAULT_DELAYED_HEARTBEATS, 15, 80, 0, 0.9, 0);
 	play_leader_down(t, sim_between(5, 30));
-	sim_trouble(variant % 2 ? DEAF : MUTE, t - 1, sim.lease_s + sim_between(-4, 20), 0, 0.5, 0);
-	sim_trouble(HANG, t - 2, sim_between(4, 25), 0, 0.3, 0);
+	sim_fault(variant % 2 ? FAULT_INBOUND_PARTITION : FAULT_OUTBOUND_PARTITION, t - 1,
+	          sim.lease_s + sim_between(-4, 20), 0, 0.5, 0);
+	sim_fault(FAULT_MACHINE_HANG, t - 2, sim_between(4, 25), 0, 0.3, 0);
 	play_cancel(t + sim_between(1, 8), 6, 0);
 }
 
@@ -171,9 +173,10 @@
 {
 	double t = sim_between(40, 55);
 
-	sim_trouble(HELD, t, sim_between(5, 30), variant % 2 ? ALL_NODES : ANY_NODE, 0, 0);
+	sim_fault(FAULT_PACKETS_HELD, t, sim_between(5, 30),
+	          variant % 2 ? TARGET_ALL_NODES : TARGET_ANY_NODE, 0, 0);
 	if (variant % 3 == 2)
-		sim_trouble(CUT_STATE, t + 1, 20, THE_LEADER, 0, 0);
+		sim_fault(FAULT_PARTITION_FROM_KV, t + 1, 20, TARGET_LEADER, 0, 0);
 	else
 		play_leader_down(t + 1, 15);
 	play_cancel(t + sim_between(2, 8), 4, 0);
@@ -184,20 +187,20 @@
 {
 	double t = sim_between(40, 55);
 
-	for (int i = 0; i < sim.n_jobs; i++) {
-		struct fl_job_spec *spec = &sim.job[i].run;
+	for (int i = 0; i < sim.job_count; i++) {
+		struct fl_job_spec *spec = &sim.jobs[i].spec;
 
 		if (i % 2 || spec->spread_zones)
 			continue;
 		spec->has_zone = true;
-		sim_copy(spec->zone, sizeof(spec->zone), sim.config[0].zones[i % sim.n_zones]);
-		sim_job_rewritten(&sim.job[i]);
+		sim_copy(spec->zone, sizeof(spec->zone), sim.config[0].zones[i % sim.zone_count]);
+		sim_job_rewritten(&sim.jobs[i]);
 	}
-	sim_trouble(TAKE_MACHINES, t, 1, 0, 0.5, 0);
+	sim_fault(FAULT_MACHINES_DIE, t, 1, 0, 0.5, 0);
 	if (variant % 2)
 		play_leader_down(t + 0.5, 10);
 	if (variant % 3 == 2)
-		sim_trouble(CLOUD_OUT, t, 15, 0, 0, 0);
+		sim_fault(FAULT_CLOUD_UNAVAILABLE, t, 15, 0, 0, 0);
 }
 
 /* Controllers hand over and back, all end, and one returns, also within a second. */
@@ -209,7 +212,7 @@
 		play_leader_down(t, sim_between(0.1, variant % 2 ? 1 : 6));
 		t += sim_between(2, 9);
 	}
-	sim_trouble(NODE_DOWN, t, sim_between(0.3, 3), ALL_NODES, 0, 0);
+	sim_fault(FAULT_NODE_DOWN, t, sim_between(0.3, 3), TARGET_ALL_NODES, 0, 0);
 	play_cancel(t - 0.1, 4, 0);
 	play_leader_down(t + 9, 0.4);
 }
@@ -217,8 +220,8 @@
 /* More work than room, urgent and not, over slow links. */
 static void overload(int variant)
 {
-	sim_trouble(MORE_JOBS, 20, 1, 0, 0, 40);
-	sim_trouble(SLOW_LINKS, 15, 70, 0, variant % 2 ? 0.4 : 0.9, 0);
+	sim_fault(FAULT_SUBMISSION_BURST, 20, 1, 0, 0, 40);
+	sim_fault(FAULT_SLOW_LINKS, 15, 70, 0, variant % 2 ? 0.4 : 0.9, 0);
 	play_cancel(sim_between(40, 60), 8, 0);
 	if (variant % 3 == 2)
 		play_leader_down(50, 10);
@@ -228,8 +231,8 @@
 static void stream(int variant)
 {
 	for (int i = 0; i < 25; i++)
-		sim_trouble(MORE_JOBS, 10 + 8 * i, 1, 0, 0, 2);
-	sim_trouble(TAKE_MACHINES, sim_between(60, 90), 1, 0, 0.4, 0);
+		sim_fault(FAULT_SUBMISSION_BURST, 10 + 8 * i, 1, 0, 0, 2);
+	sim_fault(FAULT_MACHINES_DIE, sim_between(60, 90), 1, 0, 0.4, 0);
 	if (variant % 2)
 		play_leader_down(sim_between(50, 100), sim_between(5, 20));
 }
@@ -240,12 +243,12 @@
 	double t = 20;
 
 	while (t < 70) {
-		sim_trouble(HANG, t, sim_between(2, sim.lease_s + 2), 0, 0.5, 0);
+		sim_fault(FAULT_MACHINE_HANG, t, sim_between(2, sim.lease_s + 2), 0, 0.5, 0);
 		t += sim_between(8, 14);
 	}
-	sim_trouble(LOST_ANSWERS, 20, 55, 0, variant % 2 ? 0.4 : 0.15, 0);
-	sim_trouble(MORE_JOBS, 30, 1, 0, 0, 10);
-	sim_trouble(SLOW_LINKS, 25, 45, 0, 0.8, 0);
+	sim_fault(FAULT_LOST_REPLIES, 20, 55, 0, variant % 2 ? 0.4 : 0.15, 0);
+	sim_fault(FAULT_SUBMISSION_BURST, 30, 1, 0, 0, 10);
+	sim_fault(FAULT_SLOW_LINKS, 25, 45, 0, 0.8, 0);
 	for (int i = 0; i < 11; i++)
 		play_cancel(28 + 3 * i, 1, 0);
 	play_cancel(sim_between(40, 55), 4, sim_between(3, 9));
@@ -259,9 +262,9 @@
 	for (int i = 0; i < 10; i++)
 		play_leader_down(30 + 12 * i + sim_between(0, 5), sim_between(0.5, 8));
 	if (variant % 2)
-		sim_trouble(STATE_OUT, sim_between(50, 80), sim_between(8, 40), 0, 0, 0);
+		sim_fault(FAULT_KV_UNAVAILABLE, sim_between(50, 80), sim_between(8, 40), 0, 0, 0);
 	play_cancel(sim_between(50, 100), 4, variant % 3 ? 6 : 0);
-	sim_trouble(MORE_JOBS, 60, 1, 0, 0, 10);
+	sim_fault(FAULT_SUBMISSION_BURST, 60, 1, 0, 0, 10);
 }
 
 /* A cancellation, a question, a repeated submission at the end of a job's last task. */
@@ -269,23 +272,24 @@
 {
 	/* By itself, and where what was written may be late, or heard of late. */
 	if (variant % 3 == 1)
-		sim_trouble(LATE_WRITES, 20, 90, 0, 0.4, 0);
+		sim_fault(FAULT_DELAYED_WRITES, 20, 90, 0, 0.4, 0);
 	if (variant % 3 == 2)
-		sim_trouble(STATE_SLOW, 20, 90, 0, 1.4, 0);
-	sim_trouble(CANCEL_AT_END, 10, 100, 0, 0.6, 0);
-	sim_trouble(ODD_REQUESTS, 20, 80, 0, 0, 0);
+		sim_fault(FAULT_KV_SLOW, 20, 90, 0, 1.4, 0);
+	sim_fault(FAULT_CANCEL_AT_COMPLETION, 10, 100, 0, 0.6, 0);
+	sim_fault(FAULT_INVALID_REQUESTS, 20, 80, 0, 0, 0);
 }
 
 /* A leader ends while machines with long tasks cannot be reached, or do not hear the new one. */
 static void leader_ends_unheard(int variant)
 {
-	static const enum sim_trouble_kind types[] = {DEAF, MUTE, HANG};
+	static const enum sim_fault_kind types[] = {FAULT_INBOUND_PARTITION,
+	                                            FAULT_OUTBOUND_PARTITION, FAULT_MACHINE_HANG};
 	double t = sim_between(45, 55);
 
-	for (int i = 0; i < sim.n_jobs; i++)
+	for (int i = 0; i < sim.job_count; i++)
 		for (uint32_t k = 0; k < SIM_JOB_TASKS; k++)
-			sim.job[i].real_s[k] *= 2;
-	sim_trouble(types[variant % 3], t - sim_between(0, 4), sim_between(6, 40), 0, 0.6, 0);
+			sim.jobs[i].duration_s[k] *= 2;
+	sim_fault(types[variant % 3], t - sim_between(0, 4), sim_between(6, 40), 0, 0.6, 0);
 	play_leader_down(t, sim_between(2, 30));
 	if (variant % 2)
 		play_cancel(t + sim_between(-1, 6), 5, 0);
@@ -296,9 +300,9 @@
 {
 	double t = sim_between(45, 60), s = sim.cancel_s + sim_between(3, 15);
 
-	sim_trouble(STATE_REFUSES, t, s, THE_LEADER, 0, 0);
+	sim_fault(FAULT_KV_REFUSES_NODE, t, s, TARGET_LEADER, 0, 0);
 	play_cancel(t - 0.05 + 0.05 * (variant % 3), 5, variant % 2 ? sim_between(3, 9) : 0);
-	sim_trouble(STATE_OUT, t + 1, s - 1, 0, 0, 0);
+	sim_fault(FAULT_KV_UNAVAILABLE, t + 1, s - 1, 0, 0, 0);
 	if (variant % 2)
 		stops_fail(t, s);
 }
@@ -308,12 +312,12 @@
 {
 	double t = sim_between(45, 55), s = sim_between(15, 80);
 
-	sim_trouble(CUT_STATE, t, s, THE_LEADER, 0, 0);
-	sim_trouble(CUT_PEERS, t, s, THE_LEADER, 0, 0);
+	sim_fault(FAULT_PARTITION_FROM_KV, t, s, TARGET_LEADER, 0, 0);
+	sim_fault(FAULT_PARTITION_FROM_PEERS, t, s, TARGET_LEADER, 0, 0);
 	play_cancel(t + sim_between(3, 7), 5, variant % 2 ? sim_between(3, 9) : 0);
 	play_cancel(t + 12, 2, 0);
 	if (variant % 3 == 2)
-		sim_trouble(CUT_WORKERS, t + 5, s - 5, THE_LEADER, 0, 0);
+		sim_fault(FAULT_PARTITION_FROM_WORKERS, t + 5, s - 5, TARGET_LEADER, 0, 0);
 }
 
 /* Slow, or refusing the leader and then everybody, while users cancel and ask. */
@@ -322,11 +326,11 @@
 	double t = sim_between(40, 50), s = sim.cancel_s + sim_between(3, 20);
 
 	if (variant % 2)
-		sim_trouble(STATE_REFUSES, t, 15, THE_LEADER, 0, 0);
+		sim_fault(FAULT_KV_REFUSES_NODE, t, 15, TARGET_LEADER, 0, 0);
 	else
-		sim_trouble(STATE_SLOW, t, 15, 0, sim_between(0.5, 1.6), 0);
-	sim_trouble(STATE_OUT, t + 15, s, 0, 0, 0);
-	sim_trouble(ODD_REQUESTS, t, 15 + s, 0, 0, 0);
+		sim_fault(FAULT_KV_SLOW, t, 15, 0, sim_between(0.5, 1.6), 0);
+	sim_fault(FAULT_KV_UNAVAILABLE, t + 15, s, 0, 0, 0);
+	sim_fault(FAULT_INVALID_REQUESTS, t, 15 + s, 0, 0, 0);
 	play_cancel(t + sim_between(4, 14), 4, sim_chance(0.5) ? 8 : 0);
 	play_cancel(t + 14.9, 3, 0);
 	if (variant % 3 == 2)
@@ -339,12 +343,12 @@
 	double t = sim_between(30, 50);
 
 	for (int i = 0; i < 2 + variant % 2; i++) {
-		enum sim_trouble_kind kind = (enum sim_trouble_kind)sim_pick(SIM_FIRST_NEW_KIND);
-		bool rate = kind == STATE_SLOW || kind == SLOW_LINKS;
+		enum sim_fault_kind kind = (enum sim_fault_kind)sim_pick(SIM_FIRST_NEW_KIND);
+		bool rate = kind == FAULT_KV_SLOW || kind == FAULT_SLOW_LINKS;
 
-		sim_trouble(kind, t + sim_between(0, 10), sim_between(3, 55),
-		            kind == CUT_ZONE ? ANY_ZONE : THE_LEADER,
-		            rate ? 1 : sim_between(0.2, 0.8), kind >= CANCEL_NOW ? 6 : 0);
+		sim_fault(kind, t + sim_between(0, 10), sim_between(3, 55),
+		          kind == FAULT_ZONE_PARTITION ? TARGET_ANY_ZONE : TARGET_LEADER,
+		          rate ? 1 : sim_between(0.2, 0.8), kind >= FAULT_CANCEL_RUNNING ? 6 : 0);
 	}
 	play_cancel(t + sim_between(0, 15), 4, 0);
 }
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -109,11 +109,11 @@
 	strcpy(node->cluster.teams.by_index[0].name, "t");
 	node->cluster.teams.by_index[0].max_cpus = 100;
 	node->cluster.teams.count = 1;
-	fixture->state = fl_http_serve("127.0.0.1:0", 16, 90, on_state, fixture);
+	fixture->kv_store = fl_http_serve("127.0.0.1:0", 16, 90, on_state, fixture);
 	fixture->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, fixture);
-	assert_true(fixture->state && fixture->leader);
-	connect_client(&node->kv_store.client, fixture->state);
-	connect_client(&node->cloud.http, fixture->state);
+	assert_true(fixture->kv_store && fixture->leader);
+	connect_client(&node->kv_store.client, fixture->kv_store);
+	connect_client(&node->cloud.http, fixture->kv_store);
 	node->kv_store.last_success_at = node->leadership_confirmed_at =
 		node->cancellation_watermark = fl_now();
 	node->kv_store.last_failure_at = -1e9;
@@ -136,7 +136,7 @@
 	fl_http_client_close(&fixture->node.peers[0].http);
 	fl_coroutines_shutdown();
 	fl_cluster_free(&fixture->node.cluster);
-	free(fixture->state);
+	free(fixture->kv_store);
 	free(fixture->leader);
 	free(fixture);
 	return 0;
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -13,7 +13,7 @@
 struct fixture {
 	struct fl_node node;
 	struct fl_config config;
-	struct fl_http_server *state, *leader;
+	struct fl_http_server *kv_store, *leader;
 	bool refused;         /* by the state service, this node alone */
 	bool known;           /* the job was accepted before */
 	const char *record;   /* the only job record there is, of run-000001 */
--- a/tests/sim_clock.c
+++ b/tests/sim_clock.c
@@ -75,11 +75,11 @@
 
 void sim_timer_arm(struct sim_timer *timer, double seconds)
 {
-	sim_must(timer->at == 0);
+	sim_require(timer->at == 0);
 	if (clocks.n + 1 >= clocks.cap) {
 		clocks.cap = clocks.cap ? 2 * clocks.cap : 256;
 		clocks.heap = realloc(clocks.heap, (size_t)clocks.cap * sizeof(*clocks.heap));
-		sim_must(clocks.heap != NULL);
+		sim_require(clocks.heap != NULL);
 	}
 	/* No span is shorter than this: a remainder lost in rounding would be slept for ever. */
 	if (seconds > 0 && seconds < tick)
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -55,7 +55,7 @@
 		cJSON_AddNumberToObject(item, "SpotPrice", k->price * 0.4);
 		cJSON_AddNumberToObject(item, "ReadyS", k->ready_s);
 		zones = cJSON_AddArrayToObject(item, "Sites");
-		for (int z = 0; z < sim.n_zones; z++)
+		for (int z = 0; z < sim.zone_count; z++)
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
 		cJSON_AddItemToArray(list, item);
 	}
@@ -72,7 +72,7 @@
 
 static int zone_of(const char *name)
 {
-	for (int z = 0; z < sim.n_zones; z++)
+	for (int z = 0; z < sim.zone_count; z++)
 		if (strcmp(sim.config[0].zones[z], name) == 0)
 			return z;
 	return -1;
@@ -82,10 +82,10 @@
 {
 	int n = 0;
 
-	for (int i = 0; i < sim.n_machines; i++) {
-		const struct sim_machine *machine = &sim.machine[i];
+	for (int i = 0; i < sim.machine_count; i++) {
+		const struct sim_machine *machine = &sim.machines[i];
 
-		n += !machine->gone && machine->type == type && machine->zone == zone &&
+		n += !machine->terminated && machine->type == type && machine->zone == zone &&
 		     machine->spot == spot;
 	}
 	return n;
@@ -94,9 +94,9 @@
 /* Up within a second or two, several times too late, or never. */
 static void odd_boot(struct sim_machine *machine)
 {
-	const struct sim_trouble *odd = sim_troubled(ODD_BOOTS, -1);
+	const struct sim_fault *odd = sim_fault_active(FAULT_IRREGULAR_BOOTS, -1);
 
-	if (!odd || !sim_chance(odd->much))
+	if (!odd || !sim_chance(odd->magnitude))
 		return;
 	switch (sim_pick(4)) {
 	case 0:
@@ -114,11 +114,11 @@
 
 static void rent_one(int type, int zone, bool spot)
 {
-	struct sim_machine *machine = &sim.machine[sim.n_machines];
+	struct sim_machine *machine = &sim.machines[sim.machine_count];
 
-	sim_must(sim.n_machines < SIM_MACHINES);
+	sim_require(sim.machine_count < SIM_MACHINES);
 	memset(machine, 0, sizeof(*machine));
-	snprintf(machine->name, sizeof(machine->name), "m-%06d", sim.n_machines + 1);
+	snprintf(machine->name, sizeof(machine->name), "m-%06d", sim.machine_count + 1);
 	machine->type = type;
 	machine->zone = zone;
 	machine->spot = spot;
@@ -131,7 +131,7 @@
 	odd_boot(machine);
 	if (spot && sim_chance(0.15) && !sim.reliable)
 		machine->interruption_at = fl_now() + sim_between(30, 120);
-	sim_worker_boot(sim.n_machines++);
+	sim_worker_boot(sim.machine_count++);
 }
 
 static void hosts_of(const struct rental *r, struct fl_http_response *response)
@@ -139,7 +139,7 @@
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "Hosts");
 
 	for (int i = 0; i < r->count; i++)
-		cJSON_AddItemToArray(list, cJSON_CreateString(sim.machine[r->first + i].name));
+		cJSON_AddItemToArray(list, cJSON_CreateString(sim.machines[r->first + i].name));
 	say(response, 200, object);
 }
 
@@ -175,9 +175,9 @@
 		trouble(response, "no capacity");
 		return;
 	}
-	sim_must(cl.n < RENTALS);
+	sim_require(cl.n < RENTALS);
 	snprintf(cl.rental[cl.n].name, sizeof(cl.rental[0].name), "%s", name);
-	cl.rental[cl.n].first = sim.n_machines;
+	cl.rental[cl.n].first = sim.machine_count;
 	cl.rental[cl.n].count = count < room ? (int)count : room;
 	for (int i = 0; i < cl.rental[cl.n].count; i++)
 		rent_one(k, z, spot);
@@ -186,8 +186,8 @@
 
 static int machine_of(const char *name)
 {
-	for (int i = 0; i < sim.n_machines; i++)
-		if (strcmp(sim.machine[i].name, name) == 0)
+	for (int i = 0; i < sim.machine_count; i++)
+		if (strcmp(sim.machines[i].name, name) == 0)
 			return i;
 	return -1;
 }
@@ -200,7 +200,7 @@
 		int at = cJSON_IsString(item) ? machine_of(item->valuestring) : -1;
 
 		if (at >= 0) {
-			sim.machine[at].failed = false;
+			sim.machines[at].failed = false;
 			sim_machine_ends(at);
 		}
 	}
@@ -213,7 +213,7 @@
 {
 	if (machine->failed)
 		return true;
-	if (machine->gone && machine->gone_at <= then)
+	if (machine->terminated && machine->terminated_at <= then)
 		return false;
 	if (machine->rented > then && !machine->listed)
 		return false;
@@ -229,8 +229,8 @@
 	bool more = false;
 	int count = 0;
 
-	for (int i = 0; i < sim.n_machines && !more; i++) {
-		struct sim_machine *machine = &sim.machine[i];
+	for (int i = 0; i < sim.machine_count && !more; i++) {
+		struct sim_machine *machine = &sim.machines[i];
 		char addr[FL_CONFIG_NAME];
 		cJSON *item;
 
@@ -242,7 +242,7 @@
 		if (more)
 			break;
 		item = cJSON_CreateObject();
-		sim_address((struct sim_end){END_WORKER, i}, addr);
+		sim_address((struct sim_endpoint){ENDPOINT_WORKER, i}, addr);
 		cJSON_AddStringToObject(item, "Ref", machine->name);
 		cJSON_AddStringToObject(item, "Endpoint", addr);
 		cJSON_AddStringToObject(item, "HostKind", sim_machine_types[machine->type].name);
@@ -260,12 +260,12 @@
 	say(response, 200, object);
 }
 
-void sim_cloud_serve(struct sim_end from, const struct fl_http_request *request,
+void sim_cloud_serve(struct sim_endpoint from, const struct fl_http_request *request,
                      struct fl_http_response *response)
 {
 	if (fl_sleep(sim_between(0.01, 0.1)) != 0)
 		return;
-	if (sim_troubled(CLOUD_OUT, -1))
+	if (sim_fault_active(FAULT_CLOUD_UNAVAILABLE, -1))
 		trouble(response, "trouble");
 	else if (strcmp(request->path, "/machine_types") == 0)
 		types(response);
--- a/tests/sim_time.c
+++ b/tests/sim_coroutines.c
@@ -68,7 +68,7 @@
 {
 	size_t length = strlen(text);
 
-	sim_must(length < size);
+	sim_require(length < size);
 	memcpy(out, text, length + 1);
 }
 
@@ -151,7 +151,7 @@
 		return rt.spare[--rt.spares];
 	p = mmap(NULL, STACK, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE,
 	         -1, 0);
-	sim_must(p != MAP_FAILED);
+	sim_require(p != MAP_FAILED);
 	return p;
 }
 
@@ -218,7 +218,7 @@
 {
 	struct waiting *w = &rt.waiting[process];
 
-	sim_must(process > 0 && process < PROCESSES);
+	sim_require(process > 0 && process < PROCESSES);
 	if (until <= w->until)
 		return;
 	w->until = until;
@@ -257,7 +257,7 @@
 {
 	struct fl_coroutine *coroutine = calloc(1, sizeof(*coroutine));
 
-	sim_must(coroutine != NULL && process < PROCESSES);
+	sim_require(coroutine != NULL && process < PROCESSES);
 	coroutine->stack = stack_get();
 	coroutine->function = fn;
 	coroutine->argument = arg;
--- a/tests/sim_check.c
+++ b/tests/sim_invariants.c
@@ -27,7 +27,7 @@
 
 double sim_time(void) { return fl_now() - sim.begin; }
 
-void sim_broken(const char *name, const char *fmt, ...)
+void sim_violation(const char *name, const char *fmt, ...)
 {
 	char text[256];
 	va_list ap;
@@ -47,7 +47,7 @@
 static const struct sim_team *team_of(const struct sim_job *job)
 {
 	for (int i = 0; i < SIM_TEAMS; i++)
-		if (strcmp(sim_teams[i].name, job->run.team) == 0)
+		if (strcmp(sim_teams[i].name, job->spec.team) == 0)
 			return &sim_teams[i];
 	abort();
 }
@@ -55,14 +55,14 @@
 static void team_use(const struct sim_team *team, double *cpus, double *gpus)
 {
 	*cpus = *gpus = 0;
-	for (int i = 0; i < sim.n_jobs; i++) {
-		const struct sim_job *job = &sim.job[i];
+	for (int i = 0; i < sim.job_count; i++) {
+		const struct sim_job *job = &sim.jobs[i];
 
 		if (team_of(job) != team)
 			continue;
-		for (uint32_t k = 0; k < job->run.task_count; k++) {
-			*cpus += job->on[k] * job->run.cpus;
-			*gpus += job->on[k] * job->run.gpus;
+		for (uint32_t k = 0; k < job->spec.task_count; k++) {
+			*cpus += job->copies_running[k] * job->spec.cpus;
+			*gpus += job->copies_running[k] * job->spec.gpus;
 		}
 	}
 }
@@ -79,10 +79,10 @@
 static void spread(const struct sim_job *job, int zone, int *here, int *away)
 {
 	*here = *away = 0;
-	for (uint32_t k = 0; k < job->run.task_count; k++) {
-		if (job->on[k] == 0)
+	for (uint32_t k = 0; k < job->spec.task_count; k++) {
+		if (job->copies_running[k] == 0)
 			continue;
-		if (sim.machine[job->host[k]].zone == zone)
+		if (sim.machines[job->last_machine[k]].zone == zone)
 			++*here;
 		else
 			++*away;
@@ -92,7 +92,7 @@
 /* NULL, or why no further task of the job may begin here. */
 static const char *misplaced(const struct sim_job *job, const struct sim_machine *machine)
 {
-	const struct fl_job_spec *spec = &job->run;
+	const struct fl_job_spec *spec = &job->spec;
 	int here, away;
 
 	spread(job, machine->zone, &here, &away);
@@ -116,7 +116,7 @@
 
 void sim_check_started(struct sim_job *job, uint32_t index, int machine)
 {
-	const struct sim_machine *m = &sim.machine[machine];
+	const struct sim_machine *m = &sim.machines[machine];
 	const struct sim_team *team = team_of(job);
 	const char *why = misplaced(job, m);
 	double cpus, gpus;
@@ -125,45 +125,45 @@
 	job->starts++;
 	if (++job->begun[index] > sim.most_starts)
 		sim.most_starts = job->begun[index];
-	if (job->on[index] > 0)
-		sim_broken("ran_twice", "%s/%u begins on %s and is on %s", job->run.ref, index,
-		           m->name, sim.machine[job->host[index]].name);
+	if (job->copies_running[index] > 0)
+		sim_violation("ran_twice", "%s/%u begins on %s and is on %s", job->spec.ref, index,
+		              m->name, sim.machines[job->last_machine[index]].name);
 	if (why)
-		sim_broken("wrong_place", "%s/%u on %s: %s", job->run.ref, index, m->name, why);
-	job->on[index]++;
-	job->host[index] = machine;
+		sim_violation("wrong_place", "%s/%u on %s: %s", job->spec.ref, index, m->name, why);
+	job->copies_running[index]++;
+	job->last_machine[index] = machine;
 	team_use(team, &cpus, &gpus);
 	if (cpus > team->cpus_max + 1e-6 || gpus > team->gpus_max + 1e-6)
-		sim_broken("quota", "%s: %g cpus, %g gpus with %s/%u", team->name, cpus, gpus,
-		           job->run.ref, index);
+		sim_violation("quota", "%s: %g cpus, %g gpus with %s/%u", team->name, cpus, gpus,
+		              job->spec.ref, index);
 	if (overdue(job))
-		sim_broken("ran_cancelled", "%s/%u begins on %s, %.1f s after its user was told",
-		           job->run.ref, index, m->name, fl_now() - job->told_cancelled);
+		sim_violation("ran_cancelled", "%s/%u begins on %s, %.1f s after its user was told",
+		              job->spec.ref, index, m->name, fl_now() - job->told_cancelled);
 	else if (job->told_cancelled > 0)
 		job->late_starts++, sim.late_starts++;
 	if (job->bad)
-		sim_broken("accepted", "%s cannot run and begins", job->run.ref);
+		sim_violation("accepted", "%s cannot run and begins", job->spec.ref);
 }
 
-void sim_check_left(struct sim_job *job, uint32_t index) { job->on[index]--; }
+void sim_check_left(struct sim_job *job, uint32_t index) { job->copies_running[index]--; }
 
 static void check_cancelled_tasks(void)
 {
-	for (int i = 0; i < sim.n_machines; i++) {
-		struct sim_machine *machine = &sim.machine[i];
+	for (int i = 0; i < sim.machine_count; i++) {
+		struct sim_machine *machine = &sim.machines[i];
 		/* A machine that stands still ends its tasks before it goes on. */
-		bool lapsed = machine->hung && fl_now() > machine->lease_from + sim.lease_s;
+		bool lapsed = machine->hung && fl_now() > machine->lease_started_at + sim.lease_s;
 
-		for (int k = 0; k < machine->n_tasks && !machine->gone && !lapsed; k++) {
-			struct sim_task *task = &machine->task[k];
+		for (int k = 0; k < machine->task_slots && !machine->terminated && !lapsed; k++) {
+			struct sim_task *task = &machine->tasks[k];
 
 			if (!task->used || !task->counted || !overdue(task->job) ||
 			    task->job->said_overdue)
 				continue;
-			sim_broken("ran_cancelled",
-			           "%s/%u is on %s, %.1f s after its user was told",
-			           task->job->run.ref, task->status.index, machine->name,
-			           fl_now() - task->job->told_cancelled);
+			sim_violation("ran_cancelled",
+			              "%s/%u is on %s, %.1f s after its user was told",
+			              task->job->spec.ref, task->status.index, machine->name,
+			              fl_now() - task->job->told_cancelled);
 			task->job->said_overdue = true;
 		}
 	}
@@ -173,10 +173,10 @@
 
 static bool all_completed(const struct sim_job *job)
 {
-	for (uint32_t i = 0; i < job->run.task_count; i++)
+	for (uint32_t i = 0; i < job->spec.task_count; i++)
 		if (!job->completed[i])
 			return false;
-	return job->run.kind != FL_SERVICE;
+	return job->spec.kind != FL_SERVICE;
 }
 
 /* Only an answer to a question asked after it shows that something was taken back. */
@@ -191,17 +191,19 @@
 	cJSON_Delete(object);
 	cancelled = strcmp(status, "aborted") == 0;
 	done = strcmp(status, "done") == 0;
-	if (strcmp(ref, job->run.ref) != 0)
-		sim_broken("answer", "%s of %s tells of '%s'", how, job->run.ref, ref);
+	if (strcmp(ref, job->spec.ref) != 0)
+		sim_violation("answer", "%s of %s tells of '%s'", how, job->spec.ref, ref);
 	if (job->told_done > 0 && sent > job->told_done && !done)
-		sim_broken("went_back", "%s was done and is '%s' (%s)", job->run.ref, status, how);
+		sim_violation("went_back", "%s was done and is '%s' (%s)", job->spec.ref, status,
+		              how);
 	if (job->told_cancelled > 0 && sent > job->told_cancelled && !cancelled)
-		sim_broken("went_back", "%s was cancelled and is '%s' (%s)", job->run.ref, status,
-		           how);
+		sim_violation("went_back", "%s was cancelled and is '%s' (%s)", job->spec.ref,
+		              status, how);
 	if (cancelled && job->cancel_sent == 0)
-		sim_broken("went_back", "%s is cancelled and nobody cancelled it", job->run.ref);
+		sim_violation("went_back", "%s is cancelled and nobody cancelled it",
+		              job->spec.ref);
 	if (done && !all_completed(job))
-		sim_broken("not_done", "%s is called done (%s)", job->run.ref, how);
+		sim_violation("not_done", "%s is called done (%s)", job->spec.ref, how);
 	if (cancelled && job->told_cancelled == 0)
 		job->told_cancelled = fl_now();
 	if (done && job->told_done == 0)
@@ -212,17 +214,17 @@
 {
 	if (status == 200 || status == 201) {
 		if (job->bad)
-			sim_broken("accepted", "%s cannot run or lacks a field", job->run.ref);
+			sim_violation("accepted", "%s cannot run or lacks a field", job->spec.ref);
 		if (job->accepted > 0 && status == 201 && sent > job->accepted)
-			sim_broken("went_back", "%s is accepted anew", job->run.ref);
+			sim_violation("went_back", "%s is accepted anew", job->spec.ref);
 		if (job->accepted == 0)
 			job->accepted = job->answered = fl_now();
 		told(job, sent, body, "submission");
 	} else if (status == 400 || status == 422) {
 		if (job->accepted > 0)
-			sim_broken("forgotten", "%s: repeated, and %d", job->run.ref, status);
+			sim_violation("forgotten", "%s: repeated, and %d", job->spec.ref, status);
 		else if (!job->bad)
-			sim_broken("refused", "%s: %d %s", job->run.ref, status, body);
+			sim_violation("refused", "%s: %d %s", job->spec.ref, status, body);
 		job->refused = fl_now();
 	}
 }
@@ -230,7 +232,7 @@
 void sim_check_polled(struct sim_job *job, double sent, int status, const char *body)
 {
 	if (status == 404 && sent > job->accepted)
-		sim_broken("forgotten", "%s: 404", job->run.ref);
+		sim_violation("forgotten", "%s: 404", job->spec.ref);
 	if (status != 200)
 		return;
 	job->answered = fl_now();
@@ -240,7 +242,7 @@
 void sim_check_cancelled(struct sim_job *job, double sent, int status, const char *body)
 {
 	if (status == 404)
-		sim_broken("forgotten", "%s: cancelled, and 404", job->run.ref);
+		sim_violation("forgotten", "%s: cancelled, and 404", job->spec.ref);
 	if (status == 200)
 		told(job, sent, body, "cancel");
 }
@@ -252,8 +254,8 @@
 	for (int i = 0; i < seen.token_count; i++)
 		if (seen.fencing_token[i] == fencing_token) {
 			if (seen.token_holder[i] != process)
-				sim_broken("epoch", "%llu is used by two processes",
-				           (unsigned long long)fencing_token);
+				sim_violation("epoch", "%llu is used by two processes",
+				              (unsigned long long)fencing_token);
 			return;
 		}
 	if (seen.token_count == NAMES)
@@ -267,7 +269,7 @@
 	for (int i = 0; i < seen.n_rentals; i++)
 		if (strcmp(seen.rental[i], name) == 0) {
 			if (seen.rental_by[i] != process)
-				sim_broken("rental", "%s is used by two processes", name);
+				sim_violation("rental", "%s is used by two processes", name);
 			return;
 		}
 	if (seen.n_rentals == NAMES)
@@ -281,17 +283,17 @@
 static bool has_room(const struct sim_machine *machine, const struct sim_job *job)
 {
 	const struct sim_machine_type *k = &sim_machine_types[machine->type];
-	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
+	double cpus = job->spec.cpus, gpus = job->spec.gpus, ram = job->spec.ram_gb;
 
-	if (!machine->up || machine->gone || machine->hung || machine->interruption_at > 0 ||
+	if (!machine->up || machine->terminated || machine->hung || machine->interruption_at > 0 ||
 	    misplaced(job, machine))
 		return false;
-	for (int i = 0; i < machine->n_tasks; i++)
-		if (machine->task[i].used &&
-		    machine->task[i].status.state != FL_TASK_STATE_EXITED) {
-			cpus += machine->task[i].job->run.cpus;
-			gpus += machine->task[i].job->run.gpus;
-			ram += machine->task[i].job->run.ram_gb;
+	for (int i = 0; i < machine->task_slots; i++)
+		if (machine->tasks[i].used &&
+		    machine->tasks[i].status.state != FL_TASK_STATE_EXITED) {
+			cpus += machine->tasks[i].job->spec.cpus;
+			gpus += machine->tasks[i].job->spec.gpus;
+			ram += machine->tasks[i].job->spec.ram_gb;
 		}
 	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
 }
@@ -303,33 +305,33 @@
 	double cpus, gpus;
 
 	team_use(team, &cpus, &gpus);
-	return cpus + job->run.cpus > team->cpus_max || gpus + job->run.gpus > team->gpus_max;
+	return cpus + job->spec.cpus > team->cpus_max || gpus + job->spec.gpus > team->gpus_max;
 }
 
 static bool waits_beside_room(const struct sim_job *job)
 {
 	if (job->accepted == 0 || job->bad || job->cancelling || all_completed(job))
 		return false;
-	for (uint32_t k = 0; k < job->run.task_count; k++)
-		if (job->on[k] > 0)
+	for (uint32_t k = 0; k < job->spec.task_count; k++)
+		if (job->copies_running[k] > 0)
 			return false;
 	if (team_is_full(job))
 		return false;
-	for (int i = 0; i < sim.n_machines; i++)
-		if (has_room(&sim.machine[i], job))
+	for (int i = 0; i < sim.machine_count; i++)
+		if (has_room(&sim.machines[i], job))
 			return true;
 	return false;
 }
 
 static void check_waiting(void)
 {
-	for (int i = 0; i < sim.n_jobs; i++) {
-		struct sim_job *job = &sim.job[i];
+	for (int i = 0; i < sim.job_count; i++) {
+		struct sim_job *job = &sim.jobs[i];
 
 		if (sim_time() < sim.calm_s || !waits_beside_room(job))
 			job->waits_since = fl_now();
 		else if (fl_now() > job->waits_since + rule.wait_s && !job->said_waiting) {
-			sim_broken("waiting", "%s waits beside room", job->run.ref);
+			sim_violation("waiting", "%s waits beside room", job->spec.ref);
 			job->said_waiting = true;
 		}
 	}
@@ -366,21 +368,22 @@
 static void check_half(const char *what, const char *name, struct service s)
 {
 	if (s.jobs >= rule.fewest && 2 * s.served < s.jobs)
-		sim_broken("unserved", "%s %s: %d of %d jobs began", what, name, s.served, s.jobs);
+		sim_violation("unserved", "%s %s: %d of %d jobs began", what, name, s.served,
+		              s.jobs);
 }
 
-static double size_of(const struct sim_job *job) { return job->run.task_count * job->run.cpus; }
+static double size_of(const struct sim_job *job) { return job->spec.task_count * job->spec.cpus; }
 
 /* Those within a quarter of the size of the class's largest. */
 static bool among_largest(const struct sim_job *job)
 {
 	double most = 0;
 
-	for (int i = 0; i < sim.n_jobs; i++)
-		if (had_time(&sim.job[i]) &&
-		    strcmp(sim.job[i].run.job_class, job->run.job_class) == 0 &&
-		    size_of(&sim.job[i]) > most)
-			most = size_of(&sim.job[i]);
+	for (int i = 0; i < sim.job_count; i++)
+		if (had_time(&sim.jobs[i]) &&
+		    strcmp(sim.jobs[i].spec.job_class, job->spec.job_class) == 0 &&
+		    size_of(&sim.jobs[i]) > most)
+			most = size_of(&sim.jobs[i]);
 	return size_of(job) >= 0.75 * most;
 }
 
@@ -388,18 +391,18 @@
 {
 	struct service all = {0}, largest = {0};
 
-	for (int i = 0; i < sim.n_jobs; i++) {
-		const struct sim_job *job = &sim.job[i];
+	for (int i = 0; i < sim.job_count; i++) {
+		const struct sim_job *job = &sim.jobs[i];
 
-		if (!had_time(job) || strcmp(job->run.job_class, name) != 0)
+		if (!had_time(job) || strcmp(job->spec.job_class, name) != 0)
 			continue;
 		count_service(&all, job);
 		if (!among_largest(job))
 			continue;
 		count_service(&largest, job);
 		if (job->starts == 0 && fl_now() > job->accepted + rule.largest_s)
-			sim_broken("unserved", "%s, among the largest of %s, never began",
-			           job->run.ref, name);
+			sim_violation("unserved", "%s, among the largest of %s, never began",
+			              job->spec.ref, name);
 	}
 	check_half("class", name, all);
 	check_half("largest of class", name, largest);
@@ -414,9 +417,9 @@
 	for (int i = 0; i < SIM_TEAMS; i++) {
 		struct service team = {0};
 
-		for (int k = 0; k < sim.n_jobs; k++)
-			if (had_time(&sim.job[k]) && team_of(&sim.job[k]) == &sim_teams[i])
-				count_service(&team, &sim.job[k]);
+		for (int k = 0; k < sim.job_count; k++)
+			if (had_time(&sim.jobs[k]) && team_of(&sim.jobs[k]) == &sim_teams[i])
+				count_service(&team, &sim.jobs[k]);
 		check_half("team", sim_teams[i].name, team);
 	}
 }
@@ -429,17 +432,17 @@
 
 void sim_check_end(void)
 {
-	for (int i = 0; i < sim.n_jobs; i++) {
-		const struct sim_job *job = &sim.job[i];
+	for (int i = 0; i < sim.job_count; i++) {
+		const struct sim_job *job = &sim.jobs[i];
 		double since = sim.begin + sim.calm_s;
 
 		if (job->answered > since)
 			since = job->answered;
 		if (job->accepted > 0 && fl_now() > since + rule.forget_s)
-			sim_broken("forgotten", "%s: no answer for %.0f s", job->run.ref,
-			           fl_now() - since);
+			sim_violation("forgotten", "%s: no answer for %.0f s", job->spec.ref,
+			              fl_now() - since);
 	}
 	check_service();
 	if (sim.starts == 0)
-		sim_broken("nothing_ran", "no task was started");
+		sim_violation("nothing_ran", "no task was started");
 }
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -12,7 +12,7 @@
 #include "transport/clock.h"
 
 struct call {
-	struct sim_end from, to;
+	struct sim_endpoint from, to;
 	int process; /* of the caller */
 	char *method, *path, *body;
 	struct fl_http_response resp;
@@ -38,18 +38,18 @@
 
 /* ---- addresses ---- */
 
-void sim_address(struct sim_end e, char out[FL_CONFIG_NAME])
+void sim_address(struct sim_endpoint e, char out[FL_CONFIG_NAME])
 {
 	snprintf(out, FL_CONFIG_NAME, "10.%d.%d.%d:%d", e.kind + 1, e.at / 200, e.at % 200 + 1,
 	         9000);
 }
 
-static struct sim_end end_of(const struct sockaddr_in *address)
+static struct sim_endpoint end_of(const struct sockaddr_in *address)
 {
 	uint32_t ip = ntohl(address->sin_addr.s_addr);
 
-	return (struct sim_end){(enum sim_kind)((ip >> 16 & 255) - 1),
-	                        (int)(ip >> 8 & 255) * 200 + (int)(ip & 255) - 1};
+	return (struct sim_endpoint){(enum sim_endpoint_kind)((ip >> 16 & 255) - 1),
+	                             (int)(ip >> 8 & 255) * 200 + (int)(ip & 255) - 1};
 }
 
 int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
@@ -111,17 +111,17 @@
 	const struct served *s;
 
 	switch (c->to.kind) {
-	case END_STATE:
-		sim_state_serve(c->from, request, &c->resp);
+	case ENDPOINT_KV_STORE:
+		sim_kv_serve(c->from, request, &c->resp);
 		break;
-	case END_CLOUD:
+	case ENDPOINT_CLOUD:
 		sim_cloud_serve(c->from, request, &c->resp);
 		break;
-	case END_WORKER:
+	case ENDPOINT_WORKER:
 		sim_worker_serve(c->from, c->process, c->to.at, request, &c->resp);
 		break;
 	default:
-		s = &net.face[c->to.at][c->to.kind == END_PEER];
+		s = &net.face[c->to.at][c->to.kind == ENDPOINT_PEER];
 		s->handler(s->ctx, request, &c->resp);
 	}
 }
@@ -141,7 +141,7 @@
 	sim.calls[c->to.kind]++;
 	if (!fl_coroutine_cancelled())
 		dispatch(c, &request);
-	if (net.over || c->resp.status == SIM_SILENCE)
+	if (net.over || c->resp.status == SIM_NO_REPLY)
 		release(c);
 	else if (fl_coroutine_cancelled())
 		complete(c, -ECONNRESET);
@@ -149,14 +149,14 @@
 		answer(c);
 }
 
-static bool is_up(struct sim_end e)
+static bool is_up(struct sim_endpoint e)
 {
 	switch (e.kind) {
-	case END_NODE:
-	case END_PEER:
+	case ENDPOINT_NODE:
+	case ENDPOINT_PEER:
 		return net.process[e.at] != 0;
-	case END_WORKER:
-		return sim.machine[e.at].up && !sim.machine[e.at].gone;
+	case ENDPOINT_WORKER:
+		return sim.machines[e.at].up && !sim.machines[e.at].terminated;
 	default:
 		return true;
 	}
@@ -165,7 +165,7 @@
 static void arrive(void *arg)
 {
 	struct call *c = arg;
-	bool node = c->to.kind == END_NODE || c->to.kind == END_PEER;
+	bool node = c->to.kind == ENDPOINT_NODE || c->to.kind == ENDPOINT_PEER;
 
 	if (!net.over && sim_holds(c->from, c->to)) {
 		/* Held back, and delivered when the link is there again. */
@@ -179,7 +179,7 @@
 	}
 }
 
-int sim_call(struct sim_end from, struct sim_end to, const char *method, const char *path,
+int sim_call(struct sim_endpoint from, struct sim_endpoint to, const char *method, const char *path,
              const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	struct call *c;
@@ -189,7 +189,7 @@
 	if (fl_coroutine_cancelled())
 		return -ECANCELED;
 	c = calloc(1, sizeof(*c));
-	sim_must(c != NULL);
+	sim_require(c != NULL);
 	c->from = from;
 	c->to = to;
 	c->process = sim_process();
@@ -216,9 +216,9 @@
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	struct sim_end from = {END_PEER, -1};
+	struct sim_endpoint from = {ENDPOINT_PEER, -1};
 
-	for (int i = 0; i < sim.n_nodes; i++)
+	for (int i = 0; i < sim.node_count; i++)
 		if (net.process[i] == sim_process())
 			from.at = i;
 	if (from.at < 0) /* a process that has just been ended */
@@ -234,8 +234,8 @@
 	struct sockaddr_in address;
 
 	(void)max_conns, (void)idle_s;
-	sim_must(fl_address_parse(addr, &address) == 0);
-	net.face[net.starting][end_of(&address).kind == END_PEER] =
+	sim_require(fl_address_parse(addr, &address) == 0);
+	net.face[net.starting][end_of(&address).kind == ENDPOINT_PEER] =
 		(struct served){handler, context};
 	return (struct fl_http_server *)&net;
 }
@@ -247,7 +247,7 @@
 static void boot(void *arg)
 {
 	net.starting = *(const int *)arg;
-	sim_must(fl_node_start(&sim.config[net.starting]) == 0);
+	sim_require(fl_node_start(&sim.config[net.starting]) == 0);
 }
 
 static int places[SIM_NODES] = {0, 1, 2, 3, 4};
@@ -298,7 +298,7 @@
 	net.process[node] = 0;
 	sim_process_cancel(process);
 	fl_sleep(0);
-	sim_must(fl_coroutine_cancelled() || sim_process_routines(process) == 0);
+	sim_require(fl_coroutine_cancelled() || sim_process_routines(process) == 0);
 	if (!fl_coroutine_cancelled())
 		free_node(node);
 }
--- a/tests/sim_site.c
+++ b/tests/sim_site.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-int sim_node_zone(int node) { return node % sim.n_zones; }
+int sim_node_zone(int node) { return node % sim.zone_count; }
 
 void sim_configure(int node)
 {
@@ -15,21 +15,21 @@
 	memset(config, 0, sizeof(*config));
 	snprintf(config->node, sizeof(config->node), "host-%d", node + 1);
 	sim_copy(config->location, sizeof(config->location), zones[sim_node_zone(node)]);
-	sim_address((struct sim_end){END_NODE, node}, config->bind);
-	sim_address((struct sim_end){END_PEER, node}, config->cluster_listen);
-	sim_address((struct sim_end){END_STATE, 0}, config->state);
-	sim_address((struct sim_end){END_CLOUD, 0}, config->cloud);
-	for (int i = 0; i < sim.n_nodes; i++) {
+	sim_address((struct sim_endpoint){ENDPOINT_NODE, node}, config->bind);
+	sim_address((struct sim_endpoint){ENDPOINT_PEER, node}, config->cluster_listen);
+	sim_address((struct sim_endpoint){ENDPOINT_KV_STORE, 0}, config->state);
+	sim_address((struct sim_endpoint){ENDPOINT_CLOUD, 0}, config->cloud);
+	for (int i = 0; i < sim.node_count; i++) {
 		struct fl_config_peer *peer = &config->peers[config->peer_count];
 
 		if (i == node)
 			continue;
 		snprintf(peer->node, sizeof(peer->node), "host-%d", i + 1);
 		sim_copy(peer->location, sizeof(peer->location), zones[sim_node_zone(i)]);
-		sim_address((struct sim_end){END_PEER, i}, peer->addr);
+		sim_address((struct sim_endpoint){ENDPOINT_PEER, i}, peer->addr);
 		config->peer_count++;
 	}
-	for (config->zone_count = 0; config->zone_count < sim.n_zones; config->zone_count++)
+	for (config->zone_count = 0; config->zone_count < sim.zone_count; config->zone_count++)
 		sim_copy(config->zones[config->zone_count],
 		         sizeof(config->zones[config->zone_count]), zones[config->zone_count]);
 	for (int i = 0; i < SIM_TEAMS; i++) {
@@ -58,21 +58,21 @@
 
 void sim_start(void)
 {
-	sim_state_begin();
+	sim_kv_begin();
 	sim_workers_begin();
-	for (int i = 0; i < sim.n_nodes; i++)
+	for (int i = 0; i < sim.node_count; i++)
 		sim_node_start(i);
 	sim_users_begin();
 	sim_check_begin();
-	sim_troubles_start();
+	sim_faults_start();
 }
 
 void sim_end(void)
 {
 	sim_net_end();
-	sim_state_end();
+	sim_kv_end();
 	sim_cloud_end();
 	sim_reports_end();
-	for (int i = 0; i < sim.n_jobs; i++)
-		free(sim.job[i].text);
+	for (int i = 0; i < sim.job_count; i++)
+		free(sim.jobs[i].text);
 }
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -8,7 +8,7 @@
 #include "protocol/json.h"
 #include "transport/clock.h"
 
-static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machine); }
+static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machines); }
 
 static void leave(struct sim_task *task)
 {
@@ -32,7 +32,7 @@
 
 static void keep_progress(struct sim_task *task, bool saved)
 {
-	double every = task->job->run.checkpoint_every_s, done = done_so_far(task);
+	double every = task->job->spec.checkpoint_every_s, done = done_so_far(task);
 
 	if (saved)
 		task->job->progress[task->status.index] = done;
@@ -49,8 +49,9 @@
 	task->began = fl_now();
 	task->counted = true;
 	sim_check_started(job, i, index_of(machine));
-	task->until =
-		job->run.kind == FL_SERVICE ? -1 : fl_now() + job->real_s[i] - job->progress[i];
+	task->until = job->spec.kind == FL_SERVICE
+	                      ? -1
+	                      : fl_now() + job->duration_s[i] - job->progress[i];
 	if (job->completed[i])
 		end_task(machine, task, FL_EXIT_DONE);
 	else
@@ -59,7 +60,7 @@
 
 static bool has_image(const struct sim_machine *machine, const char *image)
 {
-	for (int i = 0; i < 4 && i < machine->n_images; i++)
+	for (int i = 0; i < 4 && i < machine->image_count; i++)
 		if (strcmp(machine->images[i], image) == 0)
 			return true;
 	return false;
@@ -67,28 +68,28 @@
 
 static void fetched(struct sim_machine *machine, struct sim_task *task)
 {
-	if (!has_image(machine, task->job->run.image))
-		sim_copy(machine->images[machine->n_images++ % 4], sizeof(machine->images[0]),
-		         task->job->run.image);
+	if (!has_image(machine, task->job->spec.image))
+		sim_copy(machine->images[machine->image_count++ % 4], sizeof(machine->images[0]),
+		         task->job->spec.image);
 	begin(machine, task);
 }
 
 static void completed(struct sim_machine *machine, struct sim_task *task)
 {
 	struct sim_job *job = task->job;
-	const struct sim_trouble *end = sim_troubled(CANCEL_AT_END, -1);
+	const struct sim_fault *end = sim_fault_active(FAULT_CANCEL_AT_COMPLETION, -1);
 	bool last = true;
 
 	job->completed[task->status.index] = true;
 	sim.completions++;
 	end_task(machine, task, FL_EXIT_DONE);
-	for (uint32_t i = 0; i < job->run.task_count; i++)
+	for (uint32_t i = 0; i < job->spec.task_count; i++)
 		last = last && job->completed[i];
 	if (last)
-		sim_user_looks(job);
+		sim_user_reads_all_nodes(job);
 	if (last && end)
-		sim_user_asks(job);
-	if (last && end && sim_chance(end->much)) {
+		sim_user_polls(job);
+	if (last && end && sim_chance(end->magnitude)) {
 		sim_user_cancels(job);
 		sim_user_repeats(job);
 	}
@@ -103,8 +104,9 @@
 static int first_with_image(const struct sim_machine *machine, int at)
 {
 	for (int i = 0; i < at; i++)
-		if (fetches(&machine->task[i]) && machine->task[at].used &&
-		    strcmp(machine->task[i].job->run.image, machine->task[at].job->run.image) == 0)
+		if (fetches(&machine->tasks[i]) && machine->tasks[at].used &&
+		    strcmp(machine->tasks[i].job->spec.image, machine->tasks[at].job->spec.image) ==
+		            0)
 			return i;
 	return at;
 }
@@ -112,21 +114,22 @@
 /* Several images that are fetched at once share the machine's rate; tasks share their image's. */
 static void share_fetches(struct sim_machine *machine)
 {
-	double seconds = machine->looked > 0 ? fl_now() - machine->looked : 0;
+	double seconds =
+		machine->fetches_checked_at > 0 ? fl_now() - machine->fetches_checked_at : 0;
 	int images = 0;
 
-	machine->looked = fl_now();
-	for (int i = 0; i < machine->n_tasks; i++)
-		images += fetches(&machine->task[i]) && first_with_image(machine, i) == i;
+	machine->fetches_checked_at = fl_now();
+	for (int i = 0; i < machine->task_slots; i++)
+		images += fetches(&machine->tasks[i]) && first_with_image(machine, i) == i;
 	/* Each of n images has an n-th of the rate, and so is late by the rest of the time. */
-	for (int i = 0; i < machine->n_tasks && images > 1; i++)
-		if (fetches(&machine->task[i]))
-			machine->task[i].until += seconds * (images - 1) / images;
-	for (int i = 0; i < machine->n_tasks; i++) {
-		const struct sim_task *first = &machine->task[first_with_image(machine, i)];
-
-		if (fetches(&machine->task[i]) && first->until < machine->task[i].until)
-			machine->task[i].until = first->until;
+	for (int i = 0; i < machine->task_slots && images > 1; i++)
+		if (fetches(&machine->tasks[i]))
+			machine->tasks[i].until += seconds * (images - 1) / images;
+	for (int i = 0; i < machine->task_slots; i++) {
+		const struct sim_task *first = &machine->tasks[first_with_image(machine, i)];
+
+		if (fetches(&machine->tasks[i]) && first->until < machine->tasks[i].until)
+			machine->tasks[i].until = first->until;
 	}
 }
 
@@ -146,26 +149,26 @@
 
 void sim_tasks_tick(struct sim_machine *machine)
 {
-	if (sim_troubled(SHARED_FETCHES, -1))
+	if (sim_fault_active(FAULT_SHARED_IMAGE_BANDWIDTH, -1))
 		share_fetches(machine);
-	for (int i = 0; i < machine->n_tasks; i++)
-		if (machine->task[i].used)
-			look_at(machine, &machine->task[i]);
+	for (int i = 0; i < machine->task_slots; i++)
+		if (machine->tasks[i].used)
+			look_at(machine, &machine->tasks[i]);
 }
 
 void sim_tasks_drop(struct sim_machine *machine)
 {
-	for (int i = 0; i < machine->n_tasks; i++) {
-		if (machine->task[i].used)
-			leave(&machine->task[i]);
-		machine->task[i].used = false;
+	for (int i = 0; i < machine->task_slots; i++) {
+		if (machine->tasks[i].used)
+			leave(&machine->tasks[i]);
+		machine->tasks[i].used = false;
 	}
 }
 
 void sim_tasks_stood_still(struct sim_machine *machine, double seconds)
 {
-	for (int i = 0; i < machine->n_tasks; i++) {
-		struct sim_task *task = &machine->task[i];
+	for (int i = 0; i < machine->task_slots; i++) {
+		struct sim_task *task = &machine->tasks[i];
 
 		if (!task->used)
 			continue;
@@ -180,8 +183,8 @@
 static struct sim_task *find(struct sim_machine *machine, const struct fl_task_status *status,
                              bool attempt)
 {
-	for (int i = 0; i < machine->n_tasks; i++) {
-		struct sim_task *task = &machine->task[i];
+	for (int i = 0; i < machine->task_slots; i++) {
+		struct sim_task *task = &machine->tasks[i];
 
 		if (task->used && task->status.index == status->index &&
 		    strcmp(task->status.ref, status->ref) == 0 &&
@@ -195,16 +198,16 @@
 static bool has_room(const struct sim_machine *machine, const struct sim_job *job)
 {
 	const struct sim_machine_type *k = &sim_machine_types[machine->type];
-	double cpus = job->run.cpus, gpus = job->run.gpus, ram = job->run.ram_gb;
+	double cpus = job->spec.cpus, gpus = job->spec.gpus, ram = job->spec.ram_gb;
 
-	for (int i = 0; i < machine->n_tasks; i++) {
-		const struct sim_task *task = &machine->task[i];
+	for (int i = 0; i < machine->task_slots; i++) {
+		const struct sim_task *task = &machine->tasks[i];
 
 		if (!task->used || task->status.state == FL_TASK_STATE_EXITED)
 			continue;
-		cpus += task->job->run.cpus;
-		gpus += task->job->run.gpus;
-		ram += task->job->run.ram_gb;
+		cpus += task->job->spec.cpus;
+		gpus += task->job->spec.gpus;
+		ram += task->job->spec.ram_gb;
 	}
 	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
 }
@@ -212,12 +215,12 @@
 static struct sim_task *new_task(struct sim_machine *machine, const struct fl_task_status *status)
 {
 	for (int i = 0; i < SIM_TASKS; i++) {
-		if (machine->task[i].used)
+		if (machine->tasks[i].used)
 			continue;
-		if (i >= machine->n_tasks)
-			machine->n_tasks = i + 1;
-		machine->task[i] = (struct sim_task){.used = true, .status = *status};
-		return &machine->task[i];
+		if (i >= machine->task_slots)
+			machine->task_slots = i + 1;
+		machine->tasks[i] = (struct sim_task){.used = true, .status = *status};
+		return &machine->tasks[i];
 	}
 	abort();
 }
@@ -230,7 +233,7 @@
 
 	if (find(machine, status, true))
 		return;
-	if (!job || job->sent == 0 || status->index >= job->run.task_count)
+	if (!job || job->sent == 0 || status->index >= job->spec.task_count)
 		refusal = FL_EXIT_UNKNOWN_TASK;
 	else if (find(machine, status, false))
 		refusal = FL_EXIT_BUSY;
@@ -243,16 +246,16 @@
 		return;
 	}
 	task->status.state = FL_TASK_STATE_PULLING;
-	task->until = fl_now() + (has_image(machine, job->run.image)
+	task->until = fl_now() + (has_image(machine, job->spec.image)
 	                                  ? 0
-	                                  : job->run.image_gb * sim_between(0.8, 1.3));
+	                                  : job->spec.image_gb * sim_between(0.8, 1.3));
 	sim_machine_changed(machine);
 	look_at(machine, task);
 }
 
 static void stop(struct sim_machine *machine, struct sim_task *task, double grace_period_s)
 {
-	const struct fl_job_spec *spec = &task->job->run;
+	const struct fl_job_spec *spec = &task->job->spec;
 
 	if (task->status.state == FL_TASK_STATE_CHECKPOINTING) {
 		if (grace_period_s <= 0)
@@ -286,7 +289,7 @@
 	fl_json_get_count(item, "Try", &attempt);
 	fl_json_get_amount(item, "WindDownS", &grace_period_s);
 	slash = strchr(name, '/');
-	sim_must(slash);
+	sim_require(slash);
 	*slash = 0;
 	snprintf(status.ref, sizeof(status.ref), "%.*s", (int)sizeof(status.ref) - 1, name);
 	status.index = (uint32_t)strtoul(slash + 1, NULL, 10);
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -37,8 +37,9 @@
 
 	while (fl_sleep(1.0) == 0) {
 		struct fl_http_reply reply;
-		int rc = sim_call((struct sim_end){END_USER, 0}, (struct sim_end){END_NODE, at},
-		                  "GET", "/ready", NULL, 1.0, &reply);
+		int rc = sim_call((struct sim_endpoint){ENDPOINT_USER, 0},
+		                  (struct sim_endpoint){ENDPOINT_NODE, at}, "GET", "/ready", NULL,
+		                  1.0, &reply);
 		bool good = rc == 0 && reply.status == 200;
 
 		if (rc == 0)
@@ -63,13 +64,14 @@
 	for (int tries = 0; tries < 3 && rc && rc != -ETIMEDOUT; tries++) {
 		int fit = 0, at = -1;
 
-		for (int i = 0; i < sim.n_nodes; i++)
+		for (int i = 0; i < sim.node_count; i++)
 			if (node[i].healthy && sim_pick(++fit) == 0)
 				at = i;
 		if (at < 0)
 			return fl_coroutine_cancelled() ? -ECANCELED : -EHOSTUNREACH;
-		rc = sim_call((struct sim_end){END_USER, 0}, (struct sim_end){END_NODE, at}, method,
-		              path, body, until - fl_now(), out);
+		rc = sim_call((struct sim_endpoint){ENDPOINT_USER, 0},
+		              (struct sim_endpoint){ENDPOINT_NODE, at}, method, path, body,
+		              until - fl_now(), out);
 		if (rc == -ECANCELED)
 			break;
 	}
@@ -80,9 +82,9 @@
 
 struct sim_job *sim_job_find(const char *ref)
 {
-	for (int i = 0; i < sim.n_jobs; i++)
-		if (strcmp(sim.job[i].run.ref, ref) == 0)
-			return &sim.job[i];
+	for (int i = 0; i < sim.job_count; i++)
+		if (strcmp(sim.jobs[i].spec.ref, ref) == 0)
+			return &sim.jobs[i];
 	return NULL;
 }
 
@@ -102,7 +104,7 @@
 
 	if (now.accepted != before.accepted || now.done != before.done ||
 	    now.cancelled != before.cancelled)
-		sim_user_looks(job);
+		sim_user_reads_all_nodes(job);
 }
 
 static void submit_once(struct sim_job *job)
@@ -127,7 +129,7 @@
 	struct fl_http_reply reply;
 	char path[64];
 
-	snprintf(path, sizeof(path), "/v2/runs/%s", job->run.ref);
+	snprintf(path, sizeof(path), "/v2/runs/%s", job->spec.ref);
 	if (user_call("GET", path, NULL, rule.poll_s, &reply) != 0)
 		return;
 	sim.polls++;
@@ -138,9 +140,9 @@
 
 static double storm(void)
 {
-	const struct sim_trouble *trouble = sim_troubled(POLL_STORM, -1);
+	const struct sim_fault *fault = sim_fault_active(FAULT_STATUS_QUERY_STORM, -1);
 
-	return trouble ? trouble->much : 1;
+	return fault ? fault->magnitude : 1;
 }
 
 static void user(void *arg)
@@ -175,7 +177,7 @@
 	}
 }
 
-void sim_user_asks(struct sim_job *job)
+void sim_user_polls(struct sim_job *job)
 {
 	for (int i = 0; i < 2; i++)
 		sim_spawn(0, ask_routine, job);
@@ -187,7 +189,7 @@
 	char path[64];
 	bool answered = false;
 
-	snprintf(path, sizeof(path), "/v2/runs/%s/cancel", job->run.ref);
+	snprintf(path, sizeof(path), "/v2/runs/%s/cancel", job->spec.ref);
 	job->cancel_sent = fl_now();
 	while (!answered) {
 		struct news before = news_of(job);
@@ -210,7 +212,7 @@
 	if (job->cancelling || job->accepted == 0)
 		return;
 	job->cancelling = true;
-	sim_user_asks(job);
+	sim_user_polls(job);
 	sim_spawn(0, cancel_routine, job);
 }
 
@@ -251,7 +253,7 @@
 	if (user_call(method, path, NULL, rule.poll_s, &reply) != 0)
 		return;
 	if (reply.status == 200)
-		sim_broken("invented", "%s %s is answered 200", method, path);
+		sim_violation("invented", "%s %s is answered 200", method, path);
 	fl_buffer_free(&reply.body);
 }
 
@@ -261,20 +263,20 @@
 
 	(void)arg;
 	while (fl_sleep(sim_between(1, 4)) == 0) {
-		struct sim_job *job = &sim.job[sim_pick(sim.n_jobs)];
+		struct sim_job *job = &sim.jobs[sim_pick(sim.job_count)];
 
 		snprintf(path, sizeof(path), "/v2/runs/run-9%05d%s", sim_pick(99999),
 		         sim_chance(0.5) ? "" : "/cancel");
 		ask_for_nothing(strchr(path, 'l') ? "POST" : "GET", path);
-		if (!sim_troubled(ODD_REQUESTS, -1))
+		if (!sim_fault_active(FAULT_INVALID_REQUESTS, -1))
 			continue;
 		sim_user_repeats(job);
 		if (job->told_done > 0)
 			sim_user_cancels(job);
-		if (sim_chance(0.3) && sim.n_jobs < SIM_USUAL_JOBS - 1) {
+		if (sim_chance(0.3) && sim.job_count < SIM_USUAL_JOBS - 1) {
 			job = sim_job_add(sim_time());
 			job->bad = true;
-			job->run.cpus = 500;
+			job->spec.cpus = 500;
 			sim_job_rewritten(job);
 			if (sim_chance(0.5))
 				job->text[strlen(job->text) / 2] = 0;
@@ -303,7 +305,7 @@
 	spec->has_zone = sim_chance(0.3);
 	if (spec->has_zone)
 		sim_copy(spec->zone, sizeof(spec->zone),
-		         sim.config[0].zones[sim_pick(sim.n_zones)]);
+		         sim.config[0].zones[sim_pick(sim.zone_count)]);
 	spec->same_zone = sim_chance(0.15);
 	spec->spread_zones = !spec->same_zone && !spec->has_zone && sim_chance(0.25);
 	spec->spot_allowed = sim_chance(0.5);
@@ -311,13 +313,13 @@
 
 struct sim_job *sim_job_add(double submit)
 {
-	struct sim_job *job = &sim.job[sim.n_jobs];
-	struct fl_job_spec *spec = &job->run;
+	struct sim_job *job = &sim.jobs[sim.job_count];
+	struct fl_job_spec *spec = &job->spec;
 
-	sim_must(sim.n_jobs < SIM_JOBS);
+	sim_require(sim.job_count < SIM_JOBS);
 	memset(job, 0, sizeof(*job));
 	shape(spec);
-	snprintf(spec->ref, sizeof(spec->ref), "run-%06d", 1000 + (sim.n_jobs * 7919) % 90000);
+	snprintf(spec->ref, sizeof(spec->ref), "run-%06d", 1000 + (sim.job_count * 7919) % 90000);
 	sim_copy(spec->job_class, sizeof(spec->job_class),
 	         spec->kind == FL_SERVICE ? "serve" : "train");
 	sim_copy(spec->team, sizeof(spec->team), sim_teams[sim_pick(SIM_TEAMS)].name);
@@ -331,22 +333,22 @@
 		}
 	}
 	for (uint32_t i = 0; i < SIM_JOB_TASKS; i++) {
-		job->real_s[i] = spec->expected_s * sim_between(0.5, 1.6);
-		job->host[i] = -1;
+		job->duration_s[i] = spec->expected_s * sim_between(0.5, 1.6);
+		job->last_machine[i] = -1;
 	}
 	job->submit = submit;
 	job->cancel = -1;
 	if (spec->kind == FL_SERVICE ? sim_chance(0.5) : sim_chance(0.15))
 		job->cancel = submit + sim_between(20, 90);
 	job->text = fl_json_print_and_delete(fl_job_spec_encode(spec));
-	sim.n_jobs++;
+	sim.job_count++;
 	return job;
 }
 
 void sim_job_rewritten(struct sim_job *job)
 {
 	free(job->text);
-	job->text = fl_json_print_and_delete(fl_job_spec_encode(&job->run));
+	job->text = fl_json_print_and_delete(fl_job_spec_encode(&job->spec));
 }
 
 void sim_user_submits(struct sim_job *job)
@@ -361,9 +363,9 @@
 void sim_users_begin(void)
 {
 	memset(node, 0, sizeof(node));
-	for (int i = 0; i < sim.n_nodes; i++)
+	for (int i = 0; i < sim.node_count; i++)
 		sim_spawn(0, probe_duty, &places[i]);
-	for (int i = 0; i < sim.n_jobs; i++)
-		sim_user_submits(&sim.job[i]);
+	for (int i = 0; i < sim.job_count; i++)
+		sim_user_submits(&sim.jobs[i]);
 	sim_spawn(0, odd_duty, NULL);
 }
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -21,7 +21,7 @@
 	double late_least_s, late_most_s;
 } rule = {4.0, 1.0, 0.5, 0.05, 20.0, 2.0, 16.0};
 
-static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machine); }
+static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machines); }
 
 void sim_machine_changed(struct sim_machine *machine)
 {
@@ -32,11 +32,11 @@
 /* The lease has run out: everything goes, and a new session begins. */
 static void lapse(struct sim_machine *machine)
 {
-	if (fl_now() <= machine->lease_from + sim.lease_s)
+	if (fl_now() <= machine->lease_started_at + sim.lease_s)
 		return;
 	sim_tasks_drop(machine);
 	machine->incarnation++;
-	machine->lease_from = fl_now();
+	machine->lease_started_at = fl_now();
 	sim_machine_changed(machine);
 }
 
@@ -52,10 +52,10 @@
 {
 	(void)arg;
 	while (fl_sleep(rule.tick_s) == 0)
-		for (int i = 0; i < sim.n_machines; i++) {
-			struct sim_machine *machine = &sim.machine[i];
+		for (int i = 0; i < sim.machine_count; i++) {
+			struct sim_machine *machine = &sim.machines[i];
 
-			if (machine->up && !machine->gone && !machine->hung)
+			if (machine->up && !machine->terminated && !machine->hung)
 				tick(machine);
 		}
 }
@@ -84,16 +84,16 @@
 	                                 .tasks = tasks};
 
 	sim_copy(heartbeat.host, sizeof(heartbeat.host), machine->name);
-	sim_address((struct sim_end){END_WORKER, index_of(machine)}, heartbeat.endpoint);
+	sim_address((struct sim_endpoint){ENDPOINT_WORKER, index_of(machine)}, heartbeat.endpoint);
 	sim_copy(heartbeat.type, sizeof(heartbeat.type), sim_machine_types[machine->type].name);
 	sim_copy(heartbeat.zone, sizeof(heartbeat.zone), sim.config[0].zones[machine->zone]);
 	if (machine->interruption_at > 0 && fl_now() > machine->interruption_at - rule.notice_s)
 		heartbeat.interruption_in_s = machine->interruption_at > fl_now()
 		                                      ? machine->interruption_at - fl_now()
 		                                      : 0;
-	for (int i = 0; i < machine->n_tasks; i++)
-		if (machine->task[i].used)
-			tasks[heartbeat.task_count++] = machine->task[i].status;
+	for (int i = 0; i < machine->task_slots; i++)
+		if (machine->tasks[i].used)
+			tasks[heartbeat.task_count++] = machine->tasks[i].status;
 	return fl_heartbeat_encode(&heartbeat);
 }
 
@@ -118,8 +118,9 @@
 		c->after_s = sim_between(2, 2.5 * sim.lease_s);
 	/* In any order, and nobody reads the answer. */
 	if (fl_sleep(c->after_s) == 0 &&
-	    sim_call((struct sim_end){END_WORKER, c->machine}, (struct sim_end){END_NODE, c->node},
-	             "POST", "/hello", c->text, 4, &reply) == 0)
+	    sim_call((struct sim_endpoint){ENDPOINT_WORKER, c->machine},
+	             (struct sim_endpoint){ENDPOINT_NODE, c->node}, "POST", "/hello", c->text, 4,
+	             &reply) == 0)
 		fl_buffer_free(&reply.body);
 	free(c->text);
 	free(c);
@@ -129,7 +130,7 @@
 {
 	struct copy *c = malloc(sizeof(*c));
 
-	sim_must(c != NULL);
+	sim_require(c != NULL);
 	*c = (struct copy){strdup(text), after_s, machine, node};
 	sim_spawn(0, copy_routine, c);
 }
@@ -140,7 +141,7 @@
 		/* In the very moment, or while it takes over. */
 		double after_s = sim_between(0, sim_chance(0.5) ? 0.01 : 0.6);
 
-		for (int k = 0; k < sim.n_nodes; k++)
+		for (int k = 0; k < sim.node_count; k++)
 			send_copy(kept.copy[i].text, kept.copy[i].machine, k, after_s);
 		free(kept.copy[i].text);
 	}
@@ -169,14 +170,14 @@
 
 static void copy_later(const struct sim_machine *machine, const char *text)
 {
-	const struct sim_trouble *late = sim_troubled(LATE_REPORTS, -1);
+	const struct sim_fault *fault = sim_fault_active(FAULT_DELAYED_HEARTBEATS, -1);
 
-	if (!late || !sim_chance(late->much))
+	if (!fault || !sim_chance(fault->magnitude))
 		return;
-	if (late->for_next)
+	if (fault->for_next)
 		keep_copy(machine, text);
 	else
-		send_copy(text, index_of(machine), sim_pick(sim.n_nodes), -1);
+		send_copy(text, index_of(machine), sim_pick(sim.node_count), -1);
 }
 
 static void heed(struct sim_machine *machine, double sent, uint64_t incarnation,
@@ -188,7 +189,7 @@
 	    fencing_token < machine->fencing_token || incarnation != machine->incarnation)
 		return; /* dropped: it stays here while its lease runs out */
 	see_epoch(machine, fencing_token);
-	machine->lease_from = sent;
+	machine->lease_started_at = sent;
 	sim_tasks_command(machine, object);
 }
 
@@ -203,24 +204,24 @@
 
 	fl_json_get_string(object, "Steward", name, sizeof(name));
 	cJSON_Delete(object);
-	for (int i = 0; i < sim.n_nodes; i++)
+	for (int i = 0; i < sim.node_count; i++)
 		if (strcmp(sim.config[i].node, name) == 0)
 			to = i;
 	if (to >= 0 && to != machine->node) {
 		machine->node = to;
 		return sim_chance(0.5) ? 0 : sim_between(0, 0.5);
 	}
-	machine->node = (machine->node + 1) % sim.n_nodes;
+	machine->node = (machine->node + 1) % sim.node_count;
 	return rule.next_s;
 }
 
 /* Standing still: what comes meanwhile waits. False if the machine has ended. */
 static bool goes_on(struct sim_machine *machine)
 {
-	while (machine->hung && !machine->gone)
+	while (machine->hung && !machine->terminated)
 		if (fl_condition_wait(&machine->goes_on, -1) == -ECANCELED)
 			return false;
-	return !machine->gone && !fl_coroutine_cancelled();
+	return !machine->terminated && !fl_coroutine_cancelled();
 }
 
 /* s until the next report may be due; < 0: as usual. */
@@ -233,13 +234,13 @@
 	int rc;
 
 	if (strlen(text) > BODY_MOST)
-		sim_broken("too_large", "%s has to report %d tasks", machine->name,
-		           machine->n_tasks);
+		sim_violation("too_large", "%s has to report %d tasks", machine->name,
+		              machine->task_slots);
 	machine->last_sent = sent;
 	machine->changed = false;
 	copy_later(machine, text);
-	rc = sim_call((struct sim_end){END_WORKER, index_of(machine)},
-	              (struct sim_end){END_NODE, machine->node}, "POST", "/hello", text,
+	rc = sim_call((struct sim_endpoint){ENDPOINT_WORKER, index_of(machine)},
+	              (struct sim_endpoint){ENDPOINT_NODE, machine->node}, "POST", "/hello", text,
 	              rule.patience_s, &reply);
 	free(text);
 	if (goes_on(machine)) {
@@ -276,16 +277,16 @@
 	struct sim_machine *machine = arg;
 	double due, wait, pause;
 
-	if (machine->never_up || fl_sleep(machine->ready - fl_now()) != 0 || machine->gone)
+	if (machine->never_up || fl_sleep(machine->ready - fl_now()) != 0 || machine->terminated)
 		return;
 	machine->up = true;
 	machine->incarnation = 1;
-	machine->lease_from = fl_now();
-	machine->node = sim_pick(sim.n_nodes);
+	machine->lease_started_at = fl_now();
+	machine->node = sim_pick(sim.node_count);
 	machine->last_sent = -1;
 	due = fl_now();
-	while (!machine->gone) {
-		while (!machine->gone && (wait = due_in(machine, due)) > 0)
+	while (!machine->terminated) {
+		while (!machine->terminated && (wait = due_in(machine, due)) > 0)
 			if (fl_condition_wait(&machine->work, wait) == -ECANCELED)
 				return;
 		if (!goes_on(machine))
@@ -332,15 +333,15 @@
  */
 static bool held_up(void)
 {
-	const struct sim_trouble *late = sim_troubled(LATE_COMMANDS, -1);
+	const struct sim_fault *fault = sim_fault_active(FAULT_DELAYED_COMMANDS, -1);
 
-	return late && sim_chance(late->much);
+	return fault && sim_chance(fault->magnitude);
 }
 
-void sim_worker_serve(struct sim_end from, int process, int machine,
+void sim_worker_serve(struct sim_endpoint from, int process, int machine,
                       const struct fl_http_request *request, struct fl_http_response *response)
 {
-	struct sim_machine *m = &sim.machine[machine];
+	struct sim_machine *m = &sim.machines[machine];
 	bool show = strcmp(request->path, "/show") == 0, late = !show && held_up();
 
 	(void)from;
@@ -357,21 +358,21 @@
 	}
 	free(response->body);
 	response->body = NULL;
-	response->status = SIM_SILENCE;
+	response->status = SIM_NO_REPLY;
 }
 
 /* ---- their comings and goings ---- */
 
-void sim_worker_boot(int machine) { sim_spawn(0, worker, &sim.machine[machine]); }
+void sim_worker_boot(int machine) { sim_spawn(0, worker, &sim.machines[machine]); }
 
 void sim_machine_ends(int machine)
 {
-	struct sim_machine *m = &sim.machine[machine];
+	struct sim_machine *m = &sim.machines[machine];
 
-	if (m->gone)
+	if (m->terminated)
 		return;
-	m->gone = true;
-	m->gone_at = fl_now();
+	m->terminated = true;
+	m->terminated_at = fl_now();
 	sim_tasks_drop(m);
 	fl_condition_broadcast(&m->work);
 	fl_condition_broadcast(&m->goes_on);
@@ -379,9 +380,9 @@
 
 void sim_machine_hangs(int machine, bool hangs)
 {
-	struct sim_machine *m = &sim.machine[machine];
+	struct sim_machine *m = &sim.machines[machine];
 
-	if (m->hung == hangs || m->gone)
+	if (m->hung == hangs || m->terminated)
 		return;
 	m->hung = hangs;
 	if (hangs) {
@@ -389,7 +390,7 @@
 		return;
 	}
 	sim_tasks_stood_still(m, fl_now() - m->hung_since);
-	m->looked = fl_now();
+	m->fetches_checked_at = fl_now();
 	lapse(m);
 	fl_condition_broadcast(&m->goes_on);
 }
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -53,7 +53,7 @@
 {
 	int at = world.n_stored++;
 
-	sim_must(at < KEYS_MAX);
+	sim_require(at < KEYS_MAX);
 	world.stored[at].key = key;
 	world.stored[at].value = value;
 	world.stored[at].rev = rev;
@@ -115,7 +115,7 @@
 	if (strncmp(path, watch, strlen(watch)) == 0)
 		return answer_watch(path + strlen(watch), body);
 	if (strcmp(path, "/multi") == 0) {
-		sim_must(world.n_written < WRITES_MAX);
+		sim_require(world.n_written < WRITES_MAX);
 		sim_copy(world.written[world.n_written++], TEXT_MAX, text);
 		fl_buffer_printf(body, "{\"LedgerRev\":92}");
 	} else if (strcmp(path, "/machine_types") == 0) {
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -32,13 +32,13 @@
 	sim.name = name;
 	sim_seed(seed);
 	longer = sim_chance(0.4);
-	sim.n_nodes = 3 + sim_pick(3);
-	sim.n_zones = 2 + sim_pick(2);
+	sim.node_count = 3 + sim_pick(3);
+	sim.zone_count = 2 + sim_pick(2);
 	sim.report_s = 1.5;
 	sim.capacity = 3;
 	sim.lease_s = longer ? 14 : 10;
 	sim.cancel_s = longer ? 44 : 40;
-	for (int i = 0; i < sim.n_nodes; i++)
+	for (int i = 0; i < sim.node_count; i++)
 		sim_configure(i);
 	for (int i = 15 + sim_pick(11); i > 0; i--)
 		sim_job_add(sim_between(0, 45));
@@ -48,7 +48,7 @@
 
 static void describe(const struct sim_job *job)
 {
-	const struct fl_job_spec *spec = &job->run;
+	const struct fl_job_spec *spec = &job->spec;
 
 	print_message("  %s %s %s priority %d, %u x %g cpus %g gpus %g GB, %s%s%s%s%s, cancel %g, "
 	              "%d starts\n",
@@ -62,13 +62,13 @@
 
 static void describe_troubles(void)
 {
-	for (int i = 0; i < sim.n_troubles; i++) {
-		const struct sim_trouble *trouble = &sim.trouble[i];
+	for (int i = 0; i < sim.fault_count; i++) {
+		const struct sim_fault *fault = &sim.faults[i];
 
 		print_message("  trouble %d at %.2f for %.2f s: whom %d, much %g, count %d, hang "
 		              "%g\n",
-		              (int)trouble->kind, trouble->at, trouble->for_s, trouble->whom,
-		              trouble->much, trouble->count, trouble->hang_s);
+		              (int)fault->kind, fault->at, fault->for_s, fault->target,
+		              fault->magnitude, fault->count, fault->hang_s);
 	}
 }
 
@@ -90,22 +90,22 @@
 	/* Found here: an array that was started and stopped in turn, 212 times, for whom it was for
 	 * never took the room. */
 	if (sim.most_starts > MOST_STARTS)
-		sim_broken("churn", "one task was started %d times", sim.most_starts);
-	if (sim.max_changes > 0 && sim.changes > sim.max_changes * sim.n_jobs)
-		sim_broken("writes", "%d changes in the state service for %d jobs", sim.changes,
-		           sim.n_jobs);
+		sim_violation("churn", "one task was started %d times", sim.most_starts);
+	if (sim.max_changes > 0 && sim.changes > sim.max_changes * sim.job_count)
+		sim_violation("writes", "%d changes in the state service for %d jobs", sim.changes,
+		              sim.job_count);
 	if (getenv("SIM_VERBOSE") || sim.failures > 0)
 		print_message("%s, seed %llu (variant %d): %d nodes, %d zones, lease %g, %.0f s, "
 		              "%d jobs, %d machines, %d starts, %d done, %d polls, %d late "
 		              "starts, %d of one task\n%s",
-		              m->name, (unsigned long long)seed, at, sim.n_nodes, sim.n_zones,
-		              sim.lease_s, sim.end_s, sim.n_jobs, sim.n_machines, sim.starts,
+		              m->name, (unsigned long long)seed, at, sim.node_count, sim.zone_count,
+		              sim.lease_s, sim.end_s, sim.job_count, sim.machine_count, sim.starts,
 		              sim.completions, sim.polls, sim.late_starts, sim.most_starts,
 		              sim.report);
 	if (getenv("SIM_JOBS") || sim.failures > 0) {
 		describe_troubles();
-		for (int i = 0; i < sim.n_jobs; i++)
-			describe(&sim.job[i]);
+		for (int i = 0; i < sim.job_count; i++)
+			describe(&sim.jobs[i]);
 	}
 	sim_end();
 }
@@ -141,7 +141,7 @@
 	if (argc > 2 && n > 0)
 		return n;
 	for (int at = from; at < from + count; at++) {
-		sim_must(n < CASES);
+		sim_require(n < CASES);
 		one[n].combination = m;
 		one[n].at = at;
 		snprintf(one[n].name, sizeof(one[n].name), "%s %d", m->name, at);
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -39,8 +39,8 @@
 	sim.seed = 4000;
 	sim.name = "large site";
 	sim_seed(sim.seed);
-	sim.n_nodes = SIM_NODES;
-	sim.n_zones = SIM_ZONES;
+	sim.node_count = SIM_NODES;
+	sim.zone_count = SIM_ZONES;
 	sim.capacity = CAPACITY;
 	sim.reliable = true;
 	/* As seldom as the number of reports in the test asks for. */
@@ -49,7 +49,7 @@
 	sim.cancel_s = 100;
 	for (int i = 0; i < SIM_TEAMS; i++)
 		sim_teams[i].cpus_max = sim_teams[i].gpus_max = FAR_BEYOND;
-	for (int i = 0; i < sim.n_nodes; i++) {
+	for (int i = 0; i < sim.node_count; i++) {
 		sim_configure(i);
 		sim.config[i].max_connections = 1500;
 	}
@@ -59,7 +59,7 @@
 static void add_job(void)
 {
 	struct sim_job *job = sim_job_add(sim_between(0, 5));
-	struct fl_job_spec *spec = &job->run;
+	struct fl_job_spec *spec = &job->spec;
 
 	spec->kind = FL_ARRAY;
 	spec->priority = FL_STANDARD;
@@ -75,7 +75,7 @@
 	spec->checkpoint_every_s = 0;
 	job->cancel = -1;
 	for (int i = 0; i < SIM_JOB_TASKS; i++)
-		job->real_s[i] = spec->expected_s;
+		job->duration_s[i] = spec->expected_s;
 	sim_job_rewritten(job);
 }
 
@@ -88,8 +88,8 @@
 		add_job();
 	sim.begin = fl_now();
 	sim.calm_s = end_s - 1;
-	sim_trouble(NODE_DOWN, leader_ends_s, 8, THE_LEADER, 0, 0);
-	sim_trouble(NODE_DOWN, all_end_s, 8, ALL_NODES, 0, 0);
+	sim_fault(FAULT_NODE_DOWN, leader_ends_s, 8, TARGET_LEADER, 0, 0);
+	sim_fault(FAULT_NODE_DOWN, all_end_s, 8, TARGET_ALL_NODES, 0, 0);
 	sim_start();
 	return 0;
 }
@@ -106,14 +106,14 @@
 {
 	int count = 0;
 
-	for (int i = 0; i < sim.n_machines; i++) {
-		const struct sim_machine *machine = &sim.machine[i];
+	for (int i = 0; i < sim.machine_count; i++) {
+		const struct sim_machine *machine = &sim.machines[i];
 		int running = 0;
 
-		for (int k = 0; k < machine->n_tasks; k++)
-			running += machine->task[k].used &&
-			           machine->task[k].status.state == FL_TASK_STATE_RUNNING;
-		count += machine->up && !machine->gone && running == TASKS_A_MACHINE;
+		for (int k = 0; k < machine->task_slots; k++)
+			running += machine->tasks[k].used &&
+			           machine->tasks[k].status.state == FL_TASK_STATE_RUNNING;
+		count += machine->up && !machine->terminated && running == TASKS_A_MACHINE;
 	}
 	return count;
 }
@@ -125,12 +125,12 @@
 {
 	print_message("%d changes, %d requests of the state service, %d calls of the cloud, %d "
 	              "messages of peers for %d reports and users' calls\n",
-	              sim.changes, sim.calls[END_STATE], sim.calls[END_CLOUD], sim.calls[END_PEER],
-	              sim.calls[END_NODE]);
+	              sim.changes, sim.calls[ENDPOINT_KV_STORE], sim.calls[ENDPOINT_CLOUD],
+	              sim.calls[ENDPOINT_PEER], sim.calls[ENDPOINT_NODE]);
 	assert_true(sim.changes <= TASKS / 6);
-	assert_true(sim.calls[END_STATE] <= 5000);
-	assert_true(sim.calls[END_CLOUD] <= (int)(sim.config[0].cloud_rps * end_s));
-	assert_true(sim.calls[END_PEER] < sim.calls[END_NODE]);
+	assert_true(sim.calls[ENDPOINT_KV_STORE] <= 5000);
+	assert_true(sim.calls[ENDPOINT_CLOUD] <= (int)(sim.config[0].cloud_rps * end_s));
+	assert_true(sim.calls[ENDPOINT_PEER] < sim.calls[ENDPOINT_NODE]);
 }
 
 static void four_thousand_machines_are_known_and_used(void **state)
@@ -143,8 +143,8 @@
 	/* Through a takeover and the end of all controllers nothing is lost or begun again. */
 	assert_int_equal(machines_full(), MACHINES);
 	assert_int_equal(sim.starts, TASKS);
-	for (int i = 0; i < sim.n_machines; i++)
-		assert_int_equal(sim.machine[i].incarnation, 1);
+	for (int i = 0; i < sim.machine_count; i++)
+		assert_int_equal(sim.machines[i].incarnation, 1);
 	sim_check_end();
 	if (sim.failures > 0)
 		fail_msg("%d rules broken\n%s", sim.failures, sim.report);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -19,7 +19,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include "standins.h"
+#include "fake_services.h"
 #include "transport/clock.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
@@ -75,7 +75,7 @@
 	        "[settings.state]\nrps = 500.0\nwrite_rps = 200.0\nvalue_kb = 4.0\ntxn_ops = 8\n"
 	        "[settings.cloud]\nrps = 50.0\nlist_lag_s = 0.5\n"
 	        "[settings.resources]\ncore_share = 1.0\nram_mb = 256.0\nmax_connections = 400\n",
-	        standins.cloud_addr, standins.state_addr);
+	        fake_services.cloud_addr, fake_services.kv_store_addr);
 	fclose(f);
 }
 
@@ -178,7 +178,7 @@
 
 static void kill_leader(void)
 {
-	const char *leader = standins_leader();
+	const char *leader = fake_services_leader();
 	int node = leader[0] ? leader[1] - '0' : 0;
 
 	end_node(node);
@@ -197,9 +197,9 @@
 {
 	double until = fl_now() + PATIENCE_S;
 
-	while (!standins_leader()[0] && fl_now() < until)
+	while (!fake_services_leader()[0] && fl_now() < until)
 		fl_sleep(0.05);
-	return standins_leader()[0];
+	return fake_services_leader()[0];
 }
 
 #define EXPECT(what)                                                                               \
@@ -233,12 +233,12 @@
 static bool restart_without_the_cloud(void)
 {
 	/* All end during an outage of the cloud: its machine types are read from their record. */
-	standins.cloud_out = true;
+	fake_services.cloud_out = true;
 	restart_all();
 	EXPECT(known_everywhere("run-000001", "\"Status\":\"done\""));
 	EXPECT(submit("run-000006", "sweep", 2, 0));
-	EXPECT(standins_live("run-000002") == 2);
-	standins.cloud_out = false;
+	EXPECT(fake_services_task_is_live("run-000002") == 2);
+	fake_services.cloud_out = false;
 	EXPECT(until_status("run-000006", "\"Status\":\"done\"", 1));
 	return true;
 }
@@ -249,9 +249,9 @@
 	int dead = -1;
 
 	/* From here on the state service has faults; the leader is killed meanwhile. */
-	standins.state_refuses = 13;
-	standins.state_slow = 7;
-	standins.state_loses = 29;
+	fake_services.kv_refuses_every = 13;
+	fake_services.kv_slow_every = 7;
+	fake_services.kv_loses_every = 29;
 	EXPECT(submit("run-000003", "sweep", 70, 0));
 	EXPECT(until_status("run-000003", "\"Status\":\"running\"", 0));
 	kill_leader();
@@ -263,36 +263,37 @@
 	start_node(dead);
 	EXPECT(until_status("run-000003", "\"Status\":\"done\"", 0));
 	EXPECT(until_status("run-000004", "\"Status\":\"done\"", 1));
-	EXPECT(standins_live("run-000002") == 2); /* the service ran through all of it */
+	EXPECT(fake_services_task_is_live("run-000002") ==
+	       2); /* the service ran through all of it */
 	EXPECT(cancel("run-000002"));
 	until = fl_now() + PATIENCE_S;
-	while (standins_live("run-000002") > 0 && fl_now() < until)
+	while (fake_services_task_is_live("run-000002") > 0 && fl_now() < until)
 		fl_sleep(0.1);
-	EXPECT(standins_live("run-000002") == 0);
+	EXPECT(fake_services_task_is_live("run-000002") == 0);
 	EXPECT(until_status("run-000002", "aborted", 2));
-	EXPECT(standins.twice == 0);
+	EXPECT(fake_services.twice == 0);
 	/* Finished work is not done again: one completion a task, not counting the lost. */
-	EXPECT(standins.completed >= 6 + 2 + 70 + 3);
+	EXPECT(fake_services.completed >= 6 + 2 + 70 + 3);
 	return true;
 }
 
 static bool all_restart_at_each_step_of_an_election(void)
 {
 	/* Copies of reports come two leases late, and the next machines rented receive nothing. */
-	standins.copies_late = 3;
-	standins.unreachable = 2;
+	fake_services.heartbeat_copies_every = 3;
+	fake_services.unreachable = 2;
 	EXPECT(submit("run-000005", "sweep", 90, 1));
 	/* All end at each step of an election and restart at once; what they sent arrives later. */
-	standins.cut = restart_all;
+	fake_services.cut = restart_all;
 	for (int step = 1; step <= 9; step++) {
 		char ref[24];
 
-		end_node(standins_leader()[0] ? standins_leader()[1] - '0' : 0);
-		standins.cut_after = step;
+		end_node(fake_services_leader()[0] ? fake_services_leader()[1] - '0' : 0);
+		fake_services.cut_after = step;
 		for (int i = 0; i < NODES; i++)
 			if (!run.pid[i])
 				start_node(i);
-		while (standins.cut_after > 0)
+		while (fake_services.cut_after > 0)
 			fl_sleep(0.02);
 		/* Many at once, so that their placements go through the log. */
 		for (int i = 0; i < 4; i++) {
@@ -311,8 +312,8 @@
 	 * Idle machines may have been enough, so that no unreachable machine was rented: it
 	 * happened once in sixty runs. More work at once than they can hold has them rented.
 	 */
-	if (standins.unreachable > 0) {
-		EXPECT(submit("run-000007", "sweep", 4 * standins.max_machines + 40, 0));
+	if (fake_services.unreachable > 0) {
+		EXPECT(submit("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
 		EXPECT(until_status("run-000007", "\"Status\":\"done\"", 0));
 	}
 	return true;
@@ -323,7 +324,8 @@
 	double until;
 
 	/* The faults are over: every accepted job is known to every node, and done. */
-	standins.state_refuses = standins.state_slow = standins.state_loses = 0;
+	fake_services.kv_refuses_every = fake_services.kv_slow_every =
+		fake_services.kv_loses_every = 0;
 	for (int step = 1; step <= 9; step++)
 		for (int i = 0; i < 4; i++) {
 			char ref[24];
@@ -334,14 +336,14 @@
 	EXPECT(known_everywhere("run-000001", "\"Status\":\"done\""));
 	EXPECT(known_everywhere("run-000002", "aborted"));
 	until = fl_now() + PATIENCE_S;
-	while (standins_unreachable_left() > 0 && fl_now() < until)
+	while (fake_services_unreachable_left() > 0 && fl_now() < until)
 		fl_sleep(0.1);
-	EXPECT(standins.unreachable == 0);
-	EXPECT(standins_unreachable_left() == 0);
-	EXPECT(standins.twice == 0);
-	EXPECT(standins.tokens_reused == 0);
-	EXPECT(standins.names_reused == 0);
-	EXPECT(standins.starts_on_deleted == 0);
+	EXPECT(fake_services.unreachable == 0);
+	EXPECT(fake_services_unreachable_left() == 0);
+	EXPECT(fake_services.twice == 0);
+	EXPECT(fake_services.tokens_reused == 0);
+	EXPECT(fake_services.names_reused == 0);
+	EXPECT(fake_services.starts_on_deleted == 0);
 	return true;
 }
 
@@ -361,17 +363,17 @@
 	(void)state;
 	signal(SIGPIPE, SIG_IGN);
 	fl_coroutines_init(ev_default_loop(0));
-	standins.report_s = 0.25;
-	standins.lease_s = 8;
-	standins.run_s = 0.5;
-	standins.commands_repeat = 3;
-	standins_start();
+	fake_services.report_s = 0.25;
+	fake_services.lease_s = 8;
+	fake_services.run_s = 0.5;
+	fake_services.commands_repeat_every = 3;
+	fake_services_start();
 	for (int i = 0; i < NODES; i++) {
 		char addr[32];
 
 		run.port[i] = free_port();
 		run.peer_port[i] = free_port();
-		standins.controller_ports[standins.n_controllers++] = run.port[i];
+		fake_services.controller_ports[fake_services.controller_count++] = run.port[i];
 		snprintf(addr, sizeof(addr), "127.0.0.1:%d", run.port[i]);
 		fl_http_client_init(&run.client[i], addr, 2);
 	}
@@ -390,7 +392,7 @@
 	}
 	/* What suspended routines hold is given back by their own cleanup. */
 	fl_coroutines_shutdown();
-	standins_free();
+	fake_services_free();
 	for (int i = 0; i < NODES; i++)
 		fl_http_client_close(&run.client[i]);
 	if (run.failed)
