--- a/src/coordination/admission.c
+++ b/src/coordination/api/admission.c
@@ -1,4 +1,4 @@
-#include "coordination/admission.h"
+#include "coordination/api/admission.h"
 
 #include <stdio.h>
 
--- a/src/coordination/admission.h
+++ b/src/coordination/api/admission.h
@@ -2,8 +2,8 @@
  * What a controller of this size can take: settings that are tight are named at the start, and
  * while memory is short new jobs are turned away before anything is accepted.
  */
-#ifndef FL_COORDINATION_ADMISSION_H
-#define FL_COORDINATION_ADMISSION_H
+#ifndef FL_COORDINATION_API_ADMISSION_H
+#define FL_COORDINATION_API_ADMISSION_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/coordination/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -1,4 +1,4 @@
-#include "coordination/job_lookup.h"
+#include "coordination/api/job_lookup.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/api/job_lookup.h
@@ -1,6 +1,6 @@
 /* Reads of job records for users' requests: requests for one job at a time share one read. */
-#ifndef FL_COORDINATION_JOB_LOOKUP_H
-#define FL_COORDINATION_JOB_LOOKUP_H
+#ifndef FL_COORDINATION_API_JOB_LOOKUP_H
+#define FL_COORDINATION_API_JOB_LOOKUP_H
 
 #include "storage/records.h"
 #include "transport/coroutine.h"
--- a/src/coordination/job_responses.c
+++ b/src/coordination/api/job_responses.c
@@ -1,11 +1,11 @@
-#include "coordination/job_responses.h"
+#include "coordination/api/job_responses.h"
 
 #include <errno.h>
 #include <stdlib.h>
 
-#include "coordination/command.h"
+#include "coordination/workers/command.h"
 #include "coordination/node.h"
-#include "coordination/record_writer.h"
+#include "coordination/persistence/record_writer.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/job_responses.h
+++ b/src/coordination/api/job_responses.h
@@ -1,6 +1,6 @@
 /* Answers to users, by the node whose lease is valid now. */
-#ifndef FL_COORDINATION_JOB_RESPONSES_H
-#define FL_COORDINATION_JOB_RESPONSES_H
+#ifndef FL_COORDINATION_API_JOB_RESPONSES_H
+#define FL_COORDINATION_API_JOB_RESPONSES_H
 
 #include "protocol/status_messages.h"
 #include "transport/http_server.h"
--- a/src/coordination/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -1,10 +1,10 @@
-#include "coordination/status_query.h"
+#include "coordination/api/status_query.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/job_responses.h"
+#include "coordination/api/job_responses.h"
 #include "coordination/node.h"
 #include "protocol/status_messages.h"
 #include "transport/clock.h"
--- a/src/coordination/status_query.h
+++ b/src/coordination/api/status_query.h
@@ -2,8 +2,8 @@
  * Status queries that only the leader can answer, on their way to it: those that arrive while a
  * request is under way share the next one. A query rests only on a request sent after it came.
  */
-#ifndef FL_COORDINATION_STATUS_QUERY_H
-#define FL_COORDINATION_STATUS_QUERY_H
+#ifndef FL_COORDINATION_API_STATUS_QUERY_H
+#define FL_COORDINATION_API_STATUS_QUERY_H
 
 #include <stddef.h>
 
--- a/src/coordination/submission.c
+++ b/src/coordination/api/submission.c
@@ -1,12 +1,12 @@
-#include "coordination/submission.h"
+#include "coordination/api/submission.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/admission.h"
+#include "coordination/api/admission.h"
 #include "coordination/node.h"
-#include "coordination/user_requests.h"
+#include "coordination/api/user_requests.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/submission.h
+++ b/src/coordination/api/submission.h
@@ -2,12 +2,12 @@
  * Submissions: validation of a job specification, and its storage in the state service, by this
  * node or through the leader. A repeated submission is answered with the state of the job.
  */
-#ifndef FL_COORDINATION_SUBMISSION_H
-#define FL_COORDINATION_SUBMISSION_H
+#ifndef FL_COORDINATION_API_SUBMISSION_H
+#define FL_COORDINATION_API_SUBMISSION_H
 
 #include <stddef.h>
 
-#include "coordination/forwarding.h"
+#include "coordination/follower/forwarding.h"
 #include "transport/http_server.h"
 
 struct fl_node;
--- a/src/coordination/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -1,11 +1,11 @@
-#include "coordination/user_requests.h"
+#include "coordination/api/user_requests.h"
 
 #include <errno.h>
 #include <stdio.h>
 
-#include "coordination/job_responses.h"
+#include "coordination/api/job_responses.h"
 #include "coordination/node.h"
-#include "coordination/status_query.h"
+#include "coordination/api/status_query.h"
 #include "transport/clock.h"
 
 static const struct {
--- a/src/coordination/user_requests.h
+++ b/src/coordination/api/user_requests.h
@@ -2,10 +2,10 @@
  * Polls and cancellations: answered from memory, by the leader, or from the stored records; and the
  * relaying of users' calls to the leader, with a limit on how many are under way.
  */
-#ifndef FL_COORDINATION_USER_REQUESTS_H
-#define FL_COORDINATION_USER_REQUESTS_H
+#ifndef FL_COORDINATION_API_USER_REQUESTS_H
+#define FL_COORDINATION_API_USER_REQUESTS_H
 
-#include "coordination/forwarding.h"
+#include "coordination/follower/forwarding.h"
 #include "protocol/users.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
--- a/src/coordination/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -1,5 +1,5 @@
 /* The duty of provisioning: its budget of calls, the offered types, the losses of spot machines. */
-#include "coordination/autoscaler_internal.h"
+#include "coordination/autoscaling/autoscaler_internal.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/src/coordination/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -1,6 +1,6 @@
 /* Machines: renting what is short, returning what idles, has failed, or no longer reports. */
-#ifndef FL_COORDINATION_AUTOSCALER_H
-#define FL_COORDINATION_AUTOSCALER_H
+#ifndef FL_COORDINATION_AUTOSCALING_AUTOSCALER_H
+#define FL_COORDINATION_AUTOSCALING_AUTOSCALER_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/coordination/autoscaler_internal.h
+++ b/src/coordination/autoscaling/autoscaler_internal.h
@@ -1,9 +1,9 @@
 /* What the files of provisioning share: the plan of rentals, and the steps of the duty. */
-#ifndef FL_COORDINATION_AUTOSCALER_INTERNAL_H
-#define FL_COORDINATION_AUTOSCALER_INTERNAL_H
+#ifndef FL_COORDINATION_AUTOSCALING_AUTOSCALER_INTERNAL_H
+#define FL_COORDINATION_AUTOSCALING_AUTOSCALER_INTERNAL_H
 
 #include "coordination/node.h"
-#include "coordination/autoscaler.h"
+#include "coordination/autoscaling/autoscaler.h"
 
 /* Whether a planned machine is rented already. */
 enum fl_planned_origin {
--- a/src/coordination/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -1,6 +1,6 @@
 /* The plan of rentals: the tasks without room are placed on machines that boot or could be rented.
  */
-#include "coordination/autoscaler_internal.h"
+#include "coordination/autoscaling/autoscaler_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/coordination/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -1,5 +1,5 @@
 /* The reserve: room on ordinary machines that lets services start without waiting for a boot. */
-#include "coordination/autoscaler_internal.h"
+#include "coordination/autoscaling/autoscaler_internal.h"
 
 #include <math.h>
 
--- a/src/coordination/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -1,13 +1,13 @@
 /* Listing the machines of the cloud, and returning those that are of no use. */
-#include "coordination/autoscaler_internal.h"
+#include "coordination/autoscaling/autoscaler_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/failure_detector.h"
-#include "coordination/reachability.h"
-#include "coordination/reconciliation.h"
+#include "coordination/workers/failure_detector.h"
+#include "coordination/workers/reachability.h"
+#include "coordination/workers/reconciliation.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
--- a/src/coordination/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -1,5 +1,5 @@
 /* The rentals that the last plan asked for. */
-#include "coordination/autoscaler_internal.h"
+#include "coordination/autoscaling/autoscaler_internal.h"
 
 #include <errno.h>
 #include <stdio.h>
--- a/src/coordination/election.c
+++ b/src/coordination/election/election.c
@@ -1,4 +1,4 @@
-#include "coordination/election.h"
+#include "coordination/election/election.h"
 
 #include <errno.h>
 #include <string.h>
--- a/src/coordination/election.h
+++ b/src/coordination/election/election.h
@@ -1,7 +1,7 @@
 /* Leader election: a key under a lease in the state service, and the epoch that fences old leaders.
  */
-#ifndef FL_COORDINATION_ELECTION_H
-#define FL_COORDINATION_ELECTION_H
+#ifndef FL_COORDINATION_ELECTION_ELECTION_H
+#define FL_COORDINATION_ELECTION_ELECTION_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/coordination/failover.c
+++ b/src/coordination/election/failover.c
@@ -1,4 +1,4 @@
-#include "coordination/failover.h"
+#include "coordination/election/failover.h"
 
 #include <errno.h>
 #include <math.h>
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/record_writer.h"
+#include "coordination/persistence/record_writer.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/failover.h
+++ b/src/coordination/election/failover.h
@@ -1,7 +1,7 @@
 /* How a new leader restores the state of the cluster from the records, before it decides anything.
  */
-#ifndef FL_COORDINATION_FAILOVER_H
-#define FL_COORDINATION_FAILOVER_H
+#ifndef FL_COORDINATION_ELECTION_FAILOVER_H
+#define FL_COORDINATION_ELECTION_FAILOVER_H
 
 struct fl_node;
 
--- a/src/coordination/leadership.c
+++ b/src/coordination/election/leadership.c
@@ -1,15 +1,15 @@
-#include "coordination/leadership.h"
+#include "coordination/election/leadership.h"
 
 #include <errno.h>
 #include <stdio.h>
 #include <string.h>
 
-#include "coordination/command.h"
+#include "coordination/workers/command.h"
 #include "coordination/node.h"
-#include "coordination/scheduling_cycle.h"
-#include "coordination/reconciliation.h"
-#include "coordination/record_writer.h"
-#include "coordination/failover.h"
+#include "coordination/scheduling/scheduling_cycle.h"
+#include "coordination/workers/reconciliation.h"
+#include "coordination/persistence/record_writer.h"
+#include "coordination/election/failover.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/leadership.h
+++ b/src/coordination/election/leadership.h
@@ -1,6 +1,6 @@
 /* Leadership: the state of a leader, and the start and end of its routines. */
-#ifndef FL_COORDINATION_LEADERSHIP_H
-#define FL_COORDINATION_LEADERSHIP_H
+#ifndef FL_COORDINATION_ELECTION_LEADERSHIP_H
+#define FL_COORDINATION_ELECTION_LEADERSHIP_H
 
 #include "storage/records.h"
 #include "transport/coroutine.h"
--- a/src/coordination/follower.c
+++ b/src/coordination/follower/follower.c
@@ -1,11 +1,11 @@
-#include "coordination/follower.h"
+#include "coordination/follower/follower.h"
 
 #include <errno.h>
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/reconciliation.h"
-#include "coordination/heartbeat_forwarding.h"
+#include "coordination/workers/reconciliation.h"
+#include "coordination/follower/heartbeat_forwarding.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/coroutine.h"
--- a/src/coordination/follower.h
+++ b/src/coordination/follower/follower.h
@@ -3,12 +3,12 @@
  * concluded from a lease having run out. Only a proof that is not too old bounds it, so that a
  * cancelled job's tasks end in time even where no leader can reach them.
  */
-#ifndef FL_COORDINATION_FOLLOWER_H
-#define FL_COORDINATION_FOLLOWER_H
+#ifndef FL_COORDINATION_FOLLOWER_FOLLOWER_H
+#define FL_COORDINATION_FOLLOWER_FOLLOWER_H
 
-#include "coordination/forwarding.h"
-#include "coordination/heartbeat_digest.h"
-#include "coordination/redirect.h"
+#include "coordination/follower/forwarding.h"
+#include "coordination/follower/heartbeat_digest.h"
+#include "coordination/follower/redirect.h"
 #include "storage/token_bucket.h"
 #include "transport/http_server.h"
 #include "transport/coroutine.h"
--- a/src/coordination/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -1,4 +1,4 @@
-#include "coordination/forwarding.h"
+#include "coordination/follower/forwarding.h"
 
 #include <errno.h>
 #include <math.h>
--- a/src/coordination/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -2,8 +2,8 @@
  * Relaying of calls to the leader: directly, or through a third controller if the leader does not
  * answer this one.
  */
-#ifndef FL_COORDINATION_FORWARDING_H
-#define FL_COORDINATION_FORWARDING_H
+#ifndef FL_COORDINATION_FOLLOWER_FORWARDING_H
+#define FL_COORDINATION_FOLLOWER_FORWARDING_H
 
 #include "protocol/users.h"
 #include "transport/http_client.h"
--- a/src/coordination/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -1,10 +1,10 @@
-#include "coordination/gossip.h"
+#include "coordination/follower/gossip.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/command.h"
+#include "coordination/workers/command.h"
 #include "coordination/node.h"
 #include "protocol/peers.h"
 #include "transport/clock.h"
--- a/src/coordination/gossip.h
+++ b/src/coordination/follower/gossip.h
@@ -2,8 +2,8 @@
  * Exchange between controllers, about once a second with each: who leads and since when that is
  * known, and which jobs were cancelled. It also tells which controllers can be reached.
  */
-#ifndef FL_COORDINATION_GOSSIP_H
-#define FL_COORDINATION_GOSSIP_H
+#ifndef FL_COORDINATION_FOLLOWER_GOSSIP_H
+#define FL_COORDINATION_FOLLOWER_GOSSIP_H
 
 #include <stddef.h>
 
--- a/src/coordination/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -1,4 +1,4 @@
-#include "coordination/heartbeat_digest.h"
+#include "coordination/follower/heartbeat_digest.h"
 
 #include <errno.h>
 #include <stdio.h>
--- a/src/coordination/heartbeat_digest.h
+++ b/src/coordination/follower/heartbeat_digest.h
@@ -2,8 +2,8 @@
  * Digests of cached reports: the newest report of each worker that this node has renewed without
  * the leader is stored in the state service, many to a record, where the leader reads it.
  */
-#ifndef FL_COORDINATION_HEARTBEAT_DIGEST_H
-#define FL_COORDINATION_HEARTBEAT_DIGEST_H
+#ifndef FL_COORDINATION_FOLLOWER_HEARTBEAT_DIGEST_H
+#define FL_COORDINATION_FOLLOWER_HEARTBEAT_DIGEST_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/coordination/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -1,4 +1,4 @@
-#include "coordination/heartbeat_forwarding.h"
+#include "coordination/follower/heartbeat_forwarding.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/src/coordination/heartbeat_forwarding.h
+++ b/src/coordination/follower/heartbeat_forwarding.h
@@ -3,8 +3,8 @@
  * the next one. A follower with hundreds of workers costs the leader a few messages, not one for
  * each report.
  */
-#ifndef FL_COORDINATION_HEARTBEAT_FORWARDING_H
-#define FL_COORDINATION_HEARTBEAT_FORWARDING_H
+#ifndef FL_COORDINATION_FOLLOWER_HEARTBEAT_FORWARDING_H
+#define FL_COORDINATION_FOLLOWER_HEARTBEAT_FORWARDING_H
 
 #include <stddef.h>
 
--- a/src/coordination/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -1,4 +1,4 @@
-#include "coordination/redirect.h"
+#include "coordination/follower/redirect.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/coordination/redirect.h
+++ b/src/coordination/follower/redirect.h
@@ -2,8 +2,8 @@
  * Moving misplaced workers: a worker that reports to a node of another zone, or to a node that is
  * cut off, is told to which other node it should report.
  */
-#ifndef FL_COORDINATION_REDIRECT_H
-#define FL_COORDINATION_REDIRECT_H
+#ifndef FL_COORDINATION_FOLLOWER_REDIRECT_H
+#define FL_COORDINATION_FOLLOWER_REDIRECT_H
 
 #include <uthash.h>
 
--- a/src/coordination/request_batch.c
+++ b/src/coordination/follower/request_batch.c
@@ -1,4 +1,4 @@
-#include "coordination/request_batch.h"
+#include "coordination/follower/request_batch.h"
 
 #include <errno.h>
 
--- a/src/coordination/request_batch.h
+++ b/src/coordination/follower/request_batch.h
@@ -3,8 +3,8 @@
  * as may be are under way go together with the next one. Nobody's part rests on a request that was
  * sent before it came.
  */
-#ifndef FL_COORDINATION_REQUEST_BATCH_H
-#define FL_COORDINATION_REQUEST_BATCH_H
+#ifndef FL_COORDINATION_FOLLOWER_REQUEST_BATCH_H
+#define FL_COORDINATION_FOLLOWER_REQUEST_BATCH_H
 
 #include <stdbool.h>
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -7,11 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/admission.h"
-#include "coordination/command.h"
-#include "coordination/heartbeat_forwarding.h"
-#include "coordination/submission.h"
-#include "coordination/user_requests.h"
+#include "coordination/api/admission.h"
+#include "coordination/workers/command.h"
+#include "coordination/follower/heartbeat_forwarding.h"
+#include "coordination/api/submission.h"
+#include "coordination/api/user_requests.h"
 #include "protocol/status_messages.h"
 #include "protocol/peer_heartbeats.h"
 #include "transport/clock.h"
--- a/src/coordination/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -1,10 +1,10 @@
-#include "coordination/record_writer.h"
+#include "coordination/persistence/record_writer.h"
 
 #include <errno.h>
 #include <string.h>
 
-#include "coordination/command.h"
-#include "coordination/record_writer_internal.h"
+#include "coordination/workers/command.h"
+#include "coordination/persistence/record_writer_internal.h"
 #include "transport/clock.h"
 
 static const struct {
--- a/src/coordination/record_writer.h
+++ b/src/coordination/persistence/record_writer.h
@@ -2,8 +2,8 @@
  * Writes the leader's records: in transactions on condition that it still leads, and before the
  * leader acts on what they say.
  */
-#ifndef FL_COORDINATION_RECORD_WRITER_H
-#define FL_COORDINATION_RECORD_WRITER_H
+#ifndef FL_COORDINATION_PERSISTENCE_RECORD_WRITER_H
+#define FL_COORDINATION_PERSISTENCE_RECORD_WRITER_H
 
 #include <stdbool.h>
 
--- a/src/coordination/record_writer_internal.h
+++ b/src/coordination/persistence/record_writer_internal.h
@@ -3,8 +3,8 @@
  * progress records, wal_writer.c the write-ahead log, final_record_writer.c final records.
  * All of it runs in that one routine, apart from what record_writer.h offers to others.
  */
-#ifndef FL_COORDINATION_RECORD_WRITER_INTERNAL_H
-#define FL_COORDINATION_RECORD_WRITER_INTERNAL_H
+#ifndef FL_COORDINATION_PERSISTENCE_RECORD_WRITER_INTERNAL_H
+#define FL_COORDINATION_PERSISTENCE_RECORD_WRITER_INTERNAL_H
 
 #include "coordination/node.h"
 
--- a/src/coordination/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -1,4 +1,4 @@
-#include "coordination/record_writer_internal.h"
+#include "coordination/persistence/record_writer_internal.h"
 
 #include <errno.h>
 #include <stdio.h>
--- a/src/coordination/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -1,5 +1,5 @@
 /* A pass: its memory, and the run over the jobs in their order. */
-#include "coordination/schedule_internal.h"
+#include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/coordination/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -2,8 +2,8 @@
  * One scheduling pass, pure: a snapshot goes in, decisions come out. The order is the product of
  * the relaxed backfill paper; what is added around it is explained in docs/design.md.
  */
-#ifndef FL_COORDINATION_SCHEDULE_H
-#define FL_COORDINATION_SCHEDULE_H
+#ifndef FL_COORDINATION_SCHEDULING_SCHEDULE_H
+#define FL_COORDINATION_SCHEDULING_SCHEDULE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/coordination/schedule_backfill.c
+++ b/src/coordination/scheduling/schedule_backfill.c
@@ -1,5 +1,5 @@
 /* Backfill: how long jobs of lower rank may use what the blocked top job waits for. */
-#include "coordination/schedule_internal.h"
+#include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/coordination/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -1,5 +1,5 @@
 /* Where a task may run by its constraints, and the room that is free for it there. */
-#include "coordination/schedule_internal.h"
+#include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 
--- a/src/coordination/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -2,10 +2,10 @@
  * What the files of the schedule share: the state of one pass, and the steps that a pass is made
  * of. Nothing else includes this.
  */
-#ifndef FL_COORDINATION_SCHEDULE_INTERNAL_H
-#define FL_COORDINATION_SCHEDULE_INTERNAL_H
+#ifndef FL_COORDINATION_SCHEDULING_SCHEDULE_INTERNAL_H
+#define FL_COORDINATION_SCHEDULING_SCHEDULE_INTERNAL_H
 
-#include "coordination/schedule.h"
+#include "coordination/scheduling/schedule.h"
 
 /* Slack in comparisons: amounts are sums of decimal fractions. In the unit of the amount. */
 #define FL_SCHED_EPSILON 1e-6
--- a/src/coordination/schedule_order.c
+++ b/src/coordination/scheduling/schedule_order.c
@@ -1,5 +1,5 @@
 /* The order in which a pass considers the jobs. */
-#include "coordination/schedule_internal.h"
+#include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/coordination/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -1,5 +1,5 @@
 /* Placement: the cost of a start on each machine, and the starts. */
-#include "coordination/schedule_internal.h"
+#include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/coordination/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -1,5 +1,5 @@
 /* Preemption: which runs may be stopped for a job, and the requests for their room. */
-#include "coordination/schedule_internal.h"
+#include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/coordination/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -1,13 +1,13 @@
-#include "coordination/scheduling_cycle.h"
+#include "coordination/scheduling/scheduling_cycle.h"
 
 #include <errno.h>
 #include <math.h>
 
-#include "coordination/command.h"
+#include "coordination/workers/command.h"
 #include "coordination/node.h"
-#include "coordination/scheduling_snapshot.h"
-#include "coordination/autoscaler.h"
-#include "coordination/schedule.h"
+#include "coordination/scheduling/scheduling_snapshot.h"
+#include "coordination/autoscaling/autoscaler.h"
+#include "coordination/scheduling/schedule.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/scheduling_cycle.h
+++ b/src/coordination/scheduling/scheduling_cycle.h
@@ -2,8 +2,8 @@
  * Passes: a snapshot of the cluster state goes to the schedule, and its decisions are applied to
  * the cluster state.
  */
-#ifndef FL_COORDINATION_SCHEDULING_CYCLE_H
-#define FL_COORDINATION_SCHEDULING_CYCLE_H
+#ifndef FL_COORDINATION_SCHEDULING_SCHEDULING_CYCLE_H
+#define FL_COORDINATION_SCHEDULING_SCHEDULING_CYCLE_H
 
 /* The routine of a leader, with its fl_node. */
 void fl_scheduling_cycle_coroutine(void *arg);
--- a/src/coordination/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -1,4 +1,4 @@
-#include "coordination/scheduling_snapshot.h"
+#include "coordination/scheduling/scheduling_snapshot.h"
 
 #include <errno.h>
 #include <math.h>
@@ -6,8 +6,8 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/autoscaler.h"
-#include "coordination/reachability.h"
+#include "coordination/autoscaling/autoscaler.h"
+#include "coordination/workers/reachability.h"
 #include "transport/clock.h"
 
 static const struct {
--- a/src/coordination/scheduling_snapshot.h
+++ b/src/coordination/scheduling/scheduling_snapshot.h
@@ -1,8 +1,8 @@
 /* The snapshot of the cluster state that a pass works on. */
-#ifndef FL_COORDINATION_SCHEDULING_SNAPSHOT_H
-#define FL_COORDINATION_SCHEDULING_SNAPSHOT_H
+#ifndef FL_COORDINATION_SCHEDULING_SCHEDULING_SNAPSHOT_H
+#define FL_COORDINATION_SCHEDULING_SCHEDULING_SNAPSHOT_H
 
-#include "coordination/schedule.h"
+#include "coordination/scheduling/schedule.h"
 #include "storage/jobs.h"
 #include "storage/machines.h"
 
--- a/src/coordination/command.c
+++ b/src/coordination/workers/command.c
@@ -1,9 +1,9 @@
-#include "coordination/command.h"
+#include "coordination/workers/command.h"
 
 #include <stdlib.h>
 
 #include "coordination/node.h"
-#include "coordination/reconciliation.h"
+#include "coordination/workers/reconciliation.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/command.h
+++ b/src/coordination/workers/command.h
@@ -1,6 +1,6 @@
 /* Direct commands to machines, and the deadline by which cancelled jobs must have ended. */
-#ifndef FL_COORDINATION_COMMAND_H
-#define FL_COORDINATION_COMMAND_H
+#ifndef FL_COORDINATION_WORKERS_COMMAND_H
+#define FL_COORDINATION_WORKERS_COMMAND_H
 
 struct fl_node;
 struct fl_job;
--- a/src/coordination/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -1,9 +1,9 @@
-#include "coordination/failure_detector.h"
+#include "coordination/workers/failure_detector.h"
 
 #include <math.h>
 #include <string.h>
 
-#include "coordination/reachability.h"
+#include "coordination/workers/reachability.h"
 #include "coordination/node.h"
 
 static const struct {
--- a/src/coordination/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -2,8 +2,8 @@
  * The failure detector: when a machine whose reports do not arrive, or that our answers do not
  * reach, is considered lost.
  */
-#ifndef FL_COORDINATION_FAILURE_DETECTOR_H
-#define FL_COORDINATION_FAILURE_DETECTOR_H
+#ifndef FL_COORDINATION_WORKERS_FAILURE_DETECTOR_H
+#define FL_COORDINATION_WORKERS_FAILURE_DETECTOR_H
 
 #include <stdbool.h>
 
--- a/src/coordination/reachability.c
+++ b/src/coordination/workers/reachability.c
@@ -1,4 +1,4 @@
-#include "coordination/reachability.h"
+#include "coordination/workers/reachability.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/coordination/reachability.h
+++ b/src/coordination/workers/reachability.h
@@ -4,8 +4,8 @@
  * on the next report: the epoch the worker has seen, a launch that was carried out, a session that
  * did not end, and that the worker did not time out before it reported again.
  */
-#ifndef FL_COORDINATION_REACHABILITY_H
-#define FL_COORDINATION_REACHABILITY_H
+#ifndef FL_COORDINATION_WORKERS_REACHABILITY_H
+#define FL_COORDINATION_WORKERS_REACHABILITY_H
 
 #include <stdbool.h>
 
--- a/src/coordination/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -1,10 +1,10 @@
-#include "coordination/reconciliation.h"
+#include "coordination/workers/reconciliation.h"
 
 #include <errno.h>
 #include <math.h>
 #include <string.h>
 
-#include "coordination/reachability.h"
+#include "coordination/workers/reachability.h"
 #include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/log.h"
--- a/src/coordination/reconciliation.h
+++ b/src/coordination/workers/reconciliation.h
@@ -2,8 +2,8 @@
  * Reconciliation of the desired with the reported state: what a worker's report proves, and what
  * the worker is ordered to do.
  */
-#ifndef FL_COORDINATION_RECONCILIATION_H
-#define FL_COORDINATION_RECONCILIATION_H
+#ifndef FL_COORDINATION_WORKERS_RECONCILIATION_H
+#define FL_COORDINATION_WORKERS_RECONCILIATION_H
 
 #include <stdbool.h>
 
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -6,7 +6,7 @@
 #define FL_TESTS_NODE_FIXTURE_H
 
 #include "coordination/node.h"
-#include "coordination/reconciliation.h"
+#include "coordination/workers/reconciliation.h"
 #include "protocol/workers.h"
 
 enum { EPOCH = 7 };
--- a/tests/reconciliation_sim.h
+++ b/tests/reconciliation_sim.h
@@ -10,7 +10,7 @@
 #include <gsl/gsl_rng.h>
 
 #include "coordination/node.h"
-#include "coordination/reconciliation.h"
+#include "coordination/workers/reconciliation.h"
 
 enum { WORKERS = 4, JOBS = 3, TASKS = 5, MESSAGES = 400, ENTRIES = 64 };
 
--- a/tests/schedule_fixture.h
+++ b/tests/schedule_fixture.h
@@ -2,7 +2,7 @@
 #ifndef FL_TESTS_SCHEDULE_FIXTURE_H
 #define FL_TESTS_SCHEDULE_FIXTURE_H
 
-#include "coordination/schedule.h"
+#include "coordination/scheduling/schedule.h"
 
 enum { JOBS = 80, MACHINES = 300, RUNS = 700, TEAMS = 3, ZONES = 3 };
 
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/record_writer.h"
+#include "coordination/persistence/record_writer.h"
 #include "transport/clock.h"
 
 struct call {
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -10,7 +10,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "coordination/schedule.h"
+#include "coordination/scheduling/schedule.h"
 
 enum { BACKGROUND, EXPECTED, JOBS };
 
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/record_writer.h"
+#include "coordination/persistence/record_writer.h"
 #include "node_fixture.h"
 #include "transport/clock.h"
 
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -15,11 +15,11 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
-#include "coordination/election.h"
+#include "coordination/election/election.h"
 #include "coordination/node.h"
-#include "coordination/record_writer_internal.h"
-#include "coordination/heartbeat_digest.h"
-#include "coordination/failover.h"
+#include "coordination/persistence/record_writer_internal.h"
+#include "coordination/follower/heartbeat_digest.h"
+#include "coordination/election/failover.h"
 #include "protocol/peers.h"
 #include "sim.h"
 #include "transport/clock.h"
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/election.h"
+#include "coordination/election/election.h"
 #include "coordination/node.h"
 #include "sim.h"
 #include "transport/clock.h"
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/failover.h"
+#include "coordination/election/failover.h"
 #include "frontend_fixture.h"
 
 static const char *const bad_records[] = {
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "coordination/failure_detector.h"
+#include "coordination/workers/failure_detector.h"
 #include "node_fixture.h"
 #include "transport/clock.h"
 
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -15,7 +15,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/heartbeat_forwarding.h"
+#include "coordination/follower/heartbeat_forwarding.h"
 #include "protocol/peer_heartbeats.h"
 #include "sim.h"
 #include "transport/clock.h"
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -12,8 +12,8 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/scheduling_snapshot.h"
-#include "coordination/schedule.h"
+#include "coordination/scheduling/scheduling_snapshot.h"
+#include "coordination/scheduling/schedule.h"
 #include "storage/progress_records.h"
 #include "storage/write_ahead_log.h"
 #include "transport/clock.h"
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -12,7 +12,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "coordination/reachability.h"
+#include "coordination/workers/reachability.h"
 #include "node_fixture.h"
 #include "transport/clock.h"
 
--- a/tests/test_scheduling_cycle.c
+++ b/tests/test_scheduling_cycle.c
@@ -4,7 +4,7 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-#include "coordination/scheduling_cycle.h"
+#include "coordination/scheduling/scheduling_cycle.h"
 
 static const double lean_share = 0.03, seconds = 60;
 
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -14,7 +14,7 @@
 
 #include "storage/records.h"
 #include "config.h"
-#include "coordination/admission.h"
+#include "coordination/api/admission.h"
 #include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/http_client.h"
