--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -1,6 +1,5 @@
 #include "coordination/api/job_lookup.h"
 
-#include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -21,7 +20,7 @@
 {
 	double rate = node->config->state_rps * tunables.share / (node->peer_count + 1);
 
-	fl_token_bucket_init(&node->status_read_budget, rate, rate * tunables.burst_s, fl_now());
+	fl_token_bucket_init(&node->api.read_budget, rate, rate * tunables.burst_s, fl_now());
 }
 
 /*
@@ -34,7 +33,7 @@
 	/* While one leads, the others pass their polls on to it, and ask nothing themselves. */
 	if (fl_is_leader(node))
 		requests /= node->peer_count + 1;
-	return fl_token_bucket_take(&node->status_read_budget, requests, fl_now()) <= 0;
+	return fl_token_bucket_take(&node->api.read_budget, requests, fl_now()) <= 0;
 }
 
 static struct fl_job_lookup *create(const char *ref)
@@ -58,23 +57,23 @@
 /* From here on it is being asked: who comes later waits for the next. */
 static void enter(struct fl_node *node, struct fl_job_lookup *lookup)
 {
-	HASH_ADD_STR(node->job_lookups, ref, lookup);
+	HASH_ADD_STR(node->api.job_lookups, ref, lookup);
 	lookup->holder_count++;
 }
 
 /* The table's hold on it passes to the caller. */
 static void read_records(struct fl_node *node, struct fl_job_lookup *lookup)
 {
-	lookup->rc = fl_job_lookup_within_budget(node, tunables.reads)
-	                     ? fl_job_record_read(&node->kv_store, lookup->ref, &lookup->record,
-	                                          &lookup->value, &lookup->mod_revision)
-	                     : -EAGAIN;
+	lookup->result = FL_RECORD_UNAVAILABLE;
+	if (fl_job_lookup_within_budget(node, tunables.reads))
+		lookup->result = fl_job_record_read(&node->kv_store, lookup->ref, &lookup->record,
+		                                    &lookup->value, &lookup->mod_revision);
 	/* It never changes again: who asks next is answered from memory. */
-	if (!lookup->rc && lookup->record.final && !lookup->value &&
+	if (lookup->result == FL_RECORD_FOUND && lookup->record.final && !lookup->value &&
 	    lookup->record.status == FL_DONE)
 		fl_finished_job_add(&node->cluster, lookup->ref, FL_DONE, lookup->record.task_count,
 		                    0);
-	HASH_DEL(node->job_lookups, lookup);
+	HASH_DEL(node->api.job_lookups, lookup);
 	if (lookup->next)
 		enter(node, lookup->next);
 	lookup->done = true;
@@ -99,7 +98,7 @@
 		held++;
 	} else {
 		before->next = NULL;
-		lookup->rc = -EAGAIN;
+		lookup->result = FL_RECORD_UNAVAILABLE;
 		lookup->done = true;
 		fl_condition_broadcast(&lookup->completed);
 	}
@@ -107,17 +106,19 @@
 	return held;
 }
 
-int fl_job_lookup_read(struct fl_node *node, const char *ref, struct fl_job_record *record,
-                       cJSON **value, uint64_t *revision)
+enum fl_record_result fl_job_lookup_read(struct fl_node *node, const char *ref,
+                                         struct fl_job_record *record, cJSON **value,
+                                         uint64_t *revision)
 {
 	struct fl_job_lookup *lookup, *sent;
-	int rc, held = 1;
+	enum fl_record_result result;
+	int held = 1;
 
 	*value = NULL;
-	HASH_FIND_STR(node->job_lookups, ref, sent);
+	HASH_FIND_STR(node->api.job_lookups, ref, sent);
 	lookup = sent && sent->next ? sent->next : create(ref);
 	if (!lookup)
-		return -ENOMEM;
+		return FL_RECORD_UNAVAILABLE;
 	lookup->holder_count++;
 	if (!sent) {
 		enter(node, lookup);
@@ -130,14 +131,14 @@
 		       fl_condition_wait(&lookup->completed, tunables.patience_s) == 0)
 			;
 	}
-	rc = lookup->done ? lookup->rc : -EAGAIN;
-	if (!rc) {
+	result = lookup->done ? lookup->result : FL_RECORD_UNAVAILABLE;
+	if (result == FL_RECORD_FOUND) {
 		*record = lookup->record;
 		*revision = lookup->mod_revision;
 		*value = lookup->value ? cJSON_Duplicate(lookup->value, true) : NULL;
 		if (lookup->value && !*value)
-			rc = -ENOMEM;
+			result = FL_RECORD_UNAVAILABLE;
 	}
 	release(lookup, held);
-	return rc;
+	return result;
 }
--- a/src/coordination/api/job_responses.c
+++ b/src/coordination/api/job_responses.c
@@ -5,7 +5,8 @@
 
 #include "coordination/workers/command.h"
 #include "coordination/node.h"
-#include "coordination/persistence/record_writer.h"
+#include "coordination/responses.h"
+#include "coordination/persistence/job_record_refresh.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
@@ -14,7 +15,7 @@
 {
 	response->status = 200;
 	response->body =
-		fl_status_encode(finished->ref, (enum fl_job_status)finished->status,
+		fl_status_encode(finished->ref, finished->status,
 	                         !counts                       ? -1
 	                         : finished->status == FL_DONE ? (int64_t)finished->task_count
 	                                                       : 0,
@@ -35,20 +36,20 @@
 	struct fl_job *job;
 	uint64_t revision;
 	cJSON *value = NULL;
-	int rc = fl_job_lookup_read(node, ref, &record, &value, &revision);
+	enum fl_record_result result = fl_job_lookup_read(node, ref, &record, &value, &revision);
 	const struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
 
 	if (finished) {
 		/* It came to its end while the record was on its way here. */
 		respond_finished_job(response, finished, true);
-	} else if (rc == -ENOENT) {
+	} else if (result == FL_RECORD_NOT_FOUND) {
 		fl_respond_error(response, 404, "no such job");
-	} else if (rc != 0) {
+	} else if (result != FL_RECORD_FOUND) {
 		fl_respond_unavailable(response, "the state service does not answer");
 	} else if (record.final) {
 		job = node->leadership.active ? fl_job_find(&node->cluster, ref) : NULL;
-		if (job && value && revision > job->mod_revision)
-			fl_record_writer_apply_record(node, job, &record, revision);
+		if (job && value && revision > job->record.mod_revision)
+			fl_job_record_refresh_apply(node, job, &record, revision);
 		else if (!job && value)
 			fl_finished_job_add(&node->cluster, ref, record.status, record.task_count,
 			                    fl_since(record.cancelled_wall));
@@ -60,7 +61,7 @@
 		response->status = 200;
 		response->body =
 			fl_status_encode(ref, job ? fl_job_current_status(job) : FL_PENDING,
-		                         job ? job->done_count : 0, job ? job->running_count : 0);
+		                         job ? job->counts.done : 0, job ? job->counts.running : 0);
 	}
 	cJSON_Delete(value);
 }
@@ -73,15 +74,15 @@
 	if (finished)
 		return (struct fl_job_status_report){
 			.known = true,
-			.status = (enum fl_job_status)finished->status,
+			.status = finished->status,
 			.done_count = finished->status == FL_DONE ? finished->task_count : 0};
 	/* While a final write is under way, another node may already know its outcome. */
-	if (!job || job->final_write_in_flight || job->final_write_unknown)
+	if (!job || job->record.final_write_in_flight || job->record.final_write_unknown)
 		return (struct fl_job_status_report){0};
 	return (struct fl_job_status_report){.known = true,
 	                                     .status = fl_job_current_status(job),
-	                                     .done_count = job->done_count,
-	                                     .running_count = job->running_count};
+	                                     .done_count = job->counts.done,
+	                                     .running_count = job->counts.running};
 }
 
 void fl_respond_job_status(struct fl_node *node, const char *ref, struct fl_http_response *response)
@@ -96,8 +97,8 @@
 	response->body = fl_status_encode(ref, state.status, state.done_count, state.running_count);
 }
 
-static int store_cancellation(struct fl_node *node, struct fl_job *job, double cancelled,
-                              uint64_t *revision)
+static enum fl_kv_result store_cancellation(struct fl_node *node, struct fl_job *job,
+                                            double cancelled, uint64_t *revision)
 {
 	struct fl_kv_txn txn;
 	struct fl_job_spec spec;
@@ -106,8 +107,8 @@
 	fl_key_job(key, job->ref);
 	fl_job_describe(&node->cluster, job, &spec);
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->election.leader_mod_revision);
-	fl_kv_txn_expect_revision(&txn, key, job->mod_revision);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->leader_lease.leader_mod_revision);
+	fl_kv_txn_expect_revision(&txn, key, job->record.mod_revision);
 	fl_kv_txn_put(&txn, key, fl_job_record_cancelled(&spec, job->submitted_wall, cancelled), 0);
 	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
 }
@@ -116,11 +117,10 @@
 {
 	struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
 	struct fl_job *job = finished ? NULL : fl_job_find(&node->cluster, ref);
-	enum fl_job_status status;
 	struct fl_job_record record = {.final = true, .cancelled_wall = fl_wall()};
 	uint64_t revision;
-	bool done = false;
-	int rc;
+	enum fl_kv_result result;
+	struct fl_refreshed_job refreshed;
 
 	if (!finished && !job) {
 		respond_status_from_record(node, ref, response);
@@ -134,36 +134,36 @@
 		respond_finished_job(response, finished, false);
 		return;
 	}
-	if (job->final_write_unknown && !job->final_write_in_flight)
-		fl_record_writer_reread_job(node, ref, &done, &status);
+	if (job->record.final_write_unknown && !job->record.final_write_in_flight)
+		fl_job_record_refresh(node, ref, &refreshed);
 	job = fl_is_leader(node) ? fl_job_find(&node->cluster, ref) : NULL;
 	if (job && job->cancelled) {
 		respond_cancelled(response, ref);
 		return;
 	}
-	if (!job || job->final_write_in_flight || job->final_write_unknown) {
+	if (!job || job->record.final_write_in_flight || job->record.final_write_unknown) {
 		fl_respond_unavailable(response, "the job's state is being written");
 		return;
 	}
 	/* Till this is answered, only the record knows: see fl_respond_job_status. */
-	job->final_write_unknown = true;
-	rc = store_cancellation(node, job, record.cancelled_wall, &revision);
+	job->record.final_write_unknown = true;
+	result = store_cancellation(node, job, record.cancelled_wall, &revision);
 	job = node->leadership.active ? fl_job_find(&node->cluster, ref) : NULL;
-	if (job && rc == 0) {
+	if (job && result == FL_KV_OK) {
 		fl_cluster_apply_cancellation(&node->cluster, job, &record, revision);
 		fl_command_stop_job(node, job);
 		fl_info("jobs", "%s is cancelled", ref);
-	} else if (job && rc == -EAGAIN) {
-		job->final_write_unknown = false;
+	} else if (job && result == FL_KV_UNAVAILABLE) {
+		job->record.final_write_unknown = false;
 	} else if (job) {
-		fl_record_writer_reread_job(node, ref, &done, &status);
-	} else if (rc == 0) {
+		fl_job_record_refresh(node, ref, &refreshed);
+	} else if (result == FL_KV_OK) {
 		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record.cancelled_wall));
 	}
 	finished = fl_finished_job_find(&node->cluster, ref);
 	if (finished)
 		respond_finished_job(response, finished, false);
-	else if (rc == 0)
+	else if (result == FL_KV_OK)
 		/* Stored, though this node leads no more: the next leader stops its tasks. */
 		respond_cancelled(response, ref);
 	else
--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -6,6 +6,7 @@
 
 #include "coordination/api/job_responses.h"
 #include "coordination/node.h"
+#include "coordination/responses.h"
 #include "protocol/status_messages.h"
 #include "transport/clock.h"
 #include "transport/log.h"
@@ -35,7 +36,7 @@
 
 static struct fl_peer *leading_peer(struct fl_node *node)
 {
-	struct fl_peer *leader = fl_peer_find(node, node->leader_name);
+	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
 
 	return leader && (leader->up || node->peer_count == 1) ? leader : NULL;
 }
@@ -86,7 +87,7 @@
 {
 	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
 	                                      tunables.patience_s, exchange};
-	struct fl_batch_queue *queue = &node->status_queries;
+	struct fl_batch_queue *queue = &node->api.status_queries;
 	struct fl_status_batch *batch = (struct fl_status_batch *)queue->filling;
 	bool first = !batch;
 	enum fl_query_result result;
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -1,11 +1,12 @@
 #include "coordination/api/submission.h"
 
-#include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "coordination/api/admission.h"
 #include "coordination/node.h"
+#include "coordination/follower/isolation.h"
+#include "coordination/responses.h"
 #include "coordination/api/user_requests.h"
 #include "transport/clock.h"
 #include "transport/log.h"
@@ -72,60 +73,69 @@
 	       fl_now() - node->kv_store.last_failure_at < tunables.down_s;
 }
 
-/* Like answer_known, by asking the leader. */
-static int ask_leader_if_known(struct fl_node *node, const char *ref,
-                               struct fl_http_response *response)
+/* Whether a submission is a duplicate of one that was accepted. */
+enum duplicate {
+	DUPLICATE_NO,       /* the job is not known */
+	DUPLICATE_ANSWERED, /* it is, and the response has its state */
+	DUPLICATE_UNDECIDED /* neither the store nor the leader can tell now */
+};
+
+/* Like respond_if_duplicate, by asking the leader. */
+static enum duplicate ask_leader_if_duplicate(struct fl_node *node, const char *ref,
+                                              struct fl_http_response *response)
 {
 	struct fl_http_reply reply;
 
-	if (fl_election_lease_valid(node) ||
+	if (fl_leader_lease_is_valid(node) ||
 	    fl_user_request_forward(node, FL_USER_REQUEST_STATUS, ref, NULL, FL_HOP_FIRST,
 	                            fl_user_request_timeout_s(FL_USER_REQUEST_STATUS), &reply) != 0)
-		return -EAGAIN;
+		return DUPLICATE_UNDECIDED;
 	if (reply.status == 200) {
 		response->status = 200;
 		response->body = reply.body.data;
-		return 1;
+		return DUPLICATE_ANSWERED;
 	}
 	fl_buffer_free(&reply.body);
-	return reply.status == 404 ? 0 : -EAGAIN;
+	return reply.status == 404 ? DUPLICATE_NO : DUPLICATE_UNDECIDED;
 }
 
 /*
- * 1: known, and answered; 0: not known; <0: cannot be told now. What the state service refuses to
- * this node alone the leader can tell: else a bad submission would be told to come again, here
- * only, and its user would do so for a minute.
+ * Answers a duplicate submission with the state of the job. What the key-value store refuses to
+ * this node alone the leader can tell: else a malformed submission would be told to come again,
+ * here only, and its user would do so for a minute.
  */
-static int respond_if_known(struct fl_node *node, const char *ref, enum fl_forward_hop hop,
-                            struct fl_http_response *response)
+static enum duplicate respond_if_duplicate(struct fl_node *node, const char *ref,
+                                           enum fl_forward_hop hop,
+                                           struct fl_http_response *response)
 {
 	struct fl_job_record record;
 	uint64_t revision;
 	cJSON *value = NULL;
-	int rc;
+	enum fl_record_result result = FL_RECORD_UNAVAILABLE;
 
 	if (!fl_finished_job_find(&node->cluster, ref) && !fl_job_find(&node->cluster, ref)) {
-		rc = kv_store_is_down(node)
-		             ? -EAGAIN
-		             : fl_job_record_read(&node->kv_store, ref, &record, &value, &revision);
+		if (!kv_store_is_down(node))
+			result = fl_job_record_read(&node->kv_store, ref, &record, &value,
+			                            &revision);
 		cJSON_Delete(value);
-		if (rc && rc != -ENOENT && !hop)
-			return ask_leader_if_known(node, ref, response);
-		if (rc)
-			return rc == -ENOENT ? 0 : rc;
+		if (result == FL_RECORD_NOT_FOUND)
+			return DUPLICATE_NO;
+		if (result != FL_RECORD_FOUND)
+			return hop == FL_HOP_FIRST ? ask_leader_if_duplicate(node, ref, response)
+			                           : DUPLICATE_UNDECIDED;
 	}
 	fl_respond_status_or_cancel(node, FL_USER_REQUEST_STATUS, ref, hop, response);
-	return 1;
+	return DUPLICATE_ANSWERED;
 }
 
-static int store_job(struct fl_node *node, const struct fl_job_spec *spec)
+static enum fl_kv_result store_job(struct fl_node *node, const struct fl_job_spec *spec)
 {
 	double submitted = fl_wall();
 	struct fl_kv_txn txn;
 	struct fl_job *job;
 	char key[FL_KEY_MAX];
 	uint64_t revision;
-	int rc;
+	enum fl_kv_result result;
 
 	fl_kv_txn_init(&txn);
 	fl_key_finished(key, spec->ref);
@@ -133,9 +143,9 @@
 	fl_key_job(key, spec->ref);
 	fl_kv_txn_expect_revision(&txn, key, 0);
 	fl_kv_txn_put(&txn, key, fl_job_record_live(spec, submitted), 0);
-	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
-	if (rc)
-		return rc;
+	result = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
+	if (result != FL_KV_OK)
+		return result;
 	if (!fl_finished_job_find(&node->cluster, spec->ref) &&
 	    !fl_job_find(&node->cluster, spec->ref) &&
 	    !(node->cluster.leading && revision <= node->cluster.list_revision)) {
@@ -145,7 +155,7 @@
 			fl_condition_broadcast(&node->leadership.work_available);
 		}
 	}
-	return 0;
+	return FL_KV_OK;
 }
 
 /*
@@ -159,7 +169,7 @@
 	char *text;
 	int rc;
 
-	if (fl_election_lease_valid(node))
+	if (fl_leader_lease_is_valid(node))
 		return false;
 	text = fl_json_print_and_delete(fl_job_spec_encode(spec));
 	rc = fl_user_request_forward(node, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
@@ -183,15 +193,15 @@
 static bool respond_early(struct fl_node *node, const struct fl_job_spec *spec, const char *bad,
                           enum fl_forward_hop hop, struct fl_http_response *response)
 {
-	int rc;
+	enum duplicate duplicate;
 
 	if (!bad && node->machine_types_known && !fl_finished_job_find(&node->cluster, spec->ref) &&
 	    !fl_job_find(&node->cluster, spec->ref))
 		return false;
-	rc = respond_if_known(node, spec->ref, hop, response);
-	if (rc == 1)
+	duplicate = respond_if_duplicate(node, spec->ref, hop, response);
+	if (duplicate == DUPLICATE_ANSWERED)
 		return true;
-	if (rc < 0 || !bad) {
+	if (duplicate == DUPLICATE_UNDECIDED || !bad) {
 		fl_respond_unavailable(response, "cannot decide yet");
 	} else {
 		fl_respond_error(response, 400, "%s: missing or invalid", bad);
@@ -204,13 +214,16 @@
 static void reject_infeasible(struct fl_node *node, const struct fl_job_spec *spec, const char *why,
                               enum fl_forward_hop hop, struct fl_http_response *response)
 {
-	int rc = respond_if_known(node, spec->ref, hop, response);
-
-	if (rc < 0) {
+	switch (respond_if_duplicate(node, spec->ref, hop, response)) {
+	case DUPLICATE_ANSWERED:
+		return;
+	case DUPLICATE_UNDECIDED:
 		fl_respond_unavailable(response, "cannot decide yet");
-	} else if (rc == 0) {
+		return;
+	case DUPLICATE_NO:
 		fl_respond_error(response, 422, "%s", why);
 		fl_info("jobs", "%s refused: %s", spec->ref, why);
+		return;
 	}
 }
 
@@ -218,7 +231,7 @@
 static void reject_for_memory(struct fl_node *node, const struct fl_job_spec *spec,
                               enum fl_forward_hop hop, struct fl_http_response *response)
 {
-	if (respond_if_known(node, spec->ref, hop, response) == 1)
+	if (respond_if_duplicate(node, spec->ref, hop, response) == DUPLICATE_ANSWERED)
 		return;
 	fl_respond_unavailable(response, "memory is short at the moment");
 	fl_info("jobs", "%s turned away: memory is short", spec->ref);
@@ -229,22 +242,25 @@
                        enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	/* A cut is silent: to try here first would cost the user a second. */
-	bool relayed_first = !hop && fl_kv_is_unavailable(&node->kv_store);
-	int rc;
+	bool forwarded_first = hop == FL_HOP_FIRST && fl_kv_is_unavailable(&node->kv_store);
+	enum fl_kv_result result = FL_KV_UNAVAILABLE;
 
-	if (relayed_first && submit_through_leader(node, spec, response))
+	if (forwarded_first && submit_through_leader(node, spec, response))
 		return;
-	rc = kv_store_is_down(node) ? -EAGAIN : store_job(node, spec);
-	if (rc == 0) {
+	if (!kv_store_is_down(node))
+		result = store_job(node, spec);
+	if (result == FL_KV_OK) {
 		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", spec->ref,
 		        spec->job_class, spec->team, spec->task_count, spec->cpus, spec->gpus);
 		response->status = 201;
 		response->body = fl_status_encode(spec->ref, FL_PENDING, -1, 0);
 		return;
 	}
-	if (rc == -ESTALE && respond_if_known(node, spec->ref, hop, response) == 1)
+	if (result == FL_KV_COMPARE_FAILED &&
+	    respond_if_duplicate(node, spec->ref, hop, response) == DUPLICATE_ANSWERED)
 		return;
-	if (rc != -ESTALE && !hop && !relayed_first && submit_through_leader(node, spec, response))
+	if (result != FL_KV_COMPARE_FAILED && hop == FL_HOP_FIRST && !forwarded_first &&
+	    submit_through_leader(node, spec, response))
 		return;
 	fl_respond_unavailable(response, "the job could not be stored");
 }
@@ -267,7 +283,7 @@
 		fl_respond_error(response, 400, "Ref: missing or invalid");
 		return;
 	}
-	if (fl_follower_is_isolated(node)) {
+	if (fl_node_is_isolated(node)) {
 		/* At once: every try at either would cost the user seconds in vain. */
 		fl_respond_unavailable(response,
 		                       "neither the state service nor another controller answers");
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -5,6 +5,8 @@
 
 #include "coordination/api/job_responses.h"
 #include "coordination/node.h"
+#include "coordination/follower/isolation.h"
+#include "coordination/responses.h"
 #include "coordination/api/status_query.h"
 #include "transport/clock.h"
 
@@ -26,7 +28,7 @@
 	int most = kind == FL_USER_REQUEST_STATUS ? FL_PEER_USER_REQUESTS_MAX / 2
 	                                          : FL_PEER_USER_REQUESTS_MAX;
 
-	return node->forwarded_requests < most;
+	return node->api.forwarded_in_flight < most;
 }
 
 struct forwarded_call {
@@ -51,9 +53,9 @@
 
 	if (!may_forward(node, kind))
 		return -EBUSY;
-	node->forwarded_requests++;
+	node->api.forwarded_in_flight++;
 	rc = fl_forward(node, FL_PATH_FORWARD, encode_call, &relayed, hop, patience_s, reply);
-	node->forwarded_requests--;
+	node->api.forwarded_in_flight--;
 	return rc;
 }
 
@@ -78,17 +80,17 @@
 	char key[FL_KEY_MAX];
 	uint64_t revision;
 	cJSON *value = NULL;
-	int rc = fl_job_lookup_read(node, ref, &record, &value, &revision);
+	enum fl_record_result result = fl_job_lookup_read(node, ref, &record, &value, &revision);
 
 	/* What a user is told here, the other controllers must hear from here. */
-	if (rc == 0 && record.final && value)
+	if (result == FL_RECORD_FOUND && record.final && value)
 		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record.cancelled_wall));
 	cJSON_Delete(value);
-	if (rc == -ENOENT) {
+	if (result == FL_RECORD_NOT_FOUND) {
 		fl_respond_error(response, 404, "no such job");
 		return;
 	}
-	if (rc) {
+	if (result != FL_RECORD_FOUND) {
 		fl_respond_unavailable(response,
 		                       "neither the leader nor the state service answers");
 		return;
@@ -181,7 +183,7 @@
 	finished = fl_finished_job_find(&node->cluster, ref);
 	if (finished) {
 		response->status = 200;
-		response->body = fl_status_encode(ref, (enum fl_job_status)finished->status,
+		response->body = fl_status_encode(ref, finished->status,
 		                                  kind == FL_USER_REQUEST_CANCEL ? -1
 		                                  : finished->status == FL_DONE
 		                                          ? (int64_t)finished->task_count
@@ -196,7 +198,7 @@
 			fl_respond_cancel(node, ref, response);
 		return;
 	}
-	if (fl_follower_is_isolated(node)) {
+	if (fl_node_is_isolated(node)) {
 		fl_respond_unavailable(response,
 		                       "neither the state service nor another controller answers");
 		return;
--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -24,16 +24,6 @@
 /* A steady time before any other. */
 #define LONG_AGO (-1e9)
 
-int fl_autoscaler_await_call_budget(struct fl_node *node)
-{
-	double wait;
-
-	while ((wait = fl_token_bucket_take(&node->autoscaler.call_budget, 1, fl_now())) > 0)
-		if (fl_sleep(wait) != 0)
-			return -ECANCELED;
-	return fl_election_lease_valid(node) ? 0 : -EAGAIN;
-}
-
 /* For controllers that start while the cloud is out: see read_types in node.c. */
 static void store_machine_types(struct fl_node *node, const struct fl_cloud_machine_type *types,
                                 int count)
@@ -41,12 +31,12 @@
 	struct fl_kv_txn txn;
 	uint64_t revision;
 
-	if (fl_token_bucket_take(&node->leadership.write_budget, 1, fl_now()) > 0)
+	if (fl_token_bucket_take(&node->record_writer.write_budget, 1, fl_now()) > 0)
 		return; /* launches need the writes: the next look will do */
 	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->election.leader_mod_revision);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->leader_lease.leader_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
-	if (fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL) != 0)
+	if (fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL) != FL_KV_OK)
 		fl_debug("cloud", "machine types not stored");
 }
 
@@ -77,7 +67,7 @@
 	     i++) {
 		const struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (machine->spot && machine->up && !machine->decommissioned)
+		if (machine->spot && machine->lifecycle.up && !machine->lifecycle.decommissioned)
 			node->autoscaler.spot_machine_seconds += since;
 	}
 	node->autoscaler.spot_counted_at = now;
@@ -94,12 +84,10 @@
 	                     tunables.burst_s * node->config->cloud_rps * tunables.call_share, now);
 }
 
-void fl_autoscaler_coroutine(void *arg)
+void fl_autoscaler_run(struct fl_node *node)
 {
-	struct fl_node *node = arg;
-
 	while (fl_sleep(tunables.round_s) == 0) {
-		if (!fl_election_lease_valid(node))
+		if (!fl_leader_lease_is_valid(node))
 			continue;
 		/* No call of this duty is under way here, and machines with a command are kept. */
 		fl_cluster_purge_tombstones(&node->cluster, fl_now() - tunables.tombstone_s);
@@ -113,6 +101,4 @@
 			refresh_machine_types(node);
 		}
 	}
-	node->leadership.coroutines_running--;
-	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -46,7 +46,7 @@
 /* Resets all this, when a leader begins. */
 void fl_autoscaler_begin(struct fl_node *node);
 /* The routine of a leader, with its fl_node. */
-void fl_autoscaler_coroutine(void *arg);
+void fl_autoscaler_run(struct fl_node *node);
 /* Chance a second that a spot machine is reclaimed, as seen lately. */
 double fl_autoscaler_spot_loss_rate(const struct fl_node *node);
 /* Plans rentals for what the last pass left without room; `unplaced_tasks`: tasks, by job. */
--- a/src/coordination/autoscaling/autoscaler_internal.h
+++ b/src/coordination/autoscaling/autoscaler_internal.h
@@ -5,6 +5,9 @@
 #include "coordination/node.h"
 #include "coordination/autoscaling/autoscaler.h"
 
+/* Machines rented by one plan at most. */
+enum { FL_PLANNED_RENTALS_MAX = 400 };
+
 /* Whether a planned machine is rented already. */
 enum fl_planned_origin {
 	FL_PLANNED_BOOTING, /* rented, not up yet */
@@ -29,10 +32,18 @@
 	double now, wall;
 };
 
-/* ---- planning (autoscaler_plan.c, headroom.c) ---- */
+/* ---- planning (autoscaler_plan.c, planned_machines.c, headroom.c) ---- */
 
 /* Whether the job's type, zone and price constraints admit such a machine. */
 bool fl_autoscaler_job_allows(const struct fl_job *job, int type, int zone, bool spot);
+/* Whether one more task may go to this zone; `placed`: the job's tasks by zone. */
+bool fl_autoscaler_zone_allows(const struct fl_job *job, const uint32_t *placed, int zone);
+/* Whether one task of the job fits into these amounts. */
+bool fl_autoscaler_task_fits(const struct fl_job *job, double cpus, double gpus, double ram_gb);
+/* Adds an empty machine of this kind to the plan; NULL if the plan is full. */
+struct fl_planned_machine *fl_autoscaler_add_planned(struct fl_autoscaler_plan *plan, int type,
+                                                     int zone, bool spot,
+                                                     enum fl_planned_origin origin);
 /* How many tasks of the job fit into these amounts. */
 uint32_t fl_autoscaler_placement_capacity(const struct fl_job *job, double cpus, double gpus,
                                           double ram_gb);
@@ -46,7 +57,7 @@
 /* Adds rentals for the reserve that lets services start at once. */
 void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan);
 
-/* ---- calls to the cloud (autoscaler.c, scale_out.c, scale_in.c) ---- */
+/* ---- calls to the cloud (call_budget.c, scale_out.c, scale_in.c) ---- */
 
 /* Waits until a call is within the budget; an error if the routine or the lease has ended. */
 int fl_autoscaler_await_call_budget(struct fl_node *node);
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -17,7 +17,7 @@
 	const struct fl_machine_type *machine_type = &node->cluster.machines.types[machine->type];
 	double cpus = machine_type->cpus, gpus = machine_type->gpus, ram_gb = machine_type->ram_gb;
 
-	if (machine->spot || machine->draining ||
+	if (machine->spot || machine->lifecycle.draining ||
 	    !fl_autoscaler_job_allows(service, machine->type, machine->zone, machine->spot))
 		return 0;
 	for (int i = 0; i < machine->assignment_count; i++) {
@@ -93,7 +93,8 @@
 	for (int i = 0; i < machines->count; i++) {
 		const struct fl_machine *machine = machines->by_id[i];
 
-		if (!machine->decommissioned && machine->described && machine->up)
+		if (!machine->lifecycle.decommissioned && machine->described &&
+		    machine->lifecycle.up)
 			room[machine->zone % shares] +=
 				service_capacity(plan->node, machine, service);
 	}
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -37,11 +37,11 @@
 	                    fl_symbol_find(&node->cluster.zones, listed->zone), listed->spot,
 	                    listed->endpoint);
 	if (machine->id < known)
-		machine->listed = true;
-	if (listed->status == FL_CLOUD_MACHINE_FAILED && !machine->decommissioned)
+		machine->lifecycle.listed = true;
+	if (listed->status == FL_CLOUD_MACHINE_FAILED && !machine->lifecycle.decommissioned)
 		fl_reconcile_decommission(node, machine, "it failed");
 	if (listed->status == FL_CLOUD_MACHINE_FAILED)
-		machine->draining = true;
+		machine->lifecycle.draining = true;
 }
 
 /*
@@ -55,8 +55,8 @@
 	for (int i = 0; i < known; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (machine->decommissioned || machine->listed ||
-		    sent <= machine->first_seen_at + age_s)
+		if (machine->lifecycle.decommissioned || machine->lifecycle.listed ||
+		    sent <= machine->lifecycle.first_seen_at + age_s)
 			continue;
 		node->autoscaler.spot_losses += machine->spot;
 		fl_reconcile_decommission(node, machine, "no longer listed");
@@ -71,7 +71,7 @@
 	bool more = true;
 
 	for (int i = 0; i < known; i++)
-		node->cluster.machines.by_id[i]->listed = false;
+		node->cluster.machines.by_id[i]->lifecycle.listed = false;
 	while (more) {
 		struct fl_cloud_machine *listed;
 		int count;
@@ -115,30 +115,31 @@
 {
 	const struct fl_machine_type *machine_type =
 		machine->type >= 0 ? &node->cluster.machines.types[machine->type] : NULL;
-	bool empty = machine->assignment_count == 0 && machine->orphan_task_count == 0;
+	bool empty = machine->assignment_count == 0 && machine->heartbeat.orphan_task_count == 0;
 
-	if (machine->draining)
+	if (machine->lifecycle.draining)
 		return "given up";
-	if (machine->decommissioned)
+	if (machine->lifecycle.decommissioned)
 		return NULL;
 	if (fl_failure_detector_expired(node, machine, now, leases))
 		return fl_reachability_lost_since(machine) < INFINITY ? "does not hear us"
 		                                                      : "silent";
 	if (!machine_type)
 		return NULL;
-	if (!machine->up && machine->assignment_count == 0 &&
-	    now - machine->first_seen_at >
+	if (!machine->lifecycle.up && machine->assignment_count == 0 &&
+	    now - machine->lifecycle.first_seen_at >
 	            tunables.boot_most * machine_type->ready_s + tunables.boot_slack_s)
 		return "never came up";
-	if (!machine->up || !empty) {
-		machine->idle_since = 0;
+	if (!machine->lifecycle.up || !empty) {
+		machine->lifecycle.idle_since = 0;
 		return NULL;
 	}
-	if (machine->idle_since <= 0)
-		machine->idle_since = now;
-	if (machine->quarantined_until > now && machine->fault_count > tunables.faults_most)
+	if (machine->lifecycle.idle_since <= 0)
+		machine->lifecycle.idle_since = now;
+	if (machine->health.quarantined_until > now &&
+	    machine->health.fault_count > tunables.faults_most)
 		return "faulty";
-	if (now - machine->idle_since <= tunables.idle_boots * machine_type->ready_s)
+	if (now - machine->lifecycle.idle_since <= tunables.idle_boots * machine_type->ready_s)
 		return NULL;
 	if (machine->spot)
 		return "idle";
@@ -159,8 +160,9 @@
 
 	for (int i = 0; i < node->cluster.machines.count && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
-		const char *why =
-			machine->scaled_in ? NULL : scale_in_reason(node, machine, now, leases);
+		const char *why = machine->lifecycle.scaled_in
+		                          ? NULL
+		                          : scale_in_reason(node, machine, now, leases);
 
 		if (!why)
 			continue;
@@ -168,7 +170,7 @@
 		/* Half of those that are reclaimed give no notice: their silence is the first sign.
 		 */
 		node->autoscaler.spot_losses += machine->spot && strcmp(why, "silent") == 0;
-		machine->draining = true;
+		machine->lifecycle.draining = true;
 		returning[count] = machine;
 		names[count++] = machine->name;
 	}
@@ -178,7 +180,7 @@
 	if (!rc)
 		rc = fl_cloud_delete(&node->cloud, names, count);
 	for (int i = 0; i < count && rc == 0; i++) {
-		returning[i]->scaled_in = true;
+		returning[i]->lifecycle.scaled_in = true;
 		fl_reconcile_decommission(node, returning[i], "returned");
 	}
 	return rc;
--- a/src/coordination/election/election.h
+++ b/src/coordination/election/election.h
@@ -1,29 +1,20 @@
-/* Leader election: a key under a lease in the state service, and the epoch that fences old leaders.
+/*
+ * Leader election: campaigning for the leader key, which is bound to a lease in the key-value
+ * store; renewing that lease; and raising the fencing token that rejects late commands of replaced
+ * leaders. It decides when leadership begins and ends; what that means is given to it.
  */
 #ifndef FL_COORDINATION_ELECTION_ELECTION_H
 #define FL_COORDINATION_ELECTION_ELECTION_H
 
-#include <stdbool.h>
-#include <stdint.h>
-
 struct fl_node;
 
-/* The lease of this node; all but `lease_held` counts only while it is held. */
-struct fl_election {
-	bool lease_held;
-	uint64_t lease_id, leader_mod_revision, token_mod_revision, fencing_token;
-	double lease_valid_until; /* steady; by this node's clock, less its possible drift */
-	bool token_raise_wanted;  /* the epoch is to be raised, to fence late direct commands */
-	double token_raised_at;   /* steady; when it was last tried */
+/* What is called, in the election's coroutine, as this node becomes and ceases to be the leader. */
+struct fl_election_callbacks {
+	void (*begin_leadership)(struct fl_node *node); /* does not wait */
+	void (*end_leadership)(struct fl_node *node);   /* returns when all has ended */
 };
 
-/* Whether this node leads at this moment. To be asked again after every wait. */
-bool fl_election_lease_valid(const struct fl_node *node);
-/* Gives up the leadership: the lease has ended, or a higher epoch is known. */
-void fl_election_step_down(struct fl_node *node, const char *why);
-/* Reads leader and epoch; 0 if that confirmed the leadership. */
-int fl_election_refresh(struct fl_node *node);
-/* Starts the routines that seek the lease, renew it and watch the leader. */
-void fl_election_start(struct fl_node *node);
+/* Starts the coroutines that campaign, renew the lease and watch the leader key. */
+void fl_election_start(struct fl_node *node, const struct fl_election_callbacks *callbacks);
 
 #endif
--- /dev/null
+++ b/src/coordination/election/leader_lease.c
@@ -0,0 +1,26 @@
+#include "coordination/election/leader_lease.h"
+
+#include "coordination/node.h"
+#include "transport/clock.h"
+#include "transport/log.h"
+
+bool fl_leader_lease_is_valid(const struct fl_node *node)
+{
+	return node->leader_lease.held && fl_now() < node->leader_lease.valid_until;
+}
+
+bool fl_is_leader(const struct fl_node *node)
+{
+	return node->leadership.active && fl_leader_lease_is_valid(node);
+}
+
+void fl_leader_lease_step_down(struct fl_node *node, const char *why)
+{
+	if (!node->leader_lease.held)
+		return;
+	fl_info("election", "%s stepped down: %s fencing_token=%llu", node->config->node, why,
+	        (unsigned long long)node->leader_lease.fencing_token);
+	node->leader_lease.held = false;
+	node->leader_lease.valid_until = 0;
+	fl_condition_broadcast(&node->leader_view.changed);
+}
--- /dev/null
+++ b/src/coordination/election/leader_view.c
@@ -0,0 +1,62 @@
+#include "coordination/election/leader_view.h"
+
+#include <string.h>
+
+#include "coordination/node.h"
+#include "transport/clock.h"
+#include "transport/text.h"
+
+/* A steady time before any other. */
+#define LONG_AGO (-1e9)
+
+void fl_leader_view_init(struct fl_leader_view *view)
+{
+	memset(view, 0, sizeof(*view));
+	view->confirmed_at = LONG_AGO;
+}
+
+void fl_leader_view_confirm(struct fl_leader_view *view, double at)
+{
+	if (at > view->confirmed_at)
+		view->confirmed_at = at;
+}
+
+static void on_election_key(void *context, const struct fl_kv_event *event)
+{
+	struct fl_election_state *state = context;
+
+	if (strcmp(event->key, FL_KEY_LEADER) == 0 && event->value) {
+		state->has_leader = fl_leader_record_decode(event->value, &state->leader);
+		state->leader_mod_revision = event->mod_revision;
+	} else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value) {
+		fl_fencing_token_record_decode(event->value, &state->fencing_token);
+		state->token_mod_revision = event->mod_revision;
+	}
+}
+
+enum fl_kv_result fl_leader_view_read(struct fl_node *node, struct fl_election_state *out)
+{
+	struct fl_leader_view *view = &node->leader_view;
+	double sent = fl_now();
+	enum fl_kv_result result;
+	uint64_t revision;
+
+	memset(out, 0, sizeof(*out));
+	result = fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_key, out, &revision);
+	if (result != FL_KV_OK)
+		return result;
+	if (out->fencing_token >= view->fencing_token) {
+		view->fencing_token = out->fencing_token;
+		fl_leader_view_confirm(view, sent);
+		fl_copy_string(view->leader, sizeof(view->leader),
+		               out->has_leader ? out->leader.node : "");
+	}
+	return FL_KV_OK;
+}
+
+enum fl_kv_result fl_leader_view_refresh(struct fl_node *node)
+{
+	struct fl_election_state state;
+
+	return fl_leader_view_read(node, &state);
+}
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -36,7 +36,7 @@
 
 bool fl_forward_ends_here(const struct fl_node *node, bool last_hop)
 {
-	return last_hop || strcmp(node->leader_name, node->config->node) == 0;
+	return last_hop || strcmp(node->leader_view.leader, node->config->node) == 0;
 }
 
 static int forward_via(struct fl_peer *peer, const char *path, const char *text, double timeout_s,
@@ -58,7 +58,7 @@
                const void *context, enum fl_forward_hop hop, double patience_s,
                struct fl_http_reply *out)
 {
-	struct fl_peer *leader = fl_peer_find(node, node->leader_name);
+	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
 	double until = fl_now() + patience_s;
 	int rc = -EHOSTUNREACH;
 	char *text;
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -6,6 +6,7 @@
 
 #include "coordination/workers/command.h"
 #include "coordination/node.h"
+#include "coordination/responses.h"
 #include "protocol/peers.h"
 #include "transport/clock.h"
 #include "transport/log.h"
@@ -76,23 +77,24 @@
 {
 	double proof = sent - gossip->leadership_age_s;
 
-	if (gossip->fencing_token < node->fencing_token || gossip->fencing_token == 0)
+	if (gossip->fencing_token < node->leader_view.fencing_token || gossip->fencing_token == 0)
 		return;
 	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
 	 */
-	if (gossip->fencing_token > node->fencing_token && node->election.lease_held) {
-		if (fl_election_lease_valid(node) ||
+	if (gossip->fencing_token > node->leader_view.fencing_token && node->leader_lease.held) {
+		if (fl_leader_lease_is_valid(node) ||
 		    strcmp(gossip->leader, node->config->node) == 0)
 			return;
-		fl_election_step_down(node, "a peer knows a higher epoch");
+		fl_leader_lease_step_down(node, "a peer knows a higher epoch");
 	}
-	if (gossip->fencing_token > node->fencing_token || proof > node->leadership_confirmed_at) {
-		node->fencing_token = gossip->fencing_token;
+	if (gossip->fencing_token > node->leader_view.fencing_token ||
+	    proof > node->leader_view.confirmed_at) {
+		node->leader_view.fencing_token = gossip->fencing_token;
 		if (gossip->leader[0])
-			fl_copy_string(node->leader_name, sizeof(node->leader_name),
+			fl_copy_string(node->leader_view.leader, sizeof(node->leader_view.leader),
 			               gossip->leader);
-		if (proof > node->leadership_confirmed_at)
-			node->leadership_confirmed_at = proof;
+		if (proof > node->leader_view.confirmed_at)
+			node->leader_view.confirmed_at = proof;
 	}
 }
 
@@ -123,11 +125,11 @@
 {
 	memset(gossip, 0, sizeof(*gossip));
 	fl_copy_string(gossip->node, sizeof(gossip->node), node->config->node);
-	fl_copy_string(gossip->leader, sizeof(gossip->leader), node->leader_name);
-	gossip->fencing_token = node->fencing_token;
-	gossip->leadership_age_s = age(node->leadership_confirmed_at);
+	fl_copy_string(gossip->leader, sizeof(gossip->leader), node->leader_view.leader);
+	gossip->fencing_token = node->leader_view.fencing_token;
+	gossip->leadership_age_s = age(node->leader_view.confirmed_at);
 	gossip->watermark_age_s = age(node->cancellation_watermark);
-	gossip->is_leader = fl_election_lease_valid(node);
+	gossip->is_leader = fl_leader_lease_is_valid(node);
 }
 
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -1,6 +1,5 @@
 #include "coordination/follower/heartbeat_digest.h"
 
-#include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -63,36 +62,37 @@
  * Each record is written only over what this process knows to stand there: a write of its own, or
  * of the process before it, that is carried out late must not take a newer one's place.
  */
-static int write_digest(struct fl_node *node, int at, cJSON *digest)
+static enum fl_kv_result write_digest(struct fl_node *node, int at, cJSON *digest)
 {
 	struct fl_digest_slot *slot = &node->follower.digests[at];
 	char key[FL_KEY_MAX];
 	struct fl_kv_txn txn;
 	uint64_t revision = 0;
 	cJSON *value;
-	int rc = 0;
+	enum fl_kv_result result = FL_KV_OK;
 
 	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", node->config->node, at);
 	if (!slot->revision_known) {
-		rc = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
+		result = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
 		cJSON_Delete(value);
-		slot->revision_known = rc == 0 || rc == -ENOENT;
-		slot->mod_revision = rc == 0 ? revision : 0;
+		slot->revision_known = result == FL_KV_OK || result == FL_KV_NOT_FOUND;
+		slot->mod_revision = result == FL_KV_OK ? revision : 0;
 	}
 	if (!slot->revision_known) {
 		cJSON_Delete(digest);
-		return rc;
+		return result;
 	}
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, key, slot->mod_revision);
 	fl_kv_txn_put(&txn, key, digest, 0);
-	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
-	if (rc == 0)
+	result = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
+	if (result == FL_KV_OK)
 		slot->mod_revision = revision;
-	else if (rc != -EAGAIN)
+	else if (result != FL_KV_UNAVAILABLE)
 		slot->revision_known = false;
-	fl_debug("standby", "digest %d: %s", at, rc ? strerror(-rc) : "stored");
-	return rc;
+	fl_debug("follower", "heartbeat digest written index=%d result=%s", at,
+	         fl_kv_result_text(result));
+	return result;
 }
 
 /* What fits into one record, of what no digest holds yet. NULL: nothing is left. */
@@ -110,7 +110,7 @@
 		if (used + len > limit)
 			break;
 		if (!digest)
-			digest = fl_digest_begin(node->fencing_token);
+			digest = fl_digest_begin(node->leader_view.fencing_token);
 		fl_digest_add(digest, cached->text);
 		used += len;
 		cached->stored = true;
@@ -134,7 +134,7 @@
 		if (fl_token_bucket_take(&node->follower.write_budget, 1, fl_now()) > 0)
 			return;
 		digest = fill_digest(node, since);
-		if (!digest || write_digest(node, at, digest) != 0)
+		if (!digest || write_digest(node, at, digest) != FL_KV_OK)
 			return;
 	}
 }
@@ -153,8 +153,8 @@
 	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp)
 		if (cached->at < now - 5 * interval_s)
 			uncache(node, cached);
-	if (!node->follower.cached_heartbeats || fl_election_lease_valid(node) ||
-	    !node->leader_name[0] || fl_kv_is_unavailable(&node->kv_store))
+	if (!node->follower.cached_heartbeats || fl_leader_lease_is_valid(node) ||
+	    !node->leader_view.leader[0] || fl_kv_is_unavailable(&node->kv_store))
 		return;
 	write_digests(node, now - 2 * interval_s);
 }
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -4,6 +4,8 @@
 #include <stdlib.h>
 
 #include "coordination/node.h"
+#include "coordination/workers/leader_reply.h"
+#include "coordination/responses.h"
 #include "protocol/peer_heartbeats.h"
 #include "transport/log.h"
 
@@ -53,7 +55,8 @@
 	                         : fl_heartbeat_replies_decode(reply.body.data, reply.body.length,
 	                                                       b->replies, b->count);
 	if (rc == -EPROTO)
-		fl_error("peers", "%s answers reports with what is no answer", node->leader_name);
+		fl_error("peers", "%s answers reports with what is no answer",
+		         node->leader_view.leader);
 	fl_buffer_free(&reply.body);
 	return rc;
 }
@@ -102,7 +105,7 @@
 {
 	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
 	                                      tunables.patience_s, exchange};
-	struct fl_batch_queue *queue = &node->heartbeat_forwards;
+	struct fl_batch_queue *queue = &node->follower.heartbeat_forwards;
 	struct heartbeat_batch *batch;
 	bool began;
 	int at, rc;
@@ -139,7 +142,7 @@
 
 		if (fl_heartbeat_decode_json(item, &heartbeat) == 0) {
 			heartbeat.entry_node = entry_node;
-			fl_follower_reply_as_leader(node, &heartbeat, &one);
+			fl_heartbeat_reply_as_leader(node, &heartbeat, &one);
 			fl_heartbeat_free(&heartbeat);
 		} else {
 			fl_error("peers", "what came by %s is no report", message->entry_node);
--- /dev/null
+++ b/src/coordination/follower/lease_renewal.c
@@ -0,0 +1,95 @@
+#include "coordination/follower/lease_renewal.h"
+
+#include "coordination/follower/heartbeat_digest.h"
+#include "coordination/node.h"
+#include "coordination/responses.h"
+#include "coordination/workers/reconciliation.h"
+#include "coordination/workers/renewal_rules.h"
+#include "transport/clock.h"
+#include "transport/log.h"
+
+static const struct {
+	double refresh_s, refresh_wait_s;
+} tunables = {
+	.refresh_s = 0.5,      /* s; least time between two reads of who leads */
+	.refresh_wait_s = 1.5, /* s for which a heartbeat waits for such a read */
+};
+
+/*
+ * Never a lower epoch: the worker would drop it and wait there until its lease ends. How old it is
+ * does not matter: a lease renewed with an old epoch decides nothing, and a worker that has met a
+ * newer one drops the answer.
+ */
+static bool has_fencing_token(const struct fl_node *node, uint64_t fencing_token)
+{
+	return node->leader_view.fencing_token > 0 &&
+	       node->leader_view.fencing_token >= fencing_token;
+}
+
+static bool may_vouch(const struct fl_node *node, uint64_t fencing_token)
+{
+	return has_fencing_token(node, fencing_token) && fl_renewal_watermark_is_fresh(node);
+}
+
+/* Reads who leads; one read serves all that wait for it. */
+static void refresh_fencing_token(struct fl_node *node, double until)
+{
+	struct fl_token_refresh *refresh = &node->follower.token_refresh;
+
+	if (refresh->in_flight) {
+		fl_condition_wait(&refresh->completed, until - fl_now());
+	} else if (fl_now() > refresh->refreshed_at + tunables.refresh_s) {
+		refresh->in_flight = true;
+		fl_leader_view_refresh(node);
+		refresh->in_flight = false;
+		refresh->refreshed_at = fl_now();
+		fl_condition_broadcast(&refresh->completed);
+	}
+}
+
+/*
+ * A node that has just started is asked by many workers at once and has no proof yet: neither the
+ * epoch nor the jobs. It waits for both: a worker refused meanwhile loses seconds of its lease on
+ * nodes that are down. Found in logs of the return of all controllers: whoever had waited for the
+ * epoch was refused because the jobs were not listed yet, some 50 workers each time.
+ */
+static bool may_renew(struct fl_node *node, uint64_t fencing_token)
+{
+	double until = fl_now() + tunables.refresh_wait_s;
+
+	if (may_vouch(node, fencing_token))
+		return true;
+	if (!has_fencing_token(node, fencing_token))
+		refresh_fencing_token(node, until);
+	if (has_fencing_token(node, fencing_token) && !node->jobs_known && fl_now() < until)
+		fl_condition_wait(&node->jobs_listed, until - fl_now());
+	return may_vouch(node, fencing_token);
+}
+
+void fl_lease_renewal_respond(struct fl_node *node, const struct fl_heartbeat *heartbeat,
+                              struct fl_http_response *response)
+{
+	struct fl_command_list commands;
+
+	if (!may_renew(node, heartbeat->fencing_token)) {
+		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
+		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
+		         (unsigned long long)node->leader_view.fencing_token,
+		         fl_now() - node->cancellation_watermark);
+		fl_respond_error(response, 503, "no proof of the epoch");
+		return;
+	}
+	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
+	if (fl_renewal_holds_overdue_task(node, heartbeat)) {
+		fl_debug("standby", "%s is refused: it holds what is cancelled", heartbeat->host);
+		fl_respond_error(response, 503, "a cancelled job's task is there");
+		return;
+	}
+	fl_command_list_init(&commands, node->leader_view.fencing_token);
+	fl_renewal_stop_cancelled(node, heartbeat, &commands);
+	response->status = 200;
+	response->body = fl_command_list_take(&commands);
+	fl_heartbeat_cache(node, heartbeat);
+	if (node->leadership.active)
+		fl_reconcile_renewal(node, heartbeat);
+}
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -4,6 +4,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
+#include "coordination/follower/isolation.h"
 #include "transport/clock.h"
 #include "transport/text.h"
 
@@ -77,8 +78,8 @@
 {
 	double last = fl_gossip_last_heard(node), now = fl_now();
 
-	if (!fl_follower_is_isolated(node) ||
-	    now > node->last_readiness_probe_at + tunables.probe_s ||
+	if (!fl_node_is_isolated(node) ||
+	    now > node->api.last_readiness_probe_at + tunables.probe_s ||
 	    last < node->kv_store.last_success_at - tunables.at_once_s ||
 	    last > node->kv_store.last_success_at + tunables.at_once_s)
 		return NULL;
--- a/src/coordination/election/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -1,15 +1,15 @@
-#include "coordination/election/failover.h"
+#include "coordination/leadership/failover.h"
 
-#include <errno.h>
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/persistence/record_writer.h"
+#include "coordination/persistence/pending_deletions.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
+/* A failover under way, and what it has met so far. */
 struct load {
 	struct fl_node *node;
 	double now;
@@ -27,7 +27,7 @@
 
 	if (strlen(ref) >= FL_REF_MAX || !event->value ||
 	    fl_job_record_decode(event->value, ref, &record) != 0) {
-		fl_error("takeover", "%s: cannot be read", event->key);
+		fl_error("failover", "unreadable record: %s", event->key);
 		load->unreadable_record_count++;
 		return;
 	}
@@ -35,12 +35,13 @@
 		job = fl_job_add(cluster, &record.spec, record.submitted_wall, event->mod_revision);
 		if (!job) {
 			/* Its progress would pass for left behind, and be deleted. */
-			fl_error("takeover", "%s: names what is unknown here", event->key);
+			fl_error("failover", "record names an unknown team or zone: %s",
+			         event->key);
 			load->unreadable_record_count++;
 			return;
 		}
-		job->mod_revision = event->mod_revision;
-		job->listed = true;
+		job->record.mod_revision = event->mod_revision;
+		job->record.listed = true;
 	}
 	if (!record.final)
 		return;
@@ -69,12 +70,12 @@
 	if (!job) {
 		/* Left behind by a final write that had more to delete than fits in one. */
 		load->orphan_record_count++;
-		fl_record_writer_delete_later(load->node, event->key);
+		fl_pending_deletions_add(&load->node->record_writer.pending_deletions, event->key);
 		return;
 	}
 	if (fl_task_block_restore(&load->node->cluster, job, block_index, event->value,
 	                          event->mod_revision, &load->wal, load->now) != 0) {
-		fl_error("takeover", "%s: cannot be read", event->key);
+		fl_error("failover", "unreadable record: %s", event->key);
 		load->unreadable_record_count++;
 	}
 	load->progress_record_count++;
@@ -85,14 +86,14 @@
 	struct load *load = context;
 
 	if (fl_wal_read(&load->wal, event->value) != 0) {
-		fl_error("takeover", "%s: cannot be read", event->key);
+		fl_error("failover", "unreadable record: %s", event->key);
 		load->unreadable_record_count++;
 	}
 	if (strcmp(event->key, FL_KEY_WAL) == 0)
-		load->node->leadership.wal_mod_revision = event->mod_revision;
+		load->node->record_writer.wal_mod_revision = event->mod_revision;
 }
 
-/* Chunks that only the log tells of: their records were still to be made. */
+/* Blocks that only the write-ahead log holds: their records were still to be made. */
 static void restore_wal_only_blocks(struct load *load)
 {
 	struct fl_cluster *cluster = &load->node->cluster;
@@ -106,59 +107,74 @@
 			continue;
 		if (fl_task_block_restore(cluster, job, group->block_index, NULL, 0, &load->wal,
 		                          load->now) != 0) {
-			fl_error("takeover", "the log's %s/%u: cannot be read", group->ref,
-			         group->block_index);
+			fl_error("failover", "unreadable write-ahead log: job=%s block=%u",
+			         group->ref, group->block_index);
 			load->unreadable_record_count++;
 		}
 	}
 }
 
-int fl_failover_load(struct fl_node *node)
+/* Reads all records that are live, in the order in which they depend on each other. */
+static enum fl_failover_result load_records(struct load *load)
 {
-	struct load load = {.node = node, .now = fl_now()};
-	struct fl_job *job, *tmp;
-	uint64_t revision;
-	int rc, jobs = 0;
+	struct fl_node *node = load->node;
 	double sent = fl_now();
+	uint64_t revision;
+
+	fl_cluster_list_begin(&node->cluster);
+	if (fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, load_job, load, &revision) != FL_KV_OK)
+		return FL_FAILOVER_STORE_FAILED;
+	fl_cluster_list_end(&node->cluster, revision);
+	node->cluster.list_revision = revision;
+	node->cancellation_watermark = fmax(node->cancellation_watermark, sent);
+	if (fl_kv_list(&node->kv_store, FL_PREFIX_WAL, load_wal_value, load, &revision) != FL_KV_OK)
+		return FL_FAILOVER_STORE_FAILED;
+	/* The rest would be no use, and half of the state must not be used. */
+	if (!node->leader_lease.held)
+		return FL_FAILOVER_LEASE_LOST;
+	if (fl_kv_list(&node->kv_store, FL_PREFIX_PROGRESS, load_progress_record, load,
+	               &revision) != FL_KV_OK)
+		return FL_FAILOVER_STORE_FAILED;
+	restore_wal_only_blocks(load);
+	return FL_FAILOVER_LOADED;
+}
+
+/*
+ * Has the final record of a job written that is over. Found when all controllers ended again and
+ * again: the leader before had recorded the last task as done and not yet the job. No task of it
+ * changes any more, so nothing else would ever have it finished.
+ */
+static void mark_finished_jobs(struct fl_cluster *cluster)
+{
+	struct fl_job *job, *tmp;
+
+	HASH_ITER (hh, cluster->jobs, job, tmp)
+		if (fl_job_is_over(job))
+			fl_job_mark_dirty(cluster, job);
+}
+
+enum fl_failover_result fl_failover_load(struct fl_node *node)
+{
+	struct load load = {.node = node, .now = fl_now()};
+	enum fl_failover_result result;
 
 	fl_cluster_forget_tasks(&node->cluster);
 	node->cluster.leading = true;
-	fl_cluster_list_begin(&node->cluster);
-	rc = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, load_job, &load, &revision);
-	if (!rc) {
-		fl_cluster_list_end(&node->cluster, revision);
-		node->cluster.list_revision = revision;
-		node->cancellation_watermark = fmax(node->cancellation_watermark, sent);
-		rc = fl_kv_list(&node->kv_store, FL_PREFIX_WAL, load_wal_value, &load, &revision);
-	}
-	if (!rc && !node->election.lease_held)
-		rc = -EAGAIN; /* lost meanwhile: the rest is no use, and half a state must not be
-		                 used */
-	if (!rc)
-		rc = fl_kv_list(&node->kv_store, FL_PREFIX_PROGRESS, load_progress_record, &load,
-		                &revision);
-	if (!rc)
-		restore_wal_only_blocks(&load);
-	node->leadership.wal_revision_known = rc == 0;
+	result = load_records(&load);
+	node->record_writer.wal_revision_known = result == FL_FAILOVER_LOADED;
 	fl_wal_free(&load.wal);
-	if (rc)
-		return rc;
-	if (load.unreadable_record_count) {
+	if (result != FL_FAILOVER_LOADED)
+		return result;
+	if (load.unreadable_record_count > 0) {
 		/* Something may be on a machine that could not be read: nothing may be decided. */
-		fl_error("takeover", "%d records cannot be read", load.unreadable_record_count);
-		return -EPROTO;
-	}
-	HASH_ITER (hh, node->cluster.jobs, job, tmp) {
-		jobs++;
-		/*
-		 * Found when all controllers ended again and again: the leader before had recorded
-		 * the last task as done and not yet the job. No task of it changes any more, so
-		 * nothing else would ever have it finished.
-		 */
-		if (fl_job_is_over(job))
-			fl_job_mark_dirty(&node->cluster, job);
+		fl_error("failover", "no decisions: unreadable_records=%d",
+		         load.unreadable_record_count);
+		return FL_FAILOVER_UNREADABLE_RECORD;
 	}
-	fl_info("takeover", "%d jobs, %d progress records, %d left over; took %.2f s", jobs,
-	        load.progress_record_count, load.orphan_record_count, fl_now() - load.now);
-	return 0;
+	mark_finished_jobs(&node->cluster);
+	fl_info("failover",
+	        "cluster state loaded jobs=%u progress_records=%d orphan_records=%d took=%.2fs",
+	        HASH_COUNT(node->cluster.jobs), load.progress_record_count,
+	        load.orphan_record_count, fl_now() - load.now);
+	return FL_FAILOVER_LOADED;
 }
--- /dev/null
+++ b/src/coordination/leadership/failover.h
@@ -0,0 +1,22 @@
+/*
+ * Failover: how a new leader restores the state of the cluster from the records of the one before,
+ * in full and before it decides anything. A first start is a failover without records.
+ */
+#ifndef FL_COORDINATION_LEADERSHIP_FAILOVER_H
+#define FL_COORDINATION_LEADERSHIP_FAILOVER_H
+
+struct fl_node;
+
+/* What came of it. Unless it is LOADED, the cluster state is incomplete and must not be used. */
+enum fl_failover_result {
+	FL_FAILOVER_LOADED = 0,
+	FL_FAILOVER_STORE_FAILED, /* a read failed: try again from the start */
+	FL_FAILOVER_LEASE_LOST,   /* the lease was lost meanwhile */
+	/* A record cannot be read, so something may run that nobody knows of: the log names it. */
+	FL_FAILOVER_UNREADABLE_RECORD
+};
+
+/* Loads jobs, the write-ahead log and progress records into the cluster state. */
+enum fl_failover_result fl_failover_load(struct fl_node *node);
+
+#endif
--- /dev/null
+++ b/src/coordination/leadership/leadership.c
@@ -0,0 +1,105 @@
+#include "coordination/leadership/leadership.h"
+
+#include <errno.h>
+#include <string.h>
+
+#include "coordination/autoscaling/autoscaler.h"
+#include "coordination/leadership/failover.h"
+#include "coordination/node.h"
+#include "coordination/persistence/finished_jobs_loader.h"
+#include "coordination/persistence/record_writer.h"
+#include "coordination/scheduling/scheduling_cycle.h"
+#include "coordination/workers/command.h"
+#include "coordination/workers/digest_reader.h"
+#include "transport/clock.h"
+#include "transport/log.h"
+
+static const struct {
+	double end_wait_s;
+} tunables = {
+	.end_wait_s = 1.0, /* s between two looks whether the coroutines have ended */
+};
+
+static void run_leader_coroutine(void *arg)
+{
+	struct fl_leader_coroutine *self = arg;
+	struct fl_node *node = self->node;
+
+	self->run(node);
+	node->leadership.coroutines_running--;
+	fl_condition_broadcast(&node->leadership.coroutine_ended);
+}
+
+/* Starts a coroutine that ends with the leadership. */
+static void start(struct fl_node *node, void (*run)(struct fl_node *))
+{
+	struct fl_leadership *leadership = &node->leadership;
+	struct fl_leader_coroutine *slot = &leadership->coroutines[leadership->coroutine_count];
+
+	*slot = (struct fl_leader_coroutine){.node = node, .run = run};
+	slot->coroutine = fl_coroutine_spawn(run_leader_coroutine, slot);
+	if (!slot->coroutine) {
+		fl_error("leadership", "coroutine not started: out of memory");
+		return;
+	}
+	leadership->coroutine_count++;
+	leadership->coroutines_running++;
+}
+
+static void activate(struct fl_node *node)
+{
+	node->leadership.first_fencing_token = node->leader_lease.fencing_token;
+	node->leadership.heartbeats_since = fl_now();
+	node->leadership.active = true;
+	node->leadership.cycle_due = true;
+	fl_record_writer_begin(node);
+	fl_autoscaler_begin(node);
+	start(node, fl_scheduling_cycle_run);
+	start(node, fl_record_writer_run);
+	start(node, fl_digest_reader_run);
+	start(node, fl_command_enforcement_run);
+	start(node, fl_autoscaler_run);
+	start(node, fl_finished_jobs_loader_run);
+}
+
+/* The coroutine that loads the cluster state and starts the others. */
+static void leadership_coroutine(void *arg)
+{
+	struct fl_node *node = arg;
+	uint64_t lease_id = node->leader_lease.lease_id;
+	enum fl_failover_result result = fl_failover_load(node);
+
+	node->leadership.loading = false;
+	if (result == FL_FAILOVER_LOADED && fl_leader_lease_is_valid(node) &&
+	    node->leader_lease.lease_id == lease_id) {
+		activate(node);
+		return;
+	}
+	fl_cluster_forget_tasks(&node->cluster);
+	node->cluster.leading = false;
+}
+
+void fl_leadership_begin(struct fl_node *node)
+{
+	fl_record_writer_reset(node);
+	memset(&node->leadership, 0, sizeof(node->leadership));
+	node->leadership.loading = fl_coroutine_spawn(leadership_coroutine, node) != NULL;
+	if (!node->leadership.loading)
+		fl_error("leadership", "coroutine not started: out of memory");
+}
+
+void fl_leadership_end(struct fl_node *node)
+{
+	struct fl_leadership *leadership = &node->leadership;
+
+	leadership->active = false;
+	for (int i = 0; i < leadership->coroutine_count; i++)
+		fl_coroutine_cancel(leadership->coroutines[i].coroutine);
+	leadership->coroutine_count = 0;
+	while (leadership->coroutines_running > 0 &&
+	       fl_condition_wait(&leadership->coroutine_ended, tunables.end_wait_s) != -ECANCELED)
+		;
+	fl_cluster_forget_tasks(&node->cluster);
+	node->cluster.leading = false;
+	fl_info("leadership", "%s ended leadership", node->config->node);
+}
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -8,9 +8,12 @@
 #include "coordination/follower/gossip.h"
 #include "coordination/api/job_lookup.h"
 #include "coordination/follower/follower.h"
-#include "coordination/election/leadership.h"
+#include "coordination/leadership/leadership.h"
 #include "coordination/election/election.h"
+#include "coordination/election/leader_lease.h"
+#include "coordination/election/leader_view.h"
 #include "coordination/autoscaling/autoscaler.h"
+#include "coordination/persistence/record_writer.h"
 #include "coordination/follower/heartbeat_forwarding.h"
 #include "coordination/follower/request_batch.h"
 #include "coordination/api/status_query.h"
@@ -33,6 +36,15 @@
 	bool up;
 };
 
+/* What a node holds for users' requests under way. */
+struct fl_user_api {
+	struct fl_job_lookup *job_lookups; /* by ref: reads of records for status queries */
+	struct fl_token_bucket read_budget;
+	struct fl_batch_queue status_queries; /* to the leader */
+	int forwarded_in_flight;        /* other requests on their way to the leader, one by one */
+	double last_readiness_probe_at; /* steady; when the load balancer last asked for /ready */
+};
+
 /* One controller process. */
 struct fl_node {
 	const struct fl_config *config;
@@ -41,7 +53,7 @@
 	struct fl_cloud cloud;
 	struct fl_peer peers[FL_CONFIG_PEERS];
 	int peer_count;
-	char process_id[96]; /* names this process, not only this node */
+	char process_id[FL_PROCESS_ID_MAX]; /* names this process, not only this node */
 	bool machine_types_known, jobs_known;
 	/* Indices below it are of the classes for which the settings name an objective. */
 	int slo_class_count;
@@ -53,20 +65,12 @@
 	double cancellation_watermark;
 	struct fl_condition jobs_listed; /* the first list of them has come */
 
-	/* What is known of leadership, with the steady time at which it was surely true. */
-	char leader_name[FL_NAME_MAX];
-	uint64_t fencing_token;
-	double leadership_confirmed_at;
-	struct fl_condition leadership_changed;
-	struct fl_job_lookup *job_lookups; /* by ref: reads under way for polls */
-	struct fl_token_bucket status_read_budget;
-	struct fl_batch_queue status_queries;     /* for users' polls */
-	struct fl_batch_queue heartbeat_forwards; /* workers' reports */
-	int forwarded_requests; /* users' calls under way to other controllers, one by one */
-	double last_readiness_probe_at; /* steady; when the users' balancer last asked for /ready */
-
-	struct fl_election election;
+	struct fl_user_api api;
+	const struct fl_election_callbacks *election_callbacks;
+	struct fl_leader_view leader_view;
+	struct fl_leader_lease leader_lease;
 	struct fl_leadership leadership;
+	struct fl_record_writer record_writer;
 	struct fl_follower follower;
 	struct fl_autoscaler autoscaler;
 };
@@ -81,14 +85,5 @@
 
 /* How many of all connections users and workers may hold. */
 int fl_node_public_conns(const struct fl_config *config);
-/* Answers a user's call here, passing on what only the leader can say. */
-void fl_node_handle_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
-                                 const char *body, size_t len, enum fl_forward_hop hop,
-                                 struct fl_http_response *response);
-/* Fills a response with an error text. */
-void fl_respond_error(struct fl_http_response *response, int status, const char *fmt, ...)
-	__attribute__((format(printf, 3, 4)));
-/* "Not now": at once, with when to come back, on another connection. */
-void fl_respond_unavailable(struct fl_http_response *response, const char *why);
 
 #endif
--- /dev/null
+++ b/src/coordination/persistence/progress_writer.c
@@ -0,0 +1,198 @@
+#include "coordination/persistence/progress_writer.h"
+
+#include "coordination/node.h"
+#include "coordination/persistence/record_txn.h"
+#include "coordination/persistence/wal_writer.h"
+#include "transport/clock.h"
+
+static const struct {
+	int wal_from;
+} tunables = {
+	.wal_from = 3, /* records that starts wait for, from which on the log is used */
+};
+
+/* Blocks in one transaction at most. */
+enum { BATCH_MAX = 128 };
+
+/* Which blocks a transaction of progress records takes. */
+enum scope { UNSAVED_BLOCKS, URGENT_BLOCKS };
+
+/* A block in a transaction, and the count of its changes that the transaction holds. */
+struct written_block {
+	struct fl_job *job;
+	uint32_t block_index;
+	uint64_t generation;
+};
+
+/* The blocks of one transaction. */
+struct batch {
+	struct written_block blocks[BATCH_MAX];
+	int count;
+};
+
+/* Whether a start waits for this block to be durable; what is over can wait. */
+static bool is_urgent(const struct fl_task_block *block)
+{
+	uint64_t durable = block->saved_generation > block->logged_generation
+	                           ? block->saved_generation
+	                           : block->logged_generation;
+
+	if (block->generation <= durable)
+		return false;
+	for (int i = 0; i < FL_TASK_BLOCK_SIZE; i++)
+		if (block->tasks[i].phase == FL_TASK_PLACED && block->tasks[i].generation > durable)
+			return true;
+	return false;
+}
+
+static int count_urgent(const struct fl_cluster *cluster)
+{
+	int count = 0;
+
+	for (const struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
+		for (uint32_t i = 0; i < job->block_count; i++) {
+			const struct fl_task_block *block = fl_job_task_block(job, i);
+
+			count += block && is_urgent(block);
+		}
+	return count;
+}
+
+static bool is_in_scope(const struct fl_task_block *block, enum scope scope)
+{
+	if (!block || block->generation <= block->saved_generation)
+		return false;
+	return scope == UNSAVED_BLOCKS || is_urgent(block);
+}
+
+static bool is_full(const struct fl_config *config, const struct batch *batch, int most)
+{
+	return batch->count >= most || batch->count >= config->txn_ops ||
+	       batch->count >= BATCH_MAX ||
+	       batch->count * config->value_kb * 1024 > FL_RECORD_TXN_BYTES;
+}
+
+/*
+ * Adds the blocks to write, up to `most`. False, if the revision of one must be read first: a
+ * transaction that expects a wrong one would fail.
+ */
+static bool collect(const struct fl_node *node, struct fl_kv_txn *txn, struct batch *batch,
+                    int most, enum scope scope)
+{
+	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty) {
+		for (uint32_t i = 0; i < job->block_count; i++) {
+			const struct fl_task_block *block = fl_job_task_block(job, i);
+			char key[FL_KEY_MAX];
+
+			if (!is_in_scope(block, scope))
+				continue;
+			if (is_full(node->config, batch, most))
+				return true;
+			if (block->revision_unknown)
+				return false;
+			fl_key_progress(key, job->ref, i);
+			fl_kv_txn_expect_revision(txn, key, block->mod_revision);
+			fl_kv_txn_put(txn, key, fl_task_block_encode(&node->cluster, job, i), 0);
+			batch->blocks[batch->count++] =
+				(struct written_block){job, i, block->generation};
+		}
+	}
+	return true;
+}
+
+/* A write of this record had an unknown outcome or met another revision: read what stands. */
+static enum fl_kv_result reread_revision(struct fl_node *node, const struct fl_job *job,
+                                         uint32_t block_index)
+{
+	struct fl_task_block *block = job->blocks[block_index];
+	enum fl_kv_result result;
+	uint64_t revision = 0;
+	char key[FL_KEY_MAX];
+	cJSON *value;
+
+	fl_key_progress(key, job->ref, block_index);
+	result = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
+	cJSON_Delete(value);
+	if (result != FL_KV_OK && result != FL_KV_NOT_FOUND)
+		return result;
+	block->mod_revision = result == FL_KV_NOT_FOUND ? 0 : revision;
+	block->revision_unknown = false;
+	return FL_KV_OK;
+}
+
+/* The first of them; the next write comes to the others. */
+static enum fl_kv_result reread_unknown_revision(struct fl_node *node)
+{
+	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty)
+		for (uint32_t i = 0; i < job->block_count; i++) {
+			const struct fl_task_block *block = fl_job_task_block(job, i);
+
+			if (block && block->revision_unknown)
+				return reread_revision(node, job, i);
+		}
+	return FL_KV_OK;
+}
+
+/* Takes in what came of a write. Only this coroutine lets go of jobs: they are still there. */
+static void record_outcome(const struct batch *batch, enum fl_kv_result result, uint64_t revision)
+{
+	for (int i = 0; i < batch->count; i++) {
+		const struct written_block *written = &batch->blocks[i];
+		struct fl_task_block *block = written->job->blocks[written->block_index];
+
+		if (result == FL_KV_OK) {
+			block->saved_generation = written->generation;
+			block->mod_revision = revision;
+		} else if (result != FL_KV_UNAVAILABLE) {
+			block->revision_unknown = true;
+		}
+	}
+}
+
+static enum fl_kv_result write_batch(struct fl_node *node, int most, enum scope scope)
+{
+	struct batch batch = {.count = 0};
+	enum fl_kv_result result;
+	struct fl_kv_txn txn;
+	uint64_t revision = 0;
+	bool revisions_known;
+
+	fl_record_txn_init(node, &txn);
+	revisions_known = collect(node, &txn, &batch, most, scope);
+	if (!revisions_known || batch.count == 0) {
+		fl_kv_txn_free(&txn);
+		return revisions_known ? FL_KV_OK : reread_unknown_revision(node);
+	}
+	result = fl_record_txn_admit(node, &txn);
+	if (result != FL_KV_OK)
+		return result;
+	result = fl_record_txn_commit(node, &txn, &revision);
+	record_outcome(&batch, result, revision);
+	return result;
+}
+
+enum fl_kv_result fl_progress_write_urgent(struct fl_node *node)
+{
+	int count = count_urgent(&node->cluster);
+
+	if (count == 0)
+		return FL_KV_OK;
+	if (count >= tunables.wal_from) {
+		switch (fl_wal_writer_write(node)) {
+		case FL_WAL_WRITTEN:
+			return FL_KV_OK;
+		case FL_WAL_FAILED:
+			return FL_KV_UNAVAILABLE;
+		case FL_WAL_TOO_LARGE:
+			break;
+		}
+	}
+	return write_batch(node, node->config->txn_ops, URGENT_BLOCKS);
+}
+
+enum fl_kv_result fl_progress_write_within_budget(struct fl_node *node)
+{
+	double available = fl_token_bucket_available(&node->record_writer.write_budget, fl_now());
+
+	return available < 1 ? FL_KV_OK : write_batch(node, (int)available, UNSAVED_BLOCKS);
+}
--- /dev/null
+++ b/src/coordination/persistence/progress_writer.h
@@ -0,0 +1,14 @@
+/* Writes the progress records of changed task blocks, or the write-ahead log in their place. */
+#ifndef FL_COORDINATION_PERSISTENCE_PROGRESS_WRITER_H
+#define FL_COORDINATION_PERSISTENCE_PROGRESS_WRITER_H
+
+#include "protocol/kv_store.h"
+
+struct fl_node;
+
+/* Makes durable what starts wait for: a few records by themselves, many at once by the log. */
+enum fl_kv_result fl_progress_write_urgent(struct fl_node *node);
+/* Writes as many of the other records as the budget allows, and leaves room for urgent ones. */
+enum fl_kv_result fl_progress_write_within_budget(struct fl_node *node);
+
+#endif
--- /dev/null
+++ b/src/coordination/persistence/record_txn.h
@@ -0,0 +1,26 @@
+/*
+ * The transactions in which a leader writes its records: on condition that it still leads, and
+ * within its share of the store's writes.
+ */
+#ifndef FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
+#define FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
+
+#include "protocol/kv_store.h"
+
+struct fl_node;
+
+/* Bytes of values in one transaction, which may have 64 KiB in all. */
+enum { FL_RECORD_TXN_BYTES = 40000 };
+
+/* A transaction that expects the leader key as this leader wrote it. */
+void fl_record_txn_init(const struct fl_node *node, struct fl_kv_txn *txn);
+/*
+ * Waits until the write budget allows the transaction: FL_KV_OK if it may be sent now. Else the
+ * builder is freed and nothing is executed: FL_KV_UNAVAILABLE if this node leads no more.
+ */
+enum fl_kv_result fl_record_txn_admit(struct fl_node *node, struct fl_kv_txn *txn);
+/* Sends an admitted transaction, and steps down if another leads. Consumes the builder. */
+enum fl_kv_result fl_record_txn_commit(struct fl_node *node, struct fl_kv_txn *txn,
+                                       uint64_t *revision);
+
+#endif
--- a/src/coordination/persistence/record_writer.h
+++ b/src/coordination/persistence/record_writer.h
@@ -1,35 +1,35 @@
 /*
- * Writes the leader's records: in transactions on condition that it still leads, and before the
- * leader acts on what they say.
+ * The leader's record writer. One coroutine writes all that changes: starts wait until the
+ * placement they rest on is durable, a final state until its record is written, and the rest
+ * follows as the write budget allows. Nothing is acted on before it is stored.
  */
 #ifndef FL_COORDINATION_PERSISTENCE_RECORD_WRITER_H
 #define FL_COORDINATION_PERSISTENCE_RECORD_WRITER_H
 
 #include <stdbool.h>
+#include <stdint.h>
 
-#include "storage/records.h"
+#include "storage/token_bucket.h"
+#include "transport/coroutine.h"
 
 struct fl_node;
+struct fl_pending_deletion;
 
-/* Has a progress record that nothing needs any more deleted at some later time. */
-void fl_record_writer_delete_later(struct fl_node *node, const char *key);
-/* Forgets the deletions still to be made; a later leader finds those records left over. */
-void fl_record_writer_free_pending(struct fl_node *node);
-/*
- * Takes in the record of a live job, from whichever read. Found with slow controllers:
- * the write of a cancellation went unanswered and so did the read after it. The record told the
- * user, and the leader, which took only its own writes for news, stopped nothing.
- */
-void fl_record_writer_apply_record(struct fl_node *node, struct fl_job *job,
-                                   const struct fl_job_record *record, uint64_t revision);
-/*
- * A final write went unanswered: what do the records say? By ref, not by pointer: the job may be
- * gone when the answer comes. Only the writing routine may drop the job, so if it turns out to be
- * over it stays unsure, and `*over` is set.
- */
-int fl_record_writer_reread_job(struct fl_node *node, const char *ref, bool *over,
-                                enum fl_job_status *status);
-/* The routine of a leader; its argument is the fl_node. */
-void fl_record_writer_coroutine(void *arg);
+/* The state of the writer; reset when a leadership begins. */
+struct fl_record_writer {
+	struct fl_condition writes_pending;  /* something to write */
+	struct fl_token_bucket write_budget; /* puts and deletions a second */
+	/* Of the log's first value, which every write of the log replaces; 0: there is none. */
+	uint64_t wal_mod_revision;
+	bool wal_revision_known;
+	struct fl_pending_deletion *pending_deletions; /* owned */
+};
+
+/* Forgets everything of an earlier leadership. */
+void fl_record_writer_reset(struct fl_node *node);
+/* Fills the write budget, when the cluster state is loaded. */
+void fl_record_writer_begin(struct fl_node *node);
+/* Runs in a coroutine of the leader, until that is cancelled. */
+void fl_record_writer_run(struct fl_node *node);
 
 #endif
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -1,136 +1,181 @@
-#include "coordination/persistence/record_writer_internal.h"
+#include "coordination/persistence/wal_writer.h"
 
-#include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/node.h"
+#include "coordination/persistence/record_txn.h"
 #include "transport/log.h"
 
 static const struct {
 	double record_use;
+	size_t first_capacity;
 } tunables = {
-	.record_use = 0.85, /* share of a value's limit that the log fills */
+	.record_use = 0.85,   /* share of a value's limit that the log fills */
+	.first_capacity = 64, /* blocks that a write has room for at first */
 };
 
-static void format_wal_key(char key[FL_KEY_MAX], int at)
-{
-	snprintf(key, FL_KEY_MAX, FL_PREFIX_WAL "%d", at);
-}
+/* A block in the write, and the count of its changes that the write holds. */
+struct logged_block {
+	struct fl_job *job;
+	uint32_t block_index;
+	uint64_t generation;
+};
 
-/* Room for one item more; false without memory. */
-static bool reserve_item(struct fl_batch_item **items, int count, int *cap)
+/* A write of the log as it is being filled. */
+struct wal_write {
+	struct fl_kv_txn txn;
+	struct logged_block *blocks;
+	size_t block_count, block_capacity;
+	cJSON *value; /* the value being filled; NULL: none is begun */
+	size_t value_bytes;
+	int value_count; /* values that are complete */
+	size_t value_limit;
+	int value_count_max;
+};
+
+/* Room for one block more; false without memory. */
+static bool reserve_block(struct wal_write *write)
 {
-	int wanted = *cap ? 2 * *cap : 64;
-	struct fl_batch_item *p;
+	size_t capacity =
+		write->block_capacity ? 2 * write->block_capacity : tunables.first_capacity;
+	struct logged_block *blocks;
 
-	if (count < *cap)
+	if (write->block_count < write->block_capacity)
 		return true;
-	p = realloc(*items, (size_t)wanted * sizeof(*p));
-	if (!p)
+	blocks = realloc(write->blocks, capacity * sizeof(*blocks));
+	if (!blocks)
 		return false;
-	*items = p;
-	*cap = wanted;
+	write->blocks = blocks;
+	write->block_capacity = capacity;
 	return true;
 }
 
-/* Everything unsaved, in as few values as it fits into; how many, or -E2BIG. */
-static int fill_wal_values(struct fl_node *node, struct fl_kv_txn *txn,
-                           struct fl_batch_item **items, int *count)
+/* The value being filled, if one is, goes into the transaction. */
+static void finish_value(struct wal_write *write)
 {
-	size_t limit = (size_t)(node->config->value_kb * 1024 * tunables.record_use), used = 0;
-	int most = node->config->txn_ops, values = 0, cap = 0;
-	cJSON *value = NULL;
 	char key[FL_KEY_MAX];
 
-	if (most > FL_BATCH_BYTES / (double)limit)
-		most = (int)(FL_BATCH_BYTES / (double)limit);
-	for (struct fl_job *job = node->cluster.dirty; job; job = job->next_dirty)
-		for (uint32_t i = 0; i < job->block_count; i++) {
-			char *group = fl_wal_group_encode(&node->cluster, job, i);
-			size_t len = group ? strlen(group) + 1 : 0;
-
-			if (!group)
-				continue;
-			if (value && used + len > limit) {
-				format_wal_key(key, values++);
-				fl_kv_txn_put(txn, key, value, 0);
-				value = NULL;
-			}
-			if (len > limit || (!value && values == most) ||
-			    !reserve_item(items, *count, &cap)) {
-				free(group);
-				cJSON_Delete(value);
-				return -E2BIG;
-			}
-			if (!value) {
-				value = fl_wal_value_begin();
-				used = 0;
-			}
-			fl_wal_value_add(value, group);
-			used += len;
-			free(group);
-			(*items)[(*count)++] = (struct fl_batch_item){
-				job, i, fl_job_task_block(job, i)->generation};
-		}
-	if (value) {
-		format_wal_key(key, values++);
-		fl_kv_txn_put(txn, key, value, 0);
+	if (!write->value)
+		return;
+	snprintf(key, sizeof(key), FL_PREFIX_WAL "%d", write->value_count++);
+	fl_kv_txn_put(&write->txn, key, write->value, 0);
+	write->value = NULL;
+	write->value_bytes = 0;
+}
+
+/* Adds the unsaved changes of a block, if it has any; false if they do not fit. */
+static bool add_block(struct wal_write *write, const struct fl_cluster *cluster, struct fl_job *job,
+                      uint32_t block_index)
+{
+	char *group = fl_wal_group_encode(cluster, job, block_index);
+	size_t bytes = group ? strlen(group) + 1 : 0;
+	bool fits;
+
+	if (!group)
+		return true;
+	if (write->value_bytes + bytes > write->value_limit)
+		finish_value(write);
+	fits = bytes <= write->value_limit &&
+	       (write->value || write->value_count < write->value_count_max) &&
+	       reserve_block(write);
+	if (fits) {
+		if (!write->value)
+			write->value = fl_wal_value_begin();
+		fl_wal_value_add(write->value, group);
+		write->value_bytes += bytes;
+		write->blocks[write->block_count++] = (struct logged_block){
+			job, block_index, fl_job_task_block(job, block_index)->generation};
 	}
-	return values;
+	free(group);
+	return fits;
+}
+
+/* Adds everything unsaved, in as few values as it fits into; false if it does not fit. */
+static bool fill(struct wal_write *write, const struct fl_cluster *cluster)
+{
+	for (struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
+		for (uint32_t i = 0; i < job->block_count; i++)
+			if (!add_block(write, cluster, job, i))
+				return false;
+	finish_value(write);
+	return true;
 }
 
 /* Any write of the log replaces the one before it, so each is made over what surely stands. */
-static int read_wal_revision(struct fl_node *node)
+static enum fl_kv_result read_wal_revision(struct fl_node *node)
 {
+	struct fl_record_writer *writer = &node->record_writer;
 	uint64_t revision = 0;
+	enum fl_kv_result result;
 	cJSON *value;
-	int rc;
 
-	if (node->leadership.wal_revision_known)
-		return 0;
-	rc = fl_kv_get(&node->kv_store, FL_KEY_WAL, &value, &revision, NULL);
+	if (writer->wal_revision_known)
+		return FL_KV_OK;
+	result = fl_kv_get(&node->kv_store, FL_KEY_WAL, &value, &revision, NULL);
 	cJSON_Delete(value);
-	if (rc && rc != -ENOENT)
-		return rc;
-	node->leadership.wal_mod_revision = rc == -ENOENT ? 0 : revision;
-	node->leadership.wal_revision_known = true;
-	return 0;
+	if (result != FL_KV_OK && result != FL_KV_NOT_FOUND)
+		return result;
+	writer->wal_mod_revision = result == FL_KV_NOT_FOUND ? 0 : revision;
+	writer->wal_revision_known = true;
+	return FL_KV_OK;
 }
 
-int fl_record_writer_write_wal(struct fl_node *node)
+static struct wal_write begin_write(const struct fl_node *node)
 {
-	struct fl_batch_item *items = NULL;
-	char failed[FL_KEY_MAX] = "";
-	struct fl_kv_txn txn;
-	int count = 0, values, rc = read_wal_revision(node);
+	struct wal_write write = {.value_count_max = node->config->txn_ops};
+	double limit = node->config->value_kb * 1024 * tunables.record_use;
+
+	write.value_limit = (size_t)limit;
+	if (write.value_count_max > FL_RECORD_TXN_BYTES / (double)write.value_limit)
+		write.value_count_max = (int)(FL_RECORD_TXN_BYTES / (double)write.value_limit);
+	fl_record_txn_init(node, &write.txn);
+	fl_kv_txn_expect_revision(&write.txn, FL_KEY_WAL, node->record_writer.wal_mod_revision);
+	return write;
+}
+
+static enum fl_wal_write_result commit(struct fl_node *node, struct wal_write *write)
+{
+	struct fl_record_writer *writer = &node->record_writer;
+	enum fl_kv_result result = fl_record_txn_admit(node, &write->txn);
 	uint64_t revision;
 
-	if (rc)
-		return rc;
-	fl_kv_txn_init(&txn);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->election.leader_mod_revision);
-	fl_kv_txn_expect_revision(&txn, FL_KEY_WAL, node->leadership.wal_mod_revision);
-	values = fill_wal_values(node, &txn, &items, &count);
-	rc = values < 0 ? values : fl_record_writer_await_budget(node, values);
-	if (rc || !fl_is_leader(node)) {
-		fl_kv_txn_free(&txn);
-		rc = rc ? rc : -EAGAIN;
-		goto out;
+	if (result != FL_KV_OK)
+		return FL_WAL_FAILED;
+	result = fl_record_txn_commit(node, &write->txn, &revision);
+	fl_debug("records", "write-ahead log written blocks=%zu values=%d result=%s",
+	         write->block_count, write->value_count, fl_kv_result_text(result));
+	if (result != FL_KV_OK) {
+		if (result != FL_KV_UNAVAILABLE)
+			writer->wal_revision_known = false;
+		return FL_WAL_FAILED;
+	}
+	writer->wal_mod_revision = revision;
+	/* Only the record writer's coroutine lets go of jobs: these are still there. */
+	for (size_t i = 0; i < write->block_count; i++) {
+		const struct logged_block *logged = &write->blocks[i];
+
+		logged->job->blocks[logged->block_index]->logged_generation = logged->generation;
+	}
+	return FL_WAL_WRITTEN;
+}
+
+enum fl_wal_write_result fl_wal_writer_write(struct fl_node *node)
+{
+	enum fl_wal_write_result result;
+	struct wal_write write;
+
+	if (read_wal_revision(node) != FL_KV_OK)
+		return FL_WAL_FAILED;
+	write = begin_write(node);
+	if (fill(&write, &node->cluster)) {
+		result = commit(node, &write);
+	} else {
+		fl_kv_txn_free(&write.txn);
+		cJSON_Delete(write.value);
+		result = FL_WAL_TOO_LARGE;
 	}
-	rc = fl_kv_txn_commit(&node->kv_store, &txn, &revision, failed);
-	fl_debug("record", "log of %d records in %d values: %s", count, values,
-	         rc ? strerror(-rc) : "stored");
-	if (rc == 0)
-		node->leadership.wal_mod_revision = revision;
-	else if (rc != -EAGAIN)
-		node->leadership.wal_revision_known = false;
-	/* Only this routine lets go of jobs: those it counted are still there. */
-	for (int i = 0; i < count && rc == 0; i++)
-		items[i].job->blocks[items[i].block_index]->logged_generation = items[i].generation;
-	if (rc == -ESTALE && strcmp(failed, FL_KEY_LEADER) == 0)
-		fl_election_step_down(node, "another leads");
-out:
-	free(items);
-	return rc;
+	free(write.blocks);
+	return result;
 }
--- /dev/null
+++ b/src/coordination/request_router.h
@@ -0,0 +1,25 @@
+/*
+ * Routes requests that arrive at a controller's two servers, the public one for users and workers
+ * and the one for other controllers, to the modules that answer them.
+ */
+#ifndef FL_COORDINATION_REQUEST_ROUTER_H
+#define FL_COORDINATION_REQUEST_ROUTER_H
+
+#include "coordination/follower/forwarding.h"
+#include "protocol/users.h"
+#include "transport/http_server.h"
+
+struct fl_node;
+
+/* Handler of the public server; its context is the fl_node. */
+void fl_route_public_request(void *context, const struct fl_http_request *request,
+                             struct fl_http_response *response);
+/* Handler of the server for other controllers; its context is the fl_node. */
+void fl_route_peer_request(void *context, const struct fl_http_request *request,
+                           struct fl_http_response *response);
+/* Answers a user's or worker's request here, forwarding what only the leader can say. */
+void fl_route_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
+                           const char *body, size_t len, enum fl_forward_hop hop,
+                           struct fl_http_response *response);
+
+#endif
--- /dev/null
+++ b/src/coordination/responses.c
@@ -0,0 +1,34 @@
+#include "coordination/responses.h"
+
+#include <stdarg.h>
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "protocol/json.h"
+
+static const struct {
+	int retry_after_s;
+} tunables = {
+	.retry_after_s = 1, /* s; Retry-After of a 503 */
+};
+
+void fl_respond_error(struct fl_http_response *response, int status, const char *fmt, ...)
+{
+	char text[256];
+	va_list ap;
+
+	va_start(ap, fmt);
+	vsnprintf(text, sizeof(text), fmt, ap);
+	va_end(ap);
+	free(response->body);
+	response->status = status;
+	response->body = fl_json_error("%s", text);
+}
+
+void fl_respond_unavailable(struct fl_http_response *response, const char *reason)
+{
+	fl_respond_error(response, 503, "%s", reason);
+	response->retry_after_s = tunables.retry_after_s;
+	/* The balancer may find a better node for the next try than this one. */
+	response->close = true;
+}
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -71,7 +71,7 @@
 struct fl_resources fl_sched_capacity_for(const struct fl_sched_cycle *cycle,
                                           const struct fl_sched_job *job, int machine_index);
 
-/* ---- placement (schedule_placement.c) ---- */
+/* ---- cost (schedule_cost.c) ---- */
 
 /* Time to fetch the job's image; 0 if the machine has it. */
 double fl_sched_image_fetch_s(const struct fl_sched_job *job,
@@ -83,6 +83,8 @@
 int fl_sched_lowest_cost(const double *costs, int count);
 /* Grows an array to hold one more than `count` items; false without memory. */
 bool fl_sched_grow(void **items, int count, int *capacity, size_t size);
+/* ---- placement (schedule_placement.c) ---- */
+
 /*
  * Starts what fits now; true if room was what ended it, not the team's limit. With `must_end_by`
  * (per machine; NULL: no bound) only tasks start that are estimated to end within it.
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -55,16 +55,16 @@
 		uint32_t index = fl_task_next_waiting(job, 0, now);
 
 		if (index >= job->task_count ||
-		    fl_task_place(&node->cluster, job, index, machine, node->election.fencing_token,
-		                  now) != 0)
+		    fl_task_place(&node->cluster, job, index, machine,
+		                  node->leader_lease.fencing_token, now) != 0)
 			continue;
 		fl_machine_record_image(machine, job->image);
 		/* What it was reserved for has started; who still waits requests it again in each
 		 * pass. */
-		if ((uint8_t)job->priority >= machine->reserved_priority)
-			machine->reserved_at = 0;
-		job->window_until = 0;
-		machine->command_pending = true;
+		if (job->priority >= machine->reservation.priority)
+			machine->reservation.at = 0;
+		job->placement.window_until = 0;
+		machine->outbound.command_pending = true;
 		fl_info("schedule", "%s/%u try %u on %s", job->ref, index,
 		        fl_task_peek(job, index)->attempt, machine->name);
 	}
@@ -92,8 +92,8 @@
 	if (output->top_job < 0 || output->window_s >= INFINITY)
 		return;
 	top = snapshot->jobs[output->top_job];
-	if (top->window_until <= 0)
-		top->window_until = now + output->window_s;
+	if (top->placement.window_until <= 0)
+		top->placement.window_until = now + output->window_s;
 }
 
 static void apply_reservations(const struct fl_snapshot *snapshot, double now)
@@ -107,12 +107,12 @@
 		if (!requested->made ||
 		    (from->reserved.made && from->reserved.priority > requested->priority))
 			continue;
-		machine->reserved_at = now;
-		machine->reserved_within_guaranteed = requested->within_guaranteed;
-		machine->reserved_priority = (uint8_t)requested->priority;
-		machine->reserved_cpus = requested->cpus;
-		machine->reserved_gpus = requested->gpus;
-		machine->reserved_ram_gb = requested->ram_gb;
+		machine->reservation.at = now;
+		machine->reservation.within_guaranteed = requested->within_guaranteed;
+		machine->reservation.priority = requested->priority;
+		machine->reservation.cpus = requested->cpus;
+		machine->reservation.gpus = requested->gpus;
+		machine->reservation.ram_gb = requested->ram_gb;
 	}
 }
 
@@ -153,7 +153,7 @@
 	         snapshot.input.machine_count, output.start_count, output.preemption_count,
 	         (fl_now() - now) * 1000, output.resume_position ? ", to be continued" : "");
 	if (node->cluster.dirty)
-		fl_condition_broadcast(&node->leadership.writes_pending);
+		fl_condition_broadcast(&node->record_writer.writes_pending);
 out:
 	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
@@ -165,7 +165,7 @@
 	for (int i = 0; i < node->cluster.machines.count; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (machine->decommissioned || machine->interruption_at == 0)
+		if (machine->lifecycle.decommissioned || machine->lifecycle.interruption_at == 0)
 			continue;
 		for (int k = 0; k < machine->assignment_count; k++) {
 			struct fl_job *job = machine->assignments[k].job;
@@ -192,7 +192,7 @@
 			struct fl_job *job = machine->assignments[k].job;
 			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
 
-			if (job->kind != FL_GANG || job->waiting_count == 0 ||
+			if (job->kind != FL_GANG || job->counts.waiting == 0 ||
 			    task->stop_reason != FL_STOP_NONE)
 				continue;
 			task->stop_reason = FL_STOP_DRAIN;
@@ -201,9 +201,8 @@
 	}
 }
 
-void fl_scheduling_cycle_coroutine(void *arg)
+void fl_scheduling_cycle_run(struct fl_node *node)
 {
-	struct fl_node *node = arg;
 	double last = 0, processor, gap = tunables.gap_s;
 
 	while (!fl_coroutine_cancelled()) {
@@ -223,12 +222,10 @@
 		gap = fl_scheduling_cycle_gap_s(node->config->core_share, fl_now() - last,
 		                                fl_cpu_time() - processor);
 		if (node->cluster.dirty)
-			fl_condition_broadcast(&node->leadership.writes_pending);
+			fl_condition_broadcast(&node->record_writer.writes_pending);
 		if (node->leadership.retained_exit_count > 0 &&
-		    last > node->election.token_raised_at + tunables.forget_s)
-			node->election.token_raise_wanted = true;
+		    last > node->leader_lease.token_raised_at + tunables.forget_s)
+			node->leader_lease.token_raise_wanted = true;
 		node->leadership.retained_exit_count = 0;
 	}
-	node->leadership.coroutines_running--;
-	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
--- a/src/coordination/scheduling/scheduling_cycle.h
+++ b/src/coordination/scheduling/scheduling_cycle.h
@@ -5,8 +5,10 @@
 #ifndef FL_COORDINATION_SCHEDULING_SCHEDULING_CYCLE_H
 #define FL_COORDINATION_SCHEDULING_SCHEDULING_CYCLE_H
 
+struct fl_node;
+
 /* The routine of a leader, with its fl_node. */
-void fl_scheduling_cycle_coroutine(void *arg);
+void fl_scheduling_cycle_run(struct fl_node *node);
 /* Seconds after which a pass stops, to be resumed by the next, with this share of a core. */
 double fl_scheduling_cycle_budget_s(double core_share);
 /*
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -31,7 +31,8 @@
 	int most = 0;
 
 	for (int i = 0; i < machines->count; i++)
-		most += machines->by_id[i]->up && !machines->by_id[i]->decommissioned
+		most += machines->by_id[i]->lifecycle.up &&
+		                        !machines->by_id[i]->lifecycle.decommissioned
 		                ? tunables.waiting_a_machine
 		                : 0;
 	return (uint32_t)(most > tunables.waiting_most ? most : tunables.waiting_most);
@@ -42,16 +43,16 @@
 	uint32_t most = job->kind == FL_GANG ? job->task_count : considered;
 	uint32_t at = 0, count = 0;
 
-	if (job->not_before > now)
+	if (job->retry.not_before > now)
 		return 0;
 	/* A gang starts only whole: all that is not done, and none of it anywhere yet. */
-	if (job->kind == FL_GANG && job->placed_count > 0)
+	if (job->kind == FL_GANG && job->counts.placed > 0)
 		return 0;
 	while (count < most && (at = fl_task_next_waiting(job, at, now)) < job->task_count) {
 		count++;
 		at++;
 	}
-	return job->kind == FL_GANG && count < job->waiting_count ? 0 : count;
+	return job->kind == FL_GANG && count < job->counts.waiting ? 0 : count;
 }
 
 /* Urgent work and services count by their priority alone. */
@@ -86,22 +87,26 @@
 	target->same_zone = job->same_zone;
 	target->spread_zones = job->spread_zones;
 	target->spot_allowed = job->spot_allowed;
-	memcpy(target->placed_by_zone, job->placed_by_zone, sizeof(target->placed_by_zone));
-	target->placed_in_unknown_zone = job->placed_in_unknown_zone;
+	memcpy(target->placed_by_zone, job->placement.by_zone, sizeof(target->placed_by_zone));
+	target->placed_in_unknown_zone = job->placement.in_unknown_zone;
 	target->image = job->image;
 	target->within_guaranteed = job->within_guaranteed;
 	target->background = is_background(node, job);
-	target->begun = job->placed_count > 0 || job->done_count > 0;
-	target->window_left = job->window_until > 0 ? fmax(0, job->window_until - now) : -1;
+	target->begun = job->counts.placed > 0 || job->counts.done > 0;
+	target->window_left =
+		job->placement.window_until > 0 ? fmax(0, job->placement.window_until - now) : -1;
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
 static bool is_schedulable(const struct fl_node *node, const struct fl_machine *machine, double now)
 {
-	return machine && machine->up && machine->described && !machine->draining &&
-	       !machine->decommissioned && machine->orphan_task_count == 0 &&
-	       machine->interruption_at == 0 && machine->quarantined_until <= now &&
-	       now - machine->last_reachable_at < tunables.fresh_reports * node->config->report_s &&
+	return machine && machine->lifecycle.up && machine->described &&
+	       !machine->lifecycle.draining && !machine->lifecycle.decommissioned &&
+	       machine->heartbeat.orphan_task_count == 0 &&
+	       machine->lifecycle.interruption_at == 0 &&
+	       machine->health.quarantined_until <= now &&
+	       now - machine->outbound.last_reachable_at <
+	               tunables.fresh_reports * node->config->report_s &&
 	       !fl_reachability_is_suspect(machine);
 }
 
@@ -140,7 +145,7 @@
 	target->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
 	if (job->checkpoint_every_s > 0)
 		target->lost_s = fmin(target->lost_s, job->checkpoint_cost_s);
-	target->last_running_task = job->kind != FL_SERVICE && job->placed_count == 1 &&
+	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
 	                            wall - job->submitted_wall > snapshot->input.params->patience_s;
 	snapshot->attempts[snapshot->input.attempt_count++] = *slot;
 }
@@ -182,14 +187,14 @@
  */
 static struct fl_reservation active_reservation(const struct fl_machine *machine, double now)
 {
-	if (machine->reserved_at <= 0 || now > machine->reserved_at + tunables.reservation_s)
+	if (machine->reservation.at <= 0 || now > machine->reservation.at + tunables.reservation_s)
 		return (struct fl_reservation){0};
 	return (struct fl_reservation){.made = true,
-	                               .within_guaranteed = machine->reserved_within_guaranteed,
-	                               .priority = (enum fl_priority)machine->reserved_priority,
-	                               .cpus = machine->reserved_cpus,
-	                               .gpus = machine->reserved_gpus,
-	                               .ram_gb = machine->reserved_ram_gb};
+	                               .within_guaranteed = machine->reservation.within_guaranteed,
+	                               .priority = machine->reservation.priority,
+	                               .cpus = machine->reservation.cpus,
+	                               .gpus = machine->reservation.gpus,
+	                               .ram_gb = machine->reservation.ram_gb};
 }
 
 static void add_machine(struct fl_node *node, struct fl_snapshot *snapshot,
@@ -203,9 +208,9 @@
 	                                    .zone = machine->zone,
 	                                    .spot = machine->spot,
 	                                    .reserved = active_reservation(machine, now),
-	                                    .cpus = type->cpus - machine->used_cpus,
-	                                    .gpus = type->gpus - machine->used_gpus,
-	                                    .ram_gb = type->ram_gb - machine->used_ram_gb,
+	                                    .cpus = type->cpus - machine->used.cpus,
+	                                    .gpus = type->gpus - machine->used.gpus,
+	                                    .ram_gb = type->ram_gb - machine->used.ram_gb,
 	                                    .pull_gb_s = type->pull_gb_s,
 	                                    .cached_images = machine->cached_images};
 	for (int k = 0; k < machine->assignment_count; k++) {
@@ -248,7 +253,7 @@
 	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, tmp)
-		if (!job->cancelled && job->waiting_count > 0)
+		if (!job->cancelled && job->counts.waiting > 0)
 			add_job(node, snapshot, job, considered, now, wall);
 	for (int i = 0; i < cluster->machines.count; i++)
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
--- a/src/coordination/workers/command.c
+++ b/src/coordination/workers/command.c
@@ -31,11 +31,12 @@
 	char *body;
 	int rc;
 
-	machine->command_pending = false;
-	if (!fl_is_leader(node) || !machine->up || machine->decommissioned || !machine->endpoint[0])
+	machine->outbound.command_pending = false;
+	if (!fl_is_leader(node) || !machine->lifecycle.up || machine->lifecycle.decommissioned ||
+	    !machine->endpoint[0])
 		return;
-	fl_command_list_init(&commands, node->election.fencing_token);
-	fl_command_list_bind_incarnation(&commands, machine->incarnation);
+	fl_command_list_init(&commands, node->leader_lease.fencing_token);
+	fl_command_list_bind_incarnation(&commands, machine->heartbeat.incarnation);
 	if (!fl_reconcile_collect_commands(node, machine, &commands)) {
 		cJSON_Delete(commands.root);
 		return;
@@ -55,9 +56,9 @@
 	struct command_sender *sender = arg;
 	struct fl_node *node = sender->node;
 
-	while (sender->machine->command_pending && !fl_coroutine_cancelled())
+	while (sender->machine->outbound.command_pending && !fl_coroutine_cancelled())
 		send_once(node, sender->machine);
-	sender->machine->command_in_flight = false;
+	sender->machine->outbound.command_in_flight = false;
 	node->leadership.commands_in_flight--;
 	node->leadership.coroutines_running--;
 	fl_condition_broadcast(&node->leadership.coroutine_ended);
@@ -68,8 +69,8 @@
 {
 	struct command_sender *sender;
 
-	machine->command_pending = true;
-	if (machine->command_in_flight ||
+	machine->outbound.command_pending = true;
+	if (machine->outbound.command_in_flight ||
 	    node->leadership.commands_in_flight >= tunables.concurrent_most)
 		return; /* the worker's next report brings the orders all the same */
 	sender = malloc(sizeof(*sender));
@@ -80,7 +81,7 @@
 		free(sender);
 		return;
 	}
-	machine->command_in_flight = true;
+	machine->outbound.command_in_flight = true;
 	node->leadership.commands_in_flight++;
 	node->leadership.coroutines_running++;
 }
@@ -90,7 +91,8 @@
 	for (int i = 0; i < node->cluster.machines.count; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (machine->command_pending && machine->up && !machine->decommissioned)
+		if (machine->outbound.command_pending && machine->lifecycle.up &&
+		    !machine->lifecycle.decommissioned)
 			fl_command_send(node, machine);
 	}
 }
@@ -108,32 +110,30 @@
 		}
 	}
 	fl_job_mark_dirty(&node->cluster, job);
-	fl_condition_broadcast(&node->leadership.writes_pending);
+	fl_condition_broadcast(&node->record_writer.writes_pending);
 	fl_condition_broadcast(&node->leadership.work_available);
 }
 
 /* Stops the tasks of cancelled jobs on one machine, or returns the machine when time is short. */
 static void enforce_cancellations(struct fl_node *node, struct fl_machine *machine, double now)
 {
-	for (int k = 0; k < machine->assignment_count && !machine->decommissioned; k++) {
+	for (int k = 0; k < machine->assignment_count && !machine->lifecycle.decommissioned; k++) {
 		struct fl_job *job = machine->assignments[k].job;
 
 		if (!job->cancelled)
 			continue;
 		if (now > job->cancelled_at + tunables.cancel_share * node->config->cancel_s &&
-		    !machine->draining) {
+		    !machine->lifecycle.draining) {
 			fl_info("workers", "%s does not let go of %s: returned", machine->name,
 			        job->ref);
-			machine->draining = true;
+			machine->lifecycle.draining = true;
 		}
 		fl_command_send(node, machine);
 	}
 }
 
-void fl_command_enforce_coroutine(void *arg)
+void fl_command_enforcement_run(struct fl_node *node)
 {
-	struct fl_node *node = arg;
-
 	while (fl_sleep(tunables.enforce_s) == 0) {
 		double now = fl_now();
 
@@ -142,6 +142,4 @@
 		for (int i = 0; i < node->cluster.machines.count; i++)
 			enforce_cancellations(node, node->cluster.machines.by_id[i], now);
 	}
-	node->leadership.coroutines_running--;
-	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
--- a/src/coordination/workers/command.h
+++ b/src/coordination/workers/command.h
@@ -13,6 +13,6 @@
 /* Stops the tasks of a job that the cluster state has as cancelled, on all machines. */
 void fl_command_stop_job(struct fl_node *node, struct fl_job *job);
 /* The routine of a leader, with its fl_node. */
-void fl_command_enforce_coroutine(void *arg);
+void fl_command_enforcement_run(struct fl_node *node);
 
 #endif
--- /dev/null
+++ b/src/coordination/workers/digest_reader.c
@@ -0,0 +1,50 @@
+#include "coordination/workers/digest_reader.h"
+
+#include "coordination/node.h"
+#include "coordination/workers/reconciliation.h"
+#include "protocol/peers.h"
+#include "transport/log.h"
+
+static const struct {
+	double retry_s, watch_s;
+} tunables = {
+	.retry_s = 0.2,  /* s after a failed read */
+	.watch_s = 10.0, /* s; length of a watch */
+};
+
+static void on_digest(void *context, const struct fl_kv_event *event)
+{
+	struct fl_node *node = context;
+	const cJSON *item;
+
+	if (!event->value || !fl_is_leader(node))
+		return;
+	cJSON_ArrayForEach (item, fl_digest_heartbeats(event->value)) {
+		struct fl_heartbeat heartbeat;
+
+		if (fl_cached_heartbeat_decode(item, &heartbeat) != 0) {
+			fl_error("workers", "malformed heartbeat in digest %s", event->key);
+			continue;
+		}
+		/* The machine is alive, but not reachable from here: it gets no new task. */
+		fl_reconcile_heartbeat(node, &heartbeat, NULL, FL_HEARTBEAT_FROM_DIGEST);
+		fl_heartbeat_free(&heartbeat);
+	}
+}
+
+void fl_digest_reader_run(struct fl_node *node)
+{
+	uint64_t revision = 0;
+
+	while (!fl_coroutine_cancelled()) {
+		enum fl_kv_result result =
+			revision == 0 ? fl_kv_list(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
+		                                   on_digest, node, &revision)
+				      : fl_kv_watch(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
+		                                    &revision, tunables.watch_s, on_digest, node);
+		if (result == FL_KV_COMPACTED)
+			revision = 0;
+		if (result != FL_KV_OK && fl_sleep(tunables.retry_s) != 0)
+			break;
+	}
+}
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -5,6 +5,7 @@
 
 #include "coordination/workers/reachability.h"
 #include "coordination/node.h"
+#include "coordination/workers/renewal_rules.h"
 
 static const struct {
 	double margin_s;
@@ -27,8 +28,8 @@
 static double last_contact(const struct fl_node *node, const struct fl_machine *machine)
 {
 	double heartbeat_at =
-		fmax(fmax(machine->last_heartbeat_at, node->leadership.heartbeats_since),
-	             machine->first_seen_at);
+		fmax(fmax(machine->heartbeat.last_at, node->leadership.heartbeats_since),
+	             machine->lifecycle.first_seen_at);
 
 	/* Reports from a machine that our answers do not reach do not count. */
 	return fmin(heartbeat_at, fl_reachability_lost_since(machine));
@@ -51,7 +52,7 @@
 		    strcmp(peer->location, fl_symbol_name(&node->cluster.zones, machine->zone)) ==
 		            0 &&
 		    peer->last_heard_at > last - slack && peer->last_heard_at < last + slack)
-			return fl_follower_renewal_window_s(node);
+			return fl_renewal_window_s(node);
 	}
 	return 0;
 }
@@ -61,7 +62,7 @@
 {
 	double allowed, silent = now - last_contact(node, machine) - tunables.margin_s, renewed;
 
-	if (!machine->up && machine->assignment_count == 0)
+	if (!machine->lifecycle.up && machine->assignment_count == 0)
 		return false;
 	allowed = (machine->zone >= 0 ? leases[machine->zone] : 1) * node->config->lease_s;
 	/* Thousands report in time; only for the few others the zone's controllers are looked up.
@@ -110,8 +111,8 @@
 		const struct fl_machine *machine = node->cluster.machines.by_id[i];
 		bool silent;
 
-		if (machine->decommissioned || machine->draining || machine->spot ||
-		    (!machine->up && machine->assignment_count == 0))
+		if (machine->lifecycle.decommissioned || machine->lifecycle.draining ||
+		    machine->spot || (!machine->lifecycle.up && machine->assignment_count == 0))
 			continue;
 		silent = now - last_contact(node, machine) >
 		         tunables.silent_leases * node->config->lease_s;
--- a/src/coordination/workers/reachability.c
+++ b/src/coordination/workers/reachability.c
@@ -17,9 +17,9 @@
 
 void fl_reachability_confirm(struct fl_machine *machine)
 {
-	machine->unacknowledged_replies = 0;
-	machine->unacknowledged_since = 0;
-	machine->last_reply_timed_out = false;
+	machine->outbound.unacknowledged_replies = 0;
+	machine->outbound.unacknowledged_since = 0;
+	machine->outbound.last_reply_timed_out = false;
 }
 
 /*
@@ -35,8 +35,8 @@
 {
 	if (gap < tunables.timeout_s)
 		return false;
-	if (heartbeat->entry_node && machine->entry_node && node->peer_count > 0)
-		return heartbeat->entry_node != machine->entry_node;
+	if (heartbeat->entry_node && machine->heartbeat.entry_node && node->peer_count > 0)
+		return heartbeat->entry_node != machine->heartbeat.entry_node;
 	return tunables.report_most * node->config->report_s < tunables.timeout_s;
 }
 
@@ -64,46 +64,50 @@
                                   const struct fl_heartbeat *heartbeat, double now)
 {
 	bool incarnation_lost, no_effect;
-	double gap = machine->last_reply_at > 0 ? now - machine->last_reply_at : 0;
+	double gap =
+		machine->outbound.last_reply_at > 0 ? now - machine->outbound.last_reply_at : 0;
 
-	machine->last_reply_timed_out = timed_out(node, machine, heartbeat, gap);
-	machine->entry_node = heartbeat->entry_node;
-	if (machine->last_reply_at <= 0)
+	machine->outbound.last_reply_timed_out = timed_out(node, machine, heartbeat, gap);
+	machine->heartbeat.entry_node = heartbeat->entry_node;
+	if (machine->outbound.last_reply_at <= 0)
 		return;
 	/* Had the last answer arrived, the lease could not have ended by now. */
-	incarnation_lost = heartbeat->incarnation > machine->incarnation &&
-	                   machine->incarnation > 0 &&
+	incarnation_lost = heartbeat->incarnation > machine->heartbeat.incarnation &&
+	                   machine->heartbeat.incarnation > 0 &&
 	                   gap < node->config->lease_s - tunables.timeout_s;
-	no_effect = heartbeat->fencing_token < machine->last_reply_token || incarnation_lost ||
-	            (machine->last_reply_had_start && !starts_reported(machine, heartbeat));
+	no_effect =
+		heartbeat->fencing_token < machine->outbound.last_reply_token || incarnation_lost ||
+		(machine->outbound.last_reply_had_start && !starts_reported(machine, heartbeat));
 	if (no_effect) {
-		if (machine->unacknowledged_replies++ == 0)
-			machine->unacknowledged_since = machine->last_reply_at;
-		if (machine->unacknowledged_replies == tunables.doubts)
+		if (machine->outbound.unacknowledged_replies++ == 0)
+			machine->outbound.unacknowledged_since = machine->outbound.last_reply_at;
+		if (machine->outbound.unacknowledged_replies == tunables.doubts)
 			fl_info("workers", "%s does not seem to hear us: nothing new is placed",
 			        machine->name);
 		return;
 	}
 	/* An answer without an order proves nothing, unless the worker did not time out. */
-	if (machine->last_reply_had_start || !machine->last_reply_timed_out)
+	if (machine->outbound.last_reply_had_start || !machine->outbound.last_reply_timed_out)
 		fl_reachability_confirm(machine);
 }
 
 void fl_reachability_on_reply(struct fl_node *node, struct fl_machine *machine,
                               enum fl_reply_kind kind, double now)
 {
-	machine->last_reply_at = now;
-	machine->last_reply_token = node->election.fencing_token;
-	machine->last_reply_had_start = kind == FL_REPLY_WITH_START;
+	machine->outbound.last_reply_at = now;
+	machine->outbound.last_reply_token = node->leader_lease.fencing_token;
+	machine->outbound.last_reply_had_start = kind == FL_REPLY_WITH_START;
 }
 
 bool fl_reachability_is_suspect(const struct fl_machine *machine)
 {
-	return machine->unacknowledged_replies >= tunables.doubts || machine->last_reply_timed_out;
+	return machine->outbound.unacknowledged_replies >= tunables.doubts ||
+	       machine->outbound.last_reply_timed_out;
 }
 
 double fl_reachability_lost_since(const struct fl_machine *machine)
 {
-	return machine->unacknowledged_replies >= tunables.doubts ? machine->unacknowledged_since
-	                                                          : INFINITY;
+	return machine->outbound.unacknowledged_replies >= tunables.doubts
+	               ? machine->outbound.unacknowledged_since
+	               : INFINITY;
 }
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -30,11 +30,11 @@
 /* Newer by session, then sequence number; the first report received is always newer. */
 static bool newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
 {
-	if (machine->last_heartbeat_at <= 0)
+	if (machine->heartbeat.last_at <= 0)
 		return true;
-	return heartbeat->incarnation > machine->incarnation ||
-	       (heartbeat->incarnation == machine->incarnation &&
-	        heartbeat->sequence > machine->sequence);
+	return heartbeat->incarnation > machine->heartbeat.incarnation ||
+	       (heartbeat->incarnation == machine->heartbeat.incarnation &&
+	        heartbeat->sequence > machine->heartbeat.sequence);
 }
 
 /*
@@ -50,8 +50,8 @@
 	if (task->start_sent && source == FL_HEARTBEAT_FROM_COMMAND)
 		return false;
 	/* The launch of an answer is executed before the worker's next report or never. */
-	return machine->direct_start_token == 0 ||
-	       heartbeat->fencing_token > machine->direct_start_token;
+	return machine->outbound.direct_start_token == 0 ||
+	       heartbeat->fencing_token > machine->outbound.direct_start_token;
 }
 
 /*
@@ -60,7 +60,7 @@
  */
 static bool may_forget(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
 {
-	return heartbeat->fencing_token > machine->direct_start_token;
+	return heartbeat->fencing_token > machine->outbound.direct_start_token;
 }
 
 /* Whether the attempt is to run on, rather than be stopped. */
@@ -92,22 +92,23 @@
 
 	if (task->failure_count < tunables.doublings_most)
 		task->failure_count++;
-	job->consecutive_failures++;
-	machine->fault_count++;
+	job->retry.consecutive_failures++;
+	machine->health.fault_count++;
 	/* A job submitted with a mistake fails everywhere, each of its tasks for the first time. */
-	if (job->consecutive_failures > tunables.consecutive_failures)
-		job->not_before =
-			now + backoff(job->consecutive_failures - tunables.consecutive_failures);
+	if (job->retry.consecutive_failures > tunables.consecutive_failures)
+		job->retry.not_before = now + backoff(job->retry.consecutive_failures -
+		                                      tunables.consecutive_failures);
 	/*
 	 * A job that fails everywhere must not make machines look faulty: two of its tasks on one
 	 * machine are no evidence, unless others of them have completed.
 	 */
-	faults = job->done_count > 0 ? tunables.faults : tunables.unproven_faults;
-	if (machine->fault_count >= faults &&
-	    job->consecutive_failures <= (uint32_t)tunables.blamed_failures)
-		machine->quarantined_until = now + tunables.avoid_s;
+	faults = job->counts.done > 0 ? tunables.faults : tunables.unproven_faults;
+	if (machine->health.fault_count >= faults &&
+	    job->retry.consecutive_failures <= (uint32_t)tunables.blamed_failures)
+		machine->health.quarantined_until = now + tunables.avoid_s;
 	fl_info("workers", "%s failed on %s (machine faults %d, job consecutive failures %u)",
-	        job->ref, machine->name, machine->fault_count, job->consecutive_failures);
+	        job->ref, machine->name, machine->health.fault_count,
+	        job->retry.consecutive_failures);
 }
 
 static void handle_exit(struct fl_node *node, struct fl_machine *machine, struct fl_job *job,
@@ -120,9 +121,9 @@
 	case FL_EXIT_DONE:
 		fl_debug("workers", "%s/%u done on %s after %.1f s of %.1f", job->ref, index,
 		         machine->name, now - task->running_since, job->expected_s);
-		job->consecutive_failures = 0;
-		job->not_before = 0;
-		machine->fault_count = 0;
+		job->retry.consecutive_failures = 0;
+		job->retry.not_before = 0;
+		machine->health.fault_count = 0;
 		fl_task_done(&node->cluster, job, index);
 		fl_condition_broadcast(&node->leadership.work_available);
 		return;
@@ -167,7 +168,7 @@
                          struct fl_command_list *commands)
 {
 	if (status->state != FL_TASK_STATE_EXITED) {
-		machine->orphan_task_count++;
+		machine->heartbeat.orphan_task_count++;
 		if (commands)
 			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
 			                    status->attempt, 0);
@@ -270,9 +271,10 @@
 			if (absence_proves(machine, task, heartbeat, source)) {
 				fl_task_release(&node->cluster, job, index, 0);
 				fl_condition_broadcast(&node->leadership.work_available);
-			} else if (machine->direct_start_token >= heartbeat->fencing_token &&
-			           machine->direct_start_token > 0) {
-				node->election.token_raise_wanted = true;
+			} else if (machine->outbound.direct_start_token >=
+			                   heartbeat->fencing_token &&
+			           machine->outbound.direct_start_token > 0) {
+				node->leader_lease.token_raise_wanted = true;
 			}
 		} else if (commands && fl_task_durable(job, index)) {
 			fl_command_list_add(commands, FL_COMMAND_START, job->ref, index,
@@ -308,16 +310,16 @@
 static void record_contact(struct fl_node *node, struct fl_machine *machine,
                            const struct fl_heartbeat *heartbeat, double now)
 {
-	bool changed = !machine->up;
+	bool changed = !machine->lifecycle.up;
 
 	describe(node, machine, heartbeat);
-	machine->incarnation = heartbeat->incarnation;
-	machine->sequence = heartbeat->sequence;
-	machine->last_heartbeat_at = now;
-	machine->up = true;
-	machine->orphan_task_count = 0;
-	if (heartbeat->interruption_in_s >= 0 && machine->interruption_at == 0) {
-		machine->interruption_at = now + heartbeat->interruption_in_s;
+	machine->heartbeat.incarnation = heartbeat->incarnation;
+	machine->heartbeat.sequence = heartbeat->sequence;
+	machine->heartbeat.last_at = now;
+	machine->lifecycle.up = true;
+	machine->heartbeat.orphan_task_count = 0;
+	if (heartbeat->interruption_in_s >= 0 && machine->lifecycle.interruption_at == 0) {
+		machine->lifecycle.interruption_at = now + heartbeat->interruption_in_s;
 		fl_info("cloud", "%s will be taken back in %.0f s", machine->name,
 		        heartbeat->interruption_in_s);
 		changed = true;
@@ -333,9 +335,9 @@
 	struct fl_machine *machine = fl_machine_find(&node->cluster.machines, heartbeat->host);
 	enum fl_reply_kind kind;
 
-	if (machine && machine->decommissioned)
+	if (machine && machine->lifecycle.decommissioned)
 		return -ENOENT;
-	if (heartbeat->fencing_token > node->election.fencing_token)
+	if (heartbeat->fencing_token > node->leader_lease.fencing_token)
 		return -ENOENT; /* our own epoch, being raised: the next report is taken */
 	if (predates_leadership(node, heartbeat))
 		return 0;
@@ -351,7 +353,7 @@
 		fl_reachability_on_heartbeat(node, machine, heartbeat, now);
 	record_contact(node, machine, heartbeat, now);
 	if (source != FL_HEARTBEAT_FROM_DIGEST)
-		machine->last_reachable_at = now;
+		machine->outbound.last_reachable_at = now;
 	for (int i = 0; i < heartbeat->task_count; i++)
 		handle_reported(node, machine, &heartbeat->tasks[i], heartbeat, commands, now);
 	kind = handle_unreported(node, machine, heartbeat, commands, source, now);
@@ -364,7 +366,7 @@
 {
 	struct fl_machine *machine = fl_machine_find(&node->cluster.machines, heartbeat->host);
 
-	if (machine && machine->up && newer(machine, heartbeat))
+	if (machine && machine->lifecycle.up && newer(machine, heartbeat))
 		fl_reachability_on_reply(node, machine, FL_REPLY_WITHOUT_START, fl_now());
 }
 
@@ -388,19 +390,19 @@
 		}
 	}
 	if (starts)
-		machine->direct_start_token = node->election.fencing_token;
+		machine->outbound.direct_start_token = node->leader_lease.fencing_token;
 	return commands->count > 0;
 }
 
 void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine, const char *why)
 {
-	if (machine->decommissioned)
+	if (machine->lifecycle.decommissioned)
 		return;
 	fl_info("cloud", "%s is gone: %s (%d tasks on it)", machine->name, why,
 	        machine->assignment_count);
-	machine->decommissioned = true;
-	machine->decommissioned_at = fl_now();
-	machine->up = false;
+	machine->lifecycle.decommissioned = true;
+	machine->lifecycle.decommissioned_at = fl_now();
+	machine->lifecycle.up = false;
 	while (machine->assignment_count > 0)
 		fl_task_release(&node->cluster, machine->assignments[0].job,
 		                machine->assignments[0].index, 0);
--- /dev/null
+++ b/src/coordination/workers/renewal_rules.c
@@ -0,0 +1,52 @@
+#include "coordination/workers/renewal_rules.h"
+
+#include "coordination/node.h"
+#include "transport/clock.h"
+
+static const struct {
+	double margin_s;
+} tunables = {
+	.margin_s = 1.0, /* s off the renewal window, for drift and late timers */
+};
+
+double fl_renewal_window_s(const struct fl_node *node)
+{
+	const struct fl_config *config = node->config;
+
+	return config->cancel_s - config->lease_s - tunables.margin_s;
+}
+
+bool fl_renewal_watermark_is_fresh(const struct fl_node *node)
+{
+	return fl_now() - node->cancellation_watermark <= fl_renewal_window_s(node);
+}
+
+bool fl_renewal_holds_overdue_task(const struct fl_node *node, const struct fl_heartbeat *heartbeat)
+{
+	double before = fl_now() - fl_renewal_window_s(node);
+
+	for (int i = 0; i < heartbeat->task_count; i++) {
+		const struct fl_finished_job *finished =
+			fl_finished_job_find(&node->cluster, heartbeat->tasks[i].ref);
+
+		if (heartbeat->tasks[i].state != FL_TASK_STATE_EXITED && finished &&
+		    finished->status == FL_CANCELLED && finished->cancelled_at < before)
+			return true;
+	}
+	return false;
+}
+
+void fl_renewal_stop_cancelled(const struct fl_node *node, const struct fl_heartbeat *heartbeat,
+                               struct fl_command_list *commands)
+{
+	for (int i = 0; i < heartbeat->task_count; i++) {
+		const struct fl_task_status *status = &heartbeat->tasks[i];
+		const struct fl_finished_job *finished =
+			fl_finished_job_find(&node->cluster, status->ref);
+
+		if (status->state != FL_TASK_STATE_EXITED && finished &&
+		    finished->status == FL_CANCELLED)
+			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
+			                    status->attempt, 0);
+	}
+}
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -1,4 +1,7 @@
-/* The client of the state service: conditional transactions, leases, lists and watches. */
+/*
+ * The client of the key-value store that outlives every controller: compare-and-swap transactions,
+ * leases, lists and watches. Every call waits, so it must be made from a coroutine.
+ */
 #ifndef FL_PROTOCOL_KV_STORE_H
 #define FL_PROTOCOL_KV_STORE_H
 
@@ -8,11 +11,23 @@
 /* Bytes of a key with its terminator. */
 enum { FL_KEY_MAX = 96 };
 
-/*
- * Results: 0 done; -ENOENT no such key or lease; -ESTALE a condition failed; -EAGAIN not executed
- * (429, 503); -EINVAL refused as malformed or for its lease; anything else: it may have been
- * executed, or may still be.
- */
+/* What came of a request, and so what the caller may conclude and has to do. */
+enum fl_kv_result {
+	FL_KV_OK = 0,
+	FL_KV_NOT_FOUND,      /* no such key or lease */
+	FL_KV_COMPARE_FAILED, /* a condition does not hold: nothing was written */
+	FL_KV_COMPACTED,      /* the revision to watch from is too old: list again */
+	FL_KV_UNAVAILABLE,    /* refused for now (429, 503) and not executed: try again later */
+	FL_KV_INVALID,        /* refused as malformed, or because its lease has expired */
+	FL_KV_CANCELLED,      /* the calling coroutine is being cancelled: unwind */
+	/* No answer, or none that can be read: it may have been executed, or may still be. */
+	FL_KV_OUTCOME_UNKNOWN
+};
+
+/* The words for a result in a log line. */
+const char *fl_kv_result_text(enum fl_kv_result result);
+
+/* The client, and when the store last answered. */
 struct fl_kv_store {
 	struct fl_http_client client;       /* short requests */
 	struct fl_http_client watch_client; /* one open watch, on a connection of its own */
@@ -38,17 +53,17 @@
 /* 0, or -EINVAL for an address that is none. */
 int fl_kv_init(struct fl_kv_store *store, const char *addr);
 /* Reads a key. `*value` is owned by the caller; `lease_id` (if not NULL) gets its lease, or 0. */
-int fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value, uint64_t *revision,
-              uint64_t *lease_id);
+enum fl_kv_result fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value,
+                            uint64_t *revision, uint64_t *lease_id);
 
 /* Called for each change; it is valid during the call only. */
 typedef void (*fl_kv_event_fn)(void *context, const struct fl_kv_event *event);
 /* Every key under the prefix, page by page; `*mod_revision` is the revision of the first page. */
-int fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
-               void *context, uint64_t *revision);
-/* One watch; -ERANGE: the revision is too old, list again. */
-int fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision, double timeout_s,
-                fl_kv_event_fn on_event, void *context);
+enum fl_kv_result fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
+                             void *context, uint64_t *revision);
+/* One watch of at most `timeout_s`: changes after `*revision`, which moves on with them. */
+enum fl_kv_result fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision,
+                              double timeout_s, fl_kv_event_fn on_event, void *context);
 
 /* An empty transaction. */
 void fl_kv_txn_init(struct fl_kv_txn *txn);
@@ -60,16 +75,17 @@
 void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id);
 /* Deletes the key. */
 void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key);
-/* Sends the transaction and consumes the builder. On -ESTALE, `failed` (if not NULL) gets the first
- * failed key. */
-int fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn, uint64_t *revision,
-                     char failed[FL_KEY_MAX]);
+/* Sends the transaction and consumes the builder. On FL_KV_COMPARE_FAILED, `failed` (if not NULL)
+ * gets the first failed key. */
+enum fl_kv_result fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn,
+                                   uint64_t *revision, char failed[FL_KEY_MAX]);
 
 /* Takes out a lease. */
-int fl_kv_lease_grant(struct fl_kv_store *store, double ttl_s, uint64_t *lease_id);
+enum fl_kv_result fl_kv_lease_grant(struct fl_kv_store *store, double ttl_s, uint64_t *lease_id);
 /* Renews a lease. */
-int fl_kv_lease_keep_alive(struct fl_kv_store *store, uint64_t lease_id, double timeout_s);
+enum fl_kv_result fl_kv_lease_keep_alive(struct fl_kv_store *store, uint64_t lease_id,
+                                         double timeout_s);
 /* Ends a lease, and the keys that are bound to it. */
-int fl_kv_lease_revoke(struct fl_kv_store *store, uint64_t lease_id);
+enum fl_kv_result fl_kv_lease_revoke(struct fl_kv_store *store, uint64_t lease_id);
 
 #endif
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -37,8 +37,8 @@
 	if (was_known || machine->zone < 0)
 		return;
 	for (int i = 0; i < machine->assignment_count; i++) {
-		machine->assignments[i].job->placed_in_unknown_zone--;
-		machine->assignments[i].job->placed_by_zone[machine->zone]++;
+		machine->assignments[i].job->placement.in_unknown_zone--;
+		machine->assignments[i].job->placement.by_zone[machine->zone]++;
 	}
 }
 
@@ -47,8 +47,9 @@
 	for (int i = cluster->machines.count - 1; i >= 0; i--) {
 		struct fl_machine *machine = cluster->machines.by_id[i], *moved;
 
-		if (!machine->decommissioned || machine->decommissioned_at >= before ||
-		    machine->assignment_count > 0 || machine->command_in_flight)
+		if (!machine->lifecycle.decommissioned ||
+		    machine->lifecycle.decommissioned_at >= before ||
+		    machine->assignment_count > 0 || machine->outbound.command_in_flight)
 			continue;
 		moved = fl_machine_drop(&cluster->machines, machine);
 		for (int k = 0; moved && k < moved->assignment_count; k++)
@@ -63,12 +64,13 @@
 
 	HASH_ITER (hh, cluster->jobs, job, tmp) {
 		fl_job_free_task_blocks(job);
-		job->waiting_count = job->task_count;
-		job->placed_count = job->running_count = job->done_count = 0;
-		memset(job->placed_by_zone, 0, sizeof(job->placed_by_zone));
-		job->placed_in_unknown_zone = job->scan_from = 0;
-		job->is_dirty = job->final_write_in_flight = job->final_write_unknown = false;
-		job->not_before = job->window_until = 0;
+		job->counts.waiting = job->task_count;
+		job->counts.placed = job->counts.running = job->counts.done = 0;
+		memset(job->placement.by_zone, 0, sizeof(job->placement.by_zone));
+		job->placement.in_unknown_zone = job->placement.scan_from = 0;
+		job->record.is_dirty = job->record.final_write_in_flight =
+			job->record.final_write_unknown = false;
+		job->retry.not_before = job->placement.window_until = 0;
 		if (job->cancelled)
 			fl_job_finalise(cluster, job, FL_CANCELLED);
 	}
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -27,7 +27,10 @@
 
 /* One task of a job. */
 struct fl_task {
-	uint8_t phase, observed, stop_reason, failure_count;
+	enum fl_task_phase phase : 8;
+	enum fl_observed_state observed : 8;
+	enum fl_stop_reason stop_reason : 8;
+	uint8_t failure_count;  /* error exits in a row */
 	bool start_sent;        /* an answer ordered its launch, and no report has shown it yet */
 	uint32_t attempt;       /* the last one used; 0: none yet */
 	int32_t machine;        /* id, while PLACED */
@@ -49,6 +52,35 @@
 	bool revision_unknown;      /* a write went unanswered: read before writing again */
 };
 
+/* How many of a job's tasks are in each phase; the running ones are placed, too. */
+struct fl_job_counts {
+	uint32_t waiting, placed, running, done;
+};
+
+/* Where a job's tasks are, and where the next may go. */
+struct fl_job_placement {
+	uint32_t by_zone[FL_ZONES_MAX];
+	uint32_t in_unknown_zone; /* on machines whose zone is not known yet */
+	uint32_t scan_from;       /* no task below it is WAITING */
+	double window_until;      /* steady; backfill window while this job is on top; 0: not set */
+};
+
+/* When a job that fails may try again. */
+struct fl_job_retry {
+	double not_before;             /* steady; backoff of the whole job */
+	uint32_t consecutive_failures; /* error exits in a row, on any machine */
+};
+
+/* What stands in the key-value store of a job, and what is still to be written. */
+struct fl_job_record_state {
+	uint64_t mod_revision;      /* of the job record */
+	struct fl_job *next_dirty;  /* on the cluster's list of jobs with unsaved blocks */
+	bool is_dirty;              /* it is on that list */
+	bool listed;                /* it was in the list of job records being read */
+	bool final_write_in_flight; /* its final record is being written */
+	bool final_write_unknown;   /* that had an unknown outcome: only the record knows */
+};
+
 /* A job that is not over yet. */
 struct fl_job {
 	UT_hash_handle hh;
@@ -57,36 +89,28 @@
 	enum fl_job_kind kind;
 	enum fl_priority priority;
 	uint32_t task_count;
-	double cpus, gpus, ram_gb, image_gb, expected_s, checkpoint_every_s, checkpoint_cost_s,
-		due_s;
+	double cpus, gpus, ram_gb, image_gb; /* of one task */
+	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s;
 	uint32_t types; /* bit per allowed machine type */
 	bool same_zone, spread_zones, spot_allowed;
-	bool within_guaranteed;     /* fits its team's guarantee, after the team's earlier jobs */
-	double submitted_wall;      /* wall time */
-	uint64_t mod_revision;      /* KeyRev of the job record */
-	bool cancelled;             /* its final record says so; tasks may still have to go */
-	double cancelled_at;        /* steady; when its user was told, or before */
-	bool final_write_in_flight; /* its final record is being written */
-	bool final_write_unknown;   /* a final write went unanswered: only the record knows */
-	uint32_t waiting_count, placed_count, running_count, done_count;
-	uint32_t placed_by_zone[FL_ZONES_MAX];
-	uint32_t placed_in_unknown_zone; /* placed on machines whose zone is not known yet */
-	uint32_t scan_from;              /* no task below it is WAITING */
+	bool within_guaranteed; /* fits its team's guaranteed quota, after the team's earlier jobs
+	                         */
+	bool cancelled;         /* its final record says so; tasks may still have to go */
+	double cancelled_at;    /* steady; when its user was told, or before */
+	double submitted_wall;
+	struct fl_job_record_state record;
+	struct fl_job_counts counts;
+	struct fl_job_placement placement;
+	struct fl_job_retry retry;
 	uint32_t block_count;
 	struct fl_task_block **blocks; /* NULL entry: all its tasks wait and never ran */
-	double not_before;             /* job-wide backoff after faults on several machines */
-	uint32_t consecutive_failures; /* error exits in a row, on any machine */
-	double window_until; /* steady; backfill window while this job is the top one; 0: not set */
-	bool listed;         /* was in the list of job records being read */
-	bool is_dirty;
-	struct fl_job *next_dirty;
 };
 
 /* What is kept at hand of a job that is over; its record is kept for ever. */
 struct fl_finished_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
-	uint8_t status; /* fl_job_status */
+	enum fl_job_status status : 8;
 	uint32_t task_count;
 	double cancelled_at; /* steady, of one that is CANCELLED: its tasks must be gone in time */
 	double learned_at;   /* steady; since when this process knows it */
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -27,7 +27,7 @@
 		return;
 	}
 	fl_copy_string(finished->ref, sizeof(finished->ref), ref);
-	finished->status = (uint8_t)status;
+	finished->status = status;
 	finished->task_count = task_count;
 	finished->cancelled_at = cancelled_at;
 	finished->learned_at = fl_now();
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -111,21 +111,41 @@
 	                                                                                  : -EPROTO;
 }
 
-int fl_job_record_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *record,
-                       cJSON **value, uint64_t *revision)
+static enum fl_record_result read_record(struct fl_kv_store *store, const char *key,
+                                         const char *ref, struct fl_job_record *record,
+                                         cJSON **value, uint64_t *revision)
 {
+	switch (fl_kv_get(store, key, value, revision, NULL)) {
+	case FL_KV_OK:
+		return fl_job_record_decode(*value, ref, record) == 0 ? FL_RECORD_FOUND
+		                                                      : FL_RECORD_UNREADABLE;
+	case FL_KV_NOT_FOUND:
+		return FL_RECORD_NOT_FOUND;
+	case FL_KV_COMPARE_FAILED:
+	case FL_KV_COMPACTED:
+	case FL_KV_UNAVAILABLE:
+	case FL_KV_INVALID:
+	case FL_KV_CANCELLED:
+	case FL_KV_OUTCOME_UNKNOWN:
+		break;
+	}
+	return FL_RECORD_UNAVAILABLE;
+}
+
+enum fl_record_result fl_job_record_read(struct fl_kv_store *store, const char *ref,
+                                         struct fl_job_record *record, cJSON **value,
+                                         uint64_t *revision)
+{
+	enum fl_record_result result;
 	char key[FL_KEY_MAX];
 	cJSON *final = NULL;
-	int rc;
 
 	fl_key_job(key, ref);
-	rc = fl_kv_get(store, key, value, revision, NULL);
-	if (rc != -ENOENT)
-		return rc ? rc : fl_job_record_decode(*value, ref, record);
+	result = read_record(store, key, ref, record, value, revision);
+	if (result != FL_RECORD_NOT_FOUND)
+		return result;
 	fl_key_finished(key, ref);
-	rc = fl_kv_get(store, key, &final, revision, NULL);
-	if (!rc)
-		rc = fl_job_record_decode(final, ref, record);
+	result = read_record(store, key, ref, record, &final, revision);
 	cJSON_Delete(final);
-	return rc;
+	return result;
 }
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -5,6 +5,14 @@
 #include "storage/jobs.h"
 #include "protocol/kv_store.h"
 
+/* What a look at a job's records found. */
+enum fl_record_result {
+	FL_RECORD_FOUND,
+	FL_RECORD_NOT_FOUND,  /* there is no such job */
+	FL_RECORD_UNREADABLE, /* there is one, which this version cannot decode */
+	FL_RECORD_UNAVAILABLE /* the store cannot tell now */
+};
+
 /* A job record: either the description or the final state. */
 struct fl_job_record {
 	bool final;
@@ -19,10 +27,11 @@
 /*
  * What the records say of a job: its live record, or the final one that took its place in one
  * transaction, so that reading them in this order misses neither. `*value` is the live record's
- * value, owned by the caller, or NULL. -ENOENT: no such job.
+ * value, owned by the caller, or NULL. Both are set only if one was found.
  */
-int fl_job_record_read(struct fl_kv_store *store, const char *ref, struct fl_job_record *record,
-                       cJSON **value, uint64_t *revision);
+enum fl_record_result fl_job_record_read(struct fl_kv_store *store, const char *ref,
+                                         struct fl_job_record *record, cJSON **value,
+                                         uint64_t *revision);
 
 /* The record of a live job. */
 cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted);
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -8,7 +8,7 @@
 	struct fl_job *job, *tmp;
 
 	HASH_ITER (hh, cluster->jobs, job, tmp)
-		job->listed = false;
+		job->record.listed = false;
 }
 
 void fl_cluster_list_end(struct fl_cluster *cluster, uint64_t revision)
@@ -17,15 +17,16 @@
 
 	/* One that was stored after the list was made is not in it and not over. */
 	HASH_ITER (hh, cluster->jobs, job, tmp)
-		if (!job->listed && job->mod_revision <= revision && job->placed_count == 0)
+		if (!job->record.listed && job->record.mod_revision <= revision &&
+		    job->counts.placed == 0)
 			fl_job_drop(cluster, job);
 }
 
 bool fl_cluster_apply_cancellation(struct fl_cluster *cluster, struct fl_job *job,
                                    const struct fl_job_record *record, uint64_t revision)
 {
-	job->mod_revision = revision;
-	job->final_write_unknown = false;
+	job->record.mod_revision = revision;
+	job->record.final_write_unknown = false;
 	if (!record->final || job->cancelled)
 		return false;
 	job->cancelled = true;
@@ -42,7 +43,7 @@
 	if (!job)
 		fl_error("jobs", "the record of %s names what is unknown here", ref);
 	if (job && !cluster->leading)
-		job->listed = true;
+		job->record.listed = true;
 	return job;
 }
 
@@ -79,8 +80,8 @@
 	 * neither keep what the takeover's list no longer holds nor hide what it does.
 	 */
 	if (job && !cluster->leading)
-		job->listed = true;
-	if (job && !value && !cluster->leading && revision > job->mod_revision)
+		job->record.listed = true;
+	if (job && !value && !cluster->leading && revision > job->record.mod_revision)
 		fl_job_drop(cluster, job);
 	if (!value || fl_finished_job_find(cluster, ref))
 		return NULL;
@@ -90,7 +91,7 @@
 	 */
 	if (!job && cluster->leading && revision <= cluster->list_revision)
 		return NULL;
-	if (job && revision <= job->mod_revision)
+	if (job && revision <= job->record.mod_revision)
 		return job;
 	if (fl_job_record_decode(value, ref, &record) != 0) {
 		fl_error("jobs", "the record of %s cannot be read", ref);
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -61,8 +61,8 @@
 	job->spread_zones = spec->spread_zones;
 	job->spot_allowed = spec->spot_allowed;
 	job->submitted_wall = submitted;
-	job->mod_revision = revision;
-	job->waiting_count = spec->task_count;
+	job->record.mod_revision = revision;
+	job->counts.waiting = spec->task_count;
 	job->block_count = (spec->task_count + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE;
 	HASH_ADD_STR(cluster->jobs, ref, job);
 	return job;
@@ -81,10 +81,10 @@
 	struct fl_job **at = &cluster->dirty;
 
 	while (*at && *at != job)
-		at = &(*at)->next_dirty;
+		at = &(*at)->record.next_dirty;
 	if (*at)
-		*at = job->next_dirty;
-	job->is_dirty = false;
+		*at = job->record.next_dirty;
+	job->record.is_dirty = false;
 }
 
 void fl_job_drop(struct fl_cluster *cluster, struct fl_job *job)
@@ -103,23 +103,23 @@
 
 void fl_job_mark_dirty(struct fl_cluster *cluster, struct fl_job *job)
 {
-	if (job->is_dirty)
+	if (job->record.is_dirty)
 		return;
-	job->is_dirty = true;
-	job->next_dirty = cluster->dirty;
+	job->record.is_dirty = true;
+	job->record.next_dirty = cluster->dirty;
 	cluster->dirty = job;
 }
 
 bool fl_job_is_over(const struct fl_job *job)
 {
-	return job->cancelled ? job->placed_count == 0 : job->done_count == job->task_count;
+	return job->cancelled ? job->counts.placed == 0 : job->counts.done == job->task_count;
 }
 
 enum fl_job_status fl_job_current_status(const struct fl_job *job)
 {
 	if (job->cancelled)
 		return FL_CANCELLED;
-	return job->running_count > 0 ? FL_RUNNING : FL_PENDING;
+	return job->counts.running > 0 ? FL_RUNNING : FL_PENDING;
 }
 
 struct fl_task_block *fl_job_task_block(const struct fl_job *job, uint32_t block_index)
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -77,7 +77,7 @@
 	strncpy(machine->name, name, sizeof(machine->name) - 1);
 	machine->id = machines->count;
 	machine->type = machine->zone = -1;
-	machine->first_seen_at = now;
+	machine->lifecycle.first_seen_at = now;
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
 		machine->cached_images[i] = -1;
 	machines->by_id[machines->count++] = machine;
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -25,49 +25,76 @@
 	uint32_t index;
 };
 
-/* A machine, from its rental or its first report on. */
+/* Amounts of the three resources. */
+struct fl_resources {
+	double cpus, gpus, ram_gb;
+};
+
+/* How far a machine is on its way from rental to return. Times are steady, in seconds. */
+struct fl_machine_lifecycle {
+	double first_seen_at;     /* of its rental, or of the first sight of it */
+	double idle_since;        /* 0: not idle */
+	double interruption_at;   /* when it will be taken back, by its notice; 0: no notice */
+	double decommissioned_at; /* valid if it is */
+	bool up;                  /* a heartbeat has reached this leader */
+	bool draining;            /* is to be returned; nothing more is placed here */
+	bool scaled_in;           /* the cloud has taken it back */
+	bool listed;              /* was in the list being read */
+	bool decommissioned;      /* proven gone: a tombstone against late heartbeats */
+};
+
+/* The newest heartbeat. */
+struct fl_machine_heartbeat {
+	uint64_t incarnation, sequence; /* order heartbeats, in this order */
+	double last_at;                 /* steady; when it came */
+	int entry_node;        /* the node that it was sent to, by an index; 0: not known */
+	int orphan_task_count; /* its tasks that no record accounts for */
+};
+
+/* What is sent to the machine, and whether it arrives, which its heartbeats do not show. */
+struct fl_machine_outbound {
+	double last_reachable_at;    /* steady; of the newest heartbeat that a reply could answer */
+	double last_reply_at;        /* steady; of the newest reply to a heartbeat; 0: none */
+	uint64_t last_reply_token;   /* the fencing token that it carried */
+	double unacknowledged_since; /* steady; of the first of the unacknowledged replies */
+	uint64_t direct_start_token; /* highest token of a direct start command; 0: none */
+	int unacknowledged_replies;  /* in a row, of which the next heartbeat showed no effect */
+	bool last_reply_had_start;   /* it had a start command */
+	bool last_reply_timed_out;   /* the worker seems to have waited for it in vain */
+	bool command_in_flight;      /* a direct command is under way */
+	bool command_pending;        /* something for a direct command has come up */
+};
+
+/* Room that is kept for the job that waits for it: struct fl_reservation in schedule.h. */
+struct fl_machine_reservation {
+	double at; /* steady; when it was last made; 0: never */
+	double cpus, gpus, ram_gb;
+	enum fl_priority priority : 8;
+	bool within_guaranteed;
+};
+
+/* What failures on the machine say of it. */
+struct fl_machine_health {
+	double quarantined_until; /* steady; nothing is placed before */
+	int fault_count;          /* in a row */
+};
+
+/* A machine, from its rental or its first heartbeat on. */
 struct fl_machine {
 	UT_hash_handle hh;
 	char name[FL_NAME_MAX], endpoint[FL_NAME_MAX];
 	int id; /* dense; changes only in fl_cluster_purge_tombstones */
 	int type, zone;
 	bool spot;
-	bool described;      /* type, zone and endpoint are known */
-	bool up;             /* has reported to this leader */
-	bool draining;       /* is to be returned; nothing more is placed here */
-	bool scaled_in;      /* the cloud has taken it back */
-	bool listed;         /* was in the list being read */
-	bool decommissioned; /* proven gone: a tombstone against late reports */
-	double decommissioned_at;
-	/* Of the job that waits for room here: struct fl_reservation in schedule.h. */
-	double reserved_at; /* steady; when it last did; 0: never */
-	double reserved_cpus, reserved_gpus, reserved_ram_gb;
-	uint8_t reserved_priority;
-	bool reserved_within_guaranteed;
-	bool command_in_flight;         /* a direct command is under way */
-	bool command_pending;           /* something for a direct command has come up */
-	uint64_t incarnation, sequence; /* of the newest report */
-	uint64_t direct_start_token;    /* highest epoch of a direct launch sent here; 0: none */
-	double last_heartbeat_at;       /* steady time of the newest report */
-	double last_reachable_at;       /* and of the newest that orders could answer, or came by a
-	                                   command */
-	/* Whether it hears us, which the arrival of its reports does not show: reachability.h. */
-	double last_reply_at;        /* steady; of the newest answer to a report; 0: none */
-	uint64_t last_reply_token;   /* that the answer carried */
-	bool last_reply_had_start;   /* the answer ordered a launch */
-	int unacknowledged_replies;  /* answers in a row that the next report showed no sign of */
-	double unacknowledged_since; /* steady; of the first of them */
-	int entry_node; /* the node that its newest report was sent to, by an index; 0: not known */
-	bool last_reply_timed_out; /* that report came as one does whose last one went unanswered */
-	double first_seen_at;      /* steady time of rental or first sight */
-	double idle_since;         /* 0: not idle */
-	double interruption_at;    /* 0: no notice */
-	double quarantined_until;  /* faults seen: nothing is placed before */
-	int fault_count;
-	int orphan_task_count;             /* reported tasks that no record accounts for */
+	bool described; /* type, zone and endpoint are known */
+	struct fl_machine_lifecycle lifecycle;
+	struct fl_machine_heartbeat heartbeat;
+	struct fl_machine_outbound outbound;
+	struct fl_machine_reservation reservation;
+	struct fl_machine_health health;
 	struct fl_assignment *assignments; /* attempts that may be on the machine */
 	int assignment_count, assignment_capacity;
-	double used_cpus, used_gpus, used_ram_gb;
+	struct fl_resources used;              /* by them */
 	int cached_images[FL_IMAGE_CACHE_MAX]; /* images lately here, newest first; -1: none */
 };
 
@@ -99,10 +126,6 @@
                                   uint32_t index);
 /* Notes that the image is on the machine; the one used longest ago is forgotten. */
 void fl_machine_record_image(struct fl_machine *machine, int image);
-/* Amounts of the three resources. */
-struct fl_resources {
-	double cpus, gpus, ram_gb;
-};
 /* How many tasks that need `need` each there is room for in `available`. */
 uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available);
 /* Forgets a machine with no slots; the last one takes its id. Returns that one, or NULL. */
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -187,8 +187,8 @@
 			return -ENOMEM;
 	} else if (state->phase == FL_TASK_DONE) {
 		task->phase = FL_TASK_DONE;
-		job->waiting_count--;
-		job->done_count++;
+		job->counts.waiting--;
+		job->counts.done++;
 	} else {
 		task->attempt = state->attempt;
 	}
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -51,15 +51,15 @@
 
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now)
 {
-	uint32_t i = from > job->scan_from ? from : job->scan_from;
-	bool lowest = i == job->scan_from;
+	uint32_t i = from > job->placement.scan_from ? from : job->placement.scan_from;
+	bool lowest = i == job->placement.scan_from;
 
 	for (; i < job->task_count; i++) {
 		const struct fl_task *task = fl_task_peek(job, i);
 
 		if (task && task->phase != FL_TASK_WAITING) {
 			if (lowest)
-				job->scan_from = i + 1;
+				job->placement.scan_from = i + 1;
 			continue;
 		}
 		lowest = false;
@@ -76,16 +76,16 @@
 
 	if (fl_machine_add_assignment(machine, job, index) != 0)
 		return -1;
-	machine->used_cpus += job->cpus;
-	machine->used_gpus += job->gpus;
-	machine->used_ram_gb += job->ram_gb;
+	machine->used.cpus += job->cpus;
+	machine->used.gpus += job->gpus;
+	machine->used.ram_gb += job->ram_gb;
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
 	if (machine->zone >= 0)
-		job->placed_by_zone[machine->zone]++;
+		job->placement.by_zone[machine->zone]++;
 	else
-		job->placed_in_unknown_zone++;
-	job->placed_count++;
+		job->placement.in_unknown_zone++;
+	job->counts.placed++;
 	return 0;
 }
 
@@ -96,20 +96,20 @@
 	struct fl_team *team = &cluster->teams.by_index[job->team];
 
 	fl_machine_remove_assignment(machine, job, index);
-	machine->used_cpus -= job->cpus;
-	machine->used_gpus -= job->gpus;
-	machine->used_ram_gb -= job->ram_gb;
+	machine->used.cpus -= job->cpus;
+	machine->used.gpus -= job->gpus;
+	machine->used.ram_gb -= job->ram_gb;
 	if (machine->assignment_count == 0)
-		machine->used_cpus = machine->used_gpus = machine->used_ram_gb = 0;
+		machine->used.cpus = machine->used.gpus = machine->used.ram_gb = 0;
 	team->used_cpus -= job->cpus;
 	team->used_gpus -= job->gpus;
 	if (machine->zone >= 0)
-		job->placed_by_zone[machine->zone]--;
+		job->placement.by_zone[machine->zone]--;
 	else
-		job->placed_in_unknown_zone--;
-	job->placed_count--;
+		job->placement.in_unknown_zone--;
+	job->counts.placed--;
 	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
-		job->running_count--;
+		job->counts.running--;
 	task->observed = FL_OBSERVED_NONE;
 	task->start_sent = false;
 	task->stop_reason = FL_STOP_NONE;
@@ -127,13 +127,13 @@
 	task->phase = FL_TASK_PLACED;
 	task->attempt++;
 	task->machine = machine->id;
-	task->incarnation = machine->incarnation;
+	task->incarnation = machine->heartbeat.incarnation;
 	task->fencing_token = fencing_token;
 	task->observed = FL_OBSERVED_NONE;
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
 	task->placed_wall = fl_wall();
-	job->waiting_count--;
+	job->counts.waiting--;
 	fl_task_touch(cluster, job, index);
 	return 0;
 }
@@ -158,7 +158,7 @@
 	 * end of all controllers hundreds of tasks start again, and best where they ran.
 	 */
 	fl_machine_record_image(machine, job->image);
-	job->waiting_count--;
+	job->counts.waiting--;
 	return 0;
 }
 
@@ -172,9 +172,9 @@
 	unassign(cluster, job, index, task);
 	task->phase = FL_TASK_WAITING;
 	task->not_before = not_before;
-	job->waiting_count++;
-	if (index < job->scan_from)
-		job->scan_from = index;
+	job->counts.waiting++;
+	if (index < job->placement.scan_from)
+		job->placement.scan_from = index;
 	fl_task_touch(cluster, job, index);
 }
 
@@ -187,9 +187,9 @@
 	if (task->phase == FL_TASK_PLACED)
 		unassign(cluster, job, index, task);
 	else
-		job->waiting_count--;
+		job->counts.waiting--;
 	task->phase = FL_TASK_DONE;
-	job->done_count++;
+	job->counts.done++;
 	fl_task_touch(cluster, job, index);
 }
 
@@ -201,7 +201,7 @@
 	bool is = observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
 
 	if (is && !was) {
-		job->running_count++;
+		job->counts.running++;
 		/*
 		 * Read from a record and found running: it began long ago, at some time after its
 		 * placement. Counted from now, every new leader would take old work for fresh, and
@@ -210,8 +210,8 @@
 		if (task->fencing_token != 0 || task->observed != FL_OBSERVED_NONE)
 			task->running_since = now;
 	} else if (was && !is) {
-		job->running_count--;
+		job->counts.running--;
 	}
-	task->observed = (uint8_t)observed;
+	task->observed = observed;
 	task->start_sent = false;
 }
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -150,9 +150,9 @@
 		else
 			assert_task(cluster, job, index, FL_TASK_WAITING, 0, NULL, 0, 0);
 	}
-	assert_int_equal(job->done_count, 4);
-	assert_int_equal(job->placed_count, 2);
-	assert_int_equal(job->waiting_count, 124);
+	assert_int_equal(job->counts.done, 4);
+	assert_int_equal(job->counts.placed, 2);
+	assert_int_equal(job->counts.waiting, 124);
 }
 
 struct fl_heartbeat make_report(struct fl_task_status tasks[13])
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -114,11 +114,11 @@
 	assert_true(fixture->kv_store && fixture->leader);
 	connect_client(&node->kv_store.client, fixture->kv_store);
 	connect_client(&node->cloud.http, fixture->kv_store);
-	node->kv_store.last_success_at = node->leadership_confirmed_at =
+	node->kv_store.last_success_at = node->leader_view.confirmed_at =
 		node->cancellation_watermark = fl_now();
 	node->kv_store.last_failure_at = -1e9;
 	node->machine_types_known = node->jobs_known = true;
-	strcpy(node->leader_name, "n1");
+	strcpy(node->leader_view.leader, "n1");
 	node->peer_count = 1;
 	strcpy(node->peers[0].name, "n1");
 	node->peers[0].up = true;
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -11,6 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/request_router.h"
 #include "transport/clock.h"
 
 void become_leader(struct fixture *fixture, uint64_t fencing_token)
@@ -20,12 +21,12 @@
 	fl_cluster_forget_tasks(&node->cluster);
 	memset(&node->leadership, 0, sizeof(node->leadership));
 	node->cluster.leading = node->leadership.active = true;
-	node->election.lease_held = true;
-	node->election.lease_valid_until = fl_now() + 1e6;
-	node->election.fencing_token = node->leadership.first_fencing_token = node->fencing_token =
-		fencing_token;
-	node->leadership_confirmed_at = node->cancellation_watermark = fl_now();
-	strcpy(node->leader_name, "n0");
+	node->leader_lease.held = true;
+	node->leader_lease.valid_until = fl_now() + 1e6;
+	node->leader_lease.fencing_token = node->leadership.first_fencing_token =
+		node->leader_view.fencing_token = fencing_token;
+	node->leader_view.confirmed_at = node->cancellation_watermark = fl_now();
+	strcpy(node->leader_view.leader, "n0");
 }
 
 int set_up(void **state)
@@ -109,7 +110,7 @@
 	struct fl_command_list commands;
 	int rc, n;
 
-	fl_command_list_init(&commands, fixture->node.election.fencing_token);
+	fl_command_list_init(&commands, fixture->node.leader_lease.fencing_token);
 	rc = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
 	                            source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL, source);
 	n = commands.count;
@@ -124,14 +125,14 @@
 
 void answered_ago(struct fixture *fixture, double seconds)
 {
-	only_machine(fixture)->last_reply_at = fl_now() - seconds;
+	only_machine(fixture)->outbound.last_reply_at = fl_now() - seconds;
 }
 
 struct fl_task *place_task(struct fixture *fixture, uint32_t index)
 {
 	assert_int_equal(fl_task_place(&fixture->node.cluster, fixture->job, index,
-	                               only_machine(fixture), fixture->node.election.fencing_token,
-	                               fl_now()),
+	                               only_machine(fixture),
+	                               fixture->node.leader_lease.fencing_token, fl_now()),
 	                 0);
 	fl_job_task_block(fixture->job, 0)->saved_generation =
 		fl_job_task_block(fixture->job, 0)->generation;
@@ -151,9 +152,9 @@
 {
 	struct fl_node *node = &fixture->node;
 
-	node->election.lease_held = node->leadership.active = node->cluster.leading = false;
+	node->leader_lease.held = node->leadership.active = node->cluster.leading = false;
 	node->machine_types_known = node->jobs_known = true;
-	strcpy(node->leader_name, "n1");
+	strcpy(node->leader_view.leader, "n1");
 	node->peer_count = peers;
 	for (int i = 0; i < peers; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
@@ -169,8 +170,8 @@
 {
 	struct fl_http_response response = {.status = 500};
 
-	fl_node_handle_user_request(&fixture->node, kind, ref, body, body ? strlen(body) : 0,
-	                            FL_HOP_FIRST, &response);
+	fl_route_user_request(&fixture->node, kind, ref, body, body ? strlen(body) : 0,
+	                      FL_HOP_FIRST, &response);
 	return response;
 }
 
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -196,9 +196,10 @@
 	fl_cluster_forget_tasks(&node->cluster);
 	memset(&node->leadership, 0, sizeof(node->leadership));
 	node->cluster.leading = node->leadership.active = true;
-	node->election.lease_held = true;
-	node->election.lease_valid_until = 1e18;
-	node->election.fencing_token = node->leadership.first_fencing_token = ++sim->fencing_token;
+	node->leader_lease.held = true;
+	node->leader_lease.valid_until = 1e18;
+	node->leader_lease.fencing_token = node->leadership.first_fencing_token =
+		++sim->fencing_token;
 	for (int i = 0; i < 2; i++) {
 		cJSON *record =
 			sim->log[i] ? fl_json_parse(sim->log[i], strlen(sim->log[i])) : NULL;
@@ -237,11 +238,11 @@
 				.by_id[(i + random_below(sim, WORKERS)) % cluster->machines.count];
 		uint32_t index = fl_task_next_waiting(job, 0, 1e18);
 
-		if (index >= job->task_count || !machine->up || machine->used_cpus >= 4 ||
+		if (index >= job->task_count || !machine->lifecycle.up || machine->used.cpus >= 4 ||
 		    !fl_team_within_maximum(team, team->used_cpus + 1, 0))
 			continue;
 		assert_int_equal(fl_task_place(cluster, job, index, machine,
-		                               sim->node.election.fencing_token, fl_now()),
+		                               sim->node.leader_lease.fencing_token, fl_now()),
 		                 0);
 	}
 }
@@ -325,7 +326,7 @@
 	struct fl_heartbeat heartbeat;
 
 	assert_int_equal(fl_heartbeat_decode(text, strlen(text), &heartbeat), 0);
-	fl_command_list_init(&commands, sim->node.election.fencing_token);
+	fl_command_list_init(&commands, sim->node.leader_lease.fencing_token);
 	if (fl_reconcile_heartbeat(&sim->node, &heartbeat,
 	                           source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
 	                           source) == 0 &&
@@ -363,10 +364,10 @@
 
 	format_host(at, host);
 	machine = fl_machine_find(&sim->node.cluster.machines, host);
-	if (!machine || !machine->up)
+	if (!machine || !machine->lifecycle.up)
 		return;
-	fl_command_list_init(&commands, sim->node.election.fencing_token);
-	fl_command_list_bind_incarnation(&commands, machine->incarnation);
+	fl_command_list_init(&commands, sim->node.leader_lease.fencing_token);
+	fl_command_list_bind_incarnation(&commands, machine->heartbeat.incarnation);
 	if (!fl_reconcile_collect_commands(&sim->node, machine, &commands)) {
 		cJSON_Delete(commands.root);
 		return;
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -282,7 +282,7 @@
 
 	if (!n)
 		return;
-	fl_record_writer_free_pending(n);
+	fl_record_writer_reset(n);
 	free_standby(&n->follower);
 	fl_cluster_free(&n->cluster);
 	free(n);
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -14,6 +14,7 @@
 #include <string.h>
 
 #include "coordination/persistence/record_writer.h"
+#include "coordination/persistence/job_record_refresh.h"
 #include "node_fixture.h"
 #include "transport/clock.h"
 
@@ -244,12 +245,12 @@
 	struct fl_job_record rec;
 	cJSON *record;
 
-	fixture->job->final_write_unknown = true;
+	fixture->job->record.final_write_unknown = true;
 	record = cancelled_record(fixture, 3);
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &rec), 0);
-	fl_record_writer_apply_record(&fixture->node, fixture->job, &rec, 9);
-	assert_true(fixture->job->cancelled && !fixture->job->final_write_unknown &&
-	            fixture->job->mod_revision == 9);
+	fl_job_record_refresh_apply(&fixture->node, fixture->job, &rec, 9);
+	assert_true(fixture->job->cancelled && !fixture->job->record.final_write_unknown &&
+	            fixture->job->record.mod_revision == 9);
 	/* Or while it still loads its cluster state, and its lease may be another's already. */
 	fixture->job->cancelled = fixture->node.leadership.active = false;
 	final = fixture->node.cluster.finished;
@@ -259,7 +260,7 @@
 		fl_cluster_apply_job_record(&fixture->node.cluster, fixture->job->ref, record, 10),
 		fixture->job);
 	cJSON_Delete(record);
-	assert_true(fixture->job->cancelled && fixture->job->mod_revision == 10);
+	assert_true(fixture->job->cancelled && fixture->job->record.mod_revision == 10);
 	assert_true(fabs(fixture->job->cancelled_at - (fl_now() - 3)) < 1);
 	assert_non_null(fl_finished_job_find(&fixture->node.cluster, fixture->job->ref));
 }
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -49,16 +49,16 @@
 	value = fl_json_parse(record, strlen(record));
 	assert_int_equal(fl_task_block_restore(cluster, job, 0, value, 5, NULL, fl_now()), 0);
 	cJSON_Delete(value);
-	assert_int_equal(job->done_count, 2);
-	assert_int_equal(job->placed_in_unknown_zone, 1);
+	assert_int_equal(job->counts.done, 2);
+	assert_int_equal(job->placement.in_unknown_zone, 1);
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 7);
 	fl_cluster_describe(cluster, fl_machine_find(&cluster->machines, "m-000009"), 0, 1, false,
 	                    "x");
-	assert_int_equal(job->placed_in_unknown_zone, 0);
-	assert_int_equal(job->placed_by_zone[1], 1);
+	assert_int_equal(job->placement.in_unknown_zone, 0);
+	assert_int_equal(job->placement.by_zone[1], 1);
 	fl_task_release(cluster, job, 3, 0);
-	assert_int_equal(job->placed_by_zone[1], 0);
-	assert_int_equal(job->placed_count, 0);
+	assert_int_equal(job->placement.by_zone[1], 0);
+	assert_int_equal(job->counts.placed, 0);
 	tear_down(sim);
 	free(sim);
 }
@@ -105,10 +105,10 @@
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 2);
 	assert_int_equal(fl_task_peek(job, 3)->phase, FL_TASK_DONE);
 	assert_int_equal(fl_task_peek(job, 4)->phase, FL_TASK_PLACED);
-	assert_int_equal(job->placed_count, 1);
-	assert_int_equal(job->done_count, 2);
+	assert_int_equal(job->counts.placed, 1);
+	assert_int_equal(job->counts.done, 2);
 	/* What only the log holds is unsaved here too, so that the next log holds it again. */
-	assert_true(job->is_dirty);
+	assert_true(job->record.is_dirty);
 	assert_false(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 4)));
 	assert_true(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 1)));
 	fl_wal_free(&wal);
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -17,9 +17,9 @@
 #include "contract_records_fixture.h"
 #include "coordination/election/election.h"
 #include "coordination/node.h"
-#include "coordination/persistence/record_writer_internal.h"
+#include "coordination/persistence/wal_writer.h"
 #include "coordination/follower/heartbeat_digest.h"
-#include "coordination/election/failover.h"
+#include "coordination/leadership/failover.h"
 #include "protocol/peers.h"
 #include "sim.h"
 #include "transport/clock.h"
@@ -214,11 +214,19 @@
 
 /* ---- what a node writes under the keys, and finds there ---- */
 
+static void start_election(struct fl_node *node)
+{
+	static const struct fl_election_callbacks callbacks = {fl_leadership_begin,
+	                                                       fl_leadership_end};
+
+	fl_election_start(node, &callbacks);
+}
+
 static void acquires_and_raises_the_epoch(struct fl_node *node)
 {
-	fl_election_start(node);
+	start_election(node);
 	fl_sleep(8);
-	node->election.token_raise_wanted = true;
+	node->leader_lease.token_raise_wanted = true;
 	fl_sleep(2);
 }
 
@@ -229,7 +237,7 @@
 	(void)state;
 	store("c/epoch", EPOCH, 31, 0);
 	run(acquires_and_raises_the_epoch, 12);
-	assert_true(node->election.lease_held);
+	assert_true(node->leader_lease.held);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":0},"
 	               "{\"Key\":\"c/epoch\",\"KeyRev\":31}],\"Apply\":[{\"Put\":\"c/"
 	               "lead\",\"V\":" OWN_LEADER
@@ -237,13 +245,13 @@
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92},"
 	               "{\"Key\":\"c/epoch\",\"KeyRev\":92}],"
 	               "\"Apply\":[{\"Put\":\"c/epoch\",\"V\":" RAISED_EPOCH "}]}");
-	assert_int_equal(node->fencing_token, 43);
+	assert_int_equal(node->leader_view.fencing_token, 43);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92}],"
 	               "\"Apply\":[{\"Put\":\"m/kinds\",\"V\":" MACHINE_TYPES "}]}");
 	end_node();
 }
 
-static void refresh(struct fl_node *node) { world.result = fl_election_refresh(node); }
+static void refresh(struct fl_node *node) { world.result = fl_leader_view_refresh(node); }
 
 static void a_node_recognises_the_stored_leader_and_epoch(void **state)
 {
@@ -253,12 +261,12 @@
 	store("c/lead", LEADER, 32, 5);
 	store("c/epoch", EPOCH, 31, 0);
 	run(refresh, 1);
-	assert_string_equal(node->leader_name, "host-2");
-	assert_int_equal(node->fencing_token, 41);
-	run(fl_election_start, 10);
-	assert_string_equal(node->leader_name, "host-2");
-	assert_int_equal(node->fencing_token, 41);
-	assert_false(node->election.lease_held);
+	assert_string_equal(node->leader_view.leader, "host-2");
+	assert_int_equal(node->leader_view.fencing_token, 41);
+	run(start_election, 10);
+	assert_string_equal(node->leader_view.leader, "host-2");
+	assert_int_equal(node->leader_view.fencing_token, 41);
+	assert_false(node->leader_lease.held);
 	assert_int_equal(world.holds, 0);
 	assert_int_equal(world.n_written, 0);
 	end_node();
@@ -271,15 +279,15 @@
 
 	(void)state;
 	store("c/lead", "{\"node\":\"host-9\",\"boot\":\"9\"}", 32, 5);
-	run(fl_election_start, 2.5);
-	assert_string_equal(node->leader_name, "host-9");
-	assert_int_equal(node->fencing_token, 0);
+	run(start_election, 2.5);
+	assert_string_equal(node->leader_view.leader, "host-9");
+	assert_int_equal(node->leader_view.fencing_token, 0);
 	world.lists_refused = true;
 	world.event = "{\"KeyRev\":93,\"Put\":\"c/lead\",\"V\":" LEADER "},"
 		      "{\"KeyRev\":93,\"Put\":\"c/epoch\",\"V\":" EPOCH "}";
 	sim_time_run(fl_now() + 3);
-	assert_string_equal(node->leader_name, "host-2");
-	assert_int_equal(node->fencing_token, 41);
+	assert_string_equal(node->leader_view.leader, "host-2");
+	assert_int_equal(node->leader_view.fencing_token, 41);
 	end_node();
 }
 
@@ -290,31 +298,31 @@
 	(void)state;
 	store("c/lead", LEADER_BEFORE, 32, 5);
 	store("c/epoch", EPOCH, 31, 0);
-	run(fl_election_start, 3);
+	run(start_election, 3);
 	assert_int_equal(world.released, 5);
-	assert_true(node->election.lease_held);
-	assert_int_equal(node->fencing_token, 42);
+	assert_true(node->leader_lease.held);
+	assert_int_equal(node->leader_view.fencing_token, 42);
 	end_node();
 	node = begin_node();
 	store("c/lead", OWN_LEADER, 32, 5);
-	run(fl_election_start, 3);
+	run(start_election, 3);
 	assert_int_equal(world.released, 0);
 	assert_int_equal(world.holds, 0);
-	assert_false(node->election.lease_held);
+	assert_false(node->leader_lease.held);
 	end_node();
 }
 
 static void lead(struct fl_node *node)
 {
-	node->election.lease_held = node->leadership.active = node->cluster.leading = true;
-	node->election.lease_valid_until = fl_now() + 1e6;
-	node->election.leader_mod_revision = 33;
+	node->leader_lease.held = node->leadership.active = node->cluster.leading = true;
+	node->leader_lease.valid_until = fl_now() + 1e6;
+	node->leader_lease.leader_mod_revision = 33;
 }
 
 static void write_log(struct fl_node *node)
 {
 	lead(node);
-	world.result = fl_record_writer_write_wal(node);
+	world.result = fl_wal_writer_write(node);
 }
 
 static void a_leader_writes_the_log_under_its_key(void **state)
@@ -325,7 +333,7 @@
 	(void)state;
 	store("w/0", "{\"log\":[]}", 34, 0);
 	make_progress(&node->cluster, job);
-	fl_token_bucket_init(&node->leadership.write_budget, 100, 100, fl_now());
+	fl_token_bucket_init(&node->record_writer.write_budget, 100, 100, fl_now());
 	run(write_log, 1);
 	assert_int_equal(world.n_written, 1);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":33},{\"Key\":\"w/0\","
@@ -335,7 +343,7 @@
 
 static void load(struct fl_node *node)
 {
-	node->election.lease_held = true;
+	node->leader_lease.held = true;
 	world.result = fl_failover_load(node);
 }
 
@@ -353,10 +361,10 @@
 	run(load, 2);
 	job = fl_job_find(&node->cluster, "run-000412");
 	assert_non_null(job);
-	assert_int_equal(job->mod_revision, 35);
+	assert_int_equal(job->record.mod_revision, 35);
 	assert_progress(&node->cluster, job);
 	assert_task(&node->cluster, job, 128, FL_TASK_WAITING, 6, NULL, 0, 0);
-	assert_int_equal(node->leadership.wal_mod_revision, 39);
+	assert_int_equal(node->record_writer.wal_mod_revision, 39);
 	job = fl_job_find(&node->cluster, "run-000413");
 	assert_true(job && job->cancelled);
 	assert_task(&node->cluster, job, 8, FL_TASK_PLACED, 1, "m-000014", 103, 9);
@@ -404,8 +412,8 @@
 	struct fl_task_status tasks[CACHED_TASKS];
 	struct fl_heartbeat heartbeat = make_report(tasks);
 
-	strcpy(node->leader_name, "host-2");
-	node->fencing_token = 108;
+	strcpy(node->leader_view.leader, "host-2");
+	node->leader_view.fencing_token = 108;
 	fl_heartbeat_digest_init(node, 2);
 	fl_heartbeat_cache(node, &heartbeat);
 	fl_heartbeat_cache(node, &without_tasks);
@@ -433,12 +441,12 @@
 	store("c/epoch", "{\"epoch\":102}", 31, 0); /* the epoch of the first report is next */
 	store("f/run-000414", FINAL_DONE, 40, 0);
 	store("k/host-2/0", DIGEST, 41, 0);
-	run(fl_election_start, 4);
+	run(start_election, 4);
 	assert_true(node->leadership.active);
 	machine = fl_machine_find(&node->cluster.machines, "m-000012");
 	assert_non_null(machine);
-	assert_int_equal(machine->incarnation, 101);
-	assert_int_equal(machine->sequence, 102);
+	assert_int_equal(machine->heartbeat.incarnation, 101);
+	assert_int_equal(machine->heartbeat.sequence, 102);
 	assert_non_null(fl_finished_job_find(&node->cluster, "run-000414"));
 	assert_int_equal(fl_finished_job_find(&node->cluster, "run-000414")->task_count, 71);
 	end_node();
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -880,15 +880,15 @@
 
 	(void)state;
 	contract_run(read_keys, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.rev[0], 412);
 	assert_int_equal(got.grant[0], 7);
 	expect_text(fl_json_print_and_delete(got.value[0]), "{\"n\":5}");
-	assert_int_equal(got.rc[1], 0);
+	assert_int_equal(got.rc[1], FL_KV_OK);
 	assert_int_equal(got.rev[1], 413);
 	assert_int_equal(got.grant[1], 0);
 	expect_text(fl_json_print_and_delete(got.value[1]), "[6]");
-	assert_int_equal(got.rc[2], -ENOENT);
+	assert_int_equal(got.rc[2], FL_KV_NOT_FOUND);
 	assert_null(got.value[2]);
 }
 
@@ -924,7 +924,7 @@
 
 	(void)state;
 	contract_run(list_keys, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.rev[0], 431);
 	assert_string_equal(got.changes[0].text, "c/6 401 {\"n\":1}\nc/7 402 \"two\"\nc/8 403 3\n");
 }
@@ -954,10 +954,10 @@
 
 	(void)state;
 	contract_run(watch_keys, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.rev[0], 434);
 	assert_string_equal(got.changes[0].text, "c/9 433 {\"n\":9}\nc/d 432 deleted\n");
-	assert_int_equal(got.rc[1], -ERANGE);
+	assert_int_equal(got.rc[1], FL_KV_COMPACTED);
 	assert_int_equal(got.rev[1], 17);
 }
 
@@ -1009,11 +1009,11 @@
 
 	(void)state;
 	contract_run(send_transactions, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.rev[0], 432);
-	assert_int_equal(got.rc[1], -ESTALE);
+	assert_int_equal(got.rc[1], FL_KV_COMPARE_FAILED);
 	assert_string_equal(got.failed[1], "c/d");
-	assert_int_equal(got.rc[2], -EINVAL);
+	assert_int_equal(got.rc[2], FL_KV_INVALID);
 }
 
 struct lease_results {
@@ -1054,14 +1054,14 @@
 
 	(void)state;
 	contract_run(use_leases, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.grant, 7);
-	assert_int_equal(got.rc[1], -EAGAIN);
-	assert_int_equal(got.rc[2], 0);
-	assert_int_equal(got.rc[3], -ENOENT);
-	assert_int_equal(got.rc[4], -EAGAIN);
-	assert_int_equal(got.rc[5], 0);
-	assert_int_equal(got.rc[6], -ENOENT);
+	assert_int_equal(got.rc[1], FL_KV_UNAVAILABLE);
+	assert_int_equal(got.rc[2], FL_KV_OK);
+	assert_int_equal(got.rc[3], FL_KV_NOT_FOUND);
+	assert_int_equal(got.rc[4], FL_KV_UNAVAILABLE);
+	assert_int_equal(got.rc[5], FL_KV_OK);
+	assert_int_equal(got.rc[6], FL_KV_NOT_FOUND);
 }
 
 /* ---- between controllers ---- */
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -74,8 +74,11 @@
 
 static void start_lease(void *arg)
 {
+	static const struct fl_election_callbacks callbacks = {fl_leadership_begin,
+	                                                       fl_leadership_end};
+
 	(void)arg;
-	fl_election_start(&world.node);
+	fl_election_start(&world.node, &callbacks);
 }
 
 /* Ready again as soon as it has run. */
@@ -107,13 +110,13 @@
 	node->machine_types_known = node->jobs_known = true;
 	assert_non_null(sim_spawn(PROCESS, start_lease, NULL));
 	sim_time_run(fl_now() + begin_busy_s);
-	assert_true(node->election.lease_held);
+	assert_true(node->leader_lease.held);
 	before = world.renewals;
 	world.busy = true;
 	for (int i = 0; i < BUSY_ROUTINES; i++)
 		assert_non_null(sim_spawn(PROCESS, busy, NULL));
 	sim_time_run(fl_now() + end_s);
-	assert_true(fl_election_lease_valid(node));
+	assert_true(fl_leader_lease_is_valid(node));
 	assert_int_equal(world.holds, 1);
 	/* One each 0.8 s, and what the work before it takes. */
 	assert_true(world.renewals - before >= (int)end_s);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/election/failover.h"
+#include "coordination/leadership/failover.h"
 #include "frontend_fixture.h"
 
 static const char *const bad_records[] = {
@@ -39,7 +39,7 @@
 		strcpy(fixture->failed, "a good list is not read");
 	free(hosts);
 	fixture->without_more = true;
-	if (fl_failover_load(&fixture->node) == 0 ||
+	if (fl_failover_load(&fixture->node) == FL_FAILOVER_LOADED ||
 	    fl_cloud_list(&fixture->node.cloud, NULL, &hosts, &n, &more) == 0)
 		strcpy(fixture->failed, "half a list passes for a whole one");
 	fixture->without_more = false;
@@ -49,9 +49,9 @@
 {
 	struct fixture *fixture = arg;
 
-	fixture->node.election.lease_held = true;
+	fixture->node.leader_lease.held = true;
 	fixture->record = RECORD("\"Apart\":true");
-	if (fl_failover_load(&fixture->node) != 0 ||
+	if (fl_failover_load(&fixture->node) != FL_FAILOVER_LOADED ||
 	    !fl_job_find(&fixture->node.cluster, "run-000001"))
 		strcpy(fixture->failed, "a good record is not read");
 	check_partial_lists(fixture);
@@ -61,7 +61,7 @@
 		fixture->node.cluster.jobs = NULL;
 		fixture->node.cluster.finished = NULL;
 		fl_symbol_intern(&fixture->node.cluster.zones, "a");
-		if ((fl_failover_load(&fixture->node) != -EPROTO ||
+		if ((fl_failover_load(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
 		     fixture->node.cluster.finished) &&
 		    !fixture->failed[0])
 			snprintf(fixture->failed, sizeof(fixture->failed), "is decided by: %s",
@@ -104,7 +104,7 @@
 {
 	fixture->record = record;
 	fixture->progress = progress;
-	if (fl_failover_load(&fixture->node) != 0)
+	if (fl_failover_load(&fixture->node) != FL_FAILOVER_LOADED)
 		strcpy(fixture->failed, "a good record is not read");
 	return fixture->node.cluster.dirty &&
 	       fixture->node.cluster.dirty == fl_job_find(&fixture->node.cluster, "run-000001");
@@ -115,7 +115,7 @@
 	static const char cancelled[] = RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
 	struct fixture *fixture = arg;
 
-	fixture->node.election.lease_held = true;
+	fixture->node.leader_lease.held = true;
 	if (is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
 		strcpy(fixture->failed, "one task is still to run");
 	if (!is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -16,8 +16,8 @@
 {
 	struct fl_machine *machine = only_machine(fixture);
 
-	machine->last_heartbeat_at = machine->last_reachable_at = machine->first_seen_at =
-		fl_now() - seconds;
+	machine->heartbeat.last_at = machine->outbound.last_reachable_at =
+		machine->lifecycle.first_seen_at = fl_now() - seconds;
 	fixture->node.leadership.heartbeats_since = fl_now() - 1000;
 }
 
@@ -59,13 +59,13 @@
 	peer->last_heard_at = fl_now() - 12;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
-	peer->last_heard_at = only_machine(fixture)->last_heartbeat_at;
+	peer->last_heard_at = only_machine(fixture)->heartbeat.last_at;
 	assert_true(is_expired(fixture));
 	/* Of another zone, or silent long before: it delays nothing here. */
 	set_silence(fixture, 11);
 	peer->last_heard_at = fl_now() - 30;
 	assert_true(is_expired(fixture));
-	peer->last_heard_at = only_machine(fixture)->last_heartbeat_at;
+	peer->last_heard_at = only_machine(fixture)->heartbeat.last_at;
 	strcpy(peer->location, "b");
 	assert_true(is_expired(fixture));
 }
@@ -78,8 +78,8 @@
 	snprintf(name, sizeof(name), "m-%06d", i);
 	machine = fl_machine_get(&fixture->node.cluster.machines, name, fl_now() - 100);
 	fl_cluster_describe(&fixture->node.cluster, machine, 0, zone, spot, "x");
-	machine->up = true;
-	machine->last_heartbeat_at = fl_now();
+	machine->lifecycle.up = true;
+	machine->heartbeat.last_at = fl_now();
 	return machine;
 }
 
@@ -97,7 +97,7 @@
 		add_machine(fixture, i, false, 1);
 	/* This one is due; three more of the four of its zone are silent too. */
 	for (int i = 30; i < 33; i++)
-		add_machine(fixture, i, false, 0)->last_heartbeat_at = fl_now() - 7;
+		add_machine(fixture, i, false, 0)->heartbeat.last_at = fl_now() - 7;
 	set_silence(fixture, 11);
 	assert_false(is_expired(fixture));
 	set_silence(fixture, 31);
@@ -123,12 +123,12 @@
 	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	for (int i = 2; i < 42; i++)
-		add_machine(fixture, i, false, i % 2)->last_heartbeat_at =
+		add_machine(fixture, i, false, i % 2)->heartbeat.last_at =
 			fl_now() - (i < 7 ? 7 : 0);
 	set_silence(fixture, 8);
 	assert_true(is_expired(fixture));
 	for (int i = 43; i < 46; i++)
-		add_machine(fixture, i, false, i % 2)->last_heartbeat_at = fl_now() - 7;
+		add_machine(fixture, i, false, i % 2)->heartbeat.last_at = fl_now() - 7;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, 11);
 	assert_true(is_expired(fixture));
@@ -150,8 +150,8 @@
 	for (int i = 2; i < 6; i++) {
 		struct fl_machine *machine = add_machine(fixture, i, false, 0);
 
-		machine->unacknowledged_replies = 3;
-		machine->unacknowledged_since = fl_now() - 12;
+		machine->outbound.unacknowledged_replies = 3;
+		machine->outbound.unacknowledged_since = fl_now() - 12;
 	}
 	assert_false(is_expired(fixture));
 }
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -11,6 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/follower/isolation.h"
 #include "node_fixture.h"
 #include "transport/clock.h"
 
@@ -100,15 +101,15 @@
 	become_follower(early.fixture, 0);
 	node->cancellation_watermark = -1e9;
 	node->jobs_known = false;
-	node->fencing_token = 0;
+	node->leader_view.fencing_token = 0;
 	/* Another report has the epoch read already. */
-	node->follower.refreshing = true;
+	node->follower.token_refresh.in_flight = true;
 	assert_non_null(fl_coroutine_spawn(send_early, &early));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
-	node->fencing_token = EPOCH;
-	node->follower.refreshing = false;
-	fl_condition_broadcast(&node->follower.refreshed);
+	node->leader_view.fencing_token = EPOCH;
+	node->follower.token_refresh.in_flight = false;
+	fl_condition_broadcast(&node->follower.token_refresh.completed);
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
 	node->cancellation_watermark = fl_now();
@@ -130,8 +131,8 @@
 		fixture->node.peers[i].up = false;
 		fixture->node.peers[i].last_heard_at = now - for_s;
 	}
-	fixture->node.last_readiness_probe_at = now;
-	fixture->node.leadership_confirmed_at = fixture->node.cancellation_watermark = now - for_s;
+	fixture->node.api.last_readiness_probe_at = now;
+	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark = now - for_s;
 }
 
 /* As if the workers had come a report interval earlier. */
@@ -151,7 +152,7 @@
 
 	become_follower(fixture, 4);
 	disconnect(fixture, 3);
-	assert_true(fl_follower_is_isolated(&fixture->node));
+	assert_true(fl_node_is_isolated(&fixture->node));
 	/* One that has come but now may have little left of its lease: it is answered first. */
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	strcpy(heartbeat.host, "m-000002");
@@ -168,7 +169,7 @@
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
-	fixture->node.follower.refreshed_at = fl_now();
+	fixture->node.follower.token_refresh.refreshed_at = fl_now();
 	heartbeat.sequence++;
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 503);
 }
@@ -183,7 +184,7 @@
 	disconnect(fixture, 3);
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
-	fixture->node.last_readiness_probe_at = fl_now() - 10;
+	fixture->node.api.last_readiness_probe_at = fl_now() - 10;
 	heartbeat.sequence++;
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* The others ended long before the state service failed. */
@@ -194,7 +195,7 @@
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* An outage of the state service with peers in reach is no isolation. */
 	fixture->node.peers[2].up = true;
-	assert_false(fl_follower_is_isolated(&fixture->node));
+	assert_false(fl_node_is_isolated(&fixture->node));
 }
 
 /*
@@ -209,7 +210,7 @@
 
 	become_follower(fixture, 1);
 	strcpy(heartbeat.zone, "b");
-	strcpy(fixture->node.leader_name, "n9");
+	strcpy(fixture->node.leader_view.leader, "n9");
 	fixture->node.peers[0].up = true;
 	fixture->node.peers[0].up_since = fl_now() - 5;
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -151,7 +151,7 @@
 	config->cancel_s = 44;
 	config->lease_s = 14;
 	config->report_s = 2;
-	snprintf(node->leader_name, sizeof(node->leader_name), "host-1");
+	snprintf(node->leader_view.leader, sizeof(node->leader_view.leader), "host-1");
 	node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -INFINITY;
 }
@@ -177,10 +177,11 @@
 	add_peer(&world.follower, "host-1");
 	add_peer(&world.follower, "host-3");
 	add_peer(&world.third, "host-1");
-	world.leader.leadership.active = world.leader.election.lease_held =
-		world.leader.jobs_known = true;
-	world.leader.election.lease_valid_until = fl_now() + 1000;
-	world.leader.election.fencing_token = world.leader.leadership.first_fencing_token = EPOCH;
+	world.leader.leadership.active = world.leader.leader_lease.held = world.leader.jobs_known =
+		true;
+	world.leader.leader_lease.valid_until = fl_now() + 1000;
+	world.leader.leader_lease.fencing_token = world.leader.leadership.first_fencing_token =
+		EPOCH;
 	world.leader.cancellation_watermark = fl_now();
 	assert_int_equal(fl_symbol_intern(&world.leader.cluster.zones, "a"), 0);
 	fl_machine_types_set(&world.leader.cluster.machines, &world.leader.cluster.zones, &type, 1);
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -13,6 +13,7 @@
 #include <string.h>
 
 #include "copy_text.h"
+#include "coordination/request_router.h"
 #include "frontend_fixture.h"
 #include "transport/clock.h"
 
@@ -28,8 +29,8 @@
 {
 	struct question *question = arg;
 
-	fl_node_handle_user_request(&question->fixture->node, FL_USER_REQUEST_STATUS, question->ref,
-	                            NULL, 0, FL_HOP_FIRST, &question->resp);
+	fl_route_user_request(&question->fixture->node, FL_USER_REQUEST_STATUS, question->ref, NULL,
+	                      0, FL_HOP_FIRST, &question->resp);
 	if (question->resp.body)
 		copy_text(question->body, sizeof(question->body), question->resp.body);
 	free(question->resp.body);
@@ -148,8 +149,8 @@
 	                           .kind = FL_ARRAY};
 	struct fl_job *job;
 
-	node->leadership.active = node->election.lease_held = node->cluster.leading = true;
-	node->election.lease_valid_until = fl_now() + 1000;
+	node->leadership.active = node->leader_lease.held = node->cluster.leading = true;
+	node->leader_lease.valid_until = fl_now() + 1000;
 	/* What is read has not seen the end: nothing stands there. */
 	fixture->known = false;
 	fixture->gated = true;
@@ -157,7 +158,7 @@
 	fl_job_lookups_init(node);
 	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
 	/* A final write is under way: only the record may know its outcome. */
-	job->final_write_unknown = true;
+	job->record.final_write_unknown = true;
 	spawn_question(fixture, &question, "run-000001");
 	while (fixture->reads < 1)
 		fl_sleep(0.01);
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -66,9 +66,9 @@
 		snprintf(name, sizeof(name), "m-%06d", i);
 		site->machine[i] = fl_machine_get(&cluster->machines, name, fl_now());
 		fl_cluster_describe(cluster, site->machine[i], 0, 0, true, "x");
-		site->machine[i]->up = true;
-		site->machine[i]->incarnation = 1;
-		site->machine[i]->last_reachable_at = fl_now();
+		site->machine[i]->lifecycle.up = true;
+		site->machine[i]->heartbeat.incarnation = 1;
+		site->machine[i]->outbound.last_reachable_at = fl_now();
 	}
 	return 0;
 }
@@ -145,8 +145,8 @@
 	const uint32_t short_of = 20000;
 
 	for (int i = 0; i < MACHINES; i++) {
-		site->machine[i]->up = false;
-		site->machine[i]->first_seen_at = fl_now();
+		site->machine[i]->lifecycle.up = false;
+		site->machine[i]->lifecycle.first_seen_at = fl_now();
 	}
 	site->node.cluster.machines.types[0].ready_s = 60;
 	site->node.cluster.machines.types[0].zones = 1;
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -38,20 +38,20 @@
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < fl_now() - 4);
 	/* Its attempt may have been launched all the same: only a proof frees it. */
 	assert_int_equal(task->phase, FL_TASK_PLACED);
-	assert_int_equal(fixture->job->waiting_count, 3);
+	assert_int_equal(fixture->job->counts.waiting, 3);
 	answered_ago(fixture, 5);
 	assert_int_equal(deliver_report(fixture, make_report(2, 5, EPOCH, NULL, 0),
 	                                FL_HEARTBEAT_FROM_WORKER),
 	                 0);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
-	assert_int_equal(fixture->job->waiting_count, 4);
+	assert_int_equal(fixture->job->counts.waiting, 4);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	/* Gone for good: its work is free once, and a later report changes nothing. */
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
 	assert_int_equal(deliver_report(fixture, make_report(2, 6, EPOCH, NULL, 0),
 	                                FL_HEARTBEAT_FROM_WORKER),
 	                 -ENOENT);
-	assert_int_equal(fixture->job->waiting_count, 4);
+	assert_int_equal(fixture->job->counts.waiting, 4);
 }
 
 /* An idle machine shows it only by sessions that end and by waiting out its timeout. */
@@ -94,7 +94,7 @@
 	deliver_report(fixture, make_report(1, 5, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_COMMAND);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 	fl_task_peek(fixture->job, 0)->start_sent = false;
-	fixture->node.election.fencing_token++;
+	fixture->node.leader_lease.fencing_token++;
 	for (uint64_t sequence = 6; sequence < 9; sequence++) {
 		answered_ago(fixture, 1);
 		fl_task_peek(fixture->job, 0)->stop_reason = FL_STOP_PREEMPT;
@@ -125,7 +125,7 @@
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 	answered_ago(fixture, 1);
 	deliver_report(fixture, make_report(1, 4, EPOCH, &status, 1), FL_HEARTBEAT_FROM_WORKER);
-	assert_int_equal(only_machine(fixture)->unacknowledged_replies, 0);
+	assert_int_equal(only_machine(fixture)->outbound.unacknowledged_replies, 0);
 	assert_int_equal(task->observed, FL_OBSERVED_RUNNING);
 	/* A longer pause, as after an outage, is over with the next prompt report. */
 	answered_ago(fixture, 6);
@@ -202,14 +202,14 @@
 	assert_int_equal(deliver_report(fixture, make_report(9, 50, EPOCH - 1, &status, 1),
 	                                FL_HEARTBEAT_FROM_WORKER),
 	                 0);
-	assert_false(only_machine(fixture)->up);
-	assert_true(only_machine(fixture)->last_heartbeat_at == 0);
+	assert_false(only_machine(fixture)->lifecycle.up);
+	assert_true(only_machine(fixture)->heartbeat.last_at == 0);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 	/* The worker itself has seen the answer and reports with the epoch: now it counts. */
 	assert_int_equal(deliver_report(fixture, make_report(1, 70, EPOCH, NULL, 0),
 	                                FL_HEARTBEAT_FROM_WORKER),
 	                 0);
-	assert_true(only_machine(fixture)->up);
+	assert_true(only_machine(fixture)->lifecycle.up);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
 }
 
@@ -222,8 +222,8 @@
 	deliver_report(fixture, make_report(2, 10, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	deliver_report(fixture, make_report(2, 12, EPOCH, &status, 1), FL_HEARTBEAT_FROM_WORKER);
-	only_machine(fixture)->last_heartbeat_at = only_machine(fixture)->last_reachable_at =
-		heartbeat_at = fl_now() - 30;
+	only_machine(fixture)->heartbeat.last_at =
+		only_machine(fixture)->outbound.last_reachable_at = heartbeat_at = fl_now() - 30;
 	for (int source = FL_HEARTBEAT_FROM_WORKER; source <= FL_HEARTBEAT_FROM_DIGEST; source++) {
 		/* Older, of the same number, and of an earlier session with a higher number. */
 		assert_int_equal(deliver_report(fixture, make_report(2, 11, EPOCH, NULL, 0),
@@ -236,14 +236,15 @@
 		                                (enum fl_heartbeat_source)source),
 		                 0);
 	}
-	assert_true(only_machine(fixture)->last_heartbeat_at == heartbeat_at &&
-	            only_machine(fixture)->last_reachable_at == heartbeat_at);
-	assert_int_equal(fixture->job->placed_count, 1);
+	assert_true(only_machine(fixture)->heartbeat.last_at == heartbeat_at &&
+	            only_machine(fixture)->outbound.last_reachable_at == heartbeat_at);
+	assert_int_equal(fixture->job->counts.placed, 1);
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
 	assert_int_equal(deliver_report(fixture, make_report(2, 13, EPOCH, &status, 1),
 	                                FL_HEARTBEAT_FROM_WORKER),
 	                 -ENOENT);
-	assert_true(only_machine(fixture)->decommissioned && !only_machine(fixture)->up);
+	assert_true(only_machine(fixture)->lifecycle.decommissioned &&
+	            !only_machine(fixture)->lifecycle.up);
 }
 
 /*
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -77,7 +77,7 @@
 		break;
 	case 2:
 		if (random_below(sim, 3 * sim->calm) == 0)
-			sim->node.election.fencing_token = ++sim->fencing_token;
+			sim->node.leader_lease.fencing_token = ++sim->fencing_token;
 		break;
 	case 3:
 	case 4:
@@ -161,7 +161,7 @@
 	format_host(host, heartbeat.host);
 	machine = fl_machine_get(&cluster->machines, heartbeat.host, 0);
 	fl_cluster_describe(cluster, machine, 0, 0, false, "x");
-	machine->incarnation = 1;
+	machine->heartbeat.incarnation = 1;
 	assert_int_equal(fl_task_place(cluster, job, index, machine, 1, 0), 0);
 	copy_text(status.ref, sizeof(status.ref), job->ref);
 	status.attempt = fl_task_peek(job, index)->attempt;
@@ -185,11 +185,11 @@
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
 		machine = fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
-		assert_true(machine->quarantined_until <= now);
-		assert_true(i < 4 || job->not_before >= last);
-		last = job->not_before;
+		assert_true(machine->health.quarantined_until <= now);
+		assert_true(i < 4 || job->retry.not_before >= last);
+		last = job->retry.not_before;
 	}
-	assert_true(job->not_before > now + 30 && job->not_before < now + 90);
+	assert_true(job->retry.not_before > now + 30 && job->retry.not_before < now + 90);
 	tear_down(sim);
 	free(sim);
 }
@@ -204,15 +204,15 @@
 	(void)state;
 	set_up(sim, 1);
 	job = fl_job_find(&sim->node.cluster, "run-000000");
-	assert_true(fail_task(sim, job, 60, 0, 1)->quarantined_until <= now);
-	assert_true(fail_task(sim, job, 60, 1, 2)->quarantined_until <= now);
+	assert_true(fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
+	assert_true(fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
 	/* A third in a row is: a service of one task must not go there again and again. */
-	assert_true(fail_task(sim, job, 60, 2, 3)->quarantined_until > now);
+	assert_true(fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
 	/* Where a task of the job has completed, two are enough. */
 	job = fl_job_find(&sim->node.cluster, "run-000001");
 	fl_task_done(&sim->node.cluster, job, 0);
-	assert_true(fail_task(sim, job, 61, 1, 1)->quarantined_until <= now);
-	assert_true(fail_task(sim, job, 61, 2, 2)->quarantined_until > now);
+	assert_true(fail_task(sim, job, 61, 1, 1)->health.quarantined_until <= now);
+	assert_true(fail_task(sim, job, 61, 2, 2)->health.quarantined_until > now);
 	tear_down(sim);
 	free(sim);
 }
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -254,9 +254,9 @@
 
 		for (uint32_t i = 0; i < w->job[j]->task_count; i++)
 			compare_task(w, j, i, counts);
-		assert_int_equal(w->job[j]->waiting_count, counts[FL_TASK_WAITING]);
-		assert_int_equal(w->job[j]->placed_count, counts[FL_TASK_PLACED]);
-		assert_int_equal(w->job[j]->done_count, counts[FL_TASK_DONE]);
+		assert_int_equal(w->job[j]->counts.waiting, counts[FL_TASK_WAITING]);
+		assert_int_equal(w->job[j]->counts.placed, counts[FL_TASK_PLACED]);
+		assert_int_equal(w->job[j]->counts.done, counts[FL_TASK_DONE]);
 	}
 }
 
