--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -103,13 +103,14 @@
 	(void)state;
 	memset(&world, 0, sizeof(world));
 	sim_time_begin();
-	snprintf(world.follower.leader_name, sizeof(world.follower.leader_name), "host-2");
+	snprintf(world.follower.leader_view.leader, sizeof(world.follower.leader_view.leader),
+	         "host-2");
 	world.follower.peer_count = 2;
 	world.follower.peers[1].up = true;
 	snprintf(world.follower.peers[1].name, sizeof(world.follower.peers[1].name), "host-2");
 	world.leader.leadership.active = true;
-	world.leader.election.lease_held = true;
-	world.leader.election.lease_valid_until = fl_now() + 1000;
+	world.leader.leader_lease.held = true;
+	world.leader.leader_lease.valid_until = fl_now() + 1000;
 	world.leader.cluster.teams.count = 1;
 	snprintf(world.leader.cluster.teams.by_index[0].name, FL_NAME_MAX, "vision");
 	snprintf(spec.team, sizeof(spec.team), "vision");
@@ -188,8 +189,8 @@
 	ref_of(queries[0].ref, QUERIES + 1);
 	ref_of(queries[1].ref, 1);
 	ref_of(queries[2].ref, 2);
-	fl_job_find(&world.leader.cluster, queries[1].ref)->final_write_in_flight = true;
-	fl_job_find(&world.leader.cluster, queries[2].ref)->final_write_unknown = true;
+	fl_job_find(&world.leader.cluster, queries[1].ref)->record.final_write_in_flight = true;
+	fl_job_find(&world.leader.cluster, queries[2].ref)->record.final_write_unknown = true;
 	run(queries, 3);
 	for (int i = 0; i < 3; i++) {
 		assert_int_equal(queries[i].result, FL_QUERY_NOT_IN_MEMORY);
@@ -204,7 +205,7 @@
 
 	(void)state;
 	ref_of(queries[0].ref, 1);
-	world.leader.election.lease_valid_until = fl_now();
+	world.leader.leader_lease.valid_until = fl_now();
 	run(queries, 1);
 	assert_int_equal(queries[0].result, FL_QUERY_FAILED);
 	free_answers(queries, 1);
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -12,6 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/request_router.h"
 #include "frontend_fixture.h"
 
 static int submit(struct fixture *fixture, const char *fields, int *retry_after)
@@ -21,8 +22,8 @@
 
 	fl_buffer_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
 	                 ++fixture->ref, BASE);
-	fl_node_handle_user_request(&fixture->node, FL_USER_REQUEST_SUBMIT, "", body.data,
-	                            body.length, FL_HOP_FIRST, &response);
+	fl_route_user_request(&fixture->node, FL_USER_REQUEST_SUBMIT, "", body.data, body.length,
+	                      FL_HOP_FIRST, &response);
 	fl_buffer_free(&body);
 	free(response.body);
 	if (retry_after)
