--- a/src/coordination/api/admission.c
+++ b/src/coordination/api/admission.c
@@ -5,60 +5,81 @@
 #include "transport/memory.h"
 
 static const struct {
-	double memory_share, body_share, connection_kb, program_mb, report_s, roomy_share;
+	double memory_share, body_share, connection_kb, base_mb, heartbeat_cpu_s, min_core_share;
 } tunables = {
 	.memory_share = 0.75, /* of the memory; beyond it no new job is taken, so that 80% holds */
 	.body_share = 0.15,   /* of the memory, for bodies of requests being received */
 	.connection_kb = 9,   /* of an idle connection; test_message_costs holds it */
-	.program_mb = 6,      /* of a controller that has just started */
-	.report_s = 0.00025,  /* s of processor time that a relayed report costs the leader */
-	.roomy_share = 0.02,  /* of a core; with less, hundreds of machines are too many */
+	.base_mb = 6,         /* of a controller that has just started */
+	.heartbeat_cpu_s = 0.00025, /* processor time that a forwarded heartbeat costs the leader */
+	.min_core_share = 0.02,     /* of a core; with less, hundreds of machines are too many */
 };
 
-static const double bytes_a_mb = 1024.0 * 1024.0;
+static const double bytes_per_mb = 1024.0 * 1024.0;
+
+static double usable_memory_mb(const struct fl_config *config)
+{
+	return config->ram_mb * tunables.memory_share;
+}
 
 bool fl_admission_has_memory(const struct fl_config *config)
 {
-	return (double)fl_memory_in_use() < config->ram_mb * bytes_a_mb * tunables.memory_share;
+	return (double)fl_memory_in_use() < usable_memory_mb(config) * bytes_per_mb;
 }
 
 size_t fl_admission_body_bytes(const struct fl_config *config)
 {
-	return (size_t)(config->ram_mb * bytes_a_mb * tunables.body_share);
+	return (size_t)(config->ram_mb * bytes_per_mb * tunables.body_share);
+}
+
+static double connections_mb(const struct fl_config *config)
+{
+	return config->max_connections * tunables.connection_kb / 1024;
 }
 
-static bool tight_memory(const struct fl_config *config, char *text, size_t cap)
+static bool memory_is_tight(const struct fl_config *config)
 {
-	double connections_mb = config->max_connections * tunables.connection_kb / 1024;
-	double usable_mb = config->ram_mb * tunables.memory_share;
+	return tunables.base_mb + connections_mb(config) > usable_memory_mb(config);
+}
 
-	if (tunables.program_mb + connections_mb <= usable_mb)
-		return false;
+static void describe_memory(const struct fl_config *config, char *text, size_t cap)
+{
 	snprintf(text, cap,
 	         "ram_mb is %g: %d connections take %.0f MB, and beyond %.0f MB in use submissions "
 	         "get 503",
-	         config->ram_mb, config->max_connections, connections_mb, usable_mb);
-	return true;
+	         config->ram_mb, config->max_connections, connections_mb(config),
+	         usable_memory_mb(config));
 }
 
-static bool tight_processor(const struct fl_config *config, char *text, size_t cap)
+static bool core_share_is_tight(const struct fl_config *config)
 {
-	if (config->core_share >= tunables.roomy_share)
-		return false;
-	snprintf(text, cap,
-	         "core_share is %g: a leader answers about %.0f reports a second, and what comes "
-	         "beyond waits",
-	         config->core_share, config->core_share / tunables.report_s);
-	return true;
+	return config->core_share < tunables.min_core_share;
 }
 
-bool fl_admission_tight_setting(const struct fl_config *config, int at, char *text, size_t cap)
+static void describe_core_share(const struct fl_config *config, char *text, size_t cap)
 {
-	bool (*const checks[])(const struct fl_config *, char *, size_t) = {tight_memory,
-	                                                                    tight_processor};
+	snprintf(text, cap,
+	         "core_share is %g: a leader answers about %.0f heartbeats a second, and more than "
+	         "that wait",
+	         config->core_share, config->core_share / tunables.heartbeat_cpu_s);
+}
 
-	for (size_t i = 0; i < sizeof(checks) / sizeof(checks[0]); i++)
-		if (checks[i](config, text, cap) && at-- == 0)
-			return true;
+/* The settings that a controller can be started with although they are tight. */
+static const struct {
+	bool (*is_tight)(const struct fl_config *config);
+	void (*describe)(const struct fl_config *config, char *text, size_t cap);
+} settings[] = {
+	{memory_is_tight, describe_memory},
+	{core_share_is_tight, describe_core_share},
+};
+
+bool fl_admission_tight_setting(const struct fl_config *config, int index, char *text, size_t cap)
+{
+	for (size_t i = 0; i < sizeof(settings) / sizeof(settings[0]); i++) {
+		if (!settings[i].is_tight(config) || index-- > 0)
+			continue;
+		settings[i].describe(config, text, cap);
+		return true;
+	}
 	return false;
 }
--- a/src/coordination/api/admission.h
+++ b/src/coordination/api/admission.h
@@ -1,6 +1,6 @@
 /*
  * What a controller of this size can take: settings that are tight are named at the start, and
- * while memory is short new jobs are turned away before anything is accepted.
+ * while memory is low new jobs are turned away before anything is accepted.
  */
 #ifndef FL_COORDINATION_API_ADMISSION_H
 #define FL_COORDINATION_API_ADMISSION_H
@@ -15,9 +15,9 @@
 /* Bytes that the bodies of all requests being received may take together. */
 size_t fl_admission_body_bytes(const struct fl_config *config);
 /*
- * A text that names a tight setting and what it costs; false: none is. `at` counts from 0, so that
- * all of them can be had.
+ * Writes a text that names a tight setting and what it costs; false: there are no more. `index`
+ * counts the tight ones from 0, so that all of them can be had.
  */
-bool fl_admission_tight_setting(const struct fl_config *config, int at, char *text, size_t cap);
+bool fl_admission_tight_setting(const struct fl_config *config, int index, char *text, size_t cap);
 
 #endif
--- a/src/coordination/api/job_lookup.h
+++ b/src/coordination/api/job_lookup.h
@@ -1,4 +1,8 @@
-/* Reads of job records for users' requests: requests for one job at a time share one read. */
+/*
+ * Reads of job records for users' requests. Requests for one job at a time share one read, and
+ * status queries of all controllers together have a share of the key-value store's requests. No
+ * request rests on a read that was sent before it came.
+ */
 #ifndef FL_COORDINATION_API_JOB_LOOKUP_H
 #define FL_COORDINATION_API_JOB_LOOKUP_H
 
@@ -7,30 +11,30 @@
 
 struct fl_node;
 
-/* A read that is under way, or waits for the one before it. */
+/* A read that is under way, or waits for the one before it. Its last holder frees it. */
 struct fl_job_lookup {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
-	int holder_count; /* routines that hold it, the table included */
+	int holder_count; /* coroutines that hold it: the one that reads, and those that wait */
 	bool done;
 	struct fl_condition completed;
 	struct fl_job_lookup *next;   /* requests since the sending wait for this read */
 	enum fl_record_result result; /* as of fl_job_record_read, and what it read */
 	struct fl_job_record record;
-	cJSON *value;
+	cJSON *value; /* owned */
 	uint64_t mod_revision;
 };
 
-/* Sets up the budget of reads that polls may cause. */
+/* Sets up the budget of reads that status queries may cause. */
 void fl_job_lookups_init(struct fl_node *node);
 /*
- * Like fl_job_record_read, of a read sent after the call. FL_RECORD_UNAVAILABLE
- * also when status queries have used their share of the store. `*value` is the caller's.
+ * Like fl_job_record_read, of a read sent after the call. FL_RECORD_UNAVAILABLE also when status
+ * queries have used their share of the store. `*value` is the caller's.
  */
 enum fl_record_result fl_job_lookup_read(struct fl_node *node, const char *ref,
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision);
-/* May a poll make one more request to the state service now? */
-bool fl_job_lookup_within_budget(struct fl_node *node, double requests);
+/* Takes so many requests for a status query from their share of the store; false: it is used up. */
+bool fl_job_lookup_within_budget(struct fl_node *node, double request_count);
 
 #endif
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -497,7 +497,7 @@
 	assert_non_null(strstr(text, "ram_mb is 16: 900 connections take 8 MB"));
 	c.core_share = 0.01;
 	assert_true(fl_admission_tight_setting(&c, 1, text, sizeof(text)));
-	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 reports"));
+	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 heartbeats"));
 	assert_false(fl_admission_tight_setting(&c, 2, text, sizeof(text)));
 }
 
