--- /dev/null
+++ b/src/coordination/api/cancellation.c
@@ -0,0 +1,122 @@
+#include "coordination/api/cancellation.h"
+
+#include "coordination/api/job_status.h"
+#include "coordination/api/job_status_response.h"
+#include "coordination/node.h"
+#include "coordination/persistence/job_record_refresh.h"
+#include "coordination/responses.h"
+#include "coordination/workers/command.h"
+#include "transport/clock.h"
+#include "transport/log.h"
+
+/*
+ * Sees to it that the cluster state has the job, from its record if it has to. False: it is no
+ * live job, or the record cannot be read, and the response says so as to a status query: a job that
+ * only its record knows to be over is answered with its counts.
+ */
+static bool load_job(struct fl_node *node, const char *ref, struct fl_http_response *response)
+{
+	struct fl_job_status_report report;
+	enum fl_record_result result;
+
+	if (fl_job_find(&node->cluster, ref))
+		return true;
+	result = fl_job_status_from_record(node, ref, &report);
+	if (result == FL_RECORD_FOUND && fl_job_find(&node->cluster, ref))
+		return true;
+	fl_respond_record_status(response, ref, result, &report);
+	return false;
+}
+
+/* The live job if it can be cancelled now; NULL: the response says why it cannot. */
+static struct fl_job *find_cancellable_job(struct fl_node *node, const char *ref,
+                                           struct fl_http_response *response)
+{
+	struct fl_job *job = fl_job_find(&node->cluster, ref);
+	struct fl_refreshed_job refreshed;
+
+	if (job->record.final_write_unknown && !job->record.final_write_in_flight)
+		fl_job_record_refresh(node, ref, &refreshed);
+	job = fl_is_leader(node) ? fl_job_find(&node->cluster, ref) : NULL;
+	if (job && job->cancelled) {
+		fl_respond_cancellation(response, ref, FL_CANCELLED);
+		return NULL;
+	}
+	if (!job || job->record.final_write_in_flight || job->record.final_write_unknown) {
+		fl_respond_unavailable(response, "the job's state is being written");
+		return NULL;
+	}
+	return job;
+}
+
+/* Writes the cancelled record, if this node still leads and the record is as it is known here. */
+static enum fl_kv_result store_cancellation(struct fl_node *node, const struct fl_job *job,
+                                            double cancelled_wall, uint64_t *revision)
+{
+	struct fl_kv_txn txn;
+	struct fl_job_spec spec;
+	char key[FL_KEY_MAX];
+
+	fl_key_job(key, job->ref);
+	fl_job_describe(&node->cluster, job, &spec);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->leader_lease.leader_mod_revision);
+	fl_kv_txn_expect_revision(&txn, key, job->record.mod_revision);
+	fl_kv_txn_put(&txn, key,
+	              fl_job_record_cancelled(&spec, job->submitted_wall, cancelled_wall), 0);
+	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
+}
+
+/* Acts on what came of the write. The job may be gone, and the leadership over, since it began. */
+static void apply_write_result(struct fl_node *node, const char *ref, enum fl_kv_result result,
+                               double cancelled_wall, uint64_t revision)
+{
+	const struct fl_job_record record = {.final = true, .cancelled_wall = cancelled_wall};
+	struct fl_job *job = node->leadership.active ? fl_job_find(&node->cluster, ref) : NULL;
+	struct fl_refreshed_job refreshed;
+
+	if (!job) {
+		if (result == FL_KV_OK)
+			fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(cancelled_wall));
+	} else if (result == FL_KV_OK) {
+		fl_cluster_apply_cancellation(&node->cluster, job, &record, revision);
+		fl_command_stop_job(node, job);
+		fl_info("jobs", "job cancelled: %s", ref);
+	} else if (result == FL_KV_UNAVAILABLE) {
+		/* Refused and not executed: the record is as it was. */
+		job->record.final_write_unknown = false;
+	} else {
+		fl_job_record_refresh(node, ref, &refreshed);
+	}
+}
+
+void fl_leader_cancel_job(struct fl_node *node, const char *ref, struct fl_http_response *response)
+{
+	const struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
+	double cancelled_wall = fl_wall();
+	enum fl_kv_result result;
+	struct fl_job *job;
+	uint64_t revision = 0;
+
+	if (finished) {
+		fl_respond_cancellation(response, ref, finished->status);
+		return;
+	}
+	if (!load_job(node, ref, response))
+		return;
+	job = find_cancellable_job(node, ref, response);
+	if (!job)
+		return;
+	/* Till this is answered, only the record knows: see fl_job_status_from_memory. */
+	job->record.final_write_unknown = true;
+	result = store_cancellation(node, job, cancelled_wall, &revision);
+	apply_write_result(node, ref, result, cancelled_wall, revision);
+	finished = fl_finished_job_find(&node->cluster, ref);
+	if (finished)
+		fl_respond_cancellation(response, ref, finished->status);
+	else if (result == FL_KV_OK)
+		/* Stored, though this node may lead no more: the next leader stops its tasks. */
+		fl_respond_cancellation(response, ref, FL_CANCELLED);
+	else
+		fl_respond_unavailable(response, "the cancellation could not be stored");
+}
--- /dev/null
+++ b/src/coordination/api/request_forwarding.c
@@ -0,0 +1,70 @@
+#include "coordination/api/request_forwarding.h"
+
+#include "coordination/follower/isolation.h"
+#include "coordination/node.h"
+#include "coordination/responses.h"
+
+static const struct {
+	double status_timeout_s, write_timeout_s;
+} tunables = {
+	.status_timeout_s = 1.2, /* s for a forwarded status query; users wait 2 s for it */
+	.write_timeout_s = 2.0,  /* s for a cancellation or submission; users wait 5 s */
+};
+
+double fl_user_request_timeout_s(enum fl_user_request kind)
+{
+	return kind == FL_USER_REQUEST_STATUS ? tunables.status_timeout_s
+	                                      : tunables.write_timeout_s;
+}
+
+/* Status queries leave half of the connections to cancellations and submissions. */
+static bool may_forward(const struct fl_node *node, enum fl_user_request kind)
+{
+	int max_in_flight = kind == FL_USER_REQUEST_STATUS ? FL_PEER_USER_REQUESTS_MAX / 2
+	                                                   : FL_PEER_USER_REQUESTS_MAX;
+
+	return node->api.forwarded_in_flight < max_in_flight;
+}
+
+static char *encode(const void *context, bool last_hop, bool disconnected)
+{
+	const struct fl_user_forward *request = context;
+
+	(void)disconnected;
+	return fl_forwarded_request_encode(request->kind, last_hop, request->ref, request->body);
+}
+
+bool fl_user_request_forward(struct fl_node *node, const struct fl_user_forward *request,
+                             struct fl_http_reply *reply)
+{
+	bool answered;
+
+	if (!may_forward(node, request->kind))
+		return false;
+	node->api.forwarded_in_flight++;
+	answered = fl_forward(node, FL_PATH_FORWARD, encode, request, request->hop,
+	                      request->timeout_s, reply) == 0;
+	node->api.forwarded_in_flight--;
+	return answered;
+}
+
+bool fl_respond_with_reply(struct fl_http_response *response, struct fl_http_reply *reply,
+                           bool usable)
+{
+	if (usable) {
+		response->status = reply->status;
+		response->body = reply->body.data;
+	} else {
+		fl_buffer_free(&reply->body);
+	}
+	return usable;
+}
+
+bool fl_respond_if_isolated(const struct fl_node *node, struct fl_http_response *response)
+{
+	if (!fl_node_is_isolated(node))
+		return false;
+	fl_respond_unavailable(response,
+	                       "neither the key-value store nor another controller answers");
+	return true;
+}
--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -2,111 +2,127 @@
 
 #include <errno.h>
 #include <stdlib.h>
-#include <string.h>
 
-#include "coordination/api/job_responses.h"
+#include "coordination/api/job_status.h"
+#include "coordination/api/job_status_response.h"
 #include "coordination/node.h"
 #include "coordination/responses.h"
 #include "protocol/status_messages.h"
-#include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
 
 static const struct {
-	double wait_s; /* s until a request may be sent */
+	double send_timeout_s; /* s until a request may be sent */
 	/*
 	 * s for a request; users wait 2 s. Found with 3% of a core and 1,900 jobs asked about: an
 	 * overloaded leader stands still for a second at a time, and with 0.8 s all that asked then
 	 * went to the records, which cannot answer so many.
 	 */
-	double patience_s;
-	int in_flight; /* requests to the leader at once: one that stalls must not hold up all */
+	double request_timeout_s;
+	int max_in_flight; /* requests to the leader: one that stalls must not hold up all */
 } tunables = {
-	.wait_s = 0.5,
-	.patience_s = 1.2,
-	.in_flight = FL_STATUS_REQUESTS_MAX,
+	.send_timeout_s = 0.5,
+	.request_timeout_s = 1.2,
+	.max_in_flight = FL_STATUS_REQUESTS_MAX,
 };
 
-struct fl_status_batch {
-	struct fl_batch batch;
+/* Queries that share a request. */
+struct status_batch {
+	struct fl_batch batch; /* first: see fl_batch */
 	int count;
 	char refs[FL_STATUS_QUERY_MAX][FL_REF_MAX];
-	struct fl_job_status_report states[FL_STATUS_QUERY_MAX];
+	struct fl_job_status_report reports[FL_STATUS_QUERY_MAX];
 };
 
-static struct fl_peer *leading_peer(struct fl_node *node)
+static struct fl_peer *find_leader(struct fl_node *node)
 {
 	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
 
 	return leader && (leader->up || node->peer_count == 1) ? leader : NULL;
 }
 
-static int exchange(struct fl_node *node, struct fl_batch *batch)
+/* Reads the leader's answer into the batch: 0 or an errno, as of fl_batch_policy's exchange. */
+static int read_answer(const struct fl_peer *leader, const struct fl_http_reply *reply,
+                       struct status_batch *batch)
 {
-	struct fl_status_batch *b = (struct fl_status_batch *)batch;
-	struct fl_peer *leader = leading_peer(node);
+	int rc;
+
+	if (reply->status != 200)
+		return -EHOSTUNREACH;
+	rc = fl_status_answer_decode(reply->body.data, reply->body.length, batch->reports,
+	                             batch->count);
+	if (rc != 0)
+		fl_error("peers", "malformed answer to status queries: %s", leader->name);
+	return rc;
+}
+
+static int exchange(struct fl_node *node, struct fl_batch *base)
+{
+	struct status_batch *batch = (struct status_batch *)base;
+	struct fl_peer *leader = find_leader(node);
 	struct fl_http_reply reply;
 	char *text;
 	int rc;
 
 	if (!leader)
 		return -EHOSTUNREACH;
-	text = fl_status_query_encode(b->refs, b->count);
+	text = fl_status_query_encode(batch->refs, batch->count);
 	if (!text)
 		return -ENOMEM;
-	rc = fl_http_call(&leader->http, "POST", FL_PATH_STATUS, text, tunables.patience_s, &reply);
+	rc = fl_http_call(&leader->http, "POST", FL_PATH_STATUS, text, tunables.request_timeout_s,
+	                  &reply);
 	free(text);
-	if (rc)
+	if (rc != 0)
 		return rc;
-	rc = reply.status != 200 ? -EHOSTUNREACH
-	                         : fl_status_answer_decode(reply.body.data, reply.body.length,
-	                                                   b->states, b->count);
-	if (rc == -EPROTO)
-		fl_error("peers", "%s answers status queries with what is no answer", leader->name);
+	rc = read_answer(leader, &reply, batch);
 	fl_buffer_free(&reply.body);
 	return rc;
 }
 
-static enum fl_query_result result_of(const struct fl_status_batch *batch, int at, int rc,
-                                      struct fl_http_response *response)
+/* The batch that takes one more query; NULL: none can. `*began`: it is a new one. */
+static struct status_batch *find_batch(struct fl_batch_queue *queue, bool *began)
 {
-	const struct fl_job_status_report *status = &batch->states[at];
+	struct status_batch *batch = (struct status_batch *)queue->filling;
 
-	if (rc)
-		return FL_QUERY_FAILED;
-	if (!status->known)
+	*began = !batch;
+	if (batch)
+		return batch->count < FL_STATUS_QUERY_MAX ? batch : NULL;
+	batch = calloc(1, sizeof(*batch));
+	if (batch)
+		fl_batch_begin(queue, &batch->batch);
+	return batch;
+}
+
+/* Answers one query of a batch whose exchange has succeeded. */
+static enum fl_query_result respond_from_batch(const struct status_batch *batch, int index,
+                                               struct fl_http_response *response)
+{
+	if (!batch->reports[index].known)
 		return FL_QUERY_NOT_IN_MEMORY;
-	response->status = 200;
-	response->body = fl_status_encode(batch->refs[at], status->status, status->done_count,
-	                                  status->running_count);
+	fl_respond_job_status(response, batch->refs[index], &batch->reports[index]);
 	return FL_QUERY_ANSWERED;
 }
 
 enum fl_query_result fl_status_query(struct fl_node *node, const char *ref,
                                      struct fl_http_response *response)
 {
-	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
-	                                      tunables.patience_s, exchange};
+	const struct fl_batch_policy policy = {tunables.max_in_flight, tunables.send_timeout_s,
+	                                       tunables.request_timeout_s, exchange};
 	struct fl_batch_queue *queue = &node->api.status_queries;
-	struct fl_status_batch *batch = (struct fl_status_batch *)queue->filling;
-	bool first = !batch;
-	enum fl_query_result result;
-	int at, rc;
-
-	if (first) {
-		if (!leading_peer(node))
-			return FL_QUERY_FAILED;
-		batch = calloc(1, sizeof(*batch));
-		if (!batch)
-			return FL_QUERY_OVERLOADED;
-		fl_batch_begin(queue, &batch->batch);
-	} else if (batch->count == FL_STATUS_QUERY_MAX) {
+	enum fl_query_result result = FL_QUERY_FAILED;
+	struct status_batch *batch;
+	bool began;
+	int index;
+
+	if (!queue->filling && !find_leader(node))
+		return FL_QUERY_FAILED;
+	batch = find_batch(queue, &began);
+	if (!batch)
 		return FL_QUERY_OVERLOADED;
-	}
-	at = batch->count++;
-	fl_copy_string(batch->refs[at], sizeof(batch->refs[at]), ref);
-	rc = fl_batch_await(node, queue, &batch->batch, first, &terms);
-	result = result_of(batch, at, rc, response);
+	index = batch->count++;
+	fl_copy_string(batch->refs[index], sizeof(batch->refs[index]), ref);
+	if (fl_batch_await(node, queue, &batch->batch, began, &policy) == 0)
+		result = respond_from_batch(batch, index, response);
 	if (fl_batch_release(&batch->batch))
 		free(batch);
 	return result;
@@ -116,23 +132,24 @@
                            struct fl_http_response *response)
 {
 	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_MAX, sizeof(*refs));
-	struct fl_job_status_report *states = calloc(FL_STATUS_QUERY_MAX, sizeof(*states));
-	int count = refs && states ? fl_status_query_decode(body, len, refs) : -ENOMEM;
+	struct fl_job_status_report *reports = calloc(FL_STATUS_QUERY_MAX, sizeof(*reports));
+	bool has_memory = refs && reports;
+	int count = has_memory ? fl_status_query_decode(body, len, refs) : 0;
 
-	if (count == -EPROTO) {
-		fl_error("peers", "what came as status queries are none");
-		fl_respond_error(response, 400, "not status queries");
+	if (!has_memory) {
+		fl_respond_unavailable(response, "memory is low");
 	} else if (count < 0) {
-		fl_respond_unavailable(response, "no memory");
+		fl_error("peers", "malformed status queries");
+		fl_respond_error(response, 400, "malformed status queries");
 	} else if (!fl_is_leader(node)) {
 		fl_respond_error(response, 421, "not the leader");
 	} else {
-		/* No wait from here on: all of it is said under the lease that was looked at. */
+		/* No wait from here on: every report rests on the lease that was just checked. */
 		for (int i = 0; i < count; i++)
-			states[i] = fl_job_status_from_memory(node, refs[i]);
+			reports[i] = fl_job_status_from_memory(node, refs[i]);
 		response->status = 200;
-		response->body = fl_status_answer_encode(states, count);
+		response->body = fl_status_answer_encode(reports, count);
 	}
 	free(refs);
-	free(states);
+	free(reports);
 }
--- a/src/coordination/api/status_query.h
+++ b/src/coordination/api/status_query.h
@@ -1,6 +1,6 @@
 /*
- * Status queries that only the leader can answer, on their way to it: those that arrive while a
- * request is under way share the next one. A query rests only on a request sent after it came.
+ * Status queries on their way from a follower to the leader: those that arrive while a request is
+ * under way share the next one. A query rests only on a request sent after it came.
  */
 #ifndef FL_COORDINATION_API_STATUS_QUERY_H
 #define FL_COORDINATION_API_STATUS_QUERY_H
@@ -21,7 +21,7 @@
 	FL_QUERY_OVERLOADED     /* too many queries are waiting */
 };
 
-/* Asks the leader, together with the other queries of this moment. */
+/* Asks the leader, together with the other queries of this moment. Waits. */
 enum fl_query_result fl_status_query(struct fl_node *node, const char *ref,
                                      struct fl_http_response *response);
 /* Answers another controller's request for many jobs, from memory alone. */
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -1,78 +1,45 @@
 #include "coordination/api/submission.h"
 
+#include <stdio.h>
 #include <stdlib.h>
-#include <string.h>
 
 #include "coordination/api/admission.h"
+#include "coordination/api/feasibility.h"
+#include "coordination/api/job_status_response.h"
+#include "coordination/api/request_forwarding.h"
+#include "coordination/api/user_requests.h"
 #include "coordination/node.h"
-#include "coordination/follower/isolation.h"
 #include "coordination/responses.h"
-#include "coordination/api/user_requests.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
 static const struct {
-	double down_s;
+	double kv_down_s;
 } tunables = {
-	.down_s = 0.3, /* s after a refusal in which the state service counts as down */
+	.kv_down_s = 0.3, /* s after a refusal in which the key-value store counts as down */
 };
 
-/* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t zones_for(const struct fl_node *node, const struct fl_job_spec *spec)
-{
-	uint32_t zones = 0;
-
-	for (int i = 0; i < node->cluster.machines.type_count; i++) {
-		const struct fl_machine_type *machine_type = &node->cluster.machines.types[i];
-		bool named = spec->machine_type_count < 0;
-
-		for (int h = 0; h < spec->machine_type_count && !named; h++)
-			named = strcmp(spec->machine_types[h], machine_type->name) == 0;
-		if (named && spec->cpus <= machine_type->cpus && spec->gpus <= machine_type->gpus &&
-		    spec->ram_gb <= machine_type->ram_gb)
-			zones |= machine_type->zones;
-	}
-	return zones;
-}
+/* A submission that is being judged. It owns nothing. */
+struct submission {
+	struct fl_node *node;
+	const struct fl_job_spec *spec;
+	enum fl_forward_hop hop;
+	struct fl_http_response *response;
+};
 
-/* NULL, or why the job can never run. */
-static const char *infeasible_reason(const struct fl_node *node, const struct fl_job_spec *spec)
+static bool kv_store_is_down(const struct fl_node *node)
 {
-	int team = fl_teams_find(&node->cluster.teams, spec->team), zone;
-	bool at_once = spec->kind != FL_ARRAY && spec->task_count > 1;
-	double tasks = at_once ? spec->task_count : 1;
-	uint32_t zones = zones_for(node, spec);
-	const struct fl_team *t;
-
-	if (team < 0)
-		return "Owner: unknown team";
-	if (spec->cpus <= 0 && spec->gpus <= 0 && spec->ram_gb <= 0)
-		return "a task takes nothing of its machine";
-	if (spec->has_zone) {
-		zone = fl_symbol_find(&node->cluster.zones, spec->zone);
-		if (zone < 0)
-			return "Site: unknown zone";
-		zones &= 1u << zone;
-	}
-	/* A type that is offered in no zone of ours cannot be rented. */
-	if (!zones)
-		return "a task fits no allowed machine type";
-	/* An array's tasks can run one after the other; others would lack half of theirs for ever.
-	 */
-	if (at_once && spec->spread_zones && (spec->same_zone || !(zones & (zones - 1))))
-		return "Apart: half of the tasks fit no allowed machine type";
-	t = &node->cluster.teams.by_index[team];
-	if (!fl_team_within_maximum(t, spec->cpus * tasks, spec->gpus * tasks))
-		return "more than the team's limit";
-	return NULL;
+	return fl_kv_is_unavailable(&node->kv_store) &&
+	       fl_now() - node->kv_store.last_failure_at < tunables.kv_down_s;
 }
 
-static bool kv_store_is_down(const struct fl_node *node)
+static bool job_is_known(const struct fl_node *node, const char *ref)
 {
-	return fl_kv_is_unavailable(&node->kv_store) &&
-	       fl_now() - node->kv_store.last_failure_at < tunables.down_s;
+	return fl_finished_job_find(&node->cluster, ref) || fl_job_find(&node->cluster, ref);
 }
 
+/* ---- duplicate submissions ---- */
+
 /* Whether a submission is a duplicate of one that was accepted. */
 enum duplicate {
 	DUPLICATE_NO,       /* the job is not known */
@@ -81,58 +48,119 @@
 };
 
 /* Like respond_if_duplicate, by asking the leader. */
-static enum duplicate ask_leader_if_duplicate(struct fl_node *node, const char *ref,
-                                              struct fl_http_response *response)
+static enum duplicate ask_leader_if_duplicate(const struct submission *submission)
 {
+	const struct fl_user_forward request = {
+		.kind = FL_USER_REQUEST_STATUS,
+		.ref = submission->spec->ref,
+		.hop = FL_HOP_FIRST,
+		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_STATUS)};
 	struct fl_http_reply reply;
 
-	if (fl_leader_lease_is_valid(node) ||
-	    fl_user_request_forward(node, FL_USER_REQUEST_STATUS, ref, NULL, FL_HOP_FIRST,
-	                            fl_user_request_timeout_s(FL_USER_REQUEST_STATUS), &reply) != 0)
+	if (fl_leader_lease_is_valid(submission->node) ||
+	    !fl_user_request_forward(submission->node, &request, &reply))
 		return DUPLICATE_UNDECIDED;
-	if (reply.status == 200) {
-		response->status = 200;
-		response->body = reply.body.data;
+	if (fl_respond_with_reply(submission->response, &reply, reply.status == 200))
 		return DUPLICATE_ANSWERED;
-	}
-	fl_buffer_free(&reply.body);
 	return reply.status == 404 ? DUPLICATE_NO : DUPLICATE_UNDECIDED;
 }
 
+/* Whether the job has a record. */
+static enum fl_record_result find_record(struct fl_node *node, const char *ref)
+{
+	struct fl_job_record record;
+	uint64_t revision;
+	cJSON *value = NULL;
+	enum fl_record_result result;
+
+	if (kv_store_is_down(node))
+		return FL_RECORD_UNAVAILABLE;
+	result = fl_job_record_read(&node->kv_store, ref, &record, &value, &revision);
+	cJSON_Delete(value);
+	return result;
+}
+
+static enum duplicate respond_with_status(const struct submission *submission)
+{
+	fl_handle_status_request(submission->node, submission->spec->ref, submission->hop,
+	                         submission->response);
+	return DUPLICATE_ANSWERED;
+}
+
 /*
  * Answers a duplicate submission with the state of the job. What the key-value store refuses to
  * this node alone the leader can tell: else a malformed submission would be told to come again,
  * here only, and its user would do so for a minute.
  */
-static enum duplicate respond_if_duplicate(struct fl_node *node, const char *ref,
-                                           enum fl_forward_hop hop,
-                                           struct fl_http_response *response)
+static enum duplicate respond_if_duplicate(const struct submission *submission)
 {
-	struct fl_job_record record;
-	uint64_t revision;
-	cJSON *value = NULL;
-	enum fl_record_result result = FL_RECORD_UNAVAILABLE;
+	if (job_is_known(submission->node, submission->spec->ref))
+		return respond_with_status(submission);
+	switch (find_record(submission->node, submission->spec->ref)) {
+	case FL_RECORD_FOUND:
+		return respond_with_status(submission);
+	case FL_RECORD_NOT_FOUND:
+		return DUPLICATE_NO;
+	case FL_RECORD_UNREADABLE:
+	case FL_RECORD_UNAVAILABLE:
+		break;
+	}
+	return submission->hop == FL_HOP_FIRST ? ask_leader_if_duplicate(submission)
+	                                       : DUPLICATE_UNDECIDED;
+}
 
-	if (!fl_finished_job_find(&node->cluster, ref) && !fl_job_find(&node->cluster, ref)) {
-		if (!kv_store_is_down(node))
-			result = fl_job_record_read(&node->kv_store, ref, &record, &value,
-			                            &revision);
-		cJSON_Delete(value);
-		if (result == FL_RECORD_NOT_FOUND)
-			return DUPLICATE_NO;
-		if (result != FL_RECORD_FOUND)
-			return hop == FL_HOP_FIRST ? ask_leader_if_duplicate(node, ref, response)
-			                           : DUPLICATE_UNDECIDED;
+/* ---- what is not accepted, or not now ---- */
+
+/* Refuses for good, unless the job is known or it cannot be told whether it is. */
+static void reject(const struct submission *submission, int status, const char *reason)
+{
+	switch (respond_if_duplicate(submission)) {
+	case DUPLICATE_ANSWERED:
+		break;
+	case DUPLICATE_UNDECIDED:
+		fl_respond_unavailable(submission->response,
+		                       "the submission cannot be validated yet");
+		break;
+	case DUPLICATE_NO:
+		fl_respond_error(submission->response, status, "%s", reason);
+		fl_info("jobs", "job rejected: %s: %s", submission->spec->ref, reason);
+		break;
 	}
-	fl_respond_status_or_cancel(node, FL_USER_REQUEST_STATUS, ref, hop, response);
-	return DUPLICATE_ANSWERED;
 }
 
+/* Refuses for now; false: the job is known, and a duplicate is answered all the same. */
+static bool postpone(const struct submission *submission, const char *reason)
+{
+	if (respond_if_duplicate(submission) == DUPLICATE_ANSWERED)
+		return false;
+	fl_respond_unavailable(submission->response, reason);
+	return true;
+}
+
+/* ---- acceptance ---- */
+
+/*
+ * Takes the stored job into the cluster state, unless a watch has brought it already. A leader's
+ * list at this revision or a later one would hold the job if it were still live.
+ */
+static void add_stored_job(struct fl_node *node, const struct fl_job_spec *spec,
+                           double submitted_wall, uint64_t revision)
+{
+	bool over = node->cluster.leading && revision <= node->cluster.list_revision;
+
+	if (job_is_known(node, spec->ref) || over)
+		return;
+	if (fl_job_add(&node->cluster, spec, submitted_wall, revision) && node->leadership.active) {
+		node->leadership.cycle_due = true;
+		fl_condition_broadcast(&node->leadership.work_available);
+	}
+}
+
+/* Writes the job's record, if it has none of either kind. */
 static enum fl_kv_result store_job(struct fl_node *node, const struct fl_job_spec *spec)
 {
-	double submitted = fl_wall();
+	double submitted_wall = fl_wall();
 	struct fl_kv_txn txn;
-	struct fl_job *job;
 	char key[FL_KEY_MAX];
 	uint64_t revision;
 	enum fl_kv_result result;
@@ -142,160 +170,120 @@
 	fl_kv_txn_expect_revision(&txn, key, 0);
 	fl_key_job(key, spec->ref);
 	fl_kv_txn_expect_revision(&txn, key, 0);
-	fl_kv_txn_put(&txn, key, fl_job_record_live(spec, submitted), 0);
+	fl_kv_txn_put(&txn, key, fl_job_record_live(spec, submitted_wall), 0);
 	result = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
-	if (result != FL_KV_OK)
-		return result;
-	if (!fl_finished_job_find(&node->cluster, spec->ref) &&
-	    !fl_job_find(&node->cluster, spec->ref) &&
-	    !(node->cluster.leading && revision <= node->cluster.list_revision)) {
-		job = fl_job_add(&node->cluster, spec, submitted, revision);
-		if (job && node->leadership.active) {
-			node->leadership.cycle_due = true;
-			fl_condition_broadcast(&node->leadership.work_available);
-		}
-	}
-	return FL_KV_OK;
+	if (result == FL_KV_OK)
+		add_stored_job(node, spec, submitted_wall, revision);
+	return result;
 }
 
 /*
- * The state service may refuse this node alone, or be cut from it: the leader has it. What was
- * read is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
+ * The key-value store may refuse this node alone, or be cut from it: the leader has it. What was
+ * decoded is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
  */
-static bool submit_through_leader(struct fl_node *node, const struct fl_job_spec *spec,
-                                  struct fl_http_response *response)
+static bool submit_through_leader(const struct submission *submission)
 {
+	struct fl_user_forward request = {
+		.kind = FL_USER_REQUEST_SUBMIT,
+		.hop = FL_HOP_FIRST,
+		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT)};
 	struct fl_http_reply reply;
 	char *text;
-	int rc;
+	bool answered;
 
-	if (fl_leader_lease_is_valid(node))
+	if (fl_leader_lease_is_valid(submission->node))
 		return false;
-	text = fl_json_print_and_delete(fl_job_spec_encode(spec));
-	rc = fl_user_request_forward(node, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
-	                             fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT), &reply);
+	text = fl_json_print_and_delete(fl_job_spec_encode(submission->spec));
+	request.body = text;
+	answered = fl_user_request_forward(submission->node, &request, &reply);
 	free(text);
-	if (rc != 0)
-		return false;
-	if (reply.status == 200 || reply.status == 201) {
-		response->status = reply.status;
-		response->body = reply.body.data;
-		return true;
-	}
-	fl_buffer_free(&reply.body);
-	return false;
+	return answered && fl_respond_with_reply(submission->response, &reply,
+	                                         reply.status == 200 || reply.status == 201);
 }
 
-/*
- * Before the rest of a submission is judged: a known job is answered with its state, and what
- * cannot be read is refused for `bad`, the field. False: to be judged on.
- */
-static bool respond_early(struct fl_node *node, const struct fl_job_spec *spec, const char *bad,
-                          enum fl_forward_hop hop, struct fl_http_response *response)
+/* Stores a job that may run, here or by the leader. */
+static void accept_job(const struct submission *submission)
 {
-	enum duplicate duplicate;
+	const struct fl_job_spec *spec = submission->spec;
+	bool may_forward = submission->hop == FL_HOP_FIRST;
+	enum fl_kv_result result = FL_KV_UNAVAILABLE;
 
-	if (!bad && node->machine_types_known && !fl_finished_job_find(&node->cluster, spec->ref) &&
-	    !fl_job_find(&node->cluster, spec->ref))
-		return false;
-	duplicate = respond_if_duplicate(node, spec->ref, hop, response);
-	if (duplicate == DUPLICATE_ANSWERED)
-		return true;
-	if (duplicate == DUPLICATE_UNDECIDED || !bad) {
-		fl_respond_unavailable(response, "cannot decide yet");
-	} else {
-		fl_respond_error(response, 400, "%s: missing or invalid", bad);
-		fl_info("jobs", "%s refused: %s", spec->ref, bad);
+	/* A partition is silent: to try here first would cost the user a second. */
+	if (may_forward && fl_kv_is_unavailable(&submission->node->kv_store)) {
+		if (submit_through_leader(submission))
+			return;
+		may_forward = false;
 	}
-	return true;
-}
-
-/* Refuses a job that can never run, for the reason `why`, unless it is known. */
-static void reject_infeasible(struct fl_node *node, const struct fl_job_spec *spec, const char *why,
-                              enum fl_forward_hop hop, struct fl_http_response *response)
-{
-	switch (respond_if_duplicate(node, spec->ref, hop, response)) {
-	case DUPLICATE_ANSWERED:
-		return;
-	case DUPLICATE_UNDECIDED:
-		fl_respond_unavailable(response, "cannot decide yet");
+	if (!kv_store_is_down(submission->node))
+		result = store_job(submission->node, spec);
+	if (result == FL_KV_OK) {
+		fl_info("jobs", "job accepted: %s class=%s team=%s tasks=%u cpus=%g gpus=%g",
+		        spec->ref, spec->job_class, spec->team, spec->task_count, spec->cpus,
+		        spec->gpus);
+		fl_respond_job_accepted(submission->response, spec->ref);
 		return;
-	case DUPLICATE_NO:
-		fl_respond_error(response, 422, "%s", why);
-		fl_info("jobs", "%s refused: %s", spec->ref, why);
+	}
+	if (result == FL_KV_COMPARE_FAILED) {
+		if (respond_if_duplicate(submission) == DUPLICATE_ANSWERED)
+			return;
+	} else if (may_forward && submit_through_leader(submission)) {
 		return;
 	}
+	fl_respond_unavailable(submission->response, "the job could not be stored");
 }
 
-/* For want of memory: a repeat of an accepted job is answered all the same. */
-static void reject_for_memory(struct fl_node *node, const struct fl_job_spec *spec,
-                              enum fl_forward_hop hop, struct fl_http_response *response)
-{
-	if (respond_if_duplicate(node, spec->ref, hop, response) == DUPLICATE_ANSWERED)
-		return;
-	fl_respond_unavailable(response, "memory is short at the moment");
-	fl_info("jobs", "%s turned away: memory is short", spec->ref);
-}
+/* ---- the decision ---- */
 
-/* Stores a job that may run, here or by the leader. */
-static void accept_job(struct fl_node *node, const struct fl_job_spec *spec,
-                       enum fl_forward_hop hop, struct fl_http_response *response)
+/* Judges a well-formed submission. */
+static void decide(const struct submission *submission)
 {
-	/* A cut is silent: to try here first would cost the user a second. */
-	bool forwarded_first = hop == FL_HOP_FIRST && fl_kv_is_unavailable(&node->kv_store);
-	enum fl_kv_result result = FL_KV_UNAVAILABLE;
+	struct fl_node *node = submission->node;
+	enum fl_infeasibility infeasibility;
 
-	if (forwarded_first && submit_through_leader(node, spec, response))
-		return;
-	if (!kv_store_is_down(node))
-		result = store_job(node, spec);
-	if (result == FL_KV_OK) {
-		fl_info("jobs", "%s accepted: %s of %s, %u x %g cpus %g gpus", spec->ref,
-		        spec->job_class, spec->team, spec->task_count, spec->cpus, spec->gpus);
-		response->status = 201;
-		response->body = fl_status_encode(spec->ref, FL_PENDING, -1, 0);
+	if (job_is_known(node, submission->spec->ref)) {
+		respond_with_status(submission);
 		return;
 	}
-	if (result == FL_KV_COMPARE_FAILED &&
-	    respond_if_duplicate(node, spec->ref, hop, response) == DUPLICATE_ANSWERED)
+	if (!node->machine_types_known) {
+		postpone(submission, "the submission cannot be validated yet");
 		return;
-	if (result != FL_KV_COMPARE_FAILED && hop == FL_HOP_FIRST && !forwarded_first &&
-	    submit_through_leader(node, spec, response))
-		return;
-	fl_respond_unavailable(response, "the job could not be stored");
+	}
+	infeasibility = fl_job_infeasibility(node, submission->spec);
+	if (infeasibility != FL_FEASIBLE)
+		reject(submission, 422, fl_infeasibility_text(infeasibility));
+	else if (fl_admission_has_memory(node->config))
+		accept_job(submission);
+	else if (postpone(submission, "memory is low"))
+		fl_info("jobs", "job not admitted: %s: memory is low", submission->spec->ref);
 }
 
-void fl_submit(struct fl_node *node, const char *body, size_t len, enum fl_forward_hop hop,
-               struct fl_http_response *response)
+void fl_handle_submission(struct fl_node *node, const char *body, size_t len,
+                          enum fl_forward_hop hop, struct fl_http_response *response)
 {
 	cJSON *object = fl_json_parse(body, len);
-	const char *bad, *why;
 	struct fl_job_spec spec;
+	const struct submission submission = {node, &spec, hop, response};
+	const char *bad_field;
+	char reason[FL_NAME_MAX];
 
 	if (!cJSON_IsObject(object)) {
 		cJSON_Delete(object);
 		fl_respond_error(response, 400, "the body must be a JSON object");
 		return;
 	}
-	bad = fl_job_spec_decode(object, &spec);
+	bad_field = fl_job_spec_decode(object, &spec);
 	cJSON_Delete(object);
 	if (!spec.ref[0]) {
-		fl_respond_error(response, 400, "Ref: missing or invalid");
+		/* A job without an id cannot be looked up: its submission has no duplicate. */
+		fl_respond_error(response, 400, FL_FIELD_REF ": missing or invalid");
 		return;
 	}
-	if (fl_node_is_isolated(node)) {
-		/* At once: every try at either would cost the user seconds in vain. */
-		fl_respond_unavailable(response,
-		                       "neither the state service nor another controller answers");
+	if (fl_respond_if_isolated(node, response))
 		return;
-	}
-	if (respond_early(node, &spec, bad, hop, response))
+	if (!bad_field) {
+		decide(&submission);
 		return;
-	why = infeasible_reason(node, &spec);
-	if (why)
-		reject_infeasible(node, &spec, why, hop, response);
-	else if (!fl_admission_has_memory(node->config))
-		reject_for_memory(node, &spec, hop, response);
-	else
-		accept_job(node, &spec, hop, response);
+	}
+	snprintf(reason, sizeof(reason), "%s: missing or invalid", bad_field);
+	reject(&submission, 400, reason);
 }
--- a/src/coordination/api/submission.h
+++ b/src/coordination/api/submission.h
@@ -1,6 +1,7 @@
 /*
- * Submissions: validation of a job specification, and its storage in the state service, by this
- * node or through the leader. A repeated submission is answered with the state of the job.
+ * Submissions: a job is validated and its record stored, by this node or through the leader; the
+ * user is told of it only then. A duplicate submission is answered with the state of the job,
+ * whatever its body says, and however little this node can decide at the moment.
  */
 #ifndef FL_COORDINATION_API_SUBMISSION_H
 #define FL_COORDINATION_API_SUBMISSION_H
@@ -12,8 +13,11 @@
 
 struct fl_node;
 
-/* Answers a submission: 201 only once the job's record is stored. */
-void fl_submit(struct fl_node *node, const char *body, size_t len, enum fl_forward_hop hop,
-               struct fl_http_response *response);
+/*
+ * Answers a submission: 201 only once the job's record is stored, 200 for a duplicate, 400 or 422
+ * for what can never be accepted, 503 for what cannot be decided now. Waits.
+ */
+void fl_handle_submission(struct fl_node *node, const char *body, size_t len,
+                          enum fl_forward_hop hop, struct fl_http_response *response);
 
 #endif
--- a/src/coordination/api/user_requests.h
+++ b/src/coordination/api/user_requests.h
@@ -1,31 +1,21 @@
 /*
- * Polls and cancellations: answered from memory, by the leader, or from the stored records; and the
- * relaying of users' calls to the leader, with a limit on how many are under way.
+ * Status queries and cancellations of users: which of those that could answer does. In this order:
+ * this node's memory of finished jobs, this node as the leader, the leader that another node is,
+ * and for a status query without a leader the stored records.
  */
 #ifndef FL_COORDINATION_API_USER_REQUESTS_H
 #define FL_COORDINATION_API_USER_REQUESTS_H
 
 #include "coordination/follower/forwarding.h"
-#include "protocol/users.h"
-#include "transport/http_client.h"
 #include "transport/http_server.h"
 
 struct fl_node;
 
-/* Most connections for users' calls to one other controller. */
-enum { FL_PEER_USER_REQUESTS_MAX = 24 };
-
-/* Answers a poll or a cancellation of the job `ref`; an empty one is no job's. */
-void fl_respond_status_or_cancel(struct fl_node *node, enum fl_user_request kind, const char *ref,
-                                 enum fl_forward_hop hop, struct fl_http_response *response);
-/*
- * Passes a user's call to the leader, as fl_forward does: 0 and the answer, which the caller frees,
- * or an errno. -EBUSY at once if too many calls are under way.
- */
-int fl_user_request_forward(struct fl_node *node, enum fl_user_request kind, const char *ref,
-                            const char *body, enum fl_forward_hop hop, double patience_s,
-                            struct fl_http_reply *reply);
-/* How long a relayed call of this kind may take, in s: less than its user waits for an answer. */
-double fl_user_request_timeout_s(enum fl_user_request kind);
+/* Answers a status query of the job `ref`; an empty one is no job's. Waits. */
+void fl_handle_status_request(struct fl_node *node, const char *ref, enum fl_forward_hop hop,
+                              struct fl_http_response *response);
+/* Answers a cancellation of the job `ref`; an empty one is no job's. Waits. */
+void fl_handle_cancellation(struct fl_node *node, const char *ref, enum fl_forward_hop hop,
+                            struct fl_http_response *response);
 
 #endif
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -30,11 +30,13 @@
 {
 	switch (kind) {
 	case FL_USER_REQUEST_SUBMIT:
-		fl_submit(node, body, len, hop, response);
+		fl_handle_submission(node, body, len, hop, response);
 		break;
 	case FL_USER_REQUEST_STATUS:
+		fl_handle_status_request(node, ref, hop, response);
+		break;
 	case FL_USER_REQUEST_CANCEL:
-		fl_respond_status_or_cancel(node, kind, ref, hop, response);
+		fl_handle_cancellation(node, ref, hop, response);
 		break;
 	case FL_USER_REQUEST_HEARTBEAT:
 		fl_follower_handle_heartbeat(node, body, len, response);
