--- a/src/coordination/workers/digest_reader.c
+++ b/src/coordination/workers/digest_reader.c
@@ -6,10 +6,10 @@
 #include "transport/log.h"
 
 static const struct {
-	double retry_s, watch_s;
+	double retry_s, watch_timeout_s;
 } tunables = {
-	.retry_s = 0.2,  /* s after a failed read */
-	.watch_s = 10.0, /* s; length of a watch */
+	.retry_s = 0.2,          /* s after a failed read */
+	.watch_timeout_s = 10.0, /* s until a watch is begun anew */
 };
 
 static void on_digest(void *context, const struct fl_kv_event *event)
@@ -23,25 +23,32 @@
 		struct fl_heartbeat heartbeat;
 
 		if (fl_cached_heartbeat_decode(item, &heartbeat) != 0) {
-			fl_error("workers", "malformed heartbeat in digest %s", event->key);
+			fl_error("workers", "heartbeat rejected: malformed digest=%s", event->key);
 			continue;
 		}
-		/* The machine is alive, but not reachable from here: it gets no new task. */
+		/* The machine lives, but is not reachable from here: it gets no new task. */
 		fl_reconcile_heartbeat(node, &heartbeat, NULL, FL_HEARTBEAT_FROM_DIGEST);
 		fl_heartbeat_free(&heartbeat);
 	}
 }
 
+/* Lists all digests, or, once there is a revision, watches for those written after it. */
+static enum fl_kv_result read_digests(struct fl_node *node, uint64_t *revision)
+{
+	if (*revision == 0)
+		return fl_kv_list(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, on_digest, node,
+		                  revision);
+	return fl_kv_watch(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, revision,
+	                   tunables.watch_timeout_s, on_digest, node);
+}
+
 void fl_digest_reader_run(struct fl_node *node)
 {
 	uint64_t revision = 0;
 
 	while (!fl_coroutine_cancelled()) {
-		enum fl_kv_result result =
-			revision == 0 ? fl_kv_list(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
-		                                   on_digest, node, &revision)
-				      : fl_kv_watch(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS,
-		                                    &revision, tunables.watch_s, on_digest, node);
+		enum fl_kv_result result = read_digests(node, &revision);
+
 		if (result == FL_KV_COMPACTED)
 			revision = 0;
 		if (result != FL_KV_OK && fl_sleep(tunables.retry_s) != 0)
--- a/src/coordination/workers/digest_reader.h
+++ b/src/coordination/workers/digest_reader.h
@@ -1,6 +1,6 @@
 /*
  * Reads the digests that followers store of heartbeats they could not forward: their machines live,
- * though the leader cannot reach them.
+ * though they are not reachable for the leader. A digest that is malformed is skipped.
  */
 #ifndef FL_COORDINATION_WORKERS_DIGEST_READER_H
 #define FL_COORDINATION_WORKERS_DIGEST_READER_H
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -1,6 +1,8 @@
 /*
- * The failure detector: when a machine whose reports do not arrive, or that our answers do not
- * reach, is considered lost.
+ * The failure detector: when a machine whose heartbeats do not arrive, or that is not reachable for
+ * our replies, is considered lost. How long a machine may be silent depends on how many are silent
+ * at once, and on whether controllers of its zone may still renew its lease. Read-only: it decides
+ * nothing and changes nothing.
  */
 #ifndef FL_COORDINATION_WORKERS_FAILURE_DETECTOR_H
 #define FL_COORDINATION_WORKERS_FAILURE_DETECTOR_H
@@ -12,12 +14,12 @@
 struct fl_node;
 
 /*
- * How long machines may be silent now, by zone, in worker leases: longer where many are silent at
- * once, shorter where single machines must be the cause.
+ * How long machines may be silent at `now` (steady), by zone, in worker leases: longer where many
+ * are silent at once, shorter where single machines must be the cause.
  */
 void fl_failure_detector_timeouts(const struct fl_node *node, double now,
                                   double leases[FL_ZONES_MAX]);
-/* Whether the machine has been silent for longer than that. */
+/* Whether the machine has been silent at `now` (steady) for longer than these timeouts allow. */
 bool fl_failure_detector_expired(const struct fl_node *node, const struct fl_machine *machine,
                                  double now, const double leases[FL_ZONES_MAX]);
 
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -5,28 +5,39 @@
 #include "coordination/workers/reconciliation.h"
 #include "coordination/workers/renewal_rules.h"
 
+/* NULL, or why the worker's lease is not renewed by this reply. */
+static const char *rejection_reason(const struct fl_node *node,
+                                    const struct fl_heartbeat *heartbeat,
+                                    enum fl_reconcile_result result, int command_count)
+{
+	if (fl_reconcile_is_rejection(result))
+		return "machine unknown";
+	if (!fl_renewal_watermark_is_fresh(node))
+		return "cancellation watermark too old";
+	/* A heartbeat that was ignored gets no stop command: see fl_renewal_holds_overdue_task. */
+	if (command_count == 0 && fl_renewal_holds_overdue_task(node, heartbeat))
+		return "task of a cancelled job overdue";
+	return NULL;
+}
+
 void fl_heartbeat_reply_as_leader(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                                   struct fl_http_response *response)
 {
+	enum fl_reconcile_result result;
 	struct fl_command_list commands;
-	int rc;
+	const char *reason;
 
 	fl_command_list_init(&commands, node->leader_lease.fencing_token);
-	rc = fl_reconcile_heartbeat(node, heartbeat, &commands, FL_HEARTBEAT_FROM_WORKER);
-	/* What is only answered, not taken in, gets no stop either: see holds_overdue. */
-	if (rc == 0 && fl_renewal_watermark_is_fresh(node) &&
-	    (commands.count > 0 || !fl_renewal_holds_overdue_task(node, heartbeat))) {
-		/* The same report relayed twice, or from before this leadership. */
-		if (commands.count == 0)
-			fl_renewal_stop_cancelled(node, heartbeat, &commands);
-		response->status = 200;
-		response->body = fl_command_list_take(&commands);
-	} else {
+	result = fl_reconcile_heartbeat(node, heartbeat, &commands, FL_HEARTBEAT_FROM_WORKER);
+	reason = rejection_reason(node, heartbeat, result, commands.count);
+	if (reason) {
 		cJSON_Delete(commands.root);
-		fl_respond_error(response, 503,
-		                 rc ? "this machine is not known any more"
-		                 : !fl_renewal_watermark_is_fresh(node)
-		                         ? "the jobs have not been heard of for too long"
-		                         : "a cancelled job's task is there");
+		fl_respond_error(response, 503, "%s", reason);
+		return;
 	}
+	/* The same heartbeat forwarded twice, or one from before this leadership. */
+	if (commands.count == 0)
+		fl_renewal_stop_cancelled(node, heartbeat, &commands);
+	response->status = 200;
+	response->body = fl_command_list_take(&commands);
 }
--- a/src/coordination/workers/leader_reply.h
+++ b/src/coordination/workers/leader_reply.h
@@ -1,4 +1,7 @@
-/* The leader's reply to a worker's heartbeat. */
+/*
+ * The leader's reply to a worker's heartbeat: commands, which renew the worker's lease, or a
+ * rejection, after which the worker tries another node.
+ */
 #ifndef FL_COORDINATION_WORKERS_LEADER_REPLY_H
 #define FL_COORDINATION_WORKERS_LEADER_REPLY_H
 
@@ -7,7 +10,9 @@
 
 struct fl_node;
 
-/* Applies the heartbeat and replies with the leader's commands; this node leads. It does not wait.
+/*
+ * Applies the heartbeat and fills in the response: 200 with the leader's commands, or 503. Only
+ * while this node leads. It does not wait.
  */
 void fl_heartbeat_reply_as_leader(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                                   struct fl_http_response *response);
--- /dev/null
+++ b/src/coordination/workers/reconciliation_commands.c
@@ -0,0 +1,46 @@
+/* Which commands the attempts on a machine need. */
+#include "coordination/node.h"
+#include "coordination/workers/reconciliation_internal.h"
+
+static const struct {
+	double checkpoint_margin_s;
+} tunables = {
+	.checkpoint_margin_s = 1.0, /* s that a stop may take beside the checkpoint itself */
+};
+
+bool fl_attempt_should_run(const struct fl_job *job, const struct fl_task *task)
+{
+	return !job->cancelled && task->stop_reason == FL_STOP_NONE;
+}
+
+double fl_attempt_grace_period_s(const struct fl_job *job, const struct fl_task *task)
+{
+	if (job->cancelled || job->checkpoint_every_s <= 0 ||
+	    task->observed == FL_OBSERVED_CHECKPOINTING)
+		return 0;
+	return job->checkpoint_cost_s + tunables.checkpoint_margin_s;
+}
+
+bool fl_reconcile_collect_commands(struct fl_node *node, struct fl_machine *machine,
+                                   struct fl_command_list *commands)
+{
+	bool has_start = false;
+
+	for (int i = 0; i < machine->assignment_count; i++) {
+		struct fl_job *job = machine->assignments[i].job;
+		uint32_t index = machine->assignments[i].index;
+		struct fl_task *task = fl_task_peek(job, index);
+
+		if (!fl_attempt_should_run(job, task)) {
+			fl_command_list_add(commands, FL_COMMAND_STOP, job->ref, index,
+			                    task->attempt, fl_attempt_grace_period_s(job, task));
+		} else if (task->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
+			fl_command_list_add(commands, FL_COMMAND_START, job->ref, index,
+			                    task->attempt, 0);
+			has_start = true;
+		}
+	}
+	if (has_start)
+		machine->outbound.direct_start_token = node->leader_lease.fencing_token;
+	return commands->count > 0;
+}
--- /dev/null
+++ b/src/coordination/workers/reconciliation_internal.h
@@ -0,0 +1,56 @@
+/*
+ * What the parts of the reconciliation share: a heartbeat being applied, and the steps in which
+ * that is done. For reconciliation*.c alone.
+ */
+#ifndef FL_COORDINATION_WORKERS_RECONCILIATION_INTERNAL_H
+#define FL_COORDINATION_WORKERS_RECONCILIATION_INTERNAL_H
+
+#include <stdbool.h>
+
+#include "coordination/workers/reachability.h"
+#include "coordination/workers/reconciliation.h"
+#include "storage/machines.h"
+#include "storage/tasks.h"
+
+/* A heartbeat being applied; nothing in it is owned. */
+struct fl_heartbeat_application {
+	struct fl_node *node;
+	struct fl_machine *machine;
+	const struct fl_heartbeat *heartbeat;
+	struct fl_command_list *commands; /* of the reply; NULL: it has none */
+	enum fl_heartbeat_source source;
+	double now; /* steady; when it came */
+};
+
+/* ---- which heartbeats count: reconciliation_contact.c ---- */
+
+/* Newer by incarnation, then sequence number; the first heartbeat received is always newer. */
+bool fl_heartbeat_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat);
+/* Whether a heartbeat was sent before its worker knew of this leadership. */
+bool fl_heartbeat_predates_leadership(const struct fl_node *node,
+                                      const struct fl_heartbeat *heartbeat);
+/* Records what a heartbeat tells of the machine itself. */
+void fl_heartbeat_record_contact(const struct fl_heartbeat_application *application);
+
+/* ---- which commands an attempt needs: reconciliation_commands.c ---- */
+
+/* Whether the attempt is to run on, rather than be stopped. */
+bool fl_attempt_should_run(const struct fl_job *job, const struct fl_task *task);
+/* Seconds that a stopped attempt gets to write its checkpoint. */
+double fl_attempt_grace_period_s(const struct fl_job *job, const struct fl_task *task);
+
+/* ---- what the attempts of a heartbeat mean ---- */
+
+/* The current attempt of a task has exited: reconciliation_exit.c. */
+void fl_reconcile_exit(const struct fl_heartbeat_application *application, struct fl_job *job,
+                       struct fl_task *task, const struct fl_task_status *status);
+/* An attempt that the heartbeat reports: reconciliation_reported.c. */
+void fl_reconcile_reported(const struct fl_heartbeat_application *application,
+                           const struct fl_task_status *status);
+/*
+ * The attempts placed on the machine that the heartbeat does not report: each is started, or
+ * concluded to be gone. Returns whether a start command was added: reconciliation_unreported.c.
+ */
+enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_application *application);
+
+#endif
--- /dev/null
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -0,0 +1,140 @@
+/* What the attempts that a heartbeat reports mean. */
+#include "coordination/node.h"
+#include "coordination/workers/reconciliation_internal.h"
+#include "transport/log.h"
+
+/* Adds a command for a reported attempt to the reply, if there is one. */
+static void reply_with(const struct fl_heartbeat_application *application,
+                       enum fl_command_kind kind, const struct fl_task_status *status,
+                       double grace_period_s)
+{
+	if (application->commands)
+		fl_command_list_add(application->commands, kind, status->ref, status->index,
+		                    status->attempt, grace_period_s);
+}
+
+static enum fl_observed_state observed_state(enum fl_task_state state)
+{
+	switch (state) {
+	case FL_TASK_STATE_PULLING:
+	case FL_TASK_STATE_AWAITING_GANG:
+		return FL_OBSERVED_PULLING;
+	case FL_TASK_STATE_CHECKPOINTING:
+		return FL_OBSERVED_CHECKPOINTING;
+	case FL_TASK_STATE_RUNNING:
+	case FL_TASK_STATE_EXITED:
+		return FL_OBSERVED_RUNNING;
+	}
+	return FL_OBSERVED_RUNNING;
+}
+
+static const char *observed_state_name(enum fl_observed_state state)
+{
+	switch (state) {
+	case FL_OBSERVED_NONE:
+		return "none";
+	case FL_OBSERVED_PULLING:
+		return "pulling";
+	case FL_OBSERVED_RUNNING:
+		return "running";
+	case FL_OBSERVED_CHECKPOINTING:
+		return "checkpointing";
+	}
+	return "unknown";
+}
+
+/* Completed is completed, whichever attempt it was. */
+static void complete_by_stale_attempt(struct fl_node *node, struct fl_job *job,
+                                      const struct fl_task_status *status)
+{
+	struct fl_task *task;
+
+	if (status->exit != FL_EXIT_DONE || !job || job->cancelled ||
+	    status->index >= job->task_count || job->kind != FL_ARRAY)
+		return;
+	task = fl_task_get(job, status->index);
+	if (task && task->phase == FL_TASK_WAITING) {
+		fl_task_done(&node->cluster, job, status->index);
+		fl_condition_broadcast(&node->leadership.work_available);
+	}
+}
+
+/*
+ * Whether the worker may drop an exited attempt: only when no late start command can start it
+ * again. One of an older leader cannot: a heartbeat that counts carries this leadership's token.
+ */
+static bool may_forget(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
+{
+	return heartbeat->fencing_token > machine->outbound.direct_start_token;
+}
+
+/* Whether the record has all that this exited attempt has changed. */
+static bool is_recorded(const struct fl_job *job, const struct fl_task_status *status)
+{
+	return !job || status->index >= job->task_count || fl_task_durable(job, status->index);
+}
+
+/*
+ * A reported attempt that is not the current one: it is stopped if it runs, and forgotten by the
+ * worker when that is safe. `job`: NULL if it is not known.
+ */
+static void reconcile_stale(const struct fl_heartbeat_application *application, struct fl_job *job,
+                            const struct fl_task_status *status)
+{
+	struct fl_machine *machine = application->machine;
+
+	if (status->state != FL_TASK_STATE_EXITED) {
+		machine->heartbeat.orphan_task_count++;
+		reply_with(application, FL_COMMAND_STOP, status, 0);
+		return;
+	}
+	complete_by_stale_attempt(application->node, job, status);
+	if (!may_forget(machine, application->heartbeat))
+		application->node->leadership.retained_exit_count++;
+	else if (is_recorded(job, status))
+		reply_with(application, FL_COMMAND_FORGET, status, 0);
+}
+
+/* Whether a reported attempt is the one that the cluster state has on this machine. */
+static bool is_current(const struct fl_machine *machine, const struct fl_task *task,
+                       const struct fl_task_status *status)
+{
+	return task && task->phase == FL_TASK_PLACED && task->machine == machine->id &&
+	       task->attempt == status->attempt;
+}
+
+static void observe(const struct fl_heartbeat_application *application, struct fl_job *job,
+                    struct fl_task *task, const struct fl_task_status *status)
+{
+	enum fl_observed_state observed = observed_state(status->state);
+
+	if (task->observed == observed)
+		return;
+	fl_debug("workers", "task %s: %s/%u machine=%s after_s=%.1f", observed_state_name(observed),
+	         job->ref, status->index, application->machine->name,
+	         application->now - task->running_since);
+	fl_task_observe(job, task, observed, application->now);
+	fl_condition_broadcast(&application->node->leadership.work_available);
+}
+
+void fl_reconcile_reported(const struct fl_heartbeat_application *application,
+                           const struct fl_task_status *status)
+{
+	struct fl_job *job = fl_job_find(&application->node->cluster, status->ref);
+	struct fl_task *task =
+		job && status->index < job->task_count ? fl_task_peek(job, status->index) : NULL;
+
+	if (!is_current(application->machine, task, status)) {
+		reconcile_stale(application, job, status);
+		return;
+	}
+	fl_machine_record_image(application->machine, job->image);
+	if (status->state == FL_TASK_STATE_EXITED) {
+		fl_reconcile_exit(application, job, task, status);
+		return;
+	}
+	observe(application, job, task, status);
+	if (!fl_attempt_should_run(job, task))
+		reply_with(application, FL_COMMAND_STOP, status,
+		           fl_attempt_grace_period_s(job, task));
+}
--- /dev/null
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -0,0 +1,93 @@
+/* What it means that a heartbeat does not report an attempt placed on its machine. */
+#include "coordination/node.h"
+#include "coordination/workers/reconciliation_internal.h"
+#include "coordination/workers/reported_attempt.h"
+#include "transport/log.h"
+
+/*
+ * Whether the absence of an attempt from this heartbeat proves that it is not on the machine. Not
+ * if the heartbeat may have been sent before an older leader's reply was executed, nor if a direct
+ * start command may still arrive: both are ruled out once the worker has seen a higher fencing
+ * token than they carry. Nor if the heartbeat replies to a direct command and a reply has had the
+ * start command: the former may overtake the latter, which may be under way until the worker sends
+ * its next heartbeat of its own.
+ */
+static bool absence_is_proof(const struct fl_heartbeat_application *application,
+                             const struct fl_task *task)
+{
+	const struct fl_machine *machine = application->machine;
+
+	if (task->start_sent && application->source == FL_HEARTBEAT_FROM_COMMAND)
+		return false;
+	/* The start command of a reply is executed before the worker's next heartbeat or never. */
+	return machine->outbound.direct_start_token == 0 ||
+	       application->heartbeat->fencing_token > machine->outbound.direct_start_token;
+}
+
+static void release(const struct fl_heartbeat_application *application, struct fl_job *job,
+                    uint32_t index)
+{
+	fl_task_release(&application->node->cluster, job, index, 0);
+	fl_condition_broadcast(&application->node->leadership.work_available);
+}
+
+/* An attempt that is to be stopped: released if its absence is proven, else that is prepared. */
+static void release_if_proven(const struct fl_heartbeat_application *application,
+                              struct fl_job *job, uint32_t index, const struct fl_task *task)
+{
+	const struct fl_machine *machine = application->machine;
+
+	if (absence_is_proof(application, task))
+		release(application, job, index);
+	else if (machine->outbound.direct_start_token >= application->heartbeat->fencing_token &&
+	         machine->outbound.direct_start_token > 0)
+		application->node->leader_lease.token_raise_wanted = true;
+}
+
+static enum fl_reply_kind reconcile_absent(const struct fl_heartbeat_application *application,
+                                           struct fl_job *job, uint32_t index)
+{
+	const char *machine_name = application->machine->name;
+	struct fl_task *task = fl_task_peek(job, index);
+
+	if (task->incarnation < application->heartbeat->incarnation) {
+		/* The incarnation in which it was placed is over, and so is the attempt. */
+		fl_info("workers", "task lost: %s/%u machine=%s reason=new_incarnation", job->ref,
+		        index, machine_name);
+		release(application, job, index);
+		return FL_REPLY_WITHOUT_START;
+	}
+	if (task->observed != FL_OBSERVED_NONE) {
+		/* Was seen in this incarnation, was never forgotten, and is no more. */
+		fl_error("workers", "task lost: %s/%u machine=%s reason=not_reported", job->ref,
+		         index, machine_name);
+		fl_task_observe(job, task, FL_OBSERVED_NONE, application->now);
+	}
+	if (!fl_attempt_should_run(job, task)) {
+		release_if_proven(application, job, index, task);
+		return FL_REPLY_WITHOUT_START;
+	}
+	if (!application->commands || !fl_task_durable(job, index))
+		return FL_REPLY_WITHOUT_START;
+	fl_command_list_add(application->commands, FL_COMMAND_START, job->ref, index, task->attempt,
+	                    0);
+	task->start_sent = true;
+	return FL_REPLY_WITH_START;
+}
+
+enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_application *application)
+{
+	const struct fl_machine *machine = application->machine;
+	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
+
+	/* Backwards, since a released attempt leaves the list. */
+	for (int i = machine->assignment_count - 1; i >= 0; i--) {
+		struct fl_assignment assignment = machine->assignments[i];
+
+		if (!fl_heartbeat_reports_attempt(application->heartbeat, assignment) &&
+		    reconcile_absent(application, assignment.job, assignment.index) ==
+		            FL_REPLY_WITH_START)
+			kind = FL_REPLY_WITH_START;
+	}
+	return kind;
+}
--- /dev/null
+++ b/src/coordination/workers/reported_attempt.c
@@ -0,0 +1,20 @@
+#include "coordination/workers/reported_attempt.h"
+
+#include <string.h>
+
+#include "storage/jobs.h"
+
+bool fl_heartbeat_reports_attempt(const struct fl_heartbeat *heartbeat,
+                                  struct fl_assignment assignment)
+{
+	uint32_t attempt = fl_task_peek(assignment.job, assignment.index)->attempt;
+
+	for (int i = 0; i < heartbeat->task_count; i++) {
+		const struct fl_task_status *status = &heartbeat->tasks[i];
+
+		if (status->index == assignment.index && status->attempt == attempt &&
+		    strcmp(status->ref, assignment.job->ref) == 0)
+			return true;
+	}
+	return false;
+}
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -108,14 +108,16 @@
                    enum fl_heartbeat_source source)
 {
 	struct fl_command_list commands;
-	int rc, n;
+	enum fl_reconcile_result result;
+	int command_count;
 
 	fl_command_list_init(&commands, fixture->node.leader_lease.fencing_token);
-	rc = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
-	                            source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL, source);
-	n = commands.count;
+	result = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
+	                                source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
+	                                source);
+	command_count = commands.count;
 	cJSON_Delete(commands.root);
-	return rc ? rc : n;
+	return fl_reconcile_is_rejection(result) ? REJECTED(result) : command_count;
 }
 
 struct fl_machine *only_machine(struct fixture *fixture)
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -30,7 +30,9 @@
 struct fl_heartbeat make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
                                 struct fl_task_status *tasks, int n);
 
-/* Delivers a report; the number of orders in its answer, or the negative error. */
+/* What deliver_report returns for a heartbeat that was rejected. */
+#define REJECTED(result) (-(int)(result))
+/* Delivers a heartbeat; the number of commands in its reply, or REJECTED with the result. */
 int deliver_report(struct fixture *fixture, struct fl_heartbeat heartbeat,
                    enum fl_heartbeat_source source);
 
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -327,9 +327,9 @@
 
 	assert_int_equal(fl_heartbeat_decode(text, strlen(text), &heartbeat), 0);
 	fl_command_list_init(&commands, sim->node.leader_lease.fencing_token);
-	if (fl_reconcile_heartbeat(&sim->node, &heartbeat,
-	                           source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
-	                           source) == 0 &&
+	if (!fl_reconcile_is_rejection(fl_reconcile_heartbeat(
+		    &sim->node, &heartbeat, source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
+		    source)) &&
 	    source == FL_HEARTBEAT_FROM_WORKER) {
 		drop_answer(&sim->worker[at]);
 		sim->worker[at].answer = fl_command_list_take(&commands);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -8,7 +8,6 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include <errno.h>
 #include <math.h>
 #include <string.h>
 
@@ -50,7 +49,7 @@
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
 	assert_int_equal(deliver_report(fixture, make_report(2, 6, EPOCH, NULL, 0),
 	                                FL_HEARTBEAT_FROM_WORKER),
-	                 -ENOENT);
+	                 REJECTED(FL_RECONCILE_DECOMMISSIONED));
 	assert_int_equal(fixture->job->counts.waiting, 4);
 }
 
@@ -242,7 +241,7 @@
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
 	assert_int_equal(deliver_report(fixture, make_report(2, 13, EPOCH, &status, 1),
 	                                FL_HEARTBEAT_FROM_WORKER),
-	                 -ENOENT);
+	                 REJECTED(FL_RECONCILE_DECOMMISSIONED));
 	assert_true(only_machine(fixture)->lifecycle.decommissioned &&
 	            !only_machine(fixture)->lifecycle.up);
 }
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -168,7 +168,8 @@
 	heartbeat.tasks = &status;
 	heartbeat.task_count = 1;
 	assert_int_equal(
-		fl_reconcile_heartbeat(&sim->node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND), 0);
+		fl_reconcile_heartbeat(&sim->node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND),
+		FL_RECONCILE_APPLIED);
 	return machine;
 }
 
