--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -34,45 +34,41 @@
 	struct fl_job_status_report states[FL_STATUS_QUERY_MAX];
 };
 
-static struct fl_peer *leading_peer(struct fl_node *node)
+static char *encode_queries(const void *context, bool last_hop, bool disconnected)
 {
-	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
+	const struct fl_status_batch *batch = context;
 
-	return leader && (leader->up || node->peer_count == 1) ? leader : NULL;
+	(void)last_hop, (void)disconnected;
+	return fl_status_query_encode(batch->refs, batch->count);
 }
 
-static int exchange(struct fl_node *node, struct fl_batch *batch)
+static int decode_answers(void *into, const char *body, size_t len)
 {
-	struct fl_status_batch *b = (struct fl_status_batch *)batch;
-	struct fl_peer *leader = leading_peer(node);
-	struct fl_http_reply reply;
-	char *text;
-	int rc;
-
-	if (!leader)
-		return -EHOSTUNREACH;
-	text = fl_status_query_encode(b->refs, b->count);
-	if (!text)
-		return -ENOMEM;
-	rc = fl_http_call(&leader->http, "POST", FL_PATH_STATUS, text, tunables.patience_s, &reply);
-	free(text);
-	if (rc)
-		return rc;
-	rc = reply.status != 200 ? -EHOSTUNREACH
-	                         : fl_status_answer_decode(reply.body.data, reply.body.length,
-	                                                   b->states, b->count);
-	if (rc == -EPROTO)
-		fl_error("peers", "%s answers status queries with what is no answer", leader->name);
-	fl_buffer_free(&reply.body);
-	return rc;
+	struct fl_status_batch *batch = into;
+
+	return fl_status_answer_decode(body, len, batch->states, batch->count);
+}
+
+/* Directly only: a query that must go through a third controller goes by itself. */
+static enum fl_forward_result exchange(struct fl_node *node, struct fl_batch *shared)
+{
+	struct fl_status_batch *batch = (struct fl_status_batch *)shared;
+	const struct fl_forward_request request = {.path = FL_PATH_STATUS,
+	                                           .encode = encode_queries,
+	                                           .context = batch,
+	                                           .hop = FL_HOP_LAST,
+	                                           .timeout_s = tunables.patience_s};
+
+	return fl_forward_and_decode(node, &request, decode_answers, batch);
 }
 
-static enum fl_query_result result_of(const struct fl_status_batch *batch, int at, int rc,
+static enum fl_query_result result_of(const struct fl_status_batch *batch, int at,
+                                      enum fl_forward_result forwarded,
                                       struct fl_http_response *response)
 {
 	const struct fl_job_status_report *status = &batch->states[at];
 
-	if (rc)
+	if (forwarded != FL_FORWARD_ANSWERED)
 		return FL_QUERY_FAILED;
 	if (!status->known)
 		return FL_QUERY_NOT_IN_MEMORY;
@@ -91,10 +87,11 @@
 	struct fl_status_batch *batch = (struct fl_status_batch *)queue->filling;
 	bool first = !batch;
 	enum fl_query_result result;
-	int at, rc;
+	enum fl_forward_result forwarded;
+	int at;
 
 	if (first) {
-		if (!leading_peer(node))
+		if (!fl_forward_leader_is_reachable(node))
 			return FL_QUERY_FAILED;
 		batch = calloc(1, sizeof(*batch));
 		if (!batch)
@@ -105,8 +102,8 @@
 	}
 	at = batch->count++;
 	fl_copy_string(batch->refs[at], sizeof(batch->refs[at]), ref);
-	rc = fl_batch_await(node, queue, &batch->batch, first, &terms);
-	result = result_of(batch, at, rc, response);
+	forwarded = fl_batch_await(node, queue, &batch->batch, first, &terms);
+	result = result_of(batch, at, forwarded, response);
 	if (fl_batch_release(&batch->batch))
 		free(batch);
 	return result;
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -88,7 +88,8 @@
 
 	if (fl_leader_lease_is_valid(node) ||
 	    fl_user_request_forward(node, FL_USER_REQUEST_STATUS, ref, NULL, FL_HOP_FIRST,
-	                            fl_user_request_timeout_s(FL_USER_REQUEST_STATUS), &reply) != 0)
+	                            fl_user_request_timeout_s(FL_USER_REQUEST_STATUS),
+	                            &reply) != FL_FORWARD_ANSWERED)
 		return DUPLICATE_UNDECIDED;
 	if (reply.status == 200) {
 		response->status = 200;
@@ -166,16 +167,16 @@
                                   struct fl_http_response *response)
 {
 	struct fl_http_reply reply;
+	enum fl_forward_result result;
 	char *text;
-	int rc;
 
 	if (fl_leader_lease_is_valid(node))
 		return false;
 	text = fl_json_print_and_delete(fl_job_spec_encode(spec));
-	rc = fl_user_request_forward(node, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
-	                             fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT), &reply);
+	result = fl_user_request_forward(node, FL_USER_REQUEST_SUBMIT, NULL, text, FL_HOP_FIRST,
+	                                 fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT), &reply);
 	free(text);
-	if (rc != 0)
+	if (result != FL_FORWARD_ANSWERED)
 		return false;
 	if (reply.status == 200 || reply.status == 201) {
 		response->status = reply.status;
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -1,6 +1,5 @@
 #include "coordination/api/user_requests.h"
 
-#include <errno.h>
 #include <stdio.h>
 
 #include "coordination/api/job_responses.h"
@@ -44,19 +43,25 @@
 	return fl_forwarded_request_encode(c->call, last_hop, c->ref, c->body);
 }
 
-int fl_user_request_forward(struct fl_node *node, enum fl_user_request kind, const char *ref,
-                            const char *body, enum fl_forward_hop hop, double patience_s,
-                            struct fl_http_reply *reply)
+enum fl_forward_result fl_user_request_forward(struct fl_node *node, enum fl_user_request kind,
+                                               const char *ref, const char *body,
+                                               enum fl_forward_hop hop, double patience_s,
+                                               struct fl_http_reply *reply)
 {
 	struct forwarded_call relayed = {kind, ref, body};
-	int rc;
+	const struct fl_forward_request request = {.path = FL_PATH_FORWARD,
+	                                           .encode = encode_call,
+	                                           .context = &relayed,
+	                                           .hop = hop,
+	                                           .timeout_s = patience_s};
+	enum fl_forward_result result;
 
 	if (!may_forward(node, kind))
-		return -EBUSY;
+		return FL_FORWARD_OVERLOADED;
 	node->api.forwarded_in_flight++;
-	rc = fl_forward(node, FL_PATH_FORWARD, encode_call, &relayed, hop, patience_s, reply);
+	result = fl_forward(node, &request, reply);
 	node->api.forwarded_in_flight--;
-	return rc;
+	return result;
 }
 
 /* Tasks of a job, summed over its progress records. */
@@ -113,9 +118,10 @@
 }
 
 /* Takes a relayed call's answer over; false if there is none that a user can be given. */
-static bool take_reply(int rc, struct fl_http_reply *reply, struct fl_http_response *response)
+static bool take_reply(enum fl_forward_result result, struct fl_http_reply *reply,
+                       struct fl_http_response *response)
 {
-	if (rc != 0)
+	if (result != FL_FORWARD_ANSWERED)
 		return false;
 	if (reply->status == 200 || reply->status == 404) {
 		response->status = reply->status;
@@ -164,10 +170,11 @@
 static void forward_cancel(struct fl_node *node, const char *ref, struct fl_http_response *response)
 {
 	struct fl_http_reply reply;
-	int rc = fl_user_request_forward(node, FL_USER_REQUEST_CANCEL, ref, NULL, FL_HOP_FIRST,
-	                                 tunables.relay_write_s, &reply);
+	enum fl_forward_result result =
+		fl_user_request_forward(node, FL_USER_REQUEST_CANCEL, ref, NULL, FL_HOP_FIRST,
+	                                tunables.relay_write_s, &reply);
 
-	if (!take_reply(rc, &reply, response))
+	if (!take_reply(result, &reply, response))
 		fl_respond_unavailable(response, "there is no leader at the moment");
 }
 
--- a/src/coordination/api/user_requests.h
+++ b/src/coordination/api/user_requests.h
@@ -19,12 +19,13 @@
 void fl_respond_status_or_cancel(struct fl_node *node, enum fl_user_request kind, const char *ref,
                                  enum fl_forward_hop hop, struct fl_http_response *response);
 /*
- * Passes a user's call to the leader, as fl_forward does: 0 and the answer, which the caller frees,
- * or an errno. -EBUSY at once if too many calls are under way.
+ * Forwards a user's request to the leader, as fl_forward does; FL_FORWARD_OVERLOADED at once if too
+ * many are in flight.
  */
-int fl_user_request_forward(struct fl_node *node, enum fl_user_request kind, const char *ref,
-                            const char *body, enum fl_forward_hop hop, double patience_s,
-                            struct fl_http_reply *reply);
+enum fl_forward_result fl_user_request_forward(struct fl_node *node, enum fl_user_request kind,
+                                               const char *ref, const char *body,
+                                               enum fl_forward_hop hop, double patience_s,
+                                               struct fl_http_reply *reply);
 /* How long a relayed call of this kind may take, in s: less than its user waits for an answer. */
 double fl_user_request_timeout_s(enum fl_user_request kind);
 
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -7,11 +7,12 @@
 
 #include "coordination/node.h"
 #include "transport/clock.h"
+#include "transport/log.h"
 
 static const struct {
-	double direct_s;
+	double direct_timeout_s;
 } tunables = {
-	.direct_s = 0.7, /* s for the straight way to the leader, if there is another */
+	.direct_timeout_s = 0.7, /* s for a direct request to the leader, if there is another way */
 };
 
 struct fl_peer *fl_peer_find(struct fl_node *node, const char *name)
@@ -34,52 +35,123 @@
 	return peer ? 2 + (int)(peer - node->peers) : 0;
 }
 
+/* Without a third controller nothing is lost by trying one that did not answer lately. */
+static bool may_call(const struct fl_node *node, const struct fl_peer *peer)
+{
+	return peer->up || node->peer_count == 1;
+}
+
+bool fl_forward_leader_is_reachable(struct fl_node *node)
+{
+	const struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
+
+	return leader && may_call(node, leader);
+}
+
 bool fl_forward_ends_here(const struct fl_node *node, bool last_hop)
 {
 	return last_hop || strcmp(node->leader_view.leader, node->config->node) == 0;
 }
 
-static int forward_via(struct fl_peer *peer, const char *path, const char *text, double timeout_s,
-                       struct fl_http_reply *out)
+static enum fl_forward_result result_of_call(int rc)
 {
-	int rc;
+	switch (rc) {
+	case 0:
+		return FL_FORWARD_ANSWERED;
+	case -ETIMEDOUT:
+		return FL_FORWARD_TIMED_OUT;
+	case -ECANCELED:
+		return FL_FORWARD_CANCELLED;
+	default:
+		return FL_FORWARD_NO_LEADER;
+	}
+}
+
+/* Sends a request to one peer, which replies with 421 if it neither leads nor reaches the leader.
+ */
+static enum fl_forward_result forward_via(struct fl_peer *peer, const char *path, const char *text,
+                                          double timeout_s, struct fl_http_reply *out)
+{
+	enum fl_forward_result result;
 
+	if (!text)
+		return FL_FORWARD_OUT_OF_MEMORY;
 	if (timeout_s <= 0)
-		return -ETIMEDOUT;
-	rc = fl_http_call(&peer->http, "POST", path, text, timeout_s, out);
-	if (rc == 0 && out->status == 421) {
+		return FL_FORWARD_TIMED_OUT;
+	result = result_of_call(fl_http_call(&peer->http, "POST", path, text, timeout_s, out));
+	if (result == FL_FORWARD_ANSWERED && out->status == 421) {
 		fl_buffer_free(&out->body);
-		return -EHOSTUNREACH;
+		return FL_FORWARD_NO_LEADER;
 	}
-	return rc;
+	return result;
 }
 
-int fl_forward(struct fl_node *node, const char *path, fl_forward_encoder encode,
-               const void *context, enum fl_forward_hop hop, double patience_s,
-               struct fl_http_reply *out)
+static enum fl_forward_result forward_directly(struct fl_peer *leader,
+                                               const struct fl_forward_request *request,
+                                               struct fl_http_reply *out)
+{
+	double timeout_s = request->hop == FL_HOP_LAST
+	                           ? request->timeout_s
+	                           : fmin(tunables.direct_timeout_s, request->timeout_s);
+	char *text = request->encode(request->context, true, false);
+	enum fl_forward_result result = forward_via(leader, request->path, text, timeout_s, out);
+
+	free(text);
+	return result;
+}
+
+enum fl_forward_result fl_forward(struct fl_node *node, const struct fl_forward_request *request,
+                                  struct fl_http_reply *out)
 {
 	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
-	double until = fl_now() + patience_s;
-	int rc = -EHOSTUNREACH;
+	double until = fl_now() + request->timeout_s;
+	enum fl_forward_result result = FL_FORWARD_NO_LEADER;
 	char *text;
 
 	if (!leader)
-		return rc;
-	if (leader->up || node->peer_count == 1) {
-		text = encode(context, true, false);
-		rc = forward_via(leader, path, text,
-		                 hop ? patience_s : fmin(tunables.direct_s, patience_s), out);
-		free(text);
-	}
-	if (rc == 0 || hop)
-		return rc;
-	text = encode(context, false, fl_kv_is_unavailable(&node->kv_store));
-	for (int i = 0; i < node->peer_count && rc != 0; i++) {
+		return result;
+	if (may_call(node, leader))
+		result = forward_directly(leader, request, out);
+	if (result == FL_FORWARD_ANSWERED || request->hop == FL_HOP_LAST)
+		return result;
+	text = request->encode(request->context, false, fl_kv_is_unavailable(&node->kv_store));
+	for (int i = 0; i < node->peer_count && result != FL_FORWARD_ANSWERED; i++) {
 		struct fl_peer *peer = &node->peers[i];
 
 		if (peer != leader && peer->up)
-			rc = forward_via(peer, path, text, until - fl_now(), out);
+			result = forward_via(peer, request->path, text, until - fl_now(), out);
 	}
 	free(text);
-	return rc;
+	return result;
+}
+
+static enum fl_forward_result result_of_decoding(int rc)
+{
+	switch (rc) {
+	case 0:
+		return FL_FORWARD_ANSWERED;
+	case -EPROTO:
+		return FL_FORWARD_MALFORMED_REPLY;
+	default:
+		return FL_FORWARD_OUT_OF_MEMORY;
+	}
+}
+
+enum fl_forward_result fl_forward_and_decode(struct fl_node *node,
+                                             const struct fl_forward_request *request,
+                                             fl_forward_decoder decode, void *into)
+{
+	struct fl_http_reply reply;
+	enum fl_forward_result result = fl_forward(node, request, &reply);
+
+	if (result != FL_FORWARD_ANSWERED)
+		return result;
+	result = reply.status == 200
+	                 ? result_of_decoding(decode(into, reply.body.data, reply.body.length))
+	                 : FL_FORWARD_REJECTED;
+	if (result == FL_FORWARD_MALFORMED_REPLY)
+		fl_error("peers", "malformed reply: path=%s leader=%s", request->path,
+		         node->leader_view.leader);
+	fl_buffer_free(&reply.body);
+	return result;
 }
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -1,6 +1,7 @@
 /*
- * Relaying of calls to the leader: directly, or through a third controller if the leader does not
- * answer this one.
+ * Forwarding of requests to the leader: directly, or through a third controller if the leader is
+ * not reachable from this one. A request passes through one such controller at most, since the last
+ * hop is marked in it.
  */
 #ifndef FL_COORDINATION_FOLLOWER_FORWARDING_H
 #define FL_COORDINATION_FOLLOWER_FORWARDING_H
@@ -11,24 +12,56 @@
 struct fl_node;
 struct fl_peer;
 
-/* Where a call stands: it came from outside, or from a node that asks only this one. */
+/* Where a request stands: it came from outside, or from a node that asks only this one. */
 enum fl_forward_hop { FL_HOP_FIRST, FL_HOP_LAST };
 
+/* What became of a request to the leader. */
+enum fl_forward_result {
+	FL_FORWARD_ANSWERED = 0,    /* the reply is there, to be judged by its status */
+	FL_FORWARD_NO_LEADER,       /* none is known, or reachable: it was not executed by one */
+	FL_FORWARD_REJECTED,        /* the leader replied that it cannot answer this */
+	FL_FORWARD_OVERLOADED,      /* not sent, since too many are in flight */
+	FL_FORWARD_TOO_LARGE,       /* not sent, since it fits into no request */
+	FL_FORWARD_TIMED_OUT,       /* it may still be executed */
+	FL_FORWARD_CANCELLED,       /* this coroutine is to end; it may still be executed */
+	FL_FORWARD_MALFORMED_REPLY, /* who replied speaks another protocol */
+	FL_FORWARD_OUT_OF_MEMORY    /* not sent */
+};
+
 /*
- * Makes the text of a relayed message, to be freed. `last_hop`: the receiver must not pass it on;
- * `disconnected`: this node has lost the state service.
+ * Makes the text of a forwarded request, to be freed; NULL: no memory. `last_hop`: the receiver
+ * must not forward it; `disconnected`: this node has lost the key-value store.
  */
 typedef char *(*fl_forward_encoder)(const void *context, bool last_hop, bool disconnected);
+/* Reads the body of a reply with status 200: 0, -EPROTO if it is malformed, or -ENOMEM. */
+typedef int (*fl_forward_decoder)(void *context, const char *body, size_t len);
+
+/* A request to be forwarded; nothing in it is owned. */
+struct fl_forward_request {
+	const char *path;
+	fl_forward_encoder encode;
+	const void *context; /* for `encode` */
+	enum fl_forward_hop hop;
+	double timeout_s; /* for all attempts together */
+};
 
 /* The other controller of this name, or NULL. */
 struct fl_peer *fl_peer_find(struct fl_node *node, const char *name);
 /* A small number for a controller's name: 1 this node, above it the others; 0: not known. */
 int fl_node_index(struct fl_node *node, const char *name);
-/* Whether a relayed message that this node cannot answer must not be passed on from here. */
+/* Whether another controller is known to lead, to which requests may be sent directly. */
+bool fl_forward_leader_is_reachable(struct fl_node *node);
+/* Whether a forwarded request that this node cannot answer must not be forwarded from here. */
 bool fl_forward_ends_here(const struct fl_node *node, bool last_hop);
-/* Passes a message to the leader, direct or through a third node: 0 and the answer, or an errno. */
-int fl_forward(struct fl_node *node, const char *path, fl_forward_encoder encode,
-               const void *context, enum fl_forward_hop hop, double patience_s,
-               struct fl_http_reply *out);
+/*
+ * Forwards a request to the leader, direct or, on the first hop, through a third node. With
+ * FL_FORWARD_ANSWERED `out` is filled in, whose body the caller frees. It waits.
+ */
+enum fl_forward_result fl_forward(struct fl_node *node, const struct fl_forward_request *request,
+                                  struct fl_http_reply *out);
+/* The same, if the reply must have status 200 and a body that `decode` reads, with `into`. */
+enum fl_forward_result fl_forward_and_decode(struct fl_node *node,
+                                             const struct fl_forward_request *request,
+                                             fl_forward_decoder decode, void *into);
 
 #endif
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -1,24 +1,23 @@
 #include "coordination/follower/heartbeat_forwarding.h"
 
-#include <errno.h>
 #include <stdlib.h>
 
 #include "coordination/node.h"
-#include "coordination/workers/leader_reply.h"
 #include "coordination/responses.h"
+#include "coordination/workers/leader_reply.h"
 #include "protocol/peer_heartbeats.h"
 #include "transport/log.h"
 
 static const struct {
-	double wait_s, patience_s;
-	int in_flight;
+	double send_timeout_s, exchange_timeout_s;
+	int max_in_flight;
 } tunables = {
-	.wait_s = 0.75,    /* s until a message is sent; then the worker is renewed from here */
-	.patience_s = 1.5, /* s for the leader's answers; the worker gives up after 4 */
-	.in_flight = FL_HEARTBEAT_REQUESTS_MAX, /* one that stalls must not hold up all */
+	.send_timeout_s = 0.75,    /* s until a request is sent; then renewed from here */
+	.exchange_timeout_s = 1.5, /* s for the leader's reply; the worker gives up after 4 */
+	.max_in_flight = FL_HEARTBEAT_REQUESTS_MAX, /* one that stalls must not hold up all */
 };
 
-/* The reports of one message, and their answers. */
+/* The heartbeats of one request, and the replies to them. */
 struct heartbeat_batch {
 	struct fl_batch batch;
 	cJSON *heartbeats;
@@ -27,38 +26,44 @@
 	struct fl_heartbeat_reply replies[FL_PEER_HEARTBEATS_MAX];
 };
 
-/* What a message is made of, for fl_forward. */
-struct message {
+/* What a request is made of. */
+struct heartbeat_request {
 	cJSON *heartbeats;
 	const char *entry_node;
 };
 
-static char *encode(const void *context, bool last_hop, bool disconnected)
+static char *encode_request(const void *context, bool last_hop, bool disconnected)
 {
-	const struct message *message = context;
+	const struct heartbeat_request *request = context;
 
-	return fl_peer_heartbeats_encode(message->heartbeats, message->entry_node, last_hop,
+	return fl_peer_heartbeats_encode(request->heartbeats, request->entry_node, last_hop,
 	                                 disconnected);
 }
 
-static int exchange(struct fl_node *node, struct fl_batch *batch)
+static struct fl_forward_request forward_request(const struct heartbeat_request *request,
+                                                 enum fl_forward_hop hop)
 {
-	struct heartbeat_batch *b = (struct heartbeat_batch *)batch;
-	struct message message = {b->heartbeats, node->config->node};
-	struct fl_http_reply reply;
-	int rc = fl_forward(node, FL_PATH_HEARTBEATS, encode, &message, FL_HOP_FIRST,
-	                    tunables.patience_s, &reply);
-
-	if (rc)
-		return rc;
-	rc = reply.status != 200 ? -EHOSTUNREACH
-	                         : fl_heartbeat_replies_decode(reply.body.data, reply.body.length,
-	                                                       b->replies, b->count);
-	if (rc == -EPROTO)
-		fl_error("peers", "%s answers reports with what is no answer",
-		         node->leader_view.leader);
-	fl_buffer_free(&reply.body);
-	return rc;
+	return (struct fl_forward_request){.path = FL_PATH_HEARTBEATS,
+	                                   .encode = encode_request,
+	                                   .context = request,
+	                                   .hop = hop,
+	                                   .timeout_s = tunables.exchange_timeout_s};
+}
+
+static int decode_replies(void *into, const char *body, size_t len)
+{
+	struct heartbeat_batch *batch = into;
+
+	return fl_heartbeat_replies_decode(body, len, batch->replies, batch->count);
+}
+
+static enum fl_forward_result exchange(struct fl_node *node, struct fl_batch *shared)
+{
+	struct heartbeat_batch *batch = (struct heartbeat_batch *)shared;
+	struct heartbeat_request heartbeats = {batch->heartbeats, node->config->node};
+	struct fl_forward_request request = forward_request(&heartbeats, FL_HOP_FIRST);
+
+	return fl_forward_and_decode(node, &request, decode_replies, batch);
 }
 
 static void free_batch(struct heartbeat_batch *batch)
@@ -69,7 +74,7 @@
 	free(batch);
 }
 
-/* The batch that this report goes into: the one being filled, or a new one. NULL: no memory. */
+/* The batch that a heartbeat goes into: the one being filled, or a new one. NULL: no memory. */
 static struct heartbeat_batch *batch_for(struct fl_batch_queue *queue, size_t len, bool *began)
 {
 	struct heartbeat_batch *batch = (struct heartbeat_batch *)queue->filling;
@@ -90,73 +95,80 @@
 	return batch;
 }
 
-static int take_reply(struct fl_heartbeat_reply *answer, struct fl_http_response *response)
+static enum fl_forward_result take_reply(struct fl_heartbeat_reply *reply,
+                                         struct fl_http_response *response)
 {
-	if (answer->status != 200)
-		return -EHOSTUNREACH;
-	response->status = answer->status;
-	response->body = answer->body;
-	answer->body = NULL;
-	return 0;
+	if (reply->status != 200)
+		return FL_FORWARD_REJECTED;
+	response->status = reply->status;
+	response->body = reply->body;
+	reply->body = NULL;
+	return FL_FORWARD_ANSWERED;
 }
 
-int fl_heartbeat_forward(struct fl_node *node, const char *body, size_t len,
-                         struct fl_http_response *response)
+enum fl_forward_result fl_heartbeat_forward(struct fl_node *node, const char *body, size_t len,
+                                            struct fl_http_response *response)
 {
-	const struct fl_batch_policy terms = {tunables.in_flight, tunables.wait_s,
-	                                      tunables.patience_s, exchange};
+	const struct fl_batch_policy policy = {tunables.max_in_flight, tunables.send_timeout_s,
+	                                       tunables.exchange_timeout_s, exchange};
 	struct fl_batch_queue *queue = &node->follower.heartbeat_forwards;
+	enum fl_forward_result result;
 	struct heartbeat_batch *batch;
 	bool began;
-	int at, rc;
+	int index;
 
 	if (len > FL_PEER_HEARTBEATS_BYTES)
-		return -EMSGSIZE;
+		return FL_FORWARD_TOO_LARGE;
 	batch = batch_for(queue, len, &began);
 	if (!batch)
-		return -ENOMEM;
-	at = batch->count++;
+		return FL_FORWARD_OUT_OF_MEMORY;
+	index = batch->count++;
 	batch->bytes += len;
 	fl_heartbeat_list_add(batch->heartbeats, body);
-	rc = fl_batch_await(node, queue, &batch->batch, began, &terms);
-	if (!rc)
-		rc = take_reply(&batch->replies[at], response);
+	result = fl_batch_await(node, queue, &batch->batch, began, &policy);
+	if (result == FL_FORWARD_ANSWERED)
+		result = take_reply(&batch->replies[index], response);
 	if (fl_batch_release(&batch->batch))
 		free_batch(batch);
-	return rc;
+	return result;
 }
 
 /* ---- for another controller ---- */
 
-/* No wait from here on: all of them are answered under the lease that was looked at. */
+static struct fl_heartbeat_reply answer_one(struct fl_node *node, const char *entry_node,
+                                            const cJSON *item)
+{
+	struct fl_http_response response = {.status = 500};
+	struct fl_heartbeat heartbeat;
+
+	if (fl_heartbeat_decode_json(item, &heartbeat) == 0) {
+		heartbeat.entry_node = fl_node_index(node, entry_node);
+		fl_heartbeat_reply_as_leader(node, &heartbeat, &response);
+		fl_heartbeat_free(&heartbeat);
+	} else {
+		fl_error("peers", "heartbeat rejected: malformed entry_node=%s", entry_node);
+		fl_respond_error(&response, 400, "malformed heartbeat");
+	}
+	return (struct fl_heartbeat_reply){response.status, response.body};
+}
+
+/* It does not wait: all of them are answered under the lease that was checked. */
 static void answer_all(struct fl_node *node, const struct fl_peer_heartbeats *message,
                        struct fl_http_response *response)
 {
-	struct fl_heartbeat_reply answers[FL_PEER_HEARTBEATS_MAX] = {0};
-	int entry_node = fl_node_index(node, message->entry_node), count = 0;
+	struct fl_heartbeat_reply replies[FL_PEER_HEARTBEATS_MAX] = {0};
+	int count = 0;
 	const cJSON *item;
 
-	cJSON_ArrayForEach (item, message->list) {
-		struct fl_http_response one = {.status = 500};
-		struct fl_heartbeat heartbeat;
-
-		if (fl_heartbeat_decode_json(item, &heartbeat) == 0) {
-			heartbeat.entry_node = entry_node;
-			fl_heartbeat_reply_as_leader(node, &heartbeat, &one);
-			fl_heartbeat_free(&heartbeat);
-		} else {
-			fl_error("peers", "what came by %s is no report", message->entry_node);
-			fl_respond_error(&one, 400, "not a report");
-		}
-		answers[count++] = (struct fl_heartbeat_reply){one.status, one.body};
-	}
+	cJSON_ArrayForEach (item, message->list)
+		replies[count++] = answer_one(node, message->entry_node, item);
 	response->status = 200;
-	response->body = fl_heartbeat_replies_encode(answers, count);
+	response->body = fl_heartbeat_replies_encode(replies, count);
 	for (int i = 0; i < count; i++)
-		free(answers[i].body);
+		free(replies[i].body);
 }
 
-/* The sender is cut from the state service too: its reports go with our digest. */
+/* The sender has lost the key-value store too: its heartbeats go with our digest. */
 static void cache_all(struct fl_node *node, const struct fl_peer_heartbeats *message)
 {
 	const cJSON *item;
@@ -174,17 +186,17 @@
 static void forward_again(struct fl_node *node, const struct fl_peer_heartbeats *message,
                           struct fl_http_response *response)
 {
-	struct message again = {(cJSON *)message->list, message->entry_node};
+	struct heartbeat_request heartbeats = {(cJSON *)message->list, message->entry_node};
+	struct fl_forward_request request = forward_request(&heartbeats, FL_HOP_LAST);
 	struct fl_http_reply reply;
-	int rc = fl_forward(node, FL_PATH_HEARTBEATS, encode, &again, FL_HOP_LAST,
-	                    tunables.patience_s, &reply);
+	enum fl_forward_result result = fl_forward(node, &request, &reply);
 
-	if (rc == 0 && reply.status == 200) {
+	if (result == FL_FORWARD_ANSWERED && reply.status == 200) {
 		response->status = 200;
 		response->body = reply.body.data;
 		return;
 	}
-	if (rc == 0)
+	if (result == FL_FORWARD_ANSWERED)
 		fl_buffer_free(&reply.body);
 	if (message->disconnected)
 		cache_all(node, message);
@@ -197,8 +209,8 @@
 	struct fl_peer_heartbeats message;
 
 	if (fl_peer_heartbeats_decode(body, len, &message) != 0) {
-		fl_error("peers", "what came as reports is none");
-		fl_respond_error(response, 400, "not reports");
+		fl_error("peers", "request rejected: malformed path=%s", FL_PATH_HEARTBEATS);
+		fl_respond_error(response, 400, "malformed heartbeats");
 		return;
 	}
 	if (fl_is_leader(node))
--- a/src/coordination/follower/request_batch.c
+++ b/src/coordination/follower/request_batch.c
@@ -11,21 +11,21 @@
 
 void fl_batch_close(struct fl_batch_queue *queue) { queue->filling = NULL; }
 
-/* Sends the batch when a request may be sent; who comes later is in the next one. */
+/* Sends the batch when a request may be sent; what comes later goes into the next one. */
 static void send_batch(struct fl_node *node, struct fl_batch_queue *queue, struct fl_batch *batch,
-                       const struct fl_batch_policy *terms)
+                       const struct fl_batch_policy *policy)
 {
-	double until = fl_now() + terms->wait_s;
+	double until = fl_now() + policy->send_timeout_s;
 
-	while (queue->in_flight >= terms->in_flight && fl_now() < until)
+	while (queue->in_flight >= policy->max_in_flight && fl_now() < until)
 		if (fl_condition_wait(&queue->request_returned, until - fl_now()) == -ECANCELED)
 			break;
 	if (queue->filling == batch)
 		fl_batch_close(queue);
-	batch->rc = -EBUSY;
-	if (queue->in_flight < terms->in_flight) {
+	batch->result = FL_FORWARD_OVERLOADED;
+	if (queue->in_flight < policy->max_in_flight) {
 		queue->in_flight++;
-		batch->rc = terms->exchange(node, batch);
+		batch->result = policy->exchange(node, batch);
 		queue->in_flight--;
 		fl_condition_broadcast(&queue->request_returned);
 	}
@@ -33,24 +33,25 @@
 	fl_condition_broadcast(&batch->completed);
 }
 
-static int await_batch(struct fl_batch *batch, double patience_s)
+static enum fl_forward_result await_completion(struct fl_batch *batch, double timeout_s)
 {
-	double until = fl_now() + patience_s;
+	double until = fl_now() + timeout_s;
 
 	while (!batch->done && fl_now() < until)
 		if (fl_condition_wait(&batch->completed, until - fl_now()) == -ECANCELED)
-			return -ECANCELED;
-	return batch->done ? batch->rc : -ETIMEDOUT;
+			return FL_FORWARD_CANCELLED;
+	return batch->done ? batch->result : FL_FORWARD_TIMED_OUT;
 }
 
-int fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue, struct fl_batch *batch,
-                   bool began, const struct fl_batch_policy *terms)
+enum fl_forward_result fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue,
+                                      struct fl_batch *batch, bool began,
+                                      const struct fl_batch_policy *policy)
 {
 	batch->holder_count++;
 	if (!began)
-		return await_batch(batch, terms->wait_s + terms->exchange_s);
-	send_batch(node, queue, batch, terms);
-	return batch->rc;
+		return await_completion(batch, policy->send_timeout_s + policy->exchange_timeout_s);
+	send_batch(node, queue, batch, policy);
+	return batch->result;
 }
 
 bool fl_batch_release(struct fl_batch *batch) { return --batch->holder_count == 0; }
--- a/src/coordination/follower/request_batch.h
+++ b/src/coordination/follower/request_batch.h
@@ -1,23 +1,26 @@
 /*
  * Requests to another controller that many callers share: those that come while as many requests
- * as may be are under way go together with the next one. Nobody's part rests on a request that was
- * sent before it came.
+ * are in flight as may be go together with the next one. A caller's part never goes into a request
+ * that was sent before it came.
+ *
+ * The callers of one batch hold it jointly; the last one to release it frees it.
  */
 #ifndef FL_COORDINATION_FOLLOWER_REQUEST_BATCH_H
 #define FL_COORDINATION_FOLLOWER_REQUEST_BATCH_H
 
 #include <stdbool.h>
 
+#include "coordination/follower/forwarding.h"
 #include "transport/coroutine.h"
 
 struct fl_node;
 
 /* What callers share: the first member of a struct that holds their parts. */
 struct fl_batch {
-	int holder_count; /* routines that hold it */
+	int holder_count; /* coroutines that hold it */
 	bool done;
 	struct fl_condition completed;
-	int rc; /* of the exchange: 0 or an errno */
+	enum fl_forward_result result; /* valid when done */
 };
 
 /* The batches of one kind that are on their way from one node. Zero-initialised is empty. */
@@ -29,11 +32,11 @@
 
 /* How batches of one kind are sent. */
 struct fl_batch_policy {
-	int in_flight;     /* requests at once */
-	double wait_s;     /* s for which a batch waits until it may be sent */
-	double exchange_s; /* s that an exchange takes at most */
-	/* Sends the request and reads the answers: 0 or an errno. */
-	int (*exchange)(struct fl_node *node, struct fl_batch *batch);
+	int max_in_flight;         /* requests at once */
+	double send_timeout_s;     /* s for which a batch waits until it may be sent */
+	double exchange_timeout_s; /* s that an exchange takes at most */
+	/* Sends the request and reads the replies. */
+	enum fl_forward_result (*exchange)(struct fl_node *node, struct fl_batch *batch);
 };
 
 /* From now on this batch collects parts. */
@@ -41,11 +44,12 @@
 /* No more parts go into the batch that collects them now. */
 void fl_batch_close(struct fl_batch_queue *queue);
 /*
- * For each caller, after it has put its part into the batch: 0 when the answers are there, or an
- * errno. The caller that began the batch sends it when it may.
+ * For each caller, after it has put its part into the batch; with FL_FORWARD_ANSWERED the replies
+ * are there. The caller that began the batch sends it when it may; the others wait.
  */
-int fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue, struct fl_batch *batch,
-                   bool began, const struct fl_batch_policy *terms);
+enum fl_forward_result fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue,
+                                      struct fl_batch *batch, bool began,
+                                      const struct fl_batch_policy *policy);
 /* The caller needs it no more; true: nobody does, and the caller frees it. */
 bool fl_batch_release(struct fl_batch *batch);
 
--- a/src/coordination/workers/reported_attempt.c
+++ b/src/coordination/workers/heartbeat.c
@@ -1,9 +1,17 @@
-#include "coordination/workers/reported_attempt.h"
+#include "coordination/workers/heartbeat.h"
 
 #include <string.h>
 
 #include "storage/jobs.h"
 
+bool fl_heartbeat_is_after(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
+                           uint64_t sequence)
+{
+	if (heartbeat->incarnation != incarnation)
+		return heartbeat->incarnation > incarnation;
+	return heartbeat->sequence > sequence;
+}
+
 bool fl_heartbeat_reports_attempt(const struct fl_heartbeat *heartbeat,
                                   struct fl_assignment assignment)
 {
--- /dev/null
+++ b/src/coordination/workers/heartbeat.h
@@ -0,0 +1,19 @@
+/* What a heartbeat shows by itself: its place in their order, and the attempts it reports. */
+#ifndef FL_COORDINATION_WORKERS_HEARTBEAT_H
+#define FL_COORDINATION_WORKERS_HEARTBEAT_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "protocol/workers.h"
+#include "storage/machines.h"
+
+/* Whether it is newer than its worker's heartbeat of these numbers: by incarnation, then sequence.
+ */
+bool fl_heartbeat_is_after(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
+                           uint64_t sequence);
+/* Whether it has the current attempt of this assignment, in whatever state. */
+bool fl_heartbeat_reports_attempt(const struct fl_heartbeat *heartbeat,
+                                  struct fl_assignment assignment);
+
+#endif
--- a/src/coordination/workers/reachability.c
+++ b/src/coordination/workers/reachability.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 #include "coordination/node.h"
-#include "coordination/workers/reported_attempt.h"
+#include "coordination/workers/heartbeat.h"
 #include "transport/log.h"
 
 static const struct {
--- a/src/coordination/workers/reconciliation_contact.c
+++ b/src/coordination/workers/reconciliation_contact.c
@@ -1,5 +1,6 @@
 /* Which heartbeats count, and what they tell of the machine itself. */
 #include "coordination/node.h"
+#include "coordination/workers/heartbeat.h"
 #include "coordination/workers/reconciliation_internal.h"
 #include "transport/log.h"
 
@@ -7,9 +8,8 @@
 {
 	if (machine->heartbeat.last_at <= 0)
 		return true;
-	return heartbeat->incarnation > machine->heartbeat.incarnation ||
-	       (heartbeat->incarnation == machine->heartbeat.incarnation &&
-	        heartbeat->sequence > machine->heartbeat.sequence);
+	return fl_heartbeat_is_after(heartbeat, machine->heartbeat.incarnation,
+	                             machine->heartbeat.sequence);
 }
 
 /*
--- a/src/coordination/workers/reconciliation_internal.h
+++ b/src/coordination/workers/reconciliation_internal.h
@@ -24,7 +24,7 @@
 
 /* ---- which heartbeats count: reconciliation_contact.c ---- */
 
-/* Newer by incarnation, then sequence number; the first heartbeat received is always newer. */
+/* Whether it is newer than any that was applied; the first one received is always newer. */
 bool fl_heartbeat_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat);
 /* Whether a heartbeat was sent before its worker knew of this leadership. */
 bool fl_heartbeat_predates_leadership(const struct fl_node *node,
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -36,7 +36,7 @@
 struct worker {
 	char host[FL_NAME_MAX];
 	double at; /* s from the beginning */
-	int rc;
+	enum fl_forward_result result;
 	struct fl_http_response resp;
 	bool over;
 	double took;
@@ -101,7 +101,7 @@
 		return;
 	text = report_of(w);
 	came = fl_now();
-	w->rc = fl_heartbeat_forward(&world.follower, text, strlen(text), &w->resp);
+	w->result = fl_heartbeat_forward(&world.follower, text, strlen(text), &w->resp);
 	w->took = fl_now() - came;
 	w->over = true;
 	free(text);
@@ -133,7 +133,7 @@
 
 		assert_true(workers[i].over);
 		snprintf(own, sizeof(own), "run-%06d/0", i);
-		if (workers[i].rc == 0) {
+		if (workers[i].result == FL_FORWARD_ANSWERED) {
 			assert_int_equal(workers[i].resp.status, 200);
 			assert_non_null(strstr(workers[i].resp.body, own));
 			count++;
@@ -234,7 +234,7 @@
 	world.leader_stalls = true;
 	workers = run(0.01);
 	for (int i = 0; i < WORKERS; i++) {
-		assert_int_not_equal(workers[i].rc, 0);
+		assert_int_not_equal(workers[i].result, FL_FORWARD_ANSWERED);
 		assert_true(workers[i].took < 0.75 * worker_patience_s);
 	}
 	assert_int_equal(answered_rightly(workers), 0);
