--- a/src/coordination/election/leader_view.c
+++ b/src/coordination/election/leader_view.c
@@ -21,6 +21,19 @@
 		view->confirmed_at = at;
 }
 
+void fl_leader_view_learn(struct fl_leader_view *view, uint64_t fencing_token, const char *leader,
+                          double confirmed_at)
+{
+	if (fencing_token < view->fencing_token || fencing_token == 0)
+		return;
+	if (fencing_token == view->fencing_token && confirmed_at <= view->confirmed_at)
+		return;
+	view->fencing_token = fencing_token;
+	if (leader[0])
+		fl_copy_string(view->leader, sizeof(view->leader), leader);
+	fl_leader_view_confirm(view, confirmed_at);
+}
+
 static void on_election_key(void *context, const struct fl_kv_event *event)
 {
 	struct fl_election_state *state = context;
--- a/src/coordination/election/leader_view.h
+++ b/src/coordination/election/leader_view.h
@@ -30,6 +30,13 @@
 void fl_leader_view_init(struct fl_leader_view *view);
 /* What is known was true at this time (steady). */
 void fl_leader_view_confirm(struct fl_leader_view *view, double at);
+/*
+ * Takes over what another controller knows, if it is newer: a higher token, or the same one
+ * confirmed later (`confirmed_at`: steady, by this node's clock). A leader that is not known there
+ * (empty) replaces none.
+ */
+void fl_leader_view_learn(struct fl_leader_view *view, uint64_t fencing_token, const char *leader,
+                          double confirmed_at);
 /* Reads leader and fencing token, and takes them into the view unless the token is outdated. */
 enum fl_kv_result fl_leader_view_read(struct fl_node *node, struct fl_election_state *out);
 /* The same, for those who only want the view to be fresh. */
--- a/src/coordination/follower/follower.c
+++ b/src/coordination/follower/follower.c
@@ -9,52 +9,53 @@
 #include "transport/log.h"
 
 static const struct {
-	double digest_s;
+	double digest_interval_s;
 } tunables = {
-	.digest_s = 2.0, /* s between two digests in the key-value store */
+	.digest_interval_s = 2.0, /* s between two digests in the key-value store */
 };
 
 void fl_follower_handle_heartbeat(struct fl_node *node, const char *body, size_t len,
                                   struct fl_http_response *response)
 {
-	const struct fl_peer *home;
+	const struct fl_peer *target;
 	struct fl_heartbeat heartbeat;
 
 	if (fl_heartbeat_decode(body, len, &heartbeat) != 0) {
-		fl_error("workers", "what came by a worker's way is no report");
-		fl_respond_error(response, 400, "not a report");
+		fl_error("workers", "heartbeat rejected: malformed");
+		fl_respond_error(response, 400, "malformed heartbeat");
 		return;
 	}
 	heartbeat.entry_node = fl_node_index(node, node->config->node);
-	home = fl_redirect_target(node, &heartbeat);
-	if (home) {
-		fl_debug("standby", "%s is sent to %s", heartbeat.host, home->name);
+	target = fl_redirect_target(node, &heartbeat);
+	if (target) {
+		fl_debug("follower", "worker redirected: %s target=%s", heartbeat.host,
+		         target->name);
 		response->status = 421;
-		response->body = fl_redirect_encode(home->name);
+		response->body = fl_redirect_encode(target->name);
 	} else if (fl_is_leader(node)) {
 		fl_heartbeat_reply_as_leader(node, &heartbeat, response);
-	} else if (fl_heartbeat_forward(node, body, len, response) != 0) {
+	} else if (fl_heartbeat_forward(node, body, len, response) != FL_FORWARD_ANSWERED) {
 		fl_lease_renewal_respond(node, &heartbeat, response);
 	}
 	fl_heartbeat_free(&heartbeat);
 }
 
-/* One routine for both: what is kept about workers is dropped before a digest is written. */
+/* One coroutine for both: what is kept of old workers is dropped before a digest is written. */
 static void upkeep_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
 
-	while (fl_sleep(tunables.digest_s) == 0) {
+	while (fl_sleep(tunables.digest_interval_s) == 0) {
 		double now = fl_now();
 
 		fl_redirect_forget(node, now);
-		fl_heartbeat_digest_write(node, now, tunables.digest_s);
+		fl_heartbeat_digest_write(node, now, tunables.digest_interval_s);
 	}
 }
 
 void fl_follower_start(struct fl_node *node)
 {
-	fl_heartbeat_digest_init(node, tunables.digest_s);
+	fl_heartbeat_digest_init(node, tunables.digest_interval_s);
 	fl_gossip_start(node);
 	fl_coroutine_spawn(upkeep_coroutine, node);
 }
--- a/src/coordination/follower/follower.h
+++ b/src/coordination/follower/follower.h
@@ -17,22 +17,22 @@
 
 struct fl_node;
 
-/* What a node holds for the workers that report to it while it does not lead. */
+/* What a node holds for the workers that send it heartbeats while it does not lead. */
 struct fl_follower {
 	struct fl_cached_heartbeat *cached_heartbeats;
 	struct fl_misplaced_worker *misplaced_workers;
-	int redirect_cursor; /* whose turn it is to get a worker that is sent away */
+	int redirect_cursor; /* whose turn it is to get a worker that is redirected */
 	struct fl_digest_slot digests[FL_DIGESTS_MAX];
 	struct fl_token_bucket write_budget;
 	struct fl_token_refresh token_refresh;
 	struct fl_batch_queue heartbeat_forwards; /* to the leader */
 };
 
-/* Starts the routines of the exchange between controllers, and of the digests. */
+/* Starts the coroutines of the gossip between controllers, and of the digests. */
 void fl_follower_start(struct fl_node *node);
 /*
- * Answers a worker's report: with orders from the leader, with a renewal, or with another node to
- * report to.
+ * Answers a worker's heartbeat: with commands of the leader, with a renewal, with a redirect (421),
+ * or with an error. It may wait.
  */
 void fl_follower_handle_heartbeat(struct fl_node *node, const char *body, size_t len,
                                   struct fl_http_response *response);
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -14,24 +14,29 @@
 #include "transport/text.h"
 
 static const struct {
-	double gossip_s, gossip_wait_s, gossip_slack_s;
+	double interval_s, timeout_s, clock_slack_s;
 } tunables = {
-	.gossip_s = 1.0,       /* s between two exchanges with each peer */
-	.gossip_wait_s = 1.0,  /* s; a link that takes longer counts as down */
-	.gossip_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
+	.interval_s = 1.0,    /* s between two exchanges with each peer */
+	.timeout_s = 1.0,     /* s; a link that takes longer counts as down */
+	.clock_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
 };
 
-double fl_gossip_last_heard(const struct fl_node *node)
+/* A steady time before any other. */
+#define LONG_AGO (-1e9)
+/* An age that is as good as any greater one, in s. */
+#define AGE_MAX_S 1e6
+
+double fl_gossip_last_exchange_at(const struct fl_node *node)
 {
-	double last = -1e9;
+	double last = LONG_AGO;
 
 	for (int i = 0; i < node->peer_count; i++)
-		if (node->peers[i].last_heard_at > last)
-			last = node->peers[i].last_heard_at;
+		if (node->peers[i].last_exchange_at > last)
+			last = node->peers[i].last_exchange_at;
 	return last;
 }
 
-static void learn_cancelled(struct fl_node *node, const struct fl_gossip *gossip)
+static void learn_cancellations(struct fl_node *node, const struct fl_gossip *gossip)
 {
 	for (int i = 0; i < gossip->cancelled_count; i++) {
 		const struct fl_cancellation *cancellation = &gossip->cancelled[i];
@@ -45,26 +50,25 @@
 		                              : NULL;
 		if (job)
 			fl_command_stop_job(node, job);
-		fl_info("jobs", "%s is cancelled, says %s", cancellation->ref, gossip->node);
+		fl_info("jobs", "job cancelled: %s source=%s", cancellation->ref, gossip->node);
 	}
 }
 
 /*
- * What a peer has learned since what this node knows makes this node know as much as the peer. And
- * no user hears of a cancellation but from a controller that has learned of it: if all of them have
- * answered, nothing that anybody was told before the oldest of these questions is missing here,
- * whatever the state service does meanwhile. A process that has not read the jobs itself since it
- * started speaks for nobody: the one before it may have told a user.
+ * What a peer has learned since this node's watermark makes this node know as much as the peer. And
+ * no user is told of a cancellation but by a controller that has learned of it: if all of them have
+ * replied, nothing that anybody was told before the oldest of these requests is missing here,
+ * whatever the key-value store does meanwhile. A process that has not read the jobs itself since it
+ * started tells nothing of this kind: the one before it may have told a user.
  */
-static void learn(struct fl_node *node, struct fl_peer *peer, const struct fl_gossip *gossip,
-                  double sent)
+static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
+                            const struct fl_gossip *gossip, double sent)
 {
 	double all = sent;
 
-	learn_cancelled(node, gossip);
-	/* Standing still after it was said how old our knowledge is, we were told too little. */
+	/* Had we stood still after sending the watermark's age, we would be told too little. */
 	if (!gossip->complete || !node->jobs_known ||
-	    fl_now() > sent + tunables.gossip_wait_s + tunables.gossip_slack_s / 2)
+	    fl_now() > sent + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
 	peer->complete_as_of = sent;
 	for (int i = 0; i < node->peer_count; i++)
@@ -75,32 +79,22 @@
 
 static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent)
 {
-	double proof = sent - gossip->leadership_age_s;
-
-	if (gossip->fencing_token < node->leader_view.fencing_token || gossip->fencing_token == 0)
-		return;
-	/* A valid lease needs no forwarded word: the higher epoch is its own, raised this moment.
+	/* With a valid lease nothing is learned: the higher token is its own, raised this moment.
 	 */
 	if (gossip->fencing_token > node->leader_view.fencing_token && node->leader_lease.held) {
 		if (fl_leader_lease_is_valid(node) ||
 		    strcmp(gossip->leader, node->config->node) == 0)
 			return;
-		fl_leader_lease_step_down(node, "a peer knows a higher epoch");
-	}
-	if (gossip->fencing_token > node->leader_view.fencing_token ||
-	    proof > node->leader_view.confirmed_at) {
-		node->leader_view.fencing_token = gossip->fencing_token;
-		if (gossip->leader[0])
-			fl_copy_string(node->leader_view.leader, sizeof(node->leader_view.leader),
-			               gossip->leader);
-		if (proof > node->leader_view.confirmed_at)
-			node->leader_view.confirmed_at = proof;
+		fl_leader_lease_step_down(node, "a peer knows a higher fencing token");
 	}
+	fl_leader_view_learn(&node->leader_view, gossip->fencing_token, gossip->leader,
+	                     sent - gossip->leadership_age_s);
 }
 
-static double age(double at) { return fmin(1e6, fmax(0, fl_now() - at)); }
+/* Seconds since `at` (steady). */
+static double age_s(double at) { return fmin(AGE_MAX_S, fmax(0, fl_now() - at)); }
 
-/* What this node has learned since `since`, for an answer that can be relied on. */
+/* Adds what this node has learned since `since` (steady), so that the reply can be relied on. */
 static void add_cancelled(const struct fl_node *node, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
@@ -117,7 +111,7 @@
 	for (int i = 0; i < count; i++) {
 		fl_copy_string(gossip->cancelled[i].ref, sizeof(gossip->cancelled[i].ref),
 		               list[i]->ref);
-		gossip->cancelled[i].age_s = age(list[i]->cancelled_at);
+		gossip->cancelled[i].age_s = age_s(list[i]->cancelled_at);
 	}
 }
 
@@ -127,8 +121,8 @@
 	fl_copy_string(gossip->node, sizeof(gossip->node), node->config->node);
 	fl_copy_string(gossip->leader, sizeof(gossip->leader), node->leader_view.leader);
 	gossip->fencing_token = node->leader_view.fencing_token;
-	gossip->leadership_age_s = age(node->leader_view.confirmed_at);
-	gossip->watermark_age_s = age(node->cancellation_watermark);
+	gossip->leadership_age_s = age_s(node->leader_view.confirmed_at);
+	gossip->watermark_age_s = age_s(node->cancellation_watermark);
 	gossip->is_leader = fl_leader_lease_is_valid(node);
 }
 
@@ -139,16 +133,16 @@
 	double since;
 
 	if (fl_gossip_decode(body, len, &gossip) != 0) {
-		fl_error("peers", "a message that is not gossip");
-		fl_respond_error(response, 400, "not gossip");
+		fl_error("peers", "request rejected: malformed path=/gossip");
+		fl_respond_error(response, 400, "malformed gossip");
 		return;
 	}
 	/*
-	 * No proof from here: a request may have been held back on its way for minutes. But then
-	 * nobody waits for the answer any more, so the asker's age was this at most a wait ago.
+	 * A request raises nothing here: it may have been held back on its way for minutes. But
+	 * then nobody waits for the reply any more, so the asker's age was this at most a timeout
+	 * ago.
 	 */
-	since = fl_now() - gossip.watermark_age_s - tunables.gossip_wait_s -
-	        tunables.gossip_slack_s;
+	since = fl_now() - gossip.watermark_age_s - tunables.timeout_s - tunables.clock_slack_s;
 	fl_gossip_free(&gossip);
 	describe_self(node, &gossip);
 	add_cancelled(node, since, &gossip);
@@ -159,59 +153,66 @@
 
 char *fl_gossip_request(struct fl_node *node)
 {
-	struct fl_gossip mine;
+	struct fl_gossip gossip;
 
-	describe_self(node, &mine);
-	return fl_gossip_encode(&mine);
+	describe_self(node, &gossip);
+	return fl_gossip_encode(&gossip);
 }
 
 void fl_gossip_handle_reply(struct fl_node *node, struct fl_peer *peer, const char *body,
                             size_t len, double sent)
 {
-	struct fl_gossip theirs;
+	struct fl_gossip gossip;
 
-	if (fl_gossip_decode(body, len, &theirs) != 0) {
-		fl_error("peers", "%s answers what is not gossip", peer->name);
+	if (fl_gossip_decode(body, len, &gossip) != 0) {
+		fl_error("peers", "malformed reply: path=/gossip peer=%s", peer->name);
 		return;
 	}
-	learn(node, peer, &theirs, sent);
-	learn_leadership(node, &theirs, sent);
-	fl_gossip_free(&theirs);
+	learn_cancellations(node, &gossip);
+	raise_watermark(node, peer, &gossip, sent);
+	learn_leadership(node, &gossip, sent);
+	fl_gossip_free(&gossip);
+}
+
+/* One exchange with a peer; whether it completed, with whatever status. */
+static bool exchange(struct fl_peer *peer)
+{
+	double sent = fl_now();
+	struct fl_http_reply reply;
+	char *text = fl_gossip_request(peer->node);
+	int rc = fl_http_call(&peer->http, "POST", "/gossip", text, tunables.timeout_s, &reply);
+
+	free(text);
+	if (rc != 0)
+		return false;
+	peer->last_exchange_at = fl_now();
+	if (reply.status == 200)
+		fl_gossip_handle_reply(peer->node, peer, reply.body.data, reply.body.length, sent);
+	fl_buffer_free(&reply.body);
+	return true;
+}
+
+static void record_link_state(struct fl_peer *peer, bool up)
+{
+	if (peer->up != up) {
+		peer->up_since = fl_now();
+		fl_info("peers", "peer %s: %s", up ? "reachable" : "unreachable", peer->name);
+	}
+	peer->up = up;
 }
 
 static void gossip_coroutine(void *arg)
 {
 	struct fl_peer *peer = arg;
-	struct fl_node *node = peer->node;
-
-	while (fl_sleep(tunables.gossip_s) == 0) {
-		double sent = fl_now();
-		struct fl_http_reply reply;
-		char *text = fl_gossip_request(node);
-		int rc;
-
-		rc = fl_http_call(&peer->http, "POST", "/gossip", text, tunables.gossip_wait_s,
-		                  &reply);
-		free(text);
-		if (rc == 0) {
-			peer->last_heard_at = fl_now();
-			if (reply.status == 200)
-				fl_gossip_handle_reply(node, peer, reply.body.data,
-				                       reply.body.length, sent);
-			fl_buffer_free(&reply.body);
-		}
-		if (peer->up != (rc == 0)) {
-			peer->up_since = fl_now();
-			fl_info("peers", "%s is %s", peer->name, rc == 0 ? "up" : "not answering");
-		}
-		peer->up = rc == 0;
-	}
+
+	while (fl_sleep(tunables.interval_s) == 0)
+		record_link_state(peer, exchange(peer));
 }
 
 void fl_gossip_start(struct fl_node *node)
 {
 	for (int i = 0; i < node->peer_count; i++) {
-		node->peers[i].last_heard_at = node->peers[i].complete_as_of = -1e9;
+		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = LONG_AGO;
 		fl_coroutine_spawn(gossip_coroutine, &node->peers[i]);
 	}
 }
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -5,21 +5,24 @@
 #include <string.h>
 
 #include "coordination/node.h"
+#include "coordination/workers/heartbeat.h"
 #include "protocol/peers.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
 
 static const struct {
-	double record_use, write_share;
+	double record_use, write_share, keep_intervals, write_intervals;
 } tunables = {
-	.record_use = 0.85,  /* share of a value's limit that a digest fills */
-	.write_share = 0.12, /* share of the state service's writes for one node's digests */
+	.record_use = 0.85,   /* share of a value's limit that a digest fills */
+	.write_share = 0.12,  /* share of the key-value store's writes for one node's digests */
+	.keep_intervals = 5,  /* intervals of digests for which a heartbeat is kept */
+	.write_intervals = 2, /* the same, for which it is worth to be written */
 };
 
 /*
- * A copy of a report may come long after it, also to a node that has cached newer ones: it is no
- * sign of life, and takes nothing's place.
+ * A copy of a heartbeat may come long after it, also to a node that has cached newer ones: it is no
+ * sign of life, and replaces nothing.
  */
 void fl_heartbeat_cache(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
@@ -27,9 +30,7 @@
 	char *text;
 
 	HASH_FIND_STR(node->follower.cached_heartbeats, heartbeat->host, cached);
-	if (cached && (heartbeat->incarnation < cached->incarnation ||
-	               (heartbeat->incarnation == cached->incarnation &&
-	                heartbeat->sequence <= cached->sequence)))
+	if (cached && !fl_heartbeat_is_after(heartbeat, cached->incarnation, cached->sequence))
 		return;
 	text = fl_cached_heartbeat_encode(heartbeat);
 	if (!text)
@@ -47,7 +48,7 @@
 	cached->text = text;
 	cached->incarnation = heartbeat->incarnation;
 	cached->sequence = heartbeat->sequence;
-	cached->at = fl_now();
+	cached->cached_at = fl_now();
 	cached->stored = false;
 }
 
@@ -58,26 +59,38 @@
 	free(cached);
 }
 
+/* Learns the revision of what stands in a slot, if it is not known. */
+static enum fl_kv_result read_slot_revision(struct fl_node *node, const char *key,
+                                            struct fl_digest_slot *slot)
+{
+	uint64_t revision = 0;
+	cJSON *value;
+	enum fl_kv_result result;
+
+	if (slot->revision_known)
+		return FL_KV_OK;
+	result = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
+	cJSON_Delete(value);
+	slot->revision_known = result == FL_KV_OK || result == FL_KV_NOT_FOUND;
+	slot->mod_revision = result == FL_KV_OK ? revision : 0;
+	return result;
+}
+
 /*
  * Each record is written only over what this process knows to stand there: a write of its own, or
- * of the process before it, that is carried out late must not take a newer one's place.
+ * of the process before it, that is carried out late must not replace a newer one. The digest is
+ * used up.
  */
-static enum fl_kv_result write_digest(struct fl_node *node, int at, cJSON *digest)
+static enum fl_kv_result write_digest(struct fl_node *node, int index, cJSON *digest)
 {
-	struct fl_digest_slot *slot = &node->follower.digests[at];
+	struct fl_digest_slot *slot = &node->follower.digests[index];
 	char key[FL_KEY_MAX];
 	struct fl_kv_txn txn;
-	uint64_t revision = 0;
-	cJSON *value;
-	enum fl_kv_result result = FL_KV_OK;
+	uint64_t revision;
+	enum fl_kv_result result;
 
-	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", node->config->node, at);
-	if (!slot->revision_known) {
-		result = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
-		cJSON_Delete(value);
-		slot->revision_known = result == FL_KV_OK || result == FL_KV_NOT_FOUND;
-		slot->mod_revision = result == FL_KV_OK ? revision : 0;
-	}
+	snprintf(key, sizeof(key), FL_PREFIX_HEARTBEAT_DIGESTS "%s/%d", node->config->node, index);
+	result = read_slot_revision(node, key, slot);
 	if (!slot->revision_known) {
 		cJSON_Delete(digest);
 		return result;
@@ -90,12 +103,15 @@
 		slot->mod_revision = revision;
 	else if (result != FL_KV_UNAVAILABLE)
 		slot->revision_known = false;
-	fl_debug("follower", "heartbeat digest written index=%d result=%s", at,
+	fl_debug("follower", "heartbeat digest written index=%d result=%s", index,
 	         fl_kv_result_text(result));
 	return result;
 }
 
-/* What fits into one record, of what no digest holds yet. NULL: nothing is left. */
+/*
+ * What fits into one record, of what was cached since `since` (steady) and no digest holds yet, to
+ * be deleted. NULL: nothing is left.
+ */
 static cJSON *fill_digest(struct fl_node *node, double since)
 {
 	size_t limit = (size_t)(node->config->value_kb * 1024 * tunables.record_use), used = 0;
@@ -105,7 +121,7 @@
 	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp) {
 		size_t len = strlen(cached->text) + 1;
 
-		if (cached->stored || cached->at < since || len > limit)
+		if (cached->stored || cached->cached_at < since || len > limit)
 			continue;
 		if (used + len > limit)
 			break;
@@ -122,28 +138,29 @@
 }
 
 /*
- * The leader must not take machines for dead that are renewed here and that it cannot hear. Their
- * reports travel through the state service, many to a record, within a share of its writes: the
- * leader's own records and the users' submissions need the rest.
+ * The leader must not consider machines lost whose leases are renewed here and whose heartbeats do
+ * not arrive there. These travel through the key-value store, many to a record, within a share of
+ * its writes: the leader's own records and the users' submissions need the rest.
  */
 static void write_digests(struct fl_node *node, double since)
 {
-	for (int at = 0; at < FL_DIGESTS_MAX; at++) {
+	for (int i = 0; i < FL_DIGESTS_MAX; i++) {
 		cJSON *digest;
 
 		if (fl_token_bucket_take(&node->follower.write_budget, 1, fl_now()) > 0)
 			return;
 		digest = fill_digest(node, since);
-		if (!digest || write_digest(node, at, digest) != FL_KV_OK)
+		if (!digest || write_digest(node, i, digest) != FL_KV_OK)
 			return;
 	}
 }
 
 void fl_heartbeat_digest_init(struct fl_node *node, double interval_s)
 {
-	double rate = node->config->state_write_rps * tunables.write_share;
+	double writes_per_s = node->config->state_write_rps * tunables.write_share;
 
-	fl_token_bucket_init(&node->follower.write_budget, rate, rate * interval_s, fl_now());
+	fl_token_bucket_init(&node->follower.write_budget, writes_per_s, writes_per_s * interval_s,
+	                     fl_now());
 }
 
 void fl_heartbeat_digest_write(struct fl_node *node, double now, double interval_s)
@@ -151,10 +168,10 @@
 	struct fl_cached_heartbeat *cached, *tmp;
 
 	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp)
-		if (cached->at < now - 5 * interval_s)
+		if (cached->cached_at < now - tunables.keep_intervals * interval_s)
 			uncache(node, cached);
 	if (!node->follower.cached_heartbeats || fl_leader_lease_is_valid(node) ||
 	    !node->leader_view.leader[0] || fl_kv_is_unavailable(&node->kv_store))
 		return;
-	write_digests(node, now - 2 * interval_s);
+	write_digests(node, now - tunables.write_intervals * interval_s);
 }
--- a/src/coordination/follower/heartbeat_digest.h
+++ b/src/coordination/follower/heartbeat_digest.h
@@ -1,6 +1,7 @@
 /*
- * Digests of cached reports: the newest report of each worker that this node has renewed without
- * the leader is stored in the state service, many to a record, where the leader reads it.
+ * Digests of cached heartbeats: the newest heartbeat of each worker whose lease this node has
+ * renewed without the leader is stored in the key-value store, many to a record, where the leader
+ * reads it (workers/digest_reader). The records belong to this node alone.
  */
 #ifndef FL_COORDINATION_FOLLOWER_HEARTBEAT_DIGEST_H
 #define FL_COORDINATION_FOLLOWER_HEARTBEAT_DIGEST_H
@@ -14,32 +15,32 @@
 
 struct fl_node;
 
-/* The newest report of one worker. */
+/* The newest heartbeat of one worker; owned by struct fl_follower. */
 struct fl_cached_heartbeat {
 	UT_hash_handle hh;
 	char host[FL_NAME_MAX];
 	uint64_t incarnation, sequence;
-	char *text; /* the newest report, as it goes into a digest */
-	double at;
-	bool stored; /* went into a digest already */
+	char *text;       /* owned; as it goes into a digest */
+	double cached_at; /* steady */
+	bool stored;      /* went into a digest already */
 };
 
-/* Most records that one node's digests take: 4,000 machines, forty to a value of 4 KiB. */
+/* Records that one node's digests take at most: 4,000 machines, forty to a value of 4 KiB. */
 enum { FL_DIGESTS_MAX = 128 };
 
-/* A record of ours in the state service. */
+/* A record of ours in the key-value store. */
 struct fl_digest_slot {
 	uint64_t mod_revision;
-	bool revision_known; /* what rev stands there */
+	bool revision_known; /* mod_revision is that of what stands there; 0: nothing does */
 };
 
-/* Sets up the budget of writes, for digests that are written every `interval_s` seconds. */
+/* Sets up the write budget, for digests that are written every `interval_s` seconds. */
 void fl_heartbeat_digest_init(struct fl_node *node, double interval_s);
-/* Caches a report for the next digest, unless a newer one of its worker is cached. */
+/* Caches a heartbeat for the next digest, unless it or a newer one of its worker is cached. */
 void fl_heartbeat_cache(struct fl_node *node, const struct fl_heartbeat *heartbeat);
 /*
- * Drops old reports and writes the others that no digest holds yet, unless this node leads, knows
- * of no leader or does not reach the state service. `now`: steady, as of the call.
+ * Drops old heartbeats and writes the others that no digest holds yet, unless this node leads,
+ * knows of no leader or has lost the key-value store. `now`: steady, as of the call. It waits.
  */
 void fl_heartbeat_digest_write(struct fl_node *node, double now, double interval_s);
 
--- a/src/coordination/follower/isolation.h
+++ b/src/coordination/follower/isolation.h
@@ -1,4 +1,4 @@
-/* Whether a node is cut off from everything by which it could decide, or ask somebody who can. */
+/* Whether a node is isolated: from the key-value store and from all other controllers. */
 #ifndef FL_COORDINATION_FOLLOWER_ISOLATION_H
 #define FL_COORDINATION_FOLLOWER_ISOLATION_H
 
@@ -7,8 +7,9 @@
 struct fl_node;
 
 /*
- * This node hears neither the key-value store nor any other controller: it can decide nothing,
- * forward nothing, and nobody can command its workers' machines through it.
+ * Whether neither the key-value store nor any other controller is reachable from this node: it can
+ * decide nothing, forward nothing, and nobody can command its workers' machines through it. A node
+ * that is configured without others is never isolated.
  */
 bool fl_node_is_isolated(const struct fl_node *node);
 
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -9,16 +9,16 @@
 #include "transport/log.h"
 
 static const struct {
-	double refresh_s, refresh_wait_s;
+	double refresh_interval_s, wait_timeout_s;
 } tunables = {
-	.refresh_s = 0.5,      /* s; least time between two reads of who leads */
-	.refresh_wait_s = 1.5, /* s for which a heartbeat waits for such a read */
+	.refresh_interval_s = 0.5, /* s between two reads of who leads, at least */
+	.wait_timeout_s = 1.5,     /* s for which a heartbeat waits for such a read */
 };
 
 /*
- * Never a lower epoch: the worker would drop it and wait there until its lease ends. How old it is
- * does not matter: a lease renewed with an old epoch decides nothing, and a worker that has met a
- * newer one drops the answer.
+ * Never a lower fencing token: the worker would drop the reply and wait there until its lease ends.
+ * How old the token is does not matter: a lease renewed with an old one decides nothing, and a
+ * worker that has seen a newer one drops the reply.
  */
 static bool has_fencing_token(const struct fl_node *node, uint64_t fencing_token)
 {
@@ -26,7 +26,7 @@
 	       node->leader_view.fencing_token >= fencing_token;
 }
 
-static bool may_vouch(const struct fl_node *node, uint64_t fencing_token)
+static bool knows_enough(const struct fl_node *node, uint64_t fencing_token)
 {
 	return has_fencing_token(node, fencing_token) && fl_renewal_watermark_is_fresh(node);
 }
@@ -38,7 +38,7 @@
 
 	if (refresh->in_flight) {
 		fl_condition_wait(&refresh->completed, until - fl_now());
-	} else if (fl_now() > refresh->refreshed_at + tunables.refresh_s) {
+	} else if (fl_now() > refresh->refreshed_at + tunables.refresh_interval_s) {
 		refresh->in_flight = true;
 		fl_leader_view_refresh(node);
 		refresh->in_flight = false;
@@ -48,22 +48,23 @@
 }
 
 /*
- * A node that has just started is asked by many workers at once and has no proof yet: neither the
- * epoch nor the jobs. It waits for both: a worker refused meanwhile loses seconds of its lease on
- * nodes that are down. Found in logs of the return of all controllers: whoever had waited for the
- * epoch was refused because the jobs were not listed yet, some 50 workers each time.
+ * A node that has just started gets heartbeats of many workers at once and knows neither a fencing
+ * token nor the jobs, and so no cancellation watermark. It waits for both: a worker rejected
+ * meanwhile loses seconds of its lease on nodes that are down. Found in logs of the return of all
+ * controllers: whoever had waited for the token was rejected because the jobs were not listed yet,
+ * some 50 workers each time.
  */
 static bool may_renew(struct fl_node *node, uint64_t fencing_token)
 {
-	double until = fl_now() + tunables.refresh_wait_s;
+	double until = fl_now() + tunables.wait_timeout_s;
 
-	if (may_vouch(node, fencing_token))
+	if (knows_enough(node, fencing_token))
 		return true;
 	if (!has_fencing_token(node, fencing_token))
 		refresh_fencing_token(node, until);
 	if (has_fencing_token(node, fencing_token) && !node->jobs_known && fl_now() < until)
 		fl_condition_wait(&node->jobs_listed, until - fl_now());
-	return may_vouch(node, fencing_token);
+	return knows_enough(node, fencing_token);
 }
 
 void fl_lease_renewal_respond(struct fl_node *node, const struct fl_heartbeat *heartbeat,
@@ -72,17 +73,19 @@
 	struct fl_command_list commands;
 
 	if (!may_renew(node, heartbeat->fencing_token)) {
-		fl_debug("standby", "%s is refused: epoch %llu, known %llu, proof %.1f s old",
+		fl_debug("follower",
+		         "renewal rejected: %s fencing_token=%llu known=%llu watermark_age_s=%.1f",
 		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
 		         (unsigned long long)node->leader_view.fencing_token,
 		         fl_now() - node->cancellation_watermark);
-		fl_respond_error(response, 503, "no proof of the epoch");
+		fl_respond_error(response, 503, "leadership not confirmed");
 		return;
 	}
-	/* Only now: a node just started has waited for the jobs, and knew of no cancellation. */
+	/* Only now: a node that has just started knew of no cancellation before it waited. */
 	if (fl_renewal_holds_overdue_task(node, heartbeat)) {
-		fl_debug("standby", "%s is refused: it holds what is cancelled", heartbeat->host);
-		fl_respond_error(response, 503, "a cancelled job's task is there");
+		fl_debug("follower", "renewal rejected: %s holds a task of a cancelled job",
+		         heartbeat->host);
+		fl_respond_error(response, 503, "task of a cancelled job overdue");
 		return;
 	}
 	fl_command_list_init(&commands, node->leader_view.fencing_token);
--- a/src/coordination/follower/lease_renewal.h
+++ b/src/coordination/follower/lease_renewal.h
@@ -12,8 +12,7 @@
 
 struct fl_node;
 
-/* A read of who leads that all heartbeats waiting for it share. Zero-initialised is ready for use.
- */
+/* A read of the leader view that all heartbeats waiting for it share. Zero-initialised is ready. */
 struct fl_token_refresh {
 	double refreshed_at; /* steady */
 	bool in_flight;
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -9,47 +9,67 @@
 #include "transport/text.h"
 
 static const struct {
-	double home_s, home_leases, settle_reports, probe_s, at_once_s;
+	double min_up_s, interval_leases, settle_heartbeats, probe_timeout_s, same_cause_s;
 } tunables = {
-	.home_s = 1.0,         /* s that a worker's own zone's node must have been up */
-	.home_leases = 1.5,    /* leases between two times that one worker is sent home */
-	.settle_reports = 1.0, /* report intervals that it is served here before */
-	.probe_s = 2.5,        /* s; the balancer asks about once a second */
-	.at_once_s = 4.0,      /* s within which links that fail together fail for one reason */
+	.min_up_s = 1.0,          /* s that the node of a worker's own zone must have been up */
+	.interval_leases = 1.5,   /* leases between two redirects of one worker */
+	.settle_heartbeats = 1.0, /* heartbeat intervals that it is served here before */
+	.probe_timeout_s = 2.5,   /* s; the load balancer asks about once a second */
+	.same_cause_s = 4.0,      /* s within which links that fail together fail for one reason */
 };
 
+/* The misplaced worker of this name, added if it is not known yet; NULL without memory. */
+static struct fl_misplaced_worker *misplaced_worker(struct fl_node *node, const char *host,
+                                                    double now)
+{
+	struct fl_misplaced_worker *worker;
+
+	HASH_FIND_STR(node->follower.misplaced_workers, host, worker);
+	if (worker)
+		return worker;
+	worker = calloc(1, sizeof(*worker));
+	if (!worker)
+		return NULL;
+	fl_copy_string(worker->host, sizeof(worker->host), host);
+	worker->first_seen_at = now;
+	HASH_ADD_STR(node->follower.misplaced_workers, host, worker);
+	return worker;
+}
+
+/* Seconds between two redirects of one worker. */
+static double redirect_interval_s(const struct fl_node *node)
+{
+	return tunables.interval_leases * node->config->lease_s;
+}
+
 /*
- * A worker is sent away once in more than a lease, after that it is served where it is; and not
- * before it was answered here: it may have looked for a living node until its lease is nearly over,
- * and half a second more on its way would be its tasks' end.
+ * Whether a worker may be redirected now, which is then noted as done. It is redirected once in
+ * more than a lease, after that it is served where it is; and not before it was answered here: it
+ * may have looked for a living node until its lease is nearly over, and half a second more on its
+ * way would be its tasks' end.
  */
-static bool may_redirect(struct fl_node *node, const char *host)
+static bool begin_redirect(struct fl_node *node, const char *host)
 {
 	double now = fl_now();
-	struct fl_misplaced_worker *worker;
+	struct fl_misplaced_worker *worker = misplaced_worker(node, host, now);
 
-	HASH_FIND_STR(node->follower.misplaced_workers, host, worker);
-	if (!worker) {
-		worker = calloc(1, sizeof(*worker));
-		if (!worker)
-			return false;
-		fl_copy_string(worker->host, sizeof(worker->host), host);
-		worker->first_seen_at = now;
-		HASH_ADD_STR(node->follower.misplaced_workers, host, worker);
-	}
-	if (now < worker->first_seen_at + tunables.settle_reports * node->config->report_s ||
-	    (worker->redirected_at > 0 &&
-	     now < worker->redirected_at + tunables.home_leases * node->config->lease_s))
+	if (!worker)
+		return false;
+	if (now < worker->first_seen_at + tunables.settle_heartbeats * node->config->report_s)
+		return false;
+	if (worker->redirected_at > 0 && now < worker->redirected_at + redirect_interval_s(node))
 		return false;
 	worker->redirected_at = now;
 	return true;
 }
 
 /*
- * A worker is best renewed by a node of its own zone. One that reports across zones when they are
- * cut apart tries node after node for 5 s each, and its lease ends before it comes to its own.
+ * A worker's lease is best renewed by a node of its own zone. One that sends heartbeats across
+ * zones when they are partitioned tries node after node for 5 s each, and its lease ends before it
+ * comes to its own.
  */
-static const struct fl_peer *home_node(struct fl_node *node, const struct fl_heartbeat *heartbeat)
+static const struct fl_peer *redirect_to_own_zone(struct fl_node *node,
+                                                  const struct fl_heartbeat *heartbeat)
 {
 	double now = fl_now();
 
@@ -59,51 +79,62 @@
 		const struct fl_peer *peer = &node->peers[i];
 
 		if (strcmp(peer->location, heartbeat->zone) == 0 && peer->up &&
-		    now > peer->up_since + tunables.home_s)
-			return may_redirect(node, heartbeat->host) ? peer : NULL;
+		    now > peer->up_since + tunables.min_up_s)
+			return begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
 }
 
 /*
- * Where to send the workers of a node that is alone. It could renew them, but the leader, which
- * hears nothing of them, would give their machines up after a lease. They are better off elsewhere
- * if it is this node's own links that are cut: the users' balancer still asks for it, so that the
- * region is in reach, and state service and controllers were lost at once. A node cut off together
- * with its zone renews its workers, since they too can reach nobody else; so does the last node
- * alive in an outage. Each worker is sent once in more than a lease, to the nodes in turn.
+ * Whether it is this isolated node's own links that failed: the users' load balancer still probes
+ * it, so that the region is reachable, and key-value store and controllers were lost at once.
+ */
+static bool own_links_failed(const struct fl_node *node, double last_exchange_at)
+{
+	double last_success_at = node->kv_store.last_success_at;
+
+	if (fl_now() > node->api.last_readiness_probe_at + tunables.probe_timeout_s)
+		return false;
+	return last_exchange_at >= last_success_at - tunables.same_cause_s &&
+	       last_exchange_at <= last_success_at + tunables.same_cause_s;
+}
+
+/*
+ * Where to redirect the workers of an isolated node. It could renew their leases, but the leader,
+ * which gets none of their heartbeats, would consider their machines lost after a lease. They are
+ * better off elsewhere if it is this node's own links that failed. A node that is partitioned
+ * together with its zone renews its workers' leases, since no other node is reachable for them
+ * either; so does the last node alive in an outage. Each worker is redirected once in more than a
+ * lease, to the nodes in turn.
  */
 static const struct fl_peer *redirect_from_isolated(struct fl_node *node,
                                                     const struct fl_heartbeat *heartbeat)
 {
-	double last = fl_gossip_last_heard(node), now = fl_now();
+	double last_exchange_at = fl_gossip_last_exchange_at(node);
 
-	if (!fl_node_is_isolated(node) ||
-	    now > node->api.last_readiness_probe_at + tunables.probe_s ||
-	    last < node->kv_store.last_success_at - tunables.at_once_s ||
-	    last > node->kv_store.last_success_at + tunables.at_once_s)
+	if (!fl_node_is_isolated(node) || !own_links_failed(node, last_exchange_at))
 		return NULL;
 	for (int i = 0; i < node->peer_count; i++) {
 		const struct fl_peer *peer =
 			&node->peers[node->follower.redirect_cursor++ % node->peer_count];
 
-		/* Not to one that was lost before. */
-		if (peer->last_heard_at > last - tunables.at_once_s)
-			return may_redirect(node, heartbeat->host) ? peer : NULL;
+		/* Not to one that was lost earlier. */
+		if (peer->last_exchange_at > last_exchange_at - tunables.same_cause_s)
+			return begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
 }
 
 const struct fl_peer *fl_redirect_target(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
-	const struct fl_peer *home = home_node(node, heartbeat);
+	const struct fl_peer *target = redirect_to_own_zone(node, heartbeat);
 
-	return home ? home : redirect_from_isolated(node, heartbeat);
+	return target ? target : redirect_from_isolated(node, heartbeat);
 }
 
 void fl_redirect_forget(struct fl_node *node, double now)
 {
-	double before = now - tunables.home_leases * node->config->lease_s;
+	double before = now - redirect_interval_s(node);
 	struct fl_misplaced_worker *worker, *tmp;
 
 	HASH_ITER (hh, node->follower.misplaced_workers, worker, tmp) {
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -29,10 +29,10 @@
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
-	double up_since;       /* steady; while up */
-	double last_heard_at;  /* steady; of the last exchange that came back */
-	double complete_as_of; /* steady; of our sending of the last one that told us all it knows
-	                        */
+	double up_since;         /* steady; while up */
+	double last_exchange_at; /* steady; of the last exchange that completed */
+	double complete_as_of;   /* steady; of our sending of the last one that told us all it knows
+	                          */
 	bool up;
 };
 
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -38,8 +38,8 @@
 /* Whether a controller fell silent at about this time (steady). */
 static bool fell_silent_at(const struct fl_peer *peer, double at)
 {
-	return peer->last_heard_at > at - tunables.zone_slack_s &&
-	       peer->last_heard_at < at + tunables.zone_slack_s;
+	return peer->last_exchange_at > at - tunables.zone_slack_s &&
+	       peer->last_exchange_at < at + tunables.zone_slack_s;
 }
 
 /*
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -161,7 +161,7 @@
 	for (int i = 0; i < peers; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
-		node->peers[i].last_heard_at = node->peers[i].complete_as_of = -1e9;
+		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = -1e9;
 	}
 	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -56,16 +56,16 @@
 	assert_true(is_expired(fixture));
 	/* The controller of its zone fell silent at the same time. */
 	peer->up = false;
-	peer->last_heard_at = fl_now() - 12;
+	peer->last_exchange_at = fl_now() - 12;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
-	peer->last_heard_at = only_machine(fixture)->heartbeat.last_at;
+	peer->last_exchange_at = only_machine(fixture)->heartbeat.last_at;
 	assert_true(is_expired(fixture));
 	/* Of another zone, or silent long before: it delays nothing here. */
 	set_silence(fixture, 11);
-	peer->last_heard_at = fl_now() - 30;
+	peer->last_exchange_at = fl_now() - 30;
 	assert_true(is_expired(fixture));
-	peer->last_heard_at = only_machine(fixture)->heartbeat.last_at;
+	peer->last_exchange_at = only_machine(fixture)->heartbeat.last_at;
 	strcpy(peer->location, "b");
 	assert_true(is_expired(fixture));
 }
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -27,11 +27,11 @@
 	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
 	cached = fixture->node.follower.cached_heartbeats;
 	assert_non_null(cached);
-	cached->at = at = fl_now() - 9;
+	cached->cached_at = at = fl_now() - 9;
 	cached->stored = true;
 	assert_int_equal(send_report(fixture, make_report(1, 19, EPOCH, NULL, 0), NULL), 200);
 	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
-	assert_true(cached->sequence == 20 && cached->at == at && cached->stored);
+	assert_true(cached->sequence == 20 && cached->cached_at == at && cached->stored);
 	assert_int_equal(send_report(fixture, make_report(2, 3, EPOCH, NULL, 0), NULL), 200);
 	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
 }
@@ -129,7 +129,7 @@
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
-		fixture->node.peers[i].last_heard_at = now - for_s;
+		fixture->node.peers[i].last_exchange_at = now - for_s;
 	}
 	fixture->node.api.last_readiness_probe_at = now;
 	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark = now - for_s;
@@ -190,7 +190,7 @@
 	/* The others ended long before the state service failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
-		fixture->node.peers[i].last_heard_at -= 20;
+		fixture->node.peers[i].last_exchange_at -= 20;
 	heartbeat.sequence++;
 	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
 	/* An outage of the state service with peers in reach is no isolation. */
