--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -63,7 +63,7 @@
 	case -ECANCELED:
 		return FL_FORWARD_CANCELLED;
 	default:
-		return FL_FORWARD_NO_LEADER;
+		return FL_FORWARD_CONNECTION_LOST;
 	}
 }
 
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -62,22 +62,22 @@
  * started tells nothing of this kind: the one before it may have told a user.
  */
 static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
-                            const struct fl_gossip *gossip, double sent)
+                            const struct fl_gossip *gossip, double sent_at)
 {
-	double all = sent;
+	double oldest = sent_at;
 
 	/* Had we stood still after sending the watermark's age, we would be told too little. */
 	if (!gossip->complete || !node->jobs_known ||
-	    fl_now() > sent + tunables.timeout_s + tunables.clock_slack_s / 2)
+	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
-	peer->complete_as_of = sent;
+	peer->complete_as_of = sent_at;
 	for (int i = 0; i < node->peer_count; i++)
-		all = fmin(all, node->peers[i].complete_as_of);
+		oldest = fmin(oldest, node->peers[i].complete_as_of);
 	node->cancellation_watermark =
-		fmax(node->cancellation_watermark, fmax(all, sent - gossip->watermark_age_s));
+		fmax(node->cancellation_watermark, fmax(oldest, sent_at - gossip->watermark_age_s));
 }
 
-static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent)
+static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent_at)
 {
 	/* With a valid lease nothing is learned: the higher token is its own, raised this moment.
 	 */
@@ -88,7 +88,7 @@
 		fl_leader_lease_step_down(node, "a peer knows a higher fencing token");
 	}
 	fl_leader_view_learn(&node->leader_view, gossip->fencing_token, gossip->leader,
-	                     sent - gossip->leadership_age_s);
+	                     sent_at - gossip->leadership_age_s);
 }
 
 /* Seconds since `at` (steady). */
@@ -133,7 +133,7 @@
 	double since;
 
 	if (fl_gossip_decode(body, len, &gossip) != 0) {
-		fl_error("peers", "request rejected: malformed path=/gossip");
+		fl_error("peers", "request rejected: malformed path=%s", FL_PATH_GOSSIP);
 		fl_respond_error(response, 400, "malformed gossip");
 		return;
 	}
@@ -160,34 +160,36 @@
 }
 
 void fl_gossip_handle_reply(struct fl_node *node, struct fl_peer *peer, const char *body,
-                            size_t len, double sent)
+                            size_t len, double sent_at)
 {
 	struct fl_gossip gossip;
 
 	if (fl_gossip_decode(body, len, &gossip) != 0) {
-		fl_error("peers", "malformed reply: path=/gossip peer=%s", peer->name);
+		fl_error("peers", "malformed reply: path=%s peer=%s", FL_PATH_GOSSIP, peer->name);
 		return;
 	}
 	learn_cancellations(node, &gossip);
-	raise_watermark(node, peer, &gossip, sent);
-	learn_leadership(node, &gossip, sent);
+	raise_watermark(node, peer, &gossip, sent_at);
+	learn_leadership(node, &gossip, sent_at);
 	fl_gossip_free(&gossip);
 }
 
 /* One exchange with a peer; whether it completed, with whatever status. */
 static bool exchange(struct fl_peer *peer)
 {
-	double sent = fl_now();
+	double sent_at = fl_now();
 	struct fl_http_reply reply;
 	char *text = fl_gossip_request(peer->node);
-	int rc = fl_http_call(&peer->http, "POST", "/gossip", text, tunables.timeout_s, &reply);
+	int rc =
+		fl_http_call(&peer->http, "POST", FL_PATH_GOSSIP, text, tunables.timeout_s, &reply);
 
 	free(text);
 	if (rc != 0)
 		return false;
 	peer->last_exchange_at = fl_now();
 	if (reply.status == 200)
-		fl_gossip_handle_reply(peer->node, peer, reply.body.data, reply.body.length, sent);
+		fl_gossip_handle_reply(peer->node, peer, reply.body.data, reply.body.length,
+		                       sent_at);
 	fl_buffer_free(&reply.body);
 	return true;
 }
--- a/src/coordination/follower/gossip.h
+++ b/src/coordination/follower/gossip.h
@@ -12,6 +12,9 @@
 
 #include "transport/http_server.h"
 
+/* Where its requests go at another controller. */
+#define FL_PATH_GOSSIP "/gossip"
+
 struct fl_node;
 struct fl_peer;
 
@@ -24,8 +27,8 @@
 /* Answers another controller's request. */
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
                      struct fl_http_response *response);
-/* Takes in the reply of `peer` to a request that was sent at `sent` (steady). */
+/* Takes in the reply of `peer` to a request that was sent at `sent_at` (steady). */
 void fl_gossip_handle_reply(struct fl_node *node, struct fl_peer *peer, const char *body,
-                            size_t len, double sent);
+                            size_t len, double sent_at);
 
 #endif
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -89,7 +89,7 @@
 		return;
 	}
 	fl_command_list_init(&commands, node->leader_view.fencing_token);
-	fl_renewal_stop_cancelled(node, heartbeat, &commands);
+	fl_renewal_stop_cancelled(&node->cluster, heartbeat, &commands);
 	response->status = 200;
 	response->body = fl_command_list_take(&commands);
 	fl_heartbeat_cache(node, heartbeat);
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -37,7 +37,7 @@
 	}
 	/* The same heartbeat forwarded twice, or one from before this leadership. */
 	if (commands.count == 0)
-		fl_renewal_stop_cancelled(node, heartbeat, &commands);
+		fl_renewal_stop_cancelled(&node->cluster, heartbeat, &commands);
 	response->status = 200;
 	response->body = fl_command_list_take(&commands);
 }
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -22,16 +22,16 @@
 }
 
 /* Applies a heartbeat that counts, in this order. */
-static void apply(const struct fl_heartbeat_application *application)
+static void apply(const struct fl_heartbeat_context *context)
 {
-	const struct fl_heartbeat *heartbeat = application->heartbeat;
-	struct fl_machine *machine = application->machine;
-	struct fl_node *node = application->node;
+	const struct fl_heartbeat *heartbeat = context->heartbeat;
+	struct fl_machine *machine = context->machine;
+	struct fl_node *node = context->node;
 	enum fl_reply_kind kind;
 
-	switch (application->source) {
+	switch (context->source) {
 	case FL_HEARTBEAT_FROM_WORKER:
-		fl_reachability_on_heartbeat(node, machine, heartbeat, application->now);
+		fl_reachability_on_heartbeat(node, machine, heartbeat, context->now);
 		break;
 	case FL_HEARTBEAT_FROM_COMMAND:
 		fl_reachability_confirm(machine);
@@ -39,13 +39,13 @@
 	case FL_HEARTBEAT_FROM_DIGEST:
 		break;
 	}
-	fl_heartbeat_record_contact(application);
+	fl_heartbeat_record_contact(context);
 	for (int i = 0; i < heartbeat->task_count; i++)
-		fl_reconcile_reported(application, &heartbeat->tasks[i]);
-	kind = fl_reconcile_unreported(application);
-	if (application->source == FL_HEARTBEAT_FROM_WORKER)
+		fl_reconcile_reported(context, &heartbeat->tasks[i]);
+	kind = fl_reconcile_unreported(context);
+	if (context->source == FL_HEARTBEAT_FROM_WORKER)
 		fl_reachability_on_reply(machine, node->leader_lease.fencing_token, kind,
-		                         application->now);
+		                         context->now);
 }
 
 enum fl_reconcile_result fl_reconcile_heartbeat(struct fl_node *node,
@@ -53,7 +53,7 @@
                                                 struct fl_command_list *commands,
                                                 enum fl_heartbeat_source source)
 {
-	struct fl_heartbeat_application application = {
+	struct fl_heartbeat_context context = {
 		.node = node,
 		.machine = fl_machine_find(&node->cluster.machines, heartbeat->host),
 		.heartbeat = heartbeat,
@@ -62,21 +62,21 @@
 		.now = fl_now(),
 	};
 
-	if (application.machine && application.machine->lifecycle.decommissioned)
+	if (context.machine && context.machine->lifecycle.decommissioned)
 		return FL_RECONCILE_DECOMMISSIONED;
 	/* The token is this leader's own, being raised: the next heartbeat is applied. */
 	if (heartbeat->fencing_token > node->leader_lease.fencing_token)
 		return FL_RECONCILE_TOKEN_NOT_RAISED;
 	if (fl_heartbeat_predates_leadership(node, heartbeat))
 		return FL_RECONCILE_IGNORED_EARLIER;
-	if (!application.machine)
-		application.machine =
-			fl_machine_get(&node->cluster.machines, heartbeat->host, application.now);
-	if (!application.machine)
+	if (!context.machine)
+		context.machine =
+			fl_machine_get(&node->cluster.machines, heartbeat->host, context.now);
+	if (!context.machine)
 		return FL_RECONCILE_OUT_OF_MEMORY;
-	if (!fl_heartbeat_is_newer(application.machine, heartbeat))
+	if (!fl_heartbeat_is_newer(context.machine, heartbeat))
 		return FL_RECONCILE_IGNORED_STALE;
-	apply(&application);
+	apply(&context);
 	return FL_RECONCILE_APPLIED;
 }
 
--- a/src/coordination/workers/reconciliation_contact.c
+++ b/src/coordination/workers/reconciliation_contact.c
@@ -45,22 +45,22 @@
 	return true;
 }
 
-void fl_heartbeat_record_contact(const struct fl_heartbeat_application *application)
+void fl_heartbeat_record_contact(const struct fl_heartbeat_context *context)
 {
-	const struct fl_heartbeat *heartbeat = application->heartbeat;
-	struct fl_machine *machine = application->machine;
-	struct fl_node *node = application->node;
+	const struct fl_heartbeat *heartbeat = context->heartbeat;
+	struct fl_machine *machine = context->machine;
+	struct fl_node *node = context->node;
 	bool came_up = !machine->lifecycle.up, interrupted;
 
 	describe(node, machine, heartbeat);
 	machine->heartbeat.incarnation = heartbeat->incarnation;
 	machine->heartbeat.sequence = heartbeat->sequence;
-	machine->heartbeat.last_at = application->now;
+	machine->heartbeat.last_at = context->now;
 	machine->lifecycle.up = true;
 	machine->heartbeat.orphan_task_count = 0;
-	interrupted = record_interruption(machine, heartbeat, application->now);
+	interrupted = record_interruption(machine, heartbeat, context->now);
 	if (came_up || interrupted)
 		fl_condition_broadcast(&node->leadership.work_available);
-	if (application->source != FL_HEARTBEAT_FROM_DIGEST)
-		machine->outbound.last_reachable_at = application->now;
+	if (context->source != FL_HEARTBEAT_FROM_DIGEST)
+		machine->outbound.last_reachable_at = context->now;
 }
--- a/src/coordination/workers/reconciliation_exit.c
+++ b/src/coordination/workers/reconciliation_exit.c
@@ -53,42 +53,42 @@
 		machine->health.quarantined_until = now + tunables.quarantine_s;
 }
 
-static void record_failure(const struct fl_heartbeat_application *application, struct fl_job *job,
+static void record_failure(const struct fl_heartbeat_context *context, struct fl_job *job,
                            struct fl_task *task, uint32_t index)
 {
-	struct fl_machine *machine = application->machine;
+	struct fl_machine *machine = context->machine;
 
 	if (task->failure_count < tunables.max_doublings)
 		task->failure_count++;
-	back_off_job(job, application->now);
-	blame_machine(machine, job, application->now);
+	back_off_job(job, context->now);
+	blame_machine(machine, job, context->now);
 	fl_info("workers", "task failed: %s/%u machine=%s fault_count=%d consecutive_failures=%u",
 	        job->ref, index, machine->name, machine->health.fault_count,
 	        job->retry.consecutive_failures);
 }
 
-static void record_completion(const struct fl_heartbeat_application *application,
-                              struct fl_job *job, const struct fl_task *task, uint32_t index)
+static void record_completion(const struct fl_heartbeat_context *context, struct fl_job *job,
+                              const struct fl_task *task, uint32_t index)
 {
 	fl_debug("workers", "task done: %s/%u machine=%s took_s=%.1f expected_s=%.1f", job->ref,
-	         index, application->machine->name, application->now - task->running_since,
+	         index, context->machine->name, context->now - task->running_since,
 	         job->expected_s);
 	job->retry.consecutive_failures = 0;
 	job->retry.not_before = 0;
-	application->machine->health.fault_count = 0;
-	fl_task_done(&application->node->cluster, job, index);
-	fl_condition_broadcast(&application->node->leadership.work_available);
+	context->machine->health.fault_count = 0;
+	fl_task_done(&context->node->cluster, job, index);
+	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
-void fl_reconcile_exit(const struct fl_heartbeat_application *application, struct fl_job *job,
+void fl_reconcile_exit(const struct fl_heartbeat_context *context, struct fl_job *job,
                        struct fl_task *task, const struct fl_task_status *status)
 {
-	struct fl_node *node = application->node;
+	struct fl_node *node = context->node;
 	double pause_s = 0;
 
 	switch (status->exit) {
 	case FL_EXIT_DONE:
-		record_completion(application, job, task, status->index);
+		record_completion(context, job, task, status->index);
 		return;
 	case FL_EXIT_STOPPED:
 	case FL_EXIT_GANG_PEERS_LOST:
@@ -98,17 +98,17 @@
 	case FL_EXIT_BUSY:
 		pause_s = tunables.refused_s;
 		fl_info("workers", "start refused: %s/%u machine=%s reason=%s", job->ref,
-		        status->index, application->machine->name,
+		        status->index, context->machine->name,
 		        status->exit == FL_EXIT_BUSY ? "busy" : "no_capacity");
 		break;
 	case FL_EXIT_ERROR:
 	case FL_EXIT_UNKNOWN_TASK:
 	case FL_EXIT_OTHER:
-		record_failure(application, job, task, status->index);
+		record_failure(context, job, task, status->index);
 		pause_s = backoff_s(task->failure_count);
 		break;
 	}
 	fl_task_release(&node->cluster, job, status->index,
-	                pause_s > 0 ? application->now + pause_s : 0);
+	                pause_s > 0 ? context->now + pause_s : 0);
 	fl_condition_broadcast(&node->leadership.work_available);
 }
--- a/src/coordination/workers/reconciliation_internal.h
+++ b/src/coordination/workers/reconciliation_internal.h
@@ -13,7 +13,7 @@
 #include "storage/tasks.h"
 
 /* A heartbeat being applied; nothing in it is owned. */
-struct fl_heartbeat_application {
+struct fl_heartbeat_context {
 	struct fl_node *node;
 	struct fl_machine *machine;
 	const struct fl_heartbeat *heartbeat;
@@ -30,7 +30,7 @@
 bool fl_heartbeat_predates_leadership(const struct fl_node *node,
                                       const struct fl_heartbeat *heartbeat);
 /* Records what a heartbeat tells of the machine itself. */
-void fl_heartbeat_record_contact(const struct fl_heartbeat_application *application);
+void fl_heartbeat_record_contact(const struct fl_heartbeat_context *context);
 
 /* ---- which commands an attempt needs: reconciliation_commands.c ---- */
 
@@ -42,15 +42,15 @@
 /* ---- what the attempts of a heartbeat mean ---- */
 
 /* The current attempt of a task has exited: reconciliation_exit.c. */
-void fl_reconcile_exit(const struct fl_heartbeat_application *application, struct fl_job *job,
+void fl_reconcile_exit(const struct fl_heartbeat_context *context, struct fl_job *job,
                        struct fl_task *task, const struct fl_task_status *status);
 /* An attempt that the heartbeat reports: reconciliation_reported.c. */
-void fl_reconcile_reported(const struct fl_heartbeat_application *application,
+void fl_reconcile_reported(const struct fl_heartbeat_context *context,
                            const struct fl_task_status *status);
 /*
  * The attempts placed on the machine that the heartbeat does not report: each is started, or
  * concluded to be gone. Returns whether a start command was added: reconciliation_unreported.c.
  */
-enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_application *application);
+enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_context *context);
 
 #endif
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -4,12 +4,11 @@
 #include "transport/log.h"
 
 /* Adds a command for a reported attempt to the reply, if there is one. */
-static void reply_with(const struct fl_heartbeat_application *application,
-                       enum fl_command_kind kind, const struct fl_task_status *status,
-                       double grace_period_s)
+static void reply_with(const struct fl_heartbeat_context *context, enum fl_command_kind kind,
+                       const struct fl_task_status *status, double grace_period_s)
 {
-	if (application->commands)
-		fl_command_list_add(application->commands, kind, status->ref, status->index,
+	if (context->commands)
+		fl_command_list_add(context->commands, kind, status->ref, status->index,
 		                    status->attempt, grace_period_s);
 }
 
@@ -78,21 +77,21 @@
  * A reported attempt that is not the current one: it is stopped if it runs, and forgotten by the
  * worker when that is safe. `job`: NULL if it is not known.
  */
-static void reconcile_stale(const struct fl_heartbeat_application *application, struct fl_job *job,
+static void reconcile_stale(const struct fl_heartbeat_context *context, struct fl_job *job,
                             const struct fl_task_status *status)
 {
-	struct fl_machine *machine = application->machine;
+	struct fl_machine *machine = context->machine;
 
 	if (status->state != FL_TASK_STATE_EXITED) {
 		machine->heartbeat.orphan_task_count++;
-		reply_with(application, FL_COMMAND_STOP, status, 0);
+		reply_with(context, FL_COMMAND_STOP, status, 0);
 		return;
 	}
-	complete_by_stale_attempt(application->node, job, status);
-	if (!may_forget(machine, application->heartbeat))
-		application->node->leadership.retained_exit_count++;
+	complete_by_stale_attempt(context->node, job, status);
+	if (!may_forget(machine, context->heartbeat))
+		context->node->leadership.retained_exit_count++;
 	else if (is_recorded(job, status))
-		reply_with(application, FL_COMMAND_FORGET, status, 0);
+		reply_with(context, FL_COMMAND_FORGET, status, 0);
 }
 
 /* Whether a reported attempt is the one that the cluster state has on this machine. */
@@ -103,7 +102,7 @@
 	       task->attempt == status->attempt;
 }
 
-static void observe(const struct fl_heartbeat_application *application, struct fl_job *job,
+static void observe(const struct fl_heartbeat_context *context, struct fl_job *job,
                     struct fl_task *task, const struct fl_task_status *status)
 {
 	enum fl_observed_state observed = observed_state(status->state);
@@ -111,30 +110,29 @@
 	if (task->observed == observed)
 		return;
 	fl_debug("workers", "task %s: %s/%u machine=%s after_s=%.1f", observed_state_name(observed),
-	         job->ref, status->index, application->machine->name,
-	         application->now - task->running_since);
-	fl_task_observe(job, task, observed, application->now);
-	fl_condition_broadcast(&application->node->leadership.work_available);
+	         job->ref, status->index, context->machine->name,
+	         context->now - task->running_since);
+	fl_task_observe(job, task, observed, context->now);
+	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
-void fl_reconcile_reported(const struct fl_heartbeat_application *application,
+void fl_reconcile_reported(const struct fl_heartbeat_context *context,
                            const struct fl_task_status *status)
 {
-	struct fl_job *job = fl_job_find(&application->node->cluster, status->ref);
+	struct fl_job *job = fl_job_find(&context->node->cluster, status->ref);
 	struct fl_task *task =
 		job && status->index < job->task_count ? fl_task_peek(job, status->index) : NULL;
 
-	if (!is_current(application->machine, task, status)) {
-		reconcile_stale(application, job, status);
+	if (!is_current(context->machine, task, status)) {
+		reconcile_stale(context, job, status);
 		return;
 	}
-	fl_machine_record_image(application->machine, job->image);
+	fl_machine_record_image(context->machine, job->image);
 	if (status->state == FL_TASK_STATE_EXITED) {
-		fl_reconcile_exit(application, job, task, status);
+		fl_reconcile_exit(context, job, task, status);
 		return;
 	}
-	observe(application, job, task, status);
+	observe(context, job, task, status);
 	if (!fl_attempt_should_run(job, task))
-		reply_with(application, FL_COMMAND_STOP, status,
-		           fl_attempt_grace_period_s(job, task));
+		reply_with(context, FL_COMMAND_STOP, status, fl_attempt_grace_period_s(job, task));
 }
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -12,80 +12,77 @@
  * start command: the former may overtake the latter, which may be under way until the worker sends
  * its next heartbeat of its own.
  */
-static bool absence_is_proof(const struct fl_heartbeat_application *application,
-                             const struct fl_task *task)
+static bool absence_is_proof(const struct fl_heartbeat_context *context, const struct fl_task *task)
 {
-	const struct fl_machine *machine = application->machine;
+	const struct fl_machine *machine = context->machine;
 
-	if (task->start_sent && application->source == FL_HEARTBEAT_FROM_COMMAND)
+	if (task->start_sent && context->source == FL_HEARTBEAT_FROM_COMMAND)
 		return false;
 	/* The start command of a reply is executed before the worker's next heartbeat or never. */
 	return machine->outbound.direct_start_token == 0 ||
-	       application->heartbeat->fencing_token > machine->outbound.direct_start_token;
+	       context->heartbeat->fencing_token > machine->outbound.direct_start_token;
 }
 
-static void release(const struct fl_heartbeat_application *application, struct fl_job *job,
-                    uint32_t index)
+static void release(const struct fl_heartbeat_context *context, struct fl_job *job, uint32_t index)
 {
-	fl_task_release(&application->node->cluster, job, index, 0);
-	fl_condition_broadcast(&application->node->leadership.work_available);
+	fl_task_release(&context->node->cluster, job, index, 0);
+	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
 /* An attempt that is to be stopped: released if its absence is proven, else that is prepared. */
-static void release_if_proven(const struct fl_heartbeat_application *application,
-                              struct fl_job *job, uint32_t index, const struct fl_task *task)
+static void release_if_proven(const struct fl_heartbeat_context *context, struct fl_job *job,
+                              uint32_t index, const struct fl_task *task)
 {
-	const struct fl_machine *machine = application->machine;
+	const struct fl_machine *machine = context->machine;
 
-	if (absence_is_proof(application, task))
-		release(application, job, index);
-	else if (machine->outbound.direct_start_token >= application->heartbeat->fencing_token &&
+	if (absence_is_proof(context, task))
+		release(context, job, index);
+	else if (machine->outbound.direct_start_token >= context->heartbeat->fencing_token &&
 	         machine->outbound.direct_start_token > 0)
-		application->node->leader_lease.token_raise_wanted = true;
+		context->node->leader_lease.token_raise_wanted = true;
 }
 
-static enum fl_reply_kind reconcile_absent(const struct fl_heartbeat_application *application,
+static enum fl_reply_kind reconcile_absent(const struct fl_heartbeat_context *context,
                                            struct fl_job *job, uint32_t index)
 {
-	const char *machine_name = application->machine->name;
+	const char *machine_name = context->machine->name;
 	struct fl_task *task = fl_task_peek(job, index);
 
-	if (task->incarnation < application->heartbeat->incarnation) {
+	if (task->incarnation < context->heartbeat->incarnation) {
 		/* The incarnation in which it was placed is over, and so is the attempt. */
 		fl_info("workers", "task lost: %s/%u machine=%s reason=new_incarnation", job->ref,
 		        index, machine_name);
-		release(application, job, index);
+		release(context, job, index);
 		return FL_REPLY_WITHOUT_START;
 	}
 	if (task->observed != FL_OBSERVED_NONE) {
 		/* Was seen in this incarnation, was never forgotten, and is no more. */
 		fl_error("workers", "task lost: %s/%u machine=%s reason=not_reported", job->ref,
 		         index, machine_name);
-		fl_task_observe(job, task, FL_OBSERVED_NONE, application->now);
+		fl_task_observe(job, task, FL_OBSERVED_NONE, context->now);
 	}
 	if (!fl_attempt_should_run(job, task)) {
-		release_if_proven(application, job, index, task);
+		release_if_proven(context, job, index, task);
 		return FL_REPLY_WITHOUT_START;
 	}
-	if (!application->commands || !fl_task_durable(job, index))
+	if (!context->commands || !fl_task_durable(job, index))
 		return FL_REPLY_WITHOUT_START;
-	fl_command_list_add(application->commands, FL_COMMAND_START, job->ref, index, task->attempt,
-	                    0);
+	fl_command_list_add(context->commands, FL_COMMAND_START, job->ref, index, task->attempt, 0);
 	task->start_sent = true;
 	return FL_REPLY_WITH_START;
 }
 
-enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_application *application)
+enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_context *context)
 {
-	const struct fl_machine *machine = application->machine;
+	const struct fl_machine *machine = context->machine;
 	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
 
 	/* Backwards, since a released attempt leaves the list. */
 	for (int i = machine->assignment_count - 1; i >= 0; i--) {
 		struct fl_assignment assignment = machine->assignments[i];
 
-		if (!fl_heartbeat_reports_attempt(application->heartbeat, assignment) &&
-		    reconcile_absent(application, assignment.job, assignment.index) ==
+		if (!fl_heartbeat_reports_attempt(context->heartbeat, assignment) &&
+		    reconcile_absent(context, assignment.job, assignment.index) ==
 		            FL_REPLY_WITH_START)
 			kind = FL_REPLY_WITH_START;
 	}
--- a/src/coordination/workers/renewal_rules.c
+++ b/src/coordination/workers/renewal_rules.c
@@ -20,14 +20,14 @@
 }
 
 /* The cancelled job that a reported task which has not exited belongs to; NULL: there is none. */
-static const struct fl_finished_job *cancelled_job_of(const struct fl_node *node,
+static const struct fl_finished_job *cancelled_job_of(const struct fl_cluster *cluster,
                                                       const struct fl_task_status *status)
 {
 	const struct fl_finished_job *finished;
 
 	if (status->state == FL_TASK_STATE_EXITED)
 		return NULL;
-	finished = fl_finished_job_find(&node->cluster, status->ref);
+	finished = fl_finished_job_find(cluster, status->ref);
 	return finished && finished->status == FL_CANCELLED ? finished : NULL;
 }
 
@@ -36,7 +36,8 @@
 	double before = fl_now() - fl_renewal_window_s(node->config);
 
 	for (int i = 0; i < heartbeat->task_count; i++) {
-		const struct fl_finished_job *job = cancelled_job_of(node, &heartbeat->tasks[i]);
+		const struct fl_finished_job *job =
+			cancelled_job_of(&node->cluster, &heartbeat->tasks[i]);
 
 		if (job && job->cancelled_at < before)
 			return true;
@@ -44,13 +45,14 @@
 	return false;
 }
 
-void fl_renewal_stop_cancelled(const struct fl_node *node, const struct fl_heartbeat *heartbeat,
+void fl_renewal_stop_cancelled(const struct fl_cluster *cluster,
+                               const struct fl_heartbeat *heartbeat,
                                struct fl_command_list *commands)
 {
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_task_status *status = &heartbeat->tasks[i];
 
-		if (cancelled_job_of(node, status))
+		if (cancelled_job_of(cluster, status))
 			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
 			                    status->attempt, 0);
 	}
--- a/src/coordination/workers/renewal_rules.h
+++ b/src/coordination/workers/renewal_rules.h
@@ -11,6 +11,7 @@
 
 #include "protocol/workers.h"
 
+struct fl_cluster;
 struct fl_config;
 struct fl_node;
 
@@ -36,7 +37,8 @@
  * whoever answers, not only no longer renewed: the final state is stored, so the stop is right
  * whichever node sends it, and comes with the answer that renews the lease, or neither does.
  */
-void fl_renewal_stop_cancelled(const struct fl_node *node, const struct fl_heartbeat *heartbeat,
+void fl_renewal_stop_cancelled(const struct fl_cluster *cluster,
+                               const struct fl_heartbeat *heartbeat,
                                struct fl_command_list *commands);
 
 #endif
--- /dev/null
+++ b/tests/test_forwarding.c
@@ -0,0 +1,210 @@
+/*
+ * Forwarding of requests to the leader: which peers are asked, and which result is concluded from
+ * what they reply. The link is made here.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <errno.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "coordination/follower/forwarding.h"
+#include "coordination/node.h"
+#include "node_fixture.h"
+
+enum { PEERS = 2 };
+
+/* How a peer behaves. */
+struct link {
+	int rc, status;
+	int calls;
+	bool last_hop; /* of the newest call */
+};
+
+static struct {
+	struct fl_node *node;
+	struct link links[PEERS];
+} world;
+
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
+{
+	struct link *link = &world.links[client == &world.node->peers[0].http ? 0 : 1];
+
+	(void)method, (void)path;
+	assert_true(timeout_s > 0);
+	link->calls++;
+	link->last_hop = strcmp(body, "last") == 0;
+	if (link->rc)
+		return link->rc;
+	memset(out, 0, sizeof(*out));
+	out->status = link->status;
+	fl_buffer_append(&out->body, "x", 1);
+	return 0;
+}
+
+static char *encode(const void *context, bool last_hop, bool disconnected)
+{
+	(void)context, (void)disconnected;
+	return strdup(last_hop ? "last" : "first");
+}
+
+static char *encode_nothing(const void *context, bool last_hop, bool disconnected)
+{
+	(void)context, (void)last_hop, (void)disconnected;
+	return NULL;
+}
+
+/* `into`: what the reading of a body comes to. */
+static int decode(void *into, const char *body, size_t len)
+{
+	assert_int_equal(len, 1);
+	assert_int_equal(body[0], 'x');
+	return *(int *)into;
+}
+
+static struct fl_forward_request request_of(enum fl_forward_hop hop)
+{
+	return (struct fl_forward_request){
+		.path = "/x", .encode = encode, .hop = hop, .timeout_s = 2};
+}
+
+static enum fl_forward_result forward(struct fixture *fixture, enum fl_forward_hop hop,
+                                      struct link leader, struct link third)
+{
+	const struct fl_forward_request request = request_of(hop);
+	enum fl_forward_result result;
+	struct fl_http_reply reply;
+
+	world.node = &fixture->node;
+	world.links[0] = leader;
+	world.links[1] = third;
+	result = fl_forward(&fixture->node, &request, &reply);
+	if (result == FL_FORWARD_ANSWERED)
+		fl_buffer_free(&reply.body);
+	return result;
+}
+
+/* A follower of n1, with a third controller. */
+static void follow(struct fixture *fixture)
+{
+	become_follower(fixture, PEERS);
+	strcpy(fixture->node.leader_view.leader, "n1");
+	for (int i = 0; i < PEERS; i++)
+		fixture->node.peers[i].up = true;
+}
+
+static const struct link down = {.rc = -ECONNREFUSED}, answers = {.status = 200},
+			 does_not_lead = {.status = 421};
+
+static void the_leader_is_asked_first_and_a_third_node_only_if_it_fails(void **state)
+{
+	struct fixture *fixture = *state;
+
+	follow(fixture);
+	assert_int_equal(forward(fixture, FL_HOP_FIRST, answers, down), FL_FORWARD_ANSWERED);
+	assert_true(world.links[0].last_hop);
+	assert_int_equal(world.links[1].calls, 0);
+	assert_int_equal(forward(fixture, FL_HOP_FIRST, down, answers), FL_FORWARD_ANSWERED);
+	assert_false(world.links[1].last_hop);
+	assert_int_equal(forward(fixture, FL_HOP_FIRST, does_not_lead, answers),
+	                 FL_FORWARD_ANSWERED);
+	/* On its last hop it goes to the leader alone. */
+	assert_int_equal(forward(fixture, FL_HOP_LAST, does_not_lead, answers),
+	                 FL_FORWARD_NO_LEADER);
+	assert_int_equal(world.links[1].calls, 0);
+	/* A leader that is down is not asked, unless there is no other way. */
+	fixture->node.peers[0].up = false;
+	assert_false(fl_forward_leader_is_reachable(&fixture->node));
+	assert_int_equal(forward(fixture, FL_HOP_FIRST, answers, answers), FL_FORWARD_ANSWERED);
+	assert_int_equal(world.links[0].calls, 0);
+	fixture->node.peer_count = 1;
+	assert_true(fl_forward_leader_is_reachable(&fixture->node));
+	assert_int_equal(forward(fixture, FL_HOP_LAST, answers, down), FL_FORWARD_ANSWERED);
+	assert_int_equal(world.links[0].calls, 1);
+}
+
+static void each_failure_has_its_result(void **state)
+{
+	struct fixture *fixture = *state;
+	const struct link late = {.rc = -ETIMEDOUT}, cancelled = {.rc = -ECANCELED};
+
+	follow(fixture);
+	assert_int_equal(forward(fixture, FL_HOP_FIRST, down, down), FL_FORWARD_CONNECTION_LOST);
+	assert_int_equal(forward(fixture, FL_HOP_FIRST, down, does_not_lead), FL_FORWARD_NO_LEADER);
+	assert_int_equal(forward(fixture, FL_HOP_LAST, late, answers), FL_FORWARD_TIMED_OUT);
+	assert_int_equal(forward(fixture, FL_HOP_LAST, cancelled, answers), FL_FORWARD_CANCELLED);
+	fixture->node.leader_view.leader[0] = '\0';
+	assert_int_equal(forward(fixture, FL_HOP_FIRST, answers, answers), FL_FORWARD_NO_LEADER);
+	assert_int_equal(world.links[0].calls + world.links[1].calls, 0);
+	assert_false(fl_forward_leader_is_reachable(&fixture->node));
+}
+
+static enum fl_forward_result forward_and_decode(struct fixture *fixture, int status, int decoded)
+{
+	const struct fl_forward_request request = request_of(FL_HOP_LAST);
+
+	world.node = &fixture->node;
+	world.links[0] = (struct link){.status = status};
+	return fl_forward_and_decode(&fixture->node, &request, decode, &decoded);
+}
+
+static void a_reply_is_judged_by_status_and_body(void **state)
+{
+	struct fixture *fixture = *state;
+	struct fl_forward_request request = request_of(FL_HOP_LAST);
+	struct fl_http_reply reply;
+
+	follow(fixture);
+	assert_int_equal(forward_and_decode(fixture, 200, 0), FL_FORWARD_ANSWERED);
+	assert_int_equal(forward_and_decode(fixture, 200, -EPROTO), FL_FORWARD_MALFORMED_REPLY);
+	assert_int_equal(forward_and_decode(fixture, 200, -ENOMEM), FL_FORWARD_OUT_OF_MEMORY);
+	assert_int_equal(forward_and_decode(fixture, 503, 0), FL_FORWARD_REJECTED);
+	assert_int_equal(forward_and_decode(fixture, 421, 0), FL_FORWARD_NO_LEADER);
+	request.encode = encode_nothing;
+	world.links[0].calls = 0;
+	assert_int_equal(fl_forward(&fixture->node, &request, &reply), FL_FORWARD_OUT_OF_MEMORY);
+	assert_int_equal(world.links[0].calls, 0);
+}
+
+/* What gossip tells of the leader: a token only rises, and the same one can be confirmed later. */
+static void a_view_learns_only_what_is_newer(void **state)
+{
+	struct fl_leader_view view;
+
+	(void)state;
+	fl_leader_view_init(&view);
+	fl_leader_view_learn(&view, 0, "n1", 5);
+	assert_string_equal(view.leader, "");
+	fl_leader_view_learn(&view, 7, "n1", 5);
+	assert_true(view.fencing_token == 7 && view.confirmed_at == 5);
+	assert_string_equal(view.leader, "n1");
+	fl_leader_view_learn(&view, 6, "n2", 9);
+	fl_leader_view_learn(&view, 7, "n2", 5);
+	assert_true(view.fencing_token == 7 && view.confirmed_at == 5);
+	assert_string_equal(view.leader, "n1");
+	/* Confirmed later, by a node that knows of no leader. */
+	fl_leader_view_learn(&view, 7, "", 6);
+	assert_true(view.confirmed_at == 6);
+	assert_string_equal(view.leader, "n1");
+	/* A higher token counts, however old the word of it. */
+	fl_leader_view_learn(&view, 8, "n2", 1);
+	assert_true(view.fencing_token == 8 && view.confirmed_at == 6);
+	assert_string_equal(view.leader, "n2");
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		NODE_TEST(the_leader_is_asked_first_and_a_third_node_only_if_it_fails),
+		NODE_TEST(each_failure_has_its_result),
+		NODE_TEST(a_reply_is_judged_by_status_and_body),
+		NODE_TEST(a_view_learns_only_what_is_newer),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_reconcile_results.c
@@ -0,0 +1,69 @@
+/* Which result a heartbeat has, by the reason why it counts or not; and their order. */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+
+#include "coordination/workers/heartbeat.h"
+#include "coordination/workers/reconciliation.h"
+#include "node_fixture.h"
+
+static enum fl_reconcile_result reconcile(struct fixture *fixture, uint64_t incarnation,
+                                          uint64_t sequence, uint64_t fencing_token)
+{
+	struct fl_heartbeat heartbeat = make_report(incarnation, sequence, fencing_token, NULL, 0);
+
+	return fl_reconcile_heartbeat(&fixture->node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND);
+}
+
+static void each_result_names_its_reason(void **state)
+{
+	struct fixture *fixture = *state;
+
+	assert_int_equal(reconcile(fixture, 1, 1, EPOCH - 1), FL_RECONCILE_IGNORED_EARLIER);
+	assert_int_equal(reconcile(fixture, 1, 1, EPOCH + 1), FL_RECONCILE_TOKEN_NOT_RAISED);
+	assert_null(only_machine(fixture));
+	assert_int_equal(reconcile(fixture, 2, 5, EPOCH), FL_RECONCILE_APPLIED);
+	assert_int_equal(reconcile(fixture, 2, 5, EPOCH), FL_RECONCILE_IGNORED_STALE);
+	assert_int_equal(reconcile(fixture, 1, 9, EPOCH), FL_RECONCILE_IGNORED_STALE);
+	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
+	assert_int_equal(reconcile(fixture, 2, 6, EPOCH), FL_RECONCILE_DECOMMISSIONED);
+	/* Whatever else is wrong with it: the worker is to learn that its machine is gone. */
+	assert_int_equal(reconcile(fixture, 2, 6, EPOCH - 1), FL_RECONCILE_DECOMMISSIONED);
+	assert_int_equal(reconcile(fixture, 2, 6, EPOCH + 1), FL_RECONCILE_DECOMMISSIONED);
+}
+
+static void what_is_ignored_is_answered_all_the_same(void **state)
+{
+	(void)state;
+	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_APPLIED));
+	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_IGNORED_STALE));
+	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_IGNORED_EARLIER));
+	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_DECOMMISSIONED));
+	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_TOKEN_NOT_RAISED));
+	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_OUT_OF_MEMORY));
+}
+
+static void an_incarnation_goes_before_the_sequence(void **state)
+{
+	const struct fl_heartbeat heartbeat = {.incarnation = 4, .sequence = 7};
+
+	(void)state;
+	assert_true(fl_heartbeat_is_after(&heartbeat, 3, 9));
+	assert_true(fl_heartbeat_is_after(&heartbeat, 4, 6));
+	assert_false(fl_heartbeat_is_after(&heartbeat, 4, 7));
+	assert_false(fl_heartbeat_is_after(&heartbeat, 5, 1));
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		NODE_TEST(each_result_names_its_reason),
+		NODE_TEST(what_is_ignored_is_answered_all_the_same),
+		NODE_TEST(an_incarnation_goes_before_the_sequence),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
