--- a/src/coordination/follower/follower.h
+++ b/src/coordination/follower/follower.h
@@ -12,8 +12,8 @@
 #include "coordination/follower/redirect.h"
 #include "coordination/follower/request_batch.h"
 #include "storage/token_bucket.h"
-#include "transport/http_server.h"
 #include "transport/coroutine.h"
+#include "transport/http_server.h"
 
 struct fl_node;
 
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/workers/command.h"
 #include "coordination/node.h"
 #include "coordination/responses.h"
+#include "coordination/workers/command.h"
 #include "protocol/peers.h"
 #include "transport/clock.h"
-#include "transport/log.h"
 #include "transport/coroutine.h"
+#include "transport/log.h"
 #include "transport/text.h"
 
 static const struct {
--- a/src/coordination/follower/heartbeat_digest.h
+++ b/src/coordination/follower/heartbeat_digest.h
@@ -10,8 +10,8 @@
 #include <stdint.h>
 #include <uthash.h>
 
-#include "storage/records.h"
 #include "protocol/workers.h"
+#include "storage/records.h"
 
 struct fl_node;
 
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/node.h"
 #include "coordination/follower/isolation.h"
+#include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/text.h"
 
--- a/src/coordination/follower/redirect.h
+++ b/src/coordination/follower/redirect.h
@@ -8,8 +8,8 @@
 
 #include <uthash.h>
 
-#include "storage/records.h"
 #include "protocol/workers.h"
+#include "storage/records.h"
 
 struct fl_node;
 struct fl_peer;
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-#include "coordination/workers/reachability.h"
 #include "coordination/node.h"
+#include "coordination/workers/reachability.h"
 #include "coordination/workers/renewal_rules.h"
 
 static const struct {
--- a/src/coordination/workers/reachability.h
+++ b/src/coordination/workers/reachability.h
@@ -10,8 +10,8 @@
 
 #include <stdbool.h>
 
-#include "storage/machines.h"
 #include "protocol/workers.h"
+#include "storage/machines.h"
 
 struct fl_node;
 
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -1,7 +1,7 @@
 /* What it means that a heartbeat does not report an attempt placed on its machine. */
 #include "coordination/node.h"
-#include "coordination/workers/reconciliation_internal.h"
 #include "coordination/workers/heartbeat.h"
+#include "coordination/workers/reconciliation_internal.h"
 #include "transport/log.h"
 
 /*
