--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -1,6 +1,5 @@
 #include "coordination/api/status_query.h"
 
-#include <errno.h>
 #include <stdlib.h>
 
 #include "coordination/api/job_status.h"
@@ -34,49 +33,32 @@
 	struct fl_job_status_report reports[FL_STATUS_QUERY_MAX];
 };
 
-static struct fl_peer *find_leader(struct fl_node *node)
+static char *encode_queries(const void *context, bool last_hop, bool disconnected)
 {
-	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
+	const struct status_batch *batch = context;
 
-	return leader && (leader->up || node->peer_count == 1) ? leader : NULL;
+	(void)last_hop, (void)disconnected;
+	return fl_status_query_encode(batch->refs, batch->count);
 }
 
-/* Reads the leader's answer into the batch: 0 or an errno, as of fl_batch_policy's exchange. */
-static int read_answer(const struct fl_peer *leader, const struct fl_http_reply *reply,
-                       struct status_batch *batch)
+static int decode_answers(void *into, const char *body, size_t len)
 {
-	int rc;
-
-	if (reply->status != 200)
-		return -EHOSTUNREACH;
-	rc = fl_status_answer_decode(reply->body.data, reply->body.length, batch->reports,
-	                             batch->count);
-	if (rc != 0)
-		fl_error("peers", "malformed answer to status queries: %s", leader->name);
-	return rc;
+	struct status_batch *batch = into;
+
+	return fl_status_answer_decode(body, len, batch->reports, batch->count);
 }
 
-static int exchange(struct fl_node *node, struct fl_batch *base)
+/* Directly only: a query that must go through a third controller goes by itself. */
+static enum fl_forward_result exchange(struct fl_node *node, struct fl_batch *shared)
 {
-	struct status_batch *batch = (struct status_batch *)base;
-	struct fl_peer *leader = find_leader(node);
-	struct fl_http_reply reply;
-	char *text;
-	int rc;
-
-	if (!leader)
-		return -EHOSTUNREACH;
-	text = fl_status_query_encode(batch->refs, batch->count);
-	if (!text)
-		return -ENOMEM;
-	rc = fl_http_call(&leader->http, "POST", FL_PATH_STATUS, text, tunables.request_timeout_s,
-	                  &reply);
-	free(text);
-	if (rc != 0)
-		return rc;
-	rc = read_answer(leader, &reply, batch);
-	fl_buffer_free(&reply.body);
-	return rc;
+	struct status_batch *batch = (struct status_batch *)shared;
+	const struct fl_forward_request request = {.path = FL_PATH_STATUS,
+	                                           .encode = encode_queries,
+	                                           .context = batch,
+	                                           .hop = FL_HOP_LAST,
+	                                           .timeout_s = tunables.request_timeout_s};
+
+	return fl_forward_and_decode(node, &request, decode_answers, batch);
 }
 
 /* The batch that takes one more query; NULL: none can. `*began`: it is a new one. */
@@ -114,14 +96,14 @@
 	bool began;
 	int index;
 
-	if (!queue->filling && !find_leader(node))
+	if (!queue->filling && !fl_forward_leader_is_reachable(node))
 		return FL_QUERY_FAILED;
 	batch = find_batch(queue, &began);
 	if (!batch)
 		return FL_QUERY_OVERLOADED;
 	index = batch->count++;
 	fl_copy_string(batch->refs[index], sizeof(batch->refs[index]), ref);
-	if (fl_batch_await(node, queue, &batch->batch, began, &policy) == 0)
+	if (fl_batch_await(node, queue, &batch->batch, began, &policy) == FL_FORWARD_ANSWERED)
 		result = respond_from_batch(batch, index, response);
 	if (fl_batch_release(&batch->batch))
 		free(batch);
