--- a/src/coordination/scheduling/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -50,7 +50,7 @@
 			job->service ? INFINITY : cycle->input->params->default_estimate_s;
 	if (fl_sched_start_fitting(cycle, job_index, must_end_by))
 		cycle->output->unplaced_tasks[job_index] =
-			job->waiting - cycle->tasks_awaiting_image -
+			job->startable_count - cycle->tasks_awaiting_image -
 			fl_sched_request_preemptions(cycle, job_index, must_end_by);
 	job->estimate_s = estimate_s;
 }
@@ -78,12 +78,12 @@
 		 */
 		cycle->resumed = resume > 0 && backfill;
 
-		if (job->waiting == 0)
+		if (job->startable_count == 0)
 			continue;
 		/* The head of the order is always considered; the rest resumes where it stopped. */
 		if (backfill && k < resume)
 			continue;
-		if (backfill && input->out_of_time && input->out_of_time(input->ctx)) {
+		if (backfill && input->out_of_time && input->out_of_time(input->context)) {
 			cycle->output->resume_position = k;
 			break;
 		}
@@ -106,9 +106,9 @@
 
 		if (!attempt->stopping)
 			continue;
-		cycle->releasing_cpus[attempt->machine] += attempt->cpus;
-		cycle->releasing_gpus[attempt->machine] += attempt->gpus;
-		cycle->releasing_ram_gb[attempt->machine] += attempt->ram_gb;
+		cycle->releasing_cpus[attempt->machine] += attempt->used.cpus;
+		cycle->releasing_gpus[attempt->machine] += attempt->used.gpus;
+		cycle->releasing_ram_gb[attempt->machine] += attempt->used.ram_gb;
 	}
 }
 
@@ -153,7 +153,7 @@
 	free(cycle->lowest_priority);
 }
 
-int fl_schedule(struct fl_sched_input *input, struct fl_sched_output *output)
+enum fl_schedule_result fl_schedule(struct fl_sched_input *input, struct fl_sched_output *output)
 {
 	struct fl_sched_cycle cycle = {.input = input, .output = output};
 
@@ -169,7 +169,7 @@
 		cycle.failed = true;
 	}
 	release(&cycle);
-	return cycle.failed ? -1 : 0;
+	return cycle.failed ? FL_SCHEDULE_OUT_OF_MEMORY : FL_SCHEDULE_OK;
 }
 
 void fl_sched_output_free(struct fl_sched_output *output)
--- a/src/coordination/scheduling/schedule_backfill.c
+++ b/src/coordination/scheduling/schedule_backfill.c
@@ -24,7 +24,7 @@
                              int machine_index, struct attempt_end *ends)
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
-	double cpus = machine->cpus, gpus = machine->gpus, ram = machine->ram_gb;
+	double cpus = machine->free.cpus, gpus = machine->free.gpus, ram = machine->free.ram_gb;
 	int n = 0;
 
 	if (fl_sched_fits(job, cpus, gpus, ram))
@@ -40,9 +40,9 @@
 		const struct fl_sched_attempt *attempt =
 			&cycle->input->attempts[ends[i].attempt_index];
 
-		cpus += attempt->cpus;
-		gpus += attempt->gpus;
-		ram += attempt->ram_gb;
+		cpus += attempt->used.cpus;
+		gpus += attempt->used.gpus;
+		ram += attempt->used.ram_gb;
 		if (fl_sched_fits(job, cpus, gpus, ram))
 			return ends[i].at_s;
 	}
@@ -67,7 +67,7 @@
 	for (int z = 0; job->same_zone && z < FL_ZONES_MAX; z++)
 		if (z == 0 || by_zone[z] > total)
 			total = by_zone[z];
-	return total >= job->waiting;
+	return total >= job->startable_count;
 }
 
 /* Time until a whole gang fits, counted in tasks that each machine really has room for. */
@@ -83,9 +83,9 @@
 	if (!available)
 		return INFINITY;
 	for (int i = 0; i < input->machine_count; i++)
-		available[i] =
-			(struct fl_resources){input->machines[i].cpus, input->machines[i].gpus,
-		                              input->machines[i].ram_gb};
+		available[i] = (struct fl_resources){input->machines[i].free.cpus,
+		                                     input->machines[i].free.gpus,
+		                                     input->machines[i].free.ram_gb};
 	for (int i = 0; i < input->attempt_count; i++)
 		if (input->attempts[i].left_s < INFINITY)
 			ends[n++] = (struct attempt_end){input->attempts[i].left_s, i};
@@ -96,9 +96,9 @@
 				&input->attempts[ends[k].attempt_index];
 
 			at_s = ends[k].at_s;
-			available[attempt->machine].cpus += attempt->cpus;
-			available[attempt->machine].gpus += attempt->gpus;
-			available[attempt->machine].ram_gb += attempt->ram_gb;
+			available[attempt->machine].cpus += attempt->used.cpus;
+			available[attempt->machine].gpus += attempt->used.gpus;
+			available[attempt->machine].ram_gb += attempt->used.ram_gb;
 		}
 		if (gang_fits(input, job, available))
 			found = at_s;
@@ -131,8 +131,8 @@
 			wait_s = fmin(wait_s, time_until_fit(cycle, job, i, ends));
 	free(ends);
 	window = cycle->input->params->omega * wait_s;
-	if (job->window_left >= 0 && job->window_left < window)
-		window = job->window_left;
+	if (job->window_left_s >= 0 && job->window_left_s < window)
+		window = job->window_left_s;
 	cycle->output->top_job = top;
 	cycle->output->window_s = window;
 }
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -23,8 +23,8 @@
 {
 	const struct fl_team *team = &input->teams[job->team];
 
-	return fl_team_within_maximum(team, team->used_cpus + job->cpus,
-	                              team->used_gpus + job->gpus);
+	return fl_team_within_maximum(team, team->used_cpus + job->need.cpus,
+	                              team->used_gpus + job->need.gpus);
 }
 
 bool fl_sched_depends_on_zones(const struct fl_sched_job *job)
@@ -38,8 +38,9 @@
 	/* Reserved room can make an amount negative that the job itself needs none of. */
 	if (!fl_sched_fits(job, cpus, gpus, ram))
 		return 0;
-	return fl_placement_capacity((struct fl_resources){job->cpus, job->gpus, job->ram_gb},
-	                             (struct fl_resources){cpus, gpus, ram});
+	return fl_placement_capacity(
+		(struct fl_resources){job->need.cpus, job->need.gpus, job->need.ram_gb},
+		(struct fl_resources){cpus, gpus, ram});
 }
 
 /*
@@ -54,9 +55,10 @@
                                            const struct fl_sched_machine *machine)
 {
 	const struct fl_reservation *earlier = &machine->reserved, *requested = &machine->requested;
-	struct fl_resources blocked = {earlier->cpus, earlier->gpus, earlier->ram_gb};
+	struct fl_resources blocked = {earlier->resources.cpus, earlier->resources.gpus,
+	                               earlier->resources.ram_gb};
 
-	if (!earlier->made)
+	if (!earlier->active)
 		return (struct fl_resources){0};
 	/* Services too: an urgent one goes before a critical array, which may stop it. */
 	if (job->priority >= earlier->priority &&
@@ -64,10 +66,10 @@
 	     (!cycle->resumed && (!earlier->within_guaranteed || job->within_guaranteed))))
 		return (struct fl_resources){0};
 	/* What was requested again in this pass is subtracted from the free room already. */
-	if (requested->made && requested->priority >= earlier->priority) {
-		blocked.cpus = fmax(0, blocked.cpus - requested->cpus);
-		blocked.gpus = fmax(0, blocked.gpus - requested->gpus);
-		blocked.ram_gb = fmax(0, blocked.ram_gb - requested->ram_gb);
+	if (requested->active && requested->priority >= earlier->priority) {
+		blocked.cpus = fmax(0, blocked.cpus - requested->resources.cpus);
+		blocked.gpus = fmax(0, blocked.gpus - requested->resources.gpus);
+		blocked.ram_gb = fmax(0, blocked.ram_gb - requested->resources.ram_gb);
 	}
 	return blocked;
 }
@@ -79,7 +81,7 @@
 	struct fl_resources blocked = blocked_amounts(cycle, job, machine);
 
 	return (struct fl_resources){
-		machine->cpus + cycle->releasing_cpus[machine_index] - blocked.cpus,
-		machine->gpus + cycle->releasing_gpus[machine_index] - blocked.gpus,
-		machine->ram_gb + cycle->releasing_ram_gb[machine_index] - blocked.ram_gb};
+		machine->free.cpus + cycle->releasing_cpus[machine_index] - blocked.cpus,
+		machine->free.gpus + cycle->releasing_gpus[machine_index] - blocked.gpus,
+		machine->free.ram_gb + cycle->releasing_ram_gb[machine_index] - blocked.ram_gb};
 }
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -27,7 +27,7 @@
 	double estimate_s =
 		job->estimate_s > 0 ? job->estimate_s : input->params->default_estimate_s;
 
-	if (job->service || job->waited_s <= input->params->patience_s)
+	if (job->service || job->waited_s <= input->params->overdue_after_s)
 		return 0;
 	return fmin(1, input->spot_loss_rate * estimate_s) * (estimate_s / 2 + tunables.restart_s);
 }
@@ -44,7 +44,7 @@
 double fl_sched_placement_cost(const struct fl_sched_input *input, const struct fl_sched_job *job,
                                const struct fl_sched_machine *machine)
 {
-	double cost = tunables.pack_weight * (machine->gpus - job->gpus);
+	double cost = tunables.pack_weight * (machine->free.gpus - job->need.gpus);
 
 	cost += fl_sched_image_fetch_s(job, machine) *
 	        (fl_sched_precedes_arrays(job) ? tunables.urgent_fetch_weight : 1);
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -46,7 +46,8 @@
 static inline bool fl_sched_allowed(const struct fl_sched_job *job,
                                     const struct fl_sched_machine *machine)
 {
-	return (job->types >> machine->type & 1) && (job->zone < 0 || job->zone == machine->zone) &&
+	return (job->allowed_types >> machine->type & 1) &&
+	       (job->zone < 0 || job->zone == machine->zone) &&
 	       (job->spot_allowed || !machine->spot);
 }
 
@@ -54,8 +55,9 @@
 static inline bool fl_sched_fits(const struct fl_sched_job *job, double cpus, double gpus,
                                  double ram_gb)
 {
-	return job->cpus <= cpus + FL_SCHED_EPSILON && job->gpus <= gpus + FL_SCHED_EPSILON &&
-	       job->ram_gb <= ram_gb + FL_SCHED_EPSILON;
+	return job->need.cpus <= cpus + FL_SCHED_EPSILON &&
+	       job->need.gpus <= gpus + FL_SCHED_EPSILON &&
+	       job->need.ram_gb <= ram_gb + FL_SCHED_EPSILON;
 }
 
 /* Whether one more task may go to this zone, by where the job's other tasks are. */
--- a/src/coordination/scheduling/schedule_order.c
+++ b/src/coordination/scheduling/schedule_order.c
@@ -11,9 +11,9 @@
 	.r = 10,       /* one priority is worth ten times the wait */
 	.omega = 4,    /* times; the finite value that did best in the paper's tables */
 	.default_estimate_s = 3600, /* s; for a job with neither an estimate nor a history */
-	.patience_s = 120, /* s; half of what users grant the largest job before it begins */
-	.impatience = 4,   /* power; at twice the patience it outweighs all but the priority */
-	.background_patience = 3, /* times; nobody says when it should be done */
+	.overdue_after_s = 120, /* s; half of what users grant the largest job before it begins */
+	.aging_power = 4,       /* power; at twice the patience it outweighs all but the priority */
+	.background_overdue_factor = 3, /* times; nobody says when it should be done */
 };
 
 static const struct {
@@ -33,8 +33,9 @@
 {
 	double wait = job->waited_s > tunables.min_wait_s ? job->waited_s : tunables.min_wait_s;
 	double estimate = job->estimate_s > 0 ? job->estimate_s : params->default_estimate_s;
-	double cpus = job->cpus * job->task_count;
-	double patience = params->patience_s * (job->background ? params->background_patience : 1);
+	double cpus = job->need.cpus * job->task_count;
+	double patience =
+		params->overdue_after_s * (job->background ? params->background_overdue_factor : 1);
 
 	if (cpus <= 0)
 		cpus = 1;
@@ -47,7 +48,7 @@
 	 * done within 150 s, and occupied all machines of the site for five minutes.
 	 */
 	return pow(wait / REFERENCE_S, params->alpha) *
-	       (1 + pow(wait / patience, params->impatience)) *
+	       (1 + pow(wait / patience, params->aging_power)) *
 	       pow(estimate / REFERENCE_S, params->beta) *
 	       pow(cpus / REFERENCE_CPUS, params->gamma) *
 	       pow(params->r, (int)job->priority - 1 - job->background);
@@ -66,7 +67,7 @@
  */
 bool fl_sched_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
-	return !job->service && !job->begun && job->waited_s > params->patience_s;
+	return !job->service && !job->begun && job->waited_s > params->overdue_after_s;
 }
 
 /*
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -12,7 +12,7 @@
 
 	if ((zone >= 0 && machine->zone != zone) ||
 	    !fl_sched_fits(job, available.cpus, available.gpus, available.ram_gb) ||
-	    !fl_sched_fits(job, machine->cpus, machine->gpus, machine->ram_gb) ||
+	    !fl_sched_fits(job, machine->free.cpus, machine->free.gpus, machine->free.ram_gb) ||
 	    !fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone) ||
 	    (must_end_by && must_end_by[machine_index] < job->estimate_s))
 		return INFINITY;
@@ -43,7 +43,7 @@
 
 		if (fl_sched_allowed(job, machine))
 			room[machine->zone] += fl_sched_placement_capacity(
-				job, machine->cpus, machine->gpus, machine->ram_gb);
+				job, machine->free.cpus, machine->free.gpus, machine->free.ram_gb);
 	}
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (room[z] > 0 && (best < 0 || room[z] > room[best]))
@@ -64,13 +64,13 @@
 	}
 	cycle->output->starts[cycle->output->start_count++] =
 		(struct fl_sched_start){job_index, machine_index};
-	machine->cpus -= job->cpus;
-	machine->gpus -= job->gpus;
-	machine->ram_gb -= job->ram_gb;
-	team->used_cpus += job->cpus;
-	team->used_gpus += job->gpus;
+	machine->free.cpus -= job->need.cpus;
+	machine->free.gpus -= job->need.gpus;
+	machine->free.ram_gb -= job->need.ram_gb;
+	team->used_cpus += job->need.cpus;
+	team->used_gpus += job->need.gpus;
 	job->placed_by_zone[machine->zone]++;
-	job->waiting--;
+	job->startable_count--;
 }
 
 /* Takes back the starts beyond the first `keep`. */
@@ -83,13 +83,13 @@
 		struct fl_sched_machine *machine = &cycle->input->machines[undone->machine];
 		struct fl_team *team = &cycle->input->teams[job->team];
 
-		machine->cpus += job->cpus;
-		machine->gpus += job->gpus;
-		machine->ram_gb += job->ram_gb;
-		team->used_cpus -= job->cpus;
-		team->used_gpus -= job->gpus;
+		machine->free.cpus += job->need.cpus;
+		machine->free.gpus += job->need.gpus;
+		machine->free.ram_gb += job->need.ram_gb;
+		team->used_cpus -= job->need.cpus;
+		team->used_gpus -= job->need.gpus;
 		job->placed_by_zone[machine->zone]--;
-		job->waiting++;
+		job->startable_count++;
 	}
 }
 
@@ -101,12 +101,13 @@
 {
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	int zone = pick_zone(cycle->input, job);
-	uint32_t remaining =
-		fl_sched_overdue(cycle->input->params, job) && !job->gang ? job->waiting - 1 : 0;
+	uint32_t remaining = fl_sched_overdue(cycle->input->params, job) && !job->gang
+	                             ? job->startable_count - 1
+	                             : 0;
 
 	cycle->tasks_awaiting_image = 0;
 	compute_start_costs(cycle, job, zone, must_end_by);
-	while (job->waiting > remaining + cycle->tasks_awaiting_image && !cycle->failed) {
+	while (job->startable_count > remaining + cycle->tasks_awaiting_image && !cycle->failed) {
 		int best;
 
 		if (!fl_sched_team_allows(cycle->input, job))
@@ -133,7 +134,7 @@
 	int before = cycle->output->start_count;
 	bool no_room = start_each(cycle, job_index, must_end_by);
 
-	if (cycle->input->jobs[job_index].gang && cycle->input->jobs[job_index].waiting > 0)
+	if (cycle->input->jobs[job_index].gang && cycle->input->jobs[job_index].startable_count > 0)
 		undo_starts(cycle, before);
 	return no_room;
 }
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -50,7 +50,7 @@
 {
 	const struct fl_team *team;
 
-	if (attempt->stopping || !attempt->movable ||
+	if (attempt->stopping || !attempt->preemptible ||
 	    (attempt->last_running_task && job->priority < FL_URGENT))
 		return false;
 	if (attempt->priority < job->priority)
@@ -102,9 +102,9 @@
 	while (used < n && !fl_sched_fits(job, cpus, gpus, ram)) {
 		const struct fl_sched_attempt *attempt = &cycle->input->attempts[victims[used++]];
 
-		cpus += attempt->cpus;
-		gpus += attempt->gpus;
-		ram += attempt->ram_gb;
+		cpus += attempt->used.cpus;
+		gpus += attempt->used.gpus;
+		ram += attempt->used.ram_gb;
 		cost += attempt->lost_s + tunables.stop_cost_s;
 	}
 	*victim_count = used;
@@ -123,9 +123,9 @@
 	}
 	cycle->output->preemptions[cycle->output->preemption_count++] = attempt_index;
 	attempt->stopping = true;
-	cycle->releasing_cpus[attempt->machine] += attempt->cpus;
-	cycle->releasing_gpus[attempt->machine] += attempt->gpus;
-	cycle->releasing_ram_gb[attempt->machine] += attempt->ram_gb;
+	cycle->releasing_cpus[attempt->machine] += attempt->used.cpus;
+	cycle->releasing_gpus[attempt->machine] += attempt->used.gpus;
+	cycle->releasing_ram_gb[attempt->machine] += attempt->used.ram_gb;
 }
 
 static double preemption_cost(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
@@ -175,18 +175,18 @@
 	for (int k = 0; k < victim_count; k++)
 		preempt_attempt(cycle, cycle->victims[k]);
 	/* No other job of this pass may use it, its free part included. */
-	machine->cpus -= job->cpus;
-	machine->gpus -= job->gpus;
-	machine->ram_gb -= job->ram_gb;
+	machine->free.cpus -= job->need.cpus;
+	machine->free.gpus -= job->need.gpus;
+	machine->free.ram_gb -= job->need.ram_gb;
 	job->placed_by_zone[machine->zone]++;
-	if (!machine->requested.made)
+	if (!machine->requested.active)
 		machine->requested = (struct fl_reservation){
-			.made = true,
+			.active = true,
 			.within_guaranteed = terms.entitlement == ENTITLED_BY_GUARANTEE,
 			.priority = job->priority};
-	machine->requested.cpus += job->cpus;
-	machine->requested.gpus += job->gpus;
-	machine->requested.ram_gb += job->ram_gb;
+	machine->requested.resources.cpus += job->need.cpus;
+	machine->requested.resources.gpus += job->need.gpus;
+	machine->requested.resources.ram_gb += job->need.ram_gb;
 	if (fl_sched_depends_on_zones(job))
 		compute_preemption_costs(cycle, job, terms);
 	else
@@ -216,8 +216,8 @@
 static enum entitlement entitlement_of(const struct fl_sched_job *job, const struct fl_team *team)
 {
 	bool within = job->within_guaranteed &&
-	              fl_team_within_guaranteed(team, team->used_cpus + job->cpus,
-	                                        team->used_gpus + job->gpus);
+	              fl_team_within_guaranteed(team, team->used_cpus + job->need.cpus,
+	                                        team->used_gpus + job->need.gpus);
 
 	return within ? ENTITLED_BY_GUARANTEE : ENTITLED_BY_PRIORITY;
 }
@@ -233,7 +233,7 @@
 	bool rated = false;
 
 	/* A gang requests nothing: stops for some of it would free room it cannot use yet. */
-	while (requested < job->waiting - cycle->tasks_awaiting_image && !job->gang &&
+	while (requested < job->startable_count - cycle->tasks_awaiting_image && !job->gang &&
 	       !cycle->failed) {
 		enum entitlement entitlement = entitlement_of(job, team);
 
@@ -249,8 +249,8 @@
 		rated = true;
 		if (!request_preemption(cycle, job, terms))
 			break;
-		team->used_cpus += job->cpus;
-		team->used_gpus += job->gpus;
+		team->used_cpus += job->need.cpus;
+		team->used_gpus += job->need.gpus;
 		requested++;
 	}
 	team->used_cpus = cpus;
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -104,15 +104,15 @@
 		struct fl_machine *machine = snapshot->machines[i];
 
 		/* A request for the rest of the room does not replace a higher reservation. */
-		if (!requested->made ||
-		    (from->reserved.made && from->reserved.priority > requested->priority))
+		if (!requested->active ||
+		    (from->reserved.active && from->reserved.priority > requested->priority))
 			continue;
 		machine->reservation.at = now;
 		machine->reservation.within_guaranteed = requested->within_guaranteed;
 		machine->reservation.priority = requested->priority;
-		machine->reservation.cpus = requested->cpus;
-		machine->reservation.gpus = requested->gpus;
-		machine->reservation.ram_gb = requested->ram_gb;
+		machine->reservation.cpus = requested->resources.cpus;
+		machine->reservation.gpus = requested->resources.gpus;
+		machine->reservation.ram_gb = requested->resources.ram_gb;
 	}
 }
 
@@ -133,11 +133,11 @@
 	struct fl_snapshot snapshot;
 
 	node->leadership.cycle_due = false;
-	if (fl_snapshot_take(node, &snapshot, now) != 0)
+	if (fl_snapshot_take(node, &snapshot, now) != FL_SCHEDULE_OK)
 		goto out;
 	snapshot.input.out_of_time = out_of_time;
-	snapshot.input.ctx = &deadline;
-	if (fl_schedule(&snapshot.input, &output) != 0) {
+	snapshot.input.context = &deadline;
+	if (fl_schedule(&snapshot.input, &output) != FL_SCHEDULE_OK) {
 		fl_error("schedule", "a pass failed for want of memory");
 		goto out;
 	}
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -1,6 +1,5 @@
 #include "coordination/scheduling/scheduling_snapshot.h"
 
-#include <errno.h>
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -68,8 +67,8 @@
 	struct fl_sched_job *target = &snapshot->input.jobs[snapshot->input.job_count];
 
 	memset(target, 0, sizeof(*target));
-	target->waiting = count_startable(job, considered, now);
-	if (target->waiting == 0)
+	target->startable_count = count_startable(job, considered, now);
+	if (target->startable_count == 0)
 		return;
 	target->priority = job->priority;
 	target->service = job->kind == FL_SERVICE;
@@ -77,12 +76,12 @@
 	target->team = job->team;
 	target->waited_s = wall - job->submitted_wall;
 	target->estimate_s = job->expected_s;
-	target->cpus = job->cpus;
-	target->gpus = job->gpus;
-	target->ram_gb = job->ram_gb;
+	target->need.cpus = job->cpus;
+	target->need.gpus = job->gpus;
+	target->need.ram_gb = job->ram_gb;
 	target->image_gb = job->image_gb;
 	target->task_count = job->task_count;
-	target->types = job->types;
+	target->allowed_types = job->types;
 	target->zone = job->zone;
 	target->same_zone = job->same_zone;
 	target->spread_zones = job->spread_zones;
@@ -93,7 +92,7 @@
 	target->within_guaranteed = job->within_guaranteed;
 	target->background = is_background(node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
-	target->window_left =
+	target->window_left_s =
 		job->placement.window_until > 0 ? fmax(0, job->placement.window_until - now) : -1;
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
@@ -136,17 +135,18 @@
 	target->priority = job->priority;
 	target->service = job->kind == FL_SERVICE;
 	target->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
-	target->movable = !target->stopping;
+	target->preemptible = !target->stopping;
 	target->within_guaranteed = job->within_guaranteed;
-	target->cpus = job->cpus;
-	target->gpus = job->gpus;
-	target->ram_gb = job->ram_gb;
+	target->used.cpus = job->cpus;
+	target->used.gpus = job->gpus;
+	target->used.ram_gb = job->ram_gb;
 	target->left_s = estimated_left(job, task, now);
 	target->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
 	if (job->checkpoint_every_s > 0)
 		target->lost_s = fmin(target->lost_s, job->checkpoint_cost_s);
-	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
-	                            wall - job->submitted_wall > snapshot->input.params->patience_s;
+	target->last_running_task =
+		job->kind != FL_SERVICE && job->counts.placed == 1 &&
+		wall - job->submitted_wall > snapshot->input.params->overdue_after_s;
 	snapshot->attempts[snapshot->input.attempt_count++] = *slot;
 }
 
@@ -189,12 +189,12 @@
 {
 	if (machine->reservation.at <= 0 || now > machine->reservation.at + tunables.reservation_s)
 		return (struct fl_reservation){0};
-	return (struct fl_reservation){.made = true,
+	return (struct fl_reservation){.active = true,
 	                               .within_guaranteed = machine->reservation.within_guaranteed,
 	                               .priority = machine->reservation.priority,
-	                               .cpus = machine->reservation.cpus,
-	                               .gpus = machine->reservation.gpus,
-	                               .ram_gb = machine->reservation.ram_gb};
+	                               .resources.cpus = machine->reservation.cpus,
+	                               .resources.gpus = machine->reservation.gpus,
+	                               .resources.ram_gb = machine->reservation.ram_gb};
 }
 
 static void add_machine(struct fl_node *node, struct fl_snapshot *snapshot,
@@ -208,9 +208,9 @@
 	                                    .zone = machine->zone,
 	                                    .spot = machine->spot,
 	                                    .reserved = active_reservation(machine, now),
-	                                    .cpus = type->cpus - machine->used.cpus,
-	                                    .gpus = type->gpus - machine->used.gpus,
-	                                    .ram_gb = type->ram_gb - machine->used.ram_gb,
+	                                    .free.cpus = type->cpus - machine->used.cpus,
+	                                    .free.gpus = type->gpus - machine->used.gpus,
+	                                    .free.ram_gb = type->ram_gb - machine->used.ram_gb,
 	                                    .pull_gb_s = type->pull_gb_s,
 	                                    .cached_images = machine->cached_images};
 	for (int k = 0; k < machine->assignment_count; k++) {
@@ -239,7 +239,8 @@
 	       snapshot->input.machines && snapshot->input.attempts && snapshot->input.teams;
 }
 
-int fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot, double now)
+enum fl_schedule_result fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot,
+                                         double now)
 {
 	struct fl_cluster *cluster = &node->cluster;
 	uint32_t considered = max_tasks_considered(&cluster->machines);
@@ -248,7 +249,7 @@
 
 	memset(snapshot, 0, sizeof(*snapshot));
 	if (!allocate(snapshot, cluster))
-		return -ENOMEM;
+		return FL_SCHEDULE_OUT_OF_MEMORY;
 	snapshot->input.params = &fl_sched_defaults;
 	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
@@ -260,7 +261,7 @@
 			add_machine(node, snapshot, cluster->machines.by_id[i], now, wall);
 	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(node);
 	snapshot->input.resume_position = node->leadership.resume_position;
-	return 0;
+	return FL_SCHEDULE_OK;
 }
 
 void fl_snapshot_free(struct fl_snapshot *snapshot)
--- a/src/coordination/scheduling/scheduling_snapshot.h
+++ b/src/coordination/scheduling/scheduling_snapshot.h
@@ -16,8 +16,9 @@
 	struct fl_assignment *attempts;
 };
 
-/* Takes a snapshot; -ENOMEM without memory. Free it in any case. */
-int fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot, double now);
+/* Takes a snapshot. Free it whatever the result. `now`: steady. */
+enum fl_schedule_result fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot,
+                                         double now);
 /* Frees what a snapshot consists of. */
 void fl_snapshot_free(struct fl_snapshot *snapshot);
 
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -4,6 +4,7 @@
 
 #include <uthash.h>
 
+#include "storage/resources.h"
 #include "storage/symbol_table.h"
 #include "protocol/cloud.h"
 
@@ -25,11 +26,6 @@
 	uint32_t index;
 };
 
-/* Amounts of the three resources. */
-struct fl_resources {
-	double cpus, gpus, ram_gb;
-};
-
 /* How far a machine is on its way from rental to return. Times are steady, in seconds. */
 struct fl_machine_lifecycle {
 	double first_seen_at;     /* of its rental, or of the first sight of it */
--- /dev/null
+++ b/src/storage/resources.h
@@ -0,0 +1,40 @@
+/*
+ * Amounts of the three resources that tasks need and machines have. They are sums of decimal
+ * fractions: whether one fits into another is compared with a slack, and sums are always made in
+ * the order of the calls, since decisions are compared bit for bit.
+ */
+#ifndef FL_STORAGE_RESOURCES_H
+#define FL_STORAGE_RESOURCES_H
+
+#include <stdbool.h>
+
+/* Slack of a comparison, in the unit of the amount. */
+#define FL_RESOURCES_EPSILON 1e-6
+
+struct fl_resources {
+	double cpus, gpus, ram_gb;
+};
+
+static inline void fl_resources_add(struct fl_resources *total, struct fl_resources amount)
+{
+	total->cpus += amount.cpus;
+	total->gpus += amount.gpus;
+	total->ram_gb += amount.ram_gb;
+}
+
+static inline void fl_resources_subtract(struct fl_resources *total, struct fl_resources amount)
+{
+	total->cpus -= amount.cpus;
+	total->gpus -= amount.gpus;
+	total->ram_gb -= amount.ram_gb;
+}
+
+/* Whether `need` fits into what is available, which a reservation can make negative. */
+static inline bool fl_resources_fit(struct fl_resources need, struct fl_resources available)
+{
+	return need.cpus <= available.cpus + FL_RESOURCES_EPSILON &&
+	       need.gpus <= available.gpus + FL_RESOURCES_EPSILON &&
+	       need.ram_gb <= available.ram_gb + FL_RESOURCES_EPSILON;
+}
+
+#endif
--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -24,35 +24,35 @@
 		.spot_loss_rate = snapshot->spot_loss,
 	};
 
-	assert_int_equal(fl_schedule(&input, output), 0);
+	assert_int_equal(fl_schedule(&input, output), FL_SCHEDULE_OK);
 }
 
 struct fl_sched_job plain_job(double cpus, uint32_t waiting, double est, double waited)
 {
 	return (struct fl_sched_job){.priority = FL_STANDARD,
-	                             .cpus = cpus,
-	                             .ram_gb = 1,
+	                             .need.cpus = cpus,
+	                             .need.ram_gb = 1,
 	                             .task_count = waiting,
-	                             .waiting = waiting,
+	                             .startable_count = waiting,
 	                             .estimate_s = est,
 	                             .waited_s = waited,
-	                             .types = 1,
+	                             .allowed_types = 1,
 	                             .zone = -1,
-	                             .window_left = -1};
+	                             .window_left_s = -1};
 }
 
 struct fl_sched_machine plain_machine(double cpus)
 {
 	return (struct fl_sched_machine){
-		.cpus = cpus, .ram_gb = 64, .pull_gb_s = 1, .cached_images = no_cache};
+		.free.cpus = cpus, .free.ram_gb = 64, .pull_gb_s = 1, .cached_images = no_cache};
 }
 
 struct fl_sched_attempt plain_run(int machine, double cpus, double left)
 {
 	return (struct fl_sched_attempt){.machine = machine,
 	                                 .priority = FL_STANDARD,
-	                                 .movable = true,
-	                                 .cpus = cpus,
-	                                 .ram_gb = 1,
+	                                 .preemptible = true,
+	                                 .used.cpus = cpus,
+	                                 .used.ram_gb = 1,
 	                                 .left_s = left};
 }
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -32,9 +32,9 @@
 		if (cheapest < 0)
 			return INFINITY;
 		set[cheapest] = true;
-		cpus += model->snapshot.runs[cheapest].cpus;
-		gpus += model->snapshot.runs[cheapest].gpus;
-		ram_gb += model->snapshot.runs[cheapest].ram_gb;
+		cpus += model->snapshot.runs[cheapest].used.cpus;
+		gpus += model->snapshot.runs[cheapest].used.gpus;
+		ram_gb += model->snapshot.runs[cheapest].used.ram_gb;
 		cost += model->snapshot.runs[cheapest].lost_s + 1;
 	}
 	return cost;
@@ -80,22 +80,22 @@
 		set[next] = false;
 		model->stops[model->n_stops++] = next;
 		model->snapshot.runs[next].stopping = true;
-		model->later[best][0] += model->snapshot.runs[next].cpus;
-		model->later[best][1] += model->snapshot.runs[next].gpus;
-		model->later[best][2] += model->snapshot.runs[next].ram_gb;
+		model->later[best][0] += model->snapshot.runs[next].used.cpus;
+		model->later[best][1] += model->snapshot.runs[next].used.gpus;
+		model->later[best][2] += model->snapshot.runs[next].used.ram_gb;
 	}
-	model->snapshot.machines[best].cpus -= job->cpus;
-	model->snapshot.machines[best].gpus -= job->gpus;
-	model->snapshot.machines[best].ram_gb -= job->ram_gb;
+	model->snapshot.machines[best].free.cpus -= job->need.cpus;
+	model->snapshot.machines[best].free.gpus -= job->need.gpus;
+	model->snapshot.machines[best].free.ram_gb -= job->need.ram_gb;
 	job->placed_by_zone[model->snapshot.machines[best].zone]++;
-	if (!model->snapshot.machines[best].requested.made) {
-		model->snapshot.machines[best].requested.made = true;
+	if (!model->snapshot.machines[best].requested.active) {
+		model->snapshot.machines[best].requested.active = true;
 		model->snapshot.machines[best].requested.within_guaranteed = within_guarantee;
 		model->snapshot.machines[best].requested.priority = job->priority;
 	}
-	model->snapshot.machines[best].requested.cpus += job->cpus;
-	model->snapshot.machines[best].requested.gpus += job->gpus;
-	model->snapshot.machines[best].requested.ram_gb += job->ram_gb;
+	model->snapshot.machines[best].requested.resources.cpus += job->need.cpus;
+	model->snapshot.machines[best].requested.resources.gpus += job->need.gpus;
+	model->snapshot.machines[best].requested.resources.ram_gb += job->need.ram_gb;
 	return true;
 }
 
@@ -106,17 +106,17 @@
 		       *team = &model->snapshot.teams[job->team];
 	uint32_t requested = 0;
 
-	while (requested + model->held < job->waiting && !job->gang) {
+	while (requested + model->held < job->startable_count && !job->gang) {
 		bool within_guarantee = job->within_guaranteed &&
-		                        model_in_guarantee(team, team->used_cpus + job->cpus,
-		                                           team->used_gpus + job->gpus);
+		                        model_in_guarantee(team, team->used_cpus + job->need.cpus,
+		                                           team->used_gpus + job->need.gpus);
 
 		if (!model_team(model, job) ||
 		    (!within_guarantee && job->priority == FL_BEST_EFFORT) ||
 		    !model_request_one(model, job, within_guarantee, false, until, est))
 			break;
-		team->used_cpus += job->cpus;
-		team->used_gpus += job->gpus;
+		team->used_cpus += job->need.cpus;
+		team->used_gpus += job->need.gpus;
 		requested++;
 	}
 	*team = saved;
@@ -136,7 +136,8 @@
 		if (zone >= 0 && machine->zone != zone)
 			continue;
 		if (!model_allowed(job, machine) ||
-		    !model_room(job, machine->cpus, machine->gpus, machine->ram_gb) ||
+		    !model_room(job, machine->free.cpus, machine->free.gpus,
+		                machine->free.ram_gb) ||
 		    !model_zone(job, machine->zone) || (until && est > until[i]))
 			continue;
 		/* Reserved to one before this job. */
@@ -163,8 +164,8 @@
 		before = malloc(sizeof(*before));
 		*before = *model;
 	}
-	for (uint32_t all = job->waiting;
-	     job->waiting > model->held && !(one && job->waiting < all);) {
+	for (uint32_t all = job->startable_count;
+	     job->startable_count > model->held && !(one && job->startable_count < all);) {
 		double fetch;
 		int best;
 
@@ -184,15 +185,15 @@
 			continue;
 		}
 		model->starts[model->n_starts++] = (struct fl_sched_start){index, best};
-		model->snapshot.machines[best].cpus -= job->cpus;
-		model->snapshot.machines[best].gpus -= job->gpus;
-		model->snapshot.machines[best].ram_gb -= job->ram_gb;
-		model->snapshot.teams[job->team].used_cpus += job->cpus;
-		model->snapshot.teams[job->team].used_gpus += job->gpus;
+		model->snapshot.machines[best].free.cpus -= job->need.cpus;
+		model->snapshot.machines[best].free.gpus -= job->need.gpus;
+		model->snapshot.machines[best].free.ram_gb -= job->need.ram_gb;
+		model->snapshot.teams[job->team].used_cpus += job->need.cpus;
+		model->snapshot.teams[job->team].used_gpus += job->need.gpus;
 		job->placed_by_zone[model->snapshot.machines[best].zone]++;
-		job->waiting--;
+		job->startable_count--;
 	}
-	if (before && job->waiting > 0)
+	if (before && job->startable_count > 0)
 		*model = *before;
 	free(before);
 	return no_room;
@@ -215,7 +216,7 @@
 		       takes = candidate->estimate_s > 0 ? candidate->estimate_s : 3600;
 		double weight[] = {0.1, 1, 10, 100};
 		double priority = wait / 3600 * (1 + pow(wait / 120, 4)) * (3600 / takes) *
-		                  (1 / sqrt(candidate->cpus * candidate->task_count / 32)) *
+		                  (1 / sqrt(candidate->need.cpus * candidate->task_count / 32)) *
 		                  weight[candidate->priority];
 
 		if (looked[i])
@@ -239,9 +240,12 @@
 	for (int i = 0; i < model->snapshot.n_runs; i++) {
 		if (!model->snapshot.runs[i].stopping)
 			continue;
-		model->later[model->snapshot.runs[i].machine][0] += model->snapshot.runs[i].cpus;
-		model->later[model->snapshot.runs[i].machine][1] += model->snapshot.runs[i].gpus;
-		model->later[model->snapshot.runs[i].machine][2] += model->snapshot.runs[i].ram_gb;
+		model->later[model->snapshot.runs[i].machine][0] +=
+			model->snapshot.runs[i].used.cpus;
+		model->later[model->snapshot.runs[i].machine][1] +=
+			model->snapshot.runs[i].used.gpus;
+		model->later[model->snapshot.runs[i].machine][2] +=
+			model->snapshot.runs[i].used.ram_gb;
 	}
 	for (;;) {
 		int next_rank = 0, next = model_next(model, looked, &next_rank);
@@ -254,7 +258,7 @@
 			return;
 		looked[next] = true;
 		job = &model->snapshot.jobs[next];
-		if (job->waiting == 0)
+		if (job->startable_count == 0)
 			continue;
 		first = next_rank == 3;
 		backfill = model->top >= 0 && !first;
@@ -265,14 +269,14 @@
 		est = job->estimate_s > 0 ? job->estimate_s : job->service ? INFINITY : 3600;
 		if (!model_start(model, next, bound, est))
 			continue;
-		model->short_of[next] =
-			job->waiting - model->held - model_request_all(model, next, bound, est);
+		model->short_of[next] = job->startable_count - model->held -
+		                        model_request_all(model, next, bound, est);
 		if (model->short_of[next] == 0 || model->top >= 0)
 			continue;
 		model->top = next;
 		model->window = 4 * model_wait(model, job);
-		if (job->window_left >= 0)
-			model->window = fmin(model->window, job->window_left);
+		if (job->window_left_s >= 0)
+			model->window = fmin(model->window, job->window_left_s);
 		for (int i = 0; i < model->snapshot.n_machines; i++)
 			until[i] = model_allowed(job, &model->snapshot.machines[i]) ? model->window
 			                                                            : INFINITY;
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -5,7 +5,7 @@
 
 bool model_allowed(const struct fl_sched_job *job, const struct fl_sched_machine *machine)
 {
-	if (!(job->types & (1u << machine->type)))
+	if (!(job->allowed_types & (1u << machine->type)))
 		return false;
 	if (job->zone >= 0 && machine->zone != job->zone)
 		return false;
@@ -14,7 +14,8 @@
 
 bool model_room(const struct fl_sched_job *job, double cpus, double gpus, double ram_gb)
 {
-	return cpus >= job->cpus - 1e-6 && gpus >= job->gpus - 1e-6 && ram_gb >= job->ram_gb - 1e-6;
+	return cpus >= job->need.cpus - 1e-6 && gpus >= job->need.gpus - 1e-6 &&
+	       ram_gb >= job->need.ram_gb - 1e-6;
 }
 
 bool model_zone(const struct fl_sched_job *job, int zone)
@@ -36,8 +37,8 @@
 {
 	const struct fl_team *team = &model->snapshot.teams[job->team];
 
-	return (team->max_cpus == 0 || team->used_cpus + job->cpus <= team->max_cpus + 1e-6) &&
-	       (team->max_gpus == 0 || team->used_gpus + job->gpus <= team->max_gpus + 1e-6);
+	return (team->max_cpus == 0 || team->used_cpus + job->need.cpus <= team->max_cpus + 1e-6) &&
+	       (team->max_gpus == 0 || team->used_gpus + job->need.gpus <= team->max_gpus + 1e-6);
 }
 
 bool model_in_guarantee(const struct fl_team *team, double cpus, double gpus)
@@ -65,7 +66,7 @@
 double model_score(const struct model *model, const struct fl_sched_job *job,
                    const struct fl_sched_machine *machine)
 {
-	double score = machine->gpus - job->gpus,
+	double score = machine->free.gpus - job->need.gpus,
 	       est = job->estimate_s > 0 ? job->estimate_s : 3600;
 	int slot = 0;
 
@@ -87,9 +88,9 @@
 	int n = 0;
 
 	while (n < 1000 && model_room(job, cpus, gpus, ram_gb)) {
-		cpus -= job->cpus;
-		gpus -= job->gpus;
-		ram_gb -= job->ram_gb;
+		cpus -= job->need.cpus;
+		gpus -= job->need.gpus;
+		ram_gb -= job->need.ram_gb;
 		n++;
 	}
 	return n;
@@ -111,8 +112,8 @@
 			const struct fl_sched_machine *machine = &model->snapshot.machines[i];
 
 			if (machine->zone == z && model_allowed(job, machine))
-				room += model_count(job, machine->cpus, machine->gpus,
-				                    machine->ram_gb);
+				room += model_count(job, machine->free.cpus, machine->free.gpus,
+				                    machine->free.ram_gb);
 		}
 		if (room > best_room) {
 			best_room = room;
@@ -127,7 +128,7 @@
 {
 	const struct fl_team *team = &model->snapshot.teams[attempt->team];
 
-	if (attempt->stopping || !attempt->movable)
+	if (attempt->stopping || !attempt->preemptible)
 		return false;
 	if (attempt->last_running_task && job->priority != FL_URGENT &&
 	    job->priority != FL_CRITICAL)
@@ -146,19 +147,20 @@
 {
 	const struct fl_sched_machine *machine = &model->snapshot.machines[index];
 	const struct fl_reservation *reserved = &machine->reserved;
-	double withheld[3] = {reserved->cpus, reserved->gpus, reserved->ram_gb};
-	double requested[3] = {machine->requested.cpus, machine->requested.gpus,
-	                       machine->requested.ram_gb};
-
-	open[0] = machine->cpus + model->later[index][0];
-	open[1] = machine->gpus + model->later[index][1];
-	open[2] = machine->ram_gb + model->later[index][2];
-	if (!reserved->made ||
+	double withheld[3] = {reserved->resources.cpus, reserved->resources.gpus,
+	                      reserved->resources.ram_gb};
+	double requested[3] = {machine->requested.resources.cpus, machine->requested.resources.gpus,
+	                       machine->requested.resources.ram_gb};
+
+	open[0] = machine->free.cpus + model->later[index][0];
+	open[1] = machine->free.gpus + model->later[index][1];
+	open[2] = machine->free.ram_gb + model->later[index][2];
+	if (!reserved->active ||
 	    (job->priority >= reserved->priority &&
 	     (model_ahead(job) || !reserved->within_guaranteed || job->within_guaranteed)))
 		return;
 	for (int x = 0; x < 3; x++) {
-		if (machine->requested.made && machine->requested.priority >= reserved->priority)
+		if (machine->requested.active && machine->requested.priority >= reserved->priority)
 			withheld[x] -= requested[x];
 		if (withheld[x] > 0)
 			open[x] -= withheld[x];
@@ -172,7 +174,8 @@
 
 	for (int i = 0; i < model->snapshot.n_machines; i++) {
 		const struct fl_sched_machine *machine = &model->snapshot.machines[i];
-		double cpus = machine->cpus, gpus = machine->gpus, ram_gb = machine->ram_gb;
+		double cpus = machine->free.cpus, gpus = machine->free.gpus,
+		       ram_gb = machine->free.ram_gb;
 		int n;
 
 		for (int x = 0; x < model->snapshot.n_runs; x++) {
@@ -180,9 +183,9 @@
 			    model->snapshot.runs[x].left_s > at ||
 			    model->snapshot.runs[x].left_s == INFINITY)
 				continue;
-			cpus += model->snapshot.runs[x].cpus;
-			gpus += model->snapshot.runs[x].gpus;
-			ram_gb += model->snapshot.runs[x].ram_gb;
+			cpus += model->snapshot.runs[x].used.cpus;
+			gpus += model->snapshot.runs[x].used.gpus;
+			ram_gb += model->snapshot.runs[x].used.ram_gb;
 		}
 		if (!model_allowed(job, machine))
 			continue;
@@ -197,9 +200,9 @@
 	if (!job->gang)
 		return false;
 	for (int z = 0; job->same_zone && z < ZONES; z++)
-		if (in_zone[z] >= (int)job->waiting)
+		if (in_zone[z] >= (int)job->startable_count)
 			return true;
-	return !job->same_zone && all >= (int)job->waiting;
+	return !job->same_zone && all >= (int)job->startable_count;
 }
 
 double model_wait(const struct model *model, const struct fl_sched_job *job)
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -29,18 +29,18 @@
 		s->jobs[i] = (struct fl_sched_job){.priority = FL_BEST_EFFORT,
 		                                   .waited_s = 10,
 		                                   .estimate_s = 60,
-		                                   .cpus = 6,
-		                                   .ram_gb = 8,
+		                                   .need.cpus = 6,
+		                                   .need.ram_gb = 8,
 		                                   .task_count = 10,
-		                                   .waiting = 10,
-		                                   .types = 1,
+		                                   .startable_count = 10,
+		                                   .allowed_types = 1,
 		                                   .zone = -1,
 		                                   .spot_allowed = true,
 		                                   .begun = true,
-		                                   .window_left = -1};
+		                                   .window_left_s = -1};
 	s->jobs[BACKGROUND].waited_s = background_waited_s;
 	s->jobs[BACKGROUND].begun = background_begun;
-	s->machine = (struct fl_sched_machine){.cpus = 8, .ram_gb = 64, .pull_gb_s = 1};
+	s->machine = (struct fl_sched_machine){.free.cpus = 8, .free.ram_gb = 64, .pull_gb_s = 1};
 	s->in = (struct fl_sched_input){.params = &fl_sched_defaults,
 	                                .jobs = s->jobs,
 	                                .job_count = JOBS,
@@ -55,7 +55,7 @@
 	struct fl_sched_output output;
 	int job;
 
-	assert_int_equal(fl_schedule(&s->in, &output), 0);
+	assert_int_equal(fl_schedule(&s->in, &output), FL_SCHEDULE_OK);
 	assert_int_equal(output.start_count, 1);
 	job = output.starts[0].job;
 	fl_sched_output_free(&output);
@@ -92,7 +92,7 @@
 	struct site s;
 
 	(void)state;
-	set_up(&s, fl_sched_defaults.patience_s + 1, false);
+	set_up(&s, fl_sched_defaults.overdue_after_s + 1, false);
 	s.jobs[BACKGROUND].background = true;
 	assert_int_equal(first_started(&s), BACKGROUND);
 }
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -124,12 +124,12 @@
 	struct fl_sched_output output;
 	struct fl_snapshot snapshot;
 
-	assert_int_equal(fl_snapshot_take(&site->node, &snapshot, fl_now()), 0);
+	assert_int_equal(fl_snapshot_take(&site->node, &snapshot, fl_now()), FL_SCHEDULE_OK);
 	assert_int_equal(snapshot.input.job_count, 1);
 	assert_int_equal(snapshot.input.machine_count, MACHINES);
-	assert_int_equal(snapshot.input.jobs[0].waiting, 2 * MACHINES);
-	assert_int_equal(fl_schedule(&snapshot.input, &output), 0);
-	assert_int_equal(snapshot.input.jobs[0].waiting, 0);
+	assert_int_equal(snapshot.input.jobs[0].startable_count, 2 * MACHINES);
+	assert_int_equal(fl_schedule(&snapshot.input, &output), FL_SCHEDULE_OK);
+	assert_int_equal(snapshot.input.jobs[0].startable_count, 0);
 	assert_true(output.start_count > 200);
 	assert_true(output.machines_examined <= 2L * MACHINES);
 	fl_sched_output_free(&output);
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -30,17 +30,17 @@
 		                                  .zone = (int)pick(rng, ZONES),
 		                                  .spot = pick(rng, 2) > 0,
 		                                  .runs_service = pick(rng, 2) > 0,
-		                                  .cpus = 16,
-		                                  .gpus = 4,
-		                                  .ram_gb = 64,
+		                                  .free.cpus = 16,
+		                                  .free.gpus = 4,
+		                                  .free.ram_gb = 64,
 		                                  .pull_gb_s = 0.5,
 		                                  .cached_images = snapshot->cache[i]};
-		snapshot->machines[i].reserved.made = pick(rng, 4) == 0;
+		snapshot->machines[i].reserved.active = pick(rng, 4) == 0;
 		snapshot->machines[i].reserved.within_guaranteed = pick(rng, 2) > 0;
 		snapshot->machines[i].reserved.priority = (enum fl_priority)pick(rng, 4);
-		snapshot->machines[i].reserved.cpus = pick(rng, 12);
-		snapshot->machines[i].reserved.gpus = pick(rng, 3);
-		snapshot->machines[i].reserved.ram_gb = pick(rng, 30);
+		snapshot->machines[i].reserved.resources.cpus = pick(rng, 12);
+		snapshot->machines[i].reserved.resources.gpus = pick(rng, 3);
+		snapshot->machines[i].reserved.resources.ram_gb = pick(rng, 30);
 	}
 }
 
@@ -56,22 +56,22 @@
 		run.priority = (enum fl_priority)pick(rng, 4);
 		run.service = pick(rng, 3) == 0;
 		run.stopping = pick(rng, 6) == 0;
-		run.movable = !run.stopping;
+		run.preemptible = !run.stopping;
 		run.within_guaranteed = pick(rng, 3) == 0;
 		run.last_running_task = !run.service && pick(rng, 3) == 0;
-		run.cpus = 1 + pick(rng, 6);
-		run.gpus = pick(rng, 3);
-		run.ram_gb = 4 + pick(rng, 12);
+		run.used.cpus = 1 + pick(rng, 6);
+		run.used.gpus = pick(rng, 3);
+		run.used.ram_gb = 4 + pick(rng, 12);
 		run.left_s = run.service ? INFINITY : 1 + pick(rng, 200);
 		run.lost_s = pick(rng, 100) + 0.001 * i;
-		if (run.cpus > machine->cpus || run.gpus > machine->gpus ||
-		    run.ram_gb > machine->ram_gb)
+		if (run.used.cpus > machine->free.cpus || run.used.gpus > machine->free.gpus ||
+		    run.used.ram_gb > machine->free.ram_gb)
 			continue;
-		machine->cpus -= run.cpus;
-		machine->gpus -= run.gpus;
-		machine->ram_gb -= run.ram_gb;
-		snapshot->teams[run.team].used_cpus += run.cpus;
-		snapshot->teams[run.team].used_gpus += run.gpus;
+		machine->free.cpus -= run.used.cpus;
+		machine->free.gpus -= run.used.gpus;
+		machine->free.ram_gb -= run.used.ram_gb;
+		snapshot->teams[run.team].used_cpus += run.used.cpus;
+		snapshot->teams[run.team].used_gpus += run.used.gpus;
 		snapshot->runs[snapshot->n_runs++] = run;
 	}
 }
@@ -89,19 +89,19 @@
 		job->begun = pick(rng, 2) > 0;
 		job->waited_s = pick(rng, 300) + 0.01 * i;
 		job->estimate_s = job->service || pick(rng, 8) == 0 ? 0 : 10 + pick(rng, 300);
-		job->cpus = 1 + pick(rng, 6);
-		job->gpus = pick(rng, 3);
-		job->ram_gb = 1 + pick(rng, 16);
+		job->need.cpus = 1 + pick(rng, 6);
+		job->need.gpus = pick(rng, 3);
+		job->need.ram_gb = 1 + pick(rng, 16);
 		job->image_gb = pick(rng, 10);
 		job->task_count = 1 + (uint32_t)pick(rng, 8);
-		job->waiting = 1 + (uint32_t)pick(rng, (int)job->task_count);
-		job->types = pick(rng, 3) ? UINT32_MAX : 1u + (uint32_t)pick(rng, 2);
+		job->startable_count = 1 + (uint32_t)pick(rng, (int)job->task_count);
+		job->allowed_types = pick(rng, 3) ? UINT32_MAX : 1u + (uint32_t)pick(rng, 2);
 		job->zone = pick(rng, 5) ? -1 : (int)pick(rng, ZONES);
 		job->same_zone = pick(rng, 5) == 0;
 		job->spread_zones = !job->same_zone && pick(rng, 3) == 0;
 		job->spot_allowed = pick(rng, 2) > 0;
 		job->image = (int)pick(rng, 5);
-		job->window_left = pick(rng, 2) ? -1 : pick(rng, 300);
+		job->window_left_s = pick(rng, 2) ? -1 : pick(rng, 300);
 	}
 }
 
@@ -145,13 +145,16 @@
 	for (int i = 0; i < snapshot->n_machines; i++) {
 		const struct fl_reservation *c = &snapshot->machines[i].requested;
 
-		assert_int_equal(c->made, model->snapshot.machines[i].requested.made);
+		assert_int_equal(c->active, model->snapshot.machines[i].requested.active);
 		assert_int_equal(c->within_guaranteed,
 		                 model->snapshot.machines[i].requested.within_guaranteed);
 		assert_int_equal(c->priority, model->snapshot.machines[i].requested.priority);
-		assert_true(fabs(c->cpus - model->snapshot.machines[i].requested.cpus) < 1e-6 &&
-		            fabs(c->gpus - model->snapshot.machines[i].requested.gpus) < 1e-6 &&
-		            fabs(c->ram_gb - model->snapshot.machines[i].requested.ram_gb) < 1e-6);
+		assert_true(fabs(c->resources.cpus -
+		                 model->snapshot.machines[i].requested.resources.cpus) < 1e-6 &&
+		            fabs(c->resources.gpus -
+		                 model->snapshot.machines[i].requested.resources.gpus) < 1e-6 &&
+		            fabs(c->resources.ram_gb -
+		                 model->snapshot.machines[i].requested.resources.ram_gb) < 1e-6);
 	}
 	assert_int_equal(output.top_job, model->top);
 	if (model->top >= 0)
@@ -213,20 +216,20 @@
 		                                  .team = job->team,
 		                                  .priority = job->priority,
 		                                  .service = job->service,
-		                                  .movable = true,
-		                                  .cpus = job->cpus,
-		                                  .gpus = job->gpus,
-		                                  .ram_gb = job->ram_gb,
+		                                  .preemptible = true,
+		                                  .used.cpus = job->need.cpus,
+		                                  .used.gpus = job->need.gpus,
+		                                  .used.ram_gb = job->need.ram_gb,
 		                                  .left_s = job->service ? INFINITY : 50,
 		                                  .lost_s = 0.001 * snapshot->n_runs};
 		snapshot->n_runs++;
-		machine->cpus -= job->cpus;
-		machine->gpus -= job->gpus;
-		machine->ram_gb -= job->ram_gb;
-		snapshot->teams[job->team].used_cpus += job->cpus;
-		snapshot->teams[job->team].used_gpus += job->gpus;
+		machine->free.cpus -= job->need.cpus;
+		machine->free.gpus -= job->need.gpus;
+		machine->free.ram_gb -= job->need.ram_gb;
+		snapshot->teams[job->team].used_cpus += job->need.cpus;
+		snapshot->teams[job->team].used_gpus += job->need.gpus;
 		job->placed_by_zone[machine->zone]++;
-		job->waiting--;
+		job->startable_count--;
 		job->begun = true;
 	}
 	return model->n_starts;
@@ -245,11 +248,11 @@
 
 		if (!stopped[i] && pick(rng, one_in) != 0)
 			continue;
-		machine->cpus += attempt->cpus;
-		machine->gpus += attempt->gpus;
-		machine->ram_gb += attempt->ram_gb;
-		snapshot->teams[attempt->team].used_cpus -= attempt->cpus;
-		snapshot->teams[attempt->team].used_gpus -= attempt->gpus;
+		machine->free.cpus += attempt->used.cpus;
+		machine->free.gpus += attempt->used.gpus;
+		machine->free.ram_gb += attempt->used.ram_gb;
+		snapshot->teams[attempt->team].used_cpus -= attempt->used.cpus;
+		snapshot->teams[attempt->team].used_gpus -= attempt->used.gpus;
 		snapshot->runs[i] = snapshot->runs[--snapshot->n_runs];
 	}
 }
@@ -286,7 +289,7 @@
 		while (fresh->n_jobs < snapshot->n_jobs);
 		for (int i = 0; i < snapshot->n_jobs; i++) {
 			snapshot->jobs[i].waited_s += 7;
-			if (snapshot->jobs[i].waiting == 0)
+			if (snapshot->jobs[i].startable_count == 0)
 				snapshot->jobs[i] = fresh->jobs[i];
 		}
 	}
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -21,9 +21,9 @@
 	snapshot.machines[1] = plain_machine(7);
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.start_count, 0);
-	assert_true(snapshot.machines[0].cpus == 8 && snapshot.machines[1].cpus == 7);
+	assert_true(snapshot.machines[0].free.cpus == 8 && snapshot.machines[1].free.cpus == 7);
 	fl_sched_output_free(&output);
-	snapshot.jobs[0].waiting = 4;
+	snapshot.jobs[0].startable_count = 4;
 	snapshot.machines[1] = plain_machine(8);
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.start_count, 4);
@@ -63,7 +63,7 @@
 	runs[0].lost_s = 5;
 	runs[1].lost_s = 500;
 	/* One stop that loses little; the other loses too much, so the free machine is taken. */
-	assert_int_equal(fl_schedule(&input, &output), 0);
+	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 	assert_int_equal(output.preemption_count, 1);
 	assert_int_equal(output.preemptions[0], 0);
 	assert_int_equal(output.start_count, 1);
@@ -71,19 +71,19 @@
 	assert_int_equal(output.unplaced_tasks[0], 0);
 	fl_sched_output_free(&output);
 	/* Capacity about to become free is not requested again, and no other is used. */
-	job.waiting = 1;
+	job.startable_count = 1;
 	memset(job.placed_by_zone, 0, sizeof(job.placed_by_zone));
-	machine[0].cpus = 4;
-	machine[1].cpus = 0;
+	machine[0].free.cpus = 4;
+	machine[1].free.cpus = 0;
 	runs[0].stopping = true;
-	assert_int_equal(fl_schedule(&input, &output), 0);
+	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 	assert_int_equal(output.preemption_count + output.start_count, 0);
 	fl_sched_output_free(&output);
 	/* It has not become free in the time that a fetch takes. */
 	job.waited_s = 11;
-	machine[0].cpus = 4;
-	machine[1].cpus = 0;
-	assert_int_equal(fl_schedule(&input, &output), 0);
+	machine[0].free.cpus = 4;
+	machine[1].free.cpus = 0;
+	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 	assert_int_equal(output.start_count, 1);
 	assert_int_equal(output.starts[0].machine, 0);
 	fl_sched_output_free(&output);
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -30,7 +30,7 @@
 	fl_sched_output_free(&output);
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.machines[1] = plain_machine(0);
-	snapshot.jobs[0].waiting = 1;
+	snapshot.jobs[0].startable_count = 1;
 	snapshot.jobs[0].placed_by_zone[0] = 0;
 	assert_true(snapshot.runs[0].stopping != snapshot.runs[1].stopping);
 	run_schedule(&snapshot, &output);
@@ -67,8 +67,8 @@
 		stops += output.preemption_count;
 		for (int i = 0; i < output.start_count; i++) {
 			const struct fl_sched_job *job = &snapshot.jobs[output.starts[i].job];
-			struct fl_sched_attempt run =
-				plain_run(output.starts[i].machine, job->cpus, job->estimate_s);
+			struct fl_sched_attempt run = plain_run(output.starts[i].machine,
+			                                        job->need.cpus, job->estimate_s);
 
 			run.priority = job->priority;
 			snapshot.runs[snapshot.n_runs++] = run;
@@ -79,12 +79,13 @@
 			if (!snapshot.runs[i].stopping)
 				snapshot.runs[withheld++] = snapshot.runs[i];
 			else
-				snapshot.jobs[0].waiting++;
+				snapshot.jobs[0].startable_count++;
 		snapshot.n_runs = withheld;
 		for (int i = 0; i < 2; i++)
-			snapshot.machines[i].cpus = 32;
+			snapshot.machines[i].free.cpus = 32;
 		for (int i = 0; i < snapshot.n_runs; i++)
-			snapshot.machines[snapshot.runs[i].machine].cpus -= snapshot.runs[i].cpus;
+			snapshot.machines[snapshot.runs[i].machine].free.cpus -=
+				snapshot.runs[i].used.cpus;
 		fl_sched_output_free(&output);
 	}
 	assert_int_equal(high, 6);
@@ -113,7 +114,7 @@
 	fl_sched_output_free(&output);
 	/* Beyond the guarantee it gives way to the higher priority. */
 	snapshot.machines[0] = plain_machine(0);
-	snapshot.jobs[0].waiting = 1;
+	snapshot.jobs[0].startable_count = 1;
 	snapshot.runs[0].within_guaranteed = false;
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 1);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -48,7 +48,7 @@
 		struct fl_sched_output output;
 
 		allowance = 3;
-		assert_int_equal(fl_schedule(&input, &output), 0);
+		assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 		for (int i = 0; i < output.start_count; i++)
 			started[output.starts[i].job] = true;
 		resume = output.resume_position;
@@ -123,7 +123,7 @@
 			load->running[i] = -1;
 		if (load->running[i] < 0)
 			continue;
-		pass_input.machines[i].cpus = 0;
+		pass_input.machines[i].free.cpus = 0;
 		*attempt = plain_run(i, 1, load->until[i] - now);
 		attempt->priority = load->arrival[load->running[i]].job.priority;
 		attempt->team = load->arrival[load->running[i]].job.team;
@@ -138,7 +138,7 @@
 	for (int i = 0; i < load->node; i++) {
 		struct fl_sched_job *job = &pass_input.jobs[input->job_count];
 
-		if (load->arrival[i].job.waiting == 0)
+		if (load->arrival[i].job.startable_count == 0)
 			continue;
 		*job = load->arrival[i].job;
 		job->waited_s = now - load->arrival[i].at;
@@ -151,7 +151,7 @@
 		for (int i = 0; i < SLOTS; i++)
 			held += load->running[i] == at;
 		pass_input.runs[r].last_running_task =
-			held == 1 && now - load->arrival[at].at > fl_sched_defaults.patience_s;
+			held == 1 && now - load->arrival[at].at > fl_sched_defaults.overdue_after_s;
 	}
 }
 
@@ -164,7 +164,7 @@
 		assert_int_equal(load->running[slot], -1);
 		load->running[slot] = pass_input.of_job[output->starts[k].job];
 		load->until[slot] = now + arrival->job.estimate_s;
-		arrival->job.waiting--;
+		arrival->job.startable_count--;
 		arrival->started++;
 		if (arrival->begun < 0)
 			arrival->begun = now;
@@ -173,7 +173,7 @@
 		int slot = pass_input.of_run[output->preemptions[k]];
 		struct arrival *arrival = &load->arrival[load->running[slot]];
 
-		arrival->job.waiting++;
+		arrival->job.startable_count++;
 		arrival->started--;
 		load->running[slot] = -1;
 	}
@@ -200,7 +200,7 @@
 		memcpy(pass_input.used, teams, sizeof(pass_input.used));
 		fill_machines(load, &input, now);
 		fill_jobs(load, &input, now);
-		assert_int_equal(fl_schedule(&input, &output), 0);
+		assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 		apply_decisions(load, &output, now);
 		fl_sched_output_free(&output);
 	}
