--- a/src/coordination/scheduling/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -1,143 +1,150 @@
-/* A pass: its memory, and the run over the jobs in their order. */
+/* A scheduling cycle: its memory, and the walk over the jobs in their order. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Sorts the runs by machine: hundreds of machines must not each walk over all runs. */
+/* Sorts the attempts by machine: hundreds of machines must not each walk over all of them. */
 static void index_attempts(struct fl_sched_cycle *cycle)
 {
 	const struct fl_sched_input *input = cycle->input;
+	int *first_attempt = cycle->first_attempt;
 
 	for (int i = 0; i < input->attempt_count; i++)
-		cycle->first_attempt[input->attempts[i].machine + 1]++;
+		first_attempt[input->attempts[i].machine + 1]++;
 	for (int i = 0; i < input->machine_count; i++)
-		cycle->first_attempt[i + 1] += cycle->first_attempt[i];
-	/* From the end, so that each machine's begin is reached just as its runs are through. */
+		first_attempt[i + 1] += first_attempt[i];
+	/*
+	 * From the end, so that each machine's begin is reached just as its attempts are all
+	 * entered.
+	 */
 	for (int i = input->attempt_count - 1; i >= 0; i--)
-		cycle->attempts_by_machine[--cycle->first_attempt[input->attempts[i].machine + 1]] =
-			i;
+		cycle->attempts_by_machine[--first_attempt[input->attempts[i].machine + 1]] = i;
 	/* Each entry now stands one place too far, at its own begin. */
 	for (int i = 0; i < input->machine_count; i++)
-		cycle->first_attempt[i] = cycle->first_attempt[i + 1];
-	cycle->first_attempt[input->machine_count] = input->attempt_count;
+		first_attempt[i] = first_attempt[i + 1];
+	first_attempt[input->machine_count] = input->attempt_count;
 }
 
-/* What a request by priority alone cannot stop need not be looked at run by run. */
+/* A request by priority alone need not examine a machine that runs nothing lower. */
 static void find_lowest_priorities(struct fl_sched_cycle *cycle)
 {
 	for (int i = 0; i < cycle->input->machine_count; i++)
 		cycle->lowest_priority[i] = FL_CRITICAL;
 	for (int i = 0; i < cycle->input->attempt_count; i++) {
 		const struct fl_sched_attempt *attempt = &cycle->input->attempts[i];
+		int *lowest = &cycle->lowest_priority[attempt->machine];
 
-		if (!attempt->stopping &&
-		    (int)attempt->priority < cycle->lowest_priority[attempt->machine])
-			cycle->lowest_priority[attempt->machine] = (int)attempt->priority;
+		if (!attempt->stopping && (int)attempt->priority < *lowest)
+			*lowest = (int)attempt->priority;
 	}
 }
 
-/* Starts a job's tasks, and requests room for the rest; `must_end_by` bounds a backfilled job. */
-static void consider_job(struct fl_sched_cycle *cycle, int job_index, const double *must_end_by)
+/* What the victims of earlier cycles will free. */
+static void add_releasing_resources(struct fl_sched_cycle *cycle)
+{
+	for (int i = 0; i < cycle->input->attempt_count; i++) {
+		const struct fl_sched_attempt *attempt = &cycle->input->attempts[i];
+
+		if (attempt->stopping)
+			fl_resources_add(&cycle->releasing[attempt->machine], attempt->used);
+	}
+}
+
+/*
+ * Starts a job's tasks, and requests capacity for the rest; `max_duration_s` bounds a backfilled
+ * job.
+ */
+static void consider_job(struct fl_sched_cycle *cycle, int job_index, const double *max_duration_s)
 {
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	double estimate_s = job->estimate_s;
 
 	/* A service never ends: it starts from the top, or where the top job cannot go. */
-	if (must_end_by && estimate_s <= 0)
+	if (max_duration_s && estimate_s <= 0)
 		job->estimate_s =
 			job->service ? INFINITY : cycle->input->params->default_estimate_s;
-	if (fl_sched_start_fitting(cycle, job_index, must_end_by))
+	if (fl_sched_start_fitting(cycle, job_index, max_duration_s))
 		cycle->output->unplaced_tasks[job_index] =
 			job->startable_count - cycle->tasks_awaiting_image -
-			fl_sched_request_preemptions(cycle, job_index, must_end_by);
+			fl_sched_request_preemptions(cycle, job_index, max_duration_s);
 	job->estimate_s = estimate_s;
 }
 
-/* Considers the jobs in their order. The first that stays short of room becomes the top job. */
+/* Considers one job; if it is the first that stays short of capacity, it becomes the top job. */
+static void consider_in_turn(struct fl_sched_cycle *cycle, int job_index, double *window_by_machine)
+{
+	const struct fl_sched_job *job = &cycle->input->jobs[job_index];
+	bool backfill = cycle->output->top_job >= 0;
+	bool bound = backfill && fl_sched_bound_by_top(cycle, job);
+
+	consider_job(cycle, job_index, bound ? window_by_machine : NULL);
+	if (backfill || cycle->output->unplaced_tasks[job_index] == 0)
+		return;
+	fl_sched_set_window(cycle, job_index);
+	if (!cycle->failed)
+		fl_sched_window_by_machine(cycle, window_by_machine);
+}
+
 static void consider_jobs_in_order(struct fl_sched_cycle *cycle)
 {
 	struct fl_sched_input *input = cycle->input;
-	double *must_end_by = malloc(((size_t)input->machine_count + 1) * sizeof(*must_end_by));
+	double *window_by_machine =
+		malloc(((size_t)input->machine_count + 1) * sizeof(*window_by_machine));
 	int resume = input->resume_position < input->job_count ? input->resume_position : 0;
 
-	if (!must_end_by) {
+	if (!window_by_machine) {
 		cycle->failed = true;
 		return;
 	}
-	for (int k = 0; k < input->job_count && !cycle->failed; k++) {
-		int job_index = cycle->order[k];
-		const struct fl_sched_job *job = &input->jobs[job_index];
+	for (int position = 0; position < input->job_count && !cycle->failed; position++) {
+		int job_index = cycle->order[position];
 		bool backfill = cycle->output->top_job >= 0;
 
 		/*
-		 * Found with passes too long for their budget: those that resumed in the middle of
-		 * the order gave the room that stops had freed for its head to others, which the
-		 * head preempted again, tens of thousands of times a day.
+		 * Found with cycles too long for their budget: those that resumed in the middle of
+		 * the order gave the capacity that preemptions had freed for its head to others,
+		 * which the head preempted again, tens of thousands of times a day.
 		 */
 		cycle->resumed = resume > 0 && backfill;
 
-		if (job->startable_count == 0)
+		if (input->jobs[job_index].startable_count == 0)
 			continue;
 		/* The head of the order is always considered; the rest resumes where it stopped. */
-		if (backfill && k < resume)
+		if (backfill && position < resume)
 			continue;
 		if (backfill && input->out_of_time && input->out_of_time(input->context)) {
-			cycle->output->resume_position = k;
+			cycle->output->resume_position = position;
 			break;
 		}
-		consider_job(cycle, job_index,
-		             backfill && fl_sched_bound_by_top(cycle, job) ? must_end_by : NULL);
-		if (cycle->output->unplaced_tasks[job_index] > 0 && !backfill) {
-			fl_sched_set_window(cycle, job_index);
-			if (!cycle->failed)
-				fl_sched_window_by_machine(cycle, must_end_by);
-		}
-	}
-	free(must_end_by);
-}
-
-/* Room that stops ordered by earlier passes will free. */
-static void add_releasing_resources(struct fl_sched_cycle *cycle)
-{
-	for (int i = 0; i < cycle->input->attempt_count; i++) {
-		const struct fl_sched_attempt *attempt = &cycle->input->attempts[i];
-
-		if (!attempt->stopping)
-			continue;
-		cycle->releasing_cpus[attempt->machine] += attempt->used.cpus;
-		cycle->releasing_gpus[attempt->machine] += attempt->used.gpus;
-		cycle->releasing_ram_gb[attempt->machine] += attempt->used.ram_gb;
+		consider_in_turn(cycle, job_index, window_by_machine);
 	}
+	free(window_by_machine);
 }
 
-/* Allocates what a pass works with and what it puts out; false without memory. */
+/* Allocates what a cycle works with and what it puts out; false without memory. */
 static bool allocate(struct fl_sched_cycle *cycle)
 {
-	size_t n_machines = (size_t)cycle->input->machine_count + 1;
-	size_t n_jobs = (size_t)cycle->input->job_count + 1,
-	       n_runs = (size_t)cycle->input->attempt_count + 1;
-
-	cycle->order = malloc(n_jobs * sizeof(*cycle->order));
-	cycle->rank = malloc(n_jobs * sizeof(*cycle->rank));
-	cycle->priority = malloc(n_jobs * sizeof(*cycle->priority));
-	cycle->releasing_cpus = calloc(3 * n_machines, sizeof(*cycle->releasing_cpus));
-	cycle->start_cost = malloc(2 * n_machines * sizeof(*cycle->start_cost));
-	cycle->victims = malloc(n_runs * sizeof(*cycle->victims));
-	cycle->first_attempt = calloc(n_machines, sizeof(*cycle->first_attempt));
-	cycle->attempts_by_machine = malloc(n_runs * sizeof(*cycle->attempts_by_machine));
-	cycle->lowest_priority = malloc(n_machines * sizeof(*cycle->lowest_priority));
-	cycle->output->unplaced_tasks = calloc(n_jobs, sizeof(*cycle->output->unplaced_tasks));
-	if (!cycle->order || !cycle->rank || !cycle->priority || !cycle->releasing_cpus ||
-	    !cycle->start_cost || !cycle->victims || !cycle->first_attempt ||
-	    !cycle->attempts_by_machine || !cycle->lowest_priority ||
-	    !cycle->output->unplaced_tasks)
-		return false;
-	cycle->releasing_gpus = cycle->releasing_cpus + n_machines;
-	cycle->releasing_ram_gb = cycle->releasing_gpus + n_machines;
-	cycle->preemption_cost = cycle->start_cost + n_machines;
-	return true;
+	size_t machine_count = (size_t)cycle->input->machine_count + 1;
+	size_t job_count = (size_t)cycle->input->job_count + 1;
+	size_t attempt_count = (size_t)cycle->input->attempt_count + 1;
+
+	cycle->order = malloc(job_count * sizeof(*cycle->order));
+	cycle->rank = malloc(job_count * sizeof(*cycle->rank));
+	cycle->priority = malloc(job_count * sizeof(*cycle->priority));
+	cycle->releasing = calloc(machine_count, sizeof(*cycle->releasing));
+	cycle->start_cost = malloc(machine_count * sizeof(*cycle->start_cost));
+	cycle->preemption_cost = malloc(machine_count * sizeof(*cycle->preemption_cost));
+	cycle->victims = malloc(attempt_count * sizeof(*cycle->victims));
+	cycle->first_attempt = calloc(machine_count, sizeof(*cycle->first_attempt));
+	cycle->attempts_by_machine = malloc(attempt_count * sizeof(*cycle->attempts_by_machine));
+	cycle->lowest_priority = malloc(machine_count * sizeof(*cycle->lowest_priority));
+	cycle->output->unplaced_tasks = calloc(job_count, sizeof(*cycle->output->unplaced_tasks));
+	return cycle->order && cycle->rank && cycle->priority && cycle->releasing &&
+	       cycle->start_cost && cycle->preemption_cost && cycle->victims &&
+	       cycle->first_attempt && cycle->attempts_by_machine && cycle->lowest_priority &&
+	       cycle->output->unplaced_tasks;
 }
 
 static void release(struct fl_sched_cycle *cycle)
@@ -145,8 +152,9 @@
 	free(cycle->order);
 	free(cycle->rank);
 	free(cycle->priority);
-	free(cycle->releasing_cpus);
+	free(cycle->releasing);
 	free(cycle->start_cost);
+	free(cycle->preemption_cost);
 	free(cycle->victims);
 	free(cycle->first_attempt);
 	free(cycle->attempts_by_machine);
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -25,8 +25,7 @@
 struct fl_sched_params {
 	double alpha, beta, gamma, r, omega; /* the paper's */
 	double default_estimate_s;           /* for jobs with no estimate */
-	double overdue_after_s; /* wait past which a job is overdue, and waiting weighs more and
-	                           more */
+	double overdue_after_s; /* wait from which a job is overdue: it weighs more and more */
 	double aging_power;     /* power of what it then weighs more */
 	double background_overdue_factor; /* times that wait for background work */
 };
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -1,4 +1,4 @@
-/* Where a task may run by its constraints, and the room that is free for it there. */
+/* Where a task may run by its constraints, and the capacity that is available to it there. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
@@ -32,41 +32,45 @@
 	return job->spread_zones || job->same_zone;
 }
 
-uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, double cpus, double gpus,
-                                     double ram)
+uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, struct fl_resources available)
 {
-	/* Reserved room can make an amount negative that the job itself needs none of. */
-	if (!fl_sched_fits(job, cpus, gpus, ram))
+	/* A reservation can make an amount negative that the job itself needs none of. */
+	if (!fl_resources_fit(job->need, available))
 		return 0;
-	return fl_placement_capacity(
-		(struct fl_resources){job->need.cpus, job->need.gpus, job->need.ram_gb},
-		(struct fl_resources){cpus, gpus, ram});
+	return fl_placement_capacity(job->need, available);
 }
 
 /*
- * What a stop has freed is reserved for the job it was made for. By the product alone a job that
- * has waited goes before one of a higher priority, which may preempt it: found with idle-time
- * arrays of 288 tasks, which took the room again in every other pass and were stopped 80,000 times
- * in ten minutes. Nor does a pass that resumes in the middle of the order give away what its head
- * waits for.
+ * What a preemption has freed is reserved for the job it was made for. By the product alone a job
+ * that has waited goes before one of a higher priority, which may preempt it: found with idle-time
+ * arrays of 288 tasks, which took the capacity again in every other cycle and were stopped 80,000
+ * times in ten minutes. Nor does a cycle that resumes in the middle of the order give away what its
+ * head waits for.
  */
-static struct fl_resources blocked_amounts(const struct fl_sched_cycle *cycle,
-                                           const struct fl_sched_job *job,
-                                           const struct fl_sched_machine *machine)
+static bool may_use_reservation(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
+                                const struct fl_reservation *reserved)
 {
-	const struct fl_reservation *earlier = &machine->reserved, *requested = &machine->requested;
-	struct fl_resources blocked = {earlier->resources.cpus, earlier->resources.gpus,
-	                               earlier->resources.ram_gb};
+	if (job->priority < reserved->priority)
+		return false;
+	/* Services too: an urgent one goes before a critical array, which may preempt it. */
+	if (fl_sched_precedes_arrays(job))
+		return true;
+	return !cycle->resumed && (!reserved->within_guaranteed || job->within_guaranteed);
+}
 
-	if (!earlier->active)
-		return (struct fl_resources){0};
-	/* Services too: an urgent one goes before a critical array, which may stop it. */
-	if (job->priority >= earlier->priority &&
-	    (fl_sched_precedes_arrays(job) ||
-	     (!cycle->resumed && (!earlier->within_guaranteed || job->within_guaranteed))))
+/* What is withheld from the job on this machine. */
+static struct fl_resources blocked_resources(const struct fl_sched_cycle *cycle,
+                                             const struct fl_sched_job *job,
+                                             const struct fl_sched_machine *machine)
+{
+	const struct fl_reservation *reserved = &machine->reserved;
+	const struct fl_reservation *requested = &machine->requested;
+	struct fl_resources blocked = reserved->resources;
+
+	if (!reserved->active || may_use_reservation(cycle, job, reserved))
 		return (struct fl_resources){0};
-	/* What was requested again in this pass is subtracted from the free room already. */
-	if (requested->active && requested->priority >= earlier->priority) {
+	/* What was requested again in this cycle is subtracted from what is free already. */
+	if (requested->active && requested->priority >= reserved->priority) {
 		blocked.cpus = fmax(0, blocked.cpus - requested->resources.cpus);
 		blocked.gpus = fmax(0, blocked.gpus - requested->resources.gpus);
 		blocked.ram_gb = fmax(0, blocked.ram_gb - requested->resources.ram_gb);
@@ -78,10 +82,9 @@
                                           const struct fl_sched_job *job, int machine_index)
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
-	struct fl_resources blocked = blocked_amounts(cycle, job, machine);
+	struct fl_resources available = machine->free;
 
-	return (struct fl_resources){
-		machine->free.cpus + cycle->releasing_cpus[machine_index] - blocked.cpus,
-		machine->free.gpus + cycle->releasing_gpus[machine_index] - blocked.gpus,
-		machine->free.ram_gb + cycle->releasing_ram_gb[machine_index] - blocked.ram_gb};
+	fl_resources_add(&available, cycle->releasing[machine_index]);
+	fl_resources_subtract(&available, blocked_resources(cycle, job, machine));
+	return available;
 }
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -1,31 +1,32 @@
-/* What a task costs on a machine where it fits, and how the lowest cost is found. */
+/* Cost: what a task costs on a machine where it fits, and how the lowest cost is found. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 
 static const struct {
-	double zone_weight, empty_s, ordinary_s, pack_weight, restart_s, urgent_fetch_weight;
+	double spread_weight_s, empty_machine_s, on_demand_s, packing_weight_s, restart_s,
+		urgent_fetch_weight;
 } tunables = {
-	.zone_weight = 1000, /* s per replica already in the zone: spreading beats a fetch */
-	.empty_s = 8,        /* s; a machine without a service: empty, it could be returned */
-	.ordinary_s = 8,     /* s; such a machine, ordinary, for a job that may use spot ones */
-	.pack_weight = 1,    /* s per free accelerator left: fill machines, others empty */
-	.restart_s = 30,     /* s to start over what was lost, beside the work itself */
+	.spread_weight_s = 1000,  /* s per replica already in the zone: spreading beats a fetch */
+	.empty_machine_s = 8,     /* s; a machine without a service: empty, it could be scaled in */
+	.on_demand_s = 8,         /* s; such a machine, on demand, for a job that may use spot */
+	.packing_weight_s = 1,    /* s per free accelerator left: bin packing, others empty */
+	.restart_s = 30,          /* s to start over what was lost, beside the work itself */
 	.urgent_fetch_weight = 3, /* times that a fetch counts for an urgent service */
 };
 
 /* Items of an array that grows, at first. */
 #define FIRST_CAPACITY 32
+
 /*
  * The expected loss of this task on a spot machine: where many are reclaimed, a long task is lost
  * again and again there, and its job is the last to end. That matters for a job that has waited,
- * be it because of what it lost; others are welcome to the price.
+ * be it because of what it lost; others take the lower price.
  */
 static double expected_loss_s(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
-	double estimate_s =
-		job->estimate_s > 0 ? job->estimate_s : input->params->default_estimate_s;
+	double estimate_s = fl_sched_estimate_s(input->params, job);
 
 	if (job->service || job->waited_s <= input->params->overdue_after_s)
 		return 0;
@@ -44,32 +45,32 @@
 double fl_sched_placement_cost(const struct fl_sched_input *input, const struct fl_sched_job *job,
                                const struct fl_sched_machine *machine)
 {
-	double cost = tunables.pack_weight * (machine->free.gpus - job->need.gpus);
+	double cost = tunables.packing_weight_s * (machine->free.gpus - job->need.gpus);
+	double fetch_weight = fl_sched_precedes_arrays(job) ? tunables.urgent_fetch_weight : 1;
+	double on_demand_s = job->spot_allowed && !machine->spot ? tunables.on_demand_s : 0;
 
-	cost += fl_sched_image_fetch_s(job, machine) *
-	        (fl_sched_precedes_arrays(job) ? tunables.urgent_fetch_weight : 1);
+	cost += fl_sched_image_fetch_s(job, machine) * fetch_weight;
 	if (!machine->runs_service)
-		cost += tunables.empty_s +
-		        (job->spot_allowed && !machine->spot ? tunables.ordinary_s : 0);
+		cost += tunables.empty_machine_s + on_demand_s;
 	if (machine->spot)
 		cost += expected_loss_s(input, job);
 	if (job->spread_zones)
-		cost += tunables.zone_weight * job->placed_by_zone[machine->zone];
+		cost += tunables.spread_weight_s * job->placed_by_zone[machine->zone];
 	return cost;
 }
 
 int fl_sched_lowest_cost(const double *costs, int count)
 {
-	double best = INFINITY;
-	int at = -1;
+	double lowest = INFINITY;
+	int best_index = -1;
 
 	for (int i = 0; i < count; i++) {
-		if (costs[i] < best) {
-			best = costs[i];
-			at = i;
+		if (costs[i] < lowest) {
+			lowest = costs[i];
+			best_index = i;
 		}
 	}
-	return at;
+	return best_index;
 }
 
 bool fl_sched_grow(void **items, int count, int *capacity, size_t size)
--- a/src/coordination/scheduling/schedule_order.c
+++ b/src/coordination/scheduling/schedule_order.c
@@ -1,4 +1,7 @@
-/* The order in which a pass considers the jobs. */
+/*
+ * The order in which a cycle considers the jobs: by rank, then by the priority of "Scheduling Jobs
+ * on Parallel Systems Using a Relaxed Backfill Strategy" with a growing weight of the wait.
+ */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
@@ -12,7 +15,7 @@
 	.omega = 4,    /* times; the finite value that did best in the paper's tables */
 	.default_estimate_s = 3600, /* s; for a job with neither an estimate nor a history */
 	.overdue_after_s = 120, /* s; half of what users grant the largest job before it begins */
-	.aging_power = 4,       /* power; at twice the patience it outweighs all but the priority */
+	.aging_power = 4, /* power; at twice overdue_after_s it outweighs all but the priority */
 	.background_overdue_factor = 3, /* times; nobody says when it should be done */
 };
 
@@ -29,12 +32,17 @@
 /* Jobs of a higher rank are considered before all of a lower one. */
 enum rank { RANK_OTHER, RANK_WITHIN_GUARANTEE, RANK_OVERDUE, RANK_URGENT_SERVICE };
 
+double fl_sched_estimate_s(const struct fl_sched_params *params, const struct fl_sched_job *job)
+{
+	return job->estimate_s > 0 ? job->estimate_s : params->default_estimate_s;
+}
+
 double fl_sched_priority(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
-	double wait = job->waited_s > tunables.min_wait_s ? job->waited_s : tunables.min_wait_s;
-	double estimate = job->estimate_s > 0 ? job->estimate_s : params->default_estimate_s;
+	double wait_s = job->waited_s > tunables.min_wait_s ? job->waited_s : tunables.min_wait_s;
+	double estimate_s = fl_sched_estimate_s(params, job);
 	double cpus = job->need.cpus * job->task_count;
-	double patience =
+	double overdue_after_s =
 		params->overdue_after_s * (job->background ? params->background_overdue_factor : 1);
 
 	if (cpus <= 0)
@@ -43,27 +51,27 @@
 	 * By the product alone a wide, long job starves behind a stream of small ones: it needs as
 	 * many times their wait as it is wider and longer. The weight of the wait therefore grows.
 	 *
-	 * Background work is one queue lower. Found on a day with six idle-time arrays of 161 tasks
-	 * of 300 s: after two minutes they went before arrays of their own priority that are to be
-	 * done within 150 s, and occupied all machines of the site for five minutes.
+	 * Background work is one priority lower. Found on a day with six idle-time arrays of 161
+	 * tasks of 300 s: after two minutes they went before arrays of their own priority that are
+	 * to be done within 150 s, and occupied all machines of the site for five minutes.
 	 */
-	return pow(wait / REFERENCE_S, params->alpha) *
-	       (1 + pow(wait / patience, params->aging_power)) *
-	       pow(estimate / REFERENCE_S, params->beta) *
+	return pow(wait_s / REFERENCE_S, params->alpha) *
+	       (1 + pow(wait_s / overdue_after_s, params->aging_power)) *
+	       pow(estimate_s / REFERENCE_S, params->beta) *
 	       pow(cpus / REFERENCE_CPUS, params->gamma) *
 	       pow(params->r, (int)job->priority - 1 - job->background);
 }
 
-/* Placing it first saves the preemption. */
+/* Placing such a service first saves the preemption. */
 bool fl_sched_precedes_arrays(const struct fl_sched_job *job)
 {
 	return job->service && job->priority >= FL_URGENT;
 }
 
 /*
- * No array starves, whatever is submitted after it: one that has not begun within the patience
- * goes before other arrays, for one task. That costs little room, so it is possible under any
- * overload; how fast the rest follows is left to the order.
+ * No array starves, whatever is submitted after it: one that is overdue goes before other arrays,
+ * for one task. That costs little capacity, so it is possible under any overload; how fast the rest
+ * follows is left to the order.
  */
 bool fl_sched_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
@@ -71,10 +79,10 @@
 }
 
 /*
- * What may preempt others goes before those it may preempt. Else the room that a stop has freed is
- * taken by the next in the order, and the stops go on without end.
+ * What may preempt others goes before those it may preempt. Else the capacity that a
+ * preemption has freed is taken by the next in the order, and the preemptions go on without end.
  */
-static int rank_of(const struct fl_sched_params *params, const struct fl_sched_job *job)
+static enum rank rank_of(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
 	if (fl_sched_precedes_arrays(job))
 		return RANK_URGENT_SERVICE;
@@ -83,16 +91,16 @@
 	return job->within_guaranteed ? RANK_WITHIN_GUARANTEE : RANK_OTHER;
 }
 
-static int compare_jobs(const void *pa, const void *pb, void *context)
+static int compare_jobs(const void *left_item, const void *right_item, void *context)
 {
 	const struct fl_sched_cycle *cycle = context;
-	int a = *(const int *)pa, b = *(const int *)pb;
+	int left = *(const int *)left_item, right = *(const int *)right_item;
 
-	if (cycle->rank[a] != cycle->rank[b])
-		return cycle->rank[b] - cycle->rank[a];
-	if (cycle->priority[a] != cycle->priority[b])
-		return cycle->priority[a] > cycle->priority[b] ? -1 : 1;
-	return a < b ? -1 : a > b;
+	if (cycle->rank[left] != cycle->rank[right])
+		return cycle->rank[right] - cycle->rank[left];
+	if (cycle->priority[left] != cycle->priority[right])
+		return cycle->priority[left] > cycle->priority[right] ? -1 : 1;
+	return left < right ? -1 : left > right;
 }
 
 void fl_sched_sort_jobs(struct fl_sched_cycle *cycle)
@@ -101,7 +109,7 @@
 
 	for (int i = 0; i < input->job_count; i++) {
 		cycle->order[i] = i;
-		cycle->rank[i] = rank_of(input->params, &input->jobs[i]);
+		cycle->rank[i] = (int)rank_of(input->params, &input->jobs[i]);
 		cycle->priority[i] = fl_sched_priority(input->params, &input->jobs[i]);
 	}
 	qsort_r(cycle->order, (size_t)input->job_count, sizeof(*cycle->order), compare_jobs, cycle);
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -3,38 +3,50 @@
 
 #include <math.h>
 
-/* The cost of a start on one machine; INFINITY: not possible. `zone`: the only one; -1: any. */
+/* Any zone will do. */
+#define ANY_ZONE (-1)
+
+/* Where and for how long the tasks of the job being considered may start. */
+struct start_terms {
+	int zone;                     /* the only one, or ANY_ZONE */
+	const double *max_duration_s; /* per machine; NULL: no bound */
+};
+
+/* The cost of a start on one machine; INFINITY: not possible. */
 static double start_cost(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                         int zone, const double *must_end_by, int machine_index)
+                         struct start_terms terms, int machine_index)
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 	struct fl_resources available = fl_sched_capacity_for(cycle, job, machine_index);
 
-	if ((zone >= 0 && machine->zone != zone) ||
-	    !fl_sched_fits(job, available.cpus, available.gpus, available.ram_gb) ||
-	    !fl_sched_fits(job, machine->free.cpus, machine->free.gpus, machine->free.ram_gb) ||
-	    !fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone) ||
-	    (must_end_by && must_end_by[machine_index] < job->estimate_s))
+	if (terms.zone != ANY_ZONE && machine->zone != terms.zone)
+		return INFINITY;
+	/* What is available includes what has yet to be freed: both must hold the task. */
+	if (!fl_resources_fit(job->need, available) || !fl_resources_fit(job->need, machine->free))
+		return INFINITY;
+	if (!fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone))
+		return INFINITY;
+	if (terms.max_duration_s && terms.max_duration_s[machine_index] < job->estimate_s)
 		return INFINITY;
 	return fl_sched_placement_cost(cycle->input, job, machine);
 }
 
 static void compute_start_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                                int zone, const double *must_end_by)
+                                struct start_terms terms)
 {
 	cycle->output->machines_examined += cycle->input->machine_count;
 	for (int i = 0; i < cycle->input->machine_count; i++)
-		cycle->start_cost[i] = start_cost(cycle, job, zone, must_end_by, i);
+		cycle->start_cost[i] = start_cost(cycle, job, terms, i);
 }
 
 /* A job that wants one zone and has none yet takes the one where most of it fits. */
-static int pick_zone(const struct fl_sched_input *input, const struct fl_sched_job *job)
+static int choose_zone(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
-	double room[FL_ZONES_MAX] = {0};
-	int best = -1;
+	double capacity[FL_ZONES_MAX] = {0};
+	int best = ANY_ZONE;
 
 	if (!job->same_zone)
-		return -1;
+		return ANY_ZONE;
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (job->placed_by_zone[z] > 0)
 			return z;
@@ -42,11 +54,10 @@
 		const struct fl_sched_machine *machine = &input->machines[i];
 
 		if (fl_sched_allowed(job, machine))
-			room[machine->zone] += fl_sched_placement_capacity(
-				job, machine->free.cpus, machine->free.gpus, machine->free.ram_gb);
+			capacity[machine->zone] += fl_sched_placement_capacity(job, machine->free);
 	}
 	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (room[z] > 0 && (best < 0 || room[z] > room[best]))
+		if (capacity[z] > 0 && (best == ANY_ZONE || capacity[z] > capacity[best]))
 			best = z;
 	return best;
 }
@@ -56,36 +67,32 @@
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 	struct fl_team *team = &cycle->input->teams[job->team];
+	struct fl_sched_output *output = cycle->output;
 
-	if (!fl_sched_grow((void **)&cycle->output->starts, cycle->output->start_count,
-	                   &cycle->output->start_capacity, sizeof(*cycle->output->starts))) {
+	if (!fl_sched_grow((void **)&output->starts, output->start_count, &output->start_capacity,
+	                   sizeof(*output->starts))) {
 		cycle->failed = true;
 		return;
 	}
-	cycle->output->starts[cycle->output->start_count++] =
-		(struct fl_sched_start){job_index, machine_index};
-	machine->free.cpus -= job->need.cpus;
-	machine->free.gpus -= job->need.gpus;
-	machine->free.ram_gb -= job->need.ram_gb;
+	output->starts[output->start_count++] = (struct fl_sched_start){job_index, machine_index};
+	fl_resources_subtract(&machine->free, job->need);
 	team->used_cpus += job->need.cpus;
 	team->used_gpus += job->need.gpus;
 	job->placed_by_zone[machine->zone]++;
 	job->startable_count--;
 }
 
-/* Takes back the starts beyond the first `keep`. */
-static void undo_starts(struct fl_sched_cycle *cycle, int keep)
+/* Takes back the starts beyond the first `kept_count`. */
+static void undo_starts(struct fl_sched_cycle *cycle, int kept_count)
 {
-	while (cycle->output->start_count > keep) {
+	while (cycle->output->start_count > kept_count) {
 		const struct fl_sched_start *undone =
 			&cycle->output->starts[--cycle->output->start_count];
 		struct fl_sched_job *job = &cycle->input->jobs[undone->job];
 		struct fl_sched_machine *machine = &cycle->input->machines[undone->machine];
 		struct fl_team *team = &cycle->input->teams[job->team];
 
-		machine->free.cpus += job->need.cpus;
-		machine->free.gpus += job->need.gpus;
-		machine->free.ram_gb += job->need.ram_gb;
+		fl_resources_add(&machine->free, job->need);
 		team->used_cpus -= job->need.cpus;
 		team->used_gpus -= job->need.gpus;
 		job->placed_by_zone[machine->zone]--;
@@ -93,21 +100,30 @@
 	}
 }
 
+/* Updates the costs after a start on `machine_index`, on all machines if they depend on it. */
+static void update_start_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
+                               struct start_terms terms, int machine_index)
+{
+	if (fl_sched_depends_on_zones(job))
+		compute_start_costs(cycle, job, terms);
+	else
+		cycle->start_cost[machine_index] = start_cost(cycle, job, terms, machine_index);
+}
+
 /*
  * Starts the job's tasks one by one, each on the best machine; of an overdue array just one. True
- * if room was what ended it.
+ * if capacity was what ended it.
  */
-static bool start_each(struct fl_sched_cycle *cycle, int job_index, const double *must_end_by)
+static bool start_each(struct fl_sched_cycle *cycle, int job_index, const double *max_duration_s)
 {
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
-	int zone = pick_zone(cycle->input, job);
-	uint32_t remaining = fl_sched_overdue(cycle->input->params, job) && !job->gang
-	                             ? job->startable_count - 1
-	                             : 0;
+	struct start_terms terms = {choose_zone(cycle->input, job), max_duration_s};
+	bool only_one = fl_sched_overdue(cycle->input->params, job) && !job->gang;
+	uint32_t left_out = only_one ? job->startable_count - 1 : 0;
 
 	cycle->tasks_awaiting_image = 0;
-	compute_start_costs(cycle, job, zone, must_end_by);
-	while (job->startable_count > remaining + cycle->tasks_awaiting_image && !cycle->failed) {
+	compute_start_costs(cycle, job, terms);
+	while (job->startable_count > left_out + cycle->tasks_awaiting_image && !cycle->failed) {
 		int best;
 
 		if (!fl_sched_team_allows(cycle->input, job))
@@ -117,24 +133,23 @@
 			return true;
 		if (fl_sched_wait_for_cached_image(cycle, job, best)) {
 			cycle->tasks_awaiting_image++;
-			compute_start_costs(cycle, job, zone, must_end_by);
+			compute_start_costs(cycle, job, terms);
 			continue;
 		}
 		start_task(cycle, job_index, best);
-		if (fl_sched_depends_on_zones(job))
-			compute_start_costs(cycle, job, zone, must_end_by);
-		else
-			cycle->start_cost[best] = start_cost(cycle, job, zone, must_end_by, best);
+		update_start_costs(cycle, job, terms, best);
 	}
 	return false;
 }
 
-bool fl_sched_start_fitting(struct fl_sched_cycle *cycle, int job_index, const double *must_end_by)
+bool fl_sched_start_fitting(struct fl_sched_cycle *cycle, int job_index,
+                            const double *max_duration_s)
 {
-	int before = cycle->output->start_count;
-	bool no_room = start_each(cycle, job_index, must_end_by);
+	const struct fl_sched_job *job = &cycle->input->jobs[job_index];
+	int earlier_count = cycle->output->start_count;
+	bool short_of_capacity = start_each(cycle, job_index, max_duration_s);
 
-	if (cycle->input->jobs[job_index].gang && cycle->input->jobs[job_index].startable_count > 0)
-		undo_starts(cycle, before);
-	return no_room;
+	if (job->gang && job->startable_count > 0)
+		undo_starts(cycle, earlier_count);
+	return short_of_capacity;
 }
--- /dev/null
+++ b/src/coordination/scheduling/scheduling_decisions.c
@@ -0,0 +1,91 @@
+#include "coordination/scheduling/scheduling_decisions.h"
+
+#include <math.h>
+
+#include "coordination/node.h"
+#include "coordination/workers/command.h"
+#include "transport/log.h"
+
+static void start_task(struct fl_node *node, struct fl_job *job, struct fl_machine *machine,
+                       double now)
+{
+	uint32_t index = fl_task_next_waiting(job, 0, now);
+
+	if (index >= job->task_count || fl_task_place(&node->cluster, job, index, machine,
+	                                              node->leader_lease.fencing_token, now) != 0)
+		return;
+	fl_machine_record_image(machine, job->image);
+	/* What it was reserved for has started; who still waits requests it again in each cycle. */
+	if (job->priority >= machine->reservation.priority)
+		machine->reservation.at = 0;
+	job->placement.window_until = 0;
+	machine->outbound.command_pending = true;
+	fl_info("schedule", "task started: %s/%u attempt=%u machine=%s", job->ref, index,
+	        fl_task_peek(job, index)->attempt, machine->name);
+}
+
+static void apply_starts(struct fl_node *node, const struct fl_snapshot *snapshot,
+                         const struct fl_sched_output *output, double now)
+{
+	for (int i = 0; i < output->start_count; i++) {
+		const struct fl_sched_start *start = &output->starts[i];
+
+		start_task(node, snapshot->jobs[start->job], snapshot->machines[start->machine],
+		           now);
+	}
+}
+
+static void apply_preemptions(struct fl_node *node, const struct fl_snapshot *snapshot,
+                              const struct fl_sched_output *output)
+{
+	for (int i = 0; i < output->preemption_count; i++) {
+		const struct fl_assignment *victim = &snapshot->attempts[output->preemptions[i]];
+		struct fl_task *task = fl_task_peek(victim->job, victim->index);
+
+		task->stop_reason = FL_STOP_PREEMPT;
+		fl_info("schedule", "task preempted: %s/%u", victim->job->ref, victim->index);
+		fl_command_send(node, node->cluster.machines.by_id[task->machine]);
+	}
+}
+
+static void apply_window(const struct fl_snapshot *snapshot, const struct fl_sched_output *output,
+                         double now)
+{
+	struct fl_job *top;
+
+	if (output->top_job < 0 || output->window_s >= INFINITY)
+		return;
+	top = snapshot->jobs[output->top_job];
+	if (top->placement.window_until <= 0)
+		top->placement.window_until = now + output->window_s;
+}
+
+static void apply_reservations(const struct fl_snapshot *snapshot, double now)
+{
+	for (int i = 0; i < snapshot->input.machine_count; i++) {
+		const struct fl_sched_machine *scheduled = &snapshot->input.machines[i];
+		const struct fl_reservation *reserved = &scheduled->reserved;
+		const struct fl_reservation *requested = &scheduled->requested;
+		struct fl_machine *machine = snapshot->machines[i];
+
+		/* A request for the rest of a machine does not replace a higher reservation. */
+		if (!requested->active ||
+		    (reserved->active && reserved->priority > requested->priority))
+			continue;
+		machine->reservation.at = now;
+		machine->reservation.within_guaranteed = requested->within_guaranteed;
+		machine->reservation.priority = requested->priority;
+		machine->reservation.cpus = requested->resources.cpus;
+		machine->reservation.gpus = requested->resources.gpus;
+		machine->reservation.ram_gb = requested->resources.ram_gb;
+	}
+}
+
+void fl_scheduling_decisions_apply(struct fl_node *node, const struct fl_snapshot *snapshot,
+                                   const struct fl_sched_output *output, double now)
+{
+	apply_starts(node, snapshot, output, now);
+	apply_preemptions(node, snapshot, output);
+	apply_window(snapshot, output, now);
+	apply_reservations(snapshot, now);
+}
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -4,54 +4,68 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/node.h"
 #include "coordination/autoscaling/autoscaler.h"
+#include "coordination/node.h"
 #include "coordination/workers/reachability.h"
 #include "transport/clock.h"
 
 static const struct {
-	int waiting_most, waiting_a_machine;
-	double fresh_reports, reservation_s, overdue_left_s;
+	int min_considered, considered_per_machine, max_heartbeat_intervals;
+	double reservation_s, overdue_left_s;
 } tunables = {
-	.waiting_most = 256,    /* tasks of one job considered in one pass, on any site */
-	.waiting_a_machine = 2, /* the same for each machine that is up, on large ones */
-	.fresh_reports = 3,     /* report intervals after which a silent machine gets no new task */
-	.reservation_s = 3.0,   /* s for which room is reserved for whom a task was stopped there */
-	.overdue_left_s = 1.0, /* s left of a task past its estimate: until the next pass at most */
+	.min_considered = 256,        /* tasks of one job considered in one cycle, on any site */
+	.considered_per_machine = 2,  /* the same for each machine that is up, on large ones */
+	.max_heartbeat_intervals = 3, /* after which a silent machine gets no new task */
+	.reservation_s = 3.0,         /* s for which what a preemption frees is reserved */
+	.overdue_left_s = 1.0,        /* s left of a task past its estimate: up to the next cycle */
+};
+
+/* A snapshot being taken. */
+struct builder {
+	const struct fl_node *node;
+	struct fl_snapshot *snapshot;
+	double now, now_wall;
+	uint32_t max_considered; /* tasks of one job */
 };
 
 /*
- * How many tasks of one job a pass considers. Found on a day of our own with 4,000 machines: of one
- * array of 9,000 tasks 256 were considered, machines were rented for no more, and the site would
- * have grown by 128 machines a boot. So it may double with each.
+ * How many tasks of one job a cycle considers. Found on a day of our own with 4,000 machines: of
+ * one array of 9,000 tasks 256 were considered, machines were rented for no more, and the site
+ * would have grown by 128 machines a boot. So it may double with each.
  */
 static uint32_t max_tasks_considered(const struct fl_machines *machines)
 {
-	int most = 0;
-
-	for (int i = 0; i < machines->count; i++)
-		most += machines->by_id[i]->lifecycle.up &&
-		                        !machines->by_id[i]->lifecycle.decommissioned
-		                ? tunables.waiting_a_machine
-		                : 0;
-	return (uint32_t)(most > tunables.waiting_most ? most : tunables.waiting_most);
+	int count = 0;
+
+	for (int i = 0; i < machines->count; i++) {
+		const struct fl_machine_lifecycle *lifecycle = &machines->by_id[i]->lifecycle;
+
+		if (lifecycle->up && !lifecycle->decommissioned)
+			count += tunables.considered_per_machine;
+	}
+	return (uint32_t)(count > tunables.min_considered ? count : tunables.min_considered);
 }
 
-static uint32_t count_startable(struct fl_job *job, uint32_t considered, double now)
+/* How many waiting tasks of the job may start now. */
+static uint32_t count_startable(struct fl_job *job, uint32_t max_considered, double now)
 {
-	uint32_t most = job->kind == FL_GANG ? job->task_count : considered;
-	uint32_t at = 0, count = 0;
+	bool gang = job->kind == FL_GANG;
+	uint32_t max_count = gang ? job->task_count : max_considered;
+	uint32_t index = 0, count = 0;
 
 	if (job->retry.not_before > now)
 		return 0;
 	/* A gang starts only whole: all that is not done, and none of it anywhere yet. */
-	if (job->kind == FL_GANG && job->counts.placed > 0)
+	if (gang && job->counts.placed > 0)
 		return 0;
-	while (count < most && (at = fl_task_next_waiting(job, at, now)) < job->task_count) {
+	while (count < max_count) {
+		index = fl_task_next_waiting(job, index, now);
+		if (index >= job->task_count)
+			break;
 		count++;
-		at++;
+		index++;
 	}
-	return job->kind == FL_GANG && count < job->counts.waiting ? 0 : count;
+	return gang && count < job->counts.waiting ? 0 : count;
 }
 
 /* Urgent work and services count by their priority alone. */
@@ -61,24 +75,29 @@
 	       job->kind == FL_ARRAY && job->priority < FL_URGENT;
 }
 
-static void add_job(const struct fl_node *node, struct fl_snapshot *snapshot, struct fl_job *job,
-                    uint32_t considered, double now, double wall)
+/* What is left of the job's backfill window; < 0: it has none. */
+static double window_left_s(const struct fl_job *job, double now)
 {
+	return job->placement.window_until > 0 ? fmax(0, job->placement.window_until - now) : -1;
+}
+
+/* Adds the job, if any of its tasks may start now. */
+static void add_job(const struct builder *builder, struct fl_job *job)
+{
+	struct fl_snapshot *snapshot = builder->snapshot;
 	struct fl_sched_job *target = &snapshot->input.jobs[snapshot->input.job_count];
 
 	memset(target, 0, sizeof(*target));
-	target->startable_count = count_startable(job, considered, now);
+	target->startable_count = count_startable(job, builder->max_considered, builder->now);
 	if (target->startable_count == 0)
 		return;
 	target->priority = job->priority;
 	target->service = job->kind == FL_SERVICE;
 	target->gang = job->kind == FL_GANG;
 	target->team = job->team;
-	target->waited_s = wall - job->submitted_wall;
+	target->waited_s = builder->now_wall - job->submitted_wall;
 	target->estimate_s = job->expected_s;
-	target->need.cpus = job->cpus;
-	target->need.gpus = job->gpus;
-	target->need.ram_gb = job->ram_gb;
+	target->need = fl_job_need(job);
 	target->image_gb = job->image_gb;
 	target->task_count = job->task_count;
 	target->allowed_types = job->types;
@@ -90,26 +109,34 @@
 	target->placed_in_unknown_zone = job->placement.in_unknown_zone;
 	target->image = job->image;
 	target->within_guaranteed = job->within_guaranteed;
-	target->background = is_background(node, job);
+	target->background = is_background(builder->node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
-	target->window_left_s =
-		job->placement.window_until > 0 ? fmax(0, job->placement.window_until - now) : -1;
+	target->window_left_s = window_left_s(job, builder->now);
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
+/* Whether new tasks may be placed on the machine. */
 static bool is_schedulable(const struct fl_node *node, const struct fl_machine *machine, double now)
 {
-	return machine && machine->lifecycle.up && machine->described &&
-	       !machine->lifecycle.draining && !machine->lifecycle.decommissioned &&
-	       machine->heartbeat.orphan_task_count == 0 &&
-	       machine->lifecycle.interruption_at == 0 &&
-	       machine->health.quarantined_until <= now &&
-	       now - machine->outbound.last_reachable_at <
-	               tunables.fresh_reports * node->config->report_s &&
+	const struct fl_machine_lifecycle *lifecycle;
+	double unreachable_s;
+
+	if (!machine || !machine->described)
+		return false;
+	lifecycle = &machine->lifecycle;
+	if (!lifecycle->up || lifecycle->draining || lifecycle->decommissioned)
+		return false;
+	if (lifecycle->interruption_at != 0 || machine->health.quarantined_until > now)
+		return false;
+	if (machine->heartbeat.orphan_task_count != 0)
+		return false;
+	unreachable_s = now - machine->outbound.last_reachable_at;
+	return unreachable_s < tunables.max_heartbeat_intervals * node->config->report_s &&
 	       !fl_reachability_is_suspect(machine);
 }
 
-static double estimated_left(const struct fl_job *job, const struct fl_task *task, double now)
+/* Seconds that the task still runs by its job's estimate. */
+static double estimated_left_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double estimate_s =
 		job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_estimate_s;
@@ -118,16 +145,28 @@
 		return INFINITY;
 	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
 		estimate_s -= now - task->running_since;
-	/* Past its estimate: it counts as ending by the next pass. */
+	/* Past its estimate: it counts as ending by the next cycle. */
 	return fmax(estimate_s, tunables.overdue_left_s);
 }
 
-static void add_attempt(struct fl_snapshot *snapshot, int machine_index,
-                        const struct fl_assignment *slot, double now, double wall)
+/* Seconds of work that a stop of the task would lose. */
+static double lost_s(const struct fl_job *job, const struct fl_task *task, double now)
+{
+	double since_start_s =
+		task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
+
+	return job->checkpoint_every_s > 0 ? fmin(since_start_s, job->checkpoint_cost_s)
+	                                   : since_start_s;
+}
+
+static void add_attempt(const struct builder *builder, int machine_index,
+                        const struct fl_assignment *assignment)
 {
-	struct fl_sched_attempt *target = &snapshot->input.attempts[snapshot->input.attempt_count];
-	struct fl_job *job = slot->job;
-	const struct fl_task *task = fl_task_peek(job, slot->index);
+	struct fl_sched_input *input = &builder->snapshot->input;
+	struct fl_sched_attempt *target = &input->attempts[input->attempt_count];
+	const struct fl_job *job = assignment->job;
+	const struct fl_task *task = fl_task_peek(job, assignment->index);
+	double waited_s = builder->now_wall - job->submitted_wall;
 
 	memset(target, 0, sizeof(*target));
 	target->machine = machine_index;
@@ -137,36 +176,35 @@
 	target->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
 	target->preemptible = !target->stopping;
 	target->within_guaranteed = job->within_guaranteed;
-	target->used.cpus = job->cpus;
-	target->used.gpus = job->gpus;
-	target->used.ram_gb = job->ram_gb;
-	target->left_s = estimated_left(job, task, now);
-	target->lost_s = task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
-	if (job->checkpoint_every_s > 0)
-		target->lost_s = fmin(target->lost_s, job->checkpoint_cost_s);
-	target->last_running_task =
-		job->kind != FL_SERVICE && job->counts.placed == 1 &&
-		wall - job->submitted_wall > snapshot->input.params->overdue_after_s;
-	snapshot->attempts[snapshot->input.attempt_count++] = *slot;
+	target->used = fl_job_need(job);
+	target->left_s = estimated_left_s(job, task, builder->now);
+	target->lost_s = lost_s(job, task, builder->now);
+	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
+	                            waited_s > input->params->overdue_after_s;
+	builder->snapshot->attempts[input->attempt_count++] = *assignment;
 }
 
-static int compare_submissions(const void *pa, const void *pb)
+static int compare_submissions(const void *left_item, const void *right_item)
 {
-	const struct fl_job *a = *(struct fl_job *const *)pa, *b = *(struct fl_job *const *)pb;
+	const struct fl_job *left = *(struct fl_job *const *)left_item;
+	const struct fl_job *right = *(struct fl_job *const *)right_item;
 
-	if (a->submitted_wall != b->submitted_wall)
-		return a->submitted_wall < b->submitted_wall ? -1 : 1;
-	return strcmp(a->ref, b->ref);
+	if (left->submitted_wall != right->submitted_wall)
+		return left->submitted_wall < right->submitted_wall ? -1 : 1;
+	return strcmp(left->ref, right->ref);
 }
 
-/* Which jobs fit their team's guarantee together with the team's earlier ones not yet over. */
+/*
+ * Marks the jobs that fit their team's guaranteed quota together with the team's earlier ones not
+ * yet over. `scratch` holds all jobs.
+ */
 static void mark_within_guarantee(struct fl_cluster *cluster, struct fl_job **scratch)
 {
 	double cpus[FL_TEAMS_MAX] = {0}, gpus[FL_TEAMS_MAX] = {0};
-	struct fl_job *job, *tmp;
+	struct fl_job *job, *next;
 	size_t count = 0;
 
-	HASH_ITER (hh, cluster->jobs, job, tmp)
+	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->cancelled)
 			scratch[count++] = job;
 	qsort(scratch, count, sizeof(*scratch), compare_submissions);
@@ -180,10 +218,10 @@
 }
 
 /*
- * A stopped task is gone when its machine says so, some passes later, and until then the job may
- * request room elsewhere, where something looks better meanwhile. Found in the simulated fault
- * combinations: the room then went to what had been stopped, which was stopped again, every second
- * for minutes.
+ * A victim is gone when its machine says so, some cycles later, and until then the job may request
+ * resources elsewhere, where the cost is lower meanwhile. Found in the simulated fault
+ * combinations: what was freed then went to what had been preempted, which was preempted again,
+ * every second for minutes.
  */
 static struct fl_reservation active_reservation(const struct fl_machine *machine, double now)
 {
@@ -192,48 +230,48 @@
 	return (struct fl_reservation){.active = true,
 	                               .within_guaranteed = machine->reservation.within_guaranteed,
 	                               .priority = machine->reservation.priority,
-	                               .resources.cpus = machine->reservation.cpus,
-	                               .resources.gpus = machine->reservation.gpus,
-	                               .resources.ram_gb = machine->reservation.ram_gb};
+	                               .resources = {machine->reservation.cpus,
+	                                             machine->reservation.gpus,
+	                                             machine->reservation.ram_gb}};
 }
 
-static void add_machine(struct fl_node *node, struct fl_snapshot *snapshot,
-                        struct fl_machine *machine, double now, double wall)
+static void add_machine(const struct builder *builder, struct fl_machine *machine)
 {
-	const struct fl_machine_type *type = &node->cluster.machines.types[machine->type];
+	const struct fl_machine_type *type = &builder->node->cluster.machines.types[machine->type];
+	struct fl_snapshot *snapshot = builder->snapshot;
 	int machine_index = snapshot->input.machine_count++;
 	struct fl_sched_machine *target = &snapshot->input.machines[machine_index];
 
 	*target = (struct fl_sched_machine){.type = machine->type,
 	                                    .zone = machine->zone,
 	                                    .spot = machine->spot,
-	                                    .reserved = active_reservation(machine, now),
-	                                    .free.cpus = type->cpus - machine->used.cpus,
-	                                    .free.gpus = type->gpus - machine->used.gpus,
-	                                    .free.ram_gb = type->ram_gb - machine->used.ram_gb,
+	                                    .reserved = active_reservation(machine, builder->now),
+	                                    .free = fl_machine_type_capacity(type),
 	                                    .pull_gb_s = type->pull_gb_s,
 	                                    .cached_images = machine->cached_images};
+	fl_resources_subtract(&target->free, machine->used);
 	for (int k = 0; k < machine->assignment_count; k++) {
-		add_attempt(snapshot, machine_index, &machine->assignments[k], now, wall);
-		target->runs_service =
-			target->runs_service || machine->assignments[k].job->kind == FL_SERVICE;
+		add_attempt(builder, machine_index, &machine->assignments[k]);
+		if (machine->assignments[k].job->kind == FL_SERVICE)
+			target->runs_service = true;
 	}
 	snapshot->machines[machine_index] = machine;
 }
 
 static bool allocate(struct fl_snapshot *snapshot, const struct fl_cluster *cluster)
 {
-	size_t n_jobs = HASH_COUNT(cluster->jobs) + 1;
-	size_t n_machines = (size_t)cluster->machines.count + 1, n_runs = 1;
+	size_t job_count = HASH_COUNT(cluster->jobs) + 1;
+	size_t machine_count = (size_t)cluster->machines.count + 1;
+	size_t attempt_count = 1;
 
 	for (int i = 0; i < cluster->machines.count; i++)
-		n_runs += (size_t)cluster->machines.by_id[i]->assignment_count;
-	snapshot->jobs = malloc(n_jobs * sizeof(*snapshot->jobs));
-	snapshot->machines = malloc(n_machines * sizeof(*snapshot->machines));
-	snapshot->attempts = malloc(n_runs * sizeof(*snapshot->attempts));
-	snapshot->input.jobs = malloc(n_jobs * sizeof(*snapshot->input.jobs));
-	snapshot->input.machines = malloc(n_machines * sizeof(*snapshot->input.machines));
-	snapshot->input.attempts = malloc(n_runs * sizeof(*snapshot->input.attempts));
+		attempt_count += (size_t)cluster->machines.by_id[i]->assignment_count;
+	snapshot->jobs = malloc(job_count * sizeof(*snapshot->jobs));
+	snapshot->machines = malloc(machine_count * sizeof(*snapshot->machines));
+	snapshot->attempts = malloc(attempt_count * sizeof(*snapshot->attempts));
+	snapshot->input.jobs = malloc(job_count * sizeof(*snapshot->input.jobs));
+	snapshot->input.machines = malloc(machine_count * sizeof(*snapshot->input.machines));
+	snapshot->input.attempts = malloc(attempt_count * sizeof(*snapshot->input.attempts));
 	snapshot->input.teams = malloc(sizeof(cluster->teams.by_index));
 	return snapshot->jobs && snapshot->machines && snapshot->attempts && snapshot->input.jobs &&
 	       snapshot->input.machines && snapshot->input.attempts && snapshot->input.teams;
@@ -243,9 +281,9 @@
                                          double now)
 {
 	struct fl_cluster *cluster = &node->cluster;
-	uint32_t considered = max_tasks_considered(&cluster->machines);
-	double wall = fl_wall();
-	struct fl_job *job, *tmp;
+	struct builder builder = {node, snapshot, now, fl_wall(),
+	                          max_tasks_considered(&cluster->machines)};
+	struct fl_job *job, *next;
 
 	memset(snapshot, 0, sizeof(*snapshot));
 	if (!allocate(snapshot, cluster))
@@ -253,12 +291,12 @@
 	snapshot->input.params = &fl_sched_defaults;
 	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
-	HASH_ITER (hh, cluster->jobs, job, tmp)
+	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->cancelled && job->counts.waiting > 0)
-			add_job(node, snapshot, job, considered, now, wall);
+			add_job(&builder, job);
 	for (int i = 0; i < cluster->machines.count; i++)
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
-			add_machine(node, snapshot, cluster->machines.by_id[i], now, wall);
+			add_machine(&builder, cluster->machines.by_id[i]);
 	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(node);
 	snapshot->input.resume_position = node->leadership.resume_position;
 	return FL_SCHEDULE_OK;
--- a/src/coordination/scheduling/scheduling_snapshot.h
+++ b/src/coordination/scheduling/scheduling_snapshot.h
@@ -1,4 +1,8 @@
-/* The snapshot of the cluster state that a pass works on. */
+/*
+ * The snapshot of the cluster that a scheduling cycle works on. The schedule's own entries are
+ * copies; what their indices stand for points into the cluster, and is valid only until the cluster
+ * changes.
+ */
 #ifndef FL_COORDINATION_SCHEDULING_SCHEDULING_SNAPSHOT_H
 #define FL_COORDINATION_SCHEDULING_SCHEDULING_SNAPSHOT_H
 
@@ -16,7 +20,10 @@
 	struct fl_assignment *attempts;
 };
 
-/* Takes a snapshot. Free it whatever the result. `now`: steady. */
+/*
+ * Takes a snapshot; `now`: steady. Free it whatever the result. Also marks each job of the cluster
+ * that is within its team's guaranteed quota.
+ */
 enum fl_schedule_result fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot,
                                          double now);
 /* Frees what a snapshot consists of. */
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -28,5 +28,10 @@
 bool fl_job_is_over(const struct fl_job *job);
 /* The status that its user is told. */
 enum fl_job_status fl_job_current_status(const struct fl_job *job);
+/* What one task of the job needs. */
+static inline struct fl_resources fl_job_need(const struct fl_job *job)
+{
+	return (struct fl_resources){job->cpus, job->gpus, job->ram_gb};
+}
 
 #endif
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -124,6 +124,11 @@
 void fl_machine_record_image(struct fl_machine *machine, int image);
 /* How many tasks that need `need` each there is room for in `available`. */
 uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available);
+/* What an empty machine of the type has. */
+static inline struct fl_resources fl_machine_type_capacity(const struct fl_machine_type *type)
+{
+	return (struct fl_resources){type->cpus, type->gpus, type->ram_gb};
+}
 /* Forgets a machine with no slots; the last one takes its id. Returns that one, or NULL. */
 struct fl_machine *fl_machine_drop(struct fl_machines *machines, struct fl_machine *machine);
 /* Forgets all machines; the types stay. */
