--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -1,30 +1,35 @@
-/* The duty of provisioning: its budget of calls, the offered types, the losses of spot machines. */
-#include "coordination/autoscaling/autoscaler_internal.h"
+/* The coroutine of the autoscaler, the machine types on offer, and the losses of spot machines. */
+#include "coordination/autoscaling/autoscaler.h"
 
-#include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/autoscaling/call_budget.h"
+#include "coordination/autoscaling/machine_list.h"
+#include "coordination/autoscaling/scale_in.h"
+#include "coordination/autoscaling/scale_out.h"
+#include "coordination/node.h"
 #include "transport/clock.h"
-#include "transport/log.h"
 #include "transport/coroutine.h"
+#include "transport/log.h"
 
 static const struct {
-	double round_s, list_s, types_s, tombstone_s, spot_prior_s, call_share, burst_s;
+	double interval_s, list_interval_s, types_interval_s, tombstone_s, spot_prior_s;
+	double call_share, burst_s;
 } tunables = {
-	.round_s = 0.5,         /* s between two looks at the machines */
-	.list_s = 3.0,          /* s between two lists */
-	.types_s = 30.0,        /* s between two looks at prices */
-	.tombstone_s = 900.0,   /* s; messages may arrive minutes late */
-	.spot_prior_s = 3600.0, /* machine-seconds without a loss assumed at first */
-	.call_share = 0.8,      /* share of the cloud's calls a second that is used */
-	.burst_s = 2,           /* s of calls that may be saved up */
+	.interval_s = 0.5,        /* s between two examinations of the machines */
+	.list_interval_s = 3.0,   /* s between two lists */
+	.types_interval_s = 30.0, /* s between two requests of types and prices */
+	.tombstone_s = 900.0,     /* s; messages may arrive minutes late */
+	.spot_prior_s = 3600.0,   /* machine-seconds without a loss assumed at first */
+	.call_share = 0.8,        /* share of the cloud's calls a second that is used */
+	.burst_s = 2,             /* s of calls that may be saved up */
 };
 
 /* A steady time before any other. */
 #define LONG_AGO (-1e9)
 
-/* For controllers that start while the cloud is out: see read_types in node.c. */
+/* For controllers that start while the cloud is out: see machine_types.c. */
 static void store_machine_types(struct fl_node *node, const struct fl_cloud_machine_type *types,
                                 int count)
 {
@@ -32,7 +37,7 @@
 	uint64_t revision;
 
 	if (fl_token_bucket_take(&node->record_writer.write_budget, 1, fl_now()) > 0)
-		return; /* launches need the writes: the next look will do */
+		return; /* starts of tasks need the writes: the next refresh will do */
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->leader_lease.leader_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
@@ -45,7 +50,7 @@
 	struct fl_cloud_machine_type *types;
 	int count;
 
-	if (fl_autoscaler_await_call_budget(node) != 0 ||
+	if (fl_autoscaler_await_call_budget(node) != FL_CALL_ALLOWED ||
 	    fl_cloud_machine_types(&node->cloud, &types, &count) != 0)
 		return;
 	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, count);
@@ -59,45 +64,52 @@
 	       (node->autoscaler.spot_machine_seconds + tunables.spot_prior_s);
 }
 
+/* Adds the time since the last count for each spot machine that is up. */
 static void count_spot_time(struct fl_node *node)
 {
-	double now = fl_now(), since = now - node->autoscaler.spot_counted_at;
+	struct fl_autoscaler *autoscaler = &node->autoscaler;
+	double now = fl_now(), since_s = now - autoscaler->spot_counted_at;
+	bool first = autoscaler->spot_counted_at <= 0;
 
-	for (int i = 0; i < node->cluster.machines.count && node->autoscaler.spot_counted_at > 0;
-	     i++) {
+	for (int i = 0; i < node->cluster.machines.count && !first; i++) {
 		const struct fl_machine *machine = node->cluster.machines.by_id[i];
 
 		if (machine->spot && machine->lifecycle.up && !machine->lifecycle.decommissioned)
-			node->autoscaler.spot_machine_seconds += since;
+			autoscaler->spot_machine_seconds += since_s;
 	}
-	node->autoscaler.spot_counted_at = now;
+	autoscaler->spot_counted_at = now;
 }
 
 void fl_autoscaler_begin(struct fl_node *node)
 {
-	double now = fl_now();
+	struct fl_autoscaler *autoscaler = &node->autoscaler;
+	double calls_per_s = node->config->cloud_rps * tunables.call_share;
+	double burst = tunables.burst_s * node->config->cloud_rps * tunables.call_share;
 
-	memset(&node->autoscaler, 0, sizeof(node->autoscaler));
-	node->autoscaler.types_at = LONG_AGO; /* what was read from a record may be old */
-	fl_token_bucket_init(&node->autoscaler.call_budget,
-	                     node->config->cloud_rps * tunables.call_share,
-	                     tunables.burst_s * node->config->cloud_rps * tunables.call_share, now);
+	memset(autoscaler, 0, sizeof(*autoscaler));
+	autoscaler->types_refreshed_at = LONG_AGO; /* what was read from a record may be old */
+	fl_token_bucket_init(&autoscaler->call_budget, calls_per_s, burst, fl_now());
 }
 
 void fl_autoscaler_run(struct fl_node *node)
 {
-	while (fl_sleep(tunables.round_s) == 0) {
+	struct fl_autoscaler *autoscaler = &node->autoscaler;
+
+	while (fl_sleep(tunables.interval_s) == 0) {
 		if (!fl_leader_lease_is_valid(node))
 			continue;
-		/* No call of this duty is under way here, and machines with a command are kept. */
+		/*
+		 * No call of this coroutine is under way here, and machines with a command are
+		 * kept.
+		 */
 		fl_cluster_purge_tombstones(&node->cluster, fl_now() - tunables.tombstone_s);
 		count_spot_time(node);
 		fl_autoscaler_scale_in(node);
 		fl_autoscaler_scale_out(node);
-		if (fl_now() > node->autoscaler.listed_at + tunables.list_s)
+		if (fl_now() > autoscaler->listed_at + tunables.list_interval_s)
 			fl_autoscaler_list_machines(node);
-		if (fl_now() > node->autoscaler.types_at + tunables.types_s) {
-			node->autoscaler.types_at = fl_now();
+		if (fl_now() > autoscaler->types_refreshed_at + tunables.types_interval_s) {
+			autoscaler->types_refreshed_at = fl_now();
 			refresh_machine_types(node);
 		}
 	}
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -1,4 +1,11 @@
-/* Machines: renting what is short, returning what idles, has failed, or no longer reports. */
+/*
+ * The autoscaler of a leader: machines are rented for tasks that the last scheduling cycle could
+ * not place (scale out), and returned when they are idle, have failed or are silent (scale in).
+ *
+ * All calls to the cloud are made by one coroutine, within a budget of calls a second and only
+ * while the leader lease is valid. The plan of what to rent is made by the scheduling cycle, which
+ * never waits; while a rental is in flight no plan is made, so that nothing is rented twice.
+ */
 #ifndef FL_COORDINATION_AUTOSCALING_AUTOSCALER_H
 #define FL_COORDINATION_AUTOSCALING_AUTOSCALER_H
 
@@ -13,43 +20,54 @@
 /* Rentals that one plan may ask for. */
 enum { FL_SCALE_OUT_REQUESTS_MAX = 32 };
 
+/* What kind of machine to rent: indices of its type and zone, and whether it is a spot machine. */
+struct fl_machine_kind {
+	int type, zone;
+	bool spot;
+};
+
 /* Machines of one kind to be rented with one call. */
 struct fl_scale_out_request {
-	int type, zone, count;
-	bool spot;
+	struct fl_machine_kind kind;
+	int count;
 };
 
 /* What a leader knows about its machines beside the machines themselves. */
 struct fl_autoscaler {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
 	int request_count;
-	long machines_examined;   /* at planned machines, by the last plan: its work */
-	bool scale_out_in_flight; /* a call is under way: what is short is unknown until it returns
-	                           */
-	uint64_t rental_name_count; /* given out in this epoch */
-	double no_capacity_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX]
-				[2];               /* last index: spot or not */
-	double zone_suspected_until[FL_ZONES_MAX]; /* too many machines of the zone are silent */
-	double listed_at, types_at; /* steady; of the last list and the last look at prices */
+	long machines_examined; /* planned machines examined by the last plan: its work */
+	/* Calls are under way: which machines there will be is unknown until they return. */
+	bool scale_out_in_flight;
+	uint64_t rental_name_count; /* names given out by this leadership */
+	/* By type, zone and spot or not; steady: until then no such machine is asked for. */
+	double no_capacity_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX][2];
+	/* Steady; until then too many machines of the zone are silent. */
+	double zone_suspected_until[FL_ZONES_MAX];
+	double listed_at;          /* steady; when the last complete list was begun */
+	double types_refreshed_at; /* steady; when types and prices were last asked for */
 	struct fl_token_bucket call_budget;
-	double spot_losses,
-		spot_machine_seconds; /* spot machines reclaimed, and the time that such were up */
-	double spot_counted_at;       /* steady */
+	double spot_losses;          /* spot machines that were reclaimed */
+	double spot_machine_seconds; /* the time that spot machines were up */
+	double spot_counted_at;      /* steady; up to when that is counted */
 	/*
-	 * How many accelerators the ordinary machines could be returned with before the reserve for
-	 * services is cut into: by zone, or one number if there is one share; no shares: no
-	 * reserve.
+	 * How many accelerators the machines that are not spot could be returned with before the
+	 * headroom for services is cut into: by zone, or one number if there is one share; no
+	 * shares: no headroom is kept.
 	 */
 	int headroom_surplus[FL_ZONES_MAX], headroom_shares;
 };
 
 /* Resets all this, when a leader begins. */
 void fl_autoscaler_begin(struct fl_node *node);
-/* The routine of a leader, with its fl_node. */
+/* The coroutine of a leader, with its fl_node; returns when it is cancelled. */
 void fl_autoscaler_run(struct fl_node *node);
 /* Chance a second that a spot machine is reclaimed, as seen lately. */
 double fl_autoscaler_spot_loss_rate(const struct fl_node *node);
-/* Plans rentals for what the last pass left without room; `unplaced_tasks`: tasks, by job. */
+/*
+ * Plans rentals for what the last cycle could not place, and for headroom (autoscaler_plan.c).
+ * `unplaced_tasks`: their number, by job. Does nothing while a rental is in flight.
+ */
 void fl_autoscaler_plan_scale_out(struct fl_node *node, struct fl_job **jobs,
                                   const uint32_t *unplaced_tasks, int count);
 
--- a/src/coordination/autoscaling/call_budget.c
+++ b/src/coordination/autoscaling/call_budget.c
@@ -1,16 +1,14 @@
-/* The budget of calls to the cloud. */
-#include "coordination/autoscaling/autoscaler_internal.h"
-
-#include <errno.h>
+#include "coordination/autoscaling/call_budget.h"
 
+#include "coordination/node.h"
 #include "transport/clock.h"
 
-int fl_autoscaler_await_call_budget(struct fl_node *node)
+enum fl_call_permission fl_autoscaler_await_call_budget(struct fl_node *node)
 {
-	double wait;
+	double wait_s;
 
-	while ((wait = fl_token_bucket_take(&node->autoscaler.call_budget, 1, fl_now())) > 0)
-		if (fl_sleep(wait) != 0)
-			return -ECANCELED;
-	return fl_leader_lease_is_valid(node) ? 0 : -EAGAIN;
+	while ((wait_s = fl_token_bucket_take(&node->autoscaler.call_budget, 1, fl_now())) > 0)
+		if (fl_sleep(wait_s) != 0)
+			return FL_CALL_CANCELLED;
+	return fl_leader_lease_is_valid(node) ? FL_CALL_ALLOWED : FL_CALL_LEADERSHIP_LOST;
 }
--- /dev/null
+++ b/src/coordination/autoscaling/call_budget.h
@@ -0,0 +1,17 @@
+/* The budget of calls to the cloud: every call waits for it first. */
+#ifndef FL_COORDINATION_AUTOSCALING_CALL_BUDGET_H
+#define FL_COORDINATION_AUTOSCALING_CALL_BUDGET_H
+
+struct fl_node;
+
+/* Whether a call may be made now. */
+enum fl_call_permission {
+	FL_CALL_ALLOWED = 0,
+	FL_CALL_LEADERSHIP_LOST, /* make none: another controller may be the leader by now */
+	FL_CALL_CANCELLED        /* the calling coroutine is being cancelled: unwind */
+};
+
+/* Waits until one call is within the budget, and takes it from there. */
+enum fl_call_permission fl_autoscaler_await_call_budget(struct fl_node *node);
+
+#endif
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -1,8 +1,9 @@
-/* The reserve: room on ordinary machines that lets services start without waiting for a boot. */
-#include "coordination/autoscaling/autoscaler_internal.h"
+#include "coordination/autoscaling/headroom.h"
 
 #include <math.h>
 
+#include "coordination/node.h"
+
 static const struct {
 	double learn_s, spread;
 } tunables = {
@@ -10,102 +11,129 @@
 	.spread = 2.0,    /* standard deviations of the arrivals while a machine boots, on top */
 };
 
-/* Room that a service could have at once: free, or used by what it may preempt. */
+/* The headroom that is needed and that there is, in tasks of a model service. */
+struct headroom {
+	const struct fl_job *service;  /* the model */
+	int shares;                    /* by zone, or 1: for all zones together */
+	double needed;                 /* of each share */
+	double capacity[FL_ZONES_MAX]; /* of each share */
+};
+
+/* Tasks of a service that could start on the machine at once, preempting what they may. */
 static uint32_t service_capacity(const struct fl_node *node, const struct fl_machine *machine,
                                  const struct fl_job *service)
 {
-	const struct fl_machine_type *machine_type = &node->cluster.machines.types[machine->type];
-	double cpus = machine_type->cpus, gpus = machine_type->gpus, ram_gb = machine_type->ram_gb;
+	struct fl_machine_kind kind = {machine->type, machine->zone, machine->spot};
+	struct fl_resources available;
 
 	if (machine->spot || machine->lifecycle.draining ||
-	    !fl_autoscaler_job_allows(service, machine->type, machine->zone, machine->spot))
+	    !fl_autoscaler_job_allows(service, kind))
 		return 0;
+	available = fl_machine_type_capacity(&node->cluster.machines.types[machine->type]);
 	for (int i = 0; i < machine->assignment_count; i++) {
 		const struct fl_job *job = machine->assignments[i].job;
 
-		if (job->priority < service->priority)
-			continue;
-		cpus -= job->cpus;
-		gpus -= job->gpus;
-		ram_gb -= job->ram_gb;
+		if (job->priority >= service->priority)
+			fl_resources_subtract(&available, fl_job_need(job));
 	}
-	return fl_autoscaler_placement_capacity(service, cpus, gpus, ram_gb);
+	return fl_placement_capacity(fl_job_need(service), available);
 }
 
-/* The newest of the services that came lately, the model for those to come; NULL: none came. */
-static const struct fl_job *recent_services(const struct fl_autoscaler_plan *plan, double *tasks)
+/*
+ * The newest of the services that came lately, the model for those to come, and how many tasks all
+ * of them have; NULL: none came.
+ */
+static const struct fl_job *recent_services(const struct fl_autoscaler_plan *plan,
+                                            double *task_count)
 {
 	const struct fl_job *newest = NULL;
-	struct fl_job *job, *tmp;
+	struct fl_job *job, *next;
 
-	*tasks = 0;
-	HASH_ITER (hh, plan->node->cluster.jobs, job, tmp) {
+	*task_count = 0;
+	HASH_ITER (hh, plan->node->cluster.jobs, job, next) {
 		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
-		    plan->wall - job->submitted_wall > tunables.learn_s)
+		    plan->now_wall - job->submitted_wall > tunables.learn_s)
 			continue;
-		*tasks += job->task_count;
+		*task_count += job->task_count;
 		if (!newest || job->submitted_wall > newest->submitted_wall)
 			newest = job;
 	}
 	return newest;
 }
 
-/* Rents until each share has room for `need` tasks; `room`: what each share has so far. */
-static void plan_headroom_machines(struct fl_autoscaler_plan *plan, const struct fl_job *service,
-                                   double *room, double need, int shares)
+/* Counts the machines that are up. */
+static void add_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
-	static const uint32_t none_placed[FL_ZONES_MAX];
+	const struct fl_machines *machines = &plan->node->cluster.machines;
 
-	for (int z = 0; z < shares; z++) {
-		while (room[z] < need) {
-			const struct fl_planned_machine *rented = fl_autoscaler_plan_machine(
-				plan, service, none_placed, shares > 1 ? z : -1);
+	for (int i = 0; i < machines->count; i++) {
+		const struct fl_machine *machine = machines->by_id[i];
+
+		if (machine->lifecycle.up && !machine->lifecycle.decommissioned &&
+		    machine->described)
+			headroom->capacity[machine->zone % headroom->shares] +=
+				service_capacity(plan->node, machine, headroom->service);
+	}
+}
+
+/* Counts what the plan has left on machines that boot or are to be rented. */
+static void add_planned_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
+{
+	struct fl_resources need = fl_job_need(headroom->service);
+
+	for (int i = 0; i < plan->count; i++) {
+		const struct fl_planned_machine *planned = &plan->machines[i];
 
-			if (!rented)
+		if (!planned->kind.spot)
+			headroom->capacity[planned->kind.zone % headroom->shares] +=
+				fl_placement_capacity(need, planned->free);
+	}
+}
+
+/* Rents until each share has the capacity that is needed. */
+static void add_rentals(struct fl_autoscaler_plan *plan, struct headroom *headroom)
+{
+	struct fl_planned_job model = {.job = headroom->service};
+	struct fl_resources need = fl_job_need(headroom->service);
+
+	for (int z = 0; z < headroom->shares; z++) {
+		int only_zone = headroom->shares > 1 ? z : FL_ANY_ZONE;
+
+		while (headroom->capacity[z] < headroom->needed) {
+			const struct fl_planned_machine *rental =
+				fl_autoscaler_add_rental(plan, &model, only_zone);
+
+			if (!rental)
 				break;
-			room[z] += fmax(1, fl_autoscaler_placement_capacity(service, rented->cpus,
-			                                                    rented->gpus,
-			                                                    rented->ram_gb));
+			headroom->capacity[z] += fmax(1, fl_placement_capacity(need, rental->free));
 		}
 	}
 }
 
 /*
  * A service should not wait for a machine to boot. As many tasks as lately came in one boot time,
- * and a spread more, must find room at once on machines that are up, be it by preempting arrays.
+ * and a spread more, must find capacity at once on machines that are up, be it by preempting
+ * arrays.
  */
 void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan)
 {
 	struct fl_autoscaler *autoscaler = &plan->node->autoscaler;
-	const struct fl_machines *machines = &plan->node->cluster.machines;
-	double tasks, need, room[FL_ZONES_MAX] = {0};
-	const struct fl_job *service = recent_services(plan, &tasks);
-	int shares;
+	const struct fl_cluster *cluster = &plan->node->cluster;
+	struct headroom headroom = {0};
+	double task_count, arrivals;
 
 	autoscaler->headroom_shares = 0;
-	if (!service || machines->type_count == 0)
+	headroom.service = recent_services(plan, &task_count);
+	if (!headroom.service || cluster->machines.type_count == 0)
 		return;
-	/* What must be apart needs room in each zone, also to replace what is lost in one. */
-	shares = service->spread_zones ? plan->node->cluster.zones.count : 1;
-	autoscaler->headroom_shares = shares;
-	need = tasks / tunables.learn_s * machines->types[0].ready_s;
-	need = ceil((need + tunables.spread * sqrt(need)) / shares);
-	for (int i = 0; i < machines->count; i++) {
-		const struct fl_machine *machine = machines->by_id[i];
-
-		if (!machine->lifecycle.decommissioned && machine->described &&
-		    machine->lifecycle.up)
-			room[machine->zone % shares] +=
-				service_capacity(plan->node, machine, service);
-	}
-	for (int z = 0; z < shares; z++)
-		autoscaler->headroom_surplus[z] = (int)(room[z] - need);
-	for (int i = 0; i < plan->count; i++) {
-		const struct fl_planned_machine *planned = &plan->machines[i];
-
-		if (!planned->spot)
-			room[planned->zone % shares] += fl_autoscaler_placement_capacity(
-				service, planned->cpus, planned->gpus, planned->ram_gb);
-	}
-	plan_headroom_machines(plan, service, room, need, shares);
+	/* What must be apart needs capacity in each zone, also to replace what is lost in one. */
+	headroom.shares = headroom.service->spread_zones ? cluster->zones.count : 1;
+	autoscaler->headroom_shares = headroom.shares;
+	arrivals = task_count / tunables.learn_s * cluster->machines.types[0].ready_s;
+	headroom.needed = ceil((arrivals + tunables.spread * sqrt(arrivals)) / headroom.shares);
+	add_machines(plan, &headroom);
+	for (int z = 0; z < headroom.shares; z++)
+		autoscaler->headroom_surplus[z] = (int)(headroom.capacity[z] - headroom.needed);
+	add_planned_machines(plan, &headroom);
+	add_rentals(plan, &headroom);
 }
--- /dev/null
+++ b/src/coordination/autoscaling/machine_list.c
@@ -0,0 +1,83 @@
+#include "coordination/autoscaling/machine_list.h"
+
+#include <stdlib.h>
+
+#include "coordination/autoscaling/call_budget.h"
+#include "coordination/node.h"
+#include "coordination/workers/reconciliation.h"
+#include "transport/clock.h"
+#include "transport/text.h"
+
+static const struct {
+	double list_lags, list_slack_s;
+} tunables = {
+	.list_lags = 2.0,    /* lags of a list by which it may be out of date */
+	.list_slack_s = 1.0, /* s beyond them, for the call itself */
+};
+
+/* `known_count`: machines that were known when the list was begun. */
+static void apply_listed_machine(struct fl_node *node, const struct fl_cloud_machine *listed,
+                                 double now, int known_count)
+{
+	struct fl_cluster *cluster = &node->cluster;
+	struct fl_machine *machine = fl_machine_get(&cluster->machines, listed->host, now);
+
+	if (!machine)
+		return;
+	fl_cluster_describe(
+		cluster, machine, fl_machine_type_find(&cluster->machines, listed->type),
+		fl_symbol_find(&cluster->zones, listed->zone), listed->spot, listed->endpoint);
+	if (machine->id < known_count)
+		machine->lifecycle.listed = true;
+	if (listed->status == FL_CLOUD_MACHINE_FAILED && !machine->lifecycle.decommissioned)
+		fl_reconcile_decommission(node, machine, "failed");
+	if (listed->status == FL_CLOUD_MACHINE_FAILED)
+		machine->lifecycle.draining = true;
+}
+
+/*
+ * Missing from a list proves a machine gone only if that list, which may be twice the lag old,
+ * must have been made after the machine was there.
+ */
+static void decommission_missing(struct fl_node *node, double begun_at, int known_count)
+{
+	double max_age_s = tunables.list_lags * node->config->list_lag_s + tunables.list_slack_s;
+
+	for (int i = 0; i < known_count; i++) {
+		struct fl_machine *machine = node->cluster.machines.by_id[i];
+
+		if (machine->lifecycle.decommissioned || machine->lifecycle.listed ||
+		    begun_at <= machine->lifecycle.first_seen_at + max_age_s)
+			continue;
+		node->autoscaler.spot_losses += machine->spot;
+		fl_reconcile_decommission(node, machine, "no longer listed");
+	}
+}
+
+void fl_autoscaler_list_machines(struct fl_node *node)
+{
+	double begun_at = fl_now();
+	int known_count = node->cluster.machines.count;
+	char from[FL_NAME_MAX] = "";
+	bool more = true;
+
+	for (int i = 0; i < known_count; i++)
+		node->cluster.machines.by_id[i]->lifecycle.listed = false;
+	while (more) {
+		struct fl_cloud_machine *listed;
+		int count;
+
+		if (fl_autoscaler_await_call_budget(node) != FL_CALL_ALLOWED ||
+		    fl_cloud_list(&node->cloud, from, &listed, &count, &more) != 0)
+			return;
+		for (int i = 0; i < count; i++)
+			apply_listed_machine(node, &listed[i], fl_now(), known_count);
+		if (count > 0)
+			fl_copy_string(from, sizeof(from), listed[count - 1].host);
+		else
+			more = false;
+		free(listed);
+	}
+	node->autoscaler.listed_at = begun_at;
+	decommission_missing(node, begun_at, known_count);
+}
--- a/src/coordination/autoscaling/planned_machines.c
+++ b/src/coordination/autoscaling/planned_machines.c
@@ -1,126 +1,137 @@
-/* The machines of a plan: which rentals are possible, what each costs, and the choice of the
- * cheapest. */
-#include "coordination/autoscaling/autoscaler_internal.h"
+#include "coordination/autoscaling/planned_machines.h"
 
 #include <math.h>
 
+#include "coordination/node.h"
+
 static const struct {
-	double suspected_cost, zone_balance, spread_weight, epsilon;
+	double suspected_cost, zone_balance, spread_weight;
 } tunables = {
 	.suspected_cost = 2.0, /* times the price that a zone counts for while it is cut off */
 	.zone_balance = 1e-4,  /* of the price, per machine in the zone: decides between equals */
 	.spread_weight = 0.1,  /* of the price, per task in the zone, of a job to be spread */
-	.epsilon = 1e-6,       /* amounts are sums of decimal fractions */
 };
-struct fl_planned_machine *fl_autoscaler_add_planned(struct fl_autoscaler_plan *plan, int type,
-                                                     int zone, bool spot,
+
+struct fl_planned_machine *fl_autoscaler_add_planned(struct fl_autoscaler_plan *plan,
+                                                     struct fl_machine_kind kind,
                                                      enum fl_planned_origin origin)
 {
-	const struct fl_machine_type *machine_type = &plan->node->cluster.machines.types[type];
+	const struct fl_machine_type *type = &plan->node->cluster.machines.types[kind.type];
 
 	if (plan->count == plan->capacity)
 		return NULL;
-	plan->machines[plan->count] = (struct fl_planned_machine){type,
-	                                                          zone,
-	                                                          spot,
-	                                                          origin,
-	                                                          machine_type->cpus,
-	                                                          machine_type->gpus,
-	                                                          machine_type->ram_gb};
+	plan->machines[plan->count] =
+		(struct fl_planned_machine){kind, origin, fl_machine_type_capacity(type)};
 	plan->rental_count += origin == FL_PLANNED_RENTAL;
 	return &plan->machines[plan->count++];
 }
 
-bool fl_autoscaler_job_allows(const struct fl_job *job, int type, int zone, bool spot)
+bool fl_autoscaler_job_allows(const struct fl_job *job, struct fl_machine_kind kind)
 {
-	return (job->types >> type & 1) && (job->zone < 0 || job->zone == zone) &&
-	       (job->spot_allowed || !spot);
+	if (!(job->types >> kind.type & 1))
+		return false;
+	if (job->zone >= 0 && job->zone != kind.zone)
+		return false;
+	return job->spot_allowed || !kind.spot;
 }
 
-bool fl_autoscaler_zone_allows(const struct fl_job *job, const uint32_t *placed, int zone)
+bool fl_autoscaler_zone_allows(const struct fl_planned_job *planned, int zone)
 {
-	if (job->spread_zones && placed[zone] + 1 > (job->task_count + 1) / 2)
+	const struct fl_job *job = planned->job;
+	uint32_t half = (job->task_count + 1) / 2;
+
+	if (job->spread_zones && planned->placed_by_zone[zone] + 1 > half)
 		return false;
 	for (int z = 0; job->same_zone && z < FL_ZONES_MAX; z++)
-		if (z != zone && placed[z] > 0)
+		if (z != zone && planned->placed_by_zone[z] > 0)
 			return false;
 	return true;
 }
 
-bool fl_autoscaler_task_fits(const struct fl_job *job, double cpus, double gpus, double ram_gb)
+/* Price a second of one task's share of the machine. */
+static double unit_price(const struct fl_machine_type *type, const struct fl_job *job, bool spot)
 {
-	return cpus + tunables.epsilon >= job->cpus && gpus + tunables.epsilon >= job->gpus &&
-	       ram_gb + tunables.epsilon >= job->ram_gb;
-}
+	uint32_t task_count =
+		fl_placement_capacity(fl_job_need(job), fl_machine_type_capacity(type));
 
-uint32_t fl_autoscaler_placement_capacity(const struct fl_job *job, double cpus, double gpus,
-                                          double ram_gb)
-{
-	return fl_placement_capacity((struct fl_resources){job->cpus, job->gpus, job->ram_gb},
-	                             (struct fl_resources){cpus, gpus, ram_gb});
+	return (spot ? type->spot_price : type->price) / (task_count > 0 ? task_count : 1);
 }
 
-/* Price a second of one task's share of the machine. */
-static double unit_price(const struct fl_machine_type *machine_type, const struct fl_job *job,
-                         bool spot)
+/* Whether one more task of the job could run on such a machine, and one can be had. */
+static bool may_rent(const struct fl_autoscaler_plan *plan, const struct fl_planned_job *planned,
+                     struct fl_machine_kind kind)
 {
-	uint32_t tasks = fl_autoscaler_placement_capacity(job, machine_type->cpus,
-	                                                  machine_type->gpus, machine_type->ram_gb);
+	const struct fl_machine_type *type = &plan->node->cluster.machines.types[kind.type];
+	const struct fl_autoscaler *autoscaler = &plan->node->autoscaler;
 
-	return (spot ? machine_type->spot_price : machine_type->price) / (tasks > 0 ? tasks : 1);
+	if (!(type->zones >> kind.zone & 1))
+		return false;
+	if (!fl_resources_fit(fl_job_need(planned->job), fl_machine_type_capacity(type)))
+		return false;
+	if (!fl_autoscaler_job_allows(planned->job, kind) ||
+	    !fl_autoscaler_zone_allows(planned, kind.zone))
+		return false;
+	return autoscaler->no_capacity_until[kind.type][kind.zone][kind.spot] <= plan->now;
 }
 
 /* What a rental counts for in the choice; INFINITY: it cannot be, or was refused lately. */
-static double rental_cost(const struct fl_autoscaler_plan *plan, const struct fl_job *job,
-                          const uint32_t *placed, int type, int zone, bool spot)
+static double rental_cost(const struct fl_autoscaler_plan *plan,
+                          const struct fl_planned_job *planned, struct fl_machine_kind kind)
 {
-	const struct fl_machine_type *machine_type = &plan->node->cluster.machines.types[type];
-	const struct fl_autoscaler *autoscaler = &plan->node->autoscaler;
-	double cost;
-
-	if (!(machine_type->zones >> zone & 1) ||
-	    !fl_autoscaler_task_fits(job, machine_type->cpus, machine_type->gpus,
-	                             machine_type->ram_gb) ||
-	    !fl_autoscaler_job_allows(job, type, zone, spot) ||
-	    !fl_autoscaler_zone_allows(job, placed, zone) ||
-	    autoscaler->no_capacity_until[type][zone][spot] > plan->now)
+	const struct fl_machine_type *type = &plan->node->cluster.machines.types[kind.type];
+	const struct fl_job *job = planned->job;
+	double spread, cost;
+
+	if (!may_rent(plan, planned, kind))
 		return INFINITY;
+	spread =
+		job->spread_zones ? tunables.spread_weight * planned->placed_by_zone[kind.zone] : 0;
 	/* Among equal prices, the zone with the fewest machines. */
-	cost = unit_price(machine_type, job, spot) *
-	       (1 + tunables.zone_balance * plan->machines_by_zone[zone] +
-	        (job->spread_zones ? tunables.spread_weight * placed[zone] : 0));
-	/* A machine that cannot report is paid for nothing. */
-	if (autoscaler->zone_suspected_until[zone] > plan->now)
+	cost = unit_price(type, job, kind.spot) *
+	       (1 + tunables.zone_balance * plan->machines_by_zone[kind.zone] + spread);
+	/* A machine whose heartbeats do not arrive is paid for nothing. */
+	if (plan->node->autoscaler.zone_suspected_until[kind.zone] > plan->now)
 		cost *= tunables.suspected_cost;
 	return cost;
 }
 
-struct fl_planned_machine *fl_autoscaler_plan_machine(struct fl_autoscaler_plan *plan,
-                                                      const struct fl_job *job,
-                                                      const uint32_t *placed, int only_zone)
+/* The cheapest kind in one zone, if it costs less than `*lowest_cost`, which it then replaces. */
+static void find_cheaper(const struct fl_autoscaler_plan *plan,
+                         const struct fl_planned_job *planned, struct fl_machine_kind kind,
+                         double *lowest_cost, struct fl_machine_kind *cheapest)
+{
+	for (int spot = 0; spot < 2; spot++) {
+		double cost;
+
+		kind.spot = spot;
+		cost = rental_cost(plan, planned, kind);
+		if (cost < *lowest_cost) {
+			*lowest_cost = cost;
+			*cheapest = kind;
+		}
+	}
+}
+
+struct fl_planned_machine *fl_autoscaler_add_rental(struct fl_autoscaler_plan *plan,
+                                                    const struct fl_planned_job *planned,
+                                                    int only_zone)
 {
 	const struct fl_cluster *cluster = &plan->node->cluster;
-	double best_cost = INFINITY;
-	int type = -1, zone = -1, spot = 0;
+	struct fl_machine_kind cheapest = {0};
+	double lowest_cost = INFINITY;
 
 	if (plan->rental_count >= FL_PLANNED_RENTALS_MAX)
 		return NULL;
-	for (int k = 0; k < cluster->machines.type_count; k++) {
+	for (int type = 0; type < cluster->machines.type_count; type++) {
 		for (int z = 0; z < cluster->zones.count && z < FL_ZONES_MAX; z++) {
-			for (int s = 0; s < 2 && (only_zone < 0 || z == only_zone); s++) {
-				double cost = rental_cost(plan, job, placed, k, z, s);
-
-				if (cost < best_cost) {
-					best_cost = cost;
-					type = k;
-					zone = z;
-					spot = s;
-				}
-			}
+			struct fl_machine_kind kind = {.type = type, .zone = z};
+
+			if (only_zone == FL_ANY_ZONE || z == only_zone)
+				find_cheaper(plan, planned, kind, &lowest_cost, &cheapest);
 		}
 	}
-	if (type < 0)
+	if (lowest_cost == INFINITY)
 		return NULL;
-	plan->machines_by_zone[zone]++;
-	return fl_autoscaler_add_planned(plan, type, zone, spot, FL_PLANNED_RENTAL);
+	plan->machines_by_zone[cheapest.zone]++;
+	return fl_autoscaler_add_planned(plan, cheapest, FL_PLANNED_RENTAL);
 }
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -1,187 +1,169 @@
-/* Listing the machines of the cloud, and returning those that are of no use. */
-#include "coordination/autoscaling/autoscaler_internal.h"
+#include "coordination/autoscaling/scale_in.h"
 
 #include <math.h>
-#include <stdlib.h>
-#include <string.h>
 
+#include "coordination/autoscaling/call_budget.h"
+#include "coordination/node.h"
 #include "coordination/workers/failure_detector.h"
 #include "coordination/workers/reachability.h"
 #include "coordination/workers/reconciliation.h"
 #include "transport/clock.h"
 #include "transport/log.h"
-#include "transport/text.h"
 
 static const struct {
-	double suspected_s, idle_boots, boot_most, boot_slack_s, list_lags, list_slack_s;
-	int faults_most;
+	double zone_suspected_s, idle_boots, max_boots, boot_slack_s;
+	int max_faults;
 } tunables = {
-	.suspected_s = 20.0, /* s for which a zone with too many silent machines costs more */
-	.idle_boots = 0.4,   /* boot times for which an idle machine is kept */
-	.boot_most = 3.0,    /* boot times after which a booting machine is given up */
-	.boot_slack_s = 5.0, /* s beyond them, for types that boot in no time */
-	.list_lags = 2.0,    /* lags of a list by which it may be out of date */
-	.list_slack_s = 1.0, /* s beyond them, for the call itself */
-	.faults_most = 2,    /* failures on a machine that is avoided before it is returned */
+	.zone_suspected_s = 20.0, /* s for which a zone with many silent machines costs more */
+	.idle_boots = 0.4,        /* boot times for which an idle machine is kept */
+	.max_boots = 3.0,         /* boot times after which a booting machine is drained */
+	.boot_slack_s = 5.0,      /* s beyond them, for types that boot in no time */
+	.max_faults = 2,          /* of a quarantined machine; with more it is returned */
 };
 
-static void apply_listed_machine(struct fl_node *node, const struct fl_cloud_machine *listed,
-                                 double now, int known)
-{
-	struct fl_machine *machine = fl_machine_get(&node->cluster.machines, listed->host, now);
-
-	if (!machine)
-		return;
-	fl_cluster_describe(&node->cluster, machine,
-	                    fl_machine_type_find(&node->cluster.machines, listed->type),
-	                    fl_symbol_find(&node->cluster.zones, listed->zone), listed->spot,
-	                    listed->endpoint);
-	if (machine->id < known)
-		machine->lifecycle.listed = true;
-	if (listed->status == FL_CLOUD_MACHINE_FAILED && !machine->lifecycle.decommissioned)
-		fl_reconcile_decommission(node, machine, "it failed");
-	if (listed->status == FL_CLOUD_MACHINE_FAILED)
-		machine->lifecycle.draining = true;
-}
-
-/*
- * Missing from a list proves a machine gone only if that list, which may be twice the lag old,
- * must have been made after the machine was there.
- */
-static void decommission_missing(struct fl_node *node, double sent, int known)
-{
-	double age_s = tunables.list_lags * node->config->list_lag_s + tunables.list_slack_s;
-
-	for (int i = 0; i < known; i++) {
-		struct fl_machine *machine = node->cluster.machines.by_id[i];
-
-		if (machine->lifecycle.decommissioned || machine->lifecycle.listed ||
-		    sent <= machine->lifecycle.first_seen_at + age_s)
-			continue;
-		node->autoscaler.spot_losses += machine->spot;
-		fl_reconcile_decommission(node, machine, "no longer listed");
-	}
-}
+/* Why a machine is to be returned. */
+enum scale_in_reason {
+	KEPT, /* it is not */
+	IDLE,
+	FAULTY,       /* too many faults, and quarantined */
+	SILENT,       /* its heartbeats do not arrive */
+	UNREACHABLE,  /* its heartbeats arrive, our answers do not reach it */
+	NEVER_BOOTED, /* no heartbeat came long after its rental */
+	DRAINING      /* as decided before */
+};
 
-int fl_autoscaler_list_machines(struct fl_node *node)
+static const char *reason_text(enum scale_in_reason reason)
 {
-	double sent = fl_now();
-	int known = node->cluster.machines.count, rc;
-	char from[FL_NAME_MAX] = "";
-	bool more = true;
-
-	for (int i = 0; i < known; i++)
-		node->cluster.machines.by_id[i]->lifecycle.listed = false;
-	while (more) {
-		struct fl_cloud_machine *listed;
-		int count;
-
-		rc = fl_autoscaler_await_call_budget(node);
-		if (!rc)
-			rc = fl_cloud_list(&node->cloud, from, &listed, &count, &more);
-		if (rc)
-			return rc;
-		for (int i = 0; i < count; i++)
-			apply_listed_machine(node, &listed[i], fl_now(), known);
-		if (count > 0)
-			fl_copy_string(from, sizeof(from), listed[count - 1].host);
-		else
-			more = false;
-		free(listed);
+	switch (reason) {
+	case KEPT:
+		return "kept";
+	case IDLE:
+		return "idle";
+	case FAULTY:
+		return "faulty";
+	case SILENT:
+		return "silent";
+	case UNREACHABLE:
+		return "unreachable";
+	case NEVER_BOOTED:
+		return "never booted";
+	case DRAINING:
+		return "draining";
 	}
-	node->autoscaler.listed_at = sent;
-	decommission_missing(node, sent, known);
-	return 0;
+	return "unknown";
 }
 
-/* Whether an ordinary machine may go without cutting into the reserve for services. */
+/* Whether a machine that is not spot may go without cutting into the headroom for services. */
 static bool take_surplus(struct fl_autoscaler *autoscaler, const struct fl_machine *machine,
-                         const struct fl_machine_type *machine_type)
+                         const struct fl_machine_type *type)
 {
 	int *surplus;
 
 	if (autoscaler->headroom_shares == 0)
 		return true;
 	surplus = &autoscaler->headroom_surplus[machine->zone % autoscaler->headroom_shares];
-	if (*surplus < machine_type->gpus)
+	if (*surplus < type->gpus)
 		return false;
-	*surplus -= (int)machine_type->gpus;
+	*surplus -= (int)type->gpus;
 	return true;
 }
 
-/* Why a machine is to be returned; NULL: it is kept. */
-static const char *scale_in_reason(struct fl_node *node, struct fl_machine *machine, double now,
-                                   const double leases[FL_ZONES_MAX])
+static bool never_booted(const struct fl_machine *machine, const struct fl_machine_type *type,
+                         double now)
 {
-	const struct fl_machine_type *machine_type =
-		machine->type >= 0 ? &node->cluster.machines.types[machine->type] : NULL;
-	bool empty = machine->assignment_count == 0 && machine->heartbeat.orphan_task_count == 0;
+	double max_boot_s = tunables.max_boots * type->ready_s + tunables.boot_slack_s;
 
-	if (machine->lifecycle.draining)
-		return "given up";
-	if (machine->lifecycle.decommissioned)
-		return NULL;
-	if (fl_failure_detector_expired(node, machine, now, leases))
-		return fl_reachability_lost_since(machine) < INFINITY ? "does not hear us"
-		                                                      : "silent";
-	if (!machine_type)
-		return NULL;
-	if (!machine->lifecycle.up && machine->assignment_count == 0 &&
-	    now - machine->lifecycle.first_seen_at >
-	            tunables.boot_most * machine_type->ready_s + tunables.boot_slack_s)
-		return "never came up";
-	if (!machine->lifecycle.up || !empty) {
-		machine->lifecycle.idle_since = 0;
-		return NULL;
-	}
+	return !machine->lifecycle.up && machine->assignment_count == 0 &&
+	       now - machine->lifecycle.first_seen_at > max_boot_s;
+}
+
+/* Of a machine that is up and runs nothing. */
+static enum scale_in_reason empty_machine_reason(struct fl_node *node, struct fl_machine *machine,
+                                                 const struct fl_machine_type *type, double now)
+{
 	if (machine->lifecycle.idle_since <= 0)
 		machine->lifecycle.idle_since = now;
 	if (machine->health.quarantined_until > now &&
-	    machine->health.fault_count > tunables.faults_most)
-		return "faulty";
-	if (now - machine->lifecycle.idle_since <= tunables.idle_boots * machine_type->ready_s)
-		return NULL;
+	    machine->health.fault_count > tunables.max_faults)
+		return FAULTY;
+	if (now - machine->lifecycle.idle_since <= tunables.idle_boots * type->ready_s)
+		return KEPT;
 	if (machine->spot)
-		return "idle";
-	return take_surplus(&node->autoscaler, machine, machine_type) ? "idle" : NULL;
+		return IDLE;
+	return take_surplus(&node->autoscaler, machine, type) ? IDLE : KEPT;
 }
 
-int fl_autoscaler_scale_in(struct fl_node *node)
+/* `timeouts`: of silent machines, by zone, in worker leases. */
+static enum scale_in_reason scale_in_reason(struct fl_node *node, struct fl_machine *machine,
+                                            double now, const double timeouts[FL_ZONES_MAX])
 {
-	const char *names[FL_DELETE_MAX];
-	struct fl_machine *returning[FL_DELETE_MAX];
-	double now = fl_now(), leases[FL_ZONES_MAX];
-	int count = 0, rc;
+	const struct fl_machine_type *type =
+		machine->type >= 0 ? &node->cluster.machines.types[machine->type] : NULL;
+
+	if (machine->lifecycle.scaled_in)
+		return KEPT;
+	if (machine->lifecycle.draining)
+		return DRAINING;
+	if (machine->lifecycle.decommissioned)
+		return KEPT;
+	if (fl_failure_detector_expired(node, machine, now, timeouts))
+		return fl_reachability_lost_since(machine) < INFINITY ? UNREACHABLE : SILENT;
+	if (!type)
+		return KEPT;
+	if (never_booted(machine, type, now))
+		return NEVER_BOOTED;
+	if (!machine->lifecycle.up || machine->assignment_count > 0 ||
+	    machine->heartbeat.orphan_task_count != 0) {
+		machine->lifecycle.idle_since = 0;
+		return KEPT;
+	}
+	return empty_machine_reason(node, machine, type, now);
+}
 
-	fl_failure_detector_timeouts(node, now, leases);
+static void suspect_silent_zones(struct fl_node *node, double now,
+                                 const double timeouts[FL_ZONES_MAX])
+{
 	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (leases[z] > 1)
-			node->autoscaler.zone_suspected_until[z] = now + tunables.suspected_s;
+		if (timeouts[z] > 1)
+			node->autoscaler.zone_suspected_until[z] = now + tunables.zone_suspected_s;
+}
 
+/* Chooses the machines to be returned; returns their number. */
+static int choose_machines(struct fl_node *node, struct fl_machine *chosen[FL_DELETE_MAX])
+{
+	double now = fl_now(), timeouts[FL_ZONES_MAX];
+	int count = 0;
+
+	fl_failure_detector_timeouts(node, now, timeouts);
+	suspect_silent_zones(node, now, timeouts);
 	for (int i = 0; i < node->cluster.machines.count && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
-		const char *why = machine->lifecycle.scaled_in
-		                          ? NULL
-		                          : scale_in_reason(node, machine, now, leases);
+		enum scale_in_reason reason = scale_in_reason(node, machine, now, timeouts);
 
-		if (!why)
+		if (reason == KEPT)
 			continue;
-		fl_info("cloud", "returning %s: %s", machine->name, why);
-		/* Half of those that are reclaimed give no notice: their silence is the first sign.
-		 */
-		node->autoscaler.spot_losses += machine->spot && strcmp(why, "silent") == 0;
+		fl_info("cloud", "scale in: %s reason=\"%s\"", machine->name, reason_text(reason));
+		/* Half of those that are reclaimed give no notice: silence is the first sign. */
+		node->autoscaler.spot_losses += machine->spot && reason == SILENT;
 		machine->lifecycle.draining = true;
-		returning[count] = machine;
-		names[count++] = machine->name;
+		chosen[count++] = machine;
 	}
-	if (count == 0)
-		return 0;
-	rc = fl_autoscaler_await_call_budget(node);
-	if (!rc)
-		rc = fl_cloud_delete(&node->cloud, names, count);
-	for (int i = 0; i < count && rc == 0; i++) {
-		returning[i]->lifecycle.scaled_in = true;
-		fl_reconcile_decommission(node, returning[i], "returned");
+	return count;
+}
+
+void fl_autoscaler_scale_in(struct fl_node *node)
+{
+	struct fl_machine *chosen[FL_DELETE_MAX];
+	const char *names[FL_DELETE_MAX];
+	int count = choose_machines(node, chosen);
+
+	for (int i = 0; i < count; i++)
+		names[i] = chosen[i]->name;
+	if (count == 0 || fl_autoscaler_await_call_budget(node) != FL_CALL_ALLOWED ||
+	    fl_cloud_delete(&node->cloud, names, count) != 0)
+		return;
+	for (int i = 0; i < count; i++) {
+		chosen[i]->lifecycle.scaled_in = true;
+		fl_reconcile_decommission(node, chosen[i], "scaled in");
 	}
-	return rc;
 }
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -1,80 +1,129 @@
-/* The rentals that the last plan asked for. */
-#include "coordination/autoscaling/autoscaler_internal.h"
+#include "coordination/autoscaling/scale_out.h"
 
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/autoscaling/call_budget.h"
+#include "coordination/node.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
 static const struct {
-	double refused_s;
+	double no_capacity_s;
 	int tries;
 } tunables = {
-	.refused_s = 20.0, /* s for which a refused kind of machine is not asked for again */
-	.tries = 3,        /* of one rental that goes unanswered */
+	.no_capacity_s = 20.0, /* s for which a refused kind of machine is not asked for again */
+	.tries = 3,            /* of one rental that goes unanswered */
 };
 
-static int scale_out_one(struct fl_node *node, const struct fl_scale_out_request *request)
+/* One rental, and what came of it. */
+struct rental {
+	const struct fl_scale_out_request *request;
+	const char *type, *zone;
+	char name[64];
+	char (*hosts)[FL_NAME_MAX];
+	int host_count, rc;
+};
+
+static struct rental new_rental(struct fl_node *node, const struct fl_scale_out_request *request)
 {
-	const char *type = node->cluster.machines.types[request->type].name;
-	const char *zone = fl_symbol_name(&node->cluster.zones, request->zone);
-	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
-	int got = 0, rc = -EAGAIN;
+	struct rental rental = {
+		.request = request,
+		.type = node->cluster.machines.types[request->kind.type].name,
+		.zone = fl_symbol_name(&node->cluster.zones, request->kind.zone),
+		.rc = -EAGAIN,
+	};
 
-	/* With the epoch of the takeover in it no other leader uses the name, ever. */
-	snprintf(name, sizeof(name), "r-%llu-%llu",
+	/* With the fencing token of the failover in it no other leader uses the name, ever. */
+	snprintf(rental.name, sizeof(rental.name), "r-%llu-%llu",
 	         (unsigned long long)node->leadership.first_fencing_token,
 	         (unsigned long long)++node->autoscaler.rental_name_count);
+	return rental;
+}
+
+/* Makes the rental; repeated when unanswered, which its name allows. */
+static enum fl_call_permission call_rent(struct fl_node *node, struct rental *rental)
+{
+	const struct fl_scale_out_request *request = rental->request;
+
 	for (int i = 0; i < tunables.tries; i++) {
-		int rc_call = fl_autoscaler_await_call_budget(node);
+		enum fl_call_permission permission = fl_autoscaler_await_call_budget(node);
+		int rc;
 
-		if (rc_call)
-			return rc_call;
-		rc = fl_cloud_rent(&node->cloud, name, type, zone, request->spot, request->count,
-		                   &hosts, &got);
+		if (permission != FL_CALL_ALLOWED)
+			return permission;
+		rc = fl_cloud_rent(&node->cloud, rental->name, rental->type, rental->zone,
+		                   request->kind.spot, request->count, &rental->hosts,
+		                   &rental->host_count);
+		rental->rc = rc;
 		if (rc == 0 || rc == -ENOSPC || rc == -EAGAIN || rc == -ECANCELED)
 			break;
 	}
-	for (int i = 0; i < got; i++) {
+	return FL_CALL_ALLOWED;
+}
+
+static void add_rented_machines(struct fl_node *node, const struct rental *rental)
+{
+	struct fl_machine_kind kind = rental->request->kind;
+
+	for (int i = 0; i < rental->host_count; i++) {
 		struct fl_machine *machine =
-			fl_machine_get(&node->cluster.machines, hosts[i], fl_now());
+			fl_machine_get(&node->cluster.machines, rental->hosts[i], fl_now());
 
 		if (!machine)
 			continue;
-		fl_cluster_describe(&node->cluster, machine, request->type, request->zone,
-		                    request->spot, NULL);
-		fl_debug("cloud", "%s is %s", machine->name,
-		         request->spot ? "reclaimable" : "ordinary");
+		fl_cluster_describe(&node->cluster, machine, kind.type, kind.zone, kind.spot, NULL);
+		fl_debug("cloud", "machine rented: %s spot=%d", machine->name, kind.spot);
 	}
-	free(hosts);
-	if (rc == 0)
-		fl_info("cloud", "rented %d of %d %s%s in %s", got, request->count,
-		        request->spot ? "reclaimable " : "", type, zone);
+}
+
+static void log_rental(const struct rental *rental)
+{
+	const struct fl_scale_out_request *request = rental->request;
+
+	if (rental->rc == 0)
+		fl_info("cloud", "machines rented type=%s zone=%s spot=%d count=%d requested=%d",
+		        rental->type, rental->zone, request->kind.spot, rental->host_count,
+		        request->count);
 	else
-		fl_info("cloud", "no %s%s in %s: %s", request->spot ? "reclaimable " : "", type,
-		        zone, strerror(-rc));
-	if (rc == -ENOSPC || (rc == 0 && got < request->count))
-		node->autoscaler.no_capacity_until[request->type][request->zone][request->spot] =
-			fl_now() + tunables.refused_s;
-	return rc == -ENOSPC ? 0 : rc;
+		fl_info("cloud", "rental failed: %s type=%s zone=%s spot=%d", strerror(-rental->rc),
+		        rental->type, rental->zone, request->kind.spot);
 }
 
-int fl_autoscaler_scale_out(struct fl_node *node)
+/* Makes one rental; whether the next may be made. */
+static bool scale_out_one(struct fl_node *node, const struct fl_scale_out_request *request)
+{
+	struct fl_machine_kind kind = request->kind;
+	struct rental rental = new_rental(node, request);
+	int rc;
+
+	if (call_rent(node, &rental) != FL_CALL_ALLOWED)
+		return false;
+	add_rented_machines(node, &rental);
+	free(rental.hosts);
+	log_rental(&rental);
+	rc = rental.rc;
+	if (rc == -ENOSPC || (rc == 0 && rental.host_count < request->count))
+		node->autoscaler.no_capacity_until[kind.type][kind.zone][kind.spot] =
+			fl_now() + tunables.no_capacity_s;
+	return rc == 0 || rc == -ENOSPC;
+}
+
+void fl_autoscaler_scale_out(struct fl_node *node)
 {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
-	int count = node->autoscaler.request_count, rc = 0;
+	int count = node->autoscaler.request_count;
 
 	if (count == 0)
-		return 0;
+		return;
 	memcpy(requests, node->autoscaler.requests, sizeof(requests));
 	node->autoscaler.scale_out_in_flight = true;
 	node->autoscaler.request_count = 0;
-	for (int i = 0; i < count && rc == 0; i++)
-		rc = scale_out_one(node, &requests[i]);
+	for (int i = 0; i < count; i++)
+		if (!scale_out_one(node, &requests[i]))
+			break;
 	node->autoscaler.scale_out_in_flight = false;
 	fl_condition_broadcast(&node->leadership.work_available);
-	return rc;
 }
