--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -88,8 +88,8 @@
 		        rental->type, rental->zone, request->kind.spot, rental->host_count,
 		        request->count);
 	else
-		fl_info("cloud", "rental failed: %s type=%s zone=%s spot=%d", strerror(-rental->rc),
-		        rental->type, rental->zone, request->kind.spot);
+		fl_info("cloud", "rental failed type=%s zone=%s spot=%d error=\"%s\"", rental->type,
+		        rental->zone, request->kind.spot, strerror(-rental->rc));
 }
 
 /* Makes one rental; whether the next may be made. */
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -37,7 +37,7 @@
 double fl_sched_estimate_s(const struct fl_sched_params *params, const struct fl_sched_job *job);
 /* Whether a job is a service that may preempt arrays, and is therefore placed before them. */
 bool fl_sched_precedes_arrays(const struct fl_sched_job *job);
-/* Whether a job has waited too long and has not begun; never a service. */
+/* Whether a job has waited for longer than overdue_after_s and has not begun; never a service. */
 bool fl_sched_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job);
 /* Fills in order, rank and priority. */
 void fl_sched_sort_jobs(struct fl_sched_cycle *cycle);
