--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -164,6 +164,24 @@
 	return whole_number(cJSON_GetArrayItem(array, at), most, out);
 }
 
+enum fl_json_result fl_json_get_choice(const cJSON *object, const char *key,
+                                       const char *const *names, int name_count, int *out)
+{
+	const cJSON *value = fl_json_get(object, key);
+
+	if (!value)
+		return FL_JSON_ABSENT;
+	if (!cJSON_IsString(value))
+		return FL_JSON_INVALID;
+	for (int i = 0; i < name_count; i++) {
+		if (strcmp(value->valuestring, names[i]) == 0) {
+			*out = i;
+			return FL_JSON_OK;
+		}
+	}
+	return FL_JSON_INVALID;
+}
+
 enum fl_json_result fl_json_get_bool(const cJSON *object, const char *key, bool *out)
 {
 	const cJSON *value = fl_json_get(object, key);
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -22,6 +22,9 @@
 #define FL_COUNT_MAX (1ULL << 53)
 /* A whole number in an array; BAD beyond `most`. */
 enum fl_json_result fl_json_get_item(const cJSON *array, int at, uint64_t most, uint64_t *out);
+/* One of these names: its index. INVALID also if it is none of them. */
+enum fl_json_result fl_json_get_choice(const cJSON *object, const char *key,
+                                       const char *const *names, int name_count, int *out);
 /* True or false. */
 enum fl_json_result fl_json_get_bool(const cJSON *object, const char *key, bool *out);
 /* The field's value; NULL if it is absent or null. */
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -9,48 +9,48 @@
 static const char *const kind_names[] = {"sweep", "standing", "ensemble"};
 static const char *const status_names[] = {"pending", "running", "done", "aborted"};
 
-static const char runs_path[] = "/v2/runs";
+#define COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
+
+/* The paths of the API; a job's id follows the jobs path. */
+static const char jobs_path[] = "/v2/runs";
+static const char heartbeat_path[] = "/hello";
+static const char ready_path[] = "/ready";
+static const char cancel_suffix[] = "/cancel";
 
 const char *fl_status_name(enum fl_job_status status) { return status_names[status]; }
 
 bool fl_job_ref_is_valid(const char *ref)
 {
-	size_t n, begin = sizeof(FL_REF_BEGIN) - 1;
+	size_t prefix_length = sizeof(FL_REF_BEGIN) - 1, digit_count;
 
-	if (strncmp(ref, FL_REF_BEGIN, begin) != 0)
+	if (strncmp(ref, FL_REF_BEGIN, prefix_length) != 0)
 		return false;
-	n = strspn(ref + begin, "0123456789");
-	return n >= 6 && n <= 12 && ref[begin + n] == 0;
-}
-
-static int pick(const char *name, const char *const *names, int n)
-{
-	for (int i = 0; i < n; i++)
-		if (strcmp(name, names[i]) == 0)
-			return i;
-	return -1;
+	digit_count = strspn(ref + prefix_length, "0123456789");
+	return digit_count >= 6 && digit_count <= 12 && ref[prefix_length + digit_count] == 0;
 }
 
-static bool name_ok(const char *s)
+/* Names are neither empty nor hold control characters, which JSON escapes sixfold in a record. */
+static bool is_valid_name(const char *name)
 {
-	if (!*s)
+	if (!*name)
 		return false;
-	for (; *s; s++)
-		if (iscntrl((unsigned char)*s))
+	for (; *name; name++)
+		if (iscntrl((unsigned char)*name))
 			return false;
 	return true;
 }
 
-static bool get_name(const cJSON *object, const char *key, char out[FL_NAME_MAX])
+static bool decode_name(const cJSON *object, const char *field, char out[FL_NAME_MAX])
 {
-	return fl_json_get_string(object, key, out, FL_NAME_MAX) == FL_JSON_OK && name_ok(out);
+	return fl_json_get_string(object, field, out, FL_NAME_MAX) == FL_JSON_OK &&
+	       is_valid_name(out);
 }
 
-static bool get_types(const cJSON *object, struct fl_job_spec *out)
+static bool decode_machine_types(const cJSON *object, struct fl_job_spec *out)
 {
-	const cJSON *value = fl_json_get(object, "HostKinds"), *item;
+	const cJSON *value = fl_json_get(object, FL_FIELD_MACHINE_TYPES), *item;
 
-	out->machine_type_count = -1;
+	out->machine_type_count = FL_ANY_MACHINE_TYPE;
 	if (!value)
 		return true;
 	if (!cJSON_IsArray(value) || cJSON_GetArraySize(value) > FL_ALLOWED_TYPES_MAX)
@@ -59,7 +59,7 @@
 	cJSON_ArrayForEach (item, value) {
 		/* Control characters would be escaped sixfold, and the record outgrow its key. */
 		if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_NAME_MAX ||
-		    !name_ok(item->valuestring))
+		    !is_valid_name(item->valuestring))
 			return false;
 		fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
 		               item->valuestring);
@@ -67,106 +67,174 @@
 	return true;
 }
 
+static bool decode_ref(const cJSON *object, struct fl_job_spec *out)
+{
+	if (fl_json_get_string(object, FL_FIELD_REF, out->ref, sizeof(out->ref)) == FL_JSON_OK &&
+	    fl_job_ref_is_valid(out->ref))
+		return true;
+	out->ref[0] = 0;
+	return false;
+}
+
+static bool decode_kind(const cJSON *object, struct fl_job_spec *out)
+{
+	int kind;
+
+	if (fl_json_get_choice(object, FL_FIELD_KIND, kind_names, COUNT_OF(kind_names), &kind) !=
+	    FL_JSON_OK)
+		return false;
+	out->kind = (enum fl_job_kind)kind;
+	return true;
+}
+
+static bool decode_priority(const cJSON *object, struct fl_job_spec *out)
+{
+	int priority;
+
+	if (fl_json_get_choice(object, FL_FIELD_PRIORITY, priority_names, COUNT_OF(priority_names),
+	                       &priority) != FL_JSON_OK)
+		return false;
+	out->priority = (enum fl_priority)priority;
+	return true;
+}
+
+static bool decode_task_count(const cJSON *object, struct fl_job_spec *out)
+{
+	uint64_t task_count;
+
+	if (fl_json_get_count(object, FL_FIELD_TASK_COUNT, &task_count) != FL_JSON_OK ||
+	    task_count < 1 || task_count > FL_TASKS_MAX)
+		return false;
+	out->task_count = (uint32_t)task_count;
+	return true;
+}
+
+static bool decode_zone(const cJSON *object, struct fl_job_spec *out)
+{
+	switch (fl_json_get_string(object, FL_FIELD_ZONE, out->zone, sizeof(out->zone))) {
+	case FL_JSON_OK:
+		out->has_zone = is_valid_name(out->zone);
+		return out->has_zone;
+	case FL_JSON_ABSENT:
+		return true;
+	case FL_JSON_INVALID:
+		break;
+	}
+	return false;
+}
+
+/* What the job is; NULL, or the first bad field. */
+static const char *decode_identity(const cJSON *object, struct fl_job_spec *out)
+{
+	if (!decode_ref(object, out))
+		return FL_FIELD_REF;
+	if (!decode_name(object, FL_FIELD_JOB_CLASS, out->job_class))
+		return FL_FIELD_JOB_CLASS;
+	if (!decode_name(object, FL_FIELD_OWNER, out->team))
+		return FL_FIELD_OWNER;
+	if (!decode_kind(object, out))
+		return FL_FIELD_KIND;
+	if (!decode_priority(object, out))
+		return FL_FIELD_PRIORITY;
+	if (!decode_task_count(object, out))
+		return FL_FIELD_TASK_COUNT;
+	if (!decode_name(object, FL_FIELD_IMAGE, out->image))
+		return FL_FIELD_IMAGE;
+	return NULL;
+}
+
+/* Where it may run; NULL, or the first bad field. */
+static const char *decode_constraints(const cJSON *object, struct fl_job_spec *out)
+{
+	if (!decode_machine_types(object, out))
+		return FL_FIELD_MACHINE_TYPES;
+	if (!decode_zone(object, out))
+		return FL_FIELD_ZONE;
+	if (fl_json_get_bool(object, FL_FIELD_SAME_ZONE, &out->same_zone) != FL_JSON_OK)
+		return FL_FIELD_SAME_ZONE;
+	if (fl_json_get_bool(object, FL_FIELD_SPREAD_ZONES, &out->spread_zones) != FL_JSON_OK)
+		return FL_FIELD_SPREAD_ZONES;
+	if (fl_json_get_bool(object, FL_FIELD_SPOT_ALLOWED, &out->spot_allowed) != FL_JSON_OK)
+		return FL_FIELD_SPOT_ALLOWED;
+	return NULL;
+}
+
+/* What it needs and how long it takes; NULL, or the first bad field. */
 static const char *decode_amounts(const cJSON *object, struct fl_job_spec *out)
 {
 	const struct {
-		const char *key;
-		double *to;
-	} amounts[] = {
-		{"Vcpus", &out->cpus},
-		{"Accelerators", &out->gpus},
-		{"RamGb", &out->ram_gb},
-		{"ImageGb", &out->image_gb},
-		{"ExpectedS", &out->expected_s},
-		{"SnapshotEveryS", &out->checkpoint_every_s},
-		{"SnapshotCostS", &out->checkpoint_cost_s},
+		const char *field;
+		double *amount;
+	} required[] = {
+		{FL_FIELD_CPUS, &out->cpus},
+		{FL_FIELD_GPUS, &out->gpus},
+		{FL_FIELD_RAM_GB, &out->ram_gb},
+		{FL_FIELD_IMAGE_GB, &out->image_gb},
+		{FL_FIELD_EXPECTED_S, &out->expected_s},
+		{FL_FIELD_CHECKPOINT_EVERY_S, &out->checkpoint_every_s},
+		{FL_FIELD_CHECKPOINT_COST_S, &out->checkpoint_cost_s},
 	};
-	enum fl_json_result f;
+	enum fl_json_result due;
 
-	for (size_t i = 0; i < sizeof(amounts) / sizeof(amounts[0]); i++)
-		if (fl_json_get_amount(object, amounts[i].key, amounts[i].to) != FL_JSON_OK)
-			return amounts[i].key;
-	f = fl_json_get_amount(object, "DueS", &out->due_s);
-	if (f == FL_JSON_ABSENT)
+	for (int i = 0; i < COUNT_OF(required); i++)
+		if (fl_json_get_amount(object, required[i].field, required[i].amount) != FL_JSON_OK)
+			return required[i].field;
+	due = fl_json_get_amount(object, FL_FIELD_DUE_S, &out->due_s);
+	if (due == FL_JSON_ABSENT)
 		out->due_s = -1;
-	return f == FL_JSON_INVALID ? "DueS" : NULL;
+	return due == FL_JSON_INVALID ? FL_FIELD_DUE_S : NULL;
 }
 
 const char *fl_job_spec_decode(const cJSON *object, struct fl_job_spec *out)
 {
-	char word[FL_NAME_MAX];
-	enum fl_json_result f;
-	uint64_t n;
-	int k;
+	const char *bad_field;
 
 	memset(out, 0, sizeof(*out));
-	if (fl_json_get_string(object, "Ref", out->ref, sizeof(out->ref)) != FL_JSON_OK ||
-	    !fl_job_ref_is_valid(out->ref)) {
-		out->ref[0] = 0;
-		return "Ref";
-	}
-	if (!get_name(object, "JobClass", out->job_class))
-		return "JobClass";
-	if (!get_name(object, "Owner", out->team))
-		return "Owner";
-	if (fl_json_get_string(object, "JobKind", word, sizeof(word)) != FL_JSON_OK ||
-	    (k = pick(word, kind_names, 3)) < 0)
-		return "JobKind";
-	out->kind = (enum fl_job_kind)k;
-	if (fl_json_get_string(object, "Tier", word, sizeof(word)) != FL_JSON_OK ||
-	    (k = pick(word, priority_names, 4)) < 0)
-		return "Tier";
-	out->priority = (enum fl_priority)k;
-	if (fl_json_get_count(object, "Parts", &n) != FL_JSON_OK || n < 1 || n > FL_TASKS_MAX)
-		return "Parts";
-	out->task_count = (uint32_t)n;
-	if (!get_name(object, "Bundle", out->image))
-		return "Bundle";
-	if (!get_types(object, out))
-		return "HostKinds";
-	f = fl_json_get_string(object, "Site", out->zone, sizeof(out->zone));
-	if (f == FL_JSON_INVALID || (f == FL_JSON_OK && !name_ok(out->zone)))
-		return "Site";
-	out->has_zone = f == FL_JSON_OK;
-	if (fl_json_get_bool(object, "Together", &out->same_zone) != FL_JSON_OK)
-		return "Together";
-	if (fl_json_get_bool(object, "Apart", &out->spread_zones) != FL_JSON_OK)
-		return "Apart";
-	if (fl_json_get_bool(object, "Reclaimable", &out->spot_allowed) != FL_JSON_OK)
-		return "Reclaimable";
-	return decode_amounts(object, out);
+	bad_field = decode_identity(object, out);
+	if (!bad_field)
+		bad_field = decode_constraints(object, out);
+	if (!bad_field)
+		bad_field = decode_amounts(object, out);
+	return bad_field;
+}
+
+static void encode_machine_types(cJSON *object, const struct fl_job_spec *spec)
+{
+	cJSON *types;
+
+	if (spec->machine_type_count == FL_ANY_MACHINE_TYPE)
+		return;
+	types = cJSON_AddArrayToObject(object, FL_FIELD_MACHINE_TYPES);
+	for (int i = 0; i < spec->machine_type_count; i++)
+		cJSON_AddItemToArray(types, cJSON_CreateString(spec->machine_types[i]));
 }
 
 cJSON *fl_job_spec_encode(const struct fl_job_spec *spec)
 {
-	cJSON *object = cJSON_CreateObject(), *types;
-
-	cJSON_AddStringToObject(object, "Ref", spec->ref);
-	cJSON_AddStringToObject(object, "JobClass", spec->job_class);
-	cJSON_AddStringToObject(object, "Owner", spec->team);
-	cJSON_AddStringToObject(object, "JobKind", kind_names[spec->kind]);
-	cJSON_AddStringToObject(object, "Tier", priority_names[spec->priority]);
-	cJSON_AddNumberToObject(object, "Parts", spec->task_count);
-	cJSON_AddNumberToObject(object, "Vcpus", spec->cpus);
-	cJSON_AddNumberToObject(object, "Accelerators", spec->gpus);
-	cJSON_AddNumberToObject(object, "RamGb", spec->ram_gb);
-	cJSON_AddStringToObject(object, "Bundle", spec->image);
-	cJSON_AddNumberToObject(object, "ImageGb", spec->image_gb);
-	if (spec->machine_type_count >= 0) {
-		types = cJSON_AddArrayToObject(object, "HostKinds");
-		for (int i = 0; i < spec->machine_type_count; i++)
-			cJSON_AddItemToArray(types, cJSON_CreateString(spec->machine_types[i]));
-	}
+	cJSON *object = cJSON_CreateObject();
+
+	cJSON_AddStringToObject(object, FL_FIELD_REF, spec->ref);
+	cJSON_AddStringToObject(object, FL_FIELD_JOB_CLASS, spec->job_class);
+	cJSON_AddStringToObject(object, FL_FIELD_OWNER, spec->team);
+	cJSON_AddStringToObject(object, FL_FIELD_KIND, kind_names[spec->kind]);
+	cJSON_AddStringToObject(object, FL_FIELD_PRIORITY, priority_names[spec->priority]);
+	cJSON_AddNumberToObject(object, FL_FIELD_TASK_COUNT, spec->task_count);
+	cJSON_AddNumberToObject(object, FL_FIELD_CPUS, spec->cpus);
+	cJSON_AddNumberToObject(object, FL_FIELD_GPUS, spec->gpus);
+	cJSON_AddNumberToObject(object, FL_FIELD_RAM_GB, spec->ram_gb);
+	cJSON_AddStringToObject(object, FL_FIELD_IMAGE, spec->image);
+	cJSON_AddNumberToObject(object, FL_FIELD_IMAGE_GB, spec->image_gb);
+	encode_machine_types(object, spec);
 	if (spec->has_zone)
-		cJSON_AddStringToObject(object, "Site", spec->zone);
-	cJSON_AddBoolToObject(object, "Together", spec->same_zone);
-	cJSON_AddBoolToObject(object, "Apart", spec->spread_zones);
-	cJSON_AddBoolToObject(object, "Reclaimable", spec->spot_allowed);
-	cJSON_AddNumberToObject(object, "ExpectedS", spec->expected_s);
-	cJSON_AddNumberToObject(object, "SnapshotEveryS", spec->checkpoint_every_s);
-	cJSON_AddNumberToObject(object, "SnapshotCostS", spec->checkpoint_cost_s);
+		cJSON_AddStringToObject(object, FL_FIELD_ZONE, spec->zone);
+	cJSON_AddBoolToObject(object, FL_FIELD_SAME_ZONE, spec->same_zone);
+	cJSON_AddBoolToObject(object, FL_FIELD_SPREAD_ZONES, spec->spread_zones);
+	cJSON_AddBoolToObject(object, FL_FIELD_SPOT_ALLOWED, spec->spot_allowed);
+	cJSON_AddNumberToObject(object, FL_FIELD_EXPECTED_S, spec->expected_s);
+	cJSON_AddNumberToObject(object, FL_FIELD_CHECKPOINT_EVERY_S, spec->checkpoint_every_s);
+	cJSON_AddNumberToObject(object, FL_FIELD_CHECKPOINT_COST_S, spec->checkpoint_cost_s);
 	if (spec->due_s >= 0)
-		cJSON_AddNumberToObject(object, "DueS", spec->due_s);
+		cJSON_AddNumberToObject(object, FL_FIELD_DUE_S, spec->due_s);
 	return object;
 }
 
@@ -174,7 +242,7 @@
 {
 	cJSON *object = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(object, "Ref", ref);
+	cJSON_AddStringToObject(object, FL_FIELD_REF, ref);
 	cJSON_AddStringToObject(object, "Status", status_names[status]);
 	if (done >= 0) {
 		cJSON_AddNumberToObject(object, "done", (double)done);
@@ -183,33 +251,40 @@
 	return fl_json_print_and_delete(object);
 }
 
+/* `id` ends at `end`. One that no job can have leaves `ref` empty. */
+static void copy_ref(char ref[FL_REF_MAX], const char *id, const char *end)
+{
+	size_t length = (size_t)(end - id);
+
+	if (length == 0 || length >= FL_REF_MAX)
+		return;
+	memcpy(ref, id, length);
+	ref[length] = 0;
+	if (!fl_job_ref_is_valid(ref))
+		ref[0] = 0;
+}
+
 enum fl_user_request fl_user_route(const char *path, char ref[FL_REF_MAX])
 {
-	size_t root = sizeof(runs_path) - 1, n;
-	const char *id, *end;
+	size_t prefix_length = sizeof(jobs_path) - 1;
+	const char *id, *suffix;
 
 	ref[0] = 0;
-	if (strcmp(path, "/hello") == 0)
+	if (strcmp(path, heartbeat_path) == 0)
 		return FL_USER_REQUEST_HEARTBEAT;
-	if (strcmp(path, "/ready") == 0)
+	if (strcmp(path, ready_path) == 0)
 		return FL_USER_REQUEST_READY;
-	if (strncmp(path, runs_path, root) != 0)
+	if (strncmp(path, jobs_path, prefix_length) != 0)
 		return FL_USER_REQUEST_UNKNOWN;
-	if (path[root] == 0)
+	if (path[prefix_length] == 0)
 		return FL_USER_REQUEST_SUBMIT;
-	if (path[root] != '/')
+	if (path[prefix_length] != '/')
 		return FL_USER_REQUEST_UNKNOWN;
-	id = path + root + 1;
-	end = strchr(id, '/');
-	n = end ? (size_t)(end - id) : strlen(id);
-	if (end && strcmp(end, "/cancel") != 0)
+	id = path + prefix_length + 1;
+	suffix = strchr(id, '/');
+	if (suffix && strcmp(suffix, cancel_suffix) != 0)
 		return FL_USER_REQUEST_UNKNOWN;
 	/* An id that no job can have is a job nobody submitted: found, but with no ref. */
-	if (n > 0 && n < FL_REF_MAX) {
-		memcpy(ref, id, n);
-		ref[n] = 0;
-		if (!fl_job_ref_is_valid(ref))
-			ref[0] = 0;
-	}
-	return end ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
+	copy_ref(ref, id, suffix ? suffix : id + strlen(id));
+	return suffix ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
 }
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -1,14 +1,43 @@
-/* The API for users: job descriptions, status answers and paths. */
+/*
+ * The API for users: job descriptions, status answers and paths. The wire names of a description's
+ * fields are here and in no layer above; an error text that names a field takes its constant. All
+ * input is checked for type, range and length before it is taken in.
+ */
 #ifndef FL_PROTOCOL_USERS_H
 #define FL_PROTOCOL_USERS_H
 
 #include "protocol/json.h"
 
-#define FL_REF_BEGIN "run-" /* of every job id; digits follow */
+#define FL_REF_BEGIN "run-" /* of every job id; 6 to 12 digits follow */
+
+/* The fields of a job description, as users write them. Stored job records use them, too. */
+#define FL_FIELD_REF "Ref"
+#define FL_FIELD_JOB_CLASS "JobClass"
+#define FL_FIELD_OWNER "Owner"
+#define FL_FIELD_KIND "JobKind"
+#define FL_FIELD_PRIORITY "Tier"
+#define FL_FIELD_TASK_COUNT "Parts"
+#define FL_FIELD_CPUS "Vcpus"
+#define FL_FIELD_GPUS "Accelerators"
+#define FL_FIELD_RAM_GB "RamGb"
+#define FL_FIELD_IMAGE "Bundle"
+#define FL_FIELD_IMAGE_GB "ImageGb"
+#define FL_FIELD_MACHINE_TYPES "HostKinds"
+#define FL_FIELD_ZONE "Site"
+#define FL_FIELD_SAME_ZONE "Together"
+#define FL_FIELD_SPREAD_ZONES "Apart"
+#define FL_FIELD_SPOT_ALLOWED "Reclaimable"
+#define FL_FIELD_EXPECTED_S "ExpectedS"
+#define FL_FIELD_CHECKPOINT_EVERY_S "SnapshotEveryS"
+#define FL_FIELD_CHECKPOINT_COST_S "SnapshotCostS"
+#define FL_FIELD_DUE_S "DueS"
 
 /* Sizes with the terminator, and limits of a description. */
 enum { FL_NAME_MAX = 64, FL_REF_MAX = 24, FL_ALLOWED_TYPES_MAX = 16, FL_TASKS_MAX = 100000 };
 
+/* The `machine_type_count` of a job that may run on every type. */
+enum { FL_ANY_MACHINE_TYPE = -1 };
+
 /* A gang starts only whole. */
 enum fl_job_kind { FL_ARRAY, FL_SERVICE, FL_GANG };
 /* In rising order; the exponent of the priority's queue factor is priority - 1. */
@@ -21,22 +50,25 @@
 	char ref[FL_REF_MAX];
 	char job_class[FL_NAME_MAX], team[FL_NAME_MAX], image[FL_NAME_MAX], zone[FL_NAME_MAX];
 	char machine_types[FL_ALLOWED_TYPES_MAX][FL_NAME_MAX];
-	int machine_type_count; /* -1: any */
+	int machine_type_count; /* or FL_ANY_MACHINE_TYPE */
 	enum fl_job_kind kind;
 	enum fl_priority priority;
 	uint32_t task_count;
-	double cpus, gpus, ram_gb, image_gb;
+	double cpus, gpus, ram_gb, image_gb;                             /* of one task */
 	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s; /* due_s < 0: none */
 	bool has_zone, same_zone, spread_zones, spot_allowed;
 };
 
 /* Is it a well-formed job id? */
 bool fl_job_ref_is_valid(const char *ref);
-/* Decodes and checks a description; returns NULL, or the name of the first bad field. */
+/*
+ * Decodes and checks a description; returns NULL, or the wire name of the first bad field. `ref` is
+ * empty if it is bad, and stands if a later field is.
+ */
 const char *fl_job_spec_decode(const cJSON *object, struct fl_job_spec *out);
-/* The description as fl_job_spec_decode reads it. */
+/* The description as fl_job_spec_decode reads it; owned by the caller. */
 cJSON *fl_job_spec_encode(const struct fl_job_spec *spec);
-/* The answer to a poll, to be freed. */
+/* The answer to a status query, to be freed; the counts are left out if `done` is negative. */
 char *fl_status_encode(const char *ref, enum fl_job_status status, int64_t done, int64_t running);
 /* The status as it is written. */
 const char *fl_status_name(enum fl_job_status status);
@@ -50,7 +82,7 @@
 	FL_USER_REQUEST_READY,
 	FL_USER_REQUEST_HEARTBEAT
 };
-/* Takes a path apart; `ref` gets the job id, if it has one. */
+/* Takes a path apart; `ref` gets the job id, or is empty if it has none or none that is valid. */
 enum fl_user_request fl_user_route(const char *path, char ref[FL_REF_MAX]);
 
 #endif
