--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -47,6 +47,7 @@
 	struct fl_peer *leader = leading_peer(node);
 	struct fl_http_reply reply;
 	char *text;
+	enum fl_decode_result result;
 	int rc;
 
 	if (!leader)
@@ -58,13 +59,15 @@
 	free(text);
 	if (rc)
 		return rc;
-	rc = reply.status != 200 ? -EHOSTUNREACH
-	                         : fl_status_answer_decode(reply.body.data, reply.body.length,
-	                                                   b->states, b->count);
-	if (rc == -EPROTO)
+	if (reply.status != 200) {
+		fl_buffer_free(&reply.body);
+		return -EHOSTUNREACH;
+	}
+	result = fl_status_answer_decode(reply.body.data, reply.body.length, b->states, b->count);
+	if (result == FL_DECODE_MALFORMED)
 		fl_error("peers", "%s answers status queries with what is no answer", leader->name);
 	fl_buffer_free(&reply.body);
-	return rc;
+	return result == FL_DECODE_OK ? 0 : -EPROTO;
 }
 
 static enum fl_query_result result_of(const struct fl_status_batch *batch, int at, int rc,
@@ -117,12 +120,15 @@
 {
 	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_MAX, sizeof(*refs));
 	struct fl_job_status_report *states = calloc(FL_STATUS_QUERY_MAX, sizeof(*states));
-	int count = refs && states ? fl_status_query_decode(body, len, refs) : -ENOMEM;
+	enum fl_decode_result result = FL_DECODE_NO_MEMORY;
+	int count = 0;
 
-	if (count == -EPROTO) {
+	if (refs && states)
+		result = fl_status_query_decode(body, len, refs, &count);
+	if (result == FL_DECODE_MALFORMED) {
 		fl_error("peers", "what came as status queries are none");
 		fl_respond_error(response, 400, "not status queries");
-	} else if (count < 0) {
+	} else if (result == FL_DECODE_NO_MEMORY) {
 		fl_respond_unavailable(response, "no memory");
 	} else if (!fl_is_leader(node)) {
 		fl_respond_error(response, 421, "not the leader");
--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -45,8 +45,8 @@
 	struct fl_cloud_machine_type *types;
 	int count;
 
-	if (fl_autoscaler_await_call_budget(node) != 0 ||
-	    fl_cloud_machine_types(&node->cloud, &types, &count) != 0)
+	if (fl_autoscaler_await_call_budget(node) != FL_CLOUD_OK ||
+	    fl_cloud_machine_types(&node->cloud, &types, &count) != FL_CLOUD_OK)
 		return;
 	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, count);
 	store_machine_types(node, types, count);
--- a/src/coordination/autoscaling/autoscaler_internal.h
+++ b/src/coordination/autoscaling/autoscaler_internal.h
@@ -60,12 +60,12 @@
 /* ---- calls to the cloud (call_budget.c, scale_out.c, scale_in.c) ---- */
 
 /* Waits until a call is within the budget; an error if the routine or the lease has ended. */
-int fl_autoscaler_await_call_budget(struct fl_node *node);
+enum fl_cloud_result fl_autoscaler_await_call_budget(struct fl_node *node);
 /* Rents what the last plan asked for. */
-int fl_autoscaler_scale_out(struct fl_node *node);
+enum fl_cloud_result fl_autoscaler_scale_out(struct fl_node *node);
 /* Lists all machines, and concludes which are gone. */
-int fl_autoscaler_list_machines(struct fl_node *node);
+enum fl_cloud_result fl_autoscaler_list_machines(struct fl_node *node);
 /* Returns machines that are idle, faulty, silent or given up. */
-int fl_autoscaler_scale_in(struct fl_node *node);
+enum fl_cloud_result fl_autoscaler_scale_in(struct fl_node *node);
 
 #endif
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -63,10 +63,11 @@
 	}
 }
 
-int fl_autoscaler_list_machines(struct fl_node *node)
+enum fl_cloud_result fl_autoscaler_list_machines(struct fl_node *node)
 {
 	double sent = fl_now();
-	int known = node->cluster.machines.count, rc;
+	int known = node->cluster.machines.count;
+	enum fl_cloud_result result;
 	char from[FL_NAME_MAX] = "";
 	bool more = true;
 
@@ -76,11 +77,11 @@
 		struct fl_cloud_machine *listed;
 		int count;
 
-		rc = fl_autoscaler_await_call_budget(node);
-		if (!rc)
-			rc = fl_cloud_list(&node->cloud, from, &listed, &count, &more);
-		if (rc)
-			return rc;
+		result = fl_autoscaler_await_call_budget(node);
+		if (result == FL_CLOUD_OK)
+			result = fl_cloud_list(&node->cloud, from, &listed, &count, &more);
+		if (result != FL_CLOUD_OK)
+			return result;
 		for (int i = 0; i < count; i++)
 			apply_listed_machine(node, &listed[i], fl_now(), known);
 		if (count > 0)
@@ -91,7 +92,7 @@
 	}
 	node->autoscaler.listed_at = sent;
 	decommission_missing(node, sent, known);
-	return 0;
+	return FL_CLOUD_OK;
 }
 
 /* Whether an ordinary machine may go without cutting into the reserve for services. */
@@ -146,12 +147,13 @@
 	return take_surplus(&node->autoscaler, machine, machine_type) ? "idle" : NULL;
 }
 
-int fl_autoscaler_scale_in(struct fl_node *node)
+enum fl_cloud_result fl_autoscaler_scale_in(struct fl_node *node)
 {
 	const char *names[FL_DELETE_MAX];
 	struct fl_machine *returning[FL_DELETE_MAX];
 	double now = fl_now(), leases[FL_ZONES_MAX];
-	int count = 0, rc;
+	enum fl_cloud_result result;
+	int count = 0;
 
 	fl_failure_detector_timeouts(node, now, leases);
 	for (int z = 0; z < FL_ZONES_MAX; z++)
@@ -175,13 +177,13 @@
 		names[count++] = machine->name;
 	}
 	if (count == 0)
-		return 0;
-	rc = fl_autoscaler_await_call_budget(node);
-	if (!rc)
-		rc = fl_cloud_delete(&node->cloud, names, count);
-	for (int i = 0; i < count && rc == 0; i++) {
+		return FL_CLOUD_OK;
+	result = fl_autoscaler_await_call_budget(node);
+	if (result == FL_CLOUD_OK)
+		result = fl_cloud_delete(&node->cloud, names, count);
+	for (int i = 0; i < count && result == FL_CLOUD_OK; i++) {
 		returning[i]->lifecycle.scaled_in = true;
 		fl_reconcile_decommission(node, returning[i], "returned");
 	}
-	return rc;
+	return result;
 }
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -1,7 +1,6 @@
 /* The rentals that the last plan asked for. */
 #include "coordination/autoscaling/autoscaler_internal.h"
 
-#include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,25 +16,27 @@
 	.tries = 3,        /* of one rental that goes unanswered */
 };
 
-static int scale_out_one(struct fl_node *node, const struct fl_scale_out_request *request)
+static enum fl_cloud_result scale_out_one(struct fl_node *node,
+                                          const struct fl_scale_out_request *request)
 {
 	const char *type = node->cluster.machines.types[request->type].name;
 	const char *zone = fl_symbol_name(&node->cluster.zones, request->zone);
 	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
-	int got = 0, rc = -EAGAIN;
+	enum fl_cloud_result result = FL_CLOUD_UNAVAILABLE;
+	int got = 0;
 
 	/* With the epoch of the takeover in it no other leader uses the name, ever. */
 	snprintf(name, sizeof(name), "r-%llu-%llu",
 	         (unsigned long long)node->leadership.first_fencing_token,
 	         (unsigned long long)++node->autoscaler.rental_name_count);
 	for (int i = 0; i < tunables.tries; i++) {
-		int rc_call = fl_autoscaler_await_call_budget(node);
+		enum fl_cloud_result budget = fl_autoscaler_await_call_budget(node);
 
-		if (rc_call)
-			return rc_call;
-		rc = fl_cloud_rent(&node->cloud, name, type, zone, request->spot, request->count,
-		                   &hosts, &got);
-		if (rc == 0 || rc == -ENOSPC || rc == -EAGAIN || rc == -ECANCELED)
+		if (budget != FL_CLOUD_OK)
+			return budget;
+		result = fl_cloud_rent(&node->cloud, name, type, zone, request->spot,
+		                       request->count, &hosts, &got);
+		if (result != FL_CLOUD_OUTCOME_UNKNOWN && result != FL_CLOUD_UNREADABLE)
 			break;
 	}
 	for (int i = 0; i < got; i++) {
@@ -50,31 +51,32 @@
 		         request->spot ? "reclaimable" : "ordinary");
 	}
 	free(hosts);
-	if (rc == 0)
+	if (result == FL_CLOUD_OK)
 		fl_info("cloud", "rented %d of %d %s%s in %s", got, request->count,
 		        request->spot ? "reclaimable " : "", type, zone);
 	else
 		fl_info("cloud", "no %s%s in %s: %s", request->spot ? "reclaimable " : "", type,
-		        zone, strerror(-rc));
-	if (rc == -ENOSPC || (rc == 0 && got < request->count))
+		        zone, fl_cloud_result_text(result));
+	if (result == FL_CLOUD_NO_CAPACITY || (result == FL_CLOUD_OK && got < request->count))
 		node->autoscaler.no_capacity_until[request->type][request->zone][request->spot] =
 			fl_now() + tunables.refused_s;
-	return rc == -ENOSPC ? 0 : rc;
+	return result == FL_CLOUD_NO_CAPACITY ? FL_CLOUD_OK : result;
 }
 
-int fl_autoscaler_scale_out(struct fl_node *node)
+enum fl_cloud_result fl_autoscaler_scale_out(struct fl_node *node)
 {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
-	int count = node->autoscaler.request_count, rc = 0;
+	enum fl_cloud_result result = FL_CLOUD_OK;
+	int count = node->autoscaler.request_count;
 
 	if (count == 0)
-		return 0;
+		return FL_CLOUD_OK;
 	memcpy(requests, node->autoscaler.requests, sizeof(requests));
 	node->autoscaler.scale_out_in_flight = true;
 	node->autoscaler.request_count = 0;
-	for (int i = 0; i < count && rc == 0; i++)
-		rc = scale_out_one(node, &requests[i]);
+	for (int i = 0; i < count && result == FL_CLOUD_OK; i++)
+		result = scale_out_one(node, &requests[i]);
 	node->autoscaler.scale_out_in_flight = false;
 	fl_condition_broadcast(&node->leadership.work_available);
-	return rc;
+	return result;
 }
--- a/src/coordination/follower/follower.c
+++ b/src/coordination/follower/follower.c
@@ -20,7 +20,7 @@
 	const struct fl_peer *home;
 	struct fl_heartbeat heartbeat;
 
-	if (fl_heartbeat_decode(body, len, &heartbeat) != 0) {
+	if (fl_heartbeat_decode(body, len, &heartbeat) != FL_DECODE_OK) {
 		fl_error("workers", "what came by a worker's way is no report");
 		fl_respond_error(response, 400, "not a report");
 		return;
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -138,7 +138,7 @@
 	struct fl_gossip gossip;
 	double since;
 
-	if (fl_gossip_decode(body, len, &gossip) != 0) {
+	if (fl_gossip_decode(body, len, &gossip) != FL_DECODE_OK) {
 		fl_error("peers", "a message that is not gossip");
 		fl_respond_error(response, 400, "not gossip");
 		return;
@@ -170,7 +170,7 @@
 {
 	struct fl_gossip theirs;
 
-	if (fl_gossip_decode(body, len, &theirs) != 0) {
+	if (fl_gossip_decode(body, len, &theirs) != FL_DECODE_OK) {
 		fl_error("peers", "%s answers what is not gossip", peer->name);
 		return;
 	}
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "protocol/peers.h"
+#include "protocol/heartbeat_digests.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -46,19 +46,23 @@
 	struct heartbeat_batch *b = (struct heartbeat_batch *)batch;
 	struct message message = {b->heartbeats, node->config->node};
 	struct fl_http_reply reply;
+	enum fl_decode_result result;
 	int rc = fl_forward(node, FL_PATH_HEARTBEATS, encode, &message, FL_HOP_FIRST,
 	                    tunables.patience_s, &reply);
 
 	if (rc)
 		return rc;
-	rc = reply.status != 200 ? -EHOSTUNREACH
-	                         : fl_heartbeat_replies_decode(reply.body.data, reply.body.length,
-	                                                       b->replies, b->count);
-	if (rc == -EPROTO)
+	if (reply.status != 200) {
+		fl_buffer_free(&reply.body);
+		return -EHOSTUNREACH;
+	}
+	result = fl_heartbeat_replies_decode(reply.body.data, reply.body.length, b->replies,
+	                                     b->count);
+	if (result == FL_DECODE_MALFORMED)
 		fl_error("peers", "%s answers reports with what is no answer",
 		         node->leader_view.leader);
 	fl_buffer_free(&reply.body);
-	return rc;
+	return result == FL_DECODE_OK ? 0 : -EPROTO;
 }
 
 static void free_batch(struct heartbeat_batch *batch)
@@ -196,7 +200,7 @@
 {
 	struct fl_peer_heartbeats message;
 
-	if (fl_peer_heartbeats_decode(body, len, &message) != 0) {
+	if (fl_peer_heartbeats_decode(body, len, &message) != FL_DECODE_OK) {
 		fl_error("peers", "what came as reports is none");
 		fl_respond_error(response, 400, "not reports");
 		return;
--- a/src/coordination/machine_types.c
+++ b/src/coordination/machine_types.c
@@ -1,6 +1,5 @@
 #include "coordination/machine_types.h"
 
-#include <errno.h>
 #include <stdlib.h>
 
 #include "coordination/node.h"
@@ -16,17 +15,17 @@
  * From the record that a leader keeps of them, else from the cloud. Found on a day of our own: all
  * controllers ended while the cloud was out, and none of them could serve until it was back.
  */
-static int read_machine_types(struct fl_node *node, struct fl_cloud_machine_type **types,
-                              int *count)
+static enum fl_cloud_result read_machine_types(struct fl_node *node,
+                                               struct fl_cloud_machine_type **types, int *count)
 {
 	uint64_t revision;
 	cJSON *value = NULL;
-	int rc = fl_kv_get(&node->kv_store, FL_KEY_MACHINE_TYPES, &value, &revision, NULL);
+	bool recorded = fl_kv_get(&node->kv_store, FL_KEY_MACHINE_TYPES, &value, &revision, NULL) ==
+	                        FL_KV_OK &&
+	                fl_machine_types_decode(value, types, count) == FL_DECODE_OK;
 
-	if (!rc)
-		rc = fl_machine_types_decode(value, types, count);
 	cJSON_Delete(value);
-	return rc ? fl_cloud_machine_types(&node->cloud, types, count) : 0;
+	return recorded ? FL_CLOUD_OK : fl_cloud_machine_types(&node->cloud, types, count);
 }
 
 static void machine_types_coroutine(void *arg)
@@ -35,11 +34,12 @@
 
 	while (!node->machine_types_known) {
 		struct fl_cloud_machine_type *types;
-		int count, rc = read_machine_types(node, &types, &count);
+		int count;
+		enum fl_cloud_result result = read_machine_types(node, &types, &count);
 
-		if (rc == -EPROTO)
+		if (result == FL_CLOUD_UNREADABLE)
 			fl_error("cloud", "its machine types cannot be read");
-		if (rc == 0) {
+		if (result == FL_CLOUD_OK) {
 			fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types,
 			                     count);
 			free(types);
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -70,7 +70,7 @@
 			return -EINVAL;
 	}
 	fl_job_lookups_init(node);
-	if (fl_kv_init(&node->kv_store, config->state) != 0)
+	if (!fl_kv_init(&node->kv_store, config->state))
 		return -EINVAL;
 	return fl_http_client_init(&node->cloud.http, config->cloud, 2);
 }
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -103,7 +103,8 @@
 		fl_respond_error(response, 404, "no such path");
 		return;
 	}
-	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) != 0) {
+	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) !=
+	    FL_DECODE_OK) {
 		fl_error("peers", "what came as a relayed call is none");
 		fl_respond_error(response, 400, "not a relayed call");
 		return;
--- a/src/coordination/workers/command.c
+++ b/src/coordination/workers/command.c
@@ -29,7 +29,7 @@
 	struct fl_command_list commands;
 	struct fl_heartbeat heartbeat;
 	char *body;
-	int rc;
+	enum fl_worker_result result;
 
 	machine->outbound.command_pending = false;
 	if (!fl_is_leader(node) || !machine->lifecycle.up || machine->lifecycle.decommissioned ||
@@ -42,9 +42,9 @@
 		return;
 	}
 	body = fl_command_list_take(&commands);
-	rc = fl_worker_send_commands(machine->endpoint, body, tunables.timeout_s, &heartbeat);
+	result = fl_worker_send_commands(machine->endpoint, body, tunables.timeout_s, &heartbeat);
 	free(body);
-	if (rc == 200 || rc == 409) {
+	if (result != FL_WORKER_FAILED) {
 		if (fl_is_leader(node))
 			fl_reconcile_heartbeat(node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND);
 		fl_heartbeat_free(&heartbeat);
--- a/src/coordination/workers/digest_reader.c
+++ b/src/coordination/workers/digest_reader.c
@@ -2,7 +2,7 @@
 
 #include "coordination/node.h"
 #include "coordination/workers/reconciliation.h"
-#include "protocol/peers.h"
+#include "protocol/heartbeat_digests.h"
 #include "transport/log.h"
 
 static const struct {
@@ -22,7 +22,7 @@
 	cJSON_ArrayForEach (item, fl_digest_heartbeats(event->value)) {
 		struct fl_heartbeat heartbeat;
 
-		if (fl_cached_heartbeat_decode(item, &heartbeat) != 0) {
+		if (fl_cached_heartbeat_decode(item, &heartbeat) != FL_DECODE_OK) {
 			fl_error("workers", "malformed heartbeat in digest %s", event->key);
 			continue;
 		}
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -8,178 +8,257 @@
 #include "transport/text.h"
 
 static const struct {
-	double timeout_s;
+	double timeout_s, default_pull_gb_s;
 } tunables = {
 	.timeout_s = 4.0, /* s; the cloud is slow at times, and a rental may be carried out late */
+	.default_pull_gb_s = 1.0, /* of a type that names none, or none above zero */
 };
 
-static int call(struct fl_cloud *cloud, const char *method, const char *path, cJSON *body,
-                cJSON **out, int *status)
+static enum fl_cloud_result result_of_status(int status)
+{
+	switch (status) {
+	case 200:
+		return FL_CLOUD_OK;
+	case 429:
+	case 503:
+		return FL_CLOUD_UNAVAILABLE;
+	default:
+		return FL_CLOUD_UNREADABLE;
+	}
+}
+
+static enum fl_cloud_result result_of_decoding(enum fl_decode_result result)
+{
+	switch (result) {
+	case FL_DECODE_OK:
+		return FL_CLOUD_OK;
+	case FL_DECODE_MALFORMED:
+		return FL_CLOUD_UNREADABLE;
+	case FL_DECODE_NO_MEMORY:
+		break;
+	}
+	return FL_CLOUD_OUTCOME_UNKNOWN;
+}
+
+const char *fl_cloud_result_text(enum fl_cloud_result result)
+{
+	switch (result) {
+	case FL_CLOUD_OK:
+		return "done";
+	case FL_CLOUD_NO_CAPACITY:
+		return "no capacity";
+	case FL_CLOUD_UNAVAILABLE:
+		return "unavailable";
+	case FL_CLOUD_CANCELLED:
+		return "cancelled";
+	case FL_CLOUD_OUTCOME_UNKNOWN:
+		return "outcome unknown";
+	case FL_CLOUD_UNREADABLE:
+		return "unreadable answer";
+	}
+	return "unknown result";
+}
+
+/* What the cloud answered. */
+struct answer {
+	int status;  /* 0: there is no answer */
+	cJSON *tree; /* owned; NULL: none, or no JSON */
+};
+
+/* One request; takes `body` over. `answer->tree` is the caller's in any case. */
+static enum fl_cloud_result call(struct fl_cloud *cloud, const char *method, const char *path,
+                                 cJSON *body, struct answer *answer)
 {
 	char *text = body ? fl_json_print_and_delete(body) : NULL;
 	struct fl_http_reply reply;
 	int rc = fl_http_call(&cloud->http, method, path, text, tunables.timeout_s, &reply);
 
 	free(text);
+	*answer = (struct answer){0};
+	if (rc == -ECANCELED)
+		return FL_CLOUD_CANCELLED;
 	if (rc)
-		return rc;
-	*status = reply.status;
-	*out = fl_json_parse(reply.body.data, reply.body.length);
+		return FL_CLOUD_OUTCOME_UNKNOWN;
+	answer->status = reply.status;
+	answer->tree = fl_json_parse(reply.body.data, reply.body.length);
 	fl_buffer_free(&reply.body);
-	if (*status == 429 || *status == 503)
-		rc = -EAGAIN;
-	else if (*status != 200)
-		rc = -EPROTO;
-	return rc;
+	return result_of_status(reply.status);
 }
 
-static int decode_type(const cJSON *item, struct fl_cloud_machine_type *type)
+static enum fl_decode_result decode_type_amounts(const cJSON *item,
+                                                 struct fl_cloud_machine_type *type)
 {
-	const cJSON *zones = fl_json_get(item, "Sites"), *s;
-
-	if (fl_json_get_string(item, "Name", type->name, sizeof(type->name)) != FL_JSON_OK ||
-	    fl_json_get_amount(item, "Vcpus", &type->cpus) != FL_JSON_OK ||
+	if (fl_json_get_amount(item, "Vcpus", &type->cpus) != FL_JSON_OK ||
 	    fl_json_get_amount(item, "Accelerators", &type->gpus) != FL_JSON_OK ||
 	    fl_json_get_amount(item, "RamGb", &type->ram_gb) != FL_JSON_OK ||
 	    fl_json_get_amount(item, "Price", &type->price) != FL_JSON_OK ||
-	    fl_json_get_amount(item, "ReadyS", &type->ready_s) != FL_JSON_OK ||
-	    !cJSON_IsArray(zones))
-		return -EPROTO;
+	    fl_json_get_amount(item, "ReadyS", &type->ready_s) != FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
 	type->spot_price = type->price;
-	type->pull_gb_s = 1.0;
+	type->pull_gb_s = tunables.default_pull_gb_s;
 	if (fl_json_get_amount(item, "SpotPrice", &type->spot_price) == FL_JSON_INVALID ||
 	    fl_json_get_amount(item, "PullGbPerS", &type->pull_gb_s) == FL_JSON_INVALID ||
 	    fl_json_get_amount(item, "LocalGb", &type->cache_gb) == FL_JSON_INVALID)
-		return -EPROTO;
+		return FL_DECODE_MALFORMED;
 	if (type->pull_gb_s <= 0)
-		type->pull_gb_s = 1.0;
-	cJSON_ArrayForEach (s, zones) {
-		if (!cJSON_IsString(s) || strlen(s->valuestring) >= FL_NAME_MAX ||
+		type->pull_gb_s = tunables.default_pull_gb_s;
+	return FL_DECODE_OK;
+}
+
+static enum fl_decode_result decode_type(const cJSON *item, struct fl_cloud_machine_type *type)
+{
+	const cJSON *zones = fl_json_get(item, "Sites"), *zone;
+
+	if (fl_json_get_string(item, "Name", type->name, sizeof(type->name)) != FL_JSON_OK ||
+	    decode_type_amounts(item, type) != FL_DECODE_OK || !cJSON_IsArray(zones))
+		return FL_DECODE_MALFORMED;
+	cJSON_ArrayForEach (zone, zones) {
+		if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= FL_NAME_MAX ||
 		    type->zone_count == FL_TYPE_ZONES_MAX)
-			return -EPROTO;
-		fl_copy_string(type->zones[type->zone_count++], FL_NAME_MAX, s->valuestring);
+			return FL_DECODE_MALFORMED;
+		fl_copy_string(type->zones[type->zone_count++], FL_NAME_MAX, zone->valuestring);
 	}
-	return 0;
+	return FL_DECODE_OK;
 }
 
-int fl_machine_types_decode(const cJSON *object, struct fl_cloud_machine_type **out, int *n)
+enum fl_decode_result fl_machine_types_decode(const cJSON *object,
+                                              struct fl_cloud_machine_type **types, int *count)
 {
 	const cJSON *list = fl_json_get(object, "HostKinds"), *item;
-	int rc = 0;
 
-	*out = NULL;
-	*n = 0;
+	*types = NULL;
+	*count = 0;
 	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) == 0)
-		return -EPROTO;
-	*out = calloc((size_t)cJSON_GetArraySize(list), sizeof(**out));
-	if (!*out)
-		return -ENOMEM;
+		return FL_DECODE_MALFORMED;
+	*types = calloc((size_t)cJSON_GetArraySize(list), sizeof(**types));
+	if (!*types)
+		return FL_DECODE_NO_MEMORY;
 	cJSON_ArrayForEach (item, list) {
-		rc = decode_type(item, &(*out)[*n]);
-		if (rc)
-			break;
-		(*n)++;
-	}
-	if (rc) {
-		free(*out);
-		*out = NULL;
-		*n = 0;
+		if (decode_type(item, &(*types)[*count]) != FL_DECODE_OK) {
+			free(*types);
+			*types = NULL;
+			*count = 0;
+			return FL_DECODE_MALFORMED;
+		}
+		(*count)++;
 	}
-	return rc;
+	return FL_DECODE_OK;
 }
 
-cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int n)
+static cJSON *encode_type(const struct fl_cloud_machine_type *type)
+{
+	cJSON *item = cJSON_CreateObject(), *zones;
+
+	cJSON_AddStringToObject(item, "Name", type->name);
+	cJSON_AddNumberToObject(item, "Vcpus", type->cpus);
+	cJSON_AddNumberToObject(item, "Accelerators", type->gpus);
+	cJSON_AddNumberToObject(item, "RamGb", type->ram_gb);
+	cJSON_AddNumberToObject(item, "LocalGb", type->cache_gb);
+	cJSON_AddNumberToObject(item, "PullGbPerS", type->pull_gb_s);
+	cJSON_AddNumberToObject(item, "Price", type->price);
+	cJSON_AddNumberToObject(item, "SpotPrice", type->spot_price);
+	cJSON_AddNumberToObject(item, "ReadyS", type->ready_s);
+	zones = cJSON_AddArrayToObject(item, "Sites");
+	for (int z = 0; z < type->zone_count; z++)
+		cJSON_AddItemToArray(zones, cJSON_CreateString(type->zones[z]));
+	return item;
+}
+
+cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int count)
 {
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "HostKinds");
 
-	for (int i = 0; i < n; i++) {
-		const struct fl_cloud_machine_type *type = &types[i];
-		cJSON *item = cJSON_CreateObject(), *zones;
-
-		cJSON_AddStringToObject(item, "Name", type->name);
-		cJSON_AddNumberToObject(item, "Vcpus", type->cpus);
-		cJSON_AddNumberToObject(item, "Accelerators", type->gpus);
-		cJSON_AddNumberToObject(item, "RamGb", type->ram_gb);
-		cJSON_AddNumberToObject(item, "LocalGb", type->cache_gb);
-		cJSON_AddNumberToObject(item, "PullGbPerS", type->pull_gb_s);
-		cJSON_AddNumberToObject(item, "Price", type->price);
-		cJSON_AddNumberToObject(item, "SpotPrice", type->spot_price);
-		cJSON_AddNumberToObject(item, "ReadyS", type->ready_s);
-		zones = cJSON_AddArrayToObject(item, "Sites");
-		for (int z = 0; z < type->zone_count; z++)
-			cJSON_AddItemToArray(zones, cJSON_CreateString(type->zones[z]));
-		cJSON_AddItemToArray(list, item);
-	}
+	for (int i = 0; i < count; i++)
+		cJSON_AddItemToArray(list, encode_type(&types[i]));
 	return object;
 }
 
-int fl_cloud_machine_types(struct fl_cloud *cloud, struct fl_cloud_machine_type **out, int *n)
+enum fl_cloud_result fl_cloud_machine_types(struct fl_cloud *cloud,
+                                            struct fl_cloud_machine_type **types, int *count)
 {
-	cJSON *object = NULL;
-	int status, rc = call(cloud, "GET", "/machine_types", NULL, &object, &status);
+	struct answer answer;
+	enum fl_cloud_result result = call(cloud, "GET", "/machine_types", NULL, &answer);
 
-	*out = NULL;
-	*n = 0;
-	if (!rc)
-		rc = fl_machine_types_decode(object, out, n);
-	cJSON_Delete(object);
-	return rc;
+	*types = NULL;
+	*count = 0;
+	if (result == FL_CLOUD_OK)
+		result = result_of_decoding(fl_machine_types_decode(answer.tree, types, count));
+	cJSON_Delete(answer.tree);
+	return result;
 }
 
-int fl_cloud_rent(struct fl_cloud *cloud, const char *request, const char *kind, const char *zone,
-                  bool spot, int count, char (**hosts)[FL_NAME_MAX], int *n)
+/* A refusal that names this reason will last; others pass. */
+static bool is_out_of_capacity(const struct answer *answer)
 {
-	cJSON *body = cJSON_CreateObject(), *object = NULL, *item;
-	const cJSON *list;
-	int status = 0, rc;
+	char reason[64];
 
-	*hosts = NULL;
-	*n = 0;
-	cJSON_AddStringToObject(body, "Rental", request);
-	cJSON_AddStringToObject(body, "HostKind", kind);
-	cJSON_AddStringToObject(body, "Site", zone);
-	cJSON_AddBoolToObject(body, "Reclaimable", spot);
-	cJSON_AddNumberToObject(body, "Count", count);
-	rc = call(cloud, "POST", "/rentals", body, &object, &status);
-	if (rc == -EAGAIN && status == 503) {
-		char why[64] = "";
+	return answer->status == 503 &&
+	       fl_json_get_string(answer->tree, "error", reason, sizeof(reason)) == FL_JSON_OK &&
+	       strcmp(reason, "no capacity") == 0;
+}
+
+static enum fl_decode_result decode_rental(const cJSON *answer, char (**hosts)[FL_NAME_MAX],
+                                           int *host_count)
+{
+	const cJSON *list = fl_json_get(answer, "Hosts"), *item;
 
-		fl_json_get_string(object, "error", why, sizeof(why));
-		if (strcmp(why, "no capacity") == 0)
-			rc = -ENOSPC;
-	}
-	if (rc)
-		goto out;
-	list = fl_json_get(object, "Hosts");
-	rc = -EPROTO;
 	if (!cJSON_IsArray(list))
-		goto out;
-	rc = 0;
+		return FL_DECODE_MALFORMED;
 	*hosts = calloc((size_t)cJSON_GetArraySize(list) + 1, sizeof(**hosts));
-	if (!*hosts) {
-		rc = -ENOMEM;
-		goto out;
-	}
+	if (!*hosts)
+		return FL_DECODE_NO_MEMORY;
 	cJSON_ArrayForEach (item, list)
 		if (cJSON_IsString(item) && strlen(item->valuestring) < FL_NAME_MAX)
-			fl_copy_string((*hosts)[(*n)++], FL_NAME_MAX, item->valuestring);
-out:
-	cJSON_Delete(object);
-	return rc;
+			fl_copy_string((*hosts)[(*host_count)++], FL_NAME_MAX, item->valuestring);
+	return FL_DECODE_OK;
+}
+
+enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const char *rental, const char *type,
+                                   const char *zone, bool spot, int count,
+                                   char (**hosts)[FL_NAME_MAX], int *host_count)
+{
+	cJSON *body = cJSON_CreateObject();
+	enum fl_cloud_result result;
+	struct answer answer;
+
+	*hosts = NULL;
+	*host_count = 0;
+	cJSON_AddStringToObject(body, "Rental", rental);
+	cJSON_AddStringToObject(body, "HostKind", type);
+	cJSON_AddStringToObject(body, "Site", zone);
+	cJSON_AddBoolToObject(body, "Reclaimable", spot);
+	cJSON_AddNumberToObject(body, "Count", count);
+	result = call(cloud, "POST", "/rentals", body, &answer);
+	if (result == FL_CLOUD_UNAVAILABLE && is_out_of_capacity(&answer))
+		result = FL_CLOUD_NO_CAPACITY;
+	if (result == FL_CLOUD_OK)
+		result = result_of_decoding(decode_rental(answer.tree, hosts, host_count));
+	cJSON_Delete(answer.tree);
+	return result;
 }
 
-int fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int n)
+enum fl_cloud_result fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int count)
 {
-	cJSON *body = cJSON_CreateObject(), *object = NULL;
-	int status, rc;
+	cJSON *body = cJSON_CreateObject();
+	enum fl_cloud_result result;
+	struct answer answer;
 
-	cJSON_AddItemToObject(body, "Hosts", cJSON_CreateStringArray(hosts, n));
-	rc = call(cloud, "POST", "/rentals/delete", body, &object, &status);
-	cJSON_Delete(object);
-	return rc;
+	cJSON_AddItemToObject(body, "Hosts", cJSON_CreateStringArray(hosts, count));
+	result = call(cloud, "POST", "/rentals/delete", body, &answer);
+	cJSON_Delete(answer.tree);
+	return result;
 }
 
-static int decode_listed(const cJSON *item, struct fl_cloud_machine *machine)
+static enum fl_cloud_machine_status status_of_name(const char *name)
+{
+	if (strcmp(name, "failed") == 0)
+		return FL_CLOUD_MACHINE_FAILED;
+	if (strcmp(name, "booting") == 0)
+		return FL_CLOUD_MACHINE_BOOTING;
+	return FL_CLOUD_MACHINE_RUNNING;
+}
+
+static enum fl_decode_result decode_machine(const cJSON *item, struct fl_cloud_machine *machine)
 {
 	char status[32];
 
@@ -190,57 +269,57 @@
 	    fl_json_get_string(item, "Site", machine->zone, sizeof(machine->zone)) != FL_JSON_OK ||
 	    fl_json_get_bool(item, "Reclaimable", &machine->spot) != FL_JSON_OK ||
 	    fl_json_get_string(item, "Status", status, sizeof(status)) != FL_JSON_OK)
-		return -EPROTO;
+		return FL_DECODE_MALFORMED;
 	fl_json_get_string(item, "Endpoint", machine->endpoint, sizeof(machine->endpoint));
 	fl_json_get_amount(item, "AgeS", &machine->age_s);
-	machine->status = strcmp(status, "failed") == 0    ? FL_CLOUD_MACHINE_FAILED
-	                  : strcmp(status, "booting") == 0 ? FL_CLOUD_MACHINE_BOOTING
-	                                                   : FL_CLOUD_MACHINE_RUNNING;
-	return 0;
+	machine->status = status_of_name(status);
+	return FL_DECODE_OK;
 }
 
-int fl_cloud_list(struct fl_cloud *cloud, const char *from, struct fl_cloud_machine **out, int *n,
-                  bool *more)
+/* On any result `*machines` is the caller's. */
+static enum fl_decode_result decode_page(const cJSON *answer, struct fl_cloud_machine **machines,
+                                         int *count, bool *more)
+{
+	const cJSON *list = fl_json_get(answer, "Hosts"), *item;
+
+	if (!cJSON_IsArray(list))
+		return FL_DECODE_MALFORMED;
+	*machines = calloc((size_t)cJSON_GetArraySize(list) + 1, sizeof(**machines));
+	if (!*machines)
+		return FL_DECODE_NO_MEMORY;
+	cJSON_ArrayForEach (item, list) {
+		/* A list read in part would make machines look returned. */
+		if (decode_machine(item, &(*machines)[*count]) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
+		(*count)++;
+	}
+	if (fl_json_get_bool(answer, "More", more) != FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
+}
+
+enum fl_cloud_result fl_cloud_list(struct fl_cloud *cloud, const char *from,
+                                   struct fl_cloud_machine **machines, int *count, bool *more)
 {
 	char path[FL_NAME_MAX + 64];
-	cJSON *object = NULL, *item;
-	const cJSON *list;
-	int status, rc;
+	enum fl_cloud_result result;
+	struct answer answer;
 
-	*out = NULL;
-	*n = 0;
+	*machines = NULL;
+	*count = 0;
 	*more = false;
 	if (from && *from)
 		snprintf(path, sizeof(path), "/rentals?From=%s&Page=%d", from, FL_LIST_PAGE);
 	else
 		snprintf(path, sizeof(path), "/rentals?Page=%d", FL_LIST_PAGE);
-	rc = call(cloud, "GET", path, NULL, &object, &status);
-	if (rc)
-		goto out;
-	list = fl_json_get(object, "Hosts");
-	rc = cJSON_IsArray(list) ? 0 : -EPROTO;
-	if (rc)
-		goto out;
-	*out = calloc((size_t)cJSON_GetArraySize(list) + 1, sizeof(**out));
-	if (!*out) {
-		rc = -ENOMEM;
-		goto out;
-	}
-	cJSON_ArrayForEach (item, list) {
-		rc = decode_listed(item, &(*out)[*n]);
-		/* A list read in part would make machines look returned. */
-		if (rc)
-			break;
-		(*n)++;
-	}
-	if (!rc && fl_json_get_bool(object, "More", more) != FL_JSON_OK)
-		rc = -EPROTO;
-	if (rc) {
-		free(*out);
-		*out = NULL;
-		*n = 0;
+	result = call(cloud, "GET", path, NULL, &answer);
+	if (result == FL_CLOUD_OK)
+		result = result_of_decoding(decode_page(answer.tree, machines, count, more));
+	if (result != FL_CLOUD_OK) {
+		free(*machines);
+		*machines = NULL;
+		*count = 0;
 	}
-out:
-	cJSON_Delete(object);
-	return rc;
+	cJSON_Delete(answer.tree);
+	return result;
 }
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -1,4 +1,8 @@
-/* The client of the cloud, from which machines are rented. */
+/*
+ * The client of the cloud, from which machines are rented. Every call waits for the answer, so it
+ * must be made from a coroutine. Unless the result is FL_CLOUD_OK, outputs are empty and the caller
+ * owns nothing. A rental with an unknown outcome is repeated under its name, which makes it once.
+ */
 #ifndef FL_PROTOCOL_CLOUD_H
 #define FL_PROTOCOL_CLOUD_H
 
@@ -8,10 +12,26 @@
 /* Machines in one request, items on one page, zones of one type: at most. */
 enum { FL_RENT_MAX = 50, FL_DELETE_MAX = 100, FL_LIST_PAGE = 500, FL_TYPE_ZONES_MAX = 8 };
 
+/* What came of a request, and so what the caller may conclude and has to do. */
+enum fl_cloud_result {
+	FL_CLOUD_OK = 0,
+	FL_CLOUD_NO_CAPACITY, /* no machine of this kind in this zone now: rent others */
+	FL_CLOUD_UNAVAILABLE, /* refused for now (429, 503) and not executed: try again later */
+	FL_CLOUD_CANCELLED,   /* the calling coroutine is being cancelled: unwind */
+	/* No answer, or no memory to read it: it may have been executed, or may still be. */
+	FL_CLOUD_OUTCOME_UNKNOWN,
+	/* The same of an answer that cannot be read or has another status: a fault to report. */
+	FL_CLOUD_UNREADABLE
+};
+
+/* The words for a result in a log line. */
+const char *fl_cloud_result_text(enum fl_cloud_result result);
+
 /* A machine type as offered. */
 struct fl_cloud_machine_type {
 	char name[FL_NAME_MAX];
-	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price, ready_s;
+	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price;
+	double ready_s; /* from a rental to the first heartbeat */
 	char zones[FL_TYPE_ZONES_MAX][FL_NAME_MAX];
 	int zone_count;
 };
@@ -28,7 +48,7 @@
 	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], type[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
 	enum fl_cloud_machine_status status;
-	double age_s;
+	double age_s; /* since the rental */
 };
 
 /* The connection to the cloud. */
@@ -36,23 +56,29 @@
 	struct fl_http_client http;
 };
 
-/* Machine types in the shape of the cloud, also for a record. 0, or an errno with nothing held. */
-int fl_machine_types_decode(const cJSON *object, struct fl_cloud_machine_type **out, int *n);
+/* Machine types in the shape of the cloud, also for a record; `*types` is to be freed. */
+enum fl_decode_result fl_machine_types_decode(const cJSON *object,
+                                              struct fl_cloud_machine_type **types, int *count);
 /* Undoes fl_machine_types_decode. */
-cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int n);
+cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int count);
 
+/* The types on offer; `*types` is to be freed. */
+enum fl_cloud_result fl_cloud_machine_types(struct fl_cloud *cloud,
+                                            struct fl_cloud_machine_type **types, int *count);
 /*
- * The types on offer, `*n` of them, to be freed. This and all calls below return 0 on success,
- * -EAGAIN when refused for now (429, 503), other errnos when unknown.
+ * Rents `count` machines under a name that is unique to this rental. On success `*hosts` holds the
+ * names of `*host_count` machines, perhaps fewer than asked for; to be freed.
  */
-int fl_cloud_machine_types(struct fl_cloud *cloud, struct fl_cloud_machine_type **out, int *n);
-/* Rents machines. -ENOSPC: no capacity. On success `*hosts` holds `*n` names to free. */
-int fl_cloud_rent(struct fl_cloud *cloud, const char *request, const char *kind, const char *zone,
-                  bool spot, int count, char (**hosts)[FL_NAME_MAX], int *n);
+enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const char *rental, const char *type,
+                                   const char *zone, bool spot, int count,
+                                   char (**hosts)[FL_NAME_MAX], int *host_count);
 /* Returns machines. */
-int fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int n);
-/* One page of the rented machines after `from`, to be freed; `*more`: it is not the last. */
-int fl_cloud_list(struct fl_cloud *cloud, const char *from, struct fl_cloud_machine **out, int *n,
-                  bool *more);
+enum fl_cloud_result fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int count);
+/*
+ * One page of the rented machines after `from` (NULL or empty: the first page); `*machines` is to
+ * be freed; `*more`: it is not the last page.
+ */
+enum fl_cloud_result fl_cloud_list(struct fl_cloud *cloud, const char *from,
+                                   struct fl_cloud_machine **machines, int *count, bool *more);
 
 #endif
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -8,107 +8,139 @@
 #include "transport/text.h"
 
 static const struct {
-	int depth;
+	int max_depth;
 } tunables = {
-	.depth = 32, /* levels; cJSON recurses, and a routine's stack is small */
+	.max_depth = 32, /* levels; cJSON recurses, and a coroutine's stack is small */
 };
 
+static const double amount_max = 1e12;
+
 /*
- * The end of a string that begins after its quote at `at`: the place behind the closing quote, or
- * `len` if there is none. 0: it holds an escaped NUL, at which cJSON ends it.
+ * The end of a string whose opening quote is before `position`: the position behind the closing
+ * quote, or `length` if there is none. 0: it holds an escaped NUL, at which cJSON would end it.
  */
-static size_t string_end(const char *s, size_t at, size_t len)
+static size_t string_end(const char *text, size_t position, size_t length)
 {
-	while (at < len) {
-		const char *quote = memchr(s + at, '"', len - at);
-		size_t end = quote ? (size_t)(quote - s) : len;
-		const char *escape = memchr(s + at, '\\', end - at);
+	while (position < length) {
+		const char *quote = memchr(text + position, '"', length - position);
+		size_t end = quote ? (size_t)(quote - text) : length;
+		const char *escape = memchr(text + position, '\\', end - position);
 
 		if (!escape)
-			return quote ? end + 1 : len;
-		at = (size_t)(escape - s);
-		if (len - at >= 6 && memcmp(escape, "\\u0000", 6) == 0)
+			return quote ? end + 1 : length;
+		position = (size_t)(escape - text);
+		if (length - position >= 6 && memcmp(escape, "\\u0000", 6) == 0)
 			return 0;
-		at += 2;
+		position += 2;
 	}
-	return len;
+	return length;
 }
 
-static bool shallow(const char *s, size_t len)
+/* Is the nesting limited, and no string cut short by an escaped NUL? */
+static bool is_within_depth(const char *text, size_t length)
 {
 	int depth = 0;
 
-	for (size_t i = 0; i < len;) {
-		char c = s[i++];
+	for (size_t i = 0; i < length;) {
+		char next = text[i++];
 
-		if (c == '"') {
-			i = string_end(s, i, len);
+		if (next == '"') {
+			i = string_end(text, i, length);
 			if (i == 0)
 				return false;
-		} else if (c == '[' || c == '{') {
-			if (++depth > tunables.depth)
+		} else if (next == '[' || next == '{') {
+			if (++depth > tunables.max_depth)
 				return false;
-		} else if (c == ']' || c == '}') {
+		} else if (next == ']' || next == '}') {
 			depth--;
 		}
 	}
 	return true;
 }
 
-/* How many bytes at the start are surely ASCII, looked at a word at a time. */
-static size_t ascii_prefix(const char *s, size_t len)
+/* How many bytes at the start are surely ASCII, tested a word at a time. */
+static size_t ascii_prefix(const char *text, size_t length)
 {
 	const uint64_t high_bits = 0x8080808080808080;
 	size_t i = 0;
 
-	for (; i + sizeof(uint64_t) <= len; i += sizeof(uint64_t)) {
+	for (; i + sizeof(uint64_t) <= length; i += sizeof(uint64_t)) {
 		uint64_t word;
 
-		memcpy(&word, s + i, sizeof(word));
+		memcpy(&word, text + i, sizeof(word));
 		if (word & high_bits)
 			break;
 	}
 	return i;
 }
 
-/* How many bytes the character at `s` has; 0 if it is none, or could be written shorter. */
-static size_t utf8_char(const unsigned char *s, size_t len)
+/* How many bytes a character with this first byte has, if it is one. */
+static size_t utf8_length_of_lead(unsigned char lead)
 {
-	size_t n = s[0] < 0x80 ? 1 : s[0] < 0xe0 ? 2 : s[0] < 0xf0 ? 3 : 4;
+	if (lead < 0x80)
+		return 1;
+	if (lead < 0xe0)
+		return 2;
+	return lead < 0xf0 ? 3 : 4;
+}
+
+/* An encoding longer than need be, a surrogate, or beyond the last code point. */
+static bool is_utf8_out_of_range(const unsigned char *bytes)
+{
+	switch (bytes[0]) {
+	case 0xe0:
+		return bytes[1] < 0xa0;
+	case 0xed:
+		return bytes[1] > 0x9f;
+	case 0xf0:
+		return bytes[1] < 0x90;
+	case 0xf4:
+		return bytes[1] > 0x8f;
+	default:
+		return false;
+	}
+}
 
-	if (n == 1)
+/* How many bytes the character at `bytes` has; 0 if it is none, or could be written shorter. */
+static size_t utf8_length(const unsigned char *bytes, size_t available)
+{
+	size_t length = utf8_length_of_lead(bytes[0]);
+
+	if (length == 1)
 		return 1;
-	if (s[0] < 0xc2 || s[0] > 0xf4 || n > len)
+	if (bytes[0] < 0xc2 || bytes[0] > 0xf4 || length > available)
 		return 0;
-	for (size_t i = 1; i < n; i++)
-		if ((s[i] & 0xc0) != 0x80)
+	for (size_t i = 1; i < length; i++)
+		if ((bytes[i] & 0xc0) != 0x80)
 			return 0;
-	if ((s[0] == 0xe0 && s[1] < 0xa0) || (s[0] == 0xed && s[1] > 0x9f) ||
-	    (s[0] == 0xf0 && s[1] < 0x90) || (s[0] == 0xf4 && s[1] > 0x8f))
-		return 0;
-	return n;
+	return is_utf8_out_of_range(bytes) ? 0 : length;
 }
 
 /*
  * cJSON passes any bytes on, but JSON is UTF-8: a name that is not would be accepted here and
- * refused by the state service, each time its user tries.
+ * rejected by the key-value store, each time its user tries.
  */
-static bool utf8(const char *s, size_t len)
+static bool is_utf8(const char *text, size_t length)
 {
-	for (size_t i = ascii_prefix(s, len), n; i < len; i += n) {
-		n = utf8_char((const unsigned char *)s + i, len - i);
-		if (n == 0)
+	size_t i = ascii_prefix(text, length);
+
+	while (i < length) {
+		size_t step = utf8_length((const unsigned char *)text + i, length - i);
+
+		if (step == 0)
 			return false;
+		i += step;
 	}
 	return true;
 }
 
-cJSON *fl_json_parse(const char *text, size_t len)
+cJSON *fl_json_parse(const char *text, size_t length)
 {
 	/* An embedded NUL would end the text early and hide what follows. */
-	if (!text || memchr(text, 0, len) || !shallow(text, len) || !utf8(text, len))
+	if (!text || memchr(text, 0, length) || !is_within_depth(text, length) ||
+	    !is_utf8(text, length))
 		return NULL;
-	return cJSON_ParseWithLengthOpts(text, len + 1, NULL, 1);
+	return cJSON_ParseWithLengthOpts(text, length + 1, NULL, 1);
 }
 
 const cJSON *fl_json_get(const cJSON *object, const char *key)
@@ -118,15 +150,16 @@
 	return value && !cJSON_IsNull(value) ? value : NULL;
 }
 
-enum fl_json_result fl_json_get_string(const cJSON *object, const char *key, char *out, size_t cap)
+enum fl_json_result fl_json_get_string(const cJSON *object, const char *key, char *out,
+                                       size_t capacity)
 {
 	const cJSON *value = fl_json_get(object, key);
 
 	if (!value)
 		return FL_JSON_ABSENT;
-	if (!cJSON_IsString(value) || strlen(value->valuestring) >= cap)
+	if (!cJSON_IsString(value) || strlen(value->valuestring) >= capacity)
 		return FL_JSON_INVALID;
-	fl_copy_string(out, cap, value->valuestring);
+	fl_copy_string(out, capacity, value->valuestring);
 	return FL_JSON_OK;
 }
 
@@ -137,18 +170,18 @@
 	if (!value)
 		return FL_JSON_ABSENT;
 	if (!cJSON_IsNumber(value) || !isfinite(value->valuedouble) || value->valuedouble < 0 ||
-	    value->valuedouble > 1e12)
+	    value->valuedouble > amount_max)
 		return FL_JSON_INVALID;
 	*out = value->valuedouble;
 	return FL_JSON_OK;
 }
 
-static enum fl_json_result whole_number(const cJSON *value, uint64_t most, uint64_t *out)
+static enum fl_json_result get_whole_number(const cJSON *value, uint64_t max, uint64_t *out)
 {
 	if (!value)
 		return FL_JSON_ABSENT;
 	if (!cJSON_IsNumber(value) || !(value->valuedouble >= 0) ||
-	    value->valuedouble > (double)most || value->valuedouble != floor(value->valuedouble))
+	    value->valuedouble > (double)max || value->valuedouble != floor(value->valuedouble))
 		return FL_JSON_INVALID;
 	*out = (uint64_t)value->valuedouble;
 	return FL_JSON_OK;
@@ -156,12 +189,12 @@
 
 enum fl_json_result fl_json_get_count(const cJSON *object, const char *key, uint64_t *out)
 {
-	return whole_number(fl_json_get(object, key), FL_COUNT_MAX, out);
+	return get_whole_number(fl_json_get(object, key), FL_COUNT_MAX, out);
 }
 
-enum fl_json_result fl_json_get_item(const cJSON *array, int at, uint64_t most, uint64_t *out)
+enum fl_json_result fl_json_get_item(const cJSON *array, int index, uint64_t max, uint64_t *out)
 {
-	return whole_number(cJSON_GetArrayItem(array, at), most, out);
+	return get_whole_number(cJSON_GetArrayItem(array, index), max, out);
 }
 
 enum fl_json_result fl_json_get_choice(const cJSON *object, const char *key,
@@ -196,21 +229,21 @@
 
 char *fl_json_print_and_delete(cJSON *object)
 {
-	char *s = cJSON_PrintUnformatted(object);
+	char *text = cJSON_PrintUnformatted(object);
 
 	cJSON_Delete(object);
-	return s;
+	return text;
 }
 
 char *fl_json_error(const char *fmt, ...)
 {
 	cJSON *object = cJSON_CreateObject();
 	char text[256];
-	va_list ap;
+	va_list arguments;
 
-	va_start(ap, fmt);
-	vsnprintf(text, sizeof(text), fmt, ap);
-	va_end(ap);
+	va_start(arguments, fmt);
+	vsnprintf(text, sizeof(text), fmt, arguments);
+	va_end(arguments);
 	cJSON_AddStringToObject(object, "error", text);
 	return fl_json_print_and_delete(object);
 }
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -9,22 +9,25 @@
 #include "transport/text.h"
 
 static const struct {
-	double timeout_s, slack_s;
-	int page;
+	double timeout_s, watch_slack_s;
+	int page_size, max_idle, max_idle_watch;
 } tunables = {
-	.timeout_s = 1.0, /* s; answers take 10 ms, at times a few hundred */
-	.slack_s = 2.0,   /* s; what a watch may take beyond its hold */
-	.page = 1000,     /* items; the service's own most */
+	.timeout_s = 1.0,     /* s; answers take 10 ms, at times a few hundred */
+	.watch_slack_s = 2.0, /* s; what a watch may take beyond its own timeout */
+	.page_size = 1000,    /* items; the store's own maximum */
+	.max_idle = 6,        /* connections kept for short requests */
+	.max_idle_watch = 2,  /* and for watches */
 };
 
-int fl_kv_init(struct fl_kv_store *store, const char *addr)
-{
-	int rc;
+/* The time of what has not happened yet, before any on the steady clock. */
+static const double long_ago = -1e9;
 
+bool fl_kv_init(struct fl_kv_store *store, const char *address)
+{
 	memset(store, 0, sizeof(*store));
-	store->last_success_at = store->last_failure_at = -1e9;
-	rc = fl_http_client_init(&store->client, addr, 6);
-	return rc ? rc : fl_http_client_init(&store->watch_client, addr, 2);
+	store->last_success_at = store->last_failure_at = long_ago;
+	return fl_http_client_init(&store->client, address, tunables.max_idle) == 0 &&
+	       fl_http_client_init(&store->watch_client, address, tunables.max_idle_watch) == 0;
 }
 
 bool fl_kv_is_unavailable(const struct fl_kv_store *store)
@@ -108,7 +111,7 @@
                             uint64_t *revision, uint64_t *lease_id)
 {
 	char path[FL_KEY_MAX + 16];
-	uint64_t none;
+	uint64_t ignored_lease_id;
 	cJSON *object;
 	enum fl_kv_result result;
 
@@ -119,7 +122,7 @@
 		result = FL_KV_OUTCOME_UNKNOWN;
 	if (result == FL_KV_OK) {
 		if (!lease_id)
-			lease_id = &none;
+			lease_id = &ignored_lease_id;
 		if (fl_json_get_count(object, "Grant", lease_id) != FL_JSON_OK)
 			*lease_id = 0;
 		*value = cJSON_DetachItemFromObjectCaseSensitive(object, "V");
@@ -129,7 +132,7 @@
 }
 
 static enum fl_kv_result each_item(const cJSON *items, fl_kv_event_fn on_event, void *context,
-                                   char last[FL_KEY_MAX])
+                                   char last_key[FL_KEY_MAX])
 {
 	const cJSON *item;
 
@@ -143,55 +146,75 @@
 		event.key = key;
 		event.value = fl_json_get(item, "V");
 		on_event(context, &event);
-		fl_copy_string(last, FL_KEY_MAX, key);
+		fl_copy_string(last_key, FL_KEY_MAX, key);
 	}
 	return FL_KV_OK;
 }
 
+/* A list that is being read page by page. */
+struct list_reader {
+	struct fl_kv_store *store;
+	const char *prefix;
+	char last_key[FL_KEY_MAX]; /* of the last page; empty: none read yet */
+	bool more;
+	uint64_t revision; /* of the last page */
+};
+
+static enum fl_kv_result read_page(struct list_reader *reader, fl_kv_event_fn on_event,
+                                   void *context, const cJSON *object)
+{
+	const cJSON *items = fl_json_get(object, "Items");
+	enum fl_kv_result result;
+
+	/* A list cut short would pass for a whole one. */
+	if (!cJSON_IsArray(items) ||
+	    fl_json_get_bool(object, "More", &reader->more) != FL_JSON_OK ||
+	    fl_json_get_count(object, "LedgerRev", &reader->revision) != FL_JSON_OK)
+		return FL_KV_OUTCOME_UNKNOWN;
+	result = each_item(items, on_event, context, reader->last_key);
+	if (cJSON_GetArraySize(items) == 0)
+		reader->more = false;
+	return result;
+}
+
+static enum fl_kv_result fetch_page(struct list_reader *reader, fl_kv_event_fn on_event,
+                                    void *context)
+{
+	char path[2 * FL_KEY_MAX + 64];
+	cJSON *object;
+	enum fl_kv_result result;
+
+	snprintf(path, sizeof(path), "/keys?Prefix=%s%s%s&Page=%d", reader->prefix,
+	         reader->last_key[0] ? "&From=" : "", reader->last_key, tunables.page_size);
+	result = call(reader->store, &reader->store->client, "GET", path, NULL,
+	              2 * tunables.timeout_s, &object);
+	if (result == FL_KV_OK)
+		result = read_page(reader, on_event, context, object);
+	cJSON_Delete(object);
+	return result;
+}
+
 enum fl_kv_result fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
                              void *context, uint64_t *revision)
 {
-	char path[2 * FL_KEY_MAX + 64], last[FL_KEY_MAX] = "";
-	bool more = true, first = true;
-
-	while (more) {
-		const cJSON *items;
-		uint64_t at;
-		cJSON *object;
-		enum fl_kv_result result;
-
-		snprintf(path, sizeof(path), "/keys?Prefix=%s%s%s&Page=%d", prefix,
-		         last[0] ? "&From=" : "", last, tunables.page);
-		result = call(store, &store->client, "GET", path, NULL, 2 * tunables.timeout_s,
-		              &object);
-		if (result == FL_KV_OK) {
-			items = fl_json_get(object, "Items");
-			more = false;
-			/* A list cut short would pass for a whole one. */
-			if (!cJSON_IsArray(items) ||
-			    fl_json_get_bool(object, "More", &more) != FL_JSON_OK ||
-			    fl_json_get_count(object, "LedgerRev", &at) != FL_JSON_OK)
-				result = FL_KV_OUTCOME_UNKNOWN;
-			else
-				result = each_item(items, on_event, context, last);
-			if (result == FL_KV_OK && cJSON_GetArraySize(items) == 0)
-				more = false;
-			if (result == FL_KV_OK && first)
-				*revision = at;
-			first = false;
-		}
-		cJSON_Delete(object);
+	struct list_reader reader = {.store = store, .prefix = prefix, .more = true};
+
+	for (bool first = true; reader.more; first = false) {
+		enum fl_kv_result result = fetch_page(&reader, on_event, context);
+
 		if (result != FL_KV_OK)
 			return result;
+		if (first)
+			*revision = reader.revision;
 	}
 	return FL_KV_OK;
 }
 
-static enum fl_kv_result each_event(const cJSON *log, fl_kv_event_fn on_event, void *context)
+static enum fl_kv_result each_event(const cJSON *events, fl_kv_event_fn on_event, void *context)
 {
 	const cJSON *item;
 
-	cJSON_ArrayForEach (item, log) {
+	cJSON_ArrayForEach (item, events) {
 		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
@@ -211,24 +234,24 @@
                               double timeout_s, fl_kv_event_fn on_event, void *context)
 {
 	char path[FL_KEY_MAX + 128];
-	const cJSON *log;
-	uint64_t at;
+	const cJSON *events;
+	uint64_t new_revision;
 	cJSON *object;
 	enum fl_kv_result result;
 
 	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", prefix,
 	         (unsigned long long)*revision, (int)(timeout_s * 1000));
-	result = call(store, &store->watch_client, "GET", path, NULL, timeout_s + tunables.slack_s,
-	              &object);
+	result = call(store, &store->watch_client, "GET", path, NULL,
+	              timeout_s + tunables.watch_slack_s, &object);
 	if (result == FL_KV_OK) {
-		log = fl_json_get(object, "Log");
-		if (fl_json_get_count(object, "LedgerRev", &at) != FL_JSON_OK ||
-		    (log && !cJSON_IsArray(log)))
+		events = fl_json_get(object, "Log");
+		if (fl_json_get_count(object, "LedgerRev", &new_revision) != FL_JSON_OK ||
+		    (events && !cJSON_IsArray(events)))
 			result = FL_KV_OUTCOME_UNKNOWN;
 		else
-			result = each_event(log, on_event, context);
-		if (result == FL_KV_OK && at > *revision)
-			*revision = at;
+			result = each_event(events, on_event, context);
+		if (result == FL_KV_OK && new_revision > *revision)
+			*revision = new_revision;
 	}
 	cJSON_Delete(object);
 	return result;
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -1,6 +1,8 @@
 /*
  * The client of the key-value store that outlives every controller: compare-and-swap transactions,
- * leases, lists and watches. Every call waits, so it must be made from a coroutine.
+ * leases, lists and watches. Every call waits for the answer, so it must be made from a coroutine.
+ * Each write raises the store's revision; a key's `mod_revision` is that of its last write. Unless
+ * the result is FL_KV_OK, outputs hold nothing.
  */
 #ifndef FL_PROTOCOL_KV_STORE_H
 #define FL_PROTOCOL_KV_STORE_H
@@ -27,12 +29,12 @@
 /* The words for a result in a log line. */
 const char *fl_kv_result_text(enum fl_kv_result result);
 
-/* The client, and when the store last answered. */
+/* The client, and when the store last answered; times are steady, in seconds. */
 struct fl_kv_store {
 	struct fl_http_client client;       /* short requests */
 	struct fl_http_client watch_client; /* one open watch, on a connection of its own */
-	double last_success_at; /* steady time of the sending of the last answered request */
-	double last_failure_at; /* of the last 503 or silence */
+	double last_success_at;             /* of the sending of the last answered request */
+	double last_failure_at;             /* of the last 503 or unanswered request */
 };
 
 /* Builds a transaction: conditions, and the writes made if all of them hold. */
@@ -48,20 +50,20 @@
 	uint64_t mod_revision;
 };
 
-/* No answer since the last refusal or silence. */
+/* Has no request been answered since the last 503 or unanswered one? */
 bool fl_kv_is_unavailable(const struct fl_kv_store *store);
-/* 0, or -EINVAL for an address that is none. */
-int fl_kv_init(struct fl_kv_store *store, const char *addr);
+/* False: the address is malformed. */
+bool fl_kv_init(struct fl_kv_store *store, const char *address);
 /* Reads a key. `*value` is owned by the caller; `lease_id` (if not NULL) gets its lease, or 0. */
 enum fl_kv_result fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value,
                             uint64_t *revision, uint64_t *lease_id);
 
 /* Called for each change; it is valid during the call only. */
 typedef void (*fl_kv_event_fn)(void *context, const struct fl_kv_event *event);
-/* Every key under the prefix, page by page; `*mod_revision` is the revision of the first page. */
+/* Every key under the prefix, page by page; `*revision` is the store's at the first page. */
 enum fl_kv_result fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
                              void *context, uint64_t *revision);
-/* One watch of at most `timeout_s`: changes after `*revision`, which moves on with them. */
+/* One watch of at most `timeout_s`: changes after `*revision`, which rises with them. */
 enum fl_kv_result fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision,
                               double timeout_s, fl_kv_event_fn on_event, void *context);
 
--- a/src/protocol/peer_heartbeats.c
+++ b/src/protocol/peer_heartbeats.c
@@ -1,10 +1,9 @@
 #include "protocol/peer_heartbeats.h"
 
-#include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* The statuses of HTTP. */
+/* The range of HTTP statuses. */
 enum { STATUS_MIN = 100, STATUS_MAX = 599 };
 
 cJSON *fl_heartbeat_list_begin(void) { return cJSON_CreateArray(); }
@@ -28,20 +27,33 @@
 	return fl_json_print_and_delete(object);
 }
 
-int fl_peer_heartbeats_decode(const char *text, size_t len, struct fl_peer_heartbeats *out)
+static enum fl_decode_result decode_fields(struct fl_peer_heartbeats *message)
 {
+	const cJSON *tree = message->tree;
+
+	message->list = fl_json_get(tree, "reports");
+	if (fl_json_get_bool(tree, "last_hop", &message->last_hop) != FL_JSON_OK ||
+	    fl_json_get_bool(tree, "adrift", &message->disconnected) == FL_JSON_INVALID ||
+	    fl_json_get_string(tree, "via", message->entry_node, sizeof(message->entry_node)) !=
+	            FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	if (!cJSON_IsArray(message->list) ||
+	    cJSON_GetArraySize(message->list) > FL_PEER_HEARTBEATS_MAX)
+		return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
+}
+
+enum fl_decode_result fl_peer_heartbeats_decode(const char *text, size_t length,
+                                                struct fl_peer_heartbeats *out)
+{
+	enum fl_decode_result result;
+
 	memset(out, 0, sizeof(*out));
-	out->tree = fl_json_parse(text, len);
-	out->list = fl_json_get(out->tree, "reports");
-	if (fl_json_get_bool(out->tree, "last_hop", &out->last_hop) != FL_JSON_OK ||
-	    fl_json_get_bool(out->tree, "adrift", &out->disconnected) == FL_JSON_INVALID ||
-	    fl_json_get_string(out->tree, "via", out->entry_node, sizeof(out->entry_node)) !=
-	            FL_JSON_OK ||
-	    !cJSON_IsArray(out->list) || cJSON_GetArraySize(out->list) > FL_PEER_HEARTBEATS_MAX) {
+	out->tree = fl_json_parse(text, length);
+	result = decode_fields(out);
+	if (result != FL_DECODE_OK)
 		fl_peer_heartbeats_free(out);
-		return -EPROTO;
-	}
-	return 0;
+	return result;
 }
 
 void fl_peer_heartbeats_free(struct fl_peer_heartbeats *message)
@@ -51,54 +63,65 @@
 	message->list = NULL;
 }
 
-char *fl_heartbeat_replies_encode(const struct fl_heartbeat_reply *answers, int n)
+char *fl_heartbeat_replies_encode(const struct fl_heartbeat_reply *replies, int count)
 {
 	cJSON *list = cJSON_CreateArray();
 
-	for (int i = 0; i < n; i++) {
+	for (int i = 0; i < count; i++) {
 		cJSON *item = cJSON_CreateObject();
 
-		cJSON_AddNumberToObject(item, "status", answers[i].status);
-		if (answers[i].body)
-			cJSON_AddStringToObject(item, "body", answers[i].body);
+		cJSON_AddNumberToObject(item, "status", replies[i].status);
+		if (replies[i].body)
+			cJSON_AddStringToObject(item, "body", replies[i].body);
 		cJSON_AddItemToArray(list, item);
 	}
 	return fl_json_print_and_delete(list);
 }
 
-static int decode_answer(const cJSON *item, struct fl_heartbeat_reply *out)
+static enum fl_decode_result decode_reply(const cJSON *item, struct fl_heartbeat_reply *out)
 {
 	const cJSON *body = fl_json_get(item, "body");
 	uint64_t status;
 
 	if (fl_json_get_count(item, "status", &status) != FL_JSON_OK || status < STATUS_MIN ||
 	    status > STATUS_MAX || (body && !cJSON_IsString(body)))
-		return -EPROTO;
+		return FL_DECODE_MALFORMED;
 	out->status = (int)status;
 	if (!body)
-		return 0;
+		return FL_DECODE_OK;
 	out->body = strdup(body->valuestring);
-	return out->body ? 0 : -ENOMEM;
+	return out->body ? FL_DECODE_OK : FL_DECODE_NO_MEMORY;
 }
 
-int fl_heartbeat_replies_decode(const char *text, size_t len, struct fl_heartbeat_reply *answers,
-                                int n)
+static enum fl_decode_result decode_replies(const cJSON *list, struct fl_heartbeat_reply *replies,
+                                            int count)
 {
-	cJSON *list = fl_json_parse(text, len);
-	int rc = cJSON_IsArray(list) && cJSON_GetArraySize(list) == n ? 0 : -EPROTO;
+	enum fl_decode_result result = FL_DECODE_OK;
 	const cJSON *item;
-	int at = 0;
+	int i = 0;
 
-	memset(answers, 0, (size_t)n * sizeof(*answers));
+	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) != count)
+		return FL_DECODE_MALFORMED;
 	cJSON_ArrayForEach (item, list) {
-		if (rc)
+		result = decode_reply(item, &replies[i++]);
+		if (result != FL_DECODE_OK)
 			break;
-		rc = decode_answer(item, &answers[at++]);
 	}
-	for (int i = 0; i < at && rc; i++) {
-		free(answers[i].body);
-		answers[i].body = NULL;
+	return result;
+}
+
+enum fl_decode_result fl_heartbeat_replies_decode(const char *text, size_t length,
+                                                  struct fl_heartbeat_reply *replies, int count)
+{
+	cJSON *list = fl_json_parse(text, length);
+	enum fl_decode_result result;
+
+	memset(replies, 0, (size_t)count * sizeof(*replies));
+	result = decode_replies(list, replies, count);
+	for (int i = 0; i < count && result != FL_DECODE_OK; i++) {
+		free(replies[i].body);
+		replies[i].body = NULL;
 	}
 	cJSON_Delete(list);
-	return rc;
+	return result;
 }
--- a/src/protocol/status_messages.c
+++ b/src/protocol/status_messages.c
@@ -1,8 +1,5 @@
 #include "protocol/status_messages.h"
 
-#include <errno.h>
-#include <string.h>
-
 /* {"refs":["run-000412",...]} */
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count)
 {
@@ -13,77 +10,84 @@
 	return fl_json_print_and_delete(object);
 }
 
-int fl_status_query_decode(const char *text, size_t len, char (*refs)[FL_REF_MAX])
+static enum fl_decode_result decode_refs(const cJSON *list, char (*refs)[FL_REF_MAX], int *count)
 {
-	cJSON *object = fl_json_parse(text, len);
-	const cJSON *list = fl_json_get(object, "refs"), *item;
-	int count = cJSON_IsArray(list) ? 0 : -EPROTO;
+	const cJSON *item;
 
-	if (cJSON_GetArraySize(list) > FL_STATUS_QUERY_MAX)
-		count = -EPROTO;
-	if (count == 0) {
-		cJSON_ArrayForEach (item, list) {
-			if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_REF_MAX ||
-			    !fl_job_ref_is_valid(item->valuestring)) {
-				count = -EPROTO;
-				break;
-			}
-			memcpy(refs[count++], item->valuestring, strlen(item->valuestring) + 1);
-		}
+	*count = 0;
+	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > FL_STATUS_QUERY_MAX)
+		return FL_DECODE_MALFORMED;
+	cJSON_ArrayForEach (item, list) {
+		if (!fl_job_ref_decode(item, refs[*count]))
+			return FL_DECODE_MALFORMED;
+		(*count)++;
 	}
+	return FL_DECODE_OK;
+}
+
+enum fl_decode_result fl_status_query_decode(const char *text, size_t length,
+                                             char (*refs)[FL_REF_MAX], int *count)
+{
+	cJSON *object = fl_json_parse(text, length);
+	enum fl_decode_result result = decode_refs(fl_json_get(object, "refs"), refs, count);
+
 	cJSON_Delete(object);
-	return count;
+	return result;
 }
 
 /* {"jobs":[[status,done,running],null,...]} */
-char *fl_status_answer_encode(const struct fl_job_status_report *states, int count)
+char *fl_status_answer_encode(const struct fl_job_status_report *reports, int count)
 {
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "jobs");
 
 	for (int i = 0; i < count; i++) {
-		const struct fl_job_status_report *status = &states[i];
-		double values[] = {status->status, status->done_count, status->running_count};
+		const struct fl_job_status_report *report = &reports[i];
+		double values[] = {report->status, report->done_count, report->running_count};
 
-		cJSON_AddItemToArray(list, status->known ? cJSON_CreateDoubleArray(values, 3)
+		cJSON_AddItemToArray(list, report->known ? cJSON_CreateDoubleArray(values, 3)
 		                                         : cJSON_CreateNull());
 	}
 	return fl_json_print_and_delete(object);
 }
 
-static int decode_state(const cJSON *item, struct fl_job_status_report *out)
+static enum fl_decode_result decode_report(const cJSON *item, struct fl_job_status_report *out)
 {
 	uint64_t status, done, running;
 
 	*out = (struct fl_job_status_report){0};
 	if (cJSON_IsNull(item))
-		return 0;
+		return FL_DECODE_OK;
 	if (fl_json_get_item(item, 0, FL_CANCELLED, &status) != FL_JSON_OK ||
 	    fl_json_get_item(item, 1, FL_TASKS_MAX, &done) != FL_JSON_OK ||
 	    fl_json_get_item(item, 2, FL_TASKS_MAX, &running) != FL_JSON_OK)
-		return -EPROTO;
+		return FL_DECODE_MALFORMED;
 	*out = (struct fl_job_status_report){.known = true,
 	                                     .status = (enum fl_job_status)status,
 	                                     .done_count = (uint32_t)done,
 	                                     .running_count = (uint32_t)running};
-	return 0;
+	return FL_DECODE_OK;
 }
 
-int fl_status_answer_decode(const char *text, size_t len, struct fl_job_status_report *states,
-                            int count)
+static enum fl_decode_result decode_reports(const cJSON *list, struct fl_job_status_report *reports,
+                                            int count)
 {
-	cJSON *object = fl_json_parse(text, len);
-	const cJSON *list = fl_json_get(object, "jobs"), *item;
-	int at = 0, rc = 0;
+	const cJSON *item;
+	int i = 0;
 
 	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) != count)
-		rc = -EPROTO;
-	if (rc == 0) {
-		cJSON_ArrayForEach (item, list) {
-			rc = decode_state(item, &states[at++]);
-			if (rc)
-				break;
-		}
-	}
+		return FL_DECODE_MALFORMED;
+	cJSON_ArrayForEach (item, list)
+		if (decode_report(item, &reports[i++]) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
+}
+
+enum fl_decode_result fl_status_answer_decode(const char *text, size_t length,
+                                              struct fl_job_status_report *reports, int count)
+{
+	cJSON *object = fl_json_parse(text, length);
+	enum fl_decode_result result = decode_reports(fl_json_get(object, "jobs"), reports, count);
+
 	cJSON_Delete(object);
-	return rc;
+	return result;
 }
--- a/src/protocol/status_messages.h
+++ b/src/protocol/status_messages.h
@@ -1,25 +1,34 @@
-/* Between controllers: status queries for many jobs in one request, answered in the same order. */
+/*
+ * Between controllers: status queries for many jobs in one request, answered in the same order. Job
+ * ids and counts are checked where they enter.
+ */
 #ifndef FL_PROTOCOL_STATUS_MESSAGES_H
 #define FL_PROTOCOL_STATUS_MESSAGES_H
 
 #include "protocol/users.h"
 
+/* Where such queries go at another controller. */
 #define FL_PATH_STATUS "/status"
-enum { FL_STATUS_QUERY_MAX = 256 }; /* jobs in one request */
+
+/* Jobs in one query at most. */
+enum { FL_STATUS_QUERY_MAX = 256 };
 
 /* What a user is told of a job. */
 struct fl_job_status_report {
-	bool known; /* else the leader's memory does not settle it */
+	bool known; /* else the leader's memory does not settle it, and the records must */
 	enum fl_job_status status;
 	uint32_t done_count, running_count; /* tasks, for display */
 };
 
+/* The text of a query for `count` jobs, to be freed. */
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count);
-/* How many ids were read into `refs`, or -EPROTO. */
-int fl_status_query_decode(const char *text, size_t len, char (*refs)[FL_REF_MAX]);
-char *fl_status_answer_encode(const struct fl_job_status_report *states, int count);
-/* The answer must be of exactly `count` jobs: 0, or -EPROTO. */
-int fl_status_answer_decode(const char *text, size_t len, struct fl_job_status_report *states,
-                            int count);
+/* Reads a query of at most FL_STATUS_QUERY_MAX jobs into `refs`. */
+enum fl_decode_result fl_status_query_decode(const char *text, size_t length,
+                                             char (*refs)[FL_REF_MAX], int *count);
+/* The text of the answer, to be freed; `reports` in the order of the query. */
+char *fl_status_answer_encode(const struct fl_job_status_report *reports, int count);
+/* Reads an answer, which must be of exactly `count` jobs. */
+enum fl_decode_result fl_status_answer_decode(const char *text, size_t length,
+                                              struct fl_job_status_report *reports, int count);
 
 #endif
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -29,6 +29,15 @@
 	return digit_count >= 6 && digit_count <= 12 && ref[prefix_length + digit_count] == 0;
 }
 
+bool fl_job_ref_decode(const cJSON *value, char ref[FL_REF_MAX])
+{
+	if (!cJSON_IsString(value) || strlen(value->valuestring) >= FL_REF_MAX ||
+	    !fl_job_ref_is_valid(value->valuestring))
+		return false;
+	fl_copy_string(ref, FL_REF_MAX, value->valuestring);
+	return true;
+}
+
 /* Names are neither empty nor hold control characters, which JSON escapes sixfold in a record. */
 static bool is_valid_name(const char *name)
 {
@@ -67,15 +76,6 @@
 	return true;
 }
 
-static bool decode_ref(const cJSON *object, struct fl_job_spec *out)
-{
-	if (fl_json_get_string(object, FL_FIELD_REF, out->ref, sizeof(out->ref)) == FL_JSON_OK &&
-	    fl_job_ref_is_valid(out->ref))
-		return true;
-	out->ref[0] = 0;
-	return false;
-}
-
 static bool decode_kind(const cJSON *object, struct fl_job_spec *out)
 {
 	int kind;
@@ -126,7 +126,7 @@
 /* What the job is; NULL, or the first bad field. */
 static const char *decode_identity(const cJSON *object, struct fl_job_spec *out)
 {
-	if (!decode_ref(object, out))
+	if (!fl_job_ref_decode(fl_json_get(object, FL_FIELD_REF), out->ref))
 		return FL_FIELD_REF;
 	if (!decode_name(object, FL_FIELD_JOB_CLASS, out->job_class))
 		return FL_FIELD_JOB_CLASS;
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -61,6 +61,8 @@
 
 /* Is it a well-formed job id? */
 bool fl_job_ref_is_valid(const char *ref);
+/* Reads a job id from JSON; false, with `ref` unchanged, if the value is none. */
+bool fl_job_ref_decode(const cJSON *value, char ref[FL_REF_MAX]);
 /*
  * Decodes and checks a description; returns NULL, or the wire name of the first bad field. `ref` is
  * empty if it is bad, and stands if a later field is.
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -1,6 +1,5 @@
 #include "protocol/workers.h"
 
-#include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,124 +7,124 @@
 static const char *const state_names[] = {"pulling", "running", "flushing", "ended", "gathering"};
 static const char *const exit_names[] = {"done", "stopped", "error",      "no_room",
                                          "busy", "no_such", "mates_gone", "alone"};
-static const char *const verb_names[] = {"launch", "kill", "forget"};
+static const char *const command_names[] = {"launch", "kill", "forget"};
 
-static int find(const char *s, const char *const *names, int n)
-{
-	for (int i = 0; i < n; i++)
-		if (strcmp(s, names[i]) == 0)
-			return i;
-	return -1;
-}
+#define COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
+
+/* The statuses of a worker's answers that hold a heartbeat. */
+enum { STATUS_ACCEPTED = 200, STATUS_REJECTED = 409 };
 
 /* "run-000412/3" */
-static int split_task(const char *name, struct fl_task_status *status)
+static bool decode_task_name(const char *name, struct fl_task_status *status)
 {
 	const char *slash = strchr(name, '/');
-	char *end;
+	size_t ref_length;
 	unsigned long index;
+	char *end;
 
-	if (!slash || (size_t)(slash - name) >= sizeof(status->ref) || slash[1] < '0' ||
-	    slash[1] > '9')
-		return -EPROTO;
-	memcpy(status->ref, name, (size_t)(slash - name));
-	status->ref[slash - name] = 0;
+	if (!slash)
+		return false;
+	ref_length = (size_t)(slash - name);
+	if (ref_length >= sizeof(status->ref) || slash[1] < '0' || slash[1] > '9')
+		return false;
+	memcpy(status->ref, name, ref_length);
+	status->ref[ref_length] = 0;
 	index = strtoul(slash + 1, &end, 10);
 	if (*end || index >= FL_TASKS_MAX || !fl_job_ref_is_valid(status->ref))
-		return -EPROTO;
+		return false;
 	status->index = (uint32_t)index;
-	return 0;
+	return true;
 }
 
-static int decode_task(const cJSON *item, struct fl_task_status *status)
+static enum fl_decode_result decode_task(const cJSON *item, struct fl_task_status *status)
 {
-	char name[FL_REF_MAX + 16], word[32];
+	char name[FL_REF_MAX + 16];
 	uint64_t attempt;
-	int k;
+	int state, reason;
 
 	if (fl_json_get_string(item, "Part", name, sizeof(name)) != FL_JSON_OK ||
-	    split_task(name, status) != 0)
-		return -EPROTO;
+	    !decode_task_name(name, status))
+		return FL_DECODE_MALFORMED;
 	if (fl_json_get_count(item, "Try", &attempt) != FL_JSON_OK || attempt > UINT32_MAX)
-		return -EPROTO;
+		return FL_DECODE_MALFORMED;
 	status->attempt = (uint32_t)attempt;
-	if (fl_json_get_string(item, "Status", word, sizeof(word)) != FL_JSON_OK)
-		return -EPROTO;
-	k = find(word, state_names, 5);
-	if (k < 0)
-		return -EPROTO;
-	status->state = (enum fl_task_state)k;
+	if (fl_json_get_choice(item, "Status", state_names, COUNT_OF(state_names), &state) !=
+	    FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	status->state = (enum fl_task_state)state;
 	status->exit = FL_EXIT_OTHER;
-	if (fl_json_get_string(item, "ExitReason", word, sizeof(word)) == FL_JSON_OK) {
-		k = find(word, exit_names, 8);
-		if (k >= 0)
-			status->exit = (enum fl_exit)k;
-	}
+	if (fl_json_get_choice(item, "ExitReason", exit_names, COUNT_OF(exit_names), &reason) ==
+	    FL_JSON_OK)
+		status->exit = (enum fl_exit)reason;
 	fl_json_get_bool(item, "Saved", &status->saved);
-	return 0;
+	return FL_DECODE_OK;
 }
 
-static int decode_tasks(const cJSON *list, struct fl_heartbeat *out)
+static enum fl_decode_result decode_tasks(const cJSON *list, struct fl_heartbeat *out)
 {
+	int count = cJSON_GetArraySize(list);
 	const cJSON *item;
-	int n = cJSON_GetArraySize(list);
 
-	if (n == 0)
-		return 0;
-	out->tasks = calloc((size_t)n, sizeof(*out->tasks));
+	/* Without its tasks it would say that none is there, and each would start again. */
+	if (!cJSON_IsArray(list))
+		return FL_DECODE_MALFORMED;
+	if (count == 0)
+		return FL_DECODE_OK;
+	out->tasks = calloc((size_t)count, sizeof(*out->tasks));
 	if (!out->tasks)
-		return -ENOMEM;
+		return FL_DECODE_NO_MEMORY;
 	cJSON_ArrayForEach (item, list) {
-		int rc = decode_task(item, &out->tasks[out->task_count]);
-
-		if (rc)
-			return rc;
+		if (decode_task(item, &out->tasks[out->task_count]) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
 		out->task_count++;
 	}
-	return 0;
+	return FL_DECODE_OK;
 }
 
-static int decode_fields(const cJSON *object, struct fl_heartbeat *out)
+static enum fl_decode_result decode_machine(const cJSON *object, struct fl_heartbeat *out)
 {
-	const cJSON *list = fl_json_get(object, "Parts");
-	enum fl_json_result f;
-
 	if (fl_json_get_string(object, "Host", out->host, sizeof(out->host)) != FL_JSON_OK ||
 	    !out->host[0] ||
 	    fl_json_get_string(object, "Endpoint", out->endpoint, sizeof(out->endpoint)) !=
 	            FL_JSON_OK ||
 	    fl_json_get_string(object, "HostKind", out->type, sizeof(out->type)) != FL_JSON_OK ||
 	    fl_json_get_string(object, "Site", out->zone, sizeof(out->zone)) != FL_JSON_OK ||
-	    fl_json_get_bool(object, "Reclaimable", &out->spot) != FL_JSON_OK ||
+	    fl_json_get_bool(object, "Reclaimable", &out->spot) != FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
+}
+
+static enum fl_decode_result decode_heartbeat(const cJSON *object, struct fl_heartbeat *out)
+{
+	if (decode_machine(object, out) != FL_DECODE_OK ||
 	    fl_json_get_count(object, "Tenure", &out->incarnation) != FL_JSON_OK ||
 	    fl_json_get_count(object, "Serial", &out->sequence) != FL_JSON_OK ||
 	    fl_json_get_count(object, "Epoch", &out->fencing_token) != FL_JSON_OK)
-		return -EPROTO;
-	f = fl_json_get_amount(object, "ReclaimInS", &out->interruption_in_s);
-	if (f != FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	if (fl_json_get_amount(object, "ReclaimInS", &out->interruption_in_s) != FL_JSON_OK)
 		out->interruption_in_s = -1;
-	/* Without its tasks a report would say that none is there, and each would start again. */
-	return cJSON_IsArray(list) ? decode_tasks(list, out) : -EPROTO;
+	return decode_tasks(fl_json_get(object, "Parts"), out);
 }
 
-int fl_heartbeat_decode_json(const cJSON *object, struct fl_heartbeat *out)
+enum fl_decode_result fl_heartbeat_decode_json(const cJSON *object, struct fl_heartbeat *out)
 {
-	int rc;
+	enum fl_decode_result result = FL_DECODE_MALFORMED;
 
 	memset(out, 0, sizeof(*out));
-	rc = cJSON_IsObject(object) ? decode_fields(object, out) : -EPROTO;
-	if (rc)
+	if (cJSON_IsObject(object))
+		result = decode_heartbeat(object, out);
+	if (result != FL_DECODE_OK)
 		fl_heartbeat_free(out);
-	return rc;
+	return result;
 }
 
-int fl_heartbeat_decode(const char *body, size_t len, struct fl_heartbeat *out)
+enum fl_decode_result fl_heartbeat_decode(const char *body, size_t length, struct fl_heartbeat *out)
 {
-	cJSON *object = fl_json_parse(body, len);
-	int rc = fl_heartbeat_decode_json(object, out);
+	cJSON *object = fl_json_parse(body, length);
+	enum fl_decode_result result = fl_heartbeat_decode_json(object, out);
 
 	cJSON_Delete(object);
-	return rc;
+	return result;
 }
 
 void fl_heartbeat_free(struct fl_heartbeat *heartbeat)
@@ -135,7 +134,7 @@
 	heartbeat->task_count = 0;
 }
 
-static void add_part_name(cJSON *object, const char *ref, uint32_t index)
+static void add_task_name(cJSON *object, const char *ref, uint32_t index)
 {
 	char name[FL_REF_MAX + 16];
 
@@ -143,6 +142,20 @@
 	cJSON_AddStringToObject(object, "Part", name);
 }
 
+static cJSON *encode_task(const struct fl_task_status *status)
+{
+	cJSON *item = cJSON_CreateObject();
+
+	add_task_name(item, status->ref, status->index);
+	cJSON_AddNumberToObject(item, "Try", status->attempt);
+	cJSON_AddStringToObject(item, "Status", state_names[status->state]);
+	if (status->state == FL_TASK_STATE_EXITED && status->exit != FL_EXIT_OTHER)
+		cJSON_AddStringToObject(item, "ExitReason", exit_names[status->exit]);
+	if (status->saved)
+		cJSON_AddBoolToObject(item, "Saved", true);
+	return item;
+}
+
 char *fl_heartbeat_encode(const struct fl_heartbeat *heartbeat)
 {
 	cJSON *object = cJSON_CreateObject(), *list;
@@ -158,19 +171,8 @@
 	if (heartbeat->interruption_in_s >= 0)
 		cJSON_AddNumberToObject(object, "ReclaimInS", heartbeat->interruption_in_s);
 	list = cJSON_AddArrayToObject(object, "Parts");
-	for (int i = 0; i < heartbeat->task_count; i++) {
-		const struct fl_task_status *status = &heartbeat->tasks[i];
-		cJSON *item = cJSON_CreateObject();
-
-		add_part_name(item, status->ref, status->index);
-		cJSON_AddNumberToObject(item, "Try", status->attempt);
-		cJSON_AddStringToObject(item, "Status", state_names[status->state]);
-		if (status->state == FL_TASK_STATE_EXITED && status->exit != FL_EXIT_OTHER)
-			cJSON_AddStringToObject(item, "ExitReason", exit_names[status->exit]);
-		if (status->saved)
-			cJSON_AddBoolToObject(item, "Saved", true);
-		cJSON_AddItemToArray(list, item);
-	}
+	for (int i = 0; i < heartbeat->task_count; i++)
+		cJSON_AddItemToArray(list, encode_task(&heartbeat->tasks[i]));
 	return fl_json_print_and_delete(object);
 }
 
@@ -192,8 +194,8 @@
 {
 	cJSON *item = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(item, "Verb", verb_names[kind]);
-	add_part_name(item, ref, index);
+	cJSON_AddStringToObject(item, "Verb", command_names[kind]);
+	add_task_name(item, ref, index);
 	cJSON_AddNumberToObject(item, "Try", attempt);
 	if (kind == FL_COMMAND_STOP)
 		cJSON_AddNumberToObject(item, "WindDownS", grace_period_s);
@@ -203,34 +205,36 @@
 
 char *fl_command_list_take(struct fl_command_list *commands)
 {
-	char *s = fl_json_print_and_delete(commands->root);
+	char *text = fl_json_print_and_delete(commands->root);
 
 	commands->root = commands->list = NULL;
-	return s;
+	return text;
 }
 
-int fl_worker_send_commands(const char *endpoint, const char *body, double timeout_s,
-                            struct fl_heartbeat *out)
+static enum fl_worker_result decode_reply(const struct fl_http_reply *reply,
+                                          struct fl_heartbeat *heartbeat)
+{
+	if (reply->status != STATUS_ACCEPTED && reply->status != STATUS_REJECTED)
+		return FL_WORKER_FAILED;
+	if (fl_heartbeat_decode(reply->body.data, reply->body.length, heartbeat) != FL_DECODE_OK)
+		return FL_WORKER_FAILED;
+	return reply->status == STATUS_ACCEPTED ? FL_WORKER_ACCEPTED : FL_WORKER_REJECTED;
+}
+
+enum fl_worker_result fl_worker_send_commands(const char *endpoint, const char *body,
+                                              double timeout_s, struct fl_heartbeat *heartbeat)
 {
 	struct fl_http_client client;
 	struct fl_http_reply reply;
-	int rc = fl_http_client_init(&client, endpoint, 0);
+	enum fl_worker_result result;
 
-	memset(out, 0, sizeof(*out));
-	if (rc)
-		return rc;
-	rc = fl_http_call(&client, "POST", "/commands", body, timeout_s, &reply);
-	if (rc)
-		return rc;
-	rc = reply.status;
-	if (rc == 200 || rc == 409) {
-		int bad = fl_heartbeat_decode(reply.body.data, reply.body.length, out);
-
-		if (bad)
-			rc = bad;
-	}
+	memset(heartbeat, 0, sizeof(*heartbeat));
+	if (fl_http_client_init(&client, endpoint, 0) != 0 ||
+	    fl_http_call(&client, "POST", "/commands", body, timeout_s, &reply) != 0)
+		return FL_WORKER_FAILED;
+	result = decode_reply(&reply, heartbeat);
 	fl_buffer_free(&reply.body);
-	return rc;
+	return result;
 }
 
 char *fl_redirect_encode(const char *node)
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
-#include "protocol/peers.h"
+#include "protocol/heartbeat_digests.h"
 
 /* ---- job records ---- */
 
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -19,6 +19,7 @@
 #include "protocol/cloud.h"
 #include "protocol/status_messages.h"
 #include "protocol/peer_heartbeats.h"
+#include "protocol/heartbeat_digests.h"
 #include "protocol/peers.h"
 #include "protocol/kv_store.h"
 #include "protocol/users.h"
@@ -552,7 +553,7 @@
 
 struct command_results {
 	char *body;
-	int status[3];
+	enum fl_worker_result result[3];
 	struct fl_heartbeat reports[3];
 };
 
@@ -561,7 +562,7 @@
 	struct command_results *got = results;
 
 	for (int i = 0; i < 3; i++)
-		got->status[i] = fl_worker_send_commands(address, got->body, 5, &got->reports[i]);
+		got->result[i] = fl_worker_send_commands(address, got->body, 5, &got->reports[i]);
 }
 
 static void a_direct_command_is_posted_and_answered_with_a_report(void **state)
@@ -589,11 +590,11 @@
 	assert_string_equal(got.body, command_text);
 	contract_run(send_commands, &got, script, COUNT_OF(script));
 	free(got.body);
-	assert_int_equal(got.status[0], 200);
+	assert_int_equal(got.result[0], FL_WORKER_ACCEPTED);
 	expect_report(&got.reports[0], &busy);
-	assert_int_equal(got.status[1], 409);
+	assert_int_equal(got.result[1], FL_WORKER_REJECTED);
 	expect_report(&got.reports[1], &idle_report);
-	assert_int_equal(got.status[2], 400);
+	assert_int_equal(got.result[2], FL_WORKER_FAILED);
 	assert_int_equal(got.reports[2].task_count, 0);
 	for (int i = 0; i < 3; i++)
 		fl_heartbeat_free(&got.reports[i]);
@@ -666,7 +667,7 @@
 }
 
 struct types_results {
-	int rc[3];
+	enum fl_cloud_result result[3];
 	struct fl_cloud_machine_type *types;
 	int count;
 };
@@ -679,9 +680,9 @@
 	int none_count;
 
 	fl_http_client_init(&cloud.http, address, 1);
-	got->rc[0] = fl_cloud_machine_types(&cloud, &got->types, &got->count);
-	got->rc[1] = fl_cloud_machine_types(&cloud, &none, &none_count);
-	got->rc[2] = fl_cloud_machine_types(&cloud, &none, &none_count);
+	got->result[0] = fl_cloud_machine_types(&cloud, &got->types, &got->count);
+	got->result[1] = fl_cloud_machine_types(&cloud, &none, &none_count);
+	got->result[2] = fl_cloud_machine_types(&cloud, &none, &none_count);
 	fl_http_client_close(&cloud.http);
 }
 
@@ -696,15 +697,15 @@
 
 	(void)state;
 	contract_run(ask_for_types, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	expect_types(got.types, got.count);
 	free(got.types);
-	assert_int_equal(got.rc[1], -EAGAIN);
-	assert_int_equal(got.rc[2], -EAGAIN);
+	assert_int_equal(got.result[1], FL_CLOUD_UNAVAILABLE);
+	assert_int_equal(got.result[2], FL_CLOUD_UNAVAILABLE);
 }
 
 struct rental_results {
-	int rc[4];
+	enum fl_cloud_result result[4];
 	char (*hosts[3])[FL_NAME_MAX];
 	int count[3];
 };
@@ -716,13 +717,13 @@
 	struct fl_cloud cloud;
 
 	fl_http_client_init(&cloud.http, address, 1);
-	got->rc[0] = fl_cloud_rent(&cloud, "r-17", "g8", "zone-a", true, 12, &got->hosts[0],
-	                           &got->count[0]);
-	got->rc[1] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[1],
-	                           &got->count[1]);
-	got->rc[2] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[2],
-	                           &got->count[2]);
-	got->rc[3] = fl_cloud_delete(&cloud, returned, COUNT_OF(returned));
+	got->result[0] = fl_cloud_rent(&cloud, "r-17", "g8", "zone-a", true, 12, &got->hosts[0],
+	                               &got->count[0]);
+	got->result[1] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[1],
+	                               &got->count[1]);
+	got->result[2] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[2],
+	                               &got->count[2]);
+	got->result[3] = fl_cloud_delete(&cloud, returned, COUNT_OF(returned));
 	fl_http_client_close(&cloud.http);
 }
 
@@ -747,14 +748,14 @@
 
 	(void)state;
 	contract_run(rent_and_delete, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_int_equal(got.count[0], 2);
 	assert_string_equal(got.hosts[0][0], "m-000231");
 	assert_string_equal(got.hosts[0][1], "m-000232");
 	free(got.hosts[0]);
-	assert_int_equal(got.rc[1], -ENOSPC);
-	assert_int_equal(got.rc[2], -EAGAIN);
-	assert_int_equal(got.rc[3], 0);
+	assert_int_equal(got.result[1], FL_CLOUD_NO_CAPACITY);
+	assert_int_equal(got.result[2], FL_CLOUD_UNAVAILABLE);
+	assert_int_equal(got.result[3], FL_CLOUD_OK);
 }
 
 static const char first_listed_text[] =
@@ -769,7 +770,8 @@
 	"\"More\":false}";
 
 struct list_results {
-	int rc[2], count[2];
+	enum fl_cloud_result result[2];
+	int count[2];
 	struct fl_cloud_machine *hosts[2];
 	bool more[2];
 };
@@ -782,8 +784,8 @@
 
 	fl_http_client_init(&cloud.http, address, 1);
 	for (int i = 0; i < 2; i++)
-		got->rc[i] = fl_cloud_list(&cloud, from[i], &got->hosts[i], &got->count[i],
-		                           &got->more[i]);
+		got->result[i] = fl_cloud_list(&cloud, from[i], &got->hosts[i], &got->count[i],
+		                               &got->more[i]);
 	fl_http_client_close(&cloud.http);
 }
 
@@ -817,12 +819,12 @@
 
 	(void)state;
 	contract_run(list_machines, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_int_equal(got.count[0], 2);
 	assert_true(got.more[0]);
 	expect_listed(&got.hosts[0][0], &expected[0]);
 	expect_listed(&got.hosts[0][1], &expected[1]);
-	assert_int_equal(got.rc[1], 0);
+	assert_int_equal(got.result[1], FL_CLOUD_OK);
 	assert_int_equal(got.count[1], 1);
 	assert_false(got.more[1]);
 	expect_listed(&got.hosts[1][0], &expected[2]);
@@ -1228,9 +1230,11 @@
 	static const char text[] = "{\"refs\":[\"run-000412\",\"run-000413\"]}";
 	static const char refs[][FL_REF_MAX] = {"run-000412", "run-000413"};
 	char got[FL_STATUS_QUERY_MAX][FL_REF_MAX];
+	int count;
 
 	(void)state;
-	assert_int_equal(fl_status_query_decode(text, strlen(text), got), COUNT_OF(refs));
+	assert_int_equal(fl_status_query_decode(text, strlen(text), got, &count), FL_DECODE_OK);
+	assert_int_equal(count, COUNT_OF(refs));
 	assert_string_equal(got[0], refs[0]);
 	assert_string_equal(got[1], refs[1]);
 	expect_text(fl_status_query_encode(refs, COUNT_OF(refs)), text);
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -13,6 +13,7 @@
 
 #include "coordination/follower/isolation.h"
 #include "node_fixture.h"
+#include "protocol/heartbeat_digests.h"
 #include "transport/clock.h"
 
 /* A late copy neither replaces a newer report in the cache nor makes it look fresh. */
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -240,7 +240,7 @@
 	assert_int_equal(answered_rightly(workers), 0);
 }
 
-static int decode_answers(const char *text, int n)
+static enum fl_decode_result decode_answers(const char *text, int n)
 {
 	struct fl_heartbeat_reply answers[4];
 
@@ -267,12 +267,12 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
 		assert_int_equal(fl_peer_heartbeats_decode(bad[i], strlen(bad[i]), &message),
-		                 -EPROTO);
-	assert_int_equal(decode_answers("[]", 1), -EPROTO);
-	assert_int_equal(decode_answers("[{\"status\":200,\"body\":7}]", 1), -EPROTO);
+		                 FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answers("[]", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answers("[{\"status\":200,\"body\":7}]", 1), FL_DECODE_MALFORMED);
 	assert_int_equal(decode_answers("[{\"status\":200,\"body\":\"\"},{\"status\":7}]", 2),
-	                 -EPROTO);
-	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), -EPROTO);
+	                 FL_DECODE_MALFORMED);
+	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), FL_DECODE_MALFORMED);
 	/* What is no report among others is refused alone. */
 	fl_heartbeat_list_add(list, "{\"Host\":7}");
 	text = fl_peer_heartbeats_encode(list, "host-2", true, true);
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -248,14 +248,15 @@
 	free_answers(queries, FL_STATUS_REQUESTS_MAX);
 }
 
-static int decode_query(const char *text)
+static enum fl_decode_result decode_query(const char *text)
 {
 	char refs[FL_STATUS_QUERY_MAX][FL_REF_MAX];
+	int count;
 
-	return fl_status_query_decode(text, strlen(text), refs);
+	return fl_status_query_decode(text, strlen(text), refs, &count);
 }
 
-static int decode_answer(const char *text, int count)
+static enum fl_decode_result decode_answer(const char *text, int count)
 {
 	struct fl_job_status_report states[4];
 
@@ -268,29 +269,31 @@
 	     back[FL_STATUS_QUERY_MAX][FL_REF_MAX];
 	struct fl_job_status_report states[2] = {{true, FL_RUNNING, 3, 13}, {0}}, got[2];
 	char *text = fl_status_query_encode(refs, 2);
+	int count;
 
 	(void)state;
-	assert_int_equal(fl_status_query_decode(text, strlen(text), back), 2);
+	assert_int_equal(fl_status_query_decode(text, strlen(text), back, &count), FL_DECODE_OK);
+	assert_int_equal(count, 2);
 	assert_string_equal(back[1], refs[1]);
 	free(text);
-	assert_int_equal(decode_query("{}"), -EPROTO);
-	assert_int_equal(decode_query("{\"refs\":[\"run-1\"]}"), -EPROTO);
-	assert_int_equal(decode_query("{\"refs\":[\"../../etc\"]}"), -EPROTO);
-	assert_int_equal(decode_query("{\"refs\":[7]}"), -EPROTO);
-	assert_int_equal(decode_query("{\"refs\":{}}"), -EPROTO);
+	assert_int_equal(decode_query("{}"), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_query("{\"refs\":[\"run-1\"]}"), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_query("{\"refs\":[\"../../etc\"]}"), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_query("{\"refs\":[7]}"), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_query("{\"refs\":{}}"), FL_DECODE_MALFORMED);
 	text = fl_status_answer_encode(states, 2);
-	assert_int_equal(fl_status_answer_decode(text, strlen(text), got, 2), 0);
+	assert_int_equal(fl_status_answer_decode(text, strlen(text), got, 2), FL_DECODE_OK);
 	assert_true(got[0].known && got[0].status == FL_RUNNING);
 	assert_int_equal(got[0].done_count, 3);
 	assert_int_equal(got[0].running_count, 13);
 	assert_false(got[1].known);
 	free(text);
-	assert_int_equal(decode_answer("{\"jobs\":[null]}", 2), -EPROTO);
-	assert_int_equal(decode_answer("{\"jobs\":[[9,0,0]]}", 1), -EPROTO);
-	assert_int_equal(decode_answer("{\"jobs\":[[1,0]]}", 1), -EPROTO);
-	assert_int_equal(decode_answer("{\"jobs\":[[1,-1,0]]}", 1), -EPROTO);
-	assert_int_equal(decode_answer("{\"jobs\":[true]}", 1), -EPROTO);
-	assert_int_equal(decode_answer("", 0), -EPROTO);
+	assert_int_equal(decode_answer("{\"jobs\":[null]}", 2), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answer("{\"jobs\":[[9,0,0]]}", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answer("{\"jobs\":[[1,0]]}", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answer("{\"jobs\":[[1,-1,0]]}", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answer("{\"jobs\":[true]}", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answer("", 0), FL_DECODE_MALFORMED);
 }
 
 int main(void)
