--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -104,10 +104,11 @@
 static void add_cancelled(const struct fl_node *node, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
-	int count = fl_finished_jobs_cancelled_since(&node->cluster, since, list,
-	                                             FL_GOSSIP_CANCELLED_MAX);
+	int count;
 
-	if (!node->jobs_known || count < 0)
+	if (!fl_finished_jobs_cancelled_since(&node->cluster, since, FL_GOSSIP_CANCELLED_MAX, list,
+	                                      &count) ||
+	    !node->jobs_known)
 		return;
 	gossip->cancelled = calloc((size_t)count + 1, sizeof(*gossip->cancelled));
 	if (!gossip->cancelled)
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -26,7 +26,7 @@
 	struct fl_job *job;
 
 	if (strlen(ref) >= FL_REF_MAX || !event->value ||
-	    fl_job_record_decode(event->value, ref, &record) != 0) {
+	    fl_job_record_decode(event->value, ref, &record) != FL_DECODE_OK) {
 		fl_error("failover", "unreadable record: %s", event->key);
 		load->unreadable_record_count++;
 		return;
@@ -62,7 +62,7 @@
 	uint32_t block_index;
 	struct fl_job *job;
 
-	if (fl_key_progress_parse(event->key, ref, &block_index) != 0) {
+	if (fl_key_progress_parse(event->key, ref, &block_index) != FL_DECODE_OK) {
 		load->unreadable_record_count++;
 		return;
 	}
@@ -74,7 +74,7 @@
 		return;
 	}
 	if (fl_task_block_restore(&load->node->cluster, job, block_index, event->value,
-	                          event->mod_revision, &load->wal, load->now) != 0) {
+	                          event->mod_revision, &load->wal, load->now) != FL_DECODE_OK) {
 		fl_error("failover", "unreadable record: %s", event->key);
 		load->unreadable_record_count++;
 	}
@@ -85,7 +85,7 @@
 {
 	struct load *load = context;
 
-	if (fl_wal_read(&load->wal, event->value) != 0) {
+	if (fl_wal_read(&load->wal, event->value) != FL_DECODE_OK) {
 		fl_error("failover", "unreadable record: %s", event->key);
 		load->unreadable_record_count++;
 	}
@@ -106,7 +106,7 @@
 		if (group->restored || !job)
 			continue;
 		if (fl_task_block_restore(cluster, job, group->block_index, NULL, 0, &load->wal,
-		                          load->now) != 0) {
+		                          load->now) != FL_DECODE_OK) {
 			fl_error("failover", "unreadable write-ahead log: job=%s block=%u",
 			         group->ref, group->block_index);
 			load->unreadable_record_count++;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -43,11 +43,12 @@
 	                   sizeof(struct fl_finished_job));
 	snprintf(node->process_id, sizeof(node->process_id), "%s-%.6f", config->node, fl_wall());
 	for (int i = 0; i < config->zone_count; i++)
-		if (fl_symbol_intern(&node->cluster.zones, config->zones[i]) < 0)
+		if (fl_symbol_intern(&node->cluster.zones, config->zones[i]) == FL_INDEX_NONE)
 			return -ENOMEM;
 	for (int i = 0; i < config->slo_count; i++)
 		if (config->slos[i].job_class[0] &&
-		    fl_symbol_intern(&node->cluster.classes, config->slos[i].job_class) < 0)
+		    fl_symbol_intern(&node->cluster.classes, config->slos[i].job_class) ==
+		            FL_INDEX_NONE)
 			return -ENOMEM;
 	node->slo_class_count = node->cluster.classes.count;
 	for (int i = 0; i < config->team_count; i++) {
--- a/src/coordination/persistence/finished_jobs_loader.c
+++ b/src/coordination/persistence/finished_jobs_loader.c
@@ -18,7 +18,8 @@
 	struct fl_job_record record;
 
 	if (strlen(ref) >= FL_REF_MAX || !event->value ||
-	    fl_job_record_decode(event->value, ref, &record) != 0 || record.status != FL_DONE)
+	    fl_job_record_decode(event->value, ref, &record) != FL_DECODE_OK ||
+	    record.status != FL_DONE)
 		return;
 	if (!cluster->finished_max || HASH_COUNT(cluster->finished) < cluster->finished_max)
 		fl_finished_job_add(cluster, ref, record.status, record.task_count, 0);
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -56,7 +56,7 @@
 
 		if (index >= job->task_count ||
 		    fl_task_place(&node->cluster, job, index, machine,
-		                  node->leader_lease.fencing_token, now) != 0)
+		                  node->leader_lease.fencing_token, now) != FL_PLACE_OK)
 			continue;
 		fl_machine_record_image(machine, job->image);
 		/* What it was reserved for has started; who still waits requests it again in each
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -20,7 +20,7 @@
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
-	/* A leader that is cut off: it still has the tasks to count, and reads the record later. */
+	/* An isolated leader: it still has the tasks to count, and reads the record later. */
 	job->cancelled = true;
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
@@ -28,13 +28,13 @@
 void fl_cluster_describe(struct fl_cluster *cluster, struct fl_machine *machine, int type, int zone,
                          bool spot, const char *endpoint)
 {
-	bool was_known = machine->zone >= 0;
+	bool was_known = machine->zone != FL_INDEX_NONE;
 
 	(void)cluster;
 	if (zone >= FL_ZONES_MAX)
 		return;
 	fl_machine_describe(machine, type, zone, spot, endpoint);
-	if (was_known || machine->zone < 0)
+	if (was_known || machine->zone == FL_INDEX_NONE)
 		return;
 	for (int i = 0; i < machine->assignment_count; i++) {
 		machine->assignments[i].job->placement.in_unknown_zone--;
@@ -42,35 +42,53 @@
 	}
 }
 
+/* Nothing may point to it any more: no attempt, and no command that is under way. */
+static bool is_purgeable(const struct fl_machine *machine, double before)
+{
+	return machine->lifecycle.decommissioned && machine->lifecycle.decommissioned_at < before &&
+	       machine->assignment_count == 0 && !machine->outbound.command_in_flight;
+}
+
+/* The machine has got another id, by which its tasks refer to it. */
+static void update_machine_of_tasks(const struct fl_machine *machine)
+{
+	for (int i = 0; i < machine->assignment_count; i++) {
+		const struct fl_assignment *assignment = &machine->assignments[i];
+
+		fl_task_peek(assignment->job, assignment->index)->machine = machine->id;
+	}
+}
+
 void fl_cluster_purge_tombstones(struct fl_cluster *cluster, double before)
 {
 	for (int i = cluster->machines.count - 1; i >= 0; i--) {
 		struct fl_machine *machine = cluster->machines.by_id[i], *moved;
 
-		if (!machine->lifecycle.decommissioned ||
-		    machine->lifecycle.decommissioned_at >= before ||
-		    machine->assignment_count > 0 || machine->outbound.command_in_flight)
+		if (!is_purgeable(machine, before))
 			continue;
 		moved = fl_machine_drop(&cluster->machines, machine);
-		for (int k = 0; moved && k < moved->assignment_count; k++)
-			fl_task_peek(moved->assignments[k].job, moved->assignments[k].index)
-				->machine = moved->id;
+		if (moved)
+			update_machine_of_tasks(moved);
 	}
 }
 
+static void forget_tasks_of(struct fl_job *job)
+{
+	fl_job_free_task_blocks(job);
+	job->counts = (struct fl_job_counts){.waiting = job->task_count};
+	job->placement = (struct fl_job_placement){0};
+	job->retry.not_before = 0;
+	job->record.is_dirty = false;
+	job->record.final_write_in_flight = false;
+	job->record.final_write_unknown = false;
+}
+
 void fl_cluster_forget_tasks(struct fl_cluster *cluster)
 {
-	struct fl_job *job, *tmp;
+	struct fl_job *job, *next;
 
-	HASH_ITER (hh, cluster->jobs, job, tmp) {
-		fl_job_free_task_blocks(job);
-		job->counts.waiting = job->task_count;
-		job->counts.placed = job->counts.running = job->counts.done = 0;
-		memset(job->placement.by_zone, 0, sizeof(job->placement.by_zone));
-		job->placement.in_unknown_zone = job->placement.scan_from = 0;
-		job->record.is_dirty = job->record.final_write_in_flight =
-			job->record.final_write_unknown = false;
-		job->retry.not_before = job->placement.window_until = 0;
+	HASH_ITER (hh, cluster->jobs, job, next) {
+		forget_tasks_of(job);
 		if (job->cancelled)
 			fl_job_finalise(cluster, job, FL_CANCELLED);
 	}
@@ -82,15 +100,15 @@
 
 void fl_cluster_free(struct fl_cluster *cluster)
 {
-	struct fl_finished_job *finished, *ftmp;
-	struct fl_job *job, *jtmp;
+	struct fl_finished_job *finished, *next_finished;
+	struct fl_job *job, *next_job;
 
-	HASH_ITER (hh, cluster->jobs, job, jtmp) {
+	HASH_ITER (hh, cluster->jobs, job, next_job) {
 		HASH_DEL(cluster->jobs, job);
 		fl_job_free_task_blocks(job);
 		free(job);
 	}
-	HASH_ITER (hh, cluster->finished, finished, ftmp) {
+	HASH_ITER (hh, cluster->finished, finished, next_finished) {
 		HASH_DEL(cluster->finished, finished);
 		free(finished);
 	}
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -1,21 +1,24 @@
 /*
  * The state of the cluster as one node knows it: live jobs and their tasks, finished jobs, teams
- * and machines.
+ * and machines. A follower holds the descriptions of jobs only; a leader also tasks and machines.
+ * The counts of jobs, teams, machines and zones always agree with the phases of the tasks, so
+ * phases change through tasks.h alone. Times are steady, in seconds, unless their name says _wall.
  */
 #ifndef FL_STORAGE_CLUSTER_H
 #define FL_STORAGE_CLUSTER_H
 
 #include <uthash.h>
 
+#include "protocol/users.h"
 #include "storage/machines.h"
 #include "storage/teams.h"
-#include "protocol/users.h"
 
-enum { FL_TASK_BLOCK_SIZE = 64 }; /* tasks in one record: stays well within 4 KiB a value */
+/* Tasks in one progress record, which so stays well within 4 KiB a value. */
+enum { FL_TASK_BLOCK_SIZE = 64 };
 
 /* Where a task stands. */
 enum fl_task_phase { FL_TASK_WAITING, FL_TASK_PLACED, FL_TASK_DONE };
-/* What its worker last reported of a placed task. */
+/* What the newest heartbeat said of a placed task. */
 enum fl_observed_state {
 	FL_OBSERVED_NONE,
 	FL_OBSERVED_PULLING,
@@ -30,15 +33,15 @@
 	enum fl_task_phase phase : 8;
 	enum fl_observed_state observed : 8;
 	enum fl_stop_reason stop_reason : 8;
-	uint8_t failure_count;  /* error exits in a row */
-	bool start_sent;        /* an answer ordered its launch, and no report has shown it yet */
-	uint32_t attempt;       /* the last one used; 0: none yet */
-	int32_t machine;        /* id, while PLACED */
-	uint64_t incarnation;   /* of the machine, at placement */
-	uint64_t fencing_token; /* in which this leader placed it; 0: read from a record */
-	uint64_t generation;    /* of the chunk, when this task last changed */
-	double running_since;   /* placed; or, when running, began to run */
-	double placed_wall;     /* wall time of the placement, for the record */
+	uint8_t failure_count; /* error exits in a row */
+	bool start_sent;      /* a reply had its start command, and no heartbeat has shown it yet */
+	uint32_t attempt;     /* the last one used; 0: none yet */
+	int32_t machine;      /* id, while PLACED */
+	uint64_t incarnation; /* of the machine, at placement */
+	uint64_t fencing_token; /* of this leader when it placed it; 0: read from a record */
+	uint64_t generation;    /* of the block, when this task last changed */
+	double running_since;   /* of its placement or, when running, of its start */
+	double placed_wall;     /* of the placement, for the record */
 	double not_before;      /* WAITING: backoff */
 };
 
@@ -47,12 +50,12 @@
 	struct fl_task tasks[FL_TASK_BLOCK_SIZE];
 	uint64_t generation;        /* counts changes; a task has that of its last one */
 	uint64_t saved_generation;  /* up to which changes stand in the record */
-	uint64_t logged_generation; /* and in the log or the record: those are durable */
-	uint64_t mod_revision;      /* KeyRev of the record; 0: none */
-	bool revision_unknown;      /* a write went unanswered: read before writing again */
+	uint64_t logged_generation; /* and in the write-ahead log or the record: durable */
+	uint64_t mod_revision;      /* of the record; 0: there is none */
+	bool revision_unknown;      /* a write had an unknown outcome: read before writing again */
 };
 
-/* How many of a job's tasks are in each phase; the running ones are placed, too. */
+/* How many of a job's tasks are in each phase; running ones count as placed, too. */
 struct fl_job_counts {
 	uint32_t waiting, placed, running, done;
 };
@@ -62,12 +65,12 @@
 	uint32_t by_zone[FL_ZONES_MAX];
 	uint32_t in_unknown_zone; /* on machines whose zone is not known yet */
 	uint32_t scan_from;       /* no task below it is WAITING */
-	double window_until;      /* steady; backfill window while this job is on top; 0: not set */
+	double window_until; /* backfill window while this job is first in the queue; 0: not set */
 };
 
 /* When a job that fails may try again. */
 struct fl_job_retry {
-	double not_before;             /* steady; backoff of the whole job */
+	double not_before;             /* backoff of the whole job */
 	uint32_t consecutive_failures; /* error exits in a row, on any machine */
 };
 
@@ -85,18 +88,17 @@
 struct fl_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
-	int job_class, team, image, zone; /* zone -1: any */
+	int job_class, team, image, zone; /* indexes; zone FL_INDEX_NONE: any */
 	enum fl_job_kind kind;
 	enum fl_priority priority;
 	uint32_t task_count;
 	double cpus, gpus, ram_gb, image_gb; /* of one task */
 	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s;
-	uint32_t types; /* bit per allowed machine type */
+	uint32_t types; /* bit per allowed machine type; UINT32_MAX: any */
 	bool same_zone, spread_zones, spot_allowed;
-	bool within_guaranteed; /* fits its team's guaranteed quota, after the team's earlier jobs
-	                         */
-	bool cancelled;         /* its final record says so; tasks may still have to go */
-	double cancelled_at;    /* steady; when its user was told, or before */
+	bool within_guaranteed; /* fits its team's guaranteed quota, after its earlier jobs */
+	bool cancelled;         /* its final record says so; tasks may still have to be stopped */
+	double cancelled_at;    /* when its user was told, or before */
 	double submitted_wall;
 	struct fl_job_record_state record;
 	struct fl_job_counts counts;
@@ -106,17 +108,17 @@
 	struct fl_task_block **blocks; /* NULL entry: all its tasks wait and never ran */
 };
 
-/* What is kept at hand of a job that is over; its record is kept for ever. */
+/* What memory holds of a job that is over; its record is kept for ever. */
 struct fl_finished_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
 	enum fl_job_status status : 8;
 	uint32_t task_count;
-	double cancelled_at; /* steady, of one that is CANCELLED: its tasks must be gone in time */
-	double learned_at;   /* steady; since when this process knows it */
+	double cancelled_at; /* of one that is CANCELLED: its tasks must be gone in time */
+	double learned_at;   /* since when this process knows it */
 };
 
-/* All that a node knows of jobs and machines. */
+/* All that a node knows of jobs and machines. Zero-initialised is empty. */
 struct fl_cluster {
 	struct fl_symbol_table classes, images, zones;
 	struct fl_teams teams;
@@ -124,22 +126,20 @@
 	struct fl_job *jobs;              /* live, by ref */
 	struct fl_finished_job *finished; /* by ref, oldest first */
 	unsigned finished_max;      /* the oldest beyond it are left to the records; 0: no limit */
-	double finished_dropped_at; /* steady; the newest of what was learned and is not held any
-	                             * more
-	                             */
-	struct fl_job *dirty;       /* jobs with unsaved chunks */
+	double finished_dropped_at; /* when the newest of those that were dropped was learned */
+	struct fl_job *dirty;       /* jobs with unsaved blocks */
 	uint64_t list_revision;     /* of the list that the leadership began with */
 	bool leading;               /* tasks and machines are held here, not only descriptions */
 };
 
-/* Another controller says that this job is cancelled; what the record says comes later. */
+/* Another controller says that this job is cancelled; its record follows later. */
 void fl_cluster_learn_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at);
-/* A machine's place becomes known: its attempts now count in their zone. */
+/* A machine's type and zone become known: its attempts now count in their zone. */
 void fl_cluster_describe(struct fl_cluster *cluster, struct fl_machine *machine, int type, int zone,
                          bool spot, const char *endpoint);
-/* Drops tombstones older than `before`. Only where no machine or id is held across a wait. */
+/* Frees tombstones older than `before`. Only where no machine or id is held across a wait. */
 void fl_cluster_purge_tombstones(struct fl_cluster *cluster, double before);
-/* Everything that only a leader knows goes: tasks, machines, usage. */
+/* Frees what only a leader knows: tasks, machines, usage. */
 void fl_cluster_forget_tasks(struct fl_cluster *cluster);
 /* Frees all that the cluster holds, but not the cluster itself. */
 void fl_cluster_free(struct fl_cluster *cluster);
--- a/src/storage/election_records.h
+++ b/src/storage/election_records.h
@@ -8,7 +8,7 @@
 #include "protocol/json.h"
 #include "protocol/users.h"
 
-/* Bytes of a process's name with its terminator. */
+/* Bytes of a process id with its terminator. */
 enum { FL_PROCESS_ID_MAX = 96 };
 
 /* The leader's record. */
@@ -17,11 +17,11 @@
 	char process_id[FL_PROCESS_ID_MAX]; /* empty if the record has none */
 };
 
-/* The value of FL_KEY_LEADER. */
+/* The value of FL_KEY_LEADER, owned by the caller. */
 cJSON *fl_leader_record_encode(const char *node, const char *process_id);
 /* Reads it; false, with `out` unchanged, if it names no node. */
 bool fl_leader_record_decode(const cJSON *value, struct fl_leader_record *out);
-/* The value of FL_KEY_FENCING_TOKEN. */
+/* The value of FL_KEY_FENCING_TOKEN, owned by the caller. */
 cJSON *fl_fencing_token_record_encode(uint64_t fencing_token);
 /* Reads it; false, with `out` unchanged, if it holds none. */
 bool fl_fencing_token_record_decode(const cJSON *value, uint64_t *out);
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -1,6 +1,5 @@
 #include "storage/finished_jobs.h"
 
-#include <errno.h>
 #include <stdlib.h>
 
 #include "transport/clock.h"
@@ -14,6 +13,15 @@
 	return finished;
 }
 
+static void drop_oldest(struct fl_cluster *cluster)
+{
+	struct fl_finished_job *oldest = cluster->finished;
+
+	HASH_DEL(cluster->finished, oldest);
+	cluster->finished_dropped_at = oldest->learned_at;
+	free(oldest);
+}
+
 void fl_finished_job_add(struct fl_cluster *cluster, const char *ref, enum fl_job_status status,
                          uint32_t task_count, double cancelled_at)
 {
@@ -32,31 +40,32 @@
 	finished->cancelled_at = cancelled_at;
 	finished->learned_at = fl_now();
 	HASH_ADD_STR(cluster->finished, ref, finished);
-	if (cluster->finished_max > 0 && HASH_COUNT(cluster->finished) > cluster->finished_max) {
-		struct fl_finished_job *oldest = cluster->finished;
+	if (cluster->finished_max > 0 && HASH_COUNT(cluster->finished) > cluster->finished_max)
+		drop_oldest(cluster);
+}
 
-		HASH_DEL(cluster->finished, oldest);
-		cluster->finished_dropped_at = oldest->learned_at;
-		free(oldest);
-	}
+/* The one learned last; NULL: there is none. */
+static const struct fl_finished_job *newest_of(const struct fl_cluster *cluster)
+{
+	if (!cluster->finished)
+		return NULL;
+	return ELMT_FROM_HH(cluster->finished->hh.tbl, cluster->finished->hh.tbl->tail);
 }
 
-int fl_finished_jobs_cancelled_since(const struct fl_cluster *cluster, double since,
-                                     const struct fl_finished_job **out, int most)
+bool fl_finished_jobs_cancelled_since(const struct fl_cluster *cluster, double since, int max,
+                                      const struct fl_finished_job **out, int *count)
 {
-	const struct fl_finished_job *finished = NULL;
-	int n = 0;
+	const struct fl_finished_job *finished = newest_of(cluster);
 
+	*count = 0;
 	if (cluster->finished_dropped_at > since)
-		return -E2BIG;
-	if (cluster->finished)
-		finished = ELMT_FROM_HH(cluster->finished->hh.tbl, cluster->finished->hh.tbl->tail);
+		return false;
 	for (; finished && finished->learned_at >= since; finished = finished->hh.prev) {
 		if (finished->status != FL_CANCELLED)
 			continue;
-		if (n == most)
-			return -E2BIG;
-		out[n++] = finished;
+		if (*count == max)
+			return false;
+		out[(*count)++] = finished;
 	}
-	return n;
+	return true;
 }
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -1,16 +1,15 @@
 #include "storage/job_records.h"
 
-#include <errno.h>
 #include <string.h>
 
 #include "storage/keys.h"
 #include "transport/text.h"
 
-cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted)
+cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted_wall)
 {
 	cJSON *object = fl_job_spec_encode(spec);
 
-	cJSON_AddNumberToObject(object, "submitted", submitted);
+	cJSON_AddNumberToObject(object, "submitted", submitted_wall);
 	return object;
 }
 
@@ -26,15 +25,30 @@
 	return add_final(cJSON_CreateObject(), status, task_count);
 }
 
-cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled)
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted_wall,
+                               double cancelled_wall)
 {
 	cJSON *object =
-		add_final(fl_job_record_live(spec, submitted), FL_CANCELLED, spec->task_count);
+		add_final(fl_job_record_live(spec, submitted_wall), FL_CANCELLED, spec->task_count);
 
-	cJSON_AddNumberToObject(object, "cancelled", cancelled);
+	cJSON_AddNumberToObject(object, "cancelled", cancelled_wall);
 	return object;
 }
 
+static void describe_machine_types(const struct fl_cluster *cluster, const struct fl_job *job,
+                                   struct fl_job_spec *out)
+{
+	if (job->types == UINT32_MAX) {
+		out->machine_type_count = FL_ANY_MACHINE_TYPE;
+		return;
+	}
+	out->machine_type_count = 0;
+	for (int i = 0; i < cluster->machines.type_count; i++)
+		if ((job->types >> i & 1) && out->machine_type_count < FL_ALLOWED_TYPES_MAX)
+			fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
+			               cluster->machines.types[i].name);
+}
+
 void fl_job_describe(const struct fl_cluster *cluster, const struct fl_job *job,
                      struct fl_job_spec *out)
 {
@@ -45,13 +59,9 @@
 	fl_copy_string(out->team, sizeof(out->team), cluster->teams.by_index[job->team].name);
 	fl_copy_string(out->image, sizeof(out->image),
 	               fl_symbol_name(&cluster->images, job->image));
-	out->has_zone = job->zone >= 0;
+	out->has_zone = job->zone != FL_INDEX_NONE;
 	fl_copy_string(out->zone, sizeof(out->zone), fl_symbol_name(&cluster->zones, job->zone));
-	out->machine_type_count = job->types == UINT32_MAX ? -1 : 0;
-	for (int k = 0; out->machine_type_count >= 0 && k < cluster->machines.type_count; k++)
-		if ((job->types >> k & 1) && out->machine_type_count < FL_ALLOWED_TYPES_MAX)
-			fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
-			               cluster->machines.types[k].name);
+	describe_machine_types(cluster, job, out);
 	out->kind = job->kind;
 	out->priority = job->priority;
 	out->task_count = job->task_count;
@@ -68,47 +78,55 @@
 	out->spot_allowed = job->spot_allowed;
 }
 
-static int decode_final(const cJSON *value, const char *word, struct fl_job_record *out)
+static enum fl_decode_result decode_final_status(const char *name, enum fl_job_status *out)
+{
+	if (strcmp(name, fl_status_name(FL_DONE)) == 0)
+		*out = FL_DONE;
+	else if (strcmp(name, fl_status_name(FL_CANCELLED)) == 0)
+		*out = FL_CANCELLED;
+	else
+		return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
+}
+
+/* The fields of a final state, if the record holds one. */
+static enum fl_decode_result decode_final(const cJSON *value, struct fl_job_record *out)
 {
+	enum fl_json_result final;
 	uint64_t task_count;
+	char name[16];
 
-	if (strcmp(word, fl_status_name(FL_DONE)) == 0)
-		out->status = FL_DONE;
-	else if (strcmp(word, fl_status_name(FL_CANCELLED)) == 0)
-		out->status = FL_CANCELLED;
-	else
-		return -EPROTO;
+	final = fl_json_get_string(value, "final", name, sizeof(name));
+	if (final == FL_JSON_ABSENT)
+		return FL_DECODE_OK;
+	if (final == FL_JSON_INVALID || decode_final_status(name, &out->status) != FL_DECODE_OK)
+		return FL_DECODE_MALFORMED;
 	if (fl_json_get_count(value, "parts", &task_count) != FL_JSON_OK ||
-	    task_count > FL_TASKS_MAX)
-		return -EPROTO;
+	    task_count > FL_TASKS_MAX ||
+	    fl_json_get_amount(value, "cancelled", &out->cancelled_wall) == FL_JSON_INVALID)
+		return FL_DECODE_MALFORMED;
+	out->final = true;
 	out->task_count = (uint32_t)task_count;
-	return fl_json_get_amount(value, "cancelled", &out->cancelled_wall) == FL_JSON_INVALID
-	               ? -EPROTO
-	               : 0;
+	return FL_DECODE_OK;
 }
 
-int fl_job_record_decode(const cJSON *value, const char *ref, struct fl_job_record *out)
+enum fl_decode_result fl_job_record_decode(const cJSON *value, const char *ref,
+                                           struct fl_job_record *out)
 {
-	enum fl_json_result final;
-	char word[16];
-
 	memset(out, 0, sizeof(*out));
-	final = fl_json_get_string(value, "final", word, sizeof(word));
-	if (final == FL_JSON_INVALID)
-		return -EPROTO;
-	out->final = final == FL_JSON_OK;
-	if (out->final && decode_final(value, word, out) != 0)
-		return -EPROTO;
+	if (decode_final(value, out) != FL_DECODE_OK)
+		return FL_DECODE_MALFORMED;
 	/* One that is cancelled and cannot be read has tasks that nobody would count or stop. */
-	out->has_spec = !out->final || fl_json_get(value, "Ref");
+	out->has_spec = !out->final || fl_json_get(value, FL_FIELD_REF);
 	if (!out->has_spec)
-		return 0;
+		return FL_DECODE_OK;
 	if (fl_job_spec_decode(value, &out->spec) != NULL || strcmp(out->spec.ref, ref) != 0)
-		return -EPROTO;
+		return FL_DECODE_MALFORMED;
 	if (!out->final)
 		out->task_count = out->spec.task_count;
-	return fl_json_get_amount(value, "submitted", &out->submitted_wall) == FL_JSON_OK ? 0
-	                                                                                  : -EPROTO;
+	if (fl_json_get_amount(value, "submitted", &out->submitted_wall) != FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
 }
 
 static enum fl_record_result read_record(struct fl_kv_store *store, const char *key,
@@ -117,8 +135,9 @@
 {
 	switch (fl_kv_get(store, key, value, revision, NULL)) {
 	case FL_KV_OK:
-		return fl_job_record_decode(*value, ref, record) == 0 ? FL_RECORD_FOUND
-		                                                      : FL_RECORD_UNREADABLE;
+		if (fl_job_record_decode(*value, ref, record) != FL_DECODE_OK)
+			return FL_RECORD_UNREADABLE;
+		return FL_RECORD_FOUND;
 	case FL_KV_NOT_FOUND:
 		return FL_RECORD_NOT_FOUND;
 	case FL_KV_COMPARE_FAILED:
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -1,11 +1,14 @@
-/* Job records: their shape, and how one is read from the state service. */
+/*
+ * Job records: their shape, and how one is read from the key-value store. A job has a live record
+ * until it is over, then a final one that takes its place in one transaction.
+ */
 #ifndef FL_STORAGE_JOB_RECORDS_H
 #define FL_STORAGE_JOB_RECORDS_H
 
-#include "storage/jobs.h"
 #include "protocol/kv_store.h"
+#include "storage/jobs.h"
 
-/* What a look at a job's records found. */
+/* What reading a job's records found. */
 enum fl_record_result {
 	FL_RECORD_FOUND,
 	FL_RECORD_NOT_FOUND,  /* there is no such job */
@@ -21,7 +24,7 @@
 	bool has_spec; /* a cancelled job keeps its description until its tasks are gone */
 	struct fl_job_spec spec;
 	double submitted_wall;
-	double cancelled_wall; /* wall time; 0: not cancelled, or not known */
+	double cancelled_wall; /* 0: not cancelled, or not known */
 };
 
 /*
@@ -33,16 +36,18 @@
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision);
 
-/* The record of a live job. */
-cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted);
+/* The record of a live job; owned by the caller, like the two below. */
+cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted_wall);
 /* The record of a job that is over. */
 cJSON *fl_job_record_final(enum fl_job_status status, uint32_t task_count);
-/* A job that its user has cancelled and whose tasks have still to go. */
-cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted, double cancelled);
-/* The description that a job was submitted with, from its state here. */
+/* The record of a job that its user has cancelled and whose tasks have still to be stopped. */
+cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted_wall,
+                               double cancelled_wall);
+/* The description that a job was submitted with, from its state in memory. */
 void fl_job_describe(const struct fl_cluster *cluster, const struct fl_job *job,
                      struct fl_job_spec *out);
-/* Decodes the record of the job with this id; -EPROTO if any of it cannot be read. */
-int fl_job_record_decode(const cJSON *value, const char *ref, struct fl_job_record *out);
+/* Decodes the record of the job with this id; MALFORMED if any of it cannot be read. */
+enum fl_decode_result fl_job_record_decode(const cJSON *value, const char *ref,
+                                           struct fl_job_record *out);
 
 #endif
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -5,18 +5,18 @@
 
 void fl_cluster_list_begin(struct fl_cluster *cluster)
 {
-	struct fl_job *job, *tmp;
+	struct fl_job *job, *next;
 
-	HASH_ITER (hh, cluster->jobs, job, tmp)
+	HASH_ITER (hh, cluster->jobs, job, next)
 		job->record.listed = false;
 }
 
 void fl_cluster_list_end(struct fl_cluster *cluster, uint64_t revision)
 {
-	struct fl_job *job, *tmp;
+	struct fl_job *job, *next;
 
 	/* One that was stored after the list was made is not in it and not over. */
-	HASH_ITER (hh, cluster->jobs, job, tmp)
+	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->record.listed && job->record.mod_revision <= revision &&
 		    job->counts.placed == 0)
 			fl_job_drop(cluster, job);
@@ -41,7 +41,7 @@
 	if (!job)
 		job = fl_job_add(cluster, &record->spec, record->submitted_wall, revision);
 	if (!job)
-		fl_error("jobs", "the record of %s names what is unknown here", ref);
+		fl_error("jobs", "record names an unknown team or zone: %s", ref);
 	if (job && !cluster->leading)
 		job->record.listed = true;
 	return job;
@@ -52,8 +52,8 @@
 {
 	/*
 	 * A leader finalises when the tasks are gone. It must not take this for its own write:
-	 * while it was still loading its cluster state, another may have led and cancelled, and
-	 * what was passed over then was kept as live by this node for ever.
+	 * while it was still loading its cluster state, another may have been leader and have
+	 * cancelled, and what was ignored then was kept as live by this node for ever.
 	 */
 	if (job && cluster->leading) {
 		fl_cluster_apply_cancellation(cluster, job, record, revision);
@@ -76,8 +76,8 @@
 	struct fl_job_record record;
 
 	/*
-	 * A leader's marks are its takeover's alone: a watch that lists anew or lags meanwhile must
-	 * neither keep what the takeover's list no longer holds nor hide what it does.
+	 * A leader's marks are its failover's alone: a watch that lists anew or lags meanwhile must
+	 * neither keep what the failover's list no longer holds nor hide what it does.
 	 */
 	if (job && !cluster->leading)
 		job->record.listed = true;
@@ -93,8 +93,8 @@
 		return NULL;
 	if (job && revision <= job->record.mod_revision)
 		return job;
-	if (fl_job_record_decode(value, ref, &record) != 0) {
-		fl_error("jobs", "the record of %s cannot be read", ref);
+	if (fl_job_record_decode(value, ref, &record) != FL_DECODE_OK) {
+		fl_error("jobs", "unreadable record: %s", ref);
 		return NULL;
 	}
 	return record.final ? apply_final(cluster, job, ref, &record, revision)
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -12,39 +12,26 @@
 	return job;
 }
 
+/* A bit for each allowed machine type that is known. */
 static uint32_t machine_types_mask(const struct fl_cluster *cluster, const struct fl_job_spec *spec)
 {
 	uint32_t mask = 0;
 
-	if (spec->machine_type_count < 0)
+	if (spec->machine_type_count == FL_ANY_MACHINE_TYPE)
 		return UINT32_MAX;
 	for (int i = 0; i < spec->machine_type_count; i++) {
-		int k = fl_machine_type_find(&cluster->machines, spec->machine_types[i]);
+		int type = fl_machine_type_find(&cluster->machines, spec->machine_types[i]);
 
-		if (k >= 0)
-			mask |= 1u << k;
+		if (type != FL_INDEX_NONE)
+			mask |= 1u << type;
 	}
 	return mask;
 }
 
-struct fl_job *fl_job_add(struct fl_cluster *cluster, const struct fl_job_spec *spec,
-                          double submitted, uint64_t revision)
+/* What stands in the description as it is, and needs no index of this process. */
+static void copy_spec(struct fl_job *job, const struct fl_job_spec *spec)
 {
-	struct fl_job *job = fl_job_find(cluster, spec->ref);
-	int team = fl_teams_find(&cluster->teams, spec->team);
-	int zone = spec->has_zone ? fl_symbol_find(&cluster->zones, spec->zone) : -1;
-
-	/* A zone that is not known must not pass for any zone. */
-	if (job || team < 0 || (spec->has_zone && zone < 0))
-		return job;
-	job = calloc(1, sizeof(*job));
-	if (!job)
-		return NULL;
 	fl_copy_string(job->ref, sizeof(job->ref), spec->ref);
-	job->job_class = fl_symbol_intern(&cluster->classes, spec->job_class);
-	job->image = fl_symbol_intern(&cluster->images, spec->image);
-	job->team = team;
-	job->zone = zone;
 	job->kind = spec->kind;
 	job->priority = spec->priority;
 	job->task_count = spec->task_count;
@@ -56,11 +43,33 @@
 	job->checkpoint_every_s = spec->checkpoint_every_s;
 	job->checkpoint_cost_s = spec->checkpoint_cost_s;
 	job->due_s = spec->due_s;
-	job->types = machine_types_mask(cluster, spec);
 	job->same_zone = spec->same_zone;
 	job->spread_zones = spec->spread_zones;
 	job->spot_allowed = spec->spot_allowed;
-	job->submitted_wall = submitted;
+}
+
+struct fl_job *fl_job_add(struct fl_cluster *cluster, const struct fl_job_spec *spec,
+                          double submitted_wall, uint64_t revision)
+{
+	struct fl_job *job = fl_job_find(cluster, spec->ref);
+	int team = fl_teams_find(&cluster->teams, spec->team);
+	int zone = spec->has_zone ? fl_symbol_find(&cluster->zones, spec->zone) : FL_INDEX_NONE;
+
+	if (job)
+		return job;
+	/* A zone that is not known must not pass for any zone. */
+	if (team == FL_INDEX_NONE || (spec->has_zone && zone == FL_INDEX_NONE))
+		return NULL;
+	job = calloc(1, sizeof(*job));
+	if (!job)
+		return NULL;
+	copy_spec(job, spec);
+	job->job_class = fl_symbol_intern(&cluster->classes, spec->job_class);
+	job->image = fl_symbol_intern(&cluster->images, spec->image);
+	job->team = team;
+	job->zone = zone;
+	job->types = machine_types_mask(cluster, spec);
+	job->submitted_wall = submitted_wall;
 	job->record.mod_revision = revision;
 	job->counts.waiting = spec->task_count;
 	job->block_count = (spec->task_count + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE;
@@ -78,12 +87,12 @@
 
 static void unlink_dirty(struct fl_cluster *cluster, struct fl_job *job)
 {
-	struct fl_job **at = &cluster->dirty;
+	struct fl_job **link = &cluster->dirty;
 
-	while (*at && *at != job)
-		at = &(*at)->record.next_dirty;
-	if (*at)
-		*at = job->record.next_dirty;
+	while (*link && *link != job)
+		link = &(*link)->record.next_dirty;
+	if (*link)
+		*link = job->record.next_dirty;
 	job->record.is_dirty = false;
 }
 
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -1,4 +1,8 @@
-/* Live jobs. The headers of their tasks and of finished jobs come with this one. */
+/*
+ * Live jobs. The cluster owns them; a pointer to one is valid until the job is dropped or
+ * finalised, so it must not be held across a wait without finding the job anew. The headers of
+ * tasks and of finished jobs come with this one.
+ */
 #ifndef FL_STORAGE_JOBS_H
 #define FL_STORAGE_JOBS_H
 
@@ -8,21 +12,25 @@
 
 /* NULL: no such live job. */
 struct fl_job *fl_job_find(const struct fl_cluster *cluster, const char *ref);
-/* Adds a live job from its description; NULL if it cannot be read here (unknown team). */
+/*
+ * Adds a live job from its description, or returns the one with this id that is there; NULL if its
+ * team or zone is unknown, or without memory.
+ */
 struct fl_job *fl_job_add(struct fl_cluster *cluster, const struct fl_job_spec *spec,
-                          double submitted, uint64_t revision);
-/* Turns a live job into its final state; its tasks must hold no machine. */
+                          double submitted_wall, uint64_t revision);
+/* Replaces a live job, which is freed, by its final state; its tasks must hold no machine. */
 void fl_job_finalise(struct fl_cluster *cluster, struct fl_job *job, enum fl_job_status status);
-/* Forgets a live job; its tasks must hold no machine. */
+/* Frees a live job; its tasks must hold no machine. */
 void fl_job_drop(struct fl_cluster *cluster, struct fl_job *job);
 /*
- * NULL for a chunk that was never touched. A job that was cancelled before any of its tasks was
- * placed has no chunks at all and is still on the dirty list: never index job->chunks directly.
+ * NULL for a block of which no task was ever touched. A job that was cancelled before any of its
+ * tasks was placed has no blocks at all and is still on the dirty list: never index job->blocks
+ * directly.
  */
 struct fl_task_block *fl_job_task_block(const struct fl_job *job, uint32_t block_index);
-/* Forgets all that is held of its tasks. */
+/* Frees all task blocks of the job. */
 void fl_job_free_task_blocks(struct fl_job *job);
-/* Something of the job is to be written: a chunk's changes or, when it is over, its final state. */
+/* Something of the job is to be written: changes of a block or, when over, its final state. */
 void fl_job_mark_dirty(struct fl_cluster *cluster, struct fl_job *job);
 /* All its tasks are done; or it is cancelled, and none may be on a machine any more. */
 bool fl_job_is_over(const struct fl_job *job);
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -4,47 +4,67 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "storage/array.h"
 #include "transport/log.h"
 #include "transport/text.h"
 
+/* Capacities to begin with. */
+enum { FIRST_MACHINES = 64, FIRST_ASSIGNMENTS = 4 };
+
 int fl_machine_type_find(const struct fl_machines *machines, const char *name)
 {
 	for (int i = 0; i < machines->type_count; i++)
 		if (strcmp(machines->types[i].name, name) == 0)
 			return i;
-	return -1;
+	return FL_INDEX_NONE;
+}
+
+/* The zones of the type that this cluster knows. */
+static uint32_t zones_mask(const struct fl_cloud_machine_type *offered,
+                           const struct fl_symbol_table *zones)
+{
+	uint32_t mask = 0;
+
+	for (int i = 0; i < offered->zone_count; i++) {
+		int zone = fl_symbol_find(zones, offered->zones[i]);
+
+		if (zone != FL_INDEX_NONE && zone < FL_ZONES_MAX)
+			mask |= 1u << zone;
+	}
+	return mask;
+}
+
+static void set_type(struct fl_machine_type *machine_type,
+                     const struct fl_cloud_machine_type *offered,
+                     const struct fl_symbol_table *zones)
+{
+	memset(machine_type, 0, sizeof(*machine_type));
+	fl_copy_string(machine_type->name, sizeof(machine_type->name), offered->name);
+	machine_type->cpus = offered->cpus;
+	machine_type->gpus = offered->gpus;
+	machine_type->ram_gb = offered->ram_gb;
+	machine_type->cache_gb = offered->cache_gb;
+	machine_type->pull_gb_s = offered->pull_gb_s;
+	machine_type->price = offered->price;
+	machine_type->spot_price = offered->spot_price;
+	machine_type->ready_s = offered->ready_s;
+	machine_type->zones = zones_mask(offered, zones);
 }
 
 void fl_machine_types_set(struct fl_machines *machines, const struct fl_symbol_table *zones,
-                          const struct fl_cloud_machine_type *types, int n)
+                          const struct fl_cloud_machine_type *types, int count)
 {
-	for (int i = 0; i < n; i++) {
-		const struct fl_cloud_machine_type *offered = &types[i];
-		int at = fl_machine_type_find(machines, offered->name);
-		struct fl_machine_type *machine_type;
-
-		if (at < 0 && machines->type_count == FL_MACHINE_TYPES_MAX) {
-			fl_error("cloud", "more than %d machine types: %s is not used",
-			         FL_MACHINE_TYPES_MAX, offered->name);
+	for (int i = 0; i < count; i++) {
+		int index = fl_machine_type_find(machines, types[i].name);
+
+		if (index == FL_INDEX_NONE && machines->type_count == FL_MACHINE_TYPES_MAX) {
+			fl_error("cloud", "machine type ignored: %s max=%d", types[i].name,
+			         FL_MACHINE_TYPES_MAX);
 			continue;
 		}
-		machine_type = &machines->types[at >= 0 ? at : machines->type_count++];
-		memset(machine_type, 0, sizeof(*machine_type));
-		fl_copy_string(machine_type->name, sizeof(machine_type->name), offered->name);
-		machine_type->cpus = offered->cpus;
-		machine_type->gpus = offered->gpus;
-		machine_type->ram_gb = offered->ram_gb;
-		machine_type->cache_gb = offered->cache_gb;
-		machine_type->pull_gb_s = offered->pull_gb_s;
-		machine_type->price = offered->price;
-		machine_type->spot_price = offered->spot_price;
-		machine_type->ready_s = offered->ready_s;
-		for (int z = 0; z < offered->zone_count; z++) {
-			int zone = fl_symbol_find(zones, offered->zones[z]);
-
-			if (zone >= 0 && zone < FL_ZONES_MAX)
-				machine_type->zones |= 1u << zone;
-		}
+		if (index == FL_INDEX_NONE)
+			index = machines->type_count++;
+		set_type(&machines->types[index], &types[i], zones);
 	}
 }
 
@@ -58,28 +78,24 @@
 
 struct fl_machine *fl_machine_get(struct fl_machines *machines, const char *name, double now)
 {
-	struct fl_machine *machine = fl_machine_find(machines, name);
+	struct fl_machine *machine = fl_machine_find(machines, name), **by_id;
 
 	if (machine)
 		return machine;
-	if (machines->count == machines->capacity) {
-		int cap = machines->capacity ? machines->capacity * 2 : 64;
-		struct fl_machine **at = realloc(machines->by_id, (size_t)cap * sizeof(*at));
-
-		if (!at)
-			return NULL;
-		machines->by_id = at;
-		machines->capacity = cap;
-	}
+	by_id = fl_array_grow(machines->by_id, machines->count, &machines->capacity, sizeof(*by_id),
+	                      FIRST_MACHINES);
+	if (!by_id)
+		return NULL;
+	machines->by_id = by_id;
 	machine = calloc(1, sizeof(*machine));
 	if (!machine)
 		return NULL;
 	strncpy(machine->name, name, sizeof(machine->name) - 1);
 	machine->id = machines->count;
-	machine->type = machine->zone = -1;
+	machine->type = machine->zone = FL_INDEX_NONE;
 	machine->lifecycle.first_seen_at = now;
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
-		machine->cached_images[i] = -1;
+		machine->cached_images[i] = FL_INDEX_NONE;
 	machines->by_id[machines->count++] = machine;
 	HASH_ADD_STR(machines->by_name, name, machine);
 	return machine;
@@ -88,7 +104,7 @@
 void fl_machine_describe(struct fl_machine *machine, int type, int zone, bool spot,
                          const char *endpoint)
 {
-	if (type < 0 || zone < 0)
+	if (type == FL_INDEX_NONE || zone == FL_INDEX_NONE)
 		return;
 	if (!machine->described) {
 		machine->type = type;
@@ -100,19 +116,17 @@
 		strncpy(machine->endpoint, endpoint, sizeof(machine->endpoint) - 1);
 }
 
-int fl_machine_add_assignment(struct fl_machine *machine, struct fl_job *job, uint32_t index)
+bool fl_machine_add_assignment(struct fl_machine *machine, struct fl_job *job, uint32_t index)
 {
-	if (machine->assignment_count == machine->assignment_capacity) {
-		int cap = machine->assignment_capacity ? machine->assignment_capacity * 2 : 4;
-		struct fl_assignment *s = realloc(machine->assignments, (size_t)cap * sizeof(*s));
-
-		if (!s)
-			return -1;
-		machine->assignments = s;
-		machine->assignment_capacity = cap;
-	}
+	struct fl_assignment *assignments = fl_array_grow(
+		machine->assignments, machine->assignment_count, &machine->assignment_capacity,
+		sizeof(*assignments), FIRST_ASSIGNMENTS);
+
+	if (!assignments)
+		return false;
+	machine->assignments = assignments;
 	machine->assignments[machine->assignment_count++] = (struct fl_assignment){job, index};
-	return 0;
+	return true;
 }
 
 void fl_machine_remove_assignment(struct fl_machine *machine, const struct fl_job *job,
@@ -140,15 +154,16 @@
 uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available)
 {
 	const double slack = 1e-6; /* amounts are sums of decimal fractions */
-	double n = 1e6;
+	const double max_count = 1e6;
+	double count = max_count;
 
 	if (need.cpus > 0)
-		n = fmin(n, floor(available.cpus / need.cpus + slack));
+		count = fmin(count, floor(available.cpus / need.cpus + slack));
 	if (need.gpus > 0)
-		n = fmin(n, floor(available.gpus / need.gpus + slack));
+		count = fmin(count, floor(available.gpus / need.gpus + slack));
 	if (need.ram_gb > 0)
-		n = fmin(n, floor(available.ram_gb / need.ram_gb + slack));
-	return n > 0 ? (uint32_t)n : 0;
+		count = fmin(count, floor(available.ram_gb / need.ram_gb + slack));
+	return count > 0 ? (uint32_t)count : 0;
 }
 
 struct fl_machine *fl_machine_drop(struct fl_machines *machines, struct fl_machine *machine)
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -1,12 +1,11 @@
 #include "storage/progress_records.h"
 
-#include <errno.h>
 #include <math.h>
 #include <string.h>
 
 #include "storage/write_ahead_log.h"
 
-/* Which tasks of a chunk are written. */
+/* Which tasks of a block are written. */
 enum scope { ALL_TASKS, UNSAVED_TASKS };
 
 /* A list of numbers: [a,b]. */
@@ -31,9 +30,22 @@
 	return item;
 }
 
+/*
+ * The last task of the range of done ones that begins with this one. What is done and saved already
+ * may stand in the log once more.
+ */
+static uint32_t last_done(const struct fl_task_block *block, uint32_t first)
+{
+	uint32_t last = first;
+
+	while (last + 1 < FL_TASK_BLOCK_SIZE && block->tasks[last + 1].phase == FL_TASK_DONE)
+		last++;
+	return last;
+}
+
 /*
  * {"d":[[first,last],...],"t":[[index,attempt],...],
- *  "m":[[index,attempt,machine,session,placed],...]}:
+ *  "m":[[index,attempt,machine,incarnation,placed],...]}:
  * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
  */
 static cJSON *encode(const struct fl_cluster *cluster, const struct fl_job *job,
@@ -42,8 +54,8 @@
 	const struct fl_task_block *block = job->blocks[block_index];
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 	cJSON *object = cJSON_CreateObject();
-	cJSON *done = cJSON_AddArrayToObject(object, "d"),
-	      *waiting = cJSON_AddArrayToObject(object, "t");
+	cJSON *done = cJSON_AddArrayToObject(object, "d");
+	cJSON *waiting = cJSON_AddArrayToObject(object, "t");
 	cJSON *placed = cJSON_AddArrayToObject(object, "m");
 
 	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && base + i < job->task_count; i++) {
@@ -52,12 +64,8 @@
 		if (scope == UNSAVED_TASKS && fl_task_saved(block, task))
 			continue;
 		if (task->phase == FL_TASK_DONE) {
-			uint32_t last = i;
+			uint32_t last = last_done(block, i);
 
-			/* What is done and saved already may stand in the log once more. */
-			while (last + 1 < FL_TASK_BLOCK_SIZE &&
-			       block->tasks[last + 1].phase == FL_TASK_DONE)
-				last++;
 			cJSON_AddItemToArray(done, number_pair(base + i, base + last));
 			i = last;
 		} else if (task->phase == FL_TASK_PLACED) {
@@ -90,7 +98,7 @@
 	uint32_t attempt;
 	const char *machine; /* in the value it was read from */
 	uint64_t incarnation;
-	double placed;
+	double placed_wall;
 	enum source source; /* FROM_LOG: the log alone has it, no record */
 };
 
@@ -104,134 +112,188 @@
 	return a->phase == FL_TASK_WAITING && b->phase == FL_TASK_PLACED;
 }
 
-/* Keeps the newer of a task's state so far and `state`; -EPROTO if the task is not in the chunk. */
-static int merge_task(const struct fl_job *job, uint32_t block_index, struct task_state *states,
-                      uint64_t index, const struct task_state *state)
+/* A block of which the states are being merged. */
+struct merge {
+	const struct fl_job *job;
+	uint32_t block_index;
+	enum source source; /* of what is being merged */
+	struct task_state states[FL_TASK_BLOCK_SIZE];
+};
+
+/* Keeps the newer of a task's state so far and this one; MALFORMED: no task of the block. */
+static enum fl_decode_result merge_task(struct merge *merge, uint64_t index,
+                                        const struct task_state *state)
+{
+	uint64_t base = (uint64_t)merge->block_index * FL_TASK_BLOCK_SIZE;
+	struct task_state *newest;
+
+	if (index < base || index >= base + FL_TASK_BLOCK_SIZE || index >= merge->job->task_count)
+		return FL_DECODE_MALFORMED;
+	newest = &merge->states[index - base];
+	if (is_newer(state, newest))
+		*newest = *state;
+	return FL_DECODE_OK;
+}
+
+static enum fl_decode_result decode_range(const cJSON *item, uint64_t *first, uint64_t *last)
+{
+	if (fl_json_get_item(item, 0, FL_TASKS_MAX, first) != FL_JSON_OK ||
+	    fl_json_get_item(item, 1, FL_TASKS_MAX, last) != FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
+}
+
+static enum fl_decode_result merge_done(struct merge *merge, const cJSON *item)
 {
-	if (index < (uint64_t)block_index * FL_TASK_BLOCK_SIZE ||
-	    index >= (uint64_t)(block_index + 1) * FL_TASK_BLOCK_SIZE || index >= job->task_count)
-		return -EPROTO;
-	if (is_newer(state, &states[index % FL_TASK_BLOCK_SIZE]))
-		states[index % FL_TASK_BLOCK_SIZE] = *state;
-	return 0;
+	const struct task_state state = {.phase = FL_TASK_DONE, .source = merge->source};
+	uint64_t first, last;
+
+	if (decode_range(item, &first, &last) != FL_DECODE_OK)
+		return FL_DECODE_MALFORMED;
+	for (uint64_t i = first; i <= last; i++)
+		if (merge_task(merge, i, &state) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
 }
 
-static int read_placed(const cJSON *item, struct task_state *out, uint64_t *index)
+static enum fl_decode_result merge_waiting(struct merge *merge, const cJSON *item)
 {
+	struct task_state state = {.phase = FL_TASK_WAITING, .source = merge->source};
+	uint64_t index, attempt;
+
+	if (fl_json_get_item(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
+	    fl_json_get_item(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK)
+		return FL_DECODE_MALFORMED;
+	state.attempt = (uint32_t)attempt;
+	return merge_task(merge, index, &state);
+}
+
+static enum fl_decode_result merge_placed(struct merge *merge, const cJSON *item)
+{
+	struct task_state state = {.phase = FL_TASK_PLACED, .source = merge->source};
 	const cJSON *name = cJSON_GetArrayItem(item, 2);
-	uint64_t attempt, placed = 0;
+	uint64_t index, attempt, placed = 0;
 
-	if (fl_json_get_item(item, 0, FL_TASKS_MAX, index) != FL_JSON_OK ||
+	if (fl_json_get_item(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
 	    fl_json_get_item(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK ||
-	    fl_json_get_item(item, 3, FL_COUNT_MAX, &out->incarnation) != FL_JSON_OK ||
+	    fl_json_get_item(item, 3, FL_COUNT_MAX, &state.incarnation) != FL_JSON_OK ||
 	    /* Records of earlier versions have no time: it counts as placed now. */
 	    fl_json_get_item(item, 4, FL_COUNT_MAX, &placed) == FL_JSON_INVALID ||
 	    !cJSON_IsString(name) || strlen(name->valuestring) >= FL_NAME_MAX)
-		return -EPROTO;
-	out->attempt = (uint32_t)attempt;
-	out->machine = name->valuestring;
-	out->placed = (double)placed;
-	return 0;
+		return FL_DECODE_MALFORMED;
+	state.attempt = (uint32_t)attempt;
+	state.machine = name->valuestring;
+	state.placed_wall = (double)placed;
+	return merge_task(merge, index, &state);
 }
 
-/* Merges the states in a record, or in a group of the log, into the chunk's. */
-static int merge_record(const struct fl_job *job, uint32_t block_index, const cJSON *value,
-                        enum source source, struct task_state *states)
+/* Merges the states in a record, or in a group of the log, into the block's. */
+static enum fl_decode_result merge_record(struct merge *merge, const cJSON *value)
 {
-	uint64_t first, last, attempt;
 	const cJSON *item;
-	int rc = 0;
 
-	cJSON_ArrayForEach (item, fl_json_get(value, "d")) {
-		struct task_state state = {.phase = FL_TASK_DONE, .source = source};
+	cJSON_ArrayForEach (item, fl_json_get(value, "d"))
+		if (merge_done(merge, item) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
+	cJSON_ArrayForEach (item, fl_json_get(value, "t"))
+		if (merge_waiting(merge, item) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
+	cJSON_ArrayForEach (item, fl_json_get(value, "m"))
+		if (merge_placed(merge, item) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
+	return FL_DECODE_OK;
+}
 
-		if (fl_json_get_item(item, 0, FL_TASKS_MAX, &first) != FL_JSON_OK ||
-		    fl_json_get_item(item, 1, FL_TASKS_MAX, &last) != FL_JSON_OK)
-			return -EPROTO;
-		for (uint64_t i = first; i <= last && !rc; i++)
-			rc = merge_task(job, block_index, states, i, &state);
-	}
-	cJSON_ArrayForEach (item, fl_json_get(value, "t")) {
-		struct task_state state = {.phase = FL_TASK_WAITING, .source = source};
-
-		if (fl_json_get_item(item, 0, FL_TASKS_MAX, &first) != FL_JSON_OK ||
-		    fl_json_get_item(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK)
-			return -EPROTO;
-		state.attempt = (uint32_t)attempt;
-		if (!rc)
-			rc = merge_task(job, block_index, states, first, &state);
-	}
-	cJSON_ArrayForEach (item, fl_json_get(value, "m")) {
-		struct task_state state = {.phase = FL_TASK_PLACED, .source = source};
+static enum fl_decode_result restore_placed(struct fl_cluster *cluster, struct fl_job *job,
+                                            uint32_t index, const struct task_state *state,
+                                            double now)
+{
+	struct fl_recorded_attempt recorded = {
+		.attempt = state->attempt,
+		.machine = fl_machine_get(&cluster->machines, state->machine, now),
+		.incarnation = state->incarnation,
+		.placed_wall = state->placed_wall};
 
-		if (read_placed(item, &state, &first) != 0)
-			return -EPROTO;
-		if (!rc)
-			rc = merge_task(job, block_index, states, first, &state);
-	}
-	return rc;
+	if (!recorded.machine ||
+	    fl_task_restore(cluster, job, index, &recorded, now) != FL_PLACE_OK)
+		return FL_DECODE_NO_MEMORY;
+	return FL_DECODE_OK;
 }
 
-static int restore_task(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                        const struct task_state *state, double now)
+static enum fl_decode_result restore_task(struct fl_cluster *cluster, struct fl_job *job,
+                                          uint32_t index, const struct task_state *state,
+                                          double now)
 {
 	struct fl_task *task = fl_task_get(job, index);
-	struct fl_machine *machine;
+	enum fl_decode_result result = FL_DECODE_OK;
 
 	if (!task || task->phase != FL_TASK_WAITING)
-		return -EPROTO;
-	if (state->phase == FL_TASK_PLACED) {
-		machine = fl_machine_get(&cluster->machines, state->machine, now);
-		if (!machine || fl_task_restore(cluster, job, index, state->attempt, machine,
-		                                state->incarnation, state->placed, now) != 0)
-			return -ENOMEM;
-	} else if (state->phase == FL_TASK_DONE) {
+		return FL_DECODE_MALFORMED;
+	switch (state->phase) {
+	case FL_TASK_WAITING:
+		task->attempt = state->attempt;
+		break;
+	case FL_TASK_PLACED:
+		result = restore_placed(cluster, job, index, state, now);
+		break;
+	case FL_TASK_DONE:
 		task->phase = FL_TASK_DONE;
 		job->counts.waiting--;
 		job->counts.done++;
-	} else {
-		task->attempt = state->attempt;
+		break;
 	}
+	if (result != FL_DECODE_OK)
+		return result;
 	/* The next write of the log replaces this one: it must hold it, until the record does. */
 	if (state->source == FROM_LOG)
 		fl_task_touch(cluster, job, index);
-	return 0;
+	return FL_DECODE_OK;
 }
 
-int fl_task_block_restore(struct fl_cluster *cluster, struct fl_job *job, uint32_t block_index,
-                          const cJSON *value, uint64_t revision, struct fl_wal *wal, double now)
+/* Merges the groups of the block in the log, all of which count as restored. */
+static enum fl_decode_result merge_log(struct merge *merge, struct fl_wal *wal)
 {
-	struct task_state states[FL_TASK_BLOCK_SIZE];
-	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
-	int rc;
+	int i = fl_wal_first(wal, merge->job->ref, merge->block_index);
 
-	memset(states, 0, sizeof(states));
-	if (block_index >= job->block_count || !fl_task_get(job, base))
-		return -EPROTO;
-	rc = merge_record(job, block_index, value, FROM_RECORD, states);
-	for (int i = wal ? fl_wal_first(wal, job->ref, block_index) : -1; i >= 0 && !rc;
-	     i = wal->groups[i].next_of_block) {
+	merge->source = FROM_LOG;
+	for (; i != FL_INDEX_NONE; i = wal->groups[i].next_of_block) {
 		wal->groups[i].restored = true;
-		rc = merge_record(job, block_index, wal->groups[i].changes, FROM_LOG, states);
+		if (merge_record(merge, wal->groups[i].changes) != FL_DECODE_OK)
+			return FL_DECODE_MALFORMED;
 	}
-	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && !rc; i++)
-		if (states[i].phase != FL_TASK_WAITING || states[i].attempt > 0)
-			rc = restore_task(cluster, job, base + i, &states[i], now);
+	return FL_DECODE_OK;
+}
+
+enum fl_decode_result fl_task_block_restore(struct fl_cluster *cluster, struct fl_job *job,
+                                            uint32_t block_index, const cJSON *value,
+                                            uint64_t revision, struct fl_wal *wal, double now)
+{
+	struct merge merge = {.job = job, .block_index = block_index, .source = FROM_RECORD};
+	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
+	enum fl_decode_result result;
+
+	if (block_index >= job->block_count || !fl_task_get(job, base))
+		return FL_DECODE_MALFORMED;
+	result = merge_record(&merge, value);
+	if (result == FL_DECODE_OK && wal)
+		result = merge_log(&merge, wal);
+	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && result == FL_DECODE_OK; i++)
+		if (merge.states[i].phase != FL_TASK_WAITING || merge.states[i].attempt > 0)
+			result = restore_task(cluster, job, base + i, &merge.states[i], now);
 	job->blocks[block_index]->mod_revision = revision;
-	return rc;
+	return result;
 }
 
-int fl_task_block_count(const cJSON *value, uint32_t *done, uint32_t *placed)
+enum fl_decode_result fl_task_block_count(const cJSON *value, uint32_t *done, uint32_t *placed)
 {
 	uint64_t first, last;
 	const cJSON *item;
 
 	cJSON_ArrayForEach (item, fl_json_get(value, "d")) {
-		if (fl_json_get_item(item, 0, FL_TASKS_MAX, &first) != FL_JSON_OK ||
-		    fl_json_get_item(item, 1, FL_TASKS_MAX, &last) != FL_JSON_OK || last < first)
-			return -EPROTO;
+		if (decode_range(item, &first, &last) != FL_DECODE_OK || last < first)
+			return FL_DECODE_MALFORMED;
 		*done += (uint32_t)(last - first) + 1;
 	}
 	*placed += (uint32_t)cJSON_GetArraySize(fl_json_get(value, "m"));
-	return 0;
+	return FL_DECODE_OK;
 }
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -1,4 +1,4 @@
-/* Everything about the records in the state service, for those that use most of it. */
+/* All headers about the records in the key-value store, for those that use most of them. */
 #ifndef FL_STORAGE_RECORDS_H
 #define FL_STORAGE_RECORDS_H
 
--- a/src/storage/symbol_table.c
+++ b/src/storage/symbol_table.c
@@ -4,6 +4,10 @@
 #include <string.h>
 #include <uthash.h>
 
+#include "storage/array.h"
+
+enum { FIRST_CAPACITY = 16 };
+
 struct fl_symbol {
 	UT_hash_handle hh;
 	int index;
@@ -15,33 +19,29 @@
 	struct fl_symbol *symbol;
 
 	HASH_FIND_STR(symbols->by_name, name, symbol);
-	return symbol ? symbol->index : -1;
+	return symbol ? symbol->index : FL_INDEX_NONE;
 }
 
 int fl_symbol_intern(struct fl_symbol_table *symbols, const char *name)
 {
 	int index = fl_symbol_find(symbols, name);
-	size_t len = strlen(name);
-	struct fl_symbol *symbol;
+	struct fl_symbol *symbol, **by_index;
+	size_t length = strlen(name);
 
-	if (index >= 0)
+	if (index != FL_INDEX_NONE)
 		return index;
-	if (symbols->count == symbols->capacity) {
-		int cap = symbols->capacity ? symbols->capacity * 2 : 16;
-		struct fl_symbol **at = realloc(symbols->by_index, (size_t)cap * sizeof(*at));
-
-		if (!at)
-			return -1;
-		symbols->by_index = at;
-		symbols->capacity = cap;
-	}
-	symbol = calloc(1, sizeof(*symbol) + len + 1);
+	by_index = fl_array_grow(symbols->by_index, symbols->count, &symbols->capacity,
+	                         sizeof(*by_index), FIRST_CAPACITY);
+	if (!by_index)
+		return FL_INDEX_NONE;
+	symbols->by_index = by_index;
+	symbol = calloc(1, sizeof(*symbol) + length + 1);
 	if (!symbol)
-		return -1;
-	memcpy(symbol->text, name, len + 1);
+		return FL_INDEX_NONE;
+	memcpy(symbol->text, name, length + 1);
 	symbol->index = symbols->count;
 	symbols->by_index[symbols->count++] = symbol;
-	HASH_ADD_KEYPTR(hh, symbols->by_name, symbol->text, len, symbol);
+	HASH_ADD_KEYPTR(hh, symbols->by_name, symbol->text, length, symbol);
 	return symbol->index;
 }
 
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -30,10 +30,9 @@
 bool fl_task_durable(const struct fl_job *job, uint32_t index)
 {
 	const struct fl_task_block *block = fl_job_task_block(job, index / FL_TASK_BLOCK_SIZE);
+	const struct fl_task *task = fl_task_peek(job, index);
 
-	return !block ||
-	       block->tasks[index % FL_TASK_BLOCK_SIZE].generation <= block->saved_generation ||
-	       block->tasks[index % FL_TASK_BLOCK_SIZE].generation <= block->logged_generation;
+	return !task || fl_task_saved(block, task) || task->generation <= block->logged_generation;
 }
 
 bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *task)
@@ -69,26 +68,44 @@
 	return job->task_count;
 }
 
-static int assign(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                  struct fl_machine *machine)
+/* Is the task running on its machine, as far as heartbeats show? */
+static bool is_running(enum fl_observed_state observed)
+{
+	return observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
+}
+
+/* The job's tasks on machines in the same zone as this one. */
+static uint32_t *zone_count(struct fl_job *job, const struct fl_machine *machine)
+{
+	return machine->zone != FL_INDEX_NONE ? &job->placement.by_zone[machine->zone]
+	                                      : &job->placement.in_unknown_zone;
+}
+
+/* Counts a WAITING task as on the machine. */
+static enum fl_place_result assign(struct fl_cluster *cluster, struct fl_job *job,
+                                   const struct fl_task *task, uint32_t index,
+                                   struct fl_machine *machine)
 {
 	struct fl_team *team = &cluster->teams.by_index[job->team];
 
-	if (fl_machine_add_assignment(machine, job, index) != 0)
-		return -1;
+	if (!task)
+		return FL_PLACE_NO_MEMORY;
+	if (task->phase != FL_TASK_WAITING)
+		return FL_PLACE_NOT_WAITING;
+	if (!fl_machine_add_assignment(machine, job, index))
+		return FL_PLACE_NO_MEMORY;
 	machine->used.cpus += job->cpus;
 	machine->used.gpus += job->gpus;
 	machine->used.ram_gb += job->ram_gb;
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
-	if (machine->zone >= 0)
-		job->placement.by_zone[machine->zone]++;
-	else
-		job->placement.in_unknown_zone++;
+	(*zone_count(job, machine))++;
 	job->counts.placed++;
-	return 0;
+	job->counts.waiting--;
+	return FL_PLACE_OK;
 }
 
+/* Undoes assign; the caller counts the task's new phase. */
 static void unassign(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                      struct fl_task *task)
 {
@@ -99,31 +116,30 @@
 	machine->used.cpus -= job->cpus;
 	machine->used.gpus -= job->gpus;
 	machine->used.ram_gb -= job->ram_gb;
+	/* Sums of fractions leave a rest. */
 	if (machine->assignment_count == 0)
-		machine->used.cpus = machine->used.gpus = machine->used.ram_gb = 0;
+		machine->used = (struct fl_resources){0};
 	team->used_cpus -= job->cpus;
 	team->used_gpus -= job->gpus;
-	if (machine->zone >= 0)
-		job->placement.by_zone[machine->zone]--;
-	else
-		job->placement.in_unknown_zone--;
+	(*zone_count(job, machine))--;
 	job->counts.placed--;
-	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
+	if (is_running(task->observed))
 		job->counts.running--;
 	task->observed = FL_OBSERVED_NONE;
 	task->start_sent = false;
 	task->stop_reason = FL_STOP_NONE;
-	task->machine = -1;
+	task->machine = FL_INDEX_NONE;
 	task->fencing_token = 0;
 }
 
-int fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                  struct fl_machine *machine, uint64_t fencing_token, double now)
+enum fl_place_result fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                                   struct fl_machine *machine, uint64_t fencing_token, double now)
 {
 	struct fl_task *task = fl_task_get(job, index);
+	enum fl_place_result result = assign(cluster, job, task, index, machine);
 
-	if (!task || task->phase != FL_TASK_WAITING || assign(cluster, job, index, machine) != 0)
-		return -1;
+	if (result != FL_PLACE_OK)
+		return result;
 	task->phase = FL_TASK_PLACED;
 	task->attempt++;
 	task->machine = machine->id;
@@ -133,33 +149,31 @@
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
 	task->placed_wall = fl_wall();
-	job->counts.waiting--;
 	fl_task_touch(cluster, job, index);
-	return 0;
+	return FL_PLACE_OK;
 }
 
-int fl_task_restore(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                    uint32_t attempt, struct fl_machine *machine, uint64_t incarnation,
-                    double placed, double now)
+enum fl_place_result fl_task_restore(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                                     const struct fl_recorded_attempt *recorded, double now)
 {
 	struct fl_task *task = fl_task_get(job, index);
+	enum fl_place_result result = assign(cluster, job, task, index, recorded->machine);
 
-	if (!task || task->phase != FL_TASK_WAITING || assign(cluster, job, index, machine) != 0)
-		return -1;
+	if (result != FL_PLACE_OK)
+		return result;
 	task->phase = FL_TASK_PLACED;
-	task->attempt = attempt;
-	task->machine = machine->id;
-	task->incarnation = incarnation;
-	task->placed_wall = placed;
+	task->attempt = recorded->attempt;
+	task->machine = recorded->machine->id;
+	task->incarnation = recorded->incarnation;
+	task->placed_wall = recorded->placed_wall;
 	/* Placed by an earlier leader: what it has run since would be lost by stopping it. */
-	task->running_since = fmin(now, fl_since(placed));
+	task->running_since = fmin(now, fl_since(recorded->placed_wall));
 	/*
-	 * Its image is there, and stays when the task is lost with its worker's session: after an
-	 * end of all controllers hundreds of tasks start again, and best where they ran.
+	 * Its image is there, and stays when the task is lost with its worker's incarnation: after
+	 * an outage of all controllers hundreds of tasks start again, and best where they ran.
 	 */
-	fl_machine_record_image(machine, job->image);
-	job->counts.waiting--;
-	return 0;
+	fl_machine_record_image(recorded->machine, job->image);
+	return FL_PLACE_OK;
 }
 
 void fl_task_release(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
@@ -196,20 +210,18 @@
 void fl_task_observe(struct fl_job *job, struct fl_task *task, enum fl_observed_state observed,
                      double now)
 {
-	bool was = task->observed == FL_OBSERVED_RUNNING ||
-	           task->observed == FL_OBSERVED_CHECKPOINTING;
-	bool is = observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
+	bool was_running = is_running(task->observed), runs_now = is_running(observed);
 
-	if (is && !was) {
+	if (runs_now && !was_running) {
 		job->counts.running++;
 		/*
 		 * Read from a record and found running: it began long ago, at some time after its
-		 * placement. Counted from now, every new leader would take old work for fresh, and
-		 * stop what is nearly done to make room.
+		 * placement. Counted from now, every new leader would take old work for new, and
+		 * preempt what is nearly done.
 		 */
 		if (task->fencing_token != 0 || task->observed != FL_OBSERVED_NONE)
 			task->running_since = now;
-	} else if (was && !is) {
+	} else if (was_running && !runs_now) {
 		job->counts.running--;
 	}
 	task->observed = observed;
--- a/src/storage/tasks.h
+++ b/src/storage/tasks.h
@@ -1,38 +1,56 @@
 /*
  * Tasks and their phases. A task that is PLACED may be on its machine, and counts against team,
- * machine and zone until it is proven not to be.
+ * machine and zone until it is proven not to be. Indexes are those within the job. `now` is steady.
  */
 #ifndef FL_STORAGE_TASKS_H
 #define FL_STORAGE_TASKS_H
 
 #include "storage/cluster.h"
 
-/* The task, whose chunk is made if need be; NULL without memory. */
+/* The task, whose block is allocated if need be; NULL without memory. */
 struct fl_task *fl_task_get(struct fl_job *job, uint32_t index);
-/* The task if its chunk exists, else NULL (it waits and never ran). */
+/* The task if its block exists, else NULL (it waits and never ran). */
 struct fl_task *fl_task_peek(const struct fl_job *job, uint32_t index);
-/* Does the record or the log hold its last change? */
+/* Does the record or the write-ahead log hold its last change? */
 bool fl_task_durable(const struct fl_job *job, uint32_t index);
 /* Does the record hold its last change? */
 bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *task);
-/* Marks the chunk as changed and the job as dirty. */
+/* Marks the task, its block and the job as changed; the block must exist. */
 void fl_task_touch(struct fl_cluster *cluster, struct fl_job *job, uint32_t index);
-/* Next WAITING task at or after `from` that may start at `now`; n_tasks if none. */
+/* The next WAITING task at or after `from` that may start at `now`; task_count if there is none. */
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now);
 
+/* What came of placing a task. */
+enum fl_place_result {
+	FL_PLACE_OK = 0,
+	FL_PLACE_NOT_WAITING, /* it is placed or done already: nothing changed */
+	FL_PLACE_NO_MEMORY    /* nothing changed */
+};
+
 /* WAITING -> PLACED with a new attempt. */
-int fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                  struct fl_machine *machine, uint64_t fencing_token, double now);
-/* Puts an attempt read from a record on its machine. */
-int fl_task_restore(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                    uint32_t attempt, struct fl_machine *machine, uint64_t incarnation,
-                    double placed, double now);
-/* PLACED -> WAITING: the attempt is proven not to be on its machine. */
+enum fl_place_result fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                                   struct fl_machine *machine, uint64_t fencing_token, double now);
+
+/* An attempt, as a record holds it. */
+struct fl_recorded_attempt {
+	uint32_t attempt;
+	struct fl_machine *machine;
+	uint64_t incarnation;
+	double placed_wall;
+};
+
+/* WAITING -> PLACED with an attempt that an earlier leader placed. */
+enum fl_place_result fl_task_restore(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                                     const struct fl_recorded_attempt *recorded, double now);
+/*
+ * PLACED -> WAITING, not to start before the steady time `not_before`: the attempt is proven not to
+ * be on its machine.
+ */
 void fl_task_release(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                      double not_before);
 /* Any -> DONE. */
 void fl_task_done(struct fl_cluster *cluster, struct fl_job *job, uint32_t index);
-/* Takes in what its worker reports of a placed task. */
+/* Takes in what a heartbeat says of a placed task. */
 void fl_task_observe(struct fl_job *job, struct fl_task *task, enum fl_observed_state observed,
                      double now);
 
--- a/src/storage/teams.c
+++ b/src/storage/teams.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Sums of decimal fractions: a hair above the limit is the limit. */
+/* Amounts are sums of decimal fractions: slightly above the limit still is within it. */
 static const double slack = 1e-6;
 
 int fl_teams_find(const struct fl_teams *teams, const char *name)
@@ -10,7 +10,7 @@
 	for (int i = 0; i < teams->count; i++)
 		if (strcmp(teams->by_index[i].name, name) == 0)
 			return i;
-	return -1;
+	return FL_INDEX_NONE;
 }
 
 bool fl_team_within_maximum(const struct fl_team *team, double cpus, double gpus)
--- a/src/storage/token_bucket.c
+++ b/src/storage/token_bucket.c
@@ -1,5 +1,7 @@
 #include "storage/token_bucket.h"
 
+static const double slack = 1e-9; /* tokens */
+
 void fl_token_bucket_init(struct fl_token_bucket *bucket, double rate, double burst, double now)
 {
 	bucket->rate = rate;
@@ -18,13 +20,14 @@
 	return bucket->tokens;
 }
 
-double fl_token_bucket_take(struct fl_token_bucket *bucket, double n, double now)
+double fl_token_bucket_take(struct fl_token_bucket *bucket, double count, double now)
 {
 	fl_token_bucket_available(bucket, now);
-	/* A hair short counts as there: the wait for it could be too short to move a clock. */
-	if (bucket->tokens >= n - 1e-9 || bucket->tokens >= bucket->burst) {
-		bucket->tokens -= n;
+	/* Slightly too few count as enough: the wait for them could be too short to move a clock.
+	 */
+	if (bucket->tokens >= count - slack || bucket->tokens >= bucket->burst) {
+		bucket->tokens -= count;
 		return 0;
 	}
-	return (n - bucket->tokens) / bucket->rate;
+	return (count - bucket->tokens) / bucket->rate;
 }
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -1,18 +1,19 @@
 #include "storage/write_ahead_log.h"
 
-#include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "storage/progress_records.h"
 #include "transport/text.h"
 
+enum { FIRST_GROUPS = 64 };
+
 struct wal_block_key {
 	char ref[FL_REF_MAX];
 	uint32_t block_index;
 };
 
-/* The groups of one chunk: a list through their `next_of_block`. */
+/* The groups of one block: a list through their `next_of_block`. */
 struct fl_wal_block {
 	UT_hash_handle hh;
 	struct wal_block_key key;
@@ -63,82 +64,85 @@
 	return block;
 }
 
-/* Appends the group at this index to the list of its chunk. */
-static int index_group(struct fl_wal *wal, int at)
+/* Appends the group with this index to the list of its block; false without memory. */
+static bool index_group(struct fl_wal *wal, int index)
 {
-	struct fl_wal_group *group = &wal->groups[at];
+	struct fl_wal_group *group = &wal->groups[index];
 	struct fl_wal_block *block = find_block(wal, group->ref, group->block_index);
 
 	if (block) {
-		wal->groups[block->last].next_of_block = at;
-		block->last = at;
-		return 0;
+		wal->groups[block->last].next_of_block = index;
+		block->last = index;
+		return true;
 	}
 	block = calloc(1, sizeof(*block));
 	if (!block)
-		return -ENOMEM;
+		return false;
 	fl_copy_string(block->key.ref, sizeof(block->key.ref), group->ref);
 	block->key.block_index = group->block_index;
-	block->first = block->last = at;
+	block->first = block->last = index;
 	HASH_ADD(hh, wal->blocks, key, sizeof(block->key), block);
-	return 0;
+	return true;
 }
 
 int fl_wal_first(const struct fl_wal *wal, const char *ref, uint32_t block_index)
 {
 	const struct fl_wal_block *block = find_block(wal, ref, block_index);
 
-	return block ? block->first : -1;
+	return block ? block->first : FL_INDEX_NONE;
 }
 
-static int read_group(struct fl_wal *wal, const cJSON *item)
+/* Adds a group, with a copy of its changes; false without memory. */
+static bool add_group(struct fl_wal *wal, const struct fl_wal_group *group)
 {
-	const cJSON *ref = cJSON_GetArrayItem(item, 0), *changes = cJSON_GetArrayItem(item, 2);
-	struct fl_wal_group *group;
+	struct fl_wal_group *groups = fl_array_grow(
+		wal->groups, wal->group_count, &wal->group_capacity, sizeof(*groups), FIRST_GROUPS);
+	int index = wal->group_count;
+
+	if (!groups)
+		return false;
+	wal->groups = groups;
+	groups[index] = *group;
+	groups[index].changes = cJSON_Duplicate(group->changes, true);
+	wal->group_count++;
+	return groups[index].changes && index_group(wal, index);
+}
+
+static enum fl_decode_result read_group(struct fl_wal *wal, const cJSON *item)
+{
+	struct fl_wal_group group = {.changes = cJSON_GetArrayItem(item, 2),
+	                             .next_of_block = FL_INDEX_NONE};
 	uint64_t block_index;
 
-	if (!cJSON_IsString(ref) || strlen(ref->valuestring) >= FL_REF_MAX ||
-	    !fl_job_ref_is_valid(ref->valuestring) ||
+	if (!fl_job_ref_decode(cJSON_GetArrayItem(item, 0), group.ref) ||
 	    fl_json_get_item(item, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
 	            FL_JSON_OK ||
-	    !cJSON_IsObject(changes))
-		return -EPROTO;
-	if (wal->group_count == wal->group_capacity) {
-		int cap = wal->group_capacity ? 2 * wal->group_capacity : 64;
-
-		group = realloc(wal->groups, (size_t)cap * sizeof(*group));
-		if (!group)
-			return -ENOMEM;
-		wal->groups = group;
-		wal->group_capacity = cap;
-	}
-	group = &wal->groups[wal->group_count++];
-	*group = (struct fl_wal_group){.block_index = (uint32_t)block_index, .next_of_block = -1};
-	fl_copy_string(group->ref, sizeof(group->ref), ref->valuestring);
-	group->changes = cJSON_Duplicate(changes, true);
-	return group->changes ? index_group(wal, wal->group_count - 1) : -ENOMEM;
+	    !cJSON_IsObject(group.changes))
+		return FL_DECODE_MALFORMED;
+	group.block_index = (uint32_t)block_index;
+	return add_group(wal, &group) ? FL_DECODE_OK : FL_DECODE_NO_MEMORY;
 }
 
-int fl_wal_read(struct fl_wal *wal, const cJSON *value)
+enum fl_decode_result fl_wal_read(struct fl_wal *wal, const cJSON *value)
 {
 	const cJSON *list = fl_json_get(value, "log"), *item;
 
 	if (!cJSON_IsArray(list))
-		return -EPROTO;
+		return FL_DECODE_MALFORMED;
 	cJSON_ArrayForEach (item, list) {
-		int rc = read_group(wal, item);
+		enum fl_decode_result result = read_group(wal, item);
 
-		if (rc)
-			return rc;
+		if (result != FL_DECODE_OK)
+			return result;
 	}
-	return 0;
+	return FL_DECODE_OK;
 }
 
 void fl_wal_free(struct fl_wal *wal)
 {
-	struct fl_wal_block *block, *tmp;
+	struct fl_wal_block *block, *next;
 
-	HASH_ITER (hh, wal->blocks, block, tmp) {
+	HASH_ITER (hh, wal->blocks, block, next) {
 		HASH_DEL(wal->blocks, block);
 		free(block);
 	}
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -92,8 +92,10 @@
 
 	assert_non_null(at);
 	assert_int_equal(
-		fl_task_restore(cluster, job, index, attempt, at, incarnation, placed, fl_now()),
-		0);
+		fl_task_restore(cluster, job, index,
+	                        &(struct fl_recorded_attempt){attempt, at, incarnation, placed},
+	                        fl_now()),
+		FL_PLACE_OK);
 	fl_task_touch(cluster, job, index);
 }
 
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -194,9 +194,11 @@
 	fl_cluster_describe(&fixture->node.cluster,
 	                    fl_machine_get(&fixture->node.cluster.machines, "m-000001", fl_now()),
 	                    0, 0, false, "x");
-	assert_int_equal(fl_task_restore(&fixture->node.cluster, fixture->job, 1, 3,
-	                                 only_machine(fixture), 1, 0, fl_now()),
-	                 0);
+	assert_int_equal(
+		fl_task_restore(&fixture->node.cluster, fixture->job, 1,
+	                        &(struct fl_recorded_attempt){3, only_machine(fixture), 1, 0},
+	                        fl_now()),
+		FL_PLACE_OK);
 	task = fl_task_peek(fixture->job, 1);
 	task->stop_reason = FL_STOP_PREEMPT;
 	assert_int_equal(deliver_report(fixture, make_report(9, 50, EPOCH - 1, &status, 1),
