--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -22,6 +22,7 @@
 	const char *type = node->cluster.machines.types[request->type].name;
 	const char *zone = fl_symbol_name(&node->cluster.zones, request->zone);
 	char name[64], (*hosts)[FL_NAME_MAX] = NULL;
+	const struct fl_cloud_rental rental = {name, type, zone, request->spot, request->count};
 	enum fl_cloud_result result = FL_CLOUD_UNAVAILABLE;
 	int got = 0;
 
@@ -34,8 +35,7 @@
 
 		if (budget != FL_CLOUD_OK)
 			return budget;
-		result = fl_cloud_rent(&node->cloud, name, type, zone, request->spot,
-		                       request->count, &hosts, &got);
+		result = fl_cloud_rent(&node->cloud, &rental, &hosts, &got);
 		if (result != FL_CLOUD_OUTCOME_UNKNOWN && result != FL_CLOUD_UNREADABLE)
 			break;
 	}
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -5,8 +5,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "transport/text.h"
-
 static const struct {
 	double timeout_s, default_pull_gb_s;
 } tunables = {
@@ -113,10 +111,11 @@
 	    decode_type_amounts(item, type) != FL_DECODE_OK || !cJSON_IsArray(zones))
 		return FL_DECODE_MALFORMED;
 	cJSON_ArrayForEach (zone, zones) {
-		if (!cJSON_IsString(zone) || strlen(zone->valuestring) >= FL_NAME_MAX ||
-		    type->zone_count == FL_TYPE_ZONES_MAX)
+		if (type->zone_count == FL_TYPE_ZONES_MAX ||
+		    fl_json_read_string(zone, type->zones[type->zone_count], FL_NAME_MAX) !=
+		            FL_JSON_OK)
 			return FL_DECODE_MALFORMED;
-		fl_copy_string(type->zones[type->zone_count++], FL_NAME_MAX, zone->valuestring);
+		type->zone_count++;
 	}
 	return FL_DECODE_OK;
 }
@@ -208,13 +207,12 @@
 	if (!*hosts)
 		return FL_DECODE_NO_MEMORY;
 	cJSON_ArrayForEach (item, list)
-		if (cJSON_IsString(item) && strlen(item->valuestring) < FL_NAME_MAX)
-			fl_copy_string((*hosts)[(*host_count)++], FL_NAME_MAX, item->valuestring);
+		if (fl_json_read_string(item, (*hosts)[*host_count], FL_NAME_MAX) == FL_JSON_OK)
+			(*host_count)++;
 	return FL_DECODE_OK;
 }
 
-enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const char *rental, const char *type,
-                                   const char *zone, bool spot, int count,
+enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const struct fl_cloud_rental *rental,
                                    char (**hosts)[FL_NAME_MAX], int *host_count)
 {
 	cJSON *body = cJSON_CreateObject();
@@ -223,11 +221,11 @@
 
 	*hosts = NULL;
 	*host_count = 0;
-	cJSON_AddStringToObject(body, "Rental", rental);
-	cJSON_AddStringToObject(body, "HostKind", type);
-	cJSON_AddStringToObject(body, "Site", zone);
-	cJSON_AddBoolToObject(body, "Reclaimable", spot);
-	cJSON_AddNumberToObject(body, "Count", count);
+	cJSON_AddStringToObject(body, "Rental", rental->name);
+	cJSON_AddStringToObject(body, "HostKind", rental->type);
+	cJSON_AddStringToObject(body, "Site", rental->zone);
+	cJSON_AddBoolToObject(body, "Reclaimable", rental->spot);
+	cJSON_AddNumberToObject(body, "Count", rental->count);
 	result = call(cloud, "POST", "/rentals", body, &answer);
 	if (result == FL_CLOUD_UNAVAILABLE && is_out_of_capacity(&answer))
 		result = FL_CLOUD_NO_CAPACITY;
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -65,12 +65,19 @@
 /* The types on offer; `*types` is to be freed. */
 enum fl_cloud_result fl_cloud_machine_types(struct fl_cloud *cloud,
                                             struct fl_cloud_machine_type **types, int *count);
+
+/* A rental of `count` machines, under a name that no other rental ever has. */
+struct fl_cloud_rental {
+	const char *name, *type, *zone;
+	bool spot;
+	int count;
+};
+
 /*
- * Rents `count` machines under a name that is unique to this rental. On success `*hosts` holds the
- * names of `*host_count` machines, perhaps fewer than asked for; to be freed.
+ * Rents machines. On success `*hosts` holds the names of `*host_count` of them, perhaps fewer than
+ * asked for; to be freed.
  */
-enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const char *rental, const char *type,
-                                   const char *zone, bool spot, int count,
+enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const struct fl_cloud_rental *rental,
                                    char (**hosts)[FL_NAME_MAX], int *host_count);
 /* Returns machines. */
 enum fl_cloud_result fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int count);
--- a/src/protocol/heartbeat_digests.c
+++ b/src/protocol/heartbeat_digests.c
@@ -3,8 +3,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "transport/text.h"
-
 static cJSON *encode_task(const struct fl_task_status *status)
 {
 	cJSON *entry = cJSON_CreateArray();
@@ -73,17 +71,17 @@
 
 enum fl_decode_result fl_cached_heartbeat_decode(const cJSON *item, struct fl_heartbeat *out)
 {
-	const cJSON *host = cJSON_GetArrayItem(item, 0), *notice = cJSON_GetArrayItem(item, 4);
+	const cJSON *notice = cJSON_GetArrayItem(item, 4);
 
 	memset(out, 0, sizeof(*out));
-	if (!cJSON_IsString(host) || !host->valuestring[0] ||
-	    strlen(host->valuestring) >= sizeof(out->host) ||
+	if (fl_json_read_string(cJSON_GetArrayItem(item, 0), out->host, sizeof(out->host)) !=
+	            FL_JSON_OK ||
+	    !out->host[0] ||
 	    fl_json_get_item(item, 1, FL_COUNT_MAX, &out->incarnation) != FL_JSON_OK ||
 	    fl_json_get_item(item, 2, FL_COUNT_MAX, &out->sequence) != FL_JSON_OK ||
 	    fl_json_get_item(item, 3, FL_COUNT_MAX, &out->fencing_token) != FL_JSON_OK ||
 	    !cJSON_IsNumber(notice))
 		return FL_DECODE_MALFORMED;
-	fl_copy_string(out->host, sizeof(out->host), host->valuestring);
 	out->interruption_in_s = notice->valuedouble >= 0 ? notice->valuedouble : -1;
 	return decode_tasks(cJSON_GetArrayItem(item, 5), out);
 }
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -150,12 +150,9 @@
 	return value && !cJSON_IsNull(value) ? value : NULL;
 }
 
-enum fl_json_result fl_json_get_string(const cJSON *object, const char *key, char *out,
-                                       size_t capacity)
+enum fl_json_result fl_json_read_string(const cJSON *value, char *out, size_t capacity)
 {
-	const cJSON *value = fl_json_get(object, key);
-
-	if (!value)
+	if (!value || cJSON_IsNull(value))
 		return FL_JSON_ABSENT;
 	if (!cJSON_IsString(value) || strlen(value->valuestring) >= capacity)
 		return FL_JSON_INVALID;
@@ -163,6 +160,12 @@
 	return FL_JSON_OK;
 }
 
+enum fl_json_result fl_json_get_string(const cJSON *object, const char *key, char *out,
+                                       size_t capacity)
+{
+	return fl_json_read_string(fl_json_get(object, key), out, capacity);
+}
+
 enum fl_json_result fl_json_get_amount(const cJSON *object, const char *key, double *out)
 {
 	const cJSON *value = fl_json_get(object, key);
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -30,7 +30,9 @@
  * memory.
  */
 cJSON *fl_json_parse(const char *text, size_t length);
-/* A string that fits into `capacity` bytes with its terminator. */
+/* A string that fits into `capacity` bytes with its terminator; `value` may be NULL. */
+enum fl_json_result fl_json_read_string(const cJSON *value, char *out, size_t capacity);
+/* The same of a field. */
 enum fl_json_result fl_json_get_string(const cJSON *object, const char *key, char *out,
                                        size_t capacity);
 /* A number from 0 to 1e12. */
@@ -39,6 +41,8 @@
 enum fl_json_result fl_json_get_count(const cJSON *object, const char *key, uint64_t *out);
 /* A whole number in an array, from 0 to `max`. */
 enum fl_json_result fl_json_get_item(const cJSON *array, int index, uint64_t max, uint64_t *out);
+/* The items of an array that is no parameter. */
+#define FL_COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
 /* One of these names: its index. INVALID also if it is none of them. */
 enum fl_json_result fl_json_get_choice(const cJSON *object, const char *key,
                                        const char *const *names, int name_count, int *out);
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -9,8 +9,6 @@
 static const char *const kind_names[] = {"sweep", "standing", "ensemble"};
 static const char *const status_names[] = {"pending", "running", "done", "aborted"};
 
-#define COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
-
 /* The paths of the API; a job's id follows the jobs path. */
 static const char jobs_path[] = "/v2/runs";
 static const char heartbeat_path[] = "/hello";
@@ -31,14 +29,16 @@
 
 bool fl_job_ref_decode(const cJSON *value, char ref[FL_REF_MAX])
 {
-	if (!cJSON_IsString(value) || strlen(value->valuestring) >= FL_REF_MAX ||
-	    !fl_job_ref_is_valid(value->valuestring))
+	char text[FL_REF_MAX];
+
+	if (fl_json_read_string(value, text, sizeof(text)) != FL_JSON_OK ||
+	    !fl_job_ref_is_valid(text))
 		return false;
-	fl_copy_string(ref, FL_REF_MAX, value->valuestring);
+	fl_copy_string(ref, FL_REF_MAX, text);
 	return true;
 }
 
-/* Names are neither empty nor hold control characters, which JSON escapes sixfold in a record. */
+/* Control characters would be escaped sixfold, and the record outgrow its key. */
 static bool is_valid_name(const char *name)
 {
 	if (!*name)
@@ -66,12 +66,11 @@
 		return false;
 	out->machine_type_count = 0;
 	cJSON_ArrayForEach (item, value) {
-		/* Control characters would be escaped sixfold, and the record outgrow its key. */
-		if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_NAME_MAX ||
-		    !is_valid_name(item->valuestring))
+		char *name = out->machine_types[out->machine_type_count++];
+
+		if (fl_json_read_string(item, name, FL_NAME_MAX) != FL_JSON_OK ||
+		    !is_valid_name(name))
 			return false;
-		fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
-		               item->valuestring);
 	}
 	return true;
 }
@@ -80,7 +79,7 @@
 {
 	int kind;
 
-	if (fl_json_get_choice(object, FL_FIELD_KIND, kind_names, COUNT_OF(kind_names), &kind) !=
+	if (fl_json_get_choice(object, FL_FIELD_KIND, kind_names, FL_COUNT_OF(kind_names), &kind) !=
 	    FL_JSON_OK)
 		return false;
 	out->kind = (enum fl_job_kind)kind;
@@ -91,8 +90,8 @@
 {
 	int priority;
 
-	if (fl_json_get_choice(object, FL_FIELD_PRIORITY, priority_names, COUNT_OF(priority_names),
-	                       &priority) != FL_JSON_OK)
+	if (fl_json_get_choice(object, FL_FIELD_PRIORITY, priority_names,
+	                       FL_COUNT_OF(priority_names), &priority) != FL_JSON_OK)
 		return false;
 	out->priority = (enum fl_priority)priority;
 	return true;
@@ -176,7 +175,7 @@
 	};
 	enum fl_json_result due;
 
-	for (int i = 0; i < COUNT_OF(required); i++)
+	for (int i = 0; i < FL_COUNT_OF(required); i++)
 		if (fl_json_get_amount(object, required[i].field, required[i].amount) != FL_JSON_OK)
 			return required[i].field;
 	due = fl_json_get_amount(object, FL_FIELD_DUE_S, &out->due_s);
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -9,8 +9,6 @@
                                          "busy", "no_such", "mates_gone", "alone"};
 static const char *const command_names[] = {"launch", "kill", "forget"};
 
-#define COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
-
 /* The statuses of a worker's answers that hold a heartbeat. */
 enum { STATUS_ACCEPTED = 200, STATUS_REJECTED = 409 };
 
@@ -48,12 +46,12 @@
 	if (fl_json_get_count(item, "Try", &attempt) != FL_JSON_OK || attempt > UINT32_MAX)
 		return FL_DECODE_MALFORMED;
 	status->attempt = (uint32_t)attempt;
-	if (fl_json_get_choice(item, "Status", state_names, COUNT_OF(state_names), &state) !=
+	if (fl_json_get_choice(item, "Status", state_names, FL_COUNT_OF(state_names), &state) !=
 	    FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	status->state = (enum fl_task_state)state;
 	status->exit = FL_EXIT_OTHER;
-	if (fl_json_get_choice(item, "ExitReason", exit_names, COUNT_OF(exit_names), &reason) ==
+	if (fl_json_get_choice(item, "ExitReason", exit_names, FL_COUNT_OF(exit_names), &reason) ==
 	    FL_JSON_OK)
 		status->exit = (enum fl_exit)reason;
 	fl_json_get_bool(item, "Saved", &status->saved);
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -129,13 +129,19 @@
 	return FL_DECODE_OK;
 }
 
-static enum fl_record_result read_record(struct fl_kv_store *store, const char *key,
-                                         const char *ref, struct fl_job_record *record,
+/* Which job is read, and what its record goes into. */
+struct record_reader {
+	struct fl_kv_store *store;
+	const char *ref;
+	struct fl_job_record *record;
+};
+
+static enum fl_record_result read_record(const struct record_reader *reader, const char *key,
                                          cJSON **value, uint64_t *revision)
 {
-	switch (fl_kv_get(store, key, value, revision, NULL)) {
+	switch (fl_kv_get(reader->store, key, value, revision, NULL)) {
 	case FL_KV_OK:
-		if (fl_job_record_decode(*value, ref, record) != FL_DECODE_OK)
+		if (fl_job_record_decode(*value, reader->ref, reader->record) != FL_DECODE_OK)
 			return FL_RECORD_UNREADABLE;
 		return FL_RECORD_FOUND;
 	case FL_KV_NOT_FOUND:
@@ -155,16 +161,17 @@
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision)
 {
+	const struct record_reader reader = {store, ref, record};
 	enum fl_record_result result;
 	char key[FL_KEY_MAX];
 	cJSON *final = NULL;
 
 	fl_key_job(key, ref);
-	result = read_record(store, key, ref, record, value, revision);
+	result = read_record(&reader, key, value, revision);
 	if (result != FL_RECORD_NOT_FOUND)
 		return result;
 	fl_key_finished(key, ref);
-	result = read_record(store, key, ref, record, &final, revision);
+	result = read_record(&reader, key, &final, revision);
 	cJSON_Delete(final);
 	return result;
 }
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -713,16 +713,17 @@
 static void rent_and_delete(const char *address, void *results)
 {
 	static const char *const returned[] = {"m-000231", "m-000232"};
+	static const struct fl_cloud_rental rentals[] = {
+		{"r-17", "g8", "zone-a", true, 12},
+		{"r-18", "c32", "zone-b", false, 1},
+		{"r-18", "c32", "zone-b", false, 1},
+	};
 	struct rental_results *got = results;
 	struct fl_cloud cloud;
 
 	fl_http_client_init(&cloud.http, address, 1);
-	got->result[0] = fl_cloud_rent(&cloud, "r-17", "g8", "zone-a", true, 12, &got->hosts[0],
-	                               &got->count[0]);
-	got->result[1] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[1],
-	                               &got->count[1]);
-	got->result[2] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[2],
-	                               &got->count[2]);
+	for (int i = 0; i < 3; i++)
+		got->result[i] = fl_cloud_rent(&cloud, &rentals[i], &got->hosts[i], &got->count[i]);
 	got->result[3] = fl_cloud_delete(&cloud, returned, COUNT_OF(returned));
 	fl_http_client_close(&cloud.http);
 }
