--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -144,7 +144,7 @@
 		struct fl_http_response one = {.status = 500};
 		struct fl_heartbeat heartbeat;
 
-		if (fl_heartbeat_decode_json(item, &heartbeat) == 0) {
+		if (fl_heartbeat_decode_json(item, &heartbeat) == FL_DECODE_OK) {
 			heartbeat.entry_node = entry_node;
 			fl_heartbeat_reply_as_leader(node, &heartbeat, &one);
 			fl_heartbeat_free(&heartbeat);
@@ -168,7 +168,7 @@
 	cJSON_ArrayForEach (item, message->list) {
 		struct fl_heartbeat heartbeat;
 
-		if (fl_heartbeat_decode_json(item, &heartbeat) != 0)
+		if (fl_heartbeat_decode_json(item, &heartbeat) != FL_DECODE_OK)
 			continue;
 		fl_heartbeat_cache(node, &heartbeat);
 		fl_heartbeat_free(&heartbeat);
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -64,8 +64,8 @@
 };
 
 /* One request; takes `body` over. `answer->tree` is the caller's in any case. */
-static enum fl_cloud_result call(struct fl_cloud *cloud, const char *method, const char *path,
-                                 cJSON *body, struct answer *answer)
+static enum fl_cloud_result send_request(struct fl_cloud *cloud, const char *method,
+                                         const char *path, cJSON *body, struct answer *answer)
 {
 	char *text = body ? fl_json_print_and_delete(body) : NULL;
 	struct fl_http_reply reply;
@@ -176,7 +176,7 @@
                                             struct fl_cloud_machine_type **types, int *count)
 {
 	struct answer answer;
-	enum fl_cloud_result result = call(cloud, "GET", "/machine_types", NULL, &answer);
+	enum fl_cloud_result result = send_request(cloud, "GET", "/machine_types", NULL, &answer);
 
 	*types = NULL;
 	*count = 0;
@@ -226,7 +226,7 @@
 	cJSON_AddStringToObject(body, "Site", rental->zone);
 	cJSON_AddBoolToObject(body, "Reclaimable", rental->spot);
 	cJSON_AddNumberToObject(body, "Count", rental->count);
-	result = call(cloud, "POST", "/rentals", body, &answer);
+	result = send_request(cloud, "POST", "/rentals", body, &answer);
 	if (result == FL_CLOUD_UNAVAILABLE && is_out_of_capacity(&answer))
 		result = FL_CLOUD_NO_CAPACITY;
 	if (result == FL_CLOUD_OK)
@@ -242,7 +242,7 @@
 	struct answer answer;
 
 	cJSON_AddItemToObject(body, "Hosts", cJSON_CreateStringArray(hosts, count));
-	result = call(cloud, "POST", "/rentals/delete", body, &answer);
+	result = send_request(cloud, "POST", "/rentals/delete", body, &answer);
 	cJSON_Delete(answer.tree);
 	return result;
 }
@@ -310,7 +310,7 @@
 		snprintf(path, sizeof(path), "/rentals?From=%s&Page=%d", from, FL_LIST_PAGE);
 	else
 		snprintf(path, sizeof(path), "/rentals?Page=%d", FL_LIST_PAGE);
-	result = call(cloud, "GET", path, NULL, &answer);
+	result = send_request(cloud, "GET", path, NULL, &answer);
 	if (result == FL_CLOUD_OK)
 		result = result_of_decoding(decode_page(answer.tree, machines, count, more));
 	if (result != FL_CLOUD_OK) {
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -87,8 +87,8 @@
 };
 
 /* `*answer` is the caller's to delete in any case; NULL: there is none, or it is no JSON. */
-static enum fl_kv_result call(struct fl_kv_store *store, struct fl_http_client *client,
-                              const struct request *request, cJSON **answer)
+static enum fl_kv_result send_request(struct fl_kv_store *store, struct fl_http_client *client,
+                                      const struct request *request, cJSON **answer)
 {
 	double sent = fl_now();
 	struct fl_http_reply reply;
@@ -125,8 +125,8 @@
 
 	*value = NULL;
 	snprintf(path, sizeof(path), "/keys/%s", key);
-	result = call(store, &store->client,
-	              &(struct request){"GET", path, NULL, tunables.timeout_s}, &object);
+	result = send_request(store, &store->client,
+	                      &(struct request){"GET", path, NULL, tunables.timeout_s}, &object);
 	if (result == FL_KV_OK && fl_json_get_count(object, "KeyRev", revision) != FL_JSON_OK)
 		result = FL_KV_OUTCOME_UNKNOWN;
 	if (result == FL_KV_OK) {
@@ -195,8 +195,9 @@
 
 	snprintf(path, sizeof(path), "/keys?Prefix=%s%s%s&Page=%d", reader->prefix,
 	         reader->last_key[0] ? "&From=" : "", reader->last_key, tunables.page_size);
-	result = call(reader->store, &reader->store->client,
-	              &(struct request){"GET", path, NULL, 2 * tunables.timeout_s}, &object);
+	result =
+		send_request(reader->store, &reader->store->client,
+	                     &(struct request){"GET", path, NULL, 2 * tunables.timeout_s}, &object);
 	if (result == FL_KV_OK)
 		result = read_page(reader, on_event, context, object);
 	cJSON_Delete(object);
@@ -250,9 +251,9 @@
 
 	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", prefix,
 	         (unsigned long long)*revision, (int)(timeout_s * 1000));
-	result = call(store, &store->watch_client,
-	              &(struct request){"GET", path, NULL, timeout_s + tunables.watch_slack_s},
-	              &object);
+	result = send_request(
+		store, &store->watch_client,
+		&(struct request){"GET", path, NULL, timeout_s + tunables.watch_slack_s}, &object);
 	if (result == FL_KV_OK) {
 		events = fl_json_get(object, "Log");
 		if (fl_json_get_count(object, "LedgerRev", &new_revision) != FL_JSON_OK ||
@@ -319,8 +320,9 @@
 	enum fl_kv_result result;
 
 	txn->root = NULL;
-	result = call(store, &store->client,
-	              &(struct request){"POST", "/multi", text, tunables.timeout_s}, &object);
+	result = send_request(store, &store->client,
+	                      &(struct request){"POST", "/multi", text, tunables.timeout_s},
+	                      &object);
 	free(text);
 	if (result == FL_KV_OK && fl_json_get_count(object, "LedgerRev", revision) != FL_JSON_OK)
 		result = FL_KV_OUTCOME_UNKNOWN;
@@ -342,8 +344,9 @@
 	enum fl_kv_result result;
 
 	snprintf(body, sizeof(body), "{\"TtlMs\":%d}", (int)(ttl_s * 1000));
-	result = call(store, &store->client,
-	              &(struct request){"POST", "/holds", body, tunables.timeout_s}, &object);
+	result = send_request(store, &store->client,
+	                      &(struct request){"POST", "/holds", body, tunables.timeout_s},
+	                      &object);
 	if (result == FL_KV_OK && fl_json_get_count(object, "Grant", lease_id) != FL_JSON_OK)
 		result = FL_KV_OUTCOME_UNKNOWN;
 	cJSON_Delete(object);
@@ -358,8 +361,8 @@
 	enum fl_kv_result result;
 
 	snprintf(path, sizeof(path), "/holds/%llu/extend", (unsigned long long)lease_id);
-	result = call(store, &store->client, &(struct request){"POST", path, "{}", timeout_s},
-	              &object);
+	result = send_request(store, &store->client,
+	                      &(struct request){"POST", path, "{}", timeout_s}, &object);
 	cJSON_Delete(object);
 	return result;
 }
@@ -371,8 +374,8 @@
 	enum fl_kv_result result;
 
 	snprintf(path, sizeof(path), "/holds/%llu", (unsigned long long)lease_id);
-	result = call(store, &store->client,
-	              &(struct request){"DELETE", path, NULL, tunables.timeout_s}, &object);
+	result = send_request(store, &store->client,
+	                      &(struct request){"DELETE", path, NULL, tunables.timeout_s}, &object);
 	cJSON_Delete(object);
 	return result;
 }
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -1,8 +1,9 @@
 /*
  * The state of the cluster as one node knows it: live jobs and their tasks, finished jobs, teams
  * and machines. A follower holds the descriptions of jobs only; a leader also tasks and machines.
- * The counts of jobs, teams, machines and zones always agree with the phases of the tasks, so
- * phases change through tasks.h alone. Times are steady, in seconds, unless their name says _wall.
+ * The counts of jobs, teams, machines and zones always agree with the phases of the tasks, so only
+ * tasks.c and progress_records.c change phases. Times are steady, in seconds, unless their name
+ * says _wall.
  */
 #ifndef FL_STORAGE_CLUSTER_H
 #define FL_STORAGE_CLUSTER_H
@@ -126,7 +127,7 @@
 	struct fl_job *jobs;              /* live, by ref */
 	struct fl_finished_job *finished; /* by ref, oldest first */
 	unsigned finished_max;      /* the oldest beyond it are left to the records; 0: no limit */
-	double finished_dropped_at; /* when the newest of those that were dropped was learned */
+	double finished_dropped_at; /* when the newest of those not held any more was learned */
 	struct fl_job *dirty;       /* jobs with unsaved blocks */
 	uint64_t list_revision;     /* of the list that the leadership began with */
 	bool leading;               /* tasks and machines are held here, not only descriptions */
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -1,7 +1,7 @@
 /*
  * Live jobs. The cluster owns them; a pointer to one is valid until the job is dropped or
- * finalised, so it must not be held across a wait without finding the job anew. The headers of
- * tasks and of finished jobs come with this one.
+ * finalised, which may happen during any wait. The headers of tasks and of finished jobs come with
+ * this one.
  */
 #ifndef FL_STORAGE_JOBS_H
 #define FL_STORAGE_JOBS_H
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -90,7 +90,7 @@
 	machine = calloc(1, sizeof(*machine));
 	if (!machine)
 		return NULL;
-	strncpy(machine->name, name, sizeof(machine->name) - 1);
+	fl_copy_string(machine->name, sizeof(machine->name), name);
 	machine->id = machines->count;
 	machine->type = machine->zone = FL_INDEX_NONE;
 	machine->lifecycle.first_seen_at = now;
@@ -113,7 +113,7 @@
 		machine->described = true;
 	}
 	if (endpoint && *endpoint)
-		strncpy(machine->endpoint, endpoint, sizeof(machine->endpoint) - 1);
+		fl_copy_string(machine->endpoint, sizeof(machine->endpoint), endpoint);
 }
 
 bool fl_machine_add_assignment(struct fl_machine *machine, struct fl_job *job, uint32_t index)
