--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -160,7 +160,7 @@
 	for (int i = 0; i < count; i++)
 		names[i] = chosen[i]->name;
 	if (count == 0 || fl_autoscaler_await_call_budget(node) != FL_CALL_ALLOWED ||
-	    fl_cloud_delete(&node->cloud, names, count) != 0)
+	    fl_cloud_delete(&node->cloud, names, count) != FL_CLOUD_OK)
 		return;
 	for (int i = 0; i < count; i++) {
 		chosen[i]->lifecycle.scaled_in = true;
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -98,10 +98,11 @@
 static void add_cancelled(const struct fl_node *node, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
-	int count = fl_finished_jobs_cancelled_since(&node->cluster, since, list,
-	                                             FL_GOSSIP_CANCELLED_MAX);
+	int count;
 
-	if (!node->jobs_known || count < 0)
+	if (!node->jobs_known ||
+	    !fl_finished_jobs_cancelled_since(&node->cluster, since, FL_GOSSIP_CANCELLED_MAX, list,
+	                                      &count))
 		return;
 	gossip->cancelled = calloc((size_t)count + 1, sizeof(*gossip->cancelled));
 	if (!gossip->cancelled)
@@ -132,7 +133,7 @@
 	struct fl_gossip gossip;
 	double since;
 
-	if (fl_gossip_decode(body, len, &gossip) != 0) {
+	if (fl_gossip_decode(body, len, &gossip) != FL_DECODE_OK) {
 		fl_error("peers", "request rejected: malformed path=%s", FL_PATH_GOSSIP);
 		fl_respond_error(response, 400, "malformed gossip");
 		return;
@@ -164,7 +165,7 @@
 {
 	struct fl_gossip gossip;
 
-	if (fl_gossip_decode(body, len, &gossip) != 0) {
+	if (fl_gossip_decode(body, len, &gossip) != FL_DECODE_OK) {
 		fl_error("peers", "malformed reply: path=%s peer=%s", FL_PATH_GOSSIP, peer->name);
 		return;
 	}
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -6,7 +6,7 @@
 
 #include "coordination/node.h"
 #include "coordination/workers/heartbeat.h"
-#include "protocol/peers.h"
+#include "protocol/heartbeat_digests.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
--- a/src/coordination/scheduling/scheduling_decisions.c
+++ b/src/coordination/scheduling/scheduling_decisions.c
@@ -11,8 +11,9 @@
 {
 	uint32_t index = fl_task_next_waiting(job, 0, now);
 
-	if (index >= job->task_count || fl_task_place(&node->cluster, job, index, machine,
-	                                              node->leader_lease.fencing_token, now) != 0)
+	if (index >= job->task_count ||
+	    fl_task_place(&node->cluster, job, index, machine, node->leader_lease.fencing_token,
+	                  now) != FL_PLACE_OK)
 		return;
 	fl_machine_record_image(machine, job->image);
 	/* What it was reserved for has started; who still waits requests it again in each cycle. */
