--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -2,58 +2,40 @@
 #include "sim.h"
 
 #include <errno.h>
+#include <stddef.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/mman.h>
 
 #include "transport/clock.h"
-
-#if defined(__SANITIZE_ADDRESS__)
-#include <sanitizer/common_interface_defs.h>
-#define FIBER_START(save, bottom, size) __sanitizer_start_switch_fiber(save, bottom, size)
-#define FIBER_FINISH(save, bottom, size) __sanitizer_finish_switch_fiber(save, bottom, size)
-#else
-#define FIBER_START(save, bottom, size) ((void)(save), (void)(bottom), (void)(size))
-#define FIBER_FINISH(save, bottom, size) ((void)(save), (void)(bottom), (void)(size))
-#endif
-
-typedef void *fcontext_t;
-struct transfer {
-	fcontext_t fctx;
-	void *data;
-};
-extern struct transfer jump_fcontext(fcontext_t to, void *vp);
-extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(struct transfer));
+#include "transport/coroutine_context.h"
+#include "transport/coroutine_queue.h"
 
 enum { STACK = 256 * 1024, SPARE = 256, PROCESSES = 256 };
 struct fl_coroutine {
+	struct fl_coroutine_links links; /* first: see coroutine_queue.h */
 	fcontext_t context;
 	char *stack;
 	void (*function)(void *);
 	void *argument;
 	int process;
-	struct fl_coroutine *next_ready, *prev, *next;
-	struct fl_coroutine *condition_prev, *condition_next;
-	struct fl_condition *condition;
+	struct fl_coroutine *prev, *next;
 	struct sim_timer timer;
 	void *fake_stack;
 	int result;
 	bool parked, ready, cancelled, finished, urgent;
 };
-
-struct queue {
-	struct fl_coroutine *head, *tail;
-};
+_Static_assert(offsetof(struct fl_coroutine, links) == 0, "see coroutine_queue.h");
 
 static struct {
 	struct fl_coroutine *all, *current;
-	struct queue ready, urgent;
+	struct fl_coroutine_queue ready, urgent;
 	int dying; /* the last process that was cancelled */
 	bool ending;
 	/* What of a process has to wait until its computer has time for it again. */
 	struct waiting {
 		double until;
-		struct queue ready, urgent;
+		struct fl_coroutine_queue ready, urgent;
 		struct sim_timer timer;
 	} waiting[PROCESSES];
 	char *spare[SPARE];
@@ -74,57 +56,19 @@
 
 /* ---- routines ---- */
 
-static void append(struct queue *queue, struct fl_coroutine *coroutine)
-{
-	coroutine->next_ready = NULL;
-	if (queue->tail)
-		queue->tail->next_ready = coroutine;
-	else
-		queue->head = coroutine;
-	queue->tail = coroutine;
-}
-
 static void make_ready(struct fl_coroutine *coroutine, int result)
 {
 	if (coroutine->ready)
 		return;
 	coroutine->ready = true;
 	coroutine->result = result;
-	append(coroutine->urgent ? &rt.urgent : &rt.ready, coroutine);
-}
-
-static struct fl_coroutine *take_ready(struct queue *queue)
-{
-	struct fl_coroutine *coroutine = queue->head;
-
-	if (!coroutine)
-		return NULL;
-	queue->head = coroutine->next_ready;
-	if (!queue->head)
-		queue->tail = NULL;
-	return coroutine;
-}
-
-static void condition_unlink(struct fl_coroutine *coroutine)
-{
-	if (!coroutine->condition)
-		return;
-	if (coroutine->condition_prev)
-		coroutine->condition_prev->condition_next = coroutine->condition_next;
-	else
-		coroutine->condition->first = coroutine->condition_next;
-	if (coroutine->condition_next)
-		coroutine->condition_next->condition_prev = coroutine->condition_prev;
-	else
-		coroutine->condition->last = coroutine->condition_prev;
-	coroutine->condition = NULL;
-	coroutine->condition_prev = coroutine->condition_next = NULL;
+	fl_coroutine_queue_push(coroutine->urgent ? &rt.urgent : &rt.ready, coroutine);
 }
 
 static void wake(struct fl_coroutine *coroutine, int result)
 {
 	sim_timer_disarm(&coroutine->timer);
-	condition_unlink(coroutine);
+	fl_condition_remove_waiter(coroutine);
 	make_ready(coroutine, result);
 }
 
@@ -208,10 +152,10 @@
 	struct waiting *w = arg;
 	struct fl_coroutine *coroutine;
 
-	while ((coroutine = take_ready(&w->urgent)))
-		append(&rt.urgent, coroutine);
-	while ((coroutine = take_ready(&w->ready)))
-		append(&rt.ready, coroutine);
+	while ((coroutine = fl_coroutine_queue_pop(&w->urgent)))
+		fl_coroutine_queue_push(&rt.urgent, coroutine);
+	while ((coroutine = fl_coroutine_queue_pop(&w->ready)))
+		fl_coroutine_queue_push(&rt.ready, coroutine);
 }
 
 void sim_process_waits(int process, double until)
@@ -238,11 +182,13 @@
 {
 	struct fl_coroutine *coroutine;
 
-	while ((coroutine = take_ready(&rt.urgent)) || (coroutine = take_ready(&rt.ready))) {
+	while ((coroutine = fl_coroutine_queue_pop(&rt.urgent)) ||
+	       (coroutine = fl_coroutine_queue_pop(&rt.ready))) {
 		struct waiting *w = &rt.waiting[coroutine->process];
 
 		if (has_to_wait(coroutine)) {
-			append(coroutine->urgent ? &w->urgent : &w->ready, coroutine);
+			fl_coroutine_queue_push(coroutine->urgent ? &w->urgent : &w->ready,
+			                        coroutine);
 			continue;
 		}
 		if (coroutine->process)
@@ -374,14 +320,7 @@
 
 	if (coroutine->cancelled)
 		return -ECANCELED;
-	coroutine->condition = condition;
-	coroutine->condition_prev = condition->last;
-	coroutine->condition_next = NULL;
-	if (condition->last)
-		condition->last->condition_next = coroutine;
-	else
-		condition->first = coroutine;
-	condition->last = coroutine;
+	fl_condition_add_waiter(condition, coroutine);
 	if (timeout_s >= 0)
 		sim_timer_arm(&coroutine->timer, timeout_s);
 	return park();
