--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -10,23 +10,26 @@
 #include "transport/text.h"
 
 static const struct {
-	double ttl_s, renew_s, drift, margin_s, poll_s, retry_s, stagger_s, watch_s, token_gap_s;
+	double lease_ttl_s, renew_interval_s, clock_drift, expiry_margin_s;
+	double read_interval_s, retry_s, campaign_stagger_s, watch_timeout_s;
+	double token_raise_interval_s;
 } tunables = {
-	.ttl_s = 3.0,       /* s; for at most so long a dead leader is not replaced */
-	.renew_s = 0.8,     /* s; three tries before the lease expires */
-	.drift = 0.001,     /* share; twice what the platform allows between two clocks */
-	.margin_s = 0.1,    /* s; for a timer that fires late */
-	.poll_s = 1.0,      /* s; how often followers read who leads, which confirms the leader */
-	.retry_s = 0.3,     /* s; after a refusal */
-	.stagger_s = 0.05,  /* s a node; so that not all campaign at once */
-	.watch_s = 10.0,    /* s; length of a watch */
-	.token_gap_s = 4.0, /* s; least time between two raises of the fencing token */
+	.lease_ttl_s = 3.0,         /* s; for at most so long a dead leader is not replaced */
+	.renew_interval_s = 0.8,    /* s; three tries before the lease expires */
+	.clock_drift = 0.001,       /* share; twice what the platform allows between two clocks */
+	.expiry_margin_s = 0.1,     /* s; for a timer that fires late */
+	.read_interval_s = 1.0,     /* s; between a follower's reads, which confirm the leader */
+	.retry_s = 0.3,             /* s; after a refused request */
+	.campaign_stagger_s = 0.05, /* s a node; so that not all campaign at once */
+	.watch_timeout_s = 10.0,    /* s; length of a watch */
+	.token_raise_interval_s = 4.0, /* s; minimum between two raises of the fencing token */
 };
 
-/* Until when a lease counts whose grant or renewal was sent at this time. */
-static double lease_expiry(double sent)
+/* Until when a lease is valid (steady) whose grant or renewal was sent at this time. */
+static double lease_expiry(double sent_at)
 {
-	return sent + tunables.ttl_s * (1 - tunables.drift) - tunables.margin_s;
+	return sent_at + tunables.lease_ttl_s * (1 - tunables.clock_drift) -
+	       tunables.expiry_margin_s;
 }
 
 /* Takes the leader key with the next fencing token, in one compare-and-swap. */
@@ -46,29 +49,29 @@
 	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
 }
 
-/* Tries to become the leader. */
+/* Tries to become the leader. The time counts from before the grant: the store's may be later. */
 static void acquire_leadership(struct fl_node *node, const struct fl_election_state *state)
 {
 	struct fl_leader_lease *lease = &node->leader_lease;
 	uint64_t lease_id, revision;
-	double sent = fl_now();
+	double sent_at = fl_now();
 
-	if (fl_kv_lease_grant(&node->kv_store, tunables.ttl_s, &lease_id) != FL_KV_OK)
+	if (fl_kv_lease_grant(&node->kv_store, tunables.lease_ttl_s, &lease_id) != FL_KV_OK)
 		return;
 	if (take_leader_key(node, state, lease_id, &revision) != FL_KV_OK) {
-		/* If it was, or will yet be, carried out: the key goes with its lease. */
+		/* If the write was, or will yet be, executed: the key is deleted with its lease. */
 		fl_kv_lease_revoke(&node->kv_store, lease_id);
 		return;
 	}
 	lease->lease_id = lease_id;
 	lease->leader_mod_revision = lease->token_mod_revision = revision;
 	lease->fencing_token = state->fencing_token + 1;
-	lease->valid_until = lease_expiry(sent);
+	lease->valid_until = lease_expiry(sent_at);
 	lease->held = true;
 	lease->token_raise_wanted = false;
 	lease->token_raised_at = fl_now();
 	node->leader_view.fencing_token = lease->fencing_token;
-	node->leader_view.confirmed_at = sent;
+	node->leader_view.confirmed_at = sent_at;
 	fl_copy_string(node->leader_view.leader, sizeof(node->leader_view.leader),
 	               node->config->node);
 	fl_info("election", "%s became leader fencing_token=%llu", node->config->node,
@@ -99,7 +102,7 @@
 		lease->token_raise_wanted = false;
 	} else if (fl_leader_view_read(node, &state) == FL_KV_OK && lease->held &&
 	           state.leader_mod_revision == lease->leader_mod_revision) {
-		/* The outcome is unknown: what is stored now counts. */
+		/* The write may have been executed: the stored token counts. */
 		lease->fencing_token = state.fencing_token;
 		lease->token_mod_revision = state.token_mod_revision;
 	}
@@ -107,34 +110,35 @@
 		node->leader_view.fencing_token = lease->fencing_token;
 }
 
-/* A renewal that was sent at this time has succeeded. */
-static void lease_renewed(struct fl_node *node, double sent)
+/* A renewal that was sent at this time (steady) has succeeded. */
+static void on_lease_renewed(struct fl_node *node, double sent_at)
 {
 	struct fl_leader_lease *lease = &node->leader_lease;
 
-	/* While the lease was in doubt no digest could come: silence is counted from now. */
+	/* While the lease was in doubt no digest could arrive: silence is counted from now. */
 	if (fl_now() > lease->valid_until)
 		node->leadership.heartbeats_since = fl_now();
-	lease->valid_until = lease_expiry(sent);
-	fl_leader_view_confirm(&node->leader_view, sent);
-	if (lease->token_raise_wanted && fl_now() > lease->token_raised_at + tunables.token_gap_s)
+	lease->valid_until = lease_expiry(sent_at);
+	fl_leader_view_confirm(&node->leader_view, sent_at);
+	if (lease->token_raise_wanted &&
+	    fl_now() > lease->token_raised_at + tunables.token_raise_interval_s)
 		raise_fencing_token(node);
 }
 
 /* Renews the lease; returns the seconds until the next renewal. */
-static double renew(struct fl_node *node)
+static double renew_lease(struct fl_node *node)
 {
 	struct fl_leader_lease *lease = &node->leader_lease;
 	uint64_t lease_id = lease->lease_id;
-	double sent = fl_now();
+	double sent_at = fl_now();
 	enum fl_kv_result result =
-		fl_kv_lease_keep_alive(&node->kv_store, lease_id, tunables.renew_s);
+		fl_kv_lease_keep_alive(&node->kv_store, lease_id, tunables.renew_interval_s);
 
 	if (!lease->held || lease->lease_id != lease_id)
 		return 0;
 	if (result == FL_KV_OK) {
-		lease_renewed(node, sent);
-		return tunables.renew_s;
+		on_lease_renewed(node, sent_at);
+		return tunables.renew_interval_s;
 	}
 	if (result == FL_KV_NOT_FOUND) {
 		fl_leader_lease_step_down(node, "lease expired");
@@ -146,7 +150,7 @@
 	return tunables.retry_s;
 }
 
-/* An earlier process of this node holds the key; it is dead, or this one would not run. */
+/* An earlier process of this node holds the key; it has ended, or this one would not run. */
 static void revoke_lease_of_earlier_process(struct fl_node *node,
                                             const struct fl_election_state *state)
 {
@@ -161,8 +165,8 @@
 }
 
 /*
- * Campaigns if nobody leads; returns the seconds until the next try. `rank` is this node's place
- * among all controllers, so that they do not try at the same moment.
+ * Campaigns if there is no leader; returns the seconds until the next try. `rank` is this node's
+ * place among all controllers, so that they do not try at the same moment.
  */
 static double campaign(struct fl_node *node, int rank)
 {
@@ -171,14 +175,14 @@
 	if (fl_leader_view_read(node, &state) != FL_KV_OK)
 		return tunables.retry_s;
 	if (state.has_leader && strcmp(state.leader.node, node->config->node) != 0)
-		return tunables.poll_s;
+		return tunables.read_interval_s;
 	if (state.has_leader && strcmp(state.leader.process_id, node->process_id) != 0) {
 		revoke_lease_of_earlier_process(node, &state);
 		return 0;
 	}
 	if (state.has_leader)
-		return tunables.retry_s; /* our own key, given up, about to expire */
-	if (fl_sleep(tunables.stagger_s * rank) != 0)
+		return tunables.retry_s; /* its own key, given up, about to expire */
+	if (fl_sleep(tunables.campaign_stagger_s * rank) != 0)
 		return 0;
 	acquire_leadership(node, &state);
 	return node->leader_lease.held ? 0 : tunables.retry_s;
@@ -190,9 +194,9 @@
 	if (node->leader_lease.held) {
 		if (!node->leadership.active && !node->leadership.loading)
 			node->election_callbacks->begin_leadership(node);
-		return renew(node);
+		return renew_lease(node);
 	}
-	/* The loading ends by itself, as the lease is lost. */
+	/* The failover ends by itself, as the lease is lost. */
 	if (node->leadership.loading)
 		return tunables.retry_s;
 	if (node->leadership.active)
@@ -201,14 +205,22 @@
 	                                                     : tunables.retry_s;
 }
 
-static void election_coroutine(void *arg)
+/* This node's place among all controllers, by name, from 0. */
+static int rank_among_controllers(const struct fl_node *node)
 {
-	struct fl_node *node = arg;
 	int rank = 0;
 
-	fl_coroutine_set_urgent();
 	for (int i = 0; i < node->peer_count; i++)
 		rank += strcmp(node->peers[i].name, node->config->node) < 0;
+	return rank;
+}
+
+static void election_coroutine(void *arg)
+{
+	struct fl_node *node = arg;
+	int rank = rank_among_controllers(node);
+
+	fl_coroutine_set_urgent();
 	while (!fl_coroutine_cancelled()) {
 		double pause_s = advance_election(node, rank);
 
@@ -218,48 +230,60 @@
 	}
 }
 
+static void on_leader_key(struct fl_node *node, const cJSON *value)
+{
+	struct fl_leader_view *view = &node->leader_view;
+	struct fl_leader_record leader;
+
+	if (!value)
+		view->leader[0] = 0;
+	else if (fl_leader_record_decode(value, &leader))
+		fl_copy_string(view->leader, sizeof(view->leader), leader.node);
+	if (!node->leader_lease.held)
+		fl_condition_broadcast(&view->changed);
+}
+
 static void on_election_event(void *context, const struct fl_kv_event *event)
 {
 	struct fl_node *node = context;
 	struct fl_leader_view *view = &node->leader_view;
-	struct fl_leader_record leader;
 	uint64_t fencing_token;
 
-	if (strcmp(event->key, FL_KEY_LEADER) == 0) {
-		if (!event->value)
-			view->leader[0] = 0;
-		else if (fl_leader_record_decode(event->value, &leader))
-			fl_copy_string(view->leader, sizeof(view->leader), leader.node);
-		if (!node->leader_lease.held)
-			fl_condition_broadcast(&view->changed);
-	} else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value &&
-	           fl_fencing_token_record_decode(event->value, &fencing_token) &&
-	           fencing_token > view->fencing_token) {
+	if (strcmp(event->key, FL_KEY_LEADER) == 0)
+		on_leader_key(node, event->value);
+	else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value &&
+	         fl_fencing_token_record_decode(event->value, &fencing_token) &&
+	         fencing_token > view->fencing_token)
 		view->fencing_token = fencing_token;
-	}
 }
 
-/* Learns of a leader's end within milliseconds, where polling alone would take a second. */
+/* Lists the election keys, from which a watch can go on: `*revision` is that of the list. */
+static enum fl_kv_result list_election_keys(struct fl_node *node, uint64_t *revision)
+{
+	double sent_at = fl_now();
+	enum fl_kv_result result =
+		fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_event, node, revision);
+
+	/* A read like any other: with it a node just started can renew at once. */
+	if (result == FL_KV_OK)
+		fl_leader_view_confirm(&node->leader_view, sent_at);
+	return result;
+}
+
+/* Learns of a leader's end within milliseconds, where reading at intervals would take a second. */
 static void watch_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
-	uint64_t revision = 0;
+	uint64_t revision = 0; /* 0: to be listed */
 
 	fl_coroutine_set_urgent();
 	while (!fl_coroutine_cancelled()) {
-		double sent = fl_now();
-		enum fl_kv_result result;
-
-		if (revision == 0) {
-			result = fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_event,
-			                    node, &revision);
-			/* A read like any other: with it a node just started can renew at once. */
-			if (result == FL_KV_OK)
-				fl_leader_view_confirm(&node->leader_view, sent);
-		} else {
-			result = fl_kv_watch(&node->kv_store, FL_PREFIX_ELECTION, &revision,
-			                     tunables.watch_s, on_election_event, node);
-		}
+		enum fl_kv_result result =
+			revision == 0
+				? list_election_keys(node, &revision)
+				: fl_kv_watch(&node->kv_store, FL_PREFIX_ELECTION, &revision,
+		                              tunables.watch_timeout_s, on_election_event, node);
+
 		if (result == FL_KV_COMPACTED)
 			revision = 0;
 		if (result != FL_KV_OK && fl_sleep(tunables.retry_s) != 0)
--- a/src/coordination/election/leader_lease.c
+++ b/src/coordination/election/leader_lease.c
@@ -14,13 +14,15 @@
 	return node->leadership.active && fl_leader_lease_is_valid(node);
 }
 
-void fl_leader_lease_step_down(struct fl_node *node, const char *why)
+void fl_leader_lease_step_down(struct fl_node *node, const char *reason)
 {
-	if (!node->leader_lease.held)
+	struct fl_leader_lease *lease = &node->leader_lease;
+
+	if (!lease->held)
 		return;
-	fl_info("election", "%s stepped down: %s fencing_token=%llu", node->config->node, why,
-	        (unsigned long long)node->leader_lease.fencing_token);
-	node->leader_lease.held = false;
-	node->leader_lease.valid_until = 0;
+	fl_info("election", "%s stepped down: %s fencing_token=%llu", node->config->node, reason,
+	        (unsigned long long)lease->fencing_token);
+	lease->held = false;
+	lease->valid_until = 0;
 	fl_condition_broadcast(&node->leader_view.changed);
 }
--- a/src/coordination/election/leader_lease.h
+++ b/src/coordination/election/leader_lease.h
@@ -11,7 +11,7 @@
 
 struct fl_node;
 
-/* The lease of this node; all but `held` counts only while it is held. */
+/* The lease of this node; all but `held` is valid only while it is held. */
 struct fl_leader_lease {
 	bool held;
 	uint64_t lease_id;
@@ -20,14 +20,17 @@
 	uint64_t fencing_token;       /* in every command of this leader */
 	double valid_until;           /* steady; by this node's clock, less its possible drift */
 	bool token_raise_wanted;      /* the token is to be raised, to fence late direct commands */
-	double token_raised_at;       /* steady; when that was last tried */
+	double token_raised_at;       /* steady; of the last attempt to raise it */
 };
 
-/* Whether this node holds a valid lease. To be asked again after every wait. */
+/* Whether this node holds a valid lease. To be checked again after every wait. */
 bool fl_leader_lease_is_valid(const struct fl_node *node);
-/* Whether the lease is valid and the cluster state is loaded: the node may decide and answer. */
+/* Whether the lease is valid and the cluster state is loaded: the node may decide and respond. */
 bool fl_is_leader(const struct fl_node *node);
-/* Gives up the lease for the reason `why`: it has expired, or a higher fencing token is known. */
-void fl_leader_lease_step_down(struct fl_node *node, const char *why);
+/*
+ * Gives up the lease, if it is held. `reason` goes into the log: the lease has expired, or a higher
+ * fencing token is known.
+ */
+void fl_leader_lease_step_down(struct fl_node *node, const char *reason);
 
 #endif
--- a/src/coordination/election/leader_view.c
+++ b/src/coordination/election/leader_view.c
@@ -15,10 +15,10 @@
 	view->confirmed_at = LONG_AGO;
 }
 
-void fl_leader_view_confirm(struct fl_leader_view *view, double at)
+void fl_leader_view_confirm(struct fl_leader_view *view, double confirmed_at)
 {
-	if (at > view->confirmed_at)
-		view->confirmed_at = at;
+	if (confirmed_at > view->confirmed_at)
+		view->confirmed_at = confirmed_at;
 }
 
 static void on_election_key(void *context, const struct fl_kv_event *event)
@@ -37,7 +37,7 @@
 enum fl_kv_result fl_leader_view_read(struct fl_node *node, struct fl_election_state *out)
 {
 	struct fl_leader_view *view = &node->leader_view;
-	double sent = fl_now();
+	double sent_at = fl_now();
 	enum fl_kv_result result;
 	uint64_t revision;
 
@@ -45,12 +45,11 @@
 	result = fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_key, out, &revision);
 	if (result != FL_KV_OK)
 		return result;
-	if (out->fencing_token >= view->fencing_token) {
-		view->fencing_token = out->fencing_token;
-		fl_leader_view_confirm(view, sent);
-		fl_copy_string(view->leader, sizeof(view->leader),
-		               out->has_leader ? out->leader.node : "");
-	}
+	if (out->fencing_token < view->fencing_token)
+		return FL_KV_OK;
+	view->fencing_token = out->fencing_token;
+	fl_leader_view_confirm(view, sent_at);
+	fl_copy_string(view->leader, sizeof(view->leader), out->has_leader ? out->leader.node : "");
 	return FL_KV_OK;
 }
 
--- a/src/coordination/election/leader_view.h
+++ b/src/coordination/election/leader_view.h
@@ -1,6 +1,6 @@
 /*
- * What this node knows of who leads, whether by its own reads of the key-value store, by a watch or
- * by gossip. The fencing token known here only rises.
+ * The leader as this node knows it, from its own reads of the key-value store, from a watch or from
+ * gossip. It may be outdated, so nothing is decided by it; the fencing token in it only rises.
  */
 #ifndef FL_COORDINATION_ELECTION_LEADER_VIEW_H
 #define FL_COORDINATION_ELECTION_LEADER_VIEW_H
@@ -11,28 +11,28 @@
 
 struct fl_node;
 
-/* What is known of the leadership, with the time at which it was surely true. */
+/* The known leader, with the time at which that was certainly true. */
 struct fl_leader_view {
-	char leader[FL_NAME_MAX]; /* the leader's name; empty: none is known */
-	uint64_t fencing_token;   /* the highest known; 0: none yet */
-	double confirmed_at;      /* steady; of the sending of the read it rests on */
-	struct fl_condition changed;
+	char leader[FL_NAME_MAX];    /* the name of its node; empty: none is known */
+	uint64_t fencing_token;      /* the highest known; 0: none yet */
+	double confirmed_at;         /* steady; when the read it rests on was sent */
+	struct fl_condition changed; /* the leader key is deleted or taken, or the lease given up */
 };
 
-/* The keys of the election as one read found them. */
+/* The election keys as one read found them. */
 struct fl_election_state {
 	bool has_leader;
 	struct fl_leader_record leader;
 	uint64_t leader_mod_revision, fencing_token, token_mod_revision;
 };
 
-/* Nothing is known yet. */
+/* A view of no leader. */
 void fl_leader_view_init(struct fl_leader_view *view);
-/* What is known was true at this time (steady). */
-void fl_leader_view_confirm(struct fl_leader_view *view, double at);
-/* Reads leader and fencing token, and takes them into the view unless the token is outdated. */
+/* The view was true at this time (steady); an earlier time than the known one has no effect. */
+void fl_leader_view_confirm(struct fl_leader_view *view, double confirmed_at);
+/* Reads leader and fencing token, and updates the view unless the token is outdated. */
 enum fl_kv_result fl_leader_view_read(struct fl_node *node, struct fl_election_state *out);
-/* The same, for those who only want the view to be fresh. */
+/* The same, for callers that need no more than a fresh view. */
 enum fl_kv_result fl_leader_view_refresh(struct fl_node *node);
 
 #endif
