--- a/src/coordination/leadership/failover.h
+++ b/src/coordination/leadership/failover.h
@@ -7,16 +7,20 @@
 
 struct fl_node;
 
-/* What came of it. Unless it is LOADED, the cluster state is incomplete and must not be used. */
+/* The result of a failover. Unless it is LOADED, the cluster state is incomplete and must not be
+ * used. */
 enum fl_failover_result {
 	FL_FAILOVER_LOADED = 0,
-	FL_FAILOVER_STORE_FAILED, /* a read failed: try again from the start */
+	FL_FAILOVER_STORE_FAILED, /* a read failed: start again from the beginning */
 	FL_FAILOVER_LEASE_LOST,   /* the lease was lost meanwhile */
-	/* A record cannot be read, so something may run that nobody knows of: the log names it. */
+	/* A record cannot be read, so unknown tasks may run; the log names it. */
 	FL_FAILOVER_UNREADABLE_RECORD
 };
 
-/* Loads jobs, the write-ahead log and progress records into the cluster state. */
+/*
+ * Loads jobs, the write-ahead log and progress records into the cluster state, of which nothing of
+ * an earlier leadership is kept. It waits for the key-value store.
+ */
 enum fl_failover_result fl_failover_load(struct fl_node *node);
 
 #endif
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -15,9 +15,9 @@
 #include "transport/log.h"
 
 static const struct {
-	double end_wait_s;
+	double end_check_interval_s;
 } tunables = {
-	.end_wait_s = 1.0, /* s between two looks whether the coroutines have ended */
+	.end_check_interval_s = 1.0, /* s between two checks whether the coroutines have ended */
 };
 
 static void run_leader_coroutine(void *arg)
@@ -31,7 +31,7 @@
 }
 
 /* Starts a coroutine that ends with the leadership. */
-static void start(struct fl_node *node, void (*run)(struct fl_node *))
+static void start_coroutine(struct fl_node *node, void (*run)(struct fl_node *))
 {
 	struct fl_leadership *leadership = &node->leadership;
 	struct fl_leader_coroutine *slot = &leadership->coroutines[leadership->coroutine_count];
@@ -46,24 +46,27 @@
 	leadership->coroutines_running++;
 }
 
+/* The cluster state is loaded: from now on this node decides and responds. */
 static void activate(struct fl_node *node)
 {
-	node->leadership.first_fencing_token = node->leader_lease.fencing_token;
-	node->leadership.heartbeats_since = fl_now();
-	node->leadership.active = true;
-	node->leadership.cycle_due = true;
+	struct fl_leadership *leadership = &node->leadership;
+
+	leadership->first_fencing_token = node->leader_lease.fencing_token;
+	leadership->heartbeats_since = fl_now();
+	leadership->active = true;
+	leadership->cycle_due = true;
 	fl_record_writer_begin(node);
 	fl_autoscaler_begin(node);
-	start(node, fl_scheduling_cycle_run);
-	start(node, fl_record_writer_run);
-	start(node, fl_digest_reader_run);
-	start(node, fl_command_enforcement_run);
-	start(node, fl_autoscaler_run);
-	start(node, fl_finished_jobs_loader_run);
+	start_coroutine(node, fl_scheduling_cycle_run);
+	start_coroutine(node, fl_record_writer_run);
+	start_coroutine(node, fl_digest_reader_run);
+	start_coroutine(node, fl_command_enforcement_run);
+	start_coroutine(node, fl_autoscaler_run);
+	start_coroutine(node, fl_finished_jobs_loader_run);
 }
 
-/* The coroutine that loads the cluster state and starts the others. */
-static void leadership_coroutine(void *arg)
+/* Loads the cluster state and starts the other coroutines. */
+static void load_and_activate_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
 	uint64_t lease_id = node->leader_lease.lease_id;
@@ -83,7 +86,7 @@
 {
 	fl_record_writer_reset(node);
 	memset(&node->leadership, 0, sizeof(node->leadership));
-	node->leadership.loading = fl_coroutine_spawn(leadership_coroutine, node) != NULL;
+	node->leadership.loading = fl_coroutine_spawn(load_and_activate_coroutine, node) != NULL;
 	if (!node->leadership.loading)
 		fl_error("leadership", "coroutine not started: out of memory");
 }
@@ -97,7 +100,8 @@
 		fl_coroutine_cancel(leadership->coroutines[i].coroutine);
 	leadership->coroutine_count = 0;
 	while (leadership->coroutines_running > 0 &&
-	       fl_condition_wait(&leadership->coroutine_ended, tunables.end_wait_s) != -ECANCELED)
+	       fl_condition_wait(&leadership->coroutine_ended, tunables.end_check_interval_s) !=
+	               -ECANCELED)
 		;
 	fl_cluster_forget_tasks(&node->cluster);
 	node->cluster.leading = false;
--- a/src/coordination/leadership/leadership.h
+++ b/src/coordination/leadership/leadership.h
@@ -12,7 +12,7 @@
 
 struct fl_node;
 
-/* Coroutines of a leader at most. */
+/* Maximum number of a leader's coroutines. */
 enum { FL_LEADER_COROUTINES_MAX = 8 };
 
 /* A coroutine of a leader, which works on the cluster state until it returns. */
@@ -26,27 +26,27 @@
 struct fl_leadership {
 	bool loading; /* the cluster state is being loaded, by a coroutine of its own */
 	bool active;  /* the cluster state is loaded, the coroutines run */
-	uint64_t first_fencing_token; /* the token of the failover; later ones are higher */
-	double heartbeats_since; /* steady; since when heartbeats could arrive without a break */
+	uint64_t first_fencing_token; /* at the failover; later ones are higher */
+	double heartbeats_since;      /* steady; since when heartbeats could arrive uninterrupted */
 	struct fl_leader_coroutine coroutines[FL_LEADER_COROUTINES_MAX];
 	int coroutine_count;
-	int coroutines_running; /* these, and those that send commands */
+	int coroutines_running; /* these, and the ones that send commands */
 	struct fl_condition coroutine_ended;
-	struct fl_condition work_available; /* something to decide */
+	struct fl_condition work_available; /* a scheduling cycle may have something to decide */
 	bool cycle_due;                     /* a scheduling cycle is wanted */
-	int resume_position; /* place in the order where the last cycle ran out of time */
+	int resume_position; /* place in the queue order where the last cycle ran out of time */
 	uint64_t cycle_count;
-	int commands_in_flight;  /* direct commands under way */
+	int commands_in_flight;  /* direct commands in progress */
 	int retained_exit_count; /* exited tasks, to be forgotten only after a higher token */
 };
 
 /*
  * Loads the cluster state and starts the leader's coroutines, in a coroutine of its own: the lease
  * must be renewed meanwhile. It gives up when the lease is lost, and may be called again when
- * `loading` is false.
+ * `loading` is false. It does not wait.
  */
 void fl_leadership_begin(struct fl_node *node);
-/* Ends the coroutines, waits for them, and forgets what only a leader knows. */
+/* Cancels the coroutines, waits until they have ended, and drops the state of a leader. */
 void fl_leadership_end(struct fl_node *node);
 
 #endif
--- a/src/coordination/persistence/final_record_writer.c
+++ b/src/coordination/persistence/final_record_writer.c
@@ -13,13 +13,13 @@
 
 /*
  * Builds the transaction that replaces a job's record by its final one and deletes its progress
- * records. Returns the first block whose deletion did not fit.
+ * records. Returns the index of the first block whose deletion did not fit.
  */
 static uint32_t build_final_txn(const struct fl_node *node, const struct fl_job *job,
                                 enum fl_job_status status, struct fl_kv_txn *txn)
 {
 	char key[FL_KEY_MAX];
-	uint32_t rest = 0;
+	uint32_t block_index = 0;
 
 	fl_record_txn_init(node, txn);
 	fl_key_job(key, job->ref);
@@ -27,18 +27,18 @@
 	fl_kv_txn_delete(txn, key);
 	fl_key_finished(key, job->ref);
 	fl_kv_txn_put(txn, key, fl_job_record_final(status, job->task_count), 0);
-	for (; rest < job->block_count && txn->operation_count < node->config->txn_ops; rest++) {
-		if (!has_progress_record(fl_job_task_block(job, rest)))
+	for (; block_index < job->block_count && txn->operation_count < node->config->txn_ops;
+	     block_index++) {
+		if (!has_progress_record(fl_job_task_block(job, block_index)))
 			continue;
-		fl_key_progress(key, job->ref, rest);
+		fl_key_progress(key, job->ref, block_index);
 		fl_kv_txn_delete(txn, key);
 	}
-	return rest;
+	return block_index;
 }
 
 /* Has the progress records from this block on deleted later. */
-static void delete_records_later(struct fl_node *node, const struct fl_job *job,
-                                 uint32_t block_index)
+static void defer_deletions(struct fl_node *node, const struct fl_job *job, uint32_t block_index)
 {
 	char key[FL_KEY_MAX];
 
@@ -50,20 +50,20 @@
 	}
 }
 
-static void drop_finished(struct fl_node *node, struct fl_job *job, enum fl_job_status status)
+static void finish_job(struct fl_node *node, struct fl_job *job, enum fl_job_status status)
 {
 	fl_info("jobs", "job finished: %s status=%s", job->ref, fl_status_name(status));
 	fl_job_finalise(&node->cluster, job, status);
 }
 
-/* Writes the final state and deletes the progress records, all at once if they are few. */
+/* Writes the final record and deletes the progress records, in one transaction if they are few. */
 static enum fl_kv_result write_final_record(struct fl_node *node, struct fl_job *job)
 {
 	enum fl_job_status status = job->cancelled ? FL_CANCELLED : FL_DONE;
 	enum fl_kv_result result;
 	struct fl_kv_txn txn;
 	uint64_t revision;
-	uint32_t rest = build_final_txn(node, job, status, &txn);
+	uint32_t undeleted_from = build_final_txn(node, job, status, &txn);
 
 	result = fl_record_txn_admit(node, &txn);
 	if (result != FL_KV_OK)
@@ -71,8 +71,8 @@
 	job->record.final_write_in_flight = true;
 	result = fl_record_txn_commit(node, &txn, &revision);
 	if (result == FL_KV_OK) {
-		delete_records_later(node, job, rest);
-		drop_finished(node, job, status);
+		defer_deletions(node, job, undeleted_from);
+		finish_job(node, job, status);
 		return FL_KV_OK;
 	}
 	job->record.final_write_in_flight = false;
@@ -80,7 +80,7 @@
 	return result;
 }
 
-/* Brings a job that is over to its end, whatever came of an earlier write of its final record. */
+/* Finishes a job that is over, whatever the outcome of an earlier write of its final record. */
 static enum fl_kv_result finalise(struct fl_node *node, struct fl_job *job)
 {
 	struct fl_refreshed_job refreshed;
@@ -90,7 +90,7 @@
 	if (fl_job_record_refresh(node, job->ref, &refreshed) != FL_RECORD_FOUND)
 		return FL_KV_UNAVAILABLE;
 	if (refreshed.over) {
-		drop_finished(node, job, refreshed.status);
+		finish_job(node, job, refreshed.status);
 		return FL_KV_OK;
 	}
 	return fl_job_is_over(job) ? write_final_record(node, job) : FL_KV_OK;
--- a/src/coordination/persistence/final_record_writer.h
+++ b/src/coordination/persistence/final_record_writer.h
@@ -1,4 +1,7 @@
-/* Writes the final records of jobs that are over. */
+/*
+ * Writes the final records of jobs that are over. A job is finished only once that is stored: until
+ * then users are told its earlier state.
+ */
 #ifndef FL_COORDINATION_PERSISTENCE_FINAL_RECORD_WRITER_H
 #define FL_COORDINATION_PERSISTENCE_FINAL_RECORD_WRITER_H
 
@@ -6,7 +9,10 @@
 
 struct fl_node;
 
-/* Writes the final record of one job that is over; one that cannot be does not hold up others. */
+/*
+ * Writes the final record of one job that is over; a failed write does not hold up other jobs. The
+ * result is that of the last write tried, FL_KV_OK if there was none.
+ */
 enum fl_kv_result fl_final_record_write_one(struct fl_node *node);
 
 #endif
--- a/src/coordination/persistence/pending_deletions.h
+++ b/src/coordination/persistence/pending_deletions.h
@@ -1,6 +1,7 @@
 /*
- * Progress records that nothing needs any more, to be deleted when nothing else is to be written.
- * Forgotten ones do no harm: a later leader finds those records as orphans.
+ * Progress records that are no longer needed, to be deleted when nothing else is to be written. A
+ * forgotten one does no harm: a later leader finds that record as an orphan. A list is owned by
+ * whoever holds its head; NULL is an empty one.
  */
 #ifndef FL_COORDINATION_PERSISTENCE_PENDING_DELETIONS_H
 #define FL_COORDINATION_PERSISTENCE_PENDING_DELETIONS_H
@@ -8,11 +9,11 @@
 struct fl_node;
 struct fl_pending_deletion;
 
-/* Has the record with this key deleted at some later time. */
+/* Adds the key of a record to delete; without memory it is forgotten. */
 void fl_pending_deletions_add(struct fl_pending_deletion **list, const char *key);
-/* Deletes as many of them as fit into one transaction. */
+/* Deletes as many of the record writer's list as fit into one transaction. */
 void fl_pending_deletions_write(struct fl_node *node);
-/* Forgets them. */
+/* Frees the list, which is empty then; the records stay. */
 void fl_pending_deletions_free(struct fl_pending_deletion **list);
 
 #endif
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -6,18 +6,18 @@
 #include "transport/clock.h"
 
 static const struct {
-	int wal_from;
+	int wal_min_blocks;
 } tunables = {
-	.wal_from = 3, /* records that starts wait for, from which on the log is used */
+	.wal_min_blocks = 3, /* blocks that starts wait for, from which on the log is used */
 };
 
-/* Blocks in one transaction at most. */
+/* Maximum number of blocks in one transaction. */
 enum { BATCH_MAX = 128 };
 
-/* Which blocks a transaction of progress records takes. */
+/* Which blocks a transaction of progress records includes. */
 enum scope { UNSAVED_BLOCKS, URGENT_BLOCKS };
 
-/* A block in a transaction, and the count of its changes that the transaction holds. */
+/* A block in a transaction, and the generation of its changes that the transaction holds. */
 struct written_block {
 	struct fl_job *job;
 	uint32_t block_index;
@@ -30,7 +30,7 @@
 	int count;
 };
 
-/* Whether a start waits for this block to be durable; what is over can wait. */
+/* Whether a start waits for this block to be durable; exited tasks can wait. */
 static bool is_urgent(const struct fl_task_block *block)
 {
 	uint64_t durable = block->saved_generation > block->logged_generation
@@ -65,19 +65,19 @@
 	return scope == UNSAVED_BLOCKS || is_urgent(block);
 }
 
-static bool is_full(const struct fl_config *config, const struct batch *batch, int most)
+static bool is_full(const struct fl_config *config, const struct batch *batch, int block_limit)
 {
-	return batch->count >= most || batch->count >= config->txn_ops ||
+	return batch->count >= block_limit || batch->count >= config->txn_ops ||
 	       batch->count >= BATCH_MAX ||
 	       batch->count * config->value_kb * 1024 > FL_RECORD_TXN_BYTES;
 }
 
 /*
- * Adds the blocks to write, up to `most`. False, if the revision of one must be read first: a
- * transaction that expects a wrong one would fail.
+ * Adds the blocks to write, up to `block_limit`. False, if the revision of one must be read first:
+ * a transaction that expects a wrong one would fail.
  */
 static bool collect(const struct fl_node *node, struct fl_kv_txn *txn, struct batch *batch,
-                    int most, enum scope scope)
+                    int block_limit, enum scope scope)
 {
 	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty) {
 		for (uint32_t i = 0; i < job->block_count; i++) {
@@ -86,7 +86,7 @@
 
 			if (!is_in_scope(block, scope))
 				continue;
-			if (is_full(node->config, batch, most))
+			if (is_full(node->config, batch, block_limit))
 				return true;
 			if (block->revision_unknown)
 				return false;
@@ -100,27 +100,22 @@
 	return true;
 }
 
-/* A write of this record had an unknown outcome or met another revision: read what stands. */
+/* A write of this record had an unknown outcome or met another revision: read the stored one. */
 static enum fl_kv_result reread_revision(struct fl_node *node, const struct fl_job *job,
                                          uint32_t block_index)
 {
 	struct fl_task_block *block = job->blocks[block_index];
 	enum fl_kv_result result;
-	uint64_t revision = 0;
 	char key[FL_KEY_MAX];
-	cJSON *value;
 
 	fl_key_progress(key, job->ref, block_index);
-	result = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
-	cJSON_Delete(value);
-	if (result != FL_KV_OK && result != FL_KV_NOT_FOUND)
-		return result;
-	block->mod_revision = result == FL_KV_NOT_FOUND ? 0 : revision;
-	block->revision_unknown = false;
-	return FL_KV_OK;
+	result = fl_record_revision_read(&node->kv_store, key, &block->mod_revision);
+	if (result == FL_KV_OK)
+		block->revision_unknown = false;
+	return result;
 }
 
-/* The first of them; the next write comes to the others. */
+/* Rereads one revision that is unknown; the next write comes to the others. */
 static enum fl_kv_result reread_unknown_revision(struct fl_node *node)
 {
 	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty)
@@ -133,8 +128,8 @@
 	return FL_KV_OK;
 }
 
-/* Takes in what came of a write. Only this coroutine lets go of jobs: they are still there. */
-static void record_outcome(const struct batch *batch, enum fl_kv_result result, uint64_t revision)
+/* Applies the result of a write. Only this coroutine drops jobs, so these still exist. */
+static void apply_result(const struct batch *batch, enum fl_kv_result result, uint64_t revision)
 {
 	for (int i = 0; i < batch->count; i++) {
 		const struct written_block *written = &batch->blocks[i];
@@ -149,7 +144,7 @@
 	}
 }
 
-static enum fl_kv_result write_batch(struct fl_node *node, int most, enum scope scope)
+static enum fl_kv_result write_batch(struct fl_node *node, int block_limit, enum scope scope)
 {
 	struct batch batch = {.count = 0};
 	enum fl_kv_result result;
@@ -158,7 +153,7 @@
 	bool revisions_known;
 
 	fl_record_txn_init(node, &txn);
-	revisions_known = collect(node, &txn, &batch, most, scope);
+	revisions_known = collect(node, &txn, &batch, block_limit, scope);
 	if (!revisions_known || batch.count == 0) {
 		fl_kv_txn_free(&txn);
 		return revisions_known ? FL_KV_OK : reread_unknown_revision(node);
@@ -167,7 +162,7 @@
 	if (result != FL_KV_OK)
 		return result;
 	result = fl_record_txn_commit(node, &txn, &revision);
-	record_outcome(&batch, result, revision);
+	apply_result(&batch, result, revision);
 	return result;
 }
 
@@ -177,7 +172,7 @@
 
 	if (count == 0)
 		return FL_KV_OK;
-	if (count >= tunables.wal_from) {
+	if (count >= tunables.wal_min_blocks) {
 		switch (fl_wal_writer_write(node)) {
 		case FL_WAL_WRITTEN:
 			return FL_KV_OK;
--- a/src/coordination/persistence/progress_writer.h
+++ b/src/coordination/persistence/progress_writer.h
@@ -6,9 +6,9 @@
 
 struct fl_node;
 
-/* Makes durable what starts wait for: a few records by themselves, many at once by the log. */
+/* Makes durable what starts wait for: few records by themselves, many at once by the log. */
 enum fl_kv_result fl_progress_write_urgent(struct fl_node *node);
-/* Writes as many of the other records as the budget allows, and leaves room for urgent ones. */
+/* Writes as many of the other records as the write budget allows without waiting for it. */
 enum fl_kv_result fl_progress_write_within_budget(struct fl_node *node);
 
 #endif
--- a/src/coordination/persistence/record_txn.h
+++ b/src/coordination/persistence/record_txn.h
@@ -1,6 +1,6 @@
 /*
- * The transactions in which a leader writes its records: on condition that it still leads, and
- * within its share of the store's writes.
+ * The transactions in which a leader writes its records: on condition that it is still the leader,
+ * and within its share of the store's writes.
  */
 #ifndef FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
 #define FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
@@ -9,18 +9,26 @@
 
 struct fl_node;
 
-/* Bytes of values in one transaction, which may have 64 KiB in all. */
+/* Maximum bytes of values in one transaction, whose request may have 64 KiB in all. */
 enum { FL_RECORD_TXN_BYTES = 40000 };
 
 /* A transaction that expects the leader key as this leader wrote it. */
 void fl_record_txn_init(const struct fl_node *node, struct fl_kv_txn *txn);
 /*
  * Waits until the write budget allows the transaction: FL_KV_OK if it may be sent now. Else the
- * builder is freed and nothing is executed: FL_KV_UNAVAILABLE if this node leads no more.
+ * builder is freed and nothing is executed: FL_KV_UNAVAILABLE if this node is the leader no more,
+ * FL_KV_CANCELLED if the coroutine is cancelled.
  */
 enum fl_kv_result fl_record_txn_admit(struct fl_node *node, struct fl_kv_txn *txn);
-/* Sends an admitted transaction, and steps down if another leads. Consumes the builder. */
+/* Sends an admitted transaction, and steps down if there is another leader. Consumes the builder.
+ */
 enum fl_kv_result fl_record_txn_commit(struct fl_node *node, struct fl_kv_txn *txn,
                                        uint64_t *revision);
+/*
+ * Reads the revision of a record whose last write had an unknown outcome or met another revision; 0
+ * if there is no such record. `*mod_revision` is set only on FL_KV_OK.
+ */
+enum fl_kv_result fl_record_revision_read(struct fl_kv_store *store, const char *key,
+                                          uint64_t *mod_revision);
 
 #endif
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -11,11 +11,11 @@
 #include "transport/clock.h"
 
 static const struct {
-	double write_share, retry_s, idle_s;
+	double write_share, retry_s, idle_interval_s;
 } tunables = {
-	.write_share = 0.7, /* share of the store's writes that the leader's records use */
-	.retry_s = 0.2,     /* s after a refused write */
-	.idle_s = 0.5,      /* s after which the writer looks again, unless it is woken */
+	.write_share = 0.7,     /* share of the store's writes that the leader's records use */
+	.retry_s = 0.2,         /* s after a failed write */
+	.idle_interval_s = 0.5, /* s after which the writer checks again, unless it is woken */
 };
 
 void fl_record_writer_reset(struct fl_node *node)
@@ -43,8 +43,8 @@
 	return false;
 }
 
-/* Takes jobs with nothing left to write off the list of the dirty ones. */
-static void clear_saved(struct fl_cluster *cluster)
+/* Takes jobs with nothing left to write off the dirty list. */
+static void remove_saved(struct fl_cluster *cluster)
 {
 	struct fl_job **link = &cluster->dirty;
 
@@ -60,7 +60,7 @@
 	}
 }
 
-/* Writes what is most urgent, a final record, and some of the rest. */
+/* Writes what starts wait for, then one final record, then some of the rest. */
 static enum fl_kv_result write_all(struct fl_node *node)
 {
 	enum fl_kv_result final, result = fl_progress_write_urgent(node);
@@ -74,13 +74,13 @@
 	result = fl_progress_write_within_budget(node);
 	if (result != FL_KV_OK)
 		return result;
-	clear_saved(&node->cluster);
+	remove_saved(&node->cluster);
 	return final;
 }
 
 /*
- * Nothing can be written before the budget allows, but something urgent may come up. False if the
- * coroutine is cancelled.
+ * Nothing can be written before the budget allows it, but urgent changes may occur meanwhile. False
+ * if the coroutine is cancelled.
  */
 static bool await_budget_or_work(struct fl_node *node)
 {
@@ -95,17 +95,17 @@
 
 void fl_record_writer_run(struct fl_node *node)
 {
-	bool more = true;
+	bool running = true;
 
-	while (more && !fl_coroutine_cancelled()) {
+	while (running && !fl_coroutine_cancelled()) {
 		if (fl_is_leader(node) && node->cluster.dirty) {
-			more = write_all(node) == FL_KV_OK ? await_budget_or_work(node)
-			                                   : fl_sleep(tunables.retry_s) == 0;
+			running = write_all(node) == FL_KV_OK ? await_budget_or_work(node)
+			                                      : fl_sleep(tunables.retry_s) == 0;
 			continue;
 		}
 		if (fl_is_leader(node) && node->record_writer.pending_deletions)
 			fl_pending_deletions_write(node);
-		more = fl_condition_wait(&node->record_writer.writes_pending, tunables.idle_s) !=
-		       -ECANCELED;
+		running = fl_condition_wait(&node->record_writer.writes_pending,
+		                            tunables.idle_interval_s) != -ECANCELED;
 	}
 }
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -9,21 +9,21 @@
 #include "transport/log.h"
 
 static const struct {
-	double record_use;
-	size_t first_capacity;
+	double value_fill_share;
+	size_t initial_capacity;
 } tunables = {
-	.record_use = 0.85,   /* share of a value's limit that the log fills */
-	.first_capacity = 64, /* blocks that a write has room for at first */
+	.value_fill_share = 0.85, /* share of a value's limit that the log fills */
+	.initial_capacity = 64,   /* blocks that a write has capacity for at first */
 };
 
-/* A block in the write, and the count of its changes that the write holds. */
+/* A block in the write, and the generation of its changes that the write holds. */
 struct logged_block {
 	struct fl_job *job;
 	uint32_t block_index;
 	uint64_t generation;
 };
 
-/* A write of the log as it is being filled. */
+/* A write of the log that is being built. */
 struct wal_write {
 	struct fl_kv_txn txn;
 	struct logged_block *blocks;
@@ -35,11 +35,11 @@
 	int value_count_max;
 };
 
-/* Room for one block more; false without memory. */
+/* Reserves capacity for one block more; false: out of memory. */
 static bool reserve_block(struct wal_write *write)
 {
 	size_t capacity =
-		write->block_capacity ? 2 * write->block_capacity : tunables.first_capacity;
+		write->block_capacity ? 2 * write->block_capacity : tunables.initial_capacity;
 	struct logged_block *blocks;
 
 	if (write->block_count < write->block_capacity)
@@ -52,7 +52,7 @@
 	return true;
 }
 
-/* The value being filled, if one is, goes into the transaction. */
+/* Moves the value being filled, if there is one, into the transaction. */
 static void finish_value(struct wal_write *write)
 {
 	char key[FL_KEY_MAX];
@@ -92,7 +92,7 @@
 	return fits;
 }
 
-/* Adds everything unsaved, in as few values as it fits into; false if it does not fit. */
+/* Adds all unsaved changes, in as few values as they fit into; false if they do not fit. */
 static bool fill(struct wal_write *write, const struct fl_cluster *cluster)
 {
 	for (struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
@@ -103,38 +103,45 @@
 	return true;
 }
 
-/* Any write of the log replaces the one before it, so each is made over what surely stands. */
+/* Every write of the log replaces the one before it, so it expects the revision that is stored. */
 static enum fl_kv_result read_wal_revision(struct fl_node *node)
 {
 	struct fl_record_writer *writer = &node->record_writer;
-	uint64_t revision = 0;
 	enum fl_kv_result result;
-	cJSON *value;
 
 	if (writer->wal_revision_known)
 		return FL_KV_OK;
-	result = fl_kv_get(&node->kv_store, FL_KEY_WAL, &value, &revision, NULL);
-	cJSON_Delete(value);
-	if (result != FL_KV_OK && result != FL_KV_NOT_FOUND)
-		return result;
-	writer->wal_mod_revision = result == FL_KV_NOT_FOUND ? 0 : revision;
-	writer->wal_revision_known = true;
-	return FL_KV_OK;
+	result = fl_record_revision_read(&node->kv_store, FL_KEY_WAL, &writer->wal_mod_revision);
+	writer->wal_revision_known = result == FL_KV_OK;
+	return result;
 }
 
 static struct wal_write begin_write(const struct fl_node *node)
 {
 	struct wal_write write = {.value_count_max = node->config->txn_ops};
-	double limit = node->config->value_kb * 1024 * tunables.record_use;
+	double value_limit = node->config->value_kb * 1024 * tunables.value_fill_share;
+	double values_per_txn;
 
-	write.value_limit = (size_t)limit;
-	if (write.value_count_max > FL_RECORD_TXN_BYTES / (double)write.value_limit)
-		write.value_count_max = (int)(FL_RECORD_TXN_BYTES / (double)write.value_limit);
+	write.value_limit = (size_t)value_limit;
+	values_per_txn = FL_RECORD_TXN_BYTES / (double)write.value_limit;
+	if (write.value_count_max > values_per_txn)
+		write.value_count_max = (int)values_per_txn;
 	fl_record_txn_init(node, &write.txn);
 	fl_kv_txn_expect_revision(&write.txn, FL_KEY_WAL, node->record_writer.wal_mod_revision);
 	return write;
 }
 
+/* Marks the changes that a committed write holds as logged. */
+static void mark_logged(const struct wal_write *write)
+{
+	/* Only the record writer's coroutine drops jobs, so these still exist. */
+	for (size_t i = 0; i < write->block_count; i++) {
+		const struct logged_block *logged = &write->blocks[i];
+
+		logged->job->blocks[logged->block_index]->logged_generation = logged->generation;
+	}
+}
+
 static enum fl_wal_write_result commit(struct fl_node *node, struct wal_write *write)
 {
 	struct fl_record_writer *writer = &node->record_writer;
@@ -146,19 +153,14 @@
 	result = fl_record_txn_commit(node, &write->txn, &revision);
 	fl_debug("records", "write-ahead log written blocks=%zu values=%d result=%s",
 	         write->block_count, write->value_count, fl_kv_result_text(result));
-	if (result != FL_KV_OK) {
-		if (result != FL_KV_UNAVAILABLE)
-			writer->wal_revision_known = false;
-		return FL_WAL_FAILED;
-	}
-	writer->wal_mod_revision = revision;
-	/* Only the record writer's coroutine lets go of jobs: these are still there. */
-	for (size_t i = 0; i < write->block_count; i++) {
-		const struct logged_block *logged = &write->blocks[i];
-
-		logged->job->blocks[logged->block_index]->logged_generation = logged->generation;
+	if (result == FL_KV_OK) {
+		writer->wal_mod_revision = revision;
+		mark_logged(write);
+		return FL_WAL_WRITTEN;
 	}
-	return FL_WAL_WRITTEN;
+	if (result != FL_KV_UNAVAILABLE)
+		writer->wal_revision_known = false;
+	return FL_WAL_FAILED;
 }
 
 enum fl_wal_write_result fl_wal_writer_write(struct fl_node *node)
