--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -9,66 +9,77 @@
 #include "transport/log.h"
 
 static const struct {
-	double retry_s, watch_s;
+	double types_check_interval_s, retry_s, watch_timeout_s;
 } tunables = {
-	.retry_s = 0.5, /* s after a failed read */
-	.watch_s = 1.0, /* s; length of a watch, whose end shows that nothing was missed */
+	.types_check_interval_s = 0.1, /* s between two checks whether machine types are known */
+	.retry_s = 0.5,                /* s after a failed read */
+	.watch_timeout_s = 1.0, /* s; length of a watch, whose end shows that nothing was missed */
 };
 
-/* ---- what every node knows ---- */
-
 static void on_job_event(void *context, const struct fl_kv_event *event)
 {
 	struct fl_node *node = context;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
 	struct fl_job *job;
-	bool known;
+	bool was_cancelled;
 
 	if (strlen(ref) >= FL_REF_MAX)
 		return;
 	job = fl_job_find(&node->cluster, ref);
-	known = job && job->cancelled;
+	was_cancelled = job && job->cancelled;
 	job = fl_cluster_apply_job_record(&node->cluster, ref, event->value, event->mod_revision);
 	if (!job || !node->leadership.active)
 		return;
-	if (job->cancelled && !known) {
-		fl_info("jobs", "%s is cancelled, says its record", ref);
+	if (job->cancelled && !was_cancelled) {
+		fl_info("jobs", "job cancelled: %s source=record", ref);
 		fl_command_stop_job(node, job);
 	}
 	node->leadership.cycle_due = true;
 	fl_condition_broadcast(&node->leadership.work_available);
 }
 
+/* Lists the live jobs, from which a watch can go on: `*revision` is that of the list. */
+static enum fl_kv_result list_jobs(struct fl_node *node, uint64_t *revision)
+{
+	enum fl_kv_result result;
+
+	/* A leader has its own list, of the failover: see fl_failover_load. */
+	if (!node->cluster.leading)
+		fl_cluster_list_begin(&node->cluster);
+	result = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, on_job_event, node, revision);
+	if (result == FL_KV_OK && !node->cluster.leading)
+		fl_cluster_list_end(&node->cluster, *revision);
+	return result;
+}
+
+/* A list or a watch that was sent at this time (steady) has succeeded: nothing was missed. */
+static void on_jobs_read(struct fl_node *node, double sent_at)
+{
+	node->cancellation_watermark = fmax(node->cancellation_watermark, sent_at);
+	if (node->jobs_known)
+		return;
+	node->jobs_known = true;
+	fl_condition_broadcast(&node->jobs_listed);
+	fl_info("node", "%s ready", node->config->node);
+}
+
 static void job_watch_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
-	uint64_t revision = 0;
+	uint64_t revision = 0; /* 0: to be listed */
 
 	while (!node->machine_types_known)
-		if (fl_sleep(tunables.retry_s / 5) != 0)
+		if (fl_sleep(tunables.types_check_interval_s) != 0)
 			return;
 	while (!fl_coroutine_cancelled()) {
-		double sent = fl_now();
-		enum fl_kv_result result;
+		double sent_at = fl_now();
+		enum fl_kv_result result =
+			revision == 0 ? list_jobs(node, &revision)
+				      : fl_kv_watch(&node->kv_store, FL_PREFIX_JOBS, &revision,
+		                                    tunables.watch_timeout_s, on_job_event, node);
 
-		if (revision == 0) {
-			if (!node->cluster.leading)
-				fl_cluster_list_begin(&node->cluster);
-			result = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, on_job_event, node,
-			                    &revision);
-			if (result == FL_KV_OK && !node->cluster.leading)
-				fl_cluster_list_end(&node->cluster, revision);
-		} else {
-			result = fl_kv_watch(&node->kv_store, FL_PREFIX_JOBS, &revision,
-			                     tunables.watch_s, on_job_event, node);
-		}
 		if (result == FL_KV_OK)
-			node->cancellation_watermark = fmax(node->cancellation_watermark, sent);
-		if (result == FL_KV_OK && !node->jobs_known) {
-			node->jobs_known = true;
-			fl_condition_broadcast(&node->jobs_listed);
-			fl_info("node", "%s is ready", node->config->node);
-		}
+			on_jobs_read(node, sent_at);
 		if (result == FL_KV_COMPACTED)
 			revision = 0;
 		if (result != FL_KV_OK && fl_sleep(tunables.retry_s) != 0)
--- a/src/coordination/job_watch.h
+++ b/src/coordination/job_watch.h
@@ -1,6 +1,7 @@
 /*
- * Follows the records of live jobs, on every controller: first the whole list, then each change. It
- * is what a follower answers from, and it brings a leader new jobs and cancellations.
+ * Watches the records of live jobs, on every controller: first the whole list, then each change. A
+ * follower responds from the state that this keeps current, and a leader learns of new jobs and
+ * cancellations by it.
  */
 #ifndef FL_COORDINATION_JOB_WATCH_H
 #define FL_COORDINATION_JOB_WATCH_H
--- a/src/coordination/machine_types.c
+++ b/src/coordination/machine_types.c
@@ -12,43 +12,49 @@
 	.retry_s = 0.5, /* s after a failed read */
 };
 
-/*
- * From the record that a leader keeps of them, else from the cloud. Found on a day of our own: all
- * controllers ended while the cloud was out, and none of them could serve until it was back.
- */
-static int read_machine_types(struct fl_node *node, struct fl_cloud_machine_type **types,
-                              int *count)
+/* The types in the record that a leader keeps, to be freed; false if there is no readable one. */
+static bool read_recorded_types(struct fl_kv_store *store, struct fl_cloud_machine_type **types,
+                                int *count)
 {
-	uint64_t revision;
 	cJSON *value = NULL;
-	int rc = fl_kv_get(&node->kv_store, FL_KEY_MACHINE_TYPES, &value, &revision, NULL);
+	uint64_t revision;
+	bool found = fl_kv_get(store, FL_KEY_MACHINE_TYPES, &value, &revision, NULL) == FL_KV_OK &&
+	             fl_machine_types_decode(value, types, count) == 0;
 
-	if (!rc)
-		rc = fl_machine_types_decode(value, types, count);
 	cJSON_Delete(value);
-	return rc ? fl_cloud_machine_types(&node->cloud, types, count) : 0;
+	return found;
+}
+
+/*
+ * Reads the types, to be freed, from their record, else from the cloud. Found in a rehearsal: all
+ * controllers were restarted while the cloud was unavailable, and none could serve until it was
+ * back.
+ */
+static bool read_machine_types(struct fl_node *node, struct fl_cloud_machine_type **types,
+                               int *count)
+{
+	int rc;
+
+	if (read_recorded_types(&node->kv_store, types, count))
+		return true;
+	rc = fl_cloud_machine_types(&node->cloud, types, count);
+	if (rc == -EPROTO)
+		fl_error("cloud", "machine types unreadable");
+	return rc == 0;
 }
 
 static void machine_types_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
+	struct fl_cloud_machine_type *types;
+	int count;
 
-	while (!node->machine_types_known) {
-		struct fl_cloud_machine_type *types;
-		int count, rc = read_machine_types(node, &types, &count);
-
-		if (rc == -EPROTO)
-			fl_error("cloud", "its machine types cannot be read");
-		if (rc == 0) {
-			fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types,
-			                     count);
-			free(types);
-			node->machine_types_known = true;
-			return;
-		}
+	while (!read_machine_types(node, &types, &count))
 		if (fl_sleep(tunables.retry_s) != 0)
 			return;
-	}
+	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, count);
+	free(types);
+	node->machine_types_known = true;
 }
 
 void fl_machine_types_start(struct fl_node *node)
--- a/src/coordination/machine_types.h
+++ b/src/coordination/machine_types.h
@@ -1,4 +1,7 @@
-/* Learns the machine types on offer, without which a controller cannot judge submissions. */
+/*
+ * Reads the machine types on offer when a controller starts. Without them it cannot validate
+ * submissions, so it is not ready before.
+ */
 #ifndef FL_COORDINATION_MACHINE_TYPES_H
 #define FL_COORDINATION_MACHINE_TYPES_H
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -1,6 +1,5 @@
 #include "coordination/node.h"
 
-#include <errno.h>
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -20,112 +19,166 @@
 #define LONG_AGO (-1e9)
 
 static const struct {
-	int peer_conns;
-	double finished_share;
-	int own_conns;
-	double user_least, idle_reports, idle_least_s;
+	int peer_idle_connections, cloud_idle_connections, own_connections;
+	double finished_memory_share, public_connection_share;
+	double idle_timeout_intervals, idle_timeout_min_s;
 } tunables = {
-	.peer_conns = 6,       /* connections kept open to each peer */
-	.finished_share = 0.1, /* share of the memory for final states kept at hand */
-	.own_conns = 48,       /* connections to state service, cloud and machines at once */
-	.user_least = 0.6,    /* share of all connections that users and workers have in any case */
-	.idle_reports = 4.0,  /* report intervals after which a silent connection is closed */
-	.idle_least_s = 20.0, /* s for which it is kept in any case: users ask every 5 s */
+	.peer_idle_connections = 6,  /* connections kept open to each peer */
+	.cloud_idle_connections = 2, /* connections kept open to the cloud */
+	.own_connections = 48, /* connections to key-value store, cloud and machines at once */
+	.finished_memory_share = 0.1,   /* share of the memory for final states kept in memory */
+	.public_connection_share = 0.6, /* minimum share of all connections for users and workers */
+	.idle_timeout_intervals = 4.0, /* heartbeat intervals until a silent connection is closed */
+	.idle_timeout_min_s = 20.0,    /* s for which it is kept in any case: users ask every 5 s */
 };
 
-static int init_node(struct fl_node *node, const struct fl_config *config)
+/* Gives the zones and job classes that the settings name their indices, in this order. */
+static bool intern_names(struct fl_node *node)
 {
-	node->config = config;
-	node->cluster.finished_dropped_at = LONG_AGO;
-	node->cancellation_watermark = LONG_AGO;
-	node->cluster.finished_max =
-		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_share /
-	                   sizeof(struct fl_finished_job));
-	snprintf(node->process_id, sizeof(node->process_id), "%s-%.6f", config->node, fl_wall());
+	const struct fl_config *config = node->config;
+	struct fl_cluster *cluster = &node->cluster;
+
 	for (int i = 0; i < config->zone_count; i++)
-		if (fl_symbol_intern(&node->cluster.zones, config->zones[i]) < 0)
-			return -ENOMEM;
+		if (fl_symbol_intern(&cluster->zones, config->zones[i]) < 0)
+			return false;
 	for (int i = 0; i < config->slo_count; i++)
 		if (config->slos[i].job_class[0] &&
-		    fl_symbol_intern(&node->cluster.classes, config->slos[i].job_class) < 0)
-			return -ENOMEM;
-	node->slo_class_count = node->cluster.classes.count;
+		    fl_symbol_intern(&cluster->classes, config->slos[i].job_class) < 0)
+			return false;
+	node->slo_class_count = cluster->classes.count;
+	return true;
+}
+
+static void init_teams(struct fl_teams *teams, const struct fl_config *config)
+{
 	for (int i = 0; i < config->team_count; i++) {
-		struct fl_team *team = &node->cluster.teams.by_index[node->cluster.teams.count++];
+		const struct fl_config_team *settings = &config->teams[i];
+		struct fl_team *team = &teams->by_index[teams->count++];
 
-		fl_copy_string(team->name, sizeof(team->name), config->teams[i].name);
-		team->guaranteed_cpus = config->teams[i].cpus;
-		team->guaranteed_gpus = config->teams[i].gpus;
-		team->max_cpus = config->teams[i].cpus_max;
-		team->max_gpus = config->teams[i].gpus_max;
+		fl_copy_string(team->name, sizeof(team->name), settings->name);
+		team->guaranteed_cpus = settings->cpus;
+		team->guaranteed_gpus = settings->gpus;
+		team->max_cpus = settings->cpus_max;
+		team->max_gpus = settings->gpus_max;
 	}
-	for (int i = 0; i < config->peer_count; i++) {
+}
+
+static enum fl_node_start_result init_peers(struct fl_node *node)
+{
+	for (int i = 0; i < node->config->peer_count; i++) {
+		const struct fl_config_peer *settings = &node->config->peers[i];
 		struct fl_peer *peer = &node->peers[node->peer_count++];
 
 		peer->node = node;
-		fl_copy_string(peer->name, sizeof(peer->name), config->peers[i].node);
-		fl_copy_string(peer->location, sizeof(peer->location), config->peers[i].location);
-		if (fl_http_client_init(&peer->http, config->peers[i].addr, tunables.peer_conns) !=
-		    0)
-			return -EINVAL;
+		fl_copy_string(peer->name, sizeof(peer->name), settings->node);
+		fl_copy_string(peer->location, sizeof(peer->location), settings->location);
+		if (fl_http_client_init(&peer->http, settings->addr,
+		                        tunables.peer_idle_connections) != 0)
+			return FL_NODE_BAD_ADDRESS;
 	}
+	return FL_NODE_STARTED;
+}
+
+static enum fl_node_start_result init_node(struct fl_node *node, const struct fl_config *config)
+{
+	enum fl_node_start_result result;
+
+	node->config = config;
+	node->cluster.finished_dropped_at = LONG_AGO;
+	node->cancellation_watermark = LONG_AGO;
+	node->cluster.finished_max =
+		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_memory_share /
+	                   sizeof(struct fl_finished_job));
+	snprintf(node->process_id, sizeof(node->process_id), "%s-%.6f", config->node, fl_wall());
+	if (!intern_names(node))
+		return FL_NODE_OUT_OF_MEMORY;
+	init_teams(&node->cluster.teams, config);
+	result = init_peers(node);
+	if (result != FL_NODE_STARTED)
+		return result;
 	fl_job_lookups_init(node);
-	if (fl_kv_init(&node->kv_store, config->state) != 0)
-		return -EINVAL;
-	return fl_http_client_init(&node->cloud.http, config->cloud, 2);
+	if (fl_kv_init(&node->kv_store, config->state) != 0 ||
+	    fl_http_client_init(&node->cloud.http, config->cloud,
+	                        tunables.cloud_idle_connections) != 0)
+		return FL_NODE_BAD_ADDRESS;
+	return FL_NODE_STARTED;
+}
+
+/* Starts the public server and the one for other controllers. */
+static enum fl_node_start_result start_servers(struct fl_node *node)
+{
+	const struct fl_config *config = node->config;
+	int public_connections = fl_node_public_conns(config);
+	double idle_timeout_s = fmax(tunables.idle_timeout_min_s,
+	                             tunables.idle_timeout_intervals * config->report_s);
+
+	if (!fl_http_serve(config->bind, public_connections, idle_timeout_s,
+	                   fl_route_public_request, node) ||
+	    !fl_http_serve(config->cluster_listen, config->max_connections - public_connections,
+	                   idle_timeout_s, fl_route_peer_request, node))
+		return FL_NODE_CANNOT_LISTEN;
+	return FL_NODE_STARTED;
 }
 
 /*
- * Found with 2,000 workers on one controller: the fifth of all sockets that was set aside for the
- * peers was missing for users. What peers need does not grow with the machines.
+ * Found with 2,000 workers on one controller: the fifth of all sockets that was reserved for the
+ * peers was missing for users. What peers need does not grow with the number of machines.
  */
 int fl_node_public_conns(const struct fl_config *config)
 {
-	/* Of each peer what it may open here, and to one of them, the leader, the same from here.
-	 */
+	/* From each peer its maximum, and to one of them, the leader, the same from here. */
 	int peers = (config->peer_count + 1) * FL_PEER_CONNS_MAX + config->peer_count;
-	int rest = config->max_connections - peers - tunables.own_conns;
-	int least = (int)(config->max_connections * tunables.user_least);
+	int remaining = config->max_connections - peers - tunables.own_connections;
+	int min = (int)(config->max_connections * tunables.public_connection_share);
 
-	return rest > least ? rest : least;
+	return remaining > min ? remaining : min;
 }
 
 static void log_tight_settings(const struct fl_config *config)
 {
 	char text[256];
 
-	for (int at = 0; fl_admission_tight_setting(config, at, text, sizeof(text)); at++)
+	for (int i = 0; fl_admission_tight_setting(config, i, text, sizeof(text)); i++)
 		fl_error("node", "%s", text);
 }
 
+static void raise_open_file_limit(const struct fl_config *config)
+{
+	int limit = fl_raise_open_file_limit(config->max_connections + tunables.own_connections);
+
+	if (limit < config->max_connections)
+		fl_error("node",
+		         "open file limit below max_connections: limit=%d max_connections=%d",
+		         limit, config->max_connections);
+}
+
 static const struct fl_election_callbacks election_callbacks = {
 	.begin_leadership = fl_leadership_begin,
 	.end_leadership = fl_leadership_end,
 };
 
-int fl_node_start(const struct fl_config *config)
+enum fl_node_start_result fl_node_start(const struct fl_config *config)
 {
 	struct fl_node *node = calloc(1, sizeof(*node));
-	int conns = fl_node_public_conns(config);
-	double idle_s = fmax(tunables.idle_least_s, tunables.idle_reports * config->report_s);
-	int allowed = fl_raise_open_file_limit(config->max_connections + tunables.own_conns);
+	enum fl_node_start_result result;
 
 	log_tight_settings(config);
 	fl_http_set_body_memory_limit(fl_admission_body_bytes(config));
-	if (allowed < config->max_connections)
-		fl_error("node", "max_connections is %d, but the system allows %d open files",
-		         config->max_connections, allowed);
-	if (!node || init_node(node, config) != 0 ||
-	    !fl_http_serve(config->bind, conns, idle_s, fl_route_public_request, node) ||
-	    !fl_http_serve(config->cluster_listen, config->max_connections - conns, idle_s,
-	                   fl_route_peer_request, node)) {
+	raise_open_file_limit(config);
+	if (!node)
+		return FL_NODE_OUT_OF_MEMORY;
+	result = init_node(node, config);
+	if (result == FL_NODE_STARTED)
+		result = start_servers(node);
+	if (result != FL_NODE_STARTED) {
 		free(node);
-		return -1;
+		return result;
 	}
 	fl_election_start(node, &election_callbacks);
 	fl_follower_start(node);
 	fl_machine_types_start(node);
 	fl_job_watch_start(node);
-	fl_info("node", "%s (%s) listens on %s", config->node, config->location, config->bind);
-	return 0;
+	fl_info("node", "%s listening on %s location=%s", config->node, config->bind,
+	        config->location);
+	return FL_NODE_STARTED;
 }
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -1,29 +1,32 @@
-/* One controller: what every node holds, whether it leads or not, and its two servers. */
+/*
+ * One controller: the state of every node, whether it leads or not, and its two servers. All of it
+ * is used by coroutines of one thread, so it changes only where a coroutine waits.
+ */
 #ifndef FL_COORDINATION_NODE_H
 #define FL_COORDINATION_NODE_H
 
-#include "storage/jobs.h"
-#include "storage/records.h"
 #include "config.h"
-#include "coordination/follower/gossip.h"
 #include "coordination/api/job_lookup.h"
-#include "coordination/follower/follower.h"
-#include "coordination/leadership/leadership.h"
+#include "coordination/api/status_query.h"
+#include "coordination/api/user_requests.h"
+#include "coordination/autoscaling/autoscaler.h"
 #include "coordination/election/election.h"
 #include "coordination/election/leader_lease.h"
 #include "coordination/election/leader_view.h"
-#include "coordination/autoscaling/autoscaler.h"
-#include "coordination/persistence/record_writer.h"
+#include "coordination/follower/follower.h"
+#include "coordination/follower/gossip.h"
 #include "coordination/follower/heartbeat_forwarding.h"
 #include "coordination/follower/request_batch.h"
-#include "coordination/api/status_query.h"
-#include "coordination/api/user_requests.h"
+#include "coordination/leadership/leadership.h"
+#include "coordination/persistence/record_writer.h"
 #include "protocol/cloud.h"
-#include "protocol/peers.h"
 #include "protocol/kv_store.h"
+#include "protocol/peers.h"
+#include "storage/jobs.h"
+#include "storage/records.h"
 #include "transport/http_server.h"
 
-/* Another controller, and whether exchanges with it come back. */
+/* Another controller, and whether gossip exchanges with it come back. */
 struct fl_peer {
 	struct fl_node *node;
 	char name[FL_NAME_MAX];
@@ -31,17 +34,16 @@
 	char location[FL_NAME_MAX];
 	double up_since;       /* steady; while up */
 	double last_heard_at;  /* steady; of the last exchange that came back */
-	double complete_as_of; /* steady; of our sending of the last one that told us all it knows
-	                        */
+	double complete_as_of; /* steady; sending of the last exchange that returned all it knows */
 	bool up;
 };
 
-/* What a node holds for users' requests under way. */
+/* Users' requests in progress on a node. */
 struct fl_user_api {
 	struct fl_job_lookup *job_lookups; /* by ref: reads of records for status queries */
 	struct fl_token_bucket read_budget;
-	struct fl_batch_queue status_queries; /* to the leader */
-	int forwarded_in_flight;        /* other requests on their way to the leader, one by one */
+	struct fl_batch_queue status_queries; /* status queries to the leader */
+	int forwarded_in_flight;              /* other requests being forwarded to the leader */
 	double last_readiness_probe_at; /* steady; when the load balancer last asked for /ready */
 };
 
@@ -55,15 +57,15 @@
 	int peer_count;
 	char process_id[FL_PROCESS_ID_MAX]; /* names this process, not only this node */
 	bool machine_types_known, jobs_known;
-	/* Indices below it are of the classes for which the settings name an objective. */
+	/* Job classes with indices below it have an objective in the settings. */
 	int slo_class_count;
 	/*
-	 * Steady. Every cancellation that any user was told of, or any controller had learned of,
-	 * up to then is in the cluster state: see "Standby renewal of worker leases" in
+	 * Steady. Every cancellation that was confirmed to any user, or known to any controller, up
+	 * to then is in the cluster state: see "Standby renewal of worker leases" in
 	 * docs/design.md.
 	 */
 	double cancellation_watermark;
-	struct fl_condition jobs_listed; /* the first list of them has come */
+	struct fl_condition jobs_listed; /* the first list of live jobs is read */
 
 	struct fl_user_api api;
 	const struct fl_election_callbacks *election_callbacks;
@@ -75,15 +77,24 @@
 	struct fl_autoscaler autoscaler;
 };
 
-/* Starts a controller with its servers and routines; it is never freed. -1: it cannot serve. */
-int fl_node_start(const struct fl_config *config);
-/* Connections that one controller opens to another at most; the last is for the exchange. */
+/* Unless it is FL_NODE_STARTED, the controller cannot serve: the process should exit. */
+enum fl_node_start_result {
+	FL_NODE_STARTED = 0,
+	FL_NODE_OUT_OF_MEMORY,
+	FL_NODE_BAD_ADDRESS,  /* one of the addresses in the settings cannot be parsed */
+	FL_NODE_CANNOT_LISTEN /* on one of its two addresses */
+};
+
+/* Starts a controller with its servers and coroutines; it is never freed. Keeps `config`. */
+enum fl_node_start_result fl_node_start(const struct fl_config *config);
+
+/* Maximum of connections from one controller to another; the last one is for gossip. */
 enum {
 	FL_PEER_CONNS_MAX =
 		FL_HEARTBEAT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_USER_REQUESTS_MAX + 1
 };
 
-/* How many of all connections users and workers may hold. */
+/* Maximum of connections of users and workers, of all that the settings allow. */
 int fl_node_public_conns(const struct fl_config *config);
 
 #endif
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -8,8 +8,8 @@
 #include "coordination/follower/follower.h"
 #include "coordination/follower/gossip.h"
 #include "coordination/follower/heartbeat_forwarding.h"
-#include "coordination/node.h"
 #include "coordination/follower/isolation.h"
+#include "coordination/node.h"
 #include "coordination/responses.h"
 #include "protocol/peer_heartbeats.h"
 #include "protocol/status_messages.h"
@@ -17,12 +17,19 @@
 #include "transport/log.h"
 
 static const struct {
-	int polls_waiting;
+	int deferred_queries_max;
 } tunables = {
-	.polls_waiting = 64, /* polls that wait for a slow controller; answered within a second */
+	.deferred_queries_max = 64, /* status queries deferred at once; answered within a second */
 };
 
-/* ---- the two servers ---- */
+static void respond_ready(struct fl_node *node, struct fl_http_response *response)
+{
+	bool ready;
+
+	node->api.last_readiness_probe_at = fl_now();
+	ready = node->machine_types_known && node->jobs_known && !fl_node_is_isolated(node);
+	response->status = ready ? 200 : 503;
+}
 
 void fl_route_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
                            const char *body, size_t len, enum fl_forward_hop hop,
@@ -40,72 +47,53 @@
 		fl_follower_handle_heartbeat(node, body, len, response);
 		break;
 	case FL_USER_REQUEST_READY:
-		node->api.last_readiness_probe_at = fl_now();
-		response->status =
-			node->machine_types_known && node->jobs_known && !fl_node_is_isolated(node)
-				? 200
-				: 503;
+		respond_ready(node, response);
 		break;
-	default:
+	case FL_USER_REQUEST_UNKNOWN:
 		fl_respond_error(response, 404, "no such path");
+		break;
 	}
 }
 
+static enum http_method method_of(enum fl_user_request kind)
+{
+	return kind == FL_USER_REQUEST_STATUS || kind == FL_USER_REQUEST_READY ? HTTP_GET
+	                                                                       : HTTP_POST;
+}
+
 void fl_route_public_request(void *context, const struct fl_http_request *request,
                              struct fl_http_response *response)
 {
 	char ref[FL_REF_MAX];
 	enum fl_user_request kind = fl_user_route(request->path, ref);
-	enum http_method want = kind == FL_USER_REQUEST_STATUS || kind == FL_USER_REQUEST_READY
-	                                ? HTTP_GET
-	                                : HTTP_POST;
 
-	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != want) {
-		fl_respond_error(response, 405, "wrong method");
-		/* After a HEAD the body would be taken for the next answer. */
+	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != method_of(kind)) {
+		fl_respond_error(response, 405, "method not allowed");
+		/* After a HEAD the body would be taken for the next response. */
 		response->close = true;
 		return;
 	}
 	/*
-	 * A controller that is behind answers probes, submissions, cancellations and reports first.
-	 * A poll comes again in any case, and one that is turned away at once may find a better
-	 * node. Where enough are answered, none goes without for long: one a turn always is.
+	 * An overloaded controller answers probes, submissions, cancellations and heartbeats first.
+	 * A status query is repeated in any case, and one that is rejected at once may reach a
+	 * better node. Where enough are answered, none is starved: one a turn always is.
 	 */
-	if (kind == FL_USER_REQUEST_STATUS && !fl_coroutine_defer(tunables.polls_waiting)) {
-		fl_respond_unavailable(response, "there are too many questions at the moment");
+	if (kind == FL_USER_REQUEST_STATUS && !fl_coroutine_defer(tunables.deferred_queries_max)) {
+		fl_respond_unavailable(response, "too many status queries in progress");
 		return;
 	}
 	fl_route_user_request(context, kind, ref, request->body, request->body_len, FL_HOP_FIRST,
 	                      response);
 }
 
-void fl_route_peer_request(void *context, const struct fl_http_request *request,
-                           struct fl_http_response *response)
+static void serve_forwarded_request(struct fl_node *node, const struct fl_http_request *request,
+                                    struct fl_http_response *response)
 {
-	struct fl_node *node = context;
 	struct fl_forwarded_request forwarded;
 
-	if (strcmp(request->path, "/gossip") == 0) {
-		fl_gossip_serve(node, request->body, request->body_len, response);
-		return;
-	}
-	if (strcmp(request->path, FL_PATH_STATUS) == 0) {
-		/* For up to 256 users at once, and answered from memory. */
-		fl_coroutine_set_urgent();
-		fl_status_query_serve(node, request->body, request->body_len, response);
-		return;
-	}
-	if (strcmp(request->path, FL_PATH_HEARTBEATS) == 0) {
-		fl_heartbeat_forward_serve(node, request->body, request->body_len, response);
-		return;
-	}
-	if (strcmp(request->path, FL_PATH_FORWARD) != 0) {
-		fl_respond_error(response, 404, "no such path");
-		return;
-	}
 	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) != 0) {
-		fl_error("peers", "what came as a relayed call is none");
-		fl_respond_error(response, 400, "not a relayed call");
+		fl_error("peers", "forwarded request rejected: malformed");
+		fl_respond_error(response, 400, "malformed forwarded request");
 		return;
 	}
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
@@ -117,3 +105,24 @@
 		                      response);
 	fl_forwarded_request_free(&forwarded);
 }
+
+void fl_route_peer_request(void *context, const struct fl_http_request *request,
+                           struct fl_http_response *response)
+{
+	struct fl_node *node = context;
+	const char *path = request->path;
+
+	if (strcmp(path, "/gossip") == 0) {
+		fl_gossip_serve(node, request->body, request->body_len, response);
+	} else if (strcmp(path, FL_PATH_STATUS) == 0) {
+		/* For up to 256 users at once, and answered from memory. */
+		fl_coroutine_set_urgent();
+		fl_status_query_serve(node, request->body, request->body_len, response);
+	} else if (strcmp(path, FL_PATH_HEARTBEATS) == 0) {
+		fl_heartbeat_forward_serve(node, request->body, request->body_len, response);
+	} else if (strcmp(path, FL_PATH_FORWARD) == 0) {
+		serve_forwarded_request(node, request, response);
+	} else {
+		fl_respond_error(response, 404, "no such path");
+	}
+}
--- a/src/coordination/request_router.h
+++ b/src/coordination/request_router.h
@@ -17,7 +17,11 @@
 /* Handler of the server for other controllers; its context is the fl_node. */
 void fl_route_peer_request(void *context, const struct fl_http_request *request,
                            struct fl_http_response *response);
-/* Answers a user's or worker's request here, forwarding what only the leader can say. */
+/*
+ * Responds to a request of a user or worker, forwarding what only the leader can decide. `ref` is
+ * the job of a status query or cancellation; `hop` says whether another controller has forwarded
+ * it.
+ */
 void fl_route_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
                            const char *body, size_t len, enum fl_forward_hop hop,
                            struct fl_http_response *response);
--- a/src/coordination/responses.c
+++ b/src/coordination/responses.c
@@ -29,6 +29,6 @@
 {
 	fl_respond_error(response, 503, "%s", reason);
 	response->retry_after_s = tunables.retry_after_s;
-	/* The balancer may find a better node for the next try than this one. */
+	/* The load balancer may choose a better node than this one for the next try. */
 	response->close = true;
 }
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -247,7 +247,7 @@
 static void boot(void *arg)
 {
 	net.starting = *(const int *)arg;
-	sim_require(fl_node_start(&sim.config[net.starting]) == 0);
+	sim_require(fl_node_start(&sim.config[net.starting]) == FL_NODE_STARTED);
 }
 
 static int places[SIM_NODES] = {0, 1, 2, 3, 4};
