--- a/src/config.c
+++ b/src/config.c
@@ -11,264 +11,402 @@
 #include "transport/http.h"
 #include "transport/text.h"
 
-/* With less than these a controller cannot serve at all. */
-static const struct {
-	double core_share, ram_mb, connections;
-} least = {
-	.core_share = 0.005, /* of a core; the exchange with four others alone takes 0.004 */
-	.ram_mb = 16,        /* MB; the program takes 6, and a whole list of records some more */
-	.connections = 64,   /* 48 are for state service, cloud and commands */
+enum setting_type { SETTING_STRING, SETTING_ADDRESS, SETTING_NUMBER, SETTING_INTEGER };
+
+/* A setting: its key in the table that holds it, and where it goes in a struct. */
+struct setting {
+	const char *key;
+	size_t offset;
+	enum setting_type type;
+	bool optional;
+	double min, max; /* of a number */
 };
 
+/* A table of settings that are read into struct fl_config. */
+struct table {
+	const char *key, *path; /* `path` is the prefix of its settings' full keys */
+	const struct setting *settings;
+	size_t setting_count;
+};
+
+/* An optional list of tables, each read into an element of an array in struct fl_config. */
+struct table_list {
+	const char *key, *parent_path;
+	const struct setting *settings;
+	size_t setting_count;
+	size_t array_offset, element_size, count_offset;
+	int max;
+};
+
+#define COUNT(array) (sizeof(array) / sizeof((array)[0]))
+/* Rows for a field of `owner`; the key of a number is followed by its minimum and maximum. */
+#define STRING(owner, field, name)                                                                 \
+	{                                                                                          \
+		(name), offsetof(owner, field), SETTING_STRING, false, 0, 0                        \
+	}
+#define OPTIONAL_STRING(owner, field, name)                                                        \
+	{                                                                                          \
+		(name), offsetof(owner, field), SETTING_STRING, true, 0, 0                         \
+	}
+#define ADDRESS(owner, field, name)                                                                \
+	{                                                                                          \
+		(name), offsetof(owner, field), SETTING_ADDRESS, false, 0, 0                       \
+	}
+#define NUMBER(owner, field, name, min, max)                                                       \
+	{                                                                                          \
+		(name), offsetof(owner, field), SETTING_NUMBER, false, (min), (max)                \
+	}
+#define INTEGER(owner, field, name, min, max)                                                      \
+	{                                                                                          \
+		(name), offsetof(owner, field), SETTING_INTEGER, false, (min), (max)               \
+	}
+
+static const struct setting root_settings[] = {
+	STRING(struct fl_config, node, "node"),
+	STRING(struct fl_config, location, "location"),
+	ADDRESS(struct fl_config, bind, "bind"),
+	ADDRESS(struct fl_config, cluster_listen, "cluster_listen"),
+};
+
+static const struct setting peer_settings[] = {
+	STRING(struct fl_config_peer, node, "node"),
+	STRING(struct fl_config_peer, location, "location"),
+	ADDRESS(struct fl_config_peer, addr, "addr"),
+};
+
+static const struct setting external_settings[] = {
+	ADDRESS(struct fl_config, cloud, "cloud"),
+	ADDRESS(struct fl_config, state, "state"),
+};
+
+static const struct setting team_settings[] = {
+	STRING(struct fl_config_team, name, "name"),
+	NUMBER(struct fl_config_team, cpus, "cpus", 0, 1e9),
+	NUMBER(struct fl_config_team, cpus_max, "cpus_max", 0, 1e9),
+	NUMBER(struct fl_config_team, gpus, "gpus", 0, 1e9),
+	NUMBER(struct fl_config_team, gpus_max, "gpus_max", 0, 1e9),
+};
+
+static const struct setting slo_settings[] = {
+	STRING(struct fl_config_slo, kind, "kind"),
+	OPTIONAL_STRING(struct fl_config_slo, job_class, "class"),
+	NUMBER(struct fl_config_slo, within_s, "within_s", 0, 1e9),
+	NUMBER(struct fl_config_slo, share, "share", 0, 1),
+};
+
+static const struct setting worker_settings[] = {
+	NUMBER(struct fl_config, report_s, "report_s", 0.05, 600),
+	NUMBER(struct fl_config, lease_s, "lease_s", 0.5, 3600),
+	NUMBER(struct fl_config, cancel_s, "cancel_s", 0.5, 36000),
+};
+
+static const struct setting state_settings[] = {
+	NUMBER(struct fl_config, state_rps, "rps", 1, 1e6),
+	NUMBER(struct fl_config, state_write_rps, "write_rps", 1, 1e6),
+	NUMBER(struct fl_config, value_kb, "value_kb", 1, 1e6),
+	INTEGER(struct fl_config, txn_ops, "txn_ops", 2, 1e6),
+};
+
+static const struct setting cloud_settings[] = {
+	NUMBER(struct fl_config, cloud_rps, "rps", 0.01, 1e6),
+	NUMBER(struct fl_config, list_lag_s, "list_lag_s", 0, 3600),
+};
+
+/* With less than these minima a controller cannot serve at all. */
+static const struct setting resource_settings[] = {
+	/* Of a core; gossip with four others alone takes 0.004. */
+	NUMBER(struct fl_config, core_share, "core_share", 0.005, 1024),
+	/* MB; the program takes 6, and a whole list of records some more. */
+	NUMBER(struct fl_config, ram_mb, "ram_mb", 16, 1e9),
+	/* 48 are for key-value store, cloud and commands. */
+	INTEGER(struct fl_config, max_connections, "max_connections", 64, 1e6),
+};
+
+static const struct table root_table = {NULL, "", root_settings, COUNT(root_settings)};
+static const struct table external_table = {"external", "external.", external_settings,
+                                            COUNT(external_settings)};
+static const struct table settings_tables[] = {
+	{"workers", "settings.workers.", worker_settings, COUNT(worker_settings)},
+	{"state", "settings.state.", state_settings, COUNT(state_settings)},
+	{"cloud", "settings.cloud.", cloud_settings, COUNT(cloud_settings)},
+	{"resources", "settings.resources.", resource_settings, COUNT(resource_settings)},
+};
+
+static const struct table_list peer_list = {
+	.key = "known",
+	.parent_path = "",
+	.settings = peer_settings,
+	.setting_count = COUNT(peer_settings),
+	.array_offset = offsetof(struct fl_config, peers),
+	.element_size = sizeof(struct fl_config_peer),
+	.count_offset = offsetof(struct fl_config, peer_count),
+	.max = FL_CONFIG_PEERS,
+};
+
+static const struct table_list team_list = {
+	.key = "teams",
+	.parent_path = "settings.",
+	.settings = team_settings,
+	.setting_count = COUNT(team_settings),
+	.array_offset = offsetof(struct fl_config, teams),
+	.element_size = sizeof(struct fl_config_team),
+	.count_offset = offsetof(struct fl_config, team_count),
+	.max = FL_CONFIG_TEAMS,
+};
+
+static const struct table_list slo_list = {
+	.key = "objectives",
+	.parent_path = "settings.",
+	.settings = slo_settings,
+	.setting_count = COUNT(slo_settings),
+	.array_offset = offsetof(struct fl_config, slos),
+	.element_size = sizeof(struct fl_config_slo),
+	.count_offset = offsetof(struct fl_config, slo_count),
+	.max = FL_CONFIG_SLOS,
+};
+
+/* A file being read, and its first error. */
 struct reader {
-	const char *file;
-	char *error;
-	size_t cap;
+	struct fl_config_error *error;
 	bool failed;
 };
 
-static void record_error(struct reader *reader, const char *fmt, ...)
+/* A value in the file, and the path of the table that holds it, which its full key begins with. */
+struct value {
+	const cJSON *json;
+	const char *path, *key;
+};
+
+__attribute__((format(printf, 4, 5))) static void
+record_error(struct reader *reader, const char *path, const char *key, const char *fmt, ...)
 {
-	int n;
+	struct fl_config_error *error = reader->error;
 	va_list ap;
 
 	if (reader->failed)
 		return;
 	reader->failed = true;
-	n = snprintf(reader->error, reader->cap, "%s: ", reader->file);
-	if (n < 0 || (size_t)n >= reader->cap)
-		return;
+	snprintf(error->key, sizeof(error->key), "%s%s", path, key);
 	va_start(ap, fmt);
-	vsnprintf(reader->error + n, reader->cap - (size_t)n, fmt, ap);
+	vsnprintf(error->reason, sizeof(error->reason), fmt, ap);
 	va_end(ap);
 }
 
-static const cJSON *require_key(struct reader *reader, const cJSON *object, const char *where,
+static const cJSON *require_key(struct reader *reader, const cJSON *object, const char *path,
                                 const char *key)
 {
-	const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, key);
+	const cJSON *json = cJSON_GetObjectItemCaseSensitive(object, key);
 
-	if (!value)
-		record_error(reader, "%s%s: missing", where, key);
-	return value;
+	if (!json)
+		record_error(reader, path, key, "missing");
+	return json;
 }
 
-static void get_str(struct reader *reader, const cJSON *object, const char *where, const char *key,
-                    char out[FL_CONFIG_NAME])
+static void read_string(struct reader *reader, const struct value *value, char *out)
 {
-	const cJSON *value = require_key(reader, object, where, key);
-
-	if (!value)
-		return;
-	if (!cJSON_IsString(value))
-		record_error(reader, "%s%s: must be a string", where, key);
-	else if (!value->valuestring[0])
-		record_error(reader, "%s%s: must not be empty", where, key);
-	else if (strlen(value->valuestring) >= FL_CONFIG_NAME)
-		record_error(reader, "%s%s: longer than %d characters", where, key,
+	const char *text = value->json->valuestring;
+
+	if (!cJSON_IsString(value->json))
+		record_error(reader, value->path, value->key, "must be a string");
+	else if (!text[0])
+		record_error(reader, value->path, value->key, "must not be empty");
+	else if (strlen(text) >= FL_CONFIG_NAME)
+		record_error(reader, value->path, value->key, "longer than %d characters",
 		             FL_CONFIG_NAME - 1);
 	else
-		fl_copy_string(out, FL_CONFIG_NAME, value->valuestring);
+		fl_copy_string(out, FL_CONFIG_NAME, text);
 }
 
-static void get_addr(struct reader *reader, const cJSON *object, const char *where, const char *key,
-                     char out[FL_CONFIG_NAME])
+static void read_address(struct reader *reader, const struct value *value, char *out)
 {
 	struct sockaddr_in address;
 
-	get_str(reader, object, where, key, out);
+	read_string(reader, value, out);
 	if (!reader->failed && fl_address_parse(out, &address) != 0)
-		record_error(reader, "%s%s: must be an IPv4 address and port, like 10.0.0.1:8080",
-		             where, key);
+		record_error(reader, value->path, value->key,
+		             "must be an IPv4 address and port, like 10.0.0.1:8080");
 }
 
-static void get_num(struct reader *reader, const cJSON *object, const char *where, const char *key,
-                    double low, double high, double *out)
+static void read_number(struct reader *reader, const struct value *value,
+                        const struct setting *setting, double *out)
 {
-	const cJSON *value = require_key(reader, object, where, key);
+	double number = value->json->valuedouble;
 
-	if (!value)
-		return;
-	if (!cJSON_IsNumber(value) || !isfinite(value->valuedouble))
-		record_error(reader, "%s%s: must be a number", where, key);
-	else if (value->valuedouble < low || value->valuedouble > high)
-		record_error(reader, "%s%s: must lie between %g and %g", where, key, low, high);
+	if (!cJSON_IsNumber(value->json) || !isfinite(number))
+		record_error(reader, value->path, value->key, "must be a number");
+	else if (number < setting->min || number > setting->max)
+		record_error(reader, value->path, value->key, "must lie between %g and %g",
+		             setting->min, setting->max);
 	else
-		*out = value->valuedouble;
+		*out = number;
 }
 
-static void get_int(struct reader *reader, const cJSON *object, const char *where, const char *key,
-                    double low, double high, int *out)
+static void read_integer(struct reader *reader, const struct value *value,
+                         const struct setting *setting, int *out)
 {
-	double d = 0;
+	double number = 0;
 
-	get_num(reader, object, where, key, low, high, &d);
-	if (!reader->failed && d != floor(d))
-		record_error(reader, "%s%s: must be a whole number", where, key);
-	*out = (int)d;
+	read_number(reader, value, setting, &number);
+	if (!reader->failed && number != floor(number))
+		record_error(reader, value->path, value->key, "must be a whole number");
+	*out = (int)number;
 }
 
-static const cJSON *get_table(struct reader *reader, const cJSON *object, const char *where,
-                              const char *key)
+static void read_setting(struct reader *reader, const cJSON *object, const char *path,
+                         const struct setting *setting, char *out)
 {
-	const cJSON *value = require_key(reader, object, where, key);
+	struct value value = {NULL, path, setting->key};
 
-	if (value && !cJSON_IsObject(value)) {
-		record_error(reader, "%s%s: must be a table", where, key);
+	if (setting->optional && !cJSON_GetObjectItemCaseSensitive(object, setting->key))
+		return;
+	value.json = require_key(reader, object, path, setting->key);
+	if (!value.json)
+		return;
+	switch (setting->type) {
+	case SETTING_STRING:
+		read_string(reader, &value, out + setting->offset);
+		break;
+	case SETTING_ADDRESS:
+		read_address(reader, &value, out + setting->offset);
+		break;
+	case SETTING_NUMBER:
+		read_number(reader, &value, setting, (double *)(out + setting->offset));
+		break;
+	case SETTING_INTEGER:
+		read_integer(reader, &value, setting, (int *)(out + setting->offset));
+		break;
+	}
+}
+
+/* The table with this key; NULL, with an error, if there is none. */
+static const cJSON *require_table(struct reader *reader, const cJSON *object, const char *path,
+                                  const char *key)
+{
+	const cJSON *json = require_key(reader, object, path, key);
+
+	if (json && !cJSON_IsObject(json)) {
+		record_error(reader, path, key, "must be a table");
 		return NULL;
 	}
-	return value;
+	return json;
 }
 
 /* An array that may be missing; NULL then, or when it is ill-typed. */
-static const cJSON *get_list(struct reader *reader, const cJSON *object, const char *where,
-                             const char *key, int most)
+static const cJSON *get_list(struct reader *reader, const cJSON *object, const char *path,
+                             const char *key, int max)
 {
-	const cJSON *value = cJSON_GetObjectItemCaseSensitive(object, key);
+	const cJSON *json = cJSON_GetObjectItemCaseSensitive(object, key);
 
-	if (!value)
+	if (!json)
 		return NULL;
-	if (!cJSON_IsArray(value)) {
-		record_error(reader, "%s%s: must be an array", where, key);
+	if (!cJSON_IsArray(json)) {
+		record_error(reader, path, key, "must be an array");
 		return NULL;
 	}
-	if (cJSON_GetArraySize(value) > most) {
-		record_error(reader, "%s%s: more than %d entries", where, key, most);
+	if (cJSON_GetArraySize(json) > max) {
+		record_error(reader, path, key, "more than %d entries", max);
 		return NULL;
 	}
-	return value;
+	return json;
 }
 
-static void read_peers(struct reader *reader, const cJSON *root, struct fl_config *config)
+static void read_table(struct reader *reader, const cJSON *object, const struct table *table,
+                       struct fl_config *config)
 {
-	const cJSON *list = get_list(reader, root, "", "known", FL_CONFIG_PEERS), *item;
-	char where[48];
-
-	cJSON_ArrayForEach (item, list) {
-		struct fl_config_peer *peer = &config->peers[config->peer_count];
+	for (size_t i = 0; i < table->setting_count; i++)
+		read_setting(reader, object, table->path, &table->settings[i], (char *)config);
+}
 
-		snprintf(where, sizeof(where), "known[%d].", config->peer_count);
-		get_str(reader, item, where, "node", peer->node);
-		get_str(reader, item, where, "location", peer->location);
-		get_addr(reader, item, where, "addr", peer->addr);
-		config->peer_count++;
+static void read_table_list(struct reader *reader, const cJSON *object,
+                            const struct table_list *list, struct fl_config *config)
+{
+	const cJSON *array = get_list(reader, object, list->parent_path, list->key, list->max);
+	int *count = (int *)((char *)config + list->count_offset);
+	const cJSON *item;
+	char path[48];
+
+	cJSON_ArrayForEach (item, array) {
+		char *element =
+			(char *)config + list->array_offset + (size_t)*count * list->element_size;
+
+		snprintf(path, sizeof(path), "%s%s[%d].", list->parent_path, list->key, *count);
+		for (size_t i = 0; i < list->setting_count; i++)
+			read_setting(reader, item, path, &list->settings[i], element);
+		(*count)++;
 	}
 }
 
-static void read_zones(struct reader *reader, const cJSON *s, struct fl_config *config)
+static void read_zones(struct reader *reader, const cJSON *settings, struct fl_config *config)
 {
 	const cJSON *list, *item;
 
-	if (!require_key(reader, s, "settings.", "zones"))
+	if (!require_key(reader, settings, "settings.", "zones"))
 		return;
-	list = get_list(reader, s, "settings.", "zones", FL_CONFIG_ZONES);
+	list = get_list(reader, settings, "settings.", "zones", FL_CONFIG_ZONES);
 	cJSON_ArrayForEach (item, list) {
 		if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_CONFIG_NAME) {
-			record_error(reader, "settings.zones: must hold names");
+			record_error(reader, "settings.", "zones", "must hold names");
 			return;
 		}
 		fl_copy_string(config->zones[config->zone_count++], FL_CONFIG_NAME,
 		               item->valuestring);
 	}
 	if (config->zone_count == 0)
-		record_error(reader, "settings.zones: must name at least one zone");
+		record_error(reader, "settings.", "zones", "must name at least one zone");
 }
 
-static void read_teams(struct reader *reader, const cJSON *s, struct fl_config *config)
+static void read_settings(struct reader *reader, const cJSON *settings, struct fl_config *config)
 {
-	const cJSON *list = get_list(reader, s, "settings.", "teams", FL_CONFIG_TEAMS), *item;
-	char where[48];
-
-	cJSON_ArrayForEach (item, list) {
-		struct fl_config_team *team = &config->teams[config->team_count];
-
-		snprintf(where, sizeof(where), "settings.teams[%d].", config->team_count);
-		get_str(reader, item, where, "name", team->name);
-		get_num(reader, item, where, "cpus", 0, 1e9, &team->cpus);
-		get_num(reader, item, where, "cpus_max", 0, 1e9, &team->cpus_max);
-		get_num(reader, item, where, "gpus", 0, 1e9, &team->gpus);
-		get_num(reader, item, where, "gpus_max", 0, 1e9, &team->gpus_max);
-		config->team_count++;
+	read_zones(reader, settings, config);
+	read_table_list(reader, settings, &team_list, config);
+	read_table_list(reader, settings, &slo_list, config);
+	for (size_t i = 0; i < COUNT(settings_tables); i++) {
+		const struct table *table = &settings_tables[i];
+		const cJSON *json = require_table(reader, settings, "settings.", table->key);
+
+		if (json)
+			read_table(reader, json, table, config);
 	}
 }
 
-static void read_objectives(struct reader *reader, const cJSON *s, struct fl_config *config)
+static void read_root(struct reader *reader, const cJSON *root, struct fl_config *config)
 {
-	const cJSON *list = get_list(reader, s, "settings.", "objectives", FL_CONFIG_SLOS), *item;
-	char where[48];
-
-	cJSON_ArrayForEach (item, list) {
-		struct fl_config_slo *slo = &config->slos[config->slo_count];
-
-		snprintf(where, sizeof(where), "settings.objectives[%d].", config->slo_count);
-		get_str(reader, item, where, "kind", slo->kind);
-		if (cJSON_GetObjectItemCaseSensitive(item, "class"))
-			get_str(reader, item, where, "class", slo->job_class);
-		get_num(reader, item, where, "within_s", 0, 1e9, &slo->within_s);
-		get_num(reader, item, where, "share", 0, 1, &slo->share);
-		config->slo_count++;
-	}
+	const cJSON *json;
+
+	read_table(reader, root, &root_table, config);
+	read_table_list(reader, root, &peer_list, config);
+	json = require_table(reader, root, "", external_table.key);
+	if (json)
+		read_table(reader, json, &external_table, config);
+	json = require_table(reader, root, "", "settings");
+	if (json)
+		read_settings(reader, json, config);
 }
 
-static void read_settings(struct reader *reader, const cJSON *s, struct fl_config *config)
+enum fl_config_result fl_config_read(const char *path, struct fl_config *out,
+                                     struct fl_config_error *error)
 {
-	const cJSON *t;
-
-	read_zones(reader, s, config);
-	read_teams(reader, s, config);
-	read_objectives(reader, s, config);
-	t = get_table(reader, s, "settings.", "workers");
-	if (t) {
-		get_num(reader, t, "settings.workers.", "report_s", 0.05, 600, &config->report_s);
-		get_num(reader, t, "settings.workers.", "lease_s", 0.5, 3600, &config->lease_s);
-		get_num(reader, t, "settings.workers.", "cancel_s", 0.5, 36000, &config->cancel_s);
-	}
-	t = get_table(reader, s, "settings.", "state");
-	if (t) {
-		get_num(reader, t, "settings.state.", "rps", 1, 1e6, &config->state_rps);
-		get_num(reader, t, "settings.state.", "write_rps", 1, 1e6,
-		        &config->state_write_rps);
-		get_num(reader, t, "settings.state.", "value_kb", 1, 1e6, &config->value_kb);
-		get_int(reader, t, "settings.state.", "txn_ops", 2, 1e6, &config->txn_ops);
-	}
-	t = get_table(reader, s, "settings.", "cloud");
-	if (t) {
-		get_num(reader, t, "settings.cloud.", "rps", 0.01, 1e6, &config->cloud_rps);
-		get_num(reader, t, "settings.cloud.", "list_lag_s", 0, 3600, &config->list_lag_s);
-	}
-	t = get_table(reader, s, "settings.", "resources");
-	if (t) {
-		get_num(reader, t, "settings.resources.", "core_share", least.core_share, 1024,
-		        &config->core_share);
-		get_num(reader, t, "settings.resources.", "ram_mb", least.ram_mb, 1e9,
-		        &config->ram_mb);
-		get_int(reader, t, "settings.resources.", "max_connections", least.connections, 1e6,
-		        &config->max_connections);
-	}
-}
-
-int fl_config_read(const char *path, struct fl_config *out, char *error, size_t cap)
-{
-	struct reader reader = {.file = path, .error = error, .cap = cap};
-	cJSON *root = fl_toml_read(path, error, cap);
-	const cJSON *t;
+	struct reader reader = {.error = error};
+	cJSON *root;
 
 	memset(out, 0, sizeof(*out));
-	if (!root)
-		return -1;
-	get_str(&reader, root, "", "node", out->node);
-	get_str(&reader, root, "", "location", out->location);
-	get_addr(&reader, root, "", "bind", out->bind);
-	get_addr(&reader, root, "", "cluster_listen", out->cluster_listen);
-	read_peers(&reader, root, out);
-	t = get_table(&reader, root, "", "external");
-	if (t) {
-		get_addr(&reader, t, "external.", "cloud", out->cloud);
-		get_addr(&reader, t, "external.", "state", out->state);
+	memset(error, 0, sizeof(*error));
+	error->file = path;
+	switch (fl_toml_read(path, &root, error->reason, sizeof(error->reason))) {
+	case FL_TOML_OK:
+		break;
+	case FL_TOML_UNREADABLE:
+		return FL_CONFIG_UNREADABLE;
+	case FL_TOML_MALFORMED:
+		return FL_CONFIG_MALFORMED;
 	}
-	t = get_table(&reader, root, "", "settings");
-	if (t)
-		read_settings(&reader, t, out);
+	read_root(&reader, root, out);
 	cJSON_Delete(root);
-	return reader.failed ? -1 : 0;
+	return reader.failed ? FL_CONFIG_INVALID_SETTING : FL_CONFIG_OK;
+}
+
+void fl_config_error_text(const struct fl_config_error *error, char *text, size_t size)
+{
+	snprintf(text, size, "%s: %s%s%s", error->file, error->key, error->key[0] ? ": " : "",
+	         error->reason);
 }
--- a/src/config.h
+++ b/src/config.h
@@ -1,11 +1,14 @@
-/* The settings file, read and checked. */
+/*
+ * The settings file, read and checked. All settings are required, except where a list or a field
+ * is said to be optional; unknown keys are ignored. What is read does not change later.
+ */
 #ifndef FL_CONFIG_H
 #define FL_CONFIG_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Bytes of a name with its terminator, and entries of each list at most. */
+/* Bytes of a name with its terminator, and maximum lengths of the lists. */
 enum {
 	FL_CONFIG_NAME = 64,
 	FL_CONFIG_PEERS = 16,
@@ -19,21 +22,23 @@
 	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME], addr[FL_CONFIG_NAME];
 };
 
-/* A team: what it is guaranteed, and its limits; 0: none. */
+/* The quota of a team: guaranteed and maximum resources; a maximum of 0 is no limit. */
 struct fl_config_team {
 	char name[FL_CONFIG_NAME];
 	double cpus, cpus_max, gpus, gpus_max;
 };
 
-/* A service objective: the share of jobs of a class that is to meet a time. */
+/* An SLO: the share of the jobs of a class that is to meet a time; no class: of all jobs. */
 struct fl_config_slo {
 	char kind[FL_CONFIG_NAME], job_class[FL_CONFIG_NAME];
 	double within_s, share;
 };
 
-/* All settings. */
+/* All settings. Their keys in the file are in config.c. */
 struct fl_config {
 	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME];
+	/* Addresses: the public server, that for other controllers, the cloud, the key-value store.
+	 */
 	char bind[FL_CONFIG_NAME], cluster_listen[FL_CONFIG_NAME];
 	char cloud[FL_CONFIG_NAME], state[FL_CONFIG_NAME];
 	struct fl_config_peer peers[FL_CONFIG_PEERS];
@@ -52,7 +57,25 @@
 	int max_connections;
 };
 
-/* Reads and checks the file: 0, or -1 with a message that names file, key and reason. */
-int fl_config_read(const char *path, struct fl_config *out, char *error, size_t cap);
+/* What a settings file is rejected for. */
+enum fl_config_result {
+	FL_CONFIG_OK = 0,
+	FL_CONFIG_UNREADABLE,     /* the file cannot be opened or read */
+	FL_CONFIG_MALFORMED,      /* it is not TOML */
+	FL_CONFIG_INVALID_SETTING /* a setting is missing or has no valid value */
+};
+
+/* The first error in a settings file. */
+struct fl_config_error {
+	const char *file; /* the path as it was given; not owned */
+	char key[96];     /* the full key of the setting; empty: the error is not in a setting */
+	char reason[512];
+};
+
+/* Reads and checks the file. Unless it is FL_CONFIG_OK, `out` must not be used. */
+enum fl_config_result fl_config_read(const char *path, struct fl_config *out,
+                                     struct fl_config_error *error);
+/* The message of an error: file, key if it has one, and reason. */
+void fl_config_error_text(const struct fl_config_error *error, char *text, size_t size);
 
 #endif
--- a/src/main.c
+++ b/src/main.c
@@ -6,16 +6,17 @@
 
 #include "config.h"
 #include "coordination/node.h"
-#include "transport/log.h"
 #include "transport/coroutine.h"
+#include "transport/log.h"
 
+/* Exit status: the command line, LOG_LEVEL or the settings file is wrong. */
 enum { EXIT_USAGE = 2 };
 
 const char *argp_program_version = "fawnlead " FL_VERSION;
 
 struct args {
 	const char *config;
-	bool check;
+	bool check_only;
 };
 
 static const struct argp_option options[] = {
@@ -24,7 +25,7 @@
 	{0},
 };
 
-static error_t parse(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
 	struct args *arguments = state->input;
 
@@ -33,7 +34,7 @@
 		arguments->config = arg;
 		return 0;
 	case 'n':
-		arguments->check = true;
+		arguments->check_only = true;
 		return 0;
 	case ARGP_KEY_ARG:
 		argp_error(state, "unexpected argument '%s'", arg);
@@ -47,9 +48,9 @@
 	}
 }
 
-static const struct argp parser = {
+static const struct argp command_line = {
 	.options = options,
-	.parser = parse,
+	.parser = parse_option,
 	.doc = "A cluster scheduler: one controller of a fawnlead service.\v"
 	       "Variables: LOG_LEVEL is error, info (the default) or debug.",
 };
@@ -59,20 +60,22 @@
 	const char *level = getenv("LOG_LEVEL");
 	static struct fl_config config;
 	struct args args = {0};
-	char error[512];
+	struct fl_config_error error;
+	char text[512];
 
 	argp_err_exit_status = EXIT_USAGE;
-	argp_parse(&parser, argc, argv, 0, NULL, &args);
+	argp_parse(&command_line, argc, argv, 0, NULL, &args);
 	if (level && fl_log_set_level(level) != 0) {
 		fprintf(stderr, "fawnlead: LOG_LEVEL: must be error, info or debug, not '%s'\n",
 		        level);
 		return EXIT_USAGE;
 	}
-	if (fl_config_read(args.config, &config, error, sizeof(error)) != 0) {
-		fprintf(stderr, "fawnlead: %s\n", error);
+	if (fl_config_read(args.config, &config, &error) != FL_CONFIG_OK) {
+		fl_config_error_text(&error, text, sizeof(text));
+		fprintf(stderr, "fawnlead: %s\n", text);
 		return EXIT_USAGE;
 	}
-	if (args.check) {
+	if (args.check_only) {
 		printf("%s: good\n", args.config);
 		return 0;
 	}
--- a/src/toml.cpp
+++ b/src/toml.cpp
@@ -9,53 +9,58 @@
 static cJSON *convert(const toml::node &node)
 {
 	if (const auto *table = node.as_table()) {
-		cJSON *o = cJSON_CreateObject();
+		cJSON *object = cJSON_CreateObject();
 
 		for (const auto &[key, value] : *table)
-			cJSON_AddItemToObject(o, std::string(key.str()).c_str(), convert(value));
-		return o;
+			cJSON_AddItemToObject(object, std::string(key.str()).c_str(),
+			                      convert(value));
+		return object;
 	}
 	if (const auto *array = node.as_array()) {
-		cJSON *a = cJSON_CreateArray();
+		cJSON *list = cJSON_CreateArray();
 
 		for (const auto &value : *array)
-			cJSON_AddItemToArray(a, convert(value));
-		return a;
+			cJSON_AddItemToArray(list, convert(value));
+		return list;
 	}
-	if (const auto *s = node.as_string())
-		return cJSON_CreateString(s->get().c_str());
-	if (const auto *i = node.as_integer())
-		return cJSON_CreateNumber(static_cast<double>(i->get()));
-	if (const auto *f = node.as_floating_point())
-		return cJSON_CreateNumber(f->get());
-	if (const auto *b = node.as_boolean())
-		return cJSON_CreateBool(b->get());
+	if (const auto *string = node.as_string())
+		return cJSON_CreateString(string->get().c_str());
+	if (const auto *integer = node.as_integer())
+		return cJSON_CreateNumber(static_cast<double>(integer->get()));
+	if (const auto *number = node.as_floating_point())
+		return cJSON_CreateNumber(number->get());
+	if (const auto *boolean = node.as_boolean())
+		return cJSON_CreateBool(boolean->get());
 	return cJSON_CreateNull();
 }
 
-cJSON *fl_toml_read(const char *path, char *error, size_t cap)
+enum fl_toml_result fl_toml_read(const char *path, cJSON **out, char *reason, size_t reason_size)
 {
+	*out = nullptr;
 	try {
 		std::ifstream file(path, std::ios::binary);
+		std::string text;
 
-		if (!file) {
-			snprintf(error, cap, "%s: cannot be read", path);
-			return nullptr;
+		if (file)
+			text.assign(std::istreambuf_iterator<char>(file),
+			            std::istreambuf_iterator<char>());
+		if (!file || file.bad()) {
+			snprintf(reason, reason_size, "cannot be read");
+			return FL_TOML_UNREADABLE;
 		}
-		std::string text((std::istreambuf_iterator<char>(file)),
-		                 std::istreambuf_iterator<char>());
-
-		if (file.bad()) {
-			snprintf(error, cap, "%s: cannot be read", path);
-			return nullptr;
-		}
-		return convert(toml::parse(text));
-	} catch (const toml::parse_error &e) {
-		snprintf(error, cap, "%s: line %u: %s", path,
-		         static_cast<unsigned>(e.source().begin.line),
-		         std::string(e.description()).c_str());
-	} catch (const std::exception &e) {
-		snprintf(error, cap, "%s: %s", path, e.what());
+		*out = convert(toml::parse(text));
+		if (*out)
+			return FL_TOML_OK;
+		snprintf(reason, reason_size, "out of memory");
+	} catch (const toml::parse_error &error) {
+		snprintf(reason, reason_size, "line %u: %s",
+		         static_cast<unsigned>(error.source().begin.line),
+		         std::string(error.description()).c_str());
+	} catch (const std::ios_base::failure &error) {
+		snprintf(reason, reason_size, "%s", error.what());
+		return FL_TOML_UNREADABLE;
+	} catch (const std::exception &error) {
+		snprintf(reason, reason_size, "%s", error.what());
 	}
-	return nullptr;
+	return FL_TOML_MALFORMED;
 }
--- a/src/toml.h
+++ b/src/toml.h
@@ -1,4 +1,7 @@
-/* The C interface of the TOML parser, which is written in C++. */
+/*
+ * The C interface of the TOML parser, which is written in C++. No exception of it leaves this
+ * module.
+ */
 #ifndef FL_TOML_H
 #define FL_TOML_H
 
@@ -8,8 +11,18 @@
 extern "C" {
 #endif
 
-/* The whole file as a cJSON tree, or NULL with a message in `error`. */
-cJSON *fl_toml_read(const char *path, char *error, size_t cap);
+/* Unless it is FL_TOML_OK, there is no tree, and a reason is given. */
+enum fl_toml_result {
+	FL_TOML_OK = 0,
+	FL_TOML_UNREADABLE, /* the file cannot be opened or read */
+	FL_TOML_MALFORMED   /* it is not TOML; the reason names the line */
+};
+
+/*
+ * Reads the whole file as a cJSON tree, which the caller frees. `reason` is set on a failure, and
+ * does not name the file.
+ */
+enum fl_toml_result fl_toml_read(const char *path, cJSON **out, char *reason, size_t reason_size);
 
 #ifdef __cplusplus
 }
--- a/tests/test_contract_settings.c
+++ b/tests/test_contract_settings.c
@@ -70,15 +70,17 @@
 {
 	char path[] = P_tmpdir "/contract-settings-XXXXXX", said[320] = "";
 	int file = mkstemp(path), result;
+	struct fl_config_error found;
 	size_t length = strlen(text);
 
 	assert_true(file >= 0);
 	assert_int_equal(write(file, text, length), (ssize_t)length);
 	close(file);
-	result = fl_config_read(path, config, said, sizeof(said));
+	result = fl_config_read(path, config, &found);
 	unlink(path);
 	error[0] = 0;
-	if (result != 0) {
+	if (result != FL_CONFIG_OK) {
+		fl_config_error_text(&found, said, sizeof(said));
 		assert_memory_equal(said, path, strlen(path));
 		snprintf(error, 256, "%s", said + strlen(path) + strlen(": "));
 	}
@@ -163,12 +165,12 @@
 		if (!settings[number].refused)
 			continue;
 		settings_without(number, text);
-		assert_int_equal(read_settings(text, &config, error), -1);
+		assert_int_equal(read_settings(text, &config, error), FL_CONFIG_INVALID_SETTING);
 		assert_string_equal(error, settings[number].refused);
 	}
 	settings_without(-1, text);
 	*strstr(text, "[settings]") = 0;
-	assert_int_equal(read_settings(text, &config, error), -1);
+	assert_int_equal(read_settings(text, &config, error), FL_CONFIG_INVALID_SETTING);
 	assert_string_equal(error, "settings: missing");
 }
 
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -418,6 +418,7 @@
 {
 	struct fl_config *config = calloc(1, sizeof(*config));
 	const char *at = old ? strstr(good_settings, old) : NULL;
+	struct fl_config_error found;
 	char name[64];
 	FILE *f;
 	int rc;
@@ -433,7 +434,9 @@
 		fputs(good_settings, f);
 	fclose(f);
 	error[0] = 0;
-	rc = fl_config_read(name, config, error, cap);
+	rc = fl_config_read(name, config, &found);
+	if (rc != FL_CONFIG_OK)
+		fl_config_error_text(&found, error, cap);
 	unlink(name);
 	free(config);
 	return rc;
@@ -477,9 +480,11 @@
 	}
 	{
 		struct fl_config *config = calloc(1, sizeof(*config));
+		struct fl_config_error found;
 
-		assert_int_not_equal(fl_config_read("no/such/file", config, error, sizeof(error)),
-		                     0);
+		assert_int_equal(fl_config_read("no/such/file", config, &found),
+		                 FL_CONFIG_UNREADABLE);
+		fl_config_error_text(&found, error, sizeof(error));
 		assert_non_null(strstr(error, "no/such/file"));
 		free(config);
 	}
