--- a/src/config.c
+++ b/src/config.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "toml.h"
-#include "transport/http.h"
+#include "transport/socket.h"
 #include "transport/text.h"
 
 enum setting_type { SETTING_STRING, SETTING_ADDRESS, SETTING_NUMBER, SETTING_INTEGER };
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -11,8 +11,7 @@
 static const struct {
 	size_t max_body;
 } tunables = {
-	.max_body =
-		8UL * 1024 * 1024, /* bytes; a full page of the state service and some to spare */
+	.max_body = 8UL * 1024 * 1024, /* bytes; a full page of the key-value store, and a margin */
 };
 
 int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
@@ -29,88 +28,121 @@
 		close(client->idle_fds[--client->idle_count]);
 }
 
-static int open_conn(struct fl_http_client *client, double timeout_s)
+/* Waits until a connect in progress has ended: 0 or a negative errno. */
+static int await_connect(int fd, double timeout_s)
+{
+	socklen_t length = sizeof(int);
+	int error = 0;
+	int rc = fl_io_wait(fd, EV_WRITE, timeout_s);
+
+	if (rc)
+		return rc;
+	if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &length) != 0)
+		return -errno;
+	return -error;
+}
+
+/* A new connection to the server, or a negative errno. */
+static int open_connection(struct fl_http_client *client, double timeout_s)
 {
 	int fd = fl_socket();
-	socklen_t len = sizeof(int);
-	int err = 0, rc;
+	int rc;
 
 	if (fd < 0)
-		return -errno;
+		return fd;
 	if (connect(fd, (struct sockaddr *)&client->addr, sizeof(client->addr)) == 0)
 		return fd;
-	rc = errno == EINPROGRESS ? fl_io_wait(fd, EV_WRITE, timeout_s) : -errno;
-	if (!rc && getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &len) != 0)
-		rc = -errno;
-	if (!rc && err)
-		rc = -err;
-	if (rc) {
+	rc = errno == EINPROGRESS ? await_connect(fd, timeout_s) : -errno;
+	if (rc == 0)
+		return fd;
+	fl_close(fd);
+	return rc;
+}
+
+/* Keeps the connection for another request, if the server does and there are not enough. */
+static void keep_or_close(struct fl_http_client *client, int fd, bool keep_alive)
+{
+	if (!keep_alive || client->idle_count >= client->max_idle) {
 		fl_close(fd);
-		return rc;
+		return;
 	}
-	return fd;
+	fl_io_unregister(fd);
+	client->idle_fds[client->idle_count++] = fd;
+}
+
+static int encode_request(const char *method, const char *path, const char *body,
+                          struct fl_buffer *out)
+{
+	size_t body_length = body ? strlen(body) : 0;
+	int rc = fl_buffer_printf(
+		out,
+		"%s %s HTTP/1.1\r\nHost: fawnlead\r\nContent-Type: application/json\r\n"
+		"Content-Length: %zu\r\n\r\n",
+		method, path, body_length);
+
+	if (!rc && body_length > 0)
+		rc = fl_buffer_append(out, body, body_length);
+	return rc;
 }
 
-static int exchange(int fd, const struct fl_buffer *req, double until,
-                    struct fl_http_message *message)
+/* Sends a request over a connection and reads the response. */
+static int exchange(int fd, const struct fl_buffer *request, double deadline,
+                    struct fl_http_message *response)
 {
-	int rc = fl_write_all(fd, req->data, req->length, until - fl_now());
+	int rc = fl_write_all(fd, request->data, request->length, deadline - fl_now());
 
 	if (rc)
 		return rc;
-	return fl_http_message_read(message, fd, until - fl_now());
+	return fl_http_message_read(response, fd, deadline - fl_now());
 }
 
-int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *out)
+/* Sends a request, over a kept connection if there is one, and reads the response. */
+static int send_request(struct fl_http_client *client, const struct fl_buffer *request,
+                        double deadline, struct fl_http_message *response)
 {
-	double until = fl_now() + timeout_s;
-	size_t body_len = body ? strlen(body) : 0;
-	struct fl_buffer req = {0};
-	struct fl_http_message message;
-	bool reused;
-	int fd, rc;
+	for (;;) {
+		bool reused = client->idle_count > 0;
+		int fd = reused ? client->idle_fds[--client->idle_count]
+		                : open_connection(client, deadline - fl_now());
+		int rc;
 
-	memset(out, 0, sizeof(*out));
-	fl_http_message_init(&message, HTTP_RESPONSE, tunables.max_body);
-	rc = fl_buffer_printf(
-		&req,
-		"%s %s HTTP/1.1\r\nHost: fawnlead\r\nContent-Type: application/json\r\n"
-		"Content-Length: %zu\r\n\r\n",
-		method, path, body_len);
-	if (!rc && body_len > 0)
-		rc = fl_buffer_append(&req, body, body_len);
-	if (rc)
-		goto out;
-	do {
-		/* A parser that has seen an end cannot read another connection. */
-		fl_http_message_free(&message);
-		fl_http_message_init(&message, HTTP_RESPONSE, tunables.max_body);
-		reused = client->idle_count > 0;
-		fd = reused ? client->idle_fds[--client->idle_count]
-		            : open_conn(client, until - fl_now());
-		if (fd < 0) {
-			rc = fd;
-			goto out;
+		if (fd < 0)
+			return fd;
+		rc = exchange(fd, request, deadline, response);
+		if (rc != -ECONNRESET || !reused || response->started) {
+			keep_or_close(client, fd, !rc && response->keep_alive);
+			return rc;
 		}
-		rc = exchange(fd, &req, until, &message);
-		/* The peer closed a kept connection before it saw this request: use another. */
-	} while (rc == -ECONNRESET && reused && !message.started && (fl_close(fd), true));
-	if (!rc && message.keep_alive && client->idle_count < client->max_idle) {
-		fl_io_unregister(fd);
-		client->idle_fds[client->idle_count++] = fd;
-	} else {
+		/* The server closed a kept connection before it read this request: use another. */
 		fl_close(fd);
+		/* A parser that has seen the end of a connection cannot read another one. */
+		fl_http_message_free(response);
+		fl_http_message_init(response, HTTP_RESPONSE, tunables.max_body);
 	}
+}
+
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
+{
+	double deadline = fl_now() + timeout_s;
+	struct fl_buffer request = {0};
+	struct fl_http_message response;
+	int rc;
+
+	memset(out, 0, sizeof(*out));
+	fl_http_message_init(&response, HTTP_RESPONSE, tunables.max_body);
+	rc = encode_request(method, path, body, &request);
+	if (!rc)
+		rc = send_request(client, &request, deadline, &response);
 	if (rc)
 		goto out;
-	out->status = message.parser.status_code;
-	out->body = message.body;
-	memset(&message.body, 0, sizeof(message.body));
+	out->status = response.parser.status_code;
+	out->body = response.body;
+	memset(&response.body, 0, sizeof(response.body));
 	if (!out->body.data)
 		rc = fl_buffer_append(&out->body, "", 0);
 out:
-	fl_buffer_free(&req);
-	fl_http_message_free(&message);
+	fl_buffer_free(&request);
+	fl_http_message_free(&response);
 	return rc;
 }
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -8,88 +8,97 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "transport/log.h"
 #include "transport/coroutine.h"
+#include "transport/log.h"
 
 static const struct {
-	double write_s;
+	double write_timeout_s;
 	size_t max_body;
-	double pause_s, rest_s;
-	int nearly, later_s;
+	double accept_retry_s, remainder_timeout_s, drain_timeout_s;
+	int single_response_part, retry_after_s;
 } tunables = {
-	.write_s = 5.0,                /* s; users wait 2 to 5 s, so a longer write helps nobody */
+	.write_timeout_s = 5.0,        /* s; users wait 2 to 5 s, so a longer write helps nobody */
 	.max_body = (size_t)64 * 1024, /* bytes; the protocol's limit */
-	.pause_s = 0.05,               /* s; wait after a failed accept, so that it does not spin */
-	.rest_s = 4.0, /* s for the rest of a request; no caller waits longer for its answer */
-	.later_s = 1,  /* s; Retry-After where there is no room for a body */
-	.nearly = 32,  /* part (one in so many) of the connections that is for one answer each */
+	.accept_retry_s = 0.05,        /* s after a failed accept, so that it does not spin */
+	.remainder_timeout_s = 4.0,    /* s for the rest of a request; no client waits longer */
+	.drain_timeout_s = 1.0,        /* s for each read of a body that is discarded */
+	.single_response_part = 32,    /* one in so many connections is for one response each */
+	.retry_after_s = 1,            /* s; Retry-After where the memory for bodies is in use */
 };
 
+/* Maximum reads of a body that is discarded, and the bytes of each. */
+enum { DRAIN_READS_MAX = 200, DRAIN_READ_SIZE = 8192 };
+
+/* Connections that the kernel holds until they are accepted. */
+enum { LISTEN_BACKLOG = 512 };
+
 /* Digits of an int, with its sign. */
 enum { FL_INT_DIGITS = 11 };
 
 struct fl_http_server {
 	int fd;
 	int connection_count, connection_limit;
-	double idle_s; /* a silent peer behind a cut must not hold a socket for ever */
+	double idle_timeout_s; /* else a silent peer behind a partition held a socket for ever */
 	fl_http_handler handler;
 	void *context;
 };
 
-struct conn {
+/* A connection, owned by its coroutine. */
+struct connection {
 	struct fl_http_server *server;
 	int fd;
 };
 
-static int send_response(int fd, const struct fl_http_response *response, bool keep)
+static int send_response(int fd, const struct fl_http_response *response, bool keep_alive)
 {
 	const char *body = response->body ? response->body : "{}";
-	size_t body_len = strlen(body);
+	size_t body_length = strlen(body);
 	struct fl_buffer output = {0};
-	char retry[sizeof("Retry-After: \r\n") + FL_INT_DIGITS] = "";
+	char retry_after[sizeof("Retry-After: \r\n") + FL_INT_DIGITS] = "";
 	int rc;
 
 	if (response->retry_after_s > 0)
-		snprintf(retry, sizeof(retry), "Retry-After: %d\r\n", response->retry_after_s);
+		snprintf(retry_after, sizeof(retry_after), "Retry-After: %d\r\n",
+		         response->retry_after_s);
 	rc = fl_buffer_printf(&output,
 	                      "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n%s%s"
 	                      "Content-Length: %zu\r\n\r\n",
 	                      response->status, http_status_str((enum http_status)response->status),
-	                      retry, keep ? "" : "Connection: close\r\n", body_len);
+	                      retry_after, keep_alive ? "" : "Connection: close\r\n", body_length);
 	if (!rc)
-		rc = fl_buffer_append(&output, body, body_len);
+		rc = fl_buffer_append(&output, body, body_length);
 	if (!rc)
-		rc = fl_write_all(fd, output.data, output.length, tunables.write_s);
+		rc = fl_write_all(fd, output.data, output.length, tunables.write_timeout_s);
 	fl_buffer_free(&output);
 	return rc;
 }
 
 /*
- * Kept connections of thousands of workers must not shut out the balancer's probes and the users:
- * with the last of them gone, a node that could serve would count as dead.
+ * Kept connections of thousands of workers must not exclude the load balancer's probes and the
+ * users: without a connection for them, a node that could serve would be taken for failed.
  */
 static bool nearly_full(const struct fl_http_server *server)
 {
 	return server->connection_count >
-	       server->connection_limit - server->connection_limit / tunables.nearly;
+	       server->connection_limit - server->connection_limit / tunables.single_response_part;
 }
 
 /*
- * A server that is behind must not spend its time on callers who have gone: they have asked
- * elsewhere, and each answer to nobody keeps the next caller waiting until he is gone too.
+ * An overloaded server must not spend its time on clients that have closed: they have retried
+ * elsewhere, and each response to nobody delays the next client until it has closed too.
  */
-static bool caller_has_gone(int fd)
+static bool client_has_closed(int fd)
 {
-	char c;
+	char byte;
 
-	return fl_coroutines_overloaded() && recv(fd, &c, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
+	return fl_coroutines_overloaded() && recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
 /*
- * Why a request cannot be served, or NULL. All is said with 400: users try again whatever they are
- * told otherwise, and this will not become better. A request that its length does not fit is one
- * too, when its caller has closed or sends no more; a caller that sent nothing is within its
- * guarantee nothing.
+ * The body of the response to a request that cannot be served, or NULL. The status is always 400:
+ * users retry after any other one, and this request will not become valid. One that is shorter than
+ * its length is malformed too, when its client has closed or sends no more; a client that sent
+ * nothing at all gets no response.
  */
 static const char *malformed_request_error(const struct fl_http_message *message, int rc)
 {
@@ -100,74 +109,102 @@
 		return "{\"error\":\"not HTTP/1.1\"}";
 	case -ECONNRESET:
 	case -ETIMEDOUT:
-		return message->started ? "{\"error\":\"shorter than its length\"}" : NULL;
+		return message->started ? "{\"error\":\"body shorter than Content-Length\"}" : NULL;
 	default:
 		return NULL;
 	}
 }
 
-static void respond_and_drain(int fd, int status, const char *why, bool drain)
+/*
+ * Lets a response reach a client that is still sending its body: an early close would reset the
+ * connection. Not inlined, since the buffer would be part of the stack of every idle connection.
+ */
+static __attribute__((noinline)) void drain(int fd)
+{
+	for (int i = 0; i < DRAIN_READS_MAX; i++) {
+		char discarded[DRAIN_READ_SIZE];
+		ssize_t count = recv(fd, discarded, sizeof(discarded), 0);
+
+		if (count == 0 || (count < 0 && errno != EAGAIN))
+			break;
+		if (count < 0 && fl_io_wait(fd, EV_READ, tunables.drain_timeout_s) != 0)
+			break;
+	}
+}
+
+/* Responds to a request that was not read in full, after which the connection is of no use. */
+static void reject(int fd, int status, const char *body)
 {
 	struct fl_http_response response = {.status = status,
-	                                    .body = (char *)why,
-	                                    .retry_after_s = status == 503 ? tunables.later_s : 0};
+	                                    .body = (char *)body,
+	                                    .retry_after_s =
+	                                            status == 503 ? tunables.retry_after_s : 0};
 
 	send_response(fd, &response, false);
-	/* Let the answer reach a peer that is still writing its body. */
 	shutdown(fd, SHUT_WR);
-	for (int i = 0; i < 200 && drain; i++) {
-		char sink[8192];
-		ssize_t n = recv(fd, sink, sizeof(sink), 0);
+}
 
-		if (n == 0 || (n < 0 && errno != EAGAIN))
-			break;
-		if (n < 0 && fl_io_wait(fd, EV_READ, 1.0) != 0)
-			break;
-	}
+/* Responds to a request whose reading ended with the error `rc`, if it gets a response. */
+static void respond_read_error(int fd, const struct fl_http_message *message, int rc)
+{
+	const char *malformed = malformed_request_error(message, rc);
+
+	if (malformed)
+		reject(fd, 400, malformed);
+	else if (rc == -ENOBUFS)
+		reject(fd, 503, "{\"error\":\"request body memory limit reached\"}");
+	if (rc == -EMSGSIZE || rc == -ENOBUFS)
+		drain(fd);
+}
+
+/* The request in a message that was read; it is valid as long as the message. */
+static struct fl_http_request request_of(struct fl_http_message *message)
+{
+	char *path = message->url.data;
+	char *query = path ? strchr(path, '?') : NULL;
+
+	if (query)
+		*query++ = 0;
+	return (struct fl_http_request){
+		.method = (enum http_method)message->parser.method,
+		.path = path ? path : "",
+		.query = query ? query : "",
+		.body = message->body.data ? message->body.data : "",
+		.body_len = message->body.length,
+	};
 }
 
-static bool serve_one(struct conn *connection)
+/* Serves one request; returns whether the connection can be used for another one. */
+static bool serve_one(struct connection *connection)
 {
-	struct fl_http_request request = {0};
+	struct fl_http_server *server = connection->server;
 	struct fl_http_response response = {.status = 500};
+	struct fl_http_request request;
 	struct fl_http_message message;
-	const char *why;
-	bool keep = false;
-	char *query;
+	bool keep_alive = false;
 	int rc;
 
 	fl_http_message_init(&message, HTTP_REQUEST, tunables.max_body);
-	message.remainder_timeout_s = tunables.rest_s;
-	rc = fl_http_message_read(&message, connection->fd, connection->server->idle_s);
-	why = malformed_request_error(&message, rc);
-	if (why)
-		respond_and_drain(connection->fd, 400, why, rc == -EMSGSIZE);
-	else if (rc == -ENOBUFS)
-		respond_and_drain(connection->fd, 503,
-		                  "{\"error\":\"too much is being sent at the moment\"}", true);
-	if (rc || caller_has_gone(connection->fd))
+	message.remainder_timeout_s = tunables.remainder_timeout_s;
+	rc = fl_http_message_read(&message, connection->fd, server->idle_timeout_s);
+	if (rc)
+		respond_read_error(connection->fd, &message, rc);
+	if (rc || client_has_closed(connection->fd))
 		goto out;
-	query = strchr(message.url.data ? message.url.data : "", '?');
-	if (query)
-		*query++ = 0;
-	request.query = query ? query : "";
-	request.method = (enum http_method)message.parser.method;
-	request.path = message.url.data ? message.url.data : "";
-	request.body = message.body.data ? message.body.data : "";
-	request.body_len = message.body.length;
-	connection->server->handler(connection->server->context, &request, &response);
-	keep = message.keep_alive && !response.close && !nearly_full(connection->server);
-	if (send_response(connection->fd, &response, keep) != 0)
-		keep = false;
+	request = request_of(&message);
+	server->handler(server->context, &request, &response);
+	keep_alive = message.keep_alive && !response.close && !nearly_full(server);
+	if (send_response(connection->fd, &response, keep_alive) != 0)
+		keep_alive = false;
 out:
 	free(response.body);
 	fl_http_message_free(&message);
-	return keep;
+	return keep_alive;
 }
 
-static void serve_conn(void *arg)
+static void serve_connection(void *arg)
 {
-	struct conn *connection = arg;
+	struct connection *connection = arg;
 
 	while (!fl_coroutine_cancelled() && serve_one(connection))
 		;
@@ -176,49 +213,76 @@
 	free(connection);
 }
 
+/* Starts the coroutine of an accepted connection; false: at the limit, or out of memory. */
+static bool start_connection(struct fl_http_server *server, int fd)
+{
+	struct connection *connection;
+
+	if (server->connection_count >= server->connection_limit)
+		return false;
+	connection = malloc(sizeof(*connection));
+	if (!connection)
+		return false;
+	connection->server = server;
+	connection->fd = fd;
+	if (!fl_coroutine_spawn(serve_connection, connection)) {
+		free(connection);
+		return false;
+	}
+	server->connection_count++;
+	return true;
+}
+
 static void accept_loop(void *arg)
 {
 	struct fl_http_server *server = arg;
 
 	while (!fl_coroutine_cancelled()) {
-		struct conn *connection;
-		int one = 1;
 		int fd = accept4(server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 
 		if (fd < 0) {
 			int rc = errno == EAGAIN ? fl_io_wait(server->fd, EV_READ, -1)
-			                         : fl_sleep(tunables.pause_s);
+			                         : fl_sleep(tunables.accept_retry_s);
 			if (rc == -ECANCELED)
 				break;
 			continue;
 		}
-		setsockopt(fd, IPPROTO_TCP, 1 /* TCP_NODELAY */, &one, sizeof(one));
-		connection = server->connection_count < server->connection_limit
-		                     ? malloc(sizeof(*connection))
-		                     : NULL;
-		if (connection) {
-			connection->server = server;
-			connection->fd = fd;
-			if (fl_coroutine_spawn(serve_conn, connection)) {
-				server->connection_count++;
-				continue;
-			}
-			free(connection);
-		}
-		fl_error("transport", "no room for a connection (%d open)",
-		         server->connection_count);
+		fl_socket_set_no_delay(fd);
+		if (start_connection(server, fd))
+			continue;
+		fl_error("transport", "connection rejected: open=%d limit=%d",
+		         server->connection_count, server->connection_limit);
 		close(fd);
 	}
 	fl_close(server->fd);
 	server->fd = -1;
 }
 
-struct fl_http_server *fl_http_serve(const char *addr, int max_conns, double idle_s,
+/* A socket that listens on the address, or a negative errno. */
+static int listen_on(const struct sockaddr_in *address)
+{
+	int enabled = 1;
+	int fd = fl_socket();
+
+	if (fd < 0)
+		return fd;
+	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
+	if (bind(fd, (const struct sockaddr *)address, sizeof(*address)) != 0 ||
+	    listen(fd, LISTEN_BACKLOG) != 0) {
+		int error = errno;
+
+		close(fd);
+		return -error;
+	}
+	return fd;
+}
+
+struct fl_http_server *fl_http_serve(const char *addr, int max_connections, double idle_timeout_s,
                                      fl_http_handler handler, void *context)
 {
 	struct fl_http_server *server;
 	struct sockaddr_in address;
-	int one = 1;
+	int fd;
 
 	if (fl_address_parse(addr, &address) != 0) {
 		errno = EINVAL;
@@ -227,35 +291,32 @@
 	server = calloc(1, sizeof(*server));
 	if (!server)
 		return NULL;
-	server->handler = handler;
-	server->context = context;
-	server->connection_limit = max_conns;
-	server->idle_s = idle_s;
-	server->fd = fl_socket();
-	if (server->fd < 0)
-		goto fail;
-	setsockopt(server->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	if (bind(server->fd, (struct sockaddr *)&address, sizeof(address)) != 0 ||
-	    listen(server->fd, 512) != 0)
-		goto fail;
+	fd = listen_on(&address);
+	if (fd < 0) {
+		free(server);
+		errno = -fd;
+		return NULL;
+	}
+	*server = (struct fl_http_server){.fd = fd,
+	                                  .connection_limit = max_connections,
+	                                  .idle_timeout_s = idle_timeout_s,
+	                                  .handler = handler,
+	                                  .context = context};
 	if (!fl_coroutine_spawn(accept_loop, server)) {
+		close(fd);
+		free(server);
 		errno = ENOMEM;
-		goto fail;
+		return NULL;
 	}
 	return server;
-fail:
-	if (server->fd >= 0)
-		close(server->fd);
-	free(server);
-	return NULL;
 }
 
 int fl_http_server_port(const struct fl_http_server *server)
 {
 	struct sockaddr_in address = {0};
-	socklen_t len = sizeof(address);
+	socklen_t length = sizeof(address);
 
-	if (getsockname(server->fd, (struct sockaddr *)&address, &len) != 0)
-		return -1;
+	if (getsockname(server->fd, (struct sockaddr *)&address, &length) != 0)
+		return -errno;
 	return ntohs(address.sin_port);
 }
