--- a/src/transport/clock.c
+++ b/src/transport/clock.c
@@ -5,10 +5,10 @@
 
 static double read_clock(clockid_t id)
 {
-	struct timespec ts;
+	struct timespec time;
 
-	clock_gettime(id, &ts);
-	return (double)ts.tv_sec + (double)ts.tv_nsec * 1e-9;
+	clock_gettime(id, &time);
+	return (double)time.tv_sec + (double)time.tv_nsec * 1e-9;
 }
 
 double fl_now(void) { return read_clock(CLOCK_MONOTONIC); }
@@ -19,7 +19,7 @@
 
 double fl_since(double wall)
 {
-	/* In this order: a process that stands still in between takes it for older, never newer. */
+	/* In this order: to a process suspended in between it is older than it was, never newer. */
 	double now = fl_now();
 
 	return now - (wall > 0 ? fmax(0, fl_wall() - wall) : 0);
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -1,6 +1,6 @@
 /*
- * The clocks: steady for every duration, wall time only for what outlives a process, processor time
- * for what work costs.
+ * The clocks: the steady one for every duration and deadline, wall time only for what outlives a
+ * process, processor time for what work costs. They do not wait and cannot fail.
  */
 #ifndef FL_TRANSPORT_CLOCK_H
 #define FL_TRANSPORT_CLOCK_H
@@ -11,7 +11,7 @@
 double fl_wall(void);
 /* Seconds of processor time that this process has used. */
 double fl_cpu_time(void);
-/* The steady time of a wall time past; a wall time of 0 is not known, and counts as now. */
+/* The steady time of a past wall time; 0 is an unknown wall time, for which it is now. */
 double fl_since(double wall);
 
 #endif
--- a/src/transport/log.c
+++ b/src/transport/log.c
@@ -6,38 +6,39 @@
 #include <string.h>
 #include <unistd.h>
 
-static enum fl_log_level level_now = FL_LOG_INFO;
 static const char *const level_names[] = {"error", "info", "debug"};
+static enum fl_log_level current_level = FL_LOG_INFO;
 
 int fl_log_set_level(const char *name)
 {
-	for (int i = 0; i < 3; i++) {
+	for (int i = FL_LOG_ERROR; i <= FL_LOG_DEBUG; i++) {
 		if (strcmp(name, level_names[i]) == 0) {
-			level_now = (enum fl_log_level)i;
+			current_level = (enum fl_log_level)i;
 			return 0;
 		}
 	}
 	return -EINVAL;
 }
 
-int fl_log_enabled(enum fl_log_level level) { return level <= level_now; }
+bool fl_log_enabled(enum fl_log_level level) { return level <= current_level; }
 
 void fl_log(enum fl_log_level level, const char *area, const char *fmt, ...)
 {
 	char line[1024];
+	const int length_max = (int)sizeof(line) - 2; /* without the newline */
 	va_list ap;
-	int n;
+	int length;
 
 	if (!fl_log_enabled(level))
 		return;
-	n = snprintf(line, sizeof(line), "%s %s: ", level_names[level], area);
+	length = snprintf(line, sizeof(line), "%s %s: ", level_names[level], area);
 	va_start(ap, fmt);
-	n += vsnprintf(line + n, sizeof(line) - (size_t)n - 1, fmt, ap);
+	length += vsnprintf(line + length, sizeof(line) - (size_t)length - 1, fmt, ap);
 	va_end(ap);
-	if (n > (int)sizeof(line) - 2)
-		n = (int)sizeof(line) - 2;
-	line[n++] = '\n';
+	if (length > length_max)
+		length = length_max;
+	line[length++] = '\n';
 	/* One write a line, so that lines of several processes never mix. */
-	if (write(STDERR_FILENO, line, (size_t)n) < 0)
+	if (write(STDERR_FILENO, line, (size_t)length) < 0)
 		return;
 }
--- a/src/transport/log.h
+++ b/src/transport/log.h
@@ -1,16 +1,20 @@
-/* Levelled logging to standard error, one line shape: "LEVEL area: text". */
+/*
+ * Logging with levels to standard error. Every line has the form "LEVEL area: text"; the area is a
+ * short noun, and the text begins with its subject.
+ */
 #ifndef FL_TRANSPORT_LOG_H
 #define FL_TRANSPORT_LOG_H
 
-/* In rising order of detail. */
+#include <stdbool.h>
+
+/* In increasing order of detail. */
 enum fl_log_level { FL_LOG_ERROR, FL_LOG_INFO, FL_LOG_DEBUG };
 
-/* Sets the level up to which lines are written. Returns 0, or -EINVAL for a level that does not
- * exist. */
+/* Sets the level up to which lines are written: 0, or -EINVAL if there is no level of this name. */
 int fl_log_set_level(const char *name);
-/* Are lines of this level written? */
-int fl_log_enabled(enum fl_log_level level);
-/* Writes a line; fl_error, fl_info and fl_debug are short for it. */
+/* Whether lines of this level are written. */
+bool fl_log_enabled(enum fl_log_level level);
+/* Writes a line, cut off at about a thousand bytes; fl_error, fl_info and fl_debug call it. */
 void fl_log(enum fl_log_level level, const char *area, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
--- a/src/transport/memory.c
+++ b/src/transport/memory.c
@@ -5,16 +5,17 @@
 #include "transport/coroutine.h"
 
 static const struct {
-	size_t program, stack;
+	size_t program_bytes, stack_bytes;
 } tunables = {
-	.program = (size_t)4 * 1024 * 1024, /* bytes of code and data that are touched */
-	.stack = (size_t)8 * 1024, /* bytes of a stack that are; test_message_costs holds it */
+	.program_bytes = (size_t)4 * 1024 * 1024, /* bytes of code and data that are touched */
+	/* bytes of a stack that are touched; test_message_costs checks it */
+	.stack_bytes = (size_t)8 * 1024,
 };
 
 size_t fl_memory_in_use(void)
 {
 	struct mallinfo2 heap = mallinfo2();
 
-	return tunables.program + (size_t)fl_coroutines_count() * tunables.stack + heap.uordblks +
-	       heap.hblkhd;
+	return tunables.program_bytes + (size_t)fl_coroutines_count() * tunables.stack_bytes +
+	       heap.uordblks + heap.hblkhd;
 }
--- a/src/transport/memory.h
+++ b/src/transport/memory.h
@@ -1,10 +1,10 @@
-/* How much memory this process holds. */
+/* The memory that this process uses, which admission is decided by. */
 #ifndef FL_TRANSPORT_MEMORY_H
 #define FL_TRANSPORT_MEMORY_H
 
 #include <stddef.h>
 
-/* Bytes in use: the heap, the routines' stacks, and the program itself by estimate. */
+/* Bytes in use: the heap, and by estimate the coroutines' stacks and the program itself. */
 size_t fl_memory_in_use(void);
 
 #endif
--- a/src/transport/text.c
+++ b/src/transport/text.c
@@ -4,12 +4,12 @@
 
 bool fl_copy_string(char *to, size_t size, const char *from)
 {
-	size_t len = strnlen(from, size);
-	bool whole = len < size;
+	size_t length = strnlen(from, size);
+	bool complete = length < size;
 
-	if (!whole)
-		len = size - 1;
-	memcpy(to, from, len);
-	to[len] = 0;
-	return whole;
+	if (!complete)
+		length = size - 1;
+	memcpy(to, from, length);
+	to[length] = 0;
+	return complete;
 }
