--- a/src/config.c
+++ b/src/config.c
@@ -13,7 +13,7 @@
 
 enum setting_type { SETTING_STRING, SETTING_ADDRESS, SETTING_NUMBER, SETTING_INTEGER };
 
-/* A setting: its key in the table that holds it, and where it goes in a struct. */
+/* A setting: its key in the table that holds it, and the field that it is stored in. */
 struct setting {
 	const char *key;
 	size_t offset;
--- a/src/config.h
+++ b/src/config.h
@@ -1,6 +1,7 @@
 /*
- * The settings file, read and checked. All settings are required, except where a list or a field
- * is said to be optional; unknown keys are ignored. What is read does not change later.
+ * The settings file, read and checked. All settings are required, except for the lists of peers,
+ * teams and SLOs and the class of an SLO; unknown keys are ignored. The settings do not change
+ * later.
  */
 #ifndef FL_CONFIG_H
 #define FL_CONFIG_H
--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -100,8 +100,8 @@
 		lease->fencing_token++;
 		lease->token_mod_revision = revision;
 		lease->token_raise_wanted = false;
-	} else if (fl_leader_view_read(node, &state) == FL_KV_OK && lease->held &&
-	           state.leader_mod_revision == lease->leader_mod_revision) {
+	} else if (fl_leader_view_read(&node->leader_view, &node->kv_store, &state) == FL_KV_OK &&
+	           lease->held && state.leader_mod_revision == lease->leader_mod_revision) {
 		/* The write may have been executed: the stored token counts. */
 		lease->fencing_token = state.fencing_token;
 		lease->token_mod_revision = state.token_mod_revision;
@@ -172,7 +172,7 @@
 {
 	struct fl_election_state state;
 
-	if (fl_leader_view_read(node, &state) != FL_KV_OK)
+	if (fl_leader_view_read(&node->leader_view, &node->kv_store, &state) != FL_KV_OK)
 		return tunables.retry_s;
 	if (state.has_leader && strcmp(state.leader.node, node->config->node) != 0)
 		return tunables.read_interval_s;
--- a/src/coordination/election/leader_view.c
+++ b/src/coordination/election/leader_view.c
@@ -34,15 +34,15 @@
 	}
 }
 
-enum fl_kv_result fl_leader_view_read(struct fl_node *node, struct fl_election_state *out)
+enum fl_kv_result fl_leader_view_read(struct fl_leader_view *view, struct fl_kv_store *store,
+                                      struct fl_election_state *out)
 {
-	struct fl_leader_view *view = &node->leader_view;
 	double sent_at = fl_now();
 	enum fl_kv_result result;
 	uint64_t revision;
 
 	memset(out, 0, sizeof(*out));
-	result = fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_key, out, &revision);
+	result = fl_kv_list(store, FL_PREFIX_ELECTION, on_election_key, out, &revision);
 	if (result != FL_KV_OK)
 		return result;
 	if (out->fencing_token < view->fencing_token)
@@ -57,5 +57,5 @@
 {
 	struct fl_election_state state;
 
-	return fl_leader_view_read(node, &state);
+	return fl_leader_view_read(&node->leader_view, &node->kv_store, &state);
 }
--- a/src/coordination/election/leader_view.h
+++ b/src/coordination/election/leader_view.h
@@ -31,8 +31,9 @@
 /* The view was true at this time (steady); an earlier time than the known one has no effect. */
 void fl_leader_view_confirm(struct fl_leader_view *view, double confirmed_at);
 /* Reads leader and fencing token, and updates the view unless the token is outdated. */
-enum fl_kv_result fl_leader_view_read(struct fl_node *node, struct fl_election_state *out);
-/* The same, for callers that need no more than a fresh view. */
+enum fl_kv_result fl_leader_view_read(struct fl_leader_view *view, struct fl_kv_store *store,
+                                      struct fl_election_state *out);
+/* The same on a node's own view, for those that need no more than a fresh view. */
 enum fl_kv_result fl_leader_view_refresh(struct fl_node *node);
 
 #endif
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -55,7 +55,7 @@
 	leadership->heartbeats_since = fl_now();
 	leadership->active = true;
 	leadership->cycle_due = true;
-	fl_record_writer_begin(node);
+	fl_record_writer_begin(&node->record_writer, node->config->state_write_rps);
 	fl_autoscaler_begin(node);
 	start_coroutine(node, fl_scheduling_cycle_run);
 	start_coroutine(node, fl_record_writer_run);
@@ -84,7 +84,7 @@
 
 void fl_leadership_begin(struct fl_node *node)
 {
-	fl_record_writer_reset(node);
+	fl_record_writer_reset(&node->record_writer);
 	memset(&node->leadership, 0, sizeof(node->leadership));
 	node->leadership.loading = fl_coroutine_spawn(load_and_activate_coroutine, node) != NULL;
 	if (!node->leadership.loading)
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -33,7 +33,7 @@
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
 	double up_since;       /* steady; while up */
-	double last_heard_at;  /* steady; of the last exchange that came back */
+	double last_heard_at;  /* steady; of the last exchange that got a response */
 	double complete_as_of; /* steady; sending of the last exchange that returned all it knows */
 	bool up;
 };
--- a/src/coordination/persistence/final_record_writer.c
+++ b/src/coordination/persistence/final_record_writer.c
@@ -21,7 +21,7 @@
 	char key[FL_KEY_MAX];
 	uint32_t block_index = 0;
 
-	fl_record_txn_init(node, txn);
+	fl_record_txn_init(&node->leader_lease, txn);
 	fl_key_job(key, job->ref);
 	fl_kv_txn_expect_revision(txn, key, job->record.mod_revision);
 	fl_kv_txn_delete(txn, key);
--- a/src/coordination/persistence/pending_deletions.c
+++ b/src/coordination/persistence/pending_deletions.c
@@ -42,7 +42,7 @@
 	struct fl_kv_txn txn;
 	uint64_t revision;
 
-	fl_record_txn_init(node, &txn);
+	fl_record_txn_init(&node->leader_lease, &txn);
 	for (; next && txn.operation_count < node->config->txn_ops; next = next->next)
 		fl_kv_txn_delete(&txn, next->key);
 	if (fl_record_txn_admit(node, &txn) == FL_KV_OK &&
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -115,7 +115,7 @@
 	return result;
 }
 
-/* Rereads one revision that is unknown; the next write comes to the others. */
+/* Rereads one revision that is unknown; the next write rereads another. */
 static enum fl_kv_result reread_unknown_revision(struct fl_node *node)
 {
 	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty)
@@ -152,7 +152,7 @@
 	uint64_t revision = 0;
 	bool revisions_known;
 
-	fl_record_txn_init(node, &txn);
+	fl_record_txn_init(&node->leader_lease, &txn);
 	revisions_known = collect(node, &txn, &batch, block_limit, scope);
 	if (!revisions_known || batch.count == 0) {
 		fl_kv_txn_free(&txn);
--- a/src/coordination/persistence/record_txn.c
+++ b/src/coordination/persistence/record_txn.c
@@ -5,27 +5,26 @@
 #include "coordination/node.h"
 #include "transport/clock.h"
 
-void fl_record_txn_init(const struct fl_node *node, struct fl_kv_txn *txn)
+void fl_record_txn_init(const struct fl_leader_lease *lease, struct fl_kv_txn *txn)
 {
 	fl_kv_txn_init(txn);
-	fl_kv_txn_expect_revision(txn, FL_KEY_LEADER, node->leader_lease.leader_mod_revision);
+	fl_kv_txn_expect_revision(txn, FL_KEY_LEADER, lease->leader_mod_revision);
 }
 
 /* Waits until the budget allows this many writes; false if the coroutine is cancelled. */
-static bool await_write_budget(struct fl_node *node, double writes)
+static bool await_budget(struct fl_token_bucket *budget, double writes)
 {
-	double wait_s;
+	double delay_s;
 
-	while ((wait_s = fl_token_bucket_take(&node->record_writer.write_budget, writes,
-	                                      fl_now())) > 0)
-		if (fl_sleep(wait_s) != 0)
+	while ((delay_s = fl_token_bucket_take(budget, writes, fl_now())) > 0)
+		if (fl_sleep(delay_s) != 0)
 			return false;
 	return true;
 }
 
 enum fl_kv_result fl_record_txn_admit(struct fl_node *node, struct fl_kv_txn *txn)
 {
-	if (!await_write_budget(node, txn->operation_count)) {
+	if (!await_budget(&node->record_writer.write_budget, txn->operation_count)) {
 		fl_kv_txn_free(txn);
 		return FL_KV_CANCELLED;
 	}
--- a/src/coordination/persistence/record_txn.h
+++ b/src/coordination/persistence/record_txn.h
@@ -7,13 +7,14 @@
 
 #include "protocol/kv_store.h"
 
+struct fl_leader_lease;
 struct fl_node;
 
 /* Maximum bytes of values in one transaction, whose request may have 64 KiB in all. */
 enum { FL_RECORD_TXN_BYTES = 40000 };
 
-/* A transaction that expects the leader key as this leader wrote it. */
-void fl_record_txn_init(const struct fl_node *node, struct fl_kv_txn *txn);
+/* A transaction that expects the leader key as the holder of this lease wrote it. */
+void fl_record_txn_init(const struct fl_leader_lease *lease, struct fl_kv_txn *txn);
 /*
  * Waits until the write budget allows the transaction: FL_KV_OK if it may be sent now. Else the
  * builder is freed and nothing is executed: FL_KV_UNAVAILABLE if this node is the leader no more,
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -18,17 +18,17 @@
 	.idle_interval_s = 0.5, /* s after which the writer checks again, unless it is woken */
 };
 
-void fl_record_writer_reset(struct fl_node *node)
+void fl_record_writer_reset(struct fl_record_writer *writer)
 {
-	fl_pending_deletions_free(&node->record_writer.pending_deletions);
-	memset(&node->record_writer, 0, sizeof(node->record_writer));
+	fl_pending_deletions_free(&writer->pending_deletions);
+	memset(writer, 0, sizeof(*writer));
 }
 
-void fl_record_writer_begin(struct fl_node *node)
+void fl_record_writer_begin(struct fl_record_writer *writer, double store_write_rate)
 {
-	double rate = node->config->state_write_rps * tunables.write_share;
+	double rate = store_write_rate * tunables.write_share;
 
-	fl_token_bucket_init(&node->record_writer.write_budget, rate, rate, fl_now());
+	fl_token_bucket_init(&writer->write_budget, rate, rate, fl_now());
 }
 
 /* Whether some block of the job has changes that its record lacks. */
--- a/src/coordination/persistence/record_writer.h
+++ b/src/coordination/persistence/record_writer.h
@@ -27,9 +27,9 @@
 };
 
 /* Drops the state of an earlier leadership. */
-void fl_record_writer_reset(struct fl_node *node);
-/* Fills the write budget, once the cluster state is loaded. */
-void fl_record_writer_begin(struct fl_node *node);
+void fl_record_writer_reset(struct fl_record_writer *writer);
+/* Fills the write budget, once the cluster state is loaded; the rate is in writes a second. */
+void fl_record_writer_begin(struct fl_record_writer *writer, double store_write_rate);
 /* Runs in a coroutine of the leader, until that is cancelled. */
 void fl_record_writer_run(struct fl_node *node);
 
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -126,7 +126,7 @@
 	values_per_txn = FL_RECORD_TXN_BYTES / (double)write.value_limit;
 	if (write.value_count_max > values_per_txn)
 		write.value_count_max = (int)values_per_txn;
-	fl_record_txn_init(node, &write.txn);
+	fl_record_txn_init(&node->leader_lease, &write.txn);
 	fl_kv_txn_expect_revision(&write.txn, FL_KEY_WAL, node->record_writer.wal_mod_revision);
 	return write;
 }
--- a/src/transport/coroutine_queue.h
+++ b/src/transport/coroutine_queue.h
@@ -1,7 +1,7 @@
 /*
  * Internal to coroutine schedulers: the lists that a coroutine can be in, which are queues of the
- * ready ones and the waiters of a condition. The lists own nothing. It is for the scheduler to say
- * what becomes of a coroutine that it takes off a list.
+ * ready ones and the waiters of a condition. The lists own nothing, and the scheduler decides what
+ * to do with a coroutine that is removed from one.
  */
 #ifndef FL_TRANSPORT_COROUTINE_QUEUE_H
 #define FL_TRANSPORT_COROUTINE_QUEUE_H
@@ -18,7 +18,7 @@
 	struct fl_condition *condition; /* the one it waits for, or NULL */
 };
 
-/* Coroutines in the order in which they came. Zero-initialised is empty. */
+/* A FIFO of ready coroutines. Zero-initialised is empty. */
 struct fl_coroutine_queue {
 	struct fl_coroutine *head, *tail;
 };
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -228,12 +228,12 @@
 
 /* ---- controllers ---- */
 
-struct fl_http_server *fl_http_serve(const char *addr, int max_conns, double idle_s,
+struct fl_http_server *fl_http_serve(const char *addr, int max_connections, double idle_timeout_s,
                                      fl_http_handler handler, void *context)
 {
 	struct sockaddr_in address;
 
-	(void)max_conns, (void)idle_s;
+	(void)max_connections, (void)idle_timeout_s;
 	sim_require(fl_address_parse(addr, &address) == 0);
 	net.face[net.starting][end_of(&address).kind == ENDPOINT_PEER] =
 		(struct served){handler, context};
@@ -282,7 +282,7 @@
 
 	if (!n)
 		return;
-	fl_record_writer_reset(n);
+	fl_record_writer_reset(&n->record_writer);
 	free_standby(&n->follower);
 	fl_cluster_free(&n->cluster);
 	free(n);
