--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -31,20 +31,20 @@
 	response->status = ready ? 200 : 503;
 }
 
-void fl_route_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
-                           const char *body, size_t len, enum fl_forward_hop hop,
+void fl_route_user_request(struct fl_node *node, const struct fl_client_request *request,
                            struct fl_http_response *response)
 {
-	switch (kind) {
+	switch (request->kind) {
 	case FL_USER_REQUEST_SUBMIT:
-		fl_submit(node, body, len, hop, response);
+		fl_submit(node, request->body, request->body_len, request->hop, response);
 		break;
 	case FL_USER_REQUEST_STATUS:
 	case FL_USER_REQUEST_CANCEL:
-		fl_respond_status_or_cancel(node, kind, ref, hop, response);
+		fl_respond_status_or_cancel(node, request->kind, request->ref, request->hop,
+		                            response);
 		break;
 	case FL_USER_REQUEST_HEARTBEAT:
-		fl_follower_handle_heartbeat(node, body, len, response);
+		fl_follower_handle_heartbeat(node, request->body, request->body_len, response);
 		break;
 	case FL_USER_REQUEST_READY:
 		respond_ready(node, response);
@@ -82,7 +82,12 @@
 		fl_respond_unavailable(response, "too many status queries in progress");
 		return;
 	}
-	fl_route_user_request(context, kind, ref, request->body, request->body_len, FL_HOP_FIRST,
+	fl_route_user_request(context,
+	                      &(struct fl_client_request){.kind = kind,
+	                                                  .hop = FL_HOP_FIRST,
+	                                                  .ref = ref,
+	                                                  .body = request->body,
+	                                                  .body_len = request->body_len},
 	                      response);
 }
 
@@ -90,19 +95,25 @@
                                     struct fl_http_response *response)
 {
 	struct fl_forwarded_request forwarded;
+	struct fl_client_request client_request;
 
 	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) != 0) {
 		fl_error("peers", "forwarded request rejected: malformed");
 		fl_respond_error(response, 400, "malformed forwarded request");
 		return;
 	}
+	client_request = (struct fl_client_request){
+		.kind = forwarded.kind,
+		.hop = FL_HOP_LAST,
+		.ref = forwarded.ref,
+		.body = forwarded.body,
+		.body_len = forwarded.body ? strlen(forwarded.body) : 0,
+	};
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
 	if (!fl_is_leader(node) && fl_forward_ends_here(node, forwarded.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
-		fl_route_user_request(node, forwarded.kind, forwarded.ref, forwarded.body,
-		                      forwarded.body ? strlen(forwarded.body) : 0, FL_HOP_LAST,
-		                      response);
+		fl_route_user_request(node, &client_request, response);
 	fl_forwarded_request_free(&forwarded);
 }
 
--- a/src/coordination/request_router.h
+++ b/src/coordination/request_router.h
@@ -17,13 +17,17 @@
 /* Handler of the server for other controllers; its context is the fl_node. */
 void fl_route_peer_request(void *context, const struct fl_http_request *request,
                            struct fl_http_response *response);
-/*
- * Responds to a request of a user or worker, forwarding what only the leader can decide. `ref` is
- * the job of a status query or cancellation; `hop` says whether another controller has forwarded
- * it.
- */
-void fl_route_user_request(struct fl_node *node, enum fl_user_request kind, const char *ref,
-                           const char *body, size_t len, enum fl_forward_hop hop,
+/* A request of a user or worker, received by this node or forwarded to it; nothing is owned. */
+struct fl_client_request {
+	enum fl_user_request kind;
+	enum fl_forward_hop hop; /* whether another controller has forwarded it */
+	const char *ref;         /* the job of a status query or cancellation */
+	const char *body;
+	size_t body_len;
+};
+
+/* Responds to a request, forwarding what only the leader can decide. */
+void fl_route_user_request(struct fl_node *node, const struct fl_client_request *request,
                            struct fl_http_response *response);
 
 #endif
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -170,8 +170,12 @@
 {
 	struct fl_http_response response = {.status = 500};
 
-	fl_route_user_request(&fixture->node, kind, ref, body, body ? strlen(body) : 0,
-	                      FL_HOP_FIRST, &response);
+	fl_route_user_request(&fixture->node,
+	                      &(struct fl_client_request){.kind = kind,
+	                                                  .ref = ref,
+	                                                  .body = body,
+	                                                  .body_len = body ? strlen(body) : 0},
+	                      &response);
 	return response;
 }
 
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -29,8 +29,10 @@
 {
 	struct question *question = arg;
 
-	fl_route_user_request(&question->fixture->node, FL_USER_REQUEST_STATUS, question->ref, NULL,
-	                      0, FL_HOP_FIRST, &question->resp);
+	fl_route_user_request(
+		&question->fixture->node,
+		&(struct fl_client_request){.kind = FL_USER_REQUEST_STATUS, .ref = question->ref},
+		&question->resp);
 	if (question->resp.body)
 		copy_text(question->body, sizeof(question->body), question->resp.body);
 	free(question->resp.body);
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -22,8 +22,12 @@
 
 	fl_buffer_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
 	                 ++fixture->ref, BASE);
-	fl_route_user_request(&fixture->node, FL_USER_REQUEST_SUBMIT, "", body.data, body.length,
-	                      FL_HOP_FIRST, &response);
+	fl_route_user_request(&fixture->node,
+	                      &(struct fl_client_request){.kind = FL_USER_REQUEST_SUBMIT,
+	                                                  .ref = "",
+	                                                  .body = body.data,
+	                                                  .body_len = body.length},
+	                      &response);
 	fl_buffer_free(&body);
 	free(response.body);
 	if (retry_after)
