--- a/src/config.h
+++ b/src/config.h
@@ -38,8 +38,7 @@
 /* All settings. Their keys in the file are in config.c. */
 struct fl_config {
 	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME];
-	/* Addresses: the public server, that for other controllers, the cloud, the key-value store.
-	 */
+	/* Addresses of the two servers, the cloud and the key-value store. */
 	char bind[FL_CONFIG_NAME], cluster_listen[FL_CONFIG_NAME];
 	char cloud[FL_CONFIG_NAME], state[FL_CONFIG_NAME];
 	struct fl_config_peer peers[FL_CONFIG_PEERS];
--- a/src/coordination/election/leader_view.c
+++ b/src/coordination/election/leader_view.c
@@ -6,13 +6,10 @@
 #include "transport/clock.h"
 #include "transport/text.h"
 
-/* A steady time before any other. */
-#define LONG_AGO (-1e9)
-
 void fl_leader_view_init(struct fl_leader_view *view)
 {
 	memset(view, 0, sizeof(*view));
-	view->confirmed_at = LONG_AGO;
+	view->confirmed_at = FL_LONG_AGO;
 }
 
 void fl_leader_view_confirm(struct fl_leader_view *view, double confirmed_at)
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -65,7 +65,7 @@
 	/* A cancelled job whose tasks may still run is kept, to be stopped and counted. */
 	if (job) {
 		job->cancelled = true;
-		/* Each new leader counting anew, one that leads briefly stops nothing. */
+		/* If each new leader counted anew, one that leads briefly would stop nothing. */
 		job->cancelled_at = fl_since(record.cancelled_wall);
 	}
 	fl_finished_job_add(failover->cluster, ref, record.status, record.task_count,
@@ -85,8 +85,7 @@
 	}
 	job = fl_job_find(failover->cluster, ref);
 	if (!job) {
-		/* Left behind by a final write that had more to delete than one transaction takes.
-		 */
+		/* A final write had more to delete than fits in one transaction. */
 		failover->orphan_record_count++;
 		fl_pending_deletions_add(&failover->writer->pending_deletions, event->key);
 		return;
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -15,9 +15,6 @@
 #include "transport/log.h"
 #include "transport/text.h"
 
-/* A steady time before any other. */
-#define LONG_AGO (-1e9)
-
 static const struct {
 	int peer_idle_connections, cloud_idle_connections, own_connections;
 	double finished_memory_share, public_connection_share;
@@ -84,8 +81,8 @@
 	enum fl_node_start_result result;
 
 	node->config = config;
-	node->cluster.finished_dropped_at = LONG_AGO;
-	node->cancellation_watermark = LONG_AGO;
+	node->cluster.finished_dropped_at = FL_LONG_AGO;
+	node->cancellation_watermark = FL_LONG_AGO;
 	node->cluster.finished_max =
 		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_memory_share /
 	                   sizeof(struct fl_finished_job));
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -5,6 +5,9 @@
 #ifndef FL_TRANSPORT_CLOCK_H
 #define FL_TRANSPORT_CLOCK_H
 
+/* A time of the steady clock before any other: for what has not happened yet. */
+#define FL_LONG_AGO (-1e9)
+
 /* Seconds of the steady clock. */
 double fl_now(void);
 /* Seconds of the wall clock, since 1970. */
