--- a/src/coordination/persistence/pending_deletions.c
+++ b/src/coordination/persistence/pending_deletions.c
@@ -16,13 +16,13 @@
 	struct fl_pending_deletion *deletion = malloc(sizeof(*deletion));
 
 	if (!deletion)
-		return; /* it costs a record's room, nothing else */
+		return; /* the record stays until the next failover, which does no harm */
 	fl_copy_string(deletion->key, sizeof(deletion->key), key);
 	deletion->next = *list;
 	*list = deletion;
 }
 
-/* Frees the list up to, and without, `end`. */
+/* Frees the list up to `end`, which stays. */
 static void free_until(struct fl_pending_deletion **list, const struct fl_pending_deletion *end)
 {
 	while (*list != end) {
@@ -42,7 +42,7 @@
 	struct fl_kv_txn txn;
 	uint64_t revision;
 
-	fl_record_txn_init(node, &txn);
+	fl_record_txn_init(&node->leader_lease, &txn);
 	for (; next && txn.operation_count < node->config->txn_ops; next = next->next)
 		fl_kv_txn_delete(&txn, next->key);
 	if (fl_record_txn_admit(node, &txn) == FL_KV_OK &&
