--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -108,14 +108,16 @@
                    enum fl_heartbeat_source source)
 {
 	struct fl_command_list commands;
-	int rc, n;
+	enum fl_reconcile_result result;
+	int command_count;
 
 	fl_command_list_init(&commands, fixture->node.leader_lease.fencing_token);
-	rc = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
-	                            source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL, source);
-	n = commands.count;
+	result = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
+	                                source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
+	                                source);
+	command_count = commands.count;
 	cJSON_Delete(commands.root);
-	return rc ? rc : n;
+	return fl_reconcile_is_rejection(result) ? REJECTED(result) : command_count;
 }
 
 struct fl_machine *only_machine(struct fixture *fixture)
@@ -159,7 +161,7 @@
 	for (int i = 0; i < peers; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
-		node->peers[i].last_heard_at = node->peers[i].complete_as_of = -1e9;
+		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = -1e9;
 	}
 	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
@@ -170,8 +172,12 @@
 {
 	struct fl_http_response response = {.status = 500};
 
-	fl_route_user_request(&fixture->node, kind, ref, body, body ? strlen(body) : 0,
-	                      FL_HOP_FIRST, &response);
+	fl_route_user_request(&fixture->node,
+	                      &(struct fl_client_request){.kind = kind,
+	                                                  .ref = ref,
+	                                                  .body = body,
+	                                                  .body_len = body ? strlen(body) : 0},
+	                      &response);
 	return response;
 }
 
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -8,7 +8,6 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include <errno.h>
 #include <math.h>
 #include <string.h>
 
@@ -50,7 +49,7 @@
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
 	assert_int_equal(deliver_report(fixture, make_report(2, 6, EPOCH, NULL, 0),
 	                                FL_HEARTBEAT_FROM_WORKER),
-	                 -ENOENT);
+	                 REJECTED(FL_RECONCILE_DECOMMISSIONED));
 	assert_int_equal(fixture->job->counts.waiting, 4);
 }
 
@@ -194,9 +193,11 @@
 	fl_cluster_describe(&fixture->node.cluster,
 	                    fl_machine_get(&fixture->node.cluster.machines, "m-000001", fl_now()),
 	                    0, 0, false, "x");
-	assert_int_equal(fl_task_restore(&fixture->node.cluster, fixture->job, 1, 3,
-	                                 only_machine(fixture), 1, 0, fl_now()),
-	                 0);
+	assert_int_equal(
+		fl_task_restore(&fixture->node.cluster, fixture->job, 1,
+	                        &(struct fl_recorded_attempt){3, only_machine(fixture), 1, 0},
+	                        fl_now()),
+		FL_PLACE_OK);
 	task = fl_task_peek(fixture->job, 1);
 	task->stop_reason = FL_STOP_PREEMPT;
 	assert_int_equal(deliver_report(fixture, make_report(9, 50, EPOCH - 1, &status, 1),
@@ -242,7 +243,7 @@
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
 	assert_int_equal(deliver_report(fixture, make_report(2, 13, EPOCH, &status, 1),
 	                                FL_HEARTBEAT_FROM_WORKER),
-	                 -ENOENT);
+	                 REJECTED(FL_RECONCILE_DECOMMISSIONED));
 	assert_true(only_machine(fixture)->lifecycle.decommissioned &&
 	            !only_machine(fixture)->lifecycle.up);
 }
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -418,6 +418,7 @@
 {
 	struct fl_config *config = calloc(1, sizeof(*config));
 	const char *at = old ? strstr(good_settings, old) : NULL;
+	struct fl_config_error found;
 	char name[64];
 	FILE *f;
 	int rc;
@@ -433,7 +434,9 @@
 		fputs(good_settings, f);
 	fclose(f);
 	error[0] = 0;
-	rc = fl_config_read(name, config, error, cap);
+	rc = fl_config_read(name, config, &found);
+	if (rc != FL_CONFIG_OK)
+		fl_config_error_text(&found, error, cap);
 	unlink(name);
 	free(config);
 	return rc;
@@ -477,9 +480,11 @@
 	}
 	{
 		struct fl_config *config = calloc(1, sizeof(*config));
+		struct fl_config_error found;
 
-		assert_int_not_equal(fl_config_read("no/such/file", config, error, sizeof(error)),
-		                     0);
+		assert_int_equal(fl_config_read("no/such/file", config, &found),
+		                 FL_CONFIG_UNREADABLE);
+		fl_config_error_text(&found, error, sizeof(error));
 		assert_non_null(strstr(error, "no/such/file"));
 		free(config);
 	}
@@ -497,7 +502,7 @@
 	assert_non_null(strstr(text, "ram_mb is 16: 900 connections take 8 MB"));
 	c.core_share = 0.01;
 	assert_true(fl_admission_tight_setting(&c, 1, text, sizeof(text)));
-	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 reports"));
+	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 heartbeats"));
 	assert_false(fl_admission_tight_setting(&c, 2, text, sizeof(text)));
 }
 
