--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -1,6 +1,8 @@
 /*
- * Stand-ins for the external systems: state service, cloud and workers, on loopback, speaking the
- * published protocol. They can be slow, refuse, lose answers, carry requests out late or twice.
+ * Fakes of the external systems: key-value store, cloud and workers, on loopback, speaking the
+ * published protocol in real time. They can be slow, refuse, lose replies, and carry requests out
+ * late or twice; they count what must never happen. All run in the event loop of the test's
+ * process, which owns the one instance, `fake_services`.
  */
 #ifndef FL_TESTS_FAKE_SERVICES_H
 #define FL_TESTS_FAKE_SERVICES_H
@@ -11,38 +13,44 @@
 #include "protocol/workers.h"
 
 struct fake_services {
+	/* Set by fake_services_start(). */
 	char kv_store_addr[32], cloud_addr[32];
-	int controller_ports[8]; /* public ones, for the workers */
+
+	/* Set by the test: the controllers' public ports, for the workers. */
+	int controller_ports[8];
 	int controller_count;
-	/* Every so many requests; 0: never. */
+	double heartbeat_interval_s, lease_s, task_duration_s;
+
+	/* Faults, one every so many requests; 0: never. */
 	int kv_refuses_every, kv_loses_every, kv_slow_every, commands_repeat_every;
-	int heartbeat_copies_every; /* every so many reports: a copy comes two leases later, to
-	                               another node */
-	int unreachable;            /* so many machines report and receive nothing */
-	bool cloud_out;             /* the cloud refuses everything */
-	/* Counts down with the state service's requests; at 0 `cut` is called, and that request is
-	 * carried out after it, late. */
-	int cut_after;
-	void (*cut)(void);
-	double report_s, lease_s, run_s;
+	/* One every so many heartbeats: a copy comes two leases later, to another controller. */
+	int delayed_heartbeat_every;
+	/* So many of the machines rented next exchange no messages; counts down. */
+	int unreachable_to_rent;
+	bool cloud_unavailable;
+	/* Counts down with the requests of the key-value store; at 0 `interrupt` is called, and
+	 * that request is applied after it, late. */
+	int interrupt_after;
+	void (*interrupt)(void);
+
 	/* What the workers saw. */
-	int starts, completed, twice, max_machines;
-	/* What must never happen: an epoch used again, a name of a rental given out by two leaders,
-	 * a launch on a machine that was returned to the cloud. */
-	int tokens_reused, names_reused, starts_on_deleted;
+	int starts, completions, max_machines;
+	/* What must never happen: a task started while it runs elsewhere, a fencing token used
+	 * again, a rental's name used by two leaders, a start on a machine that was returned. */
+	int duplicate_starts, tokens_reused, rental_names_reused, starts_on_deleted;
 };
 
 extern struct fake_services fake_services;
 
 /* Starts all of them in this process's loop. */
 void fake_services_start(void);
-/* Once their routines have ended. */
+/* Once their coroutines have ended. */
 void fake_services_free(void);
-/* The node that holds the lead, or an empty string. */
+/* The node that holds the leader's key, or an empty string; valid until the next call. */
 const char *fake_services_leader(void);
-/* Machines that were rented, received nothing, and are not returned yet. */
-int fake_services_unreachable_left(void);
-/* Is anything of this job on any machine? */
-int fake_services_task_is_live(const char *ref);
+/* Unreachable machines that are rented and not returned yet. */
+int fake_services_unreachable_count(void);
+/* The tasks of this job that run on any machine. */
+int fake_services_running_tasks(const char *ref);
 
 #endif
--- a/tests/fake_services_internal.h
+++ b/tests/fake_services_internal.h
@@ -1,68 +1,56 @@
-/* What the sources of the stand-ins share among themselves. */
+/* What the sources of the fakes share among themselves. */
 #ifndef FL_TESTS_FAKE_SERVICES_INTERNAL_H
 #define FL_TESTS_FAKE_SERVICES_INTERNAL_H
 
-#include <uthash.h>
-
-#include "protocol/json.h"
 #include "fake_services.h"
+#include "kv_model.h"
 #include "transport/http_server.h"
 
-/* The response has this status and body, an empty object if NULL; takes `object`. */
-void respond(struct fl_http_response *response, int status, cJSON *object);
-
 /* Does a fault that comes with every so many requests come with this one? 0: never. */
 bool every_nth(int every, unsigned count);
 
 /* For fake_services_free(). */
-void add_server(struct fl_http_server *server);
+void fake_server_add(struct fl_http_server *server);
 
-/* ---- state service ---- */
+/* ---- key-value store ---- */
 
-struct key {
-	UT_hash_handle hh;
-	char name[200];
-	char *value;
-	uint64_t mod_revision, lease_id;
-};
+struct fl_http_server *fake_kv_start(void);
+/* NULL: there is no such key. */
+const struct kv_entry *fake_kv_find(const char *key);
+void fake_kv_free(void);
 
-/* Or NULL. */
-struct key *find_key(const char *name);
+/* ---- cloud ---- */
 
-/* Ends holds that are not renewed; a routine that runs throughout. */
-void hold_routine(void *arg);
-
-void on_state(void *context, const struct fl_http_request *request,
-              struct fl_http_response *response);
+struct fl_http_server *fake_cloud_start(void);
+void fake_cloud_free(void);
 
 /* ---- workers ---- */
 
-enum { TASKS = 64, MACHINES = 512 };
+enum { FAKE_TASKS = 64, FAKE_MACHINES = 512 };
 
-struct task {
+struct fake_task {
 	struct fl_task_status status;
-	double until;
-	bool used, service;
+	double completes_at;
+	bool used, is_service;
 };
 
-struct machine {
+struct fake_machine {
 	char name[64], addr[32];
-	bool gone;
+	bool deleted, unreachable;
 	uint64_t incarnation, sequence, fencing_token;
-	double answered;
-	struct task at[TASKS];
-	int node;
-	bool unreachable;
-	unsigned reports;
-	char *late; /* a command to be carried out once more */
+	double lease_started_at; /* when the last answered heartbeat was sent */
+	struct fake_task tasks[FAKE_TASKS];
+	int controller; /* where the next heartbeat goes, modulo their number */
+	unsigned heartbeat_count;
+	char *repeated_command; /* to be executed once more; NULL: none */
 };
 
 /* All that were ever rented. */
-extern struct machine *machines[MACHINES];
-
-extern int n_machines;
+extern struct fake_machine *fake_machines[FAKE_MACHINES];
+extern int fake_machine_count;
 
-/* Rents one, whose worker begins to report; its name. */
-const char *add_machine(void);
+/* Rents one, whose worker begins to send heartbeats. */
+struct fake_machine *fake_machine_add(void);
+void fake_workers_free(void);
 
 #endif
--- a/tests/fake_workers.c
+++ b/tests/fake_workers.c
@@ -1,4 +1,4 @@
-/* The stand-ins of the workers: machines that report, carry out orders and see faults. */
+/* The fakes of the workers: machines that send heartbeats, execute commands and meet faults. */
 #include "fake_services_internal.h"
 
 #include <assert.h>
@@ -7,60 +7,159 @@
 #include <string.h>
 
 #include "copy_text.h"
+#include "json_response.h"
 #include "transport/clock.h"
-#include "transport/http_client.h"
 #include "transport/coroutine.h"
+#include "transport/http_client.h"
+#include "worker_command.h"
+
+struct fake_machine *fake_machines[FAKE_MACHINES];
+int fake_machine_count;
+
+static unsigned command_count;
+
+static void controller_client(struct fl_http_client *client, int controller)
+{
+	int port = fake_services.controller_ports[controller % fake_services.controller_count];
+	char addr[32];
 
-struct copy {
+	snprintf(addr, sizeof(addr), "127.0.0.1:%d", port);
+	fl_http_client_init(client, addr, 0);
+}
+
+/* ---- heartbeats that come late ---- */
+
+struct delayed_heartbeat {
 	char *text;
-	int node;
+	int controller;
 };
 
-/* Sends a copy of a report two leases later; nobody reads the answer. */
-static void copy_routine(void *arg)
+/* Two leases later; nobody reads the reply. */
+static void send_delayed(void *arg)
 {
-	struct copy *copy = arg;
-	struct fl_http_client http;
+	struct delayed_heartbeat *delayed = arg;
+	struct fl_http_client client;
 	struct fl_http_reply reply;
-	char addr[32];
 
-	snprintf(addr, sizeof(addr), "127.0.0.1:%d",
-	         fake_services.controller_ports[copy->node % fake_services.controller_count]);
-	fl_http_client_init(&http, addr, 0);
+	controller_client(&client, delayed->controller);
 	if (fl_sleep(2 * fake_services.lease_s) == 0 &&
-	    fl_http_call(&http, "POST", "/hello", copy->text, 4.0, &reply) == 0)
+	    fl_http_call(&client, "POST", "/hello", delayed->text, 4.0, &reply) == 0)
 		fl_buffer_free(&reply.body);
-	free(copy->text);
-	free(copy);
+	free(delayed->text);
+	free(delayed);
 }
 
-static void send_copy_later(const char *text, int node)
+static void send_copy_later(const char *text, int controller)
 {
-	struct copy *copy = malloc(sizeof(*copy));
+	struct delayed_heartbeat *delayed = malloc(sizeof(*delayed));
 
-	*copy = (struct copy){strdup(text), node};
-	fl_coroutine_spawn(copy_routine, copy);
+	assert(delayed);
+	*delayed = (struct delayed_heartbeat){strdup(text), controller};
+	fl_coroutine_spawn(send_delayed, delayed);
 }
 
-struct machine *machines[MACHINES];
+/* ---- tasks ---- */
 
-int n_machines;
+static bool is_service(const char *ref)
+{
+	const struct kv_entry *job;
+	char key[64];
 
-static unsigned commands;
+	snprintf(key, sizeof(key), "j/%s", ref);
+	job = fake_kv_find(key);
+	return job && strstr(job->value, "standing");
+}
 
-static bool is_service(const char *ref)
+static bool is_running(const struct fake_task *task)
+{
+	return task->used && task->status.state != FL_TASK_STATE_EXITED;
+}
+
+static void end_task(struct fake_task *task, enum fl_exit exit)
+{
+	task->status.state = FL_TASK_STATE_EXITED;
+	task->status.exit = exit;
+}
+
+static struct fake_task *find_attempt(struct fake_machine *machine,
+                                      const struct fl_task_status *status)
+{
+	for (int i = 0; i < FAKE_TASKS; i++)
+		if (machine->tasks[i].used &&
+		    worker_command_names_attempt(status, &machine->tasks[i].status))
+			return &machine->tasks[i];
+	return NULL;
+}
+
+/* Counts the copies of the task that run; true if this attempt is on the machine already. */
+static bool check_copies(const struct fake_machine *machine, const struct fl_task_status *status)
 {
-	char name[64];
-	struct key *key;
+	for (int k = 0; k < fake_machine_count; k++)
+		for (int i = 0; i < FAKE_TASKS && !fake_machines[k]->deleted; i++) {
+			const struct fake_task *task = &fake_machines[k]->tasks[i];
 
-	snprintf(name, sizeof(name), "j/%s", ref);
-	key = find_key(name);
-	return key && strstr(key->value, "standing");
+			if (!task->used || !worker_command_names_task(status, &task->status))
+				continue;
+			if (fake_machines[k] == machine && task->status.attempt == status->attempt)
+				return true;
+			fake_services.duplicate_starts += is_running(task);
+		}
+	return false;
 }
 
-static char *next_report(struct machine *machine)
+static void start_task(struct fake_machine *machine, const struct fl_task_status *status)
 {
-	struct fl_task_status tasks[TASKS];
+	fake_services.starts_on_deleted += machine->deleted;
+	if (check_copies(machine, status))
+		return;
+	for (int i = 0; i < FAKE_TASKS; i++) {
+		struct fake_task *task = &machine->tasks[i];
+
+		if (task->used)
+			continue;
+		*task = (struct fake_task){*status, fl_now() + fake_services.task_duration_s, true,
+		                           is_service(status->ref)};
+		task->status.state = FL_TASK_STATE_RUNNING;
+		fake_services.starts++;
+		return;
+	}
+}
+
+static void execute_command(struct fake_machine *machine, const struct worker_command *command)
+{
+	struct fake_task *task = find_attempt(machine, &command->task);
+
+	switch (command->kind) {
+	case FL_COMMAND_START:
+		start_task(machine, &command->task);
+		break;
+	case FL_COMMAND_STOP:
+		if (task && is_running(task))
+			end_task(task, FL_EXIT_STOPPED);
+		break;
+	case FL_COMMAND_FORGET:
+		if (task && !is_running(task))
+			task->used = false;
+		break;
+	}
+}
+
+static void execute_commands(struct fake_machine *machine, const cJSON *object)
+{
+	const cJSON *item;
+
+	cJSON_ArrayForEach (item, fl_json_get(object, "Orders")) {
+		struct worker_command command = worker_command_decode(item);
+
+		execute_command(machine, &command);
+	}
+}
+
+/* ---- heartbeats ---- */
+
+static char *next_heartbeat(struct fake_machine *machine)
+{
+	struct fl_task_status tasks[FAKE_TASKS];
 	struct fl_heartbeat heartbeat = {.incarnation = machine->incarnation,
 	                                 .sequence = ++machine->sequence,
 	                                 .fencing_token = machine->fencing_token,
@@ -69,228 +168,186 @@
 
 	copy_text(heartbeat.host, sizeof(heartbeat.host), machine->name);
 	copy_text(heartbeat.endpoint, sizeof(heartbeat.endpoint), machine->addr);
-	strcpy(heartbeat.type, "small");
-	strcpy(heartbeat.zone, "a");
-	for (int i = 0; i < TASKS; i++) {
-		struct task *task = &machine->at[i];
+	copy_text(heartbeat.type, sizeof(heartbeat.type), "small");
+	copy_text(heartbeat.zone, sizeof(heartbeat.zone), "a");
+	for (int i = 0; i < FAKE_TASKS; i++) {
+		struct fake_task *task = &machine->tasks[i];
 
 		if (!task->used)
 			continue;
-		if (task->status.state != FL_TASK_STATE_EXITED && !task->service &&
-		    fl_now() > task->until) {
-			task->status.state = FL_TASK_STATE_EXITED;
-			task->status.exit = FL_EXIT_DONE;
-			fake_services.completed++;
+		if (is_running(task) && !task->is_service && fl_now() > task->completes_at) {
+			end_task(task, FL_EXIT_DONE);
+			fake_services.completions++;
 		}
 		tasks[heartbeat.task_count++] = task->status;
 	}
 	return fl_heartbeat_encode(&heartbeat);
 }
 
-int fake_services_task_is_live(const char *ref)
-{
-	int n = 0;
-
-	for (int m = 0; m < n_machines; m++)
-		for (int i = 0; i < TASKS && !machines[m]->gone; i++)
-			n += machines[m]->at[i].used &&
-			     machines[m]->at[i].status.state != FL_TASK_STATE_EXITED &&
-			     strcmp(machines[m]->at[i].status.ref, ref) == 0;
-	return n;
-}
-
-static void launch(struct machine *machine, const struct fl_task_status *status)
+/* A reply of another leader than the newest known, or after the lease, counts for nothing. */
+static void accept_reply(struct fake_machine *machine, const struct fl_http_reply *reply,
+                         double sent_at)
 {
-	fake_services.starts_on_deleted += machine->gone;
-	for (int k = 0; k < n_machines; k++) {
-		for (int i = 0; i < TASKS && !machines[k]->gone; i++) {
-			const struct task *task = &machines[k]->at[i];
+	cJSON *object = fl_json_parse(reply->body.data, reply->body.length);
+	uint64_t fencing_token = 0;
 
-			if (!task->used || task->status.index != status->index ||
-			    strcmp(task->status.ref, status->ref) != 0)
-				continue;
-			if (machines[k] == machine && task->status.attempt == status->attempt)
-				return;
-			fake_services.twice += task->status.state != FL_TASK_STATE_EXITED;
-		}
-	}
-	for (int i = 0; i < TASKS; i++) {
-		if (machine->at[i].used)
-			continue;
-		machine->at[i] = (struct task){*status, fl_now() + fake_services.run_s, true,
-		                               is_service(status->ref)};
-		machine->at[i].status.state = FL_TASK_STATE_RUNNING;
-		fake_services.starts++;
-		return;
+	if (fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
+	    fencing_token >= machine->fencing_token &&
+	    fl_now() < machine->lease_started_at + fake_services.lease_s) {
+		machine->fencing_token = fencing_token;
+		machine->lease_started_at = sent_at;
+		execute_commands(machine, object);
 	}
+	cJSON_Delete(object);
 }
 
-static void execute_orders(struct machine *machine, const cJSON *object)
+static void send_heartbeat(struct fake_machine *machine)
 {
-	const cJSON *element;
-
-	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
-		char verb[16] = "", name[48] = "/";
-		struct fl_task_status status = {0};
-		uint64_t attempt = 0;
-
-		fl_json_get_string(element, "Verb", verb, sizeof(verb));
-		fl_json_get_string(element, "Part", name, sizeof(name));
-		fl_json_get_count(element, "Try", &attempt);
-		status.attempt = (uint32_t)attempt;
-		status.index = (uint32_t)atoi(strchr(name, '/') + 1);
-		*strchr(name, '/') = 0;
-		memcpy(status.ref, name, strnlen(name, sizeof(status.ref) - 1));
-		if (strcmp(verb, "launch") == 0)
-			launch(machine, &status);
-		for (int i = 0; i < TASKS && strcmp(verb, "launch") != 0; i++) {
-			struct task *task = &machine->at[i];
-
-			if (!task->used || task->status.index != status.index ||
-			    task->status.attempt != status.attempt ||
-			    strcmp(task->status.ref, status.ref) != 0)
-				continue;
-			if (strcmp(verb, "forget") == 0 &&
-			    task->status.state == FL_TASK_STATE_EXITED)
-				task->used = false;
-			if (strcmp(verb, "kill") == 0 &&
-			    task->status.state != FL_TASK_STATE_EXITED) {
-				task->status.state = FL_TASK_STATE_EXITED;
-				task->status.exit = FL_EXIT_STOPPED;
-			}
-		}
+	struct fl_http_client client;
+	struct fl_http_reply reply;
+	double sent_at = fl_now();
+	char *text = next_heartbeat(machine);
+	int rc;
+
+	controller_client(&client, machine->controller);
+	if (every_nth(fake_services.delayed_heartbeat_every, ++machine->heartbeat_count))
+		send_copy_later(text, machine->controller + 1);
+	rc = fl_http_call(&client, "POST", "/hello", text, 4.0, &reply);
+	free(text);
+	if (rc != 0) {
+		machine->controller++;
+		return;
+	}
+	if (machine->unreachable) {
+		/* It waits for its timeout, and tries another node. */
+		fl_sleep(5.0);
+		machine->controller++;
+	} else if (reply.status == 200) {
+		accept_reply(machine, &reply, sent_at);
+	} else {
+		machine->controller++;
 	}
+	fl_buffer_free(&reply.body);
 }
 
-static bool take_command(struct machine *machine, const char *body)
+/* ---- direct commands ---- */
+
+static bool accept_commands(struct fake_machine *machine, const char *body)
 {
 	cJSON *object = fl_json_parse(body, strlen(body));
 	uint64_t fencing_token = 0, incarnation = 0;
-	bool good;
+	bool accepted;
 
 	fl_json_get_count(object, "Epoch", &fencing_token);
 	fl_json_get_count(object, "Tenure", &incarnation);
-	good = fencing_token >= machine->fencing_token && incarnation == machine->incarnation;
-	if (good) {
+	accepted = fencing_token >= machine->fencing_token && incarnation == machine->incarnation;
+	if (accepted) {
 		machine->fencing_token = fencing_token;
-		execute_orders(machine, object);
+		execute_commands(machine, object);
 	}
 	cJSON_Delete(object);
-	return good;
+	return accepted;
 }
 
-static void on_command(void *context, const struct fl_http_request *request,
-                       struct fl_http_response *response)
+static void on_worker_request(void *context, const struct fl_http_request *request,
+                              struct fl_http_response *response)
 {
-	struct machine *machine = context;
-	bool good;
+	struct fake_machine *machine = context;
+	bool accepted;
 
 	if (machine->unreachable) {
-		fl_sleep(3.0); /* it does not arrive, and nobody answers */
+		fl_sleep(3.0); /* it does not arrive, and nobody replies */
 		return;
 	}
-	if (machine->gone || strcmp(request->path, "/commands") != 0) {
-		respond(response, 404, NULL);
+	if (machine->deleted || strcmp(request->path, "/commands") != 0) {
+		json_response(response, 404, NULL);
 		return;
 	}
-	good = take_command(machine, request->body);
-	if (every_nth(fake_services.commands_repeat_every, ++commands)) {
-		free(machine->late);
-		machine->late = strdup(request->body);
+	accepted = accept_commands(machine, request->body);
+	if (every_nth(fake_services.commands_repeat_every, ++command_count)) {
+		free(machine->repeated_command);
+		machine->repeated_command = strdup(request->body);
 	}
-	response->status = good ? 200 : 409;
-	response->body = next_report(machine);
+	response->status = accepted ? 200 : 409;
+	response->body = next_heartbeat(machine);
 }
 
-static void report_once(struct machine *machine)
+/* ---- machines ---- */
+
+static void check_lease(struct fake_machine *machine)
 {
-	struct fl_http_client client;
-	struct fl_http_reply reply;
-	double sent = fl_now();
-	uint64_t fencing_token = 0;
-	char addr[32], *text = next_report(machine);
-	cJSON *object;
-
-	snprintf(addr, sizeof(addr), "127.0.0.1:%d",
-	         fake_services.controller_ports[machine->node % fake_services.controller_count]);
-	fl_http_client_init(&client, addr, 0);
-	if (every_nth(fake_services.heartbeat_copies_every, ++machine->reports))
-		send_copy_later(text, machine->node + 1);
-	if (fl_http_call(&client, "POST", "/hello", text, 4.0, &reply) != 0) {
-		machine->node++;
-		free(text);
-		return;
-	}
-	if (machine->unreachable) {
-		/* It waits for its timeout, and tries another node. */
-		fl_buffer_free(&reply.body);
-		free(text);
-		fl_sleep(5.0);
-		machine->node++;
+	if (fl_now() <= machine->lease_started_at + fake_services.lease_s)
 		return;
-	}
-	object = fl_json_parse(reply.body.data, reply.body.length);
-	if (reply.status == 200 &&
-	    fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
-	    fencing_token >= machine->fencing_token &&
-	    fl_now() < machine->answered + fake_services.lease_s) {
-		machine->fencing_token = fencing_token;
-		machine->answered = sent;
-		execute_orders(machine, object);
-	} else if (reply.status != 200) {
-		machine->node++;
-	}
-	cJSON_Delete(object);
-	fl_buffer_free(&reply.body);
-	free(text);
+	memset(machine->tasks, 0, sizeof(machine->tasks));
+	machine->incarnation++;
+	machine->lease_started_at = fl_now();
 }
 
-static void machine_routine(void *arg)
+static void run_machine(void *arg)
 {
-	struct machine *machine = arg;
-
-	machine->answered = fl_now();
-	while (!machine->gone && fl_sleep(fake_services.report_s) == 0) {
-		if (fl_now() > machine->answered + fake_services.lease_s) {
-			memset(machine->at, 0, sizeof(machine->at));
-			machine->incarnation++;
-			machine->answered = fl_now();
-		}
-		report_once(machine);
-		if (machine->late) {
-			take_command(machine, machine->late);
-			free(machine->late);
-			machine->late = NULL;
+	struct fake_machine *machine = arg;
+
+	machine->lease_started_at = fl_now();
+	while (!machine->deleted && fl_sleep(fake_services.heartbeat_interval_s) == 0) {
+		check_lease(machine);
+		send_heartbeat(machine);
+		if (machine->repeated_command) {
+			accept_commands(machine, machine->repeated_command);
+			free(machine->repeated_command);
+			machine->repeated_command = NULL;
 		}
 	}
 }
 
-const char *add_machine(void)
+struct fake_machine *fake_machine_add(void)
 {
-	struct machine *machine = calloc(1, sizeof(*machine));
+	struct fake_machine *machine = calloc(1, sizeof(*machine));
 	struct fl_http_server *server;
 
-	assert(n_machines < MACHINES);
-	snprintf(machine->name, sizeof(machine->name), "m-%06d", n_machines);
+	assert(machine && fake_machine_count < FAKE_MACHINES);
+	snprintf(machine->name, sizeof(machine->name), "m-%06d", fake_machine_count);
 	machine->incarnation = 1;
-	machine->node = n_machines;
-	machine->unreachable = fake_services.unreachable > 0 && fake_services.unreachable--;
-	machines[n_machines++] = machine;
-	server = fl_http_serve("127.0.0.1:0", 64, 90, on_command, machine);
-	assert(server);
-	add_server(server);
+	machine->controller = fake_machine_count;
+	machine->unreachable =
+		fake_services.unreachable_to_rent > 0 && fake_services.unreachable_to_rent--;
+	fake_machines[fake_machine_count++] = machine;
+	server = fl_http_serve("127.0.0.1:0", 64, 90, on_worker_request, machine);
+	fake_server_add(server);
 	snprintf(machine->addr, sizeof(machine->addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_coroutine_spawn(machine_routine, machine);
-	if (n_machines > fake_services.max_machines)
-		fake_services.max_machines = n_machines;
-	return machine->name;
+	fl_coroutine_spawn(run_machine, machine);
+	if (fake_machine_count > fake_services.max_machines)
+		fake_services.max_machines = fake_machine_count;
+	return machine;
+}
+
+void fake_workers_free(void)
+{
+	while (fake_machine_count > 0) {
+		struct fake_machine *machine = fake_machines[--fake_machine_count];
+
+		free(machine->repeated_command);
+		free(machine);
+	}
+}
+
+/* ---- what the test asks ---- */
+
+int fake_services_running_tasks(const char *ref)
+{
+	int count = 0;
+
+	for (int k = 0; k < fake_machine_count; k++)
+		for (int i = 0; i < FAKE_TASKS && !fake_machines[k]->deleted; i++)
+			count += is_running(&fake_machines[k]->tasks[i]) &&
+			         strcmp(fake_machines[k]->tasks[i].status.ref, ref) == 0;
+	return count;
 }
 
-int fake_services_unreachable_left(void)
+int fake_services_unreachable_count(void)
 {
-	int n = 0;
+	int count = 0;
 
-	for (int i = 0; i < n_machines; i++)
-		n += machines[i]->unreachable && !machines[i]->gone;
-	return n;
+	for (int i = 0; i < fake_machine_count; i++)
+		count += fake_machines[i]->unreachable && !fake_machines[i]->deleted;
+	return count;
 }
--- a/tests/fault_combinations_workers.c
+++ b/tests/fault_combinations_workers.c
@@ -1,6 +1,7 @@
 /*
  * Combinations around machines: partitions, hangs, and heartbeats and commands that arrive late.
  */
+#include "copy_text.h"
 #include "fault_combinations.h"
 
 #include "sim.h"
@@ -79,7 +80,7 @@
 		if (i % 2 || spec->spread_zones)
 			continue;
 		spec->has_zone = true;
-		sim_copy(spec->zone, sizeof(spec->zone), sim.config[0].zones[i % sim.zone_count]);
+		copy_text(spec->zone, sizeof(spec->zone), sim.config[0].zones[i % sim.zone_count]);
 		sim_job_encode_request(&sim.jobs[i]);
 	}
 	SIM_INJECT(FAULT_MACHINES_DIE, .start_s = start_s, .duration_s = 1, .magnitude = 0.5);
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -13,6 +13,7 @@
 
 #include "copy_text.h"
 #include "transport/clock.h"
+#include "worker_command.h"
 
 int random_below(struct simulation *sim, int n)
 {
@@ -82,52 +83,77 @@
 	}
 }
 
-static void launch_task(struct simulation *sim, struct worker *worker,
-                        const struct fl_task_status *status)
+static struct entry *find_attempt(struct worker *worker, const struct fl_task_status *status)
 {
-	int job = atoi(status->ref + 4);
-
 	for (int i = 0; i < ENTRIES; i++)
-		if (worker->at[i].used && worker->at[i].status.index == status->index &&
-		    worker->at[i].status.attempt == status->attempt &&
-		    strcmp(worker->at[i].status.ref, status->ref) == 0)
-			return;
-	for (int i = 0; i < ENTRIES; i++) {
-		if (worker->at[i].used)
-			continue;
-		worker->at[i].used = true;
-		worker->at[i].status = *status;
-		worker->at[i].status.state = FL_TASK_STATE_RUNNING;
-		if (live_on(worker, status->ref, status->index) > 1) {
-			worker->at[i].status.state = FL_TASK_STATE_EXITED;
-			worker->at[i].status.exit = FL_EXIT_BUSY;
-		} else if (sim->actually_done[job][status->index]) {
-			worker->at[i].status.state = FL_TASK_STATE_EXITED;
-			worker->at[i].status.exit = FL_EXIT_DONE;
-		}
-		sim->launches++;
-		check_invariants(sim);
-		return;
-	}
-	fail_msg("a worker's table is full: no entry is ever removed");
+		if (worker->at[i].used &&
+		    worker_command_names_attempt(status, &worker->at[i].status))
+			return &worker->at[i];
+	return NULL;
 }
 
-static struct entry *entry_of(struct worker *worker, const struct fl_task_status *status)
+static void end_task(struct entry *entry, enum fl_exit exit)
+{
+	entry->status.state = FL_TASK_STATE_EXITED;
+	entry->status.exit = exit;
+}
+
+static struct entry *unused_entry(struct worker *worker)
 {
 	for (int i = 0; i < ENTRIES; i++)
-		if (worker->at[i].used && worker->at[i].status.index == status->index &&
-		    worker->at[i].status.attempt == status->attempt &&
-		    strcmp(worker->at[i].status.ref, status->ref) == 0)
+		if (!worker->at[i].used)
 			return &worker->at[i];
+	fail_msg("a worker's table is full: no entry is ever removed");
 	return NULL;
 }
 
+static void start_task(struct simulation *sim, struct worker *worker,
+                       const struct fl_task_status *status)
+{
+	int job = atoi(status->ref + 4);
+	struct entry *entry;
+
+	if (find_attempt(worker, status))
+		return;
+	entry = unused_entry(worker);
+	entry->used = true;
+	entry->status = *status;
+	entry->status.state = FL_TASK_STATE_RUNNING;
+	if (live_on(worker, status->ref, status->index) > 1)
+		end_task(entry, FL_EXIT_BUSY);
+	else if (sim->actually_done[job][status->index])
+		end_task(entry, FL_EXIT_DONE);
+	sim->launches++;
+	check_invariants(sim);
+}
+
+static void execute_command(struct simulation *sim, struct worker *worker,
+                            const struct worker_command *command)
+{
+	struct entry *entry = find_attempt(worker, &command->task);
+	bool exited = entry && entry->status.state == FL_TASK_STATE_EXITED;
+
+	switch (command->kind) {
+	case FL_COMMAND_START:
+		start_task(sim, worker, &command->task);
+		break;
+	case FL_COMMAND_STOP:
+		if (entry && !exited)
+			end_task(entry, FL_EXIT_STOPPED);
+		break;
+	case FL_COMMAND_FORGET:
+		if (exited)
+			entry->used = false;
+		break;
+	}
+}
+
 void execute_orders(struct simulation *sim, int at, const char *text, bool direct)
 {
 	struct worker *worker = &sim->worker[at];
 	cJSON *object = fl_json_parse(text, strlen(text));
 	uint64_t fencing_token, incarnation;
-	const cJSON *element;
+	const cJSON *item;
 
 	assert_int_equal(fl_json_get_count(object, "Epoch", &fencing_token), FL_JSON_OK);
 	if (fencing_token < worker->fencing_token)
@@ -136,30 +162,10 @@
 	               incarnation != worker->incarnation))
 		goto out;
 	worker->fencing_token = fencing_token;
-	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
-		char verb[16], name[48];
-		struct fl_task_status status = {0};
-		struct entry *entry;
-		uint64_t attempt;
-
-		fl_json_get_string(element, "Verb", verb, sizeof(verb));
-		fl_json_get_string(element, "Part", name, sizeof(name));
-		fl_json_get_count(element, "Try", &attempt);
-		status.attempt = (uint32_t)attempt;
-		status.index = (uint32_t)atoi(strchr(name, '/') + 1);
-		*strchr(name, '/') = 0;
-		copy_text(status.ref, sizeof(status.ref), name);
-		entry = entry_of(worker, &status);
-		if (strcmp(verb, "launch") == 0) {
-			launch_task(sim, worker, &status);
-		} else if (strcmp(verb, "kill") == 0 && entry &&
-		           entry->status.state != FL_TASK_STATE_EXITED) {
-			entry->status.state = FL_TASK_STATE_EXITED;
-			entry->status.exit = FL_EXIT_STOPPED;
-		} else if (strcmp(verb, "forget") == 0 && entry &&
-		           entry->status.state == FL_TASK_STATE_EXITED) {
-			entry->used = false;
-		}
+	cJSON_ArrayForEach (item, fl_json_get(object, "Orders")) {
+		struct worker_command command = worker_command_decode(item);
+
+		execute_command(sim, worker, &command);
 	}
 out:
 	cJSON_Delete(object);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -39,9 +39,6 @@
 		abort();
 }
 
-/* Into an array of that size; a text that does not fit is a mistake of the test. */
-void sim_copy(char *out, size_t size, const char *text);
-
 /* ---- time and routines ---- */
 
 struct sim_timer {
@@ -267,7 +264,6 @@
 	int cloud_capacity;               /* machines of each type, zone and kind of rental */
 	bool reliable_machines;           /* every machine boots as it should, and stays */
 	int max_task_starts;              /* of one task */
-	int kv_changes;                   /* puts and deletions in the state service */
 	int max_kv_changes_per_job;       /* of them for each job; 0: not bounded */
 	int requests[SIM_ENDPOINT_KINDS]; /* that arrived, by who was called */
 	int violation_count, starts, completions, late_starts, status_queries;
@@ -286,6 +282,8 @@
 
 void sim_kv_begin(void);
 void sim_kv_end(void);
+/* Puts and deletions so far, those by expired leases too. */
+int sim_kv_change_count(void);
 void sim_cloud_end(void);
 void sim_workers_begin(void);
 /* A new leader begins: what was kept for it arrives. */
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "protocol/json.h"
+#include "json_response.h"
 #include "transport/clock.h"
 
 enum { RENTALS = 512, PAGE = 500 };
@@ -23,18 +23,12 @@
 	int count;
 } cl;
 
-static void respond(struct fl_http_response *response, int status, cJSON *object)
-{
-	response->status = status;
-	response->body = fl_json_print_and_delete(object ? object : cJSON_CreateObject());
-}
-
 static void respond_unavailable(struct fl_http_response *response, const char *why)
 {
 	cJSON *object = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(object, "error", why);
-	respond(response, 503, object);
+	json_response(response, 503, object);
 }
 
 static void serve_machine_types(struct fl_http_response *response)
@@ -59,7 +53,7 @@
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
 		cJSON_AddItemToArray(list, item);
 	}
-	respond(response, 200, object);
+	json_response(response, 200, object);
 }
 
 static int type_index(const char *name)
@@ -140,7 +134,7 @@
 
 	for (int i = 0; i < r->count; i++)
 		cJSON_AddItemToArray(list, cJSON_CreateString(sim.machines[r->first + i].name));
-	respond(response, 200, object);
+	json_response(response, 200, object);
 }
 
 static void serve_rental(int process, const struct fl_http_request *request,
@@ -161,7 +155,7 @@
 	k = type_index(type);
 	z = zone_index(zone);
 	if (!name[0] || k < 0 || z < 0 || count < 1 || count > 50) {
-		respond(response, 400, NULL);
+		json_response(response, 400, NULL);
 		return;
 	}
 	sim_check_rental_name(name, process);
@@ -205,7 +199,7 @@
 		}
 	}
 	cJSON_Delete(object);
-	respond(response, 200, NULL);
+	json_response(response, 200, NULL);
 }
 
 /* At a moment past: once listed it stays so till it is gone. */
@@ -258,7 +252,7 @@
 		cJSON_AddItemToArray(hosts, item);
 	}
 	cJSON_AddBoolToObject(object, "More", more);
-	respond(response, 200, object);
+	json_response(response, 200, object);
 }
 
 void sim_cloud_serve(struct sim_endpoint from, const struct fl_http_request *request,
--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -64,14 +64,6 @@
 	size_t main_size;
 } rt;
 
-void sim_copy(char *out, size_t size, const char *text)
-{
-	size_t length = strlen(text);
-
-	sim_require(length < size);
-	memcpy(out, text, length + 1);
-}
-
 /* ---- routines ---- */
 
 static void append(struct queue *queue, struct fl_coroutine *coroutine)
--- /dev/null
+++ b/tests/sim_kv_store.c
@@ -0,0 +1,263 @@
+/*
+ * The simulation's key-value store: the model in virtual time, with the real one's limits on rates
+ * and sizes, and with the faults of a play.
+ */
+#include "sim.h"
+
+#include <errno.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "json_response.h"
+#include "kv_model.h"
+#include "transport/clock.h"
+
+enum { REQUESTS_PER_S = 220, WRITES_PER_S = 70 };
+
+static struct {
+	struct kv_model model;
+	double requests_left, writes_left, refilled_at; /* token buckets of one second's size */
+} store;
+
+static bool refuses(struct sim_endpoint from)
+{
+	return sim_fault_active(FAULT_KV_UNAVAILABLE, -1) ||
+	       sim_fault_active(FAULT_KV_REFUSES_NODE, from.index);
+}
+
+/* ---- watches ---- */
+
+/* Until an event has come or the time is over: false if cancelled. Open watches stay open in an
+ * outage, and while one node is refused. */
+static bool wait_for_event(struct sim_endpoint from, const char *prefix, uint64_t revision,
+                           double until)
+{
+	for (;;) {
+		bool refused = refuses(from);
+		double timeout_s = refused ? 0.2 : until - fl_now();
+
+		if (!refused && (kv_model_first_event(&store.model, prefix, revision) >= 0 ||
+		                 fl_now() >= until))
+			return true;
+		if (fl_condition_wait(&store.model.changed, timeout_s) == -ECANCELED)
+			return false;
+	}
+}
+
+static void serve_watch(struct sim_endpoint from, const char *query,
+                        struct fl_http_response *response)
+{
+	char prefix[KV_MODEL_KEY], word[32];
+	uint64_t revision = strtoull(kv_model_param(query, "From=", word, sizeof(word)), NULL, 10);
+	double timeout_s = atof(kv_model_param(query, "HoldMs=", word, sizeof(word))) / 1000;
+
+	kv_model_param(query, "Prefix=", prefix, sizeof(prefix));
+	if (!wait_for_event(from, prefix, revision, fl_now() + timeout_s))
+		return;
+	kv_model_serve_events(&store.model, prefix,
+	                      kv_model_first_event(&store.model, prefix, revision), response);
+}
+
+/* ---- limits ---- */
+
+/* What the real store would refuse. */
+static void check_sizes(const cJSON *transaction)
+{
+	const struct fl_config *config = &sim.config[0];
+	const cJSON *operations = fl_json_get(transaction, "Apply"), *operation;
+	int operation_count = cJSON_GetArraySize(operations);
+	int condition_count = cJSON_GetArraySize(fl_json_get(transaction, "When"));
+
+	if (operation_count > config->txn_ops || condition_count > 4 * config->txn_ops)
+		sim_violation("transaction", "operations=%d conditions=%d", operation_count,
+		              condition_count);
+	cJSON_ArrayForEach (operation, operations) {
+		char *value = cJSON_PrintUnformatted(fl_json_get(operation, "V"));
+
+		if (value && (double)strlen(value) > config->value_kb * 1024)
+			sim_violation("value", "bytes=%zu", strlen(value));
+		free(value);
+	}
+}
+
+static double refill(double left, double per_s)
+{
+	double filled = left + (fl_now() - store.refilled_at) * per_s;
+
+	return filled > per_s ? per_s : filled;
+}
+
+static bool take_tokens(const cJSON *transaction)
+{
+	double writes = cJSON_GetArraySize(fl_json_get(transaction, "Apply"));
+
+	store.requests_left = refill(store.requests_left, REQUESTS_PER_S);
+	store.writes_left = refill(store.writes_left, WRITES_PER_S);
+	store.refilled_at = fl_now();
+	if (store.requests_left < 1 || store.writes_left < writes)
+		return false;
+	store.requests_left--;
+	store.writes_left -= writes;
+	return true;
+}
+
+/* ---- faults ---- */
+
+struct delays {
+	double before_s, after_s; /* of the request's effect */
+	bool reply_lost;
+};
+
+static struct delays choose_delays(bool is_write)
+{
+	const struct sim_fault *slow = sim_fault_active(FAULT_KV_SLOW, -1);
+	const struct sim_fault *delayed = sim_fault_active(FAULT_DELAYED_WRITES, -1);
+	struct delays delays = {.before_s = sim_chance(0.01) ? sim_between(0.1, 0.4) : 0.002};
+
+	/* Slow before it is applied, or after: then a caller may give up on what was done. */
+	if (slow && sim_chance(0.5))
+		delays.before_s = sim_between(0, slow->magnitude);
+	else if (slow)
+		delays.after_s = sim_between(0, slow->magnitude);
+	if (is_write && delayed && sim_chance(delayed->magnitude)) {
+		delays.reply_lost = true;
+		if (!delayed->reply_lost_only)
+			delays.before_s = sim_between(2, 12);
+	}
+	return delays;
+}
+
+/* False if the caller is to get no reply. */
+static bool wait_before(const struct delays *delays)
+{
+	if (fl_sleep(delays->before_s) != 0)
+		return false;
+	/* What is on its way when the store goes down is applied when it is back. */
+	while (delays->reply_lost && sim_fault_active(FAULT_KV_UNAVAILABLE, -1))
+		if (fl_sleep(0.3) != 0)
+			return false;
+	return true;
+}
+
+/* ---- requests ---- */
+
+static void serve_list(const char *query, struct fl_http_response *response)
+{
+	char page[16];
+	/* Small pages, so that paging is really used. */
+	int limit = atoi(kv_model_param(query, "Page=", page, sizeof(page))) > 7 ? 7 : 3;
+
+	kv_model_serve_list(&store.model, query, limit, response);
+}
+
+static void apply(const struct fl_http_request *request, const cJSON *transaction,
+                  struct fl_http_response *response)
+{
+	if (transaction) {
+		check_sizes(transaction);
+		kv_model_serve_transaction(&store.model, transaction, response);
+	} else if (strncmp(request->path, "/holds", 6) == 0) {
+		kv_model_serve_lease(&store.model, request, response);
+	} else if (strcmp(request->path, "/keys") == 0) {
+		serve_list(request->query, response);
+	} else {
+		kv_model_serve_get(&store.model, request->path + strlen("/keys/"), response);
+	}
+}
+
+static void apply_with_delays(struct sim_endpoint from, const struct fl_http_request *request,
+                              const cJSON *transaction, struct fl_http_response *response)
+{
+	struct delays delays = choose_delays(transaction != NULL);
+
+	if (!wait_before(&delays))
+		return;
+	if (!delays.reply_lost && refuses(from)) {
+		json_response(response, 503, NULL);
+		return;
+	}
+	apply(request, transaction, response);
+	if (delays.reply_lost)
+		response->status = SIM_NO_REPLY;
+	else if (delays.after_s > 0)
+		fl_sleep(delays.after_s);
+}
+
+void sim_kv_serve(struct sim_endpoint from, const struct fl_http_request *request,
+                  struct fl_http_response *response)
+{
+	cJSON *transaction = NULL;
+
+	if (refuses(from)) {
+		json_response(response, 503, NULL);
+		return;
+	}
+	if (strcmp(request->path, "/multi") == 0) {
+		transaction = fl_json_parse(request->body, request->body_len);
+		sim_require(transaction != NULL);
+	}
+	if (!take_tokens(transaction))
+		json_response(response, 429, NULL);
+	else if (strcmp(request->path, "/follow") == 0)
+		serve_watch(from, request->query, response);
+	else
+		apply_with_delays(from, request, transaction, response);
+	cJSON_Delete(transaction);
+}
+
+/* ---- the store itself ---- */
+
+/* After an outage every lease has its full time again. */
+static void run_leases(void *arg)
+{
+	bool was_out = false;
+
+	(void)arg;
+	while (fl_sleep(0.02) == 0) {
+		bool out = sim_fault_active(FAULT_KV_UNAVAILABLE, -1) != NULL;
+
+		if (was_out && !out) {
+			kv_model_leases_renew(&store.model);
+			fl_condition_broadcast(&store.model.changed);
+		} else if (!out) {
+			kv_model_leases_expire(&store.model);
+		}
+		was_out = out;
+	}
+}
+
+static void before_put(const struct kv_entry *old, const char *key, const char *value)
+{
+	(void)value;
+	if (!old && strcmp(key, "c/lead") == 0)
+		sim_heartbeats_release_held();
+}
+
+void sim_kv_begin(void)
+{
+	store.model.before_put = before_put;
+	store.requests_left = REQUESTS_PER_S;
+	store.writes_left = WRITES_PER_S;
+	store.refilled_at = fl_now();
+	sim_spawn(0, run_leases, NULL);
+}
+
+void sim_kv_end(void)
+{
+	kv_model_free(&store.model);
+	memset(&store, 0, sizeof(store));
+}
+
+int sim_kv_change_count(void) { return store.model.event_count; }
+
+int sim_leader(void)
+{
+	char name[KV_MODEL_KEY];
+	int leader = -1;
+
+	kv_model_leader(&store.model, name);
+	for (int i = 0; i < sim.node_count; i++)
+		if (strcmp(sim.config[i].node, name) == 0)
+			leader = i;
+	return leader;
+}
--- a/tests/sim_site.c
+++ b/tests/sim_site.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "copy_text.h"
+
 int sim_node_zone(int node) { return node % sim.zone_count; }
 
 void sim_configure(int node)
@@ -14,7 +16,7 @@
 
 	memset(config, 0, sizeof(*config));
 	snprintf(config->node, sizeof(config->node), "host-%d", node + 1);
-	sim_copy(config->location, sizeof(config->location), zones[sim_node_zone(node)]);
+	copy_text(config->location, sizeof(config->location), zones[sim_node_zone(node)]);
 	sim_address((struct sim_endpoint){ENDPOINT_NODE, node}, config->bind);
 	sim_address((struct sim_endpoint){ENDPOINT_PEER, node}, config->cluster_listen);
 	sim_address((struct sim_endpoint){ENDPOINT_KV_STORE, 0}, config->state);
@@ -25,18 +27,18 @@
 		if (i == node)
 			continue;
 		snprintf(peer->node, sizeof(peer->node), "host-%d", i + 1);
-		sim_copy(peer->location, sizeof(peer->location), zones[sim_node_zone(i)]);
+		copy_text(peer->location, sizeof(peer->location), zones[sim_node_zone(i)]);
 		sim_address((struct sim_endpoint){ENDPOINT_PEER, i}, peer->addr);
 		config->peer_count++;
 	}
 	for (config->zone_count = 0; config->zone_count < sim.zone_count; config->zone_count++)
-		sim_copy(config->zones[config->zone_count],
-		         sizeof(config->zones[config->zone_count]), zones[config->zone_count]);
+		copy_text(config->zones[config->zone_count],
+		          sizeof(config->zones[config->zone_count]), zones[config->zone_count]);
 	for (int i = 0; i < SIM_TEAMS; i++) {
 		const struct sim_team *t = &sim_teams[i];
 		struct fl_config_team *to = &config->teams[config->team_count++];
 
-		sim_copy(to->name, sizeof(to->name), t->name);
+		copy_text(to->name, sizeof(to->name), t->name);
 		to->cpus = t->cpus;
 		to->cpus_max = t->cpus_max;
 		to->gpus = t->gpus;
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -5,8 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "copy_text.h"
 #include "protocol/json.h"
 #include "transport/clock.h"
+#include "worker_command.h"
 
 static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machines); }
 
@@ -69,8 +71,8 @@
 static void image_fetched(struct sim_machine *machine, struct sim_task *task)
 {
 	if (!has_image(machine, task->job->spec.image))
-		sim_copy(machine->images[machine->image_count++ % 4], sizeof(machine->images[0]),
-		         task->job->spec.image);
+		copy_text(machine->images[machine->image_count++ % 4], sizeof(machine->images[0]),
+		          task->job->spec.image);
 	start_running(machine, task);
 }
 
@@ -183,19 +185,26 @@
 
 /* ---- orders ---- */
 
-static struct sim_task *find_task(struct sim_machine *machine, const struct fl_task_status *status,
-                                  bool attempt)
+static struct sim_task *find_attempt(struct sim_machine *machine,
+                                     const struct fl_task_status *status)
+{
+	for (int i = 0; i < machine->task_slots_used; i++)
+		if (machine->tasks[i].used &&
+		    worker_command_names_attempt(status, &machine->tasks[i].status))
+			return &machine->tasks[i];
+	return NULL;
+}
+
+static bool runs_task(const struct sim_machine *machine, const struct fl_task_status *status)
 {
 	for (int i = 0; i < machine->task_slots_used; i++) {
-		struct sim_task *task = &machine->tasks[i];
+		const struct sim_task *task = &machine->tasks[i];
 
-		if (task->used && task->status.index == status->index &&
-		    strcmp(task->status.ref, status->ref) == 0 &&
-		    (attempt ? task->status.attempt == status->attempt
-		             : task->status.state != FL_TASK_STATE_EXITED))
-			return task;
+		if (task->used && task->status.state != FL_TASK_STATE_EXITED &&
+		    worker_command_names_task(status, &task->status))
+			return true;
 	}
-	return NULL;
+	return false;
 }
 
 static bool has_capacity(const struct sim_machine *machine, const struct sim_job *job)
@@ -234,11 +243,11 @@
 	enum fl_exit refusal = FL_EXIT_OTHER;
 	struct sim_task *task;
 
-	if (find_task(machine, status, true))
+	if (find_attempt(machine, status))
 		return;
 	if (!job || job->first_sent_at == 0 || status->index >= job->spec.task_count)
 		refusal = FL_EXIT_UNKNOWN_TASK;
-	else if (find_task(machine, status, false))
+	else if (runs_task(machine, status))
 		refusal = FL_EXIT_BUSY;
 	else if (!has_capacity(machine, job))
 		refusal = FL_EXIT_NO_ROOM;
@@ -278,38 +287,33 @@
 	end_task(machine, task, FL_EXIT_STOPPED);
 }
 
-static void execute_command(struct sim_machine *machine, const cJSON *item)
+static void execute_command(struct sim_machine *machine, const struct worker_command *command)
 {
-	struct fl_task_status status = {0};
-	char verb[16] = "", name[64] = "";
-	uint64_t attempt = 0;
-	double grace_period_s = 0;
-	struct sim_task *task;
-	char *slash;
-
-	fl_json_get_string(item, "Verb", verb, sizeof(verb));
-	fl_json_get_string(item, "Part", name, sizeof(name));
-	fl_json_get_count(item, "Try", &attempt);
-	fl_json_get_amount(item, "WindDownS", &grace_period_s);
-	slash = strchr(name, '/');
-	sim_require(slash);
-	*slash = 0;
-	snprintf(status.ref, sizeof(status.ref), "%.*s", (int)sizeof(status.ref) - 1, name);
-	status.index = (uint32_t)strtoul(slash + 1, NULL, 10);
-	status.attempt = (uint32_t)attempt;
-	task = find_task(machine, &status, true);
-	if (strcmp(verb, "launch") == 0)
-		start_task(machine, &status);
-	else if (strcmp(verb, "kill") == 0 && task && task->status.state != FL_TASK_STATE_EXITED)
-		stop_task(machine, task, grace_period_s);
-	else if (strcmp(verb, "forget") == 0 && task && task->status.state == FL_TASK_STATE_EXITED)
-		task->used = false;
+	struct sim_task *task = find_attempt(machine, &command->task);
+	bool exited = task && task->status.state == FL_TASK_STATE_EXITED;
+
+	switch (command->kind) {
+	case FL_COMMAND_START:
+		start_task(machine, &command->task);
+		break;
+	case FL_COMMAND_STOP:
+		if (task && !exited)
+			stop_task(machine, task, command->grace_period_s);
+		break;
+	case FL_COMMAND_FORGET:
+		if (exited)
+			task->used = false;
+		break;
+	}
 }
 
 void sim_tasks_command(struct sim_machine *machine, const cJSON *object)
 {
 	const cJSON *item;
 
-	cJSON_ArrayForEach (item, fl_json_get(object, "Orders"))
-		execute_command(machine, item);
+	cJSON_ArrayForEach (item, fl_json_get(object, "Orders")) {
+		struct worker_command command = worker_command_decode(item);
+
+		execute_command(machine, &command);
+	}
 }
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -6,6 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "copy_text.h"
 #include "protocol/json.h"
 #include "transport/clock.h"
 
@@ -303,13 +304,13 @@
 	spec->machine_type_count = -1;
 	if (sim_chance(0.25)) {
 		spec->machine_type_count = 1;
-		sim_copy(spec->machine_types[0], sizeof(spec->machine_types[0]),
-		         sim_machine_types[spec->gpus > 0 ? 1 : sim_pick(2)].name);
+		copy_text(spec->machine_types[0], sizeof(spec->machine_types[0]),
+		          sim_machine_types[spec->gpus > 0 ? 1 : sim_pick(2)].name);
 	}
 	spec->has_zone = sim_chance(0.3);
 	if (spec->has_zone)
-		sim_copy(spec->zone, sizeof(spec->zone),
-		         sim.config[0].zones[sim_pick(sim.zone_count)]);
+		copy_text(spec->zone, sizeof(spec->zone),
+		          sim.config[0].zones[sim_pick(sim.zone_count)]);
 	spec->same_zone = sim_chance(0.15);
 	spec->spread_zones = !spec->same_zone && !spec->has_zone && sim_chance(0.25);
 	spec->spot_allowed = sim_chance(0.5);
@@ -324,9 +325,9 @@
 	memset(job, 0, sizeof(*job));
 	choose_spec(spec);
 	snprintf(spec->ref, sizeof(spec->ref), "run-%06d", 1000 + (sim.job_count * 7919) % 90000);
-	sim_copy(spec->job_class, sizeof(spec->job_class),
-	         spec->kind == FL_SERVICE ? "serve" : "train");
-	sim_copy(spec->team, sizeof(spec->team), sim_teams[sim_pick(SIM_TEAMS)].name);
+	copy_text(spec->job_class, sizeof(spec->job_class),
+	          spec->kind == FL_SERVICE ? "serve" : "train");
+	copy_text(spec->team, sizeof(spec->team), sim_teams[sim_pick(SIM_TEAMS)].name);
 	snprintf(spec->image, sizeof(spec->image), "img-%02d", sim_pick(8));
 	spec->due_s = -1;
 	if (spec->kind == FL_ARRAY) {
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -6,6 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "copy_text.h"
 #include "protocol/json.h"
 #include "transport/clock.h"
 
@@ -83,10 +84,10 @@
 	                                 .interruption_in_s = -1,
 	                                 .tasks = tasks};
 
-	sim_copy(heartbeat.host, sizeof(heartbeat.host), machine->name);
+	copy_text(heartbeat.host, sizeof(heartbeat.host), machine->name);
 	sim_address((struct sim_endpoint){ENDPOINT_WORKER, index_of(machine)}, heartbeat.endpoint);
-	sim_copy(heartbeat.type, sizeof(heartbeat.type), sim_machine_types[machine->type].name);
-	sim_copy(heartbeat.zone, sizeof(heartbeat.zone), sim.config[0].zones[machine->zone]);
+	copy_text(heartbeat.type, sizeof(heartbeat.type), sim_machine_types[machine->type].name);
+	copy_text(heartbeat.zone, sizeof(heartbeat.zone), sim.config[0].zones[machine->zone]);
 	if (machine->interruption_at > 0 &&
 	    fl_now() > machine->interruption_at - rule.interruption_notice_s)
 		heartbeat.interruption_in_s = machine->interruption_at > fl_now()
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -14,6 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "copy_text.h"
 #include "contract_records_fixture.h"
 #include "coordination/election/election.h"
 #include "coordination/node.h"
@@ -116,7 +117,7 @@
 		return answer_watch(path + strlen(watch), body);
 	if (strcmp(path, "/multi") == 0) {
 		sim_require(world.n_written < WRITES_MAX);
-		sim_copy(world.written[world.n_written++], TEXT_MAX, text);
+		copy_text(world.written[world.n_written++], TEXT_MAX, text);
 		fl_buffer_printf(body, "{\"LedgerRev\":92}");
 	} else if (strcmp(path, "/machine_types") == 0) {
 		fl_buffer_printf(body, "%s", MACHINE_TYPES);
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -147,9 +147,9 @@
 	if (sim.max_task_starts > MAX_TASK_STARTS)
 		sim_violation("churn", "one task was started %d times", sim.max_task_starts);
 	if (sim.max_kv_changes_per_job > 0 &&
-	    sim.kv_changes > sim.max_kv_changes_per_job * sim.job_count)
+	    sim_kv_change_count() > sim.max_kv_changes_per_job * sim.job_count)
 		sim_violation("writes", "%d changes in the key-value store for %d jobs",
-		              sim.kv_changes, sim.job_count);
+		              sim_kv_change_count(), sim.job_count);
 }
 
 static void no_invariant_is_violated(void **state)
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -126,9 +126,10 @@
 {
 	print_message("%d changes, %d requests of the state service, %d calls of the cloud, %d "
 	              "messages of peers for %d reports and users' calls\n",
-	              sim.kv_changes, sim.requests[ENDPOINT_KV_STORE], sim.requests[ENDPOINT_CLOUD],
-	              sim.requests[ENDPOINT_PEER], sim.requests[ENDPOINT_NODE]);
-	assert_true(sim.kv_changes <= TASKS / 6);
+	              sim_kv_change_count(), sim.requests[ENDPOINT_KV_STORE],
+	              sim.requests[ENDPOINT_CLOUD], sim.requests[ENDPOINT_PEER],
+	              sim.requests[ENDPOINT_NODE]);
+	assert_true(sim_kv_change_count() <= TASKS / 6);
 	assert_true(sim.requests[ENDPOINT_KV_STORE] <= 5000);
 	assert_true(sim.requests[ENDPOINT_CLOUD] <= (int)(sim.config[0].cloud_rps * end_s));
 	assert_true(sim.requests[ENDPOINT_PEER] < sim.requests[ENDPOINT_NODE]);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -25,7 +25,7 @@
 #include "transport/http_server.h"
 #include "transport/coroutine.h"
 
-enum { NODES = 3, PATIENCE_S = 90 };
+enum { NODES = 3, TIMEOUT_S = 90 };
 
 static struct {
 	int port[NODES], peer_port[NODES];
@@ -87,7 +87,7 @@
 	assert_int_equal(posix_spawn(&run.pid[node], FL_PROGRAM, NULL, NULL, argv, env), 0);
 }
 
-static void end_node(int node)
+static void kill_node(int node)
 {
 	if (!run.pid[node])
 		return;
@@ -101,7 +101,7 @@
 static void restart_all(void)
 {
 	for (int i = 0; i < NODES; i++)
-		end_node(i);
+		kill_node(i);
 	for (int i = 0; i < NODES; i++)
 		start_node(i);
 }
@@ -124,10 +124,10 @@
 	return -1;
 }
 
-static bool until_status(const char *ref, const char *want, int first)
+static bool wait_for_status(const char *ref, const char *want, int first)
 {
 	char path[64], text[512];
-	double until = fl_now() + PATIENCE_S;
+	double until = fl_now() + TIMEOUT_S;
 
 	snprintf(path, sizeof(path), "/v2/runs/%s", ref);
 	while (fl_now() < until) {
@@ -139,17 +139,17 @@
 	return false;
 }
 
-static bool submit(const char *ref, const char *kind, int n_tasks, int first)
+static bool submit(const char *ref, const char *kind, int task_count, int first)
 {
 	char body[700], text[512];
-	double until = fl_now() + PATIENCE_S;
+	double until = fl_now() + TIMEOUT_S;
 
 	snprintf(body, sizeof(body),
 	         "{\"Ref\":\"%s\",\"JobClass\":\"c\",\"Owner\":\"t\",\"JobKind\":\"%s\","
 	         "\"Tier\":\"standard\",\"Parts\":%d,\"Vcpus\":1,\"Accelerators\":0,\"RamGb\":1,"
 	         "\"Bundle\":\"img\",\"ImageGb\":1,\"Together\":false,\"Apart\":false,"
 	         "\"Reclaimable\":true,\"ExpectedS\":1,\"SnapshotEveryS\":0,\"SnapshotCostS\":0}",
-	         ref, kind, n_tasks);
+	         ref, kind, task_count);
 	while (fl_now() < until) {
 		int status = ask(first++, "POST", "/v2/runs", body, text, sizeof(text));
 
@@ -165,7 +165,7 @@
 static bool cancel(const char *ref)
 {
 	char path[64], text[512];
-	double until = fl_now() + PATIENCE_S;
+	double until = fl_now() + TIMEOUT_S;
 
 	snprintf(path, sizeof(path), "/v2/runs/%s/cancel", ref);
 	for (int first = 0; fl_now() < until; first++) {
@@ -181,21 +181,21 @@
 	const char *leader = fake_services_leader();
 	int node = leader[0] ? leader[1] - '0' : 0;
 
-	end_node(node);
+	kill_node(node);
 }
 
 /* Each node, asked first, gives the job this status in the end. */
-static bool known_everywhere(const char *ref, const char *want)
+static bool status_at_all_nodes(const char *ref, const char *want)
 {
 	for (int i = 0; i < NODES; i++)
-		if (!until_status(ref, want, i))
+		if (!wait_for_status(ref, want, i))
 			return false;
 	return true;
 }
 
-static bool await_leader(void)
+static bool wait_for_leader(void)
 {
-	double until = fl_now() + PATIENCE_S;
+	double until = fl_now() + TIMEOUT_S;
 
 	while (!fake_services_leader()[0] && fl_now() < until)
 		fl_sleep(0.05);
@@ -214,7 +214,7 @@
 static bool jobs_are_accepted_and_run(void)
 {
 	char text[512];
-	double until = fl_now() + PATIENCE_S;
+	double until = fl_now() + TIMEOUT_S;
 
 	while (ask(0, "GET", "/ready", NULL, text, sizeof(text)) != 200 && fl_now() < until)
 		fl_sleep(0.1);
@@ -225,21 +225,21 @@
 	EXPECT(submit("run-000001", "sweep", 6, 0));
 	EXPECT(submit("run-000001", "sweep", 6, 1)); /* again, elsewhere: the same job */
 	EXPECT(submit("run-000002", "standing", 2, 2));
-	EXPECT(until_status("run-000002", "\"running\":2", 1));
-	EXPECT(until_status("run-000001", "\"Status\":\"done\"", 0));
+	EXPECT(wait_for_status("run-000002", "\"running\":2", 1));
+	EXPECT(wait_for_status("run-000001", "\"Status\":\"done\"", 0));
 	return true;
 }
 
 static bool restart_without_the_cloud(void)
 {
 	/* All end during an outage of the cloud: its machine types are read from their record. */
-	fake_services.cloud_out = true;
+	fake_services.cloud_unavailable = true;
 	restart_all();
-	EXPECT(known_everywhere("run-000001", "\"Status\":\"done\""));
+	EXPECT(status_at_all_nodes("run-000001", "\"Status\":\"done\""));
 	EXPECT(submit("run-000006", "sweep", 2, 0));
-	EXPECT(fake_services_task_is_live("run-000002") == 2);
-	fake_services.cloud_out = false;
-	EXPECT(until_status("run-000006", "\"Status\":\"done\"", 1));
+	EXPECT(fake_services_running_tasks("run-000002") == 2);
+	fake_services.cloud_unavailable = false;
+	EXPECT(wait_for_status("run-000006", "\"Status\":\"done\"", 1));
 	return true;
 }
 
@@ -253,68 +253,68 @@
 	fake_services.kv_slow_every = 7;
 	fake_services.kv_loses_every = 29;
 	EXPECT(submit("run-000003", "sweep", 70, 0));
-	EXPECT(until_status("run-000003", "\"Status\":\"running\"", 0));
+	EXPECT(wait_for_status("run-000003", "\"Status\":\"running\"", 0));
 	kill_leader();
 	for (int i = 0; i < NODES; i++)
 		if (!run.pid[i])
 			dead = i;
 	EXPECT(submit("run-000004", "ensemble", 3, 0));
-	EXPECT(until_status("run-000001", "\"Status\":\"done\"", 0));
+	EXPECT(wait_for_status("run-000001", "\"Status\":\"done\"", 0));
 	start_node(dead);
-	EXPECT(until_status("run-000003", "\"Status\":\"done\"", 0));
-	EXPECT(until_status("run-000004", "\"Status\":\"done\"", 1));
-	EXPECT(fake_services_task_is_live("run-000002") ==
+	EXPECT(wait_for_status("run-000003", "\"Status\":\"done\"", 0));
+	EXPECT(wait_for_status("run-000004", "\"Status\":\"done\"", 1));
+	EXPECT(fake_services_running_tasks("run-000002") ==
 	       2); /* the service ran through all of it */
 	EXPECT(cancel("run-000002"));
-	until = fl_now() + PATIENCE_S;
-	while (fake_services_task_is_live("run-000002") > 0 && fl_now() < until)
+	until = fl_now() + TIMEOUT_S;
+	while (fake_services_running_tasks("run-000002") > 0 && fl_now() < until)
 		fl_sleep(0.1);
-	EXPECT(fake_services_task_is_live("run-000002") == 0);
-	EXPECT(until_status("run-000002", "aborted", 2));
-	EXPECT(fake_services.twice == 0);
+	EXPECT(fake_services_running_tasks("run-000002") == 0);
+	EXPECT(wait_for_status("run-000002", "aborted", 2));
+	EXPECT(fake_services.duplicate_starts == 0);
 	/* Finished work is not done again: one completion a task, not counting the lost. */
-	EXPECT(fake_services.completed >= 6 + 2 + 70 + 3);
+	EXPECT(fake_services.completions >= 6 + 2 + 70 + 3);
 	return true;
 }
 
 static bool all_restart_at_each_step_of_an_election(void)
 {
 	/* Copies of reports come two leases late, and the next machines rented receive nothing. */
-	fake_services.heartbeat_copies_every = 3;
-	fake_services.unreachable = 2;
+	fake_services.delayed_heartbeat_every = 3;
+	fake_services.unreachable_to_rent = 2;
 	EXPECT(submit("run-000005", "sweep", 90, 1));
 	/* All end at each step of an election and restart at once; what they sent arrives later. */
-	fake_services.cut = restart_all;
+	fake_services.interrupt = restart_all;
 	for (int step = 1; step <= 9; step++) {
 		char ref[24];
 
-		end_node(fake_services_leader()[0] ? fake_services_leader()[1] - '0' : 0);
-		fake_services.cut_after = step;
+		kill_node(fake_services_leader()[0] ? fake_services_leader()[1] - '0' : 0);
+		fake_services.interrupt_after = step;
 		for (int i = 0; i < NODES; i++)
 			if (!run.pid[i])
 				start_node(i);
-		while (fake_services.cut_after > 0)
+		while (fake_services.interrupt_after > 0)
 			fl_sleep(0.02);
 		/* Many at once, so that their placements go through the log. */
 		for (int i = 0; i < 4; i++) {
 			snprintf(ref, sizeof(ref), "run-%06d", 100 * step + i);
 			EXPECT(submit(ref, "sweep", 2, step));
 		}
-		EXPECT(await_leader());
+		EXPECT(wait_for_leader());
 	}
 	return true;
 }
 
 static bool the_jobs_of_the_elections_end(void)
 {
-	EXPECT(until_status("run-000005", "\"Status\":\"done\"", 0));
+	EXPECT(wait_for_status("run-000005", "\"Status\":\"done\"", 0));
 	/*
 	 * Idle machines may have been enough, so that no unreachable machine was rented: it
 	 * happened once in sixty runs. More work at once than they can hold has them rented.
 	 */
-	if (fake_services.unreachable > 0) {
+	if (fake_services.unreachable_to_rent > 0) {
 		EXPECT(submit("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
-		EXPECT(until_status("run-000007", "\"Status\":\"done\"", 0));
+		EXPECT(wait_for_status("run-000007", "\"Status\":\"done\"", 0));
 	}
 	return true;
 }
@@ -331,24 +331,24 @@
 			char ref[24];
 
 			snprintf(ref, sizeof(ref), "run-%06d", 100 * step + i);
-			EXPECT(known_everywhere(ref, "\"Status\":\"done\""));
+			EXPECT(status_at_all_nodes(ref, "\"Status\":\"done\""));
 		}
-	EXPECT(known_everywhere("run-000001", "\"Status\":\"done\""));
-	EXPECT(known_everywhere("run-000002", "aborted"));
-	until = fl_now() + PATIENCE_S;
-	while (fake_services_unreachable_left() > 0 && fl_now() < until)
+	EXPECT(status_at_all_nodes("run-000001", "\"Status\":\"done\""));
+	EXPECT(status_at_all_nodes("run-000002", "aborted"));
+	until = fl_now() + TIMEOUT_S;
+	while (fake_services_unreachable_count() > 0 && fl_now() < until)
 		fl_sleep(0.1);
-	EXPECT(fake_services.unreachable == 0);
-	EXPECT(fake_services_unreachable_left() == 0);
-	EXPECT(fake_services.twice == 0);
+	EXPECT(fake_services.unreachable_to_rent == 0);
+	EXPECT(fake_services_unreachable_count() == 0);
+	EXPECT(fake_services.duplicate_starts == 0);
 	EXPECT(fake_services.tokens_reused == 0);
-	EXPECT(fake_services.names_reused == 0);
+	EXPECT(fake_services.rental_names_reused == 0);
 	EXPECT(fake_services.starts_on_deleted == 0);
 	return true;
 }
 
 /* The stages build on each other, so that the first that fails ends the rest. */
-static void play_stages(void *arg)
+static void run_stages(void *arg)
 {
 	(void)arg;
 	(void)(jobs_are_accepted_and_run() && restart_without_the_cloud() &&
@@ -363,9 +363,9 @@
 	(void)state;
 	signal(SIGPIPE, SIG_IGN);
 	fl_coroutines_init(ev_default_loop(0));
-	fake_services.report_s = 0.25;
+	fake_services.heartbeat_interval_s = 0.25;
 	fake_services.lease_s = 8;
-	fake_services.run_s = 0.5;
+	fake_services.task_duration_s = 0.5;
 	fake_services.commands_repeat_every = 3;
 	fake_services_start();
 	for (int i = 0; i < NODES; i++) {
@@ -381,7 +381,7 @@
 		write_settings(i);
 		start_node(i);
 	}
-	fl_coroutine_spawn(play_stages, NULL);
+	fl_coroutine_spawn(run_stages, NULL);
 	fl_coroutines_run();
 	for (int i = 0; i < NODES; i++) {
 		if (run.pid[i]) {
