--- /dev/null
+++ b/tests/sim_check_replies.c
@@ -0,0 +1,153 @@
+/*
+ * The invariants on what users are told: what is final stays, nothing accepted is forgotten, and
+ * nothing invalid is accepted. And on names that belong to one process.
+ */
+#include "sim.h"
+
+#include <stdio.h>
+#include <string.h>
+
+#include "protocol/json.h"
+#include "transport/clock.h"
+
+enum { NAMES_MAX = 512 };
+
+/* ---- the job's state ---- */
+
+struct reported_status {
+	char ref[FL_REF_MAX], status[32];
+	bool is_cancelled, is_done;
+};
+
+static struct reported_status decode_status(const char *body)
+{
+	struct reported_status reported = {0};
+	cJSON *object = fl_json_parse(body, strlen(body));
+
+	fl_json_get_string(object, "Status", reported.status, sizeof(reported.status));
+	fl_json_get_string(object, "Ref", reported.ref, sizeof(reported.ref));
+	cJSON_Delete(object);
+	reported.is_cancelled = strcmp(reported.status, "aborted") == 0;
+	reported.is_done = strcmp(reported.status, "done") == 0;
+	return reported;
+}
+
+/* Only a reply to a request sent after the first shows that something was taken back. */
+static void check_final(const struct sim_job *job, double sent_at,
+                        const struct reported_status *reported, const char *request)
+{
+	if (job->reported_done_at > 0 && sent_at > job->reported_done_at && !reported->is_done)
+		sim_violation("went_back", "%s was done and is '%s' (%s)", job->spec.ref,
+		              reported->status, request);
+	if (job->reported_cancelled_at > 0 && sent_at > job->reported_cancelled_at &&
+	    !reported->is_cancelled)
+		sim_violation("went_back", "%s was cancelled and is '%s' (%s)", job->spec.ref,
+		              reported->status, request);
+}
+
+static void check_status(struct sim_job *job, double sent_at, const char *body, const char *request)
+{
+	struct reported_status reported = decode_status(body);
+
+	if (strcmp(reported.ref, job->spec.ref) != 0)
+		sim_violation("answer", "%s of %s is answered for '%s'", request, job->spec.ref,
+		              reported.ref);
+	check_final(job, sent_at, &reported, request);
+	if (reported.is_cancelled && job->cancel_sent_at == 0)
+		sim_violation("went_back", "%s is cancelled and nobody cancelled it",
+		              job->spec.ref);
+	if (reported.is_done && !sim_check_all_completed(job))
+		sim_violation("not_done", "%s is called done (%s)", job->spec.ref, request);
+	if (reported.is_cancelled && job->reported_cancelled_at == 0)
+		job->reported_cancelled_at = fl_now();
+	if (reported.is_done && job->reported_done_at == 0)
+		job->reported_done_at = fl_now();
+}
+
+/* ---- replies ---- */
+
+static void check_accepted(struct sim_job *job, double sent_at, int status, const char *body)
+{
+	if (job->invalid)
+		sim_violation("accepted", "%s cannot run or lacks a field", job->spec.ref);
+	if (job->accepted_at > 0 && status == 201 && sent_at > job->accepted_at)
+		sim_violation("went_back", "%s is accepted anew", job->spec.ref);
+	if (job->accepted_at == 0)
+		job->accepted_at = job->last_answered_at = fl_now();
+	check_status(job, sent_at, body, "submission");
+}
+
+static void check_rejected(struct sim_job *job, int status, const char *body)
+{
+	if (job->accepted_at > 0)
+		sim_violation("forgotten", "%s: submitted again, status=%d", job->spec.ref, status);
+	else if (!job->invalid)
+		sim_violation("rejected", "%s: status=%d %s", job->spec.ref, status, body);
+	job->rejected_at = fl_now();
+}
+
+void sim_check_submit_reply(struct sim_job *job, double sent_at, int status, const char *body)
+{
+	if (status == 200 || status == 201)
+		check_accepted(job, sent_at, status, body);
+	else if (status == 400 || status == 422)
+		check_rejected(job, status, body);
+}
+
+void sim_check_query_reply(struct sim_job *job, double sent_at, int status, const char *body)
+{
+	if (status == 404 && sent_at > job->accepted_at)
+		sim_violation("forgotten", "%s: status=404", job->spec.ref);
+	if (status != 200)
+		return;
+	job->last_answered_at = fl_now();
+	check_status(job, sent_at, body, "status query");
+}
+
+void sim_check_cancel_reply(struct sim_job *job, double sent_at, int status, const char *body)
+{
+	if (status == 404)
+		sim_violation("forgotten", "%s: cancelled, status=404", job->spec.ref);
+	if (status == 200)
+		check_status(job, sent_at, body, "cancellation");
+}
+
+/* ---- names that belong to one process ---- */
+
+static struct {
+	char rental_names[NAMES_MAX][64];
+	int rental_processes[NAMES_MAX], rental_count;
+	uint64_t tokens[NAMES_MAX];
+	int token_processes[NAMES_MAX], token_count;
+} seen;
+
+void sim_check_names_begin(void) { memset(&seen, 0, sizeof(seen)); }
+
+void sim_check_fencing_token(uint64_t fencing_token, int process)
+{
+	for (int i = 0; i < seen.token_count; i++)
+		if (seen.tokens[i] == fencing_token) {
+			if (seen.token_processes[i] != process)
+				sim_violation("fencing_token", "%llu is used by two processes",
+				              (unsigned long long)fencing_token);
+			return;
+		}
+	if (seen.token_count == NAMES_MAX)
+		return;
+	seen.tokens[seen.token_count] = fencing_token;
+	seen.token_processes[seen.token_count++] = process;
+}
+
+void sim_check_rental_name(const char *name, int process)
+{
+	for (int i = 0; i < seen.rental_count; i++)
+		if (strcmp(seen.rental_names[i], name) == 0) {
+			if (seen.rental_processes[i] != process)
+				sim_violation("rental_name", "%s is used by two processes", name);
+			return;
+		}
+	if (seen.rental_count == NAMES_MAX)
+		return;
+	snprintf(seen.rental_names[seen.rental_count], sizeof(seen.rental_names[0]), "%s", name);
+	seen.rental_processes[seen.rental_count++] = process;
+}
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -5,29 +5,32 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "copy_text.h"
 #include "json_response.h"
 #include "transport/clock.h"
 
-enum { RENTALS = 512, PAGE = 500 };
+enum { RENTALS_MAX = 512, PAGE_MAX = 500 };
 
 const struct sim_machine_type sim_machine_types[SIM_MACHINE_TYPES] = {
 	{"c32", 32, 0, 128, 4.0, 6},
 	{"g4", 32, 4, 256, 12.0, 8},
 };
 
+struct rental {
+	char name[64];
+	int first_machine, machine_count;
+};
+
 static struct {
-	struct rental {
-		char name[64];
-		int first, count;
-	} rentals[RENTALS];
-	int count;
-} cl;
-
-static void respond_unavailable(struct fl_http_response *response, const char *why)
+	struct rental rentals[RENTALS_MAX];
+	int rental_count;
+} cloud;
+
+static void respond_unavailable(struct fl_http_response *response, const char *error)
 {
 	cJSON *object = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(object, "error", why);
+	cJSON_AddStringToObject(object, "error", error);
 	json_response(response, 503, object);
 }
 
@@ -36,18 +39,18 @@
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "HostKinds");
 
 	for (int i = 0; i < SIM_MACHINE_TYPES; i++) {
-		const struct sim_machine_type *k = &sim_machine_types[i];
+		const struct sim_machine_type *type = &sim_machine_types[i];
 		cJSON *item = cJSON_CreateObject(), *zones;
 
-		cJSON_AddStringToObject(item, "Name", k->name);
-		cJSON_AddNumberToObject(item, "Vcpus", k->cpus);
-		cJSON_AddNumberToObject(item, "Accelerators", k->gpus);
-		cJSON_AddNumberToObject(item, "RamGb", k->ram_gb);
+		cJSON_AddStringToObject(item, "Name", type->name);
+		cJSON_AddNumberToObject(item, "Vcpus", type->cpus);
+		cJSON_AddNumberToObject(item, "Accelerators", type->gpus);
+		cJSON_AddNumberToObject(item, "RamGb", type->ram_gb);
 		cJSON_AddNumberToObject(item, "LocalGb", 100);
 		cJSON_AddNumberToObject(item, "PullGbPerS", 1.0);
-		cJSON_AddNumberToObject(item, "Price", k->price);
-		cJSON_AddNumberToObject(item, "SpotPrice", k->price * 0.4);
-		cJSON_AddNumberToObject(item, "ReadyS", k->ready_s);
+		cJSON_AddNumberToObject(item, "Price", type->price);
+		cJSON_AddNumberToObject(item, "SpotPrice", type->price * 0.4);
+		cJSON_AddNumberToObject(item, "ReadyS", type->ready_s);
 		zones = cJSON_AddArrayToObject(item, "Sites");
 		for (int z = 0; z < sim.zone_count; z++)
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
@@ -74,23 +77,23 @@
 
 static int rented_count(int type, int zone, bool spot)
 {
-	int n = 0;
+	int count = 0;
 
 	for (int i = 0; i < sim.machine_count; i++) {
 		const struct sim_machine *machine = &sim.machines[i];
 
-		n += !machine->terminated && machine->type == type && machine->zone == zone &&
-		     machine->spot == spot;
+		count += !machine->terminated && machine->type == type && machine->zone == zone &&
+		         machine->spot == spot;
 	}
-	return n;
+	return count;
 }
 
 /* Up within a second or two, several times too late, or never. */
 static void apply_irregular_boot(struct sim_machine *machine)
 {
-	const struct sim_fault *odd = sim_fault_active(FAULT_IRREGULAR_BOOTS, -1);
+	const struct sim_fault *fault = sim_fault_active(FAULT_IRREGULAR_BOOTS, -1);
 
-	if (!odd || !sim_chance(odd->magnitude))
+	if (!fault || !sim_chance(fault->magnitude))
 		return;
 	switch (sim_pick(4)) {
 	case 0:
@@ -109,6 +112,7 @@
 static void rent_machine(int type, int zone, bool spot)
 {
 	struct sim_machine *machine = &sim.machines[sim.machine_count];
+	double boot_s;
 
 	sim_require(sim.machine_count < SIM_MACHINES);
 	memset(machine, 0, sizeof(*machine));
@@ -119,63 +123,97 @@
 	machine->rented_at = fl_now();
 	machine->never_boots = sim_chance(0.04) && !sim.reliable_machines;
 	/* At times up within a second or two: long before it is listed. */
-	machine->ready_at = fl_now() + (sim_chance(0.2) ? sim_between(0.5, 2)
-	                                                : sim_between(0.6, 1.5) *
-	                                                          sim_machine_types[type].ready_s);
+	boot_s = sim_chance(0.2) ? sim_between(0.5, 2)
+	                         : sim_between(0.6, 1.5) * sim_machine_types[type].ready_s;
+	machine->ready_at = fl_now() + boot_s;
 	apply_irregular_boot(machine);
 	if (spot && sim_chance(0.15) && !sim.reliable_machines)
 		machine->interruption_at = fl_now() + sim_between(30, 120);
 	sim_machine_boot(sim.machine_count++);
 }
 
-static void respond_rental(const struct rental *r, struct fl_http_response *response)
+static void respond_rental(const struct rental *rental, struct fl_http_response *response)
 {
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "Hosts");
 
-	for (int i = 0; i < r->count; i++)
-		cJSON_AddItemToArray(list, cJSON_CreateString(sim.machines[r->first + i].name));
+	for (int i = 0; i < rental->machine_count; i++)
+		cJSON_AddItemToArray(
+			list, cJSON_CreateString(sim.machines[rental->first_machine + i].name));
 	json_response(response, 200, object);
 }
 
-static void serve_rental(int process, const struct fl_http_request *request,
-                         struct fl_http_response *response)
+struct rental_request {
+	char name[64];
+	int type, zone;
+	bool spot;
+	double count;
+};
+
+/* False if it is invalid. */
+static bool decode_rental(const struct fl_http_request *request, struct rental_request *rental)
 {
 	cJSON *object = fl_json_parse(request->body, request->body_len);
-	char name[64] = "", type[64] = "", zone[64] = "";
-	double count = 0;
-	bool spot = false;
-	int k, z, room;
+	char type[64] = "", zone[64] = "";
 
-	fl_json_get_string(object, "Rental", name, sizeof(name));
+	memset(rental, 0, sizeof(*rental));
+	fl_json_get_string(object, "Rental", rental->name, sizeof(rental->name));
 	fl_json_get_string(object, "HostKind", type, sizeof(type));
 	fl_json_get_string(object, "Site", zone, sizeof(zone));
-	fl_json_get_bool(object, "Reclaimable", &spot);
-	fl_json_get_amount(object, "Count", &count);
+	fl_json_get_bool(object, "Reclaimable", &rental->spot);
+	fl_json_get_amount(object, "Count", &rental->count);
 	cJSON_Delete(object);
-	k = type_index(type);
-	z = zone_index(zone);
-	if (!name[0] || k < 0 || z < 0 || count < 1 || count > 50) {
+	rental->type = type_index(type);
+	rental->zone = zone_index(zone);
+	return rental->name[0] && rental->type >= 0 && rental->zone >= 0 && rental->count >= 1 &&
+	       rental->count <= 50;
+}
+
+static const struct rental *find_rental(const char *name)
+{
+	for (int i = 0; i < cloud.rental_count; i++)
+		if (strcmp(cloud.rentals[i].name, name) == 0)
+			return &cloud.rentals[i];
+	return NULL;
+}
+
+/* NULL: there is no capacity. */
+static const struct rental *add_rental(const struct rental_request *request)
+{
+	int capacity =
+		sim.cloud_capacity - rented_count(request->type, request->zone, request->spot);
+	struct rental *rental;
+
+	if (capacity <= 0)
+		return NULL;
+	sim_require(cloud.rental_count < RENTALS_MAX);
+	rental = &cloud.rentals[cloud.rental_count++];
+	copy_text(rental->name, sizeof(rental->name), request->name);
+	rental->first_machine = sim.machine_count;
+	rental->machine_count = request->count < capacity ? (int)request->count : capacity;
+	for (int i = 0; i < rental->machine_count; i++)
+		rent_machine(request->type, request->zone, request->spot);
+	return rental;
+}
+
+/* The same name again rents nothing. */
+static void serve_rental(int process, const struct fl_http_request *http,
+                         struct fl_http_response *response)
+{
+	struct rental_request request;
+	const struct rental *rental;
+
+	if (!decode_rental(http, &request)) {
 		json_response(response, 400, NULL);
 		return;
 	}
-	sim_check_rental_name(name, process);
-	for (int i = 0; i < cl.count; i++)
-		if (strcmp(cl.rentals[i].name, name) == 0) {
-			respond_rental(&cl.rentals[i], response);
-			return;
-		}
-	room = sim.cloud_capacity - rented_count(k, z, spot);
-	if (room <= 0) {
+	sim_check_rental_name(request.name, process);
+	rental = find_rental(request.name);
+	if (!rental)
+		rental = add_rental(&request);
+	if (rental)
+		respond_rental(rental, response);
+	else
 		respond_unavailable(response, "no capacity");
-		return;
-	}
-	sim_require(cl.count < RENTALS);
-	snprintf(cl.rentals[cl.count].name, sizeof(cl.rentals[0].name), "%s", name);
-	cl.rentals[cl.count].first = sim.machine_count;
-	cl.rentals[cl.count].count = count < room ? (int)count : room;
-	for (int i = 0; i < cl.rentals[cl.count].count; i++)
-		rent_machine(k, z, spot);
-	respond_rental(&cl.rentals[cl.count++], response);
 }
 
 static int machine_index(const char *name)
@@ -191,11 +229,11 @@
 	cJSON *object = fl_json_parse(request->body, request->body_len), *item;
 
 	cJSON_ArrayForEach (item, fl_json_get(object, "Hosts")) {
-		int at = cJSON_IsString(item) ? machine_index(item->valuestring) : -1;
+		int machine = cJSON_IsString(item) ? machine_index(item->valuestring) : -1;
 
-		if (at >= 0) {
-			sim.machines[at].failed = false;
-			sim_machine_terminate(at);
+		if (machine >= 0) {
+			sim.machines[machine].failed = false;
+			sim_machine_terminate(machine);
 		}
 	}
 	cJSON_Delete(object);
@@ -215,41 +253,52 @@
 	return true;
 }
 
+static const char *status_at(const struct sim_machine *machine, double then)
+{
+	if (machine->failed)
+		return "failed";
+	return machine->never_boots || machine->ready_at > then ? "booting" : "running";
+}
+
+static cJSON *encode_machine(int index, double then)
+{
+	const struct sim_machine *machine = &sim.machines[index];
+	cJSON *item = cJSON_CreateObject();
+	char address[FL_CONFIG_NAME];
+
+	sim_address((struct sim_endpoint){ENDPOINT_WORKER, index}, address);
+	cJSON_AddStringToObject(item, "Ref", machine->name);
+	cJSON_AddStringToObject(item, "Endpoint", address);
+	cJSON_AddStringToObject(item, "HostKind", sim_machine_types[machine->type].name);
+	cJSON_AddStringToObject(item, "Site", sim.config[0].zones[machine->zone]);
+	cJSON_AddBoolToObject(item, "Reclaimable", machine->spot);
+	cJSON_AddStringToObject(item, "Status", status_at(machine, then));
+	cJSON_AddNumberToObject(item, "AgeS",
+	                        then > machine->rented_at ? then - machine->rented_at : 0);
+	return item;
+}
+
+/* Does it come after the last name of the page before? */
+static bool is_after(const struct sim_machine *machine, const char *from)
+{
+	return !from || strncmp(machine->name, from + strlen("From="), strlen(machine->name)) > 0;
+}
+
+/* The list lags behind. */
 static void serve_list(const struct fl_http_request *request, struct fl_http_response *response)
 {
 	double then = fl_now() - sim_between(0, sim_chance(0.1) ? 2 : 1) * sim.config[0].list_lag_s;
-	cJSON *object = cJSON_CreateObject(), *hosts = cJSON_AddArrayToObject(object, "Hosts");
+	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "Hosts");
 	const char *from = strstr(request->query, "From=");
 	bool more = false;
 	int count = 0;
 
 	for (int i = 0; i < sim.machine_count && !more; i++) {
-		struct sim_machine *machine = &sim.machines[i];
-		char addr[FL_CONFIG_NAME];
-		cJSON *item;
-
-		if (from && strncmp(machine->name, from + 5, strlen(machine->name)) <= 0)
-			continue;
-		if (!is_listed(machine, then))
+		if (!is_after(&sim.machines[i], from) || !is_listed(&sim.machines[i], then))
 			continue;
-		more = ++count > PAGE;
-		if (more)
-			break;
-		item = cJSON_CreateObject();
-		sim_address((struct sim_endpoint){ENDPOINT_WORKER, i}, addr);
-		cJSON_AddStringToObject(item, "Ref", machine->name);
-		cJSON_AddStringToObject(item, "Endpoint", addr);
-		cJSON_AddStringToObject(item, "HostKind", sim_machine_types[machine->type].name);
-		cJSON_AddStringToObject(item, "Site", sim.config[0].zones[machine->zone]);
-		cJSON_AddBoolToObject(item, "Reclaimable", machine->spot);
-		cJSON_AddStringToObject(item, "Status",
-		                        machine->failed ? "failed"
-		                        : machine->never_boots || machine->ready_at > then
-		                                ? "booting"
-		                                : "running");
-		cJSON_AddNumberToObject(item, "AgeS",
-		                        then > machine->rented_at ? then - machine->rented_at : 0);
-		cJSON_AddItemToArray(hosts, item);
+		more = ++count > PAGE_MAX;
+		if (!more)
+			cJSON_AddItemToArray(list, encode_machine(i, then));
 	}
 	cJSON_AddBoolToObject(object, "More", more);
 	json_response(response, 200, object);
@@ -261,7 +310,7 @@
 	if (fl_sleep(sim_between(0.01, 0.1)) != 0)
 		return;
 	if (sim_fault_active(FAULT_CLOUD_UNAVAILABLE, -1))
-		respond_unavailable(response, "trouble");
+		respond_unavailable(response, "unavailable");
 	else if (strcmp(request->path, "/machine_types") == 0)
 		serve_machine_types(response);
 	else if (strcmp(request->path, "/rentals") == 0 && request->method == HTTP_POST)
@@ -272,4 +321,4 @@
 		serve_list(request, response);
 }
 
-void sim_cloud_end(void) { memset(&cl, 0, sizeof(cl)); }
+void sim_cloud_end(void) { memset(&cloud, 0, sizeof(cloud)); }
--- a/tests/sim_concurrent_reads.c
+++ b/tests/sim_concurrent_reads.c
@@ -1,4 +1,4 @@
-/* Users who look at all nodes within milliseconds of whatever was said to them. */
+/* Users who read at all nodes within milliseconds of whatever was said to them. */
 #include "sim.h"
 
 #include <stdio.h>
@@ -7,35 +7,42 @@
 #include "transport/clock.h"
 
 static const struct {
-	double query_timeout_s; /* s for an answer */
-	int reads_per_node;     /* of one who looks at one node */
-} rule = {2.0, 4};
+	double query_timeout_s;
+	int reads_per_burst;
+} tunables = {2.0, 4};
 
+/* Of one user at one node. */
 struct read_burst {
 	struct sim_job *job;
 	int node;
-	bool repeat;
+	bool resubmits; /* submits the job again, instead of a status query */
 };
 
+static int send_read(const struct read_burst *burst, struct fl_http_reply *reply)
+{
+	const struct sim_job *job = burst->job;
+	struct sim_endpoint from = {ENDPOINT_USER, 0}, to = {ENDPOINT_NODE, burst->node};
+	char path[64];
+
+	if (burst->resubmits)
+		return sim_call(from, to, "POST", "/v2/runs", job->request_body,
+		                tunables.query_timeout_s, reply);
+	snprintf(path, sizeof(path), "/v2/runs/%s", job->spec.ref);
+	return sim_call(from, to, "GET", path, NULL, tunables.query_timeout_s, reply);
+}
+
 static void read_once(const struct read_burst *burst)
 {
-	double sent = fl_now();
+	double sent_at = fl_now();
 	struct fl_http_reply reply;
-	char path[64];
 
-	snprintf(path, sizeof(path), burst->repeat ? "/v2/runs" : "/v2/runs/%s",
-	         burst->job->spec.ref);
-	if (sim_call((struct sim_endpoint){ENDPOINT_USER, 0},
-	             (struct sim_endpoint){ENDPOINT_NODE, burst->node},
-	             burst->repeat ? "POST" : "GET", path,
-	             burst->repeat ? burst->job->request_body : NULL, rule.query_timeout_s,
-	             &reply) != 0)
+	if (send_read(burst, &reply) != 0)
 		return;
 	sim.status_queries++;
-	if (burst->repeat)
-		sim_check_submit_reply(burst->job, sent, reply.status, reply.body.data);
+	if (burst->resubmits)
+		sim_check_submit_reply(burst->job, sent_at, reply.status, reply.body.data);
 	else
-		sim_check_query_reply(burst->job, sent, reply.status, reply.body.data);
+		sim_check_query_reply(burst->job, sent_at, reply.status, reply.body.data);
 	fl_buffer_free(&reply.body);
 }
 
@@ -43,7 +50,7 @@
 {
 	struct read_burst *burst = arg;
 
-	for (int i = 0; i < rule.reads_per_node; i++) {
+	for (int i = 0; i < tunables.reads_per_burst; i++) {
 		if (fl_sleep(sim_between(0, i < 2 ? 0.004 : 0.3)) != 0)
 			break;
 		read_once(burst);
@@ -51,16 +58,16 @@
 	free(burst);
 }
 
-static void start_read_burst(struct sim_job *job, int at, bool repeat)
+static void start_read_burst(struct sim_job *job, int node, bool resubmits)
 {
 	struct read_burst *burst = malloc(sizeof(*burst));
 
 	sim_require(burst != NULL);
-	*burst = (struct read_burst){job, at, repeat};
+	*burst = (struct read_burst){job, node, resubmits};
 	sim_spawn(0, run_read_burst, burst);
 }
 
-/* At every node, by several users of a team at once; some repeat it, and some cancel at once. */
+/* By several users of a team at once; some submit it again, and some cancel at once. */
 void sim_user_read_all_nodes(struct sim_job *job)
 {
 	if (!sim_fault_active(FAULT_CONCURRENT_READS, -1) || job->invalid)
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -1,4 +1,4 @@
-/* The transport of the simulation: calls between hosts, and the controllers' processes. */
+/* The network of the simulation: calls between hosts, in place of the HTTP client. */
 #include "sim.h"
 
 #include <arpa/inet.h>
@@ -7,34 +7,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/node.h"
-#include "coordination/persistence/record_writer.h"
 #include "transport/clock.h"
 
+/* Held by its caller, and by whatever carries it on: a message's timer, or the server. */
 struct call {
 	struct sim_endpoint from, to;
 	int process; /* of the caller */
 	char *method, *path, *body;
 	struct fl_http_response response;
 	int result;
-	bool done;
 	int reference_count;
 	struct fl_condition answered;
 	struct sim_timer timer;
 };
 
-struct served {
-	fl_http_handler handler;
-	void *context;
-};
-
-static struct {
-	int process[SIM_NODES]; /* that runs as this node; 0: down */
-	struct served faces[SIM_NODES][2];
-	int process_count; /* started so far */
-	int starting_node; /* the node that is being started */
-	bool over;
-} net;
+/* Everything ends: messages are dropped. */
+static bool ending;
 
 /* ---- addresses ---- */
 
@@ -44,7 +32,7 @@
 	         endpoint.index % 200 + 1, 9000);
 }
 
-static struct sim_endpoint endpoint_of(const struct sockaddr_in *address)
+struct sim_endpoint sim_endpoint_of(const struct sockaddr_in *address)
 {
 	uint32_t ip = ntohl(address->sin_addr.s_addr);
 
@@ -52,16 +40,21 @@
 	                             (int)(ip >> 8 & 255) * 200 + (int)(ip & 255) - 1};
 }
 
-int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
+static bool is_node(struct sim_endpoint endpoint)
 {
-	memset(client, 0, sizeof(*client));
-	client->max_idle = max_idle;
-	return fl_address_parse(addr, &client->addr);
+	return endpoint.kind == ENDPOINT_NODE || endpoint.kind == ENDPOINT_PEER;
 }
 
-void fl_http_client_close(struct fl_http_client *client) { (void)client; }
+static bool is_up(struct sim_endpoint endpoint)
+{
+	if (is_node(endpoint))
+		return sim_node_process(endpoint.index) != 0;
+	if (endpoint.kind == ENDPOINT_WORKER)
+		return sim.machines[endpoint.index].up && !sim.machines[endpoint.index].terminated;
+	return true;
+}
 
-/* ---- calls ---- */
+/* ---- replies ---- */
 
 static void release(struct call *call)
 {
@@ -77,17 +70,16 @@
 static void complete(struct call *call, int result)
 {
 	call->result = result;
-	call->done = true;
 	fl_condition_broadcast(&call->answered);
 	release(call);
 }
 
-/* The answer comes back, or is lost on its way. */
-static void deliver(void *arg)
+/* The reply comes back, or is lost on its way. */
+static void deliver_reply(void *arg)
 {
 	struct call *call = arg;
 
-	if (net.over || sim_message_is_lost(call->from, call->to, true))
+	if (ending || sim_message_is_lost(call->from, call->to, true))
 		release(call);
 	else
 		complete(call, 0);
@@ -95,21 +87,21 @@
 
 static void send_reply(struct call *call)
 {
-	call->timer.function = deliver;
-	sim_timer_arm(&call->timer, sim_latency(call->to, call->from));
+	call->timer.function = deliver_reply;
+	sim_timer_arm(&call->timer, sim_message_latency());
 }
 
+/* ---- requests ---- */
+
 static enum http_method method_of(const char *name)
 {
-	return strcmp(name, "GET") == 0    ? HTTP_GET
-	       : strcmp(name, "POST") == 0 ? HTTP_POST
-	                                   : HTTP_DELETE;
+	if (strcmp(name, "GET") == 0)
+		return HTTP_GET;
+	return strcmp(name, "POST") == 0 ? HTTP_POST : HTTP_DELETE;
 }
 
 static void dispatch(struct call *call, const struct fl_http_request *request)
 {
-	const struct served *s;
-
 	switch (call->to.kind) {
 	case ENDPOINT_KV_STORE:
 		sim_kv_serve(call->from, request, &call->response);
@@ -118,12 +110,15 @@
 		sim_cloud_serve(call->from, request, &call->response);
 		break;
 	case ENDPOINT_WORKER:
-		sim_worker_serve(call->from, call->process, call->to.index, request,
-		                 &call->response);
+		sim_worker_serve(call->process, call->to.index, request, &call->response);
+		break;
+	case ENDPOINT_NODE:
+	case ENDPOINT_PEER:
+		sim_node_serve(call->to, request, &call->response);
 		break;
-	default:
-		s = &net.faces[call->to.index][call->to.kind == ENDPOINT_PEER];
-		s->handler(s->context, request, &call->response);
+	case ENDPOINT_USER:
+	case SIM_ENDPOINT_KINDS:
+		abort();
 	}
 }
 
@@ -142,7 +137,7 @@
 	sim.requests[call->to.kind]++;
 	if (!fl_coroutine_cancelled())
 		dispatch(call, &request);
-	if (net.over || call->response.status == SIM_NO_REPLY)
+	if (ending || call->response.status == SIM_NO_REPLY)
 		release(call);
 	else if (fl_coroutine_cancelled())
 		complete(call, -ECONNRESET);
@@ -150,46 +145,29 @@
 		send_reply(call);
 }
 
-static bool is_up(struct sim_endpoint endpoint)
-{
-	switch (endpoint.kind) {
-	case ENDPOINT_NODE:
-	case ENDPOINT_PEER:
-		return net.process[endpoint.index] != 0;
-	case ENDPOINT_WORKER:
-		return sim.machines[endpoint.index].up && !sim.machines[endpoint.index].terminated;
-	default:
-		return true;
-	}
-}
-
-static void arrive(void *arg)
+static void deliver_request(void *arg)
 {
 	struct call *call = arg;
-	bool node = call->to.kind == ENDPOINT_NODE || call->to.kind == ENDPOINT_PEER;
 
-	if (!net.over && sim_message_is_held(call->from, call->to)) {
+	if (!ending && sim_message_is_held(call->from, call->to)) {
 		/* Held back, and delivered when the link is there again. */
 		sim_timer_arm(&call->timer, 0.2);
-	} else if (net.over || sim_message_is_lost(call->from, call->to, false)) {
+	} else if (ending || sim_message_is_lost(call->from, call->to, false)) {
 		release(call);
 	} else if (!is_up(call->to)) {
 		complete(call, -ECONNREFUSED);
 	} else {
-		sim_spawn(node ? net.process[call->to.index] : 0, serve, call);
+		sim_spawn(is_node(call->to) ? sim_node_process(call->to.index) : 0, serve, call);
 	}
 }
 
-int sim_call(struct sim_endpoint from, struct sim_endpoint to, const char *method, const char *path,
-             const char *body, double timeout_s, struct fl_http_reply *out)
+/* ---- calls ---- */
+
+static struct call *send_request(struct sim_endpoint from, struct sim_endpoint to,
+                                 const char *method, const char *path, const char *body)
 {
-	struct call *call;
-	int rc;
+	struct call *call = calloc(1, sizeof(*call));
 
-	memset(out, 0, sizeof(*out));
-	if (fl_coroutine_cancelled())
-		return -ECANCELED;
-	call = calloc(1, sizeof(*call));
 	sim_require(call != NULL);
 	call->from = from;
 	call->to = to;
@@ -198,9 +176,22 @@
 	call->path = strdup(path);
 	call->body = strdup(body ? body : "");
 	call->reference_count = 2;
-	call->timer.function = arrive;
+	call->timer.function = deliver_request;
 	call->timer.argument = call;
-	sim_timer_arm(&call->timer, sim_latency(from, to));
+	sim_timer_arm(&call->timer, sim_message_latency());
+	return call;
+}
+
+int sim_call(struct sim_endpoint from, struct sim_endpoint to, const char *method, const char *path,
+             const char *body, double timeout_s, struct fl_http_reply *out)
+{
+	struct call *call;
+	int rc;
+
+	memset(out, 0, sizeof(*out));
+	if (fl_coroutine_cancelled())
+		return -ECANCELED;
+	call = send_request(from, to, method, path, body);
 	rc = fl_condition_wait(&call->answered, timeout_s);
 	if (rc == 0)
 		rc = call->result;
@@ -214,107 +205,36 @@
 	return rc;
 }
 
-int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *out)
-{
-	struct sim_endpoint from = {ENDPOINT_PEER, -1};
-
-	for (int i = 0; i < sim.node_count; i++)
-		if (net.process[i] == sim_process())
-			from.index = i;
-	if (from.index < 0) /* a process that has just been ended */
-		return -ECANCELED;
-	return sim_call(from, endpoint_of(&client->addr), method, path, body, timeout_s, out);
-}
-
-/* ---- controllers ---- */
-
-struct fl_http_server *fl_http_serve(const char *addr, int max_conns, double idle_s,
-                                     fl_http_handler handler, void *context)
-{
-	struct sockaddr_in address;
-
-	(void)max_conns, (void)idle_s;
-	sim_require(fl_address_parse(addr, &address) == 0);
-	net.faces[net.starting_node][endpoint_of(&address).kind == ENDPOINT_PEER] =
-		(struct served){handler, context};
-	return (struct fl_http_server *)&net;
-}
-
-bool sim_node_alive(int node) { return net.process[node] != 0; }
-
-int sim_node_process(int node) { return net.process[node]; }
-
-static void start_node(void *arg)
+static void drop_timer(struct sim_timer *timer)
 {
-	net.starting_node = *(const int *)arg;
-	sim_require(fl_node_start(&sim.config[net.starting_node]) == 0);
+	if (timer->function == deliver_request || timer->function == deliver_reply)
+		timer->function(timer->argument);
 }
 
-static int places[SIM_NODES] = {0, 1, 2, 3, 4};
-
-void sim_node_start(int node)
+void sim_net_end(void)
 {
-	if (net.process[node])
-		return;
-	net.process[node] = ++net.process_count;
-	sim_spawn(net.process[node], start_node, &places[node]);
+	ending = true;
+	sim_time_end(drop_timer);
+	ending = false;
 }
 
-static void free_follower(struct fl_follower *follower)
-{
-	struct fl_cached_heartbeat *cached, *tmp;
-	struct fl_misplaced_worker *worker, *next;
-
-	HASH_ITER (hh, follower->cached_heartbeats, cached, tmp) {
-		HASH_DEL(follower->cached_heartbeats, cached);
-		free(cached->text);
-		free(cached);
-	}
-	HASH_ITER (hh, follower->misplaced_workers, worker, next) {
-		HASH_DEL(follower->misplaced_workers, worker);
-		free(worker);
-	}
-}
+/* ---- the HTTP client of the controllers ---- */
 
-static void free_node(int node)
+int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
 {
-	struct fl_node *node_state = net.faces[node][0].context;
-
-	if (!node_state)
-		return;
-	fl_record_writer_reset(node_state);
-	free_follower(&node_state->follower);
-	fl_cluster_free(&node_state->cluster);
-	free(node_state);
-	memset(net.faces[node], 0, sizeof(net.faces[node]));
+	memset(client, 0, sizeof(*client));
+	client->max_idle = max_idle;
+	return fl_address_parse(addr, &client->addr);
 }
 
-void sim_node_kill(int node)
-{
-	int process = net.process[node];
-
-	if (!process)
-		return;
-	net.process[node] = 0;
-	sim_process_cancel(process);
-	fl_sleep(0);
-	sim_require(fl_coroutine_cancelled() || sim_process_coroutine_count(process) == 0);
-	if (!fl_coroutine_cancelled())
-		free_node(node);
-}
+void fl_http_client_close(struct fl_http_client *client) { (void)client; }
 
-static void drop_timer(struct sim_timer *timer)
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	if (timer->function == arrive || timer->function == deliver)
-		timer->function(timer->argument);
-}
+	struct sim_endpoint from = {ENDPOINT_PEER, sim_node_of_process(sim_process())};
 
-void sim_net_end(void)
-{
-	net.over = true;
-	sim_time_end(drop_timer);
-	for (int i = 0; i < SIM_NODES; i++)
-		free_node(i);
-	memset(&net, 0, sizeof(net));
+	if (from.index < 0) /* a process that has just been killed */
+		return -ECANCELED;
+	return sim_call(from, sim_endpoint_of(&client->addr), method, path, body, timeout_s, out);
 }
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -1,4 +1,4 @@
-/* The tasks on a machine: commands, image fetches, runs, saves and ends. */
+/* The tasks on a machine: commands, image fetches, runs, checkpoints and ends. */
 #include "sim.h"
 
 #include <stdio.h>
@@ -10,8 +10,6 @@
 #include "transport/clock.h"
 #include "worker_command.h"
 
-static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machines); }
-
 static void leave_machine(struct sim_task *task)
 {
 	if (task->counted_running)
@@ -24,12 +22,12 @@
 	leave_machine(task);
 	task->status.state = FL_TASK_STATE_EXITED;
 	task->status.exit = why;
-	sim_machine_request_heartbeat(machine);
+	sim_heartbeat_request(machine);
 }
 
 static double progress_now(const struct sim_task *task)
 {
-	return task->job->progress[task->status.index] + fl_now() - task->started_at;
+	return task->job->progress_s[task->status.index] + fl_now() - task->started_at;
 }
 
 static void keep_progress(struct sim_task *task, bool saved)
@@ -37,9 +35,9 @@
 	double every = task->job->spec.checkpoint_every_s, done = progress_now(task);
 
 	if (saved)
-		task->job->progress[task->status.index] = done;
+		task->job->progress_s[task->status.index] = done;
 	else if (every > 0)
-		task->job->progress[task->status.index] = (double)(int)(done / every) * every;
+		task->job->progress_s[task->status.index] = (double)(int)(done / every) * every;
 }
 
 static void start_running(struct sim_machine *machine, struct sim_task *task)
@@ -50,19 +48,19 @@
 	task->status.state = FL_TASK_STATE_RUNNING;
 	task->started_at = fl_now();
 	task->counted_running = true;
-	sim_check_task_started(job, i, index_of(machine));
+	sim_check_task_started(job, i, sim_machine_index(machine));
 	task->phase_ends_at = job->spec.kind == FL_SERVICE
 	                              ? -1
-	                              : fl_now() + job->duration_s[i] - job->progress[i];
+	                              : fl_now() + job->duration_s[i] - job->progress_s[i];
 	if (job->completed[i])
 		end_task(machine, task, FL_EXIT_DONE);
 	else
-		sim_machine_request_heartbeat(machine);
+		sim_heartbeat_request(machine);
 }
 
 static bool has_image(const struct sim_machine *machine, const char *image)
 {
-	for (int i = 0; i < 4 && i < machine->image_count; i++)
+	for (int i = 0; i < SIM_MACHINE_IMAGES && i < machine->image_count; i++)
 		if (strcmp(machine->images[i], image) == 0)
 			return true;
 	return false;
@@ -71,8 +69,8 @@
 static void image_fetched(struct sim_machine *machine, struct sim_task *task)
 {
 	if (!has_image(machine, task->job->spec.image))
-		copy_text(machine->images[machine->image_count++ % 4], sizeof(machine->images[0]),
-		          task->job->spec.image);
+		copy_text(machine->images[machine->image_count++ % SIM_MACHINE_IMAGES],
+		          sizeof(machine->images[0]), task->job->spec.image);
 	start_running(machine, task);
 }
 
@@ -183,7 +181,7 @@
 	}
 }
 
-/* ---- orders ---- */
+/* ---- commands ---- */
 
 static struct sim_task *find_attempt(struct sim_machine *machine,
                                      const struct fl_task_status *status)
@@ -207,9 +205,9 @@
 	return false;
 }
 
-static bool has_capacity(const struct sim_machine *machine, const struct sim_job *job)
+bool sim_machine_has_capacity(const struct sim_machine *machine, const struct sim_job *job)
 {
-	const struct sim_machine_type *k = &sim_machine_types[machine->type];
+	const struct sim_machine_type *type = &sim_machine_types[machine->type];
 	double cpus = job->spec.cpus, gpus = job->spec.gpus, ram = job->spec.ram_gb;
 
 	for (int i = 0; i < machine->task_slots_used; i++) {
@@ -221,7 +219,7 @@
 		gpus += task->job->spec.gpus;
 		ram += task->job->spec.ram_gb;
 	}
-	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
+	return cpus <= type->cpus && gpus <= type->gpus && ram <= type->ram_gb;
 }
 
 static struct sim_task *new_task(struct sim_machine *machine, const struct fl_task_status *status)
@@ -249,7 +247,7 @@
 		refusal = FL_EXIT_UNKNOWN_TASK;
 	else if (runs_task(machine, status))
 		refusal = FL_EXIT_BUSY;
-	else if (!has_capacity(machine, job))
+	else if (!sim_machine_has_capacity(machine, job))
 		refusal = FL_EXIT_NO_ROOM;
 	task = new_task(machine, status);
 	task->job = job;
@@ -261,7 +259,7 @@
 	task->phase_ends_at = fl_now() + (has_image(machine, job->spec.image)
 	                                          ? 0
 	                                          : job->spec.image_gb * sim_between(0.8, 1.3));
-	sim_machine_request_heartbeat(machine);
+	sim_heartbeat_request(machine);
 	advance_task(machine, task);
 }
 
@@ -279,7 +277,7 @@
 		keep_progress(task, true);
 		task->status.state = FL_TASK_STATE_CHECKPOINTING;
 		task->phase_ends_at = fl_now() + spec->checkpoint_cost_s;
-		sim_machine_request_heartbeat(machine);
+		sim_heartbeat_request(machine);
 		return;
 	}
 	if (task->status.state == FL_TASK_STATE_RUNNING)
