--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -3,14 +3,15 @@
 
 #include "sim.h"
 
-void play_cancel_running(double at, int count, double hang_s)
+void play_cancel_running(double start_s, int count, double hang_s)
 {
-	SIM_INJECT(FAULT_CANCEL_RUNNING, .start_s = at, .count = count, .hang_s = hang_s);
+	SIM_INJECT(FAULT_CANCEL_RUNNING, .start_s = start_s, .count = count, .hang_s = hang_s);
 }
 
-void play_leader_down(double at, double for_s)
+void play_leader_down(double start_s, double duration_s)
 {
-	SIM_INJECT(FAULT_NODE_DOWN, .start_s = at, .duration_s = for_s, .target = TARGET_LEADER);
+	SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s, .duration_s = duration_s,
+	           .target = TARGET_LEADER);
 }
 
 void play_leader_down_between(double start_s, double window_s, double duration_s)
--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -6,18 +6,18 @@
 #include "sim.h"
 
 /* What keeps the leader's stop commands from the machines at that moment. */
-static void commands_fail(double at, double for_s)
+static void commands_fail(double start_s, double duration_s)
 {
 	switch (sim_pick(3)) {
 	case 0:
-		SIM_INJECT(FAULT_PARTITION_FROM_WORKERS, .start_s = at, .duration_s = for_s,
-		           .target = TARGET_LEADER);
+		SIM_INJECT(FAULT_PARTITION_FROM_WORKERS, .start_s = start_s,
+		           .duration_s = duration_s, .target = TARGET_LEADER);
 		break;
 	case 1:
-		play_leader_down(at + 0.01, for_s);
+		play_leader_down(start_s + 0.01, duration_s);
 		break;
 	default:
-		SIM_INJECT(FAULT_INBOUND_PARTITION, .start_s = at, .duration_s = 5,
+		SIM_INJECT(FAULT_INBOUND_PARTITION, .start_s = start_s, .duration_s = 5,
 		           .magnitude = 0.7);
 		break;
 	}
--- a/tests/fault_combinations_load.c
+++ b/tests/fault_combinations_load.c
@@ -11,7 +11,7 @@
 	double start_s = sim_between(45, 55);
 
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 20, .duration_s = 1, .count = 24);
-	/* Copies from before the cancelled tasks began, which must free no room. */
+	/* Copies from before the cancelled tasks began, which must free no capacity. */
 	SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = 15, .duration_s = 80, .magnitude = 0.9);
 	play_leader_down(start_s, sim_between(5, 30));
 	SIM_INJECT(variant % 2 ? FAULT_INBOUND_PARTITION : FAULT_OUTBOUND_PARTITION,
@@ -52,7 +52,7 @@
  */
 static void cancel_at_completion(int variant)
 {
-	/* By itself, and where what was written may be late, or heard of late. */
+	/* By itself, and where writes or their replies are late. */
 	if (variant % 3 == 1)
 		SIM_INJECT(FAULT_DELAYED_WRITES, .start_s = 20, .duration_s = 90, .magnitude = 0.4);
 	if (variant % 3 == 2)
@@ -91,7 +91,8 @@
 /* One-task jobs, four a second, of which a quarter is cancelled. */
 static void small_jobs(int variant)
 {
-	/* Submitted, placed by the log or a record, and three at its end; the rest is shared. */
+	/* Submitted, placed by the write-ahead log or a record, and three at its end; the rest is
+	 * shared. */
 	sim.max_kv_changes_per_job = 6;
 	for (int i = 0; i < 200; i++) {
 		struct sim_job *job = sim_job_add(8 + 0.25 * i);
--- a/tests/fault_combinations_workers.c
+++ b/tests/fault_combinations_workers.c
@@ -9,7 +9,7 @@
 /* A stale heartbeat arrives after newer ones, also from an earlier incarnation or attempt. */
 static void stale_heartbeats(int variant)
 {
-	/* Tasks that are long in saving: a report from before their launch may come meanwhile. */
+	/* Tasks that checkpoint for long: a heartbeat from before their start may come meanwhile. */
 	for (int i = 0; i < sim.job_count; i++) {
 		struct fl_job_spec *spec = &sim.jobs[i].spec;
 
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -1,4 +1,4 @@
-/* The simulation of a leader and its workers, and the invariants that it checks. */
+/* The leader of the simulation for reconciliation, its records and its messages. */
 #include "reconciliation_sim.h"
 
 #include <setjmp.h>
@@ -7,230 +7,110 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "copy_text.h"
 #include "transport/clock.h"
-#include "worker_command.h"
 
-int random_below(struct simulation *sim, int n)
-{
-	return (int)gsl_rng_uniform_int(sim->rng, (unsigned long)n);
-}
+static const double never = 1e18;
 
-void format_ref(int job, char ref[FL_REF_MAX]) { snprintf(ref, FL_REF_MAX, "run-%06d", job); }
-
-void format_host(int worker, char host[FL_NAME_MAX])
+int random_below(struct simulation *sim, int count)
 {
-	snprintf(host, FL_NAME_MAX, "m-%06d", worker);
+	return (int)gsl_rng_uniform_int(sim->random, (unsigned long)count);
 }
 
-char *report_text(struct simulation *sim, int at)
+static struct fl_job *find_job(struct simulation *sim, int job)
 {
-	struct worker *worker = &sim->worker[at];
-	struct fl_task_status tasks[ENTRIES];
-	struct fl_heartbeat heartbeat = {.incarnation = worker->incarnation,
-	                                 .sequence = ++worker->sequence,
-	                                 .fencing_token = worker->fencing_token,
-	                                 .interruption_in_s = -1,
-	                                 .tasks = tasks};
-
-	format_host(at, heartbeat.host);
-	strcpy(heartbeat.endpoint, "127.0.0.1:1");
-	strcpy(heartbeat.type, "g");
-	copy_text(heartbeat.zone, sizeof(heartbeat.zone), at % 2 ? "a" : "b");
-	for (int i = 0; i < ENTRIES; i++)
-		if (worker->at[i].used)
-			tasks[heartbeat.task_count++] = worker->at[i].status;
-	return fl_heartbeat_encode(&heartbeat);
-}
+	char ref[FL_REF_MAX];
 
-static int live_on(const struct worker *worker, const char *ref, uint32_t index)
-{
-	int n = 0;
-
-	for (int i = 0; i < ENTRIES; i++)
-		n += worker->at[i].used && worker->at[i].status.state != FL_TASK_STATE_EXITED &&
-		     worker->at[i].status.index == index &&
-		     strcmp(worker->at[i].status.ref, ref) == 0;
-	return n;
+	format_ref(job, ref);
+	return fl_job_find(&sim->node.cluster, ref);
 }
 
-void check_invariants(struct simulation *sim)
+struct fl_job *add_job(struct simulation *sim, int job)
 {
-	for (int j = 0; j < JOBS; j++) {
-		char ref[FL_REF_MAX];
-
-		format_ref(j, ref);
-		for (uint32_t p = 0; p < TASKS; p++) {
-			int on = 0;
+	struct fl_job_spec spec = {.task_count = TASKS,
+	                           .cpus = 1,
+	                           .ram_gb = 1,
+	                           .priority = FL_STANDARD,
+	                           .machine_type_count = -1,
+	                           .spot_allowed = true,
+	                           .due_s = -1};
 
-			for (int k = 0; k < WORKERS; k++)
-				on += live_on(&sim->worker[k], ref, p);
-			assert_in_range(on, 0, 1); /* ran_twice */
-		}
-	}
-	for (int t = 0; t < 1; t++) {
-		int live = 0;
-
-		for (int k = 0; k < WORKERS; k++)
-			for (int i = 0; i < ENTRIES; i++)
-				live += sim->worker[k].at[i].used &&
-				        sim->worker[k].at[i].status.state != FL_TASK_STATE_EXITED;
-		assert_in_range(live, 0, 6); /* quota: 6 cpus at most, one each */
-	}
+	format_ref(job, spec.ref);
+	copy_text(spec.team, sizeof(spec.team), "team");
+	copy_text(spec.job_class, sizeof(spec.job_class), "c");
+	copy_text(spec.image, sizeof(spec.image), "i");
+	return fl_job_add(&sim->node.cluster, &spec, 0, 1);
 }
 
-static struct entry *find_attempt(struct worker *worker, const struct fl_task_status *status)
-{
-	for (int i = 0; i < ENTRIES; i++)
-		if (worker->at[i].used &&
-		    worker_command_names_attempt(status, &worker->at[i].status))
-			return &worker->at[i];
-	return NULL;
-}
+/* ---- failover ---- */
 
-static void end_task(struct entry *entry, enum fl_exit exit)
+static void start_leadership(struct simulation *sim)
 {
-	entry->status.state = FL_TASK_STATE_EXITED;
-	entry->status.exit = exit;
-}
+	struct fl_node *node = &sim->node;
 
-static struct entry *unused_entry(struct worker *worker)
-{
-	for (int i = 0; i < ENTRIES; i++)
-		if (!worker->at[i].used)
-			return &worker->at[i];
-	fail_msg("a worker's table is full: no entry is ever removed");
-	return NULL;
+	memset(&node->leadership, 0, sizeof(node->leadership));
+	node->cluster.leading = node->leadership.active = true;
+	node->leader_lease.held = true;
+	node->leader_lease.valid_until = never;
+	node->leader_lease.fencing_token = node->leadership.first_fencing_token =
+		++sim->fencing_token;
 }
 
-static void start_task(struct simulation *sim, struct worker *worker,
-                       const struct fl_task_status *status)
+/* NULL if nothing was written yet. */
+static cJSON *parse_stored(const char *text)
 {
-	int job = atoi(status->ref + 4);
-	struct entry *entry;
-
-	if (find_attempt(worker, status))
-		return;
-	entry = unused_entry(worker);
-	entry->used = true;
-	entry->status = *status;
-	entry->status.state = FL_TASK_STATE_RUNNING;
-	if (live_on(worker, status->ref, status->index) > 1)
-		end_task(entry, FL_EXIT_BUSY);
-	else if (sim->actually_done[job][status->index])
-		end_task(entry, FL_EXIT_DONE);
-	sim->launches++;
-	check_invariants(sim);
+	return text ? fl_json_parse(text, strlen(text)) : NULL;
 }
 
-static void execute_command(struct simulation *sim, struct worker *worker,
-                            const struct worker_command *command)
+static void read_wal(struct simulation *sim, struct fl_wal *wal)
 {
-	struct entry *entry = find_attempt(worker, &command->task);
-	bool exited = entry && entry->status.state == FL_TASK_STATE_EXITED;
-
-	switch (command->kind) {
-	case FL_COMMAND_START:
-		start_task(sim, worker, &command->task);
-		break;
-	case FL_COMMAND_STOP:
-		if (entry && !exited)
-			end_task(entry, FL_EXIT_STOPPED);
-		break;
-	case FL_COMMAND_FORGET:
-		if (exited)
-			entry->used = false;
-		break;
-	}
-}
+	for (int i = 0; i < WAL_VALUES; i++) {
+		cJSON *value = parse_stored(sim->wal_values[i]);
 
-void execute_orders(struct simulation *sim, int at, const char *text, bool direct)
-{
-	struct worker *worker = &sim->worker[at];
-	cJSON *object = fl_json_parse(text, strlen(text));
-	uint64_t fencing_token, incarnation;
-	const cJSON *item;
-
-	assert_int_equal(fl_json_get_count(object, "Epoch", &fencing_token), FL_JSON_OK);
-	if (fencing_token < worker->fencing_token)
-		goto out;
-	if (direct && (fl_json_get_count(object, "Tenure", &incarnation) != FL_JSON_OK ||
-	               incarnation != worker->incarnation))
-		goto out;
-	worker->fencing_token = fencing_token;
-	cJSON_ArrayForEach (item, fl_json_get(object, "Orders")) {
-		struct worker_command command = worker_command_decode(item);
-
-		execute_command(sim, worker, &command);
+		if (value)
+			assert_int_equal(fl_wal_read(wal, value), 0);
+		cJSON_Delete(value);
 	}
-out:
-	cJSON_Delete(object);
 }
 
-void drop_answer(struct worker *worker)
+static void restore_job(struct simulation *sim, int index, struct fl_wal *wal)
 {
-	free(worker->answer);
-	worker->answer = NULL;
+	struct fl_job *job = add_job(sim, index);
+	cJSON *record = parse_stored(sim->records[index]);
+
+	if (record || wal->group_count > 0)
+		assert_int_equal(
+			fl_task_block_restore(&sim->node.cluster, job, 0, record, 1, wal, fl_now()),
+			0);
+	cJSON_Delete(record);
 }
 
-struct fl_job *add_job(struct simulation *sim, int job)
+void fail_over(struct simulation *sim)
 {
-	struct fl_job_spec spec = {.task_count = TASKS,
-	                           .cpus = 1,
-	                           .ram_gb = 1,
-	                           .priority = FL_STANDARD,
-	                           .machine_type_count = -1,
-	                           .spot_allowed = true,
-	                           .due_s = -1};
+	struct fl_wal wal = {0};
 
-	format_ref(job, spec.ref);
-	strcpy(spec.team, "team");
-	strcpy(spec.job_class, "c");
-	strcpy(spec.image, "i");
-	return fl_job_add(&sim->node.cluster, &spec, 0, 1);
+	fl_cluster_forget_tasks(&sim->node.cluster);
+	start_leadership(sim);
+	read_wal(sim, &wal);
+	for (int job = 0; job < JOBS; job++)
+		restore_job(sim, job, &wal);
+	fl_wal_free(&wal);
+	sim->failovers++;
 }
 
-void take_over(struct simulation *sim)
-{
-	struct fl_node *node = &sim->node;
-	struct fl_wal wal = {0};
+/* ---- placement ---- */
 
-	fl_cluster_forget_tasks(&node->cluster);
-	memset(&node->leadership, 0, sizeof(node->leadership));
-	node->cluster.leading = node->leadership.active = true;
-	node->leader_lease.held = true;
-	node->leader_lease.valid_until = 1e18;
-	node->leader_lease.fencing_token = node->leadership.first_fencing_token =
-		++sim->fencing_token;
-	for (int i = 0; i < 2; i++) {
-		cJSON *record =
-			sim->log[i] ? fl_json_parse(sim->log[i], strlen(sim->log[i])) : NULL;
+static struct fl_machine *random_machine_after(struct simulation *sim, int index)
+{
+	const struct fl_machines *machines = &sim->node.cluster.machines;
 
-		if (record)
-			assert_int_equal(fl_wal_read(&wal, record), 0);
-		cJSON_Delete(record);
-	}
-	for (int j = 0; j < JOBS; j++) {
-		struct fl_job *job = add_job(sim, j);
-		cJSON *record = sim->record[j]
-		                        ? fl_json_parse(sim->record[j], strlen(sim->record[j]))
-		                        : NULL;
-
-		if (record || wal.group_count > 0)
-			assert_int_equal(fl_task_block_restore(&node->cluster, job, 0, record, 1,
-			                                       &wal, fl_now()),
-			                 0);
-		cJSON_Delete(record);
-	}
-	fl_wal_free(&wal);
-	sim->takeovers++;
+	return machines->by_id[(index + random_below(sim, WORKERS)) % machines->count];
 }
 
-void place_some(struct simulation *sim)
+void place_some_tasks(struct simulation *sim)
 {
 	struct fl_cluster *cluster = &sim->node.cluster;
 	struct fl_job *job = HASH_COUNT(cluster->jobs) ? cluster->jobs : NULL;
@@ -239,10 +119,8 @@
 	for (int skip = random_below(sim, JOBS); job && skip > 0; skip--)
 		job = job->hh.next;
 	for (int i = 0; job && i < cluster->machines.count; i++) {
-		struct fl_machine *machine =
-			cluster->machines
-				.by_id[(i + random_below(sim, WORKERS)) % cluster->machines.count];
-		uint32_t index = fl_task_next_waiting(job, 0, 1e18);
+		struct fl_machine *machine = random_machine_after(sim, i);
+		uint32_t index = fl_task_next_waiting(job, 0, never);
 
 		if (index >= job->task_count || !machine->lifecycle.up || machine->used.cpus >= 4 ||
 		    !fl_team_within_maximum(team, team->used_cpus + 1, 0))
@@ -253,122 +131,145 @@
 	}
 }
 
-/* All that no record holds, in one or two values. */
-static void save_log(struct simulation *sim)
+/* ---- records ---- */
+
+/* Adds to the value what no record of the job holds; false if there is nothing. */
+static bool add_wal_group(struct simulation *sim, struct fl_job *job, cJSON *value)
+{
+	struct fl_task_block *block;
+	char *group = fl_wal_group_encode(&sim->node.cluster, job, 0);
+
+	if (!group)
+		return false;
+	fl_wal_value_add(value, group);
+	free(group);
+	block = fl_job_task_block(job, 0);
+	block->logged_generation = block->generation;
+	return true;
+}
+
+/* In one or more values. */
+static void save_wal(struct simulation *sim)
 {
-	cJSON *value[2] = {fl_wal_value_begin(), fl_wal_value_begin()};
-	int values = 1 + random_below(sim, 2), n = 0;
+	cJSON *values[WAL_VALUES] = {NULL};
+	int value_count = 1 + random_below(sim, WAL_VALUES), group_count = 0;
 
-	for (int j = 0; j < JOBS; j++) {
-		char ref[FL_REF_MAX], *group;
-		struct fl_job *job;
+	for (int i = 0; i < value_count; i++)
+		values[i] = fl_wal_value_begin();
+	for (int i = 0; i < JOBS; i++) {
+		struct fl_job *job = find_job(sim, i);
 
-		format_ref(j, ref);
-		job = fl_job_find(&sim->node.cluster, ref);
-		group = job ? fl_wal_group_encode(&sim->node.cluster, job, 0) : NULL;
-		if (!group)
-			continue;
-		fl_wal_value_add(value[n++ % values], group);
-		free(group);
-		fl_job_task_block(job, 0)->logged_generation =
-			fl_job_task_block(job, 0)->generation;
+		if (job)
+			group_count += add_wal_group(sim, job, values[group_count % value_count]);
 	}
-	for (int i = 0; i < 2; i++) {
-		if (i >= values) {
-			cJSON_Delete(value[i]);
-			continue;
-		}
-		free(sim->log[i]);
-		sim->log[i] = fl_json_print_and_delete(value[i]);
+	for (int i = 0; i < value_count; i++) {
+		free(sim->wal_values[i]);
+		sim->wal_values[i] = fl_json_print_and_delete(values[i]);
 	}
-	sim->logs++;
+	sim->wal_writes++;
 }
 
-void save_some(struct simulation *sim)
+static void save_record(struct simulation *sim, int index)
 {
-	if (random_below(sim, 2)) {
-		save_log(sim);
+	struct fl_job *job = find_job(sim, index);
+	struct fl_task_block *block = job ? fl_job_task_block(job, 0) : NULL;
+
+	if (!block)
 		return;
-	}
-	for (int j = 0; j < JOBS; j++) {
-		char ref[FL_REF_MAX];
-		struct fl_job *job;
+	free(sim->records[index]);
+	sim->records[index] =
+		fl_json_print_and_delete(fl_task_block_encode(&sim->node.cluster, job, 0));
+	block->saved_generation = block->generation;
+}
 
-		/* Records follow one by one, in any order. */
-		if (random_below(sim, 2))
-			continue;
-		format_ref(j, ref);
-		job = fl_job_find(&sim->node.cluster, ref);
-		if (!job || !fl_job_task_block(job, 0))
-			continue;
-		free(sim->record[j]);
-		sim->record[j] =
-			fl_json_print_and_delete(fl_task_block_encode(&sim->node.cluster, job, 0));
-		fl_job_task_block(job, 0)->saved_generation = fl_job_task_block(job, 0)->generation;
+void save_some_records(struct simulation *sim)
+{
+	if (random_below(sim, 2)) {
+		save_wal(sim);
+		return;
 	}
+	/* Records follow one by one, in any order. */
+	for (int job = 0; job < JOBS; job++)
+		if (!random_below(sim, 2))
+			save_record(sim, job);
 }
 
-static void check_done(struct simulation *sim)
+/* ---- messages ---- */
+
+static void check_completions(struct simulation *sim)
 {
-	for (int j = 0; j < JOBS; j++) {
-		char ref[FL_REF_MAX];
-		struct fl_job *job;
+	for (int i = 0; i < JOBS; i++) {
+		struct fl_job *job = find_job(sim, i);
 
-		format_ref(j, ref);
-		job = fl_job_find(&sim->node.cluster, ref);
-		for (uint32_t p = 0; job && p < TASKS; p++) {
-			const struct fl_task *task = fl_task_peek(job, p);
+		for (uint32_t index = 0; job && index < TASKS; index++) {
+			const struct fl_task *task = fl_task_peek(job, index);
 
 			if (task && task->phase == FL_TASK_DONE)
-				assert_true(sim->actually_done[j][p]);
+				assert_true(sim->actually_done[i][index]);
 		}
 	}
 }
 
-void deliver_report(struct simulation *sim, int at, const char *text,
-                    enum fl_heartbeat_source source)
+void deliver_heartbeat(struct simulation *sim, int index, const char *text,
+                       enum fl_heartbeat_source source)
 {
+	bool from_worker = source == FL_HEARTBEAT_FROM_WORKER;
 	struct fl_command_list commands;
 	struct fl_heartbeat heartbeat;
 
 	assert_int_equal(fl_heartbeat_decode(text, strlen(text), &heartbeat), 0);
 	fl_command_list_init(&commands, sim->node.leader_lease.fencing_token);
-	if (fl_reconcile_heartbeat(&sim->node, &heartbeat,
-	                           source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
+	if (fl_reconcile_heartbeat(&sim->node, &heartbeat, from_worker ? &commands : NULL,
 	                           source) == 0 &&
-	    source == FL_HEARTBEAT_FROM_WORKER) {
-		drop_answer(&sim->worker[at]);
-		sim->worker[at].answer = fl_command_list_take(&commands);
+	    from_worker) {
+		drop_reply(&sim->workers[index]);
+		sim->workers[index].reply_in_flight = fl_command_list_take(&commands);
 	} else {
 		cJSON_Delete(commands.root);
 	}
 	fl_heartbeat_free(&heartbeat);
-	check_done(sim);
+	check_completions(sim);
 }
 
-void queue_message(struct simulation *sim, int at, char *text, bool command)
+static void drop_oldest_message(struct simulation *sim)
+{
+	free(sim->messages[0].text);
+	sim->message_count--;
+	memmove(sim->messages, sim->messages + 1,
+	        sizeof(sim->messages[0]) * (size_t)sim->message_count);
+}
+
+void queue_message(struct simulation *sim, int worker, char *text, bool is_command)
 {
 	struct message *message;
 
-	if (sim->n_messages == MESSAGES) {
-		free(sim->messages[0].text);
-		memmove(sim->messages, sim->messages + 1,
-		        sizeof(sim->messages[0]) * (MESSAGES - 1));
-		sim->n_messages--;
-	}
-	message = &sim->messages[sim->n_messages++];
-	message->worker = at;
+	if (sim->message_count == MESSAGES)
+		drop_oldest_message(sim);
+	message = &sim->messages[sim->message_count++];
+	message->worker = worker;
 	message->text = text;
-	message->command = command;
+	message->is_command = is_command;
+}
+
+static void deliver_command_now(struct simulation *sim, int worker, const char *text)
+{
+	char *reply;
+
+	execute_commands(sim, worker, text, true);
+	if (!random_below(sim, 2))
+		return;
+	reply = encode_heartbeat(sim, worker);
+	deliver_heartbeat(sim, worker, reply, FL_HEARTBEAT_FROM_COMMAND);
+	free(reply);
 }
 
-void command_directly(struct simulation *sim, int at)
+void send_direct_command(struct simulation *sim, int worker)
 {
 	struct fl_command_list commands;
 	char host[FL_NAME_MAX], *text;
 	struct fl_machine *machine;
 
-	format_host(at, host);
+	format_host(worker, host);
 	machine = fl_machine_find(&sim->node.cluster.machines, host);
 	if (!machine || !machine->lifecycle.up)
 		return;
@@ -379,35 +280,30 @@
 		return;
 	}
 	text = fl_command_list_take(&commands);
-	if (random_below(sim, 2)) {
-		execute_orders(sim, at, text, true);
-		if (random_below(sim, 2)) {
-			char *reply = report_text(sim, at);
-
-			deliver_report(sim, at, reply, FL_HEARTBEAT_FROM_COMMAND);
-			free(reply);
-		}
-	}
-	/* Late, or once more after it was carried out. */
-	queue_message(sim, at, text, true);
+	if (random_below(sim, 2))
+		deliver_command_now(sim, worker, text);
+	/* Late, or once more after it was executed. */
+	queue_message(sim, worker, text, true);
 }
 
-void deliver_late(struct simulation *sim)
+void deliver_late_message(struct simulation *sim)
 {
-	struct message *message;
+	const struct message *message;
 
-	if (sim->n_messages == 0)
+	if (sim->message_count == 0)
 		return;
-	message = &sim->messages[random_below(sim, sim->n_messages)];
-	if (message->command)
-		execute_orders(sim, message->worker, message->text, true);
+	message = &sim->messages[random_below(sim, sim->message_count)];
+	if (message->is_command)
+		execute_commands(sim, message->worker, message->text, true);
 	else
-		deliver_report(sim, message->worker, message->text, FL_HEARTBEAT_FROM_DIGEST);
+		deliver_heartbeat(sim, message->worker, message->text, FL_HEARTBEAT_FROM_DIGEST);
 }
 
-void set_up(struct simulation *sim, unsigned long seed)
+/* ---- cases ---- */
+
+static void configure_cluster(struct fl_cluster *cluster)
 {
-	struct fl_cloud_machine_type kind = {.name = "g",
+	struct fl_cloud_machine_type type = {.name = "g",
 	                                     .cpus = 4,
 	                                     .ram_gb = 64,
 	                                     .pull_gb_s = 1,
@@ -415,34 +311,41 @@
 	                                     .ready_s = 10,
 	                                     .zones = {"a", "b"},
 	                                     .zone_count = 2};
-	struct fl_cluster *cluster = &sim->node.cluster;
+	struct fl_team *team = &cluster->teams.by_index[0];
 
-	memset(sim, 0, sizeof(*sim));
-	sim->rng = gsl_rng_alloc(gsl_rng_mt19937);
-	gsl_rng_set(sim->rng, seed);
-	sim->node.config = &sim->config;
-	sim->calm = seed % 3 == 0 ? 1 : seed % 3 == 1 ? 8 : 40;
 	fl_symbol_intern(&cluster->zones, "a");
 	fl_symbol_intern(&cluster->zones, "b");
-	fl_machine_types_set(&cluster->machines, &cluster->zones, &kind, 1);
-	strcpy(cluster->teams.by_index[0].name, "team");
-	cluster->teams.by_index[0].max_cpus = 6;
+	fl_machine_types_set(&cluster->machines, &cluster->zones, &type, 1);
+	copy_text(team->name, sizeof(team->name), "team");
+	team->max_cpus = 6;
 	cluster->teams.count = 1;
+}
+
+void set_up(struct simulation *sim, unsigned long seed)
+{
+	static const int token_change_intervals[] = {1, 8, 40};
+
+	memset(sim, 0, sizeof(*sim));
+	sim->random = gsl_rng_alloc(gsl_rng_mt19937);
+	gsl_rng_set(sim->random, seed);
+	sim->node.config = &sim->config;
+	sim->token_change_interval = token_change_intervals[seed % 3];
+	configure_cluster(&sim->node.cluster);
 	for (int i = 0; i < WORKERS; i++)
-		sim->worker[i].incarnation = 1;
-	take_over(sim);
+		sim->workers[i].incarnation = 1;
+	fail_over(sim);
 }
 
 void tear_down(struct simulation *sim)
 {
-	for (int i = 0; i < sim->n_messages; i++)
+	for (int i = 0; i < sim->message_count; i++)
 		free(sim->messages[i].text);
 	for (int i = 0; i < WORKERS; i++)
-		drop_answer(&sim->worker[i]);
+		drop_reply(&sim->workers[i]);
 	for (int i = 0; i < JOBS; i++)
-		free(sim->record[i]);
-	free(sim->log[0]);
-	free(sim->log[1]);
+		free(sim->records[i]);
+	for (int i = 0; i < WAL_VALUES; i++)
+		free(sim->wal_values[i]);
 	fl_cluster_free(&sim->node.cluster);
-	gsl_rng_free(sim->rng);
+	gsl_rng_free(sim->random);
 }
--- a/tests/reconciliation_sim.h
+++ b/tests/reconciliation_sim.h
@@ -1,8 +1,9 @@
 /*
- * A plain simulation of a leader and its workers for the tests of reconciliation: reports, answers
- * and commands can be lost, late or repeated, and leaders follow each other. It checks after each
- * step that no task runs on two machines, no team is above its limit, and what is called done is
- * done.
+ * A plain simulation of a leader and its workers for the tests of reconciliation, driven step by
+ * step at random: heartbeats, replies and commands can be lost, late or repeated, and leaders
+ * follow each other. The leader's code is the real one; its records and its write-ahead log are
+ * what the next leader reads. After each step no task runs on two machines, no team is above its
+ * quota, and what is called done is done; a violation fails the test.
  */
 #ifndef FL_TESTS_RECONCILIATION_SIM_H
 #define FL_TESTS_RECONCILIATION_SIM_H
@@ -12,84 +13,78 @@
 #include "coordination/node.h"
 #include "coordination/workers/reconciliation.h"
 
-enum { WORKERS = 4, JOBS = 3, TASKS = 5, MESSAGES = 400, ENTRIES = 64 };
+enum { WORKERS = 4, JOBS = 3, TASKS = 5, MESSAGES = 400, WORKER_TASKS = 64, WAL_VALUES = 2 };
 
-struct entry {
+struct worker_task {
 	struct fl_task_status status;
 	bool used;
 };
 
 struct worker {
 	uint64_t incarnation, sequence, fencing_token;
-	struct entry at[ENTRIES];
-	char *answer; /* to the newest report, in flight; dropped with the next report */
+	struct worker_task tasks[WORKER_TASKS];
+	char *reply_in_flight; /* to the newest heartbeat; dropped with the next one */
 };
 
+/* One that may arrive late, any number of times. */
 struct message {
 	int worker;
-	char *text; /* a report, or the body of a direct command */
-	bool command;
+	char *text; /* a heartbeat, or the body of a direct command */
+	bool is_command;
 };
 
 struct simulation {
-	struct fl_node node;
+	struct fl_node node; /* the leader */
 	struct fl_config config;
-	struct worker worker[WORKERS];
+	struct worker workers[WORKERS];
 	struct message messages[MESSAGES];
-	int n_messages;
-	char *record[JOBS]; /* progress records, as the state service holds them */
-	char *log[2]; /* and the log; a write need not fill both values, what was there stays */
+	int message_count;
+	char *records[JOBS]; /* progress records, as the key-value store holds them */
+	/* And the write-ahead log; a write need not fill all values, what was there stays. */
+	char *wal_values[WAL_VALUES];
 	bool actually_done[JOBS][TASKS];
-	gsl_rng *rng;
+	gsl_rng *random;
 	uint64_t fencing_token;
-	int launches, dones, takeovers, logs;
-	int calm; /* the larger, the rarer a new epoch: late commands stay valid for longer */
+	int starts, completions, failovers, wal_writes;
+	/* The larger, the rarer a new fencing token: late commands stay valid for longer. */
+	int token_change_interval;
 };
 
-/* A random number from 0 to n - 1, of the case's stream. */
-int random_below(struct simulation *sim, int n);
+/* The case of this seed; torn down by tear_down(). */
+void set_up(struct simulation *sim, unsigned long seed);
+void tear_down(struct simulation *sim);
 
+/* A random number from 0 to count - 1, of the case's sequence. */
+int random_below(struct simulation *sim, int count);
 void format_ref(int job, char ref[FL_REF_MAX]);
-
 void format_host(int worker, char host[FL_NAME_MAX]);
 
-/* The next report of a worker, encoded. */
-char *report_text(struct simulation *sim, int at);
+/* ---- workers, by their index ---- */
 
-/* No task runs twice, and no team is above its limit. */
+/* The next heartbeat of a worker, encoded; the caller's to free. */
+char *encode_heartbeat(struct simulation *sim, int index);
+/* What a worker does with a reply or, if `direct`, with a direct command. */
+void execute_commands(struct simulation *sim, int index, const char *text, bool direct);
+void drop_reply(struct worker *worker);
+/* No task runs twice, and no team is above its quota. */
 void check_invariants(struct simulation *sim);
 
-/* What a worker does with an answer or, if `direct`, with a command. */
-void execute_orders(struct simulation *sim, int at, const char *text, bool direct);
-
-void drop_answer(struct worker *worker);
+/* ---- the leader ---- */
 
 struct fl_job *add_job(struct simulation *sim, int job);
-
-/* Another leader begins, with what the log and the records hold. */
-void take_over(struct simulation *sim);
-
+/* Another leader begins, with what the write-ahead log and the records hold. */
+void fail_over(struct simulation *sim);
 /* Places tasks of a random job. */
-void place_some(struct simulation *sim);
-
-/* Writes the log, or some of the records. */
-void save_some(struct simulation *sim);
-
-/* The leader takes a report in, and its answer is in flight. */
-void deliver_report(struct simulation *sim, int at, const char *text,
-                    enum fl_heartbeat_source source);
-
-/* For deliver_late(), any number of times. */
-void queue_message(struct simulation *sim, int at, char *text, bool command);
-
-/* The leader sends a command; it may arrive now, and late. */
-void command_directly(struct simulation *sim, int at);
-
-void deliver_late(struct simulation *sim);
-
-/* The case of this seed. */
-void set_up(struct simulation *sim, unsigned long seed);
-
-void tear_down(struct simulation *sim);
+void place_some_tasks(struct simulation *sim);
+/* Writes the write-ahead log, or some of the records. */
+void save_some_records(struct simulation *sim);
+/* The leader takes a heartbeat in, and its reply is in flight. */
+void deliver_heartbeat(struct simulation *sim, int index, const char *text,
+                       enum fl_heartbeat_source source);
+/* The leader sends a direct command; it may arrive now, and late. */
+void send_direct_command(struct simulation *sim, int worker);
+/* Keeps the text, which it takes, for deliver_late_message(). */
+void queue_message(struct simulation *sim, int worker, char *text, bool is_command);
+void deliver_late_message(struct simulation *sim);
 
 #endif
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -76,6 +76,7 @@
 {
 	struct fl_config *config = &sim.config[node];
 
+	sim_require(sim.zone_count <= SIM_ZONES);
 	memset(config, 0, sizeof(*config));
 	snprintf(config->node, sizeof(config->node), "host-%d", node + 1);
 	copy_text(config->location, sizeof(config->location), zone_names[sim_node_zone(node)]);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -16,50 +16,50 @@
 #include "reconciliation_sim.h"
 #include "transport/clock.h"
 
-static void send_report(struct simulation *sim, int at)
+static void send_heartbeat(struct simulation *sim, int at)
 {
-	struct worker *worker = &sim->worker[at];
+	struct worker *worker = &sim->workers[at];
 	char *text;
 
 	/* An answer in flight is carried out before the next report or never. */
-	if (worker->answer && random_below(sim, 4))
-		execute_orders(sim, at, worker->answer, false);
-	drop_answer(worker);
-	text = report_text(sim, at);
+	if (worker->reply_in_flight && random_below(sim, 4))
+		execute_commands(sim, at, worker->reply_in_flight, false);
+	drop_reply(worker);
+	text = encode_heartbeat(sim, at);
 	if (random_below(sim, 5))
-		deliver_report(sim, at, text, FL_HEARTBEAT_FROM_WORKER);
+		deliver_heartbeat(sim, at, text, FL_HEARTBEAT_FROM_WORKER);
 	queue_message(sim, at, text, false);
 }
 
 static void end_some_task(struct simulation *sim, int at)
 {
-	struct worker *worker = &sim->worker[at];
+	struct worker *worker = &sim->workers[at];
 	struct fl_task_status *status;
 
 	/* Not used, but drawn so that each seed still plays the same case. */
-	(void)random_below(sim, ENTRIES);
-	for (int i = 0; i < ENTRIES; i++) {
-		if (!worker->at[i].used || worker->at[i].status.state == FL_TASK_STATE_EXITED ||
-		    random_below(sim, 3))
+	(void)random_below(sim, WORKER_TASKS);
+	for (int i = 0; i < WORKER_TASKS; i++) {
+		if (!worker->tasks[i].used ||
+		    worker->tasks[i].status.state == FL_TASK_STATE_EXITED || random_below(sim, 3))
 			continue;
-		status = &worker->at[i].status;
+		status = &worker->tasks[i].status;
 		status->state = FL_TASK_STATE_EXITED;
 		status->exit = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
 		if (status->exit == FL_EXIT_DONE) {
 			sim->actually_done[atoi(status->ref + 4)][status->index] = true;
-			sim->dones++;
+			sim->completions++;
 		}
 		return;
 	}
 }
 
-static void end_session(struct simulation *sim, int at)
+static void end_incarnation(struct simulation *sim, int at)
 {
-	struct worker *worker = &sim->worker[at];
+	struct worker *worker = &sim->workers[at];
 
-	memset(worker->at, 0, sizeof(worker->at));
+	memset(worker->tasks, 0, sizeof(worker->tasks));
 	worker->incarnation++;
-	drop_answer(worker);
+	drop_reply(worker);
 }
 
 static void step(struct simulation *sim)
@@ -69,24 +69,24 @@
 	switch (random_below(sim, 24)) {
 	case 0:
 		if (random_below(sim, 4) == 0)
-			end_session(sim, at);
+			end_incarnation(sim, at);
 		break;
 	case 1:
-		if (random_below(sim, 4 * sim->calm) == 0)
-			take_over(sim);
+		if (random_below(sim, 4 * sim->token_change_interval) == 0)
+			fail_over(sim);
 		break;
 	case 2:
-		if (random_below(sim, 3 * sim->calm) == 0)
+		if (random_below(sim, 3 * sim->token_change_interval) == 0)
 			sim->node.leader_lease.fencing_token = ++sim->fencing_token;
 		break;
 	case 3:
 	case 4:
 	case 5:
-		deliver_late(sim);
+		deliver_late_message(sim);
 		break;
 	case 6:
 	case 7:
-		command_directly(sim, at);
+		send_direct_command(sim, at);
 		break;
 	case 8:
 	case 9:
@@ -95,11 +95,11 @@
 	case 10:
 	case 11:
 	case 12:
-		save_some(sim);
+		save_some_records(sim);
 		break;
 	case 13:
 	case 14:
-		place_some(sim);
+		place_some_tasks(sim);
 		break;
 	case 15: {
 		/* The scheduler stops something to make room. */
@@ -113,7 +113,7 @@
 		break;
 	}
 	default:
-		send_report(sim, at);
+		send_heartbeat(sim, at);
 	}
 	check_invariants(sim);
 }
@@ -128,9 +128,9 @@
 		set_up(sim, seed);
 		for (int i = 0; i < 1500; i++)
 			step(sim);
-		launches += sim->launches;
-		dones += sim->dones;
-		takeovers += sim->takeovers;
+		launches += sim->starts;
+		dones += sim->completions;
+		takeovers += sim->failovers;
 		for (int j = 0; j < JOBS; j++) {
 			bool all = true;
 
