--- a/tests/service_fixture.h
+++ b/tests/service_fixture.h
@@ -18,9 +18,9 @@
 
 /* ---- processes ---- */
 
-void start_controller(int controller);
+void start_controller(int index);
 /* By SIGKILL; nothing if it is down. */
-void kill_controller(int controller);
+void kill_controller(int index);
 /* The leader, or the first controller if there is none; which one it was. */
 int kill_leader(void);
 void start_stopped_controllers(void);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -178,15 +178,15 @@
 /* Its worker starts when the machine is up. */
 void sim_machine_boot(int machine);
 /* The machine ends now, with all on it. */
-void sim_machine_terminate(int machine);
-void sim_machine_set_hung(int machine, bool hung);
+void sim_machine_terminate(int machine_index);
+void sim_machine_set_hung(int machine_index, bool hung);
 /* While it hangs, what comes waits. False if the machine has ended. */
 bool sim_machine_wait_until_resumed(struct sim_machine *machine);
 /* If its lease has expired, all tasks go and a new incarnation begins. */
 void sim_machine_check_lease(struct sim_machine *machine);
 void sim_machine_observe_token(struct sim_machine *machine, uint64_t fencing_token);
 int sim_machine_index(const struct sim_machine *machine);
-void sim_worker_serve(int process, int machine, const struct fl_http_request *request,
+void sim_worker_serve(int process, int machine_index, const struct fl_http_request *request,
                       struct fl_http_response *response);
 
 /* A heartbeat, encoded; the caller's to free. */
@@ -244,7 +244,7 @@
 void sim_violation(const char *invariant, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 void sim_check_begin(void);
-void sim_check_task_started(struct sim_job *job, uint32_t index, int machine);
+void sim_check_task_started(struct sim_job *job, uint32_t index, int machine_index);
 void sim_check_task_left(struct sim_job *job, uint32_t index);
 /* What a user is told in reply to a request that was sent then. */
 void sim_check_submit_reply(struct sim_job *job, double sent_at, int status, const char *body);
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -75,8 +75,9 @@
 void sim_configure(int node)
 {
 	struct fl_config *config = &sim.config[node];
+	int zone_count = sim.zone_count;
 
-	sim_require(sim.zone_count <= SIM_ZONES);
+	sim_require(zone_count <= SIM_ZONES);
 	memset(config, 0, sizeof(*config));
 	snprintf(config->node, sizeof(config->node), "host-%d", node + 1);
 	copy_text(config->location, sizeof(config->location), zone_names[sim_node_zone(node)]);
@@ -84,9 +85,9 @@
 	sim_address((struct sim_endpoint){ENDPOINT_PEER, node}, config->cluster_listen);
 	sim_address((struct sim_endpoint){ENDPOINT_KV_STORE, 0}, config->state);
 	sim_address((struct sim_endpoint){ENDPOINT_CLOUD, 0}, config->cloud);
-	for (int i = 0; i < sim.zone_count; i++)
+	for (int i = 0; i < zone_count; i++)
 		copy_text(config->zones[i], sizeof(config->zones[i]), zone_names[i]);
-	config->zone_count = sim.zone_count;
+	config->zone_count = zone_count;
 	configure_peers(config, node);
 	configure_teams(config);
 	configure_limits(config);
