--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -3,18 +3,18 @@
 
 #include "sim.h"
 
-void play_cancel_running(double start_s, int count, double hang_s)
+void inject_cancel_running(double start_s, int count, double hang_s)
 {
 	SIM_INJECT(FAULT_CANCEL_RUNNING, .start_s = start_s, .count = count, .hang_s = hang_s);
 }
 
-void play_leader_down(double start_s, double duration_s)
+void inject_leader_down(double start_s, double duration_s)
 {
 	SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
 }
 
-void play_leader_down_between(double start_s, double window_s, double duration_s)
+void inject_leader_down_between(double start_s, double window_s, double duration_s)
 {
-	play_leader_down(sim_between(start_s, start_s + window_s), duration_s);
+	inject_leader_down(sim_between(start_s, start_s + window_s), duration_s);
 }
--- a/tests/fault_combinations_failover.c
+++ b/tests/fault_combinations_failover.c
@@ -14,7 +14,7 @@
 			job->duration_s[k] = k == 0 ? sim_between(3, 15) : sim_between(40, 110);
 	}
 	for (int i = 0; i < 2 + variant % 2; i++)
-		play_leader_down_between(45 + 25 * i, 10, sim_between(4, 20));
+		inject_leader_down_between(45 + 25 * i, 10, sim_between(4, 20));
 }
 
 /* All controllers are down for longer than a lease. */
@@ -24,7 +24,8 @@
 
 	SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s,
 	           .duration_s = sim.lease_s * sim_between(1.1, 2.5), .target = TARGET_ALL_NODES);
-	play_cancel_running(start_s - sim_between(0.02, 1), 4, variant % 2 ? sim.lease_s * 0.8 : 0);
+	inject_cancel_running(start_s - sim_between(0.02, 1), 4,
+	                      variant % 2 ? sim.lease_s * 0.8 : 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_CLOUD_UNAVAILABLE, .start_s = start_s - 5, .duration_s = 50);
 	if (variant % 2)
@@ -40,27 +41,27 @@
 	double start_s = 40;
 
 	for (int i = 0; i < 5; i++) {
-		play_leader_down(start_s, sim_between(0.1, variant % 2 ? 1 : 6));
+		inject_leader_down(start_s, sim_between(0.1, variant % 2 ? 1 : 6));
 		start_s += sim_between(2, 9);
 	}
 	SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s, .duration_s = sim_between(0.3, 3),
 	           .target = TARGET_ALL_NODES);
-	play_cancel_running(start_s - 0.1, 4, 0);
-	play_leader_down(start_s + 9, 0.4);
+	inject_cancel_running(start_s - 0.1, 4, 0);
+	inject_leader_down(start_s + 9, 0.4);
 }
 
 /* Ten failovers in two minutes, also inside an outage. */
 static void ten_failovers(int variant)
 {
 	for (int i = 0; i < 10; i++)
-		play_leader_down_between(30 + 12 * i, 5, sim_between(0.5, 8));
+		inject_leader_down_between(30 + 12 * i, 5, sim_between(0.5, 8));
 	if (variant % 2) {
 		double outage_s = sim_between(8, 40);
 
 		SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = sim_between(50, 80),
 		           .duration_s = outage_s);
 	}
-	play_cancel_running(sim_between(50, 100), 4, variant % 3 ? 6 : 0);
+	inject_cancel_running(sim_between(50, 100), 4, variant % 3 ? 6 : 0);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 60, .duration_s = 1, .count = 10);
 }
 
@@ -79,9 +80,9 @@
 	unreachable_s = sim_between(6, 40);
 	SIM_INJECT(types[variant % 3], .start_s = start_s - sim_between(0, 4),
 	           .duration_s = unreachable_s, .magnitude = 0.6);
-	play_leader_down(start_s, sim_between(2, 30));
+	inject_leader_down(start_s, sim_between(2, 30));
 	if (variant % 2)
-		play_cancel_running(start_s + sim_between(-1, 6), 5, 0);
+		inject_cancel_running(start_s + sim_between(-1, 6), 5, 0);
 }
 
 /* Cancelled in the seconds in which leadership changes hands. */
@@ -94,9 +95,9 @@
 		SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s,
 		           .duration_s = sim_between(3.2, 9), .target = TARGET_LEADER);
 	else
-		play_leader_down(start_s, sim_between(0.3, 9));
+		inject_leader_down(start_s, sim_between(0.3, 9));
 	for (int i = 0; i < 12; i++)
-		play_cancel_running(start_s - 0.3 + 0.45 * i, 1, 0);
+		inject_cancel_running(start_s - 0.3 + 0.45 * i, 1, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_KV_SLOW, .start_s = start_s - 2, .duration_s = 10,
 		           .magnitude = 1.2);
@@ -112,8 +113,8 @@
 		SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s,
 		           .duration_s = i == first ? sim_between(0.05, 1) : sim_between(10, 40),
 		           .target = i);
-	play_cancel_running(start_s - 0.1, 4, variant % 2 ? 5 : 0);
-	play_cancel_running(start_s + sim_between(4, 8), 2, 0);
+	inject_cancel_running(start_s - 0.1, 4, variant % 2 ? 5 : 0);
+	inject_cancel_running(start_s + sim_between(4, 8), 2, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s + 6, .duration_s = 0.5,
 		           .target = first);
@@ -127,9 +128,9 @@
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 3, .duration_s = 1, .count = 10);
 	SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
-	play_cancel_running(start_s - 0.02, 2, 0);
-	play_cancel_running(start_s + duration_s - sim_between(0, 1), 3, 0);
-	play_cancel_running(start_s + sim_between(0, duration_s), 2, 0);
+	inject_cancel_running(start_s - 0.02, 2, 0);
+	inject_cancel_running(start_s + duration_s - sim_between(0, 1), 3, 0);
+	inject_cancel_running(start_s + sim_between(0, duration_s), 2, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s + duration_s + 6,
 		           .duration_s = sim_between(3, 12), .target = TARGET_ALL_NODES);
--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -14,7 +14,7 @@
 		           .duration_s = duration_s, .target = TARGET_LEADER);
 		break;
 	case 1:
-		play_leader_down(start_s + 0.01, duration_s);
+		inject_leader_down(start_s + 0.01, duration_s);
 		break;
 	default:
 		SIM_INJECT(FAULT_INBOUND_PARTITION, .start_s = start_s, .duration_s = 5,
@@ -37,8 +37,8 @@
 	SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s, .duration_s = end_s - start_s,
 	           .target = TARGET_LEADER);
 	hang_s = sim_chance(0.5) ? sim_between(2, 9) : 0;
-	play_cancel_running(next_leader_s, 3 + sim_pick(4), hang_s);
-	play_cancel_running(sim_between(next_leader_s, outage_s), 2, 0);
+	inject_cancel_running(next_leader_s, 3 + sim_pick(4), hang_s);
+	inject_cancel_running(sim_between(next_leader_s, outage_s), 2, 0);
 	SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = outage_s, .duration_s = end_s - outage_s);
 	if (variant % 2)
 		SIM_INJECT(FAULT_PARTITION_FROM_WORKERS, .start_s = next_leader_s - 0.1,
@@ -57,7 +57,7 @@
 		           .start_s = next_leader_s, .duration_s = 15, .magnitude = 0.4);
 		break;
 	case 4:
-		play_leader_down(next_leader_s + 0.1, end_s - next_leader_s);
+		inject_leader_down(next_leader_s + 0.1, end_s - next_leader_s);
 		break;
 	case 5:
 		SIM_INJECT(FAULT_PARTITION_FROM_PEERS, .start_s = start_s,
@@ -73,9 +73,9 @@
 
 	SIM_INJECT(FAULT_DELAYED_WRITES, .start_s = start_s, .duration_s = 70,
 	           .magnitude = variant % 2 ? 0.15 : 0.35);
-	play_cancel_running(start_s + sim_between(25, 40), 4, 0);
+	inject_cancel_running(start_s + sim_between(25, 40), 4, 0);
 	if (variant % 3 == 1)
-		play_leader_down(start_s + sim_between(20, 40), 8);
+		inject_leader_down(start_s + sim_between(20, 40), 8);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s + 30, .duration_s = 12,
 		           .target = TARGET_LEADER);
@@ -88,8 +88,8 @@
 
 	SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
-	play_cancel_running(start_s - 0.05 + 0.05 * (variant % 3), 5,
-	                    variant % 2 ? sim_between(3, 9) : 0);
+	inject_cancel_running(start_s - 0.05 + 0.05 * (variant % 3), 5,
+	                      variant % 2 ? sim_between(3, 9) : 0);
 	SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = start_s + 1, .duration_s = duration_s - 1);
 	if (variant % 2)
 		commands_fail(start_s, duration_s);
@@ -105,8 +105,8 @@
 	SIM_INJECT(FAULT_PARTITION_FROM_PEERS, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
 	hang_s = variant % 2 ? sim_between(3, 9) : 0;
-	play_cancel_running(start_s + sim_between(3, 7), 5, hang_s);
-	play_cancel_running(start_s + 12, 2, 0);
+	inject_cancel_running(start_s + sim_between(3, 7), 5, hang_s);
+	inject_cancel_running(start_s + 12, 2, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_PARTITION_FROM_WORKERS, .start_s = start_s + 5,
 		           .duration_s = duration_s - 5, .target = TARGET_LEADER);
@@ -115,7 +115,8 @@
 /* Slow, or refusing the leader and then everybody, while users cancel and query. */
 static void degraded_kv_then_outage(int variant)
 {
-	double start_s = sim_between(40, 50), duration_s = sim.cancel_s + sim_between(3, 20);
+	double start_s = sim_between(40, 50), duration_s = sim.cancel_s + sim_between(3, 20),
+	       hang_s;
 
 	if (variant % 2)
 		SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s, .duration_s = 15,
@@ -125,8 +126,9 @@
 		           .magnitude = sim_between(0.5, 1.6));
 	SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = start_s + 15, .duration_s = duration_s);
 	SIM_INJECT(FAULT_INVALID_REQUESTS, .start_s = start_s, .duration_s = 15 + duration_s);
-	play_cancel_running(start_s + sim_between(4, 14), 4, sim_chance(0.5) ? 8 : 0);
-	play_cancel_running(start_s + 14.9, 3, 0);
+	hang_s = sim_chance(0.5) ? 8 : 0;
+	inject_cancel_running(start_s + sim_between(4, 14), 4, hang_s);
+	inject_cancel_running(start_s + 14.9, 3, 0);
 	if (variant % 3 == 2)
 		commands_fail(start_s + 14.8, duration_s);
 }
@@ -142,9 +144,9 @@
 	SIM_INJECT(FAULT_INVALID_REQUESTS, .start_s = start_s, .duration_s = 70);
 	SIM_INJECT(FAULT_CANCEL_AT_COMPLETION, .start_s = start_s, .duration_s = 70,
 	           .magnitude = 0.4);
-	play_cancel_running(start_s + sim_between(15, 35), 5, 0);
+	inject_cancel_running(start_s + sim_between(15, 35), 5, 0);
 	if (variant % 3 == 2)
-		play_leader_down(start_s + sim_between(20, 45), 8);
+		inject_leader_down(start_s + sim_between(20, 45), 8);
 }
 
 static const struct combination combinations[] = {
--- a/tests/fault_combinations_random.c
+++ b/tests/fault_combinations_random.c
@@ -18,7 +18,7 @@
 		           .target = kind == FAULT_ZONE_PARTITION ? TARGET_ANY_ZONE : TARGET_LEADER,
 		           .magnitude = magnitude, .count = kind >= FAULT_CANCEL_RUNNING ? 6 : 0);
 	}
-	play_cancel_running(start_s + sim_between(0, 15), 4, 0);
+	inject_cancel_running(start_s + sim_between(0, 15), 4, 0);
 }
 
 static double random_magnitude(enum sim_fault_kind kind)
@@ -73,8 +73,8 @@
 	for (int i = 0; i < 1 + variant % 2; i++)
 		inject_random((enum sim_fault_kind)sim_pick(SIM_FAULT_KINDS), start_s);
 	if (sim_chance(0.5))
-		play_leader_down_between(start_s, 12, sim_between(0.5, 20));
-	play_cancel_running(start_s + sim_between(0, 15), 4, 0);
+		inject_leader_down_between(start_s, 12, sim_between(0.5, 20));
+	inject_cancel_running(start_s + sim_between(0, 15), 4, 0);
 }
 
 static const struct combination combinations[] = {
--- a/tests/fault_combinations_workers.c
+++ b/tests/fault_combinations_workers.c
@@ -22,11 +22,11 @@
 	}
 	SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = 5, .duration_s = 90, .magnitude = 0.9);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 25, .duration_s = 1, .count = 10);
-	play_leader_down_between(45, 10, sim_between(1, 20));
+	inject_leader_down_between(45, 10, sim_between(1, 20));
 	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = sim_between(50, 65),
 	           .duration_s = sim.lease_s + 4, .magnitude = 0.4);
 	if (variant % 2)
-		play_leader_down(sim_between(70, 85), 10);
+		inject_leader_down(sim_between(70, 85), 10);
 }
 
 /* Machines that reach no controller, while direct commands reach them. */
@@ -37,9 +37,9 @@
 	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = start_s, .duration_s = sim_between(5, 40),
 	           .magnitude = variant % 2 ? 1 : 0.5);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s + 2, .duration_s = 1, .count = 8);
-	play_cancel_running(start_s + sim_between(1, 6), 4, 0);
+	inject_cancel_running(start_s + sim_between(1, 6), 4, 0);
 	if (variant % 3 == 2)
-		play_leader_down(start_s + 3, 15);
+		inject_leader_down(start_s + 3, 15);
 }
 
 /* A zone with machines and a controller is partitioned for longer than a lease. */
@@ -49,10 +49,10 @@
 
 	SIM_INJECT(FAULT_ZONE_PARTITION, .start_s = start_s, .duration_s = duration_s,
 	           .target = variant % 2 ? TARGET_LEADER : TARGET_ANY_ZONE);
-	play_cancel_running(start_s + sim_between(-1, 8), 4, 0);
-	play_cancel_running(start_s + duration_s * 0.8, 2, 0);
+	inject_cancel_running(start_s + sim_between(-1, 8), 4, 0);
+	inject_cancel_running(start_s + duration_s * 0.8, 2, 0);
 	if (variant % 3 == 2)
-		play_leader_down(start_s + 6, 10);
+		inject_leader_down(start_s + 6, 10);
 }
 
 /* A heartbeat is held back until a new leader has acted, and arrives there. */
@@ -66,8 +66,8 @@
 		SIM_INJECT(FAULT_PARTITION_FROM_KV, .start_s = start_s + 1, .duration_s = 20,
 		           .target = TARGET_LEADER);
 	else
-		play_leader_down(start_s + 1, 15);
-	play_cancel_running(start_s + sim_between(2, 8), 4, 0);
+		inject_leader_down(start_s + 1, 15);
+	inject_cancel_running(start_s + sim_between(2, 8), 4, 0);
 }
 
 /* Jobs bound to one zone, arrays too, lose machines. */
@@ -86,7 +86,7 @@
 	}
 	SIM_INJECT(FAULT_MACHINES_DIE, .start_s = start_s, .duration_s = 1, .magnitude = 0.5);
 	if (variant % 2)
-		play_leader_down(start_s + 0.5, 10);
+		inject_leader_down(start_s + 0.5, 10);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_CLOUD_UNAVAILABLE, .start_s = start_s, .duration_s = 15);
 }
@@ -106,11 +106,11 @@
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 30, .duration_s = 1, .count = 10);
 	SIM_INJECT(FAULT_SLOW_LINKS, .start_s = 25, .duration_s = 45, .magnitude = 0.8);
 	for (int i = 0; i < 11; i++)
-		play_cancel_running(28 + 3 * i, 1, 0);
+		inject_cancel_running(28 + 3 * i, 1, 0);
 	hang_s = sim_between(3, 9);
-	play_cancel_running(sim_between(40, 55), 4, hang_s);
+	inject_cancel_running(sim_between(40, 55), 4, hang_s);
 	if (variant % 3 == 2)
-		play_leader_down(50, 10);
+		inject_leader_down(50, 10);
 }
 
 /* A command of a leader that has since stopped or been replaced arrives after the next one's. */
@@ -123,10 +123,10 @@
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 6, .duration_s = 1, .count = 14);
 	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = start_s - 5,
 	           .duration_s = sim_between(3, 9), .magnitude = 0.5);
-	play_cancel_running(start_s - 0.5, 3, 0);
+	inject_cancel_running(start_s - 0.5, 3, 0);
 	switch (variant % 3) {
 	case 0:
-		play_leader_down(start_s, sim_between(1, 20));
+		inject_leader_down(start_s, sim_between(1, 20));
 		break;
 	case 1:
 		SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s,
@@ -137,7 +137,7 @@
 		           .duration_s = sim_between(8, 20), .target = TARGET_LEADER);
 		break;
 	}
-	play_cancel_running(start_s + sim_between(4, 9), 4, 0);
+	inject_cancel_running(start_s + sim_between(4, 9), 4, 0);
 }
 
 /* Direct commands delayed for seconds, and executed when nobody waits for them any more. */
@@ -154,7 +154,7 @@
 	SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s + sim_between(6, 16),
 	           .duration_s = hang_s, .magnitude = 0.4);
 	for (int i = 0; i < 8; i++)
-		play_cancel_running(start_s + 4 + 4 * i, 1, 0);
+		inject_cancel_running(start_s + 4 + 4 * i, 1, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_LOST_REPLIES, .start_s = start_s, .duration_s = 50,
 		           .magnitude = 0.3);
@@ -173,10 +173,10 @@
 	else
 		SIM_INJECT(FAULT_KV_SLOW, .start_s = start_s - 6, .duration_s = 25,
 		           .magnitude = 1.4);
-	play_leader_down(start_s, sim_between(0.5, 15));
+	inject_leader_down(start_s, sim_between(0.5, 15));
 	if (variant % 3 == 2)
-		play_leader_down(start_s + sim_between(5, 9), 6);
-	play_cancel_running(start_s + sim_between(-1, 5), 3, 0);
+		inject_leader_down(start_s + sim_between(5, 9), 6);
+	inject_cancel_running(start_s + sim_between(-1, 5), 3, 0);
 }
 
 /* Heartbeats are held, and reach every controller just as the next leader begins. */
@@ -192,13 +192,13 @@
 	else
 		SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 8, .duration_s = 1,
 		           .count = 12);
-	play_cancel_running(start_s - 3, 4, 0);
-	play_leader_down(start_s, sim_between(1, 15));
-	play_cancel_running(start_s + sim_between(3, 7), 3, 0);
+	inject_cancel_running(start_s - 3, 4, 0);
+	inject_leader_down(start_s, sim_between(1, 15));
+	inject_cancel_running(start_s + sim_between(3, 7), 3, 0);
 	if (variant % 3 == 2) {
 		SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = start_s + 5, .duration_s = 10,
 		           .magnitude = 0.8, .held_for_next_leader = true);
-		play_leader_down(start_s + 16, 9);
+		inject_leader_down(start_s + 16, 9);
 	}
 }
 
@@ -213,8 +213,8 @@
 		sim_job_encode_request(&sim.jobs[i]);
 	}
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 3, .duration_s = 1, .count = 16);
-	play_leader_down(start_s, sim_between(1, 9));
-	play_cancel_running(start_s + 0.5, 4, variant % 2 ? 4 : 0);
+	inject_leader_down(start_s, sim_between(1, 9));
+	inject_cancel_running(start_s + 0.5, 4, variant % 2 ? 4 : 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s + 2,
 		           .duration_s = sim_between(3, sim.lease_s + 2), .magnitude = 0.5);
--- a/tests/sim_kv_store.c
+++ b/tests/sim_kv_store.c
@@ -1,6 +1,6 @@
 /*
  * The simulation's key-value store: the model in virtual time, with the real one's limits on rates
- * and sizes, and with the faults of a play.
+ * and sizes, and with the injected faults.
  */
 #include "sim.h"
 
@@ -27,8 +27,10 @@
 
 /* ---- watches ---- */
 
-/* Until an event has come or the time is over: false if cancelled. Open watches stay open in an
- * outage, and while one node is refused. */
+/*
+ * Until an event has come or the time is over: false if cancelled. Open watches stay open in an
+ * outage, and while one node is refused.
+ */
 static bool wait_for_event(struct sim_endpoint from, const char *prefix, uint64_t revision,
                            double until)
 {
