--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -1,7 +1,6 @@
 /* The tasks on a machine: commands, image fetches, runs, checkpoints and ends. */
 #include "sim.h"
 
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -30,14 +29,19 @@
 	return task->job->progress_s[task->status.index] + fl_now() - task->started_at;
 }
 
-static void keep_progress(struct sim_task *task, bool saved)
+static void save_progress(const struct sim_task *task)
 {
-	double every = task->job->spec.checkpoint_every_s, done = progress_now(task);
+	task->job->progress_s[task->status.index] = progress_now(task);
+}
+
+/* Stopped without a new checkpoint: what the regular ones saved stays. */
+static void fall_back_to_checkpoint(const struct sim_task *task)
+{
+	double interval_s = task->job->spec.checkpoint_every_s;
 
-	if (saved)
-		task->job->progress_s[task->status.index] = done;
-	else if (every > 0)
-		task->job->progress_s[task->status.index] = (double)(int)(done / every) * every;
+	if (interval_s > 0)
+		task->job->progress_s[task->status.index] =
+			(double)(int)(progress_now(task) / interval_s) * interval_s;
 }
 
 static void start_running(struct sim_machine *machine, struct sim_task *task)
@@ -290,14 +294,14 @@
 	}
 	if (task->status.state == FL_TASK_STATE_RUNNING && spec->checkpoint_every_s > 0 &&
 	    grace_period_s >= spec->checkpoint_cost_s) {
-		keep_progress(task, true);
+		save_progress(task);
 		task->status.state = FL_TASK_STATE_CHECKPOINTING;
 		task->phase_ends_at = fl_now() + spec->checkpoint_cost_s;
 		sim_heartbeat_request(machine);
 		return;
 	}
 	if (task->status.state == FL_TASK_STATE_RUNNING)
-		keep_progress(task, false);
+		fall_back_to_checkpoint(task);
 	end_task(machine, task, FL_EXIT_STOPPED);
 }
 
