--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -1,4 +1,4 @@
-/* The transport of the simulation: calls between hosts, and the controllers' processes. */
+/* The network of the simulation: calls between hosts, in place of the HTTP client. */
 #include "sim.h"
 
 #include <arpa/inet.h>
@@ -7,44 +7,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "coordination/node.h"
-#include "coordination/persistence/record_writer.h"
 #include "transport/clock.h"
 
+/* Held by its caller, and by whatever carries it on: a message's timer, or the server. */
 struct call {
 	struct sim_endpoint from, to;
 	int process; /* of the caller */
 	char *method, *path, *body;
-	struct fl_http_response resp;
+	struct fl_http_response response;
 	int result;
-	bool done;
-	int refs;
+	int reference_count;
 	struct fl_condition answered;
 	struct sim_timer timer;
 };
 
-struct served {
-	fl_http_handler handler;
-	void *ctx;
-};
-
-static struct {
-	int process[SIM_NODES]; /* that runs as this node; 0: down */
-	struct served face[SIM_NODES][2];
-	int processes; /* started so far */
-	int starting;  /* the node that is being started */
-	bool over;
-} net;
+/* Everything ends: messages are dropped. */
+static bool ending;
 
 /* ---- addresses ---- */
 
-void sim_address(struct sim_endpoint e, char out[FL_CONFIG_NAME])
+void sim_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME])
 {
-	snprintf(out, FL_CONFIG_NAME, "10.%d.%d.%d:%d", e.kind + 1, e.at / 200, e.at % 200 + 1,
-	         9000);
+	snprintf(out, FL_CONFIG_NAME, "10.%d.%d.%d:%d", endpoint.kind + 1, endpoint.index / 200,
+	         endpoint.index % 200 + 1, 9000);
 }
 
-static struct sim_endpoint end_of(const struct sockaddr_in *address)
+struct sim_endpoint sim_endpoint_of(const struct sockaddr_in *address)
 {
 	uint32_t ip = ntohl(address->sin_addr.s_addr);
 
@@ -52,268 +40,201 @@
 	                             (int)(ip >> 8 & 255) * 200 + (int)(ip & 255) - 1};
 }
 
-int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
+static bool is_node(struct sim_endpoint endpoint)
 {
-	memset(client, 0, sizeof(*client));
-	client->max_idle = max_idle;
-	return fl_address_parse(addr, &client->addr);
+	return endpoint.kind == ENDPOINT_NODE || endpoint.kind == ENDPOINT_PEER;
 }
 
-void fl_http_client_close(struct fl_http_client *client) { (void)client; }
+static bool is_up(struct sim_endpoint endpoint)
+{
+	if (is_node(endpoint))
+		return sim_node_process(endpoint.index) != 0;
+	if (endpoint.kind == ENDPOINT_WORKER)
+		return sim.machines[endpoint.index].up && !sim.machines[endpoint.index].terminated;
+	return true;
+}
 
-/* ---- calls ---- */
+/* ---- replies ---- */
 
-static void release(struct call *c)
+static void release(struct call *call)
 {
-	if (--c->refs > 0)
+	if (--call->reference_count > 0)
 		return;
-	free(c->method);
-	free(c->path);
-	free(c->body);
-	free(c->resp.body);
-	free(c);
+	free(call->method);
+	free(call->path);
+	free(call->body);
+	free(call->response.body);
+	free(call);
 }
 
-static void complete(struct call *c, int result)
+static void complete(struct call *call, int result)
 {
-	c->result = result;
-	c->done = true;
-	fl_condition_broadcast(&c->answered);
-	release(c);
+	call->result = result;
+	fl_condition_broadcast(&call->answered);
+	release(call);
 }
 
-/* The answer comes back, or is lost on its way. */
-static void deliver(void *arg)
+/* The reply comes back, or is lost on its way. */
+static void deliver_reply(void *arg)
 {
-	struct call *c = arg;
+	struct call *call = arg;
 
-	if (net.over || sim_lost(c->from, c->to, true))
-		release(c);
+	if (ending || sim_message_is_lost(call->from, call->to, true))
+		release(call);
 	else
-		complete(c, 0);
+		complete(call, 0);
 }
 
-static void answer(struct call *c)
+static void send_reply(struct call *call)
 {
-	c->timer.fn = deliver;
-	sim_timer_arm(&c->timer, sim_latency(c->to, c->from));
+	call->timer.function = deliver_reply;
+	sim_timer_arm(&call->timer, sim_message_latency());
 }
 
+/* ---- requests ---- */
+
 static enum http_method method_of(const char *name)
 {
-	return strcmp(name, "GET") == 0    ? HTTP_GET
-	       : strcmp(name, "POST") == 0 ? HTTP_POST
-	                                   : HTTP_DELETE;
+	if (strcmp(name, "GET") == 0)
+		return HTTP_GET;
+	return strcmp(name, "POST") == 0 ? HTTP_POST : HTTP_DELETE;
 }
 
-static void dispatch(struct call *c, const struct fl_http_request *request)
+static void dispatch(struct call *call, const struct fl_http_request *request)
 {
-	const struct served *s;
-
-	switch (c->to.kind) {
+	switch (call->to.kind) {
 	case ENDPOINT_KV_STORE:
-		sim_kv_serve(c->from, request, &c->resp);
+		sim_kv_serve(call->from, request, &call->response);
 		break;
 	case ENDPOINT_CLOUD:
-		sim_cloud_serve(c->from, request, &c->resp);
+		sim_cloud_serve(call->from, request, &call->response);
 		break;
 	case ENDPOINT_WORKER:
-		sim_worker_serve(c->from, c->process, c->to.at, request, &c->resp);
+		sim_worker_serve(call->process, call->to.index, request, &call->response);
+		break;
+	case ENDPOINT_NODE:
+	case ENDPOINT_PEER:
+		sim_node_serve(call->to, request, &call->response);
 		break;
-	default:
-		s = &net.face[c->to.at][c->to.kind == ENDPOINT_PEER];
-		s->handler(s->ctx, request, &c->resp);
+	case ENDPOINT_USER:
+	case SIM_ENDPOINT_KINDS:
+		abort();
 	}
 }
 
 static void serve(void *arg)
 {
-	struct call *c = arg;
-	char *query = strchr(c->path, '?');
-	struct fl_http_request request = {.method = method_of(c->method),
-	                                  .path = c->path,
+	struct call *call = arg;
+	char *query = strchr(call->path, '?');
+	struct fl_http_request request = {.method = method_of(call->method),
+	                                  .path = call->path,
 	                                  .query = query ? query + 1 : "",
-	                                  .body = c->body,
-	                                  .body_len = strlen(c->body)};
+	                                  .body = call->body,
+	                                  .body_len = strlen(call->body)};
 
 	if (query)
 		*query = 0;
-	sim.calls[c->to.kind]++;
+	sim.requests[call->to.kind]++;
 	if (!fl_coroutine_cancelled())
-		dispatch(c, &request);
-	if (net.over || c->resp.status == SIM_NO_REPLY)
-		release(c);
+		dispatch(call, &request);
+	if (ending || call->response.status == SIM_NO_REPLY)
+		release(call);
 	else if (fl_coroutine_cancelled())
-		complete(c, -ECONNRESET);
+		complete(call, -ECONNRESET);
 	else
-		answer(c);
+		send_reply(call);
 }
 
-static bool is_up(struct sim_endpoint e)
+static void deliver_request(void *arg)
 {
-	switch (e.kind) {
-	case ENDPOINT_NODE:
-	case ENDPOINT_PEER:
-		return net.process[e.at] != 0;
-	case ENDPOINT_WORKER:
-		return sim.machines[e.at].up && !sim.machines[e.at].terminated;
-	default:
-		return true;
+	struct call *call = arg;
+
+	if (!ending && sim_message_is_held(call->from, call->to)) {
+		/* Held back, and delivered when the link is there again. */
+		sim_timer_arm(&call->timer, 0.2);
+	} else if (ending || sim_message_is_lost(call->from, call->to, false)) {
+		release(call);
+	} else if (!is_up(call->to)) {
+		complete(call, -ECONNREFUSED);
+	} else {
+		sim_spawn(is_node(call->to) ? sim_node_process(call->to.index) : 0, serve, call);
 	}
 }
 
-static void arrive(void *arg)
+/* ---- calls ---- */
+
+static struct call *send_request(struct sim_endpoint from, struct sim_endpoint to,
+                                 const char *method, const char *path, const char *body)
 {
-	struct call *c = arg;
-	bool node = c->to.kind == ENDPOINT_NODE || c->to.kind == ENDPOINT_PEER;
+	struct call *call = calloc(1, sizeof(*call));
 
-	if (!net.over && sim_holds(c->from, c->to)) {
-		/* Held back, and delivered when the link is there again. */
-		sim_timer_arm(&c->timer, 0.2);
-	} else if (net.over || sim_lost(c->from, c->to, false)) {
-		release(c);
-	} else if (!is_up(c->to)) {
-		complete(c, -ECONNREFUSED);
-	} else {
-		sim_spawn(node ? net.process[c->to.at] : 0, serve, c);
-	}
+	sim_require(call != NULL);
+	call->from = from;
+	call->to = to;
+	call->process = sim_process();
+	call->method = strdup(method);
+	call->path = strdup(path);
+	call->body = strdup(body ? body : "");
+	call->reference_count = 2;
+	call->timer.function = deliver_request;
+	call->timer.argument = call;
+	sim_timer_arm(&call->timer, sim_message_latency());
+	return call;
 }
 
 int sim_call(struct sim_endpoint from, struct sim_endpoint to, const char *method, const char *path,
              const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	struct call *c;
+	struct call *call;
 	int rc;
 
 	memset(out, 0, sizeof(*out));
 	if (fl_coroutine_cancelled())
 		return -ECANCELED;
-	c = calloc(1, sizeof(*c));
-	sim_require(c != NULL);
-	c->from = from;
-	c->to = to;
-	c->process = sim_process();
-	c->method = strdup(method);
-	c->path = strdup(path);
-	c->body = strdup(body ? body : "");
-	c->refs = 2;
-	c->timer.fn = arrive;
-	c->timer.arg = c;
-	sim_timer_arm(&c->timer, sim_latency(from, to));
-	rc = fl_condition_wait(&c->answered, timeout_s);
+	call = send_request(from, to, method, path, body);
+	rc = fl_condition_wait(&call->answered, timeout_s);
 	if (rc == 0)
-		rc = c->result;
+		rc = call->result;
 	if (rc == 0) {
-		out->status = c->resp.status;
-		out->body.data = c->resp.body ? c->resp.body : strdup("");
+		out->status = call->response.status;
+		out->body.data = call->response.body ? call->response.body : strdup("");
 		out->body.length = strlen(out->body.data);
-		c->resp.body = NULL;
+		call->response.body = NULL;
 	}
-	release(c);
+	release(call);
 	return rc;
 }
 
-int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *out)
-{
-	struct sim_endpoint from = {ENDPOINT_PEER, -1};
-
-	for (int i = 0; i < sim.node_count; i++)
-		if (net.process[i] == sim_process())
-			from.at = i;
-	if (from.at < 0) /* a process that has just been ended */
-		return -ECANCELED;
-	return sim_call(from, end_of(&client->addr), method, path, body, timeout_s, out);
-}
-
-/* ---- controllers ---- */
-
-struct fl_http_server *fl_http_serve(const char *addr, int max_connections, double idle_timeout_s,
-                                     fl_http_handler handler, void *context)
+static void drop_timer(struct sim_timer *timer)
 {
-	struct sockaddr_in address;
-
-	(void)max_connections, (void)idle_timeout_s;
-	sim_require(fl_address_parse(addr, &address) == 0);
-	net.face[net.starting][end_of(&address).kind == ENDPOINT_PEER] =
-		(struct served){handler, context};
-	return (struct fl_http_server *)&net;
+	if (timer->function == deliver_request || timer->function == deliver_reply)
+		timer->function(timer->argument);
 }
 
-bool sim_node_alive(int node) { return net.process[node] != 0; }
-
-int sim_node_process(int node) { return net.process[node]; }
-
-static void boot(void *arg)
+void sim_net_end(void)
 {
-	net.starting = *(const int *)arg;
-	sim_require(fl_node_start(&sim.config[net.starting]) == FL_NODE_STARTED);
+	ending = true;
+	sim_time_end(drop_timer);
+	ending = false;
 }
 
-static int places[SIM_NODES] = {0, 1, 2, 3, 4};
-
-void sim_node_start(int node)
-{
-	if (net.process[node])
-		return;
-	net.process[node] = ++net.processes;
-	sim_spawn(net.process[node], boot, &places[node]);
-}
+/* ---- the HTTP client of the controllers ---- */
 
-static void free_standby(struct fl_follower *follower)
-{
-	struct fl_cached_heartbeat *cached, *tmp;
-	struct fl_misplaced_worker *worker, *next;
-
-	HASH_ITER (hh, follower->cached_heartbeats, cached, tmp) {
-		HASH_DEL(follower->cached_heartbeats, cached);
-		free(cached->text);
-		free(cached);
-	}
-	HASH_ITER (hh, follower->misplaced_workers, worker, next) {
-		HASH_DEL(follower->misplaced_workers, worker);
-		free(worker);
-	}
-}
-
-static void free_node(int node)
+int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
 {
-	struct fl_node *n = net.face[node][0].ctx;
-
-	if (!n)
-		return;
-	fl_record_writer_reset(&n->record_writer);
-	free_standby(&n->follower);
-	fl_cluster_free(&n->cluster);
-	free(n);
-	memset(net.face[node], 0, sizeof(net.face[node]));
+	memset(client, 0, sizeof(*client));
+	client->max_idle = max_idle;
+	return fl_address_parse(addr, &client->addr);
 }
 
-void sim_node_kill(int node)
-{
-	int process = net.process[node];
-
-	if (!process)
-		return;
-	net.process[node] = 0;
-	sim_process_cancel(process);
-	fl_sleep(0);
-	sim_require(fl_coroutine_cancelled() || sim_process_routines(process) == 0);
-	if (!fl_coroutine_cancelled())
-		free_node(node);
-}
+void fl_http_client_close(struct fl_http_client *client) { (void)client; }
 
-static void drop(struct sim_timer *timer)
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	if (timer->fn == arrive || timer->fn == deliver)
-		timer->fn(timer->arg);
-}
+	struct sim_endpoint from = {ENDPOINT_PEER, sim_node_of_process(sim_process())};
 
-void sim_net_end(void)
-{
-	net.over = true;
-	sim_time_end(drop);
-	for (int i = 0; i < SIM_NODES; i++)
-		free_node(i);
-	memset(&net, 0, sizeof(net));
+	if (from.index < 0) /* a process that has just been killed */
+		return -ECANCELED;
+	return sim_call(from, sim_endpoint_of(&client->addr), method, path, body, timeout_s, out);
 }
