--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -26,9 +26,6 @@
 	.burst_s = 2,             /* s of calls that may be saved up */
 };
 
-/* A steady time before any other. */
-#define LONG_AGO (-1e9)
-
 /* For controllers that start while the cloud is out: see machine_types.c. */
 static void store_machine_types(struct fl_node *node, const struct fl_cloud_machine_type *types,
                                 int count)
@@ -58,10 +55,9 @@
 	free(types);
 }
 
-double fl_autoscaler_spot_loss_rate(const struct fl_node *node)
+double fl_autoscaler_spot_loss_rate(const struct fl_autoscaler *autoscaler)
 {
-	return node->autoscaler.spot_losses /
-	       (node->autoscaler.spot_machine_seconds + tunables.spot_prior_s);
+	return autoscaler->spot_losses / (autoscaler->spot_machine_seconds + tunables.spot_prior_s);
 }
 
 /* Adds the time since the last count for each spot machine that is up. */
@@ -87,7 +83,7 @@
 	double burst = tunables.burst_s * node->config->cloud_rps * tunables.call_share;
 
 	memset(autoscaler, 0, sizeof(*autoscaler));
-	autoscaler->types_refreshed_at = LONG_AGO; /* what was read from a record may be old */
+	autoscaler->types_refreshed_at = FL_LONG_AGO; /* what was read from a record may be old */
 	fl_token_bucket_init(&autoscaler->call_budget, calls_per_s, burst, fl_now());
 }
 
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -12,6 +12,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#include "storage/placement_rules.h"
 #include "storage/records.h"
 
 struct fl_node;
@@ -20,19 +21,13 @@
 /* Rentals that one plan may ask for. */
 enum { FL_SCALE_OUT_REQUESTS_MAX = 32 };
 
-/* What kind of machine to rent: indices of its type and zone, and whether it is a spot machine. */
-struct fl_machine_kind {
-	int type, zone;
-	bool spot;
-};
-
 /* Machines of one kind to be rented with one call. */
 struct fl_scale_out_request {
 	struct fl_machine_kind kind;
 	int count;
 };
 
-/* What a leader knows about its machines beside the machines themselves. */
+/* The state of a leader's autoscaler, beside the machines themselves; reset at each failover. */
 struct fl_autoscaler {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
 	int request_count;
@@ -40,12 +35,12 @@
 	/* Calls are under way: which machines there will be is unknown until they return. */
 	bool scale_out_in_flight;
 	uint64_t rental_name_count; /* names given out by this leadership */
-	/* By type, zone and spot or not; steady: until then no such machine is asked for. */
+	/* By type, zone and spot or not; steady: until then no such machine is requested. */
 	double no_capacity_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX][2];
 	/* Steady; until then too many machines of the zone are silent. */
 	double zone_suspected_until[FL_ZONES_MAX];
 	double listed_at;          /* steady; when the last complete list was begun */
-	double types_refreshed_at; /* steady; when types and prices were last asked for */
+	double types_refreshed_at; /* steady; when types and prices were last requested */
 	struct fl_token_bucket call_budget;
 	double spot_losses;          /* spot machines that were reclaimed */
 	double spot_machine_seconds; /* the time that spot machines were up */
@@ -58,12 +53,12 @@
 	int headroom_surplus[FL_ZONES_MAX], headroom_shares;
 };
 
-/* Resets all this, when a leader begins. */
+/* Resets the autoscaler, when leadership begins. */
 void fl_autoscaler_begin(struct fl_node *node);
 /* The coroutine of a leader, with its fl_node; returns when it is cancelled. */
 void fl_autoscaler_run(struct fl_node *node);
-/* Chance a second that a spot machine is reclaimed, as seen lately. */
-double fl_autoscaler_spot_loss_rate(const struct fl_node *node);
+/* Chance a second that a spot machine is reclaimed, from the losses under this leadership. */
+double fl_autoscaler_spot_loss_rate(const struct fl_autoscaler *autoscaler);
 /*
  * Plans rentals for what the last cycle could not place, and for headroom (autoscaler_plan.c).
  * `unplaced_tasks`: their number, by job. Does nothing while a rental is in flight.
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -30,17 +30,17 @@
 /*
  * Places a task on a planned machine, a further rental if need be; false if there is none. `next`
  * is the first machine that may still take a task of this job: its tasks are all alike, capacity
- * only gets less and zones only close, so one that was passed over need not be examined again.
+ * only gets less and zones only close, so one that was skipped need not be examined again.
  */
 static bool place_task(struct fl_autoscaler_plan *plan, struct fl_planned_job *planned, int *next)
 {
 	struct fl_planned_machine *chosen;
 
 	while (*next < plan->count && !can_take_task(&plan->machines[*next], planned)) {
-		plan->node->autoscaler.machines_examined++;
+		plan->autoscaler->machines_examined++;
 		++*next;
 	}
-	plan->node->autoscaler.machines_examined++;
+	plan->autoscaler->machines_examined++;
 	chosen = *next < plan->count ? &plan->machines[*next]
 	                             : fl_autoscaler_add_rental(plan, planned, FL_ANY_ZONE);
 	if (!chosen)
@@ -59,9 +59,10 @@
 }
 
 /* Of `count` tasks, how many the maximum quota of the job's team allows: more need no machine. */
-static uint32_t limit_by_team(const struct fl_node *node, const struct fl_job *job, uint32_t count)
+static uint32_t limit_by_team(const struct fl_teams *teams, const struct fl_job *job,
+                              uint32_t count)
 {
-	const struct fl_team *team = &node->cluster.teams.by_index[job->team];
+	const struct fl_team *team = &teams->by_index[job->team];
 	double allowed = count;
 
 	allowed = tasks_within(team->max_gpus, team->used_gpus, job->gpus, allowed);
@@ -75,7 +76,7 @@
 	int next = 0;
 
 	memcpy(planned.placed_by_zone, job->placement.by_zone, sizeof(planned.placed_by_zone));
-	count = limit_by_team(plan->node, job, count);
+	count = limit_by_team(&plan->cluster->teams, job, count);
 	while (count > 0 && job->kind == FL_ARRAY && plan->tasks_ending_soon >= 1) {
 		plan->tasks_ending_soon -= 1;
 		count--;
@@ -84,7 +85,7 @@
 		count--;
 }
 
-/* Whether the machine boots, and may be counted on. */
+/* Whether the machine boots, and is not overdue. */
 static bool is_booting(const struct fl_autoscaler_plan *plan, const struct fl_machine *machine,
                        double boot_s)
 {
@@ -114,10 +115,10 @@
 	return count;
 }
 
-/* Adds the machines that there are: those that boot, and the tasks that end soon. */
+/* Adds the machines that boot, and counts the tasks that end soon on those that are up. */
 static void add_existing(struct fl_autoscaler_plan *plan)
 {
-	struct fl_machines *machines = &plan->node->cluster.machines;
+	const struct fl_machines *machines = &plan->cluster->machines;
 
 	for (int i = 0; i < machines->count; i++) {
 		const struct fl_machine *machine = machines->by_id[i];
@@ -179,7 +180,10 @@
 void fl_autoscaler_plan_scale_out(struct fl_node *node, struct fl_job **jobs,
                                   const uint32_t *unplaced_tasks, int count)
 {
-	struct fl_autoscaler_plan plan = {.node = node, .now = fl_now(), .now_wall = fl_wall()};
+	struct fl_autoscaler_plan plan = {.autoscaler = &node->autoscaler,
+	                                  .cluster = &node->cluster,
+	                                  .now = fl_now(),
+	                                  .now_wall = fl_wall()};
 
 	if (node->autoscaler.scale_out_in_flight)
 		return;
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -7,7 +7,7 @@
 static const struct {
 	double learn_s, spread;
 } tunables = {
-	.learn_s = 300.0, /* s over which the arrival of services is counted */
+	.learn_s = 300.0, /* s over which the arrivals of services are counted */
 	.spread = 2.0,    /* standard deviations of the arrivals while a machine boots, on top */
 };
 
@@ -20,8 +20,8 @@
 };
 
 /* Tasks of a service that could start on the machine at once, preempting what they may. */
-static uint32_t service_capacity(const struct fl_node *node, const struct fl_machine *machine,
-                                 const struct fl_job *service)
+static uint32_t service_capacity(const struct fl_machines *machines,
+                                 const struct fl_machine *machine, const struct fl_job *service)
 {
 	struct fl_machine_kind kind = {machine->type, machine->zone, machine->spot};
 	struct fl_resources available;
@@ -29,7 +29,7 @@
 	if (machine->spot || machine->lifecycle.draining ||
 	    !fl_autoscaler_job_allows(service, kind))
 		return 0;
-	available = fl_machine_type_capacity(&node->cluster.machines.types[machine->type]);
+	available = fl_machine_type_capacity(&machines->types[machine->type]);
 	for (int i = 0; i < machine->assignment_count; i++) {
 		const struct fl_job *job = machine->assignments[i].job;
 
@@ -40,8 +40,8 @@
 }
 
 /*
- * The newest of the services that came lately, the model for those to come, and how many tasks all
- * of them have; NULL: none came.
+ * The newest of the services submitted in the last learn_s, the model for those to come, and how
+ * many tasks all of them have; NULL: there was none.
  */
 static const struct fl_job *recent_services(const struct fl_autoscaler_plan *plan,
                                             double *task_count)
@@ -50,7 +50,7 @@
 	struct fl_job *job, *next;
 
 	*task_count = 0;
-	HASH_ITER (hh, plan->node->cluster.jobs, job, next) {
+	HASH_ITER (hh, plan->cluster->jobs, job, next) {
 		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
 		    plan->now_wall - job->submitted_wall > tunables.learn_s)
 			continue;
@@ -64,7 +64,7 @@
 /* Counts the machines that are up. */
 static void add_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
-	const struct fl_machines *machines = &plan->node->cluster.machines;
+	const struct fl_machines *machines = &plan->cluster->machines;
 
 	for (int i = 0; i < machines->count; i++) {
 		const struct fl_machine *machine = machines->by_id[i];
@@ -72,7 +72,7 @@
 		if (machine->lifecycle.up && !machine->lifecycle.decommissioned &&
 		    machine->described)
 			headroom->capacity[machine->zone % headroom->shares] +=
-				service_capacity(plan->node, machine, headroom->service);
+				service_capacity(machines, machine, headroom->service);
 	}
 }
 
@@ -117,8 +117,8 @@
  */
 void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan)
 {
-	struct fl_autoscaler *autoscaler = &plan->node->autoscaler;
-	const struct fl_cluster *cluster = &plan->node->cluster;
+	struct fl_autoscaler *autoscaler = plan->autoscaler;
+	const struct fl_cluster *cluster = plan->cluster;
 	struct headroom headroom = {0};
 	double task_count, arrivals;
 
--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -15,7 +15,7 @@
 	.list_slack_s = 1.0, /* s beyond them, for the call itself */
 };
 
-/* `known_count`: machines that were known when the list was begun. */
+/* Takes one entry of a list in. `known_count`: machines known when the list was begun. */
 static void apply_listed_machine(struct fl_node *node, const struct fl_cloud_machine *listed,
                                  double now, int known_count)
 {
@@ -36,8 +36,8 @@
 }
 
 /*
- * Missing from a list proves a machine gone only if that list, which may be twice the lag old,
- * must have been made after the machine was there.
+ * A machine missing from a list is proven gone only if even the oldest state that the list may
+ * show, of list_lags lags ago, is later than the time when the machine was first seen.
  */
 static void decommission_missing(struct fl_node *node, double begun_at, int known_count)
 {
--- a/src/coordination/autoscaling/machine_list.h
+++ b/src/coordination/autoscaling/machine_list.h
@@ -1,4 +1,7 @@
-/* The list of the cloud's machines, and what it proves. */
+/*
+ * The list of the cloud's machines: it tells which machines there are, and is the proof that one
+ * has failed or is gone. It may be out of date by the lag in the settings; a proof allows for that.
+ */
 #ifndef FL_COORDINATION_AUTOSCALING_MACHINE_LIST_H
 #define FL_COORDINATION_AUTOSCALING_MACHINE_LIST_H
 
--- a/src/coordination/autoscaling/planned_machines.c
+++ b/src/coordination/autoscaling/planned_machines.c
@@ -7,7 +7,7 @@
 static const struct {
 	double suspected_cost, zone_balance, spread_weight;
 } tunables = {
-	.suspected_cost = 2.0, /* times the price that a zone counts for while it is cut off */
+	.suspected_cost = 2.0, /* times the price, in a zone where too many machines are silent */
 	.zone_balance = 1e-4,  /* of the price, per machine in the zone: decides between equals */
 	.spread_weight = 0.1,  /* of the price, per task in the zone, of a job to be spread */
 };
@@ -16,7 +16,7 @@
                                                      struct fl_machine_kind kind,
                                                      enum fl_planned_origin origin)
 {
-	const struct fl_machine_type *type = &plan->node->cluster.machines.types[kind.type];
+	const struct fl_machine_type *type = &plan->cluster->machines.types[kind.type];
 
 	if (plan->count == plan->capacity)
 		return NULL;
@@ -28,24 +28,21 @@
 
 bool fl_autoscaler_job_allows(const struct fl_job *job, struct fl_machine_kind kind)
 {
-	if (!(job->types >> kind.type & 1))
-		return false;
-	if (job->zone >= 0 && job->zone != kind.zone)
-		return false;
-	return job->spot_allowed || !kind.spot;
+	struct fl_kind_rule rule = {job->types, job->zone, job->spot_allowed};
+
+	return fl_kind_rule_admits(rule, kind);
 }
 
 bool fl_autoscaler_zone_allows(const struct fl_planned_job *planned, int zone)
 {
 	const struct fl_job *job = planned->job;
-	uint32_t half = (job->task_count + 1) / 2;
+	/* The plan leaves tasks in unknown zones out: placed_in_unknown_zone is 0. */
+	const struct fl_zone_rule rule = {.same_zone = job->same_zone,
+	                                  .spread_zones = job->spread_zones,
+	                                  .task_count = job->task_count,
+	                                  .placed_by_zone = planned->placed_by_zone};
 
-	if (job->spread_zones && planned->placed_by_zone[zone] + 1 > half)
-		return false;
-	for (int z = 0; job->same_zone && z < FL_ZONES_MAX; z++)
-		if (z != zone && planned->placed_by_zone[z] > 0)
-			return false;
-	return true;
+	return fl_zone_rule_admits(&rule, zone);
 }
 
 /* Price a second of one task's share of the machine. */
@@ -61,8 +58,8 @@
 static bool may_rent(const struct fl_autoscaler_plan *plan, const struct fl_planned_job *planned,
                      struct fl_machine_kind kind)
 {
-	const struct fl_machine_type *type = &plan->node->cluster.machines.types[kind.type];
-	const struct fl_autoscaler *autoscaler = &plan->node->autoscaler;
+	const struct fl_machine_type *type = &plan->cluster->machines.types[kind.type];
+	const struct fl_autoscaler *autoscaler = plan->autoscaler;
 
 	if (!(type->zones >> kind.zone & 1))
 		return false;
@@ -74,11 +71,11 @@
 	return autoscaler->no_capacity_until[kind.type][kind.zone][kind.spot] <= plan->now;
 }
 
-/* What a rental counts for in the choice; INFINITY: it cannot be, or was refused lately. */
+/* The cost of a rental as the choice counts it; INFINITY: not possible, or refused lately. */
 static double rental_cost(const struct fl_autoscaler_plan *plan,
                           const struct fl_planned_job *planned, struct fl_machine_kind kind)
 {
-	const struct fl_machine_type *type = &plan->node->cluster.machines.types[kind.type];
+	const struct fl_machine_type *type = &plan->cluster->machines.types[kind.type];
 	const struct fl_job *job = planned->job;
 	double spread, cost;
 
@@ -90,7 +87,7 @@
 	cost = unit_price(type, job, kind.spot) *
 	       (1 + tunables.zone_balance * plan->machines_by_zone[kind.zone] + spread);
 	/* A machine whose heartbeats do not arrive is paid for nothing. */
-	if (plan->node->autoscaler.zone_suspected_until[kind.zone] > plan->now)
+	if (plan->autoscaler->zone_suspected_until[kind.zone] > plan->now)
 		cost *= tunables.suspected_cost;
 	return cost;
 }
@@ -116,7 +113,7 @@
                                                     const struct fl_planned_job *planned,
                                                     int only_zone)
 {
-	const struct fl_cluster *cluster = &plan->node->cluster;
+	const struct fl_cluster *cluster = plan->cluster;
 	struct fl_machine_kind cheapest = {0};
 	double lowest_cost = INFINITY;
 
--- a/src/coordination/autoscaling/planned_machines.h
+++ b/src/coordination/autoscaling/planned_machines.h
@@ -9,12 +9,9 @@
 #include "coordination/autoscaling/autoscaler.h"
 #include "storage/jobs.h"
 
-/* Machines rented by one plan at most. */
+/* Rentals of one plan at most. */
 enum { FL_PLANNED_RENTALS_MAX = 400 };
 
-/* A rental may be in any zone. */
-#define FL_ANY_ZONE (-1)
-
 /* Whether a planned machine is rented already. */
 enum fl_planned_origin {
 	FL_PLANNED_BOOTING, /* rented, not up yet */
@@ -30,12 +27,13 @@
 
 /* A plan of which machines to rent. */
 struct fl_autoscaler_plan {
-	struct fl_node *node;
-	struct fl_planned_machine *machines; /* owned by the plan */
+	struct fl_autoscaler *autoscaler;
+	const struct fl_cluster *cluster;
+	struct fl_planned_machine *machines; /* owned */
 	int count, capacity, rental_count;
 	double tasks_ending_soon; /* tasks that end before a rented machine could boot */
 	int machines_by_zone[FL_ZONES_MAX];
-	double now, now_wall;
+	double now, now_wall; /* steady, and of the time of day */
 };
 
 /* A job whose tasks are placed by the plan. */
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -53,7 +53,7 @@
 	return "unknown";
 }
 
-/* Whether a machine that is not spot may go without cutting into the headroom for services. */
+/* Whether a machine that is not spot is spare beyond the headroom for services; counts it off. */
 static bool take_surplus(struct fl_autoscaler *autoscaler, const struct fl_machine *machine,
                          const struct fl_machine_type *type)
 {
@@ -77,7 +77,7 @@
 	       now - machine->lifecycle.first_seen_at > max_boot_s;
 }
 
-/* Of a machine that is up and runs nothing. */
+/* Decides on a machine that is up and runs nothing. */
 static enum scale_in_reason empty_machine_reason(struct fl_node *node, struct fl_machine *machine,
                                                  const struct fl_machine_type *type, double now)
 {
@@ -93,7 +93,7 @@
 	return take_surplus(&node->autoscaler, machine, type) ? IDLE : KEPT;
 }
 
-/* `timeouts`: of silent machines, by zone, in worker leases. */
+/* Decides on any machine. `timeouts`: of silent machines, by zone, in worker leases. */
 static enum scale_in_reason scale_in_reason(struct fl_node *node, struct fl_machine *machine,
                                             double now, const double timeouts[FL_ZONES_MAX])
 {
@@ -142,7 +142,8 @@
 
 		if (reason == KEPT)
 			continue;
-		fl_info("cloud", "scale in: %s reason=\"%s\"", machine->name, reason_text(reason));
+		fl_info("cloud", "machine draining: %s reason=\"%s\"", machine->name,
+		        reason_text(reason));
 		/* Half of those that are reclaimed give no notice: silence is the first sign. */
 		node->autoscaler.spot_losses += machine->spot && reason == SILENT;
 		machine->lifecycle.draining = true;
--- a/src/coordination/autoscaling/scale_in.h
+++ b/src/coordination/autoscaling/scale_in.h
@@ -7,7 +7,7 @@
 /*
  * Returns machines that are idle, faulty, lost, never booted or being drained, as many as fit into
  * one call. What is chosen is draining from then on; it is decommissioned when the cloud has taken
- * it back, and asked for again if that call fails.
+ * it back, and is chosen again if that call fails.
  */
 void fl_autoscaler_scale_in(struct fl_node *node);
 
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -13,11 +13,11 @@
 	double no_capacity_s;
 	int tries;
 } tunables = {
-	.no_capacity_s = 20.0, /* s for which a refused kind of machine is not asked for again */
+	.no_capacity_s = 20.0, /* s for which a refused kind of machine is not requested again */
 	.tries = 3,            /* of one rental that goes unanswered */
 };
 
-/* One rental, and what came of it. */
+/* One rental, and its result. */
 struct rental {
 	const struct fl_scale_out_request *request;
 	char name[64];
@@ -86,7 +86,7 @@
 		        call->zone, call->spot, fl_cloud_result_text(rental->result));
 }
 
-/* Makes one rental; whether the next may be made. */
+/* Makes one rental; false: the next must not be made. */
 static bool scale_out_one(struct fl_node *node, const struct fl_scale_out_request *request)
 {
 	struct fl_machine_kind kind = request->kind;
--- a/src/coordination/scheduling/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -1,4 +1,4 @@
-/* A scheduling cycle: its memory, and the walk over the jobs in their order. */
+/* A scheduling cycle: its memory, the indices over the attempts, and the jobs in their order. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
@@ -41,7 +41,7 @@
 	}
 }
 
-/* What the victims of earlier cycles will free. */
+/* Counts what the victims of earlier cycles will free, by machine. */
 static void add_releasing_resources(struct fl_sched_cycle *cycle)
 {
 	for (int i = 0; i < cycle->input->attempt_count; i++) {
@@ -61,7 +61,7 @@
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	double estimate_s = job->estimate_s;
 
-	/* A service never ends: it starts from the top, or where the top job cannot go. */
+	/* A service never ends: it starts as the top job, or where the top job may not run. */
 	if (max_duration_s && estimate_s <= 0)
 		job->estimate_s =
 			job->service ? INFINITY : cycle->input->params->default_estimate_s;
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -21,16 +21,16 @@
 #include "storage/resources.h"
 #include "storage/teams.h"
 
-/* What weighs in the order of the jobs. */
+/* Parameters of the priority of a job. */
 struct fl_sched_params {
 	double alpha, beta, gamma, r, omega; /* the paper's */
 	double default_estimate_s;           /* for jobs with no estimate */
-	double overdue_after_s; /* wait from which a job is overdue: it weighs more and more */
-	double aging_power;     /* power of what it then weighs more */
+	double overdue_after_s; /* wait after which a job is overdue: see aging_power */
+	double aging_power;     /* power by which the weight of the wait grows from then on */
 	double background_overdue_factor; /* times that wait for background work */
 };
 
-/* What a controller uses; the reasons are in schedule_order.c. */
+/* The parameters that a controller uses; the reasons are in schedule_order.c. */
 extern const struct fl_sched_params fl_sched_defaults;
 
 /* A job with tasks to be placed. */
@@ -136,7 +136,7 @@
 double fl_sched_priority(const struct fl_sched_params *params, const struct fl_sched_job *job);
 /* Runs a cycle. Free the output whatever the result. */
 enum fl_schedule_result fl_schedule(struct fl_sched_input *input, struct fl_sched_output *output);
-/* Frees what a cycle has put out. */
+/* Frees the arrays of the output, and clears it. */
 void fl_sched_output_free(struct fl_sched_output *output);
 
 #endif
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -5,18 +5,13 @@
 
 bool fl_sched_zone_allows(const struct fl_sched_job *job, int zone)
 {
-	uint32_t half = (job->task_count + 1) / 2;
+	const struct fl_zone_rule rule = {.same_zone = job->same_zone,
+	                                  .spread_zones = job->spread_zones,
+	                                  .task_count = job->task_count,
+	                                  .placed_by_zone = job->placed_by_zone,
+	                                  .placed_in_unknown_zone = job->placed_in_unknown_zone};
 
-	if (job->spread_zones && job->placed_by_zone[zone] + job->placed_in_unknown_zone + 1 > half)
-		return false;
-	if (!job->same_zone)
-		return true;
-	if (job->placed_in_unknown_zone > 0)
-		return false;
-	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (z != zone && job->placed_by_zone[z] > 0)
-			return false;
-	return true;
+	return fl_zone_rule_admits(&rule, zone);
 }
 
 bool fl_sched_team_allows(const struct fl_sched_input *input, const struct fl_sched_job *job)
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -6,6 +6,7 @@
 #define FL_COORDINATION_SCHEDULING_SCHEDULE_INTERNAL_H
 
 #include "coordination/scheduling/schedule.h"
+#include "storage/placement_rules.h"
 
 /* The state of one cycle. */
 struct fl_sched_cycle {
@@ -25,7 +26,7 @@
 	/* Per machine, for the job being considered; INFINITY: not possible there. */
 	double *start_cost, *preemption_cost;
 	int *victims; /* scratch space for the attempts on any one machine */
-	bool resumed; /* the job being considered comes after a part of the order left out */
+	bool resumed; /* the cycle skipped a part of the order before the job being considered */
 	/* Tasks of the job being considered with capacity requested where their image is cached. */
 	uint32_t tasks_awaiting_image;
 	bool failed; /* no memory */
@@ -48,18 +49,17 @@
 static inline bool fl_sched_allowed(const struct fl_sched_job *job,
                                     const struct fl_sched_machine *machine)
 {
-	if (!(job->allowed_types >> machine->type & 1))
-		return false;
-	if (job->zone >= 0 && job->zone != machine->zone)
-		return false;
-	return job->spot_allowed || !machine->spot;
+	struct fl_kind_rule rule = {job->allowed_types, job->zone, job->spot_allowed};
+	struct fl_machine_kind kind = {machine->type, machine->zone, machine->spot};
+
+	return fl_kind_rule_admits(rule, kind);
 }
 
 /* Whether one more task may go to this zone, by where the job's other tasks are. */
 bool fl_sched_zone_allows(const struct fl_sched_job *job, int zone);
 /* Whether one more task stays within the maximum quota of the job's team. */
 bool fl_sched_team_allows(const struct fl_sched_input *input, const struct fl_sched_job *job);
-/* Whether a task that is placed changes what other machines are worth to the rest of its job. */
+/* Whether placing a task of the job changes the cost of other machines for its other tasks. */
 bool fl_sched_depends_on_zones(const struct fl_sched_job *job);
 /* How many tasks of the job fit into these resources. */
 uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, struct fl_resources available);
@@ -83,7 +83,7 @@
 /* ---- placement: schedule_placement.c ---- */
 
 /*
- * Starts what fits now; true if capacity was what ended it, not the team's quota. With
+ * Starts what fits now; true if tasks are left for lack of capacity, not for the team's quota. With
  * `max_duration_s` (per machine; NULL: no bound) only tasks start that are estimated to end within
  * it.
  */
@@ -100,7 +100,7 @@
                                     int machine_index);
 /*
  * Requests capacity for what still waits, by preemption, and returns for how many tasks it was
- * found. `max_duration_s` as above.
+ * found. `max_duration_s` as for fl_sched_start_fitting.
  */
 uint32_t fl_sched_request_preemptions(struct fl_sched_cycle *cycle, int job_index,
                                       const double *max_duration_s);
@@ -109,7 +109,7 @@
 
 /* Makes a job the blocked top job, and sets its backfill window. */
 void fl_sched_set_window(struct fl_sched_cycle *cycle, int top);
-/* Per machine, how long a backfilled task may run: any time where the top job cannot go. */
+/* Per machine, how long a backfilled task may run: any time where the top job may not run. */
 void fl_sched_window_by_machine(const struct fl_sched_cycle *cycle, double *max_duration_s);
 /* Whether the top job's window bounds this job. */
 bool fl_sched_bound_by_top(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job);
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -3,12 +3,9 @@
 
 #include <math.h>
 
-/* Any zone will do. */
-#define ANY_ZONE (-1)
-
 /* Where and for how long the tasks of the job being considered may start. */
 struct start_terms {
-	int zone;                     /* the only one, or ANY_ZONE */
+	int zone;                     /* the only one, or FL_ANY_ZONE */
 	const double *max_duration_s; /* per machine; NULL: no bound */
 };
 
@@ -19,9 +16,9 @@
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 	struct fl_resources available = fl_sched_capacity_for(cycle, job, machine_index);
 
-	if (terms.zone != ANY_ZONE && machine->zone != terms.zone)
+	if (terms.zone != FL_ANY_ZONE && machine->zone != terms.zone)
 		return INFINITY;
-	/* What is available includes what has yet to be freed: both must hold the task. */
+	/* Available includes what stops under way will free: the task must fit without it too. */
 	if (!fl_resources_fit(job->need, available) || !fl_resources_fit(job->need, machine->free))
 		return INFINITY;
 	if (!fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone))
@@ -43,10 +40,10 @@
 static int choose_zone(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
 	double capacity[FL_ZONES_MAX] = {0};
-	int best = ANY_ZONE;
+	int best = FL_ANY_ZONE;
 
 	if (!job->same_zone)
-		return ANY_ZONE;
+		return FL_ANY_ZONE;
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (job->placed_by_zone[z] > 0)
 			return z;
@@ -57,7 +54,7 @@
 			capacity[machine->zone] += fl_sched_placement_capacity(job, machine->free);
 	}
 	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (capacity[z] > 0 && (best == ANY_ZONE || capacity[z] > capacity[best]))
+		if (capacity[z] > 0 && (best == FL_ANY_ZONE || capacity[z] > capacity[best]))
 			best = z;
 	return best;
 }
@@ -82,7 +79,7 @@
 	job->startable_count--;
 }
 
-/* Takes back the starts beyond the first `kept_count`. */
+/* Undoes the starts beyond the first `kept_count`, the last one first. */
 static void undo_starts(struct fl_sched_cycle *cycle, int kept_count)
 {
 	while (cycle->output->start_count > kept_count) {
@@ -112,7 +109,7 @@
 
 /*
  * Starts the job's tasks one by one, each on the best machine; of an overdue array just one. True
- * if capacity was what ended it.
+ * if tasks are left for lack of capacity.
  */
 static bool start_each(struct fl_sched_cycle *cycle, int job_index, const double *max_duration_s)
 {
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -175,7 +175,7 @@
 	if (!may_start_on(cycle, job, terms, machine_index))
 		return INFINITY;
 	cost_s = select_victims(cycle, job, machine_index, terms.entitlement).cost_s;
-	/* Mostly nothing can be freed, and the cost of the placement need not be computed. */
+	/* On most machines nothing can be freed: that saves the cost of the placement. */
 	if (cost_s == INFINITY)
 		return INFINITY;
 	if (terms.choice == MACHINES_WITH_IMAGE && cost_s > tunables.max_cached_loss_s)
@@ -212,7 +212,7 @@
 /*
  * Requests resources for one more task on the machine of the lowest cost: what is being freed
  * already, else that of the cheapest victims. The task starts in a later cycle, when the victims
- * are proven gone.
+ * are proven gone. False: no machine can give them.
  */
 static bool request_preemption(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                struct preemption_terms terms)
@@ -272,7 +272,7 @@
 	struct fl_team *team = &cycle->input->teams[job->team];
 	struct preemption_terms terms = {.max_duration_s = max_duration_s};
 	uint32_t requested = 0;
-	bool rated = false;
+	bool costs_computed = false;
 
 	while (requested < job->startable_count - cycle->tasks_awaiting_image && !cycle->failed) {
 		enum entitlement entitlement = entitlement_of(job, team);
@@ -282,13 +282,14 @@
 		if (entitlement == ENTITLED_BY_PRIORITY && job->priority == FL_BEST_EFFORT)
 			break;
 		/*
-		 * A request on one machine changes the cost on no other: all are rated once a job.
+		 * A request on one machine changes the cost on no other: they are all computed
+		 * once a job, unless the entitlement changes.
 		 */
-		if (!rated || terms.entitlement != entitlement) {
+		if (!costs_computed || terms.entitlement != entitlement) {
 			terms.entitlement = entitlement;
 			compute_preemption_costs(cycle, job, terms);
 		}
-		rated = true;
+		costs_computed = true;
 		if (!request_preemption(cycle, job, terms))
 			break;
 		team->used_cpus += job->need.cpus;
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -51,7 +51,7 @@
                       const struct fl_sched_output *output, double took_s)
 {
 	fl_debug("schedule",
-	         "cycle done: number=%llu jobs=%d machines=%d starts=%d preemptions=%d "
+	         "cycle done number=%llu jobs=%d machines=%d starts=%d preemptions=%d "
 	         "duration_ms=%.1f%s",
 	         (unsigned long long)node->leadership.cycle_count, input->job_count,
 	         input->machine_count, output->start_count, output->preemption_count, took_s * 1000,
--- a/src/coordination/scheduling/scheduling_cycle.h
+++ b/src/coordination/scheduling/scheduling_cycle.h
@@ -14,8 +14,8 @@
 /* Seconds after which a cycle stops, to be resumed by the next, with this share of a core. */
 double fl_scheduling_cycle_budget_s(double core_share);
 /*
- * Seconds between the begins of two cycles, after one that took `took_s` by the clock and
- * `processor_s` of processor time, with this share of a core.
+ * Seconds from the begin of a cycle to that of the next, after a cycle of `took_s` by the steady
+ * clock and `processor_s` of processor time, with this share of a core.
  */
 double fl_scheduling_cycle_gap_s(double core_share, double took_s, double processor_s);
 
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -46,7 +46,7 @@
 	return (uint32_t)(count > tunables.min_considered ? count : tunables.min_considered);
 }
 
-/* How many waiting tasks of the job may start now. */
+/* How many waiting tasks of the job may start now; all of a gang or none. */
 static uint32_t count_startable(struct fl_job *job, uint32_t max_considered, double now)
 {
 	bool gang = job->kind == FL_GANG;
@@ -297,7 +297,7 @@
 	for (int i = 0; i < cluster->machines.count; i++)
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
 			add_machine(&builder, cluster->machines.by_id[i]);
-	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(node);
+	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(&node->autoscaler);
 	snapshot->input.resume_position = node->leadership.resume_position;
 	return FL_SCHEDULE_OK;
 }
--- a/src/coordination/scheduling/scheduling_snapshot.h
+++ b/src/coordination/scheduling/scheduling_snapshot.h
@@ -26,7 +26,7 @@
  */
 enum fl_schedule_result fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot,
                                          double now);
-/* Frees what a snapshot consists of. */
+/* Frees the arrays of a snapshot, not what they point to. */
 void fl_snapshot_free(struct fl_snapshot *snapshot);
 
 #endif
