--- a/src/coordination/api/admission.h
+++ b/src/coordination/api/admission.h
@@ -1,6 +1,7 @@
 /*
- * What a controller of this size can take: settings that are tight are named at the start, and
- * while memory is low new jobs are turned away before anything is accepted.
+ * Admission by memory: while it is low new jobs are rejected before anything is stored, so that
+ * accepted ones can be kept. Settings with which that, or a slow leader, is likely are named at the
+ * start. Pure functions of the settings, but for the memory in use.
  */
 #ifndef FL_COORDINATION_API_ADMISSION_H
 #define FL_COORDINATION_API_ADMISSION_H
@@ -16,7 +17,7 @@
 size_t fl_admission_body_bytes(const struct fl_config *config);
 /*
  * Writes a text that names a tight setting and what it costs; false: there are no more. `index`
- * counts the tight ones from 0, so that all of them can be had.
+ * counts the tight ones from 0, so that the caller can log all of them.
  */
 bool fl_admission_tight_setting(const struct fl_config *config, int index, char *text, size_t cap);
 
--- a/src/coordination/api/cancellation.c
+++ b/src/coordination/api/cancellation.c
@@ -10,9 +10,9 @@
 #include "transport/log.h"
 
 /*
- * Sees to it that the cluster state has the job, from its record if it has to. False: it is no
- * live job, or the record cannot be read, and the response says so as to a status query: a job that
- * only its record knows to be over is answered with its counts.
+ * Makes sure that the cluster state has the job, from its record if need be. False: it is no live
+ * job, or the record cannot be read, and the response is that of a status query: a job that only
+ * its record knows to be over is answered with its counts.
  */
 static bool load_job(struct fl_node *node, const char *ref, struct fl_http_response *response)
 {
@@ -49,7 +49,7 @@
 	return job;
 }
 
-/* Writes the cancelled record, if this node still leads and the record is as it is known here. */
+/* Writes the cancelled record, if this node is still the leader and the record is unchanged. */
 static enum fl_kv_result store_cancellation(struct fl_node *node, const struct fl_job *job,
                                             double cancelled_wall, uint64_t *revision)
 {
@@ -67,7 +67,7 @@
 	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
 }
 
-/* Acts on what came of the write. The job may be gone, and the leadership over, since it began. */
+/* Applies the result of the write, during which the job and the leadership may have ended. */
 static void apply_write_result(struct fl_node *node, const char *ref, enum fl_kv_result result,
                                double cancelled_wall, uint64_t revision)
 {
@@ -83,7 +83,7 @@
 		fl_command_stop_job(node, job);
 		fl_info("jobs", "job cancelled: %s", ref);
 	} else if (result == FL_KV_UNAVAILABLE) {
-		/* Refused and not executed: the record is as it was. */
+		/* The write was not executed: the record is unchanged. */
 		job->record.final_write_unknown = false;
 	} else {
 		fl_job_record_refresh(node, ref, &refreshed);
@@ -107,7 +107,7 @@
 	job = find_cancellable_job(node, ref, response);
 	if (!job)
 		return;
-	/* Till this is answered, only the record knows: see fl_job_status_from_memory. */
+	/* Until the result is known only the record is: see fl_job_status_from_memory. */
 	job->record.final_write_unknown = true;
 	result = store_cancellation(node, job, cancelled_wall, &revision);
 	apply_write_result(node, ref, result, cancelled_wall, revision);
@@ -115,7 +115,7 @@
 	if (finished)
 		fl_respond_cancellation(response, ref, finished->status);
 	else if (result == FL_KV_OK)
-		/* Stored, though this node may lead no more: the next leader stops its tasks. */
+		/* Stored; a node that has lost its lease leaves the tasks to the next leader. */
 		fl_respond_cancellation(response, ref, FL_CANCELLED);
 	else
 		fl_respond_unavailable(response, "the cancellation could not be stored");
--- a/src/coordination/api/cancellation.h
+++ b/src/coordination/api/cancellation.h
@@ -11,8 +11,9 @@
 struct fl_node;
 
 /*
- * Cancels a job and answers once that is stored; a finished one keeps its state. Waits. To be
- * called by the node whose lease is valid now.
+ * Cancels a job and answers once that is stored: 200 with its final status, which for a finished
+ * job is the one it has; 404; 503 if the cancellation could not be stored, or its result is not
+ * known. Waits. The caller has just checked fl_is_leader.
  */
 void fl_leader_cancel_job(struct fl_node *node, const char *ref, struct fl_http_response *response);
 
--- a/src/coordination/api/feasibility.c
+++ b/src/coordination/api/feasibility.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "coordination/node.h"
+#include "storage/cluster.h"
 
 static bool is_allowed_type(const struct fl_job_spec *spec, const char *name)
 {
@@ -21,12 +21,12 @@
 }
 
 /* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t find_zones(const struct fl_node *node, const struct fl_job_spec *spec)
+static uint32_t find_zones(const struct fl_cluster *cluster, const struct fl_job_spec *spec)
 {
 	uint32_t zones = 0;
 
-	for (int i = 0; i < node->cluster.machines.type_count; i++) {
-		const struct fl_machine_type *machine_type = &node->cluster.machines.types[i];
+	for (int i = 0; i < cluster->machines.type_count; i++) {
+		const struct fl_machine_type *machine_type = &cluster->machines.types[i];
 
 		if (is_allowed_type(spec, machine_type->name) && task_fits(spec, machine_type))
 			zones |= machine_type->zones;
@@ -55,18 +55,18 @@
 	return !fl_team_within_maximum(team, spec->cpus * task_count, spec->gpus * task_count);
 }
 
-enum fl_infeasibility fl_job_infeasibility(const struct fl_node *node,
+enum fl_infeasibility fl_job_infeasibility(const struct fl_cluster *cluster,
                                            const struct fl_job_spec *spec)
 {
-	int team = fl_teams_find(&node->cluster.teams, spec->team), zone;
-	uint32_t zones = find_zones(node, spec);
+	int team = fl_teams_find(&cluster->teams, spec->team), zone;
+	uint32_t zones = find_zones(cluster, spec);
 
 	if (team < 0)
 		return FL_INFEASIBLE_UNKNOWN_TEAM;
 	if (spec->cpus <= 0 && spec->gpus <= 0 && spec->ram_gb <= 0)
 		return FL_INFEASIBLE_NO_RESOURCES;
 	if (spec->has_zone) {
-		zone = fl_symbol_find(&node->cluster.zones, spec->zone);
+		zone = fl_symbol_find(&cluster->zones, spec->zone);
 		if (zone < 0)
 			return FL_INFEASIBLE_UNKNOWN_ZONE;
 		zones &= 1u << zone;
@@ -76,7 +76,7 @@
 		return FL_INFEASIBLE_NO_MACHINE_TYPE;
 	if (runs_at_once(spec) && spec->spread_zones && !can_spread(spec, zones))
 		return FL_INFEASIBLE_SPREAD;
-	if (exceeds_team_limit(&node->cluster.teams.by_index[team], spec))
+	if (exceeds_team_limit(&cluster->teams.by_index[team], spec))
 		return FL_INFEASIBLE_TEAM_LIMIT;
 	return FL_FEASIBLE;
 }
--- a/src/coordination/api/feasibility.h
+++ b/src/coordination/api/feasibility.h
@@ -7,7 +7,7 @@
 
 #include "protocol/users.h"
 
-struct fl_node;
+struct fl_cluster;
 
 /* Why a job can never run. */
 enum fl_infeasibility {
@@ -21,9 +21,9 @@
 };
 
 /* The first reason found. The machine types must be known. */
-enum fl_infeasibility fl_job_infeasibility(const struct fl_node *node,
+enum fl_infeasibility fl_job_infeasibility(const struct fl_cluster *cluster,
                                            const struct fl_job_spec *spec);
-/* The reason as the user is told it. */
+/* The reason, as the text of an error response. */
 const char *fl_infeasibility_text(enum fl_infeasibility infeasibility);
 
 #endif
--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -26,11 +26,11 @@
 /*
  * Found with 580 jobs and no leader for a moment: each status query read the records, 185 a second
  * against the 70 requests that the key-value store takes. The new leader's own reads were refused,
- * and it was 14 s before it led. Beyond their share status queries are answered 503, at once.
+ * and its failover took 14 s. Beyond their share status queries get 503, at once.
  */
 bool fl_job_lookup_within_budget(struct fl_node *node, double request_count)
 {
-	/* While one leads, the others forward their queries to it, and read nothing themselves. */
+	/* While there is a leader the others forward their queries to it, and read nothing. */
 	if (fl_is_leader(node))
 		request_count /= node->peer_count + 1;
 	return fl_token_bucket_take(&node->api.read_budget, request_count, fl_now()) <= 0;
@@ -54,8 +54,8 @@
 }
 
 /*
- * From here on it is being read: who comes later waits for the next. The coroutine that reads holds
- * it, and takes it out of the table itself.
+ * Enters a lookup whose read begins: later requests wait for the next one. The coroutine that reads
+ * holds it, and removes it from the table itself.
  */
 static void enter(struct fl_node *node, struct fl_job_lookup *lookup)
 {
@@ -68,7 +68,7 @@
 	fl_condition_broadcast(&lookup->completed);
 }
 
-/* Returns whether it is done; false: the time is over, or the caller is being cancelled. */
+/* Waits until the lookup is done; false: timed out, or the caller is being cancelled. */
 static bool await(struct fl_job_lookup *lookup)
 {
 	while (!lookup->done && fl_condition_wait(&lookup->completed, tunables.timeout_s) == 0)
@@ -76,7 +76,7 @@
 	return lookup->done;
 }
 
-/* A job that is done never changes again: who asks next is answered from memory. */
+/* A job that is done never changes again: the next query is answered from memory. */
 static void remember_done_job(struct fl_node *node, const struct fl_job_lookup *lookup)
 {
 	if (lookup->result == FL_RECORD_FOUND && lookup->record.final && !lookup->value &&
@@ -85,7 +85,7 @@
 		                    0);
 }
 
-/* Reads for all who wait for `lookup`, which is in the table and leaves it. */
+/* Reads for all holders of `lookup`, which is in the table, and removes it from there. */
 static void read_records(struct fl_node *node, struct fl_job_lookup *lookup)
 {
 	lookup->result = FL_RECORD_UNAVAILABLE;
@@ -99,7 +99,7 @@
 	complete(lookup);
 }
 
-/* The first of those that came after the sending of `before` reads for all of them. */
+/* The first request that came after the read `before` was sent reads for all of them. */
 static void read_after(struct fl_node *node, struct fl_job_lookup *before,
                        struct fl_job_lookup *lookup)
 {
@@ -115,7 +115,7 @@
 	release(before);
 }
 
-/* What the lookup came to, for one of its holders. */
+/* A copy of the result of the lookup, for one of its holders. */
 static enum fl_record_result copy_result(const struct fl_job_lookup *lookup,
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision)
--- a/src/coordination/api/job_lookup.h
+++ b/src/coordination/api/job_lookup.h
@@ -1,7 +1,7 @@
 /*
- * Reads of job records for users' requests. Requests for one job at a time share one read, and
+ * Reads of job records for users' requests. Concurrent requests for one job share one read, and
  * status queries of all controllers together have a share of the key-value store's requests. No
- * request rests on a read that was sent before it came.
+ * request is answered by a read that was sent before it came.
  */
 #ifndef FL_COORDINATION_API_JOB_LOOKUP_H
 #define FL_COORDINATION_API_JOB_LOOKUP_H
@@ -18,7 +18,7 @@
 	int holder_count; /* coroutines that hold it: the one that reads, and those that wait */
 	bool done;
 	struct fl_condition completed;
-	struct fl_job_lookup *next;   /* requests since the sending wait for this read */
+	struct fl_job_lookup *next;   /* for the requests since this read was sent */
 	enum fl_record_result result; /* as of fl_job_record_read, and what it read */
 	struct fl_job_record record;
 	cJSON *value; /* owned */
@@ -34,7 +34,7 @@
 enum fl_record_result fl_job_lookup_read(struct fl_node *node, const char *ref,
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision);
-/* Takes so many requests for a status query from their share of the store; false: it is used up. */
+/* Takes `request_count` requests from status queries' share of the store; false: used up. */
 bool fl_job_lookup_within_budget(struct fl_node *node, double request_count);
 
 #endif
--- a/src/coordination/api/job_status.c
+++ b/src/coordination/api/job_status.c
@@ -7,10 +7,11 @@
 #include "coordination/responses.h"
 #include "transport/clock.h"
 
-struct fl_job_status_report fl_job_status_from_memory(const struct fl_node *node, const char *ref)
+struct fl_job_status_report fl_job_status_from_memory(const struct fl_cluster *cluster,
+                                                      const char *ref)
 {
-	const struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
-	const struct fl_job *job = finished ? NULL : fl_job_find(&node->cluster, ref);
+	const struct fl_finished_job *finished = fl_finished_job_find(cluster, ref);
+	const struct fl_job *job = finished ? NULL : fl_job_find(cluster, ref);
 
 	if (finished)
 		return fl_final_job_report(finished->status, finished->task_count);
@@ -20,7 +21,7 @@
 	return fl_live_job_report(job);
 }
 
-/* Takes the final record into the cluster state, if that is behind it. */
+/* Applies the final record to the cluster state, if it is newer than what that has. */
 static void apply_final_record(struct fl_node *node, const char *ref,
                                const struct fl_job_record *record, uint64_t revision)
 {
@@ -33,7 +34,7 @@
 		fl_job_record_refresh_apply(node, job, record, revision);
 }
 
-/* Of a job that the cluster state does not take in, no task is known: it counts as pending. */
+/* Applies a live record; if the cluster state does not accept it the job counts as pending. */
 static struct fl_job_status_report apply_live_record(struct fl_node *node, const char *ref,
                                                      const cJSON *value, uint64_t revision)
 {
@@ -55,7 +56,7 @@
 	const struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
 
 	if (finished) {
-		/* It came to its end while the record was on its way here. */
+		/* The job finished while the record was being read. */
 		*report = fl_final_job_report(finished->status, finished->task_count);
 		result = FL_RECORD_FOUND;
 	} else if (result == FL_RECORD_FOUND && record.final) {
@@ -91,7 +92,7 @@
 void fl_leader_respond_job_status(struct fl_node *node, const char *ref,
                                   struct fl_http_response *response)
 {
-	struct fl_job_status_report report = fl_job_status_from_memory(node, ref);
+	struct fl_job_status_report report = fl_job_status_from_memory(&node->cluster, ref);
 	enum fl_record_result result;
 
 	if (report.known) {
--- a/src/coordination/api/request_forwarding.h
+++ b/src/coordination/api/request_forwarding.h
@@ -1,6 +1,6 @@
 /*
  * Forwarding of users' requests to the leader, one by one, with a limit on how many are under way.
- * Status queries have a way of their own, which many of them share: see status_query.h.
+ * Status queries go in batches first: see status_query.h.
  */
 #ifndef FL_COORDINATION_API_REQUEST_FORWARDING_H
 #define FL_COORDINATION_API_REQUEST_FORWARDING_H
@@ -29,8 +29,8 @@
 /* How long a forwarded request of this kind may take, in s: less than its user waits for it. */
 double fl_user_request_timeout_s(enum fl_user_request kind);
 /*
- * Passes a user's request to the leader, as fl_forward does. Waits. True: the leader answered, and
- * the caller owns `reply`. False: it is not in reach, or too many requests are under way.
+ * Forwards a user's request to the leader, as fl_forward does. Waits. True: the leader answered,
+ * and the caller owns `reply`. False: it cannot be reached, or too many requests are under way.
  */
 bool fl_user_request_forward(struct fl_node *node, const struct fl_user_forward *request,
                              struct fl_http_reply *reply);
--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -35,7 +35,7 @@
 	                                     .running_count = progress.placed_count};
 }
 
-/* The job's record; of a cancellation that it tells of, this node learns. */
+/* Reads the job's record, and notes a cancellation found there. */
 static enum fl_record_result read_record(struct fl_node *node, const char *ref,
                                          struct fl_job_record *record)
 {
@@ -43,7 +43,7 @@
 	cJSON *value = NULL;
 	enum fl_record_result result = fl_job_lookup_read(node, ref, record, &value, &revision);
 
-	/* What a user is told here, the other controllers must learn from here. */
+	/* The user is told of it, so the other controllers must learn it from this one. */
 	if (result == FL_RECORD_FOUND && record->final && value)
 		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
 	cJSON_Delete(value);
--- a/src/coordination/api/status_from_records.h
+++ b/src/coordination/api/status_from_records.h
@@ -1,6 +1,6 @@
 /*
- * The status of a job without a leader in reach: the stored records themselves answer, never with
- * anything older than what a user was told before.
+ * The status of a job without a leader in reach: the stored records decide, which are never older
+ * than what any user was told before.
  */
 #ifndef FL_COORDINATION_API_STATUS_FROM_RECORDS_H
 #define FL_COORDINATION_API_STATUS_FROM_RECORDS_H
--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -48,7 +48,10 @@
 	return fl_status_answer_decode(body, len, batch->reports, batch->count);
 }
 
-/* Directly only: a query that must go through a third controller goes by itself. */
+/*
+ * Sends a batch to the leader directly, never through a third controller: queries that need one
+ * are forwarded one by one.
+ */
 static enum fl_forward_result exchange(struct fl_node *node, struct fl_batch *shared)
 {
 	struct status_batch *batch = (struct status_batch *)shared;
@@ -61,7 +64,7 @@
 	return fl_forward_and_decode(node, &request, decode_answers, batch);
 }
 
-/* The batch that takes one more query; NULL: none can. `*began`: it is a new one. */
+/* The batch that one more query joins; NULL: it is full, or no memory. `*began`: it is new. */
 static struct status_batch *find_batch(struct fl_batch_queue *queue, bool *began)
 {
 	struct status_batch *batch = (struct status_batch *)queue->filling;
@@ -123,14 +126,14 @@
 	if (result == FL_DECODE_NO_MEMORY) {
 		fl_respond_unavailable(response, "memory is low");
 	} else if (result == FL_DECODE_MALFORMED) {
-		fl_error("peers", "malformed status queries");
+		fl_error("peers", "status queries rejected: malformed");
 		fl_respond_error(response, 400, "malformed status queries");
 	} else if (!fl_is_leader(node)) {
 		fl_respond_error(response, 421, "not the leader");
 	} else {
-		/* No wait from here on: every report rests on the lease that was just checked. */
+		/* Nothing waits from here on: every report is covered by the lease just checked. */
 		for (int i = 0; i < count; i++)
-			reports[i] = fl_job_status_from_memory(node, refs[i]);
+			reports[i] = fl_job_status_from_memory(&node->cluster, refs[i]);
 		response->status = 200;
 		response->body = fl_status_answer_encode(reports, count);
 	}
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -19,7 +19,7 @@
 	.kv_down_s = 0.3, /* s after a refusal in which the key-value store counts as down */
 };
 
-/* A submission that is being judged. It owns nothing. */
+/* A submission being handled. It owns nothing. */
 struct submission {
 	struct fl_node *node;
 	const struct fl_job_spec *spec;
@@ -27,15 +27,15 @@
 	struct fl_http_response *response;
 };
 
-static bool kv_store_is_down(const struct fl_node *node)
+static bool kv_store_is_down(const struct fl_kv_store *kv_store)
 {
-	return fl_kv_is_unavailable(&node->kv_store) &&
-	       fl_now() - node->kv_store.last_failure_at < tunables.kv_down_s;
+	return fl_kv_is_unavailable(kv_store) &&
+	       fl_now() - kv_store->last_failure_at < tunables.kv_down_s;
 }
 
-static bool job_is_known(const struct fl_node *node, const char *ref)
+static bool job_is_known(const struct fl_cluster *cluster, const char *ref)
 {
-	return fl_finished_job_find(&node->cluster, ref) || fl_job_find(&node->cluster, ref);
+	return fl_finished_job_find(cluster, ref) || fl_job_find(cluster, ref);
 }
 
 /* ---- duplicate submissions ---- */
@@ -66,16 +66,16 @@
 }
 
 /* Whether the job has a record. */
-static enum fl_record_result find_record(struct fl_node *node, const char *ref)
+static enum fl_record_result find_record(struct fl_kv_store *kv_store, const char *ref)
 {
 	struct fl_job_record record;
 	uint64_t revision;
 	cJSON *value = NULL;
 	enum fl_record_result result;
 
-	if (kv_store_is_down(node))
+	if (kv_store_is_down(kv_store))
 		return FL_RECORD_UNAVAILABLE;
-	result = fl_job_record_read(&node->kv_store, ref, &record, &value, &revision);
+	result = fl_job_record_read(kv_store, ref, &record, &value, &revision);
 	cJSON_Delete(value);
 	return result;
 }
@@ -89,14 +89,14 @@
 
 /*
  * Answers a duplicate submission with the state of the job. What the key-value store refuses to
- * this node alone the leader can tell: else a malformed submission would be told to come again,
- * here only, and its user would do so for a minute.
+ * this node alone the leader may know: else a malformed submission would get 503, from this node
+ * only, and its user would retry for a minute.
  */
 static enum duplicate respond_if_duplicate(const struct submission *submission)
 {
-	if (job_is_known(submission->node, submission->spec->ref))
+	if (job_is_known(&submission->node->cluster, submission->spec->ref))
 		return respond_with_status(submission);
-	switch (find_record(submission->node, submission->spec->ref)) {
+	switch (find_record(&submission->node->kv_store, submission->spec->ref)) {
 	case FL_RECORD_FOUND:
 		return respond_with_status(submission);
 	case FL_RECORD_NOT_FOUND:
@@ -109,9 +109,9 @@
 	                                       : DUPLICATE_UNDECIDED;
 }
 
-/* ---- what is not accepted, or not now ---- */
+/* ---- rejection, for ever or for now ---- */
 
-/* Refuses for good, unless the job is known or it cannot be told whether it is. */
+/* Rejects for ever, but answers a duplicate; 503 if it is not known whether it is one. */
 static void reject(const struct submission *submission, int status, const char *reason)
 {
 	switch (respond_if_duplicate(submission)) {
@@ -128,7 +128,7 @@
 	}
 }
 
-/* Refuses for now; false: the job is known, and a duplicate is answered all the same. */
+/* Responds 503; false: it is a duplicate, and is answered as such. */
 static bool postpone(const struct submission *submission, const char *reason)
 {
 	if (respond_if_duplicate(submission) == DUPLICATE_ANSWERED)
@@ -140,7 +140,7 @@
 /* ---- acceptance ---- */
 
 /*
- * Takes the stored job into the cluster state, unless a watch has brought it already. A leader's
+ * Adds the stored job to the cluster state, unless a watch has done so already. A leader's
  * list at this revision or a later one would hold the job if it were still live.
  */
 static void add_stored_job(struct fl_node *node, const struct fl_job_spec *spec,
@@ -148,7 +148,7 @@
 {
 	bool over = node->cluster.leading && revision <= node->cluster.list_revision;
 
-	if (job_is_known(node, spec->ref) || over)
+	if (job_is_known(&node->cluster, spec->ref) || over)
 		return;
 	if (fl_job_add(&node->cluster, spec, submitted_wall, revision) && node->leadership.active) {
 		node->leadership.cycle_due = true;
@@ -178,8 +178,8 @@
 }
 
 /*
- * The key-value store may refuse this node alone, or be cut from it: the leader has it. What was
- * decoded is sent, and not the body: a large one, escaped once more, would be over 64 KiB.
+ * The key-value store may refuse this node alone, or be cut off from it, and not the leader. The
+ * decoded submission is sent, not the body: a large one, escaped once more, would be over 64 KiB.
  */
 static bool submit_through_leader(const struct submission *submission)
 {
@@ -201,20 +201,20 @@
 	                                         reply.status == 200 || reply.status == 201);
 }
 
-/* Stores a job that may run, here or by the leader. */
+/* Stores a feasible job, here or through the leader. */
 static void accept_job(const struct submission *submission)
 {
 	const struct fl_job_spec *spec = submission->spec;
 	bool may_forward = submission->hop == FL_HOP_FIRST;
 	enum fl_kv_result result = FL_KV_UNAVAILABLE;
 
-	/* A partition is silent: to try here first would cost the user a second. */
+	/* A partition shows only as a timeout: a try here first would cost the user a second. */
 	if (may_forward && fl_kv_is_unavailable(&submission->node->kv_store)) {
 		if (submit_through_leader(submission))
 			return;
 		may_forward = false;
 	}
-	if (!kv_store_is_down(submission->node))
+	if (!kv_store_is_down(&submission->node->kv_store))
 		result = store_job(submission->node, spec);
 	if (result == FL_KV_OK) {
 		fl_info("jobs", "job accepted: %s class=%s team=%s tasks=%u cpus=%g gpus=%g",
@@ -234,13 +234,13 @@
 
 /* ---- the decision ---- */
 
-/* Judges a well-formed submission. */
+/* Decides on a well-formed submission. */
 static void decide(const struct submission *submission)
 {
 	struct fl_node *node = submission->node;
 	enum fl_infeasibility infeasibility;
 
-	if (job_is_known(node, submission->spec->ref)) {
+	if (job_is_known(&node->cluster, submission->spec->ref)) {
 		respond_with_status(submission);
 		return;
 	}
@@ -248,7 +248,7 @@
 		postpone(submission, "the submission cannot be validated yet");
 		return;
 	}
-	infeasibility = fl_job_infeasibility(node, submission->spec);
+	infeasibility = fl_job_infeasibility(&node->cluster, submission->spec);
 	if (infeasibility != FL_FEASIBLE)
 		reject(submission, 422, fl_infeasibility_text(infeasibility));
 	else if (fl_admission_has_memory(node->config))
--- a/src/coordination/api/submission.h
+++ b/src/coordination/api/submission.h
@@ -1,7 +1,18 @@
 /*
- * Submissions: a job is validated and its record stored, by this node or through the leader; the
- * user is told of it only then. A duplicate submission is answered with the state of the job,
- * whatever its body says, and however little this node can decide at the moment.
+ * Submissions: a job is validated and its record stored, by this node or through the leader, and
+ * only then is the user told that it is accepted. Step by step:
+ *
+ *  1. the body is decoded; without an id in it: 400
+ *  2. a node that reaches neither the key-value store nor another controller: 503
+ *  3. a job that this node knows is a duplicate: a status query (user_requests.h) answers it
+ *  4. machine types not known yet: 503; a job that can never run (feasibility.h): 422
+ *  5. memory is low (admission.h): 503
+ *  6. its record is stored, unless there is one: 201; through the leader if this node cannot
+ *     (request_forwarding.h); if neither can: 503
+ *
+ * A duplicate submission is answered with the state of the job, whatever its body says, and however
+ * little this node can decide at the moment: before it answers 400 for an invalid field, or as in
+ * steps 4 and 5, it reads the job's record or asks the leader.
  */
 #ifndef FL_COORDINATION_API_SUBMISSION_H
 #define FL_COORDINATION_API_SUBMISSION_H
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -12,7 +12,7 @@
 
 /* Who answers a user's request for a job. */
 enum responder {
-	RESPONDER_ANSWERED,     /* nobody has to: the response is filled in */
+	RESPONDER_ANSWERED,     /* none: the response is filled in */
 	RESPONDER_FINISHED_JOB, /* this node's memory of a job that is over */
 	RESPONDER_THIS_LEADER,
 	RESPONDER_LEADER_FOR_PEER, /* only the leader: another controller asks */
@@ -35,7 +35,7 @@
 	return hop == FL_HOP_LAST ? RESPONDER_LEADER_FOR_PEER : RESPONDER_LEADER;
 }
 
-/* False if no answer came that a user can be given. */
+/* Forwards the request; false: the leader gave no answer that a user can get. */
 static bool respond_by_leader(struct fl_node *node, const struct fl_user_forward *request,
                               struct fl_http_response *response)
 {
@@ -45,7 +45,7 @@
 	       fl_respond_with_reply(response, &reply, reply.status == 200 || reply.status == 404);
 }
 
-/* For another controller: only the leader answers, so this is passed on once at most. */
+/* Answers another controller: forwarded to the leader only, so once more at most. */
 static void respond_to_peer(struct fl_node *node, enum fl_user_request kind, const char *ref,
                             struct fl_http_response *response)
 {
@@ -59,8 +59,8 @@
 }
 
 /*
- * Asks the leader together with other users' queries; what its memory does not settle, in a request
- * of its own, in the time that is left. Without an answer the records decide.
+ * Sends the query to the leader in a batch; what the leader's memory cannot answer is forwarded by
+ * itself, in the time that is left. Without an answer the stored records decide.
  */
 static void query_leader_or_records(struct fl_node *node, const char *ref,
                                     struct fl_http_response *response)
@@ -105,7 +105,7 @@
 	case RESPONDER_ANSWERED:
 		break;
 	case RESPONDER_FINISHED_JOB:
-		report = fl_job_status_from_memory(node, ref);
+		report = fl_job_status_from_memory(&node->cluster, ref);
 		fl_respond_job_status(response, ref, &report);
 		break;
 	case RESPONDER_THIS_LEADER:
--- a/src/coordination/api/user_requests.h
+++ b/src/coordination/api/user_requests.h
@@ -1,7 +1,17 @@
 /*
- * Status queries and cancellations of users: which of those that could answer does. In this order:
- * this node's memory of finished jobs, this node as the leader, the leader that another node is,
- * and for a status query without a leader the stored records.
+ * Status queries and cancellations of users, step by step (for submissions see submission.h). The
+ * first that can answer does:
+ *
+ *  1. this node's memory of finished jobs: storage/finished_jobs.h
+ *  2. this node, if it is the leader: job_status.h for a query, cancellation.h for a cancellation
+ *  3. the leader, if another node is: a query in a batch (status_query.h), and by itself if the
+ *     leader has to read the records for it; a cancellation by itself (request_forwarding.h)
+ *  4. for a query, without an answer from a leader: the stored records, status_from_records.h
+ *
+ * A node that reaches neither the key-value store nor another controller answers 503 before step 3;
+ * so does one that cannot forward a cancellation. A request that another controller forwards ends
+ * with step 3: only the leader answers it, else 421. Reads of records, in steps 2 and 4, are shared
+ * and have a budget: job_lookup.h.
  */
 #ifndef FL_COORDINATION_API_USER_REQUESTS_H
 #define FL_COORDINATION_API_USER_REQUESTS_H
