--- a/src/coordination/api/cancellation.c
+++ b/src/coordination/api/cancellation.c
@@ -1,6 +1,6 @@
 #include "coordination/api/cancellation.h"
 
-#include "coordination/api/job_status.h"
+#include "coordination/api/status_from_leader.h"
 #include "coordination/api/job_status_response.h"
 #include "coordination/node.h"
 #include "coordination/persistence/job_record_refresh.h"
--- a/src/coordination/api/request_forwarding.h
+++ b/src/coordination/api/request_forwarding.h
@@ -1,6 +1,6 @@
 /*
  * Forwarding of users' requests to the leader, one by one, with a limit on how many are under way.
- * Status queries go in batches first: see status_query.h.
+ * Status queries go in batches first: see status_query_batch.h.
  */
 #ifndef FL_COORDINATION_API_REQUEST_FORWARDING_H
 #define FL_COORDINATION_API_REQUEST_FORWARDING_H
--- a/src/coordination/api/job_status.c
+++ b/src/coordination/api/status_from_leader.c
@@ -1,4 +1,4 @@
-#include "coordination/api/job_status.h"
+#include "coordination/api/status_from_leader.h"
 
 #include "coordination/api/job_lookup.h"
 #include "coordination/api/job_status_response.h"
--- a/src/coordination/api/job_status.h
+++ b/src/coordination/api/status_from_leader.h
@@ -2,8 +2,8 @@
  * The status of a job as the leader knows it, the node whose lease is valid now: from memory where
  * that is certain, else from the job's record. The caller has just checked fl_is_leader.
  */
-#ifndef FL_COORDINATION_API_JOB_STATUS_H
-#define FL_COORDINATION_API_JOB_STATUS_H
+#ifndef FL_COORDINATION_API_STATUS_FROM_LEADER_H
+#define FL_COORDINATION_API_STATUS_FROM_LEADER_H
 
 #include "protocol/status_messages.h"
 #include "storage/records.h"
--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query_batch.c
@@ -1,8 +1,8 @@
-#include "coordination/api/status_query.h"
+#include "coordination/api/status_query_batch.h"
 
 #include <stdlib.h>
 
-#include "coordination/api/job_status.h"
+#include "coordination/api/status_from_leader.h"
 #include "coordination/api/job_status_response.h"
 #include "coordination/node.h"
 #include "coordination/responses.h"
--- a/src/coordination/api/status_query.h
+++ b/src/coordination/api/status_query_batch.h
@@ -3,8 +3,8 @@
  * under way share the next one. A query is answered only by a request sent after it arrived, and
  * the leader answers from memory alone; user_requests.h says what follows when it cannot.
  */
-#ifndef FL_COORDINATION_API_STATUS_QUERY_H
-#define FL_COORDINATION_API_STATUS_QUERY_H
+#ifndef FL_COORDINATION_API_STATUS_QUERY_BATCH_H
+#define FL_COORDINATION_API_STATUS_QUERY_BATCH_H
 
 #include <stddef.h>
 
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -1,11 +1,11 @@
 #include "coordination/api/user_requests.h"
 
 #include "coordination/api/cancellation.h"
-#include "coordination/api/job_status.h"
+#include "coordination/api/status_from_leader.h"
 #include "coordination/api/job_status_response.h"
 #include "coordination/api/request_forwarding.h"
 #include "coordination/api/status_from_records.h"
-#include "coordination/api/status_query.h"
+#include "coordination/api/status_query_batch.h"
 #include "coordination/node.h"
 #include "coordination/responses.h"
 #include "transport/clock.h"
--- a/src/coordination/api/user_requests.h
+++ b/src/coordination/api/user_requests.h
@@ -3,10 +3,11 @@
  * first that can answer does:
  *
  *  1. this node's memory of finished jobs: storage/finished_jobs.h
- *  2. this node, if it is the leader: job_status.h for a query, cancellation.h for a cancellation
- *  3. the leader, if another node is: a query in a batch (status_query.h), and by itself if the
- *     leader has to read the records for it; a cancellation by itself (request_forwarding.h)
- *  4. for a query, without an answer from a leader: the stored records, status_from_records.h
+ *  2. this node, if it is the leader: status_from_leader.h, cancellation.h
+ *  3. the leader, if another node is. A query goes in a batch (status_query_batch.h), and by
+ *     itself if the leader has to read records for it; a cancellation goes by itself
+ *     (request_forwarding.h)
+ *  4. for a query, without an answer from a leader, the stored records: status_from_records.h
  *
  * A node that reaches neither the key-value store nor another controller answers 503 before step 3;
  * so does one that cannot forward a cancellation. A request that another controller forwards ends
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -78,7 +78,8 @@
 }
 
 /* Decides on a machine that is up and runs nothing. */
-static enum scale_in_reason empty_machine_reason(struct fl_node *node, struct fl_machine *machine,
+static enum scale_in_reason empty_machine_reason(struct fl_autoscaler *autoscaler,
+                                                 struct fl_machine *machine,
                                                  const struct fl_machine_type *type, double now)
 {
 	if (machine->lifecycle.idle_since <= 0)
@@ -90,7 +91,7 @@
 		return KEPT;
 	if (machine->spot)
 		return IDLE;
-	return take_surplus(&node->autoscaler, machine, type) ? IDLE : KEPT;
+	return take_surplus(autoscaler, machine, type) ? IDLE : KEPT;
 }
 
 /* Decides on any machine. `timeouts`: of silent machines, by zone, in worker leases. */
@@ -117,15 +118,15 @@
 		machine->lifecycle.idle_since = 0;
 		return KEPT;
 	}
-	return empty_machine_reason(node, machine, type, now);
+	return empty_machine_reason(&node->autoscaler, machine, type, now);
 }
 
-static void suspect_silent_zones(struct fl_node *node, double now,
+static void suspect_silent_zones(struct fl_autoscaler *autoscaler, double now,
                                  const double timeouts[FL_ZONES_MAX])
 {
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (timeouts[z] > 1)
-			node->autoscaler.zone_suspected_until[z] = now + tunables.zone_suspected_s;
+			autoscaler->zone_suspected_until[z] = now + tunables.zone_suspected_s;
 }
 
 /* Chooses the machines to be returned; returns their number. */
@@ -135,7 +136,7 @@
 	int count = 0;
 
 	fl_failure_detector_timeouts(node, now, timeouts);
-	suspect_silent_zones(node, now, timeouts);
+	suspect_silent_zones(&node->autoscaler, now, timeouts);
 	for (int i = 0; i < node->cluster.machines.count && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 		enum scale_in_reason reason = scale_in_reason(node, machine, now, timeouts);
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -8,7 +8,7 @@
 #include "config.h"
 #include "coordination/api/job_lookup.h"
 #include "coordination/api/request_forwarding.h"
-#include "coordination/api/status_query.h"
+#include "coordination/api/status_query_batch.h"
 #include "coordination/autoscaling/autoscaler.h"
 #include "coordination/election/election.h"
 #include "coordination/election/leader_lease.h"
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "coordination/api/status_query.h"
+#include "coordination/api/status_query_batch.h"
 #include "coordination/api/submission.h"
 #include "coordination/api/user_requests.h"
 #include "coordination/follower/follower.h"
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -47,14 +47,14 @@
 	return fl_now() > *deadline;
 }
 
-static void log_cycle(const struct fl_node *node, const struct fl_sched_input *input,
+static void log_cycle(uint64_t number, const struct fl_sched_input *input,
                       const struct fl_sched_output *output, double took_s)
 {
 	fl_debug("schedule",
 	         "cycle done number=%llu jobs=%d machines=%d starts=%d preemptions=%d "
 	         "duration_ms=%.1f%s",
-	         (unsigned long long)node->leadership.cycle_count, input->job_count,
-	         input->machine_count, output->start_count, output->preemption_count, took_s * 1000,
+	         (unsigned long long)number, input->job_count, input->machine_count,
+	         output->start_count, output->preemption_count, took_s * 1000,
 	         output->resume_position ? " incomplete" : "");
 }
 
@@ -81,7 +81,7 @@
 	fl_autoscaler_plan_scale_out(node, snapshot.jobs, output.unplaced_tasks,
 	                             snapshot.input.job_count);
 	node->leadership.cycle_count++;
-	log_cycle(node, &snapshot.input, &output, fl_now() - now);
+	log_cycle(node->leadership.cycle_count, &snapshot.input, &output, fl_now() - now);
 	if (node->cluster.dirty)
 		fl_condition_broadcast(&node->record_writer.writes_pending);
 out:
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
-#include "coordination/api/status_query.h"
+#include "coordination/api/status_query_batch.h"
 #include "protocol/status_messages.h"
 #include "sim.h"
 #include "transport/clock.h"
