--- a/src/coordination/api/admission.c
+++ b/src/coordination/api/admission.c
@@ -7,7 +7,7 @@
 static const struct {
 	double memory_share, body_share, connection_kb, base_mb, heartbeat_cpu_s, min_core_share;
 } tunables = {
-	.memory_share = 0.75, /* of the memory; beyond it no new job is taken, so that 80% holds */
+	.memory_share = 0.75, /* of the memory; with more in use no job is admitted: 80% holds */
 	.body_share = 0.15,   /* of the memory, for bodies of requests being received */
 	.connection_kb = 9,   /* of an idle connection; test_message_costs holds it */
 	.base_mb = 6,         /* of a controller that has just started */
--- a/src/coordination/api/feasibility.c
+++ b/src/coordination/api/feasibility.c
@@ -42,7 +42,7 @@
 
 static bool has_two_zones(uint32_t zones) { return (zones & (zones - 1)) != 0; }
 
-/* Spread over zones that it cannot have, half of the job's tasks would lack theirs for ever. */
+/* A job that cannot have two zones could never place half of its tasks. */
 static bool can_spread(const struct fl_job_spec *spec, uint32_t zones)
 {
 	return !spec->same_zone && has_two_zones(zones);
--- a/src/coordination/api/status_query_batch.c
+++ b/src/coordination/api/status_query_batch.c
@@ -13,9 +13,9 @@
 static const struct {
 	double send_timeout_s; /* s until a request may be sent */
 	/*
-	 * s for a request; users wait 2 s. Found with 3% of a core and 1,900 jobs asked about: an
-	 * overloaded leader stands still for a second at a time, and with 0.8 s all that asked then
-	 * went to the records, which cannot answer so many.
+	 * s for a request; users wait 2 s. Found with 3% of a core and 1,900 jobs queried: an
+	 * overloaded leader stands still for a second at a time, and with 0.8 s all queries of that
+	 * time went to the records, which cannot answer so many.
 	 */
 	double request_timeout_s;
 	int max_in_flight; /* requests to the leader: one that stalls must not hold up all */
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -44,7 +44,7 @@
 enum duplicate {
 	DUPLICATE_NO,       /* the job is not known */
 	DUPLICATE_ANSWERED, /* it is, and the response has its state */
-	DUPLICATE_UNDECIDED /* neither the store nor the leader can tell now */
+	DUPLICATE_UNDECIDED /* neither the store nor the leader answers now */
 };
 
 /* Like respond_if_duplicate, by asking the leader. */
@@ -109,9 +109,9 @@
 	                                       : DUPLICATE_UNDECIDED;
 }
 
-/* ---- rejection, for ever or for now ---- */
+/* ---- rejection, permanent or temporary ---- */
 
-/* Rejects for ever, but answers a duplicate; 503 if it is not known whether it is one. */
+/* Rejects permanently, but answers a duplicate; 503 if it is not known whether it is one. */
 static void reject(const struct submission *submission, int status, const char *reason)
 {
 	switch (respond_if_duplicate(submission)) {
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -15,7 +15,7 @@
 	RESPONDER_ANSWERED,     /* none: the response is filled in */
 	RESPONDER_FINISHED_JOB, /* this node's memory of a job that is over */
 	RESPONDER_THIS_LEADER,
-	RESPONDER_LEADER_FOR_PEER, /* only the leader: another controller asks */
+	RESPONDER_LEADER_FOR_PEER, /* only the leader: another controller forwarded it */
 	RESPONDER_LEADER           /* another controller, if it is in reach */
 };
 
--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -94,10 +94,7 @@
 	while (fl_sleep(tunables.interval_s) == 0) {
 		if (!fl_leader_lease_is_valid(node))
 			continue;
-		/*
-		 * No call of this coroutine is under way here, and machines with a command are
-		 * kept.
-		 */
+		/* This coroutine has no call under way here; machines with a command are kept. */
 		fl_cluster_purge_tombstones(&node->cluster, fl_now() - tunables.tombstone_s);
 		count_spot_time(node);
 		fl_autoscaler_scale_in(node);
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -39,7 +39,7 @@
 	double no_capacity_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX][2];
 	/* Steady; until then too many machines of the zone are silent. */
 	double zone_suspected_until[FL_ZONES_MAX];
-	double listed_at;          /* steady; when the last complete list was begun */
+	double listed_at;          /* steady; when the last complete list began */
 	double types_refreshed_at; /* steady; when types and prices were last requested */
 	struct fl_token_bucket call_budget;
 	double spot_losses;          /* spot machines that were reclaimed */
--- a/src/coordination/autoscaling/call_budget.h
+++ b/src/coordination/autoscaling/call_budget.h
@@ -11,7 +11,7 @@
 	FL_CALL_CANCELLED        /* the calling coroutine is being cancelled: unwind */
 };
 
-/* Waits until one call is within the budget, and takes it from there. */
+/* Waits until one call is within the budget, and counts it. */
 enum fl_call_permission fl_autoscaler_await_call_budget(struct fl_node *node);
 
 #endif
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -111,8 +111,8 @@
 }
 
 /*
- * A service should not wait for a machine to boot. As many tasks as lately came in one boot time,
- * and a spread more, must find capacity at once on machines that are up, be it by preempting
+ * A service should not wait for a machine to boot. As many tasks as arrived lately in one boot
+ * time, and a spread more, must find capacity at once on machines that are up, be it by preempting
  * arrays.
  */
 void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan)
--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -15,7 +15,7 @@
 	.list_slack_s = 1.0, /* s beyond them, for the call itself */
 };
 
-/* Takes one entry of a list in. `known_count`: machines known when the list was begun. */
+/* Applies one entry of a list. `known_count`: machines known when the list began. */
 static void apply_listed_machine(struct fl_node *node, const struct fl_cloud_machine *listed,
                                  double now, int known_count)
 {
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -28,7 +28,7 @@
 	FAULTY,       /* too many faults, and quarantined */
 	SILENT,       /* its heartbeats do not arrive */
 	UNREACHABLE,  /* its heartbeats arrive, our answers do not reach it */
-	NEVER_BOOTED, /* no heartbeat came long after its rental */
+	NEVER_BOOTED, /* no heartbeat long after its rental */
 	DRAINING      /* as decided before */
 };
 
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -14,7 +14,7 @@
 	int tries;
 } tunables = {
 	.no_capacity_s = 20.0, /* s for which a refused kind of machine is not requested again */
-	.tries = 3,            /* of one rental that goes unanswered */
+	.tries = 3,            /* of one rental without an answer */
 };
 
 /* One rental, and its result. */
--- a/src/coordination/autoscaling/scale_out.h
+++ b/src/coordination/autoscaling/scale_out.h
@@ -1,4 +1,4 @@
-/* Scale out: the rentals that the last plan asked for. */
+/* Scale out: the rentals of the last plan. */
 #ifndef FL_COORDINATION_AUTOSCALING_SCALE_OUT_H
 #define FL_COORDINATION_AUTOSCALING_SCALE_OUT_H
 
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -39,8 +39,8 @@
  * What a preemption has freed is reserved for the job it was made for. By the product alone a job
  * that has waited goes before one of a higher priority, which may preempt it: found with idle-time
  * arrays of 288 tasks, which took the capacity again in every other cycle and were stopped 80,000
- * times in ten minutes. Nor does a cycle that resumes in the middle of the order give away what its
- * head waits for.
+ * times in ten minutes. Nor does a cycle that resumes in the middle of the order give others what
+ * its head waits for.
  */
 static bool may_use_reservation(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                                 const struct fl_reservation *reserved)
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -21,7 +21,7 @@
 	 */
 	int *first_attempt, *attempts_by_machine;
 	int *lowest_priority; /* per machine: of its attempts, those being stopped aside */
-	/* Per machine: what stops under way will free and no request of this cycle has taken. */
+	/* Per machine: what stops under way will free, less what this cycle has requested of it. */
 	struct fl_resources *releasing;
 	/* Per machine, for the job being considered; INFINITY: not possible there. */
 	double *start_cost, *preemption_cost;
@@ -40,7 +40,7 @@
 bool fl_sched_precedes_arrays(const struct fl_sched_job *job);
 /* Whether a job has waited for longer than overdue_after_s and has not begun; never a service. */
 bool fl_sched_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job);
-/* Fills in order, rank and priority. */
+/* Fills in the order, the rank and the priority of the cycle. */
 void fl_sched_sort_jobs(struct fl_sched_cycle *cycle);
 
 /* ---- constraints and capacity: schedule_constraints.c ---- */
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -36,7 +36,7 @@
 		cycle->start_cost[i] = start_cost(cycle, job, terms, i);
 }
 
-/* A job that wants one zone and has none yet takes the one where most of it fits. */
+/* The zone of a job that must have just one: where its tasks are, else where most of them fit. */
 static int choose_zone(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
 	double capacity[FL_ZONES_MAX] = {0};
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -12,7 +12,7 @@
 	.stop_cost_s = 1,        /* s that each stop costs beside the work it loses */
 };
 
-/* What entitles a job to preempt, beside its priority. */
+/* What entitles a job to preempt, in addition to its priority. */
 enum entitlement {
 	ENTITLED_BY_PRIORITY, /* nothing */
 	ENTITLED_BY_GUARANTEE /* its team's guaranteed quota, against teams beyond theirs */
@@ -236,7 +236,8 @@
 /*
  * A new service need not wait out a long fetch on a free machine, if another has its image and
  * little would be lost by a preemption there. That machine's resources are freed within a second or
- * so, long before the fetch could end; when they are not, the free machine is taken after all.
+ * so, long before the fetch could end; when they are not, the task starts on the free machine after
+ * all.
  */
 bool fl_sched_wait_for_cached_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                     int machine_index)
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -30,7 +30,7 @@
 /*
  * Found with 3.6% of a core: the system lets a process run at full speed until its share is used
  * up, and then it stands still for a second. By the steady clock cycles of 4 ms, ten a second, were
- * 4% of the time, and took all of the share from heartbeats and status queries.
+ * 4% of the time, and left nothing of the share for heartbeats and status queries.
  */
 double fl_scheduling_cycle_gap_s(double core_share, double took_s, double processor_s)
 {
--- a/src/coordination/scheduling/scheduling_decisions.c
+++ b/src/coordination/scheduling/scheduling_decisions.c
@@ -16,7 +16,7 @@
 	                  now) != FL_PLACE_OK)
 		return;
 	fl_machine_record_image(machine, job->image);
-	/* What it was reserved for has started; who still waits requests it again in each cycle. */
+	/* The reservation is used; jobs that still wait request theirs again in each cycle. */
 	if (job->priority >= machine->reservation.priority)
 		machine->reservation.at = 0;
 	job->placement.window_until = 0;
