--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -20,14 +20,14 @@
 	fl_task_block_count(event->value, &progress->done_count, &progress->placed_count);
 }
 
-static struct fl_job_status_report read_progress(struct fl_node *node, const char *ref)
+static struct fl_job_status_report read_progress(struct fl_kv_store *kv_store, const char *ref)
 {
 	struct progress progress = {0};
 	char key[FL_KEY_MAX];
 	uint64_t revision;
 
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
-	fl_kv_list(&node->kv_store, key, count_progress, &progress, &revision);
+	fl_kv_list(kv_store, key, count_progress, &progress, &revision);
 	return (struct fl_job_status_report){.known = true,
 	                                     .status = progress.placed_count ? FL_RUNNING
 	                                                                     : FL_PENDING,
@@ -35,7 +35,7 @@
 	                                     .running_count = progress.placed_count};
 }
 
-/* The job's record; of a cancellation that it tells of, this node learns. */
+/* Reads the job's record, and notes a cancellation found there. */
 static enum fl_record_result read_record(struct fl_node *node, const char *ref,
                                          struct fl_job_record *record)
 {
@@ -43,7 +43,7 @@
 	cJSON *value = NULL;
 	enum fl_record_result result = fl_job_lookup_read(node, ref, record, &value, &revision);
 
-	/* What a user is told here, the other controllers must learn from here. */
+	/* The user is told of it, so the other controllers must learn it from this one. */
 	if (result == FL_RECORD_FOUND && record->final && value)
 		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
 	cJSON_Delete(value);
@@ -59,7 +59,7 @@
 	if (record->final) {
 		report = fl_final_job_report(record->status, record->task_count);
 	} else if (fl_job_lookup_within_budget(node, 1)) {
-		report = read_progress(node, ref);
+		report = read_progress(&node->kv_store, ref);
 	} else {
 		fl_respond_unavailable(response, "too many status queries");
 		return;
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -5,18 +5,13 @@
 
 bool fl_sched_zone_allows(const struct fl_sched_job *job, int zone)
 {
-	uint32_t half = (job->task_count + 1) / 2;
+	const struct fl_zone_rule rule = {.same_zone = job->same_zone,
+	                                  .spread_zones = job->spread_zones,
+	                                  .task_count = job->task_count,
+	                                  .placed_by_zone = job->placed_by_zone,
+	                                  .placed_in_unknown_zone = job->placed_in_unknown_zone};
 
-	if (job->spread_zones && job->placed_by_zone[zone] + job->placed_in_unknown_zone + 1 > half)
-		return false;
-	if (!job->same_zone)
-		return true;
-	if (job->placed_in_unknown_zone > 0)
-		return false;
-	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (z != zone && job->placed_by_zone[z] > 0)
-			return false;
-	return true;
+	return fl_zone_rule_admits(&rule, zone);
 }
 
 bool fl_sched_team_allows(const struct fl_sched_input *input, const struct fl_sched_job *job)
@@ -44,8 +39,8 @@
  * What a preemption has freed is reserved for the job it was made for. By the product alone a job
  * that has waited goes before one of a higher priority, which may preempt it: found with idle-time
  * arrays of 288 tasks, which took the capacity again in every other cycle and were stopped 80,000
- * times in ten minutes. Nor does a cycle that resumes in the middle of the order give away what its
- * head waits for.
+ * times in ten minutes. Nor does a cycle that resumes in the middle of the order give others what
+ * its head waits for.
  */
 static bool may_use_reservation(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                                 const struct fl_reservation *reserved)
