--- a/tests/contract_fixture.h
+++ b/tests/contract_fixture.h
@@ -10,9 +10,9 @@
 };
 
 /*
- * Runs `calls` as a routine against a server that answers by the script, and asserts that the
+ * Runs `calls` as a coroutine against a server that answers by the script, and asserts that the
  * requests were just those of the script. What the calls return is to be put into `results` and
- * asserted afterwards: an assertion must not leave a routine.
+ * asserted afterwards: an assertion must not leave a coroutine.
  */
 void contract_run(void (*calls)(const char *address, void *results), void *results,
                   const struct contract_exchange *script, int count);
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -36,11 +36,11 @@
 	.same_zone = true,
 };
 
-const struct fl_heartbeat without_tasks = {.host = "m-000013",
-                                           .incarnation = 105,
-                                           .sequence = 106,
-                                           .fencing_token = 107,
-                                           .interruption_in_s = -1};
+const struct fl_heartbeat idle_heartbeat = {.host = "m-000013",
+                                            .incarnation = 105,
+                                            .sequence = 106,
+                                            .fencing_token = 107,
+                                            .interruption_in_s = -1};
 
 cJSON *parse(const char *text)
 {
@@ -155,7 +155,7 @@
 	assert_int_equal(job->counts.waiting, 124);
 }
 
-struct fl_heartbeat make_report(struct fl_task_status tasks[13])
+struct fl_heartbeat make_heartbeat(struct fl_task_status tasks[13])
 {
 	static const enum fl_task_state states[] = {FL_TASK_STATE_PULLING, FL_TASK_STATE_RUNNING,
 	                                            FL_TASK_STATE_CHECKPOINTING,
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -1,6 +1,7 @@
 /*
- * The literal texts of stored records: one of each kind, as it stands in the state service. Records
- * outlive the program that wrote them: whatever is renamed in the sources, these texts stay.
+ * The literal texts of stored records: one of each kind, as it stands in the key-value store.
+ * Records outlive the program that wrote them: whatever is renamed in the sources, these texts
+ * stay.
  */
 #ifndef FL_TESTS_CONTRACT_RECORDS_FIXTURE_H
 #define FL_TESTS_CONTRACT_RECORDS_FIXTURE_H
@@ -8,27 +9,27 @@
 #include "protocol/workers.h"
 #include "storage/records.h"
 
-#define LIVE                                                                                       \
+#define LIVE_JOB                                                                                   \
 	"{\"Ref\":\"run-000412\",\"JobClass\":\"nightly\",\"Owner\":\"physics\","                  \
 	"\"JobKind\":\"ensemble\",\"Tier\":\"urgent\",\"Parts\":130,\"Vcpus\":1.5,"                \
 	"\"Accelerators\":2,\"RamGb\":3.25,\"Bundle\":\"solver:7\",\"ImageGb\":4.5,"               \
 	"\"HostKinds\":[\"large\",\"small\"],\"Site\":\"north\",\"Together\":true,"                \
 	"\"Apart\":false,\"Reclaimable\":false,\"ExpectedS\":5.5,\"SnapshotEveryS\":60.5,"         \
 	"\"SnapshotCostS\":7.5,\"DueS\":88.5,\"submitted\":1700000100.25}"
-#define CANCELLED                                                                                  \
+#define CANCELLED_JOB                                                                              \
 	"{\"Ref\":\"run-000413\",\"JobClass\":\"hourly\",\"Owner\":\"biology\","                   \
 	"\"JobKind\":\"standing\",\"Tier\":\"critical\",\"Parts\":9,\"Vcpus\":10.5,"               \
 	"\"Accelerators\":11,\"RamGb\":12.5,\"Bundle\":\"fold:2\",\"ImageGb\":13.5,"               \
 	"\"Together\":false,\"Apart\":true,\"Reclaimable\":false,\"ExpectedS\":14.5,"              \
 	"\"SnapshotEveryS\":15.5,\"SnapshotCostS\":16.5,\"submitted\":1700000200.5,"               \
 	"\"final\":\"aborted\",\"parts\":9,\"cancelled\":1700000300.75}"
-#define RECLAIMABLE                                                                                \
+#define SPOT_JOB                                                                                   \
 	"{\"Ref\":\"run-000414\",\"JobClass\":\"hourly\",\"Owner\":\"biology\","                   \
 	"\"JobKind\":\"sweep\",\"Tier\":\"best_effort\",\"Parts\":3,\"Vcpus\":1,"                  \
 	"\"Accelerators\":0,\"RamGb\":2,\"Bundle\":\"fold:3\",\"ImageGb\":4,\"HostKinds\":[],"     \
 	"\"Together\":false,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":5,"                 \
 	"\"SnapshotEveryS\":6,\"SnapshotCostS\":7,\"DueS\":0,\"submitted\":8}"
-#define STANDARD                                                                                   \
+#define STANDARD_JOB                                                                               \
 	"{\"Ref\":\"run-000415\",\"JobClass\":\"c\",\"Owner\":\"biology\",\"JobKind\":\"sweep\","  \
 	"\"Tier\":\"standard\",\"Parts\":1,\"Vcpus\":1,\"Accelerators\":0,\"RamGb\":2,"            \
 	"\"Bundle\":\"i\",\"ImageGb\":4,\"Together\":false,\"Apart\":false,"                       \
@@ -37,23 +38,23 @@
 #define FINAL_DONE "{\"final\":\"done\",\"parts\":71}"
 #define FINAL_CANCELLED "{\"final\":\"aborted\",\"parts\":72}"
 
-/* Of the second chunk of a job of 130 tasks. */
+/* Of the second task block of a job of 130 tasks. */
 #define PROGRESS                                                                                   \
 	"{\"d\":[[64,66],[70,70]],\"t\":[[67,2],[72,5]],"                                          \
 	"\"m\":[[68,3,\"m-000012\",101,1700000123],[127,4,\"m-000013\",102,1700000456]]}"
-#define GROUP "[\"run-000412\",1," PROGRESS "]"
-#define OTHER_GROUP "[\"run-000412\",2,{\"d\":[],\"t\":[[128,6]],\"m\":[]}]"
-#define LOG "{\"log\":[" GROUP "," OTHER_GROUP "]}"
+#define WAL_GROUP "[\"run-000412\",1," PROGRESS "]"
+#define OTHER_WAL_GROUP "[\"run-000412\",2,{\"d\":[],\"t\":[[128,6]],\"m\":[]}]"
+#define WAL_VALUE "{\"log\":[" WAL_GROUP "," OTHER_WAL_GROUP "]}"
 
 /* A task in each state, and one that ended for each reason. */
-#define CACHED                                                                                     \
+#define CACHED_HEARTBEAT                                                                           \
 	"[\"m-000012\",101,102,103,104.5,[[\"run-000412\",3,21,0],[\"run-000413\",4,22,1],"        \
 	"[\"run-000414\",5,23,2],[\"run-000415\",6,24,4],[\"run-000416\",7,25,3,0],"               \
 	"[\"run-000417\",8,26,3,1],[\"run-000418\",9,27,3,2],[\"run-000419\",10,28,3,3],"          \
 	"[\"run-000420\",11,29,3,4],[\"run-000421\",12,30,3,5],[\"run-000422\",13,31,3,6],"        \
 	"[\"run-000423\",14,32,3,7],[\"run-000424\",15,33,3,8]]]"
-#define CACHED_WITHOUT_TASKS "[\"m-000013\",105,106,107,-1,[]]"
-#define DIGEST "{\"epoch\":108,\"kept\":[" CACHED "," CACHED_WITHOUT_TASKS "]}"
+#define CACHED_IDLE_HEARTBEAT "[\"m-000013\",105,106,107,-1,[]]"
+#define DIGEST "{\"epoch\":108,\"kept\":[" CACHED_HEARTBEAT "," CACHED_IDLE_HEARTBEAT "]}"
 
 #define MACHINE_TYPES                                                                              \
 	"{\"HostKinds\":[{\"Name\":\"large\",\"Vcpus\":96,\"Accelerators\":8,\"RamGb\":768.5,"     \
@@ -65,16 +66,16 @@
 #define LEADER "{\"node\":\"host-2\",\"boot\":\"host-2-17.25\"}"
 #define LEADER_BEFORE "{\"node\":\"host-1\",\"boot\":\"host-1-16.5\"}"
 #define OWN_LEADER "{\"node\":\"host-1\",\"boot\":\"host-1-18.75\"}"
-#define EPOCH "{\"epoch\":41}"
-#define NEXT_EPOCH "{\"epoch\":42}"
-#define RAISED_EPOCH "{\"epoch\":43}"
+#define FENCING_TOKEN "{\"epoch\":41}"
+#define NEXT_FENCING_TOKEN "{\"epoch\":42}"
+#define RAISED_FENCING_TOKEN "{\"epoch\":43}"
 
 enum { CACHED_TASKS = 13 };
 
 /* The description in LIVE. */
 extern const struct fl_job_spec live_spec;
-/* The report in CACHED_WITHOUT_TASKS. */
-extern const struct fl_heartbeat without_tasks;
+/* The heartbeat in CACHED_IDLE_HEARTBEAT. */
+extern const struct fl_heartbeat idle_heartbeat;
 
 cJSON *parse(const char *text);
 /* The tree, which is freed, has exactly this text. */
@@ -83,15 +84,15 @@
 void add_zones_and_teams(struct fl_cluster *cluster);
 /* The job of LIVE, in a leader's state that knows those and MACHINE_TYPES. */
 struct fl_job *add_job(struct fl_cluster *cluster);
-/* The state that PROGRESS and OTHER_GROUP are the texts of. */
+/* The state that PROGRESS and OTHER_WAL_GROUP are the texts of. */
 void make_progress(struct fl_cluster *cluster, struct fl_job *job);
-/* Machine, session and time are those of a placed task. */
+/* Machine, incarnation and time are those of a placed task. */
 void assert_task(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
                  enum fl_task_phase phase, uint32_t attempt, const char *machine,
                  uint64_t incarnation, double placed);
-/* What PROGRESS says, and nothing else, of the second chunk. */
+/* What PROGRESS says, and nothing else, of the second task block. */
 void assert_progress(const struct fl_cluster *cluster, const struct fl_job *job);
-/* The report that CACHED is the text of. */
-struct fl_heartbeat make_report(struct fl_task_status tasks[CACHED_TASKS]);
+/* The heartbeat that CACHED_HEARTBEAT is the text of. */
+struct fl_heartbeat make_heartbeat(struct fl_task_status tasks[CACHED_TASKS]);
 
 #endif
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -1,4 +1,4 @@
-/* One node on loopback: the answers of its state service and its leader, and its set-up. */
+/* One node on loopback: the answers of its key-value store and its leader, and its set-up. */
 #include "frontend_fixture.h"
 
 #include <setjmp.h>
@@ -13,18 +13,18 @@
 
 #include "transport/clock.h"
 
-static void on_state(void *context, const struct fl_http_request *request,
-                     struct fl_http_response *response)
+static void answer_as_kv_store(void *context, const struct fl_http_request *request,
+                               struct fl_http_response *response)
 {
-	struct fixture *fixture = context;
+	struct frontend_fixture *fixture = context;
 	struct fl_buffer body = {0};
 
 	response->status = 503;
-	if (fixture->refused)
+	if (fixture->kv_store_refuses)
 		return;
 	response->status = 200;
 	if (strcmp(request->path, "/multi") == 0) {
-		fixture->writes++;
+		fixture->record_writes++;
 		fl_buffer_printf(&body, "{\"LedgerRev\":9}");
 	} else if (strcmp(request->path, "/keys") == 0) {
 		if (fixture->record && strstr(request->query, "Prefix=" FL_PREFIX_JOBS))
@@ -39,28 +39,28 @@
 			                 fixture->progress);
 		else
 			fl_buffer_printf(&body, "{\"Items\":[],%s\"LedgerRev\":9}",
-			                 fixture->without_more ? "" : "\"More\":false,");
+			                 fixture->lists_without_more ? "" : "\"More\":false,");
 	} else if (strcmp(request->path, "/rentals") == 0) {
 		fl_buffer_printf(&body, "{%s\"Hosts\":[]}",
-		                 fixture->without_more ? "" : "\"More\":false,");
-	} else if ((fixture->gated ? fixture->seen : fixture->known) &&
+		                 fixture->lists_without_more ? "" : "\"More\":false,");
+	} else if ((fixture->reads_gated ? fixture->known_at_read_begin : fixture->job_known) &&
 	           strncmp(request->path, "/keys/f/", 8) == 0) {
-		fixture->reads++;
+		fixture->record_reads++;
 		fl_buffer_printf(&body, "{\"V\":{\"final\":\"done\",\"parts\":4},\"KeyRev\":3}");
 	} else {
-		fixture->reads++;
-		fixture->seen = fixture->known;
-		if (fixture->gated)
-			fl_condition_wait(&fixture->gate, -1);
+		fixture->record_reads++;
+		fixture->known_at_read_begin = fixture->job_known;
+		if (fixture->reads_gated)
+			fl_condition_wait(&fixture->read_gate, -1);
 		response->status = 404;
 	}
 	response->body = body.data;
 }
 
-static void on_leader(void *context, const struct fl_http_request *request,
-                      struct fl_http_response *response)
+static void answer_as_leader(void *context, const struct fl_http_request *request,
+                             struct fl_http_response *response)
 {
-	struct fixture *fixture = context;
+	struct frontend_fixture *fixture = context;
 	struct fl_job_spec spec;
 	struct fl_forwarded_request forwarded;
 	cJSON *object;
@@ -73,7 +73,7 @@
 		response->status = fl_job_spec_decode(object, &spec) ? 400 : 201;
 		cJSON_Delete(object);
 	} else {
-		response->status = fixture->known ? 200 : 404;
+		response->status = fixture->job_known ? 200 : 404;
 	}
 	response->body = strdup("{\"Status\":\"done\"}");
 	fl_forwarded_request_free(&forwarded);
@@ -94,7 +94,7 @@
 		{.name = "one", .cpus = 96, .ram_gb = 64, .zones = {"a"}, .zone_count = 1},
 		{.name = "elsewhere", .cpus = 900, .ram_gb = 64, .zones = {"y"}, .zone_count = 1},
 	};
-	struct fixture *fixture = calloc(1, sizeof(*fixture));
+	struct frontend_fixture *fixture = calloc(1, sizeof(*fixture));
 	struct fl_node *node = &fixture->node;
 
 	fl_coroutines_init(ev_default_loop(0));
@@ -109,8 +109,8 @@
 	strcpy(node->cluster.teams.by_index[0].name, "t");
 	node->cluster.teams.by_index[0].max_cpus = 100;
 	node->cluster.teams.count = 1;
-	fixture->kv_store = fl_http_serve("127.0.0.1:0", 16, 90, on_state, fixture);
-	fixture->leader = fl_http_serve("127.0.0.1:0", 16, 90, on_leader, fixture);
+	fixture->kv_store = fl_http_serve("127.0.0.1:0", 16, 90, answer_as_kv_store, fixture);
+	fixture->leader = fl_http_serve("127.0.0.1:0", 16, 90, answer_as_leader, fixture);
 	assert_true(fixture->kv_store && fixture->leader);
 	connect_client(&node->kv_store.client, fixture->kv_store);
 	connect_client(&node->cloud.http, fixture->kv_store);
@@ -129,7 +129,7 @@
 
 int tear_down(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
 	fl_http_client_close(&fixture->node.kv_store.client);
 	fl_http_client_close(&fixture->node.cloud.http);
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -1,5 +1,5 @@
 /*
- * One node between a state service and a leader that are stand-ins of a few lines each, on
+ * One node between a key-value store and a leader, each a fake of a few lines, on
  * loopback.
  */
 #ifndef FL_TESTS_FRONTEND_FIXTURE_H
@@ -10,19 +10,19 @@
 #include "transport/http_server.h"
 #include "transport/coroutine.h"
 
-struct fixture {
+struct frontend_fixture {
 	struct fl_node node;
 	struct fl_config config;
 	struct fl_http_server *kv_store, *leader;
-	bool refused;         /* by the state service, this node alone */
-	bool known;           /* the job was accepted before */
-	const char *record;   /* the only job record there is, of run-000001 */
-	const char *progress; /* and that of its progress */
-	bool without_more;    /* a list does not say whether there is more of it */
-	int writes, reads;    /* of job records */
-	bool gated;           /* a read of one waits for the gate */
-	struct fl_condition gate;
-	bool seen; /* whether the job was known when it began */
+	bool kv_store_refuses;           /* by the key-value store, this node alone */
+	bool job_known;                  /* the job was accepted before */
+	const char *record;              /* the only job record there is, of run-000001 */
+	const char *progress;            /* and that of its progress */
+	bool lists_without_more;         /* a list does not say whether there is more of it */
+	int record_writes, record_reads; /* of job records */
+	bool reads_gated;                /* a read of one waits for the gate */
+	struct fl_condition read_gate;
+	bool known_at_read_begin; /* whether the job was known when it began */
 	int ref;
 	char failed[400];
 };
@@ -41,7 +41,7 @@
 
 int tear_down(void **state);
 
-/* A test entry with a node and stand-ins of its own. */
+/* A test entry with a node and fakes of its own. */
 #define FRONTEND_TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
 
 #endif
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -1,4 +1,4 @@
-/* One node without connections: its set-up, its roles, and the reports delivered to it. */
+/* One node without connections: its set-up, its roles, and the heartbeats delivered to it. */
 #include "node_fixture.h"
 
 #include <setjmp.h>
@@ -14,7 +14,7 @@
 #include "coordination/request_router.h"
 #include "transport/clock.h"
 
-void become_leader(struct fixture *fixture, uint64_t fencing_token)
+void become_leader(struct node_fixture *fixture, uint64_t fencing_token)
 {
 	struct fl_node *node = &fixture->node;
 
@@ -39,7 +39,7 @@
 	                           .priority = FL_STANDARD,
 	                           .machine_type_count = -1,
 	                           .due_s = -1};
-	struct fixture *fixture = calloc(1, sizeof(*fixture));
+	struct node_fixture *fixture = calloc(1, sizeof(*fixture));
 	struct fl_cluster *cluster;
 
 	assert_non_null(fixture);
@@ -61,14 +61,14 @@
 	strcpy(spec.job_class, "c");
 	strcpy(spec.image, "i");
 	fixture->job = fl_job_add(cluster, &spec, 0, 1);
-	become_leader(fixture, EPOCH);
+	become_leader(fixture, FENCING_TOKEN);
 	*state = fixture;
 	return 0;
 }
 
 int tear_down(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_cached_heartbeat *cached, *tmp;
 
 	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, tmp) {
@@ -87,8 +87,8 @@
 	return 0;
 }
 
-struct fl_heartbeat make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
-                                struct fl_task_status *tasks, int n)
+struct fl_heartbeat make_heartbeat(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
+                                   struct fl_task_status *tasks, int n)
 {
 	struct fl_heartbeat heartbeat = {.incarnation = incarnation,
 	                                 .sequence = sequence,
@@ -104,8 +104,8 @@
 	return heartbeat;
 }
 
-int deliver_report(struct fixture *fixture, struct fl_heartbeat heartbeat,
-                   enum fl_heartbeat_source source)
+int deliver_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
+                      enum fl_heartbeat_source source)
 {
 	struct fl_command_list commands;
 	int rc, n;
@@ -118,17 +118,17 @@
 	return rc ? rc : n;
 }
 
-struct fl_machine *only_machine(struct fixture *fixture)
+struct fl_machine *only_machine(struct node_fixture *fixture)
 {
 	return fl_machine_find(&fixture->node.cluster.machines, "m-000001");
 }
 
-void answered_ago(struct fixture *fixture, double seconds)
+void set_last_reply_age(struct node_fixture *fixture, double seconds)
 {
 	only_machine(fixture)->outbound.last_reply_at = fl_now() - seconds;
 }
 
-struct fl_task *place_task(struct fixture *fixture, uint32_t index)
+struct fl_task *place_task(struct node_fixture *fixture, uint32_t index)
 {
 	assert_int_equal(fl_task_place(&fixture->node.cluster, fixture->job, index,
 	                               only_machine(fixture),
@@ -148,7 +148,7 @@
 	return status;
 }
 
-void become_follower(struct fixture *fixture, int peers)
+void become_follower(struct node_fixture *fixture, int peers)
 {
 	struct fl_node *node = &fixture->node;
 
@@ -165,8 +165,8 @@
 	node->kv_store.last_failure_at = -1e9;
 }
 
-struct fl_http_response user_call(struct fixture *fixture, enum fl_user_request kind,
-                                  const char *ref, const char *body)
+struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_user_request kind,
+                                          const char *ref, const char *body)
 {
 	struct fl_http_response response = {.status = 500};
 
@@ -175,23 +175,23 @@
 	return response;
 }
 
-int kills_in_answer;
+int stop_commands_in_reply;
 
-int send_report(struct fixture *fixture, struct fl_heartbeat heartbeat, char *to)
+int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat, char *to)
 {
 	char *text = fl_heartbeat_encode(&heartbeat);
 	struct fl_http_response response =
-		user_call(fixture, FL_USER_REQUEST_HEARTBEAT, NULL, text);
+		send_user_request(fixture, FL_USER_REQUEST_HEARTBEAT, NULL, text);
 	cJSON *object = response.body ? fl_json_parse(response.body, strlen(response.body)) : NULL;
 	const cJSON *element;
 
-	kills_in_answer = 0;
+	stop_commands_in_reply = 0;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16];
 
 		fl_json_get_string(element, "Verb", verb, sizeof(verb));
 		assert_string_not_equal(verb, "launch");
-		kills_in_answer += strcmp(verb, "kill") == 0;
+		stop_commands_in_reply += strcmp(verb, "kill") == 0;
 	}
 
 	if (to && fl_json_get_string(object, "Steward", to, FL_NAME_MAX) != FL_JSON_OK)
@@ -202,7 +202,7 @@
 	return response.status;
 }
 
-cJSON *cancelled_record(struct fixture *fixture, double seconds)
+cJSON *cancelled_record(struct node_fixture *fixture, double seconds)
 {
 	struct fl_job_spec spec;
 
@@ -210,7 +210,7 @@
 	return fl_job_record_cancelled(&spec, 1, fl_wall() - seconds);
 }
 
-void apply_cancellation(struct fixture *fixture, double seconds)
+void apply_cancellation(struct node_fixture *fixture, double seconds)
 {
 	cJSON *record = cancelled_record(fixture, seconds);
 
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -24,7 +24,7 @@
  */
 static void the_lease_of_a_cancelled_task_is_not_renewed_past_its_deadline(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 	struct fl_task_status status = running_task(0, 1);
 	struct fl_finished_job *final;
@@ -32,25 +32,34 @@
 	become_follower(fixture, 0);
 	/* One more lease still ends before the tasks must have ended. */
 	apply_cancellation(fixture, renewable_s - 2);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, &status, 1), NULL),
+		200);
 	final = fl_finished_job_find(&fixture->node.cluster, status.ref);
 	assert_non_null(final);
 	final->cancelled_at -= 3;
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &status, 1), NULL), 503);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 21, FENCING_TOKEN, &status, 1), NULL),
+		503);
 	/* Others are renewed, and so is this one when the task has ended. */
 	strcpy(status.ref, "run-000002");
-	assert_int_equal(send_report(fixture, make_report(1, 22, EPOCH, &status, 1), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 22, FENCING_TOKEN, &status, 1), NULL),
+		200);
 	strcpy(status.ref, "run-000001");
 	status.state = FL_TASK_STATE_EXITED;
-	assert_int_equal(send_report(fixture, make_report(1, 23, EPOCH, &status, 1), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 23, FENCING_TOKEN, &status, 1), NULL),
+		200);
 	/* With the jobs not read for so long, any may have been cancelled. */
 	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	fixture->node.jobs_known = true;
-	assert_int_equal(send_report(fixture, make_report(1, 24, EPOCH, NULL, 0), NULL), 503);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 24, FENCING_TOKEN, NULL, 0), NULL), 503);
 }
 
 /* One exchange between two controllers, asked so long ago. */
-static void gossip(struct fixture *from, int peer, struct fixture *to, double ago_s)
+static void gossip(struct node_fixture *from, int peer, struct node_fixture *to, double ago_s)
 {
 	char *ask = fl_gossip_request(&from->node);
 	struct fl_http_response response = {0};
@@ -64,12 +73,12 @@
 }
 
 /*
- * A node that the state service refuses learns from another what has been cancelled, so it knows as
- * much as that one, and stops the task with the same answer that renews the lease.
+ * A node that the key-value store refuses learns from another what has been cancelled, so it knows
+ * as much as that one, and stops the task with the same answer that renews the lease.
  */
-static void a_controller_learns_cancellations_from_another(void **state)
+static void a_controller_learns_cancellations_from_a_peer(void **state)
 {
-	struct fixture *fixture = *state, *other;
+	struct node_fixture *fixture = *state, *other;
 	struct fl_task_status status = running_task(0, 1);
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 
@@ -77,23 +86,31 @@
 	become_follower(fixture, 2);
 	become_follower(other, 2);
 	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 503);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, &status, 1), NULL),
+		503);
 	/* The other has read the records 3 s ago, and a job has been cancelled since. */
 	apply_cancellation(other, 1);
 	other->node.cancellation_watermark = fl_now() - 3;
 	gossip(fixture, 0, other, 0.01);
 	assert_true(fixture->node.cancellation_watermark > fl_now() - 4 &&
 	            fixture->node.cancellation_watermark < fl_now() - 3);
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH, &status, 1), NULL), 200);
-	assert_int_equal(kills_in_answer, 1);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 21, FENCING_TOKEN, &status, 1), NULL),
+		200);
+	assert_int_equal(stop_commands_in_reply, 1);
 	/* What has ended needs no stop, and what is not cancelled gets none. */
 	status.state = FL_TASK_STATE_EXITED;
-	assert_int_equal(send_report(fixture, make_report(1, 22, EPOCH, &status, 1), NULL), 200);
-	assert_int_equal(kills_in_answer, 0);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 22, FENCING_TOKEN, &status, 1), NULL),
+		200);
+	assert_int_equal(stop_commands_in_reply, 0);
 	status = running_task(0, 1);
 	strcpy(status.ref, "run-000002");
-	assert_int_equal(send_report(fixture, make_report(1, 23, EPOCH, &status, 1), NULL), 200);
-	assert_int_equal(kills_in_answer, 0);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 23, FENCING_TOKEN, &status, 1), NULL),
+		200);
+	assert_int_equal(stop_commands_in_reply, 0);
 	tear_down((void **)&other);
 }
 
@@ -102,9 +119,9 @@
  * that has learned of it: when all have answered, the oldest question counts like a read. One that
  * is silent, has not read since it started, knows more than fits, or answers too late ends that.
  */
-static void answers_of_all_controllers_replace_a_read(void **state)
+static void gossip_replies_of_all_peers_advance_the_cancellation_watermark(void **state)
 {
-	struct fixture *fixture = *state, *a, *b;
+	struct node_fixture *fixture = *state, *a, *b;
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1, old;
 
 	set_up((void **)&a);
@@ -143,7 +160,8 @@
 	assert_true(fixture->node.cancellation_watermark > fl_now() - 1 &&
 	            fixture->node.cancellation_watermark < fl_now());
 	assert_int_equal(HASH_COUNT(fixture->node.cluster.finished), 1);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, NULL, 0), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, NULL, 0), NULL), 200);
 	/* This node itself has not read since it started. */
 	fixture->node.cancellation_watermark = old;
 	fixture->node.jobs_known = false;
@@ -154,48 +172,51 @@
 	tear_down((void **)&b);
 }
 
-/* Relayed on two paths, only the second answer reached the worker, and it was empty. */
-static void a_repeated_report_is_answered_with_the_stop_again(void **state)
+/* Forwarded on two paths, only the second answer reached the worker, and it was empty. */
+static void a_repeated_heartbeat_is_answered_with_the_stop_command_again(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_task_status status = running_task(0, 1);
 	cJSON *record = cancelled_record(fixture, 1);
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
+	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
+	                  FL_HEARTBEAT_FROM_WORKER);
 	status.attempt = place_task(fixture, 0)->attempt;
 	assert_non_null(
 		fl_cluster_apply_job_record(&fixture->node.cluster, fixture->job->ref, record, 9));
 	cJSON_Delete(record);
 	for (int i = 0; i < 2; i++) {
-		assert_int_equal(send_report(fixture, make_report(1, 2, EPOCH, &status, 1), NULL),
+		assert_int_equal(send_heartbeat(fixture,
+		                                make_heartbeat(1, 2, FENCING_TOKEN, &status, 1),
+		                                NULL),
 		                 200);
-		assert_int_equal(kills_in_answer, 1);
+		assert_int_equal(stop_commands_in_reply, 1);
 	}
 }
 
-struct waiting_report {
-	struct fixture *fixture;
+struct waiting_heartbeat {
+	struct node_fixture *fixture;
 	struct fl_heartbeat report;
 	int status;
 };
 
 static void send_and_wait(void *arg)
 {
-	struct waiting_report *waiting = arg;
+	struct waiting_heartbeat *waiting = arg;
 
-	waiting->status = send_report(waiting->fixture, waiting->report, NULL);
+	waiting->status = send_heartbeat(waiting->fixture, waiting->report, NULL);
 }
 
 /*
- * Found with slow controllers that had all ended: the report came before the list of jobs, waited
- * for it, and was answered by what had been known before the wait.
+ * Found with slow controllers that had all ended: the heartbeat came before the list of jobs,
+ * waited for it, and was answered by what had been known before the wait.
  */
-static void a_cancellation_read_during_a_wait_counts(void **state)
+static void a_cancellation_read_while_a_heartbeat_waits_is_applied(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_task_status status = running_task(0, 1);
-	struct waiting_report waiting = {.fixture = fixture,
-	                                 .report = make_report(1, 20, EPOCH, &status, 1)};
+	struct waiting_heartbeat waiting = {
+		.fixture = fixture, .report = make_heartbeat(1, 20, FENCING_TOKEN, &status, 1)};
 	struct ev_loop *loop = ev_loop_new(0);
 
 	fl_coroutines_init(loop);
@@ -215,22 +236,26 @@
 	ev_loop_destroy(loop);
 }
 
-/* A new leader answers its first reports without applying them, and renews no such lease. */
-static void a_new_leader_does_not_renew_it_either(void **state)
+/* A new leader answers its first heartbeats without applying them, and renews no such lease. */
+static void a_new_leader_does_not_renew_the_lease_of_a_cancelled_task(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_task_status status = running_task(0, 1);
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 
 	fixture->node.cluster.leading = false;
 	apply_cancellation(fixture, renewable_s + 2);
-	become_leader(fixture, EPOCH + 1);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 503);
+	become_leader(fixture, FENCING_TOKEN + 1);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, &status, 1), NULL),
+		503);
 	/* One that is taken in has its task stopped, and the answer may renew the lease. */
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH + 1, &status, 1), NULL),
-	                 200);
-	assert_int_equal(send_report(fixture, make_report(1, 21, EPOCH + 1, &status, 1), NULL),
-	                 503);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 21, FENCING_TOKEN + 1, &status, 1), NULL),
+		200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 21, FENCING_TOKEN + 1, &status, 1), NULL),
+		503);
 }
 
 /*
@@ -240,15 +265,15 @@
  */
 static void a_leader_learns_of_a_cancellation_from_the_record(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_finished_job *final;
-	struct fl_job_record rec;
+	struct fl_job_record decoded;
 	cJSON *record;
 
 	fixture->job->record.final_write_unknown = true;
 	record = cancelled_record(fixture, 3);
-	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &rec), 0);
-	fl_job_record_refresh_apply(&fixture->node, fixture->job, &rec, 9);
+	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
+	fl_job_record_refresh_apply(&fixture->node, fixture->job, &decoded, 9);
 	assert_true(fixture->job->cancelled && !fixture->job->record.final_write_unknown &&
 	            fixture->job->record.mod_revision == 9);
 	/* Or while it still loads its cluster state, and its lease may be another's already. */
@@ -266,17 +291,17 @@
 }
 
 /* A new leader continues the count: else one that leads briefly would never expire a machine. */
-static void a_cancellation_keeps_its_age_across_a_takeover(void **state)
+static void a_cancellation_keeps_its_age_across_a_failover(void **state)
 {
-	struct fixture *fixture = *state;
-	struct fl_job_record rec;
+	struct node_fixture *fixture = *state;
+	struct fl_job_record decoded;
 	cJSON *record;
 
 	record = cancelled_record(fixture, 20);
-	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &rec), 0);
+	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
 	cJSON_Delete(record);
-	assert_true(rec.final && rec.has_spec && rec.status == FL_CANCELLED);
-	assert_true(fabs(fl_since(rec.cancelled_wall) - (fl_now() - 20)) < 1);
+	assert_true(decoded.final && decoded.has_spec && decoded.status == FL_CANCELLED);
+	assert_true(fabs(fl_since(decoded.cancelled_wall) - (fl_now() - 20)) < 1);
 	/* Records of earlier versions do not say: they count from now. */
 	assert_true(fabs(fl_since(0) - fl_now()) < 1);
 }
@@ -285,13 +310,13 @@
 {
 	const struct CMUnitTest tests[] = {
 		NODE_TEST(the_lease_of_a_cancelled_task_is_not_renewed_past_its_deadline),
-		NODE_TEST(a_cancellation_read_during_a_wait_counts),
-		NODE_TEST(a_controller_learns_cancellations_from_another),
-		NODE_TEST(answers_of_all_controllers_replace_a_read),
-		NODE_TEST(a_repeated_report_is_answered_with_the_stop_again),
-		NODE_TEST(a_new_leader_does_not_renew_it_either),
+		NODE_TEST(a_cancellation_read_while_a_heartbeat_waits_is_applied),
+		NODE_TEST(a_controller_learns_cancellations_from_a_peer),
+		NODE_TEST(gossip_replies_of_all_peers_advance_the_cancellation_watermark),
+		NODE_TEST(a_repeated_heartbeat_is_answered_with_the_stop_command_again),
+		NODE_TEST(a_new_leader_does_not_renew_the_lease_of_a_cancelled_task),
 		NODE_TEST(a_leader_learns_of_a_cancellation_from_the_record),
-		NODE_TEST(a_cancellation_keeps_its_age_across_a_takeover),
+		NODE_TEST(a_cancellation_keeps_its_age_across_a_failover),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -47,7 +47,7 @@
 	.spread_zones = true,
 };
 
-static const struct fl_job_spec reclaimable_spec = {
+static const struct fl_job_spec spot_spec = {
 	.ref = "run-000414",
 	.job_class = "hourly",
 	.team = "biology",
@@ -125,14 +125,14 @@
 static void a_live_job_is_stored_with_every_field_of_its_description(void **state)
 {
 	(void)state;
-	assert_live(LIVE, &live_spec, 1700000100.25);
-	assert_live(RECLAIMABLE, &reclaimable_spec, 8);
-	assert_live(STANDARD, &standard_spec, 8);
+	assert_live(LIVE_JOB, &live_spec, 1700000100.25);
+	assert_live(SPOT_JOB, &spot_spec, 8);
+	assert_live(STANDARD_JOB, &standard_spec, 8);
 }
 
 static void a_cancelled_job_is_stored_with_its_description_and_end(void **state)
 {
-	struct fl_job_record record = read_record(CANCELLED, "run-000413");
+	struct fl_job_record record = read_record(CANCELLED_JOB, "run-000413");
 
 	(void)state;
 	assert_true(record.final);
@@ -143,7 +143,7 @@
 	assert_true(record.cancelled_wall == 1700000300.75);
 	assert_spec(&record.spec, &cancelled_spec);
 	assert_text(fl_job_record_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
-	            CANCELLED);
+	            CANCELLED_JOB);
 }
 
 static void assert_final(const char *text, enum fl_job_status status, uint32_t task_count)
@@ -198,7 +198,7 @@
 	free(types);
 }
 
-/* ---- progress records and the log ---- */
+/* ---- progress records and the write-ahead log ---- */
 
 /* What a job was submitted with survives its stay in memory, where its record is written from. */
 static void a_job_read_from_its_record_is_written_as_it_was(void **state)
@@ -209,7 +209,7 @@
 
 	(void)state;
 	fl_job_describe(&cluster, job, &spec);
-	assert_text(fl_job_record_live(&spec, job->submitted_wall), LIVE);
+	assert_text(fl_job_record_live(&spec, job->submitted_wall), LIVE_JOB);
 	fl_cluster_free(&cluster);
 }
 
@@ -245,12 +245,12 @@
 	assert_int_equal(placed, 22);
 }
 
-static void the_log_is_written_as_groups_of_changes(void **state)
+static void the_write_ahead_log_is_written_as_groups_of_changes(void **state)
 {
 	struct fl_cluster cluster = {0};
 	struct fl_job *job = add_job(&cluster);
 	cJSON *value = fl_wal_value_begin();
-	static const char *const expected[] = {NULL, GROUP, OTHER_GROUP};
+	static const char *const expected[] = {NULL, WAL_GROUP, OTHER_WAL_GROUP};
 
 	(void)state;
 	make_progress(&cluster, job);
@@ -261,15 +261,15 @@
 		fl_wal_value_add(value, group);
 		free(group);
 	}
-	assert_text(value, LOG);
+	assert_text(value, WAL_VALUE);
 	fl_cluster_free(&cluster);
 }
 
-static void the_log_is_read_as_groups_of_changes(void **state)
+static void the_write_ahead_log_is_read_as_groups_of_changes(void **state)
 {
 	struct fl_cluster cluster = {0};
 	struct fl_job *job = add_job(&cluster);
-	cJSON *tree = parse(LOG);
+	cJSON *tree = parse(WAL_VALUE);
 	struct fl_wal wal = {0};
 
 	(void)state;
@@ -289,9 +289,9 @@
 	fl_cluster_free(&cluster);
 }
 
-/* ---- cached reports ---- */
+/* ---- cached heartbeats ---- */
 
-static void assert_report(const struct fl_heartbeat *read, const struct fl_heartbeat *expected)
+static void assert_heartbeat(const struct fl_heartbeat *read, const struct fl_heartbeat *expected)
 {
 	assert_string_equal(read->host, expected->host);
 	assert_int_equal(read->incarnation, expected->incarnation);
@@ -308,45 +308,45 @@
 	}
 }
 
-static void a_digest_is_written_as_cached_reports(void **state)
+static void a_digest_is_written_as_cached_heartbeats(void **state)
 {
 	struct fl_task_status tasks[CACHED_TASKS];
-	struct fl_heartbeat heartbeat = make_report(tasks);
+	struct fl_heartbeat heartbeat = make_heartbeat(tasks);
 	char *cached = fl_cached_heartbeat_encode(&heartbeat);
 	cJSON *digest = fl_digest_begin(108);
 
 	(void)state;
-	assert_string_equal(cached, CACHED);
+	assert_string_equal(cached, CACHED_HEARTBEAT);
 	fl_digest_add(digest, cached);
 	free(cached);
-	cached = fl_cached_heartbeat_encode(&without_tasks);
-	assert_string_equal(cached, CACHED_WITHOUT_TASKS);
+	cached = fl_cached_heartbeat_encode(&idle_heartbeat);
+	assert_string_equal(cached, CACHED_IDLE_HEARTBEAT);
 	fl_digest_add(digest, cached);
 	free(cached);
 	assert_text(digest, DIGEST);
 }
 
-static void a_digest_is_read_as_cached_reports(void **state)
+static void a_digest_is_read_as_cached_heartbeats(void **state)
 {
 	struct fl_task_status tasks[CACHED_TASKS];
-	struct fl_heartbeat expected = make_report(tasks), read;
+	struct fl_heartbeat expected = make_heartbeat(tasks), read;
 	cJSON *digest = parse(DIGEST);
 	const cJSON *list = fl_digest_heartbeats(digest);
 
 	(void)state;
 	assert_int_equal(cJSON_GetArraySize(list), 2);
 	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 0), &read), 0);
-	assert_report(&read, &expected);
+	assert_heartbeat(&read, &expected);
 	fl_heartbeat_free(&read);
 	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 1), &read), 0);
-	assert_report(&read, &without_tasks);
+	assert_heartbeat(&read, &idle_heartbeat);
 	fl_heartbeat_free(&read);
 	cJSON_Delete(digest);
 }
 
 /* ---- keys ---- */
 
-static void every_key_and_prefix_stays(void **state)
+static void every_key_and_prefix_has_its_stored_form(void **state)
 {
 	char key[FL_KEY_MAX], ref[FL_REF_MAX];
 	uint32_t block_index;
@@ -386,11 +386,11 @@
 		cmocka_unit_test(machine_types_are_stored_with_every_field),
 		cmocka_unit_test(progress_is_stored_by_phase),
 		cmocka_unit_test(progress_is_counted_from_its_record),
-		cmocka_unit_test(the_log_is_written_as_groups_of_changes),
-		cmocka_unit_test(the_log_is_read_as_groups_of_changes),
-		cmocka_unit_test(a_digest_is_written_as_cached_reports),
-		cmocka_unit_test(a_digest_is_read_as_cached_reports),
-		cmocka_unit_test(every_key_and_prefix_stays),
+		cmocka_unit_test(the_write_ahead_log_is_written_as_groups_of_changes),
+		cmocka_unit_test(the_write_ahead_log_is_read_as_groups_of_changes),
+		cmocka_unit_test(a_digest_is_written_as_cached_heartbeats),
+		cmocka_unit_test(a_digest_is_read_as_cached_heartbeats),
+		cmocka_unit_test(every_key_and_prefix_has_its_stored_form),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -1,7 +1,7 @@
 /*
- * The golden test of what stands in the state service: a node finds literal records under literal
- * keys, leader and epoch among them, and what it writes there is compared byte for byte. Virtual
- * time, and a state service made here.
+ * The golden test of what stands in the key-value store: a node finds literal records under literal
+ * keys, leader and fencing token among them, and what it writes there is compared byte for byte.
+ * Virtual time, and a key-value store made here.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -24,9 +24,9 @@
 #include "sim.h"
 #include "transport/clock.h"
 
-/* ---- a state service that holds literals, and takes down what is written ---- */
+/* ---- a key-value store that holds literals, and takes down what is written ---- */
 
-enum { PROCESS = 1, KEYS_MAX = 8, WRITES_MAX = 16, TEXT_MAX = 8192, GRANT = 7 };
+enum { PROCESS = 1, KEYS_MAX = 8, WRITES_MAX = 16, TEXT_MAX = 8192, LEASE_ID = 7 };
 
 struct sim sim;
 
@@ -35,38 +35,39 @@
 	struct fl_config config;
 	struct {
 		const char *key, *value;
-		int rev, grant;
+		int mod_revision, lease_id;
 	} stored[KEYS_MAX];
-	int n_stored;
+	int stored_count;
 	char written[WRITES_MAX][TEXT_MAX]; /* the transactions, in their order */
-	int n_written;
+	int written_count;
 	const char *event;  /* what the watches learn once; NULL: nothing */
-	bool lists_refused; /* of the state service */
-	int holds, released;
-	void (*duty)(struct fl_node *node);
+	bool lists_refused; /* of the key-value store */
+	int lease_grants, revoked_lease;
+	void (*action)(struct fl_node *node);
 	int result; /* of that, where it has one; 0 is good */
 } world;
 
 void sim_process_computes(int process) { (void)process; }
 
-static void store(const char *key, const char *value, int rev, int grant)
+static void store(const char *key, const char *value, int mod_revision, int lease_id)
 {
-	int at = world.n_stored++;
+	int at = world.stored_count++;
 
 	sim_require(at < KEYS_MAX);
 	world.stored[at].key = key;
 	world.stored[at].value = value;
-	world.stored[at].rev = rev;
-	world.stored[at].grant = grant;
+	world.stored[at].mod_revision = mod_revision;
+	world.stored[at].lease_id = lease_id;
 }
 
 static int answer_get(const char *key, struct fl_buffer *body)
 {
-	for (int number = 0; number < world.n_stored; number++)
+	for (int number = 0; number < world.stored_count; number++)
 		if (strcmp(world.stored[number].key, key) == 0) {
 			fl_buffer_printf(body, "{\"V\":%s,\"KeyRev\":%d,\"Grant\":%d}",
-			                 world.stored[number].value, world.stored[number].rev,
-			                 world.stored[number].grant);
+			                 world.stored[number].value,
+			                 world.stored[number].mod_revision,
+			                 world.stored[number].lease_id);
 			return 200;
 		}
 	fl_buffer_printf(body, "{}");
@@ -81,11 +82,11 @@
 	if (world.lists_refused)
 		return 503;
 	fl_buffer_printf(body, "{\"Items\":[");
-	for (int number = 0; number < world.n_stored; number++)
+	for (int number = 0; number < world.stored_count; number++)
 		if (strncmp(world.stored[number].key, query, length) == 0) {
 			fl_buffer_printf(body, "%s{\"Key\":\"%s\",\"V\":%s,\"KeyRev\":%d}", comma,
 			                 world.stored[number].key, world.stored[number].value,
-			                 world.stored[number].rev);
+			                 world.stored[number].mod_revision);
 			comma = ",";
 		}
 	fl_buffer_printf(body, "],\"More\":false,\"LedgerRev\":90}");
@@ -115,19 +116,19 @@
 	if (strncmp(path, watch, strlen(watch)) == 0)
 		return answer_watch(path + strlen(watch), body);
 	if (strcmp(path, "/multi") == 0) {
-		sim_require(world.n_written < WRITES_MAX);
-		sim_copy(world.written[world.n_written++], TEXT_MAX, text);
+		sim_require(world.written_count < WRITES_MAX);
+		sim_copy(world.written[world.written_count++], TEXT_MAX, text);
 		fl_buffer_printf(body, "{\"LedgerRev\":92}");
 	} else if (strcmp(path, "/machine_types") == 0) {
 		fl_buffer_printf(body, "%s", MACHINE_TYPES);
 	} else if (strcmp(path, "/holds") == 0) {
-		world.holds++;
-		fl_buffer_printf(body, "{\"Grant\":%d}", GRANT);
+		world.lease_grants++;
+		fl_buffer_printf(body, "{\"Grant\":%d}", LEASE_ID);
 	} else if (strcmp(method, "DELETE") == 0) {
-		world.released = atoi(path + strlen("/holds/"));
+		world.revoked_lease = atoi(path + strlen("/holds/"));
 		/* The key ends with its lease. */
-		for (int number = 0; number < world.n_stored; number++)
-			if (world.stored[number].grant == world.released)
+		for (int number = 0; number < world.stored_count; number++)
+			if (world.stored[number].lease_id == world.revoked_lease)
 				world.stored[number].key = "gone";
 		fl_buffer_printf(body, "{}");
 	} else {
@@ -186,17 +187,17 @@
 	fl_cluster_free(&world.node.cluster);
 }
 
-static void do_duty(void *arg)
+static void run_action(void *arg)
 {
 	(void)arg;
-	world.duty(&world.node);
+	world.action(&world.node);
 }
 
 /* Runs this as the node, for so long. */
-static void run(void (*duty)(struct fl_node *node), double seconds)
+static void run(void (*action)(struct fl_node *node), double seconds)
 {
-	world.duty = duty;
-	assert_non_null(sim_spawn(PROCESS, do_duty, NULL));
+	world.action = action;
+	assert_non_null(sim_spawn(PROCESS, run_action, NULL));
 	sim_time_run(fl_now() + seconds);
 	assert_int_equal(world.result, 0);
 }
@@ -204,10 +205,10 @@
 /* Among the transactions there is this one, byte for byte. */
 static void assert_written(const char *expected)
 {
-	for (int number = 0; number < world.n_written; number++)
+	for (int number = 0; number < world.written_count; number++)
 		if (strcmp(world.written[number], expected) == 0)
 			return;
-	for (int number = 0; number < world.n_written; number++)
+	for (int number = 0; number < world.written_count; number++)
 		print_message("written: %s\n", world.written[number]);
 	fail_msg("not written: %s", expected);
 }
@@ -222,7 +223,7 @@
 	fl_election_start(node, &callbacks);
 }
 
-static void acquires_and_raises_the_epoch(struct fl_node *node)
+static void acquire_lease_and_raise_token(struct fl_node *node)
 {
 	start_election(node);
 	fl_sleep(8);
@@ -230,21 +231,21 @@
 	fl_sleep(2);
 }
 
-static void a_leader_writes_its_name_process_and_epoch(void **state)
+static void a_leader_writes_its_name_process_and_fencing_token(void **state)
 {
 	const struct fl_node *node = begin_node();
 
 	(void)state;
-	store("c/epoch", EPOCH, 31, 0);
-	run(acquires_and_raises_the_epoch, 12);
+	store("c/epoch", FENCING_TOKEN, 31, 0);
+	run(acquire_lease_and_raise_token, 12);
 	assert_true(node->leader_lease.held);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":0},"
 	               "{\"Key\":\"c/epoch\",\"KeyRev\":31}],\"Apply\":[{\"Put\":\"c/"
 	               "lead\",\"V\":" OWN_LEADER
-	               ",\"Grant\":7},{\"Put\":\"c/epoch\",\"V\":" NEXT_EPOCH "}]}");
+	               ",\"Grant\":7},{\"Put\":\"c/epoch\",\"V\":" NEXT_FENCING_TOKEN "}]}");
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92},"
 	               "{\"Key\":\"c/epoch\",\"KeyRev\":92}],"
-	               "\"Apply\":[{\"Put\":\"c/epoch\",\"V\":" RAISED_EPOCH "}]}");
+	               "\"Apply\":[{\"Put\":\"c/epoch\",\"V\":" RAISED_FENCING_TOKEN "}]}");
 	assert_int_equal(node->leader_view.fencing_token, 43);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92}],"
 	               "\"Apply\":[{\"Put\":\"m/kinds\",\"V\":" MACHINE_TYPES "}]}");
@@ -253,13 +254,13 @@
 
 static void refresh(struct fl_node *node) { world.result = fl_leader_view_refresh(node); }
 
-static void a_node_recognises_the_stored_leader_and_epoch(void **state)
+static void a_node_recognises_the_stored_leader_and_fencing_token(void **state)
 {
 	const struct fl_node *node = begin_node();
 
 	(void)state;
 	store("c/lead", LEADER, 32, 5);
-	store("c/epoch", EPOCH, 31, 0);
+	store("c/epoch", FENCING_TOKEN, 31, 0);
 	run(refresh, 1);
 	assert_string_equal(node->leader_view.leader, "host-2");
 	assert_int_equal(node->leader_view.fencing_token, 41);
@@ -267,13 +268,13 @@
 	assert_string_equal(node->leader_view.leader, "host-2");
 	assert_int_equal(node->leader_view.fencing_token, 41);
 	assert_false(node->leader_lease.held);
-	assert_int_equal(world.holds, 0);
-	assert_int_equal(world.n_written, 0);
+	assert_int_equal(world.lease_grants, 0);
+	assert_int_equal(world.written_count, 0);
 	end_node();
 }
 
 /* Once it has started, lists are refused: only the watch can tell it. */
-static void a_node_recognises_a_leader_and_epoch_that_change(void **state)
+static void a_node_recognises_a_leader_and_fencing_token_that_change(void **state)
 {
 	const struct fl_node *node = begin_node();
 
@@ -284,7 +285,7 @@
 	assert_int_equal(node->leader_view.fencing_token, 0);
 	world.lists_refused = true;
 	world.event = "{\"KeyRev\":93,\"Put\":\"c/lead\",\"V\":" LEADER "},"
-		      "{\"KeyRev\":93,\"Put\":\"c/epoch\",\"V\":" EPOCH "}";
+		      "{\"KeyRev\":93,\"Put\":\"c/epoch\",\"V\":" FENCING_TOKEN "}";
 	sim_time_run(fl_now() + 3);
 	assert_string_equal(node->leader_view.leader, "host-2");
 	assert_int_equal(node->leader_view.fencing_token, 41);
@@ -297,35 +298,35 @@
 
 	(void)state;
 	store("c/lead", LEADER_BEFORE, 32, 5);
-	store("c/epoch", EPOCH, 31, 0);
+	store("c/epoch", FENCING_TOKEN, 31, 0);
 	run(start_election, 3);
-	assert_int_equal(world.released, 5);
+	assert_int_equal(world.revoked_lease, 5);
 	assert_true(node->leader_lease.held);
 	assert_int_equal(node->leader_view.fencing_token, 42);
 	end_node();
 	node = begin_node();
 	store("c/lead", OWN_LEADER, 32, 5);
 	run(start_election, 3);
-	assert_int_equal(world.released, 0);
-	assert_int_equal(world.holds, 0);
+	assert_int_equal(world.revoked_lease, 0);
+	assert_int_equal(world.lease_grants, 0);
 	assert_false(node->leader_lease.held);
 	end_node();
 }
 
-static void lead(struct fl_node *node)
+static void hold_leader_lease(struct fl_node *node)
 {
 	node->leader_lease.held = node->leadership.active = node->cluster.leading = true;
 	node->leader_lease.valid_until = fl_now() + 1e6;
 	node->leader_lease.leader_mod_revision = 33;
 }
 
-static void write_log(struct fl_node *node)
+static void write_wal(struct fl_node *node)
 {
-	lead(node);
+	hold_leader_lease(node);
 	world.result = fl_wal_writer_write(node);
 }
 
-static void a_leader_writes_the_log_under_its_key(void **state)
+static void a_leader_writes_the_write_ahead_log_under_its_key(void **state)
 {
 	struct fl_node *node = begin_node();
 	struct fl_job *job = add_job(&node->cluster);
@@ -334,10 +335,10 @@
 	store("w/0", "{\"log\":[]}", 34, 0);
 	make_progress(&node->cluster, job);
 	fl_token_bucket_init(&node->record_writer.write_budget, 100, 100, fl_now());
-	run(write_log, 1);
-	assert_int_equal(world.n_written, 1);
+	run(write_wal, 1);
+	assert_int_equal(world.written_count, 1);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":33},{\"Key\":\"w/0\","
-	               "\"KeyRev\":34}],\"Apply\":[{\"Put\":\"w/0\",\"V\":" LOG "}]}");
+	               "\"KeyRev\":34}],\"Apply\":[{\"Put\":\"w/0\",\"V\":" WAL_VALUE "}]}");
 	end_node();
 }
 
@@ -353,11 +354,11 @@
 	const struct fl_job *job;
 
 	(void)state;
-	store("j/run-000412", LIVE, 35, 0);
-	store("j/run-000413", CANCELLED, 36, 0);
+	store("j/run-000412", LIVE_JOB, 35, 0);
+	store("j/run-000413", CANCELLED_JOB, 36, 0);
 	store("p/run-000412/1", PROGRESS, 37, 0);
 	store("p/run-000413/0", "{\"d\":[],\"t\":[],\"m\":[[8,1,\"m-000014\",103,9]]}", 38, 0);
-	store("w/0", "{\"log\":[" OTHER_GROUP "]}", 39, 0);
+	store("w/0", "{\"log\":[" OTHER_WAL_GROUP "]}", 39, 0);
 	run(load, 2);
 	job = fl_job_find(&node->cluster, "run-000412");
 	assert_non_null(job);
@@ -375,34 +376,34 @@
 static struct {
 	struct fl_job_record record;
 	cJSON *value;
-	uint64_t rev;
+	uint64_t mod_revision;
 	int result;
 } live, final;
 
 static void read_records(struct fl_node *node)
 {
 	live.result = fl_job_record_read(&node->kv_store, "run-000412", &live.record, &live.value,
-	                                 &live.rev);
+	                                 &live.mod_revision);
 	final.result = fl_job_record_read(&node->kv_store, "run-000414", &final.record,
-	                                  &final.value, &final.rev);
+	                                  &final.value, &final.mod_revision);
 }
 
 static void a_job_is_found_by_its_live_and_by_its_final_key(void **state)
 {
 	(void)state;
 	begin_node();
-	store("j/run-000412", LIVE, 35, 0);
+	store("j/run-000412", LIVE_JOB, 35, 0);
 	store("f/run-000414", FINAL_DONE, 40, 0);
 	live.result = final.result = -1;
 	run(read_records, 1);
 	assert_int_equal(live.result, 0);
 	assert_false(live.record.final);
-	assert_int_equal(live.rev, 35);
-	assert_text(live.value, LIVE);
+	assert_int_equal(live.mod_revision, 35);
+	assert_text(live.value, LIVE_JOB);
 	assert_int_equal(final.result, 0);
 	assert_true(final.record.final);
 	assert_int_equal(final.record.status, FL_DONE);
-	assert_int_equal(final.rev, 40);
+	assert_int_equal(final.mod_revision, 40);
 	assert_null(final.value);
 	end_node();
 }
@@ -410,13 +411,13 @@
 static void write_digest(struct fl_node *node)
 {
 	struct fl_task_status tasks[CACHED_TASKS];
-	struct fl_heartbeat heartbeat = make_report(tasks);
+	struct fl_heartbeat heartbeat = make_heartbeat(tasks);
 
 	strcpy(node->leader_view.leader, "host-2");
 	node->leader_view.fencing_token = 108;
 	fl_heartbeat_digest_init(node, 2);
 	fl_heartbeat_cache(node, &heartbeat);
-	fl_heartbeat_cache(node, &without_tasks);
+	fl_heartbeat_cache(node, &idle_heartbeat);
 	fl_heartbeat_digest_write(node, fl_now(), 2);
 }
 
@@ -426,7 +427,7 @@
 	begin_node();
 	store("k/host-1/0", "{\"epoch\":1,\"kept\":[]}", 41, 0);
 	run(write_digest, 1);
-	assert_int_equal(world.n_written, 1);
+	assert_int_equal(world.written_count, 1);
 	assert_written("{\"When\":[{\"Key\":\"k/host-1/0\",\"KeyRev\":41}],"
 	               "\"Apply\":[{\"Put\":\"k/host-1/0\",\"V\":" DIGEST "}]}");
 	end_node();
@@ -438,7 +439,8 @@
 	const struct fl_machine *machine;
 
 	(void)state;
-	store("c/epoch", "{\"epoch\":102}", 31, 0); /* the epoch of the first report is next */
+	store("c/epoch", "{\"epoch\":102}", 31,
+	      0); /* the fencing token of the first heartbeat is next */
 	store("f/run-000414", FINAL_DONE, 40, 0);
 	store("k/host-2/0", DIGEST, 41, 0);
 	run(start_election, 4);
@@ -455,11 +457,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_leader_writes_its_name_process_and_epoch),
-		cmocka_unit_test(a_node_recognises_the_stored_leader_and_epoch),
-		cmocka_unit_test(a_node_recognises_a_leader_and_epoch_that_change),
+		cmocka_unit_test(a_leader_writes_its_name_process_and_fencing_token),
+		cmocka_unit_test(a_node_recognises_the_stored_leader_and_fencing_token),
+		cmocka_unit_test(a_node_recognises_a_leader_and_fencing_token_that_change),
 		cmocka_unit_test(a_node_releases_the_lease_of_its_earlier_process_only),
-		cmocka_unit_test(a_leader_writes_the_log_under_its_key),
+		cmocka_unit_test(a_leader_writes_the_write_ahead_log_under_its_key),
 		cmocka_unit_test(a_new_leader_loads_what_stands_under_the_keys),
 		cmocka_unit_test(a_job_is_found_by_its_live_and_by_its_final_key),
 		cmocka_unit_test(a_follower_writes_its_digest_under_its_name),
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -1,6 +1,6 @@
 /*
  * The wire contract, byte for byte: one message of each kind that users, workers, the cloud, the
- * state service and other controllers exchange with this one. The names in the C code are its own
+ * key-value store and other controllers exchange with this one. The names in the C code are its own
  * and may change; a field, word or path here that changes is another protocol, which the other
  * side does not speak. The texts are written out and never produced by the code under test.
  */
@@ -268,7 +268,7 @@
 	assert_string_equal(fl_status_name(FL_CANCELLED), "aborted");
 }
 
-static void each_path_leads_to_its_call(void **state)
+static void each_path_leads_to_its_request_kind(void **state)
 {
 	static const struct {
 		const char *path;
@@ -319,7 +319,7 @@
 
 /* ---- workers ---- */
 
-static const char report_text[] =
+static const char heartbeat_text[] =
 	"{\"Host\":\"m-000231\",\"Endpoint\":\"10.1.0.232:9000\",\"HostKind\":\"g8\","
 	"\"Site\":\"zone-a\",\"Reclaimable\":true,\"Tenure\":3,\"Serial\":4123456789,"
 	"\"Epoch\":912345678901234,\"ReclaimInS\":27.5,\"Parts\":["
@@ -408,8 +408,8 @@
          .exit = FL_EXIT_OTHER},
 };
 
-/* The report of the text; its tasks must not be freed or changed. */
-static struct fl_heartbeat expected_report(void)
+/* The heartbeat of the text; its tasks must not be freed or changed. */
+static struct fl_heartbeat expected_heartbeat(void)
 {
 	return (struct fl_heartbeat){.host = "m-000231",
 	                             .endpoint = "10.1.0.232:9000",
@@ -436,7 +436,7 @@
 	}
 }
 
-static void expect_report(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
+static void expect_heartbeat(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
 {
 	assert_string_equal(got->host, expected->host);
 	assert_string_equal(got->endpoint, expected->endpoint);
@@ -454,14 +454,14 @@
 
 static void a_heartbeat_has_each_task_state_and_each_exit_word(void **state)
 {
-	const struct fl_heartbeat expected = expected_report();
+	const struct fl_heartbeat expected = expected_heartbeat();
 	struct fl_heartbeat got;
 
 	(void)state;
-	assert_int_equal(fl_heartbeat_decode(report_text, strlen(report_text), &got), 0);
-	expect_report(&got, &expected);
+	assert_int_equal(fl_heartbeat_decode(heartbeat_text, strlen(heartbeat_text), &got), 0);
+	expect_heartbeat(&got, &expected);
 	fl_heartbeat_free(&got);
-	expect_text(fl_heartbeat_encode(&expected), report_text);
+	expect_text(fl_heartbeat_encode(&expected), heartbeat_text);
 }
 
 /* The largest count there is. */
@@ -481,20 +481,20 @@
 	fl_heartbeat_free(&got);
 }
 
-static const char idle_report_text[] =
+static const char idle_heartbeat_text[] =
 	"{\"Host\":\"m-000232\",\"Endpoint\":\"10.1.0.233:9000\",\"HostKind\":\"c32\","
 	"\"Site\":\"zone-b\",\"Reclaimable\":false,\"Tenure\":1,\"Serial\":88,\"Epoch\":41,"
 	"\"Parts\":[]}";
 
-/* The report of that text. */
-static const struct fl_heartbeat idle_report = {.host = "m-000232",
-                                                .endpoint = "10.1.0.233:9000",
-                                                .type = "c32",
-                                                .zone = "zone-b",
-                                                .incarnation = 1,
-                                                .sequence = 88,
-                                                .fencing_token = 41,
-                                                .interruption_in_s = -1};
+/* The heartbeat of that text. */
+static const struct fl_heartbeat idle_heartbeat = {.host = "m-000232",
+                                                   .endpoint = "10.1.0.233:9000",
+                                                   .type = "c32",
+                                                   .zone = "zone-b",
+                                                   .incarnation = 1,
+                                                   .sequence = 88,
+                                                   .fencing_token = 41,
+                                                   .interruption_in_s = -1};
 
 static void a_heartbeat_without_spot_notice_and_tasks_has_neither(void **state)
 {
@@ -505,21 +505,22 @@
 	struct fl_heartbeat got;
 
 	(void)state;
-	assert_int_equal(fl_heartbeat_decode(idle_report_text, strlen(idle_report_text), &got), 0);
-	expect_report(&got, &idle_report);
+	assert_int_equal(
+		fl_heartbeat_decode(idle_heartbeat_text, strlen(idle_heartbeat_text), &got), 0);
+	expect_heartbeat(&got, &idle_heartbeat);
 	assert_int_equal(fl_heartbeat_decode(with_null, strlen(with_null), &got), 0);
-	expect_report(&got, &idle_report);
-	expect_text(fl_heartbeat_encode(&idle_report), idle_report_text);
+	expect_heartbeat(&got, &idle_heartbeat);
+	expect_text(fl_heartbeat_encode(&idle_heartbeat), idle_heartbeat_text);
 }
 
-/* The body of a direct command, with its session. */
+/* The body of a direct command, with its incarnation. */
 static const char command_text[] =
 	"{\"Epoch\":41,\"Orders\":["
 	"{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
 	"{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
 	"{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}],\"Tenure\":7}";
 
-static void add_one_order_of_each_verb(struct fl_command_list *commands)
+static void add_one_command_of_each_verb(struct fl_command_list *commands)
 {
 	fl_command_list_add(commands, FL_COMMAND_START, "run-000412", 4, 2, 10.5);
 	fl_command_list_add(commands, FL_COMMAND_STOP, "run-000377", 1, 5, 10.5);
@@ -532,7 +533,7 @@
 
 	(void)state;
 	fl_command_list_init(&commands, 41);
-	add_one_order_of_each_verb(&commands);
+	add_one_command_of_each_verb(&commands);
 	assert_int_equal(commands.count, 3);
 	expect_text(fl_command_list_take(&commands),
 	            "{\"Epoch\":41,\"Orders\":["
@@ -543,7 +544,7 @@
 	expect_text(fl_command_list_take(&commands), "{\"Epoch\":912345678901234,\"Orders\":[]}");
 }
 
-static void a_redirect_names_the_node_to_report_to(void **state)
+static void a_redirect_names_the_node_to_send_heartbeats_to(void **state)
 {
 	(void)state;
 	expect_text(fl_redirect_encode("host-2"), "{\"Steward\":\"host-2\"}");
@@ -553,7 +554,7 @@
 struct command_results {
 	char *body;
 	int status[3];
-	struct fl_heartbeat reports[3];
+	struct fl_heartbeat heartbeats[3];
 };
 
 static void send_commands(const char *address, void *results)
@@ -561,10 +562,11 @@
 	struct command_results *got = results;
 
 	for (int i = 0; i < 3; i++)
-		got->status[i] = fl_worker_send_commands(address, got->body, 5, &got->reports[i]);
+		got->status[i] =
+			fl_worker_send_commands(address, got->body, 5, &got->heartbeats[i]);
 }
 
-static void a_direct_command_is_posted_and_answered_with_a_report(void **state)
+static void a_direct_command_is_posted_and_answered_with_a_heartbeat(void **state)
 {
 	static const char request[] =
 		"POST /commands\n"
@@ -573,30 +575,30 @@
 		"{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
 		"{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}],\"Tenure\":7}";
 	static const struct contract_exchange script[] = {
-		{request, 200, report_text},
-		{request, 409, idle_report_text},
+		{request, 200, heartbeat_text},
+		{request, 409, idle_heartbeat_text},
 		{request, 400, "{\"error\":\"no Tenure\"}"},
 	};
-	const struct fl_heartbeat busy = expected_report();
+	const struct fl_heartbeat busy = expected_heartbeat();
 	struct command_results got = {0};
 	struct fl_command_list commands;
 
 	(void)state;
 	fl_command_list_init(&commands, 41);
-	add_one_order_of_each_verb(&commands);
+	add_one_command_of_each_verb(&commands);
 	fl_command_list_bind_incarnation(&commands, 7);
 	got.body = fl_command_list_take(&commands);
 	assert_string_equal(got.body, command_text);
 	contract_run(send_commands, &got, script, COUNT_OF(script));
 	free(got.body);
 	assert_int_equal(got.status[0], 200);
-	expect_report(&got.reports[0], &busy);
+	expect_heartbeat(&got.heartbeats[0], &busy);
 	assert_int_equal(got.status[1], 409);
-	expect_report(&got.reports[1], &idle_report);
+	expect_heartbeat(&got.heartbeats[1], &idle_heartbeat);
 	assert_int_equal(got.status[2], 400);
-	assert_int_equal(got.reports[2].task_count, 0);
+	assert_int_equal(got.heartbeats[2].task_count, 0);
 	for (int i = 0; i < 3; i++)
-		fl_heartbeat_free(&got.reports[i]);
+		fl_heartbeat_free(&got.heartbeats[i]);
 }
 
 /* ---- cloud ---- */
@@ -768,7 +770,7 @@
 	"\"Site\":\"zone-c\",\"Reclaimable\":false,\"Status\":\"failed\",\"AgeS\":300}],"
 	"\"More\":false}";
 
-struct list_results {
+struct rental_list_results {
 	int rc[2], count[2];
 	struct fl_cloud_machine *hosts[2];
 	bool more[2];
@@ -777,7 +779,7 @@
 static void list_machines(const char *address, void *results)
 {
 	static const char *const from[] = {NULL, "m-000232"};
-	struct list_results *got = results;
+	struct rental_list_results *got = results;
 	struct fl_cloud cloud;
 
 	fl_http_client_init(&cloud.http, address, 1);
@@ -813,7 +815,7 @@
 		{"m-000240", "10.1.0.241:9000", "g4", "zone-c", false, FL_CLOUD_MACHINE_FAILED,
 	         300},
 	};
-	struct list_results got = {0};
+	struct rental_list_results got = {0};
 
 	(void)state;
 	contract_run(list_machines, &got, script, COUNT_OF(script));
@@ -830,16 +832,16 @@
 	free(got.hosts[1]);
 }
 
-/* ---- state service ---- */
+/* ---- key-value store ---- */
 
 /* Changes as text, one a line: key, revision, value. */
-struct change_text {
+struct event_text {
 	char text[512];
 };
 
-static void note_change(void *context, const struct fl_kv_event *event)
+static void append_event(void *context, const struct fl_kv_event *event)
 {
-	struct change_text *changes = context;
+	struct event_text *changes = context;
 	char *value = event->value ? cJSON_PrintUnformatted(event->value) : NULL;
 	size_t used = strlen(changes->text);
 
@@ -851,21 +853,21 @@
 struct get_results {
 	int rc[3];
 	cJSON *value[3];
-	uint64_t rev[3], grant[3];
+	uint64_t mod_revision[3], lease_id[3];
 };
 
 static void read_keys(const char *address, void *results)
 {
 	static const char *const keys[] = {"a/b", "a/c", "a/none"};
 	struct get_results *got = results;
-	struct fl_kv_store service;
+	struct fl_kv_store kv_store;
 
-	fl_kv_init(&service, address);
+	fl_kv_init(&kv_store, address);
 	for (int i = 0; i < 3; i++)
-		got->rc[i] =
-			fl_kv_get(&service, keys[i], &got->value[i], &got->rev[i], &got->grant[i]);
-	fl_http_client_close(&service.client);
-	fl_http_client_close(&service.watch_client);
+		got->rc[i] = fl_kv_get(&kv_store, keys[i], &got->value[i], &got->mod_revision[i],
+		                       &got->lease_id[i]);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
 }
 
 static void a_key_is_read_with_its_revision_and_lease(void **state)
@@ -876,17 +878,17 @@
 		{"GET /keys/a/c\n", 200, "{\"Key\":\"a/c\",\"V\":[6],\"KeyRev\":413}"},
 		{"GET /keys/a/none\n", 404, "{\"LedgerRev\":431}"},
 	};
-	struct get_results got = {.grant = {99, 99, 99}};
+	struct get_results got = {.lease_id = {99, 99, 99}};
 
 	(void)state;
 	contract_run(read_keys, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
-	assert_int_equal(got.rev[0], 412);
-	assert_int_equal(got.grant[0], 7);
+	assert_int_equal(got.mod_revision[0], 412);
+	assert_int_equal(got.lease_id[0], 7);
 	expect_text(fl_json_print_and_delete(got.value[0]), "{\"n\":5}");
 	assert_int_equal(got.rc[1], FL_KV_OK);
-	assert_int_equal(got.rev[1], 413);
-	assert_int_equal(got.grant[1], 0);
+	assert_int_equal(got.mod_revision[1], 413);
+	assert_int_equal(got.lease_id[1], 0);
 	expect_text(fl_json_print_and_delete(got.value[1]), "[6]");
 	assert_int_equal(got.rc[2], FL_KV_NOT_FOUND);
 	assert_null(got.value[2]);
@@ -894,19 +896,20 @@
 
 struct read_results {
 	int rc[2];
-	uint64_t rev[2];
-	struct change_text changes[2];
+	uint64_t mod_revision[2];
+	struct event_text changes[2];
 };
 
 static void list_keys(const char *address, void *results)
 {
 	struct read_results *got = results;
-	struct fl_kv_store service;
+	struct fl_kv_store kv_store;
 
-	fl_kv_init(&service, address);
-	got->rc[0] = fl_kv_list(&service, "c/", note_change, &got->changes[0], &got->rev[0]);
-	fl_http_client_close(&service.client);
-	fl_http_client_close(&service.watch_client);
+	fl_kv_init(&kv_store, address);
+	got->rc[0] =
+		fl_kv_list(&kv_store, "c/", append_event, &got->changes[0], &got->mod_revision[0]);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
 }
 
 static void keys_are_listed_page_by_page(void **state)
@@ -925,21 +928,21 @@
 	(void)state;
 	contract_run(list_keys, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
-	assert_int_equal(got.rev[0], 431);
+	assert_int_equal(got.mod_revision[0], 431);
 	assert_string_equal(got.changes[0].text, "c/6 401 {\"n\":1}\nc/7 402 \"two\"\nc/8 403 3\n");
 }
 
 static void watch_keys(const char *address, void *results)
 {
 	struct read_results *got = results;
-	struct fl_kv_store service;
+	struct fl_kv_store kv_store;
 
-	fl_kv_init(&service, address);
+	fl_kv_init(&kv_store, address);
 	for (int i = 0; i < 2; i++)
-		got->rc[i] = fl_kv_watch(&service, "c/", &got->rev[i], 2.5, note_change,
+		got->rc[i] = fl_kv_watch(&kv_store, "c/", &got->mod_revision[i], 2.5, append_event,
 		                         &got->changes[i]);
-	fl_http_client_close(&service.client);
-	fl_http_client_close(&service.watch_client);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
 }
 
 static void a_watch_brings_writes_and_deletions(void **state)
@@ -950,45 +953,45 @@
 	         "{\"Delete\":\"c/d\",\"KeyRev\":432}]}"},
 		{"GET /follow?Prefix=c/&From=17&HoldMs=2500\n", 410, "{\"LedgerRev\":434}"},
 	};
-	struct read_results got = {.rev = {431, 17}};
+	struct read_results got = {.mod_revision = {431, 17}};
 
 	(void)state;
 	contract_run(watch_keys, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
-	assert_int_equal(got.rev[0], 434);
+	assert_int_equal(got.mod_revision[0], 434);
 	assert_string_equal(got.changes[0].text, "c/9 433 {\"n\":9}\nc/d 432 deleted\n");
 	assert_int_equal(got.rc[1], FL_KV_COMPACTED);
-	assert_int_equal(got.rev[1], 17);
+	assert_int_equal(got.mod_revision[1], 17);
 }
 
-struct multi_results {
+struct txn_results {
 	int rc[3];
-	uint64_t rev[3];
+	uint64_t mod_revision[3];
 	char failed[3][FL_KEY_MAX];
 };
 
 static void send_transactions(const char *address, void *results)
 {
-	struct multi_results *got = results;
-	struct fl_kv_store service;
-	struct fl_kv_txn multi;
-
-	fl_kv_init(&service, address);
-	fl_kv_txn_init(&multi);
-	fl_kv_txn_expect_revision(&multi, "a/b", 0);
-	fl_kv_txn_expect_revision(&multi, "c/d", 412);
-	fl_kv_txn_put(&multi, "a/b", cJSON_CreateString("leased"), 7);
-	fl_kv_txn_put(&multi, "a/c", cJSON_CreateNumber(8.5), 0);
-	fl_kv_txn_delete(&multi, "c/d");
-	got->rc[0] = fl_kv_txn_commit(&service, &multi, &got->rev[0], got->failed[0]);
-	fl_kv_txn_init(&multi);
-	fl_kv_txn_expect_revision(&multi, "c/d", 412);
-	got->rc[1] = fl_kv_txn_commit(&service, &multi, &got->rev[1], got->failed[1]);
-	fl_kv_txn_init(&multi);
-	fl_kv_txn_put(&multi, "a/b", cJSON_CreateTrue(), 6);
-	got->rc[2] = fl_kv_txn_commit(&service, &multi, &got->rev[2], got->failed[2]);
-	fl_http_client_close(&service.client);
-	fl_http_client_close(&service.watch_client);
+	struct txn_results *got = results;
+	struct fl_kv_store kv_store;
+	struct fl_kv_txn txn;
+
+	fl_kv_init(&kv_store, address);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, "a/b", 0);
+	fl_kv_txn_expect_revision(&txn, "c/d", 412);
+	fl_kv_txn_put(&txn, "a/b", cJSON_CreateString("leased"), 7);
+	fl_kv_txn_put(&txn, "a/c", cJSON_CreateNumber(8.5), 0);
+	fl_kv_txn_delete(&txn, "c/d");
+	got->rc[0] = fl_kv_txn_commit(&kv_store, &txn, &got->mod_revision[0], got->failed[0]);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, "c/d", 412);
+	got->rc[1] = fl_kv_txn_commit(&kv_store, &txn, &got->mod_revision[1], got->failed[1]);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_put(&txn, "a/b", cJSON_CreateTrue(), 6);
+	got->rc[2] = fl_kv_txn_commit(&kv_store, &txn, &got->mod_revision[2], got->failed[2]);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
 }
 
 static void a_transaction_has_conditions_writes_deletions_and_leases(void **state)
@@ -1005,12 +1008,12 @@
 	         "{\"When\":[],\"Apply\":[{\"Put\":\"a/b\",\"V\":true,\"Grant\":6}]}",
 	         400, "{\"error\":\"no such lease\"}"},
 	};
-	struct multi_results got = {0};
+	struct txn_results got = {0};
 
 	(void)state;
 	contract_run(send_transactions, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
-	assert_int_equal(got.rev[0], 432);
+	assert_int_equal(got.mod_revision[0], 432);
 	assert_int_equal(got.rc[1], FL_KV_COMPARE_FAILED);
 	assert_string_equal(got.failed[1], "c/d");
 	assert_int_equal(got.rc[2], FL_KV_INVALID);
@@ -1018,25 +1021,25 @@
 
 struct lease_results {
 	int rc[8];
-	uint64_t grant;
+	uint64_t lease_id;
 };
 
 static void use_leases(const char *address, void *results)
 {
 	struct lease_results *got = results;
-	struct fl_kv_store service;
+	struct fl_kv_store kv_store;
 	uint64_t none;
 
-	fl_kv_init(&service, address);
-	got->rc[0] = fl_kv_lease_grant(&service, 5.25, &got->grant);
-	got->rc[1] = fl_kv_lease_grant(&service, 5, &none);
-	got->rc[2] = fl_kv_lease_keep_alive(&service, 7, 5);
-	got->rc[3] = fl_kv_lease_keep_alive(&service, 8, 5);
-	got->rc[4] = fl_kv_lease_keep_alive(&service, 7, 5);
-	got->rc[5] = fl_kv_lease_revoke(&service, 7);
-	got->rc[6] = fl_kv_lease_revoke(&service, 8);
-	fl_http_client_close(&service.client);
-	fl_http_client_close(&service.watch_client);
+	fl_kv_init(&kv_store, address);
+	got->rc[0] = fl_kv_lease_grant(&kv_store, 5.25, &got->lease_id);
+	got->rc[1] = fl_kv_lease_grant(&kv_store, 5, &none);
+	got->rc[2] = fl_kv_lease_keep_alive(&kv_store, 7, 5);
+	got->rc[3] = fl_kv_lease_keep_alive(&kv_store, 8, 5);
+	got->rc[4] = fl_kv_lease_keep_alive(&kv_store, 7, 5);
+	got->rc[5] = fl_kv_lease_revoke(&kv_store, 7);
+	got->rc[6] = fl_kv_lease_revoke(&kv_store, 8);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
 }
 
 static void a_lease_is_taken_out_renewed_and_ended(void **state)
@@ -1055,7 +1058,7 @@
 	(void)state;
 	contract_run(use_leases, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
-	assert_int_equal(got.grant, 7);
+	assert_int_equal(got.lease_id, 7);
 	assert_int_equal(got.rc[1], FL_KV_UNAVAILABLE);
 	assert_int_equal(got.rc[2], FL_KV_OK);
 	assert_int_equal(got.rc[3], FL_KV_NOT_FOUND);
@@ -1087,7 +1090,7 @@
 	expect_text(fl_gossip_encode(expected), text);
 }
 
-static void a_gossip_message_has_leader_epoch_and_cancellations(void **state)
+static void a_gossip_message_has_leader_fencing_token_and_cancellations(void **state)
 {
 	struct fl_cancellation cancelled[] = {{"run-000412", 1.5}, {"run-000413", 20}};
 	const struct fl_gossip from_the_leader = {.node = "host-1",
@@ -1117,14 +1120,14 @@
 		&from_another);
 }
 
-static void a_relayed_call_has_the_number_of_its_kind(void **state)
+static void a_forwarded_request_has_the_number_of_its_kind(void **state)
 {
 	static const struct {
 		const char *text;
 		enum fl_user_request call;
 		bool last_hop;
 		const char *ref, *body;
-	} relayed[] = {
+	} forwarded[] = {
 		{"{\"call\":1,\"last_hop\":true,\"body\":\"{\\\"Ref\\\":\\\"run-000412\\\"}\"}",
 	         FL_USER_REQUEST_SUBMIT, true, NULL, "{\"Ref\":\"run-000412\"}"},
 		{"{\"call\":2,\"last_hop\":false,\"ref\":\"run-000413\"}", FL_USER_REQUEST_STATUS,
@@ -1134,27 +1137,27 @@
 	};
 
 	(void)state;
-	for (int i = 0; i < COUNT_OF(relayed); i++) {
+	for (int i = 0; i < COUNT_OF(forwarded); i++) {
 		struct fl_forwarded_request got;
 
-		assert_int_equal(
-			fl_forwarded_request_decode(relayed[i].text, strlen(relayed[i].text), &got),
-			0);
-		assert_int_equal(got.kind, relayed[i].call);
-		assert_int_equal(got.last_hop, relayed[i].last_hop);
-		assert_string_equal(got.ref, relayed[i].ref ? relayed[i].ref : "");
-		if (relayed[i].body)
-			assert_string_equal(got.body, relayed[i].body);
+		assert_int_equal(fl_forwarded_request_decode(forwarded[i].text,
+		                                             strlen(forwarded[i].text), &got),
+		                 0);
+		assert_int_equal(got.kind, forwarded[i].call);
+		assert_int_equal(got.last_hop, forwarded[i].last_hop);
+		assert_string_equal(got.ref, forwarded[i].ref ? forwarded[i].ref : "");
+		if (forwarded[i].body)
+			assert_string_equal(got.body, forwarded[i].body);
 		else
 			assert_null(got.body);
 		fl_forwarded_request_free(&got);
-		expect_text(fl_forwarded_request_encode(relayed[i].call, relayed[i].last_hop,
-		                                        relayed[i].ref, relayed[i].body),
-		            relayed[i].text);
+		expect_text(fl_forwarded_request_encode(forwarded[i].call, forwarded[i].last_hop,
+		                                        forwarded[i].ref, forwarded[i].body),
+		            forwarded[i].text);
 	}
 }
 
-static void relayed_messages_have_their_paths(void **state)
+static void forwarded_messages_have_their_paths(void **state)
 {
 	(void)state;
 	assert_string_equal(FL_PATH_FORWARD, "/relay");
@@ -1162,34 +1165,40 @@
 	assert_string_equal(FL_PATH_STATUS, "/status");
 }
 
-static const char last_reports_text[] = "{\"last_hop\":true,\"via\":\"host-2\",\"reports\":[]}";
-static const char reports_text[] =
+static const char last_hop_heartbeats_text[] =
+	"{\"last_hop\":true,\"via\":\"host-2\",\"reports\":[]}";
+static const char forwarded_heartbeats_text[] =
 	"{\"last_hop\":false,\"adrift\":true,\"via\":\"host-3\",\"reports\":["
 	"{\"Host\":\"m-000232\",\"Endpoint\":\"10.1.0.233:9000\",\"HostKind\":\"c32\","
 	"\"Site\":\"zone-b\",\"Reclaimable\":false,\"Tenure\":1,\"Serial\":88,\"Epoch\":41,"
 	"\"Parts\":[]}]}";
 
-static void relayed_heartbeats_name_the_node_they_came_to(void **state)
+static void forwarded_heartbeats_name_their_entry_node(void **state)
 {
 	struct fl_peer_heartbeats got;
 	struct fl_heartbeat heartbeat;
 	cJSON *list = fl_heartbeat_list_begin();
 
 	(void)state;
-	expect_text(fl_peer_heartbeats_encode(list, "host-2", true, false), last_reports_text);
-	fl_heartbeat_list_add(list, idle_report_text);
-	expect_text(fl_peer_heartbeats_encode(list, "host-3", false, true), reports_text);
+	expect_text(fl_peer_heartbeats_encode(list, "host-2", true, false),
+	            last_hop_heartbeats_text);
+	fl_heartbeat_list_add(list, idle_heartbeat_text);
+	expect_text(fl_peer_heartbeats_encode(list, "host-3", false, true),
+	            forwarded_heartbeats_text);
 	cJSON_Delete(list);
-	assert_int_equal(fl_peer_heartbeats_decode(reports_text, strlen(reports_text), &got), 0);
+	assert_int_equal(fl_peer_heartbeats_decode(forwarded_heartbeats_text,
+	                                           strlen(forwarded_heartbeats_text), &got),
+	                 0);
 	assert_false(got.last_hop);
 	assert_true(got.disconnected);
 	assert_string_equal(got.entry_node, "host-3");
 	assert_int_equal(cJSON_GetArraySize(got.list), 1);
 	assert_int_equal(fl_heartbeat_decode_json(cJSON_GetArrayItem(got.list, 0), &heartbeat), 0);
-	expect_report(&heartbeat, &idle_report);
+	expect_heartbeat(&heartbeat, &idle_heartbeat);
 	fl_peer_heartbeats_free(&got);
-	assert_int_equal(
-		fl_peer_heartbeats_decode(last_reports_text, strlen(last_reports_text), &got), 0);
+	assert_int_equal(fl_peer_heartbeats_decode(last_hop_heartbeats_text,
+	                                           strlen(last_hop_heartbeats_text), &got),
+	                 0);
 	assert_true(got.last_hop);
 	assert_false(got.disconnected);
 	assert_string_equal(got.entry_node, "host-2");
@@ -1197,7 +1206,7 @@
 	fl_peer_heartbeats_free(&got);
 }
 
-static void answers_to_relayed_heartbeats_have_status_and_body(void **state)
+static void replies_to_forwarded_heartbeats_have_status_and_body(void **state)
 {
 	static const char text[] =
 		"[{\"status\":200,\"body\":\"{\\\"Epoch\\\":41,\\\"Orders\\\":[]}\"},"
@@ -1256,16 +1265,16 @@
 	expect_text(fl_status_answer_encode(expected, COUNT_OF(expected)), text);
 }
 
-/* ---- cached reports, which a later leader reads from the state service ---- */
+/* ---- cached heartbeats, which a later leader reads from the key-value store ---- */
 
-static const char cached_report_text[] =
+static const char cached_heartbeat_text[] =
 	"[\"m-000231\",3,4123456789,912345678901234,27.5,["
 	"[\"run-000401\",0,1,0],[\"run-000402\",3,2,1],"
 	"[\"run-000403\",99999,4294967295,2],[\"run-000404\",5,4,4],"
 	"[\"run-000405\",6,5,3,0],[\"run-000406\",7,6,3,1],[\"run-000407\",8,7,3,2],"
 	"[\"run-000408\",9,8,3,3],[\"run-000409\",10,9,3,4],[\"run-000410\",11,10,3,5],"
 	"[\"run-000411\",12,11,3,6],[\"run-000412\",13,12,3,7],[\"run-000413\",14,13,3,8]]]";
-static const char cached_idle_report_text[] = "[\"m-000232\",1,88,41,-1,[]]";
+static const char cached_idle_heartbeat_text[] = "[\"m-000232\",1,88,41,-1,[]]";
 
 static void expect_cached(const cJSON *tree, const struct fl_heartbeat *expected)
 {
@@ -1284,19 +1293,19 @@
 	fl_heartbeat_free(&got);
 }
 
-static void a_cached_report_has_the_numbers_of_states_and_exits(void **state)
+static void a_cached_heartbeat_has_the_numbers_of_states_and_exits(void **state)
 {
-	const struct fl_heartbeat busy = expected_report();
-	cJSON *tree = parse(cached_report_text);
+	const struct fl_heartbeat busy = expected_heartbeat();
+	cJSON *tree = parse(cached_heartbeat_text);
 
 	(void)state;
 	expect_cached(tree, &busy);
 	cJSON_Delete(tree);
-	expect_text(fl_cached_heartbeat_encode(&busy), cached_report_text);
-	expect_text(fl_cached_heartbeat_encode(&idle_report), cached_idle_report_text);
+	expect_text(fl_cached_heartbeat_encode(&busy), cached_heartbeat_text);
+	expect_text(fl_cached_heartbeat_encode(&idle_heartbeat), cached_idle_heartbeat_text);
 }
 
-static void a_digest_has_the_epoch_and_the_cached_reports(void **state)
+static void a_digest_has_the_fencing_token_and_the_cached_heartbeats(void **state)
 {
 	static const char text[] = "{\"epoch\":41,\"kept\":[[\"m-000232\",1,88,41,-1,[]],"
 				   "[\"m-000232\",1,88,41,-1,[]]]}";
@@ -1305,11 +1314,11 @@
 
 	(void)state;
 	assert_int_equal(cJSON_GetArraySize(list), 2);
-	expect_cached(cJSON_GetArrayItem(list, 0), &idle_report);
-	expect_cached(cJSON_GetArrayItem(list, 1), &idle_report);
+	expect_cached(cJSON_GetArrayItem(list, 0), &idle_heartbeat);
+	expect_cached(cJSON_GetArrayItem(list, 1), &idle_heartbeat);
 	cJSON_Delete(tree);
-	fl_digest_add(digest, cached_idle_report_text);
-	fl_digest_add(digest, cached_idle_report_text);
+	fl_digest_add(digest, cached_idle_heartbeat_text);
+	fl_digest_add(digest, cached_idle_heartbeat_text);
 	expect_text(fl_json_print_and_delete(digest), text);
 }
 
@@ -1322,15 +1331,15 @@
 		cmocka_unit_test(a_status_answer_has_the_word_of_each_status),
 		cmocka_unit_test(an_answer_to_a_submission_or_cancellation_has_no_task_counts),
 		cmocka_unit_test(each_status_has_its_word),
-		cmocka_unit_test(each_path_leads_to_its_call),
+		cmocka_unit_test(each_path_leads_to_its_request_kind),
 		cmocka_unit_test(a_job_id_is_run_and_six_to_twelve_digits),
 		cmocka_unit_test(an_error_answer_has_the_field_error),
 		cmocka_unit_test(a_heartbeat_has_each_task_state_and_each_exit_word),
 		cmocka_unit_test(the_fencing_token_of_a_heartbeat_is_read_exactly),
 		cmocka_unit_test(a_heartbeat_without_spot_notice_and_tasks_has_neither),
 		cmocka_unit_test(a_heartbeat_answer_has_the_fencing_token_and_each_verb),
-		cmocka_unit_test(a_redirect_names_the_node_to_report_to),
-		cmocka_unit_test(a_direct_command_is_posted_and_answered_with_a_report),
+		cmocka_unit_test(a_redirect_names_the_node_to_send_heartbeats_to),
+		cmocka_unit_test(a_direct_command_is_posted_and_answered_with_a_heartbeat),
 		cmocka_unit_test(machine_types_have_the_agreed_fields),
 		cmocka_unit_test(machine_types_are_asked_of_the_cloud),
 		cmocka_unit_test(machines_are_rented_and_deleted),
@@ -1340,15 +1349,15 @@
 		cmocka_unit_test(a_watch_brings_writes_and_deletions),
 		cmocka_unit_test(a_transaction_has_conditions_writes_deletions_and_leases),
 		cmocka_unit_test(a_lease_is_taken_out_renewed_and_ended),
-		cmocka_unit_test(a_gossip_message_has_leader_epoch_and_cancellations),
-		cmocka_unit_test(a_relayed_call_has_the_number_of_its_kind),
-		cmocka_unit_test(relayed_messages_have_their_paths),
-		cmocka_unit_test(relayed_heartbeats_name_the_node_they_came_to),
-		cmocka_unit_test(answers_to_relayed_heartbeats_have_status_and_body),
+		cmocka_unit_test(a_gossip_message_has_leader_fencing_token_and_cancellations),
+		cmocka_unit_test(a_forwarded_request_has_the_number_of_its_kind),
+		cmocka_unit_test(forwarded_messages_have_their_paths),
+		cmocka_unit_test(forwarded_heartbeats_name_their_entry_node),
+		cmocka_unit_test(replies_to_forwarded_heartbeats_have_status_and_body),
 		cmocka_unit_test(a_status_query_is_a_list_of_job_ids),
 		cmocka_unit_test(a_status_query_answer_has_the_number_of_each_status),
-		cmocka_unit_test(a_cached_report_has_the_numbers_of_states_and_exits),
-		cmocka_unit_test(a_digest_has_the_epoch_and_the_cached_reports),
+		cmocka_unit_test(a_cached_heartbeat_has_the_numbers_of_states_and_exits),
+		cmocka_unit_test(a_digest_has_the_fencing_token_and_the_cached_heartbeats),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -1,6 +1,6 @@
 /*
- * What a new leader and a follower read from the state service: a record that cannot be read and a
- * list that is not whole decide nothing, and a job that is over is finished.
+ * What a new leader and a follower read from the key-value store: a record that cannot be read and
+ * a list that is not whole decide nothing, and a job that is over is finished.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,7 +16,7 @@
 #include "coordination/leadership/failover.h"
 #include "frontend_fixture.h"
 
-static const char *const bad_records[] = {
+static const char *const malformed_records[] = {
 	"{}",
 	RECORD("\"Parts\":0"),
 	RECORD("\"Ref\":\"run-000002\""),
@@ -29,7 +29,7 @@
 };
 
 /* What a list lacks counts as deleted: it must say that it is complete. */
-static void check_partial_lists(struct fixture *fixture)
+static void check_partial_lists(struct frontend_fixture *fixture)
 {
 	struct fl_cloud_machine *hosts;
 	bool more;
@@ -38,16 +38,16 @@
 	if (fl_cloud_list(&fixture->node.cloud, NULL, &hosts, &n, &more) != 0)
 		strcpy(fixture->failed, "a good list is not read");
 	free(hosts);
-	fixture->without_more = true;
+	fixture->lists_without_more = true;
 	if (fl_failover_load(&fixture->node) == FL_FAILOVER_LOADED ||
 	    fl_cloud_list(&fixture->node.cloud, NULL, &hosts, &n, &more) == 0)
 		strcpy(fixture->failed, "half a list passes for a whole one");
-	fixture->without_more = false;
+	fixture->lists_without_more = false;
 }
 
-static void load_bad_records(void *arg)
+static void load_malformed_records(void *arg)
 {
-	struct fixture *fixture = arg;
+	struct frontend_fixture *fixture = arg;
 
 	fixture->node.leader_lease.held = true;
 	fixture->record = RECORD("\"Apart\":true");
@@ -55,8 +55,8 @@
 	    !fl_job_find(&fixture->node.cluster, "run-000001"))
 		strcpy(fixture->failed, "a good record is not read");
 	check_partial_lists(fixture);
-	for (size_t i = 0; i < sizeof(bad_records) / sizeof(bad_records[0]); i++) {
-		fixture->record = bad_records[i];
+	for (size_t i = 0; i < sizeof(malformed_records) / sizeof(malformed_records[0]); i++) {
+		fixture->record = malformed_records[i];
 		fl_cluster_free(&fixture->node.cluster);
 		fixture->node.cluster.jobs = NULL;
 		fixture->node.cluster.finished = NULL;
@@ -67,28 +67,28 @@
 			snprintf(fixture->failed, sizeof(fixture->failed), "is decided by: %s",
 			         fixture->record);
 	}
-	if (fixture->writes)
+	if (fixture->record_writes)
 		strcpy(fixture->failed, "something is written");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void a_new_leader_decides_nothing_over_a_bad_record(void **state)
+static void a_new_leader_decides_nothing_over_a_malformed_record(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
-	fl_coroutine_spawn(load_bad_records, fixture);
+	fl_coroutine_spawn(load_malformed_records, fixture);
 	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
 
-/* Nor does a node whose watch reports it: the job neither runs nor is over. */
-static void a_follower_applies_no_bad_record(void **state)
+/* Nor does a node whose watch brings it: the job neither runs nor is over. */
+static void a_follower_applies_no_malformed_record(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
-	for (size_t i = 0; i < sizeof(bad_records) / sizeof(bad_records[0]); i++) {
-		cJSON *record = fl_json_parse(bad_records[i], strlen(bad_records[i]));
+	for (size_t i = 0; i < sizeof(malformed_records) / sizeof(malformed_records[0]); i++) {
+		cJSON *record = fl_json_parse(malformed_records[i], strlen(malformed_records[i]));
 
 		assert_non_null(record);
 		assert_null(fl_cluster_apply_job_record(&fixture->node.cluster, "run-000001",
@@ -100,7 +100,8 @@
 }
 
 /* Loads one job with this progress; is its final state to be written? */
-static bool is_to_be_finished(struct fixture *fixture, const char *record, const char *progress)
+static bool is_to_be_finished(struct frontend_fixture *fixture, const char *record,
+                              const char *progress)
 {
 	fixture->record = record;
 	fixture->progress = progress;
@@ -113,7 +114,7 @@
 static void load_finished_jobs(void *arg)
 {
 	static const char cancelled[] = RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
-	struct fixture *fixture = arg;
+	struct frontend_fixture *fixture = arg;
 
 	fixture->node.leader_lease.held = true;
 	if (is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
@@ -131,9 +132,9 @@
  * The previous leader ended between the record of the last task and that of the job. Nothing of the
  * job changes any more: found as a job that stayed pending for ever with all its tasks done.
  */
-static void a_new_leader_finishes_jobs_that_are_over(void **state)
+static void a_new_leader_finishes_jobs_whose_tasks_are_all_over(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
 	fl_coroutine_spawn(load_finished_jobs, fixture);
 	fl_coroutines_run();
@@ -144,9 +145,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(a_new_leader_decides_nothing_over_a_bad_record),
-		FRONTEND_TEST(a_follower_applies_no_bad_record),
-		FRONTEND_TEST(a_new_leader_finishes_jobs_that_are_over),
+		FRONTEND_TEST(a_new_leader_decides_nothing_over_a_malformed_record),
+		FRONTEND_TEST(a_follower_applies_no_malformed_record),
+		FRONTEND_TEST(a_new_leader_finishes_jobs_whose_tasks_are_all_over),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -12,7 +12,7 @@
 #include "node_fixture.h"
 #include "transport/clock.h"
 
-static void set_silence(struct fixture *fixture, double seconds)
+static void set_silence(struct node_fixture *fixture, double seconds)
 {
 	struct fl_machine *machine = only_machine(fixture);
 
@@ -21,7 +21,7 @@
 	fixture->node.leadership.heartbeats_since = fl_now() - 1000;
 }
 
-static bool is_expired(struct fixture *fixture)
+static bool is_expired(struct node_fixture *fixture)
 {
 	double leases[FL_ZONES_MAX];
 
@@ -32,11 +32,12 @@
 /* Alone it expires after a lease; with its zone's controllers, when these must stop renewing. */
 static void machines_of_a_silent_zone_expire_later(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_peer *peer = &fixture->node.peers[0];
 	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
+	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
+	                  FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	fixture->node.peer_count = 1;
 	strcpy(peer->location, "a");
@@ -70,7 +71,7 @@
 	assert_true(is_expired(fixture));
 }
 
-static struct fl_machine *add_machine(struct fixture *fixture, int i, bool spot, int zone)
+static struct fl_machine *add_machine(struct node_fixture *fixture, int i, bool spot, int zone)
 {
 	char name[FL_NAME_MAX];
 	struct fl_machine *machine;
@@ -89,9 +90,10 @@
  */
 static void a_zone_is_not_expired_a_few_machines_at_a_time(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
+	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
+	                  FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	for (int i = 2; i < 22; i++)
 		add_machine(fixture, i, false, 1);
@@ -118,9 +120,10 @@
  */
 static void a_few_of_many_machines_expire_early(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
+	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
+	                  FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	for (int i = 2; i < 42; i++)
 		add_machine(fixture, i, false, i % 2)->heartbeat.last_at =
@@ -135,16 +138,17 @@
 }
 
 /* An unreachable machine expires like a silent one; many at once point at this node. */
-static void unreachability_counts_as_silence_unless_many_at_once(void **state)
+static void an_unreachable_machine_expires_unless_many_are_unreachable_at_once(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 
-	deliver_report(fixture, make_report(1, 1, EPOCH, NULL, 0), FL_HEARTBEAT_FROM_WORKER);
+	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
+	                  FL_HEARTBEAT_FROM_WORKER);
 	place_task(fixture, 0);
 	for (uint64_t sequence = 2; sequence < 5; sequence++) {
-		answered_ago(fixture, 12);
-		deliver_report(fixture, make_report(1, sequence, EPOCH, NULL, 0),
-		               FL_HEARTBEAT_FROM_WORKER);
+		set_last_reply_age(fixture, 12);
+		deliver_heartbeat(fixture, make_heartbeat(1, sequence, FENCING_TOKEN, NULL, 0),
+		                  FL_HEARTBEAT_FROM_WORKER);
 	}
 	assert_true(is_expired(fixture));
 	for (int i = 2; i < 6; i++) {
@@ -162,7 +166,7 @@
 		NODE_TEST(machines_of_a_silent_zone_expire_later),
 		NODE_TEST(a_zone_is_not_expired_a_few_machines_at_a_time),
 		NODE_TEST(a_few_of_many_machines_expire_early),
-		NODE_TEST(unreachability_counts_as_silence_unless_many_at_once),
+		NODE_TEST(an_unreachable_machine_expires_unless_many_are_unreachable_at_once),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -1,6 +1,6 @@
 /*
- * A node that does not lead: the reports that it caches, and what it does with its workers and
- * users when it is disconnected from the state service and the other controllers.
+ * A node that does not lead: the heartbeats that it caches, and what it does with its workers and
+ * users when it is disconnected from the key-value store and the other controllers.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,29 +15,35 @@
 #include "node_fixture.h"
 #include "transport/clock.h"
 
-/* A late copy neither replaces a newer report in the cache nor makes it look fresh. */
-static void a_standby_caches_the_newest_report(void **state)
+/* A late copy neither replaces a newer heartbeat in the cache nor makes it look fresh. */
+static void a_follower_caches_the_newest_heartbeat(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_task_status status = running_task(0, 1);
 	struct fl_cached_heartbeat *cached;
 	double at;
 
 	become_follower(fixture, 0);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, &status, 1), NULL),
+		200);
 	cached = fixture->node.follower.cached_heartbeats;
 	assert_non_null(cached);
 	cached->at = at = fl_now() - 9;
 	cached->stored = true;
-	assert_int_equal(send_report(fixture, make_report(1, 19, EPOCH, NULL, 0), NULL), 200);
-	assert_int_equal(send_report(fixture, make_report(1, 20, EPOCH, &status, 1), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 19, FENCING_TOKEN, NULL, 0), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, &status, 1), NULL),
+		200);
 	assert_true(cached->sequence == 20 && cached->at == at && cached->stored);
-	assert_int_equal(send_report(fixture, make_report(2, 3, EPOCH, NULL, 0), NULL), 200);
+	assert_int_equal(
+		send_heartbeat(fixture, make_heartbeat(2, 3, FENCING_TOKEN, NULL, 0), NULL), 200);
 	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
 }
 
-/* What passes through the state service is the same as in the report. */
-static void a_cached_report_is_restored_from_its_short_form(void **state)
+/* What passes through the key-value store is the same as in the heartbeat. */
+static void a_cached_heartbeat_is_restored_from_its_compact_form(void **state)
 {
 	static const char *const bad[] = {"[]",
 	                                  "[\"m\",1,2,3,-1]",
@@ -48,7 +54,7 @@
 	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
 	                                  "{\"m\":1}"};
 	struct fl_task_status tasks[2] = {running_task(3, 2), running_task(1, 1)};
-	struct fl_heartbeat heartbeat = make_report(4, 5, 6, tasks, 2), back;
+	struct fl_heartbeat heartbeat = make_heartbeat(4, 5, 6, tasks, 2), decoded;
 	char *text;
 	cJSON *element;
 
@@ -58,14 +64,15 @@
 	heartbeat.interruption_in_s = 12.5;
 	text = fl_cached_heartbeat_encode(&heartbeat);
 	element = fl_json_parse(text, strlen(text));
-	assert_int_equal(fl_cached_heartbeat_decode(element, &back), 0);
-	assert_string_equal(back.host, heartbeat.host);
-	assert_true(back.incarnation == 4 && back.sequence == 5 && back.fencing_token == 6);
-	assert_true(back.interruption_in_s == 12.5 && back.task_count == 2);
-	assert_int_equal(back.tasks[0].state, FL_TASK_STATE_RUNNING);
-	assert_int_equal(back.tasks[0].index, 3);
-	assert_int_equal(back.tasks[1].exit, FL_EXIT_DONE);
-	fl_heartbeat_free(&back);
+	assert_int_equal(fl_cached_heartbeat_decode(element, &decoded), 0);
+	assert_string_equal(decoded.host, heartbeat.host);
+	assert_true(decoded.incarnation == 4 && decoded.sequence == 5 &&
+	            decoded.fencing_token == 6);
+	assert_true(decoded.interruption_in_s == 12.5 && decoded.task_count == 2);
+	assert_int_equal(decoded.tasks[0].state, FL_TASK_STATE_RUNNING);
+	assert_int_equal(decoded.tasks[0].index, 3);
+	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
+	fl_heartbeat_free(&decoded);
 	cJSON_Delete(element);
 	/* Hundreds of machines share the writes: twenty must fit into the smallest value. */
 	assert_in_range(strlen(text), 1, 150);
@@ -73,27 +80,28 @@
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
 		element = fl_json_parse(bad[i], strlen(bad[i]));
 		assert_non_null(element);
-		assert_int_not_equal(fl_cached_heartbeat_decode(element, &back), 0);
+		assert_int_not_equal(fl_cached_heartbeat_decode(element, &decoded), 0);
 		cJSON_Delete(element);
 	}
 }
 
-struct early_report {
-	struct fixture *fixture;
+struct early_heartbeat {
+	struct node_fixture *fixture;
 	int status;
 };
 
 static void send_early(void *arg)
 {
-	struct early_report *early = arg;
+	struct early_heartbeat *early = arg;
 
-	early->status = send_report(early->fixture, make_report(1, 20, EPOCH, NULL, 0), NULL);
+	early->status =
+		send_heartbeat(early->fixture, make_heartbeat(1, 20, FENCING_TOKEN, NULL, 0), NULL);
 }
 
 /* Refused, the worker would lose seconds of its lease looking for a node that is up. */
-static void a_node_just_started_waits_for_epoch_and_jobs(void **state)
+static void a_node_that_just_started_waits_for_the_fencing_token_and_the_jobs(void **state)
 {
-	struct early_report early = {.fixture = *state};
+	struct early_heartbeat early = {.fixture = *state};
 	struct fl_node *node = &early.fixture->node;
 	struct ev_loop *loop = ev_loop_new(0);
 
@@ -102,12 +110,12 @@
 	node->cancellation_watermark = -1e9;
 	node->jobs_known = false;
 	node->leader_view.fencing_token = 0;
-	/* Another report has the epoch read already. */
+	/* Another heartbeat has the fencing token read already. */
 	node->follower.token_refresh.in_flight = true;
 	assert_non_null(fl_coroutine_spawn(send_early, &early));
 	ev_run(loop, EVRUN_NOWAIT);
 	assert_int_equal(early.status, 0);
-	node->leader_view.fencing_token = EPOCH;
+	node->leader_view.fencing_token = FENCING_TOKEN;
 	node->follower.token_refresh.in_flight = false;
 	fl_condition_broadcast(&node->follower.token_refresh.completed);
 	ev_run(loop, EVRUN_NOWAIT);
@@ -121,7 +129,7 @@
 	ev_loop_destroy(loop);
 }
 
-static void disconnect(struct fixture *fixture, double for_s)
+static void disconnect(struct node_fixture *fixture, double for_s)
 {
 	double now = fl_now();
 
@@ -135,65 +143,65 @@
 	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark = now - for_s;
 }
 
-/* As if the workers had come a report interval earlier. */
-static void age_misplaced_workers(struct fixture *fixture)
+/* As if the workers had come a heartbeat interval earlier. */
+static void age_misplaced_workers(struct node_fixture *fixture)
 {
 	for (struct fl_misplaced_worker *worker = fixture->node.follower.misplaced_workers; worker;
 	     worker = worker->hh.next)
 		worker->first_seen_at -= fixture->config.report_s;
 }
 
-/* The state service and the other controllers are unreachable, the workers are not. */
+/* The key-value store and the other controllers are unreachable, the workers are not. */
 static void an_isolated_node_redirects_its_workers_once(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	char first[FL_NAME_MAX], second[FL_NAME_MAX];
-	struct fl_heartbeat heartbeat = make_report(1, 20, EPOCH, NULL, 0);
+	struct fl_heartbeat heartbeat = make_heartbeat(1, 20, FENCING_TOKEN, NULL, 0);
 
 	become_follower(fixture, 4);
 	disconnect(fixture, 3);
 	assert_true(fl_node_is_isolated(&fixture->node));
 	/* One that has come but now may have little left of its lease: it is answered first. */
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 	strcpy(heartbeat.host, "m-000002");
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
 	/* The second worker goes elsewhere than the first: none of them is known to work. */
 	heartbeat.sequence++;
-	assert_int_equal(send_report(fixture, heartbeat, first), 421);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, first), 421);
 	strcpy(heartbeat.host, "m-000001");
-	assert_int_equal(send_report(fixture, heartbeat, second), 421);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, second), 421);
 	assert_true(first[0] && second[0] && strcmp(first, second) != 0);
 	/* It reached nobody there and is back within its lease: now the lease is renewed. */
 	heartbeat.sequence++;
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
 	fixture->node.follower.token_refresh.refreshed_at = fl_now();
 	heartbeat.sequence++;
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 503);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 503);
 }
 
 /* Partitioned with its zone, or the only one running: its workers have no other node. */
 static void a_node_isolated_with_its_workers_renews_their_leases(void **state)
 {
-	struct fixture *fixture = *state;
-	struct fl_heartbeat heartbeat = make_report(1, 20, EPOCH, NULL, 0);
+	struct node_fixture *fixture = *state;
+	struct fl_heartbeat heartbeat = make_heartbeat(1, 20, FENCING_TOKEN, NULL, 0);
 
 	become_follower(fixture, 4);
 	disconnect(fixture, 3);
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
 	fixture->node.api.last_readiness_probe_at = fl_now() - 10;
 	heartbeat.sequence++;
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
-	/* The others ended long before the state service failed. */
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+	/* The others ended long before the key-value store failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
 		fixture->node.peers[i].last_heard_at -= 20;
 	heartbeat.sequence++;
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
-	/* An outage of the state service with peers in reach is no isolation. */
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+	/* An outage of the key-value store with peers in reach is no isolation. */
 	fixture->node.peers[2].up = true;
 	assert_false(fl_node_is_isolated(&fixture->node));
 }
@@ -204,8 +212,8 @@
  */
 static void a_worker_is_answered_before_it_is_redirected(void **state)
 {
-	struct fixture *fixture = *state;
-	struct fl_heartbeat heartbeat = make_report(1, 20, EPOCH, NULL, 0);
+	struct node_fixture *fixture = *state;
+	struct fl_heartbeat heartbeat = make_heartbeat(1, 20, FENCING_TOKEN, NULL, 0);
 	char to[FL_NAME_MAX];
 
 	become_follower(fixture, 1);
@@ -213,14 +221,14 @@
 	strcpy(fixture->node.leader_view.leader, "n9");
 	fixture->node.peers[0].up = true;
 	fixture->node.peers[0].up_since = fl_now() - 5;
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 	age_misplaced_workers(fixture);
 	heartbeat.sequence++;
-	assert_int_equal(send_report(fixture, heartbeat, to), 421);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, to), 421);
 	assert_string_equal(to, "n1");
 	/* It is back, for whatever reason: it stays. */
 	heartbeat.sequence++;
-	assert_int_equal(send_report(fixture, heartbeat, NULL), 200);
+	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 }
 
 /* An isolated node refuses its users at once, and is not ready for the load balancer. */
@@ -237,44 +245,45 @@
 	static const struct {
 		enum fl_user_request call;
 		const char *body;
-	} asks[] = {{FL_USER_REQUEST_SUBMIT, job},
-	            {FL_USER_REQUEST_STATUS, NULL},
-	            {FL_USER_REQUEST_CANCEL, NULL}};
-	struct fixture *fixture = *state;
+	} requests[] = {{FL_USER_REQUEST_SUBMIT, job},
+	                {FL_USER_REQUEST_STATUS, NULL},
+	                {FL_USER_REQUEST_CANCEL, NULL}};
+	struct node_fixture *fixture = *state;
 	struct fl_http_response response;
 
 	become_follower(fixture, 4);
-	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
+	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
 	disconnect(fixture, 3);
-	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
-	for (size_t i = 0; i < sizeof(asks) / sizeof(asks[0]); i++) {
-		/* No routine runs here, so that a try to connect would fail the test. */
-		response = user_call(fixture, asks[i].call, "run-000001", asks[i].body);
+	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
+	for (size_t i = 0; i < sizeof(requests) / sizeof(requests[0]); i++) {
+		/* No coroutine runs here, so that a try to connect would fail the test. */
+		response = send_user_request(fixture, requests[i].call, "run-000001",
+		                             requests[i].body);
 		assert_int_equal(response.status, 503);
 		assert_true(response.retry_after_s > 0 && response.close);
 		free(response.body);
 	}
 	/* What is over is known for good, by any node. */
 	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
-	response = user_call(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
+	response = send_user_request(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
 	assert_int_equal(response.status, 200);
 	free(response.body);
-	response = user_call(fixture, FL_USER_REQUEST_CANCEL, "run-000050", NULL);
+	response = send_user_request(fixture, FL_USER_REQUEST_CANCEL, "run-000050", NULL);
 	assert_int_equal(response.status, 200);
 	assert_non_null(strstr(response.body, "\"done\""));
 	free(response.body);
 	/* Connected again, it is ready. */
 	fixture->node.peers[0].up = true;
 	fixture->node.kv_store.last_success_at = fl_now() + 1;
-	assert_int_equal(user_call(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
+	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		NODE_TEST(a_standby_caches_the_newest_report),
-		NODE_TEST(a_node_just_started_waits_for_epoch_and_jobs),
-		NODE_TEST(a_cached_report_is_restored_from_its_short_form),
+		NODE_TEST(a_follower_caches_the_newest_heartbeat),
+		NODE_TEST(a_node_that_just_started_waits_for_the_fencing_token_and_the_jobs),
+		NODE_TEST(a_cached_heartbeat_is_restored_from_its_compact_form),
 		NODE_TEST(an_isolated_node_redirects_its_workers_once),
 		NODE_TEST(a_node_isolated_with_its_workers_renews_their_leases),
 		NODE_TEST(a_worker_is_answered_before_it_is_redirected),
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -1,6 +1,6 @@
 /*
- * Polls without a leader: those for one job share a read of its record, and the reads stay
- * within the node's share of the state service.
+ * Status queries without a leader: those for one job share a read of its record, and the reads stay
+ * within the node's share of the key-value store.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,130 +17,132 @@
 #include "frontend_fixture.h"
 #include "transport/clock.h"
 
-struct question {
-	struct fixture *fixture;
+struct query {
+	struct frontend_fixture *fixture;
 	char ref[FL_REF_MAX];
-	struct fl_http_response resp;
+	struct fl_http_response response;
 	char body[256]; /* of the answer, once it is there */
 	bool answered;
 };
 
-static void ask(void *arg)
+static void send_query(void *arg)
 {
-	struct question *question = arg;
-
-	fl_route_user_request(&question->fixture->node, FL_USER_REQUEST_STATUS, question->ref, NULL,
-	                      0, FL_HOP_FIRST, &question->resp);
-	if (question->resp.body)
-		copy_text(question->body, sizeof(question->body), question->resp.body);
-	free(question->resp.body);
-	question->answered = true;
+	struct query *query = arg;
+
+	fl_route_user_request(&query->fixture->node, FL_USER_REQUEST_STATUS, query->ref, NULL, 0,
+	                      FL_HOP_FIRST, &query->response);
+	if (query->response.body)
+		copy_text(query->body, sizeof(query->body), query->response.body);
+	free(query->response.body);
+	query->answered = true;
 }
 
-enum { ASKERS = 40 };
+enum { QUERIES = 40 };
 
-static int answered_with(const struct question *question, int from, int to, int status)
+static int answered_with(const struct query *query, int from, int to, int status)
 {
 	int count = 0;
 
 	for (int i = from; i < to; i++)
-		count += question[i].answered && question[i].resp.status == status;
+		count += query[i].answered && query[i].response.status == status;
 	return count;
 }
 
-static bool answered_by_all(const struct question *question)
+static bool all_answered(const struct query *query)
 {
-	for (int i = 0; i < ASKERS; i++)
-		if (!question[i].answered)
+	for (int i = 0; i < QUERIES; i++)
+		if (!query[i].answered)
 			return false;
 	return true;
 }
 
-static void spawn_question(struct fixture *fixture, struct question *question, const char *ref)
+static void spawn_query(struct frontend_fixture *fixture, struct query *query, const char *ref)
 {
-	memset(question, 0, sizeof(*question));
-	question->fixture = fixture;
-	copy_text(question->ref, sizeof(question->ref), ref);
-	fl_coroutine_spawn(ask, question);
+	memset(query, 0, sizeof(*query));
+	query->fixture = fixture;
+	copy_text(query->ref, sizeof(query->ref), ref);
+	fl_coroutine_spawn(send_query, query);
 }
 
-static void ask_many(void *arg)
+static void send_many_queries(void *arg)
 {
-	static struct question question[ASKERS];
-	struct fixture *fixture = arg;
+	static struct query query[QUERIES];
+	struct frontend_fixture *fixture = arg;
 	char ref[FL_REF_MAX];
 
-	/* Nobody leads: each poll is answered from the records, and twenty by one read of them. */
+	/* Nobody leads: each status query is answered from the records, and twenty by one read of
+	 * them. */
 	fixture->node.peer_count = 0;
 	fixture->node.machine_types_known = fixture->node.jobs_known = true;
-	fixture->gated = true;
+	fixture->reads_gated = true;
 	fixture->config.state_rps = 1000;
 	fl_job_lookups_init(&fixture->node);
-	for (int i = 0; i < ASKERS / 2; i++)
-		spawn_question(fixture, &question[i], "run-000001");
-	while (fixture->reads < 1)
+	for (int i = 0; i < QUERIES / 2; i++)
+		spawn_query(fixture, &query[i], "run-000001");
+	while (fixture->record_reads < 1)
 		fl_sleep(0.01);
 	/* The first read is in flight, and does not see what is accepted now. */
-	fixture->known = true;
-	for (int i = ASKERS / 2; i < ASKERS; i++)
-		spawn_question(fixture, &question[i], "run-000001");
+	fixture->job_known = true;
+	for (int i = QUERIES / 2; i < QUERIES; i++)
+		spawn_query(fixture, &query[i], "run-000001");
 	fl_sleep(0.01);
-	while (!answered_by_all(question)) {
-		fl_condition_broadcast(&fixture->gate);
+	while (!all_answered(query)) {
+		fl_condition_broadcast(&fixture->read_gate);
 		fl_sleep(0.01);
 	}
-	if (answered_with(question, 0, 1, 404) != 1 ||
-	    answered_with(question, 1, ASKERS, 200) != ASKERS - 1)
+	if (answered_with(query, 0, 1, 404) != 1 ||
+	    answered_with(query, 1, QUERIES, 200) != QUERIES - 1)
 		strcpy(fixture->failed, "a question is answered by an older read");
-	if (fixture->reads != 4)
+	if (fixture->record_reads != 4)
 		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads for one job",
-		         fixture->reads);
+		         fixture->record_reads);
 	/* What is done stays so: one read serves all that ask later. */
-	fixture->gated = false;
-	fixture->reads = 0;
-	spawn_question(fixture, &question[0], "run-000001");
-	while (!question[0].answered)
+	fixture->reads_gated = false;
+	fixture->record_reads = 0;
+	spawn_query(fixture, &query[0], "run-000001");
+	while (!query[0].answered)
 		fl_sleep(0.01);
-	if (fixture->reads != 0 || question[0].resp.status != 200)
+	if (fixture->record_reads != 0 || query[0].response.status != 200)
 		strcpy(fixture->failed, "what is done is read again");
-	/* Many jobs: polls beyond the share of the state service are refused at once. */
-	fixture->known = false;
-	fixture->reads = 0;
-	fixture->gated = false;
+	/* Many jobs: status queries beyond the share of the key-value store are refused at once. */
+	fixture->job_known = false;
+	fixture->record_reads = 0;
+	fixture->reads_gated = false;
 	fixture->config.state_rps = 10;
 	fl_job_lookups_init(&fixture->node);
-	for (int i = 0; i < ASKERS; i++) {
+	for (int i = 0; i < QUERIES; i++) {
 		snprintf(ref, sizeof(ref), "run-%06d", 100 + i);
-		spawn_question(fixture, &question[i], ref);
+		spawn_query(fixture, &query[i], ref);
 	}
-	while (!answered_by_all(question))
+	while (!all_answered(query))
 		fl_sleep(0.01);
-	if (fixture->reads < 4 || fixture->reads > 12 ||
-	    answered_with(question, 0, ASKERS, 404) * 2 != fixture->reads ||
-	    answered_with(question, 0, ASKERS, 503) + fixture->reads / 2 != ASKERS)
+	if (fixture->record_reads < 4 || fixture->record_reads > 12 ||
+	    answered_with(query, 0, QUERIES, 404) * 2 != fixture->record_reads ||
+	    answered_with(query, 0, QUERIES, 503) + fixture->record_reads / 2 != QUERIES)
 		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads of 10 a second",
-		         fixture->reads);
-	for (int i = 0; i < ASKERS; i++)
-		if (question[i].resp.status == 503 && question[i].resp.retry_after_s <= 0)
+		         fixture->record_reads);
+	for (int i = 0; i < QUERIES; i++)
+		if (query[i].response.status == 503 && query[i].response.retry_after_s <= 0)
 			strcpy(fixture->failed, "no time is given for the next try");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void many_polls_stay_within_the_share_of_the_state_service(void **state)
+static void many_status_queries_stay_within_the_read_share_of_the_key_value_store(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
-	fl_coroutine_spawn(ask_many, fixture);
+	fl_coroutine_spawn(send_many_queries, fixture);
 	fl_coroutines_run();
 	if (fixture->failed[0])
 		fail_msg("%s", fixture->failed);
 }
 
-/* The leader's own poll waits for a record, and the job ends meanwhile: its end is what is said. */
+/* The leader's own status query waits for a record, and the job ends meanwhile: its end is what is
+ * said. */
 static void end_while_read(void *arg)
 {
-	static struct question question;
-	struct fixture *fixture = arg;
+	static struct query query;
+	struct frontend_fixture *fixture = arg;
 	struct fl_node *node = &fixture->node;
 	struct fl_job_spec spec = {.ref = "run-000001",
 	                           .team = "t",
@@ -152,30 +154,30 @@
 	node->leadership.active = node->leader_lease.held = node->cluster.leading = true;
 	node->leader_lease.valid_until = fl_now() + 1000;
 	/* What is read has not seen the end: nothing stands there. */
-	fixture->known = false;
-	fixture->gated = true;
+	fixture->job_known = false;
+	fixture->reads_gated = true;
 	fixture->config.state_rps = 1000;
 	fl_job_lookups_init(node);
 	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
 	/* A final write is under way: only the record may know its outcome. */
 	job->record.final_write_unknown = true;
-	spawn_question(fixture, &question, "run-000001");
-	while (fixture->reads < 1)
+	spawn_query(fixture, &query, "run-000001");
+	while (fixture->record_reads < 1)
 		fl_sleep(0.01);
 	fl_job_finalise(&node->cluster, job, FL_DONE);
-	while (!question.answered) {
-		fl_condition_broadcast(&fixture->gate);
+	while (!query.answered) {
+		fl_condition_broadcast(&fixture->read_gate);
 		fl_sleep(0.01);
 	}
-	if (question.resp.status != 200 || !strstr(question.body, "done"))
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d %s", question.resp.status,
-		         question.body);
+	if (query.response.status != 200 || !strstr(query.body, "done"))
+		snprintf(fixture->failed, sizeof(fixture->failed), "%d %s", query.response.status,
+		         query.body);
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void a_job_that_ends_while_its_record_is_read_is_done(void **state)
+static void a_status_query_reports_a_job_done_that_ends_while_its_record_is_read(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
 	fl_coroutine_spawn(end_while_read, fixture);
 	fl_coroutines_run();
@@ -186,8 +188,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(many_polls_stay_within_the_share_of_the_state_service),
-		FRONTEND_TEST(a_job_that_ends_while_its_record_is_read_is_done),
+		FRONTEND_TEST(
+			many_status_queries_stay_within_the_read_share_of_the_key_value_store),
+		FRONTEND_TEST(a_status_query_reports_a_job_done_that_ends_while_its_record_is_read),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -15,7 +15,7 @@
 #include "coordination/request_router.h"
 #include "frontend_fixture.h"
 
-static int submit(struct fixture *fixture, const char *fields, int *retry_after)
+static int submit(struct frontend_fixture *fixture, const char *fields, int *retry_after)
 {
 	struct fl_http_response response = {.status = 500};
 	struct fl_buffer body = {0};
@@ -31,7 +31,8 @@
 	return response.status;
 }
 
-static void expect_status(struct fixture *fixture, const char *fields, int want, const char *where)
+static void expect_status(struct frontend_fixture *fixture, const char *fields, int want,
+                          const char *where)
 {
 	int got = submit(fixture, fields, NULL);
 
@@ -86,13 +87,13 @@
 
 static void check_verdicts(void *arg)
 {
-	struct fixture *fixture = arg;
+	struct frontend_fixture *fixture = arg;
 	int retry_after;
 	char *large;
 
 	for (int i = 0; i < CASES; i++)
 		expect_status(fixture, cases[i].fields, cases[i].status, "all is well");
-	fixture->refused = true;
+	fixture->kv_store_refuses = true;
 	for (int i = 0; i < CASES; i++)
 		expect_status(fixture, cases[i].fields, cases[i].status,
 		              "refused by the state service");
@@ -107,31 +108,31 @@
 	expect_status(fixture, large, 201, "large");
 	free(large);
 	/* A repeat gets the job's state, whatever its body says. */
-	fixture->known = true;
-	for (int refused = 0; refused < 2; refused++) {
-		fixture->refused = refused;
+	fixture->job_known = true;
+	for (int kv_store_refuses = 0; kv_store_refuses < 2; kv_store_refuses++) {
+		fixture->kv_store_refuses = kv_store_refuses;
 		for (int i = 0; i < CASES; i++)
 			if (cases[i].status != 201)
 				expect_status(fixture, cases[i].fields,
 				              cases[i].unreadable ? 400 : 200, "known");
 	}
 	/* Not known by any node: neither accepted nor refused. */
-	fixture->known = false;
-	fixture->refused = true;
+	fixture->job_known = false;
+	fixture->kv_store_refuses = true;
 	fixture->node.peers[0].up = false;
 	fixture->node.peer_count = 0;
 	for (int i = 0; i < CASES; i++)
 		if (!cases[i].unreadable)
 			expect_status(fixture, cases[i].fields, 503, "nobody can tell");
-	fixture->refused = fixture->node.machine_types_known = false;
+	fixture->kv_store_refuses = fixture->node.machine_types_known = false;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
 		strcpy(fixture->failed, "machine types unknown");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void a_verdict_does_not_depend_on_what_is_reachable(void **state)
+static void a_submission_verdict_does_not_depend_on_what_is_reachable(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
 	fl_coroutine_spawn(check_verdicts, fixture);
 	fl_coroutines_run();
@@ -142,7 +143,7 @@
 /* Turned away before anything is stored, with when to come back; what is malformed is said. */
 static void submit_without_memory(void *arg)
 {
-	struct fixture *fixture = arg;
+	struct frontend_fixture *fixture = arg;
 	int retry_after = 0;
 
 	fixture->config.ram_mb = 1;
@@ -150,17 +151,17 @@
 		strcpy(fixture->failed, "accepted without memory");
 	expect_status(fixture, "\"Parts\":0", 400, "without memory");
 	expect_status(fixture, "\"Site\":\"z\"", 422, "without memory");
-	fixture->known = true;
+	fixture->job_known = true;
 	expect_status(fixture, "", 200, "known, without memory");
-	fixture->known = false;
+	fixture->job_known = false;
 	fixture->config.ram_mb = 1024;
 	expect_status(fixture, "", 201, "with memory");
 	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void no_job_is_taken_that_memory_does_not_hold(void **state)
+static void a_submission_is_refused_when_the_job_does_not_fit_in_memory(void **state)
 {
-	struct fixture *fixture = *state;
+	struct frontend_fixture *fixture = *state;
 
 	fl_coroutine_spawn(submit_without_memory, fixture);
 	fl_coroutines_run();
@@ -171,8 +172,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(a_verdict_does_not_depend_on_what_is_reachable),
-		FRONTEND_TEST(no_job_is_taken_that_memory_does_not_hold),
+		FRONTEND_TEST(a_submission_verdict_does_not_depend_on_what_is_reachable),
+		FRONTEND_TEST(a_submission_is_refused_when_the_job_does_not_fit_in_memory),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
