--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -11,6 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "contract_text.h"
 #include "transport/clock.h"
 
 const struct fl_job_spec live_spec = {
@@ -42,22 +43,6 @@
                                             .fencing_token = 107,
                                             .interruption_in_s = -1};
 
-cJSON *parse(const char *text)
-{
-	cJSON *tree = fl_json_parse(text, strlen(text));
-
-	assert_non_null(tree);
-	return tree;
-}
-
-void assert_text(cJSON *tree, const char *expected)
-{
-	char *text = fl_json_print_and_delete(tree);
-
-	assert_string_equal(text, expected);
-	free(text);
-}
-
 void add_zones_and_teams(struct fl_cluster *cluster)
 {
 	fl_symbol_intern(&cluster->zones, "south");
@@ -71,7 +56,7 @@
 {
 	struct fl_job *job;
 	struct fl_cloud_machine_type *types;
-	cJSON *tree = parse(MACHINE_TYPES);
+	cJSON *tree = parse_json(MACHINE_TYPES);
 	int count;
 
 	assert_int_equal(fl_machine_types_decode(tree, &types, &count), 0);
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -77,9 +77,6 @@
 /* The heartbeat in CACHED_IDLE_HEARTBEAT. */
 extern const struct fl_heartbeat idle_heartbeat;
 
-cJSON *parse(const char *text);
-/* The tree, which is freed, has exactly this text. */
-void assert_text(cJSON *tree, const char *expected);
 /* The zones and teams that the records name. */
 void add_zones_and_teams(struct fl_cluster *cluster);
 /* The job of LIVE, in a leader's state that knows those and MACHINE_TYPES. */
--- /dev/null
+++ b/tests/test_contract_kv.c
@@ -0,0 +1,264 @@
+/*
+ * The wire contract of the key-value store, byte for byte. The names in the C code are its own and
+ * may change; a field, word or path here that changes is another protocol, which the other side
+ * does not speak. The texts are written out and never produced by the code under test.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "contract_fixture.h"
+#include "contract_text.h"
+#include "protocol/kv_store.h"
+
+/* Changes as text, one a line: key, revision, value. */
+struct event_text {
+	char text[512];
+};
+
+static void append_event(void *context, const struct fl_kv_event *event)
+{
+	struct event_text *changes = context;
+	char *value = event->value ? cJSON_PrintUnformatted(event->value) : NULL;
+	size_t used = strlen(changes->text);
+
+	snprintf(changes->text + used, sizeof(changes->text) - used, "%s %llu %s\n", event->key,
+	         (unsigned long long)event->mod_revision, value ? value : "deleted");
+	free(value);
+}
+
+struct get_results {
+	int rc[3];
+	cJSON *value[3];
+	uint64_t mod_revision[3], lease_id[3];
+};
+
+static void read_keys(const char *address, void *results)
+{
+	static const char *const keys[] = {"a/b", "a/c", "a/none"};
+	struct get_results *got = results;
+	struct fl_kv_store kv_store;
+
+	fl_kv_init(&kv_store, address);
+	for (int i = 0; i < 3; i++)
+		got->rc[i] = fl_kv_get(&kv_store, keys[i], &got->value[i], &got->mod_revision[i],
+		                       &got->lease_id[i]);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
+}
+
+static void a_key_is_read_with_its_revision_and_lease(void **state)
+{
+	static const struct contract_exchange script[] = {
+		{"GET /keys/a/b\n", 200,
+	         "{\"Key\":\"a/b\",\"V\":{\"n\":5},\"KeyRev\":412,\"Grant\":7}"},
+		{"GET /keys/a/c\n", 200, "{\"Key\":\"a/c\",\"V\":[6],\"KeyRev\":413}"},
+		{"GET /keys/a/none\n", 404, "{\"LedgerRev\":431}"},
+	};
+	struct get_results got = {.lease_id = {99, 99, 99}};
+
+	(void)state;
+	contract_run(read_keys, &got, script, COUNT_OF(script));
+	assert_int_equal(got.rc[0], FL_KV_OK);
+	assert_int_equal(got.mod_revision[0], 412);
+	assert_int_equal(got.lease_id[0], 7);
+	assert_text(fl_json_print_and_delete(got.value[0]), "{\"n\":5}");
+	assert_int_equal(got.rc[1], FL_KV_OK);
+	assert_int_equal(got.mod_revision[1], 413);
+	assert_int_equal(got.lease_id[1], 0);
+	assert_text(fl_json_print_and_delete(got.value[1]), "[6]");
+	assert_int_equal(got.rc[2], FL_KV_NOT_FOUND);
+	assert_null(got.value[2]);
+}
+
+struct read_results {
+	int rc[2];
+	uint64_t mod_revision[2];
+	struct event_text changes[2];
+};
+
+static void list_keys(const char *address, void *results)
+{
+	struct read_results *got = results;
+	struct fl_kv_store kv_store;
+
+	fl_kv_init(&kv_store, address);
+	got->rc[0] =
+		fl_kv_list(&kv_store, "c/", append_event, &got->changes[0], &got->mod_revision[0]);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
+}
+
+static void keys_are_listed_page_by_page(void **state)
+{
+	static const struct contract_exchange script[] = {
+		{"GET /keys?Prefix=c/&Page=1000\n", 200,
+	         "{\"Items\":[{\"Key\":\"c/6\",\"V\":{\"n\":1},\"KeyRev\":401},"
+	         "{\"Key\":\"c/7\",\"V\":\"two\",\"KeyRev\":402}],\"More\":true,"
+	         "\"LedgerRev\":431}"},
+		{"GET /keys?Prefix=c/&From=c/7&Page=1000\n", 200,
+	         "{\"Items\":[{\"Key\":\"c/8\",\"V\":3,\"KeyRev\":403}],\"More\":false,"
+	         "\"LedgerRev\":432}"},
+	};
+	struct read_results got = {0};
+
+	(void)state;
+	contract_run(list_keys, &got, script, COUNT_OF(script));
+	assert_int_equal(got.rc[0], FL_KV_OK);
+	assert_int_equal(got.mod_revision[0], 431);
+	assert_string_equal(got.changes[0].text, "c/6 401 {\"n\":1}\nc/7 402 \"two\"\nc/8 403 3\n");
+}
+
+static void watch_keys(const char *address, void *results)
+{
+	struct read_results *got = results;
+	struct fl_kv_store kv_store;
+
+	fl_kv_init(&kv_store, address);
+	for (int i = 0; i < 2; i++)
+		got->rc[i] = fl_kv_watch(&kv_store, "c/", &got->mod_revision[i], 2.5, append_event,
+		                         &got->changes[i]);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
+}
+
+static void a_watch_brings_writes_and_deletions(void **state)
+{
+	static const struct contract_exchange script[] = {
+		{"GET /follow?Prefix=c/&From=431&HoldMs=2500\n", 200,
+	         "{\"LedgerRev\":434,\"Log\":[{\"Put\":\"c/9\",\"V\":{\"n\":9},\"KeyRev\":433},"
+	         "{\"Delete\":\"c/d\",\"KeyRev\":432}]}"},
+		{"GET /follow?Prefix=c/&From=17&HoldMs=2500\n", 410, "{\"LedgerRev\":434}"},
+	};
+	struct read_results got = {.mod_revision = {431, 17}};
+
+	(void)state;
+	contract_run(watch_keys, &got, script, COUNT_OF(script));
+	assert_int_equal(got.rc[0], FL_KV_OK);
+	assert_int_equal(got.mod_revision[0], 434);
+	assert_string_equal(got.changes[0].text, "c/9 433 {\"n\":9}\nc/d 432 deleted\n");
+	assert_int_equal(got.rc[1], FL_KV_COMPACTED);
+	assert_int_equal(got.mod_revision[1], 17);
+}
+
+struct txn_results {
+	int rc[3];
+	uint64_t mod_revision[3];
+	char failed[3][FL_KEY_MAX];
+};
+
+static void send_transactions(const char *address, void *results)
+{
+	struct txn_results *got = results;
+	struct fl_kv_store kv_store;
+	struct fl_kv_txn txn;
+
+	fl_kv_init(&kv_store, address);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, "a/b", 0);
+	fl_kv_txn_expect_revision(&txn, "c/d", 412);
+	fl_kv_txn_put(&txn, "a/b", cJSON_CreateString("leased"), 7);
+	fl_kv_txn_put(&txn, "a/c", cJSON_CreateNumber(8.5), 0);
+	fl_kv_txn_delete(&txn, "c/d");
+	got->rc[0] = fl_kv_txn_commit(&kv_store, &txn, &got->mod_revision[0], got->failed[0]);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_expect_revision(&txn, "c/d", 412);
+	got->rc[1] = fl_kv_txn_commit(&kv_store, &txn, &got->mod_revision[1], got->failed[1]);
+	fl_kv_txn_init(&txn);
+	fl_kv_txn_put(&txn, "a/b", cJSON_CreateTrue(), 6);
+	got->rc[2] = fl_kv_txn_commit(&kv_store, &txn, &got->mod_revision[2], got->failed[2]);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
+}
+
+static void a_transaction_has_conditions_writes_deletions_and_leases(void **state)
+{
+	static const struct contract_exchange script[] = {
+		{"POST /multi\n"
+	         "{\"When\":[{\"Key\":\"a/b\",\"KeyRev\":0},{\"Key\":\"c/d\",\"KeyRev\":412}],"
+	         "\"Apply\":[{\"Put\":\"a/b\",\"V\":\"leased\",\"Grant\":7},"
+	         "{\"Put\":\"a/c\",\"V\":8.5},{\"Delete\":\"c/d\"}]}",
+	         200, "{\"LedgerRev\":432}"},
+		{"POST /multi\n{\"When\":[{\"Key\":\"c/d\",\"KeyRev\":412}],\"Apply\":[]}", 409,
+	         "{\"failed\":[\"c/d\",\"a/b\"],\"LedgerRev\":431}"},
+		{"POST /multi\n"
+	         "{\"When\":[],\"Apply\":[{\"Put\":\"a/b\",\"V\":true,\"Grant\":6}]}",
+	         400, "{\"error\":\"no such lease\"}"},
+	};
+	struct txn_results got = {0};
+
+	(void)state;
+	contract_run(send_transactions, &got, script, COUNT_OF(script));
+	assert_int_equal(got.rc[0], FL_KV_OK);
+	assert_int_equal(got.mod_revision[0], 432);
+	assert_int_equal(got.rc[1], FL_KV_COMPARE_FAILED);
+	assert_string_equal(got.failed[1], "c/d");
+	assert_int_equal(got.rc[2], FL_KV_INVALID);
+}
+
+struct lease_results {
+	int rc[8];
+	uint64_t lease_id;
+};
+
+static void use_leases(const char *address, void *results)
+{
+	struct lease_results *got = results;
+	struct fl_kv_store kv_store;
+	uint64_t none;
+
+	fl_kv_init(&kv_store, address);
+	got->rc[0] = fl_kv_lease_grant(&kv_store, 5.25, &got->lease_id);
+	got->rc[1] = fl_kv_lease_grant(&kv_store, 5, &none);
+	got->rc[2] = fl_kv_lease_keep_alive(&kv_store, 7, 5);
+	got->rc[3] = fl_kv_lease_keep_alive(&kv_store, 8, 5);
+	got->rc[4] = fl_kv_lease_keep_alive(&kv_store, 7, 5);
+	got->rc[5] = fl_kv_lease_revoke(&kv_store, 7);
+	got->rc[6] = fl_kv_lease_revoke(&kv_store, 8);
+	fl_http_client_close(&kv_store.client);
+	fl_http_client_close(&kv_store.watch_client);
+}
+
+static void a_lease_is_taken_out_renewed_and_ended(void **state)
+{
+	static const struct contract_exchange script[] = {
+		{"POST /holds\n{\"TtlMs\":5250}", 200, "{\"Grant\":7}"},
+		{"POST /holds\n{\"TtlMs\":5000}", 429, "{}"},
+		{"POST /holds/7/extend\n{}", 200, "{}"},
+		{"POST /holds/8/extend\n{}", 404, "{}"},
+		{"POST /holds/7/extend\n{}", 503, "{}"},
+		{"DELETE /holds/7\n", 200, "{}"},
+		{"DELETE /holds/8\n", 404, "{}"},
+	};
+	struct lease_results got = {0};
+
+	(void)state;
+	contract_run(use_leases, &got, script, COUNT_OF(script));
+	assert_int_equal(got.rc[0], FL_KV_OK);
+	assert_int_equal(got.lease_id, 7);
+	assert_int_equal(got.rc[1], FL_KV_UNAVAILABLE);
+	assert_int_equal(got.rc[2], FL_KV_OK);
+	assert_int_equal(got.rc[3], FL_KV_NOT_FOUND);
+	assert_int_equal(got.rc[4], FL_KV_UNAVAILABLE);
+	assert_int_equal(got.rc[5], FL_KV_OK);
+	assert_int_equal(got.rc[6], FL_KV_NOT_FOUND);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(a_key_is_read_with_its_revision_and_lease),
+		cmocka_unit_test(keys_are_listed_page_by_page),
+		cmocka_unit_test(a_watch_brings_writes_and_deletions),
+		cmocka_unit_test(a_transaction_has_conditions_writes_deletions_and_leases),
+		cmocka_unit_test(a_lease_is_taken_out_renewed_and_ended),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -13,6 +13,7 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
+#include "contract_text.h"
 #include "protocol/peers.h"
 
 /* ---- job records ---- */
@@ -20,7 +21,7 @@
 static struct fl_job_record read_record(const char *text, const char *ref)
 {
 	struct fl_job_record record;
-	cJSON *tree = parse(text);
+	cJSON *tree = parse_json(text);
 
 	assert_int_equal(fl_job_record_decode(tree, ref, &record), 0);
 	cJSON_Delete(tree);
@@ -82,33 +83,6 @@
 	.due_s = -1,
 };
 
-static void assert_spec(const struct fl_job_spec *read, const struct fl_job_spec *expected)
-{
-	assert_string_equal(read->ref, expected->ref);
-	assert_string_equal(read->job_class, expected->job_class);
-	assert_string_equal(read->team, expected->team);
-	assert_string_equal(read->image, expected->image);
-	assert_string_equal(read->zone, expected->zone);
-	assert_int_equal(read->machine_type_count, expected->machine_type_count);
-	for (int number = 0; number < expected->machine_type_count; number++)
-		assert_string_equal(read->machine_types[number], expected->machine_types[number]);
-	assert_int_equal(read->kind, expected->kind);
-	assert_int_equal(read->priority, expected->priority);
-	assert_int_equal(read->task_count, expected->task_count);
-	assert_true(read->cpus == expected->cpus);
-	assert_true(read->gpus == expected->gpus);
-	assert_true(read->ram_gb == expected->ram_gb);
-	assert_true(read->image_gb == expected->image_gb);
-	assert_true(read->expected_s == expected->expected_s);
-	assert_true(read->checkpoint_every_s == expected->checkpoint_every_s);
-	assert_true(read->checkpoint_cost_s == expected->checkpoint_cost_s);
-	assert_true(read->due_s == expected->due_s);
-	assert_int_equal(read->has_zone, expected->has_zone);
-	assert_int_equal(read->same_zone, expected->same_zone);
-	assert_int_equal(read->spread_zones, expected->spread_zones);
-	assert_int_equal(read->spot_allowed, expected->spot_allowed);
-}
-
 static void assert_live(const char *text, const struct fl_job_spec *spec, double submitted)
 {
 	struct fl_job_record record = read_record(text, spec->ref);
@@ -118,8 +92,8 @@
 	assert_int_equal(record.task_count, spec->task_count);
 	assert_true(record.submitted_wall == submitted);
 	assert_true(record.cancelled_wall == 0);
-	assert_spec(&record.spec, spec);
-	assert_text(fl_job_record_live(spec, submitted), text);
+	assert_job_spec(&record.spec, spec);
+	assert_json_text(fl_job_record_live(spec, submitted), text);
 }
 
 static void a_live_job_is_stored_with_every_field_of_its_description(void **state)
@@ -141,9 +115,9 @@
 	assert_int_equal(record.task_count, 9);
 	assert_true(record.submitted_wall == 1700000200.5);
 	assert_true(record.cancelled_wall == 1700000300.75);
-	assert_spec(&record.spec, &cancelled_spec);
-	assert_text(fl_job_record_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
-	            CANCELLED_JOB);
+	assert_job_spec(&record.spec, &cancelled_spec);
+	assert_json_text(fl_job_record_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
+	                 CANCELLED_JOB);
 }
 
 static void assert_final(const char *text, enum fl_job_status status, uint32_t task_count)
@@ -154,7 +128,7 @@
 	assert_false(record.has_spec);
 	assert_int_equal(record.status, status);
 	assert_int_equal(record.task_count, task_count);
-	assert_text(fl_job_record_final(status, task_count), text);
+	assert_json_text(fl_job_record_final(status, task_count), text);
 }
 
 static void a_job_that_is_over_is_stored_as_its_status_and_size(void **state)
@@ -185,7 +159,7 @@
 static void machine_types_are_stored_with_every_field(void **state)
 {
 	struct fl_cloud_machine_type *types;
-	cJSON *tree = parse(MACHINE_TYPES);
+	cJSON *tree = parse_json(MACHINE_TYPES);
 	int count;
 
 	(void)state;
@@ -194,7 +168,7 @@
 	assert_int_equal(count, 2);
 	assert_large(&types[0]);
 	assert_string_equal(types[1].name, "small");
-	assert_text(fl_machine_types_encode(types, count), MACHINE_TYPES);
+	assert_json_text(fl_machine_types_encode(types, count), MACHINE_TYPES);
 	free(types);
 }
 
@@ -209,7 +183,7 @@
 
 	(void)state;
 	fl_job_describe(&cluster, job, &spec);
-	assert_text(fl_job_record_live(&spec, job->submitted_wall), LIVE_JOB);
+	assert_json_text(fl_job_record_live(&spec, job->submitted_wall), LIVE_JOB);
 	fl_cluster_free(&cluster);
 }
 
@@ -217,25 +191,25 @@
 {
 	struct fl_cluster read = {0}, made = {0};
 	struct fl_job *job = add_job(&read);
-	cJSON *tree = parse(PROGRESS);
+	cJSON *tree = parse_json(PROGRESS);
 
 	(void)state;
 	assert_int_equal(fl_task_block_restore(&read, job, 1, tree, 6, NULL, 1), 0);
 	cJSON_Delete(tree);
 	assert_progress(&read, job);
 	assert_int_equal(job->blocks[1]->mod_revision, 6);
-	assert_text(fl_task_block_encode(&read, job, 1), PROGRESS);
+	assert_json_text(fl_task_block_encode(&read, job, 1), PROGRESS);
 	job = add_job(&made);
 	make_progress(&made, job);
-	assert_text(fl_task_block_encode(&made, job, 1), PROGRESS);
-	assert_text(fl_task_block_encode_unsaved(&made, job, 1), PROGRESS);
+	assert_json_text(fl_task_block_encode(&made, job, 1), PROGRESS);
+	assert_json_text(fl_task_block_encode_unsaved(&made, job, 1), PROGRESS);
 	fl_cluster_free(&read);
 	fl_cluster_free(&made);
 }
 
 static void progress_is_counted_from_its_record(void **state)
 {
-	cJSON *tree = parse(PROGRESS);
+	cJSON *tree = parse_json(PROGRESS);
 	uint32_t done = 10, placed = 20;
 
 	(void)state;
@@ -261,7 +235,7 @@
 		fl_wal_value_add(value, group);
 		free(group);
 	}
-	assert_text(value, WAL_VALUE);
+	assert_json_text(value, WAL_VALUE);
 	fl_cluster_free(&cluster);
 }
 
@@ -269,7 +243,7 @@
 {
 	struct fl_cluster cluster = {0};
 	struct fl_job *job = add_job(&cluster);
-	cJSON *tree = parse(WAL_VALUE);
+	cJSON *tree = parse_json(WAL_VALUE);
 	struct fl_wal wal = {0};
 
 	(void)state;
@@ -280,7 +254,7 @@
 	assert_string_equal(wal.groups[1].ref, "run-000412");
 	assert_int_equal(wal.groups[0].block_index, 1);
 	assert_int_equal(wal.groups[1].block_index, 2);
-	assert_text(cJSON_Duplicate(wal.groups[0].changes, true), PROGRESS);
+	assert_json_text(cJSON_Duplicate(wal.groups[0].changes, true), PROGRESS);
 	assert_int_equal(fl_task_block_restore(&cluster, job, 1, NULL, 0, &wal, 1), 0);
 	assert_true(wal.groups[0].restored && !wal.groups[1].restored);
 	assert_progress(&cluster, job);
@@ -323,14 +297,14 @@
 	assert_string_equal(cached, CACHED_IDLE_HEARTBEAT);
 	fl_digest_add(digest, cached);
 	free(cached);
-	assert_text(digest, DIGEST);
+	assert_json_text(digest, DIGEST);
 }
 
 static void a_digest_is_read_as_cached_heartbeats(void **state)
 {
 	struct fl_task_status tasks[CACHED_TASKS];
 	struct fl_heartbeat expected = make_heartbeat(tasks), read;
-	cJSON *digest = parse(DIGEST);
+	cJSON *digest = parse_json(DIGEST);
 	const cJSON *list = fl_digest_heartbeats(digest);
 
 	(void)state;
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -15,6 +15,7 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
+#include "contract_text.h"
 #include "coordination/election/election.h"
 #include "coordination/node.h"
 #include "coordination/persistence/wal_writer.h"
@@ -399,7 +400,7 @@
 	assert_int_equal(live.result, 0);
 	assert_false(live.record.final);
 	assert_int_equal(live.mod_revision, 35);
-	assert_text(live.value, LIVE_JOB);
+	assert_json_text(live.value, LIVE_JOB);
 	assert_int_equal(final.result, 0);
 	assert_true(final.record.final);
 	assert_int_equal(final.record.status, FL_DONE);
