--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -37,11 +37,11 @@
 	.same_zone = true,
 };
 
-const struct fl_heartbeat idle_heartbeat = {.host = "m-000013",
-                                            .incarnation = 105,
-                                            .sequence = 106,
-                                            .fencing_token = 107,
-                                            .interruption_in_s = -1};
+const struct fl_heartbeat heartbeat_without_tasks = {.host = "m-000013",
+                                                     .incarnation = 105,
+                                                     .sequence = 106,
+                                                     .fencing_token = 107,
+                                                     .interruption_in_s = -1};
 
 void add_zones_and_teams(struct fl_cluster *cluster)
 {
@@ -162,12 +162,11 @@
 	                                 .tasks = tasks,
 	                                 .task_count = 13};
 
-	for (uint32_t number = 0; number < CACHED_TASKS; number++) {
-		tasks[number] =
-			(struct fl_task_status){.index = 3 + number, .attempt = 21 + number};
-		snprintf(tasks[number].ref, sizeof(tasks[number].ref), "run-%06u", 412 + number);
-		tasks[number].state = number < 4 ? states[number] : FL_TASK_STATE_EXITED;
-		tasks[number].exit = number < 4 ? FL_EXIT_OTHER : exits[number - 4];
+	for (uint32_t i = 0; i < CACHED_TASKS; i++) {
+		tasks[i] = (struct fl_task_status){.index = 3 + i, .attempt = 21 + i};
+		snprintf(tasks[i].ref, sizeof(tasks[i].ref), "run-%06u", 412 + i);
+		tasks[i].state = i < 4 ? states[i] : FL_TASK_STATE_EXITED;
+		tasks[i].exit = i < 4 ? FL_EXIT_OTHER : exits[i - 4];
 	}
 	return heartbeat;
 }
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -75,7 +75,7 @@
 /* The description in LIVE. */
 extern const struct fl_job_spec live_spec;
 /* The heartbeat in CACHED_IDLE_HEARTBEAT. */
-extern const struct fl_heartbeat idle_heartbeat;
+extern const struct fl_heartbeat heartbeat_without_tasks;
 
 /* The zones and teams that the records name. */
 void add_zones_and_teams(struct fl_cluster *cluster);
--- /dev/null
+++ b/tests/contract_store_fixture.c
@@ -0,0 +1,189 @@
+/* The node, its key-value store of literals in virtual time, and what it wrote there. */
+#include "contract_store_fixture.h"
+
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <errno.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "contract_records_fixture.h"
+#include "sim.h"
+#include "transport/clock.h"
+
+enum { PROCESS = 1, LEASE_ID = 7 };
+
+struct sim sim;
+
+struct contract_store world;
+
+void sim_process_computes(int process) { (void)process; }
+
+void store_record(const char *key, const char *value, int mod_revision, int lease_id)
+{
+	int index = world.stored_count++;
+
+	sim_require(index < KEYS_MAX);
+	world.stored[index].key = key;
+	world.stored[index].value = value;
+	world.stored[index].mod_revision = mod_revision;
+	world.stored[index].lease_id = lease_id;
+}
+
+static int answer_get(const char *key, struct fl_buffer *body)
+{
+	for (int i = 0; i < world.stored_count; i++)
+		if (strcmp(world.stored[i].key, key) == 0) {
+			fl_buffer_printf(body, "{\"V\":%s,\"KeyRev\":%d,\"Grant\":%d}",
+			                 world.stored[i].value, world.stored[i].mod_revision,
+			                 world.stored[i].lease_id);
+			return 200;
+		}
+	fl_buffer_printf(body, "{}");
+	return 404;
+}
+
+static int answer_list(const char *query, struct fl_buffer *body)
+{
+	size_t length = strcspn(query, "&");
+	const char *comma = "";
+
+	if (world.lists_refused)
+		return 503;
+	fl_buffer_printf(body, "{\"Items\":[");
+	for (int i = 0; i < world.stored_count; i++)
+		if (strncmp(world.stored[i].key, query, length) == 0) {
+			fl_buffer_printf(body, "%s{\"Key\":\"%s\",\"V\":%s,\"KeyRev\":%d}", comma,
+			                 world.stored[i].key, world.stored[i].value,
+			                 world.stored[i].mod_revision);
+			comma = ",";
+		}
+	fl_buffer_printf(body, "],\"More\":false,\"LedgerRev\":90}");
+	return 200;
+}
+
+static int answer_watch(const char *query, struct fl_buffer *body)
+{
+	const char *event = strncmp(query, "c/", 2) == 0 ? world.event : NULL;
+
+	if (event)
+		world.event = NULL;
+	else
+		fl_sleep(1);
+	fl_buffer_printf(body, "{\"LedgerRev\":91,\"Log\":[%s]}", event ? event : "");
+	return 200;
+}
+
+static int answer(const char *method, const char *path, const char *text, struct fl_buffer *body)
+{
+	static const char key[] = "/keys/", list[] = "/keys?Prefix=", watch[] = "/follow?Prefix=";
+
+	if (strncmp(path, key, strlen(key)) == 0)
+		return answer_get(path + strlen(key), body);
+	if (strncmp(path, list, strlen(list)) == 0)
+		return answer_list(path + strlen(list), body);
+	if (strncmp(path, watch, strlen(watch)) == 0)
+		return answer_watch(path + strlen(watch), body);
+	if (strcmp(path, "/multi") == 0) {
+		sim_require(world.written_count < WRITES_MAX);
+		sim_copy(world.written[world.written_count++], TEXT_MAX, text);
+		fl_buffer_printf(body, "{\"LedgerRev\":92}");
+	} else if (strcmp(path, "/machine_types") == 0) {
+		fl_buffer_printf(body, "%s", MACHINE_TYPES);
+	} else if (strcmp(path, "/holds") == 0) {
+		world.lease_grants++;
+		fl_buffer_printf(body, "{\"Grant\":%d}", LEASE_ID);
+	} else if (strcmp(method, "DELETE") == 0) {
+		world.revoked_lease = atoi(path + strlen("/holds/"));
+		/* The key ends with its lease. */
+		for (int i = 0; i < world.stored_count; i++)
+			if (world.stored[i].lease_id == world.revoked_lease)
+				world.stored[i].key = "gone";
+		fl_buffer_printf(body, "{}");
+	} else {
+		fl_buffer_printf(body, "{\"Hosts\":[],\"More\":false}");
+	}
+	return 200;
+}
+
+int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
+                 const char *body, double timeout_s, struct fl_http_reply *out)
+{
+	(void)client, (void)timeout_s;
+	memset(out, 0, sizeof(*out));
+	if (fl_sleep(0.002) != 0)
+		return -ECANCELED;
+	out->status = answer(method, path, body, &out->body);
+	return 0;
+}
+
+int begin_node(void **state)
+{
+	struct fl_node *node = &world.node;
+
+	memset(&world, 0, sizeof(world));
+	sim_time_begin();
+	node->config = &world.config;
+	strcpy(world.config.node, "host-1");
+	strcpy(node->process_id, "host-1-18.75");
+	world.config.core_share = 1;
+	world.config.ram_mb = 64;
+	world.config.state_rps = world.config.state_write_rps = 100;
+	world.config.value_kb = 4;
+	world.config.txn_ops = 64;
+	world.config.cloud_rps = 1;
+	world.config.report_s = 2;
+	world.config.lease_s = 10;
+	world.config.cancel_s = 40;
+	node->machine_types_known = node->jobs_known = true;
+	node->kv_store.last_failure_at = -1e9;
+	add_zones_and_teams(&node->cluster);
+	*state = node;
+	return 0;
+}
+
+static void drop_timer(struct sim_timer *timer) { (void)timer; }
+
+int end_node(void **state)
+{
+	struct fl_cached_heartbeat *cached, *next;
+
+	(void)state;
+	sim_time_end(drop_timer);
+	HASH_ITER (hh, world.node.follower.cached_heartbeats, cached, next) {
+		HASH_DEL(world.node.follower.cached_heartbeats, cached);
+		free(cached->text);
+		free(cached);
+	}
+	fl_cluster_free(&world.node.cluster);
+	return 0;
+}
+
+static void run_action(void *arg)
+{
+	(void)arg;
+	world.action(&world.node);
+}
+
+void run_as_node(void (*action)(struct fl_node *node), double seconds)
+{
+	world.action = action;
+	assert_non_null(sim_spawn(PROCESS, run_action, NULL));
+	sim_time_run(fl_now() + seconds);
+	assert_int_equal(world.result, 0);
+}
+
+void assert_written(const char *expected)
+{
+	for (int i = 0; i < world.written_count; i++)
+		if (strcmp(world.written[i], expected) == 0)
+			return;
+	for (int i = 0; i < world.written_count; i++)
+		print_message("written: %s\n", world.written[i]);
+	fail_msg("not written: %s", expected);
+}
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_job_records.c
@@ -1,7 +1,7 @@
 /*
- * The golden test of stored records and their keys: one literal text of each kind is read, where
- * every field must get its value, and written from that state, byte for byte. A field, key or word
- * that is renamed in what is stored fails here, also if both sides are.
+ * The golden test of stored job records, machine types and keys: one literal text of each kind is
+ * read, where every field must get its value, and written from that state, byte for byte. A field,
+ * key or word that is renamed in what is stored fails here, also if both sides are.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +14,6 @@
 
 #include "contract_records_fixture.h"
 #include "contract_text.h"
-#include "protocol/peers.h"
 
 /* ---- job records ---- */
 
@@ -138,6 +137,19 @@
 	assert_final(FINAL_CANCELLED, FL_CANCELLED, 72);
 }
 
+/* What a job was submitted with survives its stay in memory, where its record is written from. */
+static void a_job_read_from_its_record_is_written_as_it_was(void **state)
+{
+	struct fl_cluster cluster = {0};
+	struct fl_job *job = add_job(&cluster);
+	struct fl_job_spec spec;
+
+	(void)state;
+	fl_job_describe(&cluster, job, &spec);
+	assert_json_text(fl_job_record_live(&spec, job->submitted_wall), LIVE_JOB);
+	fl_cluster_free(&cluster);
+}
+
 /* ---- machine types ---- */
 
 static void assert_large(const struct fl_cloud_machine_type *type)
@@ -172,152 +184,6 @@
 	free(types);
 }
 
-/* ---- progress records and the write-ahead log ---- */
-
-/* What a job was submitted with survives its stay in memory, where its record is written from. */
-static void a_job_read_from_its_record_is_written_as_it_was(void **state)
-{
-	struct fl_cluster cluster = {0};
-	struct fl_job *job = add_job(&cluster);
-	struct fl_job_spec spec;
-
-	(void)state;
-	fl_job_describe(&cluster, job, &spec);
-	assert_json_text(fl_job_record_live(&spec, job->submitted_wall), LIVE_JOB);
-	fl_cluster_free(&cluster);
-}
-
-static void progress_is_stored_by_phase(void **state)
-{
-	struct fl_cluster read = {0}, made = {0};
-	struct fl_job *job = add_job(&read);
-	cJSON *tree = parse_json(PROGRESS);
-
-	(void)state;
-	assert_int_equal(fl_task_block_restore(&read, job, 1, tree, 6, NULL, 1), 0);
-	cJSON_Delete(tree);
-	assert_progress(&read, job);
-	assert_int_equal(job->blocks[1]->mod_revision, 6);
-	assert_json_text(fl_task_block_encode(&read, job, 1), PROGRESS);
-	job = add_job(&made);
-	make_progress(&made, job);
-	assert_json_text(fl_task_block_encode(&made, job, 1), PROGRESS);
-	assert_json_text(fl_task_block_encode_unsaved(&made, job, 1), PROGRESS);
-	fl_cluster_free(&read);
-	fl_cluster_free(&made);
-}
-
-static void progress_is_counted_from_its_record(void **state)
-{
-	cJSON *tree = parse_json(PROGRESS);
-	uint32_t done = 10, placed = 20;
-
-	(void)state;
-	assert_int_equal(fl_task_block_count(tree, &done, &placed), 0);
-	cJSON_Delete(tree);
-	assert_int_equal(done, 14);
-	assert_int_equal(placed, 22);
-}
-
-static void the_write_ahead_log_is_written_as_groups_of_changes(void **state)
-{
-	struct fl_cluster cluster = {0};
-	struct fl_job *job = add_job(&cluster);
-	cJSON *value = fl_wal_value_begin();
-	static const char *const expected[] = {NULL, WAL_GROUP, OTHER_WAL_GROUP};
-
-	(void)state;
-	make_progress(&cluster, job);
-	for (uint32_t block_index = 1; block_index <= 2; block_index++) {
-		char *group = fl_wal_group_encode(&cluster, job, block_index);
-
-		assert_string_equal(group, expected[block_index]);
-		fl_wal_value_add(value, group);
-		free(group);
-	}
-	assert_json_text(value, WAL_VALUE);
-	fl_cluster_free(&cluster);
-}
-
-static void the_write_ahead_log_is_read_as_groups_of_changes(void **state)
-{
-	struct fl_cluster cluster = {0};
-	struct fl_job *job = add_job(&cluster);
-	cJSON *tree = parse_json(WAL_VALUE);
-	struct fl_wal wal = {0};
-
-	(void)state;
-	assert_int_equal(fl_wal_read(&wal, tree), 0);
-	cJSON_Delete(tree);
-	assert_int_equal(wal.group_count, 2);
-	assert_string_equal(wal.groups[0].ref, "run-000412");
-	assert_string_equal(wal.groups[1].ref, "run-000412");
-	assert_int_equal(wal.groups[0].block_index, 1);
-	assert_int_equal(wal.groups[1].block_index, 2);
-	assert_json_text(cJSON_Duplicate(wal.groups[0].changes, true), PROGRESS);
-	assert_int_equal(fl_task_block_restore(&cluster, job, 1, NULL, 0, &wal, 1), 0);
-	assert_true(wal.groups[0].restored && !wal.groups[1].restored);
-	assert_progress(&cluster, job);
-	assert_false(fl_task_saved(fl_job_task_block(job, 1), fl_task_peek(job, 68)));
-	fl_wal_free(&wal);
-	fl_cluster_free(&cluster);
-}
-
-/* ---- cached heartbeats ---- */
-
-static void assert_heartbeat(const struct fl_heartbeat *read, const struct fl_heartbeat *expected)
-{
-	assert_string_equal(read->host, expected->host);
-	assert_int_equal(read->incarnation, expected->incarnation);
-	assert_int_equal(read->sequence, expected->sequence);
-	assert_int_equal(read->fencing_token, expected->fencing_token);
-	assert_true(read->interruption_in_s == expected->interruption_in_s);
-	assert_int_equal(read->task_count, expected->task_count);
-	for (int number = 0; number < expected->task_count; number++) {
-		assert_string_equal(read->tasks[number].ref, expected->tasks[number].ref);
-		assert_int_equal(read->tasks[number].index, expected->tasks[number].index);
-		assert_int_equal(read->tasks[number].attempt, expected->tasks[number].attempt);
-		assert_int_equal(read->tasks[number].state, expected->tasks[number].state);
-		assert_int_equal(read->tasks[number].exit, expected->tasks[number].exit);
-	}
-}
-
-static void a_digest_is_written_as_cached_heartbeats(void **state)
-{
-	struct fl_task_status tasks[CACHED_TASKS];
-	struct fl_heartbeat heartbeat = make_heartbeat(tasks);
-	char *cached = fl_cached_heartbeat_encode(&heartbeat);
-	cJSON *digest = fl_digest_begin(108);
-
-	(void)state;
-	assert_string_equal(cached, CACHED_HEARTBEAT);
-	fl_digest_add(digest, cached);
-	free(cached);
-	cached = fl_cached_heartbeat_encode(&idle_heartbeat);
-	assert_string_equal(cached, CACHED_IDLE_HEARTBEAT);
-	fl_digest_add(digest, cached);
-	free(cached);
-	assert_json_text(digest, DIGEST);
-}
-
-static void a_digest_is_read_as_cached_heartbeats(void **state)
-{
-	struct fl_task_status tasks[CACHED_TASKS];
-	struct fl_heartbeat expected = make_heartbeat(tasks), read;
-	cJSON *digest = parse_json(DIGEST);
-	const cJSON *list = fl_digest_heartbeats(digest);
-
-	(void)state;
-	assert_int_equal(cJSON_GetArraySize(list), 2);
-	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 0), &read), 0);
-	assert_heartbeat(&read, &expected);
-	fl_heartbeat_free(&read);
-	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 1), &read), 0);
-	assert_heartbeat(&read, &idle_heartbeat);
-	fl_heartbeat_free(&read);
-	cJSON_Delete(digest);
-}
-
 /* ---- keys ---- */
 
 static void every_key_and_prefix_has_its_stored_form(void **state)
@@ -358,12 +224,6 @@
 		cmocka_unit_test(a_job_that_is_over_is_stored_as_its_status_and_size),
 		cmocka_unit_test(a_job_read_from_its_record_is_written_as_it_was),
 		cmocka_unit_test(machine_types_are_stored_with_every_field),
-		cmocka_unit_test(progress_is_stored_by_phase),
-		cmocka_unit_test(progress_is_counted_from_its_record),
-		cmocka_unit_test(the_write_ahead_log_is_written_as_groups_of_changes),
-		cmocka_unit_test(the_write_ahead_log_is_read_as_groups_of_changes),
-		cmocka_unit_test(a_digest_is_written_as_cached_heartbeats),
-		cmocka_unit_test(a_digest_is_read_as_cached_heartbeats),
 		cmocka_unit_test(every_key_and_prefix_has_its_stored_form),
 	};
 
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -1,7 +1,6 @@
 /*
- * The golden test of what stands in the key-value store: a node finds literal records under literal
- * keys, leader and fencing token among them, and what it writes there is compared byte for byte.
- * Virtual time, and a key-value store made here.
+ * The golden test of what stands in the key-value store beside the election: a node finds literal
+ * records under literal keys, and what it writes there is compared byte for byte.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,311 +8,17 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include <errno.h>
-#include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
 
 #include "contract_records_fixture.h"
+#include "contract_store_fixture.h"
 #include "contract_text.h"
-#include "coordination/election/election.h"
-#include "coordination/node.h"
-#include "coordination/persistence/wal_writer.h"
 #include "coordination/follower/heartbeat_digest.h"
 #include "coordination/leadership/failover.h"
+#include "coordination/persistence/wal_writer.h"
 #include "protocol/peers.h"
-#include "sim.h"
 #include "transport/clock.h"
 
-/* ---- a key-value store that holds literals, and takes down what is written ---- */
-
-enum { PROCESS = 1, KEYS_MAX = 8, WRITES_MAX = 16, TEXT_MAX = 8192, LEASE_ID = 7 };
-
-struct sim sim;
-
-static struct {
-	struct fl_node node;
-	struct fl_config config;
-	struct {
-		const char *key, *value;
-		int mod_revision, lease_id;
-	} stored[KEYS_MAX];
-	int stored_count;
-	char written[WRITES_MAX][TEXT_MAX]; /* the transactions, in their order */
-	int written_count;
-	const char *event;  /* what the watches learn once; NULL: nothing */
-	bool lists_refused; /* of the key-value store */
-	int lease_grants, revoked_lease;
-	void (*action)(struct fl_node *node);
-	int result; /* of that, where it has one; 0 is good */
-} world;
-
-void sim_process_computes(int process) { (void)process; }
-
-static void store(const char *key, const char *value, int mod_revision, int lease_id)
-{
-	int at = world.stored_count++;
-
-	sim_require(at < KEYS_MAX);
-	world.stored[at].key = key;
-	world.stored[at].value = value;
-	world.stored[at].mod_revision = mod_revision;
-	world.stored[at].lease_id = lease_id;
-}
-
-static int answer_get(const char *key, struct fl_buffer *body)
-{
-	for (int number = 0; number < world.stored_count; number++)
-		if (strcmp(world.stored[number].key, key) == 0) {
-			fl_buffer_printf(body, "{\"V\":%s,\"KeyRev\":%d,\"Grant\":%d}",
-			                 world.stored[number].value,
-			                 world.stored[number].mod_revision,
-			                 world.stored[number].lease_id);
-			return 200;
-		}
-	fl_buffer_printf(body, "{}");
-	return 404;
-}
-
-static int answer_list(const char *query, struct fl_buffer *body)
-{
-	size_t length = strcspn(query, "&");
-	const char *comma = "";
-
-	if (world.lists_refused)
-		return 503;
-	fl_buffer_printf(body, "{\"Items\":[");
-	for (int number = 0; number < world.stored_count; number++)
-		if (strncmp(world.stored[number].key, query, length) == 0) {
-			fl_buffer_printf(body, "%s{\"Key\":\"%s\",\"V\":%s,\"KeyRev\":%d}", comma,
-			                 world.stored[number].key, world.stored[number].value,
-			                 world.stored[number].mod_revision);
-			comma = ",";
-		}
-	fl_buffer_printf(body, "],\"More\":false,\"LedgerRev\":90}");
-	return 200;
-}
-
-static int answer_watch(const char *query, struct fl_buffer *body)
-{
-	const char *event = strncmp(query, "c/", 2) == 0 ? world.event : NULL;
-
-	if (event)
-		world.event = NULL;
-	else
-		fl_sleep(1);
-	fl_buffer_printf(body, "{\"LedgerRev\":91,\"Log\":[%s]}", event ? event : "");
-	return 200;
-}
-
-static int answer(const char *method, const char *path, const char *text, struct fl_buffer *body)
-{
-	static const char key[] = "/keys/", list[] = "/keys?Prefix=", watch[] = "/follow?Prefix=";
-
-	if (strncmp(path, key, strlen(key)) == 0)
-		return answer_get(path + strlen(key), body);
-	if (strncmp(path, list, strlen(list)) == 0)
-		return answer_list(path + strlen(list), body);
-	if (strncmp(path, watch, strlen(watch)) == 0)
-		return answer_watch(path + strlen(watch), body);
-	if (strcmp(path, "/multi") == 0) {
-		sim_require(world.written_count < WRITES_MAX);
-		sim_copy(world.written[world.written_count++], TEXT_MAX, text);
-		fl_buffer_printf(body, "{\"LedgerRev\":92}");
-	} else if (strcmp(path, "/machine_types") == 0) {
-		fl_buffer_printf(body, "%s", MACHINE_TYPES);
-	} else if (strcmp(path, "/holds") == 0) {
-		world.lease_grants++;
-		fl_buffer_printf(body, "{\"Grant\":%d}", LEASE_ID);
-	} else if (strcmp(method, "DELETE") == 0) {
-		world.revoked_lease = atoi(path + strlen("/holds/"));
-		/* The key ends with its lease. */
-		for (int number = 0; number < world.stored_count; number++)
-			if (world.stored[number].lease_id == world.revoked_lease)
-				world.stored[number].key = "gone";
-		fl_buffer_printf(body, "{}");
-	} else {
-		fl_buffer_printf(body, "{\"Hosts\":[],\"More\":false}");
-	}
-	return 200;
-}
-
-int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *out)
-{
-	(void)client, (void)timeout_s;
-	memset(out, 0, sizeof(*out));
-	if (fl_sleep(0.002) != 0)
-		return -ECANCELED;
-	out->status = answer(method, path, body, &out->body);
-	return 0;
-}
-
-static struct fl_node *begin_node(void)
-{
-	struct fl_node *node = &world.node;
-
-	memset(&world, 0, sizeof(world));
-	sim_time_begin();
-	node->config = &world.config;
-	strcpy(world.config.node, "host-1");
-	strcpy(node->process_id, "host-1-18.75");
-	world.config.core_share = 1;
-	world.config.ram_mb = 64;
-	world.config.state_rps = world.config.state_write_rps = 100;
-	world.config.value_kb = 4;
-	world.config.txn_ops = 64;
-	world.config.cloud_rps = 1;
-	world.config.report_s = 2;
-	world.config.lease_s = 10;
-	world.config.cancel_s = 40;
-	node->machine_types_known = node->jobs_known = true;
-	node->kv_store.last_failure_at = -1e9;
-	add_zones_and_teams(&node->cluster);
-	return node;
-}
-
-static void drop_timer(struct sim_timer *timer) { (void)timer; }
-
-static void end_node(void)
-{
-	struct fl_cached_heartbeat *cached, *next;
-
-	sim_time_end(drop_timer);
-	HASH_ITER (hh, world.node.follower.cached_heartbeats, cached, next) {
-		HASH_DEL(world.node.follower.cached_heartbeats, cached);
-		free(cached->text);
-		free(cached);
-	}
-	fl_cluster_free(&world.node.cluster);
-}
-
-static void run_action(void *arg)
-{
-	(void)arg;
-	world.action(&world.node);
-}
-
-/* Runs this as the node, for so long. */
-static void run(void (*action)(struct fl_node *node), double seconds)
-{
-	world.action = action;
-	assert_non_null(sim_spawn(PROCESS, run_action, NULL));
-	sim_time_run(fl_now() + seconds);
-	assert_int_equal(world.result, 0);
-}
-
-/* Among the transactions there is this one, byte for byte. */
-static void assert_written(const char *expected)
-{
-	for (int number = 0; number < world.written_count; number++)
-		if (strcmp(world.written[number], expected) == 0)
-			return;
-	for (int number = 0; number < world.written_count; number++)
-		print_message("written: %s\n", world.written[number]);
-	fail_msg("not written: %s", expected);
-}
-
-/* ---- what a node writes under the keys, and finds there ---- */
-
-static void start_election(struct fl_node *node)
-{
-	static const struct fl_election_callbacks callbacks = {fl_leadership_begin,
-	                                                       fl_leadership_end};
-
-	fl_election_start(node, &callbacks);
-}
-
-static void acquire_lease_and_raise_token(struct fl_node *node)
-{
-	start_election(node);
-	fl_sleep(8);
-	node->leader_lease.token_raise_wanted = true;
-	fl_sleep(2);
-}
-
-static void a_leader_writes_its_name_process_and_fencing_token(void **state)
-{
-	const struct fl_node *node = begin_node();
-
-	(void)state;
-	store("c/epoch", FENCING_TOKEN, 31, 0);
-	run(acquire_lease_and_raise_token, 12);
-	assert_true(node->leader_lease.held);
-	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":0},"
-	               "{\"Key\":\"c/epoch\",\"KeyRev\":31}],\"Apply\":[{\"Put\":\"c/"
-	               "lead\",\"V\":" OWN_LEADER
-	               ",\"Grant\":7},{\"Put\":\"c/epoch\",\"V\":" NEXT_FENCING_TOKEN "}]}");
-	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92},"
-	               "{\"Key\":\"c/epoch\",\"KeyRev\":92}],"
-	               "\"Apply\":[{\"Put\":\"c/epoch\",\"V\":" RAISED_FENCING_TOKEN "}]}");
-	assert_int_equal(node->leader_view.fencing_token, 43);
-	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":92}],"
-	               "\"Apply\":[{\"Put\":\"m/kinds\",\"V\":" MACHINE_TYPES "}]}");
-	end_node();
-}
-
-static void refresh(struct fl_node *node) { world.result = fl_leader_view_refresh(node); }
-
-static void a_node_recognises_the_stored_leader_and_fencing_token(void **state)
-{
-	const struct fl_node *node = begin_node();
-
-	(void)state;
-	store("c/lead", LEADER, 32, 5);
-	store("c/epoch", FENCING_TOKEN, 31, 0);
-	run(refresh, 1);
-	assert_string_equal(node->leader_view.leader, "host-2");
-	assert_int_equal(node->leader_view.fencing_token, 41);
-	run(start_election, 10);
-	assert_string_equal(node->leader_view.leader, "host-2");
-	assert_int_equal(node->leader_view.fencing_token, 41);
-	assert_false(node->leader_lease.held);
-	assert_int_equal(world.lease_grants, 0);
-	assert_int_equal(world.written_count, 0);
-	end_node();
-}
-
-/* Once it has started, lists are refused: only the watch can tell it. */
-static void a_node_recognises_a_leader_and_fencing_token_that_change(void **state)
-{
-	const struct fl_node *node = begin_node();
-
-	(void)state;
-	store("c/lead", "{\"node\":\"host-9\",\"boot\":\"9\"}", 32, 5);
-	run(start_election, 2.5);
-	assert_string_equal(node->leader_view.leader, "host-9");
-	assert_int_equal(node->leader_view.fencing_token, 0);
-	world.lists_refused = true;
-	world.event = "{\"KeyRev\":93,\"Put\":\"c/lead\",\"V\":" LEADER "},"
-		      "{\"KeyRev\":93,\"Put\":\"c/epoch\",\"V\":" FENCING_TOKEN "}";
-	sim_time_run(fl_now() + 3);
-	assert_string_equal(node->leader_view.leader, "host-2");
-	assert_int_equal(node->leader_view.fencing_token, 41);
-	end_node();
-}
-
-static void a_node_releases_the_lease_of_its_earlier_process_only(void **state)
-{
-	const struct fl_node *node = begin_node();
-
-	(void)state;
-	store("c/lead", LEADER_BEFORE, 32, 5);
-	store("c/epoch", FENCING_TOKEN, 31, 0);
-	run(start_election, 3);
-	assert_int_equal(world.revoked_lease, 5);
-	assert_true(node->leader_lease.held);
-	assert_int_equal(node->leader_view.fencing_token, 42);
-	end_node();
-	node = begin_node();
-	store("c/lead", OWN_LEADER, 32, 5);
-	run(start_election, 3);
-	assert_int_equal(world.revoked_lease, 0);
-	assert_int_equal(world.lease_grants, 0);
-	assert_false(node->leader_lease.held);
-	end_node();
-}
-
 static void hold_leader_lease(struct fl_node *node)
 {
 	node->leader_lease.held = node->leadership.active = node->cluster.leading = true;
@@ -329,21 +34,19 @@
 
 static void a_leader_writes_the_write_ahead_log_under_its_key(void **state)
 {
-	struct fl_node *node = begin_node();
+	struct fl_node *node = *state;
 	struct fl_job *job = add_job(&node->cluster);
 
-	(void)state;
-	store("w/0", "{\"log\":[]}", 34, 0);
+	store_record("w/0", "{\"log\":[]}", 34, 0);
 	make_progress(&node->cluster, job);
 	fl_token_bucket_init(&node->record_writer.write_budget, 100, 100, fl_now());
-	run(write_wal, 1);
+	run_as_node(write_wal, 1);
 	assert_int_equal(world.written_count, 1);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":33},{\"Key\":\"w/0\","
 	               "\"KeyRev\":34}],\"Apply\":[{\"Put\":\"w/0\",\"V\":" WAL_VALUE "}]}");
-	end_node();
 }
 
-static void load(struct fl_node *node)
+static void load_records(struct fl_node *node)
 {
 	node->leader_lease.held = true;
 	world.result = fl_failover_load(node);
@@ -351,16 +54,16 @@
 
 static void a_new_leader_loads_what_stands_under_the_keys(void **state)
 {
-	struct fl_node *node = begin_node();
+	struct fl_node *node = *state;
 	const struct fl_job *job;
 
-	(void)state;
-	store("j/run-000412", LIVE_JOB, 35, 0);
-	store("j/run-000413", CANCELLED_JOB, 36, 0);
-	store("p/run-000412/1", PROGRESS, 37, 0);
-	store("p/run-000413/0", "{\"d\":[],\"t\":[],\"m\":[[8,1,\"m-000014\",103,9]]}", 38, 0);
-	store("w/0", "{\"log\":[" OTHER_WAL_GROUP "]}", 39, 0);
-	run(load, 2);
+	store_record("j/run-000412", LIVE_JOB, 35, 0);
+	store_record("j/run-000413", CANCELLED_JOB, 36, 0);
+	store_record("p/run-000412/1", PROGRESS, 37, 0);
+	store_record("p/run-000413/0", "{\"d\":[],\"t\":[],\"m\":[[8,1,\"m-000014\",103,9]]}", 38,
+	             0);
+	store_record("w/0", "{\"log\":[" OTHER_WAL_GROUP "]}", 39, 0);
+	run_as_node(load_records, 2);
 	job = fl_job_find(&node->cluster, "run-000412");
 	assert_non_null(job);
 	assert_int_equal(job->record.mod_revision, 35);
@@ -371,7 +74,6 @@
 	assert_true(job && job->cancelled);
 	assert_task(&node->cluster, job, 8, FL_TASK_PLACED, 1, "m-000014", 103, 9);
 	assert_int_equal(fl_finished_job_find(&node->cluster, "run-000413")->status, FL_CANCELLED);
-	end_node();
 }
 
 static struct {
@@ -392,11 +94,10 @@
 static void a_job_is_found_by_its_live_and_by_its_final_key(void **state)
 {
 	(void)state;
-	begin_node();
-	store("j/run-000412", LIVE_JOB, 35, 0);
-	store("f/run-000414", FINAL_DONE, 40, 0);
+	store_record("j/run-000412", LIVE_JOB, 35, 0);
+	store_record("f/run-000414", FINAL_DONE, 40, 0);
 	live.result = final.result = -1;
-	run(read_records, 1);
+	run_as_node(read_records, 1);
 	assert_int_equal(live.result, 0);
 	assert_false(live.record.final);
 	assert_int_equal(live.mod_revision, 35);
@@ -406,7 +107,6 @@
 	assert_int_equal(final.record.status, FL_DONE);
 	assert_int_equal(final.mod_revision, 40);
 	assert_null(final.value);
-	end_node();
 }
 
 static void write_digest(struct fl_node *node)
@@ -418,55 +118,31 @@
 	node->leader_view.fencing_token = 108;
 	fl_heartbeat_digest_init(node, 2);
 	fl_heartbeat_cache(node, &heartbeat);
-	fl_heartbeat_cache(node, &idle_heartbeat);
+	fl_heartbeat_cache(node, &heartbeat_without_tasks);
 	fl_heartbeat_digest_write(node, fl_now(), 2);
 }
 
 static void a_follower_writes_its_digest_under_its_name(void **state)
 {
 	(void)state;
-	begin_node();
-	store("k/host-1/0", "{\"epoch\":1,\"kept\":[]}", 41, 0);
-	run(write_digest, 1);
+	store_record("k/host-1/0", "{\"epoch\":1,\"kept\":[]}", 41, 0);
+	run_as_node(write_digest, 1);
 	assert_int_equal(world.written_count, 1);
 	assert_written("{\"When\":[{\"Key\":\"k/host-1/0\",\"KeyRev\":41}],"
 	               "\"Apply\":[{\"Put\":\"k/host-1/0\",\"V\":" DIGEST "}]}");
-	end_node();
-}
-
-static void a_leader_reads_digests_and_finished_jobs(void **state)
-{
-	const struct fl_node *node = begin_node();
-	const struct fl_machine *machine;
-
-	(void)state;
-	store("c/epoch", "{\"epoch\":102}", 31,
-	      0); /* the fencing token of the first heartbeat is next */
-	store("f/run-000414", FINAL_DONE, 40, 0);
-	store("k/host-2/0", DIGEST, 41, 0);
-	run(start_election, 4);
-	assert_true(node->leadership.active);
-	machine = fl_machine_find(&node->cluster.machines, "m-000012");
-	assert_non_null(machine);
-	assert_int_equal(machine->heartbeat.incarnation, 101);
-	assert_int_equal(machine->heartbeat.sequence, 102);
-	assert_non_null(fl_finished_job_find(&node->cluster, "run-000414"));
-	assert_int_equal(fl_finished_job_find(&node->cluster, "run-000414")->task_count, 71);
-	end_node();
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_leader_writes_its_name_process_and_fencing_token),
-		cmocka_unit_test(a_node_recognises_the_stored_leader_and_fencing_token),
-		cmocka_unit_test(a_node_recognises_a_leader_and_fencing_token_that_change),
-		cmocka_unit_test(a_node_releases_the_lease_of_its_earlier_process_only),
-		cmocka_unit_test(a_leader_writes_the_write_ahead_log_under_its_key),
-		cmocka_unit_test(a_new_leader_loads_what_stands_under_the_keys),
-		cmocka_unit_test(a_job_is_found_by_its_live_and_by_its_final_key),
-		cmocka_unit_test(a_follower_writes_its_digest_under_its_name),
-		cmocka_unit_test(a_leader_reads_digests_and_finished_jobs),
+		cmocka_unit_test_setup_teardown(a_leader_writes_the_write_ahead_log_under_its_key,
+	                                        begin_node, end_node),
+		cmocka_unit_test_setup_teardown(a_new_leader_loads_what_stands_under_the_keys,
+	                                        begin_node, end_node),
+		cmocka_unit_test_setup_teardown(a_job_is_found_by_its_live_and_by_its_final_key,
+	                                        begin_node, end_node),
+		cmocka_unit_test_setup_teardown(a_follower_writes_its_digest_under_its_name,
+	                                        begin_node, end_node),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
