--- /dev/null
+++ b/tests/coroutine_fixture.c
@@ -0,0 +1,33 @@
+/* A coroutine that ends the loop when it returns. */
+#include "coroutine_fixture.h"
+
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+
+struct coroutine_run {
+	void (*function)(void *argument);
+	void *argument;
+	bool finished;
+};
+
+static void run_to_its_end(void *context)
+{
+	struct coroutine_run *run = context;
+
+	run->function(run->argument);
+	run->finished = true;
+	ev_break(fl_loop(), EVBREAK_ALL);
+}
+
+void run_coroutine(void (*function)(void *argument), void *argument)
+{
+	struct coroutine_run run = {.function = function, .argument = argument};
+
+	assert_non_null(fl_coroutine_spawn(run_to_its_end, &run));
+	fl_coroutines_run();
+	assert_true(run.finished);
+}
--- /dev/null
+++ b/tests/test_admission.c
@@ -0,0 +1,72 @@
+/* What a controller admits by its resources: its shares of the sockets, and tight settings. */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <string.h>
+
+#include "coordination/api/admission.h"
+#include "coordination/node.h"
+
+/* What is set aside for peers grows with them, and not with the machines. */
+static void the_public_share_of_the_sockets_grows_with_the_limit(void **state)
+{
+	struct fl_config config = {.max_connections = 3565, .peer_count = 4};
+
+	(void)state;
+	assert_true(fl_node_public_conns(&config) >= 3000);
+	config.max_connections = 16;
+	assert_in_range(fl_node_public_conns(&config), 8, 15);
+}
+
+/*
+ * Four peers may each want their part of a leader with few sockets, while its public side is full:
+ * peers, key-value store, cloud and commands keep their share, and so do users and workers.
+ */
+static void every_side_keeps_its_share_of_the_sockets(void **state)
+{
+	static const int limits[] = {900, 1500, 4000};
+	const int commands_and_services = 48;
+
+	(void)state;
+	for (size_t i = 0; i < sizeof(limits) / sizeof(limits[0]); i++) {
+		struct fl_config config = {.peer_count = 4, .max_connections = limits[i]};
+		int public_share = fl_node_public_conns(&config);
+		int from_peers = config.peer_count * FL_PEER_CONNS_MAX;
+		int to_leader = FL_PEER_CONNS_MAX + config.peer_count;
+
+		assert_true(public_share >= (int)(0.6 * limits[i]));
+		assert_true(limits[i] - public_share >= from_peers);
+		assert_true(public_share + from_peers + to_leader + commands_and_services <=
+		            limits[i]);
+	}
+}
+
+static void a_tight_setting_is_named_with_its_cost(void **state)
+{
+	struct fl_config config = {.core_share = 0.029, .ram_mb = 37, .max_connections = 900};
+	char text[256];
+
+	(void)state;
+	assert_false(fl_admission_tight_setting(&config, 0, text, sizeof(text)));
+	config.ram_mb = 16;
+	assert_true(fl_admission_tight_setting(&config, 0, text, sizeof(text)));
+	assert_non_null(strstr(text, "ram_mb is 16: 900 connections take 8 MB"));
+	config.core_share = 0.01;
+	assert_true(fl_admission_tight_setting(&config, 1, text, sizeof(text)));
+	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 reports"));
+	assert_false(fl_admission_tight_setting(&config, 2, text, sizeof(text)));
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(the_public_share_of_the_sockets_grows_with_the_limit),
+		cmocka_unit_test(every_side_keeps_its_share_of_the_sockets),
+		cmocka_unit_test(a_tight_setting_is_named_with_its_cost),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_coroutine.c
@@ -0,0 +1,134 @@
+/* Coroutines that are cancelled, and urgent ones among others that compute for long. */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <errno.h>
+#include <unistd.h>
+
+#include "coroutine_fixture.h"
+#include "transport/clock.h"
+
+struct waiters {
+	struct fl_condition signal;
+	int woken, cancelled, unwound;
+	int timeout_result; /* of a wait for a signal that does not come */
+};
+
+static void wait_for_signal(void *argument)
+{
+	struct waiters *waiters = argument;
+	int rc = fl_condition_wait(&waiters->signal, -1);
+
+	if (rc == 0)
+		waiters->woken++;
+	if (rc == -ECANCELED) {
+		waiters->cancelled++;
+		/* Once cancelled, no wait waits any more: the coroutine unwinds. */
+		if (fl_sleep(1000) == -ECANCELED && fl_io_wait(0, EV_READ, -1) == -ECANCELED)
+			waiters->unwound++;
+	}
+}
+
+static void cancel_one_waiter(void *argument)
+{
+	struct waiters *waiters = argument;
+	struct fl_coroutine *cancelled;
+
+	fl_coroutine_spawn(wait_for_signal, waiters);
+	fl_coroutine_spawn(wait_for_signal, waiters);
+	cancelled = fl_coroutine_spawn(wait_for_signal, waiters);
+	fl_sleep(0);
+	fl_coroutine_cancel(cancelled);
+	fl_sleep(0);
+	fl_condition_broadcast(&waiters->signal);
+	fl_sleep(0);
+	waiters->timeout_result = fl_condition_wait(&waiters->signal, 0.001);
+}
+
+static void a_cancelled_coroutine_unwinds_by_itself(void **state)
+{
+	struct waiters waiters = {0};
+
+	(void)state;
+	fl_coroutines_init(ev_default_loop(0));
+	run_coroutine(cancel_one_waiter, &waiters);
+	fl_coroutines_shutdown();
+
+	assert_int_equal(waiters.woken, 2);
+	assert_int_equal(waiters.cancelled, 1);
+	assert_int_equal(waiters.unwound, 1);
+	assert_int_equal(waiters.timeout_result, -ETIMEDOUT);
+}
+
+enum { BUSY_COROUTINES = 3 };
+
+struct turns {
+	int pipe[2];
+	int count;
+	char order[BUSY_COROUTINES + 2]; /* b: a busy one, u: the urgent one */
+	ssize_t written;
+	int wait_results[2];
+};
+
+static void compute_for_a_turn(void *argument)
+{
+	struct turns *turns = argument;
+	double until = fl_now() + 0.02; /* longer than a turn, however fast the machine */
+
+	if (turns->count == 0)
+		turns->written = write(turns->pipe[1], "x", 1);
+	turns->order[turns->count++] = 'b';
+	while (fl_now() < until)
+		;
+	if (turns->count == BUSY_COROUTINES + 1)
+		ev_break(fl_loop(), EVBREAK_ALL);
+}
+
+static void wait_urgently(void *argument)
+{
+	struct turns *turns = argument;
+
+	fl_coroutine_set_urgent();
+	for (int i = 0; i < BUSY_COROUTINES; i++)
+		fl_coroutine_spawn(compute_for_a_turn, turns);
+	turns->wait_results[0] = fl_io_wait(turns->pipe[0], EV_READ, 10);
+	turns->order[turns->count++] = 'u';
+	/* After a standstill the answer and the end of its time come at once: it was not missed. */
+	turns->wait_results[1] = fl_io_wait(turns->pipe[0], EV_READ, 0);
+}
+
+/*
+ * Found with controllers eight times slower: whatever was ready ran to its end before the answer
+ * to a renewal was looked at, and the lease, which had been renewed in time, was lost.
+ */
+static void an_urgent_coroutine_runs_before_others_that_are_ready(void **state)
+{
+	struct turns turns = {.wait_results = {-1, -1}};
+
+	(void)state;
+	assert_int_equal(pipe(turns.pipe), 0);
+	fl_coroutines_init(ev_default_loop(0));
+	assert_non_null(fl_coroutine_spawn(wait_urgently, &turns));
+	fl_coroutines_run();
+	fl_coroutines_shutdown();
+	close(turns.pipe[0]);
+	close(turns.pipe[1]);
+
+	assert_int_equal(turns.written, 1);
+	assert_int_equal(turns.wait_results[0], 0);
+	assert_int_equal(turns.wait_results[1], 0);
+	assert_string_equal(turns.order, "bubb");
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(a_cancelled_coroutine_unwinds_by_itself),
+		cmocka_unit_test(an_urgent_coroutine_runs_before_others_that_are_ready),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/test_message_costs.c
+++ b/tests/test_message_costs.c
@@ -15,21 +15,21 @@
 #include <sys/syscall.h>
 #include <unistd.h>
 
+#include "http_fixture.h"
 #include "protocol/json.h"
 #include "transport/http_client.h"
-#include "transport/http_server.h"
 #include "transport/coroutine.h"
 
-enum { MESSAGES = 200, IDLE_CONNECTIONS = 400, FIRST_MESSAGES = 3 };
+enum { CONNECTIONS = 16, MESSAGES = 200, IDLE_CONNECTIONS = 400, FIRST_MESSAGES = 3 };
 
 /*
  * Memory of a connection that has been served once and is idle. The sanitizers' own records of
  * stacks and blocks count as memory too.
  */
 #if defined(__SANITIZE_ADDRESS__)
-enum { IDLE_BYTES_MOST = 32 * 1024 };
+enum { IDLE_BYTES_MAX = 32 * 1024 };
 #else
-enum { IDLE_BYTES_MOST = 10 * 1024 };
+enum { IDLE_BYTES_MAX = 10 * 1024 };
 #endif
 
 static struct {
@@ -37,32 +37,31 @@
 } calls;
 
 static struct {
-	char addr[32];
 	bool handler_waits;
 	long idle_bytes;
 } run;
 
-ssize_t recv(int fd, void *buf, size_t n, int flags)
+ssize_t recv(int fd, void *buffer, size_t size, int flags)
 {
 	calls.receives++;
-	return syscall(SYS_recvfrom, fd, buf, n, flags, NULL, NULL);
+	return syscall(SYS_recvfrom, fd, buffer, size, flags, NULL, NULL);
 }
 
-ssize_t send(int fd, const void *buf, size_t n, int flags)
+ssize_t send(int fd, const void *buffer, size_t size, int flags)
 {
 	calls.sends++;
-	return syscall(SYS_sendto, fd, buf, n, flags, NULL, 0);
+	return syscall(SYS_sendto, fd, buffer, size, flags, NULL, 0);
 }
 
-int epoll_ctl(int epfd, int op, int fd, struct epoll_event *event)
+int epoll_ctl(int epoll_fd, int operation, int fd, struct epoll_event *event)
 {
 	calls.registrations++;
-	return (int)syscall(SYS_epoll_ctl, epfd, op, fd, event);
+	return (int)syscall(SYS_epoll_ctl, epoll_fd, operation, fd, event);
 }
 
-/* As deep as a report is read: the stack below is touched. */
-static void on_request(void *context, const struct fl_http_request *request,
-                       struct fl_http_response *response)
+/* As deep as a heartbeat is read: the stack below is touched. */
+static void answer_with_body(void *context, const struct fl_http_request *request,
+                             struct fl_http_response *response)
 {
 	cJSON *object = fl_json_parse(request->body, request->body_len);
 
@@ -73,7 +72,7 @@
 	response->body = fl_json_print_and_delete(object ? object : cJSON_CreateObject());
 }
 
-static const char *const report =
+static const char *const heartbeat =
 	"{\"Host\":\"m-000231\",\"Endpoint\":\"10.1.0.232:9000\",\"Tenure\":1,\"Parts\":["
 	"{\"Part\":\"run-000412/3\",\"Try\":2,\"Status\":\"running\"},"
 	"{\"Part\":\"run-000398/0\",\"Try\":1,\"Status\":\"ended\",\"ExitReason\":\"done\"}]}";
@@ -82,38 +81,29 @@
 {
 	struct fl_http_reply reply;
 
-	assert_int_equal(fl_http_call(client, "POST", "/hello", report, 10, &reply), 0);
+	assert_int_equal(fl_http_call(client, "POST", "/hello", heartbeat, 10, &reply), 0);
 	assert_int_equal(reply.status, 200);
 	fl_buffer_free(&reply.body);
 }
 
-static void exchange_messages(void *arg)
+static void exchange_messages(const char *address, void *context)
 {
 	struct fl_http_client client;
 
-	(void)arg;
-	assert_int_equal(fl_http_client_init(&client, run.addr, 1), 0);
+	(void)context;
+	assert_int_equal(fl_http_client_init(&client, address, 1), 0);
 	for (int i = 0; i < FIRST_MESSAGES; i++)
 		exchange(&client);
 	memset(&calls, 0, sizeof(calls));
 	for (int i = 0; i < MESSAGES; i++)
 		exchange(&client);
 	fl_http_client_close(&client);
-	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void with_server(void (*routine)(void *), int connections)
+static void run_with_server(void (*client)(const char *address, void *context), int max_connections)
 {
-	struct fl_http_server *server;
-
-	fl_coroutines_init(ev_default_loop(0));
-	server = fl_http_serve("127.0.0.1:0", connections, 90, on_request, NULL);
-	assert_non_null(server);
-	snprintf(run.addr, sizeof(run.addr), "127.0.0.1:%d", fl_http_server_port(server));
-	fl_coroutine_spawn(routine, NULL);
-	fl_coroutines_run();
-	fl_coroutines_shutdown();
-	free(server);
+	run_http_client(&(struct http_run){
+		.max_connections = max_connections, .handler = answer_with_body, .client = client});
 }
 
 /*
@@ -125,50 +115,49 @@
 {
 	(void)state;
 	run.handler_waits = false;
-	with_server(exchange_messages, 16);
+	run_with_server(exchange_messages, CONNECTIONS);
 	assert_int_equal(calls.receives, 2 * MESSAGES);
 	assert_int_equal(calls.sends, 2 * MESSAGES);
 	assert_true(calls.registrations <= MESSAGES + FIRST_MESSAGES);
 }
 
 /* A server's connection keeps its registration while the answer is waited for, too. */
-static void a_wait_for_the_answer_costs_no_registration(void **state)
+static void a_message_costs_no_registration_when_its_handler_waits(void **state)
 {
 	(void)state;
 	run.handler_waits = true;
-	with_server(exchange_messages, 16);
+	run_with_server(exchange_messages, CONNECTIONS);
 	assert_int_equal(calls.receives, 2 * MESSAGES);
 	assert_true(calls.registrations <= MESSAGES + FIRST_MESSAGES);
 }
 
 static long resident_bytes(void)
 {
-	FILE *f = fopen("/proc/self/statm", "r");
+	FILE *file = fopen("/proc/self/statm", "r");
 	long size, resident;
 
-	assert_non_null(f);
-	assert_int_equal(fscanf(f, "%ld %ld", &size, &resident), 2);
-	fclose(f);
+	assert_non_null(file);
+	assert_int_equal(fscanf(file, "%ld %ld", &size, &resident), 2);
+	fclose(file);
 	return resident * sysconf(_SC_PAGESIZE);
 }
 
-static void open_connections(void *arg)
+static void open_connections(const char *address, void *context)
 {
 	static struct fl_http_client clients[IDLE_CONNECTIONS];
 	long before;
 
-	(void)arg;
-	assert_int_equal(fl_http_client_init(&clients[0], run.addr, 1), 0);
+	(void)context;
+	assert_int_equal(fl_http_client_init(&clients[0], address, 1), 0);
 	exchange(&clients[0]);
 	before = resident_bytes();
 	for (int i = 1; i < IDLE_CONNECTIONS; i++) {
-		assert_int_equal(fl_http_client_init(&clients[i], run.addr, 1), 0);
+		assert_int_equal(fl_http_client_init(&clients[i], address, 1), 0);
 		exchange(&clients[i]);
 	}
 	run.idle_bytes = (resident_bytes() - before) / (IDLE_CONNECTIONS - 1);
 	for (int i = 0; i < IDLE_CONNECTIONS; i++)
 		fl_http_client_close(&clients[i]);
-	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
 /* 1,500 of them must fit into 46 MB, beside all else. */
@@ -176,18 +165,19 @@
 {
 	(void)state;
 	run.handler_waits = false;
-	assert_true(fl_raise_open_file_limit(3 * IDLE_CONNECTIONS) >= 2 * IDLE_CONNECTIONS + 16);
-	with_server(open_connections, IDLE_CONNECTIONS + 16);
+	assert_true(fl_raise_open_file_limit(3 * IDLE_CONNECTIONS) >=
+	            2 * IDLE_CONNECTIONS + CONNECTIONS);
+	run_with_server(open_connections, IDLE_CONNECTIONS + CONNECTIONS);
 	print_message("%ld bytes an idle connection\n", run.idle_bytes);
 	assert_true(run.idle_bytes > 0);
-	assert_true(run.idle_bytes <= IDLE_BYTES_MOST);
+	assert_true(run.idle_bytes <= IDLE_BYTES_MAX);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_message_costs_one_read_and_no_registration),
-		cmocka_unit_test(a_wait_for_the_answer_costs_no_registration),
+		cmocka_unit_test(a_message_costs_no_registration_when_its_handler_waits),
 		cmocka_unit_test(an_idle_connection_holds_little_memory),
 	};
 
