--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -11,6 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "coroutine_fixture.h"
 #include "transport/clock.h"
 
 static void answer_as_kv_store(void *context, const struct fl_http_request *request,
@@ -141,3 +142,21 @@
 	free(fixture);
 	return 0;
 }
+
+void note_failure(struct frontend_fixture *fixture, const char *format, ...)
+{
+	va_list ap;
+
+	if (fixture->failure[0])
+		return;
+	va_start(ap, format);
+	vsnprintf(fixture->failure, sizeof(fixture->failure), format, ap);
+	va_end(ap);
+}
+
+void run_in_coroutine(struct frontend_fixture *fixture, void (*function)(void *fixture))
+{
+	run_coroutine(function, fixture);
+	if (fixture->failure[0])
+		fail_msg("%s", fixture->failure);
+}
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -1,7 +1,4 @@
-/*
- * One node between a key-value store and a leader, each a fake of a few lines, on
- * loopback.
- */
+/* One node between a key-value store and a leader, each a fake of a few lines, on loopback. */
 #ifndef FL_TESTS_FRONTEND_FIXTURE_H
 #define FL_TESTS_FRONTEND_FIXTURE_H
 
@@ -14,17 +11,17 @@
 	struct fl_node node;
 	struct fl_config config;
 	struct fl_http_server *kv_store, *leader;
-	bool kv_store_refuses;           /* by the key-value store, this node alone */
+	bool kv_store_refuses;           /* this node alone; 503 to all requests */
 	bool job_known;                  /* the job was accepted before */
 	const char *record;              /* the only job record there is, of run-000001 */
-	const char *progress;            /* and that of its progress */
+	const char *progress;            /* and the only progress record */
 	bool lists_without_more;         /* a list does not say whether there is more of it */
 	int record_writes, record_reads; /* of job records */
 	bool reads_gated;                /* a read of one waits for the gate */
 	struct fl_condition read_gate;
 	bool known_at_read_begin; /* whether the job was known when it began */
-	int ref;
-	char failed[400];
+	int last_ref;             /* number of the job submitted last */
+	char failure[400];        /* the first one inside a coroutine; empty: none */
 };
 
 /* Fields given twice: the first one counts. */
@@ -35,12 +32,18 @@
 	"\"Together\":false,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":1,"                 \
 	"\"SnapshotEveryS\":0,\"SnapshotCostS\":0"
 
-/* Before and after each test: a node that follows n1, three machine types in zones a and b, team t.
- */
+/* Before each test: a node that follows n1, three machine types in zones a and b, team t. */
 int set_up(void **state);
 
 int tear_down(void **state);
 
+/* Notes the first failure: an assertion must not leave a coroutine. */
+void note_failure(struct frontend_fixture *fixture, const char *format, ...)
+	__attribute__((format(printf, 2, 3)));
+
+/* Runs the function as a coroutine to its end, and fails the test by what was noted in it. */
+void run_in_coroutine(struct frontend_fixture *fixture, void (*function)(void *fixture));
+
 /* A test entry with a node and fakes of its own. */
 #define FRONTEND_TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
 
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -31,29 +31,29 @@
 /* What a list lacks counts as deleted: it must say that it is complete. */
 static void check_partial_lists(struct frontend_fixture *fixture)
 {
-	struct fl_cloud_machine *hosts;
+	struct fl_cloud_machine *machines;
 	bool more;
-	int n;
+	int count;
 
-	if (fl_cloud_list(&fixture->node.cloud, NULL, &hosts, &n, &more) != 0)
-		strcpy(fixture->failed, "a good list is not read");
-	free(hosts);
+	if (fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
+		note_failure(fixture, "a good list is not read");
+	free(machines);
 	fixture->lists_without_more = true;
 	if (fl_failover_load(&fixture->node) == FL_FAILOVER_LOADED ||
-	    fl_cloud_list(&fixture->node.cloud, NULL, &hosts, &n, &more) == 0)
-		strcpy(fixture->failed, "half a list passes for a whole one");
+	    fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
+		note_failure(fixture, "half a list passes for a whole one");
 	fixture->lists_without_more = false;
 }
 
-static void load_malformed_records(void *arg)
+static void load_malformed_records(void *argument)
 {
-	struct frontend_fixture *fixture = arg;
+	struct frontend_fixture *fixture = argument;
 
 	fixture->node.leader_lease.held = true;
 	fixture->record = RECORD("\"Apart\":true");
 	if (fl_failover_load(&fixture->node) != FL_FAILOVER_LOADED ||
 	    !fl_job_find(&fixture->node.cluster, "run-000001"))
-		strcpy(fixture->failed, "a good record is not read");
+		note_failure(fixture, "a good record is not read");
 	check_partial_lists(fixture);
 	for (size_t i = 0; i < sizeof(malformed_records) / sizeof(malformed_records[0]); i++) {
 		fixture->record = malformed_records[i];
@@ -61,25 +61,17 @@
 		fixture->node.cluster.jobs = NULL;
 		fixture->node.cluster.finished = NULL;
 		fl_symbol_intern(&fixture->node.cluster.zones, "a");
-		if ((fl_failover_load(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
-		     fixture->node.cluster.finished) &&
-		    !fixture->failed[0])
-			snprintf(fixture->failed, sizeof(fixture->failed), "is decided by: %s",
-			         fixture->record);
+		if (fl_failover_load(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
+		    fixture->node.cluster.finished)
+			note_failure(fixture, "is decided by: %s", fixture->record);
 	}
 	if (fixture->record_writes)
-		strcpy(fixture->failed, "something is written");
-	ev_break(fl_loop(), EVBREAK_ALL);
+		note_failure(fixture, "something is written");
 }
 
 static void a_new_leader_decides_nothing_over_a_malformed_record(void **state)
 {
-	struct frontend_fixture *fixture = *state;
-
-	fl_coroutine_spawn(load_malformed_records, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, load_malformed_records);
 }
 
 /* Nor does a node whose watch brings it: the job neither runs nor is over. */
@@ -106,26 +98,25 @@
 	fixture->record = record;
 	fixture->progress = progress;
 	if (fl_failover_load(&fixture->node) != FL_FAILOVER_LOADED)
-		strcpy(fixture->failed, "a good record is not read");
+		note_failure(fixture, "a good record is not read");
 	return fixture->node.cluster.dirty &&
 	       fixture->node.cluster.dirty == fl_job_find(&fixture->node.cluster, "run-000001");
 }
 
-static void load_finished_jobs(void *arg)
+static void load_finished_jobs(void *argument)
 {
 	static const char cancelled[] = RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
-	struct frontend_fixture *fixture = arg;
+	struct frontend_fixture *fixture = argument;
 
 	fixture->node.leader_lease.held = true;
 	if (is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
-		strcpy(fixture->failed, "one task is still to run");
+		note_failure(fixture, "one task is still to run");
 	if (!is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
-		strcpy(fixture->failed, "all its tasks are done");
+		note_failure(fixture, "all its tasks are done");
 	if (!is_to_be_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
-		strcpy(fixture->failed, "it is cancelled, and nothing of it is anywhere");
+		note_failure(fixture, "it is cancelled, and nothing of it is anywhere");
 	if (is_to_be_finished(fixture, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
-		strcpy(fixture->failed, "it is cancelled, and a task may still be about");
-	ev_break(fl_loop(), EVBREAK_ALL);
+		note_failure(fixture, "it is cancelled, and a task may still run");
 }
 
 /*
@@ -134,12 +125,7 @@
  */
 static void a_new_leader_finishes_jobs_whose_tasks_are_all_over(void **state)
 {
-	struct frontend_fixture *fixture = *state;
-
-	fl_coroutine_spawn(load_finished_jobs, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, load_finished_jobs);
 }
 
 int main(void)
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -25,9 +25,9 @@
 	bool answered;
 };
 
-static void send_query(void *arg)
+static void send_query(void *argument)
 {
-	struct query *query = arg;
+	struct query *query = argument;
 
 	fl_route_user_request(&query->fixture->node, FL_USER_REQUEST_STATUS, query->ref, NULL, 0,
 	                      FL_HOP_FIRST, &query->response);
@@ -39,19 +39,19 @@
 
 enum { QUERIES = 40 };
 
-static int answered_with(const struct query *query, int from, int to, int status)
+static int answered_with(const struct query *queries, int from, int to, int status)
 {
 	int count = 0;
 
 	for (int i = from; i < to; i++)
-		count += query[i].answered && query[i].response.status == status;
+		count += queries[i].answered && queries[i].response.status == status;
 	return count;
 }
 
-static bool all_answered(const struct query *query)
+static bool all_answered(const struct query *queries)
 {
 	for (int i = 0; i < QUERIES; i++)
-		if (!query[i].answered)
+		if (!queries[i].answered)
 			return false;
 	return true;
 }
@@ -64,85 +64,89 @@
 	fl_coroutine_spawn(send_query, query);
 }
 
-static void send_many_queries(void *arg)
+/* Nobody leads: each status query is answered from the records, at so many reads a second. */
+static void follow_nobody(struct frontend_fixture *fixture, double reads_per_s)
 {
-	static struct query query[QUERIES];
-	struct frontend_fixture *fixture = arg;
-	char ref[FL_REF_MAX];
-
-	/* Nobody leads: each status query is answered from the records, and twenty by one read of
-	 * them. */
 	fixture->node.peer_count = 0;
 	fixture->node.machine_types_known = fixture->node.jobs_known = true;
-	fixture->reads_gated = true;
-	fixture->config.state_rps = 1000;
+	fixture->config.state_rps = reads_per_s;
 	fl_job_lookups_init(&fixture->node);
+}
+
+/* Twenty queries are answered by one read of the record. */
+static void query_one_job(void *argument)
+{
+	static struct query queries[QUERIES];
+	struct frontend_fixture *fixture = argument;
+
+	follow_nobody(fixture, 1000);
+	fixture->reads_gated = true;
 	for (int i = 0; i < QUERIES / 2; i++)
-		spawn_query(fixture, &query[i], "run-000001");
+		spawn_query(fixture, &queries[i], "run-000001");
 	while (fixture->record_reads < 1)
 		fl_sleep(0.01);
 	/* The first read is in flight, and does not see what is accepted now. */
 	fixture->job_known = true;
 	for (int i = QUERIES / 2; i < QUERIES; i++)
-		spawn_query(fixture, &query[i], "run-000001");
+		spawn_query(fixture, &queries[i], "run-000001");
 	fl_sleep(0.01);
-	while (!all_answered(query)) {
+	while (!all_answered(queries)) {
 		fl_condition_broadcast(&fixture->read_gate);
 		fl_sleep(0.01);
 	}
-	if (answered_with(query, 0, 1, 404) != 1 ||
-	    answered_with(query, 1, QUERIES, 200) != QUERIES - 1)
-		strcpy(fixture->failed, "a question is answered by an older read");
+	if (answered_with(queries, 0, 1, 404) != 1 ||
+	    answered_with(queries, 1, QUERIES, 200) != QUERIES - 1)
+		note_failure(fixture, "a status query is answered by an older read");
 	if (fixture->record_reads != 4)
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads for one job",
-		         fixture->record_reads);
+		note_failure(fixture, "%d reads for one job", fixture->record_reads);
 	/* What is done stays so: one read serves all that ask later. */
 	fixture->reads_gated = false;
 	fixture->record_reads = 0;
-	spawn_query(fixture, &query[0], "run-000001");
-	while (!query[0].answered)
+	spawn_query(fixture, &queries[0], "run-000001");
+	while (!queries[0].answered)
 		fl_sleep(0.01);
-	if (fixture->record_reads != 0 || query[0].response.status != 200)
-		strcpy(fixture->failed, "what is done is read again");
-	/* Many jobs: status queries beyond the share of the key-value store are refused at once. */
-	fixture->job_known = false;
-	fixture->record_reads = 0;
-	fixture->reads_gated = false;
-	fixture->config.state_rps = 10;
-	fl_job_lookups_init(&fixture->node);
+	if (fixture->record_reads != 0 || queries[0].response.status != 200)
+		note_failure(fixture, "what is done is read again");
+}
+
+static void status_queries_for_one_job_share_the_reads_that_begin_after_them(void **state)
+{
+	run_in_coroutine(*state, query_one_job);
+}
+
+/* Queries beyond the share of the key-value store are refused at once. */
+static void query_many_jobs(void *argument)
+{
+	static struct query queries[QUERIES];
+	struct frontend_fixture *fixture = argument;
+	char ref[FL_REF_MAX];
+
+	follow_nobody(fixture, 10);
 	for (int i = 0; i < QUERIES; i++) {
 		snprintf(ref, sizeof(ref), "run-%06d", 100 + i);
-		spawn_query(fixture, &query[i], ref);
+		spawn_query(fixture, &queries[i], ref);
 	}
-	while (!all_answered(query))
+	while (!all_answered(queries))
 		fl_sleep(0.01);
 	if (fixture->record_reads < 4 || fixture->record_reads > 12 ||
-	    answered_with(query, 0, QUERIES, 404) * 2 != fixture->record_reads ||
-	    answered_with(query, 0, QUERIES, 503) + fixture->record_reads / 2 != QUERIES)
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads of 10 a second",
-		         fixture->record_reads);
+	    answered_with(queries, 0, QUERIES, 404) * 2 != fixture->record_reads ||
+	    answered_with(queries, 0, QUERIES, 503) + fixture->record_reads / 2 != QUERIES)
+		note_failure(fixture, "%d reads of 10 a second", fixture->record_reads);
 	for (int i = 0; i < QUERIES; i++)
-		if (query[i].response.status == 503 && query[i].response.retry_after_s <= 0)
-			strcpy(fixture->failed, "no time is given for the next try");
-	ev_break(fl_loop(), EVBREAK_ALL);
+		if (queries[i].response.status == 503 && queries[i].response.retry_after_s <= 0)
+			note_failure(fixture, "no time is given for the next try");
 }
 
-static void many_status_queries_stay_within_the_read_share_of_the_key_value_store(void **state)
+static void status_queries_for_many_jobs_stay_within_the_share_of_the_key_value_store(void **state)
 {
-	struct frontend_fixture *fixture = *state;
-
-	fl_coroutine_spawn(send_many_queries, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, query_many_jobs);
 }
 
-/* The leader's own status query waits for a record, and the job ends meanwhile: its end is what is
- * said. */
-static void end_while_read(void *arg)
+/* The leader itself waits for a record, and the job ends meanwhile: its end is what is said. */
+static void end_job_while_its_record_is_read(void *argument)
 {
 	static struct query query;
-	struct frontend_fixture *fixture = arg;
+	struct frontend_fixture *fixture = argument;
 	struct fl_node *node = &fixture->node;
 	struct fl_job_spec spec = {.ref = "run-000001",
 	                           .team = "t",
@@ -170,26 +174,20 @@
 		fl_sleep(0.01);
 	}
 	if (query.response.status != 200 || !strstr(query.body, "done"))
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d %s", query.response.status,
-		         query.body);
-	ev_break(fl_loop(), EVBREAK_ALL);
+		note_failure(fixture, "%d %s", query.response.status, query.body);
 }
 
 static void a_status_query_reports_a_job_done_that_ends_while_its_record_is_read(void **state)
 {
-	struct frontend_fixture *fixture = *state;
-
-	fl_coroutine_spawn(end_while_read, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, end_job_while_its_record_is_read);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
+		FRONTEND_TEST(status_queries_for_one_job_share_the_reads_that_begin_after_them),
 		FRONTEND_TEST(
-			many_status_queries_stay_within_the_read_share_of_the_key_value_store),
+			status_queries_for_many_jobs_stay_within_the_share_of_the_key_value_store),
 		FRONTEND_TEST(a_status_query_reports_a_job_done_that_ends_while_its_record_is_read),
 	};
 
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -21,7 +21,7 @@
 	struct fl_buffer body = {0};
 
 	fl_buffer_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
-	                 ++fixture->ref, BASE);
+	                 ++fixture->last_ref, BASE);
 	fl_route_user_request(&fixture->node, FL_USER_REQUEST_SUBMIT, "", body.data, body.length,
 	                      FL_HOP_FIRST, &response);
 	fl_buffer_free(&body);
@@ -31,14 +31,14 @@
 	return response.status;
 }
 
-static void expect_status(struct frontend_fixture *fixture, const char *fields, int want,
+static void expect_status(struct frontend_fixture *fixture, const char *fields, int expected,
                           const char *where)
 {
-	int got = submit(fixture, fields, NULL);
+	int status = submit(fixture, fields, NULL);
 
-	if (got != want && !fixture->failed[0])
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d instead of %d, %s: %.200s",
-		         got, want, where, fields);
+	if (status != expected)
+		note_failure(fixture, "%d instead of %d, %s: %.200s", status, expected, where,
+		             fields);
 }
 
 static const struct {
@@ -85,39 +85,75 @@
 
 enum { CASES = sizeof(cases) / sizeof(cases[0]) };
 
-static void check_verdicts(void *arg)
+static void submit_all_cases(struct frontend_fixture *fixture, const char *where)
 {
-	struct frontend_fixture *fixture = arg;
-	int retry_after;
-	char *large;
-
 	for (int i = 0; i < CASES; i++)
-		expect_status(fixture, cases[i].fields, cases[i].status, "all is well");
+		expect_status(fixture, cases[i].fields, cases[i].status, where);
+}
+
+static void submit_while_the_leader_is_reachable(void *argument)
+{
+	struct frontend_fixture *fixture = argument;
+
+	submit_all_cases(fixture, "all is well");
 	fixture->kv_store_refuses = true;
-	for (int i = 0; i < CASES; i++)
-		expect_status(fixture, cases[i].fields, cases[i].status,
-		              "refused by the state service");
-	/* The leader gets the decoded job: this body, escaped once more, would be too large. */
-	large = malloc(50001);
-	memset(large, ' ', 50000);
-	for (size_t i = 0; i < 20000; i++)
+	submit_all_cases(fixture, "refused by the key-value store");
+}
+
+static void a_submission_verdict_does_not_depend_on_the_key_value_store(void **state)
+{
+	run_in_coroutine(*state, submit_while_the_leader_is_reachable);
+}
+
+/* Field, and as much white space as escapes of two characters, within the limit of a body. */
+static void submit_large_body(void *argument)
+{
+	enum { LARGE = 50000, ESCAPED = 20000 };
+	struct frontend_fixture *fixture = argument;
+	char *large = malloc(LARGE + 1);
+
+	fixture->kv_store_refuses = true;
+	memset(large, ' ', LARGE);
+	for (size_t i = 0; i < ESCAPED; i++)
 		memcpy(large + 2 * i, "\n ", 2);
 	memcpy(large, "\"Later\":", 8);
-	memcpy(large + 49990, "[7]", 3);
-	large[50000] = 0;
+	memcpy(large + LARGE - 10, "[7]", 3);
+	large[LARGE] = 0;
 	expect_status(fixture, large, 201, "large");
 	free(large);
-	/* A repeat gets the job's state, whatever its body says. */
+}
+
+/* The leader gets the decoded job: this body, escaped once more, would be too large. */
+static void a_submission_is_forwarded_when_its_body_is_large(void **state)
+{
+	run_in_coroutine(*state, submit_large_body);
+}
+
+static void submit_known_job(void *argument)
+{
+	struct frontend_fixture *fixture = argument;
+
 	fixture->job_known = true;
-	for (int kv_store_refuses = 0; kv_store_refuses < 2; kv_store_refuses++) {
-		fixture->kv_store_refuses = kv_store_refuses;
+	for (int refused = 0; refused < 2; refused++) {
+		fixture->kv_store_refuses = refused;
 		for (int i = 0; i < CASES; i++)
 			if (cases[i].status != 201)
 				expect_status(fixture, cases[i].fields,
 				              cases[i].unreadable ? 400 : 200, "known");
 	}
-	/* Not known by any node: neither accepted nor refused. */
-	fixture->job_known = false;
+}
+
+static void a_duplicate_submission_gets_the_state_of_the_job_whatever_its_body(void **state)
+{
+	run_in_coroutine(*state, submit_known_job);
+}
+
+/* Not known by any node: neither accepted nor refused. */
+static void submit_without_peers(void *argument)
+{
+	struct frontend_fixture *fixture = argument;
+	int retry_after;
+
 	fixture->kv_store_refuses = true;
 	fixture->node.peers[0].up = false;
 	fixture->node.peer_count = 0;
@@ -126,29 +162,23 @@
 			expect_status(fixture, cases[i].fields, 503, "nobody can tell");
 	fixture->kv_store_refuses = fixture->node.machine_types_known = false;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
-		strcpy(fixture->failed, "machine types unknown");
-	ev_break(fl_loop(), EVBREAK_ALL);
+		note_failure(fixture, "machine types unknown");
 }
 
-static void a_submission_verdict_does_not_depend_on_what_is_reachable(void **state)
+static void a_submission_is_unavailable_when_no_record_can_be_read(void **state)
 {
-	struct frontend_fixture *fixture = *state;
-
-	fl_coroutine_spawn(check_verdicts, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, submit_without_peers);
 }
 
 /* Turned away before anything is stored, with when to come back; what is malformed is said. */
-static void submit_without_memory(void *arg)
+static void submit_without_memory(void *argument)
 {
-	struct frontend_fixture *fixture = arg;
+	struct frontend_fixture *fixture = argument;
 	int retry_after = 0;
 
 	fixture->config.ram_mb = 1;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
-		strcpy(fixture->failed, "accepted without memory");
+		note_failure(fixture, "accepted without memory");
 	expect_status(fixture, "\"Parts\":0", 400, "without memory");
 	expect_status(fixture, "\"Site\":\"z\"", 422, "without memory");
 	fixture->job_known = true;
@@ -156,24 +186,21 @@
 	fixture->job_known = false;
 	fixture->config.ram_mb = 1024;
 	expect_status(fixture, "", 201, "with memory");
-	ev_break(fl_loop(), EVBREAK_ALL);
 }
 
-static void a_submission_is_refused_when_the_job_does_not_fit_in_memory(void **state)
+static void a_submission_is_unavailable_when_the_job_does_not_fit_in_memory(void **state)
 {
-	struct frontend_fixture *fixture = *state;
-
-	fl_coroutine_spawn(submit_without_memory, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, submit_without_memory);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(a_submission_verdict_does_not_depend_on_what_is_reachable),
-		FRONTEND_TEST(a_submission_is_refused_when_the_job_does_not_fit_in_memory),
+		FRONTEND_TEST(a_submission_verdict_does_not_depend_on_the_key_value_store),
+		FRONTEND_TEST(a_submission_is_forwarded_when_its_body_is_large),
+		FRONTEND_TEST(a_duplicate_submission_gets_the_state_of_the_job_whatever_its_body),
+		FRONTEND_TEST(a_submission_is_unavailable_when_no_record_can_be_read),
+		FRONTEND_TEST(a_submission_is_unavailable_when_the_job_does_not_fit_in_memory),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
