--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -31,7 +31,7 @@
 
 int set_up(void **state)
 {
-	struct fl_cloud_machine_type kind = {
+	struct fl_cloud_machine_type type = {
 		.name = "g", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .zone_count = 2};
 	struct fl_job_spec spec = {.task_count = 4,
 	                           .cpus = 1,
@@ -53,7 +53,7 @@
 	strcpy(fixture->config.location, "a");
 	fl_symbol_intern(&cluster->zones, "a");
 	fl_symbol_intern(&cluster->zones, "b");
-	fl_machine_types_set(&cluster->machines, &cluster->zones, &kind, 1);
+	fl_machine_types_set(&cluster->machines, &cluster->zones, &type, 1);
 	strcpy(cluster->teams.by_index[0].name, "team");
 	cluster->teams.count = 1;
 	strcpy(spec.ref, "run-000001");
@@ -69,9 +69,9 @@
 int tear_down(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_cached_heartbeat *cached, *tmp;
+	struct fl_cached_heartbeat *cached, *next;
 
-	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, tmp) {
+	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, next) {
 		HASH_DEL(fixture->node.follower.cached_heartbeats, cached);
 		free(cached->text);
 		free(cached);
@@ -88,14 +88,14 @@
 }
 
 struct fl_heartbeat make_heartbeat(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
-                                   struct fl_task_status *tasks, int n)
+                                   struct fl_task_status *tasks, int task_count)
 {
 	struct fl_heartbeat heartbeat = {.incarnation = incarnation,
 	                                 .sequence = sequence,
 	                                 .fencing_token = fencing_token,
 	                                 .interruption_in_s = -1,
 	                                 .tasks = tasks,
-	                                 .task_count = n};
+	                                 .task_count = task_count};
 
 	strcpy(heartbeat.host, "m-000001");
 	strcpy(heartbeat.endpoint, "127.0.0.1:1");
@@ -108,14 +108,41 @@
                       enum fl_heartbeat_source source)
 {
 	struct fl_command_list commands;
-	int rc, n;
+	int rc, count;
 
 	fl_command_list_init(&commands, fixture->node.leader_lease.fencing_token);
 	rc = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
 	                            source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL, source);
-	n = commands.count;
+	count = commands.count;
 	cJSON_Delete(commands.root);
-	return rc ? rc : n;
+	return rc ? rc : count;
+}
+
+int deliver_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence)
+{
+	return deliver_heartbeat(fixture,
+	                         make_heartbeat(incarnation, sequence, FENCING_TOKEN, NULL, 0),
+	                         FL_HEARTBEAT_FROM_WORKER);
+}
+
+int deliver_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
+                           struct fl_task_status *status)
+{
+	return deliver_heartbeat(fixture,
+	                         make_heartbeat(incarnation, sequence, FENCING_TOKEN, status, 1),
+	                         FL_HEARTBEAT_FROM_WORKER);
+}
+
+int deliver_idle_heartbeats(struct node_fixture *fixture, uint64_t first, uint64_t last,
+                            double last_reply_age_s)
+{
+	int command_count = 0;
+
+	for (uint64_t sequence = first; sequence <= last; sequence++) {
+		set_last_reply_age(fixture, last_reply_age_s);
+		command_count += deliver_idle_heartbeat(fixture, 1, sequence);
+	}
+	return command_count;
 }
 
 struct fl_machine *only_machine(struct node_fixture *fixture)
@@ -148,15 +175,15 @@
 	return status;
 }
 
-void become_follower(struct node_fixture *fixture, int peers)
+void become_follower(struct node_fixture *fixture, int peer_count)
 {
 	struct fl_node *node = &fixture->node;
 
 	node->leader_lease.held = node->leadership.active = node->cluster.leading = false;
 	node->machine_types_known = node->jobs_known = true;
 	strcpy(node->leader_view.leader, "n1");
-	node->peer_count = peers;
-	for (int i = 0; i < peers; i++) {
+	node->peer_count = peer_count;
+	for (int i = 0; i < peer_count; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
 		node->peers[i].last_heard_at = node->peers[i].complete_as_of = -1e9;
@@ -202,6 +229,45 @@
 	return response.status;
 }
 
+int send_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence)
+{
+	return send_heartbeat(fixture,
+	                      make_heartbeat(incarnation, sequence, FENCING_TOKEN, NULL, 0), NULL);
+}
+
+int send_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
+                        struct fl_task_status *status)
+{
+	return send_heartbeat(
+		fixture, make_heartbeat(incarnation, sequence, FENCING_TOKEN, status, 1), NULL);
+}
+
+static void send_and_note_status(void *argument)
+{
+	struct waiting_heartbeat *waiting = argument;
+
+	waiting->status = send_heartbeat(waiting->fixture, waiting->heartbeat, NULL);
+}
+
+void send_waiting_heartbeat(struct waiting_heartbeat *waiting)
+{
+	waiting->loop = ev_loop_new(0);
+	fl_coroutines_init(waiting->loop);
+	assert_non_null(fl_coroutine_spawn(send_and_note_status, waiting));
+	run_waiting_heartbeat(waiting);
+}
+
+void run_waiting_heartbeat(const struct waiting_heartbeat *waiting)
+{
+	ev_run(waiting->loop, EVRUN_NOWAIT);
+}
+
+void end_waiting_heartbeat(struct waiting_heartbeat *waiting)
+{
+	fl_coroutines_shutdown();
+	ev_loop_destroy(waiting->loop);
+}
+
 cJSON *cancelled_record(struct node_fixture *fixture, double seconds)
 {
 	struct fl_job_spec spec;
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -15,29 +15,41 @@
 	struct fl_node node;
 	struct fl_config config;
 	struct fl_job *job;
-	uint64_t seq;
 };
 
-/* The node leads from now on, with this fencing token and without placed tasks. */
-void become_leader(struct node_fixture *fixture, uint64_t fencing_token);
-
 /* Before and after each test: a node with two zones, one machine type, team and job. */
 int set_up(void **state);
 
 int tear_down(void **state);
 
+/* The node leads from now on, with this fencing token and without placed tasks. */
+void become_leader(struct node_fixture *fixture, uint64_t fencing_token);
+
 /* Of the machine m-000001. */
 struct fl_heartbeat make_heartbeat(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
-                                   struct fl_task_status *tasks, int n);
+                                   struct fl_task_status *tasks, int task_count);
 
 /* Delivers a heartbeat; the number of commands in its reply, or the negative error. */
 int deliver_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
                       enum fl_heartbeat_source source);
 
+/* The same from the worker itself, without tasks or with one, with FENCING_TOKEN. */
+int deliver_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence);
+
+int deliver_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
+                           struct fl_task_status *status);
+
+/*
+ * Idle heartbeats of incarnation 1 with the sequence numbers first to last, each so long after the
+ * reply before it; the number of commands in their replies.
+ */
+int deliver_idle_heartbeats(struct node_fixture *fixture, uint64_t first, uint64_t last,
+                            double last_reply_age_s);
+
 /* That machine, or NULL. */
 struct fl_machine *only_machine(struct node_fixture *fixture);
 
-/* Sets the time since the last answer to the machine. */
+/* Sets the time since the last reply to the machine. */
 void set_last_reply_age(struct node_fixture *fixture, double seconds);
 
 /* Places a task of the job on it, as if its record were written. */
@@ -47,16 +59,38 @@
 struct fl_task_status running_task(uint32_t index, uint32_t attempt);
 
 /* Another node leads, and this one is in contact with the key-value store. */
-void become_follower(struct node_fixture *fixture, int peers);
+void become_follower(struct node_fixture *fixture, int peer_count);
 
 struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_user_request kind,
                                           const char *ref, const char *body);
 
-extern int stop_commands_in_reply; /* of the heartbeat sent last */
+extern int stop_commands_in_reply; /* to the heartbeat sent last */
 
-/* Makes the call of a worker; the status, and in `to`, if given, the node it is redirected to. */
+/* Sends it as a worker does; the status, and in `to`, if given, the node of a redirect. */
 int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat, char *to);
 
+/* The same without tasks or with one, with FENCING_TOKEN. */
+int send_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence);
+
+int send_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
+                        struct fl_task_status *status);
+
+/* A heartbeat whose answer waits until the node has learned something. */
+struct waiting_heartbeat {
+	struct node_fixture *fixture;
+	struct fl_heartbeat heartbeat;
+	struct ev_loop *loop;
+	int status; /* 0: not answered yet */
+};
+
+/* Sends it in a coroutine; `waiting` lives until end_waiting_heartbeat. */
+void send_waiting_heartbeat(struct waiting_heartbeat *waiting);
+
+/* Runs what is ready now. */
+void run_waiting_heartbeat(const struct waiting_heartbeat *waiting);
+
+void end_waiting_heartbeat(struct waiting_heartbeat *waiting);
+
 /* The record of the job, cancelled so long ago. */
 cJSON *cancelled_record(struct node_fixture *fixture, double seconds);
 
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -23,46 +23,76 @@
 
 static bool is_expired(struct node_fixture *fixture)
 {
-	double leases[FL_ZONES_MAX];
+	double timeouts[FL_ZONES_MAX];
 
-	fl_failure_detector_timeouts(&fixture->node, fl_now(), leases);
-	return fl_failure_detector_expired(&fixture->node, only_machine(fixture), fl_now(), leases);
+	fl_failure_detector_timeouts(&fixture->node, fl_now(), timeouts);
+	return fl_failure_detector_expired(&fixture->node, only_machine(fixture), fl_now(),
+	                                   timeouts);
 }
 
-/* Alone it expires after a lease; with its zone's controllers, when these must stop renewing. */
-static void machines_of_a_silent_zone_expire_later(void **state)
+/* A machine with a task, whose zone has the only peer. */
+static struct fl_peer *add_peer_in_zone(struct node_fixture *fixture)
 {
-	struct node_fixture *fixture = *state;
 	struct fl_peer *peer = &fixture->node.peers[0];
-	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
 
-	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
 	fixture->node.peer_count = 1;
 	strcpy(peer->location, "a");
+	return peer;
+}
+
+/* All controllers well for long: only the machine can be faulty, a shorter silence is enough. */
+static void a_machine_expires_early_when_all_controllers_are_up_for_long(void **state)
+{
+	struct node_fixture *fixture = *state;
+	struct fl_peer *peer = add_peer_in_zone(fixture);
+
 	peer->up = true;
-	/* All controllers well for long: only the machine can be faulty, and a shorter silence is
-	 * enough. */
 	peer->up_since = fl_now() - 100;
+
 	set_silence(fixture, 7);
 	assert_false(is_expired(fixture));
 	set_silence(fixture, 8);
 	assert_true(is_expired(fixture));
-	/* One came up lately: workers may still be looking for a node. */
+}
+
+/* Workers may still be looking for a node: it expires after a lease. */
+static void a_machine_expires_after_a_lease_when_a_controller_came_up_lately(void **state)
+{
+	struct node_fixture *fixture = *state;
+	struct fl_peer *peer = add_peer_in_zone(fixture);
+
+	peer->up = true;
 	peer->up_since = fl_now() - 5;
+
 	set_silence(fixture, 9);
 	assert_false(is_expired(fixture));
 	set_silence(fixture, 11);
 	assert_true(is_expired(fixture));
-	/* The controller of its zone fell silent at the same time. */
-	peer->up = false;
+}
+
+/* With its zone's controllers it expires when these must stop renewing. */
+static void a_machine_expires_late_when_the_controller_of_its_zone_is_silent_too(void **state)
+{
+	struct node_fixture *fixture = *state;
+	struct fl_peer *peer = add_peer_in_zone(fixture);
+	double renewable_s = fixture->config.cancel_s - fixture->config.lease_s - 1;
+
+	set_silence(fixture, 11);
 	peer->last_heard_at = fl_now() - 12;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
 	peer->last_heard_at = only_machine(fixture)->heartbeat.last_at;
 	assert_true(is_expired(fixture));
-	/* Of another zone, or silent long before: it delays nothing here. */
+}
+
+/* Silent long before, or of another zone. */
+static void a_machine_expires_after_a_lease_when_the_silent_controller_is_unrelated(void **state)
+{
+	struct node_fixture *fixture = *state;
+	struct fl_peer *peer = add_peer_in_zone(fixture);
+
 	set_silence(fixture, 11);
 	peer->last_heard_at = fl_now() - 30;
 	assert_true(is_expired(fixture));
@@ -71,12 +101,12 @@
 	assert_true(is_expired(fixture));
 }
 
-static struct fl_machine *add_machine(struct node_fixture *fixture, int i, bool spot, int zone)
+static struct fl_machine *add_machine(struct node_fixture *fixture, int number, bool spot, int zone)
 {
 	char name[FL_NAME_MAX];
 	struct fl_machine *machine;
 
-	snprintf(name, sizeof(name), "m-%06d", i);
+	snprintf(name, sizeof(name), "m-%06d", number);
 	machine = fl_machine_get(&fixture->node.cluster.machines, name, fl_now() - 100);
 	fl_cluster_describe(&fixture->node.cluster, machine, 0, zone, spot, "x");
 	machine->lifecycle.up = true;
@@ -91,26 +121,25 @@
 static void a_zone_is_not_expired_a_few_machines_at_a_time(void **state)
 {
 	struct node_fixture *fixture = *state;
+	struct fl_machine *silent[3];
 
-	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
 	for (int i = 2; i < 22; i++)
 		add_machine(fixture, i, false, 1);
 	/* This one is due; three more of the four of its zone are silent too. */
-	for (int i = 30; i < 33; i++)
-		add_machine(fixture, i, false, 0)->heartbeat.last_at = fl_now() - 7;
+	for (int i = 0; i < 3; i++) {
+		silent[i] = add_machine(fixture, 30 + i, false, 0);
+		silent[i]->heartbeat.last_at = fl_now() - 7;
+	}
 	set_silence(fixture, 11);
 	assert_false(is_expired(fixture));
 	set_silence(fixture, 31);
 	assert_true(is_expired(fixture));
 	/* Many reclaimed spot machines are no sign of a partition. */
 	set_silence(fixture, 11);
-	for (int i = 30; i < 33; i++)
-		fl_machine_find(&fixture->node.cluster.machines, i == 30   ? "m-000030"
-		                                                 : i == 31 ? "m-000031"
-		                                                           : "m-000032")
-			->spot = true;
+	for (int i = 0; i < 3; i++)
+		silent[i]->spot = true;
 	assert_true(is_expired(fixture));
 }
 
@@ -122,8 +151,7 @@
 {
 	struct node_fixture *fixture = *state;
 
-	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
 	for (int i = 2; i < 42; i++)
 		add_machine(fixture, i, false, i % 2)->heartbeat.last_at =
@@ -142,14 +170,9 @@
 {
 	struct node_fixture *fixture = *state;
 
-	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
-	for (uint64_t sequence = 2; sequence < 5; sequence++) {
-		set_last_reply_age(fixture, 12);
-		deliver_heartbeat(fixture, make_heartbeat(1, sequence, FENCING_TOKEN, NULL, 0),
-		                  FL_HEARTBEAT_FROM_WORKER);
-	}
+	deliver_idle_heartbeats(fixture, 2, 4, 12);
 	assert_true(is_expired(fixture));
 	for (int i = 2; i < 6; i++) {
 		struct fl_machine *machine = add_machine(fixture, i, false, 0);
@@ -163,7 +186,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		NODE_TEST(machines_of_a_silent_zone_expire_later),
+		NODE_TEST(a_machine_expires_early_when_all_controllers_are_up_for_long),
+		NODE_TEST(a_machine_expires_after_a_lease_when_a_controller_came_up_lately),
+		NODE_TEST(a_machine_expires_late_when_the_controller_of_its_zone_is_silent_too),
+		NODE_TEST(a_machine_expires_after_a_lease_when_the_silent_controller_is_unrelated),
 		NODE_TEST(a_zone_is_not_expired_a_few_machines_at_a_time),
 		NODE_TEST(a_few_of_many_machines_expire_early),
 		NODE_TEST(an_unreachable_machine_expires_unless_many_are_unreachable_at_once),
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -21,38 +21,32 @@
 	struct node_fixture *fixture = *state;
 	struct fl_task_status status = running_task(0, 1);
 	struct fl_cached_heartbeat *cached;
-	double at;
+	double received_at;
 
 	become_follower(fixture, 0);
-	assert_int_equal(
-		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, &status, 1), NULL),
-		200);
+	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
 	cached = fixture->node.follower.cached_heartbeats;
 	assert_non_null(cached);
-	cached->at = at = fl_now() - 9;
+	cached->at = received_at = fl_now() - 9;
 	cached->stored = true;
-	assert_int_equal(
-		send_heartbeat(fixture, make_heartbeat(1, 19, FENCING_TOKEN, NULL, 0), NULL), 200);
-	assert_int_equal(
-		send_heartbeat(fixture, make_heartbeat(1, 20, FENCING_TOKEN, &status, 1), NULL),
-		200);
-	assert_true(cached->sequence == 20 && cached->at == at && cached->stored);
-	assert_int_equal(
-		send_heartbeat(fixture, make_heartbeat(2, 3, FENCING_TOKEN, NULL, 0), NULL), 200);
+	assert_int_equal(send_idle_heartbeat(fixture, 1, 19), 200);
+	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
+	assert_true(cached->sequence == 20 && cached->at == received_at && cached->stored);
+	assert_int_equal(send_idle_heartbeat(fixture, 2, 3), 200);
 	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
 }
 
 /* What passes through the key-value store is the same as in the heartbeat. */
 static void a_cached_heartbeat_is_restored_from_its_compact_form(void **state)
 {
-	static const char *const bad[] = {"[]",
-	                                  "[\"m\",1,2,3,-1]",
-	                                  "[\"m\",1,2,-3,-1,[]]",
-	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",0,1]]]",
-	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",0,1,9]]]",
-	                                  "[\"\",1,2,3,-1,[]]",
-	                                  "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
-	                                  "{\"m\":1}"};
+	static const char *const malformed[] = {"[]",
+	                                        "[\"m\",1,2,3,-1]",
+	                                        "[\"m\",1,2,-3,-1,[]]",
+	                                        "[\"m\",1,2,3,-1,[[\"run-000001\",0,1]]]",
+	                                        "[\"m\",1,2,3,-1,[[\"run-000001\",0,1,9]]]",
+	                                        "[\"\",1,2,3,-1,[]]",
+	                                        "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
+	                                        "{\"m\":1}"};
 	struct fl_task_status tasks[2] = {running_task(3, 2), running_task(1, 1)};
 	struct fl_heartbeat heartbeat = make_heartbeat(4, 5, 6, tasks, 2), decoded;
 	char *text;
@@ -77,70 +71,59 @@
 	/* Hundreds of machines share the writes: twenty must fit into the smallest value. */
 	assert_in_range(strlen(text), 1, 150);
 	free(text);
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		element = fl_json_parse(bad[i], strlen(bad[i]));
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
+		element = fl_json_parse(malformed[i], strlen(malformed[i]));
 		assert_non_null(element);
 		assert_int_not_equal(fl_cached_heartbeat_decode(element, &decoded), 0);
 		cJSON_Delete(element);
 	}
 }
 
-struct early_heartbeat {
-	struct node_fixture *fixture;
-	int status;
-};
-
-static void send_early(void *arg)
-{
-	struct early_heartbeat *early = arg;
-
-	early->status =
-		send_heartbeat(early->fixture, make_heartbeat(1, 20, FENCING_TOKEN, NULL, 0), NULL);
-}
-
 /* Refused, the worker would lose seconds of its lease looking for a node that is up. */
 static void a_node_that_just_started_waits_for_the_fencing_token_and_the_jobs(void **state)
 {
-	struct early_heartbeat early = {.fixture = *state};
-	struct fl_node *node = &early.fixture->node;
-	struct ev_loop *loop = ev_loop_new(0);
+	struct node_fixture *fixture = *state;
+	struct fl_node *node = &fixture->node;
+	struct waiting_heartbeat waiting = {
+		.fixture = fixture, .heartbeat = make_heartbeat(1, 20, FENCING_TOKEN, NULL, 0)};
 
-	fl_coroutines_init(loop);
-	become_follower(early.fixture, 0);
+	become_follower(fixture, 0);
 	node->cancellation_watermark = -1e9;
 	node->jobs_known = false;
 	node->leader_view.fencing_token = 0;
 	/* Another heartbeat has the fencing token read already. */
 	node->follower.token_refresh.in_flight = true;
-	assert_non_null(fl_coroutine_spawn(send_early, &early));
-	ev_run(loop, EVRUN_NOWAIT);
-	assert_int_equal(early.status, 0);
+	send_waiting_heartbeat(&waiting);
+	assert_int_equal(waiting.status, 0);
+
 	node->leader_view.fencing_token = FENCING_TOKEN;
 	node->follower.token_refresh.in_flight = false;
 	fl_condition_broadcast(&node->follower.token_refresh.completed);
-	ev_run(loop, EVRUN_NOWAIT);
-	assert_int_equal(early.status, 0);
+	run_waiting_heartbeat(&waiting);
+	assert_int_equal(waiting.status, 0);
+
 	node->cancellation_watermark = fl_now();
 	node->jobs_known = true;
 	fl_condition_broadcast(&node->jobs_listed);
-	ev_run(loop, EVRUN_NOWAIT);
-	assert_int_equal(early.status, 200);
-	fl_coroutines_shutdown();
-	ev_loop_destroy(loop);
+	run_waiting_heartbeat(&waiting);
+	assert_int_equal(waiting.status, 200);
+	end_waiting_heartbeat(&waiting);
 }
 
-static void disconnect(struct node_fixture *fixture, double for_s)
+/* The node has reached neither the key-value store nor a peer for so long. */
+static void disconnect(struct node_fixture *fixture, double duration_s)
 {
 	double now = fl_now();
 
-	fixture->node.kv_store.last_success_at = now - for_s;
+	fixture->node.kv_store.last_success_at = now - duration_s;
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
-		fixture->node.peers[i].last_heard_at = now - for_s;
+		fixture->node.peers[i].last_heard_at = now - duration_s;
 	}
 	fixture->node.api.last_readiness_probe_at = now;
-	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark = now - for_s;
+	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark =
+		now - duration_s;
 }
 
 /* As if the workers had come a heartbeat interval earlier. */
@@ -243,7 +226,7 @@
 		"\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":1,\"SnapshotEveryS\":0,"
 		"\"SnapshotCostS\":0,\"DueS\":null}";
 	static const struct {
-		enum fl_user_request call;
+		enum fl_user_request kind;
 		const char *body;
 	} requests[] = {{FL_USER_REQUEST_SUBMIT, job},
 	                {FL_USER_REQUEST_STATUS, NULL},
@@ -257,7 +240,7 @@
 	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
 	for (size_t i = 0; i < sizeof(requests) / sizeof(requests[0]); i++) {
 		/* No coroutine runs here, so that a try to connect would fail the test. */
-		response = send_user_request(fixture, requests[i].call, "run-000001",
+		response = send_user_request(fixture, requests[i].kind, "run-000001",
 		                             requests[i].body);
 		assert_int_equal(response.status, 503);
 		assert_true(response.retry_after_s > 0 && response.close);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -22,18 +22,11 @@
 {
 	struct node_fixture *fixture = *state;
 	struct fl_task *task;
-	int start_commands = 0;
+	int start_commands;
 
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 0);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 1), 0);
 	task = place_task(fixture, 0);
-	for (uint64_t sequence = 2; sequence < 5; sequence++) {
-		set_last_reply_age(fixture, 5);
-		start_commands += deliver_heartbeat(
-			fixture, make_heartbeat(1, sequence, FENCING_TOKEN, NULL, 0),
-			FL_HEARTBEAT_FROM_WORKER);
-	}
+	start_commands = deliver_idle_heartbeats(fixture, 2, 4, 5);
 	assert_int_equal(start_commands, 3);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	/* Silence counts from the first answer without effect, though its heartbeat came just now.
@@ -43,17 +36,13 @@
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 	assert_int_equal(fixture->job->counts.waiting, 3);
 	set_last_reply_age(fixture, 5);
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(2, 5, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 0);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 2, 5), 0);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
 	assert_int_equal(fixture->job->counts.waiting, 4);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	/* Gone for good: its work is free once, and a later heartbeat changes nothing. */
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(2, 6, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 -ENOENT);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 2, 6), -ENOENT);
 	assert_int_equal(fixture->job->counts.waiting, 4);
 }
 
@@ -62,23 +51,17 @@
 {
 	struct node_fixture *fixture = *state;
 
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 0);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 1), 0);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 	/* A worker that had its reply sends the next heartbeat within seconds; this one waited for
 	 * its timeout.
 	 */
 	set_last_reply_age(fixture, 5);
-	deliver_heartbeat(fixture, make_heartbeat(1, 2, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 2);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	for (uint64_t incarnation = 2; incarnation < 4; incarnation++) {
 		set_last_reply_age(fixture, 5);
-		deliver_heartbeat(
-			fixture,
-			make_heartbeat(incarnation, 10 * incarnation, FENCING_TOKEN, NULL, 0),
-			FL_HEARTBEAT_FROM_WORKER);
+		deliver_idle_heartbeat(fixture, incarnation, 10 * incarnation);
 	}
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < INFINITY);
 	/* Once it answers a command itself, all is well again. */
@@ -93,14 +76,9 @@
 {
 	struct node_fixture *fixture = *state;
 
-	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
-	for (uint64_t sequence = 2; sequence < 5; sequence++) {
-		set_last_reply_age(fixture, 1);
-		deliver_heartbeat(fixture, make_heartbeat(1, sequence, FENCING_TOKEN, NULL, 0),
-		                  FL_HEARTBEAT_FROM_WORKER);
-	}
+	deliver_idle_heartbeats(fixture, 2, 4, 1);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	deliver_heartbeat(fixture, make_heartbeat(1, 5, FENCING_TOKEN, NULL, 0),
 	                  FL_HEARTBEAT_FROM_COMMAND);
@@ -110,8 +88,7 @@
 	for (uint64_t sequence = 6; sequence < 9; sequence++) {
 		set_last_reply_age(fixture, 1);
 		fl_task_peek(fixture->job, 0)->stop_reason = FL_STOP_PREEMPT;
-		deliver_heartbeat(fixture, make_heartbeat(1, sequence, FENCING_TOKEN, NULL, 0),
-		                  FL_HEARTBEAT_FROM_WORKER);
+		deliver_idle_heartbeat(fixture, 1, sequence);
 	}
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	set_last_reply_age(fixture, 1);
@@ -126,30 +103,22 @@
 	struct fl_task_status status = running_task(0, 1);
 	struct fl_task *task;
 
-	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 1);
 	task = place_task(fixture, 0);
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(1, 2, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 1);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 2), 1);
 	set_last_reply_age(fixture, 1);
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(1, 3, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 1);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 3), 1);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 	set_last_reply_age(fixture, 1);
-	deliver_heartbeat(fixture, make_heartbeat(1, 4, FENCING_TOKEN, &status, 1),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_task_heartbeat(fixture, 1, 4, &status);
 	assert_int_equal(only_machine(fixture)->outbound.unacknowledged_replies, 0);
 	assert_int_equal(task->observed, FL_OBSERVED_RUNNING);
 	/* A longer pause, as after an outage, is over with the next prompt heartbeat. */
 	set_last_reply_age(fixture, 6);
-	deliver_heartbeat(fixture, make_heartbeat(1, 5, FENCING_TOKEN, &status, 1),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_task_heartbeat(fixture, 1, 5, &status);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 	set_last_reply_age(fixture, 2);
-	deliver_heartbeat(fixture, make_heartbeat(1, 6, FENCING_TOKEN, &status, 1),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_task_heartbeat(fixture, 1, 6, &status);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 }
 
@@ -227,9 +196,7 @@
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 	/* The worker itself has seen the answer and sends the fencing token: now it
 	 * counts. */
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(1, 70, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 0);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 70), 0);
 	assert_true(only_machine(fixture)->lifecycle.up);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
 }
@@ -240,11 +207,9 @@
 	struct fl_task_status status = running_task(0, 1);
 	double heartbeat_at;
 
-	deliver_heartbeat(fixture, make_heartbeat(2, 10, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 2, 10);
 	place_task(fixture, 0);
-	deliver_heartbeat(fixture, make_heartbeat(2, 12, FENCING_TOKEN, &status, 1),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_task_heartbeat(fixture, 2, 12, &status);
 	only_machine(fixture)->heartbeat.last_at =
 		only_machine(fixture)->outbound.last_reachable_at = heartbeat_at = fl_now() - 30;
 	for (int source = FL_HEARTBEAT_FROM_WORKER; source <= FL_HEARTBEAT_FROM_DIGEST; source++) {
@@ -266,10 +231,7 @@
 	            only_machine(fixture)->outbound.last_reachable_at == heartbeat_at);
 	assert_int_equal(fixture->job->counts.placed, 1);
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
-	assert_int_equal(deliver_heartbeat(fixture,
-	                                   make_heartbeat(2, 13, FENCING_TOKEN, &status, 1),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 -ENOENT);
+	assert_int_equal(deliver_task_heartbeat(fixture, 2, 13, &status), -ENOENT);
 	assert_true(only_machine(fixture)->lifecycle.decommissioned &&
 	            !only_machine(fixture)->lifecycle.up);
 }
@@ -283,19 +245,15 @@
 	struct node_fixture *fixture = *state;
 	struct fl_task *task;
 
-	deliver_heartbeat(fixture, make_heartbeat(1, 1, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 1);
 	task = place_task(fixture, 0);
-	assert_int_equal(deliver_heartbeat(fixture, make_heartbeat(1, 2, FENCING_TOKEN, NULL, 0),
-	                                   FL_HEARTBEAT_FROM_WORKER),
-	                 1);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 2), 1);
 	task->stop_reason = FL_STOP_PREEMPT;
 	deliver_heartbeat(fixture, make_heartbeat(1, 3, FENCING_TOKEN, NULL, 0),
 	                  FL_HEARTBEAT_FROM_COMMAND);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 	/* Its own next heartbeat is sent when the answer has been carried out or dropped. */
-	deliver_heartbeat(fixture, make_heartbeat(1, 4, FENCING_TOKEN, NULL, 0),
-	                  FL_HEARTBEAT_FROM_WORKER);
+	deliver_idle_heartbeat(fixture, 1, 4);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
 }
 
