--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -1,6 +1,6 @@
 /*
- * Background work: arrays of classes for which the settings name no objective. It waits for work
- * of its priority that is expected by a time, and still begins as soon as any other.
+ * Background work: arrays of classes for which the settings name no service-level objective. It
+ * waits for work of its priority that is expected by a time, and still begins as soon as any other.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -22,87 +22,87 @@
 };
 
 /* Two arrays of one priority and a machine with room for one task; the first has waited longer. */
-static void set_up(struct site *s, double background_waited_s, bool background_begun)
+static void init_site(struct site *site, double background_waited_s, bool background_begun)
 {
-	memset(s, 0, sizeof(*s));
+	memset(site, 0, sizeof(*site));
 	for (int i = 0; i < JOBS; i++)
-		s->jobs[i] = (struct fl_sched_job){.priority = FL_BEST_EFFORT,
-		                                   .waited_s = 10,
-		                                   .estimate_s = 60,
-		                                   .cpus = 6,
-		                                   .ram_gb = 8,
-		                                   .task_count = 10,
-		                                   .waiting = 10,
-		                                   .types = 1,
-		                                   .zone = -1,
-		                                   .spot_allowed = true,
-		                                   .begun = true,
-		                                   .window_left = -1};
-	s->jobs[BACKGROUND].waited_s = background_waited_s;
-	s->jobs[BACKGROUND].begun = background_begun;
-	s->machine = (struct fl_sched_machine){.cpus = 8, .ram_gb = 64, .pull_gb_s = 1};
-	s->in = (struct fl_sched_input){.params = &fl_sched_defaults,
-	                                .jobs = s->jobs,
-	                                .job_count = JOBS,
-	                                .machines = &s->machine,
-	                                .machine_count = 1,
-	                                .teams = &s->team};
+		site->jobs[i] = (struct fl_sched_job){.priority = FL_BEST_EFFORT,
+		                                      .waited_s = 10,
+		                                      .estimate_s = 60,
+		                                      .cpus = 6,
+		                                      .ram_gb = 8,
+		                                      .task_count = 10,
+		                                      .waiting = 10,
+		                                      .types = 1,
+		                                      .zone = -1,
+		                                      .spot_allowed = true,
+		                                      .begun = true,
+		                                      .window_left = -1};
+	site->jobs[BACKGROUND].waited_s = background_waited_s;
+	site->jobs[BACKGROUND].begun = background_begun;
+	site->machine = (struct fl_sched_machine){.cpus = 8, .ram_gb = 64, .pull_gb_s = 1};
+	site->in = (struct fl_sched_input){.params = &fl_sched_defaults,
+	                                   .jobs = site->jobs,
+	                                   .job_count = JOBS,
+	                                   .machines = &site->machine,
+	                                   .machine_count = 1,
+	                                   .teams = &site->team};
 }
 
 /* Which job the only free place goes to. */
-static int first_started(struct site *s)
+static int first_started(struct site *site)
 {
 	struct fl_sched_output output;
 	int job;
 
-	assert_int_equal(fl_schedule(&s->in, &output), 0);
+	assert_int_equal(fl_schedule(&site->in, &output), 0);
 	assert_int_equal(output.start_count, 1);
 	job = output.starts[0].job;
 	fl_sched_output_free(&output);
 	return job;
 }
 
-static void background_work_waits_for_what_is_expected(void **state)
+static void background_work_waits_for_work_with_an_slo(void **state)
 {
-	struct site s;
+	struct site site;
 
 	(void)state;
-	set_up(&s, 90, true);
+	init_site(&site, 90, true);
 	/* By the product of the paper the longer wait decides. */
-	assert_int_equal(first_started(&s), BACKGROUND);
-	set_up(&s, 90, true);
-	s.jobs[BACKGROUND].background = true;
-	assert_int_equal(first_started(&s), EXPECTED);
+	assert_int_equal(first_started(&site), BACKGROUND);
+	init_site(&site, 90, true);
+	site.jobs[BACKGROUND].background = true;
+	assert_int_equal(first_started(&site), EXPECTED);
 }
 
 /* Its waiting weighs more and more too, so that no stream of other work keeps it for ever. */
-static void background_work_is_not_passed_over_for_ever(void **state)
+static void background_work_starts_when_it_has_waited_long(void **state)
 {
-	struct site s;
+	struct site site;
 
 	(void)state;
-	set_up(&s, 600, true);
-	s.jobs[BACKGROUND].background = true;
-	assert_int_equal(first_started(&s), BACKGROUND);
+	init_site(&site, 600, true);
+	site.jobs[BACKGROUND].background = true;
+	assert_int_equal(first_started(&site), BACKGROUND);
 }
 
 /* The largest job of any class begins within four minutes. */
-static void background_work_begins_as_soon_as_any_other(void **state)
+static void background_work_begins_as_early_as_any_other(void **state)
 {
-	struct site s;
+	struct site site;
 
 	(void)state;
-	set_up(&s, fl_sched_defaults.patience_s + 1, false);
-	s.jobs[BACKGROUND].background = true;
-	assert_int_equal(first_started(&s), BACKGROUND);
+	init_site(&site, fl_sched_defaults.patience_s + 1, false);
+	site.jobs[BACKGROUND].background = true;
+	assert_int_equal(first_started(&site), BACKGROUND);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(background_work_waits_for_what_is_expected),
-		cmocka_unit_test(background_work_is_not_passed_over_for_ever),
-		cmocka_unit_test(background_work_begins_as_soon_as_any_other),
+		cmocka_unit_test(background_work_waits_for_work_with_an_slo),
+		cmocka_unit_test(background_work_starts_when_it_has_waited_long),
+		cmocka_unit_test(background_work_begins_as_early_as_any_other),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -1,6 +1,7 @@
 /*
- * The cluster state in memory and its forms in the state service: progress records and the log,
- * jobs that appear and are deleted, final states, and machines whose entries are purged.
+ * The cluster state in memory and its forms in the key-value store: progress records and the
+ * write-ahead log, jobs that appear and are deleted, final states, and machines whose entries are
+ * purged.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,8 +15,8 @@
 #include "reconciliation_sim.h"
 #include "transport/clock.h"
 
-/* A job cancelled before any task was placed has no chunks: this once crashed the leader. */
-static void a_job_without_chunks_is_harmless(void **state)
+/* A job cancelled before any task was placed has no task blocks: this once crashed the leader. */
+static void a_job_without_task_blocks_can_be_cancelled(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_job *job;
@@ -34,7 +35,7 @@
 }
 
 /* A machine's attempts count in their zone from when the zone is known, and not before. */
-static void zones_are_counted_when_they_become_known(void **state)
+static void tasks_are_counted_by_zone_when_the_zone_becomes_known(void **state)
 {
 	static const char record[] = "{\"d\":[[0,1]],\"t\":[[2,7]],\"m\":[[3,2,\"m-000009\",1]]}";
 	struct simulation *sim = malloc(sizeof(*sim));
@@ -64,10 +65,10 @@
 }
 
 /*
- * The log is read with the records, whichever is newer: what is done stays done, a higher attempt
- * counts, and an attempt that was released is not placed again by an older entry.
+ * The write-ahead log is read with the records, whichever is newer: what is done stays done, a
+ * higher attempt counts, and an attempt that was released is not placed again by an older entry.
  */
-static void log_and_record_are_merged_by_the_newer_entry(void **state)
+static void write_ahead_log_and_record_are_merged_by_the_newer_entry(void **state)
 {
 	static const char record[] = "{\"d\":[[0,0]],\"t\":[[1,4]],\"m\":[[2,2,\"m-000005\",1,9],"
 				     "[3,1,\"m-000006\",1,9]]}";
@@ -76,9 +77,9 @@
 				    "[2,1,\"m-000007\",1,9]]}]]}";
 	static const char newer[] = "{\"log\":[[\"run-000001\",0,{\"d\":[[3,3]],\"t\":[[2,2]],"
 				    "\"m\":[[4,1,\"m-000008\",1,9]]}]]}";
-	static const char *const bad[] = {"{}", "{\"log\":[[\"x\",0,{}]]}",
-	                                  "{\"log\":[[\"run-000001\",-1,{}]]}",
-	                                  "{\"log\":[[\"run-000001\",0]]}"};
+	static const char *const malformed[] = {"{}", "{\"log\":[[\"x\",0,{}]]}",
+	                                        "{\"log\":[[\"run-000001\",-1,{}]]}",
+	                                        "{\"log\":[[\"run-000001\",0]]}"};
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_wal wal = {0};
 	struct fl_cluster *cluster;
@@ -107,13 +108,14 @@
 	assert_int_equal(fl_task_peek(job, 4)->phase, FL_TASK_PLACED);
 	assert_int_equal(job->counts.placed, 1);
 	assert_int_equal(job->counts.done, 2);
-	/* What only the log holds is unsaved here too, so that the next log holds it again. */
+	/* What only the write-ahead log holds is unsaved here too, so that the next log holds it
+	 * again. */
 	assert_true(job->record.is_dirty);
 	assert_false(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 4)));
 	assert_true(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 1)));
 	fl_wal_free(&wal);
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		value = fl_json_parse(bad[i], strlen(bad[i]));
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
+		value = fl_json_parse(malformed[i], strlen(malformed[i]));
 		assert_int_not_equal(fl_wal_read(&wal, value), 0);
 		cJSON_Delete(value);
 		fl_wal_free(&wal);
@@ -123,7 +125,7 @@
 }
 
 /* Hundreds of tasks of many jobs become durable in a few values, where records take one each. */
-static void the_log_holds_many_jobs_in_few_values(void **state)
+static void the_write_ahead_log_holds_many_jobs_in_few_values(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	size_t bytes = 0;
@@ -160,8 +162,8 @@
 	free(sim);
 }
 
-/* A watch lags: the submission of a job that was over before the takeover arrives after it. */
-static void a_late_watch_event_restores_no_deleted_job(void **state)
+/* A watch lags: the submission of a job that was over before the failover arrives after it. */
+static void a_deleted_job_is_not_restored_by_a_late_watch_event(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_job_spec spec = {
@@ -180,7 +182,7 @@
 	cluster->list_revision = 100;
 	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 90));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 101));
-	/* Nor does a late event during the takeover's list: only the list itself marks jobs. */
+	/* Nor does a late event during the failover's list: only the list itself marks jobs. */
 	cluster->list_revision = 0;
 	fl_cluster_list_begin(cluster);
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 102));
@@ -203,7 +205,7 @@
 }
 
 /* Final states are cached up to a bound; the oldest are only in their records. */
-static void cached_final_states_are_bounded(void **state)
+static void cached_final_states_are_bounded_by_their_maximum(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_cluster *cluster;
@@ -226,7 +228,7 @@
 }
 
 /* The index of a purged machine passes to another one, whose tasks must refer to it. */
-static void a_purged_machine_leaves_the_cluster_state_consistent(void **state)
+static void tasks_refer_to_their_machine_after_another_was_purged(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_machine *machine[3];
@@ -261,13 +263,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_purged_machine_leaves_the_cluster_state_consistent),
-		cmocka_unit_test(log_and_record_are_merged_by_the_newer_entry),
-		cmocka_unit_test(the_log_holds_many_jobs_in_few_values),
-		cmocka_unit_test(a_late_watch_event_restores_no_deleted_job),
-		cmocka_unit_test(cached_final_states_are_bounded),
-		cmocka_unit_test(a_job_without_chunks_is_harmless),
-		cmocka_unit_test(zones_are_counted_when_they_become_known),
+		cmocka_unit_test(tasks_refer_to_their_machine_after_another_was_purged),
+		cmocka_unit_test(write_ahead_log_and_record_are_merged_by_the_newer_entry),
+		cmocka_unit_test(the_write_ahead_log_holds_many_jobs_in_few_values),
+		cmocka_unit_test(a_deleted_job_is_not_restored_by_a_late_watch_event),
+		cmocka_unit_test(cached_final_states_are_bounded_by_their_maximum),
+		cmocka_unit_test(a_job_without_task_blocks_can_be_cancelled),
+		cmocka_unit_test(tasks_are_counted_by_zone_when_the_zone_becomes_known),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_coroutine_order.c
+++ b/tests/test_coroutine_order.c
@@ -1,4 +1,4 @@
-/* In which order routines run: urgent ones, ordinary ones, and those that let others go first. */
+/* In which order coroutines run: urgent ones, ordinary ones, and those that let others go first. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,46 +12,46 @@
 enum { MAX_WAITING = 2, ORDER_SIZE = 32, ROUNDS = 16 };
 static const double longer_than_a_turn_s = 0.02;
 
-/* The clock that turns are measured by: it advances only where a routine computes for long. */
+/* The clock that turns are measured by: it advances only where a coroutine computes for long. */
 static double now = 1000;
 
 double fl_now(void) { return now; }
 
 static char order[ORDER_SIZE];
 
-static void note(char c) { order[strlen(order)] = c; }
+static void note(char letter) { order[strlen(order)] = letter; }
 
-static void ordinary(void *arg) { note(*(const char *)arg); }
+static void ordinary(void *argument) { note(*(const char *)argument); }
 
 /* Computes until its turn is over. */
-static void slow(void *arg)
+static void slow(void *argument)
 {
 	now += longer_than_a_turn_s;
-	note(*(const char *)arg);
+	note(*(const char *)argument);
 }
 
-static void deferred(void *arg)
+static void deferred(void *argument)
 {
 	if (fl_coroutine_defer(MAX_WAITING))
-		note(*(const char *)arg);
+		note(*(const char *)argument);
 	else
 		note('-');
 }
 
-static void urgent(void *arg)
+static void urgent(void *argument)
 {
 	fl_coroutine_set_urgent();
 	fl_sleep(0);
-	note(*(const char *)arg);
+	note(*(const char *)argument);
 }
 
-static void cancelled(void *arg)
+static void cancelled(void *argument)
 {
-	fl_coroutine_cancel(arg);
+	fl_coroutine_cancel(argument);
 	note('c');
 }
 
-/* No routine here waits for long: a few rounds of the loop, none of which may sleep. */
+/* No coroutine here waits for long: a few rounds of the loop, none of which may sleep. */
 static void run_all(void)
 {
 	for (int i = 0; i < ROUNDS; i++)
@@ -76,7 +76,7 @@
 	return 0;
 }
 
-static void deferred_work_lets_all_else_go_first(void **state)
+static void a_deferred_coroutine_lets_all_others_run_first(void **state)
 {
 	(void)state;
 	assert_non_null(fl_coroutine_spawn(deferred, "1"));
@@ -88,7 +88,7 @@
 }
 
 /* However much is ready, one of the deferred runs each turn. */
-static void deferred_work_is_not_starved(void **state)
+static void a_deferred_coroutine_is_not_starved_by_slow_ones(void **state)
 {
 	(void)state;
 	assert_non_null(fl_coroutine_spawn(deferred, "1"));
@@ -100,7 +100,7 @@
 	assert_string_equal(order, "a1b2c");
 }
 
-static void who_finds_too_many_waiting_is_told_at_once(void **state)
+static void a_coroutine_is_not_deferred_when_too_many_are_waiting(void **state)
 {
 	(void)state;
 	assert_non_null(fl_coroutine_spawn(deferred, "1"));
@@ -111,7 +111,7 @@
 	assert_string_equal(order, "-a12");
 }
 
-static void urgent_work_goes_before_deferred(void **state)
+static void an_urgent_coroutine_runs_before_a_deferred_one(void **state)
 {
 	(void)state;
 	assert_non_null(fl_coroutine_spawn(urgent, "u"));
@@ -123,7 +123,7 @@
 	assert_string_equal(order, "aub1");
 }
 
-static void a_cancelled_one_goes_on_without_its_turn(void **state)
+static void a_deferred_coroutine_goes_on_without_its_turn_when_it_is_cancelled(void **state)
 {
 	struct fl_coroutine *coroutine;
 
@@ -138,15 +138,17 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(deferred_work_lets_all_else_go_first, set_up,
-	                                        tear_down),
-		cmocka_unit_test_setup_teardown(deferred_work_is_not_starved, set_up, tear_down),
-		cmocka_unit_test_setup_teardown(who_finds_too_many_waiting_is_told_at_once, set_up,
-	                                        tear_down),
-		cmocka_unit_test_setup_teardown(urgent_work_goes_before_deferred, set_up,
-	                                        tear_down),
-		cmocka_unit_test_setup_teardown(a_cancelled_one_goes_on_without_its_turn, set_up,
-	                                        tear_down),
+		cmocka_unit_test_setup_teardown(a_deferred_coroutine_lets_all_others_run_first,
+	                                        set_up, tear_down),
+		cmocka_unit_test_setup_teardown(a_deferred_coroutine_is_not_starved_by_slow_ones,
+	                                        set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_coroutine_is_not_deferred_when_too_many_are_waiting, set_up, tear_down),
+		cmocka_unit_test_setup_teardown(an_urgent_coroutine_runs_before_a_deferred_one,
+	                                        set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_deferred_coroutine_goes_on_without_its_turn_when_it_is_cancelled, set_up,
+			tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -14,7 +14,7 @@
 #include "protocol/users.h"
 #include "protocol/workers.h"
 
-static const char good[] =
+static const char good_job_text[] =
 	"{\"Ref\":\"run-000412\",\"JobClass\":\"train\",\"Owner\":\"vision\",\"JobKind\":\"sweep\","
 	"\"Tier\":\"urgent\",\"Parts\":16,\"Vcpus\":8.0,\"Accelerators\":1.0,\"RamGb\":64.0,"
 	"\"Bundle\":\"img-07\",\"ImageGb\":6.2,\"HostKinds\":[\"g8\"],\"Site\":null,"
@@ -24,39 +24,40 @@
 static const char *decode(const char *text, struct fl_job_spec *spec)
 {
 	cJSON *object = fl_json_parse(text, strlen(text));
-	const char *bad;
+	const char *bad_field;
 
 	assert_non_null(object);
-	bad = fl_job_spec_decode(object, spec);
+	bad_field = fl_job_spec_decode(object, spec);
 	cJSON_Delete(object);
-	return bad;
+	return bad_field;
 }
 
 /* The good body with one field's value replaced. */
-static const char *with(const char *field, const char *value)
+static const char *decode_with(const char *field, const char *value)
 {
 	static struct fl_job_spec spec;
-	cJSON *object = fl_json_parse(good, strlen(good)), *v = fl_json_parse(value, strlen(value));
-	const char *bad;
+	cJSON *object = fl_json_parse(good_job_text, strlen(good_job_text)),
+	      *replacement = fl_json_parse(value, strlen(value));
+	const char *bad_field;
 	char *text;
 
-	if (v)
-		cJSON_ReplaceItemInObjectCaseSensitive(object, field, v);
+	if (replacement)
+		cJSON_ReplaceItemInObjectCaseSensitive(object, field, replacement);
 	else
 		cJSON_DeleteItemFromObjectCaseSensitive(object, field);
 	text = fl_json_print_and_delete(object);
-	bad = decode(text, &spec);
+	bad_field = decode(text, &spec);
 	free(text);
-	return bad;
+	return bad_field;
 }
 
-static void a_good_job_is_decoded_and_encoded_again(void **state)
+static void a_job_description_is_encoded_as_it_was_decoded(void **state)
 {
 	struct fl_job_spec spec, again;
 	char *text;
 
 	(void)state;
-	assert_null(decode(good, &spec));
+	assert_null(decode(good_job_text, &spec));
 	assert_string_equal(spec.ref, "run-000412");
 	assert_int_equal(spec.task_count, 16);
 	assert_int_equal(spec.priority, FL_URGENT);
@@ -67,11 +68,11 @@
 	free(text);
 }
 
-static void a_bad_field_is_named(void **state)
+static void a_malformed_field_of_a_job_description_is_named(void **state)
 {
 	static const struct {
 		const char *field, *value;
-	} bad[] = {
+	} malformed[] = {
 		{"Ref", "\"run-12\""},
 		{"Ref", "\"job-000412\""},
 		{"Ref", "7"},
@@ -99,24 +100,24 @@
 	};
 
 	(void)state;
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		const char *named = with(bad[i].field, bad[i].value);
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
+		const char *named = decode_with(malformed[i].field, malformed[i].value);
 
 		assert_non_null(named);
-		assert_string_equal(named, bad[i].field);
+		assert_string_equal(named, malformed[i].field);
 	}
 }
 
-static void null_equals_missing(void **state)
+static void a_null_field_is_taken_for_a_missing_one(void **state)
 {
 	(void)state;
-	assert_null(with("DueS", "null"));
-	assert_null(with("DueS", ""));
-	assert_null(with("HostKinds", "null"));
-	assert_null(with("Site", ""));
+	assert_null(decode_with("DueS", "null"));
+	assert_null(decode_with("DueS", ""));
+	assert_null(decode_with("HostKinds", "null"));
+	assert_null(decode_with("Site", ""));
 }
 
-/* Guards the small stacks of routines: cJSON recurses once a level. */
+/* Guards the small stacks of coroutines: cJSON recurses once a level. */
 static void malformed_json_is_refused(void **state)
 {
 	char text[4001];
@@ -141,15 +142,15 @@
 	cJSON_Delete(object);
 }
 
-static void good_reports_are_decoded_and_bad_ones_refused(void **state)
+static void a_heartbeat_is_refused_when_it_is_malformed(void **state)
 {
-	static const char report[] =
+	static const char heartbeat[] =
 		"{\"Host\":\"m-000231\",\"Endpoint\":\"10.1.0.232:9000\",\"HostKind\":\"g8\","
 		"\"Site\":\"a\",\"Reclaimable\":true,\"Tenure\":1,\"Serial\":88,\"Epoch\":41,"
 		"\"ReclaimInS\":null,\"Parts\":[{\"Part\":\"run-000412/3\",\"Try\":2,"
 		"\"Status\":\"running\"},{\"Part\":\"run-000398/0\",\"Try\":1,"
 		"\"Status\":\"ended\",\"ExitReason\":\"done\"}]}";
-	static const char *const bad[] = {
+	static const char *const malformed[] = {
 		"{}",
 		"[]",
 		"{\"Host\":\"m-1\",\"Endpoint\":\"\",\"HostKind\":\"g\",\"Site\":\"a\","
@@ -166,17 +167,18 @@
 	struct fl_heartbeat decoded;
 
 	(void)state;
-	assert_int_equal(fl_heartbeat_decode(report, strlen(report), &decoded), 0);
+	assert_int_equal(fl_heartbeat_decode(heartbeat, strlen(heartbeat), &decoded), 0);
 	assert_int_equal(decoded.task_count, 2);
 	assert_int_equal(decoded.tasks[0].index, 3);
 	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
 	assert_true(decoded.interruption_in_s < 0);
 	fl_heartbeat_free(&decoded);
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_not_equal(fl_heartbeat_decode(bad[i], strlen(bad[i]), &decoded), 0);
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++)
+		assert_int_not_equal(
+			fl_heartbeat_decode(malformed[i], strlen(malformed[i]), &decoded), 0);
 }
 
-static void machine_types_are_restored_from_their_record(void **state)
+static void machine_types_are_decoded_as_they_were_encoded(void **state)
 {
 	struct fl_cloud_machine_type type = {.name = "g8",
 	                                     .cpus = 96,
@@ -189,27 +191,27 @@
 	                                     .ready_s = 45,
 	                                     .zones = {"a", "b"},
 	                                     .zone_count = 2},
-				     *back;
+				     *decoded_types;
 	cJSON *object = fl_machine_types_encode(&type, 1),
 	      *none = fl_machine_types_encode(&type, 0);
-	int n;
+	int count;
 
 	(void)state;
-	assert_int_equal(fl_machine_types_decode(object, &back, &n), 0);
-	assert_int_equal(n, 1);
-	assert_memory_equal(back, &type, sizeof(type));
-	free(back);
+	assert_int_equal(fl_machine_types_decode(object, &decoded_types, &count), 0);
+	assert_int_equal(count, 1);
+	assert_memory_equal(decoded_types, &type, sizeof(type));
+	free(decoded_types);
 	/* A record without any is refused: no job could be placed by it. */
-	assert_int_not_equal(fl_machine_types_decode(none, &back, &n), 0);
-	assert_null(back);
+	assert_int_not_equal(fl_machine_types_decode(none, &decoded_types, &count), 0);
+	assert_null(decoded_types);
 	cJSON_Delete(object);
 	cJSON_Delete(none);
 }
 
-static void a_relayed_call_is_a_users_and_whole(void **state)
+static void a_forwarded_request_is_refused_unless_it_is_a_users_and_whole(void **state)
 {
-	static const char *const bad[] = {
-		/* A report, which goes another way. */
+	static const char *const malformed[] = {
+		/* A heartbeat, which goes another way. */
 		"{\"call\":5,\"last_hop\":true,\"body\":\"{}\"}",
 		"{\"call\":1,\"last_hop\":7,\"body\":\"{}\"}",
 		"{\"call\":5,\"last_hop\":true}",
@@ -228,12 +230,13 @@
 	assert_string_equal(forwarded.body, "{}");
 	fl_forwarded_request_free(&forwarded);
 	free(text);
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++)
 		assert_int_not_equal(
-			fl_forwarded_request_decode(bad[i], strlen(bad[i]), &forwarded), 0);
+			fl_forwarded_request_decode(malformed[i], strlen(malformed[i]), &forwarded),
+			0);
 }
 
-static void paths_are_parsed(void **state)
+static void a_user_path_is_parsed_into_request_kind_and_job(void **state)
 {
 	char ref[FL_REF_MAX];
 
@@ -253,14 +256,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_good_job_is_decoded_and_encoded_again),
-		cmocka_unit_test(a_bad_field_is_named),
-		cmocka_unit_test(null_equals_missing),
+		cmocka_unit_test(a_job_description_is_encoded_as_it_was_decoded),
+		cmocka_unit_test(a_malformed_field_of_a_job_description_is_named),
+		cmocka_unit_test(a_null_field_is_taken_for_a_missing_one),
 		cmocka_unit_test(malformed_json_is_refused),
-		cmocka_unit_test(good_reports_are_decoded_and_bad_ones_refused),
-		cmocka_unit_test(machine_types_are_restored_from_their_record),
-		cmocka_unit_test(a_relayed_call_is_a_users_and_whole),
-		cmocka_unit_test(paths_are_parsed),
+		cmocka_unit_test(a_heartbeat_is_refused_when_it_is_malformed),
+		cmocka_unit_test(machine_types_are_decoded_as_they_were_encoded),
+		cmocka_unit_test(a_forwarded_request_is_refused_unless_it_is_a_users_and_whole),
+		cmocka_unit_test(a_user_path_is_parsed_into_request_kind_and_job),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -1,6 +1,6 @@
 /*
- * A controller that is busy keeps its lease: the routines of the lease go before all that is ready.
- * Virtual time, and a state service made here.
+ * A controller that is busy keeps its lease: the coroutines of the lease go before all that is
+ * ready. Virtual time, and a key-value store made here.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,10 +16,10 @@
 #include "sim.h"
 #include "transport/clock.h"
 
-enum { PROCESS = 1, BUSY_ROUTINES = 300 };
-static const double work_s = 0.005; /* s of each piece of work */
-static const double way_s = 0.002;  /* s each way of a call */
-static const double begin_busy_s = 2, end_s = 30;
+enum { PROCESS = 1, BUSY_COROUTINES = 300 };
+static const double computation_s = 0.005; /* s of each piece of work */
+static const double one_way_s = 0.002;     /* s each way of a call */
+static const double busy_from_s = 2, busy_for_s = 30;
 
 struct sim sim;
 
@@ -27,17 +27,17 @@
 	struct fl_node node;
 	struct fl_config config;
 	bool busy;
-	int renewals, holds;
+	int renewals, lease_grants;
 } world;
 
 /* Each piece of work of a busy controller takes a while, in which nothing else of it runs. */
 void sim_process_computes(int process)
 {
 	if (world.busy)
-		sim_process_waits(process, fl_now() + work_s);
+		sim_process_waits(process, fl_now() + computation_s);
 }
 
-/* An empty state service that grants leases; and a cloud without machines. */
+/* An empty key-value store that grants leases; and a cloud without machines. */
 static const char *answer(const char *path)
 {
 	if (strstr(path, "/extend")) {
@@ -45,7 +45,7 @@
 		return "{}";
 	}
 	if (strcmp(path, "/holds") == 0) {
-		world.holds++;
+		world.lease_grants++;
 		return "{\"Grant\":7}";
 	}
 	if (strncmp(path, "/follow", strlen("/follow")) == 0) {
@@ -58,21 +58,21 @@
 }
 
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *out)
+                 const char *body, double timeout_s, struct fl_http_reply *reply)
 {
 	const char *text;
 
 	(void)client, (void)method, (void)body, (void)timeout_s;
-	memset(out, 0, sizeof(*out));
-	fl_sleep(way_s);
+	memset(reply, 0, sizeof(*reply));
+	fl_sleep(one_way_s);
 	text = answer(path);
-	if (fl_sleep(way_s) != 0)
+	if (fl_sleep(one_way_s) != 0)
 		return -ECANCELED;
-	out->status = 200;
-	return fl_buffer_append(&out->body, text, strlen(text));
+	reply->status = 200;
+	return fl_buffer_append(&reply->body, text, strlen(text));
 }
 
-static void start_lease(void *arg)
+static void start_election(void *arg)
 {
 	static const struct fl_election_callbacks callbacks = {fl_leadership_begin,
 	                                                       fl_leadership_end};
@@ -82,7 +82,7 @@
 }
 
 /* Ready again as soon as it has run. */
-static void busy(void *arg)
+static void stay_ready(void *arg)
 {
 	(void)arg;
 	while (fl_sleep(0) == 0)
@@ -95,10 +95,10 @@
  * Without it each wait of a renewal is as long as a round of all that is ready, 1.5 s here, and the
  * lease of 3 s ends.
  */
-static void a_busy_controller_keeps_its_lease(void **state)
+static void a_leader_keeps_its_lease_when_its_controller_is_busy(void **state)
 {
 	struct fl_node *node = &world.node;
-	int before;
+	int renewals_before;
 
 	(void)state;
 	sim_time_begin();
@@ -108,18 +108,18 @@
 	world.config.state_rps = world.config.state_write_rps = 100;
 	world.config.cloud_rps = 1;
 	node->machine_types_known = node->jobs_known = true;
-	assert_non_null(sim_spawn(PROCESS, start_lease, NULL));
-	sim_time_run(fl_now() + begin_busy_s);
+	assert_non_null(sim_spawn(PROCESS, start_election, NULL));
+	sim_time_run(fl_now() + busy_from_s);
 	assert_true(node->leader_lease.held);
-	before = world.renewals;
+	renewals_before = world.renewals;
 	world.busy = true;
-	for (int i = 0; i < BUSY_ROUTINES; i++)
-		assert_non_null(sim_spawn(PROCESS, busy, NULL));
-	sim_time_run(fl_now() + end_s);
+	for (int i = 0; i < BUSY_COROUTINES; i++)
+		assert_non_null(sim_spawn(PROCESS, stay_ready, NULL));
+	sim_time_run(fl_now() + busy_for_s);
 	assert_true(fl_leader_lease_is_valid(node));
-	assert_int_equal(world.holds, 1);
+	assert_int_equal(world.lease_grants, 1);
 	/* One each 0.8 s, and what the work before it takes. */
-	assert_true(world.renewals - before >= (int)end_s);
+	assert_true(world.renewals - renewals_before >= (int)busy_for_s);
 	sim_time_end(drop_timer);
 	fl_cluster_free(&node->cluster);
 }
@@ -127,7 +127,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_busy_controller_keeps_its_lease),
+		cmocka_unit_test(a_leader_keeps_its_lease_when_its_controller_is_busy),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -1,5 +1,5 @@
 /*
- * Workers' reports on their way from a follower to the leader: how many messages they cost, that
+ * Workers' heartbeats on their way from a follower to the leader: how many messages they cost, that
  * each worker gets the answer to its own, and that a leader that stands still keeps none of them
  * waiting beyond its patience. Virtual time, and a link made here.
  */
@@ -20,9 +20,9 @@
 #include "sim.h"
 #include "transport/clock.h"
 
-enum { WORKERS = 300, EPOCH = 4 };
-static const double way_s = 0.005;         /* s each way of a message */
-static const double worker_patience_s = 4; /* s that a worker waits for an answer */
+enum { WORKERS = 300, FENCING_TOKEN = 4 };
+static const double one_way_s = 0.005;    /* s each way of a message */
+static const double worker_timeout_s = 4; /* s that a worker waits for an answer */
 
 struct sim sim;
 
@@ -35,11 +35,11 @@
 
 struct worker {
 	char host[FL_NAME_MAX];
-	double at; /* s from the beginning */
+	double begins_at; /* s from the beginning */
 	int rc;
-	struct fl_http_response resp;
-	bool over;
-	double took;
+	struct fl_http_response response;
+	bool completed;
+	double duration_s;
 };
 
 /* No controller here is slow. */
@@ -47,7 +47,7 @@
 
 /* To the leader, or to the third controller, which passes messages on. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *out)
+                 const char *body, double timeout_s, struct fl_http_reply *reply)
 {
 	bool to_leader =
 		client == &world.follower.peers[0].http || client == &world.third.peers[0].http;
@@ -61,90 +61,90 @@
 		fl_sleep(timeout_s);
 		return -ETIMEDOUT;
 	}
-	fl_sleep(way_s);
+	fl_sleep(one_way_s);
 	fl_heartbeat_forward_serve(to_leader ? &world.leader : &world.third, body, strlen(body),
 	                           &response);
-	fl_sleep(way_s);
-	memset(out, 0, sizeof(*out));
-	out->status = response.status;
-	fl_buffer_append(&out->body, response.body, strlen(response.body));
+	fl_sleep(one_way_s);
+	memset(reply, 0, sizeof(*reply));
+	reply->status = response.status;
+	fl_buffer_append(&reply->body, response.body, strlen(response.body));
 	free(response.body);
 	return 0;
 }
 
-static char *report_of(const struct worker *w)
+static char *encode_heartbeat(const struct worker *worker)
 {
 	struct fl_task_status task = {.attempt = 1, .state = FL_TASK_STATE_RUNNING};
 	struct fl_heartbeat heartbeat = {.incarnation = 1,
 	                                 .sequence = 1,
-	                                 .fencing_token = EPOCH,
+	                                 .fencing_token = FENCING_TOKEN,
 	                                 .interruption_in_s = -1,
 	                                 .tasks = &task,
 	                                 .task_count = 1};
 
-	snprintf(heartbeat.host, sizeof(heartbeat.host), "%s", w->host);
+	snprintf(heartbeat.host, sizeof(heartbeat.host), "%s", worker->host);
 	snprintf(heartbeat.endpoint, sizeof(heartbeat.endpoint), "127.0.0.1:1");
 	snprintf(heartbeat.type, sizeof(heartbeat.type), "t");
 	snprintf(heartbeat.zone, sizeof(heartbeat.zone), "a");
 	/* A task that the leader does not know, so that its answer names the machine's own. */
-	snprintf(task.ref, sizeof(task.ref), "run-%.6s", w->host + 2);
+	snprintf(task.ref, sizeof(task.ref), "run-%.6s", worker->host + 2);
 	return fl_heartbeat_encode(&heartbeat);
 }
 
-static void report(void *arg)
+static void send_heartbeat(void *arg)
 {
-	struct worker *w = arg;
+	struct worker *worker = arg;
 	char *text;
-	double came;
+	double began_at;
 
-	if (fl_sleep(w->at) != 0)
+	if (fl_sleep(worker->begins_at) != 0)
 		return;
-	text = report_of(w);
-	came = fl_now();
-	w->rc = fl_heartbeat_forward(&world.follower, text, strlen(text), &w->resp);
-	w->took = fl_now() - came;
-	w->over = true;
+	text = encode_heartbeat(worker);
+	began_at = fl_now();
+	worker->rc = fl_heartbeat_forward(&world.follower, text, strlen(text), &worker->response);
+	worker->duration_s = fl_now() - began_at;
+	worker->completed = true;
 	free(text);
 }
 
 static void drop_timer(struct sim_timer *timer) { (void)timer; }
 
-/* All of them report, `apart_s` after one another. */
-static struct worker *run(double apart_s)
+/* All of them heartbeat, `interval_s` after one another. */
+static struct worker *run_workers(double interval_s)
 {
 	struct worker *workers = calloc(WORKERS, sizeof(*workers));
 
 	for (int i = 0; i < WORKERS; i++) {
 		snprintf(workers[i].host, sizeof(workers[i].host), "m-%06d", i);
-		workers[i].at = i * apart_s;
-		sim_spawn(0, report, &workers[i]);
+		workers[i].begins_at = i * interval_s;
+		sim_spawn(0, send_heartbeat, &workers[i]);
 	}
 	sim_time_run(fl_now() + 30);
 	sim_time_end(drop_timer);
 	return workers;
 }
 
-static int answered_rightly(struct worker *workers)
+static int count_answered(struct worker *workers)
 {
 	int count = 0;
 
 	for (int i = 0; i < WORKERS; i++) {
 		char own[32];
 
-		assert_true(workers[i].over);
+		assert_true(workers[i].completed);
 		snprintf(own, sizeof(own), "run-%06d/0", i);
 		if (workers[i].rc == 0) {
-			assert_int_equal(workers[i].resp.status, 200);
-			assert_non_null(strstr(workers[i].resp.body, own));
+			assert_int_equal(workers[i].response.status, 200);
+			assert_non_null(strstr(workers[i].response.body, own));
 			count++;
 		}
-		free(workers[i].resp.body);
+		free(workers[i].response.body);
 	}
 	free(workers);
 	return count;
 }
 
-static void name_node(struct fl_node *node, struct fl_config *config, const char *name)
+static void init_node(struct fl_node *node, struct fl_config *config, const char *name)
 {
 	node->config = config;
 	snprintf(config->node, sizeof(config->node), "%s", name);
@@ -171,9 +171,9 @@
 	(void)state;
 	memset(&world, 0, sizeof(world));
 	sim_time_begin();
-	name_node(&world.leader, &world.leader_config, "host-1");
-	name_node(&world.follower, &world.follower_config, "host-2");
-	name_node(&world.third, &world.third_config, "host-3");
+	init_node(&world.leader, &world.leader_config, "host-1");
+	init_node(&world.follower, &world.follower_config, "host-2");
+	init_node(&world.third, &world.third_config, "host-3");
 	add_peer(&world.follower, "host-1");
 	add_peer(&world.follower, "host-3");
 	add_peer(&world.third, "host-1");
@@ -181,7 +181,7 @@
 		true;
 	world.leader.leader_lease.valid_until = fl_now() + 1000;
 	world.leader.leader_lease.fencing_token = world.leader.leadership.first_fencing_token =
-		EPOCH;
+		FENCING_TOKEN;
 	world.leader.cancellation_watermark = fl_now();
 	assert_int_equal(fl_symbol_intern(&world.leader.cluster.zones, "a"), 0);
 	fl_machine_types_set(&world.leader.cluster.machines, &world.leader.cluster.zones, &type, 1);
@@ -195,61 +195,62 @@
 	return 0;
 }
 
-/* Found with 3% of a core: a message for each report took more than the leader's processor. */
-static void many_reports_cost_few_messages(void **state)
+/* Found with 3% of a core: a message for each heartbeat took more than the leader's processor. */
+static void many_heartbeats_cost_few_messages(void **state)
 {
 	const int full = (WORKERS + FL_PEER_HEARTBEATS_MAX - 1) / FL_PEER_HEARTBEATS_MAX;
 
 	(void)state;
-	assert_int_equal(answered_rightly(run(0)), WORKERS);
+	assert_int_equal(count_answered(run_workers(0)), WORKERS);
 	assert_true(world.messages <= full + FL_HEARTBEAT_REQUESTS_MAX);
 }
 
-static void a_report_alone_is_not_held_back(void **state)
+static void a_heartbeat_alone_is_not_held_back(void **state)
 {
 	struct worker *workers;
 
 	(void)state;
-	workers = run(0.05);
+	workers = run_workers(0.05);
 	for (int i = 0; i < WORKERS; i++)
-		assert_true(workers[i].took < 2.1 * way_s);
-	assert_int_equal(answered_rightly(workers), WORKERS);
+		assert_true(workers[i].duration_s < 2.1 * one_way_s);
+	assert_int_equal(count_answered(workers), WORKERS);
 	assert_int_equal(world.messages, WORKERS);
 }
 
-static void a_third_controller_passes_on_what_the_link_does_not(void **state)
+static void a_third_controller_forwards_heartbeats_when_the_link_to_the_leader_is_down(void **state)
 {
 	(void)state;
 	world.link_down = true;
 	/* Two that went at once, one each, and two full ones after them, in the order they came. */
-	assert_int_equal(answered_rightly(run(0)), 2 + 2 * FL_PEER_HEARTBEATS_MAX);
+	assert_int_equal(count_answered(run_workers(0)), 2 + 2 * FL_PEER_HEARTBEATS_MAX);
 }
 
 /* Each of them is renewed by this node then, before its worker looks for another one. */
-static void a_leader_that_stands_still_keeps_no_worker(void **state)
+static void
+a_heartbeat_returns_within_the_timeout_of_its_worker_when_the_leader_stalls(void **state)
 {
 	struct worker *workers;
 
 	(void)state;
 	world.leader_stalls = true;
-	workers = run(0.01);
+	workers = run_workers(0.01);
 	for (int i = 0; i < WORKERS; i++) {
 		assert_int_not_equal(workers[i].rc, 0);
-		assert_true(workers[i].took < 0.75 * worker_patience_s);
+		assert_true(workers[i].duration_s < 0.75 * worker_timeout_s);
 	}
-	assert_int_equal(answered_rightly(workers), 0);
+	assert_int_equal(count_answered(workers), 0);
 }
 
-static int decode_answers(const char *text, int n)
+static int decode_answers(const char *text, int count)
 {
 	struct fl_heartbeat_reply answers[4];
 
-	return fl_heartbeat_replies_decode(text, strlen(text), answers, n);
+	return fl_heartbeat_replies_decode(text, strlen(text), answers, count);
 }
 
-static void malformed_messages_decide_nothing(void **state)
+static void a_malformed_heartbeat_message_is_refused(void **state)
 {
-	static const char *const bad[] = {
+	static const char *const malformed[] = {
 		"{}",
 		"[]",
 		"{\"last_hop\":true,\"via\":\"a\"}",
@@ -265,15 +266,16 @@
 	char *text;
 
 	(void)state;
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_equal(fl_peer_heartbeats_decode(bad[i], strlen(bad[i]), &message),
-		                 -EPROTO);
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++)
+		assert_int_equal(
+			fl_peer_heartbeats_decode(malformed[i], strlen(malformed[i]), &message),
+			-EPROTO);
 	assert_int_equal(decode_answers("[]", 1), -EPROTO);
 	assert_int_equal(decode_answers("[{\"status\":200,\"body\":7}]", 1), -EPROTO);
 	assert_int_equal(decode_answers("[{\"status\":200,\"body\":\"\"},{\"status\":7}]", 2),
 	                 -EPROTO);
 	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), -EPROTO);
-	/* What is no report among others is refused alone. */
+	/* What is no heartbeat among others is refused alone. */
 	fl_heartbeat_list_add(list, "{\"Host\":7}");
 	text = fl_peer_heartbeats_encode(list, "host-2", true, true);
 	assert_int_equal(fl_peer_heartbeats_decode(text, strlen(text), &message), 0);
@@ -291,13 +293,17 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(many_reports_cost_few_messages, set_up, tear_down),
-		cmocka_unit_test_setup_teardown(a_report_alone_is_not_held_back, set_up, tear_down),
-		cmocka_unit_test_setup_teardown(a_third_controller_passes_on_what_the_link_does_not,
-	                                        set_up, tear_down),
-		cmocka_unit_test_setup_teardown(a_leader_that_stands_still_keeps_no_worker, set_up,
+		cmocka_unit_test_setup_teardown(many_heartbeats_cost_few_messages, set_up,
 	                                        tear_down),
-		cmocka_unit_test_setup_teardown(malformed_messages_decide_nothing, set_up,
+		cmocka_unit_test_setup_teardown(a_heartbeat_alone_is_not_held_back, set_up,
+	                                        tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_third_controller_forwards_heartbeats_when_the_link_to_the_leader_is_down,
+			set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_heartbeat_returns_within_the_timeout_of_its_worker_when_the_leader_stalls,
+			set_up, tear_down),
+		cmocka_unit_test_setup_teardown(a_malformed_heartbeat_message_is_refused, set_up,
 	                                        tear_down),
 	};
 
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -1,6 +1,6 @@
 /*
  * An array of 100,000 tasks, the most that the protocol allows: what it costs in memory, records
- * and the work of a pass, by counts.
+ * and the work of a scheduling cycle, by counts.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,8 +20,8 @@
 
 enum {
 	MACHINES = 300,
-	TASKS_A_MACHINE = 48,
-	VALUE_LIMIT = 4096, /* bytes, of the smallest state service that is run */
+	TASKS_PER_MACHINE = 48,
+	VALUE_LIMIT = 4096, /* bytes, of the smallest key-value store that is run */
 	PLACEMENT_BYTES = 48
 };
 
@@ -29,7 +29,7 @@
 	struct fl_node node;
 	struct fl_config config;
 	struct fl_job *job;
-	struct fl_machine *machine[MACHINES];
+	struct fl_machine *machines[MACHINES];
 };
 
 static int set_up(void **state)
@@ -64,11 +64,11 @@
 		char name[FL_NAME_MAX];
 
 		snprintf(name, sizeof(name), "m-%06d", i);
-		site->machine[i] = fl_machine_get(&cluster->machines, name, fl_now());
-		fl_cluster_describe(cluster, site->machine[i], 0, 0, true, "x");
-		site->machine[i]->lifecycle.up = true;
-		site->machine[i]->heartbeat.incarnation = 1;
-		site->machine[i]->outbound.last_reachable_at = fl_now();
+		site->machines[i] = fl_machine_get(&cluster->machines, name, fl_now());
+		fl_cluster_describe(cluster, site->machines[i], 0, 0, true, "x");
+		site->machines[i]->lifecycle.up = true;
+		site->machines[i]->heartbeat.incarnation = 1;
+		site->machines[i]->outbound.last_reachable_at = fl_now();
 	}
 	return 0;
 }
@@ -83,7 +83,7 @@
 	return 0;
 }
 
-static uint32_t chunks_held(const struct fl_job *job)
+static uint32_t blocks_held(const struct fl_job *job)
 {
 	uint32_t count = 0;
 
@@ -98,27 +98,27 @@
 	uint32_t index = 0;
 
 	for (int i = 0; i < MACHINES; i++)
-		for (int k = 0; k < TASKS_A_MACHINE; k++, index++)
+		for (int k = 0; k < TASKS_PER_MACHINE; k++, index++)
 			assert_int_equal(fl_task_place(&site->node.cluster, site->job, index,
-			                               site->machine[i], 7, fl_now()),
+			                               site->machines[i], 7, fl_now()),
 			                 0);
 	return index;
 }
 
-static void memory_is_for_tasks_that_were_touched(void **state)
+static void a_large_array_holds_memory_only_for_tasks_that_were_touched(void **state)
 {
 	struct site *site = *state;
 	uint32_t placed;
 
-	assert_int_equal(chunks_held(site->job), 0);
+	assert_int_equal(blocks_held(site->job), 0);
 	placed = fill_machines(site);
-	assert_int_equal(chunks_held(site->job),
+	assert_int_equal(blocks_held(site->job),
 	                 (placed + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE);
 	assert_true(sizeof(struct fl_task_block) <= (size_t)FL_TASK_BLOCK_SIZE * 80);
 }
 
-/* Its 100,000 waiting tasks are no more work than those that one pass may start. */
-static void a_pass_looks_at_few_of_its_tasks(void **state)
+/* Its 100,000 waiting tasks are no more work than those that one scheduling cycle may start. */
+static void a_scheduling_cycle_examines_few_tasks_of_a_large_array(void **state)
 {
 	struct site *site = *state;
 	struct fl_sched_output output;
@@ -135,29 +135,29 @@
 	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
 	/* Nothing is allocated by looking. */
-	assert_int_equal(chunks_held(site->job), 0);
+	assert_int_equal(blocks_held(site->job), 0);
 }
 
 /* Its tasks are all alike: the plan of rentals looks at each machine once, not for each task. */
-static void a_plan_looks_once_at_each_machine(void **state)
+static void a_scale_out_plan_examines_each_machine_once_for_a_large_array(void **state)
 {
 	struct site *site = *state;
-	const uint32_t short_of = 20000;
+	const uint32_t missing_tasks = 20000;
 
 	for (int i = 0; i < MACHINES; i++) {
-		site->machine[i]->lifecycle.up = false;
-		site->machine[i]->lifecycle.first_seen_at = fl_now();
+		site->machines[i]->lifecycle.up = false;
+		site->machines[i]->lifecycle.first_seen_at = fl_now();
 	}
 	site->node.cluster.machines.types[0].ready_s = 60;
 	site->node.cluster.machines.types[0].zones = 1;
-	fl_autoscaler_plan_scale_out(&site->node, &site->job, &short_of, 1);
+	fl_autoscaler_plan_scale_out(&site->node, &site->job, &missing_tasks, 1);
 	assert_true(site->node.autoscaler.request_count > 0);
 	assert_true(site->node.autoscaler.machines_examined > MACHINES);
-	assert_true(site->node.autoscaler.machines_examined <= MACHINES + 2L * (long)short_of);
+	assert_true(site->node.autoscaler.machines_examined <= MACHINES + 2L * (long)missing_tasks);
 }
 
-/* Every chunk fits into a value, and the log holds a placement in few bytes. */
-static void records_stay_small(void **state)
+/* Every task block fits into a value, and the write-ahead log holds a placement in few bytes. */
+static void each_task_block_of_a_large_array_fits_into_a_value(void **state)
 {
 	struct site *site = *state;
 	struct fl_cluster *cluster = &site->node.cluster;
@@ -176,12 +176,12 @@
 		assert_true(strlen(record) < VALUE_LIMIT);
 		free(record);
 	}
-	assert_int_equal(groups, chunks_held(site->job));
+	assert_int_equal(groups, blocks_held(site->job));
 	assert_true(log_bytes <= (size_t)placed * PLACEMENT_BYTES);
 }
 
-/* What is done is ranges: a chunk that is done takes a few bytes, whatever it went through. */
-static void what_is_done_takes_a_range(void **state)
+/* What is done is ranges: a task block that is done takes a few bytes, whatever it went through. */
+static void a_done_task_block_is_stored_as_a_range(void **state)
 {
 	struct site *site = *state;
 	struct fl_cluster *cluster = &site->node.cluster;
@@ -198,14 +198,18 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(memory_is_for_tasks_that_were_touched, set_up,
+		cmocka_unit_test_setup_teardown(
+			a_large_array_holds_memory_only_for_tasks_that_were_touched, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_scheduling_cycle_examines_few_tasks_of_a_large_array, set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_scale_out_plan_examines_each_machine_once_for_a_large_array, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(each_task_block_of_a_large_array_fits_into_a_value,
+	                                        set_up, tear_down),
+		cmocka_unit_test_setup_teardown(a_done_task_block_is_stored_as_a_range, set_up,
 	                                        tear_down),
-		cmocka_unit_test_setup_teardown(a_pass_looks_at_few_of_its_tasks, set_up,
-	                                        tear_down),
-		cmocka_unit_test_setup_teardown(a_plan_looks_once_at_each_machine, set_up,
-	                                        tear_down),
-		cmocka_unit_test_setup_teardown(records_stay_small, set_up, tear_down),
-		cmocka_unit_test_setup_teardown(what_is_done_takes_a_range, set_up, tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -1,5 +1,5 @@
 /*
- * Jobs, attempts and records under random interleavings: reports late or repeated, answers and
+ * Jobs, attempts and records under random interleavings: heartbeats late or repeated, answers and
  * commands lost, late or carried out twice, leaders that end and are followed by others. And a job
  * whose every attempt fails.
  */
@@ -21,7 +21,7 @@
 	struct worker *worker = &sim->worker[at];
 	char *text;
 
-	/* An answer in flight is carried out before the next report or never. */
+	/* An answer in flight is carried out before the next heartbeat or never. */
 	if (worker->answer && random_below(sim, 4))
 		execute_orders(sim, at, worker->answer, false);
 	drop_answer(worker);
@@ -53,7 +53,7 @@
 	}
 }
 
-static void end_session(struct simulation *sim, int at)
+static void end_incarnation(struct simulation *sim, int at)
 {
 	struct worker *worker = &sim->worker[at];
 
@@ -69,7 +69,7 @@
 	switch (random_below(sim, 24)) {
 	case 0:
 		if (random_below(sim, 4) == 0)
-			end_session(sim, at);
+			end_incarnation(sim, at);
 		break;
 	case 1:
 		if (random_below(sim, 4 * sim->calm) == 0)
@@ -118,7 +118,7 @@
 	check_invariants(sim);
 }
 
-static void no_interleaving_violates_an_invariant(void **state)
+static void no_interleaving_of_heartbeats_commands_and_leaders_violates_an_invariant(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	int launches = 0, dones = 0, takeovers = 0, finished = 0;
@@ -173,7 +173,7 @@
 }
 
 /* A job that fails everywhere waits longer and longer, and does not make machines look faulty. */
-static void a_job_that_always_fails_backs_off(void **state)
+static void a_job_backs_off_when_it_fails_on_every_machine(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_machine *machine;
@@ -195,7 +195,7 @@
 }
 
 /* Two tasks of a job of which nothing ever completed are no evidence against their machine. */
-static void a_machine_is_blamed_by_evidence(void **state)
+static void a_machine_is_quarantined_by_evidence_only(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
 	struct fl_job *job;
@@ -220,9 +220,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_job_that_always_fails_backs_off),
-		cmocka_unit_test(a_machine_is_blamed_by_evidence),
-		cmocka_unit_test(no_interleaving_violates_an_invariant),
+		cmocka_unit_test(a_job_backs_off_when_it_fails_on_every_machine),
+		cmocka_unit_test(a_machine_is_quarantined_by_evidence_only),
+		cmocka_unit_test(
+			no_interleaving_of_heartbeats_commands_and_leaders_violates_an_invariant),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
