--- a/tests/contract_store_fixture.c
+++ b/tests/contract_store_fixture.c
@@ -13,13 +13,11 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
-#include "sim.h"
 #include "transport/clock.h"
+#include "virtual_time_fixture.h"
 
 enum { PROCESS = 1, LEASE_ID = 7 };
 
-struct sim sim;
-
 struct contract_store world;
 
 void sim_process_computes(int process) { (void)process; }
@@ -147,14 +145,12 @@
 	return 0;
 }
 
-static void drop_timer(struct sim_timer *timer) { (void)timer; }
-
 int end_node(void **state)
 {
 	struct fl_cached_heartbeat *cached, *next;
 
 	(void)state;
-	sim_time_end(drop_timer);
+	virtual_time_end();
 	HASH_ITER (hh, world.node.follower.cached_heartbeats, cached, next) {
 		HASH_DEL(world.node.follower.cached_heartbeats, cached);
 		free(cached->text);
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -108,7 +108,7 @@
 	assert_int_equal(fl_task_peek(job, 4)->phase, FL_TASK_PLACED);
 	assert_int_equal(job->counts.placed, 1);
 	assert_int_equal(job->counts.done, 2);
-	/* What only the write-ahead log holds is unsaved here too, so that the next log holds it
+	/* What only the write-ahead log holds is unsaved here too, so that the next value holds it
 	 * again. */
 	assert_true(job->record.is_dirty);
 	assert_false(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 4)));
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -13,16 +13,14 @@
 
 #include "coordination/election/election.h"
 #include "coordination/node.h"
-#include "sim.h"
 #include "transport/clock.h"
+#include "virtual_time_fixture.h"
 
 enum { PROCESS = 1, BUSY_COROUTINES = 300 };
 static const double computation_s = 0.005; /* s of each piece of work */
 static const double one_way_s = 0.002;     /* s each way of a call */
 static const double busy_from_s = 2, busy_for_s = 30;
 
-struct sim sim;
-
 static struct {
 	struct fl_node node;
 	struct fl_config config;
@@ -89,8 +87,6 @@
 		;
 }
 
-static void drop_timer(struct sim_timer *timer) { (void)timer; }
-
 /*
  * Without it each wait of a renewal is as long as a round of all that is ready, 1.5 s here, and the
  * lease of 3 s ends.
@@ -120,7 +116,7 @@
 	assert_int_equal(world.lease_grants, 1);
 	/* One each 0.8 s, and what the work before it takes. */
 	assert_true(world.renewals - renewals_before >= (int)busy_for_s);
-	sim_time_end(drop_timer);
+	virtual_time_end();
 	fl_cluster_free(&node->cluster);
 }
 
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -17,15 +17,13 @@
 #include "coordination/node.h"
 #include "coordination/follower/heartbeat_forwarding.h"
 #include "protocol/peer_heartbeats.h"
-#include "sim.h"
 #include "transport/clock.h"
+#include "virtual_time_fixture.h"
 
 enum { WORKERS = 300, FENCING_TOKEN = 4 };
 static const double one_way_s = 0.005;    /* s each way of a message */
 static const double worker_timeout_s = 4; /* s that a worker waits for an answer */
 
-struct sim sim;
-
 static struct {
 	struct fl_node follower, third, leader;
 	struct fl_config follower_config, third_config, leader_config;
@@ -65,10 +63,7 @@
 	fl_heartbeat_forward_serve(to_leader ? &world.leader : &world.third, body, strlen(body),
 	                           &response);
 	fl_sleep(one_way_s);
-	memset(reply, 0, sizeof(*reply));
-	reply->status = response.status;
-	fl_buffer_append(&reply->body, response.body, strlen(response.body));
-	free(response.body);
+	pass_response(&response, reply);
 	return 0;
 }
 
@@ -107,9 +102,7 @@
 	free(text);
 }
 
-static void drop_timer(struct sim_timer *timer) { (void)timer; }
-
-/* All of them heartbeat, `interval_s` after one another. */
+/* All of them send their heartbeats, `interval_s` after one another. */
 static struct worker *run_workers(double interval_s)
 {
 	struct worker *workers = calloc(WORKERS, sizeof(*workers));
@@ -120,7 +113,7 @@
 		sim_spawn(0, send_heartbeat, &workers[i]);
 	}
 	sim_time_run(fl_now() + 30);
-	sim_time_end(drop_timer);
+	virtual_time_end();
 	return workers;
 }
 
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,5 +1,4 @@
-/* Progress records and the write-ahead log: a restore against a plain reading of the same changes.
- */
+/* Progress records and the write-ahead log: a restore against a plain reading of the same. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -28,27 +27,27 @@
 struct group {
 	int job;
 	uint32_t block_index;
-	struct change at[CHANGES_MAX];
-	int n;
+	struct change changes[CHANGES_MAX];
+	int change_count;
 };
 
 struct world {
 	struct fl_cluster cluster;
-	struct fl_job *job[JOBS];
+	struct fl_job *jobs[JOBS];
 	struct group records[JOBS][TASKS_MAX / FL_TASK_BLOCK_SIZE + 1];
-	struct group group[GROUPS_MAX];
+	struct group groups[GROUPS_MAX];
 	int group_count;
 };
 
 static uint64_t seed;
 
 /* xorshift64: the same numbers on every machine. */
-static uint32_t random_below(uint32_t n)
+static uint32_t random_below(uint32_t limit)
 {
 	seed ^= seed << 13;
 	seed ^= seed >> 7;
 	seed ^= seed << 17;
-	return (uint32_t)(seed >> 33) % n;
+	return (uint32_t)(seed >> 33) % limit;
 }
 
 static void add_job(struct world *world, int i, uint32_t task_count)
@@ -64,8 +63,8 @@
 	snprintf(spec.team, sizeof(spec.team), "team");
 	snprintf(spec.job_class, sizeof(spec.job_class), "class");
 	snprintf(spec.image, sizeof(spec.image), "image");
-	world->job[i] = fl_job_add(&world->cluster, &spec, 0, 1);
-	assert_non_null(world->job[i]);
+	world->jobs[i] = fl_job_add(&world->cluster, &spec, 0, 1);
+	assert_non_null(world->jobs[i]);
 }
 
 static struct world *create(void)
@@ -94,11 +93,11 @@
 
 	*group = (struct group){.job = job, .block_index = block_index};
 	for (uint32_t i = random_below(4);
-	     i < FL_TASK_BLOCK_SIZE && base + i < world->job[job]->task_count;
+	     i < FL_TASK_BLOCK_SIZE && base + i < world->jobs[job]->task_count;
 	     i += 1 + random_below(5)) {
-		if (group->n == CHANGES_MAX)
+		if (group->change_count == CHANGES_MAX)
 			break;
-		group->at[group->n++] = (struct change){
+		group->changes[group->change_count++] = (struct change){
 			.index = base + i,
 			.phase = (enum fl_task_phase)random_below(3),
 			.attempt = 1 + random_below(3),
@@ -122,8 +121,8 @@
 	      *waiting = cJSON_AddArrayToObject(object, "t");
 	cJSON *placed = cJSON_AddArrayToObject(object, "m");
 
-	for (int i = 0; i < group->n; i++) {
-		const struct change *change = &group->at[i];
+	for (int i = 0; i < group->change_count; i++) {
+		const struct change *change = &group->changes[i];
 		char name[16];
 		cJSON *item =
 			number_pair(change->index, change->phase == FL_TASK_DONE ? change->index
@@ -148,7 +147,7 @@
 	cJSON *item = cJSON_CreateArray();
 	char *text;
 
-	cJSON_AddItemToArray(item, cJSON_CreateString(world->job[group->job]->ref));
+	cJSON_AddItemToArray(item, cJSON_CreateString(world->jobs[group->job]->ref));
 	cJSON_AddItemToArray(item, cJSON_CreateNumber(group->block_index));
 	cJSON_AddItemToArray(item, encode_group(group));
 	text = fl_json_print_and_delete(item);
@@ -163,7 +162,7 @@
 	char *text;
 
 	for (int i = from; i < to; i++)
-		add_group_to_value(value, world, &world->group[i]);
+		add_group_to_value(value, world, &world->groups[i]);
 	text = fl_json_print_and_delete(value);
 	parsed = fl_json_parse(text, strlen(text));
 	assert_non_null(parsed);
@@ -185,14 +184,14 @@
 static void restore_all(struct world *world, struct fl_wal *wal)
 {
 	for (int j = 0; j < JOBS; j++)
-		for (uint32_t k = 0; k < world->job[j]->block_count; k++) {
-			cJSON *value = world->records[j][k].n > 0
+		for (uint32_t k = 0; k < world->jobs[j]->block_count; k++) {
+			cJSON *value = world->records[j][k].change_count > 0
 			                       ? encode_group(&world->records[j][k])
 			                       : NULL;
 
 			if (value)
 				assert_int_equal(fl_task_block_restore(&world->cluster,
-				                                       world->job[j], k, value, 7,
+				                                       world->jobs[j], k, value, 7,
 				                                       wal, 0),
 				                 0);
 			cJSON_Delete(value);
@@ -210,8 +209,8 @@
 static void consider_changes(struct change *best, const struct group *group, uint32_t index,
                              bool logged)
 {
-	for (int i = 0; i < group->n; i++) {
-		const struct change *change = &group->at[i];
+	for (int i = 0; i < group->change_count; i++) {
+		const struct change *change = &group->changes[i];
 		bool better = change->attempt > best->attempt;
 
 		if (change->index != index || best->phase == FL_TASK_DONE)
@@ -229,17 +228,17 @@
 
 static void compare_task(const struct world *world, int j, uint32_t index, uint32_t counts[3])
 {
-	const struct fl_task *task = fl_task_peek(world->job[j], index);
+	const struct fl_task *task = fl_task_peek(world->jobs[j], index);
 	const struct fl_task_block *block_index =
-		fl_job_task_block(world->job[j], index / FL_TASK_BLOCK_SIZE);
+		fl_job_task_block(world->jobs[j], index / FL_TASK_BLOCK_SIZE);
 	struct change best = {.phase = FL_TASK_WAITING};
 	char name[16];
 
 	consider_changes(&best, &world->records[j][index / FL_TASK_BLOCK_SIZE], index, false);
 	for (int i = 0; i < world->group_count; i++)
-		if (world->group[i].job == j &&
-		    world->group[i].block_index == index / FL_TASK_BLOCK_SIZE)
-			consider_changes(&best, &world->group[i], index, true);
+		if (world->groups[i].job == j &&
+		    world->groups[i].block_index == index / FL_TASK_BLOCK_SIZE)
+			consider_changes(&best, &world->groups[i], index, true);
 	counts[best.phase]++;
 	if (!task) {
 		assert_true(best.phase == FL_TASK_WAITING && best.attempt == 0);
@@ -262,11 +261,11 @@
 	for (int j = 0; j < JOBS; j++) {
 		uint32_t counts[3] = {0};
 
-		for (uint32_t i = 0; i < world->job[j]->task_count; i++)
+		for (uint32_t i = 0; i < world->jobs[j]->task_count; i++)
 			compare_task(world, j, i, counts);
-		assert_int_equal(world->job[j]->counts.waiting, counts[FL_TASK_WAITING]);
-		assert_int_equal(world->job[j]->counts.placed, counts[FL_TASK_PLACED]);
-		assert_int_equal(world->job[j]->counts.done, counts[FL_TASK_DONE]);
+		assert_int_equal(world->jobs[j]->counts.waiting, counts[FL_TASK_WAITING]);
+		assert_int_equal(world->jobs[j]->counts.placed, counts[FL_TASK_PLACED]);
+		assert_int_equal(world->jobs[j]->counts.done, counts[FL_TASK_DONE]);
 	}
 }
 
@@ -280,7 +279,7 @@
 		seed = 0x9e3779b97f4a7c15ULL * (uint64_t)(round + 1);
 		for (int j = 0; j < JOBS; j++) {
 			add_job(world, j, 1 + random_below(TASKS_MAX));
-			for (uint32_t k = 0; k < world->job[j]->block_count; k++)
+			for (uint32_t k = 0; k < world->jobs[j]->block_count; k++)
 				if (random_below(2))
 					fill_group(&world->records[j][k], world, j, k);
 		}
@@ -288,8 +287,8 @@
 		for (int i = 0; i < world->group_count; i++) {
 			int j = (int)random_below(JOBS);
 
-			fill_group(&world->group[i], world, j,
-			           random_below(world->job[j]->block_count));
+			fill_group(&world->groups[i], world, j,
+			           random_below(world->jobs[j]->block_count));
 		}
 		read_wal(&wal, world);
 		restore_all(world, &wal);
@@ -299,66 +298,10 @@
 	}
 }
 
-/* One value of a log: a group for each task block of each of these jobs. */
-static void read_all_blocks(struct fl_wal *wal, uint32_t job_count, uint32_t block_count)
-{
-	cJSON *value = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(value, "log");
-
-	for (uint32_t j = 0; j < job_count; j++)
-		for (uint32_t k = 0; k < block_count; k++) {
-			cJSON *item = cJSON_CreateArray();
-			char ref[FL_REF_MAX];
-
-			snprintf(ref, sizeof(ref), "run-%06u", j);
-			cJSON_AddItemToArray(item, cJSON_CreateString(ref));
-			cJSON_AddItemToArray(item, cJSON_CreateNumber(k));
-			cJSON_AddItemToArray(item, cJSON_CreateObject());
-			cJSON_AddItemToArray(list, item);
-		}
-	assert_int_equal(fl_wal_read(wal, value), 0);
-	cJSON_Delete(value);
-}
-
-/* All task blocks of a few arrays of the largest size, in three values: as many steps as groups. */
-static void each_group_of_the_write_ahead_log_is_examined_once(void **state)
-{
-	const uint32_t job_count = 4,
-		       block_count = (FL_TASKS_MAX + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE,
-		       value_count = 3;
-	struct fl_wal wal = {0};
-	uint32_t steps = 0;
-
-	(void)state;
-	for (uint32_t value_index = 0; value_index < value_count; value_index++)
-		read_all_blocks(&wal, job_count, block_count);
-	assert_int_equal(wal.group_count, job_count * block_count * value_count);
-	for (uint32_t j = 0; j < job_count; j++)
-		for (uint32_t k = 0; k < block_count; k++) {
-			char ref[FL_REF_MAX];
-			int before = -1;
-
-			snprintf(ref, sizeof(ref), "run-%06u", j);
-			for (int i = fl_wal_first(&wal, ref, k); i >= 0;
-			     i = wal.groups[i].next_of_block) {
-				assert_string_equal(wal.groups[i].ref, ref);
-				assert_int_equal(wal.groups[i].block_index, k);
-				assert_true(i > before);
-				before = i;
-				steps++;
-			}
-		}
-	assert_int_equal(steps, job_count * block_count * value_count);
-	assert_int_equal(fl_wal_first(&wal, "run-000000", block_count), -1);
-	assert_int_equal(fl_wal_first(&wal, "run-999999", 0), -1);
-	fl_wal_free(&wal);
-	assert_int_equal(fl_wal_first(&wal, "run-000000", 0), -1);
-}
-
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_restore_agrees_with_a_plain_reading_of_records_and_log),
-		cmocka_unit_test(each_group_of_the_write_ahead_log_is_examined_once),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -15,15 +15,13 @@
 #include "coordination/node.h"
 #include "coordination/api/status_query.h"
 #include "protocol/status_messages.h"
-#include "sim.h"
 #include "transport/clock.h"
+#include "virtual_time_fixture.h"
 
 enum { QUERIES = 300 };
 static const double one_way_s = 0.005; /* s each way of a request */
 static const double stall_s = 1.0;     /* s for which a leader stands still that is overloaded */
 
-struct sim sim;
-
 static struct {
 	struct fl_node follower, leader;
 	int requests;
@@ -62,10 +60,7 @@
 	fl_sleep(world.leader_stalls ? stall_s : one_way_s);
 	fl_status_query_serve(&world.leader, body, strlen(body), &response);
 	fl_sleep(one_way_s);
-	memset(reply, 0, sizeof(*reply));
-	reply->status = response.status;
-	fl_buffer_append(&reply->body, response.body, strlen(response.body));
-	free(response.body);
+	pass_response(&response, reply);
 	return 0;
 }
 
@@ -82,14 +77,12 @@
 	query->completed = true;
 }
 
-static void drop_timer(struct sim_timer *timer) { (void)timer; }
-
 static void run_queries(struct query *queries, int count)
 {
 	for (int i = 0; i < count; i++)
 		sim_spawn(0, send_query, &queries[i]);
 	sim_time_run(fl_now() + 10);
-	sim_time_end(drop_timer);
+	virtual_time_end();
 	for (int i = 0; i < count; i++)
 		assert_true(queries[i].completed);
 }
--- /dev/null
+++ b/tests/test_write_ahead_log.c
@@ -0,0 +1,74 @@
+/* The groups of the write-ahead log, found by job and task block. */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdio.h>
+
+#include "storage/records.h"
+
+/* One value of a log: a group for each task block of each of these jobs. */
+static void read_all_blocks(struct fl_wal *wal, uint32_t job_count, uint32_t block_count)
+{
+	cJSON *value = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(value, "log");
+
+	for (uint32_t j = 0; j < job_count; j++)
+		for (uint32_t k = 0; k < block_count; k++) {
+			cJSON *item = cJSON_CreateArray();
+			char ref[FL_REF_MAX];
+
+			snprintf(ref, sizeof(ref), "run-%06u", j);
+			cJSON_AddItemToArray(item, cJSON_CreateString(ref));
+			cJSON_AddItemToArray(item, cJSON_CreateNumber(k));
+			cJSON_AddItemToArray(item, cJSON_CreateObject());
+			cJSON_AddItemToArray(list, item);
+		}
+	assert_int_equal(fl_wal_read(wal, value), 0);
+	cJSON_Delete(value);
+}
+
+/* All task blocks of a few arrays of the largest size, in three values: as many steps as groups. */
+static void each_group_of_the_write_ahead_log_is_examined_once(void **state)
+{
+	const uint32_t job_count = 4,
+		       block_count = (FL_TASKS_MAX + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE,
+		       value_count = 3;
+	struct fl_wal wal = {0};
+	uint32_t steps = 0;
+
+	(void)state;
+	for (uint32_t value_index = 0; value_index < value_count; value_index++)
+		read_all_blocks(&wal, job_count, block_count);
+	assert_int_equal(wal.group_count, job_count * block_count * value_count);
+	for (uint32_t j = 0; j < job_count; j++)
+		for (uint32_t k = 0; k < block_count; k++) {
+			char ref[FL_REF_MAX];
+			int before = -1;
+
+			snprintf(ref, sizeof(ref), "run-%06u", j);
+			for (int i = fl_wal_first(&wal, ref, k); i >= 0;
+			     i = wal.groups[i].next_of_block) {
+				assert_string_equal(wal.groups[i].ref, ref);
+				assert_int_equal(wal.groups[i].block_index, k);
+				assert_true(i > before);
+				before = i;
+				steps++;
+			}
+		}
+	assert_int_equal(steps, job_count * block_count * value_count);
+	assert_int_equal(fl_wal_first(&wal, "run-000000", block_count), -1);
+	assert_int_equal(fl_wal_first(&wal, "run-999999", 0), -1);
+	fl_wal_free(&wal);
+	assert_int_equal(fl_wal_first(&wal, "run-000000", 0), -1);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(each_group_of_the_write_ahead_log_is_examined_once),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
