--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -68,8 +68,10 @@
 
 	(void)state;
 	init_site(&site, 90, true);
+
 	/* By the product of the paper the longer wait decides. */
 	assert_int_equal(first_started(&site), BACKGROUND);
+
 	init_site(&site, 90, true);
 	site.jobs[BACKGROUND].background = true;
 	assert_int_equal(first_started(&site), EXPECTED);
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -36,19 +36,25 @@
 	struct fl_finished_job *final;
 
 	become_follower(fixture, 0);
+
 	/* One more lease still ends before the tasks must have ended. */
 	apply_cancellation(fixture, renewable_s - 2);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
+
 	final = fl_finished_job_find(&fixture->node.cluster, status.ref);
 	assert_non_null(final);
+
 	final->cancelled_at -= 3;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 21, &status), 503);
+
 	/* Others are renewed, and so is this one when the task has ended. */
 	strcpy(status.ref, "run-000002");
 	assert_int_equal(send_task_heartbeat(fixture, 1, 22, &status), 200);
+
 	strcpy(status.ref, "run-000001");
 	status.state = FL_TASK_STATE_EXITED;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 23, &status), 200);
+
 	/* With the jobs not read for so long, any may have been cancelled. */
 	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	fixture->node.jobs_known = true;
@@ -84,6 +90,7 @@
 	become_follower(other, 2);
 	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 503);
+
 	/* The other has read the records 3 s ago, and a job has been cancelled since. */
 	apply_cancellation(other, 1);
 	other->node.cancellation_watermark = fl_now() - 3;
@@ -92,10 +99,12 @@
 	            fixture->node.cancellation_watermark < fl_now() - 3);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 21, &status), 200);
 	assert_int_equal(stop_commands_in_reply, 1);
+
 	/* What has ended needs no stop, and what is not cancelled gets none. */
 	status.state = FL_TASK_STATE_EXITED;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 22, &status), 200);
 	assert_int_equal(stop_commands_in_reply, 0);
+
 	status = running_task(0, 1);
 	strcpy(status.ref, "run-000002");
 	assert_int_equal(send_task_heartbeat(fixture, 1, 23, &status), 200);
@@ -160,12 +169,16 @@
 	peer = outage.second_peer;
 	gossip(fixture, 0, outage.first_peer, 0.1);
 	assert_true(fixture->node.cancellation_watermark <= outage.old_watermark);
+
 	peer->node.jobs_known = false; /* just restarted: what had it confirmed before? */
 	assert_no_progress(&outage, 0.1);
+
 	peer->node.jobs_known = true;
 	assert_no_progress(&outage, 2.0); /* suspended between the question and its sending */
+
 	peer->node.cluster.finished_dropped_at = fl_now(); /* something learned was dropped */
 	assert_no_progress(&outage, 0.1);
+
 	peer->node.cluster.finished_dropped_at = -1e9;
 	learn_too_many_cancellations(peer);
 	assert_no_progress(&outage, 0.1);
@@ -174,6 +187,7 @@
 	     entry = entry->hh.next)
 		/* Older than what the asker knows: not sent again. */
 		entry->learned_at = outage.old_watermark - 9;
+
 	/* The last one that it learned, and the only one that is sent. */
 	fl_finished_job_add(&peer->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
 	gossip(fixture, 1, peer, 0.1);
@@ -256,6 +270,7 @@
 	apply_cancellation(fixture, renewable_s + 2);
 	become_leader(fixture, FENCING_TOKEN + 1);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 503);
+
 	/* One that is taken in has its task stopped, and the answer may renew the lease. */
 	assert_int_equal(
 		send_heartbeat(fixture, make_heartbeat(1, 21, FENCING_TOKEN + 1, &status, 1), NULL),
@@ -280,9 +295,11 @@
 	fixture->job->record.final_write_unknown = true;
 	record = cancelled_record(fixture, 3);
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
+
 	fl_job_record_refresh_apply(&fixture->node, fixture->job, &decoded, 9);
 	assert_true(fixture->job->cancelled && !fixture->job->record.final_write_unknown &&
 	            fixture->job->record.mod_revision == 9);
+
 	/* Or while it still loads its cluster state, and its lease may be another's already. */
 	fixture->job->cancelled = fixture->node.leadership.active = false;
 	final = fixture->node.cluster.finished;
@@ -309,6 +326,7 @@
 	cJSON_Delete(record);
 	assert_true(decoded.final && decoded.has_spec && decoded.status == FL_CANCELLED);
 	assert_true(fabs(fl_since(decoded.cancelled_wall) - (fl_now() - 20)) < 1);
+
 	/* Records of earlier versions do not say: they count from now. */
 	assert_true(fabs(fl_since(0) - fl_now()) < 1);
 }
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -12,56 +12,48 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "reconciliation_sim.h"
+#include "simulation_fixture.h"
 #include "transport/clock.h"
 
 /* A job cancelled before any task was placed has no task blocks: this once crashed the leader. */
 static void a_job_without_task_blocks_can_be_cancelled(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
-	struct fl_job *job;
+	struct simulation *sim = *state;
+	struct fl_job *job = fl_job_find(&sim->node.cluster, "run-000000");
 
-	(void)state;
-	set_up(sim, 1);
-	job = fl_job_find(&sim->node.cluster, "run-000000");
 	assert_null(fl_job_task_block(job, 0));
 	assert_true(fl_task_durable(job, 0));
 	assert_null(fl_task_peek(job, TASKS - 1));
+
 	fl_job_finalise(&sim->node.cluster, job, FL_CANCELLED);
 	assert_int_equal(fl_finished_job_find(&sim->node.cluster, "run-000000")->status,
 	                 FL_CANCELLED);
-	tear_down(sim);
-	free(sim);
 }
 
 /* A machine's attempts count in their zone from when the zone is known, and not before. */
 static void tasks_are_counted_by_zone_when_the_zone_becomes_known(void **state)
 {
 	static const char record[] = "{\"d\":[[0,1]],\"t\":[[2,7]],\"m\":[[3,2,\"m-000009\",1]]}";
-	struct simulation *sim = malloc(sizeof(*sim));
-	struct fl_cluster *cluster;
-	struct fl_job *job;
+	struct simulation *sim = *state;
+	struct fl_cluster *cluster = &sim->node.cluster;
+	struct fl_job *job = fl_job_find(cluster, "run-000001");
 	cJSON *value;
 
-	(void)state;
-	set_up(sim, 1);
-	cluster = &sim->node.cluster;
-	job = fl_job_find(cluster, "run-000001");
 	value = fl_json_parse(record, strlen(record));
 	assert_int_equal(fl_task_block_restore(cluster, job, 0, value, 5, NULL, fl_now()), 0);
 	cJSON_Delete(value);
 	assert_int_equal(job->counts.done, 2);
 	assert_int_equal(job->placement.in_unknown_zone, 1);
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 7);
+
 	fl_cluster_describe(cluster, fl_machine_find(&cluster->machines, "m-000009"), 0, 1, false,
 	                    "x");
 	assert_int_equal(job->placement.in_unknown_zone, 0);
 	assert_int_equal(job->placement.by_zone[1], 1);
+
 	fl_task_release(cluster, job, 3, 0);
 	assert_int_equal(job->placement.by_zone[1], 0);
 	assert_int_equal(job->counts.placed, 0);
-	tear_down(sim);
-	free(sim);
 }
 
 /*
@@ -77,24 +69,18 @@
 				    "[2,1,\"m-000007\",1,9]]}]]}";
 	static const char newer[] = "{\"log\":[[\"run-000001\",0,{\"d\":[[3,3]],\"t\":[[2,2]],"
 				    "\"m\":[[4,1,\"m-000008\",1,9]]}]]}";
-	static const char *const malformed[] = {"{}", "{\"log\":[[\"x\",0,{}]]}",
-	                                        "{\"log\":[[\"run-000001\",-1,{}]]}",
-	                                        "{\"log\":[[\"run-000001\",0]]}"};
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	struct fl_wal wal = {0};
-	struct fl_cluster *cluster;
-	struct fl_job *job;
+	struct fl_cluster *cluster = &sim->node.cluster;
+	struct fl_job *job = fl_job_find(cluster, "run-000001");
 	cJSON *value;
 
-	(void)state;
-	set_up(sim, 1);
-	cluster = &sim->node.cluster;
-	job = fl_job_find(cluster, "run-000001");
 	for (int i = 0; i < 2; i++) {
 		value = fl_json_parse(i ? newer : older, strlen(i ? newer : older));
 		assert_int_equal(fl_wal_read(&wal, value), 0);
 		cJSON_Delete(value);
 	}
+
 	value = fl_json_parse(record, strlen(record));
 	assert_int_equal(fl_task_block_restore(cluster, job, 0, value, 5, &wal, fl_now()), 0);
 	cJSON_Delete(value);
@@ -108,31 +94,39 @@
 	assert_int_equal(fl_task_peek(job, 4)->phase, FL_TASK_PLACED);
 	assert_int_equal(job->counts.placed, 1);
 	assert_int_equal(job->counts.done, 2);
+
 	/* What only the write-ahead log holds is unsaved here too, so that the next value holds it
 	 * again. */
 	assert_true(job->record.is_dirty);
 	assert_false(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 4)));
 	assert_true(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 1)));
 	fl_wal_free(&wal);
+}
+
+static void a_malformed_write_ahead_log_value_is_refused(void **state)
+{
+	static const char *const malformed[] = {"{}", "{\"log\":[[\"x\",0,{}]]}",
+	                                        "{\"log\":[[\"run-000001\",-1,{}]]}",
+	                                        "{\"log\":[[\"run-000001\",0]]}"};
+	struct fl_wal wal = {0};
+
+	(void)state;
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
-		value = fl_json_parse(malformed[i], strlen(malformed[i]));
+		cJSON *value = fl_json_parse(malformed[i], strlen(malformed[i]));
+
 		assert_int_not_equal(fl_wal_read(&wal, value), 0);
 		cJSON_Delete(value);
 		fl_wal_free(&wal);
 	}
-	tear_down(sim);
-	free(sim);
 }
 
 /* Hundreds of tasks of many jobs become durable in a few values, where records take one each. */
 static void the_write_ahead_log_holds_many_jobs_in_few_values(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	size_t bytes = 0;
 	int groups = 0;
 
-	(void)state;
-	set_up(sim, 1);
 	sim->node.cluster.teams.by_index[0].max_cpus = 0;
 	for (int j = 100; j < 160; j++) {
 		struct fl_job *job = add_job(sim, j);
@@ -156,24 +150,20 @@
 		}
 	}
 	assert_int_equal(groups, 60);
+
 	/* 300 placements: at most five values of 4 KiB instead of sixty. */
 	assert_true(bytes < 5 * 0.85 * 4096);
-	tear_down(sim);
-	free(sim);
 }
 
 /* A watch lags: the submission of a job that was over before the failover arrives after it. */
 static void a_deleted_job_is_not_restored_by_a_late_watch_event(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	struct fl_job_spec spec = {
 		.task_count = 1, .cpus = 1, .machine_type_count = -1, .due_s = -1};
-	struct fl_cluster *cluster;
+	struct fl_cluster *cluster = &sim->node.cluster;
 	cJSON *record;
 
-	(void)state;
-	set_up(sim, 1);
-	cluster = &sim->node.cluster;
 	strcpy(spec.ref, "run-000077");
 	strcpy(spec.team, "team");
 	strcpy(spec.job_class, "c");
@@ -182,37 +172,37 @@
 	cluster->list_revision = 100;
 	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 90));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 101));
+
 	/* Nor does a late event during the failover's list: only the list itself marks jobs. */
 	cluster->list_revision = 0;
 	fl_cluster_list_begin(cluster);
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 102));
+
 	fl_cluster_list_end(cluster, 103);
 	assert_null(fl_job_find(cluster, spec.ref));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 104));
+
 	/* A follower drops what is deleted, and what a new list no longer holds. */
 	cluster->leading = false;
 	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, NULL, 110));
 	assert_null(fl_job_find(cluster, spec.ref));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 120));
+
 	fl_cluster_list_begin(cluster);
 	fl_cluster_list_end(cluster, 119);
 	assert_non_null(fl_job_find(cluster, spec.ref));
+
 	fl_cluster_list_end(cluster, 120);
 	assert_null(fl_job_find(cluster, spec.ref));
 	cJSON_Delete(record);
-	tear_down(sim);
-	free(sim);
 }
 
 /* Final states are cached up to a bound; the oldest are only in their records. */
 static void cached_final_states_are_bounded_by_their_maximum(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
-	struct fl_cluster *cluster;
+	struct simulation *sim = *state;
+	struct fl_cluster *cluster = &sim->node.cluster;
 
-	(void)state;
-	set_up(sim, 1);
-	cluster = &sim->node.cluster;
 	cluster->finished_max = 10;
 	for (int i = 0; i < 25; i++) {
 		char ref[FL_REF_MAX];
@@ -220,25 +210,20 @@
 		format_ref(1000 + i, ref);
 		fl_finished_job_add(cluster, ref, FL_DONE, 1, 0);
 	}
+
 	assert_int_equal(HASH_COUNT(cluster->finished), 10);
 	assert_null(fl_finished_job_find(cluster, "run-001014"));
 	assert_non_null(fl_finished_job_find(cluster, "run-001015"));
-	tear_down(sim);
-	free(sim);
 }
 
 /* The index of a purged machine passes to another one, whose tasks must refer to it. */
 static void tasks_refer_to_their_machine_after_another_was_purged(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	struct fl_machine *machine[3];
-	struct fl_cluster *cluster;
-	struct fl_job *job;
+	struct fl_cluster *cluster = &sim->node.cluster;
+	struct fl_job *job = fl_job_find(cluster, "run-000000");
 
-	(void)state;
-	set_up(sim, 1);
-	cluster = &sim->node.cluster;
-	job = fl_job_find(cluster, "run-000000");
 	for (int i = 0; i < 3; i++) {
 		char host[FL_NAME_MAX];
 
@@ -247,29 +232,40 @@
 		fl_cluster_describe(cluster, machine[i], 0, 0, false, "x");
 		assert_int_equal(fl_task_place(cluster, job, (uint32_t)i, machine[i], 1, 0), 0);
 	}
+
 	fl_reconcile_decommission(&sim->node, machine[0], "test");
 	fl_cluster_purge_tombstones(cluster, fl_now() + 1);
 	assert_int_equal(cluster->machines.count, 2);
 	assert_null(fl_machine_find(&cluster->machines, "m-000050"));
 	assert_ptr_equal(cluster->machines.by_id[fl_task_peek(job, 2)->machine], machine[2]);
 	assert_ptr_equal(cluster->machines.by_id[fl_task_peek(job, 1)->machine], machine[1]);
+
 	fl_task_release(cluster, job, 2, 0);
 	assert_int_equal(machine[2]->assignment_count, 0);
 	assert_int_equal(cluster->teams.by_index[0].used_cpus, 1);
-	tear_down(sim);
-	free(sim);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(tasks_refer_to_their_machine_after_another_was_purged),
-		cmocka_unit_test(write_ahead_log_and_record_are_merged_by_the_newer_entry),
-		cmocka_unit_test(the_write_ahead_log_holds_many_jobs_in_few_values),
-		cmocka_unit_test(a_deleted_job_is_not_restored_by_a_late_watch_event),
-		cmocka_unit_test(cached_final_states_are_bounded_by_their_maximum),
-		cmocka_unit_test(a_job_without_task_blocks_can_be_cancelled),
-		cmocka_unit_test(tasks_are_counted_by_zone_when_the_zone_becomes_known),
+		cmocka_unit_test_setup_teardown(
+			tasks_refer_to_their_machine_after_another_was_purged, begin_simulation,
+			end_simulation),
+		cmocka_unit_test_setup_teardown(
+			write_ahead_log_and_record_are_merged_by_the_newer_entry, begin_simulation,
+			end_simulation),
+		cmocka_unit_test(a_malformed_write_ahead_log_value_is_refused),
+		cmocka_unit_test_setup_teardown(the_write_ahead_log_holds_many_jobs_in_few_values,
+	                                        begin_simulation, end_simulation),
+		cmocka_unit_test_setup_teardown(a_deleted_job_is_not_restored_by_a_late_watch_event,
+	                                        begin_simulation, end_simulation),
+		cmocka_unit_test_setup_teardown(cached_final_states_are_bounded_by_their_maximum,
+	                                        begin_simulation, end_simulation),
+		cmocka_unit_test_setup_teardown(a_job_without_task_blocks_can_be_cancelled,
+	                                        begin_simulation, end_simulation),
+		cmocka_unit_test_setup_teardown(
+			tasks_are_counted_by_zone_when_the_zone_becomes_known, begin_simulation,
+			end_simulation),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_contract_election.c
+++ b/tests/test_contract_election.c
@@ -37,6 +37,7 @@
 
 	store_record("c/epoch", FENCING_TOKEN, 31, 0);
 	run_as_node(acquire_lease_and_raise_token, 12);
+
 	assert_true(node->leader_lease.held);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":0},"
 	               "{\"Key\":\"c/epoch\",\"KeyRev\":31}],\"Apply\":[{\"Put\":\"c/"
@@ -64,6 +65,7 @@
 	run_as_node(refresh_leader_view, 1);
 	assert_string_equal(node->leader_view.leader, "host-2");
 	assert_int_equal(node->leader_view.fencing_token, 41);
+
 	run_as_node(start_election, 10);
 	assert_string_equal(node->leader_view.leader, "host-2");
 	assert_int_equal(node->leader_view.fencing_token, 41);
@@ -81,6 +83,7 @@
 	run_as_node(start_election, 2.5);
 	assert_string_equal(node->leader_view.leader, "host-9");
 	assert_int_equal(node->leader_view.fencing_token, 0);
+
 	world.lists_refused = true;
 	world.event = "{\"KeyRev\":93,\"Put\":\"c/lead\",\"V\":" LEADER "},"
 		      "{\"KeyRev\":93,\"Put\":\"c/epoch\",\"V\":" FENCING_TOKEN "}";
@@ -123,6 +126,7 @@
 	store_record("k/host-2/0", DIGEST, 41, 0);
 	run_as_node(start_election, 4);
 	assert_true(node->leadership.active);
+
 	machine = fl_machine_find(&node->cluster.machines, "m-000012");
 	assert_non_null(machine);
 	assert_int_equal(machine->heartbeat.incarnation, 101);
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -204,10 +204,13 @@
 	assert_string_equal(FL_KEY_WAL, "w/0");
 	assert_string_equal(FL_REF_BEGIN, "run-");
 	assert_int_equal(FL_TASK_BLOCK_SIZE, 64);
+
 	fl_key_job(key, "run-000412");
 	assert_string_equal(key, "j/run-000412");
+
 	fl_key_finished(key, "run-000413");
 	assert_string_equal(key, "f/run-000413");
+
 	fl_key_progress(key, "run-000414", 17);
 	assert_string_equal(key, "p/run-000414/17");
 	assert_int_equal(fl_key_progress_parse("p/run-000415/18", ref, &block_index), 0);
--- a/tests/test_contract_peers.c
+++ b/tests/test_contract_peers.c
@@ -131,6 +131,7 @@
 	(void)state;
 	assert_text(fl_peer_heartbeats_encode(list, "host-2", true, false),
 	            last_hop_heartbeats_text);
+
 	fl_heartbeat_list_add(list, idle_heartbeat_text);
 	assert_text(fl_peer_heartbeats_encode(list, "host-3", false, true),
 	            forwarded_heartbeats_text);
--- a/tests/test_contract_progress_records.c
+++ b/tests/test_contract_progress_records.c
@@ -32,6 +32,7 @@
 	assert_progress(&read, job);
 	assert_int_equal(job->blocks[1]->mod_revision, 6);
 	assert_json_text(fl_task_block_encode(&read, job, 1), PROGRESS);
+
 	job = add_job(&made);
 	make_progress(&made, job);
 	assert_json_text(fl_task_block_encode(&made, job, 1), PROGRESS);
@@ -118,10 +119,12 @@
 
 	(void)state;
 	assert_string_equal(cached, CACHED_HEARTBEAT);
+
 	fl_digest_add(digest, cached);
 	free(cached);
 	cached = fl_cached_heartbeat_encode(&heartbeat_without_tasks);
 	assert_string_equal(cached, CACHED_IDLE_HEARTBEAT);
+
 	fl_digest_add(digest, cached);
 	free(cached);
 	assert_json_text(digest, DIGEST);
--- a/tests/test_contract_settings.c
+++ b/tests/test_contract_settings.c
@@ -132,6 +132,7 @@
 	settings_without(-1, text);
 	if (read_settings(text, &config, error) != 0)
 		fail_msg("%s", error);
+
 	assert_string_equal(config.node, "host-1");
 	assert_string_equal(config.location, "north");
 	assert_string_equal(config.bind, "10.0.0.1:81");
@@ -166,6 +167,7 @@
 		assert_int_equal(read_settings(text, &config, error), -1);
 		assert_string_equal(error, settings[number].refused);
 	}
+
 	settings_without(-1, text);
 	*strstr(text, "[settings]") = 0;
 	assert_int_equal(read_settings(text, &config, error), -1);
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -41,6 +41,7 @@
 	make_progress(&node->cluster, job);
 	fl_token_bucket_init(&node->record_writer.write_budget, 100, 100, fl_now());
 	run_as_node(write_wal, 1);
+
 	assert_int_equal(world.written_count, 1);
 	assert_written("{\"When\":[{\"Key\":\"c/lead\",\"KeyRev\":33},{\"Key\":\"w/0\","
 	               "\"KeyRev\":34}],\"Apply\":[{\"Put\":\"w/0\",\"V\":" WAL_VALUE "}]}");
@@ -70,6 +71,7 @@
 	assert_progress(&node->cluster, job);
 	assert_task(&node->cluster, job, 128, FL_TASK_WAITING, 6, NULL, 0, 0);
 	assert_int_equal(node->record_writer.wal_mod_revision, 39);
+
 	job = fl_job_find(&node->cluster, "run-000413");
 	assert_true(job && job->cancelled);
 	assert_task(&node->cluster, job, 8, FL_TASK_PLACED, 1, "m-000014", 103, 9);
@@ -98,6 +100,7 @@
 	store_record("f/run-000414", FINAL_DONE, 40, 0);
 	live.result = final.result = -1;
 	run_as_node(read_records, 1);
+
 	assert_int_equal(live.result, 0);
 	assert_false(live.record.final);
 	assert_int_equal(live.mod_revision, 35);
--- a/tests/test_contract_workers.c
+++ b/tests/test_contract_workers.c
@@ -91,6 +91,7 @@
 	            "{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
 	            "{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
 	            "{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}]}");
+
 	fl_command_list_init(&commands, 912345678901234);
 	assert_text(fl_command_list_take(&commands), "{\"Epoch\":912345678901234,\"Orders\":[]}");
 }
@@ -140,6 +141,7 @@
 	fl_command_list_bind_incarnation(&commands, 7);
 	got.body = fl_command_list_take(&commands);
 	assert_string_equal(got.body, command_text);
+
 	contract_run(send_commands, &got, script, COUNT_OF(script));
 	free(got.body);
 	assert_int_equal(got.status[0], 200);
@@ -148,6 +150,7 @@
 	assert_heartbeat(&got.heartbeats[1], &idle_heartbeat);
 	assert_int_equal(got.status[2], 400);
 	assert_int_equal(got.heartbeats[2].task_count, 0);
+
 	for (int i = 0; i < 3; i++)
 		fl_heartbeat_free(&got.heartbeats[i]);
 }
--- a/tests/test_coroutine_order.c
+++ b/tests/test_coroutine_order.c
@@ -83,6 +83,7 @@
 	assert_non_null(fl_coroutine_spawn(ordinary, "a"));
 	assert_non_null(fl_coroutine_spawn(deferred, "2"));
 	assert_non_null(fl_coroutine_spawn(ordinary, "b"));
+
 	run_all();
 	assert_string_equal(order, "ab12");
 }
@@ -96,6 +97,7 @@
 	assert_non_null(fl_coroutine_spawn(slow, "a"));
 	assert_non_null(fl_coroutine_spawn(slow, "b"));
 	assert_non_null(fl_coroutine_spawn(slow, "c"));
+
 	run_all();
 	assert_string_equal(order, "a1b2c");
 }
@@ -107,6 +109,7 @@
 	assert_non_null(fl_coroutine_spawn(deferred, "2"));
 	assert_non_null(fl_coroutine_spawn(deferred, "3"));
 	assert_non_null(fl_coroutine_spawn(ordinary, "a"));
+
 	run_all();
 	assert_string_equal(order, "-a12");
 }
@@ -118,7 +121,9 @@
 	assert_non_null(fl_coroutine_spawn(slow, "a"));
 	assert_non_null(fl_coroutine_spawn(deferred, "1"));
 	assert_non_null(fl_coroutine_spawn(slow, "b"));
+
 	run_all();
+
 	/* The urgent one's timer is due when the first turn is over. */
 	assert_string_equal(order, "aub1");
 }
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -62,6 +62,7 @@
 	assert_int_equal(spec.task_count, 16);
 	assert_int_equal(spec.priority, FL_URGENT);
 	assert_false(spec.has_zone);
+
 	text = fl_json_print_and_delete(fl_job_spec_encode(&spec));
 	assert_null(decode(text, &again));
 	assert_memory_equal(&spec, &again, sizeof(spec));
@@ -132,11 +133,13 @@
 	assert_null(fl_json_parse("{} x", 4));
 	assert_null(fl_json_parse("", 0));
 	assert_null(fl_json_parse(NULL, 0));
+
 	/* An escaped NUL would end a string early; bytes that are not UTF-8 are not JSON. */
 	assert_null(fl_json_parse("[\"\\u0000\"]", 10));
 	assert_null(fl_json_parse("[\"\xff\"]", 5));
 	assert_null(fl_json_parse("[\"\xc0\xaf\"]", 6));
 	assert_null(fl_json_parse("[\"\xe2\x82\"]", 6));
+
 	object = fl_json_parse("[\"\xe2\x82\xac\\\\u0000\"]", 14);
 	assert_non_null(object);
 	cJSON_Delete(object);
@@ -201,6 +204,7 @@
 	assert_int_equal(count, 1);
 	assert_memory_equal(decoded_types, &type, sizeof(type));
 	free(decoded_types);
+
 	/* A record without any is refused: no job could be placed by it. */
 	assert_int_not_equal(fl_machine_types_decode(none, &decoded_types, &count), 0);
 	assert_null(decoded_types);
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -105,17 +105,22 @@
 	world.config.cloud_rps = 1;
 	node->machine_types_known = node->jobs_known = true;
 	assert_non_null(sim_spawn(PROCESS, start_election, NULL));
+
 	sim_time_run(fl_now() + busy_from_s);
 	assert_true(node->leader_lease.held);
+
 	renewals_before = world.renewals;
 	world.busy = true;
 	for (int i = 0; i < BUSY_COROUTINES; i++)
 		assert_non_null(sim_spawn(PROCESS, stay_ready, NULL));
+
 	sim_time_run(fl_now() + busy_for_s);
 	assert_true(fl_leader_lease_is_valid(node));
 	assert_int_equal(world.lease_grants, 1);
+
 	/* One each 0.8 s, and what the work before it takes. */
 	assert_true(world.renewals - renewals_before >= (int)busy_for_s);
+
 	virtual_time_end();
 	fl_cluster_free(&node->cluster);
 }
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -53,6 +53,7 @@
 
 	set_silence(fixture, 7);
 	assert_false(is_expired(fixture));
+
 	set_silence(fixture, 8);
 	assert_true(is_expired(fixture));
 }
@@ -68,6 +69,7 @@
 
 	set_silence(fixture, 9);
 	assert_false(is_expired(fixture));
+
 	set_silence(fixture, 11);
 	assert_true(is_expired(fixture));
 }
@@ -127,6 +129,7 @@
 	place_task(fixture, 0);
 	for (int i = 2; i < 22; i++)
 		add_machine(fixture, i, false, 1);
+
 	/* This one is due; three more of the four of its zone are silent too. */
 	for (int i = 0; i < 3; i++) {
 		silent[i] = add_machine(fixture, 30 + i, false, 0);
@@ -134,8 +137,10 @@
 	}
 	set_silence(fixture, 11);
 	assert_false(is_expired(fixture));
+
 	set_silence(fixture, 31);
 	assert_true(is_expired(fixture));
+
 	/* Many reclaimed spot machines are no sign of a partition. */
 	set_silence(fixture, 11);
 	for (int i = 0; i < 3; i++)
@@ -158,9 +163,11 @@
 			fl_now() - (i < 7 ? 7 : 0);
 	set_silence(fixture, 8);
 	assert_true(is_expired(fixture));
+
 	for (int i = 43; i < 46; i++)
 		add_machine(fixture, i, false, i % 2)->heartbeat.last_at = fl_now() - 7;
 	assert_false(is_expired(fixture));
+
 	set_silence(fixture, 11);
 	assert_true(is_expired(fixture));
 }
@@ -174,6 +181,7 @@
 	place_task(fixture, 0);
 	deliver_idle_heartbeats(fixture, 2, 4, 12);
 	assert_true(is_expired(fixture));
+
 	for (int i = 2; i < 6; i++) {
 		struct fl_machine *machine = add_machine(fixture, i, false, 0);
 
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -25,8 +25,10 @@
 
 	become_follower(fixture, 0);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
+
 	cached = fixture->node.follower.cached_heartbeats;
 	assert_non_null(cached);
+
 	cached->at = received_at = fl_now() - 9;
 	cached->stored = true;
 	assert_int_equal(send_idle_heartbeat(fixture, 1, 19), 200);
@@ -68,6 +70,7 @@
 	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
 	fl_heartbeat_free(&decoded);
 	cJSON_Delete(element);
+
 	/* Hundreds of machines share the writes: twenty must fit into the smallest value. */
 	assert_in_range(strlen(text), 1, 150);
 	free(text);
@@ -91,6 +94,7 @@
 	node->cancellation_watermark = -1e9;
 	node->jobs_known = false;
 	node->leader_view.fencing_token = 0;
+
 	/* Another heartbeat has the fencing token read already. */
 	node->follower.token_refresh.in_flight = true;
 	send_waiting_heartbeat(&waiting);
@@ -144,20 +148,27 @@
 	become_follower(fixture, 4);
 	disconnect(fixture, 3);
 	assert_true(fl_node_is_isolated(&fixture->node));
+
 	/* One that has come but now may have little left of its lease: it is answered first. */
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+
 	strcpy(heartbeat.host, "m-000002");
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+
 	age_misplaced_workers(fixture);
+
 	/* The second worker goes elsewhere than the first: none of them is known to work. */
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, first), 421);
+
 	strcpy(heartbeat.host, "m-000001");
 	assert_int_equal(send_heartbeat(fixture, heartbeat, second), 421);
 	assert_true(first[0] && second[0] && strcmp(first, second) != 0);
+
 	/* It reached nobody there and is back within its lease: now the lease is renewed. */
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
 	fixture->node.follower.token_refresh.refreshed_at = fl_now();
@@ -174,16 +185,19 @@
 	become_follower(fixture, 4);
 	disconnect(fixture, 3);
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+
 	age_misplaced_workers(fixture);
 	fixture->node.api.last_readiness_probe_at = fl_now() - 10;
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+
 	/* The others ended long before the key-value store failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
 		fixture->node.peers[i].last_heard_at -= 20;
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+
 	/* An outage of the key-value store with peers in reach is no isolation. */
 	fixture->node.peers[2].up = true;
 	assert_false(fl_node_is_isolated(&fixture->node));
@@ -205,10 +219,12 @@
 	fixture->node.peers[0].up = true;
 	fixture->node.peers[0].up_since = fl_now() - 5;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
+
 	age_misplaced_workers(fixture);
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, to), 421);
 	assert_string_equal(to, "n1");
+
 	/* It is back, for whatever reason: it stays. */
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
@@ -236,6 +252,7 @@
 
 	become_follower(fixture, 4);
 	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
+
 	disconnect(fixture, 3);
 	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
 	for (size_t i = 0; i < sizeof(requests) / sizeof(requests[0]); i++) {
@@ -246,6 +263,7 @@
 		assert_true(response.retry_after_s > 0 && response.close);
 		free(response.body);
 	}
+
 	/* What is over is known for good, by any node. */
 	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
 	response = send_user_request(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
@@ -255,6 +273,7 @@
 	assert_int_equal(response.status, 200);
 	assert_non_null(strstr(response.body, "\"done\""));
 	free(response.body);
+
 	/* Connected again, it is ready. */
 	fixture->node.peers[0].up = true;
 	fixture->node.kv_store.last_success_at = fl_now() + 1;
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -268,6 +268,7 @@
 	assert_int_equal(decode_answers("[{\"status\":200,\"body\":\"\"},{\"status\":7}]", 2),
 	                 -EPROTO);
 	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), -EPROTO);
+
 	/* What is no heartbeat among others is refused alone. */
 	fl_heartbeat_list_add(list, "{\"Host\":7}");
 	text = fl_peer_heartbeats_encode(list, "host-2", true, true);
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -134,6 +134,7 @@
 	assert_true(output.machines_examined <= 2L * MACHINES);
 	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
+
 	/* Nothing is allocated by looking. */
 	assert_int_equal(blocks_held(site->job), 0);
 }
@@ -151,6 +152,7 @@
 	site->node.cluster.machines.types[0].ready_s = 60;
 	site->node.cluster.machines.types[0].zones = 1;
 	fl_autoscaler_plan_scale_out(&site->node, &site->job, &missing_tasks, 1);
+
 	assert_true(site->node.autoscaler.request_count > 0);
 	assert_true(site->node.autoscaler.machines_examined > MACHINES);
 	assert_true(site->node.autoscaler.machines_examined <= MACHINES + 2L * (long)missing_tasks);
--- a/tests/test_message_costs.c
+++ b/tests/test_message_costs.c
@@ -167,6 +167,7 @@
 	run.handler_waits = false;
 	assert_true(fl_raise_open_file_limit(3 * IDLE_CONNECTIONS) >=
 	            2 * IDLE_CONNECTIONS + CONNECTIONS);
+
 	run_with_server(open_connections, IDLE_CONNECTIONS + CONNECTIONS);
 	print_message("%ld bytes an idle connection\n", run.idle_bytes);
 	assert_true(run.idle_bytes > 0);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -25,21 +25,25 @@
 	int start_commands;
 
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 1), 0);
+
 	task = place_task(fixture, 0);
 	start_commands = deliver_idle_heartbeats(fixture, 2, 4, 5);
 	assert_int_equal(start_commands, 3);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
-	/* Silence counts from the first answer without effect, though its heartbeat came just now.
-	 */
+
+	/* Silence counts from the first reply without effect, not from the last heartbeat. */
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < fl_now() - 4);
+
 	/* Its attempt may have been started all the same: only a proof frees it. */
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 	assert_int_equal(fixture->job->counts.waiting, 3);
+
 	set_last_reply_age(fixture, 5);
 	assert_int_equal(deliver_idle_heartbeat(fixture, 2, 5), 0);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
 	assert_int_equal(fixture->job->counts.waiting, 4);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
+
 	/* Gone for good: its work is free once, and a later heartbeat changes nothing. */
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
 	assert_int_equal(deliver_idle_heartbeat(fixture, 2, 6), -ENOENT);
@@ -53,25 +57,25 @@
 
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 1), 0);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
-	/* A worker that had its reply sends the next heartbeat within seconds; this one waited for
-	 * its timeout.
-	 */
+
+	/* A worker that had its reply sends the next one soon; this one waited for its timeout. */
 	set_last_reply_age(fixture, 5);
 	deliver_idle_heartbeat(fixture, 1, 2);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
+
 	for (uint64_t incarnation = 2; incarnation < 4; incarnation++) {
 		set_last_reply_age(fixture, 5);
 		deliver_idle_heartbeat(fixture, incarnation, 10 * incarnation);
 	}
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < INFINITY);
+
 	/* Once it answers a command itself, all is well again. */
 	deliver_heartbeat(fixture, make_heartbeat(3, 31, FENCING_TOKEN, NULL, 0),
 	                  FL_HEARTBEAT_FROM_COMMAND);
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) == INFINITY);
 }
 
-/* However prompt its heartbeats: a start command, or a higher fencing token, that shows no effect
- * twice is enough. */
+/* However prompt its heartbeats: a command or fencing token without effect twice is enough. */
 static void a_machine_is_suspect_after_commands_without_effect(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -80,9 +84,11 @@
 	place_task(fixture, 0);
 	deliver_idle_heartbeats(fixture, 2, 4, 1);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
+
 	deliver_heartbeat(fixture, make_heartbeat(1, 5, FENCING_TOKEN, NULL, 0),
 	                  FL_HEARTBEAT_FROM_COMMAND);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
+
 	fl_task_peek(fixture->job, 0)->start_sent = false;
 	fixture->node.leader_lease.fencing_token++;
 	for (uint64_t sequence = 6; sequence < 9; sequence++) {
@@ -91,6 +97,7 @@
 		deliver_idle_heartbeat(fixture, 1, sequence);
 	}
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
+
 	set_last_reply_age(fixture, 1);
 	deliver_heartbeat(fixture, make_heartbeat(1, 9, FENCING_TOKEN + 1, NULL, 0),
 	                  FL_HEARTBEAT_FROM_WORKER);
@@ -106,17 +113,21 @@
 	deliver_idle_heartbeat(fixture, 1, 1);
 	task = place_task(fixture, 0);
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 2), 1);
+
 	set_last_reply_age(fixture, 1);
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 3), 1);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
+
 	set_last_reply_age(fixture, 1);
 	deliver_task_heartbeat(fixture, 1, 4, &status);
 	assert_int_equal(only_machine(fixture)->outbound.unacknowledged_replies, 0);
 	assert_int_equal(task->observed, FL_OBSERVED_RUNNING);
+
 	/* A longer pause, as after an outage, is over with the next prompt heartbeat. */
 	set_last_reply_age(fixture, 6);
 	deliver_task_heartbeat(fixture, 1, 5, &status);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
+
 	set_last_reply_age(fixture, 2);
 	deliver_task_heartbeat(fixture, 1, 6, &status);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
@@ -143,13 +154,16 @@
 			heartbeat.sequence++;
 		}
 	}
+
 	/* Even then its own answer to a command, or a start command that shows, ends the doubt. */
 	heartbeat.entry_node = 1;
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
+
 	heartbeat.sequence++;
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_COMMAND);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
+
 	/* Where there is no other node, only a start command without effect shows it. */
 	fixture->node.peer_count = 0;
 	for (int i = 0; i < 3; i++) {
@@ -178,6 +192,7 @@
 	                                   FL_HEARTBEAT_FROM_DIGEST),
 	                 0);
 	assert_null(only_machine(fixture));
+
 	/* One that is known from a record: the copy neither shows life nor what is absent. */
 	fl_cluster_describe(&fixture->node.cluster,
 	                    fl_machine_get(&fixture->node.cluster.machines, "m-000001", fl_now()),
@@ -185,6 +200,7 @@
 	assert_int_equal(fl_task_restore(&fixture->node.cluster, fixture->job, 1, 3,
 	                                 only_machine(fixture), 1, 0, fl_now()),
 	                 0);
+
 	task = fl_task_peek(fixture->job, 1);
 	task->stop_reason = FL_STOP_PREEMPT;
 	assert_int_equal(deliver_heartbeat(fixture,
@@ -194,6 +210,7 @@
 	assert_false(only_machine(fixture)->lifecycle.up);
 	assert_true(only_machine(fixture)->heartbeat.last_at == 0);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
+
 	/* The worker itself has seen the answer and sends the fencing token: now it
 	 * counts. */
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 70), 0);
@@ -230,6 +247,7 @@
 	assert_true(only_machine(fixture)->heartbeat.last_at == heartbeat_at &&
 	            only_machine(fixture)->outbound.last_reachable_at == heartbeat_at);
 	assert_int_equal(fixture->job->counts.placed, 1);
+
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
 	assert_int_equal(deliver_task_heartbeat(fixture, 2, 13, &status), -ENOENT);
 	assert_true(only_machine(fixture)->lifecycle.decommissioned &&
@@ -248,10 +266,12 @@
 	deliver_idle_heartbeat(fixture, 1, 1);
 	task = place_task(fixture, 0);
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 2), 1);
+
 	task->stop_reason = FL_STOP_PREEMPT;
 	deliver_heartbeat(fixture, make_heartbeat(1, 3, FENCING_TOKEN, NULL, 0),
 	                  FL_HEARTBEAT_FROM_COMMAND);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
+
 	/* Its own next heartbeat is sent when the answer has been carried out or dropped. */
 	deliver_idle_heartbeat(fixture, 1, 4);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #include "copy_text.h"
-#include "reconciliation_sim.h"
+#include "simulation_fixture.h"
 #include "transport/clock.h"
 
 static void send_report(struct simulation *sim, int at)
@@ -140,6 +140,7 @@
 		}
 		tear_down(sim);
 	}
+
 	/* The random walk must make progress: jobs finish, leaders change. */
 	assert_true(launches > 4000 && dones > 600 && takeovers > 500 && finished > 10);
 	free(sim);
@@ -175,13 +176,11 @@
 /* A job that fails everywhere waits longer and longer, and does not make machines look faulty. */
 static void a_job_backs_off_when_it_fails_on_every_machine(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	struct fl_machine *machine;
 	struct fl_job *job;
 	double now = fl_now(), last = 0;
 
-	(void)state;
-	set_up(sim, 1);
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
 		machine = fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
@@ -190,38 +189,36 @@
 		last = job->retry.not_before;
 	}
 	assert_true(job->retry.not_before > now + 30 && job->retry.not_before < now + 90);
-	tear_down(sim);
-	free(sim);
 }
 
 /* Two tasks of a job of which nothing ever completed are no evidence against their machine. */
 static void a_machine_is_quarantined_by_evidence_only(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	struct fl_job *job;
 	double now = fl_now();
 
-	(void)state;
-	set_up(sim, 1);
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	assert_true(fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
 	assert_true(fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
+
 	/* A third in a row is: a service of one task must not go there again and again. */
 	assert_true(fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
+
 	/* Where a task of the job has completed, two are enough. */
 	job = fl_job_find(&sim->node.cluster, "run-000001");
 	fl_task_done(&sim->node.cluster, job, 0);
 	assert_true(fail_task(sim, job, 61, 1, 1)->health.quarantined_until <= now);
 	assert_true(fail_task(sim, job, 61, 2, 2)->health.quarantined_until > now);
-	tear_down(sim);
-	free(sim);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_job_backs_off_when_it_fails_on_every_machine),
-		cmocka_unit_test(a_machine_is_quarantined_by_evidence_only),
+		cmocka_unit_test_setup_teardown(a_job_backs_off_when_it_fails_on_every_machine,
+	                                        begin_simulation, end_simulation),
+		cmocka_unit_test_setup_teardown(a_machine_is_quarantined_by_evidence_only,
+	                                        begin_simulation, end_simulation),
 		cmocka_unit_test(
 			no_interleaving_of_heartbeats_commands_and_leaders_violates_an_invariant),
 	};
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -145,10 +145,12 @@
 		answered += queries[i].result == FL_QUERY_ANSWERED;
 		overloaded += queries[i].result == FL_QUERY_OVERLOADED;
 	}
+
 	/* Those that went at once, one each, and a full request after them. */
 	assert_int_equal(world.requests, FL_STATUS_REQUESTS_MAX + 1);
 	assert_int_equal(answered, FL_STATUS_REQUESTS_MAX + FL_STATUS_QUERY_MAX);
 	assert_int_equal(overloaded, QUERIES - answered);
+
 	free_queries(queries, QUERIES);
 }
 
@@ -169,11 +171,13 @@
 	format_ref(queries[1].ref, 7);
 	queries[1].begins_at = one_way_s * 1.6;
 	assert_non_null(sim_spawn(0, finish_job, queries[0].ref));
+
 	run_queries(queries, 2);
 	assert_int_equal(queries[0].result, FL_QUERY_ANSWERED);
 	assert_non_null(strstr(queries[0].response.body, "pending"));
 	assert_int_equal(queries[1].result, FL_QUERY_ANSWERED);
 	assert_non_null(strstr(queries[1].response.body, "done"));
+
 	free_queries(queries, 2);
 }
 
@@ -188,10 +192,12 @@
 	fl_job_find(&world.leader.cluster, queries[1].ref)->record.final_write_in_flight = true;
 	fl_job_find(&world.leader.cluster, queries[2].ref)->record.final_write_unknown = true;
 	run_queries(queries, 3);
+
 	for (int i = 0; i < 3; i++) {
 		assert_int_equal(queries[i].result, FL_QUERY_NOT_IN_MEMORY);
 		assert_null(queries[i].response.body);
 	}
+
 	free_queries(queries, 3);
 }
 
@@ -219,10 +225,12 @@
 		queries[i].begins_at = i * 0.002;
 	}
 	run_queries(queries, QUERIES);
+
 	for (int i = 0; i < QUERIES; i++) {
 		assert_int_not_equal(queries[i].result, FL_QUERY_ANSWERED);
 		assert_true(queries[i].duration_s <= 1.7);
 	}
+
 	free_queries(queries, QUERIES);
 }
 
@@ -239,8 +247,10 @@
 	for (int i = 0; i < FL_STATUS_REQUESTS_MAX; i++)
 		format_ref(queries[i].ref, i);
 	run_queries(queries, FL_STATUS_REQUESTS_MAX);
+
 	for (int i = 0; i < FL_STATUS_REQUESTS_MAX; i++)
 		assert_int_equal(queries[i].result, FL_QUERY_ANSWERED);
+
 	free_queries(queries, FL_STATUS_REQUESTS_MAX);
 }
 
@@ -274,6 +284,7 @@
 	assert_int_equal(decode_query("{\"refs\":[\"../../etc\"]}"), -EPROTO);
 	assert_int_equal(decode_query("{\"refs\":[7]}"), -EPROTO);
 	assert_int_equal(decode_query("{\"refs\":{}}"), -EPROTO);
+
 	text = fl_status_answer_encode(states, 2);
 	assert_int_equal(fl_status_answer_decode(text, strlen(text), decoded_states, 2), 0);
 	assert_true(decoded_states[0].known && decoded_states[0].status == FL_RUNNING);
--- a/tests/test_token_bucket.c
+++ b/tests/test_token_bucket.c
@@ -22,6 +22,7 @@
 			spent += 3;
 		now += wait_s > 0 ? wait_s : 0;
 	}
+
 	assert_true(spent <= 10 + 600 + 3 && spent > 590);
 }
 
