--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -46,6 +46,7 @@
 				? 200
 				: 503;
 		break;
+	case FL_USER_REQUEST_UNKNOWN:
 	default:
 		fl_respond_error(response, 404, "no such path");
 	}
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -137,6 +137,9 @@
 		fl_info("workers", "%s refused %s/%u (%s)", machine->name, job->ref, index,
 		        status->exit == FL_EXIT_BUSY ? "busy" : "no room");
 		break;
+	case FL_EXIT_ERROR:
+	case FL_EXIT_UNKNOWN_TASK:
+	case FL_EXIT_OTHER:
 	default:
 		record_failure(machine, job, task, now);
 		pause = backoff(task->failure_count);
@@ -154,6 +157,8 @@
 		return FL_OBSERVED_PULLING;
 	case FL_TASK_STATE_CHECKPOINTING:
 		return FL_OBSERVED_CHECKPOINTING;
+	case FL_TASK_STATE_RUNNING:
+	case FL_TASK_STATE_EXITED:
 	default:
 		return FL_OBSERVED_RUNNING;
 	}
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -16,24 +16,24 @@
 #include "simulation_fixture.h"
 #include "transport/clock.h"
 
-static void send_report(struct simulation *sim, int at)
+static void send_heartbeat(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->worker[at];
+	struct worker *worker = &sim->worker[worker_index];
 	char *text;
 
 	/* An answer in flight is carried out before the next heartbeat or never. */
 	if (worker->answer && random_below(sim, 4))
-		execute_orders(sim, at, worker->answer, false);
+		execute_orders(sim, worker_index, worker->answer, false);
 	drop_answer(worker);
-	text = report_text(sim, at);
+	text = report_text(sim, worker_index);
 	if (random_below(sim, 5))
-		deliver_report(sim, at, text, FL_HEARTBEAT_FROM_WORKER);
-	queue_message(sim, at, text, false);
+		deliver_report(sim, worker_index, text, FL_HEARTBEAT_FROM_WORKER);
+	queue_message(sim, worker_index, text, false);
 }
 
-static void end_some_task(struct simulation *sim, int at)
+static void end_some_task(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->worker[at];
+	struct worker *worker = &sim->worker[worker_index];
 	struct fl_task_status *status;
 
 	/* Not used, but drawn so that each seed still plays the same case. */
@@ -53,67 +53,95 @@
 	}
 }
 
-static void end_incarnation(struct simulation *sim, int at)
+static void end_incarnation(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->worker[at];
+	struct worker *worker = &sim->worker[worker_index];
 
 	memset(worker->at, 0, sizeof(worker->at));
 	worker->incarnation++;
 	drop_answer(worker);
 }
 
+static void end_incarnation_sometimes(struct simulation *sim, int worker)
+{
+	if (random_below(sim, 4) == 0)
+		end_incarnation(sim, worker);
+}
+
+static void take_over_sometimes(struct simulation *sim, int worker)
+{
+	(void)worker;
+	if (random_below(sim, 4 * sim->calm) == 0)
+		take_over(sim);
+}
+
+static void raise_fencing_token_sometimes(struct simulation *sim, int worker)
+{
+	(void)worker;
+	if (random_below(sim, 3 * sim->calm) == 0)
+		sim->node.leader_lease.fencing_token = ++sim->fencing_token;
+}
+
+static void deliver_late_message(struct simulation *sim, int worker)
+{
+	(void)worker;
+	deliver_late(sim);
+}
+
+static void save_some_records(struct simulation *sim, int worker)
+{
+	(void)worker;
+	save_some(sim);
+}
+
+static void place_some_tasks(struct simulation *sim, int worker)
+{
+	(void)worker;
+	place_some(sim);
+}
+
+/* The scheduler stops something to free its resources. */
+static void preempt_a_task(struct simulation *sim, int worker)
+{
+	const struct fl_machines *machines = &sim->node.cluster.machines;
+	const struct fl_machine *machine = machines->count ? machines->by_id[0] : NULL;
+
+	(void)worker;
+	if (machine && machine->assignment_count > 0)
+		fl_task_peek(machine->assignments[0].job, machine->assignments[0].index)
+			->stop_reason = FL_STOP_PREEMPT;
+}
+
+/* What a step may do, and how often. */
+static const struct {
+	int share;
+	void (*run)(struct simulation *sim, int worker);
+} actions[] = {
+	{1, end_incarnation_sometimes},
+	{1, take_over_sometimes},
+	{1, raise_fencing_token_sometimes},
+	{3, deliver_late_message},
+	{2, command_directly},
+	{2, end_some_task},
+	{3, save_some_records},
+	{2, place_some_tasks},
+	{1, preempt_a_task},
+	{8, send_heartbeat},
+};
+
+enum { SHARES = 24 };
+
 static void step(struct simulation *sim)
 {
-	int at = random_below(sim, WORKERS);
-
-	switch (random_below(sim, 24)) {
-	case 0:
-		if (random_below(sim, 4) == 0)
-			end_incarnation(sim, at);
-		break;
-	case 1:
-		if (random_below(sim, 4 * sim->calm) == 0)
-			take_over(sim);
-		break;
-	case 2:
-		if (random_below(sim, 3 * sim->calm) == 0)
-			sim->node.leader_lease.fencing_token = ++sim->fencing_token;
-		break;
-	case 3:
-	case 4:
-	case 5:
-		deliver_late(sim);
-		break;
-	case 6:
-	case 7:
-		command_directly(sim, at);
-		break;
-	case 8:
-	case 9:
-		end_some_task(sim, at);
-		break;
-	case 10:
-	case 11:
-	case 12:
-		save_some(sim);
-		break;
-	case 13:
-	case 14:
-		place_some(sim);
-		break;
-	case 15: {
-		/* The scheduler stops something to make room. */
-		struct fl_machine *machine = sim->node.cluster.machines.count
-		                                     ? sim->node.cluster.machines.by_id[0]
-		                                     : NULL;
-
-		if (machine && machine->assignment_count > 0)
-			fl_task_peek(machine->assignments[0].job, machine->assignments[0].index)
-				->stop_reason = FL_STOP_PREEMPT;
-		break;
-	}
-	default:
-		send_report(sim, at);
+	int worker = random_below(sim, WORKERS);
+	int choice = random_below(sim, SHARES);
+
+	for (size_t i = 0; i < sizeof(actions) / sizeof(actions[0]); i++) {
+		if (choice < actions[i].share) {
+			actions[i].run(sim, worker);
+			break;
+		}
+		choice -= actions[i].share;
 	}
 	check_invariants(sim);
 }
@@ -121,28 +149,29 @@
 static void no_interleaving_of_heartbeats_commands_and_leaders_violates_an_invariant(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
-	int launches = 0, dones = 0, takeovers = 0, finished = 0;
+	int start_commands = 0, done_tasks = 0, failovers = 0, finished_jobs = 0;
 
 	(void)state;
 	for (unsigned long seed = 1; seed <= 150; seed++) {
 		set_up(sim, seed);
 		for (int i = 0; i < 1500; i++)
 			step(sim);
-		launches += sim->launches;
-		dones += sim->dones;
-		takeovers += sim->takeovers;
+		start_commands += sim->launches;
+		done_tasks += sim->dones;
+		failovers += sim->takeovers;
 		for (int j = 0; j < JOBS; j++) {
 			bool all = true;
 
-			for (int p = 0; p < TASKS; p++)
-				all = all && sim->actually_done[j][p];
-			finished += all;
+			for (int k = 0; k < TASKS; k++)
+				all = all && sim->actually_done[j][k];
+			finished_jobs += all;
 		}
 		tear_down(sim);
 	}
 
 	/* The random walk must make progress: jobs finish, leaders change. */
-	assert_true(launches > 4000 && dones > 600 && takeovers > 500 && finished > 10);
+	assert_true(start_commands > 4000 && done_tasks > 600 && failovers > 500 &&
+	            finished_jobs > 10);
 	free(sim);
 }
 
@@ -179,14 +208,14 @@
 	struct simulation *sim = *state;
 	struct fl_machine *machine;
 	struct fl_job *job;
-	double now = fl_now(), last = 0;
+	double now = fl_now(), previous = 0;
 
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
 		machine = fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
 		assert_true(machine->health.quarantined_until <= now);
-		assert_true(i < 4 || job->retry.not_before >= last);
-		last = job->retry.not_before;
+		assert_true(i < 4 || job->retry.not_before >= previous);
+		previous = job->retry.not_before;
 	}
 	assert_true(job->retry.not_before > now + 30 && job->retry.not_before < now + 90);
 }
