--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -58,7 +58,7 @@
 
 	config.core_share = 0.01;
 	assert_true(fl_admission_tight_setting(&config, 1, text, sizeof(text)));
-	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 reports"));
+	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 heartbeats"));
 	assert_false(fl_admission_tight_setting(&config, 2, text, sizeof(text)));
 }
 
