--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -1,4 +1,4 @@
-/* Plain entries for snapshots, and a pass of the real scheduler on one. */
+/* Plain entries for snapshots, and a scheduling cycle of the real scheduler on one. */
 #include "schedule_fixture.h"
 
 #include <setjmp.h>
@@ -15,27 +15,27 @@
 	struct fl_sched_input input = {
 		.params = &fl_sched_defaults,
 		.jobs = snapshot->jobs,
-		.job_count = snapshot->n_jobs,
+		.job_count = snapshot->job_count,
 		.machines = snapshot->machines,
-		.machine_count = snapshot->n_machines,
-		.attempts = snapshot->runs,
-		.attempt_count = snapshot->n_runs,
+		.machine_count = snapshot->machine_count,
+		.attempts = snapshot->attempts,
+		.attempt_count = snapshot->attempt_count,
 		.teams = snapshot->teams,
-		.spot_loss_rate = snapshot->spot_loss,
+		.spot_loss_rate = snapshot->spot_loss_rate,
 	};
 
 	assert_int_equal(fl_schedule(&input, output), FL_SCHEDULE_OK);
 }
 
-struct fl_sched_job plain_job(double cpus, uint32_t waiting, double est, double waited)
+struct fl_sched_job plain_job(double cpus, uint32_t waiting, double estimate_s, double waited_s)
 {
 	return (struct fl_sched_job){.priority = FL_STANDARD,
 	                             .need.cpus = cpus,
 	                             .need.ram_gb = 1,
 	                             .task_count = waiting,
 	                             .startable_count = waiting,
-	                             .estimate_s = est,
-	                             .waited_s = waited,
+	                             .estimate_s = estimate_s,
+	                             .waited_s = waited_s,
 	                             .allowed_types = 1,
 	                             .zone = -1,
 	                             .window_left_s = -1};
@@ -47,12 +47,12 @@
 		.free.cpus = cpus, .free.ram_gb = 64, .pull_gb_s = 1, .cached_images = no_cache};
 }
 
-struct fl_sched_attempt plain_run(int machine, double cpus, double left)
+struct fl_sched_attempt running_attempt(int machine, double cpus, double left_s)
 {
 	return (struct fl_sched_attempt){.machine = machine,
 	                                 .priority = FL_STANDARD,
 	                                 .preemptible = true,
 	                                 .used.cpus = cpus,
 	                                 .used.ram_gb = 1,
-	                                 .left_s = left};
+	                                 .left_s = left_s};
 }
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -1,4 +1,5 @@
-/* The model's pass: the order of the jobs, their starts, and the stops that free capacity for them.
+/* The model's scheduling cycle: the order of the jobs, their starts, and the stops that free
+ * capacity for them.
  */
 #include "schedule_model.h"
 
@@ -6,57 +7,60 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Cost of making room for one task on a machine; the victims in `set`. */
-static double model_clear(const struct model *model, const struct fl_sched_job *job, int machine,
-                          bool within_guarantee, bool *set)
+/* Cost of making capacity for one task on a machine; the victims in `set`. */
+static double model_preemption_cost(const struct model *model, const struct fl_sched_job *job,
+                                    int machine, bool within_guarantee, bool *victims)
 {
-	double open[3], cpus, gpus, ram_gb, cost = 0;
+	double available[3], cpus, gpus, ram_gb, cost = 0;
 
-	model_open(model, job, machine, open);
-	cpus = open[0];
-	gpus = open[1];
-	ram_gb = open[2];
-	memset(set, 0, sizeof(bool) * RUNS);
-	while (!model_room(job, cpus, gpus, ram_gb)) {
+	model_available(model, job, machine, available);
+	cpus = available[0];
+	gpus = available[1];
+	ram_gb = available[2];
+	memset(victims, 0, sizeof(bool) * ATTEMPTS_MAX);
+	while (!model_fits(job, cpus, gpus, ram_gb)) {
 		int cheapest = -1;
 
-		for (int i = 0; i < model->snapshot.n_runs; i++) {
-			const struct fl_sched_attempt *attempt = &model->snapshot.runs[i];
+		for (int i = 0; i < model->snapshot.attempt_count; i++) {
+			const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
 
-			if (attempt->machine == machine && !set[i] &&
-			    model_victim(model, job, attempt, within_guarantee) &&
+			if (attempt->machine == machine && !victims[i] &&
+			    model_may_preempt(model, job, attempt, within_guarantee) &&
 			    (cheapest < 0 ||
-			     attempt->lost_s < model->snapshot.runs[cheapest].lost_s))
+			     attempt->lost_s < model->snapshot.attempts[cheapest].lost_s))
 				cheapest = i;
 		}
 		if (cheapest < 0)
 			return INFINITY;
-		set[cheapest] = true;
-		cpus += model->snapshot.runs[cheapest].used.cpus;
-		gpus += model->snapshot.runs[cheapest].used.gpus;
-		ram_gb += model->snapshot.runs[cheapest].used.ram_gb;
-		cost += model->snapshot.runs[cheapest].lost_s + 1;
+		victims[cheapest] = true;
+		cpus += model->snapshot.attempts[cheapest].used.cpus;
+		gpus += model->snapshot.attempts[cheapest].used.gpus;
+		ram_gb += model->snapshot.attempts[cheapest].used.ram_gb;
+		cost += model->snapshot.attempts[cheapest].lost_s + 1;
 	}
 	return cost;
 }
 
-/* Room for one more task is reserved; `image`: only where it is cached, at 60 s of loss at most. */
+/* Capacity for one more task is reserved; `image`: only where it is cached, at 60 s of loss at
+ * most. */
 static bool model_request_one(struct model *model, struct fl_sched_job *job, bool within_guarantee,
-                              bool image, const double *until, double est)
+                              bool image, const double *latest_end, double estimate_s)
 {
 	double best_cost = INFINITY;
-	bool set[RUNS];
+	bool victims[ATTEMPTS_MAX];
 	int best = -1;
 
-	for (int i = 0; i < model->snapshot.n_machines; i++) {
+	for (int i = 0; i < model->snapshot.machine_count; i++) {
 		const struct fl_sched_machine *machine = &model->snapshot.machines[i];
 		double cost;
 
-		if (!model_allowed(job, machine) || !model_zone(job, machine->zone) ||
-		    (until && est > until[i]))
+		if (!model_machine_allowed(job, machine) ||
+		    !model_zone_allowed(job, machine->zone) ||
+		    (latest_end && estimate_s > latest_end[i]))
 			continue;
-		cost = model_clear(model, job, i, within_guarantee, set);
-		if (image && (cost > 60 || (!model_holds(job, machine) && job->image_gb > 0)))
+		cost = model_preemption_cost(model, job, i, within_guarantee, victims);
+		if (image &&
+		    (cost > 60 || (!model_image_cached(job, machine) && job->image_gb > 0)))
 			continue;
 		cost += model_score(model, job, machine);
 		if (cost < best_cost) {
@@ -66,23 +70,24 @@
 	}
 	if (best < 0)
 		return false;
-	model_clear(model, job, best, within_guarantee, set);
+	model_preemption_cost(model, job, best, within_guarantee, victims);
 	/* Cheapest first, as they were chosen. */
 	for (;;) {
 		int next = -1;
 
-		for (int i = 0; i < model->snapshot.n_runs; i++)
-			if (set[i] && (next < 0 || model->snapshot.runs[i].lost_s <
-			                                   model->snapshot.runs[next].lost_s))
+		for (int i = 0; i < model->snapshot.attempt_count; i++)
+			if (victims[i] &&
+			    (next < 0 || model->snapshot.attempts[i].lost_s <
+			                         model->snapshot.attempts[next].lost_s))
 				next = i;
 		if (next < 0)
 			break;
-		set[next] = false;
-		model->stops[model->n_stops++] = next;
-		model->snapshot.runs[next].stopping = true;
-		model->later[best][0] += model->snapshot.runs[next].used.cpus;
-		model->later[best][1] += model->snapshot.runs[next].used.gpus;
-		model->later[best][2] += model->snapshot.runs[next].used.ram_gb;
+		victims[next] = false;
+		model->preemptions[model->preemption_count++] = next;
+		model->snapshot.attempts[next].stopping = true;
+		model->freed_later[best][0] += model->snapshot.attempts[next].used.cpus;
+		model->freed_later[best][1] += model->snapshot.attempts[next].used.gpus;
+		model->freed_later[best][2] += model->snapshot.attempts[next].used.ram_gb;
 	}
 	model->snapshot.machines[best].free.cpus -= job->need.cpus;
 	model->snapshot.machines[best].free.gpus -= job->need.gpus;
@@ -99,50 +104,53 @@
 	return true;
 }
 
-static uint32_t model_request_all(struct model *model, int index, const double *until, double est)
+static uint32_t model_request_all(struct model *model, int index, const double *latest_end,
+                                  double estimate_s)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[index];
-	struct fl_team saved = model->snapshot.teams[job->team],
+	struct fl_team saved_team = model->snapshot.teams[job->team],
 		       *team = &model->snapshot.teams[job->team];
 	uint32_t requested = 0;
 
-	while (requested + model->held < job->startable_count && !job->gang) {
-		bool within_guarantee = job->within_guaranteed &&
-		                        model_in_guarantee(team, team->used_cpus + job->need.cpus,
-		                                           team->used_gpus + job->need.gpus);
+	while (requested + model->awaiting_image_count < job->startable_count && !job->gang) {
+		bool within_guarantee =
+			job->within_guaranteed &&
+			model_within_guarantee(team, team->used_cpus + job->need.cpus,
+		                               team->used_gpus + job->need.gpus);
 
-		if (!model_team(model, job) ||
+		if (!model_within_team_maximum(model, job) ||
 		    (!within_guarantee && job->priority == FL_BEST_EFFORT) ||
-		    !model_request_one(model, job, within_guarantee, false, until, est))
+		    !model_request_one(model, job, within_guarantee, false, latest_end, estimate_s))
 			break;
 		team->used_cpus += job->need.cpus;
 		team->used_gpus += job->need.gpus;
 		requested++;
 	}
-	*team = saved;
+	*team = saved_team;
 	return requested;
 }
 
 /* The machine with the lowest score that may take one more task now; -1: none. */
-static int model_best(const struct model *model, const struct fl_sched_job *job, int zone,
-                      const double *until, double est)
+static int model_best_machine(const struct model *model, const struct fl_sched_job *job, int zone,
+                              const double *latest_end, double estimate_s)
 {
-	double open[3];
+	double available[3];
 	int best = -1;
 
-	for (int i = 0; i < model->snapshot.n_machines; i++) {
+	for (int i = 0; i < model->snapshot.machine_count; i++) {
 		const struct fl_sched_machine *machine = &model->snapshot.machines[i];
 
 		if (zone >= 0 && machine->zone != zone)
 			continue;
-		if (!model_allowed(job, machine) ||
-		    !model_room(job, machine->free.cpus, machine->free.gpus,
+		if (!model_machine_allowed(job, machine) ||
+		    !model_fits(job, machine->free.cpus, machine->free.gpus,
 		                machine->free.ram_gb) ||
-		    !model_zone(job, machine->zone) || (until && est > until[i]))
+		    !model_zone_allowed(job, machine->zone) ||
+		    (latest_end && estimate_s > latest_end[i]))
 			continue;
 		/* Reserved to one before this job. */
-		model_open(model, job, i, open);
-		if (!model_room(job, open[0], open[1], open[2]))
+		model_available(model, job, i, available);
+		if (!model_fits(job, available[0], available[1], available[2]))
 			continue;
 		if (best < 0 || model_score(model, job, machine) <
 		                        model_score(model, job, &model->snapshot.machines[best]))
@@ -151,40 +159,42 @@
 	return best;
 }
 
-static bool model_start(struct model *model, int index, const double *until, double est)
+static bool model_start_tasks(struct model *model, int index, const double *latest_end,
+                              double estimate_s)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[index];
 	struct model *before = NULL;
 	int zone = model_zone_choice(model, job);
-	bool no_room = false;
+	bool no_capacity = false;
 	bool one = !job->service && !job->begun && job->waited_s > 120 && !job->gang;
 
-	model->held = 0;
+	model->awaiting_image_count = 0;
 	if (job->gang) {
 		before = malloc(sizeof(*before));
 		*before = *model;
 	}
 	for (uint32_t all = job->startable_count;
-	     job->startable_count > model->held && !(one && job->startable_count < all);) {
+	     job->startable_count > model->awaiting_image_count &&
+	     !(one && job->startable_count < all);) {
 		double fetch;
 		int best;
 
-		if (!model_team(model, job))
+		if (!model_within_team_maximum(model, job))
 			break;
-		best = model_best(model, job, zone, until, est);
+		best = model_best_machine(model, job, zone, latest_end, estimate_s);
 		if (best < 0) {
-			no_room = true;
+			no_capacity = true;
 			break;
 		}
-		fetch = model_holds(job, &model->snapshot.machines[best])
+		fetch = model_image_cached(job, &model->snapshot.machines[best])
 		                ? 0
 		                : job->image_gb / model->snapshot.machines[best].pull_gb_s;
-		if (model_ahead(job) && !job->gang && fetch > 4 && job->waited_s < fetch &&
+		if (model_goes_first(job) && !job->gang && fetch > 4 && job->waited_s < fetch &&
 		    model_request_one(model, job, false, true, NULL, 0)) {
-			model->held++;
+			model->awaiting_image_count++;
 			continue;
 		}
-		model->starts[model->n_starts++] = (struct fl_sched_start){index, best};
+		model->starts[model->start_count++] = (struct fl_sched_start){index, best};
 		model->snapshot.machines[best].free.cpus -= job->need.cpus;
 		model->snapshot.machines[best].free.gpus -= job->need.gpus;
 		model->snapshot.machines[best].free.ram_gb -= job->need.ram_gb;
@@ -196,16 +206,16 @@
 	if (before && job->startable_count > 0)
 		*model = *before;
 	free(before);
-	return no_room;
+	return no_capacity;
 }
 
 /* The job to be looked at next: by rank, then by the priority formula; -1: none is left. */
-static int model_next(const struct model *model, const bool *looked, int *next_rank)
+static int model_next_job(const struct model *model, const bool *examined, int *next_rank)
 {
 	int next = -1;
 	double next_priority = 0;
 
-	for (int i = 0; i < model->snapshot.n_jobs; i++) {
+	for (int i = 0; i < model->snapshot.job_count; i++) {
 		const struct fl_sched_job *candidate = &model->snapshot.jobs[i];
 		int rank = candidate->service && candidate->priority >= FL_URGENT ? 3
 		           : !candidate->service && !candidate->begun && candidate->waited_s > 120
@@ -213,13 +223,13 @@
 		           : candidate->within_guaranteed ? 1
 		                                          : 0;
 		double wait = fmax(candidate->waited_s, 0.1),
-		       takes = candidate->estimate_s > 0 ? candidate->estimate_s : 3600;
-		double weight[] = {0.1, 1, 10, 100};
-		double priority = wait / 3600 * (1 + pow(wait / 120, 4)) * (3600 / takes) *
+		       duration_s = candidate->estimate_s > 0 ? candidate->estimate_s : 3600;
+		double weights[] = {0.1, 1, 10, 100};
+		double priority = wait / 3600 * (1 + pow(wait / 120, 4)) * (3600 / duration_s) *
 		                  (1 / sqrt(candidate->need.cpus * candidate->task_count / 32)) *
-		                  weight[candidate->priority];
+		                  weights[candidate->priority];
 
-		if (looked[i])
+		if (examined[i])
 			continue;
 		if (next < 0 || rank > *next_rank ||
 		    (rank == *next_rank && priority > next_priority)) {
@@ -231,54 +241,57 @@
 	return next;
 }
 
-void model_pass(struct model *model)
+void model_cycle(struct model *model)
 {
-	bool looked[JOBS] = {false};
-	double until[MACHINES];
+	bool examined[JOBS_MAX] = {false};
+	double latest_end[MACHINES_MAX];
 
-	model->top = -1;
-	for (int i = 0; i < model->snapshot.n_runs; i++) {
-		if (!model->snapshot.runs[i].stopping)
+	model->top_job = -1;
+	for (int i = 0; i < model->snapshot.attempt_count; i++) {
+		if (!model->snapshot.attempts[i].stopping)
 			continue;
-		model->later[model->snapshot.runs[i].machine][0] +=
-			model->snapshot.runs[i].used.cpus;
-		model->later[model->snapshot.runs[i].machine][1] +=
-			model->snapshot.runs[i].used.gpus;
-		model->later[model->snapshot.runs[i].machine][2] +=
-			model->snapshot.runs[i].used.ram_gb;
+		model->freed_later[model->snapshot.attempts[i].machine][0] +=
+			model->snapshot.attempts[i].used.cpus;
+		model->freed_later[model->snapshot.attempts[i].machine][1] +=
+			model->snapshot.attempts[i].used.gpus;
+		model->freed_later[model->snapshot.attempts[i].machine][2] +=
+			model->snapshot.attempts[i].used.ram_gb;
 	}
 	for (;;) {
-		int next_rank = 0, next = model_next(model, looked, &next_rank);
+		int next_rank = 0, next = model_next_job(model, examined, &next_rank);
 		struct fl_sched_job *job;
 		bool first, backfill;
-		const double *bound;
-		double est;
+		const double *latest_end_bound;
+		double estimate_s;
 
 		if (next < 0)
 			return;
-		looked[next] = true;
+		examined[next] = true;
 		job = &model->snapshot.jobs[next];
 		if (job->startable_count == 0)
 			continue;
 		first = next_rank == 3;
-		backfill = model->top >= 0 && !first;
+		backfill = model->top_job >= 0 && !first;
 		/* The top's window does not bind what may stop the top's tasks. */
-		bound = backfill && job->priority <= model->snapshot.jobs[model->top].priority
-		                ? until
-		                : NULL;
-		est = job->estimate_s > 0 ? job->estimate_s : job->service ? INFINITY : 3600;
-		if (!model_start(model, next, bound, est))
+		latest_end_bound =
+			backfill && job->priority <= model->snapshot.jobs[model->top_job].priority
+				? latest_end
+				: NULL;
+		estimate_s = job->estimate_s > 0 ? job->estimate_s : job->service ? INFINITY : 3600;
+		if (!model_start_tasks(model, next, latest_end_bound, estimate_s))
 			continue;
-		model->short_of[next] = job->startable_count - model->held -
-		                        model_request_all(model, next, bound, est);
-		if (model->short_of[next] == 0 || model->top >= 0)
+		model->unplaced_tasks[next] =
+			job->startable_count - model->awaiting_image_count -
+			model_request_all(model, next, latest_end_bound, estimate_s);
+		if (model->unplaced_tasks[next] == 0 || model->top_job >= 0)
 			continue;
-		model->top = next;
-		model->window = 4 * model_wait(model, job);
+		model->top_job = next;
+		model->window_s = 4 * model_time_to_fit(model, job);
 		if (job->window_left_s >= 0)
-			model->window = fmin(model->window, job->window_left_s);
-		for (int i = 0; i < model->snapshot.n_machines; i++)
-			until[i] = model_allowed(job, &model->snapshot.machines[i]) ? model->window
-			                                                            : INFINITY;
+			model->window_s = fmin(model->window_s, job->window_left_s);
+		for (int i = 0; i < model->snapshot.machine_count; i++)
+			latest_end[i] = model_machine_allowed(job, &model->snapshot.machines[i])
+			                        ? model->window_s
+			                        : INFINITY;
 	}
 }
--- a/tests/schedule_model.h
+++ b/tests/schedule_model.h
@@ -1,50 +1,51 @@
 /*
- * A slow, plain model of the scheduling rules, against which the real pass is compared: it looks at
- * every machine for every task and has none of the real pass's indexes.
+ * A slow, plain model of the scheduling rules, against which the real scheduling cycle is compared:
+ * it looks at every machine for every task and has none of the real one's indexes.
  */
 #ifndef FL_TESTS_SCHEDULE_MODEL_H
 #define FL_TESTS_SCHEDULE_MODEL_H
 
 #include "schedule_fixture.h"
 
-enum { STARTS = 1000 };
+enum { STARTS_MAX = 1000 };
 
 struct model {
 	struct snapshot snapshot;
-	double later[MACHINES][3]; /* capacity that stops will free */
-	struct fl_sched_start starts[STARTS];
-	int stops[RUNS];
-	int n_starts, n_stops, top;
-	double window;
-	uint32_t short_of[JOBS];
-	uint32_t held; /* of the current job: tasks that wait for a machine with their image */
+	double freed_later[MACHINES_MAX][3]; /* capacity that stops will free */
+	struct fl_sched_start starts[STARTS_MAX];
+	int preemptions[ATTEMPTS_MAX];
+	int start_count, preemption_count, top_job;
+	double window_s;
+	uint32_t unplaced_tasks[JOBS_MAX];
+	uint32_t awaiting_image_count; /* of the current job: tasks that wait for a machine with
+	                                  their image */
 };
 
-/* Plays one pass on the snapshot in the model, and notes what it decides. */
-void model_pass(struct model *model);
+/* Plays one scheduling cycle on the snapshot in the model, and notes what it decides. */
+void model_cycle(struct model *model);
 
 /* ---- the rules, which change nothing ---- */
 
 /* May a task of the job run there at all, by type, zone and reclaimability? */
-bool model_allowed(const struct fl_sched_job *job, const struct fl_sched_machine *machine);
+bool model_machine_allowed(const struct fl_sched_job *job, const struct fl_sched_machine *machine);
 
 /* Does one task of the job fit into this? */
-bool model_room(const struct fl_sched_job *job, double cpus, double gpus, double ram_gb);
+bool model_fits(const struct fl_sched_job *job, double cpus, double gpus, double ram_gb);
 
 /* May one more task of the job be in this zone, by those it already has? */
-bool model_zone(const struct fl_sched_job *job, int zone);
+bool model_zone_allowed(const struct fl_sched_job *job, int zone);
 
 /* Is one more task of the job within the limits of its team? */
-bool model_team(const struct model *model, const struct fl_sched_job *job);
+bool model_within_team_maximum(const struct model *model, const struct fl_sched_job *job);
 
 /* Is this use within the guarantee of the team? */
-bool model_in_guarantee(const struct fl_team *team, double cpus, double gpus);
+bool model_within_guarantee(const struct fl_team *team, double cpus, double gpus);
 
 /* Is it a service that goes before all other jobs? */
-bool model_ahead(const struct fl_sched_job *job);
+bool model_goes_first(const struct fl_sched_job *job);
 
 /* Is the image of the job in the cache of the machine? */
-bool model_holds(const struct fl_sched_job *job, const struct fl_sched_machine *machine);
+bool model_image_cached(const struct fl_sched_job *job, const struct fl_sched_machine *machine);
 
 /* Of a placement; the lowest is the best. */
 double model_score(const struct model *model, const struct fl_sched_job *job,
@@ -54,14 +55,14 @@
 int model_zone_choice(const struct model *model, const struct fl_sched_job *job);
 
 /* May this run be stopped for the job? */
-bool model_victim(const struct model *model, const struct fl_sched_job *job,
-                  const struct fl_sched_attempt *attempt, bool within_guarantee);
+bool model_may_preempt(const struct model *model, const struct fl_sched_job *job,
+                       const struct fl_sched_attempt *attempt, bool within_guarantee);
 
 /* Free or about to become free on a machine, less what is reserved to one before `job`. */
-void model_open(const struct model *model, const struct fl_sched_job *job, int index,
-                double open[3]);
+void model_available(const struct model *model, const struct fl_sched_job *job, int index,
+                     double available[3]);
 
-/* Seconds until the next start of the job fits, by the estimates of the runs. */
-double model_wait(const struct model *model, const struct fl_sched_job *job);
+/* Seconds until the next start of the job fits, by the estimates of the attempts. */
+double model_time_to_fit(const struct model *model, const struct fl_sched_job *job);
 
 #endif
--- a/tests/test_schedule_backfill.c
+++ b/tests/test_schedule_backfill.c
@@ -1,6 +1,6 @@
 /*
- * The backfill window of the scheduling pass: how long it is, and that it does not begin anew with
- * each pass.
+ * The backfill window of the scheduling cycle: how long it is, and that it does not begin anew with
+ * each scheduling cycle.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,9 +13,9 @@
 #include "schedule_fixture.h"
 
 /* Half of each of two machines is free in 10 s, a whole machine only in 100 s. */
-static void fragmented_capacity_does_not_shorten_the_window(void **state)
+static void a_backfill_window_is_not_shortened_by_fragmented_capacity(void **state)
 {
-	struct snapshot snapshot = {.n_jobs = 2, .n_machines = 2, .n_runs = 4};
+	struct snapshot snapshot = {.job_count = 2, .machine_count = 2, .attempt_count = 4};
 	struct fl_sched_output output;
 
 	(void)state;
@@ -24,10 +24,11 @@
 	snapshot.machines[0] = plain_machine(1);
 	snapshot.machines[1] = plain_machine(0);
 	for (int i = 0; i < 2; i++) {
-		struct fl_sched_attempt *pair = i == 0 ? &snapshot.runs[0] : &snapshot.runs[2];
+		struct fl_sched_attempt *pair =
+			i == 0 ? &snapshot.attempts[0] : &snapshot.attempts[2];
 
-		pair[0] = plain_run(i, 4, 10);
-		pair[1] = plain_run(i, 4, 100);
+		pair[0] = running_attempt(i, 4, 10);
+		pair[1] = running_attempt(i, 4, 100);
 	}
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.top_job, 0);
@@ -37,17 +38,17 @@
 	fl_sched_output_free(&output);
 }
 
-/* The window lasts over passes: it may shrink but does not begin anew. */
-static void a_burst_cannot_delay_the_top_job_for_ever(void **state)
+/* The window lasts over scheduling cycles: it may shrink but does not begin anew. */
+static void a_backfill_window_does_not_begin_anew_with_each_cycle(void **state)
 {
-	struct snapshot snapshot = {.n_jobs = 2, .n_machines = 1, .n_runs = 1};
+	struct snapshot snapshot = {.job_count = 2, .machine_count = 1, .attempt_count = 1};
 	struct fl_sched_output output;
 
 	(void)state;
 	snapshot.jobs[0] = plain_job(8, 1, 60, 1000);
 	snapshot.jobs[1] = plain_job(1, 1, 50, 1);
 	snapshot.machines[0] = plain_machine(2);
-	snapshot.runs[0] = plain_run(0, 6, 100);
+	snapshot.attempts[0] = running_attempt(0, 6, 100);
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.start_count, 1);
 	fl_sched_output_free(&output);
@@ -64,8 +65,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(fragmented_capacity_does_not_shorten_the_window),
-		cmocka_unit_test(a_burst_cannot_delay_the_top_job_for_ever),
+		cmocka_unit_test(a_backfill_window_is_not_shortened_by_fragmented_capacity),
+		cmocka_unit_test(a_backfill_window_does_not_begin_anew_with_each_cycle),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -1,6 +1,6 @@
 /*
- * The scheduling pass against the slow, plain model of the same rules: on random snapshots, and
- * over many passes in which each continues from the decisions of the one before.
+ * The scheduling cycle against the slow, plain model of the same rules: on random snapshots, and
+ * over many scheduling cycles in which each continues from the decisions of the one before.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,134 +15,138 @@
 
 #include "schedule_model.h"
 
-static double pick(gsl_rng *rng, int n)
+static double random_below(gsl_rng *rng, int limit)
 {
-	return (double)gsl_rng_uniform_int(rng, (unsigned long)n);
+	return (double)gsl_rng_uniform_int(rng, (unsigned long)limit);
 }
 
 static void random_machines(gsl_rng *rng, struct snapshot *snapshot)
 {
-	for (int i = 0; i < snapshot->n_machines; i++) {
+	for (int i = 0; i < snapshot->machine_count; i++) {
 		for (int c = 0; c < FL_IMAGE_CACHE_MAX; c++)
-			snapshot->cache[i][c] = c < 2 ? (int)pick(rng, 5) : -1;
+			snapshot->cached_images[i][c] = c < 2 ? (int)random_below(rng, 5) : -1;
 		snapshot->machines[i] =
-			(struct fl_sched_machine){.type = (int)pick(rng, 2),
-		                                  .zone = (int)pick(rng, ZONES),
-		                                  .spot = pick(rng, 2) > 0,
-		                                  .runs_service = pick(rng, 2) > 0,
+			(struct fl_sched_machine){.type = (int)random_below(rng, 2),
+		                                  .zone = (int)random_below(rng, ZONES),
+		                                  .spot = random_below(rng, 2) > 0,
+		                                  .runs_service = random_below(rng, 2) > 0,
 		                                  .free.cpus = 16,
 		                                  .free.gpus = 4,
 		                                  .free.ram_gb = 64,
 		                                  .pull_gb_s = 0.5,
-		                                  .cached_images = snapshot->cache[i]};
-		snapshot->machines[i].reserved.active = pick(rng, 4) == 0;
-		snapshot->machines[i].reserved.within_guaranteed = pick(rng, 2) > 0;
-		snapshot->machines[i].reserved.priority = (enum fl_priority)pick(rng, 4);
-		snapshot->machines[i].reserved.resources.cpus = pick(rng, 12);
-		snapshot->machines[i].reserved.resources.gpus = pick(rng, 3);
-		snapshot->machines[i].reserved.resources.ram_gb = pick(rng, 30);
+		                                  .cached_images = snapshot->cached_images[i]};
+		snapshot->machines[i].reserved.active = random_below(rng, 4) == 0;
+		snapshot->machines[i].reserved.within_guaranteed = random_below(rng, 2) > 0;
+		snapshot->machines[i].reserved.priority = (enum fl_priority)random_below(rng, 4);
+		snapshot->machines[i].reserved.resources.cpus = random_below(rng, 12);
+		snapshot->machines[i].reserved.resources.gpus = random_below(rng, 3);
+		snapshot->machines[i].reserved.resources.ram_gb = random_below(rng, 30);
 	}
 }
 
-static void random_runs(gsl_rng *rng, struct snapshot *snapshot, int tries)
+static void random_attempts(gsl_rng *rng, struct snapshot *snapshot, int attempt_tries)
 {
-	for (int i = 0; i < tries; i++) {
-		struct fl_sched_attempt run = {0};
+	for (int i = 0; i < attempt_tries; i++) {
+		struct fl_sched_attempt attempt = {0};
 		struct fl_sched_machine *machine;
 
-		run.machine = (int)pick(rng, snapshot->n_machines);
-		machine = &snapshot->machines[run.machine];
-		run.team = (int)pick(rng, TEAMS);
-		run.priority = (enum fl_priority)pick(rng, 4);
-		run.service = pick(rng, 3) == 0;
-		run.stopping = pick(rng, 6) == 0;
-		run.preemptible = !run.stopping;
-		run.within_guaranteed = pick(rng, 3) == 0;
-		run.last_running_task = !run.service && pick(rng, 3) == 0;
-		run.used.cpus = 1 + pick(rng, 6);
-		run.used.gpus = pick(rng, 3);
-		run.used.ram_gb = 4 + pick(rng, 12);
-		run.left_s = run.service ? INFINITY : 1 + pick(rng, 200);
-		run.lost_s = pick(rng, 100) + 0.001 * i;
-		if (run.used.cpus > machine->free.cpus || run.used.gpus > machine->free.gpus ||
-		    run.used.ram_gb > machine->free.ram_gb)
+		attempt.machine = (int)random_below(rng, snapshot->machine_count);
+		machine = &snapshot->machines[attempt.machine];
+		attempt.team = (int)random_below(rng, TEAMS);
+		attempt.priority = (enum fl_priority)random_below(rng, 4);
+		attempt.service = random_below(rng, 3) == 0;
+		attempt.stopping = random_below(rng, 6) == 0;
+		attempt.preemptible = !attempt.stopping;
+		attempt.within_guaranteed = random_below(rng, 3) == 0;
+		attempt.last_running_task = !attempt.service && random_below(rng, 3) == 0;
+		attempt.used.cpus = 1 + random_below(rng, 6);
+		attempt.used.gpus = random_below(rng, 3);
+		attempt.used.ram_gb = 4 + random_below(rng, 12);
+		attempt.left_s = attempt.service ? INFINITY : 1 + random_below(rng, 200);
+		attempt.lost_s = random_below(rng, 100) + 0.001 * i;
+		if (attempt.used.cpus > machine->free.cpus ||
+		    attempt.used.gpus > machine->free.gpus ||
+		    attempt.used.ram_gb > machine->free.ram_gb)
 			continue;
-		machine->free.cpus -= run.used.cpus;
-		machine->free.gpus -= run.used.gpus;
-		machine->free.ram_gb -= run.used.ram_gb;
-		snapshot->teams[run.team].used_cpus += run.used.cpus;
-		snapshot->teams[run.team].used_gpus += run.used.gpus;
-		snapshot->runs[snapshot->n_runs++] = run;
+		machine->free.cpus -= attempt.used.cpus;
+		machine->free.gpus -= attempt.used.gpus;
+		machine->free.ram_gb -= attempt.used.ram_gb;
+		snapshot->teams[attempt.team].used_cpus += attempt.used.cpus;
+		snapshot->teams[attempt.team].used_gpus += attempt.used.gpus;
+		snapshot->attempts[snapshot->attempt_count++] = attempt;
 	}
 }
 
 static void random_jobs(gsl_rng *rng, struct snapshot *snapshot)
 {
-	for (int i = 0; i < snapshot->n_jobs; i++) {
+	for (int i = 0; i < snapshot->job_count; i++) {
 		struct fl_sched_job *job = &snapshot->jobs[i];
 
-		job->service = pick(rng, 3) == 0;
-		job->gang = !job->service && pick(rng, 4) == 0;
-		job->priority = (enum fl_priority)pick(rng, 4);
-		job->team = (int)pick(rng, TEAMS);
-		job->within_guaranteed = pick(rng, 3) == 0;
-		job->begun = pick(rng, 2) > 0;
-		job->waited_s = pick(rng, 300) + 0.01 * i;
-		job->estimate_s = job->service || pick(rng, 8) == 0 ? 0 : 10 + pick(rng, 300);
-		job->need.cpus = 1 + pick(rng, 6);
-		job->need.gpus = pick(rng, 3);
-		job->need.ram_gb = 1 + pick(rng, 16);
-		job->image_gb = pick(rng, 10);
-		job->task_count = 1 + (uint32_t)pick(rng, 8);
-		job->startable_count = 1 + (uint32_t)pick(rng, (int)job->task_count);
-		job->allowed_types = pick(rng, 3) ? UINT32_MAX : 1u + (uint32_t)pick(rng, 2);
-		job->zone = pick(rng, 5) ? -1 : (int)pick(rng, ZONES);
-		job->same_zone = pick(rng, 5) == 0;
-		job->spread_zones = !job->same_zone && pick(rng, 3) == 0;
-		job->spot_allowed = pick(rng, 2) > 0;
-		job->image = (int)pick(rng, 5);
-		job->window_left_s = pick(rng, 2) ? -1 : pick(rng, 300);
+		job->service = random_below(rng, 3) == 0;
+		job->gang = !job->service && random_below(rng, 4) == 0;
+		job->priority = (enum fl_priority)random_below(rng, 4);
+		job->team = (int)random_below(rng, TEAMS);
+		job->within_guaranteed = random_below(rng, 3) == 0;
+		job->begun = random_below(rng, 2) > 0;
+		job->waited_s = random_below(rng, 300) + 0.01 * i;
+		job->estimate_s =
+			job->service || random_below(rng, 8) == 0 ? 0 : 10 + random_below(rng, 300);
+		job->need.cpus = 1 + random_below(rng, 6);
+		job->need.gpus = random_below(rng, 3);
+		job->need.ram_gb = 1 + random_below(rng, 16);
+		job->image_gb = random_below(rng, 10);
+		job->task_count = 1 + (uint32_t)random_below(rng, 8);
+		job->startable_count = 1 + (uint32_t)random_below(rng, (int)job->task_count);
+		job->allowed_types =
+			random_below(rng, 3) ? UINT32_MAX : 1u + (uint32_t)random_below(rng, 2);
+		job->zone = random_below(rng, 5) ? -1 : (int)random_below(rng, ZONES);
+		job->same_zone = random_below(rng, 5) == 0;
+		job->spread_zones = !job->same_zone && random_below(rng, 3) == 0;
+		job->spot_allowed = random_below(rng, 2) > 0;
+		job->image = (int)random_below(rng, 5);
+		job->window_left_s = random_below(rng, 2) ? -1 : random_below(rng, 300);
 	}
 }
 
 static void random_snapshot(gsl_rng *rng, struct snapshot *snapshot, int jobs, int machines,
-                            int tries)
+                            int attempt_tries)
 {
 	memset(snapshot, 0, sizeof(*snapshot));
-	snapshot->n_jobs = 1 + (int)pick(rng, jobs);
-	snapshot->n_machines = 1 + (int)pick(rng, machines);
+	snapshot->job_count = 1 + (int)random_below(rng, jobs);
+	snapshot->machine_count = 1 + (int)random_below(rng, machines);
 	for (int t = 0; t < TEAMS; t++) {
-		snapshot->teams[t].guaranteed_gpus = pick(rng, 2) ? pick(rng, 9) : 0;
-		snapshot->teams[t].max_gpus = pick(rng, 2) ? 4 + pick(rng, 20) : 0;
-		snapshot->teams[t].max_cpus = pick(rng, 3) ? 0 : 20 + pick(rng, 60);
+		snapshot->teams[t].guaranteed_gpus =
+			random_below(rng, 2) ? random_below(rng, 9) : 0;
+		snapshot->teams[t].max_gpus = random_below(rng, 2) ? 4 + random_below(rng, 20) : 0;
+		snapshot->teams[t].max_cpus = random_below(rng, 3) ? 0 : 20 + random_below(rng, 60);
 	}
 	random_machines(rng, snapshot);
-	random_runs(rng, snapshot, tries);
+	random_attempts(rng, snapshot, attempt_tries);
 	random_jobs(rng, snapshot);
 }
 
-struct counts {
-	long starts, stops, tops, looks, bound;
+struct totals {
+	long starts, preemptions, top_jobs, machines_examined, examined_max;
 };
 
-static void compare(struct model *model, struct snapshot *snapshot, struct counts *counts)
+static void compare_decisions(struct model *model, struct snapshot *snapshot, struct totals *totals)
 {
 	struct fl_sched_output output;
 
 	memset(model, 0, sizeof(*model));
-	snapshot->spot_loss = snapshot->n_machines % 2 * 0.002;
+	snapshot->spot_loss_rate = snapshot->machine_count % 2 * 0.002;
 	model->snapshot = *snapshot;
-	model_pass(model);
+	model_cycle(model);
 	run_schedule(snapshot, &output);
-	assert_int_equal(output.start_count, model->n_starts);
+	assert_int_equal(output.start_count, model->start_count);
 	for (int i = 0; i < output.start_count; i++) {
 		assert_int_equal(output.starts[i].job, model->starts[i].job);
 		assert_int_equal(output.starts[i].machine, model->starts[i].machine);
 	}
-	assert_int_equal(output.preemption_count, model->n_stops);
+	assert_int_equal(output.preemption_count, model->preemption_count);
 	for (int i = 0; i < output.preemption_count; i++)
-		assert_int_equal(output.preemptions[i], model->stops[i]);
-	for (int i = 0; i < snapshot->n_machines; i++) {
+		assert_int_equal(output.preemptions[i], model->preemptions[i]);
+	for (int i = 0; i < snapshot->machine_count; i++) {
 		const struct fl_reservation *c = &snapshot->machines[i].requested;
 
 		assert_int_equal(c->active, model->snapshot.machines[i].requested.active);
@@ -156,49 +160,51 @@
 		            fabs(c->resources.ram_gb -
 		                 model->snapshot.machines[i].requested.resources.ram_gb) < 1e-6);
 	}
-	assert_int_equal(output.top_job, model->top);
-	if (model->top >= 0)
-		assert_true(output.window_s == model->window ||
-		            fabs(output.window_s - model->window) < 1e-6);
-	for (int i = 0; i < snapshot->n_jobs; i++)
-		assert_int_equal(output.unplaced_tasks[i], model->short_of[i]);
-	counts->starts += output.start_count;
-	counts->stops += output.preemption_count;
-	counts->tops += output.top_job >= 0;
-	counts->looks += output.machines_examined;
-	/* Each start, each task reserved room and each job that finds none looks once or twice. */
-	counts->bound += (long)snapshot->n_machines *
-	                 (output.start_count + 2 * snapshot->n_jobs + 2 * output.preemption_count);
+	assert_int_equal(output.top_job, model->top_job);
+	if (model->top_job >= 0)
+		assert_true(output.window_s == model->window_s ||
+		            fabs(output.window_s - model->window_s) < 1e-6);
+	for (int i = 0; i < snapshot->job_count; i++)
+		assert_int_equal(output.unplaced_tasks[i], model->unplaced_tasks[i]);
+	totals->starts += output.start_count;
+	totals->preemptions += output.preemption_count;
+	totals->top_jobs += output.top_job >= 0;
+	totals->machines_examined += output.machines_examined;
+	/* Each start, each task reserved capacity and each job that finds none looks once or twice.
+	 */
+	totals->examined_max +=
+		(long)snapshot->machine_count *
+		(output.start_count + 2 * snapshot->job_count + 2 * output.preemption_count);
 	fl_sched_output_free(&output);
 }
 
-static void the_pass_decides_like_the_model(void **state)
+static void a_scheduling_cycle_decides_like_the_model(void **state)
 {
 	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
 	struct model *model = malloc(sizeof(*model));
 	struct snapshot *snapshot = malloc(sizeof(*snapshot));
-	struct counts small = {0}, large = {0};
+	struct totals small = {0}, large = {0};
 
 	(void)state;
 	gsl_rng_set(rng, 7);
 	for (int round = 0; round < 4000; round++) {
 		random_snapshot(rng, snapshot, 14, 9, 24);
-		compare(model, snapshot, &small);
+		compare_decisions(model, snapshot, &small);
 	}
 	/* The snapshots must reach all of it. */
-	assert_true(small.starts > 4000 && small.stops > 400 && small.tops > 400);
+	assert_true(small.starts > 4000 && small.preemptions > 400 && small.top_jobs > 400);
 	/* Hundreds of machines: the same decisions, and no more work than starts times machines. */
 	for (int round = 0; round < 60; round++) {
-		random_snapshot(rng, snapshot, JOBS, MACHINES, RUNS);
+		random_snapshot(rng, snapshot, JOBS_MAX, MACHINES_MAX, ATTEMPTS_MAX);
 		for (int t = 0; t < TEAMS; t++) {
 			snapshot->teams[t].guaranteed_gpus *= 30;
 			snapshot->teams[t].max_gpus *= 30;
 			snapshot->teams[t].max_cpus *= 30;
 		}
-		compare(model, snapshot, &large);
+		compare_decisions(model, snapshot, &large);
 	}
-	assert_true(large.starts > 500 && large.stops > 50);
-	assert_true(large.looks <= large.bound);
+	assert_true(large.starts > 500 && large.preemptions > 50);
+	assert_true(large.machines_examined <= large.examined_max);
 	free(model);
 	free(snapshot);
 	gsl_rng_free(rng);
@@ -207,11 +213,11 @@
 /* Applies the model's starts to the snapshot, as a leader would. */
 static long apply_starts(struct snapshot *snapshot, const struct model *model)
 {
-	for (int i = 0; i < model->n_starts && snapshot->n_runs < RUNS; i++) {
+	for (int i = 0; i < model->start_count && snapshot->attempt_count < ATTEMPTS_MAX; i++) {
 		struct fl_sched_job *job = &snapshot->jobs[model->starts[i].job];
 		struct fl_sched_machine *machine = &snapshot->machines[model->starts[i].machine];
 
-		snapshot->runs[snapshot->n_runs] =
+		snapshot->attempts[snapshot->attempt_count] =
 			(struct fl_sched_attempt){.machine = model->starts[i].machine,
 		                                  .team = job->team,
 		                                  .priority = job->priority,
@@ -221,8 +227,8 @@
 		                                  .used.gpus = job->need.gpus,
 		                                  .used.ram_gb = job->need.ram_gb,
 		                                  .left_s = job->service ? INFINITY : 50,
-		                                  .lost_s = 0.001 * snapshot->n_runs};
-		snapshot->n_runs++;
+		                                  .lost_s = 0.001 * snapshot->attempt_count};
+		snapshot->attempt_count++;
 		machine->free.cpus -= job->need.cpus;
 		machine->free.gpus -= job->need.gpus;
 		machine->free.ram_gb -= job->need.ram_gb;
@@ -232,69 +238,70 @@
 		job->startable_count--;
 		job->begun = true;
 	}
-	return model->n_starts;
+	return model->start_count;
 }
 
-/* Some runs end: what was stopped, and of the rest one in so many. */
-static void end_runs(gsl_rng *rng, struct snapshot *snapshot, const struct model *model, int one_in)
+/* Some attempts end: what was stopped, and of the rest one in so many. */
+static void end_attempts(gsl_rng *rng, struct snapshot *snapshot, const struct model *model,
+                         int one_in)
 {
-	bool stopped[RUNS] = {false};
+	bool stopped[ATTEMPTS_MAX] = {false};
 
-	for (int i = 0; i < model->n_stops; i++)
-		stopped[model->stops[i]] = true;
-	for (int i = snapshot->n_runs - 1; i >= 0; i--) {
-		const struct fl_sched_attempt *attempt = &snapshot->runs[i];
+	for (int i = 0; i < model->preemption_count; i++)
+		stopped[model->preemptions[i]] = true;
+	for (int i = snapshot->attempt_count - 1; i >= 0; i--) {
+		const struct fl_sched_attempt *attempt = &snapshot->attempts[i];
 		struct fl_sched_machine *machine = &snapshot->machines[attempt->machine];
 
-		if (!stopped[i] && pick(rng, one_in) != 0)
+		if (!stopped[i] && random_below(rng, one_in) != 0)
 			continue;
 		machine->free.cpus += attempt->used.cpus;
 		machine->free.gpus += attempt->used.gpus;
 		machine->free.ram_gb += attempt->used.ram_gb;
 		snapshot->teams[attempt->team].used_cpus -= attempt->used.cpus;
 		snapshot->teams[attempt->team].used_gpus -= attempt->used.gpus;
-		snapshot->runs[i] = snapshot->runs[--snapshot->n_runs];
+		snapshot->attempts[i] = snapshot->attempts[--snapshot->attempt_count];
 	}
 }
 
 /*
- * Hundreds of machines and thousands of tasks over many passes: the decisions are
+ * Hundreds of machines and thousands of tasks over many scheduling cycles: the decisions are
  * the plain model's all along, and the work stays in proportion to what is started.
  */
-static void the_model_agrees_over_many_passes_on_hundreds_of_machines(void **state)
+static void scheduling_cycles_on_hundreds_of_machines_decide_like_the_model(void **state)
 {
 	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
 	struct model *model = malloc(sizeof(*model));
 	struct snapshot *snapshot = malloc(sizeof(*snapshot)), *fresh = malloc(sizeof(*fresh));
 	struct snapshot *before = malloc(sizeof(*before));
-	struct counts counts = {0};
+	struct totals totals = {0};
 	long started = 0;
 
 	(void)state;
 	gsl_rng_set(rng, 11);
 	do
-		random_snapshot(rng, snapshot, JOBS, MACHINES, 0);
-	while (snapshot->n_jobs < JOBS - 10 || snapshot->n_machines < MACHINES - 20);
+		random_snapshot(rng, snapshot, JOBS_MAX, MACHINES_MAX, 0);
+	while (snapshot->job_count < JOBS_MAX - 10 || snapshot->machine_count < MACHINES_MAX - 20);
 	for (int i = 0; i < TEAMS; i++)
 		snapshot->teams[i] = (struct fl_team){.guaranteed_gpus = 200 * i, .max_gpus = 600};
-	for (int pass = 0; pass < 30; pass++) {
+	for (int cycle = 0; cycle < 30; cycle++) {
 		*before = *snapshot;
-		compare(model, snapshot, &counts);
+		compare_decisions(model, snapshot, &totals);
 		*snapshot = *before;
 		started += apply_starts(snapshot, model);
-		end_runs(rng, snapshot, model, 3);
+		end_attempts(rng, snapshot, model, 3);
 		/* Jobs without waiting tasks are replaced by others; the rest wait on. */
 		do
-			random_snapshot(rng, fresh, JOBS, MACHINES, 0);
-		while (fresh->n_jobs < snapshot->n_jobs);
-		for (int i = 0; i < snapshot->n_jobs; i++) {
+			random_snapshot(rng, fresh, JOBS_MAX, MACHINES_MAX, 0);
+		while (fresh->job_count < snapshot->job_count);
+		for (int i = 0; i < snapshot->job_count; i++) {
 			snapshot->jobs[i].waited_s += 7;
 			if (snapshot->jobs[i].startable_count == 0)
 				snapshot->jobs[i] = fresh->jobs[i];
 		}
 	}
 	assert_true(started > 2000);
-	assert_true(counts.looks <= counts.bound);
+	assert_true(totals.machines_examined <= totals.examined_max);
 	free(model);
 	free(snapshot);
 	free(fresh);
@@ -305,8 +312,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(the_pass_decides_like_the_model),
-		cmocka_unit_test(the_model_agrees_over_many_passes_on_hundreds_of_machines),
+		cmocka_unit_test(a_scheduling_cycle_decides_like_the_model),
+		cmocka_unit_test(scheduling_cycles_on_hundreds_of_machines_decide_like_the_model),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -1,4 +1,4 @@
-/* Placement by the scheduling pass: gangs as a whole, and services where their image is cached. */
+/* Placement by the scheduling cycle: gangs as a whole, and services where their image is cached. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 
 static void a_gang_starts_whole_or_not_at_all(void **state)
 {
-	struct snapshot snapshot = {.n_jobs = 1, .n_machines = 2};
+	struct snapshot snapshot = {.job_count = 1, .machine_count = 2};
 	struct fl_sched_output output;
 
 	(void)state;
@@ -36,16 +36,17 @@
  */
 static void a_service_is_placed_where_its_image_is_cached(void **state)
 {
-	int there[FL_IMAGE_CACHE_MAX];
+	int cached_images[FL_IMAGE_CACHE_MAX];
 	struct fl_sched_job job = plain_job(4, 2, 0, 1);
 	struct fl_sched_machine machine[3] = {plain_machine(4), plain_machine(0), plain_machine(0)};
-	struct fl_sched_attempt runs[2] = {plain_run(1, 4, 60), plain_run(2, 4, 60)};
+	struct fl_sched_attempt attempts[2] = {running_attempt(1, 4, 60),
+	                                       running_attempt(2, 4, 60)};
 	struct fl_sched_input input = {.params = &fl_sched_defaults,
 	                               .jobs = &job,
 	                               .job_count = 1,
 	                               .machines = machine,
 	                               .machine_count = 3,
-	                               .attempts = runs,
+	                               .attempts = attempts,
 	                               .attempt_count = 2};
 	struct fl_team team = {.name = "t"};
 	struct fl_sched_output output;
@@ -53,15 +54,15 @@
 	(void)state;
 	input.teams = &team;
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
-		there[i] = i == 3 ? 5 : -1;
+		cached_images[i] = i == 3 ? 5 : -1;
 	job.priority = FL_CRITICAL;
 	job.service = true;
 	job.image = 5;
 	job.image_gb = 10;
-	machine[1].cached_images = machine[2].cached_images = there;
-	runs[0].priority = runs[1].priority = FL_BEST_EFFORT;
-	runs[0].lost_s = 5;
-	runs[1].lost_s = 500;
+	machine[1].cached_images = machine[2].cached_images = cached_images;
+	attempts[0].priority = attempts[1].priority = FL_BEST_EFFORT;
+	attempts[0].lost_s = 5;
+	attempts[1].lost_s = 500;
 	/* One stop that loses little; the other loses too much, so the free machine is taken. */
 	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 	assert_int_equal(output.preemption_count, 1);
@@ -75,7 +76,7 @@
 	memset(job.placed_by_zone, 0, sizeof(job.placed_by_zone));
 	machine[0].free.cpus = 4;
 	machine[1].free.cpus = 0;
-	runs[0].stopping = true;
+	attempts[0].stopping = true;
 	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 	assert_int_equal(output.preemption_count + output.start_count, 0);
 	fl_sched_output_free(&output);
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -1,6 +1,6 @@
 /*
- * Preemption by the scheduling pass: room that is about to become free is not requested twice, and
- * goes to the job for which a task was stopped.
+ * Preemption by the scheduling cycle: capacity that is about to become free is not requested twice,
+ * and goes to the job for which a task was stopped.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,9 +12,9 @@
 #include "schedule_fixture.h"
 
 /* What was stopped and has not ended yet is capacity already reserved: nothing more is stopped. */
-static void capacity_about_to_become_free_is_not_requested_twice(void **state)
+static void a_reservation_is_not_made_twice_for_capacity_about_to_become_free(void **state)
 {
-	struct snapshot snapshot = {.n_jobs = 1, .n_machines = 2, .n_runs = 2};
+	struct snapshot snapshot = {.job_count = 1, .machine_count = 2, .attempt_count = 2};
 	struct fl_sched_output output;
 
 	(void)state;
@@ -23,8 +23,8 @@
 	snapshot.jobs[0].priority = FL_CRITICAL;
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.machines[1] = plain_machine(0);
-	snapshot.runs[0] = plain_run(0, 4, 50);
-	snapshot.runs[1] = plain_run(1, 4, 50);
+	snapshot.attempts[0] = running_attempt(0, 4, 50);
+	snapshot.attempts[1] = running_attempt(1, 4, 50);
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 1);
 	fl_sched_output_free(&output);
@@ -32,7 +32,7 @@
 	snapshot.machines[1] = plain_machine(0);
 	snapshot.jobs[0].startable_count = 1;
 	snapshot.jobs[0].placed_by_zone[0] = 0;
-	assert_true(snapshot.runs[0].stopping != snapshot.runs[1].stopping);
+	assert_true(snapshot.attempts[0].stopping != snapshot.attempts[1].stopping);
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 0);
 	assert_int_equal(output.unplaced_tasks[0], 0);
@@ -41,13 +41,13 @@
 
 /*
  * An idle-time array that has waited long goes before one of a higher priority, which may stop it.
- * Each stop must be the higher one's start, in the next pass but one at most: found as 80,000 stops
- * in ten minutes, by which the higher array got nothing either.
+ * Each stop must be the higher one's start, in the next scheduling cycle but one at most: found as
+ * 80,000 stops in ten minutes, by which the higher array got nothing either.
  */
 static void preempted_capacity_goes_to_the_preempting_job(void **state)
 {
-	struct snapshot snapshot = {.n_jobs = 2, .n_machines = 2};
-	int low = 0, high = 0, stops = 0;
+	struct snapshot snapshot = {.job_count = 2, .machine_count = 2};
+	int low_starts = 0, high_starts = 0, preemptions = 0;
 
 	(void)state;
 	snapshot.jobs[0] = plain_job(6, 40, 300, 600);
@@ -55,48 +55,49 @@
 	snapshot.jobs[0].begun = true;
 	snapshot.jobs[1] = plain_job(10, 6, 100, 10);
 	snapshot.machines[0] = snapshot.machines[1] = plain_machine(32);
-	for (int passes = 0; passes < 40; passes++) {
+	for (int cycle = 0; cycle < 40; cycle++) {
 		struct fl_sched_output output;
-		int withheld = 0;
+		int kept = 0;
 
 		for (int i = 0; i < 2; i++) {
 			snapshot.machines[i].reserved = snapshot.machines[i].requested;
 			snapshot.machines[i].requested = (struct fl_reservation){0};
 		}
 		run_schedule(&snapshot, &output);
-		stops += output.preemption_count;
+		preemptions += output.preemption_count;
 		for (int i = 0; i < output.start_count; i++) {
 			const struct fl_sched_job *job = &snapshot.jobs[output.starts[i].job];
-			struct fl_sched_attempt run = plain_run(output.starts[i].machine,
-			                                        job->need.cpus, job->estimate_s);
+			struct fl_sched_attempt attempt = running_attempt(
+				output.starts[i].machine, job->need.cpus, job->estimate_s);
 
-			run.priority = job->priority;
-			snapshot.runs[snapshot.n_runs++] = run;
-			*(output.starts[i].job ? &high : &low) += 1;
+			attempt.priority = job->priority;
+			snapshot.attempts[snapshot.attempt_count++] = attempt;
+			*(output.starts[i].job ? &high_starts : &low_starts) += 1;
 		}
-		/* What is stopped has ended by the next pass; capacity is counted anew. */
-		for (int i = 0; i < snapshot.n_runs; i++)
-			if (!snapshot.runs[i].stopping)
-				snapshot.runs[withheld++] = snapshot.runs[i];
+		/* What is stopped has ended by the next scheduling cycle; capacity is counted anew.
+		 */
+		for (int i = 0; i < snapshot.attempt_count; i++)
+			if (!snapshot.attempts[i].stopping)
+				snapshot.attempts[kept++] = snapshot.attempts[i];
 			else
 				snapshot.jobs[0].startable_count++;
-		snapshot.n_runs = withheld;
+		snapshot.attempt_count = kept;
 		for (int i = 0; i < 2; i++)
 			snapshot.machines[i].free.cpus = 32;
-		for (int i = 0; i < snapshot.n_runs; i++)
-			snapshot.machines[snapshot.runs[i].machine].free.cpus -=
-				snapshot.runs[i].used.cpus;
+		for (int i = 0; i < snapshot.attempt_count; i++)
+			snapshot.machines[snapshot.attempts[i].machine].free.cpus -=
+				snapshot.attempts[i].used.cpus;
 		fl_sched_output_free(&output);
 	}
-	assert_int_equal(high, 6);
+	assert_int_equal(high_starts, 6);
 	/* Ten filled the machines; what was stopped for six tasks may have started once more. */
-	assert_true(low >= 10 && stops <= 12);
+	assert_true(low_starts >= 10 && preemptions <= 12);
 }
 
 /* Each of two jobs could stop the other, one by priority and one by guarantee: only one may. */
-static void guaranteed_work_is_not_stopped_for_what_it_could_stop(void **state)
+static void guaranteed_work_is_not_preempted_by_what_it_could_preempt(void **state)
 {
-	struct snapshot snapshot = {.n_jobs = 1, .n_machines = 1, .n_runs = 1};
+	struct snapshot snapshot = {.job_count = 1, .machine_count = 1, .attempt_count = 1};
 	struct fl_sched_output output;
 
 	(void)state;
@@ -105,17 +106,17 @@
 	snapshot.jobs[0] = plain_job(4, 1, 60, 10);
 	snapshot.jobs[0].priority = FL_STANDARD;
 	snapshot.machines[0] = plain_machine(0);
-	snapshot.runs[0] = plain_run(0, 4, 50);
-	snapshot.runs[0].priority = FL_BEST_EFFORT;
-	snapshot.runs[0].team = 1;
-	snapshot.runs[0].within_guaranteed = true;
+	snapshot.attempts[0] = running_attempt(0, 4, 50);
+	snapshot.attempts[0].priority = FL_BEST_EFFORT;
+	snapshot.attempts[0].team = 1;
+	snapshot.attempts[0].within_guaranteed = true;
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 0);
 	fl_sched_output_free(&output);
 	/* Beyond the guarantee it gives way to the higher priority. */
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.jobs[0].startable_count = 1;
-	snapshot.runs[0].within_guaranteed = false;
+	snapshot.attempts[0].within_guaranteed = false;
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 1);
 	fl_sched_output_free(&output);
@@ -124,9 +125,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(capacity_about_to_become_free_is_not_requested_twice),
+		cmocka_unit_test(a_reservation_is_not_made_twice_for_capacity_about_to_become_free),
 		cmocka_unit_test(preempted_capacity_goes_to_the_preempting_job),
-		cmocka_unit_test(guaranteed_work_is_not_stopped_for_what_it_could_stop),
+		cmocka_unit_test(guaranteed_work_is_not_preempted_by_what_it_could_preempt),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -1,6 +1,6 @@
 /*
- * Starvation: under adversarial streams of jobs every job begins in bounded time, and a pass that
- * runs out of time continues with the jobs that the last one did not reach.
+ * Starvation: under adversarial streams of jobs every job begins in bounded time, and a scheduling
+ * cycle that runs out of time continues with the jobs that the last one did not reach.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,61 +13,62 @@
 
 #include "schedule_fixture.h"
 
-static int allowance;
+static int checks_left;
 
-static bool allowance_spent(void *context)
+static bool is_out_of_time(void *context)
 {
 	(void)context;
-	return allowance-- <= 0;
+	return checks_left-- <= 0;
 }
 
-/* A pass that runs out of time is resumed where it ended: every job is looked at in the end. */
-static void a_pass_resumes_where_the_last_one_ran_out_of_time(void **state)
+/* A scheduling cycle that runs out of time is resumed where it ended: every job is looked at in the
+ * end. */
+static void a_scheduling_cycle_resumes_where_the_last_one_ran_out_of_time(void **state)
 {
-	struct snapshot snapshot = {.n_jobs = 12, .n_machines = 1, .n_runs = 1};
-	bool started[JOBS] = {false};
-	int resume = 0, passes = 0;
+	struct snapshot snapshot = {.job_count = 12, .machine_count = 1, .attempt_count = 1};
+	bool started[JOBS_MAX] = {false};
+	int resume_position = 0, cycles = 0;
 
 	(void)state;
 	snapshot.jobs[0] = plain_job(64, 1, 60, 5000);
-	for (int i = 1; i < snapshot.n_jobs; i++)
+	for (int i = 1; i < snapshot.job_count; i++)
 		snapshot.jobs[i] = plain_job(1, 1, 10, 100 - i);
 	snapshot.machines[0] = plain_machine(32);
-	snapshot.runs[0] = plain_run(0, 60, 1000);
+	snapshot.attempts[0] = running_attempt(0, 60, 1000);
 	do {
 		struct fl_sched_input input = {.params = &fl_sched_defaults,
 		                               .jobs = snapshot.jobs,
-		                               .job_count = snapshot.n_jobs,
+		                               .job_count = snapshot.job_count,
 		                               .machines = snapshot.machines,
 		                               .machine_count = 1,
-		                               .attempts = snapshot.runs,
+		                               .attempts = snapshot.attempts,
 		                               .attempt_count = 1,
 		                               .teams = snapshot.teams,
-		                               .resume_position = resume,
-		                               .out_of_time = allowance_spent};
+		                               .resume_position = resume_position,
+		                               .out_of_time = is_out_of_time};
 		struct fl_sched_output output;
 
-		allowance = 3;
+		checks_left = 3;
 		assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 		for (int i = 0; i < output.start_count; i++)
 			started[output.starts[i].job] = true;
-		resume = output.resume_position;
+		resume_position = output.resume_position;
 		fl_sched_output_free(&output);
-		passes++;
-	} while (resume != 0 && passes < 20);
-	assert_true(passes > 2 && passes < 20);
-	for (int i = 1; i < snapshot.n_jobs; i++)
+		cycles++;
+	} while (resume_position != 0 && cycles < 20);
+	assert_true(cycles > 2 && cycles < 20);
+	for (int i = 1; i < snapshot.job_count; i++)
 		assert_true(started[i]);
 }
 
-enum { QUEUE = 800, SLOTS = 32, SECONDS = 900, CLASSES = 3 };
+enum { ARRIVALS_MAX = 800, SLOTS = 32, SECONDS = 900, CLASSES = 3 };
 
 struct stream {
 	enum fl_priority priority;
 	int team;
 	bool within_guarantee;
-	uint32_t n_tasks;
-	double est, every; /* s of a task; s between two jobs */
+	uint32_t task_count;
+	double estimate_s, interval_s; /* s of a task; s between two jobs */
 };
 
 struct arrival {
@@ -78,35 +79,36 @@
 };
 
 struct load {
-	struct arrival arrival[QUEUE];
+	struct arrival arrival[ARRIVALS_MAX];
 	int node, running[SLOTS]; /* the job that holds each slot, -1: none */
-	double until[SLOTS];
+	double ends_at[SLOTS];
 };
 
-/* The input of one pass, and the arrival or slot of each of its jobs and runs. */
+/* The input of one scheduling cycle, and the arrival or slot of each of its jobs and attempts. */
 static struct {
 	struct fl_sched_machine machines[SLOTS];
-	struct fl_sched_attempt runs[SLOTS];
-	struct fl_sched_job jobs[QUEUE];
-	int of_job[QUEUE], of_run[SLOTS];
-	struct fl_team used[TEAMS];
-} pass_input;
+	struct fl_sched_attempt attempts[SLOTS];
+	struct fl_sched_job jobs[ARRIVALS_MAX];
+	int arrival_of_job[ARRIVALS_MAX], slot_of_attempt[SLOTS];
+	struct fl_team team_usage[TEAMS];
+} cycle_input;
 
-static void add_arrivals(struct load *load, const struct stream *streams, double *next, int now)
+static void add_arrivals(struct load *load, const struct stream *streams, double *next_at, int now)
 {
-	for (int c = 0; c < CLASSES; c++) {
-		const struct stream *stream = &streams[c];
+	for (int class_index = 0; class_index < CLASSES; class_index++) {
+		const struct stream *stream = &streams[class_index];
 
-		for (; stream->n_tasks && next[c] <= now && load->node < QUEUE;
-		     next[c] += stream->every) {
+		for (;
+		     stream->task_count && next_at[class_index] <= now && load->node < ARRIVALS_MAX;
+		     next_at[class_index] += stream->interval_s) {
 			struct arrival *arrival = &load->arrival[load->node++];
 
-			arrival->job = plain_job(1, stream->n_tasks, stream->est, 0);
+			arrival->job = plain_job(1, stream->task_count, stream->estimate_s, 0);
 			arrival->job.priority = stream->priority;
 			arrival->job.team = stream->team;
 			arrival->job.within_guaranteed = stream->within_guarantee;
-			arrival->class = c;
-			arrival->at = next[c];
+			arrival->class = class_index;
+			arrival->at = next_at[class_index];
 			arrival->begun = -1;
 		}
 	}
@@ -116,41 +118,41 @@
 static void fill_machines(struct load *load, struct fl_sched_input *input, int now)
 {
 	for (int i = 0; i < SLOTS; i++) {
-		struct fl_sched_attempt *attempt = &pass_input.runs[input->attempt_count];
+		struct fl_sched_attempt *attempt = &cycle_input.attempts[input->attempt_count];
 
-		pass_input.machines[i] = plain_machine(1);
-		if (load->running[i] >= 0 && load->until[i] <= now)
+		cycle_input.machines[i] = plain_machine(1);
+		if (load->running[i] >= 0 && load->ends_at[i] <= now)
 			load->running[i] = -1;
 		if (load->running[i] < 0)
 			continue;
-		pass_input.machines[i].free.cpus = 0;
-		*attempt = plain_run(i, 1, load->until[i] - now);
+		cycle_input.machines[i].free.cpus = 0;
+		*attempt = running_attempt(i, 1, load->ends_at[i] - now);
 		attempt->priority = load->arrival[load->running[i]].job.priority;
 		attempt->team = load->arrival[load->running[i]].job.team;
 		attempt->lost_s = 1;
-		pass_input.of_run[input->attempt_count++] = i;
-		pass_input.used[attempt->team].used_cpus += 1;
+		cycle_input.slot_of_attempt[input->attempt_count++] = i;
+		cycle_input.team_usage[attempt->team].used_cpus += 1;
 	}
 }
 
 static void fill_jobs(const struct load *load, struct fl_sched_input *input, int now)
 {
 	for (int i = 0; i < load->node; i++) {
-		struct fl_sched_job *job = &pass_input.jobs[input->job_count];
+		struct fl_sched_job *job = &cycle_input.jobs[input->job_count];
 
 		if (load->arrival[i].job.startable_count == 0)
 			continue;
 		*job = load->arrival[i].job;
 		job->waited_s = now - load->arrival[i].at;
 		job->begun = load->arrival[i].started > 0;
-		pass_input.of_job[input->job_count++] = i;
+		cycle_input.arrival_of_job[input->job_count++] = i;
 	}
-	for (int r = 0; r < input->attempt_count; r++) {
-		int at = load->running[pass_input.of_run[r]], held = 0;
+	for (int attempt_index = 0; attempt_index < input->attempt_count; attempt_index++) {
+		int at = load->running[cycle_input.slot_of_attempt[attempt_index]], held = 0;
 
 		for (int i = 0; i < SLOTS; i++)
 			held += load->running[i] == at;
-		pass_input.runs[r].last_running_task =
+		cycle_input.attempts[attempt_index].last_running_task =
 			held == 1 && now - load->arrival[at].at > fl_sched_defaults.overdue_after_s;
 	}
 }
@@ -158,19 +160,20 @@
 static void apply_decisions(struct load *load, const struct fl_sched_output *output, int now)
 {
 	for (int k = 0; k < output->start_count; k++) {
-		struct arrival *arrival = &load->arrival[pass_input.of_job[output->starts[k].job]];
+		struct arrival *arrival =
+			&load->arrival[cycle_input.arrival_of_job[output->starts[k].job]];
 		int slot = output->starts[k].machine;
 
 		assert_int_equal(load->running[slot], -1);
-		load->running[slot] = pass_input.of_job[output->starts[k].job];
-		load->until[slot] = now + arrival->job.estimate_s;
+		load->running[slot] = cycle_input.arrival_of_job[output->starts[k].job];
+		load->ends_at[slot] = now + arrival->job.estimate_s;
 		arrival->job.startable_count--;
 		arrival->started++;
 		if (arrival->begun < 0)
 			arrival->begun = now;
 	}
 	for (int k = 0; k < output->preemption_count; k++) {
-		int slot = pass_input.of_run[output->preemptions[k]];
+		int slot = cycle_input.slot_of_attempt[output->preemptions[k]];
 		struct arrival *arrival = &load->arrival[load->running[slot]];
 
 		arrival->job.startable_count++;
@@ -180,24 +183,24 @@
 }
 
 /* Runs `SLOTS` one-task machines under the streams; each job's begin and starts are noted. */
-static void play_load(struct load *load, const struct stream *streams, const struct fl_team *teams)
+static void run_load(struct load *load, const struct stream *streams, const struct fl_team *teams)
 {
-	double next[CLASSES] = {0};
+	double next_at[CLASSES] = {0};
 
 	memset(load, 0, sizeof(*load));
 	for (int i = 0; i < SLOTS; i++)
 		load->running[i] = -1;
 	for (int now = 0; now < SECONDS; now++) {
 		struct fl_sched_input input = {.params = &fl_sched_defaults,
-		                               .jobs = pass_input.jobs,
-		                               .machines = pass_input.machines,
+		                               .jobs = cycle_input.jobs,
+		                               .machines = cycle_input.machines,
 		                               .machine_count = SLOTS,
-		                               .attempts = pass_input.runs,
-		                               .teams = pass_input.used};
+		                               .attempts = cycle_input.attempts,
+		                               .teams = cycle_input.team_usage};
 		struct fl_sched_output output;
 
-		add_arrivals(load, streams, next, now);
-		memcpy(pass_input.used, teams, sizeof(pass_input.used));
+		add_arrivals(load, streams, next_at, now);
+		memcpy(cycle_input.team_usage, teams, sizeof(cycle_input.team_usage));
 		fill_machines(load, &input, now);
 		fill_jobs(load, &input, now);
 		assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
@@ -207,7 +210,7 @@
 }
 
 /* Every job that arrived early enough has begun within four minutes. */
-static void check_begun(const struct load *load)
+static void assert_all_begun(const struct load *load)
 {
 	for (int i = 0; i < load->node; i++) {
 		const struct arrival *arrival = &load->arrival[i];
@@ -235,7 +238,7 @@
 	return all > 0 ? started / all : 1;
 }
 
-static void adversarial_arrivals_starve_no_job(void **state)
+static void no_job_starves_under_adversarial_arrivals(void **state)
 {
 	static const struct fl_team teams[TEAMS] = {
 		{.guaranteed_cpus = 64}, {.max_cpus = 0}, {.max_cpus = 0}};
@@ -252,24 +255,24 @@
 	struct load *load = malloc(sizeof(*load));
 
 	(void)state;
-	play_load(load, small_and_wide, teams);
-	assert_true(load->node < QUEUE);
-	check_begun(load);
-	for (int c = 0; c < CLASSES; c++)
-		assert_true(started_share(load, c) >= 0.5);
-	play_load(load, within_guarantee_and_not, teams);
-	assert_true(load->node < QUEUE);
-	check_begun(load);
-	play_load(load, priorities, teams);
-	check_begun(load);
+	run_load(load, small_and_wide, teams);
+	assert_true(load->node < ARRIVALS_MAX);
+	assert_all_begun(load);
+	for (int class_index = 0; class_index < CLASSES; class_index++)
+		assert_true(started_share(load, class_index) >= 0.5);
+	run_load(load, within_guarantee_and_not, teams);
+	assert_true(load->node < ARRIVALS_MAX);
+	assert_all_begun(load);
+	run_load(load, priorities, teams);
+	assert_all_begun(load);
 	free(load);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(adversarial_arrivals_starve_no_job),
-		cmocka_unit_test(a_pass_resumes_where_the_last_one_ran_out_of_time),
+		cmocka_unit_test(no_job_starves_under_adversarial_arrivals),
+		cmocka_unit_test(a_scheduling_cycle_resumes_where_the_last_one_ran_out_of_time),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
