--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -1,50 +1,66 @@
-/* The model's scheduling cycle: the order of the jobs, their starts, and the stops that free
- * capacity for them.
- */
+/* The model's scheduling cycle: the order of the jobs, their starts, and their preemptions. */
 #include "schedule_model.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Cost of making capacity for one task on a machine; the victims in `set`. */
+enum { OVERDUE_AFTER_S = 120, RANK_FIRST = 3 };
+
+/* What bounds where a reservation or a start of one task may be. */
+struct constraint {
+	const double *latest_end; /* of each machine, in s from now; NULL: none */
+	double estimate_s;        /* of the task */
+	bool within_guarantee;    /* victims may be those that are beyond theirs */
+	bool image_cached_only;   /* where the image is cached, at 60 s of loss at most */
+};
+
+static bool model_ends_in_time(const struct constraint *constraint, int machine)
+{
+	return !constraint->latest_end || constraint->estimate_s <= constraint->latest_end[machine];
+}
+
+/* Of the attempts on a machine that may be preempted, that which loses least; -1: none. */
+static int model_cheapest_victim(const struct model *model, const struct fl_sched_job *job,
+                                 int machine, bool within_guarantee, const bool *victims)
+{
+	int cheapest = -1;
+
+	for (int i = 0; i < model->snapshot.attempt_count; i++) {
+		const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
+
+		if (attempt->machine == machine && !victims[i] &&
+		    model_may_preempt(model, job, attempt, within_guarantee) &&
+		    (cheapest < 0 || attempt->lost_s < model->snapshot.attempts[cheapest].lost_s))
+			cheapest = i;
+	}
+	return cheapest;
+}
+
+/* Cost of freeing resources for one task on a machine; INFINITY if that is impossible. */
 static double model_preemption_cost(const struct model *model, const struct fl_sched_job *job,
                                     int machine, bool within_guarantee, bool *victims)
 {
-	double available[3], cpus, gpus, ram_gb, cost = 0;
+	struct fl_resources available = model_available(model, job, machine);
+	double cost = 0;
 
-	model_available(model, job, machine, available);
-	cpus = available[0];
-	gpus = available[1];
-	ram_gb = available[2];
 	memset(victims, 0, sizeof(bool) * ATTEMPTS_MAX);
-	while (!model_fits(job, cpus, gpus, ram_gb)) {
-		int cheapest = -1;
-
-		for (int i = 0; i < model->snapshot.attempt_count; i++) {
-			const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
+	while (!model_fits(job, available)) {
+		int cheapest =
+			model_cheapest_victim(model, job, machine, within_guarantee, victims);
 
-			if (attempt->machine == machine && !victims[i] &&
-			    model_may_preempt(model, job, attempt, within_guarantee) &&
-			    (cheapest < 0 ||
-			     attempt->lost_s < model->snapshot.attempts[cheapest].lost_s))
-				cheapest = i;
-		}
 		if (cheapest < 0)
 			return INFINITY;
 		victims[cheapest] = true;
-		cpus += model->snapshot.attempts[cheapest].used.cpus;
-		gpus += model->snapshot.attempts[cheapest].used.gpus;
-		ram_gb += model->snapshot.attempts[cheapest].used.ram_gb;
+		fl_resources_add(&available, model->snapshot.attempts[cheapest].used);
 		cost += model->snapshot.attempts[cheapest].lost_s + 1;
 	}
 	return cost;
 }
 
-/* Capacity for one more task is reserved; `image`: only where it is cached, at 60 s of loss at
- * most. */
-static bool model_request_one(struct model *model, struct fl_sched_job *job, bool within_guarantee,
-                              bool image, const double *latest_end, double estimate_s)
+/* The machine on which one more task costs least to make fit; -1: none. */
+static int model_machine_to_reserve(const struct model *model, const struct fl_sched_job *job,
+                                    const struct constraint *constraint)
 {
 	double best_cost = INFINITY;
 	bool victims[ATTEMPTS_MAX];
@@ -55,11 +71,10 @@
 		double cost;
 
 		if (!model_machine_allowed(job, machine) ||
-		    !model_zone_allowed(job, machine->zone) ||
-		    (latest_end && estimate_s > latest_end[i]))
+		    !model_zone_allowed(job, machine->zone) || !model_ends_in_time(constraint, i))
 			continue;
-		cost = model_preemption_cost(model, job, i, within_guarantee, victims);
-		if (image &&
+		cost = model_preemption_cost(model, job, i, constraint->within_guarantee, victims);
+		if (constraint->image_cached_only &&
 		    (cost > 60 || (!model_image_cached(job, machine) && job->image_gb > 0)))
 			continue;
 		cost += model_score(model, job, machine);
@@ -68,10 +83,12 @@
 			best = i;
 		}
 	}
-	if (best < 0)
-		return false;
-	model_preemption_cost(model, job, best, within_guarantee, victims);
-	/* Cheapest first, as they were chosen. */
+	return best;
+}
+
+/* Cheapest first, as they were chosen. */
+static void model_preempt(struct model *model, int machine, bool *victims)
+{
 	for (;;) {
 		int next = -1;
 
@@ -81,46 +98,53 @@
 			                         model->snapshot.attempts[next].lost_s))
 				next = i;
 		if (next < 0)
-			break;
+			return;
 		victims[next] = false;
 		model->preemptions[model->preemption_count++] = next;
 		model->snapshot.attempts[next].stopping = true;
-		model->freed_later[best][0] += model->snapshot.attempts[next].used.cpus;
-		model->freed_later[best][1] += model->snapshot.attempts[next].used.gpus;
-		model->freed_later[best][2] += model->snapshot.attempts[next].used.ram_gb;
+		fl_resources_add(&model->freed_later[machine], model->snapshot.attempts[next].used);
 	}
-	model->snapshot.machines[best].free.cpus -= job->need.cpus;
-	model->snapshot.machines[best].free.gpus -= job->need.gpus;
-	model->snapshot.machines[best].free.ram_gb -= job->need.ram_gb;
-	job->placed_by_zone[model->snapshot.machines[best].zone]++;
-	if (!model->snapshot.machines[best].requested.active) {
-		model->snapshot.machines[best].requested.active = true;
-		model->snapshot.machines[best].requested.within_guaranteed = within_guarantee;
-		model->snapshot.machines[best].requested.priority = job->priority;
+}
+
+/* Reserves the resources of one more task, and preempts what is in its way. */
+static bool model_request_one(struct model *model, struct fl_sched_job *job,
+                              const struct constraint *constraint)
+{
+	int best = model_machine_to_reserve(model, job, constraint);
+	struct fl_sched_machine *machine = &model->snapshot.machines[best < 0 ? 0 : best];
+	bool victims[ATTEMPTS_MAX];
+
+	if (best < 0)
+		return false;
+	model_preemption_cost(model, job, best, constraint->within_guarantee, victims);
+	model_preempt(model, best, victims);
+	fl_resources_subtract(&machine->free, job->need);
+	job->placed_by_zone[machine->zone]++;
+	if (!machine->requested.active) {
+		machine->requested.active = true;
+		machine->requested.within_guaranteed = constraint->within_guarantee;
+		machine->requested.priority = job->priority;
 	}
-	model->snapshot.machines[best].requested.resources.cpus += job->need.cpus;
-	model->snapshot.machines[best].requested.resources.gpus += job->need.gpus;
-	model->snapshot.machines[best].requested.resources.ram_gb += job->need.ram_gb;
+	fl_resources_add(&machine->requested.resources, job->need);
 	return true;
 }
 
-static uint32_t model_request_all(struct model *model, int index, const double *latest_end,
-                                  double estimate_s)
+/* Reserves for what could not be started; the number of tasks. */
+static uint32_t model_request_all(struct model *model, int job_index, struct constraint constraint)
 {
-	struct fl_sched_job *job = &model->snapshot.jobs[index];
+	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
 	struct fl_team saved_team = model->snapshot.teams[job->team],
 		       *team = &model->snapshot.teams[job->team];
 	uint32_t requested = 0;
 
 	while (requested + model->awaiting_image_count < job->startable_count && !job->gang) {
-		bool within_guarantee =
+		constraint.within_guarantee =
 			job->within_guaranteed &&
 			model_within_guarantee(team, team->used_cpus + job->need.cpus,
 		                               team->used_gpus + job->need.gpus);
-
 		if (!model_within_team_maximum(model, job) ||
-		    (!within_guarantee && job->priority == FL_BEST_EFFORT) ||
-		    !model_request_one(model, job, within_guarantee, false, latest_end, estimate_s))
+		    (!constraint.within_guarantee && job->priority == FL_BEST_EFFORT) ||
+		    !model_request_one(model, job, &constraint))
 			break;
 		team->used_cpus += job->need.cpus;
 		team->used_gpus += job->need.gpus;
@@ -132,9 +156,8 @@
 
 /* The machine with the lowest score that may take one more task now; -1: none. */
 static int model_best_machine(const struct model *model, const struct fl_sched_job *job, int zone,
-                              const double *latest_end, double estimate_s)
+                              const struct constraint *constraint)
 {
-	double available[3];
 	int best = -1;
 
 	for (int i = 0; i < model->snapshot.machine_count; i++) {
@@ -142,15 +165,11 @@
 
 		if (zone >= 0 && machine->zone != zone)
 			continue;
-		if (!model_machine_allowed(job, machine) ||
-		    !model_fits(job, machine->free.cpus, machine->free.gpus,
-		                machine->free.ram_gb) ||
-		    !model_zone_allowed(job, machine->zone) ||
-		    (latest_end && estimate_s > latest_end[i]))
+		if (!model_machine_allowed(job, machine) || !model_fits(job, machine->free) ||
+		    !model_zone_allowed(job, machine->zone) || !model_ends_in_time(constraint, i))
 			continue;
 		/* Reserved to one before this job. */
-		model_available(model, job, i, available);
-		if (!model_fits(job, available[0], available[1], available[2]))
+		if (!model_fits(job, model_available(model, job, i)))
 			continue;
 		if (best < 0 || model_score(model, job, machine) <
 		                        model_score(model, job, &model->snapshot.machines[best]))
@@ -159,139 +178,162 @@
 	return best;
 }
 
-static bool model_start_tasks(struct model *model, int index, const double *latest_end,
-                              double estimate_s)
+/* Whether one task of a service waits for a machine that has its image, which is then reserved. */
+static bool model_awaits_image(struct model *model, struct fl_sched_job *job,
+                               const struct fl_sched_machine *machine)
+{
+	const struct constraint constraint = {.image_cached_only = true};
+	double fetch_s = model_image_cached(job, machine) ? 0 : job->image_gb / machine->pull_gb_s;
+
+	return model_goes_first(job) && !job->gang && fetch_s > 4 && job->waited_s < fetch_s &&
+	       model_request_one(model, job, &constraint);
+}
+
+static void model_start_one(struct model *model, int job_index, int machine_index)
 {
-	struct fl_sched_job *job = &model->snapshot.jobs[index];
+	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
+	struct fl_sched_machine *machine = &model->snapshot.machines[machine_index];
+	struct fl_team *team = &model->snapshot.teams[job->team];
+
+	model->starts[model->start_count++] = (struct fl_sched_start){job_index, machine_index};
+	fl_resources_subtract(&machine->free, job->need);
+	team->used_cpus += job->need.cpus;
+	team->used_gpus += job->need.gpus;
+	job->placed_by_zone[machine->zone]++;
+	job->startable_count--;
+}
+
+/* Starts what fits; whether some of the rest found no machine. */
+static bool model_start_tasks(struct model *model, int job_index,
+                              const struct constraint *constraint)
+{
+	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
+	const bool only_one =
+		!job->service && !job->begun && job->waited_s > OVERDUE_AFTER_S && !job->gang;
+	const uint32_t startable_at_begin = job->startable_count;
 	struct model *before = NULL;
 	int zone = model_zone_choice(model, job);
-	bool no_capacity = false;
-	bool one = !job->service && !job->begun && job->waited_s > 120 && !job->gang;
+	bool no_machine = false;
 
 	model->awaiting_image_count = 0;
 	if (job->gang) {
 		before = malloc(sizeof(*before));
 		*before = *model;
 	}
-	for (uint32_t all = job->startable_count;
-	     job->startable_count > model->awaiting_image_count &&
-	     !(one && job->startable_count < all);) {
-		double fetch;
+	while (job->startable_count > model->awaiting_image_count &&
+	       !(only_one && job->startable_count < startable_at_begin)) {
 		int best;
 
 		if (!model_within_team_maximum(model, job))
 			break;
-		best = model_best_machine(model, job, zone, latest_end, estimate_s);
-		if (best < 0) {
-			no_capacity = true;
+		best = model_best_machine(model, job, zone, constraint);
+		no_machine = best < 0;
+		if (no_machine)
 			break;
-		}
-		fetch = model_image_cached(job, &model->snapshot.machines[best])
-		                ? 0
-		                : job->image_gb / model->snapshot.machines[best].pull_gb_s;
-		if (model_goes_first(job) && !job->gang && fetch > 4 && job->waited_s < fetch &&
-		    model_request_one(model, job, false, true, NULL, 0)) {
+		if (model_awaits_image(model, job, &model->snapshot.machines[best]))
 			model->awaiting_image_count++;
-			continue;
-		}
-		model->starts[model->start_count++] = (struct fl_sched_start){index, best};
-		model->snapshot.machines[best].free.cpus -= job->need.cpus;
-		model->snapshot.machines[best].free.gpus -= job->need.gpus;
-		model->snapshot.machines[best].free.ram_gb -= job->need.ram_gb;
-		model->snapshot.teams[job->team].used_cpus += job->need.cpus;
-		model->snapshot.teams[job->team].used_gpus += job->need.gpus;
-		job->placed_by_zone[model->snapshot.machines[best].zone]++;
-		job->startable_count--;
+		else
+			model_start_one(model, job_index, best);
 	}
 	if (before && job->startable_count > 0)
 		*model = *before;
 	free(before);
-	return no_capacity;
+	return no_machine;
 }
 
-/* The job to be looked at next: by rank, then by the priority formula; -1: none is left. */
-static int model_next_job(const struct model *model, const bool *examined, int *next_rank)
+static int model_rank(const struct fl_sched_job *job)
 {
-	int next = -1;
+	if (job->service && job->priority >= FL_URGENT)
+		return RANK_FIRST;
+	if (!job->service && !job->begun && job->waited_s > OVERDUE_AFTER_S)
+		return 2;
+	return job->within_guaranteed ? 1 : 0;
+}
+
+/* The formula of the paper, with the waiting of overdue jobs. */
+static double model_priority(const struct fl_sched_job *job)
+{
+	static const double weights[] = {0.1, 1, 10, 100};
+	double waited_s = fmax(job->waited_s, 0.1);
+	double duration_s = job->estimate_s > 0 ? job->estimate_s : 3600;
+
+	return waited_s / 3600 * (1 + pow(waited_s / OVERDUE_AFTER_S, 4)) * (3600 / duration_s) *
+	       (1 / sqrt(job->need.cpus * job->task_count / 32)) * weights[job->priority];
+}
+
+/* The job to be examined next: by rank, then by the priority formula; -1: none is left. */
+static int model_next_job(const struct model *model, const bool *examined)
+{
+	int next = -1, next_rank = 0;
 	double next_priority = 0;
 
 	for (int i = 0; i < model->snapshot.job_count; i++) {
-		const struct fl_sched_job *candidate = &model->snapshot.jobs[i];
-		int rank = candidate->service && candidate->priority >= FL_URGENT ? 3
-		           : !candidate->service && !candidate->begun && candidate->waited_s > 120
-		                   ? 2
-		           : candidate->within_guaranteed ? 1
-		                                          : 0;
-		double wait = fmax(candidate->waited_s, 0.1),
-		       duration_s = candidate->estimate_s > 0 ? candidate->estimate_s : 3600;
-		double weights[] = {0.1, 1, 10, 100};
-		double priority = wait / 3600 * (1 + pow(wait / 120, 4)) * (3600 / duration_s) *
-		                  (1 / sqrt(candidate->need.cpus * candidate->task_count / 32)) *
-		                  weights[candidate->priority];
+		const struct fl_sched_job *job = &model->snapshot.jobs[i];
+		double priority = model_priority(job);
+		int rank = model_rank(job);
 
 		if (examined[i])
 			continue;
-		if (next < 0 || rank > *next_rank ||
-		    (rank == *next_rank && priority > next_priority)) {
+		if (next < 0 || rank > next_rank ||
+		    (rank == next_rank && priority > next_priority)) {
 			next = i;
-			*next_rank = rank;
+			next_rank = rank;
 			next_priority = priority;
 		}
 	}
 	return next;
 }
 
+/* The job becomes the top one, whose window bounds the ends of what starts after it. */
+static void model_set_top_job(struct model *model, int job_index, double *latest_end)
+{
+	const struct fl_sched_job *job = &model->snapshot.jobs[job_index];
+
+	model->top_job = job_index;
+	model->window_s = 4 * model_time_to_fit(model, job);
+	if (job->window_left_s >= 0)
+		model->window_s = fmin(model->window_s, job->window_left_s);
+	for (int i = 0; i < model->snapshot.machine_count; i++)
+		latest_end[i] = model_machine_allowed(job, &model->snapshot.machines[i])
+		                        ? model->window_s
+		                        : INFINITY;
+}
+
+static void model_place_job(struct model *model, int job_index, double *latest_end)
+{
+	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
+	struct constraint constraint = {.estimate_s = job->estimate_s > 0 ? job->estimate_s
+	                                              : job->service      ? INFINITY
+	                                                                  : 3600};
+
+	/* The top's window does not bind what may stop the top's tasks. */
+	if (model->top_job >= 0 && model_rank(job) != RANK_FIRST &&
+	    job->priority <= model->snapshot.jobs[model->top_job].priority)
+		constraint.latest_end = latest_end;
+	if (!model_start_tasks(model, job_index, &constraint))
+		return;
+	model->unplaced_tasks[job_index] = job->startable_count - model->awaiting_image_count -
+	                                   model_request_all(model, job_index, constraint);
+	if (model->unplaced_tasks[job_index] > 0 && model->top_job < 0)
+		model_set_top_job(model, job_index, latest_end);
+}
+
 void model_cycle(struct model *model)
 {
 	bool examined[JOBS_MAX] = {false};
 	double latest_end[MACHINES_MAX];
+	int next;
 
 	model->top_job = -1;
 	for (int i = 0; i < model->snapshot.attempt_count; i++) {
-		if (!model->snapshot.attempts[i].stopping)
-			continue;
-		model->freed_later[model->snapshot.attempts[i].machine][0] +=
-			model->snapshot.attempts[i].used.cpus;
-		model->freed_later[model->snapshot.attempts[i].machine][1] +=
-			model->snapshot.attempts[i].used.gpus;
-		model->freed_later[model->snapshot.attempts[i].machine][2] +=
-			model->snapshot.attempts[i].used.ram_gb;
-	}
-	for (;;) {
-		int next_rank = 0, next = model_next_job(model, examined, &next_rank);
-		struct fl_sched_job *job;
-		bool first, backfill;
-		const double *latest_end_bound;
-		double estimate_s;
+		const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
 
-		if (next < 0)
-			return;
+		if (attempt->stopping)
+			fl_resources_add(&model->freed_later[attempt->machine], attempt->used);
+	}
+	while ((next = model_next_job(model, examined)) >= 0) {
 		examined[next] = true;
-		job = &model->snapshot.jobs[next];
-		if (job->startable_count == 0)
-			continue;
-		first = next_rank == 3;
-		backfill = model->top_job >= 0 && !first;
-		/* The top's window does not bind what may stop the top's tasks. */
-		latest_end_bound =
-			backfill && job->priority <= model->snapshot.jobs[model->top_job].priority
-				? latest_end
-				: NULL;
-		estimate_s = job->estimate_s > 0 ? job->estimate_s : job->service ? INFINITY : 3600;
-		if (!model_start_tasks(model, next, latest_end_bound, estimate_s))
-			continue;
-		model->unplaced_tasks[next] =
-			job->startable_count - model->awaiting_image_count -
-			model_request_all(model, next, latest_end_bound, estimate_s);
-		if (model->unplaced_tasks[next] == 0 || model->top_job >= 0)
-			continue;
-		model->top_job = next;
-		model->window_s = 4 * model_time_to_fit(model, job);
-		if (job->window_left_s >= 0)
-			model->window_s = fmin(model->window_s, job->window_left_s);
-		for (int i = 0; i < model->snapshot.machine_count; i++)
-			latest_end[i] = model_machine_allowed(job, &model->snapshot.machines[i])
-			                        ? model->window_s
-			                        : INFINITY;
+		if (model->snapshot.jobs[next].startable_count > 0)
+			model_place_job(model, next, latest_end);
 	}
 }
--- a/tests/schedule_model.h
+++ b/tests/schedule_model.h
@@ -11,14 +11,14 @@
 
 struct model {
 	struct snapshot snapshot;
-	double freed_later[MACHINES_MAX][3]; /* capacity that stops will free */
+	struct fl_resources freed_later[MACHINES_MAX]; /* by attempts that are being stopped */
 	struct fl_sched_start starts[STARTS_MAX];
 	int preemptions[ATTEMPTS_MAX];
 	int start_count, preemption_count, top_job;
 	double window_s;
 	uint32_t unplaced_tasks[JOBS_MAX];
-	uint32_t awaiting_image_count; /* of the current job: tasks that wait for a machine with
-	                                  their image */
+	/* Of the current job: tasks that wait for a machine with their image. */
+	uint32_t awaiting_image_count;
 };
 
 /* Plays one scheduling cycle on the snapshot in the model, and notes what it decides. */
@@ -26,11 +26,11 @@
 
 /* ---- the rules, which change nothing ---- */
 
-/* May a task of the job run there at all, by type, zone and reclaimability? */
+/* May a task of the job run there at all, by type, zone and spot? */
 bool model_machine_allowed(const struct fl_sched_job *job, const struct fl_sched_machine *machine);
 
 /* Does one task of the job fit into this? */
-bool model_fits(const struct fl_sched_job *job, double cpus, double gpus, double ram_gb);
+bool model_fits(const struct fl_sched_job *job, struct fl_resources available);
 
 /* May one more task of the job be in this zone, by those it already has? */
 bool model_zone_allowed(const struct fl_sched_job *job, int zone);
@@ -54,13 +54,13 @@
 /* The zone of a job whose tasks must be together; -1: any. */
 int model_zone_choice(const struct model *model, const struct fl_sched_job *job);
 
-/* May this run be stopped for the job? */
+/* May this attempt be preempted for the job? */
 bool model_may_preempt(const struct model *model, const struct fl_sched_job *job,
                        const struct fl_sched_attempt *attempt, bool within_guarantee);
 
 /* Free or about to become free on a machine, less what is reserved to one before `job`. */
-void model_available(const struct model *model, const struct fl_sched_job *job, int index,
-                     double available[3]);
+struct fl_resources model_available(const struct model *model, const struct fl_sched_job *job,
+                                    int machine_index);
 
 /* Seconds until the next start of the job fits, by the estimates of the attempts. */
 double model_time_to_fit(const struct model *model, const struct fl_sched_job *job);
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -12,10 +12,10 @@
 	return !machine->spot || job->spot_allowed;
 }
 
-bool model_fits(const struct fl_sched_job *job, double cpus, double gpus, double ram_gb)
+bool model_fits(const struct fl_sched_job *job, struct fl_resources available)
 {
-	return cpus >= job->need.cpus - 1e-6 && gpus >= job->need.gpus - 1e-6 &&
-	       ram_gb >= job->need.ram_gb - 1e-6;
+	return available.cpus >= job->need.cpus - 1e-6 && available.gpus >= job->need.gpus - 1e-6 &&
+	       available.ram_gb >= job->need.ram_gb - 1e-6;
 }
 
 bool model_zone_allowed(const struct fl_sched_job *job, int zone)
@@ -84,18 +84,16 @@
 	return score;
 }
 
-static int model_task_capacity(const struct fl_sched_job *job, double cpus, double gpus,
-                               double ram_gb)
+/* How many tasks of the job fit, a thousand at most. */
+static int model_task_capacity(const struct fl_sched_job *job, struct fl_resources available)
 {
-	int n = 0;
+	int count = 0;
 
-	while (n < 1000 && model_fits(job, cpus, gpus, ram_gb)) {
-		cpus -= job->need.cpus;
-		gpus -= job->need.gpus;
-		ram_gb -= job->need.ram_gb;
-		n++;
+	while (count < 1000 && model_fits(job, available)) {
+		fl_resources_subtract(&available, job->need);
+		count++;
 	}
-	return n;
+	return count;
 }
 
 int model_zone_choice(const struct model *model, const struct fl_sched_job *job)
@@ -108,18 +106,16 @@
 		if (job->placed_by_zone[z])
 			return z;
 	for (int z = 0; z < ZONES; z++) {
-		int room = 0;
+		int capacity = 0;
 
 		for (int i = 0; i < model->snapshot.machine_count; i++) {
 			const struct fl_sched_machine *machine = &model->snapshot.machines[i];
 
 			if (machine->zone == z && model_machine_allowed(job, machine))
-				room += model_task_capacity(job, machine->free.cpus,
-				                            machine->free.gpus,
-				                            machine->free.ram_gb);
+				capacity += model_task_capacity(job, machine->free);
 		}
-		if (room > best_capacity) {
-			best_capacity = room;
+		if (capacity > best_capacity) {
+			best_capacity = capacity;
 			best = z;
 		}
 	}
@@ -145,67 +141,74 @@
 	       !model_within_guarantee(team, team->used_cpus, team->used_gpus);
 }
 
-void model_available(const struct model *model, const struct fl_sched_job *job, int index,
-                     double available[3])
+/* What of a reservation the other requests of this cycle do not cover is not available. */
+static void model_withhold(double *available, double reserved, double requested)
 {
-	const struct fl_sched_machine *machine = &model->snapshot.machines[index];
+	if (reserved > requested)
+		*available -= reserved - requested;
+}
+
+struct fl_resources model_available(const struct model *model, const struct fl_sched_job *job,
+                                    int machine_index)
+{
+	const struct fl_sched_machine *machine = &model->snapshot.machines[machine_index];
 	const struct fl_reservation *reserved = &machine->reserved;
-	double withheld[3] = {reserved->resources.cpus, reserved->resources.gpus,
-	                      reserved->resources.ram_gb};
-	double requested[3] = {machine->requested.resources.cpus, machine->requested.resources.gpus,
-	                       machine->requested.resources.ram_gb};
-
-	available[0] = machine->free.cpus + model->freed_later[index][0];
-	available[1] = machine->free.gpus + model->freed_later[index][1];
-	available[2] = machine->free.ram_gb + model->freed_later[index][2];
+	struct fl_resources available = machine->free, covered = {0};
+
+	fl_resources_add(&available, model->freed_later[machine_index]);
 	if (!reserved->active ||
 	    (job->priority >= reserved->priority &&
 	     (model_goes_first(job) || !reserved->within_guaranteed || job->within_guaranteed)))
-		return;
-	for (int x = 0; x < 3; x++) {
-		if (machine->requested.active && machine->requested.priority >= reserved->priority)
-			withheld[x] -= requested[x];
-		if (withheld[x] > 0)
-			available[x] -= withheld[x];
+		return available;
+	if (machine->requested.active && machine->requested.priority >= reserved->priority)
+		covered = machine->requested.resources;
+	model_withhold(&available.cpus, reserved->resources.cpus, covered.cpus);
+	model_withhold(&available.gpus, reserved->resources.gpus, covered.gpus);
+	model_withhold(&available.ram_gb, reserved->resources.ram_gb, covered.ram_gb);
+	return available;
+}
+
+/* Free on a machine at this time from now, by the estimates of its attempts. */
+static struct fl_resources model_free_at(const struct model *model, int machine_index,
+                                         double time_s)
+{
+	struct fl_resources available = model->snapshot.machines[machine_index].free;
+
+	for (int i = 0; i < model->snapshot.attempt_count; i++) {
+		const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
+
+		if (attempt->machine == machine_index && attempt->left_s <= time_s &&
+		    attempt->left_s != INFINITY)
+			fl_resources_add(&available, attempt->used);
 	}
+	return available;
 }
 
 /* Would the job's next start fit at this time from now, by the estimates? */
-static bool model_fits_at(const struct model *model, const struct fl_sched_job *job, double at)
+static bool model_fits_at(const struct model *model, const struct fl_sched_job *job, double time_s)
 {
-	int count_by_zone[ZONES] = {0}, all = 0;
+	int capacity_by_zone[ZONES] = {0}, capacity = 0;
 
 	for (int i = 0; i < model->snapshot.machine_count; i++) {
 		const struct fl_sched_machine *machine = &model->snapshot.machines[i];
-		double cpus = machine->free.cpus, gpus = machine->free.gpus,
-		       ram_gb = machine->free.ram_gb;
-		int n;
-
-		for (int x = 0; x < model->snapshot.attempt_count; x++) {
-			if (model->snapshot.attempts[x].machine != i ||
-			    model->snapshot.attempts[x].left_s > at ||
-			    model->snapshot.attempts[x].left_s == INFINITY)
-				continue;
-			cpus += model->snapshot.attempts[x].used.cpus;
-			gpus += model->snapshot.attempts[x].used.gpus;
-			ram_gb += model->snapshot.attempts[x].used.ram_gb;
-		}
+		int count;
+
 		if (!model_machine_allowed(job, machine))
 			continue;
 		if (!job->gang && !model_zone_allowed(job, machine->zone))
 			continue;
-		n = model_task_capacity(job, cpus, gpus, ram_gb);
-		if (!job->gang && n > 0)
+		count = model_task_capacity(job, model_free_at(model, i, time_s));
+		if (!job->gang && count > 0)
 			return true;
-		count_by_zone[machine->zone] += n;
-		all += n;
+		capacity_by_zone[machine->zone] += count;
+		capacity += count;
 	}
 	if (!job->gang)
 		return false;
 	for (int z = 0; job->same_zone && z < ZONES; z++)
-		if (count_by_zone[z] >= (int)job->startable_count)
+		if (capacity_by_zone[z] >= (int)job->startable_count)
 			return true;
-	return !job->same_zone && all >= (int)job->startable_count;
+	return !job->same_zone && capacity >= (int)job->startable_count;
 }
 
 double model_time_to_fit(const struct model *model, const struct fl_sched_job *job)
