--- a/tests/schedule_fixture.h
+++ b/tests/schedule_fixture.h
@@ -1,5 +1,4 @@
-/* What the tests of the scheduling cycle share: a snapshot of a cluster and plain entries for it.
- */
+/* What the scheduling tests share: a snapshot of a cluster, and plain entries for it. */
 #ifndef FL_TESTS_SCHEDULE_FIXTURE_H
 #define FL_TESTS_SCHEDULE_FIXTURE_H
 
@@ -14,7 +13,7 @@
 	struct fl_sched_attempt attempts[ATTEMPTS_MAX];
 	struct fl_team teams[TEAMS];
 	int job_count, machine_count, attempt_count;
-	double spot_loss_rate; /* chance a second that a spot machine is reclaimed */
+	double spot_loss_rate; /* chance a second that a spot machine is interrupted */
 };
 
 /* Runs one scheduling cycle with the default parameters. */
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -23,8 +23,8 @@
 static void random_machines(gsl_rng *rng, struct snapshot *snapshot)
 {
 	for (int i = 0; i < snapshot->machine_count; i++) {
-		for (int c = 0; c < FL_IMAGE_CACHE_MAX; c++)
-			snapshot->cached_images[i][c] = c < 2 ? (int)random_below(rng, 5) : -1;
+		for (int k = 0; k < FL_IMAGE_CACHE_MAX; k++)
+			snapshot->cached_images[i][k] = k < 2 ? (int)random_below(rng, 5) : -1;
 		snapshot->machines[i] =
 			(struct fl_sched_machine){.type = (int)random_below(rng, 2),
 		                                  .zone = (int)random_below(rng, ZONES),
@@ -114,11 +114,11 @@
 	memset(snapshot, 0, sizeof(*snapshot));
 	snapshot->job_count = 1 + (int)random_below(rng, jobs);
 	snapshot->machine_count = 1 + (int)random_below(rng, machines);
-	for (int t = 0; t < TEAMS; t++) {
-		snapshot->teams[t].guaranteed_gpus =
+	for (int i = 0; i < TEAMS; i++) {
+		snapshot->teams[i].guaranteed_gpus =
 			random_below(rng, 2) ? random_below(rng, 9) : 0;
-		snapshot->teams[t].max_gpus = random_below(rng, 2) ? 4 + random_below(rng, 20) : 0;
-		snapshot->teams[t].max_cpus = random_below(rng, 3) ? 0 : 20 + random_below(rng, 60);
+		snapshot->teams[i].max_gpus = random_below(rng, 2) ? 4 + random_below(rng, 20) : 0;
+		snapshot->teams[i].max_cpus = random_below(rng, 3) ? 0 : 20 + random_below(rng, 60);
 	}
 	random_machines(rng, snapshot);
 	random_attempts(rng, snapshot, attempt_tries);
@@ -147,17 +147,18 @@
 	for (int i = 0; i < output.preemption_count; i++)
 		assert_int_equal(output.preemptions[i], model->preemptions[i]);
 	for (int i = 0; i < snapshot->machine_count; i++) {
-		const struct fl_reservation *c = &snapshot->machines[i].requested;
+		const struct fl_reservation *requested = &snapshot->machines[i].requested;
 
-		assert_int_equal(c->active, model->snapshot.machines[i].requested.active);
-		assert_int_equal(c->within_guaranteed,
+		assert_int_equal(requested->active, model->snapshot.machines[i].requested.active);
+		assert_int_equal(requested->within_guaranteed,
 		                 model->snapshot.machines[i].requested.within_guaranteed);
-		assert_int_equal(c->priority, model->snapshot.machines[i].requested.priority);
-		assert_true(fabs(c->resources.cpus -
+		assert_int_equal(requested->priority,
+		                 model->snapshot.machines[i].requested.priority);
+		assert_true(fabs(requested->resources.cpus -
 		                 model->snapshot.machines[i].requested.resources.cpus) < 1e-6 &&
-		            fabs(c->resources.gpus -
+		            fabs(requested->resources.gpus -
 		                 model->snapshot.machines[i].requested.resources.gpus) < 1e-6 &&
-		            fabs(c->resources.ram_gb -
+		            fabs(requested->resources.ram_gb -
 		                 model->snapshot.machines[i].requested.resources.ram_gb) < 1e-6);
 	}
 	assert_int_equal(output.top_job, model->top_job);
@@ -170,8 +171,7 @@
 	totals->preemptions += output.preemption_count;
 	totals->top_jobs += output.top_job >= 0;
 	totals->machines_examined += output.machines_examined;
-	/* Each start, each task reserved capacity and each job that finds none looks once or twice.
-	 */
+	/* Each start, each reservation and each job that finds no machine examines all of them. */
 	totals->examined_max +=
 		(long)snapshot->machine_count *
 		(output.start_count + 2 * snapshot->job_count + 2 * output.preemption_count);
@@ -196,10 +196,10 @@
 	/* Hundreds of machines: the same decisions, and no more work than starts times machines. */
 	for (int round = 0; round < 60; round++) {
 		random_snapshot(rng, snapshot, JOBS_MAX, MACHINES_MAX, ATTEMPTS_MAX);
-		for (int t = 0; t < TEAMS; t++) {
-			snapshot->teams[t].guaranteed_gpus *= 30;
-			snapshot->teams[t].max_gpus *= 30;
-			snapshot->teams[t].max_cpus *= 30;
+		for (int i = 0; i < TEAMS; i++) {
+			snapshot->teams[i].guaranteed_gpus *= 30;
+			snapshot->teams[i].max_gpus *= 30;
+			snapshot->teams[i].max_cpus *= 30;
 		}
 		compare_decisions(model, snapshot, &large);
 	}
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -5,7 +5,7 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include <string.h>
+#include <stdlib.h>
 
 #include "schedule_fixture.h"
 
@@ -31,70 +31,126 @@
 }
 
 /*
- * Found at a thousand machines: a quarter of the services' tasks were late by their fetch alone,
- * on free machines, while others that held the image ran arrays begun a moment ago.
+ * A service of two tasks, a free machine without its image, and two full ones that have it: on the
+ * first a stop loses little, on the second too much.
  */
-static void a_service_is_placed_where_its_image_is_cached(void **state)
-{
+struct cached_image_site {
 	int cached_images[FL_IMAGE_CACHE_MAX];
-	struct fl_sched_job job = plain_job(4, 2, 0, 1);
-	struct fl_sched_machine machine[3] = {plain_machine(4), plain_machine(0), plain_machine(0)};
-	struct fl_sched_attempt attempts[2] = {running_attempt(1, 4, 60),
-	                                       running_attempt(2, 4, 60)};
-	struct fl_sched_input input = {.params = &fl_sched_defaults,
-	                               .jobs = &job,
-	                               .job_count = 1,
-	                               .machines = machine,
-	                               .machine_count = 3,
-	                               .attempts = attempts,
-	                               .attempt_count = 2};
-	struct fl_team team = {.name = "t"};
+	struct fl_sched_job job;
+	struct fl_sched_machine machines[3];
+	struct fl_sched_attempt attempts[2];
+	struct fl_team team;
+	struct fl_sched_input input;
 	struct fl_sched_output output;
+};
 
-	(void)state;
-	input.teams = &team;
+static int set_up(void **state)
+{
+	struct cached_image_site *site = calloc(1, sizeof(*site));
+
+	if (!site)
+		return 1;
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX; i++)
-		cached_images[i] = i == 3 ? 5 : -1;
-	job.priority = FL_CRITICAL;
-	job.service = true;
-	job.image = 5;
-	job.image_gb = 10;
-	machine[1].cached_images = machine[2].cached_images = cached_images;
-	attempts[0].priority = attempts[1].priority = FL_BEST_EFFORT;
-	attempts[0].lost_s = 5;
-	attempts[1].lost_s = 500;
-	/* One stop that loses little; the other loses too much, so the free machine is taken. */
-	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
-	assert_int_equal(output.preemption_count, 1);
-	assert_int_equal(output.preemptions[0], 0);
-	assert_int_equal(output.start_count, 1);
-	assert_int_equal(output.starts[0].machine, 0);
-	assert_int_equal(output.unplaced_tasks[0], 0);
-	fl_sched_output_free(&output);
-	/* Capacity about to become free is not requested again, and no other is used. */
-	job.startable_count = 1;
-	memset(job.placed_by_zone, 0, sizeof(job.placed_by_zone));
-	machine[0].free.cpus = 4;
-	machine[1].free.cpus = 0;
-	attempts[0].stopping = true;
-	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
-	assert_int_equal(output.preemption_count + output.start_count, 0);
-	fl_sched_output_free(&output);
-	/* It has not become free in the time that a fetch takes. */
-	job.waited_s = 11;
-	machine[0].free.cpus = 4;
-	machine[1].free.cpus = 0;
-	assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
-	assert_int_equal(output.start_count, 1);
-	assert_int_equal(output.starts[0].machine, 0);
-	fl_sched_output_free(&output);
+		site->cached_images[i] = i == 3 ? 5 : -1;
+	site->job = plain_job(4, 2, 0, 1);
+	site->job.priority = FL_CRITICAL;
+	site->job.service = true;
+	site->job.image = 5;
+	site->job.image_gb = 10;
+	site->machines[0] = plain_machine(4);
+	site->machines[1] = site->machines[2] = plain_machine(0);
+	site->machines[1].cached_images = site->machines[2].cached_images = site->cached_images;
+	site->attempts[0] = running_attempt(1, 4, 60);
+	site->attempts[1] = running_attempt(2, 4, 60);
+	site->attempts[0].priority = site->attempts[1].priority = FL_BEST_EFFORT;
+	site->attempts[0].lost_s = 5;
+	site->attempts[1].lost_s = 500;
+	site->input = (struct fl_sched_input){.params = &fl_sched_defaults,
+	                                      .jobs = &site->job,
+	                                      .job_count = 1,
+	                                      .machines = site->machines,
+	                                      .machine_count = 3,
+	                                      .attempts = site->attempts,
+	                                      .attempt_count = 2,
+	                                      .teams = &site->team};
+	*state = site;
+	return 0;
+}
+
+static int tear_down(void **state)
+{
+	free(*state);
+	return 0;
+}
+
+/* One task is left, whose stop on the machine with the image has been requested. */
+static void begin_stop_where_image_is_cached(struct cached_image_site *site)
+{
+	site->job.startable_count = 1;
+	site->attempts[0].stopping = true;
+}
+
+/*
+ * Found at a thousand machines: a quarter of the services' tasks were late by their fetch alone,
+ * on free machines, while others that held the image ran arrays begun a moment ago.
+ */
+static void a_service_preempts_where_its_image_is_cached_if_little_is_lost(void **state)
+{
+	struct cached_image_site *site = *state;
+	struct fl_sched_output *output = &site->output;
+
+	assert_int_equal(fl_schedule(&site->input, output), FL_SCHEDULE_OK);
+
+	assert_int_equal(output->preemption_count, 1);
+	assert_int_equal(output->preemptions[0], 0);
+	assert_int_equal(output->start_count, 1);
+	assert_int_equal(output->starts[0].machine, 0);
+	assert_int_equal(output->unplaced_tasks[0], 0);
+	fl_sched_output_free(output);
+}
+
+/* Capacity about to become free is not requested again, and no other is used. */
+static void a_service_waits_for_the_machine_with_its_image_while_it_becomes_free(void **state)
+{
+	struct cached_image_site *site = *state;
+	struct fl_sched_output *output = &site->output;
+
+	begin_stop_where_image_is_cached(site);
+
+	assert_int_equal(fl_schedule(&site->input, output), FL_SCHEDULE_OK);
+
+	assert_int_equal(output->preemption_count + output->start_count, 0);
+	fl_sched_output_free(output);
+}
+
+static void a_service_starts_elsewhere_when_it_has_waited_as_long_as_a_fetch(void **state)
+{
+	struct cached_image_site *site = *state;
+	struct fl_sched_output *output = &site->output;
+
+	begin_stop_where_image_is_cached(site);
+	site->job.waited_s = 11;
+
+	assert_int_equal(fl_schedule(&site->input, output), FL_SCHEDULE_OK);
+
+	assert_int_equal(output->start_count, 1);
+	assert_int_equal(output->starts[0].machine, 0);
+	fl_sched_output_free(output);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_gang_starts_whole_or_not_at_all),
-		cmocka_unit_test(a_service_is_placed_where_its_image_is_cached),
+		cmocka_unit_test_setup_teardown(
+			a_service_preempts_where_its_image_is_cached_if_little_is_lost, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_service_waits_for_the_machine_with_its_image_while_it_becomes_free,
+			set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_service_starts_elsewhere_when_it_has_waited_as_long_as_a_fetch, set_up,
+			tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -74,13 +74,14 @@
 struct arrival {
 	struct fl_sched_job job;
 	int class;
-	double at, begun; /* begun < 0: not yet */
-	uint32_t started;
+	double arrived_at, begun_at; /* s from the beginning; begun_at < 0: not yet */
+	uint32_t started_count;
 };
 
 struct load {
-	struct arrival arrival[ARRIVALS_MAX];
-	int node, running[SLOTS]; /* the job that holds each slot, -1: none */
+	struct arrival arrivals[ARRIVALS_MAX];
+	int arrival_count;
+	int running[SLOTS]; /* the arrival that holds each slot, -1: none */
 	double ends_at[SLOTS];
 };
 
@@ -98,18 +99,18 @@
 	for (int class_index = 0; class_index < CLASSES; class_index++) {
 		const struct stream *stream = &streams[class_index];
 
-		for (;
-		     stream->task_count && next_at[class_index] <= now && load->node < ARRIVALS_MAX;
+		for (; stream->task_count && next_at[class_index] <= now &&
+		       load->arrival_count < ARRIVALS_MAX;
 		     next_at[class_index] += stream->interval_s) {
-			struct arrival *arrival = &load->arrival[load->node++];
+			struct arrival *arrival = &load->arrivals[load->arrival_count++];
 
 			arrival->job = plain_job(1, stream->task_count, stream->estimate_s, 0);
 			arrival->job.priority = stream->priority;
 			arrival->job.team = stream->team;
 			arrival->job.within_guaranteed = stream->within_guarantee;
 			arrival->class = class_index;
-			arrival->at = next_at[class_index];
-			arrival->begun = -1;
+			arrival->arrived_at = next_at[class_index];
+			arrival->begun_at = -1;
 		}
 	}
 }
@@ -127,8 +128,8 @@
 			continue;
 		cycle_input.machines[i].free.cpus = 0;
 		*attempt = running_attempt(i, 1, load->ends_at[i] - now);
-		attempt->priority = load->arrival[load->running[i]].job.priority;
-		attempt->team = load->arrival[load->running[i]].job.team;
+		attempt->priority = load->arrivals[load->running[i]].job.priority;
+		attempt->team = load->arrivals[load->running[i]].job.team;
 		attempt->lost_s = 1;
 		cycle_input.slot_of_attempt[input->attempt_count++] = i;
 		cycle_input.team_usage[attempt->team].used_cpus += 1;
@@ -137,23 +138,25 @@
 
 static void fill_jobs(const struct load *load, struct fl_sched_input *input, int now)
 {
-	for (int i = 0; i < load->node; i++) {
+	for (int i = 0; i < load->arrival_count; i++) {
 		struct fl_sched_job *job = &cycle_input.jobs[input->job_count];
 
-		if (load->arrival[i].job.startable_count == 0)
+		if (load->arrivals[i].job.startable_count == 0)
 			continue;
-		*job = load->arrival[i].job;
-		job->waited_s = now - load->arrival[i].at;
-		job->begun = load->arrival[i].started > 0;
+		*job = load->arrivals[i].job;
+		job->waited_s = now - load->arrivals[i].arrived_at;
+		job->begun = load->arrivals[i].started_count > 0;
 		cycle_input.arrival_of_job[input->job_count++] = i;
 	}
 	for (int attempt_index = 0; attempt_index < input->attempt_count; attempt_index++) {
-		int at = load->running[cycle_input.slot_of_attempt[attempt_index]], held = 0;
+		int arrival = load->running[cycle_input.slot_of_attempt[attempt_index]];
+		int held = 0;
 
 		for (int i = 0; i < SLOTS; i++)
-			held += load->running[i] == at;
+			held += load->running[i] == arrival;
 		cycle_input.attempts[attempt_index].last_running_task =
-			held == 1 && now - load->arrival[at].at > fl_sched_defaults.overdue_after_s;
+			held == 1 && now - load->arrivals[arrival].arrived_at >
+					     fl_sched_defaults.overdue_after_s;
 	}
 }
 
@@ -161,23 +164,23 @@
 {
 	for (int k = 0; k < output->start_count; k++) {
 		struct arrival *arrival =
-			&load->arrival[cycle_input.arrival_of_job[output->starts[k].job]];
+			&load->arrivals[cycle_input.arrival_of_job[output->starts[k].job]];
 		int slot = output->starts[k].machine;
 
 		assert_int_equal(load->running[slot], -1);
 		load->running[slot] = cycle_input.arrival_of_job[output->starts[k].job];
 		load->ends_at[slot] = now + arrival->job.estimate_s;
 		arrival->job.startable_count--;
-		arrival->started++;
-		if (arrival->begun < 0)
-			arrival->begun = now;
+		arrival->started_count++;
+		if (arrival->begun_at < 0)
+			arrival->begun_at = now;
 	}
 	for (int k = 0; k < output->preemption_count; k++) {
 		int slot = cycle_input.slot_of_attempt[output->preemptions[k]];
-		struct arrival *arrival = &load->arrival[load->running[slot]];
+		struct arrival *arrival = &load->arrivals[load->running[slot]];
 
 		arrival->job.startable_count++;
-		arrival->started--;
+		arrival->started_count--;
 		load->running[slot] = -1;
 	}
 }
@@ -212,15 +215,15 @@
 /* Every job that arrived early enough has begun within four minutes. */
 static void assert_all_begun(const struct load *load)
 {
-	for (int i = 0; i < load->node; i++) {
-		const struct arrival *arrival = &load->arrival[i];
+	for (int i = 0; i < load->arrival_count; i++) {
+		const struct arrival *arrival = &load->arrivals[i];
 
-		if (arrival->at > SECONDS - 240)
+		if (arrival->arrived_at > SECONDS - 240)
 			continue;
-		assert_true(arrival->begun >= 0);
-		assert_true(arrival->begun - arrival->at <= 240);
+		assert_true(arrival->begun_at >= 0);
+		assert_true(arrival->begun_at - arrival->arrived_at <= 240);
 		/* And what it began with was not preempted for ever. */
-		assert_true(arrival->started > 0);
+		assert_true(arrival->started_count > 0);
 	}
 }
 
@@ -229,11 +232,12 @@
 {
 	double started = 0, all = 0;
 
-	for (int i = 0; i < load->node; i++) {
-		if (load->arrival[i].class != class || load->arrival[i].at > SECONDS - 240)
+	for (int i = 0; i < load->arrival_count; i++) {
+		if (load->arrivals[i].class != class ||
+		    load->arrivals[i].arrived_at > SECONDS - 240)
 			continue;
-		started += load->arrival[i].started;
-		all += load->arrival[i].job.task_count;
+		started += load->arrivals[i].started_count;
+		all += load->arrivals[i].job.task_count;
 	}
 	return all > 0 ? started / all : 1;
 }
@@ -242,8 +246,7 @@
 {
 	static const struct fl_team teams[TEAMS] = {
 		{.guaranteed_cpus = 64}, {.max_cpus = 0}, {.max_cpus = 0}};
-	/* 32 slots. A stream of small jobs that fills nearly all of them, and ever more wide ones.
-	 */
+	/* 32 slots. Small jobs that fill nearly all of them, and ever more wide ones. */
 	static const struct stream small_and_wide[CLASSES] = {
 		{FL_STANDARD, 1, false, 2, 20, 1.35}, {FL_STANDARD, 2, false, 60, 100, 300}};
 	/* One team within its guarantee fills all; another has none. */
@@ -256,12 +259,12 @@
 
 	(void)state;
 	run_load(load, small_and_wide, teams);
-	assert_true(load->node < ARRIVALS_MAX);
+	assert_true(load->arrival_count < ARRIVALS_MAX);
 	assert_all_begun(load);
 	for (int class_index = 0; class_index < CLASSES; class_index++)
 		assert_true(started_share(load, class_index) >= 0.5);
 	run_load(load, within_guarantee_and_not, teams);
-	assert_true(load->node < ARRIVALS_MAX);
+	assert_true(load->arrival_count < ARRIVALS_MAX);
 	assert_all_begun(load);
 	run_load(load, priorities, teams);
 	assert_all_begun(load);
