--- a/tests/test_schedule_backfill.c
+++ b/tests/test_schedule_backfill.c
@@ -32,6 +32,7 @@
 	}
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.top_job, 0);
+
 	/* Judged by cores in total, it would be 4 * 10. */
 	assert_true(fabs(output.window_s - 4 * 100) < 1e-6);
 	assert_int_equal(output.start_count, 1);
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -191,8 +191,10 @@
 		random_snapshot(rng, snapshot, 14, 9, 24);
 		compare_decisions(model, snapshot, &small);
 	}
+
 	/* The snapshots must reach all of it. */
 	assert_true(small.starts > 4000 && small.preemptions > 400 && small.top_jobs > 400);
+
 	/* Hundreds of machines: the same decisions, and no more work than starts times machines. */
 	for (int round = 0; round < 60; round++) {
 		random_snapshot(rng, snapshot, JOBS_MAX, MACHINES_MAX, ATTEMPTS_MAX);
@@ -300,6 +302,7 @@
 				snapshot->jobs[i] = fresh->jobs[i];
 		}
 	}
+
 	assert_true(started > 2000);
 	assert_true(totals.machines_examined <= totals.examined_max);
 	free(model);
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -6,6 +6,7 @@
 
 #include <cmocka.h>
 #include <stdlib.h>
+#include <string.h>
 
 #include "schedule_fixture.h"
 
@@ -83,10 +84,19 @@
 	return 0;
 }
 
-/* One task is left, whose stop on the machine with the image has been requested. */
-static void begin_stop_where_image_is_cached(struct cached_image_site *site)
+static void run_cycle(struct cached_image_site *site)
 {
+	assert_int_equal(fl_schedule(&site->input, &site->output), FL_SCHEDULE_OK);
+}
+
+/* After a cycle: one task waits, and capacity is counted anew while the first victim stops. */
+static void begin_next_cycle(struct cached_image_site *site)
+{
+	fl_sched_output_free(&site->output);
 	site->job.startable_count = 1;
+	memset(site->job.placed_by_zone, 0, sizeof(site->job.placed_by_zone));
+	site->machines[0].free.cpus = 4;
+	site->machines[1].free.cpus = 0;
 	site->attempts[0].stopping = true;
 }
 
@@ -99,7 +109,7 @@
 	struct cached_image_site *site = *state;
 	struct fl_sched_output *output = &site->output;
 
-	assert_int_equal(fl_schedule(&site->input, output), FL_SCHEDULE_OK);
+	run_cycle(site);
 
 	assert_int_equal(output->preemption_count, 1);
 	assert_int_equal(output->preemptions[0], 0);
@@ -115,9 +125,10 @@
 	struct cached_image_site *site = *state;
 	struct fl_sched_output *output = &site->output;
 
-	begin_stop_where_image_is_cached(site);
+	run_cycle(site);
+	begin_next_cycle(site);
 
-	assert_int_equal(fl_schedule(&site->input, output), FL_SCHEDULE_OK);
+	run_cycle(site);
 
 	assert_int_equal(output->preemption_count + output->start_count, 0);
 	fl_sched_output_free(output);
@@ -128,10 +139,13 @@
 	struct cached_image_site *site = *state;
 	struct fl_sched_output *output = &site->output;
 
-	begin_stop_where_image_is_cached(site);
+	run_cycle(site);
+	begin_next_cycle(site);
+	run_cycle(site);
+	begin_next_cycle(site);
 	site->job.waited_s = 11;
 
-	assert_int_equal(fl_schedule(&site->input, output), FL_SCHEDULE_OK);
+	run_cycle(site);
 
 	assert_int_equal(output->start_count, 1);
 	assert_int_equal(output->starts[0].machine, 0);
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -33,65 +33,101 @@
 	snapshot.jobs[0].startable_count = 1;
 	snapshot.jobs[0].placed_by_zone[0] = 0;
 	assert_true(snapshot.attempts[0].stopping != snapshot.attempts[1].stopping);
+
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 0);
 	assert_int_equal(output.unplaced_tasks[0], 0);
 	fl_sched_output_free(&output);
 }
 
+enum { LOW, HIGH, COMPETITORS };
+
+/* Two jobs on two machines over many cycles, and what was started and preempted of them. */
+struct competition {
+	struct snapshot snapshot;
+	int starts[COMPETITORS];
+	int preemptions;
+};
+
+static void begin_cycle(struct snapshot *snapshot)
+{
+	for (int i = 0; i < snapshot->machine_count; i++) {
+		snapshot->machines[i].reserved = snapshot->machines[i].requested;
+		snapshot->machines[i].requested = (struct fl_reservation){0};
+	}
+}
+
+static void apply_starts(struct competition *competition, const struct fl_sched_output *output)
+{
+	struct snapshot *snapshot = &competition->snapshot;
+
+	for (int i = 0; i < output->start_count; i++) {
+		const struct fl_sched_start *start = &output->starts[i];
+		const struct fl_sched_job *job = &snapshot->jobs[start->job];
+		struct fl_sched_attempt attempt =
+			running_attempt(start->machine, job->need.cpus, job->estimate_s);
+
+		attempt.priority = job->priority;
+		snapshot->attempts[snapshot->attempt_count++] = attempt;
+		competition->starts[start->job]++;
+	}
+}
+
+/* What is stopped has ended by the next cycle; capacity is counted anew. */
+static void end_stopped_attempts(struct snapshot *snapshot)
+{
+	int kept = 0;
+
+	for (int i = 0; i < snapshot->attempt_count; i++)
+		if (!snapshot->attempts[i].stopping)
+			snapshot->attempts[kept++] = snapshot->attempts[i];
+		else
+			snapshot->jobs[LOW].startable_count++;
+	snapshot->attempt_count = kept;
+	for (int i = 0; i < snapshot->machine_count; i++)
+		snapshot->machines[i].free.cpus = 32;
+	for (int i = 0; i < snapshot->attempt_count; i++)
+		snapshot->machines[snapshot->attempts[i].machine].free.cpus -=
+			snapshot->attempts[i].used.cpus;
+}
+
+static void run_competition(struct competition *competition, int cycle_count)
+{
+	for (int cycle = 0; cycle < cycle_count; cycle++) {
+		struct fl_sched_output output;
+
+		begin_cycle(&competition->snapshot);
+		run_schedule(&competition->snapshot, &output);
+		competition->preemptions += output.preemption_count;
+		apply_starts(competition, &output);
+		end_stopped_attempts(&competition->snapshot);
+		fl_sched_output_free(&output);
+	}
+}
+
 /*
- * An idle-time array that has waited long goes before one of a higher priority, which may stop it.
- * Each stop must be the higher one's start, in the next scheduling cycle but one at most: found as
- * 80,000 stops in ten minutes, by which the higher array got nothing either.
+ * A best-effort array that has waited long goes before one of a higher priority, which may stop it.
+ * Each stop must be the higher one's start, in the next cycle but one at most: found as 80,000
+ * stops in ten minutes, by which the higher array got nothing either.
  */
 static void preempted_capacity_goes_to_the_preempting_job(void **state)
 {
-	struct snapshot snapshot = {.job_count = 2, .machine_count = 2};
-	int low_starts = 0, high_starts = 0, preemptions = 0;
+	struct competition competition = {.snapshot = {.job_count = 2, .machine_count = 2}};
+	struct snapshot *snapshot = &competition.snapshot;
 
 	(void)state;
-	snapshot.jobs[0] = plain_job(6, 40, 300, 600);
-	snapshot.jobs[0].priority = FL_BEST_EFFORT;
-	snapshot.jobs[0].begun = true;
-	snapshot.jobs[1] = plain_job(10, 6, 100, 10);
-	snapshot.machines[0] = snapshot.machines[1] = plain_machine(32);
-	for (int cycle = 0; cycle < 40; cycle++) {
-		struct fl_sched_output output;
-		int kept = 0;
-
-		for (int i = 0; i < 2; i++) {
-			snapshot.machines[i].reserved = snapshot.machines[i].requested;
-			snapshot.machines[i].requested = (struct fl_reservation){0};
-		}
-		run_schedule(&snapshot, &output);
-		preemptions += output.preemption_count;
-		for (int i = 0; i < output.start_count; i++) {
-			const struct fl_sched_job *job = &snapshot.jobs[output.starts[i].job];
-			struct fl_sched_attempt attempt = running_attempt(
-				output.starts[i].machine, job->need.cpus, job->estimate_s);
-
-			attempt.priority = job->priority;
-			snapshot.attempts[snapshot.attempt_count++] = attempt;
-			*(output.starts[i].job ? &high_starts : &low_starts) += 1;
-		}
-		/* What is stopped has ended by the next scheduling cycle; capacity is counted anew.
-		 */
-		for (int i = 0; i < snapshot.attempt_count; i++)
-			if (!snapshot.attempts[i].stopping)
-				snapshot.attempts[kept++] = snapshot.attempts[i];
-			else
-				snapshot.jobs[0].startable_count++;
-		snapshot.attempt_count = kept;
-		for (int i = 0; i < 2; i++)
-			snapshot.machines[i].free.cpus = 32;
-		for (int i = 0; i < snapshot.attempt_count; i++)
-			snapshot.machines[snapshot.attempts[i].machine].free.cpus -=
-				snapshot.attempts[i].used.cpus;
-		fl_sched_output_free(&output);
-	}
-	assert_int_equal(high_starts, 6);
+	snapshot->jobs[LOW] = plain_job(6, 40, 300, 600);
+	snapshot->jobs[LOW].priority = FL_BEST_EFFORT;
+	snapshot->jobs[LOW].begun = true;
+	snapshot->jobs[HIGH] = plain_job(10, 6, 100, 10);
+	snapshot->machines[0] = snapshot->machines[1] = plain_machine(32);
+
+	run_competition(&competition, 40);
+
+	assert_int_equal(competition.starts[HIGH], 6);
+
 	/* Ten filled the machines; what was stopped for six tasks may have started once more. */
-	assert_true(low_starts >= 10 && preemptions <= 12);
+	assert_true(competition.starts[LOW] >= 10 && competition.preemptions <= 12);
 }
 
 /* Each of two jobs could stop the other, one by priority and one by guarantee: only one may. */
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -13,16 +13,14 @@
 
 #include "schedule_fixture.h"
 
-static int checks_left;
-
 static bool is_out_of_time(void *context)
 {
-	(void)context;
-	return checks_left-- <= 0;
+	int *checks_left = context;
+
+	return (*checks_left)-- <= 0;
 }
 
-/* A scheduling cycle that runs out of time is resumed where it ended: every job is looked at in the
- * end. */
+/* Each cycle has time for a few jobs; every job is examined in the end. */
 static void a_scheduling_cycle_resumes_where_the_last_one_ran_out_of_time(void **state)
 {
 	struct snapshot snapshot = {.job_count = 12, .machine_count = 1, .attempt_count = 1};
@@ -36,6 +34,7 @@
 	snapshot.machines[0] = plain_machine(32);
 	snapshot.attempts[0] = running_attempt(0, 60, 1000);
 	do {
+		int checks_left = 3;
 		struct fl_sched_input input = {.params = &fl_sched_defaults,
 		                               .jobs = snapshot.jobs,
 		                               .job_count = snapshot.job_count,
@@ -45,10 +44,10 @@
 		                               .attempt_count = 1,
 		                               .teams = snapshot.teams,
 		                               .resume_position = resume_position,
-		                               .out_of_time = is_out_of_time};
+		                               .out_of_time = is_out_of_time,
+		                               .context = &checks_left};
 		struct fl_sched_output output;
 
-		checks_left = 3;
 		assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 		for (int i = 0; i < output.start_count; i++)
 			started[output.starts[i].job] = true;
@@ -56,6 +55,7 @@
 		fl_sched_output_free(&output);
 		cycles++;
 	} while (resume_position != 0 && cycles < 20);
+
 	assert_true(cycles > 2 && cycles < 20);
 	for (int i = 1; i < snapshot.job_count; i++)
 		assert_true(started[i]);
@@ -186,7 +186,8 @@
 }
 
 /* Runs `SLOTS` one-task machines under the streams; each job's begin and starts are noted. */
-static void run_load(struct load *load, const struct stream *streams, const struct fl_team *teams)
+static void run_load(struct load *load, const struct stream *streams,
+                     const struct fl_team *team_settings)
 {
 	double next_at[CLASSES] = {0};
 
@@ -203,7 +204,7 @@
 		struct fl_sched_output output;
 
 		add_arrivals(load, streams, next_at, now);
-		memcpy(cycle_input.team_usage, teams, sizeof(cycle_input.team_usage));
+		memcpy(cycle_input.team_usage, team_settings, sizeof(cycle_input.team_usage));
 		fill_machines(load, &input, now);
 		fill_jobs(load, &input, now);
 		assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
@@ -242,39 +243,71 @@
 	return all > 0 ? started / all : 1;
 }
 
-static void no_job_starves_under_adversarial_arrivals(void **state)
+static int set_up_load(void **state)
+{
+	*state = malloc(sizeof(struct load));
+	return *state ? 0 : 1;
+}
+
+static int tear_down_load(void **state)
+{
+	free(*state);
+	return 0;
+}
+
+static const struct fl_team teams[TEAMS] = {
+	{.guaranteed_cpus = 64}, {.max_cpus = 0}, {.max_cpus = 0}};
+
+/* Small jobs that fill nearly all of the 32 slots, and ever more wide ones. */
+static void no_job_starves_when_small_jobs_compete_with_wide_ones(void **state)
 {
-	static const struct fl_team teams[TEAMS] = {
-		{.guaranteed_cpus = 64}, {.max_cpus = 0}, {.max_cpus = 0}};
-	/* 32 slots. Small jobs that fill nearly all of them, and ever more wide ones. */
 	static const struct stream small_and_wide[CLASSES] = {
 		{FL_STANDARD, 1, false, 2, 20, 1.35}, {FL_STANDARD, 2, false, 60, 100, 300}};
-	/* One team within its guarantee fills all; another has none. */
-	static const struct stream within_guarantee_and_not[CLASSES] = {
-		{FL_STANDARD, 0, true, 4, 30, 3}, {FL_STANDARD, 1, false, 10, 40, 120}};
-	/* Standard work fills all, and best effort may be stopped for it. */
-	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
-	                                                  {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
-	struct load *load = malloc(sizeof(*load));
+	struct load *load = *state;
 
-	(void)state;
 	run_load(load, small_and_wide, teams);
+
 	assert_true(load->arrival_count < ARRIVALS_MAX);
 	assert_all_begun(load);
 	for (int class_index = 0; class_index < CLASSES; class_index++)
 		assert_true(started_share(load, class_index) >= 0.5);
+}
+
+static void no_job_starves_when_a_team_within_its_guarantee_fills_all_slots(void **state)
+{
+	static const struct stream within_guarantee_and_not[CLASSES] = {
+		{FL_STANDARD, 0, true, 4, 30, 3}, {FL_STANDARD, 1, false, 10, 40, 120}};
+	struct load *load = *state;
+
 	run_load(load, within_guarantee_and_not, teams);
+
 	assert_true(load->arrival_count < ARRIVALS_MAX);
 	assert_all_begun(load);
+}
+
+/* Best-effort work may be stopped for the rest. */
+static void no_job_starves_when_standard_work_fills_all_slots(void **state)
+{
+	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
+	                                                  {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
+	struct load *load = *state;
+
 	run_load(load, priorities, teams);
+
 	assert_all_begun(load);
-	free(load);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(no_job_starves_under_adversarial_arrivals),
+		cmocka_unit_test_setup_teardown(
+			no_job_starves_when_small_jobs_compete_with_wide_ones, set_up_load,
+			tear_down_load),
+		cmocka_unit_test_setup_teardown(
+			no_job_starves_when_a_team_within_its_guarantee_fills_all_slots,
+			set_up_load, tear_down_load),
+		cmocka_unit_test_setup_teardown(no_job_starves_when_standard_work_fills_all_slots,
+	                                        set_up_load, tear_down_load),
 		cmocka_unit_test(a_scheduling_cycle_resumes_where_the_last_one_ran_out_of_time),
 	};
 
