--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -107,9 +107,9 @@
 	}
 }
 
-static cJSON *number_pair(double a, double b)
+static cJSON *number_pair(double first, double second)
 {
-	const double at[] = {a, b};
+	const double at[] = {first, second};
 
 	return cJSON_CreateDoubleArray(at, 2);
 }
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -68,9 +68,7 @@
 		    attempt.used.gpus > machine->free.gpus ||
 		    attempt.used.ram_gb > machine->free.ram_gb)
 			continue;
-		machine->free.cpus -= attempt.used.cpus;
-		machine->free.gpus -= attempt.used.gpus;
-		machine->free.ram_gb -= attempt.used.ram_gb;
+		fl_resources_subtract(&machine->free, attempt.used);
 		snapshot->teams[attempt.team].used_cpus += attempt.used.cpus;
 		snapshot->teams[attempt.team].used_gpus += attempt.used.gpus;
 		snapshot->attempts[snapshot->attempt_count++] = attempt;
@@ -129,6 +127,33 @@
 	long starts, preemptions, top_jobs, machines_examined, examined_max;
 };
 
+static void assert_reservation(const struct fl_reservation *reservation,
+                               const struct fl_reservation *expected)
+{
+	const struct fl_resources *resources = &reservation->resources;
+
+	assert_int_equal(reservation->active, expected->active);
+	assert_int_equal(reservation->within_guaranteed, expected->within_guaranteed);
+	assert_int_equal(reservation->priority, expected->priority);
+	assert_true(fabs(resources->cpus - expected->resources.cpus) < 1e-6 &&
+	            fabs(resources->gpus - expected->resources.gpus) < 1e-6 &&
+	            fabs(resources->ram_gb - expected->resources.ram_gb) < 1e-6);
+}
+
+static void assert_starts_and_preemptions(const struct fl_sched_output *output,
+                                          const struct model *model)
+{
+	assert_int_equal(output->start_count, model->start_count);
+	for (int i = 0; i < output->start_count; i++) {
+		assert_int_equal(output->starts[i].job, model->starts[i].job);
+		assert_int_equal(output->starts[i].machine, model->starts[i].machine);
+	}
+	assert_int_equal(output->preemption_count, model->preemption_count);
+	for (int i = 0; i < output->preemption_count; i++)
+		assert_int_equal(output->preemptions[i], model->preemptions[i]);
+}
+
+/* Runs one cycle of both on the snapshot, which the real one changes. */
 static void compare_decisions(struct model *model, struct snapshot *snapshot, struct totals *totals)
 {
 	struct fl_sched_output output;
@@ -138,29 +163,10 @@
 	model->snapshot = *snapshot;
 	model_cycle(model);
 	run_schedule(snapshot, &output);
-	assert_int_equal(output.start_count, model->start_count);
-	for (int i = 0; i < output.start_count; i++) {
-		assert_int_equal(output.starts[i].job, model->starts[i].job);
-		assert_int_equal(output.starts[i].machine, model->starts[i].machine);
-	}
-	assert_int_equal(output.preemption_count, model->preemption_count);
-	for (int i = 0; i < output.preemption_count; i++)
-		assert_int_equal(output.preemptions[i], model->preemptions[i]);
-	for (int i = 0; i < snapshot->machine_count; i++) {
-		const struct fl_reservation *requested = &snapshot->machines[i].requested;
-
-		assert_int_equal(requested->active, model->snapshot.machines[i].requested.active);
-		assert_int_equal(requested->within_guaranteed,
-		                 model->snapshot.machines[i].requested.within_guaranteed);
-		assert_int_equal(requested->priority,
-		                 model->snapshot.machines[i].requested.priority);
-		assert_true(fabs(requested->resources.cpus -
-		                 model->snapshot.machines[i].requested.resources.cpus) < 1e-6 &&
-		            fabs(requested->resources.gpus -
-		                 model->snapshot.machines[i].requested.resources.gpus) < 1e-6 &&
-		            fabs(requested->resources.ram_gb -
-		                 model->snapshot.machines[i].requested.resources.ram_gb) < 1e-6);
-	}
+	assert_starts_and_preemptions(&output, model);
+	for (int i = 0; i < snapshot->machine_count; i++)
+		assert_reservation(&snapshot->machines[i].requested,
+		                   &model->snapshot.machines[i].requested);
 	assert_int_equal(output.top_job, model->top_job);
 	if (model->top_job >= 0)
 		assert_true(output.window_s == model->window_s ||
@@ -178,14 +184,40 @@
 	fl_sched_output_free(&output);
 }
 
+struct comparison {
+	gsl_rng *rng;
+	struct model model;
+	struct snapshot snapshot;
+};
+
+static int set_up(void **state)
+{
+	struct comparison *comparison = calloc(1, sizeof(*comparison));
+
+	if (!comparison)
+		return 1;
+	comparison->rng = gsl_rng_alloc(gsl_rng_mt19937);
+	*state = comparison;
+	return 0;
+}
+
+static int tear_down(void **state)
+{
+	struct comparison *comparison = *state;
+
+	gsl_rng_free(comparison->rng);
+	free(comparison);
+	return 0;
+}
+
 static void a_scheduling_cycle_decides_like_the_model(void **state)
 {
-	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
-	struct model *model = malloc(sizeof(*model));
-	struct snapshot *snapshot = malloc(sizeof(*snapshot));
+	struct comparison *comparison = *state;
+	struct model *model = &comparison->model;
+	struct snapshot *snapshot = &comparison->snapshot;
 	struct totals small = {0}, large = {0};
+	gsl_rng *rng = comparison->rng;
 
-	(void)state;
 	gsl_rng_set(rng, 7);
 	for (int round = 0; round < 4000; round++) {
 		random_snapshot(rng, snapshot, 14, 9, 24);
@@ -207,9 +239,6 @@
 	}
 	assert_true(large.starts > 500 && large.preemptions > 50);
 	assert_true(large.machines_examined <= large.examined_max);
-	free(model);
-	free(snapshot);
-	gsl_rng_free(rng);
 }
 
 /* Applies the model's starts to the snapshot, as a leader would. */
@@ -225,15 +254,11 @@
 		                                  .priority = job->priority,
 		                                  .service = job->service,
 		                                  .preemptible = true,
-		                                  .used.cpus = job->need.cpus,
-		                                  .used.gpus = job->need.gpus,
-		                                  .used.ram_gb = job->need.ram_gb,
+		                                  .used = job->need,
 		                                  .left_s = job->service ? INFINITY : 50,
 		                                  .lost_s = 0.001 * snapshot->attempt_count};
 		snapshot->attempt_count++;
-		machine->free.cpus -= job->need.cpus;
-		machine->free.gpus -= job->need.gpus;
-		machine->free.ram_gb -= job->need.ram_gb;
+		fl_resources_subtract(&machine->free, job->need);
 		snapshot->teams[job->team].used_cpus += job->need.cpus;
 		snapshot->teams[job->team].used_gpus += job->need.gpus;
 		job->placed_by_zone[machine->zone]++;
@@ -257,29 +282,40 @@
 
 		if (!stopped[i] && random_below(rng, one_in) != 0)
 			continue;
-		machine->free.cpus += attempt->used.cpus;
-		machine->free.gpus += attempt->used.gpus;
-		machine->free.ram_gb += attempt->used.ram_gb;
+		fl_resources_add(&machine->free, attempt->used);
 		snapshot->teams[attempt->team].used_cpus -= attempt->used.cpus;
 		snapshot->teams[attempt->team].used_gpus -= attempt->used.gpus;
 		snapshot->attempts[i] = snapshot->attempts[--snapshot->attempt_count];
 	}
 }
 
+/* Jobs without waiting tasks are replaced by others; the rest wait on. */
+static void replace_finished_jobs(gsl_rng *rng, struct snapshot *snapshot, struct snapshot *fresh)
+{
+	do
+		random_snapshot(rng, fresh, JOBS_MAX, MACHINES_MAX, 0);
+	while (fresh->job_count < snapshot->job_count);
+	for (int i = 0; i < snapshot->job_count; i++) {
+		snapshot->jobs[i].waited_s += 7;
+		if (snapshot->jobs[i].startable_count == 0)
+			snapshot->jobs[i] = fresh->jobs[i];
+	}
+}
+
 /*
  * Hundreds of machines and thousands of tasks over many scheduling cycles: the decisions are
  * the plain model's all along, and the work stays in proportion to what is started.
  */
 static void scheduling_cycles_on_hundreds_of_machines_decide_like_the_model(void **state)
 {
-	gsl_rng *rng = gsl_rng_alloc(gsl_rng_mt19937);
-	struct model *model = malloc(sizeof(*model));
-	struct snapshot *snapshot = malloc(sizeof(*snapshot)), *fresh = malloc(sizeof(*fresh));
-	struct snapshot *before = malloc(sizeof(*before));
+	struct comparison *comparison = *state;
+	struct model *model = &comparison->model;
+	struct snapshot *snapshot = &comparison->snapshot;
+	struct snapshot *fresh = malloc(sizeof(*fresh)), *before = malloc(sizeof(*before));
+	gsl_rng *rng = comparison->rng;
 	struct totals totals = {0};
 	long started = 0;
 
-	(void)state;
 	gsl_rng_set(rng, 11);
 	do
 		random_snapshot(rng, snapshot, JOBS_MAX, MACHINES_MAX, 0);
@@ -292,31 +328,23 @@
 		*snapshot = *before;
 		started += apply_starts(snapshot, model);
 		end_attempts(rng, snapshot, model, 3);
-		/* Jobs without waiting tasks are replaced by others; the rest wait on. */
-		do
-			random_snapshot(rng, fresh, JOBS_MAX, MACHINES_MAX, 0);
-		while (fresh->job_count < snapshot->job_count);
-		for (int i = 0; i < snapshot->job_count; i++) {
-			snapshot->jobs[i].waited_s += 7;
-			if (snapshot->jobs[i].startable_count == 0)
-				snapshot->jobs[i] = fresh->jobs[i];
-		}
+		replace_finished_jobs(rng, snapshot, fresh);
 	}
 
 	assert_true(started > 2000);
 	assert_true(totals.machines_examined <= totals.examined_max);
-	free(model);
-	free(snapshot);
 	free(fresh);
 	free(before);
-	gsl_rng_free(rng);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_scheduling_cycle_decides_like_the_model),
-		cmocka_unit_test(scheduling_cycles_on_hundreds_of_machines_decide_like_the_model),
+		cmocka_unit_test_setup_teardown(a_scheduling_cycle_decides_like_the_model, set_up,
+	                                        tear_down),
+		cmocka_unit_test_setup_teardown(
+			scheduling_cycles_on_hundreds_of_machines_decide_like_the_model, set_up,
+			tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
