--- a/src/coordination/api/request_forwarding.c
+++ b/src/coordination/api/request_forwarding.c
@@ -37,13 +37,17 @@
 bool fl_user_request_forward(struct fl_node *node, const struct fl_user_forward *request,
                              struct fl_http_reply *reply)
 {
+	const struct fl_forward_request forward = {.path = FL_PATH_FORWARD,
+	                                           .encode = encode,
+	                                           .context = request,
+	                                           .hop = request->hop,
+	                                           .timeout_s = request->timeout_s};
 	bool answered;
 
 	if (!may_forward(node, request->kind))
 		return false;
 	node->api.forwarded_in_flight++;
-	answered = fl_forward(node, FL_PATH_FORWARD, encode, request, request->hop,
-	                      request->timeout_s, reply) == 0;
+	answered = fl_forward(node, &forward, reply) == FL_FORWARD_ANSWERED;
 	node->api.forwarded_in_flight--;
 	return answered;
 }
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -108,14 +108,16 @@
                       enum fl_heartbeat_source source)
 {
 	struct fl_command_list commands;
-	int rc, count;
+	enum fl_reconcile_result result;
+	int command_count;
 
 	fl_command_list_init(&commands, fixture->node.leader_lease.fencing_token);
-	rc = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
-	                            source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL, source);
-	count = commands.count;
+	result = fl_reconcile_heartbeat(&fixture->node, &heartbeat,
+	                                source == FL_HEARTBEAT_FROM_WORKER ? &commands : NULL,
+	                                source);
+	command_count = commands.count;
 	cJSON_Delete(commands.root);
-	return rc ? rc : count;
+	return fl_reconcile_is_rejection(result) ? REJECTED(result) : command_count;
 }
 
 int deliver_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence)
@@ -186,7 +188,7 @@
 	for (int i = 0; i < peer_count; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
-		node->peers[i].last_heard_at = node->peers[i].complete_as_of = -1e9;
+		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = -1e9;
 	}
 	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -29,7 +29,10 @@
 struct fl_heartbeat make_heartbeat(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
                                    struct fl_task_status *tasks, int task_count);
 
-/* Delivers a heartbeat; the number of commands in its reply, or the negative error. */
+/* What deliver_heartbeat returns for a heartbeat that was rejected. */
+#define REJECTED(result) (-(int)(result))
+
+/* Delivers a heartbeat; the number of commands in its reply, or REJECTED with the result. */
 int deliver_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
                       enum fl_heartbeat_source source);
 
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -29,11 +29,11 @@
 	cached = fixture->node.follower.cached_heartbeats;
 	assert_non_null(cached);
 
-	cached->at = received_at = fl_now() - 9;
+	cached->cached_at = received_at = fl_now() - 9;
 	cached->stored = true;
 	assert_int_equal(send_idle_heartbeat(fixture, 1, 19), 200);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
-	assert_true(cached->sequence == 20 && cached->at == received_at && cached->stored);
+	assert_true(cached->sequence == 20 && cached->cached_at == received_at && cached->stored);
 	assert_int_equal(send_idle_heartbeat(fixture, 2, 3), 200);
 	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
 }
@@ -123,7 +123,7 @@
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
-		fixture->node.peers[i].last_heard_at = now - duration_s;
+		fixture->node.peers[i].last_exchange_at = now - duration_s;
 	}
 	fixture->node.api.last_readiness_probe_at = now;
 	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark =
@@ -194,7 +194,7 @@
 	/* The others ended long before the key-value store failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
-		fixture->node.peers[i].last_heard_at -= 20;
+		fixture->node.peers[i].last_exchange_at -= 20;
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -34,7 +34,7 @@
 struct worker {
 	char host[FL_NAME_MAX];
 	double begins_at; /* s from the beginning */
-	int rc;
+	enum fl_forward_result result;
 	struct fl_http_response response;
 	bool completed;
 	double duration_s;
@@ -96,7 +96,8 @@
 		return;
 	text = encode_heartbeat(worker);
 	began_at = fl_now();
-	worker->rc = fl_heartbeat_forward(&world.follower, text, strlen(text), &worker->response);
+	worker->result =
+		fl_heartbeat_forward(&world.follower, text, strlen(text), &worker->response);
 	worker->duration_s = fl_now() - began_at;
 	worker->completed = true;
 	free(text);
@@ -126,7 +127,7 @@
 
 		assert_true(workers[i].completed);
 		snprintf(own, sizeof(own), "run-%06d/0", i);
-		if (workers[i].rc == 0) {
+		if (workers[i].result == FL_FORWARD_ANSWERED) {
 			assert_int_equal(workers[i].response.status, 200);
 			assert_non_null(strstr(workers[i].response.body, own));
 			count++;
@@ -228,7 +229,7 @@
 	world.leader_stalls = true;
 	workers = run_workers(0.01);
 	for (int i = 0; i < WORKERS; i++) {
-		assert_int_not_equal(workers[i].rc, 0);
+		assert_int_not_equal(workers[i].result, FL_FORWARD_ANSWERED);
 		assert_true(workers[i].duration_s < 0.75 * worker_timeout_s);
 	}
 	assert_int_equal(count_answered(workers), 0);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -8,7 +8,6 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include <errno.h>
 #include <math.h>
 #include <string.h>
 
@@ -46,7 +45,8 @@
 
 	/* Gone for good: its work is free once, and a later heartbeat changes nothing. */
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
-	assert_int_equal(deliver_idle_heartbeat(fixture, 2, 6), -ENOENT);
+	assert_int_equal(deliver_idle_heartbeat(fixture, 2, 6),
+	                 REJECTED(FL_RECONCILE_DECOMMISSIONED));
 	assert_int_equal(fixture->job->counts.waiting, 4);
 }
 
@@ -249,7 +249,8 @@
 	assert_int_equal(fixture->job->counts.placed, 1);
 
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
-	assert_int_equal(deliver_task_heartbeat(fixture, 2, 13, &status), -ENOENT);
+	assert_int_equal(deliver_task_heartbeat(fixture, 2, 13, &status),
+	                 REJECTED(FL_RECONCILE_DECOMMISSIONED));
 	assert_true(only_machine(fixture)->lifecycle.decommissioned &&
 	            !only_machine(fixture)->lifecycle.up);
 }
