--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -270,6 +270,11 @@
 	ev_loop_destroy(waiting->loop);
 }
 
+double renewable_time(const struct node_fixture *fixture)
+{
+	return fixture->config.cancel_s - fixture->config.lease_s - 1;
+}
+
 cJSON *cancelled_record(struct node_fixture *fixture, double seconds)
 {
 	struct fl_job_spec spec;
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -94,6 +94,9 @@
 
 void end_waiting_heartbeat(struct waiting_heartbeat *waiting);
 
+/* For so long after a cancellation leases may be renewed: one more then ends in time. */
+double renewable_time(const struct node_fixture *fixture);
+
 /* The record of the job, cancelled so long ago. */
 cJSON *cancelled_record(struct node_fixture *fixture, double seconds);
 
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -7,156 +7,9 @@
 
 enum { OVERDUE_AFTER_S = 120, RANK_FIRST = 3 };
 
-/* What bounds where a reservation or a start of one task may be. */
-struct constraint {
-	const double *latest_end; /* of each machine, in s from now; NULL: none */
-	double estimate_s;        /* of the task */
-	bool within_guarantee;    /* victims may be those that are beyond theirs */
-	bool image_cached_only;   /* where the image is cached, at 60 s of loss at most */
-};
-
-static bool model_ends_in_time(const struct constraint *constraint, int machine)
-{
-	return !constraint->latest_end || constraint->estimate_s <= constraint->latest_end[machine];
-}
-
-/* Of the attempts on a machine that may be preempted, that which loses least; -1: none. */
-static int model_cheapest_victim(const struct model *model, const struct fl_sched_job *job,
-                                 int machine, bool within_guarantee, const bool *victims)
-{
-	int cheapest = -1;
-
-	for (int i = 0; i < model->snapshot.attempt_count; i++) {
-		const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
-
-		if (attempt->machine == machine && !victims[i] &&
-		    model_may_preempt(model, job, attempt, within_guarantee) &&
-		    (cheapest < 0 || attempt->lost_s < model->snapshot.attempts[cheapest].lost_s))
-			cheapest = i;
-	}
-	return cheapest;
-}
-
-/* Cost of freeing resources for one task on a machine; INFINITY if that is impossible. */
-static double model_preemption_cost(const struct model *model, const struct fl_sched_job *job,
-                                    int machine, bool within_guarantee, bool *victims)
-{
-	struct fl_resources available = model_available(model, job, machine);
-	double cost = 0;
-
-	memset(victims, 0, sizeof(bool) * ATTEMPTS_MAX);
-	while (!model_fits(job, available)) {
-		int cheapest =
-			model_cheapest_victim(model, job, machine, within_guarantee, victims);
-
-		if (cheapest < 0)
-			return INFINITY;
-		victims[cheapest] = true;
-		fl_resources_add(&available, model->snapshot.attempts[cheapest].used);
-		cost += model->snapshot.attempts[cheapest].lost_s + 1;
-	}
-	return cost;
-}
-
-/* The machine on which one more task costs least to make fit; -1: none. */
-static int model_machine_to_reserve(const struct model *model, const struct fl_sched_job *job,
-                                    const struct constraint *constraint)
-{
-	double best_cost = INFINITY;
-	bool victims[ATTEMPTS_MAX];
-	int best = -1;
-
-	for (int i = 0; i < model->snapshot.machine_count; i++) {
-		const struct fl_sched_machine *machine = &model->snapshot.machines[i];
-		double cost;
-
-		if (!model_machine_allowed(job, machine) ||
-		    !model_zone_allowed(job, machine->zone) || !model_ends_in_time(constraint, i))
-			continue;
-		cost = model_preemption_cost(model, job, i, constraint->within_guarantee, victims);
-		if (constraint->image_cached_only &&
-		    (cost > 60 || (!model_image_cached(job, machine) && job->image_gb > 0)))
-			continue;
-		cost += model_score(model, job, machine);
-		if (cost < best_cost) {
-			best_cost = cost;
-			best = i;
-		}
-	}
-	return best;
-}
-
-/* Cheapest first, as they were chosen. */
-static void model_preempt(struct model *model, int machine, bool *victims)
-{
-	for (;;) {
-		int next = -1;
-
-		for (int i = 0; i < model->snapshot.attempt_count; i++)
-			if (victims[i] &&
-			    (next < 0 || model->snapshot.attempts[i].lost_s <
-			                         model->snapshot.attempts[next].lost_s))
-				next = i;
-		if (next < 0)
-			return;
-		victims[next] = false;
-		model->preemptions[model->preemption_count++] = next;
-		model->snapshot.attempts[next].stopping = true;
-		fl_resources_add(&model->freed_later[machine], model->snapshot.attempts[next].used);
-	}
-}
-
-/* Reserves the resources of one more task, and preempts what is in its way. */
-static bool model_request_one(struct model *model, struct fl_sched_job *job,
-                              const struct constraint *constraint)
-{
-	int best = model_machine_to_reserve(model, job, constraint);
-	struct fl_sched_machine *machine = &model->snapshot.machines[best < 0 ? 0 : best];
-	bool victims[ATTEMPTS_MAX];
-
-	if (best < 0)
-		return false;
-	model_preemption_cost(model, job, best, constraint->within_guarantee, victims);
-	model_preempt(model, best, victims);
-	fl_resources_subtract(&machine->free, job->need);
-	job->placed_by_zone[machine->zone]++;
-	if (!machine->requested.active) {
-		machine->requested.active = true;
-		machine->requested.within_guaranteed = constraint->within_guarantee;
-		machine->requested.priority = job->priority;
-	}
-	fl_resources_add(&machine->requested.resources, job->need);
-	return true;
-}
-
-/* Reserves for what could not be started; the number of tasks. */
-static uint32_t model_request_all(struct model *model, int job_index, struct constraint constraint)
-{
-	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
-	struct fl_team saved_team = model->snapshot.teams[job->team],
-		       *team = &model->snapshot.teams[job->team];
-	uint32_t requested = 0;
-
-	while (requested + model->awaiting_image_count < job->startable_count && !job->gang) {
-		constraint.within_guarantee =
-			job->within_guaranteed &&
-			model_within_guarantee(team, team->used_cpus + job->need.cpus,
-		                               team->used_gpus + job->need.gpus);
-		if (!model_within_team_maximum(model, job) ||
-		    (!constraint.within_guarantee && job->priority == FL_BEST_EFFORT) ||
-		    !model_request_one(model, job, &constraint))
-			break;
-		team->used_cpus += job->need.cpus;
-		team->used_gpus += job->need.gpus;
-		requested++;
-	}
-	*team = saved_team;
-	return requested;
-}
-
 /* The machine with the lowest score that may take one more task now; -1: none. */
 static int model_best_machine(const struct model *model, const struct fl_sched_job *job, int zone,
-                              const struct constraint *constraint)
+                              const struct model_constraint *constraint)
 {
 	int best = -1;
 
@@ -182,7 +35,7 @@
 static bool model_awaits_image(struct model *model, struct fl_sched_job *job,
                                const struct fl_sched_machine *machine)
 {
-	const struct constraint constraint = {.image_cached_only = true};
+	const struct model_constraint constraint = {.image_cached_only = true};
 	double fetch_s = model_image_cached(job, machine) ? 0 : job->image_gb / machine->pull_gb_s;
 
 	return model_goes_first(job) && !job->gang && fetch_s > 4 && job->waited_s < fetch_s &&
@@ -205,7 +58,7 @@
 
 /* Starts what fits; whether some of the rest found no machine. */
 static bool model_start_tasks(struct model *model, int job_index,
-                              const struct constraint *constraint)
+                              const struct model_constraint *constraint)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
 	const bool only_one =
@@ -302,9 +155,9 @@
 static void model_place_job(struct model *model, int job_index, double *latest_end)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
-	struct constraint constraint = {.estimate_s = job->estimate_s > 0 ? job->estimate_s
-	                                              : job->service      ? INFINITY
-	                                                                  : 3600};
+	struct model_constraint constraint = {.estimate_s = job->estimate_s > 0 ? job->estimate_s
+	                                                    : job->service      ? INFINITY
+	                                                                        : 3600};
 
 	/* The top's window does not bind what may stop the top's tasks. */
 	if (model->top_job >= 0 && model_rank(job) != RANK_FIRST &&
--- a/tests/schedule_model.h
+++ b/tests/schedule_model.h
@@ -24,6 +24,25 @@
 /* Plays one scheduling cycle on the snapshot in the model, and notes what it decides. */
 void model_cycle(struct model *model);
 
+/* ---- reservations ---- */
+
+/* What bounds where a reservation or a start of one task may be. */
+struct model_constraint {
+	const double *latest_end; /* of each machine, in s from now; NULL: none */
+	double estimate_s;        /* of the task */
+	bool within_guarantee;    /* victims may be those that are beyond theirs */
+	bool image_cached_only;   /* where the image is cached, at 60 s of loss at most */
+};
+
+bool model_ends_in_time(const struct model_constraint *constraint, int machine);
+
+/* Reserves the resources of one more task, and preempts what is in its way; whether it could. */
+bool model_request_one(struct model *model, struct fl_sched_job *job,
+                       const struct model_constraint *constraint);
+
+/* Reserves for what could not be started of a job; the number of tasks. */
+uint32_t model_request_all(struct model *model, int job_index, struct model_constraint constraint);
+
 /* ---- the rules, which change nothing ---- */
 
 /* May a task of the job run there at all, by type, zone and spot? */
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -56,18 +56,18 @@
 }
 
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *reply)
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	const char *text;
 
 	(void)client, (void)method, (void)body, (void)timeout_s;
-	memset(reply, 0, sizeof(*reply));
+	memset(out, 0, sizeof(*out));
 	fl_sleep(one_way_s);
 	text = answer(path);
 	if (fl_sleep(one_way_s) != 0)
 		return -ECANCELED;
-	reply->status = 200;
-	return fl_buffer_append(&reply->body, text, strlen(text));
+	out->status = 200;
+	return fl_buffer_append(&out->body, text, strlen(text));
 }
 
 static void start_election(void *arg)
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -45,7 +45,7 @@
 
 /* To the leader, or to the third controller, which passes messages on. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *reply)
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	bool to_leader =
 		client == &world.follower.peers[0].http || client == &world.third.peers[0].http;
@@ -63,7 +63,7 @@
 	fl_heartbeat_forward_serve(to_leader ? &world.leader : &world.third, body, strlen(body),
 	                           &response);
 	fl_sleep(one_way_s);
-	pass_response(&response, reply);
+	pass_response(&response, out);
 	return 0;
 }
 
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -42,7 +42,7 @@
 
 /* The link between the two: the leader answers half-way, by what it knows at that moment. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
-                 const char *body, double timeout_s, struct fl_http_reply *reply)
+                 const char *body, double timeout_s, struct fl_http_reply *out)
 {
 	struct fl_http_response response = {0};
 
@@ -60,7 +60,7 @@
 	fl_sleep(world.leader_stalls ? stall_s : one_way_s);
 	fl_status_query_serve(&world.leader, body, strlen(body), &response);
 	fl_sleep(one_way_s);
-	pass_response(&response, reply);
+	pass_response(&response, out);
 	return 0;
 }
 
