--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -41,7 +41,7 @@
 	return fl_status_query_encode(batch->refs, batch->count);
 }
 
-static int decode_answers(void *into, const char *body, size_t len)
+static enum fl_decode_result decode_answers(void *into, const char *body, size_t len)
 {
 	struct status_batch *batch = into;
 
@@ -115,12 +115,14 @@
 {
 	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_MAX, sizeof(*refs));
 	struct fl_job_status_report *reports = calloc(FL_STATUS_QUERY_MAX, sizeof(*reports));
-	bool has_memory = refs && reports;
-	int count = has_memory ? fl_status_query_decode(body, len, refs) : 0;
+	enum fl_decode_result result = FL_DECODE_NO_MEMORY;
+	int count = 0;
 
-	if (!has_memory) {
+	if (refs && reports)
+		result = fl_status_query_decode(body, len, refs, &count);
+	if (result == FL_DECODE_NO_MEMORY) {
 		fl_respond_unavailable(response, "memory is low");
-	} else if (count < 0) {
+	} else if (result == FL_DECODE_MALFORMED) {
 		fl_error("peers", "malformed status queries");
 		fl_respond_error(response, 400, "malformed status queries");
 	} else if (!fl_is_leader(node)) {
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -1,6 +1,5 @@
 #include "coordination/autoscaling/scale_out.h"
 
-#include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -21,44 +20,40 @@
 /* One rental, and what came of it. */
 struct rental {
 	const struct fl_scale_out_request *request;
-	const char *type, *zone;
 	char name[64];
+	struct fl_cloud_rental call; /* refers to the name above */
 	char (*hosts)[FL_NAME_MAX];
-	int host_count, rc;
+	int host_count;
+	enum fl_cloud_result result;
 };
 
-static struct rental new_rental(struct fl_node *node, const struct fl_scale_out_request *request)
+static void init_rental(struct fl_node *node, const struct fl_scale_out_request *request,
+                        struct rental *rental)
 {
-	struct rental rental = {
-		.request = request,
-		.type = node->cluster.machines.types[request->kind.type].name,
-		.zone = fl_symbol_name(&node->cluster.zones, request->kind.zone),
-		.rc = -EAGAIN,
-	};
+	struct fl_machine_kind kind = request->kind;
 
+	*rental = (struct rental){.request = request, .result = FL_CLOUD_UNAVAILABLE};
 	/* With the fencing token of the failover in it no other leader uses the name, ever. */
-	snprintf(rental.name, sizeof(rental.name), "r-%llu-%llu",
+	snprintf(rental->name, sizeof(rental->name), "r-%llu-%llu",
 	         (unsigned long long)node->leadership.first_fencing_token,
 	         (unsigned long long)++node->autoscaler.rental_name_count);
-	return rental;
+	rental->call = (struct fl_cloud_rental){
+		rental->name, node->cluster.machines.types[kind.type].name,
+		fl_symbol_name(&node->cluster.zones, kind.zone), kind.spot, request->count};
 }
 
 /* Makes the rental; repeated when unanswered, which its name allows. */
 static enum fl_call_permission call_rent(struct fl_node *node, struct rental *rental)
 {
-	const struct fl_scale_out_request *request = rental->request;
-
 	for (int i = 0; i < tunables.tries; i++) {
 		enum fl_call_permission permission = fl_autoscaler_await_call_budget(node);
-		int rc;
 
 		if (permission != FL_CALL_ALLOWED)
 			return permission;
-		rc = fl_cloud_rent(&node->cloud, rental->name, rental->type, rental->zone,
-		                   request->kind.spot, request->count, &rental->hosts,
-		                   &rental->host_count);
-		rental->rc = rc;
-		if (rc == 0 || rc == -ENOSPC || rc == -EAGAIN || rc == -ECANCELED)
+		rental->result = fl_cloud_rent(&node->cloud, &rental->call, &rental->hosts,
+		                               &rental->host_count);
+		if (rental->result != FL_CLOUD_OUTCOME_UNKNOWN &&
+		    rental->result != FL_CLOUD_UNREADABLE)
 			break;
 	}
 	return FL_CALL_ALLOWED;
@@ -81,34 +76,33 @@
 
 static void log_rental(const struct rental *rental)
 {
-	const struct fl_scale_out_request *request = rental->request;
+	const struct fl_cloud_rental *call = &rental->call;
 
-	if (rental->rc == 0)
+	if (rental->result == FL_CLOUD_OK)
 		fl_info("cloud", "machines rented type=%s zone=%s spot=%d count=%d requested=%d",
-		        rental->type, rental->zone, request->kind.spot, rental->host_count,
-		        request->count);
+		        call->type, call->zone, call->spot, rental->host_count, call->count);
 	else
-		fl_info("cloud", "rental failed type=%s zone=%s spot=%d error=\"%s\"", rental->type,
-		        rental->zone, request->kind.spot, strerror(-rental->rc));
+		fl_info("cloud", "rental failed type=%s zone=%s spot=%d error=\"%s\"", call->type,
+		        call->zone, call->spot, fl_cloud_result_text(rental->result));
 }
 
 /* Makes one rental; whether the next may be made. */
 static bool scale_out_one(struct fl_node *node, const struct fl_scale_out_request *request)
 {
 	struct fl_machine_kind kind = request->kind;
-	struct rental rental = new_rental(node, request);
-	int rc;
+	struct rental rental;
 
+	init_rental(node, request, &rental);
 	if (call_rent(node, &rental) != FL_CALL_ALLOWED)
 		return false;
 	add_rented_machines(node, &rental);
 	free(rental.hosts);
 	log_rental(&rental);
-	rc = rental.rc;
-	if (rc == -ENOSPC || (rc == 0 && rental.host_count < request->count))
+	if (rental.result == FL_CLOUD_NO_CAPACITY ||
+	    (rental.result == FL_CLOUD_OK && rental.host_count < request->count))
 		node->autoscaler.no_capacity_until[kind.type][kind.zone][kind.spot] =
 			fl_now() + tunables.no_capacity_s;
-	return rc == 0 || rc == -ENOSPC;
+	return rental.result == FL_CLOUD_OK || rental.result == FL_CLOUD_NO_CAPACITY;
 }
 
 void fl_autoscaler_scale_out(struct fl_node *node)
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -125,16 +125,17 @@
 	return result;
 }
 
-static enum fl_forward_result result_of_decoding(int rc)
+static enum fl_forward_result result_of_decoding(enum fl_decode_result result)
 {
-	switch (rc) {
-	case 0:
+	switch (result) {
+	case FL_DECODE_OK:
 		return FL_FORWARD_ANSWERED;
-	case -EPROTO:
+	case FL_DECODE_MALFORMED:
 		return FL_FORWARD_MALFORMED_REPLY;
-	default:
-		return FL_FORWARD_OUT_OF_MEMORY;
+	case FL_DECODE_NO_MEMORY:
+		break;
 	}
+	return FL_FORWARD_OUT_OF_MEMORY;
 }
 
 enum fl_forward_result fl_forward_and_decode(struct fl_node *node,
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -34,8 +34,8 @@
  * must not forward it; `disconnected`: this node has lost the key-value store.
  */
 typedef char *(*fl_forward_encoder)(const void *context, bool last_hop, bool disconnected);
-/* Reads the body of a reply with status 200: 0, -EPROTO if it is malformed, or -ENOMEM. */
-typedef int (*fl_forward_decoder)(void *context, const char *body, size_t len);
+/* Reads the body of a reply with status 200. */
+typedef enum fl_decode_result (*fl_forward_decoder)(void *context, const char *body, size_t len);
 
 /* A request to be forwarded; nothing in it is owned. */
 struct fl_forward_request {
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -50,7 +50,7 @@
 	                                   .timeout_s = tunables.exchange_timeout_s};
 }
 
-static int decode_replies(void *into, const char *body, size_t len)
+static enum fl_decode_result decode_replies(void *into, const char *body, size_t len)
 {
 	struct heartbeat_batch *batch = into;
 
@@ -141,7 +141,7 @@
 	struct fl_http_response response = {.status = 500};
 	struct fl_heartbeat heartbeat;
 
-	if (fl_heartbeat_decode_json(item, &heartbeat) == 0) {
+	if (fl_heartbeat_decode_json(item, &heartbeat) == FL_DECODE_OK) {
 		heartbeat.entry_node = fl_node_index(node, entry_node);
 		fl_heartbeat_reply_as_leader(node, &heartbeat, &response);
 		fl_heartbeat_free(&heartbeat);
@@ -176,7 +176,7 @@
 	cJSON_ArrayForEach (item, message->list) {
 		struct fl_heartbeat heartbeat;
 
-		if (fl_heartbeat_decode_json(item, &heartbeat) != 0)
+		if (fl_heartbeat_decode_json(item, &heartbeat) != FL_DECODE_OK)
 			continue;
 		fl_heartbeat_cache(node, &heartbeat);
 		fl_heartbeat_free(&heartbeat);
@@ -208,7 +208,7 @@
 {
 	struct fl_peer_heartbeats message;
 
-	if (fl_peer_heartbeats_decode(body, len, &message) != 0) {
+	if (fl_peer_heartbeats_decode(body, len, &message) != FL_DECODE_OK) {
 		fl_error("peers", "request rejected: malformed path=%s", FL_PATH_HEARTBEATS);
 		fl_respond_error(response, 400, "malformed heartbeats");
 		return;
--- a/src/coordination/workers/command.c
+++ b/src/coordination/workers/command.c
@@ -47,8 +47,8 @@
 static void send_once(struct fl_node *node, struct fl_machine *machine)
 {
 	struct fl_heartbeat heartbeat;
+	enum fl_worker_result result;
 	char *body;
-	int rc;
 
 	machine->outbound.command_pending = false;
 	if (!fl_is_leader(node) || !accepts_commands(machine) || !machine->endpoint[0])
@@ -56,9 +56,9 @@
 	body = collect_commands(node, machine);
 	if (!body)
 		return;
-	rc = fl_worker_send_commands(machine->endpoint, body, tunables.timeout_s, &heartbeat);
+	result = fl_worker_send_commands(machine->endpoint, body, tunables.timeout_s, &heartbeat);
 	free(body);
-	if (rc == 200 || rc == 409) {
+	if (result == FL_WORKER_ACCEPTED || result == FL_WORKER_REJECTED) {
 		if (fl_is_leader(node))
 			fl_reconcile_heartbeat(node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND);
 		fl_heartbeat_free(&heartbeat);
--- a/tests/test_contract_cloud.c
+++ b/tests/test_contract_cloud.c
@@ -9,7 +9,6 @@
 #include <stdint.h>
 
 #include <cmocka.h>
-#include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -82,7 +81,7 @@
 }
 
 struct types_results {
-	int rc[3];
+	enum fl_cloud_result result[3];
 	struct fl_cloud_machine_type *types;
 	int count;
 };
@@ -95,9 +94,9 @@
 	int none_count;
 
 	fl_http_client_init(&cloud.http, address, 1);
-	got->rc[0] = fl_cloud_machine_types(&cloud, &got->types, &got->count);
-	got->rc[1] = fl_cloud_machine_types(&cloud, &none, &none_count);
-	got->rc[2] = fl_cloud_machine_types(&cloud, &none, &none_count);
+	got->result[0] = fl_cloud_machine_types(&cloud, &got->types, &got->count);
+	got->result[1] = fl_cloud_machine_types(&cloud, &none, &none_count);
+	got->result[2] = fl_cloud_machine_types(&cloud, &none, &none_count);
 	fl_http_client_close(&cloud.http);
 }
 
@@ -112,33 +111,34 @@
 
 	(void)state;
 	contract_run(ask_for_types, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_machine_types(got.types, got.count);
 	free(got.types);
-	assert_int_equal(got.rc[1], -EAGAIN);
-	assert_int_equal(got.rc[2], -EAGAIN);
+	assert_int_equal(got.result[1], FL_CLOUD_UNAVAILABLE);
+	assert_int_equal(got.result[2], FL_CLOUD_UNAVAILABLE);
 }
 
 struct rental_results {
-	int rc[4];
+	enum fl_cloud_result result[4];
 	char (*hosts[3])[FL_NAME_MAX];
 	int count[3];
 };
 
 static void rent_and_delete(const char *address, void *results)
 {
+	static const struct fl_cloud_rental rentals[] = {
+		{"r-17", "g8", "zone-a", true, 12},
+		{"r-18", "c32", "zone-b", false, 1},
+		{"r-18", "c32", "zone-b", false, 1},
+	};
 	static const char *const returned[] = {"m-000231", "m-000232"};
 	struct rental_results *got = results;
 	struct fl_cloud cloud;
 
 	fl_http_client_init(&cloud.http, address, 1);
-	got->rc[0] = fl_cloud_rent(&cloud, "r-17", "g8", "zone-a", true, 12, &got->hosts[0],
-	                           &got->count[0]);
-	got->rc[1] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[1],
-	                           &got->count[1]);
-	got->rc[2] = fl_cloud_rent(&cloud, "r-18", "c32", "zone-b", false, 1, &got->hosts[2],
-	                           &got->count[2]);
-	got->rc[3] = fl_cloud_delete(&cloud, returned, COUNT_OF(returned));
+	for (int i = 0; i < 3; i++)
+		got->result[i] = fl_cloud_rent(&cloud, &rentals[i], &got->hosts[i], &got->count[i]);
+	got->result[3] = fl_cloud_delete(&cloud, returned, COUNT_OF(returned));
 	fl_http_client_close(&cloud.http);
 }
 
@@ -163,14 +163,14 @@
 
 	(void)state;
 	contract_run(rent_and_delete, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_int_equal(got.count[0], 2);
 	assert_string_equal(got.hosts[0][0], "m-000231");
 	assert_string_equal(got.hosts[0][1], "m-000232");
 	free(got.hosts[0]);
-	assert_int_equal(got.rc[1], -ENOSPC);
-	assert_int_equal(got.rc[2], -EAGAIN);
-	assert_int_equal(got.rc[3], 0);
+	assert_int_equal(got.result[1], FL_CLOUD_NO_CAPACITY);
+	assert_int_equal(got.result[2], FL_CLOUD_UNAVAILABLE);
+	assert_int_equal(got.result[3], FL_CLOUD_OK);
 }
 
 static const char first_listed_text[] =
@@ -185,7 +185,8 @@
 	"\"More\":false}";
 
 struct rental_list_results {
-	int rc[2], count[2];
+	enum fl_cloud_result result[2];
+	int count[2];
 	struct fl_cloud_machine *hosts[2];
 	bool more[2];
 };
@@ -198,8 +199,8 @@
 
 	fl_http_client_init(&cloud.http, address, 1);
 	for (int i = 0; i < 2; i++)
-		got->rc[i] = fl_cloud_list(&cloud, from[i], &got->hosts[i], &got->count[i],
-		                           &got->more[i]);
+		got->result[i] = fl_cloud_list(&cloud, from[i], &got->hosts[i], &got->count[i],
+		                               &got->more[i]);
 	fl_http_client_close(&cloud.http);
 }
 
@@ -233,12 +234,12 @@
 
 	(void)state;
 	contract_run(list_machines, &got, script, COUNT_OF(script));
-	assert_int_equal(got.rc[0], 0);
+	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_int_equal(got.count[0], 2);
 	assert_true(got.more[0]);
 	assert_listed_machine(&got.hosts[0][0], &expected[0]);
 	assert_listed_machine(&got.hosts[0][1], &expected[1]);
-	assert_int_equal(got.rc[1], 0);
+	assert_int_equal(got.result[1], FL_CLOUD_OK);
 	assert_int_equal(got.count[1], 1);
 	assert_false(got.more[1]);
 	assert_listed_machine(&got.hosts[1][0], &expected[2]);
--- a/tests/test_contract_peers.c
+++ b/tests/test_contract_peers.c
@@ -14,6 +14,7 @@
 
 #include "contract_heartbeats.h"
 #include "contract_text.h"
+#include "protocol/heartbeat_digests.h"
 #include "protocol/peer_heartbeats.h"
 #include "protocol/peers.h"
 #include "protocol/status_messages.h"
@@ -187,9 +188,11 @@
 	static const char text[] = "{\"refs\":[\"run-000412\",\"run-000413\"]}";
 	static const char refs[][FL_REF_MAX] = {"run-000412", "run-000413"};
 	char got[FL_STATUS_QUERY_MAX][FL_REF_MAX];
+	int count;
 
 	(void)state;
-	assert_int_equal(fl_status_query_decode(text, strlen(text), got), COUNT_OF(refs));
+	assert_int_equal(fl_status_query_decode(text, strlen(text), got, &count), FL_DECODE_OK);
+	assert_int_equal(count, COUNT_OF(refs));
 	assert_string_equal(got[0], refs[0]);
 	assert_string_equal(got[1], refs[1]);
 	assert_text(fl_status_query_encode(refs, COUNT_OF(refs)), text);
--- a/tests/test_contract_progress_records.c
+++ b/tests/test_contract_progress_records.c
@@ -16,7 +16,7 @@
 #include "contract_heartbeats.h"
 #include "contract_records_fixture.h"
 #include "contract_text.h"
-#include "protocol/peers.h"
+#include "protocol/heartbeat_digests.h"
 
 /* ---- progress records and the write-ahead log ---- */
 
--- a/tests/test_contract_workers.c
+++ b/tests/test_contract_workers.c
@@ -105,7 +105,7 @@
 
 struct command_results {
 	char *body;
-	int status[3];
+	enum fl_worker_result result[3];
 	struct fl_heartbeat heartbeats[3];
 };
 
@@ -114,7 +114,7 @@
 	struct command_results *got = results;
 
 	for (int i = 0; i < 3; i++)
-		got->status[i] =
+		got->result[i] =
 			fl_worker_send_commands(address, got->body, 5, &got->heartbeats[i]);
 }
 
@@ -144,11 +144,11 @@
 
 	contract_run(send_commands, &got, script, COUNT_OF(script));
 	free(got.body);
-	assert_int_equal(got.status[0], 200);
+	assert_int_equal(got.result[0], FL_WORKER_ACCEPTED);
 	assert_heartbeat(&got.heartbeats[0], &busy);
-	assert_int_equal(got.status[1], 409);
+	assert_int_equal(got.result[1], FL_WORKER_REJECTED);
 	assert_heartbeat(&got.heartbeats[1], &idle_heartbeat);
-	assert_int_equal(got.status[2], 400);
+	assert_int_equal(got.result[2], FL_WORKER_INVALID);
 	assert_int_equal(got.heartbeats[2].task_count, 0);
 
 	for (int i = 0; i < 3; i++)
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -60,11 +60,11 @@
 }
 
 /* `into`: what the reading of a body comes to. */
-static int decode(void *into, const char *body, size_t len)
+static enum fl_decode_result decode(void *into, const char *body, size_t len)
 {
 	assert_int_equal(len, 1);
 	assert_int_equal(body[0], 'x');
-	return *(int *)into;
+	return *(const enum fl_decode_result *)into;
 }
 
 static struct fl_forward_request request_of(enum fl_forward_hop hop)
@@ -145,7 +145,7 @@
 }
 
 static enum fl_forward_result forward_and_decode(struct node_fixture *fixture, int status,
-                                                 int decoded)
+                                                 enum fl_decode_result decoded)
 {
 	const struct fl_forward_request request = request_of(FL_HOP_LAST);
 
@@ -161,11 +161,13 @@
 	struct fl_http_reply reply;
 
 	follow(fixture);
-	assert_int_equal(forward_and_decode(fixture, 200, 0), FL_FORWARD_ANSWERED);
-	assert_int_equal(forward_and_decode(fixture, 200, -EPROTO), FL_FORWARD_MALFORMED_REPLY);
-	assert_int_equal(forward_and_decode(fixture, 200, -ENOMEM), FL_FORWARD_OUT_OF_MEMORY);
-	assert_int_equal(forward_and_decode(fixture, 503, 0), FL_FORWARD_REJECTED);
-	assert_int_equal(forward_and_decode(fixture, 421, 0), FL_FORWARD_NO_LEADER);
+	assert_int_equal(forward_and_decode(fixture, 200, FL_DECODE_OK), FL_FORWARD_ANSWERED);
+	assert_int_equal(forward_and_decode(fixture, 200, FL_DECODE_MALFORMED),
+	                 FL_FORWARD_MALFORMED_REPLY);
+	assert_int_equal(forward_and_decode(fixture, 200, FL_DECODE_NO_MEMORY),
+	                 FL_FORWARD_OUT_OF_MEMORY);
+	assert_int_equal(forward_and_decode(fixture, 503, FL_DECODE_OK), FL_FORWARD_REJECTED);
+	assert_int_equal(forward_and_decode(fixture, 421, FL_DECODE_OK), FL_FORWARD_NO_LEADER);
 	request.encode = encode_nothing;
 	world.links[0].calls = 0;
 	assert_int_equal(fl_forward(&fixture->node, &request, &reply), FL_FORWARD_OUT_OF_MEMORY);
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -235,7 +235,7 @@
 	assert_int_equal(count_answered(workers), 0);
 }
 
-static int decode_answers(const char *text, int count)
+static enum fl_decode_result decode_answers(const char *text, int count)
 {
 	struct fl_heartbeat_reply answers[4];
 
@@ -263,12 +263,12 @@
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++)
 		assert_int_equal(
 			fl_peer_heartbeats_decode(malformed[i], strlen(malformed[i]), &message),
-			-EPROTO);
-	assert_int_equal(decode_answers("[]", 1), -EPROTO);
-	assert_int_equal(decode_answers("[{\"status\":200,\"body\":7}]", 1), -EPROTO);
+			FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answers("[]", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_answers("[{\"status\":200,\"body\":7}]", 1), FL_DECODE_MALFORMED);
 	assert_int_equal(decode_answers("[{\"status\":200,\"body\":\"\"},{\"status\":7}]", 2),
-	                 -EPROTO);
-	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), -EPROTO);
+	                 FL_DECODE_MALFORMED);
+	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), FL_DECODE_MALFORMED);
 
 	/* What is no heartbeat among others is refused alone. */
 	fl_heartbeat_list_add(list, "{\"Host\":7}");
