--- a/src/coordination/election/leader_view.c
+++ b/src/coordination/election/leader_view.c
@@ -6,19 +6,16 @@
 #include "transport/clock.h"
 #include "transport/text.h"
 
-/* A steady time before any other. */
-#define LONG_AGO (-1e9)
-
 void fl_leader_view_init(struct fl_leader_view *view)
 {
 	memset(view, 0, sizeof(*view));
-	view->confirmed_at = LONG_AGO;
+	view->confirmed_at = FL_LONG_AGO;
 }
 
-void fl_leader_view_confirm(struct fl_leader_view *view, double at)
+void fl_leader_view_confirm(struct fl_leader_view *view, double confirmed_at)
 {
-	if (at > view->confirmed_at)
-		view->confirmed_at = at;
+	if (confirmed_at > view->confirmed_at)
+		view->confirmed_at = confirmed_at;
 }
 
 void fl_leader_view_learn(struct fl_leader_view *view, uint64_t fencing_token, const char *leader,
@@ -47,23 +44,22 @@
 	}
 }
 
-enum fl_kv_result fl_leader_view_read(struct fl_node *node, struct fl_election_state *out)
+enum fl_kv_result fl_leader_view_read(struct fl_leader_view *view, struct fl_kv_store *store,
+                                      struct fl_election_state *out)
 {
-	struct fl_leader_view *view = &node->leader_view;
-	double sent = fl_now();
+	double sent_at = fl_now();
 	enum fl_kv_result result;
 	uint64_t revision;
 
 	memset(out, 0, sizeof(*out));
-	result = fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_key, out, &revision);
+	result = fl_kv_list(store, FL_PREFIX_ELECTION, on_election_key, out, &revision);
 	if (result != FL_KV_OK)
 		return result;
-	if (out->fencing_token >= view->fencing_token) {
-		view->fencing_token = out->fencing_token;
-		fl_leader_view_confirm(view, sent);
-		fl_copy_string(view->leader, sizeof(view->leader),
-		               out->has_leader ? out->leader.node : "");
-	}
+	if (out->fencing_token < view->fencing_token)
+		return FL_KV_OK;
+	view->fencing_token = out->fencing_token;
+	fl_leader_view_confirm(view, sent_at);
+	fl_copy_string(view->leader, sizeof(view->leader), out->has_leader ? out->leader.node : "");
 	return FL_KV_OK;
 }
 
@@ -71,5 +67,5 @@
 {
 	struct fl_election_state state;
 
-	return fl_leader_view_read(node, &state);
+	return fl_leader_view_read(&node->leader_view, &node->kv_store, &state);
 }
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -199,8 +199,12 @@
 {
 	struct fl_http_response response = {.status = 500};
 
-	fl_route_user_request(&fixture->node, kind, ref, body, body ? strlen(body) : 0,
-	                      FL_HOP_FIRST, &response);
+	fl_route_user_request(&fixture->node,
+	                      &(struct fl_client_request){.kind = kind,
+	                                                  .ref = ref,
+	                                                  .body = body,
+	                                                  .body_len = body ? strlen(body) : 0},
+	                      &response);
 	return response;
 }
 
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -29,8 +29,10 @@
 {
 	struct query *query = argument;
 
-	fl_route_user_request(&query->fixture->node, FL_USER_REQUEST_STATUS, query->ref, NULL, 0,
-	                      FL_HOP_FIRST, &query->response);
+	fl_route_user_request(
+		&query->fixture->node,
+		&(struct fl_client_request){.kind = FL_USER_REQUEST_STATUS, .ref = query->ref},
+		&query->response);
 	if (query->response.body)
 		copy_text(query->body, sizeof(query->body), query->response.body);
 	free(query->response.body);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -29,6 +29,7 @@
 	const char *position = old ? strstr(good_settings, old) : NULL;
 	char name[64];
 	FILE *file;
+	struct fl_config_error found;
 	int rc;
 
 	snprintf(name, sizeof(name), "settings-%d.toml", (int)getpid());
@@ -42,7 +43,9 @@
 		fputs(good_settings, file);
 	fclose(file);
 	error[0] = 0;
-	rc = fl_config_read(name, config, error, size);
+	rc = fl_config_read(name, config, &found);
+	if (rc != FL_CONFIG_OK)
+		fl_config_error_text(&found, error, size);
 	unlink(name);
 	free(config);
 	return rc;
@@ -90,10 +93,12 @@
 static void a_settings_file_that_cannot_be_read_is_named(void **state)
 {
 	struct fl_config *config = calloc(1, sizeof(*config));
+	struct fl_config_error found;
 	char error[512];
 
 	(void)state;
-	assert_int_not_equal(fl_config_read("no/such/file", config, error, sizeof(error)), 0);
+	assert_int_equal(fl_config_read("no/such/file", config, &found), FL_CONFIG_UNREADABLE);
+	fl_config_error_text(&found, error, sizeof(error));
 	assert_non_null(strstr(error, "no/such/file"));
 	free(config);
 }
