--- a/tests/test_message_costs.c
+++ b/tests/test_message_costs.c
@@ -41,22 +41,23 @@
 	long idle_bytes;
 } run;
 
-ssize_t recv(int fd, void *buffer, size_t size, int flags)
+/* The names of their parameters are the library's. */
+ssize_t recv(int fd, void *buf, size_t n, int flags)
 {
 	calls.receives++;
-	return syscall(SYS_recvfrom, fd, buffer, size, flags, NULL, NULL);
+	return syscall(SYS_recvfrom, fd, buf, n, flags, NULL, NULL);
 }
 
-ssize_t send(int fd, const void *buffer, size_t size, int flags)
+ssize_t send(int fd, const void *buf, size_t n, int flags)
 {
 	calls.sends++;
-	return syscall(SYS_sendto, fd, buffer, size, flags, NULL, 0);
+	return syscall(SYS_sendto, fd, buf, n, flags, NULL, 0);
 }
 
-int epoll_ctl(int epoll_fd, int operation, int fd, struct epoll_event *event)
+int epoll_ctl(int epfd, int op, int fd, struct epoll_event *event)
 {
 	calls.registrations++;
-	return (int)syscall(SYS_epoll_ctl, epoll_fd, operation, fd, event);
+	return (int)syscall(SYS_epoll_ctl, epfd, op, fd, event);
 }
 
 /* As deep as a heartbeat is read: the stack below is touched. */
