--- a/tests/contract_store_fixture.c
+++ b/tests/contract_store_fixture.c
@@ -13,6 +13,7 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
+#include "copy_text.h"
 #include "transport/clock.h"
 #include "virtual_time_fixture.h"
 
@@ -20,7 +21,7 @@
 
 struct contract_store world;
 
-void sim_process_computes(int process) { (void)process; }
+void sim_process_compute(int process) { (void)process; }
 
 void store_record(const char *key, const char *value, int mod_revision, int lease_id)
 {
@@ -89,7 +90,7 @@
 		return answer_watch(path + strlen(watch), body);
 	if (strcmp(path, "/multi") == 0) {
 		sim_require(world.written_count < WRITES_MAX);
-		sim_copy(world.written[world.written_count++], TEXT_MAX, text);
+		copy_text(world.written[world.written_count++], TEXT_MAX, text);
 		fl_buffer_printf(body, "{\"LedgerRev\":92}");
 	} else if (strcmp(path, "/machine_types") == 0) {
 		fl_buffer_printf(body, "%s", MACHINE_TYPES);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -18,36 +18,36 @@
 
 static void send_heartbeat(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->worker[worker_index];
+	struct worker *worker = &sim->workers[worker_index];
 	char *text;
 
 	/* An answer in flight is carried out before the next heartbeat or never. */
-	if (worker->answer && random_below(sim, 4))
-		execute_orders(sim, worker_index, worker->answer, false);
-	drop_answer(worker);
-	text = report_text(sim, worker_index);
+	if (worker->reply_in_flight && random_below(sim, 4))
+		execute_commands(sim, worker_index, worker->reply_in_flight, false);
+	drop_reply(worker);
+	text = encode_heartbeat(sim, worker_index);
 	if (random_below(sim, 5))
-		deliver_report(sim, worker_index, text, FL_HEARTBEAT_FROM_WORKER);
+		deliver_heartbeat(sim, worker_index, text, FL_HEARTBEAT_FROM_WORKER);
 	queue_message(sim, worker_index, text, false);
 }
 
 static void end_some_task(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->worker[worker_index];
+	struct worker *worker = &sim->workers[worker_index];
 	struct fl_task_status *status;
 
 	/* Not used, but drawn so that each seed still plays the same case. */
-	(void)random_below(sim, ENTRIES);
-	for (int i = 0; i < ENTRIES; i++) {
-		if (!worker->at[i].used || worker->at[i].status.state == FL_TASK_STATE_EXITED ||
-		    random_below(sim, 3))
+	(void)random_below(sim, WORKER_TASKS);
+	for (int i = 0; i < WORKER_TASKS; i++) {
+		if (!worker->tasks[i].used ||
+		    worker->tasks[i].status.state == FL_TASK_STATE_EXITED || random_below(sim, 3))
 			continue;
-		status = &worker->at[i].status;
+		status = &worker->tasks[i].status;
 		status->state = FL_TASK_STATE_EXITED;
 		status->exit = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
 		if (status->exit == FL_EXIT_DONE) {
 			sim->actually_done[atoi(status->ref + 4)][status->index] = true;
-			sim->dones++;
+			sim->completions++;
 		}
 		return;
 	}
@@ -55,11 +55,11 @@
 
 static void end_incarnation(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->worker[worker_index];
+	struct worker *worker = &sim->workers[worker_index];
 
-	memset(worker->at, 0, sizeof(worker->at));
+	memset(worker->tasks, 0, sizeof(worker->tasks));
 	worker->incarnation++;
-	drop_answer(worker);
+	drop_reply(worker);
 }
 
 static void end_incarnation_sometimes(struct simulation *sim, int worker)
@@ -71,33 +71,33 @@
 static void take_over_sometimes(struct simulation *sim, int worker)
 {
 	(void)worker;
-	if (random_below(sim, 4 * sim->calm) == 0)
-		take_over(sim);
+	if (random_below(sim, 4 * sim->token_change_interval) == 0)
+		fail_over(sim);
 }
 
 static void raise_fencing_token_sometimes(struct simulation *sim, int worker)
 {
 	(void)worker;
-	if (random_below(sim, 3 * sim->calm) == 0)
+	if (random_below(sim, 3 * sim->token_change_interval) == 0)
 		sim->node.leader_lease.fencing_token = ++sim->fencing_token;
 }
 
-static void deliver_late_message(struct simulation *sim, int worker)
+static void deliver_late_message_step(struct simulation *sim, int worker)
 {
 	(void)worker;
-	deliver_late(sim);
+	deliver_late_message(sim);
 }
 
-static void save_some_records(struct simulation *sim, int worker)
+static void save_some_records_step(struct simulation *sim, int worker)
 {
 	(void)worker;
-	save_some(sim);
+	save_some_records(sim);
 }
 
-static void place_some_tasks(struct simulation *sim, int worker)
+static void place_some_tasks_step(struct simulation *sim, int worker)
 {
 	(void)worker;
-	place_some(sim);
+	place_some_tasks(sim);
 }
 
 /* The scheduler stops something to free its resources. */
@@ -120,11 +120,11 @@
 	{1, end_incarnation_sometimes},
 	{1, take_over_sometimes},
 	{1, raise_fencing_token_sometimes},
-	{3, deliver_late_message},
-	{2, command_directly},
+	{3, deliver_late_message_step},
+	{2, send_direct_command},
 	{2, end_some_task},
-	{3, save_some_records},
-	{2, place_some_tasks},
+	{3, save_some_records_step},
+	{2, place_some_tasks_step},
 	{1, preempt_a_task},
 	{8, send_heartbeat},
 };
@@ -156,9 +156,9 @@
 		set_up(sim, seed);
 		for (int i = 0; i < 1500; i++)
 			step(sim);
-		start_commands += sim->launches;
-		done_tasks += sim->dones;
-		failovers += sim->takeovers;
+		start_commands += sim->starts;
+		done_tasks += sim->completions;
+		failovers += sim->failovers;
 		for (int j = 0; j < JOBS; j++) {
 			bool all = true;
 
