--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -11,6 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "contract_text.h"
 #include "transport/clock.h"
 
 const struct fl_job_spec live_spec = {
@@ -36,27 +37,11 @@
 	.same_zone = true,
 };
 
-const struct fl_heartbeat without_tasks = {.host = "m-000013",
-                                           .incarnation = 105,
-                                           .sequence = 106,
-                                           .fencing_token = 107,
-                                           .interruption_in_s = -1};
-
-cJSON *parse(const char *text)
-{
-	cJSON *tree = fl_json_parse(text, strlen(text));
-
-	assert_non_null(tree);
-	return tree;
-}
-
-void assert_text(cJSON *tree, const char *expected)
-{
-	char *text = fl_json_print_and_delete(tree);
-
-	assert_string_equal(text, expected);
-	free(text);
-}
+const struct fl_heartbeat heartbeat_without_tasks = {.host = "m-000013",
+                                                     .incarnation = 105,
+                                                     .sequence = 106,
+                                                     .fencing_token = 107,
+                                                     .interruption_in_s = -1};
 
 void add_zones_and_teams(struct fl_cluster *cluster)
 {
@@ -71,7 +56,7 @@
 {
 	struct fl_job *job;
 	struct fl_cloud_machine_type *types;
-	cJSON *tree = parse(MACHINE_TYPES);
+	cJSON *tree = parse_json(MACHINE_TYPES);
 	int count;
 
 	assert_int_equal(fl_machine_types_decode(tree, &types, &count), 0);
@@ -157,7 +142,7 @@
 	assert_int_equal(job->counts.waiting, 124);
 }
 
-struct fl_heartbeat make_report(struct fl_task_status tasks[13])
+struct fl_heartbeat make_heartbeat(struct fl_task_status tasks[13])
 {
 	static const enum fl_task_state states[] = {FL_TASK_STATE_PULLING, FL_TASK_STATE_RUNNING,
 	                                            FL_TASK_STATE_CHECKPOINTING,
@@ -179,12 +164,11 @@
 	                                 .tasks = tasks,
 	                                 .task_count = 13};
 
-	for (uint32_t number = 0; number < CACHED_TASKS; number++) {
-		tasks[number] =
-			(struct fl_task_status){.index = 3 + number, .attempt = 21 + number};
-		snprintf(tasks[number].ref, sizeof(tasks[number].ref), "run-%06u", 412 + number);
-		tasks[number].state = number < 4 ? states[number] : FL_TASK_STATE_EXITED;
-		tasks[number].exit = number < 4 ? FL_EXIT_OTHER : exits[number - 4];
+	for (uint32_t i = 0; i < CACHED_TASKS; i++) {
+		tasks[i] = (struct fl_task_status){.index = 3 + i, .attempt = 21 + i};
+		snprintf(tasks[i].ref, sizeof(tasks[i].ref), "run-%06u", 412 + i);
+		tasks[i].state = i < 4 ? states[i] : FL_TASK_STATE_EXITED;
+		tasks[i].exit = i < 4 ? FL_EXIT_OTHER : exits[i - 4];
 	}
 	return heartbeat;
 }
--- /dev/null
+++ b/tests/test_contract_job_records.c
@@ -0,0 +1,234 @@
+/*
+ * The golden test of stored job records, machine types and keys: one literal text of each kind is
+ * read, where every field must get its value, and written from that state, byte for byte. A field,
+ * key or word that is renamed in what is stored fails here, also if both sides are.
+ */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include <cmocka.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "contract_records_fixture.h"
+#include "contract_text.h"
+
+/* ---- job records ---- */
+
+static struct fl_job_record read_record(const char *text, const char *ref)
+{
+	struct fl_job_record record;
+	cJSON *tree = parse_json(text);
+
+	assert_int_equal(fl_job_record_decode(tree, ref, &record), 0);
+	cJSON_Delete(tree);
+	return record;
+}
+
+static const struct fl_job_spec cancelled_spec = {
+	.ref = "run-000413",
+	.job_class = "hourly",
+	.team = "biology",
+	.image = "fold:2",
+	.machine_type_count = -1,
+	.kind = FL_SERVICE,
+	.priority = FL_CRITICAL,
+	.task_count = 9,
+	.cpus = 10.5,
+	.gpus = 11,
+	.ram_gb = 12.5,
+	.image_gb = 13.5,
+	.expected_s = 14.5,
+	.checkpoint_every_s = 15.5,
+	.checkpoint_cost_s = 16.5,
+	.due_s = -1,
+	.spread_zones = true,
+};
+
+static const struct fl_job_spec spot_spec = {
+	.ref = "run-000414",
+	.job_class = "hourly",
+	.team = "biology",
+	.image = "fold:3",
+	.kind = FL_ARRAY,
+	.priority = FL_BEST_EFFORT,
+	.task_count = 3,
+	.cpus = 1,
+	.ram_gb = 2,
+	.image_gb = 4,
+	.expected_s = 5,
+	.checkpoint_every_s = 6,
+	.checkpoint_cost_s = 7,
+	.spot_allowed = true,
+};
+
+static const struct fl_job_spec standard_spec = {
+	.ref = "run-000415",
+	.job_class = "c",
+	.team = "biology",
+	.image = "i",
+	.machine_type_count = -1,
+	.kind = FL_ARRAY,
+	.priority = FL_STANDARD,
+	.task_count = 1,
+	.cpus = 1,
+	.ram_gb = 2,
+	.image_gb = 4,
+	.expected_s = 5,
+	.checkpoint_every_s = 6,
+	.checkpoint_cost_s = 7,
+	.due_s = -1,
+};
+
+static void assert_live(const char *text, const struct fl_job_spec *spec, double submitted)
+{
+	struct fl_job_record record = read_record(text, spec->ref);
+
+	assert_false(record.final);
+	assert_true(record.has_spec);
+	assert_int_equal(record.task_count, spec->task_count);
+	assert_true(record.submitted_wall == submitted);
+	assert_true(record.cancelled_wall == 0);
+	assert_job_spec(&record.spec, spec);
+	assert_json_text(fl_job_record_live(spec, submitted), text);
+}
+
+static void a_live_job_is_stored_with_every_field_of_its_description(void **state)
+{
+	(void)state;
+	assert_live(LIVE_JOB, &live_spec, 1700000100.25);
+	assert_live(SPOT_JOB, &spot_spec, 8);
+	assert_live(STANDARD_JOB, &standard_spec, 8);
+}
+
+static void a_cancelled_job_is_stored_with_its_description_and_end(void **state)
+{
+	struct fl_job_record record = read_record(CANCELLED_JOB, "run-000413");
+
+	(void)state;
+	assert_true(record.final);
+	assert_int_equal(record.status, FL_CANCELLED);
+	assert_true(record.has_spec);
+	assert_int_equal(record.task_count, 9);
+	assert_true(record.submitted_wall == 1700000200.5);
+	assert_true(record.cancelled_wall == 1700000300.75);
+	assert_job_spec(&record.spec, &cancelled_spec);
+	assert_json_text(fl_job_record_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
+	                 CANCELLED_JOB);
+}
+
+static void assert_final(const char *text, enum fl_job_status status, uint32_t task_count)
+{
+	struct fl_job_record record = read_record(text, "run-000412");
+
+	assert_true(record.final);
+	assert_false(record.has_spec);
+	assert_int_equal(record.status, status);
+	assert_int_equal(record.task_count, task_count);
+	assert_json_text(fl_job_record_final(status, task_count), text);
+}
+
+static void a_job_that_is_over_is_stored_as_its_status_and_size(void **state)
+{
+	(void)state;
+	assert_final(FINAL_DONE, FL_DONE, 71);
+	assert_final(FINAL_CANCELLED, FL_CANCELLED, 72);
+}
+
+/* What a job was submitted with survives its stay in memory, where its record is written from. */
+static void a_job_read_from_its_record_is_written_as_it_was(void **state)
+{
+	struct fl_cluster cluster = {0};
+	struct fl_job *job = add_job(&cluster);
+	struct fl_job_spec spec;
+
+	(void)state;
+	fl_job_describe(&cluster, job, &spec);
+	assert_json_text(fl_job_record_live(&spec, job->submitted_wall), LIVE_JOB);
+	fl_cluster_free(&cluster);
+}
+
+/* ---- machine types ---- */
+
+static void assert_large(const struct fl_cloud_machine_type *type)
+{
+	assert_string_equal(type->name, "large");
+	assert_true(type->cpus == 96);
+	assert_true(type->gpus == 8);
+	assert_true(type->ram_gb == 768.5);
+	assert_true(type->cache_gb == 900);
+	assert_true(type->pull_gb_s == 1.25);
+	assert_true(type->price == 9.5);
+	assert_true(type->spot_price == 3.5);
+	assert_true(type->ready_s == 45);
+	assert_int_equal(type->zone_count, 2);
+	assert_string_equal(type->zones[0], "north");
+	assert_string_equal(type->zones[1], "south");
+}
+
+static void machine_types_are_stored_with_every_field(void **state)
+{
+	struct fl_cloud_machine_type *types;
+	cJSON *tree = parse_json(MACHINE_TYPES);
+	int count;
+
+	(void)state;
+	assert_int_equal(fl_machine_types_decode(tree, &types, &count), 0);
+	cJSON_Delete(tree);
+	assert_int_equal(count, 2);
+	assert_large(&types[0]);
+	assert_string_equal(types[1].name, "small");
+	assert_json_text(fl_machine_types_encode(types, count), MACHINE_TYPES);
+	free(types);
+}
+
+/* ---- keys ---- */
+
+static void every_key_and_prefix_has_its_stored_form(void **state)
+{
+	char key[FL_KEY_MAX], ref[FL_REF_MAX];
+	uint32_t block_index;
+
+	(void)state;
+	assert_string_equal(FL_KEY_LEADER, "c/lead");
+	assert_string_equal(FL_KEY_FENCING_TOKEN, "c/epoch");
+	assert_string_equal(FL_PREFIX_ELECTION, "c/");
+	assert_string_equal(FL_KEY_MACHINE_TYPES, "m/kinds");
+	assert_string_equal(FL_PREFIX_JOBS, "j/");
+	assert_string_equal(FL_PREFIX_FINISHED, "f/");
+	assert_string_equal(FL_PREFIX_PROGRESS, "p/");
+	assert_string_equal(FL_PREFIX_HEARTBEAT_DIGESTS, "k/");
+	assert_string_equal(FL_PREFIX_WAL, "w/");
+	assert_string_equal(FL_KEY_WAL, "w/0");
+	assert_string_equal(FL_REF_BEGIN, "run-");
+	assert_int_equal(FL_TASK_BLOCK_SIZE, 64);
+
+	fl_key_job(key, "run-000412");
+	assert_string_equal(key, "j/run-000412");
+
+	fl_key_finished(key, "run-000413");
+	assert_string_equal(key, "f/run-000413");
+
+	fl_key_progress(key, "run-000414", 17);
+	assert_string_equal(key, "p/run-000414/17");
+	assert_int_equal(fl_key_progress_parse("p/run-000415/18", ref, &block_index), 0);
+	assert_string_equal(ref, "run-000415");
+	assert_int_equal(block_index, 18);
+	assert_int_not_equal(fl_key_progress_parse("j/run-000415/18", ref, &block_index), 0);
+}
+
+int main(void)
+{
+	const struct CMUnitTest tests[] = {
+		cmocka_unit_test(a_live_job_is_stored_with_every_field_of_its_description),
+		cmocka_unit_test(a_cancelled_job_is_stored_with_its_description_and_end),
+		cmocka_unit_test(a_job_that_is_over_is_stored_as_its_status_and_size),
+		cmocka_unit_test(a_job_read_from_its_record_is_written_as_it_was),
+		cmocka_unit_test(machine_types_are_stored_with_every_field),
+		cmocka_unit_test(every_key_and_prefix_has_its_stored_form),
+	};
+
+	return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -1,6 +1,6 @@
 /*
- * Polls without a leader: those for one job share a read of its record, and the reads stay
- * within the node's share of the state service.
+ * Status queries without a leader: those for one job share a read of its record, and the reads stay
+ * within the node's share of the key-value store.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,132 +17,138 @@
 #include "frontend_fixture.h"
 #include "transport/clock.h"
 
-struct question {
-	struct fixture *fixture;
+struct query {
+	struct frontend_fixture *fixture;
 	char ref[FL_REF_MAX];
-	struct fl_http_response resp;
+	struct fl_http_response response;
 	char body[256]; /* of the answer, once it is there */
 	bool answered;
 };
 
-static void ask(void *arg)
+static void send_query(void *argument)
 {
-	struct question *question = arg;
+	struct query *query = argument;
 
 	fl_route_user_request(
-		&question->fixture->node,
-		&(struct fl_client_request){.kind = FL_USER_REQUEST_STATUS, .ref = question->ref},
-		&question->resp);
-	if (question->resp.body)
-		copy_text(question->body, sizeof(question->body), question->resp.body);
-	free(question->resp.body);
-	question->answered = true;
+		&query->fixture->node,
+		&(struct fl_client_request){.kind = FL_USER_REQUEST_STATUS, .ref = query->ref},
+		&query->response);
+	if (query->response.body)
+		copy_text(query->body, sizeof(query->body), query->response.body);
+	free(query->response.body);
+	query->answered = true;
 }
 
-enum { ASKERS = 40 };
+enum { QUERIES = 40 };
 
-static int answered_with(const struct question *question, int from, int to, int status)
+static int answered_with(const struct query *queries, int from, int to, int status)
 {
 	int count = 0;
 
 	for (int i = from; i < to; i++)
-		count += question[i].answered && question[i].resp.status == status;
+		count += queries[i].answered && queries[i].response.status == status;
 	return count;
 }
 
-static bool answered_by_all(const struct question *question)
+static bool all_answered(const struct query *queries)
 {
-	for (int i = 0; i < ASKERS; i++)
-		if (!question[i].answered)
+	for (int i = 0; i < QUERIES; i++)
+		if (!queries[i].answered)
 			return false;
 	return true;
 }
 
-static void spawn_question(struct fixture *fixture, struct question *question, const char *ref)
+static void spawn_query(struct frontend_fixture *fixture, struct query *query, const char *ref)
 {
-	memset(question, 0, sizeof(*question));
-	question->fixture = fixture;
-	copy_text(question->ref, sizeof(question->ref), ref);
-	fl_coroutine_spawn(ask, question);
+	memset(query, 0, sizeof(*query));
+	query->fixture = fixture;
+	copy_text(query->ref, sizeof(query->ref), ref);
+	fl_coroutine_spawn(send_query, query);
 }
 
-static void ask_many(void *arg)
+/* Nobody leads: each status query is answered from the records, at so many reads a second. */
+static void follow_nobody(struct frontend_fixture *fixture, double reads_per_s)
 {
-	static struct question question[ASKERS];
-	struct fixture *fixture = arg;
-	char ref[FL_REF_MAX];
-
-	/* Nobody leads: each poll is answered from the records, and twenty by one read of them. */
 	fixture->node.peer_count = 0;
 	fixture->node.machine_types_known = fixture->node.jobs_known = true;
-	fixture->gated = true;
-	fixture->config.state_rps = 1000;
+	fixture->config.state_rps = reads_per_s;
 	fl_job_lookups_init(&fixture->node);
-	for (int i = 0; i < ASKERS / 2; i++)
-		spawn_question(fixture, &question[i], "run-000001");
-	while (fixture->reads < 1)
+}
+
+/* Twenty queries are answered by one read of the record. */
+static void query_one_job(void *argument)
+{
+	static struct query queries[QUERIES];
+	struct frontend_fixture *fixture = argument;
+
+	follow_nobody(fixture, 1000);
+	fixture->reads_gated = true;
+	for (int i = 0; i < QUERIES / 2; i++)
+		spawn_query(fixture, &queries[i], "run-000001");
+	while (fixture->record_reads < 1)
 		fl_sleep(0.01);
 	/* The first read is in flight, and does not see what is accepted now. */
-	fixture->known = true;
-	for (int i = ASKERS / 2; i < ASKERS; i++)
-		spawn_question(fixture, &question[i], "run-000001");
+	fixture->job_known = true;
+	for (int i = QUERIES / 2; i < QUERIES; i++)
+		spawn_query(fixture, &queries[i], "run-000001");
 	fl_sleep(0.01);
-	while (!answered_by_all(question)) {
-		fl_condition_broadcast(&fixture->gate);
+	while (!all_answered(queries)) {
+		fl_condition_broadcast(&fixture->read_gate);
 		fl_sleep(0.01);
 	}
-	if (answered_with(question, 0, 1, 404) != 1 ||
-	    answered_with(question, 1, ASKERS, 200) != ASKERS - 1)
-		strcpy(fixture->failed, "a question is answered by an older read");
-	if (fixture->reads != 4)
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads for one job",
-		         fixture->reads);
+	if (answered_with(queries, 0, 1, 404) != 1 ||
+	    answered_with(queries, 1, QUERIES, 200) != QUERIES - 1)
+		note_failure(fixture, "a status query is answered by an older read");
+	if (fixture->record_reads != 4)
+		note_failure(fixture, "%d reads for one job", fixture->record_reads);
 	/* What is done stays so: one read serves all that ask later. */
-	fixture->gated = false;
-	fixture->reads = 0;
-	spawn_question(fixture, &question[0], "run-000001");
-	while (!question[0].answered)
+	fixture->reads_gated = false;
+	fixture->record_reads = 0;
+	spawn_query(fixture, &queries[0], "run-000001");
+	while (!queries[0].answered)
 		fl_sleep(0.01);
-	if (fixture->reads != 0 || question[0].resp.status != 200)
-		strcpy(fixture->failed, "what is done is read again");
-	/* Many jobs: polls beyond the share of the state service are refused at once. */
-	fixture->known = false;
-	fixture->reads = 0;
-	fixture->gated = false;
-	fixture->config.state_rps = 10;
-	fl_job_lookups_init(&fixture->node);
-	for (int i = 0; i < ASKERS; i++) {
+	if (fixture->record_reads != 0 || queries[0].response.status != 200)
+		note_failure(fixture, "what is done is read again");
+}
+
+static void status_queries_for_one_job_share_the_reads_that_begin_after_them(void **state)
+{
+	run_in_coroutine(*state, query_one_job);
+}
+
+/* Queries beyond the share of the key-value store are refused at once. */
+static void query_many_jobs(void *argument)
+{
+	static struct query queries[QUERIES];
+	struct frontend_fixture *fixture = argument;
+	char ref[FL_REF_MAX];
+
+	follow_nobody(fixture, 10);
+	for (int i = 0; i < QUERIES; i++) {
 		snprintf(ref, sizeof(ref), "run-%06d", 100 + i);
-		spawn_question(fixture, &question[i], ref);
+		spawn_query(fixture, &queries[i], ref);
 	}
-	while (!answered_by_all(question))
+	while (!all_answered(queries))
 		fl_sleep(0.01);
-	if (fixture->reads < 4 || fixture->reads > 12 ||
-	    answered_with(question, 0, ASKERS, 404) * 2 != fixture->reads ||
-	    answered_with(question, 0, ASKERS, 503) + fixture->reads / 2 != ASKERS)
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d reads of 10 a second",
-		         fixture->reads);
-	for (int i = 0; i < ASKERS; i++)
-		if (question[i].resp.status == 503 && question[i].resp.retry_after_s <= 0)
-			strcpy(fixture->failed, "no time is given for the next try");
-	ev_break(fl_loop(), EVBREAK_ALL);
+	if (fixture->record_reads < 4 || fixture->record_reads > 12 ||
+	    answered_with(queries, 0, QUERIES, 404) * 2 != fixture->record_reads ||
+	    answered_with(queries, 0, QUERIES, 503) + fixture->record_reads / 2 != QUERIES)
+		note_failure(fixture, "%d reads of 10 a second", fixture->record_reads);
+	for (int i = 0; i < QUERIES; i++)
+		if (queries[i].response.status == 503 && queries[i].response.retry_after_s <= 0)
+			note_failure(fixture, "no time is given for the next try");
 }
 
-static void many_polls_stay_within_the_share_of_the_state_service(void **state)
+static void status_queries_for_many_jobs_stay_within_the_share_of_the_key_value_store(void **state)
 {
-	struct fixture *fixture = *state;
-
-	fl_coroutine_spawn(ask_many, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, query_many_jobs);
 }
 
-/* The leader's own poll waits for a record, and the job ends meanwhile: its end is what is said. */
-static void end_while_read(void *arg)
+/* The leader itself waits for a record, and the job ends meanwhile: its end is what is said. */
+static void end_job_while_its_record_is_read(void *argument)
 {
-	static struct question question;
-	struct fixture *fixture = arg;
+	static struct query query;
+	struct frontend_fixture *fixture = argument;
 	struct fl_node *node = &fixture->node;
 	struct fl_job_spec spec = {.ref = "run-000001",
 	                           .team = "t",
@@ -154,42 +160,37 @@
 	node->leadership.active = node->leader_lease.held = node->cluster.leading = true;
 	node->leader_lease.valid_until = fl_now() + 1000;
 	/* What is read has not seen the end: nothing stands there. */
-	fixture->known = false;
-	fixture->gated = true;
+	fixture->job_known = false;
+	fixture->reads_gated = true;
 	fixture->config.state_rps = 1000;
 	fl_job_lookups_init(node);
 	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
 	/* A final write is under way: only the record may know its outcome. */
 	job->record.final_write_unknown = true;
-	spawn_question(fixture, &question, "run-000001");
-	while (fixture->reads < 1)
+	spawn_query(fixture, &query, "run-000001");
+	while (fixture->record_reads < 1)
 		fl_sleep(0.01);
 	fl_job_finalise(&node->cluster, job, FL_DONE);
-	while (!question.answered) {
-		fl_condition_broadcast(&fixture->gate);
+	while (!query.answered) {
+		fl_condition_broadcast(&fixture->read_gate);
 		fl_sleep(0.01);
 	}
-	if (question.resp.status != 200 || !strstr(question.body, "done"))
-		snprintf(fixture->failed, sizeof(fixture->failed), "%d %s", question.resp.status,
-		         question.body);
-	ev_break(fl_loop(), EVBREAK_ALL);
+	if (query.response.status != 200 || !strstr(query.body, "done"))
+		note_failure(fixture, "%d %s", query.response.status, query.body);
 }
 
-static void a_job_that_ends_while_its_record_is_read_is_done(void **state)
+static void a_status_query_reports_a_job_done_that_ends_while_its_record_is_read(void **state)
 {
-	struct fixture *fixture = *state;
-
-	fl_coroutine_spawn(end_while_read, fixture);
-	fl_coroutines_run();
-	if (fixture->failed[0])
-		fail_msg("%s", fixture->failed);
+	run_in_coroutine(*state, end_job_while_its_record_is_read);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(many_polls_stay_within_the_share_of_the_state_service),
-		FRONTEND_TEST(a_job_that_ends_while_its_record_is_read_is_done),
+		FRONTEND_TEST(status_queries_for_one_job_share_the_reads_that_begin_after_them),
+		FRONTEND_TEST(
+			status_queries_for_many_jobs_stay_within_the_share_of_the_key_value_store),
+		FRONTEND_TEST(a_status_query_reports_a_job_done_that_ends_while_its_record_is_read),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_reconcile_results.c
+++ b/tests/test_reconcile_results.c
@@ -10,29 +10,31 @@
 #include "coordination/workers/reconciliation.h"
 #include "node_fixture.h"
 
-static enum fl_reconcile_result reconcile(struct fixture *fixture, uint64_t incarnation,
+static enum fl_reconcile_result reconcile(struct node_fixture *fixture, uint64_t incarnation,
                                           uint64_t sequence, uint64_t fencing_token)
 {
-	struct fl_heartbeat heartbeat = make_report(incarnation, sequence, fencing_token, NULL, 0);
+	struct fl_heartbeat heartbeat =
+		make_heartbeat(incarnation, sequence, fencing_token, NULL, 0);
 
 	return fl_reconcile_heartbeat(&fixture->node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND);
 }
 
 static void each_result_names_its_reason(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 
-	assert_int_equal(reconcile(fixture, 1, 1, EPOCH - 1), FL_RECONCILE_IGNORED_EARLIER);
-	assert_int_equal(reconcile(fixture, 1, 1, EPOCH + 1), FL_RECONCILE_TOKEN_NOT_RAISED);
+	assert_int_equal(reconcile(fixture, 1, 1, FENCING_TOKEN - 1), FL_RECONCILE_IGNORED_EARLIER);
+	assert_int_equal(reconcile(fixture, 1, 1, FENCING_TOKEN + 1),
+	                 FL_RECONCILE_TOKEN_NOT_RAISED);
 	assert_null(only_machine(fixture));
-	assert_int_equal(reconcile(fixture, 2, 5, EPOCH), FL_RECONCILE_APPLIED);
-	assert_int_equal(reconcile(fixture, 2, 5, EPOCH), FL_RECONCILE_IGNORED_STALE);
-	assert_int_equal(reconcile(fixture, 1, 9, EPOCH), FL_RECONCILE_IGNORED_STALE);
+	assert_int_equal(reconcile(fixture, 2, 5, FENCING_TOKEN), FL_RECONCILE_APPLIED);
+	assert_int_equal(reconcile(fixture, 2, 5, FENCING_TOKEN), FL_RECONCILE_IGNORED_STALE);
+	assert_int_equal(reconcile(fixture, 1, 9, FENCING_TOKEN), FL_RECONCILE_IGNORED_STALE);
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
-	assert_int_equal(reconcile(fixture, 2, 6, EPOCH), FL_RECONCILE_DECOMMISSIONED);
+	assert_int_equal(reconcile(fixture, 2, 6, FENCING_TOKEN), FL_RECONCILE_DECOMMISSIONED);
 	/* Whatever else is wrong with it: the worker is to learn that its machine is gone. */
-	assert_int_equal(reconcile(fixture, 2, 6, EPOCH - 1), FL_RECONCILE_DECOMMISSIONED);
-	assert_int_equal(reconcile(fixture, 2, 6, EPOCH + 1), FL_RECONCILE_DECOMMISSIONED);
+	assert_int_equal(reconcile(fixture, 2, 6, FENCING_TOKEN - 1), FL_RECONCILE_DECOMMISSIONED);
+	assert_int_equal(reconcile(fixture, 2, 6, FENCING_TOKEN + 1), FL_RECONCILE_DECOMMISSIONED);
 }
 
 static void what_is_ignored_is_answered_all_the_same(void **state)
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -1,5 +1,5 @@
 /*
- * Jobs, attempts and records under random interleavings: reports late or repeated, answers and
+ * Jobs, attempts and records under random interleavings: heartbeats late or repeated, answers and
  * commands lost, late or carried out twice, leaders that end and are followed by others. And a job
  * whose every attempt fails.
  */
@@ -13,27 +13,27 @@
 #include <string.h>
 
 #include "copy_text.h"
-#include "reconciliation_sim.h"
+#include "simulation_fixture.h"
 #include "transport/clock.h"
 
-static void send_heartbeat(struct simulation *sim, int at)
+static void send_heartbeat(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->workers[at];
+	struct worker *worker = &sim->workers[worker_index];
 	char *text;
 
-	/* An answer in flight is carried out before the next report or never. */
+	/* An answer in flight is carried out before the next heartbeat or never. */
 	if (worker->reply_in_flight && random_below(sim, 4))
-		execute_commands(sim, at, worker->reply_in_flight, false);
+		execute_commands(sim, worker_index, worker->reply_in_flight, false);
 	drop_reply(worker);
-	text = encode_heartbeat(sim, at);
+	text = encode_heartbeat(sim, worker_index);
 	if (random_below(sim, 5))
-		deliver_heartbeat(sim, at, text, FL_HEARTBEAT_FROM_WORKER);
-	queue_message(sim, at, text, false);
+		deliver_heartbeat(sim, worker_index, text, FL_HEARTBEAT_FROM_WORKER);
+	queue_message(sim, worker_index, text, false);
 }
 
-static void end_some_task(struct simulation *sim, int at)
+static void end_some_task(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->workers[at];
+	struct worker *worker = &sim->workers[worker_index];
 	struct fl_task_status *status;
 
 	/* Not used, but drawn so that each seed still plays the same case. */
@@ -53,95 +53,125 @@
 	}
 }
 
-static void end_incarnation(struct simulation *sim, int at)
+static void end_incarnation(struct simulation *sim, int worker_index)
 {
-	struct worker *worker = &sim->workers[at];
+	struct worker *worker = &sim->workers[worker_index];
 
 	memset(worker->tasks, 0, sizeof(worker->tasks));
 	worker->incarnation++;
 	drop_reply(worker);
 }
 
+static void end_incarnation_sometimes(struct simulation *sim, int worker)
+{
+	if (random_below(sim, 4) == 0)
+		end_incarnation(sim, worker);
+}
+
+static void take_over_sometimes(struct simulation *sim, int worker)
+{
+	(void)worker;
+	if (random_below(sim, 4 * sim->token_change_interval) == 0)
+		fail_over(sim);
+}
+
+static void raise_fencing_token_sometimes(struct simulation *sim, int worker)
+{
+	(void)worker;
+	if (random_below(sim, 3 * sim->token_change_interval) == 0)
+		sim->node.leader_lease.fencing_token = ++sim->fencing_token;
+}
+
+static void deliver_late_message_step(struct simulation *sim, int worker)
+{
+	(void)worker;
+	deliver_late_message(sim);
+}
+
+static void save_some_records_step(struct simulation *sim, int worker)
+{
+	(void)worker;
+	save_some_records(sim);
+}
+
+static void place_some_tasks_step(struct simulation *sim, int worker)
+{
+	(void)worker;
+	place_some_tasks(sim);
+}
+
+/* The scheduler stops something to free its resources. */
+static void preempt_a_task(struct simulation *sim, int worker)
+{
+	const struct fl_machines *machines = &sim->node.cluster.machines;
+	const struct fl_machine *machine = machines->count ? machines->by_id[0] : NULL;
+
+	(void)worker;
+	if (machine && machine->assignment_count > 0)
+		fl_task_peek(machine->assignments[0].job, machine->assignments[0].index)
+			->stop_reason = FL_STOP_PREEMPT;
+}
+
+/* What a step may do, and how often. */
+static const struct {
+	int share;
+	void (*run)(struct simulation *sim, int worker);
+} actions[] = {
+	{1, end_incarnation_sometimes},
+	{1, take_over_sometimes},
+	{1, raise_fencing_token_sometimes},
+	{3, deliver_late_message_step},
+	{2, send_direct_command},
+	{2, end_some_task},
+	{3, save_some_records_step},
+	{2, place_some_tasks_step},
+	{1, preempt_a_task},
+	{8, send_heartbeat},
+};
+
+enum { SHARES = 24 };
+
 static void step(struct simulation *sim)
 {
-	int at = random_below(sim, WORKERS);
-
-	switch (random_below(sim, 24)) {
-	case 0:
-		if (random_below(sim, 4) == 0)
-			end_incarnation(sim, at);
-		break;
-	case 1:
-		if (random_below(sim, 4 * sim->token_change_interval) == 0)
-			fail_over(sim);
-		break;
-	case 2:
-		if (random_below(sim, 3 * sim->token_change_interval) == 0)
-			sim->node.leader_lease.fencing_token = ++sim->fencing_token;
-		break;
-	case 3:
-	case 4:
-	case 5:
-		deliver_late_message(sim);
-		break;
-	case 6:
-	case 7:
-		send_direct_command(sim, at);
-		break;
-	case 8:
-	case 9:
-		end_some_task(sim, at);
-		break;
-	case 10:
-	case 11:
-	case 12:
-		save_some_records(sim);
-		break;
-	case 13:
-	case 14:
-		place_some_tasks(sim);
-		break;
-	case 15: {
-		/* The scheduler stops something to make room. */
-		struct fl_machine *machine = sim->node.cluster.machines.count
-		                                     ? sim->node.cluster.machines.by_id[0]
-		                                     : NULL;
-
-		if (machine && machine->assignment_count > 0)
-			fl_task_peek(machine->assignments[0].job, machine->assignments[0].index)
-				->stop_reason = FL_STOP_PREEMPT;
-		break;
-	}
-	default:
-		send_heartbeat(sim, at);
+	int worker = random_below(sim, WORKERS);
+	int choice = random_below(sim, SHARES);
+
+	for (size_t i = 0; i < sizeof(actions) / sizeof(actions[0]); i++) {
+		if (choice < actions[i].share) {
+			actions[i].run(sim, worker);
+			break;
+		}
+		choice -= actions[i].share;
 	}
 	check_invariants(sim);
 }
 
-static void no_interleaving_violates_an_invariant(void **state)
+static void no_interleaving_of_heartbeats_commands_and_leaders_violates_an_invariant(void **state)
 {
 	struct simulation *sim = malloc(sizeof(*sim));
-	int launches = 0, dones = 0, takeovers = 0, finished = 0;
+	int start_commands = 0, done_tasks = 0, failovers = 0, finished_jobs = 0;
 
 	(void)state;
 	for (unsigned long seed = 1; seed <= 150; seed++) {
 		set_up(sim, seed);
 		for (int i = 0; i < 1500; i++)
 			step(sim);
-		launches += sim->starts;
-		dones += sim->completions;
-		takeovers += sim->failovers;
+		start_commands += sim->starts;
+		done_tasks += sim->completions;
+		failovers += sim->failovers;
 		for (int j = 0; j < JOBS; j++) {
 			bool all = true;
 
-			for (int p = 0; p < TASKS; p++)
-				all = all && sim->actually_done[j][p];
-			finished += all;
+			for (int k = 0; k < TASKS; k++)
+				all = all && sim->actually_done[j][k];
+			finished_jobs += all;
 		}
 		tear_down(sim);
 	}
+
 	/* The random walk must make progress: jobs finish, leaders change. */
-	assert_true(launches > 4000 && dones > 600 && takeovers > 500 && finished > 10);
+	assert_true(start_commands > 4000 && done_tasks > 600 && failovers > 500 &&
+	            finished_jobs > 10);
 	free(sim);
 }
 
@@ -174,56 +204,53 @@
 }
 
 /* A job that fails everywhere waits longer and longer, and does not make machines look faulty. */
-static void a_job_that_always_fails_backs_off(void **state)
+static void a_job_backs_off_when_it_fails_on_every_machine(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	struct fl_machine *machine;
 	struct fl_job *job;
-	double now = fl_now(), last = 0;
+	double now = fl_now(), previous = 0;
 
-	(void)state;
-	set_up(sim, 1);
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
 		machine = fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
 		assert_true(machine->health.quarantined_until <= now);
-		assert_true(i < 4 || job->retry.not_before >= last);
-		last = job->retry.not_before;
+		assert_true(i < 4 || job->retry.not_before >= previous);
+		previous = job->retry.not_before;
 	}
 	assert_true(job->retry.not_before > now + 30 && job->retry.not_before < now + 90);
-	tear_down(sim);
-	free(sim);
 }
 
 /* Two tasks of a job of which nothing ever completed are no evidence against their machine. */
-static void a_machine_is_blamed_by_evidence(void **state)
+static void a_machine_is_quarantined_by_evidence_only(void **state)
 {
-	struct simulation *sim = malloc(sizeof(*sim));
+	struct simulation *sim = *state;
 	struct fl_job *job;
 	double now = fl_now();
 
-	(void)state;
-	set_up(sim, 1);
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	assert_true(fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
 	assert_true(fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
+
 	/* A third in a row is: a service of one task must not go there again and again. */
 	assert_true(fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
+
 	/* Where a task of the job has completed, two are enough. */
 	job = fl_job_find(&sim->node.cluster, "run-000001");
 	fl_task_done(&sim->node.cluster, job, 0);
 	assert_true(fail_task(sim, job, 61, 1, 1)->health.quarantined_until <= now);
 	assert_true(fail_task(sim, job, 61, 2, 2)->health.quarantined_until > now);
-	tear_down(sim);
-	free(sim);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_job_that_always_fails_backs_off),
-		cmocka_unit_test(a_machine_is_blamed_by_evidence),
-		cmocka_unit_test(no_interleaving_violates_an_invariant),
+		cmocka_unit_test_setup_teardown(a_job_backs_off_when_it_fails_on_every_machine,
+	                                        begin_simulation, end_simulation),
+		cmocka_unit_test_setup_teardown(a_machine_is_quarantined_by_evidence_only,
+	                                        begin_simulation, end_simulation),
+		cmocka_unit_test(
+			no_interleaving_of_heartbeats_commands_and_leaders_violates_an_invariant),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
