--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -24,9 +24,9 @@
 
 	if (!machine)
 		return;
-	fl_cluster_describe(
-		cluster, machine, fl_machine_type_find(&cluster->machines, listed->type),
-		fl_symbol_find(&cluster->zones, listed->zone), listed->spot, listed->endpoint);
+	fl_cluster_describe(machine, fl_machine_type_find(&cluster->machines, listed->type),
+	                    fl_symbol_find(&cluster->zones, listed->zone), listed->spot,
+	                    listed->endpoint);
 	if (machine->id < known_count)
 		machine->lifecycle.listed = true;
 	if (listed->status == FL_CLOUD_MACHINE_FAILED && !machine->lifecycle.decommissioned)
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -69,7 +69,7 @@
 
 		if (!machine)
 			continue;
-		fl_cluster_describe(&node->cluster, machine, kind.type, kind.zone, kind.spot, NULL);
+		fl_cluster_describe(machine, kind.type, kind.zone, kind.spot, NULL);
 		fl_debug("cloud", "machine rented: %s spot=%d", machine->name, kind.spot);
 	}
 }
--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -274,15 +274,19 @@
 static void watch_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
+	const struct fl_kv_watch_request watch = {
+		.prefix = FL_PREFIX_ELECTION,
+		.timeout_s = tunables.watch_timeout_s,
+		.on_event = on_election_event,
+		.context = node,
+	};
 	uint64_t revision = 0; /* 0: to be listed */
 
 	fl_coroutine_set_urgent();
 	while (!fl_coroutine_cancelled()) {
 		enum fl_kv_result result =
-			revision == 0
-				? list_election_keys(node, &revision)
-				: fl_kv_watch(&node->kv_store, FL_PREFIX_ELECTION, &revision,
-		                              tunables.watch_timeout_s, on_election_event, node);
+			revision == 0 ? list_election_keys(node, &revision)
+				      : fl_kv_watch(&node->kv_store, &watch, &revision);
 
 		if (result == FL_KV_COMPACTED)
 			revision = 0;
--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -66,6 +66,12 @@
 static void job_watch_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
+	const struct fl_kv_watch_request watch = {
+		.prefix = FL_PREFIX_JOBS,
+		.timeout_s = tunables.watch_timeout_s,
+		.on_event = on_job_event,
+		.context = node,
+	};
 	uint64_t revision = 0; /* 0: to be listed */
 
 	while (!node->machine_types_known)
@@ -75,8 +81,7 @@
 		double sent_at = fl_now();
 		enum fl_kv_result result =
 			revision == 0 ? list_jobs(node, &revision)
-				      : fl_kv_watch(&node->kv_store, FL_PREFIX_JOBS, &revision,
-		                                    tunables.watch_timeout_s, on_job_event, node);
+				      : fl_kv_watch(&node->kv_store, &watch, &revision);
 
 		if (result == FL_KV_OK)
 			on_jobs_read(node, sent_at);
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -76,6 +76,8 @@
 {
 	struct failover *failover = context;
 	char ref[FL_REF_MAX];
+	const struct fl_task_block_source source = {event->value, event->mod_revision,
+	                                            &failover->wal};
 	uint32_t block_index;
 	struct fl_job *job;
 
@@ -90,8 +92,7 @@
 		fl_pending_deletions_add(&failover->writer->pending_deletions, event->key);
 		return;
 	}
-	if (fl_task_block_restore(failover->cluster, job, block_index, event->value,
-	                          event->mod_revision, &failover->wal,
+	if (fl_task_block_restore(failover->cluster, job, block_index, &source,
 	                          failover->started_at) != FL_DECODE_OK)
 		reject_record(failover, event->key);
 	failover->progress_record_count++;
@@ -110,6 +111,8 @@
 /* Blocks that only the write-ahead log holds: their records were not written yet. */
 static void restore_wal_only_blocks(struct failover *failover)
 {
+	const struct fl_task_block_source source = {.wal = &failover->wal};
+
 	for (int i = 0; i < failover->wal.group_count; i++) {
 		const struct fl_wal_group *group = &failover->wal.groups[i];
 		struct fl_job *job = fl_job_find(failover->cluster, group->ref);
@@ -117,8 +120,8 @@
 		/* No such job: it is over, and older writes of the log may stay for ever. */
 		if (group->restored || !job)
 			continue;
-		if (fl_task_block_restore(failover->cluster, job, group->block_index, NULL, 0,
-		                          &failover->wal, failover->started_at) != FL_DECODE_OK) {
+		if (fl_task_block_restore(failover->cluster, job, group->block_index, &source,
+		                          failover->started_at) != FL_DECODE_OK) {
 			fl_error("failover", "unreadable write-ahead log: job=%s block=%u",
 			         group->ref, group->block_index);
 			failover->unreadable_record_count++;
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -2,7 +2,6 @@
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
-#include <stdlib.h>
 
 static const struct {
 	double spread_weight_s, empty_machine_s, on_demand_s, packing_weight_s, restart_s,
@@ -16,9 +15,6 @@
 	.urgent_fetch_weight = 3, /* times that a fetch counts for an urgent service */
 };
 
-/* Items of an array that grows, at first. */
-#define FIRST_CAPACITY 32
-
 /*
  * The expected loss of this task on a spot machine: where many are reclaimed, a long task is lost
  * again and again there, and its job is the last to end. That matters for a job that has waited,
@@ -72,18 +68,3 @@
 	}
 	return best_index;
 }
-
-bool fl_sched_grow(void **items, int count, int *capacity, size_t size)
-{
-	int larger = *capacity ? *capacity * 2 : FIRST_CAPACITY;
-	void *moved;
-
-	if (count < *capacity)
-		return true;
-	moved = realloc(*items, (size_t)larger * size);
-	if (!moved)
-		return false;
-	*items = moved;
-	*capacity = larger;
-	return true;
-}
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -6,6 +6,10 @@
 #define FL_COORDINATION_SCHEDULING_SCHEDULE_INTERNAL_H
 
 #include "coordination/scheduling/schedule.h"
+#include "storage/array.h"
+
+/* Items of the first allocation of a list in the output. */
+enum { FL_SCHED_FIRST_CAPACITY = 32 };
 
 /* The state of one cycle. */
 struct fl_sched_cycle {
@@ -77,8 +81,6 @@
                                const struct fl_sched_machine *machine);
 /* Index of the first of the lowest finite costs; -1: none is finite. */
 int fl_sched_lowest_cost(const double *costs, int count);
-/* Grows an array to hold one more than `count` items; false without memory. */
-bool fl_sched_grow(void **items, int count, int *capacity, size_t size);
 
 /* ---- placement: schedule_placement.c ---- */
 
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -68,12 +68,15 @@
 	struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 	struct fl_team *team = &cycle->input->teams[job->team];
 	struct fl_sched_output *output = cycle->output;
+	struct fl_sched_start *starts;
 
-	if (!fl_sched_grow((void **)&output->starts, output->start_count, &output->start_capacity,
-	                   sizeof(*output->starts))) {
+	starts = fl_array_grow(output->starts, output->start_count, &output->start_capacity,
+	                       sizeof(*starts), FL_SCHED_FIRST_CAPACITY);
+	if (!starts) {
 		cycle->failed = true;
 		return;
 	}
+	output->starts = starts;
 	output->starts[output->start_count++] = (struct fl_sched_start){job_index, machine_index};
 	fl_resources_subtract(&machine->free, job->need);
 	team->used_cpus += job->need.cpus;
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -141,12 +141,16 @@
 {
 	struct fl_sched_attempt *attempt = &cycle->input->attempts[attempt_index];
 	struct fl_sched_output *output = cycle->output;
+	int *preemptions;
 
-	if (!fl_sched_grow((void **)&output->preemptions, output->preemption_count,
-	                   &output->preemption_capacity, sizeof(*output->preemptions))) {
+	preemptions = fl_array_grow(output->preemptions, output->preemption_count,
+	                            &output->preemption_capacity, sizeof(*preemptions),
+	                            FL_SCHED_FIRST_CAPACITY);
+	if (!preemptions) {
 		cycle->failed = true;
 		return;
 	}
+	output->preemptions = preemptions;
 	output->preemptions[output->preemption_count++] = attempt_index;
 	attempt->stopping = true;
 	fl_resources_add(&cycle->releasing[attempt->machine], attempt->used);
--- a/src/coordination/scheduling/scheduling_decisions.c
+++ b/src/coordination/scheduling/scheduling_decisions.c
@@ -9,11 +9,11 @@
 static void start_task(struct fl_node *node, struct fl_job *job, struct fl_machine *machine,
                        double now)
 {
+	const struct fl_new_attempt attempt = {machine, node->leader_lease.fencing_token};
 	uint32_t index = fl_task_next_waiting(job, 0, now);
 
 	if (index >= job->task_count ||
-	    fl_task_place(&node->cluster, job, index, machine, node->leader_lease.fencing_token,
-	                  now) != FL_PLACE_OK)
+	    fl_task_place(&node->cluster, job, index, &attempt, now) != FL_PLACE_OK)
 		return;
 	fl_machine_record_image(machine, job->image);
 	/* What it was reserved for has started; who still waits requests it again in each cycle. */
--- a/src/coordination/workers/digest_reader.c
+++ b/src/coordination/workers/digest_reader.c
@@ -35,11 +35,17 @@
 /* Lists all digests, or, once there is a revision, watches for those written after it. */
 static enum fl_kv_result read_digests(struct fl_node *node, uint64_t *revision)
 {
+	const struct fl_kv_watch_request watch = {
+		.prefix = FL_PREFIX_HEARTBEAT_DIGESTS,
+		.timeout_s = tunables.watch_timeout_s,
+		.on_event = on_digest,
+		.context = node,
+	};
+
 	if (*revision == 0)
 		return fl_kv_list(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, on_digest, node,
 		                  revision);
-	return fl_kv_watch(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, revision,
-	                   tunables.watch_timeout_s, on_digest, node);
+	return fl_kv_watch(&node->kv_store, &watch, revision);
 }
 
 void fl_digest_reader_run(struct fl_node *node)
--- a/src/coordination/workers/reconciliation_commands.c
+++ b/src/coordination/workers/reconciliation_commands.c
@@ -32,11 +32,14 @@
 		struct fl_task *task = fl_task_peek(job, index);
 
 		if (!fl_attempt_should_run(job, task)) {
-			fl_command_list_add(commands, FL_COMMAND_STOP, job->ref, index,
-			                    task->attempt, fl_attempt_grace_period_s(job, task));
+			fl_command_list_add(commands,
+			                    &(struct fl_command){
+						    FL_COMMAND_STOP, job->ref, index, task->attempt,
+						    fl_attempt_grace_period_s(job, task)});
 		} else if (task->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
-			fl_command_list_add(commands, FL_COMMAND_START, job->ref, index,
-			                    task->attempt, 0);
+			fl_command_list_add(commands,
+			                    &(struct fl_command){FL_COMMAND_START, job->ref, index,
+			                                         task->attempt, 0});
 			has_start = true;
 		}
 	}
--- a/src/coordination/workers/reconciliation_contact.c
+++ b/src/coordination/workers/reconciliation_contact.c
@@ -29,8 +29,7 @@
 	int type = fl_machine_type_find(&node->cluster.machines, heartbeat->type);
 	int zone = fl_symbol_find(&node->cluster.zones, heartbeat->zone);
 
-	fl_cluster_describe(&node->cluster, machine, type, zone, heartbeat->spot,
-	                    heartbeat->endpoint);
+	fl_cluster_describe(machine, type, zone, heartbeat->spot, heartbeat->endpoint);
 }
 
 /* Takes in the notice of a spot machine's interruption; whether it is new. */
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -8,8 +8,9 @@
                        const struct fl_task_status *status, double grace_period_s)
 {
 	if (context->commands)
-		fl_command_list_add(context->commands, kind, status->ref, status->index,
-		                    status->attempt, grace_period_s);
+		fl_command_list_add(context->commands,
+		                    &(struct fl_command){kind, status->ref, status->index,
+		                                         status->attempt, grace_period_s});
 }
 
 static enum fl_observed_state observed_state(enum fl_task_state state)
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -67,7 +67,8 @@
 	}
 	if (!context->commands || !fl_task_durable(job, index))
 		return FL_REPLY_WITHOUT_START;
-	fl_command_list_add(context->commands, FL_COMMAND_START, job->ref, index, task->attempt, 0);
+	fl_command_list_add(context->commands, &(struct fl_command){FL_COMMAND_START, job->ref,
+	                                                            index, task->attempt, 0});
 	task->start_sent = true;
 	return FL_REPLY_WITH_START;
 }
--- a/src/coordination/workers/renewal_rules.c
+++ b/src/coordination/workers/renewal_rules.c
@@ -53,7 +53,8 @@
 		const struct fl_task_status *status = &heartbeat->tasks[i];
 
 		if (cancelled_job_of(cluster, status))
-			fl_command_list_add(commands, FL_COMMAND_STOP, status->ref, status->index,
-			                    status->attempt, 0);
+			fl_command_list_add(
+				commands, &(struct fl_command){FL_COMMAND_STOP, status->ref,
+			                                       status->index, status->attempt, 0});
 	}
 }
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -19,13 +19,10 @@
 	.max_idle_watch = 2,  /* and for watches */
 };
 
-/* The time of what has not happened yet, before any on the steady clock. */
-static const double long_ago = -1e9;
-
 bool fl_kv_init(struct fl_kv_store *store, const char *address)
 {
 	memset(store, 0, sizeof(*store));
-	store->last_success_at = store->last_failure_at = long_ago;
+	store->last_success_at = store->last_failure_at = FL_LONG_AGO;
 	return fl_http_client_init(&store->client, address, tunables.max_idle) == 0 &&
 	       fl_http_client_init(&store->watch_client, address, tunables.max_idle_watch) == 0;
 }
@@ -240,8 +237,8 @@
 	return FL_KV_OK;
 }
 
-enum fl_kv_result fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision,
-                              double timeout_s, fl_kv_event_fn on_event, void *context)
+enum fl_kv_result fl_kv_watch(struct fl_kv_store *store, const struct fl_kv_watch_request *watch,
+                              uint64_t *revision)
 {
 	char path[FL_KEY_MAX + 128];
 	const cJSON *events;
@@ -249,18 +246,19 @@
 	cJSON *object;
 	enum fl_kv_result result;
 
-	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", prefix,
-	         (unsigned long long)*revision, (int)(timeout_s * 1000));
+	snprintf(path, sizeof(path), "/follow?Prefix=%s&From=%llu&HoldMs=%d", watch->prefix,
+	         (unsigned long long)*revision, (int)(watch->timeout_s * 1000));
 	result = send_request(
 		store, &store->watch_client,
-		&(struct request){"GET", path, NULL, timeout_s + tunables.watch_slack_s}, &object);
+		&(struct request){"GET", path, NULL, watch->timeout_s + tunables.watch_slack_s},
+		&object);
 	if (result == FL_KV_OK) {
 		events = fl_json_get(object, "Log");
 		if (fl_json_get_count(object, "LedgerRev", &new_revision) != FL_JSON_OK ||
 		    (events && !cJSON_IsArray(events)))
 			result = FL_KV_OUTCOME_UNKNOWN;
 		else
-			result = each_event(events, on_event, context);
+			result = each_event(events, watch->on_event, watch->context);
 		if (result == FL_KV_OK && new_revision > *revision)
 			*revision = new_revision;
 	}
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -13,7 +13,7 @@
 /* Bytes of a key with its terminator. */
 enum { FL_KEY_MAX = 96 };
 
-/* What came of a request, and so what the caller may conclude and has to do. */
+/* The result of a request: what the caller may conclude, and what it has to do. */
 enum fl_kv_result {
 	FL_KV_OK = 0,
 	FL_KV_NOT_FOUND,      /* no such key or lease */
@@ -33,8 +33,8 @@
 struct fl_kv_store {
 	struct fl_http_client client;       /* short requests */
 	struct fl_http_client watch_client; /* one open watch, on a connection of its own */
-	double last_success_at;             /* of the sending of the last answered request */
-	double last_failure_at;             /* of the last 503 or unanswered request */
+	double last_success_at;             /* when the newest request that was answered was sent */
+	double last_failure_at;             /* when one last got a 503, or no answer */
 };
 
 /* Builds a transaction: conditions, and the writes made if all of them hold. */
@@ -50,7 +50,10 @@
 	uint64_t mod_revision;
 };
 
-/* Has no request been answered since the last 503 or unanswered one? */
+/*
+ * True if the last failure (a 503, or no answer) came after the newest answered request was sent:
+ * an answer to an earlier one proves nothing of the time since. A 429 counts as neither.
+ */
 bool fl_kv_is_unavailable(const struct fl_kv_store *store);
 /* False: the address is malformed. */
 bool fl_kv_init(struct fl_kv_store *store, const char *address);
@@ -63,9 +66,20 @@
 /* Every key under the prefix, page by page; `*revision` is the store's at the first page. */
 enum fl_kv_result fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
                              void *context, uint64_t *revision);
-/* One watch of at most `timeout_s`: changes after `*revision`, which rises with them. */
-enum fl_kv_result fl_kv_watch(struct fl_kv_store *store, const char *prefix, uint64_t *revision,
-                              double timeout_s, fl_kv_event_fn on_event, void *context);
+/* What a watch delivers, how long it waits for it, and to whom. */
+struct fl_kv_watch_request {
+	const char *prefix;
+	double timeout_s; /* the store answers then at the latest */
+	fl_kv_event_fn on_event;
+	void *context; /* passed to `on_event` */
+};
+
+/*
+ * One watch: delivers the changes after `*revision`, which rises with them. On a failure it stays,
+ * though some changes may have been delivered: these come again.
+ */
+enum fl_kv_result fl_kv_watch(struct fl_kv_store *store, const struct fl_kv_watch_request *watch,
+                              uint64_t *revision);
 
 /* An empty transaction. */
 void fl_kv_txn_init(struct fl_kv_txn *txn);
@@ -77,8 +91,10 @@
 void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id);
 /* Deletes the key. */
 void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key);
-/* Sends the transaction and consumes the builder. On FL_KV_COMPARE_FAILED, `failed` (if not NULL)
- * gets the first failed key. */
+/*
+ * Sends the transaction and consumes the builder. On FL_KV_COMPARE_FAILED, `failed` (if not NULL)
+ * gets the first failed key, or is empty if the store names none.
+ */
 enum fl_kv_result fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn,
                                    uint64_t *revision, char failed[FL_KEY_MAX]);
 
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -63,7 +63,7 @@
 	int count = cJSON_GetArraySize(list);
 	const cJSON *item;
 
-	/* Without its tasks it would say that none is there, and each would start again. */
+	/* Decoded without its tasks, it would show none on the machine: each would start again. */
 	if (!cJSON_IsArray(list))
 		return FL_DECODE_MALFORMED;
 	if (count == 0)
@@ -187,16 +187,15 @@
 	cJSON_AddNumberToObject(commands->root, "Tenure", (double)incarnation);
 }
 
-void fl_command_list_add(struct fl_command_list *commands, enum fl_command_kind kind,
-                         const char *ref, uint32_t index, uint32_t attempt, double grace_period_s)
+void fl_command_list_add(struct fl_command_list *commands, const struct fl_command *command)
 {
 	cJSON *item = cJSON_CreateObject();
 
-	cJSON_AddStringToObject(item, "Verb", command_names[kind]);
-	add_task_name(item, ref, index);
-	cJSON_AddNumberToObject(item, "Try", attempt);
-	if (kind == FL_COMMAND_STOP)
-		cJSON_AddNumberToObject(item, "WindDownS", grace_period_s);
+	cJSON_AddStringToObject(item, "Verb", command_names[command->kind]);
+	add_task_name(item, command->ref, command->index);
+	cJSON_AddNumberToObject(item, "Try", command->attempt);
+	if (command->kind == FL_COMMAND_STOP)
+		cJSON_AddNumberToObject(item, "WindDownS", command->grace_period_s);
 	cJSON_AddItemToArray(commands->list, item);
 	commands->count++;
 }
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -9,7 +9,7 @@
 #include "protocol/users.h"
 #include "transport/http_client.h"
 
-/* Where a task of a heartbeat stands. AWAITING_GANG: it waits for the gang's other tasks. */
+/* The state of a task in a heartbeat. AWAITING_GANG: it waits for the gang's other tasks. */
 enum fl_task_state {
 	FL_TASK_STATE_PULLING,
 	FL_TASK_STATE_RUNNING,
@@ -54,6 +54,14 @@
 /* What a worker is to do with an attempt. */
 enum fl_command_kind { FL_COMMAND_START, FL_COMMAND_STOP, FL_COMMAND_FORGET };
 
+/* A command to a worker, about one attempt of a task. */
+struct fl_command {
+	enum fl_command_kind kind;
+	const char *ref; /* the job; not owned */
+	uint32_t index, attempt;
+	double grace_period_s; /* of FL_COMMAND_STOP; not sent with the others */
+};
+
 /* Builds the answer to a heartbeat, or the body of a direct command. */
 struct fl_command_list {
 	cJSON *root, *list;
@@ -72,15 +80,14 @@
 
 /* Begins commands that carry this fencing token. */
 void fl_command_list_init(struct fl_command_list *commands, uint64_t fencing_token);
-/* Adds a command; `grace_period_s` is for FL_COMMAND_STOP. */
-void fl_command_list_add(struct fl_command_list *commands, enum fl_command_kind kind,
-                         const char *ref, uint32_t index, uint32_t attempt, double grace_period_s);
+/* Adds a command, whose strings are copied. */
+void fl_command_list_add(struct fl_command_list *commands, const struct fl_command *command);
 /* Makes the commands valid for this incarnation of the worker only, as direct ones must be. */
 void fl_command_list_bind_incarnation(struct fl_command_list *commands, uint64_t incarnation);
 /* The body, to be freed; the builder is used up. */
 char *fl_command_list_take(struct fl_command_list *commands);
 
-/* What came of a direct command. */
+/* The result of a direct command. */
 enum fl_worker_result {
 	FL_WORKER_ACCEPTED, /* carried out; the heartbeat shows its effect */
 	FL_WORKER_REJECTED, /* of another incarnation or fencing token; the heartbeat shows why */
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -25,12 +25,11 @@
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
 
-void fl_cluster_describe(struct fl_cluster *cluster, struct fl_machine *machine, int type, int zone,
-                         bool spot, const char *endpoint)
+void fl_cluster_describe(struct fl_machine *machine, int type, int zone, bool spot,
+                         const char *endpoint)
 {
 	bool was_known = machine->zone != FL_INDEX_NONE;
 
-	(void)cluster;
 	if (zone >= FL_ZONES_MAX)
 		return;
 	fl_machine_describe(machine, type, zone, spot, endpoint);
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -135,9 +135,12 @@
 
 /* Another controller says that this job is cancelled; its record follows later. */
 void fl_cluster_learn_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at);
-/* A machine's type and zone become known: its attempts now count in their zone. */
-void fl_cluster_describe(struct fl_cluster *cluster, struct fl_machine *machine, int type, int zone,
-                         bool spot, const char *endpoint);
+/*
+ * As fl_machine_describe, and counts the machine's attempts in its zone when that becomes known.
+ * Ignored if the zone is beyond FL_ZONES_MAX.
+ */
+void fl_cluster_describe(struct fl_machine *machine, int type, int zone, bool spot,
+                         const char *endpoint);
 /* Frees tombstones older than `before`. Only where no machine or id is held across a wait. */
 void fl_cluster_purge_tombstones(struct fl_cluster *cluster, double before);
 /* Frees what only a leader knows: tasks, machines, usage. */
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -265,8 +265,8 @@
 }
 
 enum fl_decode_result fl_task_block_restore(struct fl_cluster *cluster, struct fl_job *job,
-                                            uint32_t block_index, const cJSON *value,
-                                            uint64_t revision, struct fl_wal *wal, double now)
+                                            uint32_t block_index,
+                                            const struct fl_task_block_source *source, double now)
 {
 	struct merge merge = {.job = job, .block_index = block_index, .source = FROM_RECORD};
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
@@ -274,13 +274,13 @@
 
 	if (block_index >= job->block_count || !fl_task_get(job, base))
 		return FL_DECODE_MALFORMED;
-	result = merge_record(&merge, value);
-	if (result == FL_DECODE_OK && wal)
-		result = merge_log(&merge, wal);
+	result = merge_record(&merge, source->value);
+	if (result == FL_DECODE_OK && source->wal)
+		result = merge_log(&merge, source->wal);
 	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && result == FL_DECODE_OK; i++)
 		if (merge.states[i].phase != FL_TASK_WAITING || merge.states[i].attempt > 0)
 			result = restore_task(cluster, job, base + i, &merge.states[i], now);
-	job->blocks[block_index]->mod_revision = revision;
+	job->blocks[block_index]->mod_revision = source->revision;
 	return result;
 }
 
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -133,18 +133,18 @@
 }
 
 enum fl_place_result fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                                   struct fl_machine *machine, uint64_t fencing_token, double now)
+                                   const struct fl_new_attempt *attempt, double now)
 {
 	struct fl_task *task = fl_task_get(job, index);
-	enum fl_place_result result = assign(cluster, job, task, index, machine);
+	enum fl_place_result result = assign(cluster, job, task, index, attempt->machine);
 
 	if (result != FL_PLACE_OK)
 		return result;
 	task->phase = FL_TASK_PLACED;
 	task->attempt++;
-	task->machine = machine->id;
-	task->incarnation = machine->heartbeat.incarnation;
-	task->fencing_token = fencing_token;
+	task->machine = attempt->machine->id;
+	task->incarnation = attempt->machine->heartbeat.incarnation;
+	task->fencing_token = attempt->fencing_token;
 	task->observed = FL_OBSERVED_NONE;
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
--- a/src/storage/tasks.h
+++ b/src/storage/tasks.h
@@ -1,6 +1,7 @@
 /*
  * Tasks and their phases. A task that is PLACED may be on its machine, and counts against team,
- * machine and zone until it is proven not to be. Indexes are those within the job. `now` is steady.
+ * machine and zone until it is proven not to be. Indexes are those within the job and below its
+ * task_count. `now` is steady, in seconds.
  */
 #ifndef FL_STORAGE_TASKS_H
 #define FL_STORAGE_TASKS_H
@@ -20,23 +21,29 @@
 /* The next WAITING task at or after `from` that may start at `now`; task_count if there is none. */
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now);
 
-/* What came of placing a task. */
+/* The result of placing a task. */
 enum fl_place_result {
 	FL_PLACE_OK = 0,
 	FL_PLACE_NOT_WAITING, /* it is placed or done already: nothing changed */
 	FL_PLACE_NO_MEMORY    /* nothing changed */
 };
 
-/* WAITING -> PLACED with a new attempt. */
+/* An attempt that this leader decides on. */
+struct fl_new_attempt {
+	struct fl_machine *machine;
+	uint64_t fencing_token; /* of this leader */
+};
+
+/* WAITING -> PLACED with a new attempt, bound to the machine's present incarnation. */
 enum fl_place_result fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                                   struct fl_machine *machine, uint64_t fencing_token, double now);
+                                   const struct fl_new_attempt *attempt, double now);
 
 /* An attempt, as a record holds it. */
 struct fl_recorded_attempt {
 	uint32_t attempt;
 	struct fl_machine *machine;
-	uint64_t incarnation;
-	double placed_wall;
+	uint64_t incarnation; /* of the machine, at placement */
+	double placed_wall;   /* 0: not known */
 };
 
 /* WAITING -> PLACED with an attempt that an earlier leader placed. */
@@ -50,7 +57,7 @@
                      double not_before);
 /* Any -> DONE. */
 void fl_task_done(struct fl_cluster *cluster, struct fl_job *job, uint32_t index);
-/* Takes in what a heartbeat says of a placed task. */
+/* Updates a placed task, and the job's count of running ones, from a heartbeat. */
 void fl_task_observe(struct fl_job *job, struct fl_task *task, enum fl_observed_state observed,
                      double now);
 
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -132,10 +132,12 @@
 
 struct fl_task *place_task(struct fixture *fixture, uint32_t index)
 {
-	assert_int_equal(fl_task_place(&fixture->node.cluster, fixture->job, index,
-	                               only_machine(fixture),
-	                               fixture->node.leader_lease.fencing_token, fl_now()),
-	                 0);
+	assert_int_equal(
+		fl_task_place(&fixture->node.cluster, fixture->job, index,
+	                      &(struct fl_new_attempt){only_machine(fixture),
+	                                               fixture->node.leader_lease.fencing_token},
+	                      fl_now()),
+		0);
 	fl_job_task_block(fixture->job, 0)->saved_generation =
 		fl_job_task_block(fixture->job, 0)->generation;
 	return fl_task_peek(fixture->job, index);
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -215,8 +215,10 @@
 		                        : NULL;
 
 		if (record || wal.group_count > 0)
-			assert_int_equal(fl_task_block_restore(&node->cluster, job, 0, record, 1,
-			                                       &wal, fl_now()),
+			assert_int_equal(fl_task_block_restore(
+						 &node->cluster, job, 0,
+						 &(struct fl_task_block_source){record, 1, &wal},
+						 fl_now()),
 			                 0);
 		cJSON_Delete(record);
 	}
@@ -241,9 +243,12 @@
 		if (index >= job->task_count || !machine->lifecycle.up || machine->used.cpus >= 4 ||
 		    !fl_team_within_maximum(team, team->used_cpus + 1, 0))
 			continue;
-		assert_int_equal(fl_task_place(cluster, job, index, machine,
-		                               sim->node.leader_lease.fencing_token, fl_now()),
-		                 0);
+		assert_int_equal(
+			fl_task_place(cluster, job, index,
+		                      &(struct fl_new_attempt){
+					      machine, sim->node.leader_lease.fencing_token},
+		                      fl_now()),
+			0);
 	}
 }
 
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -47,13 +47,15 @@
 	cluster = &sim->node.cluster;
 	job = fl_job_find(cluster, "run-000001");
 	value = fl_json_parse(record, strlen(record));
-	assert_int_equal(fl_task_block_restore(cluster, job, 0, value, 5, NULL, fl_now()), 0);
+	assert_int_equal(fl_task_block_restore(cluster, job, 0,
+	                                       &(struct fl_task_block_source){value, 5, NULL},
+	                                       fl_now()),
+	                 0);
 	cJSON_Delete(value);
 	assert_int_equal(job->counts.done, 2);
 	assert_int_equal(job->placement.in_unknown_zone, 1);
 	assert_int_equal(fl_task_peek(job, 2)->attempt, 7);
-	fl_cluster_describe(cluster, fl_machine_find(&cluster->machines, "m-000009"), 0, 1, false,
-	                    "x");
+	fl_cluster_describe(fl_machine_find(&cluster->machines, "m-000009"), 0, 1, false, "x");
 	assert_int_equal(job->placement.in_unknown_zone, 0);
 	assert_int_equal(job->placement.by_zone[1], 1);
 	fl_task_release(cluster, job, 3, 0);
@@ -95,7 +97,10 @@
 		cJSON_Delete(value);
 	}
 	value = fl_json_parse(record, strlen(record));
-	assert_int_equal(fl_task_block_restore(cluster, job, 0, value, 5, &wal, fl_now()), 0);
+	assert_int_equal(fl_task_block_restore(cluster, job, 0,
+	                                       &(struct fl_task_block_source){value, 5, &wal},
+	                                       fl_now()),
+	                 0);
 	cJSON_Delete(value);
 	assert_true(wal.groups[0].restored && wal.groups[1].restored);
 	assert_int_equal(fl_task_peek(job, 0)->phase, FL_TASK_DONE);
@@ -141,8 +146,11 @@
 			format_host(1000 + j * 2 + (int)p % 2, host);
 			assert_int_equal(
 				fl_task_place(&sim->node.cluster, job, p,
-			                      fl_machine_get(&sim->node.cluster.machines, host, 0),
-			                      1, 0),
+			                      &(struct fl_new_attempt){
+						      fl_machine_get(&sim->node.cluster.machines,
+			                                             host, 0),
+						      1},
+			                      0),
 				0);
 			if (p + 1 < TASKS)
 				continue;
@@ -242,8 +250,10 @@
 
 		format_host(50 + i, host);
 		machine[i] = fl_machine_get(&cluster->machines, host, 0);
-		fl_cluster_describe(cluster, machine[i], 0, 0, false, "x");
-		assert_int_equal(fl_task_place(cluster, job, (uint32_t)i, machine[i], 1, 0), 0);
+		fl_cluster_describe(machine[i], 0, 0, false, "x");
+		assert_int_equal(fl_task_place(cluster, job, (uint32_t)i,
+		                               &(struct fl_new_attempt){machine[i], 1}, 0),
+		                 0);
 	}
 	fl_reconcile_decommission(&sim->node, machine[0], "test");
 	fl_cluster_purge_tombstones(cluster, fl_now() + 1);
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -220,7 +220,9 @@
 	cJSON *tree = parse(PROGRESS);
 
 	(void)state;
-	assert_int_equal(fl_task_block_restore(&read, job, 1, tree, 6, NULL, 1), 0);
+	assert_int_equal(fl_task_block_restore(&read, job, 1,
+	                                       &(struct fl_task_block_source){tree, 6, NULL}, 1),
+	                 0);
 	cJSON_Delete(tree);
 	assert_progress(&read, job);
 	assert_int_equal(job->blocks[1]->mod_revision, 6);
@@ -281,7 +283,9 @@
 	assert_int_equal(wal.groups[0].block_index, 1);
 	assert_int_equal(wal.groups[1].block_index, 2);
 	assert_text(cJSON_Duplicate(wal.groups[0].changes, true), PROGRESS);
-	assert_int_equal(fl_task_block_restore(&cluster, job, 1, NULL, 0, &wal, 1), 0);
+	assert_int_equal(fl_task_block_restore(&cluster, job, 1,
+	                                       &(struct fl_task_block_source){NULL, 0, &wal}, 1),
+	                 0);
 	assert_true(wal.groups[0].restored && !wal.groups[1].restored);
 	assert_progress(&cluster, job);
 	assert_false(fl_task_saved(fl_job_task_block(job, 1), fl_task_peek(job, 68)));
--- a/tests/test_contract_wire.c
+++ b/tests/test_contract_wire.c
@@ -522,9 +522,12 @@
 
 static void add_one_order_of_each_verb(struct fl_command_list *commands)
 {
-	fl_command_list_add(commands, FL_COMMAND_START, "run-000412", 4, 2, 10.5);
-	fl_command_list_add(commands, FL_COMMAND_STOP, "run-000377", 1, 5, 10.5);
-	fl_command_list_add(commands, FL_COMMAND_FORGET, "run-000398", 0, 1, 10.5);
+	fl_command_list_add(commands,
+	                    &(struct fl_command){FL_COMMAND_START, "run-000412", 4, 2, 10.5});
+	fl_command_list_add(commands,
+	                    &(struct fl_command){FL_COMMAND_STOP, "run-000377", 1, 5, 10.5});
+	fl_command_list_add(commands,
+	                    &(struct fl_command){FL_COMMAND_FORGET, "run-000398", 0, 1, 10.5});
 }
 
 static void a_heartbeat_answer_has_the_fencing_token_and_each_verb(void **state)
@@ -939,8 +942,10 @@
 
 	fl_kv_init(&service, address);
 	for (int i = 0; i < 2; i++)
-		got->rc[i] = fl_kv_watch(&service, "c/", &got->rev[i], 2.5, note_change,
-		                         &got->changes[i]);
+		got->rc[i] = fl_kv_watch(
+			&service,
+			&(struct fl_kv_watch_request){"c/", 2.5, note_change, &got->changes[i]},
+			&got->rev[i]);
 	fl_http_client_close(&service.client);
 	fl_http_client_close(&service.watch_client);
 }
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -77,7 +77,7 @@
 
 	snprintf(name, sizeof(name), "m-%06d", i);
 	machine = fl_machine_get(&fixture->node.cluster.machines, name, fl_now() - 100);
-	fl_cluster_describe(&fixture->node.cluster, machine, 0, zone, spot, "x");
+	fl_cluster_describe(machine, 0, zone, spot, "x");
 	machine->lifecycle.up = true;
 	machine->heartbeat.last_at = fl_now();
 	return machine;
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -65,7 +65,7 @@
 
 		snprintf(name, sizeof(name), "m-%06d", i);
 		site->machine[i] = fl_machine_get(&cluster->machines, name, fl_now());
-		fl_cluster_describe(cluster, site->machine[i], 0, 0, true, "x");
+		fl_cluster_describe(site->machine[i], 0, 0, true, "x");
 		site->machine[i]->lifecycle.up = true;
 		site->machine[i]->heartbeat.incarnation = 1;
 		site->machine[i]->outbound.last_reachable_at = fl_now();
@@ -99,9 +99,11 @@
 
 	for (int i = 0; i < MACHINES; i++)
 		for (int k = 0; k < TASKS_A_MACHINE; k++, index++)
-			assert_int_equal(fl_task_place(&site->node.cluster, site->job, index,
-			                               site->machine[i], 7, fl_now()),
-			                 0);
+			assert_int_equal(
+				fl_task_place(&site->node.cluster, site->job, index,
+			                      &(struct fl_new_attempt){site->machine[i], 7},
+			                      fl_now()),
+				0);
 	return index;
 }
 
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -190,8 +190,7 @@
 	                 0);
 	assert_null(only_machine(fixture));
 	/* One that is known from a record: the copy neither shows life nor what is absent. */
-	fl_cluster_describe(&fixture->node.cluster,
-	                    fl_machine_get(&fixture->node.cluster.machines, "m-000001", fl_now()),
+	fl_cluster_describe(fl_machine_get(&fixture->node.cluster.machines, "m-000001", fl_now()),
 	                    0, 0, false, "x");
 	assert_int_equal(
 		fl_task_restore(&fixture->node.cluster, fixture->job, 1,
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -160,9 +160,10 @@
 
 	format_host(host, heartbeat.host);
 	machine = fl_machine_get(&cluster->machines, heartbeat.host, 0);
-	fl_cluster_describe(cluster, machine, 0, 0, false, "x");
+	fl_cluster_describe(machine, 0, 0, false, "x");
 	machine->heartbeat.incarnation = 1;
-	assert_int_equal(fl_task_place(cluster, job, index, machine, 1, 0), 0);
+	assert_int_equal(
+		fl_task_place(cluster, job, index, &(struct fl_new_attempt){machine, 1}, 0), 0);
 	copy_text(status.ref, sizeof(status.ref), job->ref);
 	status.attempt = fl_task_peek(job, index)->attempt;
 	heartbeat.tasks = &status;
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -184,18 +184,21 @@
 			cJSON *value = w->record[j][k].n > 0 ? encode(&w->record[j][k]) : NULL;
 
 			if (value)
-				assert_int_equal(fl_task_block_restore(&w->cluster, w->job[j], k,
-				                                       value, 7, wal, 0),
-				                 0);
+				assert_int_equal(
+					fl_task_block_restore(
+						&w->cluster, w->job[j], k,
+						&(struct fl_task_block_source){value, 7, wal}, 0),
+					0);
 			cJSON_Delete(value);
 		}
 	for (int i = 0; i < wal->group_count; i++)
 		if (!wal->groups[i].restored)
-			assert_int_equal(
-				fl_task_block_restore(&w->cluster,
-			                              fl_job_find(&w->cluster, wal->groups[i].ref),
-			                              wal->groups[i].block_index, NULL, 0, wal, 0),
-				0);
+			assert_int_equal(fl_task_block_restore(
+						 &w->cluster,
+						 fl_job_find(&w->cluster, wal->groups[i].ref),
+						 wal->groups[i].block_index,
+						 &(struct fl_task_block_source){NULL, 0, wal}, 0),
+			                 0);
 }
 
 /* The plain reading: of two states done counts, then the higher attempt, then one not placed. */
