--- a/src/coordination/api/cancellation.c
+++ b/src/coordination/api/cancellation.c
@@ -6,6 +6,9 @@
 #include "coordination/persistence/job_record_refresh.h"
 #include "coordination/responses.h"
 #include "coordination/workers/command.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
+#include "storage/keys.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -4,6 +4,8 @@
 #include <string.h>
 
 #include "coordination/node.h"
+#include "storage/job_records.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 #include "transport/text.h"
 
--- a/src/coordination/api/job_lookup.h
+++ b/src/coordination/api/job_lookup.h
@@ -6,7 +6,7 @@
 #ifndef FL_COORDINATION_API_JOB_LOOKUP_H
 #define FL_COORDINATION_API_JOB_LOOKUP_H
 
-#include "storage/records.h"
+#include "storage/job_records.h"
 #include "transport/coroutine.h"
 
 struct fl_node;
--- a/src/coordination/api/job_status.c
+++ b/src/coordination/api/job_status.c
@@ -5,6 +5,8 @@
 #include "coordination/node.h"
 #include "coordination/persistence/job_record_refresh.h"
 #include "coordination/responses.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
 #include "transport/clock.h"
 
 struct fl_job_status_report fl_job_status_from_memory(const struct fl_node *node, const char *ref)
--- a/src/coordination/api/job_status.h
+++ b/src/coordination/api/job_status.h
@@ -6,7 +6,7 @@
 #define FL_COORDINATION_API_JOB_STATUS_H
 
 #include "protocol/status_messages.h"
-#include "storage/records.h"
+#include "storage/job_records.h"
 #include "transport/http_server.h"
 
 struct fl_node;
--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -6,6 +6,9 @@
 #include "coordination/api/job_status_response.h"
 #include "coordination/node.h"
 #include "coordination/responses.h"
+#include "storage/job_records.h"
+#include "storage/keys.h"
+#include "storage/progress_records.h"
 #include "transport/clock.h"
 
 /* Tasks of a job, summed over its progress records. */
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -10,6 +10,8 @@
 #include "coordination/api/user_requests.h"
 #include "coordination/node.h"
 #include "coordination/responses.h"
+#include "storage/job_records.h"
+#include "storage/keys.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -9,6 +9,8 @@
 #include "coordination/autoscaling/scale_in.h"
 #include "coordination/autoscaling/scale_out.h"
 #include "coordination/node.h"
+#include "storage/keys.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 #include "transport/coroutine.h"
 #include "transport/log.h"
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -12,7 +12,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "storage/records.h"
+#include "storage/machines.h"
+#include "storage/token_bucket.h"
 
 struct fl_node;
 struct fl_job;
--- a/src/coordination/autoscaling/call_budget.c
+++ b/src/coordination/autoscaling/call_budget.c
@@ -1,6 +1,7 @@
 #include "coordination/autoscaling/call_budget.h"
 
 #include "coordination/node.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 
 enum fl_call_permission fl_autoscaler_await_call_budget(struct fl_node *node)
--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -4,6 +4,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
+#include "storage/keys.h"
 #include "transport/clock.h"
 #include "transport/coroutine.h"
 #include "transport/log.h"
--- a/src/coordination/election/leader_view.c
+++ b/src/coordination/election/leader_view.c
@@ -3,6 +3,7 @@
 #include <string.h>
 
 #include "coordination/node.h"
+#include "storage/keys.h"
 #include "transport/clock.h"
 #include "transport/text.h"
 
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -7,6 +7,8 @@
 #include "coordination/node.h"
 #include "coordination/workers/heartbeat.h"
 #include "protocol/heartbeat_digests.h"
+#include "storage/keys.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 #include "transport/text.h"
--- a/src/coordination/follower/heartbeat_digest.h
+++ b/src/coordination/follower/heartbeat_digest.h
@@ -11,7 +11,6 @@
 #include <uthash.h>
 
 #include "protocol/workers.h"
-#include "storage/records.h"
 
 struct fl_node;
 
--- a/src/coordination/follower/redirect.h
+++ b/src/coordination/follower/redirect.h
@@ -9,7 +9,6 @@
 #include <uthash.h>
 
 #include "protocol/workers.h"
-#include "storage/records.h"
 
 struct fl_node;
 struct fl_peer;
--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -5,6 +5,8 @@
 
 #include "coordination/node.h"
 #include "coordination/workers/command.h"
+#include "storage/job_updates.h"
+#include "storage/keys.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -6,6 +6,11 @@
 
 #include "coordination/node.h"
 #include "coordination/persistence/pending_deletions.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
+#include "storage/keys.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 #include "transport/log.h"
 
--- a/src/coordination/machine_types.c
+++ b/src/coordination/machine_types.c
@@ -3,6 +3,7 @@
 #include <stdlib.h>
 
 #include "coordination/node.h"
+#include "storage/keys.h"
 #include "transport/log.h"
 
 static const struct {
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -23,7 +23,7 @@
 #include "protocol/kv_store.h"
 #include "protocol/peers.h"
 #include "storage/jobs.h"
-#include "storage/records.h"
+#include "storage/token_bucket.h"
 #include "transport/http_server.h"
 
 /* Another controller, and whether gossip exchanges with it come back. */
--- a/src/coordination/persistence/final_record_writer.c
+++ b/src/coordination/persistence/final_record_writer.c
@@ -4,6 +4,8 @@
 #include "coordination/persistence/job_record_refresh.h"
 #include "coordination/persistence/pending_deletions.h"
 #include "coordination/persistence/record_txn.h"
+#include "storage/job_records.h"
+#include "storage/keys.h"
 #include "transport/log.h"
 
 static bool has_progress_record(const struct fl_task_block *block)
--- a/src/coordination/persistence/finished_jobs_loader.c
+++ b/src/coordination/persistence/finished_jobs_loader.c
@@ -4,6 +4,8 @@
 #include <string.h>
 
 #include "coordination/node.h"
+#include "storage/job_records.h"
+#include "storage/keys.h"
 
 static const struct {
 	double interval_s;
--- a/src/coordination/persistence/job_record_refresh.c
+++ b/src/coordination/persistence/job_record_refresh.c
@@ -2,6 +2,8 @@
 
 #include "coordination/node.h"
 #include "coordination/workers/command.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
 #include "transport/log.h"
 
 void fl_job_record_refresh_apply(struct fl_node *node, struct fl_job *job,
--- a/src/coordination/persistence/job_record_refresh.h
+++ b/src/coordination/persistence/job_record_refresh.h
@@ -4,7 +4,7 @@
 
 #include <stdbool.h>
 
-#include "storage/records.h"
+#include "storage/job_records.h"
 
 struct fl_node;
 
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -3,6 +3,9 @@
 #include "coordination/node.h"
 #include "coordination/persistence/record_txn.h"
 #include "coordination/persistence/wal_writer.h"
+#include "storage/keys.h"
+#include "storage/progress_records.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 
 static const struct {
--- a/src/coordination/persistence/record_txn.c
+++ b/src/coordination/persistence/record_txn.c
@@ -3,6 +3,8 @@
 #include <string.h>
 
 #include "coordination/node.h"
+#include "storage/keys.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 
 void fl_record_txn_init(const struct fl_leader_lease *lease, struct fl_kv_txn *txn)
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -8,6 +8,7 @@
 #include "coordination/persistence/pending_deletions.h"
 #include "coordination/persistence/progress_writer.h"
 #include "coordination/workers/command.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 
 static const struct {
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -6,6 +6,8 @@
 
 #include "coordination/node.h"
 #include "coordination/persistence/record_txn.h"
+#include "storage/keys.h"
+#include "storage/write_ahead_log.h"
 #include "transport/log.h"
 
 static const struct {
--- a/src/coordination/workers/digest_reader.c
+++ b/src/coordination/workers/digest_reader.c
@@ -3,6 +3,7 @@
 #include "coordination/node.h"
 #include "coordination/workers/reconciliation.h"
 #include "protocol/heartbeat_digests.h"
+#include "storage/keys.h"
 #include "transport/log.h"
 
 static const struct {
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -6,7 +6,7 @@
 #define FL_TESTS_CONTRACT_RECORDS_FIXTURE_H
 
 #include "protocol/workers.h"
-#include "storage/records.h"
+#include "storage/jobs.h"
 
 #define LIVE                                                                                       \
 	"{\"Ref\":\"run-000412\",\"JobClass\":\"nightly\",\"Owner\":\"physics\","                  \
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -6,7 +6,6 @@
 #define FL_TESTS_FRONTEND_FIXTURE_H
 
 #include "coordination/node.h"
-#include "storage/records.h"
 #include "transport/http_server.h"
 #include "transport/coroutine.h"
 
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -12,6 +12,8 @@
 #include <string.h>
 
 #include "coordination/request_router.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
 #include "transport/clock.h"
 
 void become_leader(struct fixture *fixture, uint64_t fencing_token)
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -12,6 +12,8 @@
 #include <string.h>
 
 #include "copy_text.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
 int random_below(struct simulation *sim, int n)
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -16,6 +16,8 @@
 #include "coordination/persistence/record_writer.h"
 #include "coordination/persistence/job_record_refresh.h"
 #include "node_fixture.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
 #include "transport/clock.h"
 
 /*
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -12,6 +12,10 @@
 #include <string.h>
 
 #include "reconciliation_sim.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
 /* A job cancelled before any task was placed has no chunks: this once crashed the leader. */
--- a/tests/test_contract_records.c
+++ b/tests/test_contract_records.c
@@ -14,6 +14,10 @@
 
 #include "contract_records_fixture.h"
 #include "protocol/heartbeat_digests.h"
+#include "storage/job_records.h"
+#include "storage/keys.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 
 /* ---- job records ---- */
 
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -22,6 +22,8 @@
 #include "coordination/leadership/failover.h"
 #include "protocol/peers.h"
 #include "sim.h"
+#include "storage/job_records.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 
 /* ---- a state service that holds literals, and takes down what is written ---- */
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -15,6 +15,7 @@
 
 #include "coordination/leadership/failover.h"
 #include "frontend_fixture.h"
+#include "storage/job_updates.h"
 
 static const char *const bad_records[] = {
 	"{}",
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -9,7 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "storage/records.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 
 enum { JOBS = 5, TASKS_MAX = 300, GROUPS_MAX = 120, CHANGES_MAX = 24, MACHINES = 6, ROUNDS = 300 };
 
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -12,10 +12,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "storage/records.h"
 #include "config.h"
 #include "coordination/api/admission.h"
 #include "coordination/node.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
