--- a/src/config.h
+++ b/src/config.h
@@ -35,7 +35,10 @@
 	double within_s, share;
 };
 
-/* All settings. Their keys in the file are in config.c. */
+/*
+ * All settings. Fields that hold one setting are named like its key in the file, which operators
+ * know; config.c maps them and checks the ranges. Durations are in seconds.
+ */
 struct fl_config {
 	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME];
 	/* Addresses of the two servers, the cloud and the key-value store. */
@@ -49,11 +52,16 @@
 	int team_count;
 	struct fl_config_slo slos[FL_CONFIG_SLOS];
 	int slo_count;
-	double report_s, lease_s, cancel_s;
-	double state_rps, state_write_rps, value_kb;
-	int txn_ops;
-	double cloud_rps, list_lag_s;
-	double core_share, ram_mb;
+	double report_s; /* between two heartbeats of a worker */
+	double lease_s;  /* of a worker: without a reply for so long, it ends its tasks */
+	double cancel_s; /* from a cancellation until the job's tasks must be gone */
+	double state_rps, state_write_rps; /* limits of the key-value store, a second */
+	double value_kb;                   /* and of the size of a value */
+	int txn_ops;                       /* and of the operations in a transaction */
+	double cloud_rps;                  /* limit of the cloud's API, a second */
+	double list_lag_s;                 /* how far the cloud's list of machines may lag behind */
+	double core_share;                 /* of a processor core, for this controller */
+	double ram_mb;                     /* memory for this controller */
 	int max_connections;
 };
 
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -186,7 +186,7 @@
 	return result;
 }
 
-/* A refusal that names this reason will last; others pass. */
+/* A 503 with this reason lasts; one with another reason, or with none, is temporary. */
 static bool is_out_of_capacity(const struct answer *answer)
 {
 	char reason[64];
@@ -286,7 +286,7 @@
 	if (!*machines)
 		return FL_DECODE_NO_MEMORY;
 	cJSON_ArrayForEach (item, list) {
-		/* A list read in part would make machines look returned. */
+		/* With a partial list, machines missing from it would count as returned. */
 		if (decode_machine(item, &(*machines)[*count]) != FL_DECODE_OK)
 			return FL_DECODE_MALFORMED;
 		(*count)++;
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -12,7 +12,7 @@
 /* Machines in one request, items on one page, zones of one type: at most. */
 enum { FL_RENT_MAX = 50, FL_DELETE_MAX = 100, FL_LIST_PAGE = 500, FL_TYPE_ZONES_MAX = 8 };
 
-/* What came of a request, and so what the caller may conclude and has to do. */
+/* The result of a request: what the caller may conclude, and what it has to do. */
 enum fl_cloud_result {
 	FL_CLOUD_OK = 0,
 	FL_CLOUD_NO_CAPACITY, /* no machine of this kind in this zone now: rent others */
@@ -20,7 +20,7 @@
 	FL_CLOUD_CANCELLED,   /* the calling coroutine is being cancelled: unwind */
 	/* No answer, or no memory to read it: it may have been executed, or may still be. */
 	FL_CLOUD_OUTCOME_UNKNOWN,
-	/* The same of an answer that cannot be read or has another status: a fault to report. */
+	/* The same, but the answer cannot be read or has another status: a fault, to be logged. */
 	FL_CLOUD_UNREADABLE
 };
 
@@ -59,7 +59,7 @@
 /* Machine types in the shape of the cloud, also for a record; `*types` is to be freed. */
 enum fl_decode_result fl_machine_types_decode(const cJSON *object,
                                               struct fl_cloud_machine_type **types, int *count);
-/* Undoes fl_machine_types_decode. */
+/* The inverse of fl_machine_types_decode; owned by the caller. */
 cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int count);
 
 /* The types on offer; `*types` is to be freed. */
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -17,7 +17,7 @@
 /* The result of decoding a whole message or record. Unless it is OK, the caller owns nothing. */
 enum fl_decode_result {
 	FL_DECODE_OK = 0,
-	FL_DECODE_MALFORMED, /* the same input will always fail: reject or report it */
+	FL_DECODE_MALFORMED, /* the same input will always fail: reject it, or log it */
 	FL_DECODE_NO_MEMORY  /* the input may be valid: it may be tried again */
 };
 
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -172,7 +172,7 @@
 	const cJSON *items = fl_json_get(object, "Items");
 	enum fl_kv_result result;
 
-	/* A list cut short would pass for a whole one. */
+	/* Without `More`, a truncated list would count as complete. */
 	if (!cJSON_IsArray(items) ||
 	    fl_json_get_bool(object, "More", &reader->more) != FL_JSON_OK ||
 	    fl_json_get_count(object, "LedgerRev", &reader->revision) != FL_JSON_OK)
--- a/src/protocol/peer_heartbeats.c
+++ b/src/protocol/peer_heartbeats.c
@@ -10,7 +10,7 @@
 
 void fl_heartbeat_list_add(cJSON *list, const char *body)
 {
-	/* As it came: the leader reads it once, with the message. */
+	/* Raw: the leader decodes each heartbeat once, as a part of the message. */
 	cJSON_AddItemToArray(list, cJSON_CreateRaw(body));
 }
 
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -44,7 +44,7 @@
 /* Where users' requests that are forwarded go at another controller. */
 #define FL_PATH_FORWARD "/relay"
 
-/* A user's request travels as it came, wrapped with where it belongs. */
+/* A user's request as it is forwarded: its body is unchanged, and the leader decodes it. */
 struct fl_forwarded_request {
 	enum fl_user_request kind;
 	bool last_hop; /* must not be forwarded again */
--- a/src/protocol/status_messages.h
+++ b/src/protocol/status_messages.h
@@ -13,9 +13,9 @@
 /* Jobs in one query at most. */
 enum { FL_STATUS_QUERY_MAX = 256 };
 
-/* What a user is told of a job. */
+/* The status of a job as its user sees it. */
 struct fl_job_status_report {
-	bool known; /* else the leader's memory does not settle it, and the records must */
+	bool known; /* else the leader cannot answer from memory: read the records */
 	enum fl_job_status status;
 	uint32_t done_count, running_count; /* tasks, for display */
 };
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -283,7 +283,8 @@
 	suffix = strchr(id, '/');
 	if (suffix && strcmp(suffix, cancel_suffix) != 0)
 		return FL_USER_REQUEST_UNKNOWN;
-	/* An id that no job can have is a job nobody submitted: found, but with no ref. */
+	/* With an id that no job can have, the path is valid all the same: answered as unknown job.
+	 */
 	copy_ref(ref, id, suffix ? suffix : id + strlen(id));
 	return suffix ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
 }
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -1,7 +1,7 @@
 /*
  * The API for users: job descriptions, status answers and paths. The wire names of a description's
  * fields are here and in no layer above; an error text that names a field takes its constant. All
- * input is checked for type, range and length before it is taken in.
+ * input is checked for type, range and length before it is stored.
  */
 #ifndef FL_PROTOCOL_USERS_H
 #define FL_PROTOCOL_USERS_H
@@ -38,11 +38,14 @@
 /* The `machine_type_count` of a job that may run on every type. */
 enum { FL_ANY_MACHINE_TYPE = -1 };
 
-/* A gang starts only whole. */
+/*
+ * The kind of a job. ARRAY: independent tasks. SERVICE: long-running ones. GANG: tasks that start
+ * all together or not at all.
+ */
 enum fl_job_kind { FL_ARRAY, FL_SERVICE, FL_GANG };
-/* In rising order; the exponent of the priority's queue factor is priority - 1. */
+/* The priority of a job, rising; the exponent of its factor in the queue is priority - 1. */
 enum fl_priority { FL_BEST_EFFORT, FL_STANDARD, FL_URGENT, FL_CRITICAL };
-/* A job's status; DONE and CANCELLED are final. */
+/* The status of a job. PENDING: no task is running. DONE and CANCELLED are final. */
 enum fl_job_status { FL_PENDING, FL_RUNNING, FL_DONE, FL_CANCELLED };
 
 /* A job as its user describes it. */
@@ -65,7 +68,7 @@
 bool fl_job_ref_decode(const cJSON *value, char ref[FL_REF_MAX]);
 /*
  * Decodes and checks a description; returns NULL, or the wire name of the first bad field. `ref` is
- * empty if it is bad, and stands if a later field is.
+ * set if it is valid, even if a later field is bad, else empty.
  */
 const char *fl_job_spec_decode(const cJSON *object, struct fl_job_spec *out);
 /* The description as fl_job_spec_decode reads it; owned by the caller. */
--- a/src/storage/array.h
+++ b/src/storage/array.h
@@ -1,15 +1,19 @@
-/* Arrays that grow by doubling, and the index of nothing. */
+/*
+ * Arrays that grow by doubling, and the index that stands for none. The caller owns the array and
+ * frees it; the helper keeps no state.
+ */
 #ifndef FL_STORAGE_ARRAY_H
 #define FL_STORAGE_ARRAY_H
 
 #include <stddef.h>
 
-/* What a search for an index returns if there is none; all others are 0 or more. */
+/* The result of a search for an index that finds none; valid indexes are 0 or more. */
 enum { FL_INDEX_NONE = -1 };
 
 /*
- * Makes room for one more item in an array that holds `count`. Returns the array, which may have
- * moved, and updates `*capacity`; NULL without memory: the array stays as it is.
+ * Ensures that an array of `count` items can hold one more; the first allocation is of
+ * `first_capacity` items. Returns the array, which may have moved, and updates `*capacity`. NULL
+ * without memory: the array and its capacity stay as they are, and the caller still owns it.
  */
 void *fl_array_grow(void *items, int count, int *capacity, size_t item_size, int first_capacity);
 
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -20,7 +20,7 @@
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
-	/* An isolated leader: it still has the tasks to count, and reads the record later. */
+	/* An isolated leader: the tasks still count for it, and it reads the record later. */
 	job->cancelled = true;
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -17,9 +17,9 @@
 /* Tasks in one progress record, which so stays well within 4 KiB a value. */
 enum { FL_TASK_BLOCK_SIZE = 64 };
 
-/* Where a task stands. */
+/* The phase of a task. PLACED: an attempt may be on a machine. DONE is final. */
 enum fl_task_phase { FL_TASK_WAITING, FL_TASK_PLACED, FL_TASK_DONE };
-/* What the newest heartbeat said of a placed task. */
+/* The state of a placed task in the newest heartbeat of its machine. NONE: not seen there yet. */
 enum fl_observed_state {
 	FL_OBSERVED_NONE,
 	FL_OBSERVED_PULLING,
@@ -50,8 +50,8 @@
 struct fl_task_block {
 	struct fl_task tasks[FL_TASK_BLOCK_SIZE];
 	uint64_t generation;        /* counts changes; a task has that of its last one */
-	uint64_t saved_generation;  /* up to which changes stand in the record */
-	uint64_t logged_generation; /* and in the write-ahead log or the record: durable */
+	uint64_t saved_generation;  /* changes up to it are in the progress record */
+	uint64_t logged_generation; /* changes up to it are durable: in the log or the record */
 	uint64_t mod_revision;      /* of the record; 0: there is none */
 	bool revision_unknown;      /* a write had an unknown outcome: read before writing again */
 };
@@ -61,7 +61,7 @@
 	uint32_t waiting, placed, running, done;
 };
 
-/* Where a job's tasks are, and where the next may go. */
+/* How a job's placed tasks are spread, and what placing its next ones depends on. */
 struct fl_job_placement {
 	uint32_t by_zone[FL_ZONES_MAX];
 	uint32_t in_unknown_zone; /* on machines whose zone is not known yet */
@@ -75,14 +75,14 @@
 	uint32_t consecutive_failures; /* error exits in a row, on any machine */
 };
 
-/* What stands in the key-value store of a job, and what is still to be written. */
+/* The state of a job's records in the key-value store, and of writes still to be made. */
 struct fl_job_record_state {
 	uint64_t mod_revision;      /* of the job record */
 	struct fl_job *next_dirty;  /* on the cluster's list of jobs with unsaved blocks */
 	bool is_dirty;              /* it is on that list */
 	bool listed;                /* it was in the list of job records being read */
 	bool final_write_in_flight; /* its final record is being written */
-	bool final_write_unknown;   /* that had an unknown outcome: only the record knows */
+	bool final_write_unknown;   /* that had an unknown outcome: read before writing again */
 };
 
 /* A job that is not over yet. */
@@ -98,8 +98,8 @@
 	uint32_t types; /* bit per allowed machine type; UINT32_MAX: any */
 	bool same_zone, spread_zones, spot_allowed;
 	bool within_guaranteed; /* fits its team's guaranteed quota, after its earlier jobs */
-	bool cancelled;         /* its final record says so; tasks may still have to be stopped */
-	double cancelled_at;    /* when its user was told, or before */
+	bool cancelled;         /* its user has cancelled it; tasks may still have to stop */
+	double cancelled_at;    /* not after its user got the answer; 0: not cancelled */
 	double submitted_wall;
 	struct fl_job_record_state record;
 	struct fl_job_counts counts;
@@ -109,14 +109,14 @@
 	struct fl_task_block **blocks; /* NULL entry: all its tasks wait and never ran */
 };
 
-/* What memory holds of a job that is over; its record is kept for ever. */
+/* A job that is over, as held in memory; its final record is never deleted. */
 struct fl_finished_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
 	enum fl_job_status status : 8;
 	uint32_t task_count;
-	double cancelled_at; /* of one that is CANCELLED: its tasks must be gone in time */
-	double learned_at;   /* since when this process knows it */
+	double cancelled_at; /* if CANCELLED: the deadline for its tasks counts from here */
+	double learned_at;   /* when this process learned that it is over */
 };
 
 /* All that a node knows of jobs and machines. Zero-initialised is empty. */
@@ -126,14 +126,17 @@
 	struct fl_machines machines;
 	struct fl_job *jobs;              /* live, by ref */
 	struct fl_finished_job *finished; /* by ref, oldest first */
-	unsigned finished_max;      /* the oldest beyond it are left to the records; 0: no limit */
-	double finished_dropped_at; /* when the newest of those not held any more was learned */
+	unsigned finished_max;      /* the oldest beyond it are dropped from memory; 0: no limit */
+	double finished_dropped_at; /* `learned_at` of the newest one dropped; 0: none was */
 	struct fl_job *dirty;       /* jobs with unsaved blocks */
 	uint64_t list_revision;     /* of the list that the leadership began with */
 	bool leading;               /* tasks and machines are held here, not only descriptions */
 };
 
-/* Another controller says that this job is cancelled; its record follows later. */
+/*
+ * Applies a cancellation that another controller reports before this node has read the record. A
+ * leader keeps the job until its tasks are gone, any other node finalises it; idempotent.
+ */
 void fl_cluster_learn_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at);
 /*
  * As fl_machine_describe, and counts the machine's attempts in its zone when that becomes known.
@@ -141,9 +144,12 @@
  */
 void fl_cluster_describe(struct fl_machine *machine, int type, int zone, bool spot,
                          const char *endpoint);
-/* Frees tombstones older than `before`. Only where no machine or id is held across a wait. */
+/*
+ * Frees the tombstones of machines that were decommissioned before the steady time `before`, which
+ * changes ids of others: only to be called where nobody holds a machine or an id across a wait.
+ */
 void fl_cluster_purge_tombstones(struct fl_cluster *cluster, double before);
-/* Frees what only a leader knows: tasks, machines, usage. */
+/* Frees what only a leader knows (tasks, machines, usage); cancelled jobs are finalised. */
 void fl_cluster_forget_tasks(struct fl_cluster *cluster);
 /* Frees all that the cluster holds, but not the cluster itself. */
 void fl_cluster_free(struct fl_cluster *cluster);
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -31,6 +31,7 @@
 		return; /* a final state never changes */
 	finished = calloc(1, sizeof(*finished));
 	if (!finished) {
+		/* Lists of cancellations since an earlier time are incomplete without it. */
 		cluster->finished_dropped_at = fl_now();
 		return;
 	}
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -116,7 +116,10 @@
 	memset(out, 0, sizeof(*out));
 	if (decode_final(value, out) != FL_DECODE_OK)
 		return FL_DECODE_MALFORMED;
-	/* One that is cancelled and cannot be read has tasks that nobody would count or stop. */
+	/*
+	 * A cancelled job keeps its description. If it is malformed, so is the record: accepted
+	 * without it, the job's tasks would be counted and stopped by nobody.
+	 */
 	out->has_spec = !out->final || fl_json_get(value, FL_FIELD_REF);
 	if (!out->has_spec)
 		return FL_DECODE_OK;
@@ -129,7 +132,7 @@
 	return FL_DECODE_OK;
 }
 
-/* Which job is read, and what its record goes into. */
+/* A job whose records are being read, and where the decoded one is stored. */
 struct record_reader {
 	struct fl_kv_store *store;
 	const char *ref;
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -8,12 +8,12 @@
 #include "protocol/kv_store.h"
 #include "storage/jobs.h"
 
-/* What reading a job's records found. */
+/* The result of reading a job's records. */
 enum fl_record_result {
 	FL_RECORD_FOUND,
 	FL_RECORD_NOT_FOUND,  /* there is no such job */
 	FL_RECORD_UNREADABLE, /* there is one, which this version cannot decode */
-	FL_RECORD_UNAVAILABLE /* the store cannot tell now */
+	FL_RECORD_UNAVAILABLE /* the store gave no usable answer: try again later */
 };
 
 /* A job record: either the description or the final state. */
@@ -28,9 +28,10 @@
 };
 
 /*
- * What the records say of a job: its live record, or the final one that took its place in one
- * transaction, so that reading them in this order misses neither. `*value` is the live record's
- * value, owned by the caller, or NULL. Both are set only if one was found.
+ * Reads a job's live record, or else its final one, which takes the place of the live one in one
+ * transaction: read in this order, neither is missed. `*value` is the live record's value, or NULL;
+ * the caller owns it whatever the result is, since an unreadable one is returned, too. `*record` is
+ * valid if the result is FL_RECORD_FOUND. Waits for the store: only from a coroutine.
  */
 enum fl_record_result fl_job_record_read(struct fl_kv_store *store, const char *ref,
                                          struct fl_job_record *record, cJSON **value,
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -15,7 +15,7 @@
 {
 	struct fl_job *job, *next;
 
-	/* One that was stored after the list was made is not in it and not over. */
+	/* A job that was stored after the list was made is not in it, but not over either. */
 	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->record.listed && job->record.mod_revision <= revision &&
 		    job->counts.placed == 0)
@@ -77,7 +77,7 @@
 
 	/*
 	 * A leader's marks are its failover's alone: a watch that lists anew or lags meanwhile must
-	 * neither keep what the failover's list no longer holds nor hide what it does.
+	 * neither preserve a job that the failover's list lacks nor drop one that it contains.
 	 */
 	if (job && !cluster->leading)
 		job->record.listed = true;
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -28,7 +28,7 @@
 	return mask;
 }
 
-/* What stands in the description as it is, and needs no index of this process. */
+/* Copies the fields that need no translation into indexes of this process. */
 static void copy_spec(struct fl_job *job, const struct fl_job_spec *spec)
 {
 	fl_copy_string(job->ref, sizeof(job->ref), spec->ref);
@@ -57,7 +57,7 @@
 
 	if (job)
 		return job;
-	/* A zone that is not known must not pass for any zone. */
+	/* With an unknown zone as FL_INDEX_NONE, the job would run in any zone. */
 	if (team == FL_INDEX_NONE || (spec->has_zone && zone == FL_INDEX_NONE))
 		return NULL;
 	job = calloc(1, sizeof(*job));
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -1,7 +1,7 @@
 /*
  * Live jobs. The cluster owns them; a pointer to one is valid until the job is dropped or
- * finalised, which may happen during any wait. The headers of tasks and of finished jobs come with
- * this one.
+ * finalised, which may happen during any wait. Includes the headers of tasks and of finished jobs:
+ * whoever handles a job handles its tasks, and has to consider that it may be over.
  */
 #ifndef FL_STORAGE_JOBS_H
 #define FL_STORAGE_JOBS_H
@@ -34,7 +34,7 @@
 void fl_job_mark_dirty(struct fl_cluster *cluster, struct fl_job *job);
 /* All its tasks are done; or it is cancelled, and none may be on a machine any more. */
 bool fl_job_is_over(const struct fl_job *job);
-/* The status that its user is told. */
+/* The status that its user sees. Never DONE, which a job is only once it is finalised. */
 enum fl_job_status fl_job_current_status(const struct fl_job *job);
 /* What one task of the job needs. */
 static inline struct fl_resources fl_job_need(const struct fl_job *job)
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -19,7 +19,7 @@
 	return FL_INDEX_NONE;
 }
 
-/* The zones of the type that this cluster knows. */
+/* A bit for each zone of the type that is configured here. */
 static uint32_t zones_mask(const struct fl_cloud_machine_type *offered,
                            const struct fl_symbol_table *zones)
 {
@@ -153,16 +153,15 @@
 
 uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available)
 {
-	const double slack = 1e-6; /* amounts are sums of decimal fractions */
 	const double max_count = 1e6;
 	double count = max_count;
 
 	if (need.cpus > 0)
-		count = fmin(count, floor(available.cpus / need.cpus + slack));
+		count = fmin(count, floor(available.cpus / need.cpus + FL_RESOURCES_EPSILON));
 	if (need.gpus > 0)
-		count = fmin(count, floor(available.gpus / need.gpus + slack));
+		count = fmin(count, floor(available.gpus / need.gpus + FL_RESOURCES_EPSILON));
 	if (need.ram_gb > 0)
-		count = fmin(count, floor(available.ram_gb / need.ram_gb + slack));
+		count = fmin(count, floor(available.ram_gb / need.ram_gb + FL_RESOURCES_EPSILON));
 	return count > 0 ? (uint32_t)count : 0;
 }
 
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -51,7 +51,7 @@
 	int orphan_task_count; /* its tasks that no record accounts for */
 };
 
-/* What is sent to the machine, and whether it arrives, which its heartbeats do not show. */
+/* Replies and commands to the machine, and signs of whether they reach it. */
 struct fl_machine_outbound {
 	double last_reachable_at;    /* of the newest heartbeat that a reply could answer */
 	double last_reply_at;        /* of the newest reply to a heartbeat; 0: none */
@@ -65,7 +65,7 @@
 	bool command_pending;        /* something has to be sent by a direct command */
 };
 
-/* Resources kept for the job that waits for them: struct fl_reservation in schedule.h. */
+/* Resources reserved for a waiting job: see struct fl_reservation in schedule.h. */
 struct fl_machine_reservation {
 	double at; /* when it was last made; 0: never */
 	double cpus, gpus, ram_gb;
@@ -73,7 +73,7 @@
 	bool within_guaranteed;
 };
 
-/* What failures on the machine imply. */
+/* What failures on the machine lead to. */
 struct fl_machine_health {
 	double quarantined_until; /* nothing is placed before */
 	int fault_count;          /* in a row */
--- a/src/storage/progress_records.h
+++ b/src/storage/progress_records.h
@@ -1,7 +1,7 @@
 /*
- * Progress records: what became of the tasks of one block of a job. Only what differs from a task
- * that waits and never ran is written. Of two states of a task, from the record or the write-ahead
- * log, the later one counts, in whatever order they are read.
+ * Progress records: the states of the tasks of one block of a job. Tasks that wait and never ran
+ * are left out. Of two states of a task, from the record or the write-ahead log, the later one
+ * counts, in whatever order they are read.
  */
 #ifndef FL_STORAGE_PROGRESS_RECORDS_H
 #define FL_STORAGE_PROGRESS_RECORDS_H
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -94,9 +94,7 @@
 		return FL_PLACE_NOT_WAITING;
 	if (!fl_machine_add_assignment(machine, job, index))
 		return FL_PLACE_NO_MEMORY;
-	machine->used.cpus += job->cpus;
-	machine->used.gpus += job->gpus;
-	machine->used.ram_gb += job->ram_gb;
+	fl_resources_add(&machine->used, fl_job_need(job));
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
 	(*zone_count(job, machine))++;
@@ -113,10 +111,8 @@
 	struct fl_team *team = &cluster->teams.by_index[job->team];
 
 	fl_machine_remove_assignment(machine, job, index);
-	machine->used.cpus -= job->cpus;
-	machine->used.gpus -= job->gpus;
-	machine->used.ram_gb -= job->ram_gb;
-	/* Sums of fractions leave a rest. */
+	fl_resources_subtract(&machine->used, fl_job_need(job));
+	/* Adding and subtracting fractions leaves a rounding error, which would add up. */
 	if (machine->assignment_count == 0)
 		machine->used = (struct fl_resources){0};
 	team->used_cpus -= job->cpus;
@@ -170,7 +166,7 @@
 	task->running_since = fmin(now, fl_since(recorded->placed_wall));
 	/*
 	 * Its image is there, and stays when the task is lost with its worker's incarnation: after
-	 * an outage of all controllers hundreds of tasks start again, and best where they ran.
+	 * an outage of all controllers hundreds of tasks start again, fastest where they ran.
 	 */
 	fl_machine_record_image(recorded->machine, job->image);
 	return FL_PLACE_OK;
--- a/src/storage/teams.c
+++ b/src/storage/teams.c
@@ -2,8 +2,7 @@
 
 #include <string.h>
 
-/* Amounts are sums of decimal fractions: slightly above the limit still is within it. */
-static const double slack = 1e-6;
+#include "storage/resources.h"
 
 int fl_teams_find(const struct fl_teams *teams, const char *name)
 {
@@ -15,18 +14,19 @@
 
 bool fl_team_within_maximum(const struct fl_team *team, double cpus, double gpus)
 {
-	if (team->max_cpus > 0 && cpus > team->max_cpus + slack)
+	if (team->max_cpus > 0 && cpus > team->max_cpus + FL_RESOURCES_EPSILON)
 		return false;
-	return !(team->max_gpus > 0 && gpus > team->max_gpus + slack);
+	return !(team->max_gpus > 0 && gpus > team->max_gpus + FL_RESOURCES_EPSILON);
 }
 
 bool fl_team_within_guaranteed(const struct fl_team *team, double cpus, double gpus)
 {
 	if (team->guaranteed_cpus <= 0 && team->guaranteed_gpus <= 0)
 		return false;
-	if (team->guaranteed_cpus > 0 && cpus > team->guaranteed_cpus + slack)
+	if (team->guaranteed_cpus > 0 && cpus > team->guaranteed_cpus + FL_RESOURCES_EPSILON)
 		return false;
-	if (team->guaranteed_gpus > 0 ? gpus > team->guaranteed_gpus + slack : gpus > slack)
+	if (team->guaranteed_gpus > 0 ? gpus > team->guaranteed_gpus + FL_RESOURCES_EPSILON
+	                              : gpus > FL_RESOURCES_EPSILON)
 		return false;
 	return true;
 }
--- a/src/storage/token_bucket.h
+++ b/src/storage/token_bucket.h
@@ -1,4 +1,7 @@
-/* A token bucket that limits how many requests or records a second a node spends. */
+/*
+ * A token bucket, which limits the rate of requests or records of a node. It does not wait: callers
+ * sleep for as long as it returns, or give up.
+ */
 #ifndef FL_STORAGE_TOKEN_BUCKET_H
 #define FL_STORAGE_TOKEN_BUCKET_H
 
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -15,8 +15,7 @@
 	uint32_t block_index;
 	cJSON *changes;    /* owned; in the shape of a progress record */
 	bool restored;     /* its block has been restored */
-	int next_of_block; /* index of the next group of the same block, as read, or FL_INDEX_NONE
-	                    */
+	int next_of_block; /* index of the block's next group as read, or FL_INDEX_NONE */
 };
 
 struct fl_wal_block;
--- a/src/transport/coroutine.c
+++ b/src/transport/coroutine.c
@@ -87,7 +87,7 @@
 	struct fl_coroutine *coroutine = watcher->data;
 
 	(void)revents;
-	/* It waits for something else: the event would fire again and again. */
+	/* It waits for something else: a level-triggered event would fire again and again. */
 	if (!coroutine->awaits_io)
 		ev_io_stop(loop, watcher);
 	else
--- a/src/transport/coroutine.h
+++ b/src/transport/coroutine.h
@@ -12,7 +12,7 @@
 
 struct fl_coroutine;
 
-/* An event to wait for: first come, first woken. Zero-initialised is ready for use. */
+/* An event to wait for; waiters are woken in the order they came. Zero-initialised is ready. */
 struct fl_condition {
 	struct fl_coroutine *first, *last;
 };
@@ -28,11 +28,14 @@
 
 /* Starts a coroutine, which is freed when its function returns; NULL: out of memory. */
 struct fl_coroutine *fl_coroutine_spawn(void (*fn)(void *), void *arg);
-/* Must not be called once the coroutine's function has returned. */
+/*
+ * Makes the coroutine's present wait and all its later ones return -ECANCELED. Must not be called
+ * once its function has returned, since it is freed then.
+ */
 void fl_coroutine_cancel(struct fl_coroutine *coroutine);
 /* Whether the current coroutine is cancelled. */
 bool fl_coroutine_cancelled(void);
-/* From now on the current coroutine goes before all that are not urgent: it must not be late. */
+/* Lets the current coroutine run before all ready ones that are not urgent, from now on. */
 void fl_coroutine_set_urgent(void);
 /*
  * Lets all else that is ready go first, for work that may be late. False at once if `max_waiting`
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -33,7 +33,7 @@
 enum { LISTEN_BACKLOG = 512 };
 
 /* Digits of an int, with its sign. */
-enum { FL_INT_DIGITS = 11 };
+enum { INT_DIGITS = 11 };
 
 struct fl_http_server {
 	int fd;
@@ -54,7 +54,7 @@
 	const char *body = response->body ? response->body : "{}";
 	size_t body_length = strlen(body);
 	struct fl_buffer output = {0};
-	char retry_after[sizeof("Retry-After: \r\n") + FL_INT_DIGITS] = "";
+	char retry_after[sizeof("Retry-After: \r\n") + INT_DIGITS] = "";
 	int rc;
 
 	if (response->retry_after_s > 0)
--- a/src/transport/memory.h
+++ b/src/transport/memory.h
@@ -1,4 +1,4 @@
-/* The memory that this process uses, which admission is decided by. */
+/* An estimate of the memory that this process uses; admission control decides by it. */
 #ifndef FL_TRANSPORT_MEMORY_H
 #define FL_TRANSPORT_MEMORY_H
 
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -9,7 +9,7 @@
 int fl_address_parse(const char *text, struct sockaddr_in *out);
 /* A new TCP socket, non-blocking and without delay, or a negative errno. */
 int fl_socket(void);
-/* Has what is written to a TCP socket sent at once. */
+/* Disables Nagle's algorithm: small messages are sent at once. */
 void fl_socket_set_no_delay(int fd);
 /* Closes a socket that the current coroutine has used. */
 void fl_close(int fd);
