--- a/src/main.c
+++ b/src/main.c
@@ -1,3 +1,7 @@
+/*
+ * The program: reads the command line and the settings file, starts the node and runs its
+ * coroutines until a signal ends the process.
+ */
 #include <argp.h>
 #include <signal.h>
 #include <stdio.h>
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -79,7 +79,7 @@
  */
 enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const struct fl_cloud_rental *rental,
                                    char (**hosts)[FL_NAME_MAX], int *host_count);
-/* Returns machines. */
+/* Returns at most FL_DELETE_MAX machines to the cloud. */
 enum fl_cloud_result fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int count);
 /*
  * One page of the rented machines after `from` (NULL or empty: the first page); `*machines` is to
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -63,7 +63,10 @@
 
 /* Called for each change; it is valid during the call only. */
 typedef void (*fl_kv_event_fn)(void *context, const struct fl_kv_event *event);
-/* Every key under the prefix, page by page; `*revision` is the store's at the first page. */
+/*
+ * Lists every key under the prefix, page by page. `*revision` is the store's at the first page, so
+ * that a watch from there misses nothing. On a failure, some keys may have been delivered.
+ */
 enum fl_kv_result fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
                              void *context, uint64_t *revision);
 /* What a watch delivers, how long it waits for it, and to whom. */
@@ -83,11 +86,11 @@
 
 /* An empty transaction. */
 void fl_kv_txn_init(struct fl_kv_txn *txn);
-/* Frees one that is not sent. */
+/* Frees a transaction that will not be sent. */
 void fl_kv_txn_free(struct fl_kv_txn *txn);
 /* Condition: the key has this revision; 0: it does not exist. */
 void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t revision);
-/* Writes the key; takes the value over. With a lease, the key ends with it. */
+/* Writes the key; takes ownership of the value. A key with a lease is deleted when that ends. */
 void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id);
 /* Deletes the key. */
 void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key);
@@ -98,7 +101,7 @@
 enum fl_kv_result fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn,
                                    uint64_t *revision, char failed[FL_KEY_MAX]);
 
-/* Takes out a lease. */
+/* Grants a lease that expires `ttl_s` after its last renewal. */
 enum fl_kv_result fl_kv_lease_grant(struct fl_kv_store *store, double ttl_s, uint64_t *lease_id);
 /* Renews a lease. */
 enum fl_kv_result fl_kv_lease_keep_alive(struct fl_kv_store *store, uint64_t lease_id,
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -26,8 +26,8 @@
 	bool is_leader;         /* the sender holds a valid lease */
 	double watermark_age_s; /* since when the sender may lack a cancellation */
 	/*
-	 * Of an answer: `cancelled` is all that the sender has learned since what the asker knows.
-	 * Else it is nothing to rely on.
+	 * In an answer: `cancelled` has every cancellation that the sender has learned of since
+	 * the asker's watermark. If false, some may be missing: the watermark must not rise.
 	 */
 	bool complete;
 	struct fl_cancellation *cancelled; /* owned; see fl_gossip_free */
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -8,13 +8,13 @@
 /* Which tasks of a block are written. */
 enum scope { ALL_TASKS, UNSAVED_TASKS };
 
-/* A list of numbers: [a,b]. */
-static cJSON *number_pair(double a, double b)
+/* The array [first,second]. */
+static cJSON *number_pair(double first, double second)
 {
 	cJSON *item = cJSON_CreateArray();
 
-	cJSON_AddItemToArray(item, cJSON_CreateNumber(a));
-	cJSON_AddItemToArray(item, cJSON_CreateNumber(b));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber(first));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber(second));
 	return item;
 }
 
@@ -102,14 +102,14 @@
 	enum source source; /* FROM_LOG: the log alone has it, no record */
 };
 
-/* Done is for ever; attempts only rise; an attempt is placed first and released after. */
-static bool is_newer(const struct task_state *a, const struct task_state *b)
+/* DONE is final; attempts only rise; of one attempt, the release follows the placement. */
+static bool is_newer(const struct task_state *state, const struct task_state *other)
 {
-	if (a->phase == FL_TASK_DONE || b->phase == FL_TASK_DONE)
-		return b->phase != FL_TASK_DONE;
-	if (a->attempt != b->attempt)
-		return a->attempt > b->attempt;
-	return a->phase == FL_TASK_WAITING && b->phase == FL_TASK_PLACED;
+	if (state->phase == FL_TASK_DONE || other->phase == FL_TASK_DONE)
+		return other->phase != FL_TASK_DONE;
+	if (state->attempt != other->attempt)
+		return state->attempt > other->attempt;
+	return state->phase == FL_TASK_WAITING && other->phase == FL_TASK_PLACED;
 }
 
 /* A block of which the states are being merged. */
--- a/src/transport/clock.c
+++ b/src/transport/clock.c
@@ -19,7 +19,8 @@
 
 double fl_since(double wall)
 {
-	/* In this order: to a process suspended in between it is older than it was, never newer. */
+	/* In this order, a suspension between the two readings makes the result too early, never
+	 * too late. */
 	double now = fl_now();
 
 	return now - (wall > 0 ? fmax(0, fl_wall() - wall) : 0);
--- a/src/transport/coroutine_context.h
+++ b/src/transport/coroutine_context.h
@@ -1,7 +1,7 @@
 /*
  * Internal to coroutine schedulers: the switch from one stack to another. The switch is boost's,
- * whose own headers are C++; address sanitizer must be told of each one, or it takes a frame of
- * another stack for an overrun.
+ * whose own headers are C++; address sanitizer needs a call at each one, or it reports a
+ * frame of another stack as an overrun.
  */
 #ifndef FL_TRANSPORT_COROUTINE_CONTEXT_H
 #define FL_TRANSPORT_COROUTINE_CONTEXT_H
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -30,7 +30,7 @@
 void fl_http_message_free(struct fl_http_message *message);
 /*
  * Limits the bytes of the bodies of all requests together, while they are read or served; 0: no
- * limit. A thousand connections that send 64 KiB each must not end the process.
+ * limit. A thousand connections that send 64 KiB each must not exhaust the process's memory.
  */
 void fl_http_set_body_memory_limit(size_t bytes);
 /*
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -59,7 +59,7 @@
 	return rc;
 }
 
-/* Keeps the connection for another request, if the server does and there are not enough. */
+/* Keeps the connection for another request, if the server does, too, and `max_idle` allows it. */
 static void keep_or_close(struct fl_http_client *client, int fd, bool keep_alive)
 {
 	if (!keep_alive || client->idle_count >= client->max_idle) {
