--- a/src/protocol/heartbeat_digests.c
+++ b/src/protocol/heartbeat_digests.c
@@ -16,7 +16,8 @@
 	return entry;
 }
 
-/* [host,incarnation,sequence,fencing token,interruption_in_s,[[ref,index,attempt,state,exit],...]]
+/*
+ * [host,incarnation,sequence,fencing token,interruption_in_s,[[ref,index,attempt,state,exit],...]]
  */
 char *fl_cached_heartbeat_encode(const struct fl_heartbeat *heartbeat)
 {
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -36,7 +36,7 @@
 	return length;
 }
 
-/* Is the nesting limited, and no string cut short by an escaped NUL? */
+/* Whether the nesting is within the limit, and no string is cut short by an escaped NUL. */
 static bool is_within_depth(const char *text, size_t length)
 {
 	int depth = 0;
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -38,7 +38,7 @@
 	return true;
 }
 
-/* Control characters would be escaped sixfold, and the record outgrow its key. */
+/* An escaped control character takes six bytes: with such names a record could get too large. */
 static bool is_valid_name(const char *name)
 {
 	if (!*name)
@@ -283,8 +283,7 @@
 	suffix = strchr(id, '/');
 	if (suffix && strcmp(suffix, cancel_suffix) != 0)
 		return FL_USER_REQUEST_UNKNOWN;
-	/* With an id that no job can have, the path is valid all the same: answered as unknown job.
-	 */
+	/* The path is valid even with an id that no job can have: the job is unknown. */
 	copy_ref(ref, id, suffix ? suffix : id + strlen(id));
 	return suffix ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
 }
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -41,14 +41,14 @@
 	}
 }
 
-/* Nothing may point to it any more: no attempt, and no command that is under way. */
+/* Whether the machine can be freed: no attempt and no command under way refers to it. */
 static bool is_purgeable(const struct fl_machine *machine, double before)
 {
 	return machine->lifecycle.decommissioned && machine->lifecycle.decommissioned_at < before &&
 	       machine->assignment_count == 0 && !machine->outbound.command_in_flight;
 }
 
-/* The machine has got another id, by which its tasks refer to it. */
+/* Updates the tasks of a machine whose id has changed, as they refer to it by its id. */
 static void update_machine_of_tasks(const struct fl_machine *machine)
 {
 	for (int i = 0; i < machine->assignment_count; i++) {
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -51,9 +51,10 @@
                                   const struct fl_job_record *record, uint64_t revision)
 {
 	/*
-	 * A leader finalises when the tasks are gone. It must not take this for its own write:
-	 * while it was still loading its cluster state, another may have been leader and have
-	 * cancelled, and what was ignored then was kept as live by this node for ever.
+	 * A leader finalises when the tasks are gone. It must not take this record for its own
+	 * write: while it was still loading its cluster state, another node may have been leader
+	 * and have cancelled the job. Found when such a record was ignored: the job stayed live on
+	 * this node for ever.
 	 */
 	if (job && cluster->leading) {
 		fl_cluster_apply_cancellation(cluster, job, record, revision);
@@ -76,8 +77,9 @@
 	struct fl_job_record record;
 
 	/*
-	 * A leader's marks are its failover's alone: a watch that lists anew or lags meanwhile must
-	 * neither preserve a job that the failover's list lacks nor drop one that it contains.
+	 * A leader's `listed` marks belong to its failover alone: a watch that lists anew or lags
+	 * meanwhile must neither preserve a job that the failover's list lacks nor drop one that it
+	 * contains.
 	 */
 	if (job && !cluster->leading)
 		job->record.listed = true;
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -244,7 +244,7 @@
 	}
 	if (result != FL_DECODE_OK)
 		return result;
-	/* The next write of the log replaces this one: it must hold it, until the record does. */
+	/* The next write of the log replaces this one: it must include what no record has yet. */
 	if (state->source == FROM_LOG)
 		fl_task_touch(cluster, job, index);
 	return FL_DECODE_OK;
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -162,7 +162,7 @@
 	task->machine = recorded->machine->id;
 	task->incarnation = recorded->incarnation;
 	task->placed_wall = recorded->placed_wall;
-	/* Placed by an earlier leader: what it has run since would be lost by stopping it. */
+	/* Placed by an earlier leader: the work since then is lost if the task is stopped. */
 	task->running_since = fmin(now, fl_since(recorded->placed_wall));
 	/*
 	 * Its image is there, and stays when the task is lost with its worker's incarnation: after
--- a/src/storage/token_bucket.c
+++ b/src/storage/token_bucket.c
@@ -23,8 +23,7 @@
 double fl_token_bucket_take(struct fl_token_bucket *bucket, double count, double now)
 {
 	fl_token_bucket_available(bucket, now);
-	/* Slightly too few count as enough: the wait could be too short for the clock to advance.
-	 */
+	/* Slightly too few are enough: the wait could be too short for the clock to advance. */
 	if (bucket->tokens >= count - slack || bucket->tokens >= bucket->burst) {
 		bucket->tokens -= count;
 		return 0;
--- a/src/transport/clock.c
+++ b/src/transport/clock.c
@@ -19,8 +19,7 @@
 
 double fl_since(double wall)
 {
-	/* In this order, a suspension between the two readings makes the result too early, never
-	 * too late. */
+	/* In this order, a suspension in between makes the result too early, never too late. */
 	double now = fl_now();
 
 	return now - (wall > 0 ? fmax(0, fl_wall() - wall) : 0);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -38,7 +38,7 @@
 struct fl_http_server {
 	int fd;
 	int connection_count, connection_limit;
-	double idle_timeout_s; /* else a silent peer behind a partition held a socket for ever */
+	double idle_timeout_s; /* without it, a peer behind a partition held a socket for ever */
 	fl_http_handler handler;
 	void *context;
 };
@@ -75,7 +75,7 @@
 
 /*
  * Kept connections of thousands of workers must not exclude the load balancer's probes and the
- * users: without a connection for them, a node that could serve would be taken for failed.
+ * users: without a connection for them, a node that could serve would count as failed.
  */
 static bool nearly_full(const struct fl_http_server *server)
 {
