--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -12,8 +12,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#include "storage/machines.h"
 #include "storage/placement_rules.h"
-#include "storage/records.h"
+#include "storage/token_bucket.h"
 
 struct fl_node;
 struct fl_job;
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -20,17 +20,16 @@
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
-	/* An isolated leader: it still has the tasks to count, and reads the record later. */
+	/* An isolated leader: the tasks still count for it, and it reads the record later. */
 	job->cancelled = true;
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
 
-void fl_cluster_describe(struct fl_cluster *cluster, struct fl_machine *machine, int type, int zone,
-                         bool spot, const char *endpoint)
+void fl_cluster_describe(struct fl_machine *machine, int type, int zone, bool spot,
+                         const char *endpoint)
 {
 	bool was_known = machine->zone != FL_INDEX_NONE;
 
-	(void)cluster;
 	if (zone >= FL_ZONES_MAX)
 		return;
 	fl_machine_describe(machine, type, zone, spot, endpoint);
@@ -42,14 +41,14 @@
 	}
 }
 
-/* Nothing may point to it any more: no attempt, and no command that is under way. */
+/* Whether the machine can be freed: no attempt and no command under way refers to it. */
 static bool is_purgeable(const struct fl_machine *machine, double before)
 {
 	return machine->lifecycle.decommissioned && machine->lifecycle.decommissioned_at < before &&
 	       machine->assignment_count == 0 && !machine->outbound.command_in_flight;
 }
 
-/* The machine has got another id, by which its tasks refer to it. */
+/* Updates the tasks of a machine whose id has changed, as they refer to it by its id. */
 static void update_machine_of_tasks(const struct fl_machine *machine)
 {
 	for (int i = 0; i < machine->assignment_count; i++) {
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -15,7 +15,7 @@
 {
 	struct fl_job *job, *next;
 
-	/* One that was stored after the list was made is not in it and not over. */
+	/* A job that was stored after the list was made is not in it, but not over either. */
 	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->record.listed && job->record.mod_revision <= revision &&
 		    job->counts.placed == 0)
@@ -51,9 +51,10 @@
                                   const struct fl_job_record *record, uint64_t revision)
 {
 	/*
-	 * A leader finalises when the tasks are gone. It must not take this for its own write:
-	 * while it was still loading its cluster state, another may have been leader and have
-	 * cancelled, and what was ignored then was kept as live by this node for ever.
+	 * A leader finalises when the tasks are gone. It must not take this record for its own
+	 * write: while it was still loading its cluster state, another node may have been leader
+	 * and have cancelled the job. Found when such a record was ignored: the job stayed live on
+	 * this node for ever.
 	 */
 	if (job && cluster->leading) {
 		fl_cluster_apply_cancellation(cluster, job, record, revision);
@@ -76,8 +77,9 @@
 	struct fl_job_record record;
 
 	/*
-	 * A leader's marks are its failover's alone: a watch that lists anew or lags meanwhile must
-	 * neither keep what the failover's list no longer holds nor hide what it does.
+	 * A leader's `listed` marks belong to its failover alone: a watch that lists anew or lags
+	 * meanwhile must neither preserve a job that the failover's list lacks nor drop one that it
+	 * contains.
 	 */
 	if (job && !cluster->leading)
 		job->record.listed = true;
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -8,13 +8,13 @@
 /* Which tasks of a block are written. */
 enum scope { ALL_TASKS, UNSAVED_TASKS };
 
-/* A list of numbers: [a,b]. */
-static cJSON *number_pair(double a, double b)
+/* The array [first,second]. */
+static cJSON *number_pair(double first, double second)
 {
 	cJSON *item = cJSON_CreateArray();
 
-	cJSON_AddItemToArray(item, cJSON_CreateNumber(a));
-	cJSON_AddItemToArray(item, cJSON_CreateNumber(b));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber(first));
+	cJSON_AddItemToArray(item, cJSON_CreateNumber(second));
 	return item;
 }
 
@@ -102,14 +102,14 @@
 	enum source source; /* FROM_LOG: the log alone has it, no record */
 };
 
-/* Done is for ever; attempts only rise; an attempt is placed first and released after. */
-static bool is_newer(const struct task_state *a, const struct task_state *b)
+/* DONE is final; attempts only rise; of one attempt, the release follows the placement. */
+static bool is_newer(const struct task_state *state, const struct task_state *other)
 {
-	if (a->phase == FL_TASK_DONE || b->phase == FL_TASK_DONE)
-		return b->phase != FL_TASK_DONE;
-	if (a->attempt != b->attempt)
-		return a->attempt > b->attempt;
-	return a->phase == FL_TASK_WAITING && b->phase == FL_TASK_PLACED;
+	if (state->phase == FL_TASK_DONE || other->phase == FL_TASK_DONE)
+		return other->phase != FL_TASK_DONE;
+	if (state->attempt != other->attempt)
+		return state->attempt > other->attempt;
+	return state->phase == FL_TASK_WAITING && other->phase == FL_TASK_PLACED;
 }
 
 /* A block of which the states are being merged. */
@@ -244,7 +244,7 @@
 	}
 	if (result != FL_DECODE_OK)
 		return result;
-	/* The next write of the log replaces this one: it must hold it, until the record does. */
+	/* The next write of the log replaces this one: it must include what no record has yet. */
 	if (state->source == FROM_LOG)
 		fl_task_touch(cluster, job, index);
 	return FL_DECODE_OK;
@@ -265,8 +265,8 @@
 }
 
 enum fl_decode_result fl_task_block_restore(struct fl_cluster *cluster, struct fl_job *job,
-                                            uint32_t block_index, const cJSON *value,
-                                            uint64_t revision, struct fl_wal *wal, double now)
+                                            uint32_t block_index,
+                                            const struct fl_task_block_source *source, double now)
 {
 	struct merge merge = {.job = job, .block_index = block_index, .source = FROM_RECORD};
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
@@ -274,13 +274,13 @@
 
 	if (block_index >= job->block_count || !fl_task_get(job, base))
 		return FL_DECODE_MALFORMED;
-	result = merge_record(&merge, value);
-	if (result == FL_DECODE_OK && wal)
-		result = merge_log(&merge, wal);
+	result = merge_record(&merge, source->value);
+	if (result == FL_DECODE_OK && source->wal)
+		result = merge_log(&merge, source->wal);
 	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && result == FL_DECODE_OK; i++)
 		if (merge.states[i].phase != FL_TASK_WAITING || merge.states[i].attempt > 0)
 			result = restore_task(cluster, job, base + i, &merge.states[i], now);
-	job->blocks[block_index]->mod_revision = revision;
+	job->blocks[block_index]->mod_revision = source->revision;
 	return result;
 }
 
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -94,9 +94,7 @@
 		return FL_PLACE_NOT_WAITING;
 	if (!fl_machine_add_assignment(machine, job, index))
 		return FL_PLACE_NO_MEMORY;
-	machine->used.cpus += job->cpus;
-	machine->used.gpus += job->gpus;
-	machine->used.ram_gb += job->ram_gb;
+	fl_resources_add(&machine->used, fl_job_need(job));
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
 	(*zone_count(job, machine))++;
@@ -113,10 +111,8 @@
 	struct fl_team *team = &cluster->teams.by_index[job->team];
 
 	fl_machine_remove_assignment(machine, job, index);
-	machine->used.cpus -= job->cpus;
-	machine->used.gpus -= job->gpus;
-	machine->used.ram_gb -= job->ram_gb;
-	/* Sums of fractions leave a rest. */
+	fl_resources_subtract(&machine->used, fl_job_need(job));
+	/* Adding and subtracting fractions leaves a rounding error, which would add up. */
 	if (machine->assignment_count == 0)
 		machine->used = (struct fl_resources){0};
 	team->used_cpus -= job->cpus;
@@ -133,18 +129,18 @@
 }
 
 enum fl_place_result fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                                   struct fl_machine *machine, uint64_t fencing_token, double now)
+                                   const struct fl_new_attempt *attempt, double now)
 {
 	struct fl_task *task = fl_task_get(job, index);
-	enum fl_place_result result = assign(cluster, job, task, index, machine);
+	enum fl_place_result result = assign(cluster, job, task, index, attempt->machine);
 
 	if (result != FL_PLACE_OK)
 		return result;
 	task->phase = FL_TASK_PLACED;
 	task->attempt++;
-	task->machine = machine->id;
-	task->incarnation = machine->heartbeat.incarnation;
-	task->fencing_token = fencing_token;
+	task->machine = attempt->machine->id;
+	task->incarnation = attempt->machine->heartbeat.incarnation;
+	task->fencing_token = attempt->fencing_token;
 	task->observed = FL_OBSERVED_NONE;
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
@@ -166,11 +162,11 @@
 	task->machine = recorded->machine->id;
 	task->incarnation = recorded->incarnation;
 	task->placed_wall = recorded->placed_wall;
-	/* Placed by an earlier leader: what it has run since would be lost by stopping it. */
+	/* Placed by an earlier leader: the work since then is lost if the task is stopped. */
 	task->running_since = fmin(now, fl_since(recorded->placed_wall));
 	/*
 	 * Its image is there, and stays when the task is lost with its worker's incarnation: after
-	 * an outage of all controllers hundreds of tasks start again, and best where they ran.
+	 * an outage of all controllers hundreds of tasks start again, fastest where they ran.
 	 */
 	fl_machine_record_image(recorded->machine, job->image);
 	return FL_PLACE_OK;
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -33,12 +33,12 @@
 enum { LISTEN_BACKLOG = 512 };
 
 /* Digits of an int, with its sign. */
-enum { FL_INT_DIGITS = 11 };
+enum { INT_DIGITS = 11 };
 
 struct fl_http_server {
 	int fd;
 	int connection_count, connection_limit;
-	double idle_timeout_s; /* else a silent peer behind a partition held a socket for ever */
+	double idle_timeout_s; /* without it, a peer behind a partition held a socket for ever */
 	fl_http_handler handler;
 	void *context;
 };
@@ -54,7 +54,7 @@
 	const char *body = response->body ? response->body : "{}";
 	size_t body_length = strlen(body);
 	struct fl_buffer output = {0};
-	char retry_after[sizeof("Retry-After: \r\n") + FL_INT_DIGITS] = "";
+	char retry_after[sizeof("Retry-After: \r\n") + INT_DIGITS] = "";
 	int rc;
 
 	if (response->retry_after_s > 0)
@@ -75,7 +75,7 @@
 
 /*
  * Kept connections of thousands of workers must not exclude the load balancer's probes and the
- * users: without a connection for them, a node that could serve would be taken for failed.
+ * users: without a connection for them, a node that could serve would count as failed.
  */
 static bool nearly_full(const struct fl_http_server *server)
 {
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -12,6 +12,7 @@
 #include <string.h>
 
 #include "coroutine_fixture.h"
+#include "storage/keys.h"
 #include "transport/clock.h"
 
 static void answer_as_kv_store(void *context, const struct fl_http_request *request,
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -12,6 +12,8 @@
 #include <string.h>
 
 #include "coordination/request_router.h"
+#include "storage/job_records.h"
+#include "storage/job_updates.h"
 #include "transport/clock.h"
 
 void become_leader(struct node_fixture *fixture, uint64_t fencing_token)
@@ -159,10 +161,12 @@
 
 struct fl_task *place_task(struct node_fixture *fixture, uint32_t index)
 {
-	assert_int_equal(fl_task_place(&fixture->node.cluster, fixture->job, index,
-	                               only_machine(fixture),
-	                               fixture->node.leader_lease.fencing_token, fl_now()),
-	                 0);
+	assert_int_equal(
+		fl_task_place(&fixture->node.cluster, fixture->job, index,
+	                      &(struct fl_new_attempt){only_machine(fixture),
+	                                               fixture->node.leader_lease.fencing_token},
+	                      fl_now()),
+		0);
 	fl_job_task_block(fixture->job, 0)->saved_generation =
 		fl_job_task_block(fixture->job, 0)->generation;
 	return fl_task_peek(fixture->job, index);
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -11,6 +11,8 @@
 #include <string.h>
 
 #include "copy_text.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
 static const double never = 1e18;
@@ -82,9 +84,10 @@
 	cJSON *record = parse_stored(sim->records[index]);
 
 	if (record || wal->group_count > 0)
-		assert_int_equal(
-			fl_task_block_restore(&sim->node.cluster, job, 0, record, 1, wal, fl_now()),
-			0);
+		assert_int_equal(fl_task_block_restore(
+					 &sim->node.cluster, job, 0,
+					 &(struct fl_task_block_source){record, 1, wal}, fl_now()),
+		                 0);
 	cJSON_Delete(record);
 }
 
@@ -125,9 +128,12 @@
 		if (index >= job->task_count || !machine->lifecycle.up || machine->used.cpus >= 4 ||
 		    !fl_team_within_maximum(team, team->used_cpus + 1, 0))
 			continue;
-		assert_int_equal(fl_task_place(cluster, job, index, machine,
-		                               sim->node.leader_lease.fencing_token, fl_now()),
-		                 0);
+		assert_int_equal(
+			fl_task_place(cluster, job, index,
+		                      &(struct fl_new_attempt){
+					      machine, sim->node.leader_lease.fencing_token},
+		                      fl_now()),
+			0);
 	}
 }
 
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -13,6 +13,8 @@
 #include <string.h>
 
 #include "contract_records_fixture.h"
+#include "storage/job_records.h"
+#include "storage/keys.h"
 #include "contract_text.h"
 
 /* ---- job records ---- */
--- a/tests/test_contract_kv.c
+++ b/tests/test_contract_kv.c
@@ -122,8 +122,10 @@
 
 	fl_kv_init(&kv_store, address);
 	for (int i = 0; i < 2; i++)
-		got->rc[i] = fl_kv_watch(&kv_store, "c/", &got->mod_revision[i], 2.5, append_event,
-		                         &got->changes[i]);
+		got->rc[i] = fl_kv_watch(
+			&kv_store,
+			&(struct fl_kv_watch_request){"c/", 2.5, append_event, &got->changes[i]},
+			&got->mod_revision[i]);
 	fl_http_client_close(&kv_store.client);
 	fl_http_client_close(&kv_store.watch_client);
 }
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -17,6 +17,8 @@
 #include "coordination/leadership/failover.h"
 #include "coordination/persistence/wal_writer.h"
 #include "protocol/peers.h"
+#include "storage/job_records.h"
+#include "storage/token_bucket.h"
 #include "transport/clock.h"
 
 static void hold_leader_lease(struct fl_node *node)
--- a/tests/test_contract_workers.c
+++ b/tests/test_contract_workers.c
@@ -73,9 +73,12 @@
 
 static void add_one_command_of_each_verb(struct fl_command_list *commands)
 {
-	fl_command_list_add(commands, FL_COMMAND_START, "run-000412", 4, 2, 10.5);
-	fl_command_list_add(commands, FL_COMMAND_STOP, "run-000377", 1, 5, 10.5);
-	fl_command_list_add(commands, FL_COMMAND_FORGET, "run-000398", 0, 1, 10.5);
+	fl_command_list_add(commands,
+	                    &(struct fl_command){FL_COMMAND_START, "run-000412", 4, 2, 10.5});
+	fl_command_list_add(commands,
+	                    &(struct fl_command){FL_COMMAND_STOP, "run-000377", 1, 5, 10.5});
+	fl_command_list_add(commands,
+	                    &(struct fl_command){FL_COMMAND_FORGET, "run-000398", 0, 1, 10.5});
 }
 
 static void a_heartbeat_answer_has_the_fencing_token_and_each_verb(void **state)
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -9,7 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "storage/records.h"
+#include "storage/progress_records.h"
+#include "storage/write_ahead_log.h"
 
 enum { JOBS = 5, TASKS_MAX = 300, GROUPS_MAX = 120, CHANGES_MAX = 24, MACHINES = 6, ROUNDS = 300 };
 
@@ -190,10 +191,11 @@
 			                       : NULL;
 
 			if (value)
-				assert_int_equal(fl_task_block_restore(&world->cluster,
-				                                       world->jobs[j], k, value, 7,
-				                                       wal, 0),
-				                 0);
+				assert_int_equal(
+					fl_task_block_restore(
+						&world->cluster, world->jobs[j], k,
+						&(struct fl_task_block_source){value, 7, wal}, 0),
+					0);
 			cJSON_Delete(value);
 		}
 	for (int i = 0; i < wal->group_count; i++)
@@ -201,7 +203,8 @@
 			assert_int_equal(fl_task_block_restore(
 						 &world->cluster,
 						 fl_job_find(&world->cluster, wal->groups[i].ref),
-						 wal->groups[i].block_index, NULL, 0, wal, 0),
+						 wal->groups[i].block_index,
+						 &(struct fl_task_block_source){NULL, 0, wal}, 0),
 			                 0);
 }
 
--- a/tests/test_write_ahead_log.c
+++ b/tests/test_write_ahead_log.c
@@ -7,7 +7,7 @@
 #include <cmocka.h>
 #include <stdio.h>
 
-#include "storage/records.h"
+#include "storage/write_ahead_log.h"
 
 /* One value of a log: a group for each task block of each of these jobs. */
 static void read_all_blocks(struct fl_wal *wal, uint32_t job_count, uint32_t block_count)
