--- a/src/coordination/api/request_forwarding.c
+++ b/src/coordination/api/request_forwarding.c
@@ -3,6 +3,7 @@
 #include "coordination/follower/isolation.h"
 #include "coordination/node.h"
 #include "coordination/responses.h"
+#include "protocol/peers.h"
 
 static const struct {
 	double status_timeout_s, write_timeout_s;
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -57,7 +57,7 @@
 		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_STATUS)};
 	struct fl_http_reply reply;
 
-	if (fl_leader_lease_is_valid(submission->node) ||
+	if (fl_leader_lease_is_valid(&submission->node->leader_lease) ||
 	    !fl_user_request_forward(submission->node, &request, &reply))
 		return DUPLICATE_UNDECIDED;
 	if (fl_respond_with_reply(submission->response, &reply, reply.status == 200))
@@ -191,7 +191,7 @@
 	char *text;
 	bool answered;
 
-	if (fl_leader_lease_is_valid(submission->node))
+	if (fl_leader_lease_is_valid(&submission->node->leader_lease))
 		return false;
 	text = fl_json_print_and_delete(fl_job_spec_encode(submission->spec));
 	request.body = text;
--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -26,9 +26,6 @@
 	.burst_s = 2,             /* s of calls that may be saved up */
 };
 
-/* A steady time before any other. */
-#define LONG_AGO (-1e9)
-
 /* For controllers that start while the cloud is out: see machine_types.c. */
 static void store_machine_types(struct fl_node *node, const struct fl_cloud_machine_type *types,
                                 int count)
@@ -87,7 +84,7 @@
 	double burst = tunables.burst_s * node->config->cloud_rps * tunables.call_share;
 
 	memset(autoscaler, 0, sizeof(*autoscaler));
-	autoscaler->types_refreshed_at = LONG_AGO; /* what was read from a record may be old */
+	autoscaler->types_refreshed_at = FL_LONG_AGO; /* what was read from a record may be old */
 	fl_token_bucket_init(&autoscaler->call_budget, calls_per_s, burst, fl_now());
 }
 
@@ -96,7 +93,7 @@
 	struct fl_autoscaler *autoscaler = &node->autoscaler;
 
 	while (fl_sleep(tunables.interval_s) == 0) {
-		if (!fl_leader_lease_is_valid(node))
+		if (!fl_leader_lease_is_valid(&node->leader_lease))
 			continue;
 		/*
 		 * No call of this coroutine is under way here, and machines with a command are
--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -145,7 +145,7 @@
 		return 0;
 	}
 	if (fl_now() > lease->valid_until)
-		fl_debug("election", "lease not renewed: %s; renewing worker leases only",
+		fl_debug("election", "lease not renewed: result=%s; renewing worker leases only",
 		         fl_kv_result_text(result));
 	return tunables.retry_s;
 }
--- a/src/coordination/election/leader_lease.c
+++ b/src/coordination/election/leader_lease.c
@@ -4,14 +4,14 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-bool fl_leader_lease_is_valid(const struct fl_node *node)
+bool fl_leader_lease_is_valid(const struct fl_leader_lease *lease)
 {
-	return node->leader_lease.held && fl_now() < node->leader_lease.valid_until;
+	return lease->held && fl_now() < lease->valid_until;
 }
 
 bool fl_is_leader(const struct fl_node *node)
 {
-	return node->leadership.active && fl_leader_lease_is_valid(node);
+	return node->leadership.active && fl_leader_lease_is_valid(&node->leader_lease);
 }
 
 void fl_leader_lease_step_down(struct fl_node *node, const char *reason)
--- a/src/coordination/election/leader_lease.h
+++ b/src/coordination/election/leader_lease.h
@@ -23,8 +23,8 @@
 	double token_raised_at;       /* steady; of the last attempt to raise it */
 };
 
-/* Whether this node holds a valid lease. To be checked again after every wait. */
-bool fl_leader_lease_is_valid(const struct fl_node *node);
+/* Whether the lease is held and still valid. To be checked again after every wait. */
+bool fl_leader_lease_is_valid(const struct fl_leader_lease *lease);
 /* Whether the lease is valid and the cluster state is loaded: the node may decide and respond. */
 bool fl_is_leader(const struct fl_node *node);
 /*
--- a/src/coordination/follower/follower.c
+++ b/src/coordination/follower/follower.c
@@ -33,14 +33,14 @@
 		response->status = 421;
 		response->body = fl_redirect_encode(target->name);
 	} else if (fl_is_leader(node)) {
-		fl_heartbeat_reply_as_leader(node, &heartbeat, response);
+		fl_leader_reply_respond(node, &heartbeat, response);
 	} else if (fl_heartbeat_forward(node, body, len, response) != FL_FORWARD_ANSWERED) {
 		fl_lease_renewal_respond(node, &heartbeat, response);
 	}
 	fl_heartbeat_free(&heartbeat);
 }
 
-/* One coroutine for both: what is kept of old workers is dropped before a digest is written. */
+/* One coroutine for both: what is cached of old workers is dropped before a digest is written. */
 static void upkeep_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -35,8 +35,8 @@
 	return peer ? 2 + (int)(peer - node->peers) : 0;
 }
 
-/* Without a third controller nothing is lost by trying one that did not answer lately. */
-static bool may_call(const struct fl_node *node, const struct fl_peer *peer)
+/* Without a third controller nothing is lost by trying one whose last exchange failed. */
+static bool may_request(const struct fl_node *node, const struct fl_peer *peer)
 {
 	return peer->up || node->peer_count == 1;
 }
@@ -45,7 +45,7 @@
 {
 	const struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
 
-	return leader && may_call(node, leader);
+	return leader && may_request(node, leader);
 }
 
 bool fl_forward_ends_here(const struct fl_node *node, bool last_hop)
@@ -53,7 +53,7 @@
 	return last_hop || strcmp(node->leader_view.leader, node->config->node) == 0;
 }
 
-static enum fl_forward_result result_of_call(int rc)
+static enum fl_forward_result result_of_request(int rc)
 {
 	switch (rc) {
 	case 0:
@@ -78,7 +78,7 @@
 		return FL_FORWARD_OUT_OF_MEMORY;
 	if (timeout_s <= 0)
 		return FL_FORWARD_TIMED_OUT;
-	result = result_of_call(fl_http_call(&peer->http, "POST", path, text, timeout_s, out));
+	result = result_of_request(fl_http_call(&peer->http, "POST", path, text, timeout_s, out));
 	if (result == FL_FORWARD_ANSWERED && out->status == 421) {
 		fl_buffer_free(&out->body);
 		return FL_FORWARD_NO_LEADER;
@@ -110,7 +110,7 @@
 
 	if (!leader)
 		return result;
-	if (may_call(node, leader))
+	if (may_request(node, leader))
 		result = forward_directly(leader, request, out);
 	if (result == FL_FORWARD_ANSWERED || request->hop == FL_HOP_LAST)
 		return result;
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -12,20 +12,20 @@
 struct fl_node;
 struct fl_peer;
 
-/* Where a request stands: it came from outside, or from a node that asks only this one. */
+/* The hop of a request: received from a client, or forwarded by another controller. */
 enum fl_forward_hop { FL_HOP_FIRST, FL_HOP_LAST };
 
-/* What became of a request to the leader. */
+/* The result of a request to the leader. */
 enum fl_forward_result {
 	FL_FORWARD_ANSWERED = 0,    /* the reply is there, to be judged by its status */
-	FL_FORWARD_NO_LEADER,       /* none is known, or who was asked cannot reach one either */
+	FL_FORWARD_NO_LEADER,       /* none is known, or the peers do not reach one either */
 	FL_FORWARD_REJECTED,        /* the reply has another status than the one wanted */
 	FL_FORWARD_CONNECTION_LOST, /* not made, or broken; then it may have been executed */
 	FL_FORWARD_OVERLOADED,      /* not sent, since too many are in flight */
 	FL_FORWARD_TOO_LARGE,       /* not sent, since it fits into no request */
 	FL_FORWARD_TIMED_OUT,       /* it may still be executed */
 	FL_FORWARD_CANCELLED,       /* this coroutine is to end; it may still be executed */
-	FL_FORWARD_MALFORMED_REPLY, /* who replied speaks another protocol */
+	FL_FORWARD_MALFORMED_REPLY, /* the peer uses another protocol */
 	FL_FORWARD_OUT_OF_MEMORY    /* not sent */
 };
 
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -18,17 +18,15 @@
 } tunables = {
 	.interval_s = 1.0,    /* s between two exchanges with each peer */
 	.timeout_s = 1.0,     /* s; a link that takes longer counts as down */
-	.clock_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
+	.clock_slack_s = 1.0, /* s; repeated in a reply, for clocks that drift apart */
 };
 
-/* A steady time before any other. */
-#define LONG_AGO (-1e9)
 /* An age that is as good as any greater one, in s. */
 #define AGE_MAX_S 1e6
 
 double fl_gossip_last_exchange_at(const struct fl_node *node)
 {
-	double last = LONG_AGO;
+	double last = FL_LONG_AGO;
 
 	for (int i = 0; i < node->peer_count; i++)
 		if (node->peers[i].last_exchange_at > last)
@@ -82,7 +80,7 @@
 	/* With a valid lease nothing is learned: the higher token is its own, raised this moment.
 	 */
 	if (gossip->fencing_token > node->leader_view.fencing_token && node->leader_lease.held) {
-		if (fl_leader_lease_is_valid(node) ||
+		if (fl_leader_lease_is_valid(&node->leader_lease) ||
 		    strcmp(gossip->leader, node->config->node) == 0)
 			return;
 		fl_leader_lease_step_down(node, "a peer knows a higher fencing token");
@@ -124,7 +122,7 @@
 	gossip->fencing_token = node->leader_view.fencing_token;
 	gossip->leadership_age_s = age_s(node->leader_view.confirmed_at);
 	gossip->watermark_age_s = age_s(node->cancellation_watermark);
-	gossip->is_leader = fl_leader_lease_is_valid(node);
+	gossip->is_leader = fl_leader_lease_is_valid(&node->leader_lease);
 }
 
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
@@ -140,8 +138,8 @@
 	}
 	/*
 	 * A request raises nothing here: it may have been held back on its way for minutes. But
-	 * then nobody waits for the reply any more, so the asker's age was this at most a timeout
-	 * ago.
+	 * then nobody waits for the reply any more, so the requester's watermark had this age at
+	 * most a timeout ago.
 	 */
 	since = fl_now() - gossip.watermark_age_s - tunables.timeout_s - tunables.clock_slack_s;
 	fl_gossip_free(&gossip);
@@ -215,7 +213,7 @@
 void fl_gossip_start(struct fl_node *node)
 {
 	for (int i = 0; i < node->peer_count; i++) {
-		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = LONG_AGO;
+		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = FL_LONG_AGO;
 		fl_coroutine_spawn(gossip_coroutine, &node->peers[i]);
 	}
 }
--- a/src/coordination/follower/gossip.h
+++ b/src/coordination/follower/gossip.h
@@ -2,8 +2,8 @@
  * Gossip: an exchange of about once a second with each other controller, on who leads, since when
  * that is confirmed, and which jobs were cancelled. It also shows which controllers are reachable.
  *
- * The reply tells all that the peer has learned since what the asker knows, so that an exchange
- * that succeeds raises the cancellation watermark; a request tells nothing that may be relied on.
+ * The reply contains all that the peer has learned since the requester's watermark, so that an
+ * exchange that succeeds raises that watermark; nothing in a request may be relied on.
  */
 #ifndef FL_COORDINATION_FOLLOWER_GOSSIP_H
 #define FL_COORDINATION_FOLLOWER_GOSSIP_H
@@ -12,9 +12,6 @@
 
 #include "transport/http_server.h"
 
-/* Where its requests go at another controller. */
-#define FL_PATH_GOSSIP "/gossip"
-
 struct fl_node;
 struct fl_peer;
 
@@ -27,7 +24,7 @@
 /* Answers another controller's request. */
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
                      struct fl_http_response *response);
-/* Takes in the reply of `peer` to a request that was sent at `sent_at` (steady). */
+/* Applies the reply of `peer` to a request that was sent at `sent_at` (steady). */
 void fl_gossip_handle_reply(struct fl_node *node, struct fl_peer *peer, const char *body,
                             size_t len, double sent_at);
 
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -21,8 +21,8 @@
 };
 
 /*
- * A copy of a heartbeat may come long after it, also to a node that has cached newer ones: it is no
- * sign of life, and replaces nothing.
+ * A copy of a heartbeat may come long after it, also to a node that has cached newer ones: it does
+ * not show that the worker lives now, and replaces nothing.
  */
 void fl_heartbeat_cache(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
@@ -59,7 +59,7 @@
 	free(cached);
 }
 
-/* Learns the revision of what stands in a slot, if it is not known. */
+/* Reads the revision of the stored record of a slot, if it is not known. */
 static enum fl_kv_result read_slot_revision(struct fl_node *node, const char *key,
                                             struct fl_digest_slot *slot)
 {
@@ -77,9 +77,9 @@
 }
 
 /*
- * Each record is written only over what this process knows to stand there: a write of its own, or
- * of the process before it, that is carried out late must not replace a newer one. The digest is
- * used up.
+ * Each record is written only over the revision that this process knows to be stored: a write of
+ * its own, or of the process before it, that is executed late must not replace a newer one.
+ * Consumes the digest.
  */
 static enum fl_kv_result write_digest(struct fl_node *node, int index, cJSON *digest)
 {
@@ -130,7 +130,7 @@
 		fl_digest_add(digest, cached->text);
 		used += len;
 		cached->stored = true;
-		/* Last in turn from now on: where writes are short, each machine gets its share. */
+		/* Last in turn from now on: if the budget is short, each machine gets its share. */
 		HASH_DEL(node->follower.cached_heartbeats, cached);
 		HASH_ADD_STR(node->follower.cached_heartbeats, host, cached);
 	}
@@ -170,7 +170,7 @@
 	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp)
 		if (cached->cached_at < now - tunables.keep_intervals * interval_s)
 			uncache(node, cached);
-	if (!node->follower.cached_heartbeats || fl_leader_lease_is_valid(node) ||
+	if (!node->follower.cached_heartbeats || fl_leader_lease_is_valid(&node->leader_lease) ||
 	    !node->leader_view.leader[0] || fl_kv_is_unavailable(&node->kv_store))
 		return;
 	write_digests(node, now - tunables.write_intervals * interval_s);
--- a/src/coordination/follower/heartbeat_digest.h
+++ b/src/coordination/follower/heartbeat_digest.h
@@ -1,7 +1,7 @@
 /*
  * Digests of cached heartbeats: the newest heartbeat of each worker whose lease this node has
  * renewed without the leader is stored in the key-value store, many to a record, where the leader
- * reads it (workers/digest_reader). The records belong to this node alone.
+ * reads it (workers/digest_reader). No other node writes these records.
  */
 #ifndef FL_COORDINATION_FOLLOWER_HEARTBEAT_DIGEST_H
 #define FL_COORDINATION_FOLLOWER_HEARTBEAT_DIGEST_H
@@ -22,16 +22,16 @@
 	uint64_t incarnation, sequence;
 	char *text;       /* owned; as it goes into a digest */
 	double cached_at; /* steady */
-	bool stored;      /* went into a digest already */
+	bool stored;      /* a digest holds it already */
 };
 
-/* Records that one node's digests take at most: 4,000 machines, forty to a value of 4 KiB. */
+/* Maximum number of digest records of one node: 4,000 machines, forty to a value of 4 KiB. */
 enum { FL_DIGESTS_MAX = 128 };
 
-/* A record of ours in the key-value store. */
+/* A digest record of this node in the key-value store. */
 struct fl_digest_slot {
 	uint64_t mod_revision;
-	bool revision_known; /* mod_revision is that of what stands there; 0: nothing does */
+	bool revision_known; /* mod_revision is the stored one; 0: there is no record */
 };
 
 /* Sets up the write budget, for digests that are written every `interval_s` seconds. */
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -143,7 +143,7 @@
 
 	if (fl_heartbeat_decode_json(item, &heartbeat) == FL_DECODE_OK) {
 		heartbeat.entry_node = fl_node_index(node, entry_node);
-		fl_heartbeat_reply_as_leader(node, &heartbeat, &response);
+		fl_leader_reply_respond(node, &heartbeat, &response);
 		fl_heartbeat_free(&heartbeat);
 	} else {
 		fl_error("peers", "heartbeat rejected: malformed entry_node=%s", entry_node);
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -3,6 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/follower/gossip.h"
 #include "coordination/follower/isolation.h"
 #include "coordination/node.h"
 #include "transport/clock.h"
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -186,7 +186,7 @@
 	}
 	mark_finished_jobs(&node->cluster);
 	fl_info("failover",
-	        "cluster state loaded jobs=%u progress_records=%d orphan_records=%d took=%.2fs",
+	        "cluster state loaded jobs=%u progress_records=%d orphan_records=%d took_s=%.2f",
 	        HASH_COUNT(node->cluster.jobs), failover.progress_record_count,
 	        failover.orphan_record_count, fl_now() - failover.started_at);
 	return FL_FAILOVER_LOADED;
--- a/src/coordination/leadership/failover.h
+++ b/src/coordination/leadership/failover.h
@@ -7,12 +7,14 @@
 
 struct fl_node;
 
-/* The result of a failover. Unless it is LOADED, the cluster state is incomplete and must not be
- * used. */
+/*
+ * The result of a failover. Unless it is FL_FAILOVER_LOADED, the cluster state is incomplete and
+ * must not be used.
+ */
 enum fl_failover_result {
 	FL_FAILOVER_LOADED = 0,
 	FL_FAILOVER_STORE_FAILED, /* a read failed: start again from the beginning */
-	FL_FAILOVER_LEASE_LOST,   /* the lease was lost meanwhile */
+	FL_FAILOVER_LEASE_LOST,   /* the lease was lost meanwhile: do not lead */
 	/* A record cannot be read, so unknown tasks may run; the log names it. */
 	FL_FAILOVER_UNREADABLE_RECORD
 };
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -73,7 +73,7 @@
 	enum fl_failover_result result = fl_failover_load(node);
 
 	node->leadership.loading = false;
-	if (result == FL_FAILOVER_LOADED && fl_leader_lease_is_valid(node) &&
+	if (result == FL_FAILOVER_LOADED && fl_leader_lease_is_valid(&node->leader_lease) &&
 	    node->leader_lease.lease_id == lease_id) {
 		activate(node);
 		return;
--- a/src/coordination/leadership/leadership.h
+++ b/src/coordination/leadership/leadership.h
@@ -30,7 +30,7 @@
 	double heartbeats_since;      /* steady; since when heartbeats could arrive uninterrupted */
 	struct fl_leader_coroutine coroutines[FL_LEADER_COROUTINES_MAX];
 	int coroutine_count;
-	int coroutines_running; /* these, and the ones that send commands */
+	int coroutines_running; /* these, and the ones that send commands (workers/command) */
 	struct fl_condition coroutine_ended;
 	struct fl_condition work_available; /* a scheduling cycle may have something to decide */
 	bool cycle_due;                     /* a scheduling cycle is wanted */
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -105,7 +105,7 @@
 static enum fl_node_start_result start_servers(struct fl_node *node)
 {
 	const struct fl_config *config = node->config;
-	int public_connections = fl_node_public_conns(config);
+	int public_connections = fl_node_public_connections(config);
 	double idle_timeout_s = fmax(tunables.idle_timeout_min_s,
 	                             tunables.idle_timeout_intervals * config->report_s);
 
@@ -121,14 +121,15 @@
  * Found with 2,000 workers on one controller: the fifth of all sockets that was reserved for the
  * peers was missing for users. What peers need does not grow with the number of machines.
  */
-int fl_node_public_conns(const struct fl_config *config)
+int fl_node_public_connections(const struct fl_config *config)
 {
 	/* From each peer its maximum, and to one of them, the leader, the same from here. */
-	int peers = (config->peer_count + 1) * FL_PEER_CONNS_MAX + config->peer_count;
-	int remaining = config->max_connections - peers - tunables.own_connections;
-	int min = (int)(config->max_connections * tunables.public_connection_share);
+	int peer_connections =
+		(config->peer_count + 1) * FL_PEER_CONNECTIONS_MAX + config->peer_count;
+	int remaining = config->max_connections - peer_connections - tunables.own_connections;
+	int min_connections = (int)(config->max_connections * tunables.public_connection_share);
 
-	return remaining > min ? remaining : min;
+	return remaining > min_connections ? remaining : min_connections;
 }
 
 static void log_tight_settings(const struct fl_config *config)
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -10,22 +10,21 @@
 #include "coordination/api/request_forwarding.h"
 #include "coordination/api/status_query.h"
 #include "coordination/autoscaling/autoscaler.h"
-#include "coordination/election/election.h"
 #include "coordination/election/leader_lease.h"
 #include "coordination/election/leader_view.h"
 #include "coordination/follower/follower.h"
-#include "coordination/follower/gossip.h"
 #include "coordination/follower/heartbeat_forwarding.h"
 #include "coordination/follower/request_batch.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/persistence/record_writer.h"
 #include "protocol/cloud.h"
 #include "protocol/kv_store.h"
-#include "protocol/peers.h"
 #include "storage/jobs.h"
 #include "storage/records.h"
 #include "transport/http_server.h"
 
+struct fl_election_callbacks;
+
 /* Another controller, and whether gossip exchanges with it come back. */
 struct fl_peer {
 	struct fl_node *node;
@@ -61,7 +60,7 @@
 	int slo_class_count;
 	/*
 	 * Steady. Every cancellation that was confirmed to any user, or known to any controller, up
-	 * to then is in the cluster state: see "Standby renewal of worker leases" in
+	 * to then is in the cluster state: see "Renewal of worker leases by followers" in
 	 * docs/design.md.
 	 */
 	double cancellation_watermark;
@@ -88,13 +87,13 @@
 /* Starts a controller with its servers and coroutines; it is never freed. Keeps `config`. */
 enum fl_node_start_result fl_node_start(const struct fl_config *config);
 
-/* Maximum of connections from one controller to another; the last one is for gossip. */
+/* Maximum number of connections from one controller to another; the last one is for gossip. */
 enum {
-	FL_PEER_CONNS_MAX =
+	FL_PEER_CONNECTIONS_MAX =
 		FL_HEARTBEAT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_USER_REQUESTS_MAX + 1
 };
 
-/* Maximum of connections of users and workers, of all that the settings allow. */
-int fl_node_public_conns(const struct fl_config *config);
+/* Maximum number of connections of users and workers, out of all that the settings allow. */
+int fl_node_public_connections(const struct fl_config *config);
 
 #endif
--- a/src/coordination/persistence/final_record_writer.h
+++ b/src/coordination/persistence/final_record_writer.h
@@ -1,6 +1,6 @@
 /*
  * Writes the final records of jobs that are over. A job is finished only once that is stored: until
- * then users are told its earlier state.
+ * then users are given its earlier state.
  */
 #ifndef FL_COORDINATION_PERSISTENCE_FINAL_RECORD_WRITER_H
 #define FL_COORDINATION_PERSISTENCE_FINAL_RECORD_WRITER_H
--- a/src/coordination/persistence/job_record_refresh.h
+++ b/src/coordination/persistence/job_record_refresh.h
@@ -17,7 +17,7 @@
 /*
  * Applies the record of a live job, from whichever read: if it says that the job is cancelled, the
  * tasks are stopped. Found with slow controllers: the write of a cancellation timed out and so did
- * the read after it. The user was told by the record, and the leader, which learned of
+ * the read after it. The user was answered from the record, and the leader, which learned of
  * cancellations only by its own writes, stopped nothing.
  */
 void fl_job_record_refresh_apply(struct fl_node *node, struct fl_job *job,
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -12,6 +12,7 @@
 #include "coordination/node.h"
 #include "coordination/responses.h"
 #include "protocol/peer_heartbeats.h"
+#include "protocol/peers.h"
 #include "protocol/status_messages.h"
 #include "transport/clock.h"
 #include "transport/log.h"
--- a/src/coordination/request_router.h
+++ b/src/coordination/request_router.h
@@ -11,12 +11,6 @@
 
 struct fl_node;
 
-/* Handler of the public server; its context is the fl_node. */
-void fl_route_public_request(void *context, const struct fl_http_request *request,
-                             struct fl_http_response *response);
-/* Handler of the server for other controllers; its context is the fl_node. */
-void fl_route_peer_request(void *context, const struct fl_http_request *request,
-                           struct fl_http_response *response);
 /* A request of a user or worker, received by this node or forwarded to it; nothing is owned. */
 struct fl_client_request {
 	enum fl_user_request kind;
@@ -26,6 +20,12 @@
 	size_t body_len;
 };
 
+/* Handler of the public server; its context is the fl_node. */
+void fl_route_public_request(void *context, const struct fl_http_request *request,
+                             struct fl_http_response *response);
+/* Handler of the server for other controllers; its context is the fl_node. */
+void fl_route_peer_request(void *context, const struct fl_http_request *request,
+                           struct fl_http_response *response);
 /* Responds to a request, forwarding what only the leader can decide. */
 void fl_route_user_request(struct fl_node *node, const struct fl_client_request *request,
                            struct fl_http_response *response);
--- a/src/coordination/responses.c
+++ b/src/coordination/responses.c
@@ -15,11 +15,11 @@
 void fl_respond_error(struct fl_http_response *response, int status, const char *fmt, ...)
 {
 	char text[256];
-	va_list ap;
+	va_list arguments;
 
-	va_start(ap, fmt);
-	vsnprintf(text, sizeof(text), fmt, ap);
-	va_end(ap);
+	va_start(arguments, fmt);
+	vsnprintf(text, sizeof(text), fmt, arguments);
+	va_end(arguments);
 	free(response->body);
 	response->status = status;
 	response->body = fl_json_error("%s", text);
--- a/src/coordination/workers/digest_reader.h
+++ b/src/coordination/workers/digest_reader.h
@@ -1,6 +1,6 @@
 /*
  * Reads the digests that followers store of heartbeats they could not forward: their machines live,
- * though they are not reachable for the leader. A digest that is malformed is skipped.
+ * though they are not reachable for the leader. A malformed heartbeat in one is logged and skipped.
  */
 #ifndef FL_COORDINATION_WORKERS_DIGEST_READER_H
 #define FL_COORDINATION_WORKERS_DIGEST_READER_H
--- a/src/coordination/workers/heartbeat.h
+++ b/src/coordination/workers/heartbeat.h
@@ -1,4 +1,8 @@
-/* What a heartbeat shows by itself: its place in their order, and the attempts it reports. */
+/*
+ * What a heartbeat shows by itself, on any node: whether it is newer than another one of its
+ * worker, and which attempts it reports. Whether the leader applies it, and what follows from it,
+ * is decided by the reconciliation.
+ */
 #ifndef FL_COORDINATION_WORKERS_HEARTBEAT_H
 #define FL_COORDINATION_WORKERS_HEARTBEAT_H
 
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -20,8 +20,8 @@
 	return NULL;
 }
 
-void fl_heartbeat_reply_as_leader(struct fl_node *node, const struct fl_heartbeat *heartbeat,
-                                  struct fl_http_response *response)
+void fl_leader_reply_respond(struct fl_node *node, const struct fl_heartbeat *heartbeat,
+                             struct fl_http_response *response)
 {
 	enum fl_reconcile_result result;
 	struct fl_command_list commands;
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -39,7 +39,7 @@
 	case FL_HEARTBEAT_FROM_DIGEST:
 		break;
 	}
-	fl_heartbeat_record_contact(context);
+	fl_reconcile_record_contact(context);
 	for (int i = 0; i < heartbeat->task_count; i++)
 		fl_reconcile_reported(context, &heartbeat->tasks[i]);
 	kind = fl_reconcile_unreported(context);
@@ -67,14 +67,14 @@
 	/* The token is this leader's own, being raised: the next heartbeat is applied. */
 	if (heartbeat->fencing_token > node->leader_lease.fencing_token)
 		return FL_RECONCILE_TOKEN_NOT_RAISED;
-	if (fl_heartbeat_predates_leadership(node, heartbeat))
+	if (fl_reconcile_predates_leadership(node, heartbeat))
 		return FL_RECONCILE_IGNORED_EARLIER;
 	if (!context.machine)
 		context.machine =
 			fl_machine_get(&node->cluster.machines, heartbeat->host, context.now);
 	if (!context.machine)
 		return FL_RECONCILE_OUT_OF_MEMORY;
-	if (!fl_heartbeat_is_newer(context.machine, heartbeat))
+	if (!fl_reconcile_is_newer(context.machine, heartbeat))
 		return FL_RECONCILE_IGNORED_STALE;
 	apply(&context);
 	return FL_RECONCILE_APPLIED;
@@ -84,7 +84,7 @@
 {
 	struct fl_machine *machine = fl_machine_find(&node->cluster.machines, heartbeat->host);
 
-	if (machine && machine->lifecycle.up && fl_heartbeat_is_newer(machine, heartbeat))
+	if (machine && machine->lifecycle.up && fl_reconcile_is_newer(machine, heartbeat))
 		fl_reachability_on_reply(machine, node->leader_lease.fencing_token,
 		                         FL_REPLY_WITHOUT_START, fl_now());
 }
--- a/src/coordination/workers/reconciliation.h
+++ b/src/coordination/workers/reconciliation.h
@@ -17,7 +17,7 @@
 struct fl_node;
 struct fl_machine;
 
-/* By which way a heartbeat came. */
+/* How a heartbeat came. */
 enum fl_heartbeat_source {
 	FL_HEARTBEAT_FROM_WORKER,  /* from the worker, which waits for the reply */
 	FL_HEARTBEAT_FROM_COMMAND, /* as the reply to a direct command */
@@ -25,11 +25,11 @@
 	                            */
 };
 
-/* What became of a heartbeat. */
+/* What became of a heartbeat, and how the worker is to be answered. */
 enum fl_reconcile_result {
 	FL_RECONCILE_APPLIED,          /* the cluster state and the commands rest on it */
 	FL_RECONCILE_IGNORED_STALE,    /* a newer one was applied: reply, it changed nothing */
-	FL_RECONCILE_IGNORED_EARLIER,  /* sent before this leadership was known: the same */
+	FL_RECONCILE_IGNORED_EARLIER,  /* sent before this leadership was known: reply, likewise */
 	FL_RECONCILE_DECOMMISSIONED,   /* its machine is proven gone: reject it */
 	FL_RECONCILE_TOKEN_NOT_RAISED, /* knows a higher fencing token than this leader: reject it
 	                                */
--- a/src/coordination/workers/reconciliation_contact.c
+++ b/src/coordination/workers/reconciliation_contact.c
@@ -1,10 +1,10 @@
-/* Which heartbeats count, and what they tell of the machine itself. */
+/* Which heartbeats count, and what they show of the machine itself. */
 #include "coordination/node.h"
 #include "coordination/workers/heartbeat.h"
 #include "coordination/workers/reconciliation_internal.h"
 #include "transport/log.h"
 
-bool fl_heartbeat_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
+bool fl_reconcile_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
 {
 	if (machine->heartbeat.last_at <= 0)
 		return true;
@@ -17,7 +17,7 @@
  * copy to be old. Such a heartbeat is answered, and does not count as contact. A worker that
  * receives the reply sends another heartbeat at once, with the fencing token.
  */
-bool fl_heartbeat_predates_leadership(const struct fl_node *node,
+bool fl_reconcile_predates_leadership(const struct fl_node *node,
                                       const struct fl_heartbeat *heartbeat)
 {
 	return heartbeat->fencing_token < node->leadership.first_fencing_token;
@@ -33,7 +33,7 @@
 	                    heartbeat->endpoint);
 }
 
-/* Takes in the notice of a spot machine's interruption; whether it is new. */
+/* Records the notice of a spot machine's interruption; whether it is new. */
 static bool record_interruption(struct fl_machine *machine, const struct fl_heartbeat *heartbeat,
                                 double now)
 {
@@ -45,7 +45,7 @@
 	return true;
 }
 
-void fl_heartbeat_record_contact(const struct fl_heartbeat_context *context)
+void fl_reconcile_record_contact(const struct fl_heartbeat_context *context)
 {
 	const struct fl_heartbeat *heartbeat = context->heartbeat;
 	struct fl_machine *machine = context->machine;
--- a/src/coordination/workers/reconciliation_internal.h
+++ b/src/coordination/workers/reconciliation_internal.h
@@ -1,6 +1,7 @@
 /*
  * What the parts of the reconciliation share: a heartbeat being applied, and the steps in which
- * that is done. For reconciliation*.c alone.
+ * that is done, of which fl_reconcile_heartbeat (reconciliation.c) makes one whole. To be included
+ * only by reconciliation*.c; other modules use reconciliation.h.
  */
 #ifndef FL_COORDINATION_WORKERS_RECONCILIATION_INTERNAL_H
 #define FL_COORDINATION_WORKERS_RECONCILIATION_INTERNAL_H
@@ -25,12 +26,12 @@
 /* ---- which heartbeats count: reconciliation_contact.c ---- */
 
 /* Whether it is newer than any that was applied; the first one received is always newer. */
-bool fl_heartbeat_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat);
+bool fl_reconcile_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat);
 /* Whether a heartbeat was sent before its worker knew of this leadership. */
-bool fl_heartbeat_predates_leadership(const struct fl_node *node,
+bool fl_reconcile_predates_leadership(const struct fl_node *node,
                                       const struct fl_heartbeat *heartbeat);
-/* Records what a heartbeat tells of the machine itself. */
-void fl_heartbeat_record_contact(const struct fl_heartbeat_context *context);
+/* Records what a heartbeat shows of the machine itself. */
+void fl_reconcile_record_contact(const struct fl_heartbeat_context *context);
 
 /* ---- which commands an attempt needs: reconciliation_commands.c ---- */
 
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -12,7 +12,8 @@
  * start command: the former may overtake the latter, which may be under way until the worker sends
  * its next heartbeat of its own.
  */
-static bool absence_is_proof(const struct fl_heartbeat_context *context, const struct fl_task *task)
+static bool absence_is_conclusive(const struct fl_heartbeat_context *context,
+                                  const struct fl_task *task)
 {
 	const struct fl_machine *machine = context->machine;
 
@@ -30,12 +31,12 @@
 }
 
 /* An attempt that is to be stopped: released if its absence is proven, else that is prepared. */
-static void release_if_proven(const struct fl_heartbeat_context *context, struct fl_job *job,
-                              uint32_t index, const struct fl_task *task)
+static void release_if_conclusive(const struct fl_heartbeat_context *context, struct fl_job *job,
+                                  uint32_t index, const struct fl_task *task)
 {
 	const struct fl_machine *machine = context->machine;
 
-	if (absence_is_proof(context, task))
+	if (absence_is_conclusive(context, task))
 		release(context, job, index);
 	else if (machine->outbound.direct_start_token >= context->heartbeat->fencing_token &&
 	         machine->outbound.direct_start_token > 0)
@@ -62,7 +63,7 @@
 		fl_task_observe(job, task, FL_OBSERVED_NONE, context->now);
 	}
 	if (!fl_attempt_should_run(job, task)) {
-		release_if_proven(context, job, index, task);
+		release_if_conclusive(context, job, index, task);
 		return FL_REPLY_WITHOUT_START;
 	}
 	if (!context->commands || !fl_task_durable(job, index))
--- a/src/coordination/workers/renewal_rules.h
+++ b/src/coordination/workers/renewal_rules.h
@@ -1,7 +1,8 @@
 /*
  * The renewal rules, for whoever answers a worker's heartbeat, and so renews its lease. Nothing is
- * ever concluded from a lease having expired, so any controller may renew one; what bounds it is
- * that a cancelled job's tasks must end in time. See "Renewal of worker leases by followers" in
+ * ever concluded from a lease having expired, so any controller may renew one, the leader
+ * (leader_reply) or a follower (follower/lease_renewal); what bounds it is that a cancelled job's
+ * tasks must end in time. See "Renewal of worker leases by followers" in
  * docs/design.md.
  */
 #ifndef FL_COORDINATION_WORKERS_RENEWAL_RULES_H
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -19,13 +19,10 @@
 	.max_idle_watch = 2,  /* and for watches */
 };
 
-/* The time of what has not happened yet, before any on the steady clock. */
-static const double long_ago = -1e9;
-
 bool fl_kv_init(struct fl_kv_store *store, const char *address)
 {
 	memset(store, 0, sizeof(*store));
-	store->last_success_at = store->last_failure_at = long_ago;
+	store->last_success_at = store->last_failure_at = FL_LONG_AGO;
 	return fl_http_client_init(&store->client, address, tunables.max_idle) == 0 &&
 	       fl_http_client_init(&store->watch_client, address, tunables.max_idle_watch) == 0;
 }
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -8,6 +8,9 @@
 
 #include "protocol/workers.h"
 
+/* Where gossip requests go at another controller. */
+#define FL_PATH_GOSSIP "/gossip"
+
 /* A cancelled job, and how long ago it was cancelled. */
 struct fl_cancellation {
 	char ref[FL_REF_MAX];
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -11,6 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "protocol/peers.h"
 #include "transport/clock.h"
 
 static void on_state(void *context, const struct fl_http_request *request,
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -13,9 +13,11 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/follower/gossip.h"
 #include "coordination/persistence/record_writer.h"
 #include "coordination/persistence/job_record_refresh.h"
 #include "node_fixture.h"
+#include "protocol/peers.h"
 #include "transport/clock.h"
 
 /*
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -116,7 +116,7 @@
 	for (int i = 0; i < BUSY_ROUTINES; i++)
 		assert_non_null(sim_spawn(PROCESS, busy, NULL));
 	sim_time_run(fl_now() + end_s);
-	assert_true(fl_leader_lease_is_valid(node));
+	assert_true(fl_leader_lease_is_valid(&node->leader_lease));
 	assert_int_equal(world.holds, 1);
 	/* One each 0.8 s, and what the work before it takes. */
 	assert_true(world.renewals - before >= (int)end_s);
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -364,9 +364,9 @@
 	fl_coroutines_shutdown();
 	free(server);
 	/* What is set aside for peers grows with them, and not with the machines. */
-	assert_true(fl_node_public_conns(&c) >= 3000);
+	assert_true(fl_node_public_connections(&c) >= 3000);
 	c.max_connections = 16;
-	assert_in_range(fl_node_public_conns(&c), 8, 15);
+	assert_in_range(fl_node_public_connections(&c), 8, 15);
 }
 
 /*
@@ -381,9 +381,9 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(limits) / sizeof(limits[0]); i++) {
 		struct fl_config c = {.peer_count = 4, .max_connections = limits[i]};
-		int public = fl_node_public_conns(&c);
-		int from_peers = c.peer_count * FL_PEER_CONNS_MAX;
-		int to_leader = FL_PEER_CONNS_MAX + c.peer_count;
+		int public = fl_node_public_connections(&c);
+		int from_peers = c.peer_count * FL_PEER_CONNECTIONS_MAX;
+		int to_leader = FL_PEER_CONNECTIONS_MAX + c.peer_count;
 
 		assert_true(public >= (int)(0.6 * limits[i]));
 		assert_true(limits[i] - public >= from_peers);
