--- a/src/coordination/api/request_forwarding.c
+++ b/src/coordination/api/request_forwarding.c
@@ -27,12 +27,12 @@
 	return node->api.forwarded_in_flight < max_in_flight;
 }
 
-static char *encode(const void *context, bool last_hop, bool disconnected)
+static char *encode(const void *context, const struct fl_forward_flags *flags)
 {
 	const struct fl_user_forward *request = context;
 
-	(void)disconnected;
-	return fl_forwarded_request_encode(request->kind, last_hop, request->ref, request->body);
+	return fl_forwarded_request_encode(request->kind, flags->last_hop, request->ref,
+	                                   request->body);
 }
 
 bool fl_user_request_forward(struct fl_node *node, const struct fl_user_forward *request,
--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -33,11 +33,11 @@
 	struct fl_job_status_report reports[FL_STATUS_QUERY_MAX];
 };
 
-static char *encode_queries(const void *context, bool last_hop, bool disconnected)
+static char *encode_queries(const void *context, const struct fl_forward_flags *flags)
 {
 	const struct status_batch *batch = context;
 
-	(void)last_hop, (void)disconnected;
+	(void)flags;
 	return fl_status_query_encode(batch->refs, batch->count);
 }
 
--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -49,7 +49,10 @@
 	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
 }
 
-/* Tries to become the leader. The time counts from before the grant: the store's may be later. */
+/*
+ * Tries to become the leader. The lease's time is counted from before the grant was sent, so that
+ * it ends here no later than in the store.
+ */
 static void acquire_leadership(struct fl_node *node, const struct fl_election_state *state)
 {
 	struct fl_leader_lease *lease = &node->leader_lease;
--- a/src/coordination/election/leader_lease.h
+++ b/src/coordination/election/leader_lease.h
@@ -1,7 +1,7 @@
 /*
  * The leader's lease as this node holds it: whether the node may act as the leader at this moment.
  * The lease is judged by the steady clock at each use, not by an event, so that a process that
- * stood still for longer than its lease finds it expired before it does anything by it.
+ * was suspended for longer than its lease finds it expired before it does anything by it.
  */
 #ifndef FL_COORDINATION_ELECTION_LEADER_LEASE_H
 #define FL_COORDINATION_ELECTION_LEADER_LEASE_H
--- a/src/coordination/election/leader_view.h
+++ b/src/coordination/election/leader_view.h
@@ -31,7 +31,7 @@
 /* The view was true at this time (steady); an earlier time than the known one has no effect. */
 void fl_leader_view_confirm(struct fl_leader_view *view, double confirmed_at);
 /*
- * Takes over what another controller knows, if it is newer: a higher token, or the same one
+ * Adopts what another controller knows, if it is newer: a higher token, or the same one
  * confirmed later (`confirmed_at`: steady, by this node's clock). A leader that is not known there
  * (empty) replaces none.
  */
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -93,7 +93,8 @@
 	double timeout_s = request->hop == FL_HOP_LAST
 	                           ? request->timeout_s
 	                           : fmin(tunables.direct_timeout_s, request->timeout_s);
-	char *text = request->encode(request->context, true, false);
+	const struct fl_forward_flags flags = {.last_hop = true};
+	char *text = request->encode(request->context, &flags);
 	enum fl_forward_result result = forward_via(leader, request->path, text, timeout_s, out);
 
 	free(text);
@@ -106,6 +107,7 @@
 	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
 	double until = fl_now() + request->timeout_s;
 	enum fl_forward_result result = FL_FORWARD_NO_LEADER;
+	struct fl_forward_flags flags = {.last_hop = false};
 	char *text;
 
 	if (!leader)
@@ -114,7 +116,8 @@
 		result = forward_directly(leader, request, out);
 	if (result == FL_FORWARD_ANSWERED || request->hop == FL_HOP_LAST)
 		return result;
-	text = request->encode(request->context, false, fl_kv_is_unavailable(&node->kv_store));
+	flags.disconnected = fl_kv_is_unavailable(&node->kv_store);
+	text = request->encode(request->context, &flags);
 	for (int i = 0; i < node->peer_count && result != FL_FORWARD_ANSWERED; i++) {
 		struct fl_peer *peer = &node->peers[i];
 
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -29,11 +29,14 @@
 	FL_FORWARD_OUT_OF_MEMORY    /* not sent */
 };
 
-/*
- * Makes the text of a forwarded request, to be freed; NULL: no memory. `last_hop`: the receiver
- * must not forward it; `disconnected`: this node has lost the key-value store.
- */
-typedef char *(*fl_forward_encoder)(const void *context, bool last_hop, bool disconnected);
+/* What a forwarded request says to the controller that receives it. */
+struct fl_forward_flags {
+	bool last_hop;     /* the receiver must not forward it */
+	bool disconnected; /* the sender has lost the key-value store */
+};
+
+/* Makes the text of a forwarded request, to be freed; NULL: no memory. */
+typedef char *(*fl_forward_encoder)(const void *context, const struct fl_forward_flags *flags);
 /* Reads the body of a reply with status 200. */
 typedef enum fl_decode_result (*fl_forward_decoder)(void *context, const char *body, size_t len);
 
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -57,14 +57,14 @@
  * no user is told of a cancellation but by a controller that has learned of it: if all of them have
  * replied, nothing that anybody was told before the oldest of these requests is missing here,
  * whatever the key-value store does meanwhile. A process that has not read the jobs itself since it
- * started tells nothing of this kind: the one before it may have told a user.
+ * started gives no such guarantee: the one before it may have told a user.
  */
 static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
                             const struct fl_gossip *gossip, double sent_at)
 {
 	double oldest = sent_at;
 
-	/* Had we stood still after sending the watermark's age, we would be told too little. */
+	/* Had this node been suspended after sending its age, the reply would lack some. */
 	if (!gossip->complete || !node->jobs_known ||
 	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -52,9 +52,9 @@
 	cached->stored = false;
 }
 
-static void uncache(struct fl_node *node, struct fl_cached_heartbeat *cached)
+static void uncache(struct fl_follower *follower, struct fl_cached_heartbeat *cached)
 {
-	HASH_DEL(node->follower.cached_heartbeats, cached);
+	HASH_DEL(follower->cached_heartbeats, cached);
 	free(cached->text);
 	free(cached);
 }
@@ -63,16 +63,12 @@
 static enum fl_kv_result read_slot_revision(struct fl_node *node, const char *key,
                                             struct fl_digest_slot *slot)
 {
-	uint64_t revision = 0;
-	cJSON *value;
 	enum fl_kv_result result;
 
 	if (slot->revision_known)
 		return FL_KV_OK;
-	result = fl_kv_get(&node->kv_store, key, &value, &revision, NULL);
-	cJSON_Delete(value);
-	slot->revision_known = result == FL_KV_OK || result == FL_KV_NOT_FOUND;
-	slot->mod_revision = result == FL_KV_OK ? revision : 0;
+	result = fl_kv_get_revision(&node->kv_store, key, &slot->mod_revision);
+	slot->revision_known = result == FL_KV_OK;
 	return result;
 }
 
@@ -169,7 +165,7 @@
 
 	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp)
 		if (cached->cached_at < now - tunables.keep_intervals * interval_s)
-			uncache(node, cached);
+			uncache(&node->follower, cached);
 	if (!node->follower.cached_heartbeats || fl_leader_lease_is_valid(&node->leader_lease) ||
 	    !node->leader_view.leader[0] || fl_kv_is_unavailable(&node->kv_store))
 		return;
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -32,12 +32,12 @@
 	const char *entry_node;
 };
 
-static char *encode_request(const void *context, bool last_hop, bool disconnected)
+static char *encode_request(const void *context, const struct fl_forward_flags *flags)
 {
 	const struct heartbeat_request *request = context;
 
-	return fl_peer_heartbeats_encode(request->heartbeats, request->entry_node, last_hop,
-	                                 disconnected);
+	return fl_peer_heartbeats_encode(request->heartbeats, request->entry_node, flags->last_hop,
+	                                 flags->disconnected);
 }
 
 static struct fl_forward_request forward_request(const struct heartbeat_request *request,
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -20,12 +20,12 @@
 };
 
 /* The misplaced worker of this name, added if it is not known yet; NULL without memory. */
-static struct fl_misplaced_worker *misplaced_worker(struct fl_node *node, const char *host,
+static struct fl_misplaced_worker *misplaced_worker(struct fl_follower *follower, const char *host,
                                                     double now)
 {
 	struct fl_misplaced_worker *worker;
 
-	HASH_FIND_STR(node->follower.misplaced_workers, host, worker);
+	HASH_FIND_STR(follower->misplaced_workers, host, worker);
 	if (worker)
 		return worker;
 	worker = calloc(1, sizeof(*worker));
@@ -33,7 +33,7 @@
 		return NULL;
 	fl_copy_string(worker->host, sizeof(worker->host), host);
 	worker->first_seen_at = now;
-	HASH_ADD_STR(node->follower.misplaced_workers, host, worker);
+	HASH_ADD_STR(follower->misplaced_workers, host, worker);
 	return worker;
 }
 
@@ -52,7 +52,7 @@
 static bool begin_redirect(struct fl_node *node, const char *host)
 {
 	double now = fl_now();
-	struct fl_misplaced_worker *worker = misplaced_worker(node, host, now);
+	struct fl_misplaced_worker *worker = misplaced_worker(&node->follower, host, now);
 
 	if (!worker)
 		return false;
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -109,7 +109,7 @@
 	char key[FL_KEY_MAX];
 
 	fl_key_progress(key, job->ref, block_index);
-	result = fl_record_revision_read(&node->kv_store, key, &block->mod_revision);
+	result = fl_kv_get_revision(&node->kv_store, key, &block->mod_revision);
 	if (result == FL_KV_OK)
 		block->revision_unknown = false;
 	return result;
--- a/src/coordination/persistence/record_txn.c
+++ b/src/coordination/persistence/record_txn.c
@@ -45,17 +45,3 @@
 		fl_leader_lease_step_down(node, "another leader");
 	return result;
 }
-
-enum fl_kv_result fl_record_revision_read(struct fl_kv_store *store, const char *key,
-                                          uint64_t *mod_revision)
-{
-	uint64_t revision = 0;
-	cJSON *value;
-	enum fl_kv_result result = fl_kv_get(store, key, &value, &revision, NULL);
-
-	cJSON_Delete(value);
-	if (result != FL_KV_OK && result != FL_KV_NOT_FOUND)
-		return result;
-	*mod_revision = result == FL_KV_NOT_FOUND ? 0 : revision;
-	return FL_KV_OK;
-}
--- a/src/coordination/persistence/record_txn.h
+++ b/src/coordination/persistence/record_txn.h
@@ -25,11 +25,5 @@
  */
 enum fl_kv_result fl_record_txn_commit(struct fl_node *node, struct fl_kv_txn *txn,
                                        uint64_t *revision);
-/*
- * Reads the revision of a record whose last write had an unknown outcome or met another revision; 0
- * if there is no such record. `*mod_revision` is set only on FL_KV_OK.
- */
-enum fl_kv_result fl_record_revision_read(struct fl_kv_store *store, const char *key,
-                                          uint64_t *mod_revision);
 
 #endif
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -111,7 +111,7 @@
 
 	if (writer->wal_revision_known)
 		return FL_KV_OK;
-	result = fl_record_revision_read(&node->kv_store, FL_KEY_WAL, &writer->wal_mod_revision);
+	result = fl_kv_get_revision(&node->kv_store, FL_KEY_WAL, &writer->wal_mod_revision);
 	writer->wal_revision_known = result == FL_KV_OK;
 	return result;
 }
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -30,7 +30,10 @@
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
-/* An attempt that is to be stopped: released if its absence is proven, else that is prepared. */
+/*
+ * An attempt that is to be stopped: released if its absence is proven. Else a direct start command
+ * may still arrive, which a higher fencing token rules out.
+ */
 static void release_if_conclusive(const struct fl_heartbeat_context *context, struct fl_job *job,
                                   uint32_t index, const struct fl_task *task)
 {
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -137,6 +137,20 @@
 	return result;
 }
 
+enum fl_kv_result fl_kv_get_revision(struct fl_kv_store *store, const char *key,
+                                     uint64_t *mod_revision)
+{
+	uint64_t revision = 0;
+	cJSON *value;
+	enum fl_kv_result result = fl_kv_get(store, key, &value, &revision, NULL);
+
+	cJSON_Delete(value);
+	if (result != FL_KV_OK && result != FL_KV_NOT_FOUND)
+		return result;
+	*mod_revision = result == FL_KV_NOT_FOUND ? 0 : revision;
+	return FL_KV_OK;
+}
+
 static enum fl_kv_result each_item(const cJSON *items, fl_kv_event_fn on_event, void *context,
                                    char last_key[FL_KEY_MAX])
 {
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -57,6 +57,12 @@
 /* Reads a key. `*value` is owned by the caller; `lease_id` (if not NULL) gets its lease, or 0. */
 enum fl_kv_result fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value,
                             uint64_t *revision, uint64_t *lease_id);
+/*
+ * Reads the revision of a key whose last write had an unknown outcome or met another revision; 0 if
+ * there is no such key. `*mod_revision` is set only on FL_KV_OK.
+ */
+enum fl_kv_result fl_kv_get_revision(struct fl_kv_store *store, const char *key,
+                                     uint64_t *mod_revision);
 
 /* Called for each change; it is valid during the call only. */
 typedef void (*fl_kv_event_fn)(void *context, const struct fl_kv_event *event);
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -47,15 +47,15 @@
 	return 0;
 }
 
-static char *encode(const void *context, bool last_hop, bool disconnected)
+static char *encode(const void *context, const struct fl_forward_flags *flags)
 {
-	(void)context, (void)disconnected;
-	return strdup(last_hop ? "last" : "first");
+	(void)context;
+	return strdup(flags->last_hop ? "last" : "first");
 }
 
-static char *encode_nothing(const void *context, bool last_hop, bool disconnected)
+static char *encode_nothing(const void *context, const struct fl_forward_flags *flags)
 {
-	(void)context, (void)last_hop, (void)disconnected;
+	(void)context, (void)flags;
 	return NULL;
 }
 
