--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -1,146 +1,167 @@
-/* The tasks on a machine: commands, image fetches, runs, saves and ends. */
+/* The tasks on a machine: commands, image fetches, runs, checkpoints and ends. */
 #include "sim.h"
 
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include "copy_text.h"
 #include "protocol/json.h"
 #include "transport/clock.h"
+#include "worker_command.h"
 
-static int index_of(const struct sim_machine *machine) { return (int)(machine - sim.machines); }
-
-static void leave(struct sim_task *task)
+static void leave_machine(struct sim_task *task)
 {
-	if (task->counted)
-		sim_check_left(task->job, task->status.index);
-	task->counted = false;
+	if (task->counted_running)
+		sim_check_task_left(task->job, task->status.index);
+	task->counted_running = false;
 }
 
-static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit why)
+static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit exit)
 {
-	leave(task);
+	leave_machine(task);
 	task->status.state = FL_TASK_STATE_EXITED;
-	task->status.exit = why;
-	sim_machine_changed(machine);
+	task->status.exit = exit;
+	sim_heartbeat_request(machine);
+}
+
+static double progress_now(const struct sim_task *task)
+{
+	return task->job->progress_s[task->status.index] + fl_now() - task->started_at;
 }
 
-static double done_so_far(const struct sim_task *task)
+static void save_progress(const struct sim_task *task)
 {
-	return task->job->progress[task->status.index] + fl_now() - task->began;
+	task->job->progress_s[task->status.index] = progress_now(task);
 }
 
-static void keep_progress(struct sim_task *task, bool saved)
+/* Stopped without a new checkpoint: what the regular ones saved stays. */
+static void fall_back_to_checkpoint(const struct sim_task *task)
 {
-	double every = task->job->spec.checkpoint_every_s, done = done_so_far(task);
+	double interval_s = task->job->spec.checkpoint_every_s;
 
-	if (saved)
-		task->job->progress[task->status.index] = done;
-	else if (every > 0)
-		task->job->progress[task->status.index] = (double)(int)(done / every) * every;
+	if (interval_s > 0)
+		task->job->progress_s[task->status.index] =
+			(double)(int)(progress_now(task) / interval_s) * interval_s;
 }
 
-static void begin(struct sim_machine *machine, struct sim_task *task)
+static void start_running(struct sim_machine *machine, struct sim_task *task)
 {
 	struct sim_job *job = task->job;
-	uint32_t i = task->status.index;
+	uint32_t index = task->status.index;
 
 	task->status.state = FL_TASK_STATE_RUNNING;
-	task->began = fl_now();
-	task->counted = true;
-	sim_check_started(job, i, index_of(machine));
-	task->until = job->spec.kind == FL_SERVICE
-	                      ? -1
-	                      : fl_now() + job->duration_s[i] - job->progress[i];
-	if (job->completed[i])
+	task->started_at = fl_now();
+	task->counted_running = true;
+	sim_check_task_started(job, index, sim_machine_index(machine));
+	task->phase_ends_at = job->spec.kind == FL_SERVICE
+	                              ? -1
+	                              : fl_now() + job->duration_s[index] - job->progress_s[index];
+	if (job->completed[index])
 		end_task(machine, task, FL_EXIT_DONE);
 	else
-		sim_machine_changed(machine);
+		sim_heartbeat_request(machine);
 }
 
 static bool has_image(const struct sim_machine *machine, const char *image)
 {
-	for (int i = 0; i < 4 && i < machine->image_count; i++)
+	for (int i = 0; i < SIM_MACHINE_IMAGES && i < machine->image_count; i++)
 		if (strcmp(machine->images[i], image) == 0)
 			return true;
 	return false;
 }
 
-static void fetched(struct sim_machine *machine, struct sim_task *task)
+static void image_fetched(struct sim_machine *machine, struct sim_task *task)
 {
 	if (!has_image(machine, task->job->spec.image))
-		sim_copy(machine->images[machine->image_count++ % 4], sizeof(machine->images[0]),
-		         task->job->spec.image);
-	begin(machine, task);
+		copy_text(machine->images[machine->image_count++ % SIM_MACHINE_IMAGES],
+		          sizeof(machine->images[0]), task->job->spec.image);
+	start_running(machine, task);
 }
 
-static void completed(struct sim_machine *machine, struct sim_task *task)
+static void task_completed(struct sim_machine *machine, struct sim_task *task)
 {
+	const struct sim_fault *cancel = sim_fault_active(FAULT_CANCEL_AT_COMPLETION, -1);
 	struct sim_job *job = task->job;
-	const struct sim_fault *end = sim_fault_active(FAULT_CANCEL_AT_COMPLETION, -1);
-	bool last = true;
 
 	job->completed[task->status.index] = true;
 	sim.completions++;
 	end_task(machine, task, FL_EXIT_DONE);
-	for (uint32_t i = 0; i < job->spec.task_count; i++)
-		last = last && job->completed[i];
-	if (last)
-		sim_user_reads_all_nodes(job);
-	if (last && end)
-		sim_user_polls(job);
-	if (last && end && sim_chance(end->magnitude)) {
-		sim_user_cancels(job);
-		sim_user_repeats(job);
+	if (!sim_job_is_completed(job))
+		return;
+	sim_user_read_all_nodes(job);
+	if (!cancel)
+		return;
+	sim_user_query_repeatedly(job);
+	if (sim_chance(cancel->magnitude)) {
+		sim_user_cancel(job);
+		sim_user_resubmit(job);
 	}
 }
 
-static bool fetches(const struct sim_task *task)
+static bool is_fetching(const struct sim_task *task)
 {
-	return task->used && task->status.state == FL_TASK_STATE_PULLING && task->until > fl_now();
+	return task->used && task->status.state == FL_TASK_STATE_PULLING &&
+	       task->phase_ends_at > fl_now();
 }
 
-/* The task for which this one's image is being fetched already; itself if for none. */
-static int first_with_image(const struct sim_machine *machine, int at)
+/* The first task for which this one's image is being fetched; itself if for none before it. */
+static int first_with_image(const struct sim_machine *machine, int index)
 {
-	for (int i = 0; i < at; i++)
-		if (fetches(&machine->tasks[i]) && machine->tasks[at].used &&
-		    strcmp(machine->tasks[i].job->spec.image, machine->tasks[at].job->spec.image) ==
-		            0)
+	const struct sim_task *task = &machine->tasks[index];
+
+	for (int i = 0; i < index && task->used; i++)
+		if (is_fetching(&machine->tasks[i]) &&
+		    strcmp(machine->tasks[i].job->spec.image, task->job->spec.image) == 0)
 			return i;
-	return at;
+	return index;
+}
+
+static int images_being_fetched(const struct sim_machine *machine)
+{
+	int count = 0;
+
+	for (int i = 0; i < machine->task_slots_used; i++)
+		count += is_fetching(&machine->tasks[i]) && first_with_image(machine, i) == i;
+	return count;
+}
+
+/* Each of n images gets an n-th of the rate, and so is late by the rest of the time. */
+static void delay_fetches(struct sim_machine *machine, double elapsed_s)
+{
+	int image_count = images_being_fetched(machine);
+
+	for (int i = 0; i < machine->task_slots_used && image_count > 1; i++)
+		if (is_fetching(&machine->tasks[i]))
+			machine->tasks[i].phase_ends_at +=
+				elapsed_s * (image_count - 1) / image_count;
 }
 
 /* Several images that are fetched at once share the machine's rate; tasks share their image's. */
 static void share_fetches(struct sim_machine *machine)
 {
-	double seconds =
+	double elapsed_s =
 		machine->fetches_checked_at > 0 ? fl_now() - machine->fetches_checked_at : 0;
-	int images = 0;
 
 	machine->fetches_checked_at = fl_now();
-	for (int i = 0; i < machine->task_slots; i++)
-		images += fetches(&machine->tasks[i]) && first_with_image(machine, i) == i;
-	/* Each of n images has an n-th of the rate, and so is late by the rest of the time. */
-	for (int i = 0; i < machine->task_slots && images > 1; i++)
-		if (fetches(&machine->tasks[i]))
-			machine->tasks[i].until += seconds * (images - 1) / images;
-	for (int i = 0; i < machine->task_slots; i++) {
+	delay_fetches(machine, elapsed_s);
+	for (int i = 0; i < machine->task_slots_used; i++) {
 		const struct sim_task *first = &machine->tasks[first_with_image(machine, i)];
 
-		if (fetches(&machine->tasks[i]) && first->until < machine->tasks[i].until)
-			machine->tasks[i].until = first->until;
+		if (is_fetching(&machine->tasks[i]) &&
+		    first->phase_ends_at < machine->tasks[i].phase_ends_at)
+			machine->tasks[i].phase_ends_at = first->phase_ends_at;
 	}
 }
 
-static void look_at(struct sim_machine *machine, struct sim_task *task)
+static void advance_task(struct sim_machine *machine, struct sim_task *task)
 {
-	if (task->status.state == FL_TASK_STATE_EXITED || task->until < 0 || fl_now() < task->until)
+	if (task->status.state == FL_TASK_STATE_EXITED || task->phase_ends_at < 0 ||
+	    fl_now() < task->phase_ends_at)
 		return;
 	if (task->status.state == FL_TASK_STATE_PULLING) {
-		fetched(machine, task);
+		image_fetched(machine, task);
 	} else if (task->status.state == FL_TASK_STATE_RUNNING) {
-		completed(machine, task);
+		task_completed(machine, task);
 	} else {
 		task->status.saved = true;
 		end_task(machine, task, FL_EXIT_STOPPED);
@@ -151,56 +172,63 @@
 {
 	if (sim_fault_active(FAULT_SHARED_IMAGE_BANDWIDTH, -1))
 		share_fetches(machine);
-	for (int i = 0; i < machine->task_slots; i++)
+	for (int i = 0; i < machine->task_slots_used; i++)
 		if (machine->tasks[i].used)
-			look_at(machine, &machine->tasks[i]);
+			advance_task(machine, &machine->tasks[i]);
 }
 
 void sim_tasks_drop(struct sim_machine *machine)
 {
-	for (int i = 0; i < machine->task_slots; i++) {
+	for (int i = 0; i < machine->task_slots_used; i++) {
 		if (machine->tasks[i].used)
-			leave(&machine->tasks[i]);
+			leave_machine(&machine->tasks[i]);
 		machine->tasks[i].used = false;
 	}
 }
 
-void sim_tasks_stood_still(struct sim_machine *machine, double seconds)
+void sim_tasks_resume_after(struct sim_machine *machine, double seconds)
 {
-	for (int i = 0; i < machine->task_slots; i++) {
+	for (int i = 0; i < machine->task_slots_used; i++) {
 		struct sim_task *task = &machine->tasks[i];
 
 		if (!task->used)
 			continue;
-		task->began += seconds;
-		if (task->until >= 0)
-			task->until += seconds;
+		task->started_at += seconds;
+		if (task->phase_ends_at >= 0)
+			task->phase_ends_at += seconds;
 	}
 }
 
-/* ---- orders ---- */
+/* ---- commands ---- */
 
-static struct sim_task *find(struct sim_machine *machine, const struct fl_task_status *status,
-                             bool attempt)
+static struct sim_task *find_attempt(struct sim_machine *machine,
+                                     const struct fl_task_status *status)
 {
-	for (int i = 0; i < machine->task_slots; i++) {
-		struct sim_task *task = &machine->tasks[i];
+	for (int i = 0; i < machine->task_slots_used; i++)
+		if (machine->tasks[i].used &&
+		    worker_command_names_attempt(status, &machine->tasks[i].status))
+			return &machine->tasks[i];
+	return NULL;
+}
+
+static bool runs_task(const struct sim_machine *machine, const struct fl_task_status *status)
+{
+	for (int i = 0; i < machine->task_slots_used; i++) {
+		const struct sim_task *task = &machine->tasks[i];
 
-		if (task->used && task->status.index == status->index &&
-		    strcmp(task->status.ref, status->ref) == 0 &&
-		    (attempt ? task->status.attempt == status->attempt
-		             : task->status.state != FL_TASK_STATE_EXITED))
-			return task;
+		if (task->used && task->status.state != FL_TASK_STATE_EXITED &&
+		    worker_command_names_task(status, &task->status))
+			return true;
 	}
-	return NULL;
+	return false;
 }
 
-static bool has_room(const struct sim_machine *machine, const struct sim_job *job)
+bool sim_machine_has_capacity(const struct sim_machine *machine, const struct sim_job *job)
 {
-	const struct sim_machine_type *k = &sim_machine_types[machine->type];
+	const struct sim_machine_type *type = &sim_machine_types[machine->type];
 	double cpus = job->spec.cpus, gpus = job->spec.gpus, ram = job->spec.ram_gb;
 
-	for (int i = 0; i < machine->task_slots; i++) {
+	for (int i = 0; i < machine->task_slots_used; i++) {
 		const struct sim_task *task = &machine->tasks[i];
 
 		if (!task->used || task->status.state == FL_TASK_STATE_EXITED)
@@ -209,7 +237,7 @@
 		gpus += task->job->spec.gpus;
 		ram += task->job->spec.ram_gb;
 	}
-	return cpus <= k->cpus && gpus <= k->gpus && ram <= k->ram_gb;
+	return cpus <= type->cpus && gpus <= type->gpus && ram <= type->ram_gb;
 }
 
 static struct sim_task *new_task(struct sim_machine *machine, const struct fl_task_status *status)
@@ -217,43 +245,45 @@
 	for (int i = 0; i < SIM_TASKS; i++) {
 		if (machine->tasks[i].used)
 			continue;
-		if (i >= machine->task_slots)
-			machine->task_slots = i + 1;
+		if (i >= machine->task_slots_used)
+			machine->task_slots_used = i + 1;
 		machine->tasks[i] = (struct sim_task){.used = true, .status = *status};
 		return &machine->tasks[i];
 	}
 	abort();
 }
 
-static void launch(struct sim_machine *machine, const struct fl_task_status *status)
+/* FL_EXIT_OTHER: nothing is against it. */
+static enum fl_exit start_refusal(const struct sim_machine *machine, const struct sim_job *job,
+                                  const struct fl_task_status *status)
+{
+	if (!job || job->first_sent_at == 0 || status->index >= job->spec.task_count)
+		return FL_EXIT_UNKNOWN_TASK;
+	if (runs_task(machine, status))
+		return FL_EXIT_BUSY;
+	return sim_machine_has_capacity(machine, job) ? FL_EXIT_OTHER : FL_EXIT_NO_ROOM;
+}
+
+static void start_task(struct sim_machine *machine, const struct fl_task_status *status)
 {
 	struct sim_job *job = sim_job_find(status->ref);
-	enum fl_exit refusal = FL_EXIT_OTHER;
-	struct sim_task *task;
+	enum fl_exit refusal = start_refusal(machine, job, status);
+	struct sim_task *task = new_task(machine, status);
 
-	if (find(machine, status, true))
-		return;
-	if (!job || job->sent == 0 || status->index >= job->spec.task_count)
-		refusal = FL_EXIT_UNKNOWN_TASK;
-	else if (find(machine, status, false))
-		refusal = FL_EXIT_BUSY;
-	else if (!has_room(machine, job))
-		refusal = FL_EXIT_NO_ROOM;
-	task = new_task(machine, status);
 	task->job = job;
 	if (refusal != FL_EXIT_OTHER) {
 		end_task(machine, task, refusal);
 		return;
 	}
 	task->status.state = FL_TASK_STATE_PULLING;
-	task->until = fl_now() + (has_image(machine, job->spec.image)
-	                                  ? 0
-	                                  : job->spec.image_gb * sim_between(0.8, 1.3));
-	sim_machine_changed(machine);
-	look_at(machine, task);
+	task->phase_ends_at = fl_now();
+	if (!has_image(machine, job->spec.image))
+		task->phase_ends_at += job->spec.image_gb * sim_between(0.8, 1.3);
+	sim_heartbeat_request(machine);
+	advance_task(machine, task);
 }
 
-static void stop(struct sim_machine *machine, struct sim_task *task, double grace_period_s)
+static void stop_task(struct sim_machine *machine, struct sim_task *task, double grace_period_s)
 {
 	const struct fl_job_spec *spec = &task->job->spec;
 
@@ -264,49 +294,45 @@
 	}
 	if (task->status.state == FL_TASK_STATE_RUNNING && spec->checkpoint_every_s > 0 &&
 	    grace_period_s >= spec->checkpoint_cost_s) {
-		keep_progress(task, true);
+		save_progress(task);
 		task->status.state = FL_TASK_STATE_CHECKPOINTING;
-		task->until = fl_now() + spec->checkpoint_cost_s;
-		sim_machine_changed(machine);
+		task->phase_ends_at = fl_now() + spec->checkpoint_cost_s;
+		sim_heartbeat_request(machine);
 		return;
 	}
 	if (task->status.state == FL_TASK_STATE_RUNNING)
-		keep_progress(task, false);
+		fall_back_to_checkpoint(task);
 	end_task(machine, task, FL_EXIT_STOPPED);
 }
 
-static void order(struct sim_machine *machine, const cJSON *item)
+static void execute_command(struct sim_machine *machine, const struct worker_command *command)
 {
-	struct fl_task_status status = {0};
-	char verb[16] = "", name[64] = "";
-	uint64_t attempt = 0;
-	double grace_period_s = 0;
-	struct sim_task *task;
-	char *slash;
-
-	fl_json_get_string(item, "Verb", verb, sizeof(verb));
-	fl_json_get_string(item, "Part", name, sizeof(name));
-	fl_json_get_count(item, "Try", &attempt);
-	fl_json_get_amount(item, "WindDownS", &grace_period_s);
-	slash = strchr(name, '/');
-	sim_require(slash);
-	*slash = 0;
-	snprintf(status.ref, sizeof(status.ref), "%.*s", (int)sizeof(status.ref) - 1, name);
-	status.index = (uint32_t)strtoul(slash + 1, NULL, 10);
-	status.attempt = (uint32_t)attempt;
-	task = find(machine, &status, true);
-	if (strcmp(verb, "launch") == 0)
-		launch(machine, &status);
-	else if (strcmp(verb, "kill") == 0 && task && task->status.state != FL_TASK_STATE_EXITED)
-		stop(machine, task, grace_period_s);
-	else if (strcmp(verb, "forget") == 0 && task && task->status.state == FL_TASK_STATE_EXITED)
-		task->used = false;
+	struct sim_task *task = find_attempt(machine, &command->task);
+	bool exited = task && task->status.state == FL_TASK_STATE_EXITED;
+
+	switch (command->kind) {
+	case FL_COMMAND_START:
+		if (!task)
+			start_task(machine, &command->task);
+		break;
+	case FL_COMMAND_STOP:
+		if (task && !exited)
+			stop_task(machine, task, command->grace_period_s);
+		break;
+	case FL_COMMAND_FORGET:
+		if (exited)
+			task->used = false;
+		break;
+	}
 }
 
 void sim_tasks_command(struct sim_machine *machine, const cJSON *object)
 {
 	const cJSON *item;
 
-	cJSON_ArrayForEach (item, fl_json_get(object, "Orders"))
-		order(machine, item);
+	cJSON_ArrayForEach (item, fl_json_get(object, "Orders")) {
+		struct worker_command command = worker_command_decode(item);
+
+		execute_command(machine, &command);
+	}
 }
