--- a/src/coordination/api/status_query.c
+++ b/src/coordination/api/status_query.c
@@ -61,12 +61,11 @@
 	return fl_forward_and_decode(node, &request, decode_answers, batch);
 }
 
-/* The batch that takes one more query; NULL: none can. `*began`: it is a new one. */
-static struct status_batch *find_batch(struct fl_batch_queue *queue, bool *began)
+/* The batch that takes one more query, begun if there is none; NULL: none can. */
+static struct status_batch *find_batch(struct fl_batch_queue *queue)
 {
 	struct status_batch *batch = (struct status_batch *)queue->filling;
 
-	*began = !batch;
 	if (batch)
 		return batch->count < FL_STATUS_QUERY_MAX ? batch : NULL;
 	batch = calloc(1, sizeof(*batch));
@@ -93,17 +92,16 @@
 	struct fl_batch_queue *queue = &node->api.status_queries;
 	enum fl_query_result result = FL_QUERY_FAILED;
 	struct status_batch *batch;
-	bool began;
 	int index;
 
 	if (!queue->filling && !fl_forward_leader_is_reachable(node))
 		return FL_QUERY_FAILED;
-	batch = find_batch(queue, &began);
+	batch = find_batch(queue);
 	if (!batch)
 		return FL_QUERY_OVERLOADED;
 	index = batch->count++;
 	fl_copy_string(batch->refs[index], sizeof(batch->refs[index]), ref);
-	if (fl_batch_await(node, queue, &batch->batch, began, &policy) == FL_FORWARD_ANSWERED)
+	if (fl_batch_await(node, queue, &batch->batch, &policy) == FL_FORWARD_ANSWERED)
 		result = respond_from_batch(batch, index, response);
 	if (fl_batch_release(&batch->batch))
 		free(batch);
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -67,8 +67,7 @@
 	}
 }
 
-/* Sends a request to one peer, which replies with 421 if it neither leads nor reaches the leader.
- */
+/* Sends a request to one peer; its reply is 421 if it neither leads nor reaches the leader. */
 static enum fl_forward_result forward_via(struct fl_peer *peer, const char *path, const char *text,
                                           double timeout_s, struct fl_http_reply *out)
 {
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -77,8 +77,7 @@
 
 static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent_at)
 {
-	/* With a valid lease nothing is learned: the higher token is its own, raised this moment.
-	 */
+	/* With a valid lease the higher token is its own, being raised: nothing is learned. */
 	if (gossip->fencing_token > node->leader_view.fencing_token && node->leader_lease.held) {
 		if (fl_leader_lease_is_valid(&node->leader_lease) ||
 		    strcmp(gossip->leader, node->config->node) == 0)
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -75,7 +75,7 @@
 }
 
 /* The batch that a heartbeat goes into: the one being filled, or a new one. NULL: no memory. */
-static struct heartbeat_batch *batch_for(struct fl_batch_queue *queue, size_t len, bool *began)
+static struct heartbeat_batch *batch_for(struct fl_batch_queue *queue, size_t len)
 {
 	struct heartbeat_batch *batch = (struct heartbeat_batch *)queue->filling;
 
@@ -84,7 +84,6 @@
 		fl_batch_close(queue);
 		batch = NULL;
 	}
-	*began = !batch;
 	if (batch)
 		return batch;
 	batch = calloc(1, sizeof(*batch));
@@ -114,18 +113,17 @@
 	struct fl_batch_queue *queue = &node->follower.heartbeat_forwards;
 	enum fl_forward_result result;
 	struct heartbeat_batch *batch;
-	bool began;
 	int index;
 
 	if (len > FL_PEER_HEARTBEATS_BYTES)
 		return FL_FORWARD_TOO_LARGE;
-	batch = batch_for(queue, len, &began);
+	batch = batch_for(queue, len);
 	if (!batch)
 		return FL_FORWARD_OUT_OF_MEMORY;
 	index = batch->count++;
 	batch->bytes += len;
 	fl_heartbeat_list_add(batch->heartbeats, body);
-	result = fl_batch_await(node, queue, &batch->batch, began, &policy);
+	result = fl_batch_await(node, queue, &batch->batch, &policy);
 	if (result == FL_FORWARD_ANSWERED)
 		result = take_reply(&batch->replies[index], response);
 	if (fl_batch_release(&batch->batch))
--- a/src/coordination/follower/redirect.h
+++ b/src/coordination/follower/redirect.h
@@ -1,7 +1,7 @@
 /*
  * Redirecting misplaced workers: a worker that sends its heartbeats to a node of another zone, or
- * to a node that is isolated, is told to which other node it should send them. It is redirected
- * once in more than a lease; in between it is served where it is.
+ * to a node that is isolated, is redirected to a better one, at most once in more than a lease; in
+ * between it is served where it is.
  */
 #ifndef FL_COORDINATION_FOLLOWER_REDIRECT_H
 #define FL_COORDINATION_FOLLOWER_REDIRECT_H
--- a/src/coordination/follower/request_batch.c
+++ b/src/coordination/follower/request_batch.c
@@ -44,11 +44,9 @@
 }
 
 enum fl_forward_result fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue,
-                                      struct fl_batch *batch, bool began,
-                                      const struct fl_batch_policy *policy)
+                                      struct fl_batch *batch, const struct fl_batch_policy *policy)
 {
-	batch->holder_count++;
-	if (!began)
+	if (batch->holder_count++ > 0)
 		return await_completion(batch, policy->send_timeout_s + policy->exchange_timeout_s);
 	send_batch(node, queue, batch, policy);
 	return batch->result;
--- a/src/coordination/follower/request_batch.h
+++ b/src/coordination/follower/request_batch.h
@@ -27,7 +27,7 @@
 struct fl_batch_queue {
 	struct fl_batch *filling; /* collects parts until a request may be sent; NULL: none does */
 	int in_flight;
-	struct fl_condition request_returned; /* a request has come back */
+	struct fl_condition request_returned; /* a request has returned, with or without a reply */
 };
 
 /* How batches of one kind are sent. */
@@ -39,17 +39,19 @@
 	enum fl_forward_result (*exchange)(struct fl_node *node, struct fl_batch *batch);
 };
 
-/* From now on this batch collects parts. */
+/*
+ * From now on this batch collects parts. Whoever begins it adds the first part and awaits it before
+ * waiting for anything else, and is thereby the one that sends it.
+ */
 void fl_batch_begin(struct fl_batch_queue *queue, struct fl_batch *batch);
 /* No more parts go into the batch that collects them now. */
 void fl_batch_close(struct fl_batch_queue *queue);
 /*
  * For each caller, after it has put its part into the batch; with FL_FORWARD_ANSWERED the replies
- * are there. The caller that began the batch sends it when it may; the others wait.
+ * are there. The first caller, which began the batch, sends it when it may; the others wait.
  */
 enum fl_forward_result fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue,
-                                      struct fl_batch *batch, bool began,
-                                      const struct fl_batch_policy *policy);
+                                      struct fl_batch *batch, const struct fl_batch_policy *policy);
 /* The caller needs it no more; true: nobody does, and the caller frees it. */
 bool fl_batch_release(struct fl_batch *batch);
 
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -114,7 +114,7 @@
 		const struct fl_wal_group *group = &failover->wal.groups[i];
 		struct fl_job *job = fl_job_find(failover->cluster, group->ref);
 
-		/* No such job: it is over, and older writes of the log may stay for ever. */
+		/* No such job: it is over, and older writes of the log may stay indefinitely. */
 		if (group->restored || !job)
 			continue;
 		if (fl_task_block_restore(failover->cluster, job, group->block_index, NULL, 0,
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -25,7 +25,7 @@
 
 struct fl_election_callbacks;
 
-/* Another controller, and whether gossip exchanges with it come back. */
+/* Another controller, and whether gossip exchanges with it complete. */
 struct fl_peer {
 	struct fl_node *node;
 	char name[FL_NAME_MAX];
--- a/src/coordination/persistence/record_txn.h
+++ b/src/coordination/persistence/record_txn.h
@@ -21,8 +21,7 @@
  * FL_KV_CANCELLED if the coroutine is cancelled.
  */
 enum fl_kv_result fl_record_txn_admit(struct fl_node *node, struct fl_kv_txn *txn);
-/* Sends an admitted transaction, and steps down if there is another leader. Consumes the builder.
- */
+/* Sends an admitted transaction, freeing the builder; steps down if there is another leader. */
 enum fl_kv_result fl_record_txn_commit(struct fl_node *node, struct fl_kv_txn *txn,
                                        uint64_t *revision);
 
--- a/src/coordination/workers/heartbeat.h
+++ b/src/coordination/workers/heartbeat.h
@@ -12,8 +12,7 @@
 #include "protocol/workers.h"
 #include "storage/machines.h"
 
-/* Whether it is newer than its worker's heartbeat of these numbers: by incarnation, then sequence.
- */
+/* Whether it is newer than its worker's heartbeat with these: by incarnation, then sequence. */
 bool fl_heartbeat_is_after(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
                            uint64_t sequence);
 /* Whether it has the current attempt of this assignment, in whatever state. */
--- a/src/coordination/workers/reachability.h
+++ b/src/coordination/workers/reachability.h
@@ -31,8 +31,7 @@
 void fl_reachability_confirm(struct fl_machine *machine);
 /* Whether the machine may be unreachable, so that nothing new is placed there. */
 bool fl_reachability_is_suspect(const struct fl_machine *machine);
-/* Steady: since when the machine has been unreachable, surely reachable until then; else INFINITY.
- */
+/* Steady: since when the machine has been unreachable, reachable until then; else INFINITY. */
 double fl_reachability_lost_since(const struct fl_machine *machine);
 
 #endif
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -89,12 +89,12 @@
 		                         FL_REPLY_WITHOUT_START, fl_now());
 }
 
-void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine, const char *why)
+void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine, const char *reason)
 {
 	if (machine->lifecycle.decommissioned)
 		return;
-	fl_info("cloud", "machine decommissioned: %s reason=\"%s\" attempts=%d", machine->name, why,
-	        machine->assignment_count);
+	fl_info("cloud", "machine decommissioned: %s reason=\"%s\" attempts=%d", machine->name,
+	        reason, machine->assignment_count);
 	machine->lifecycle.decommissioned = true;
 	machine->lifecycle.decommissioned_at = fl_now();
 	machine->lifecycle.up = false;
--- a/src/coordination/workers/reconciliation.h
+++ b/src/coordination/workers/reconciliation.h
@@ -21,8 +21,7 @@
 enum fl_heartbeat_source {
 	FL_HEARTBEAT_FROM_WORKER,  /* from the worker, which waits for the reply */
 	FL_HEARTBEAT_FROM_COMMAND, /* as the reply to a direct command */
-	FL_HEARTBEAT_FROM_DIGEST   /* in a digest: the machine lives, but is not reachable from here
-	                            */
+	FL_HEARTBEAT_FROM_DIGEST   /* in a digest: the machine lives, but may be unreachable */
 };
 
 /* What became of a heartbeat, and how the worker is to be answered. */
@@ -31,8 +30,7 @@
 	FL_RECONCILE_IGNORED_STALE,    /* a newer one was applied: reply, it changed nothing */
 	FL_RECONCILE_IGNORED_EARLIER,  /* sent before this leadership was known: reply, likewise */
 	FL_RECONCILE_DECOMMISSIONED,   /* its machine is proven gone: reject it */
-	FL_RECONCILE_TOKEN_NOT_RAISED, /* knows a higher fencing token than this leader: reject it
-	                                */
+	FL_RECONCILE_TOKEN_NOT_RAISED, /* has a higher fencing token than this leader: reject it */
 	FL_RECONCILE_OUT_OF_MEMORY     /* its machine could not be added: reject it */
 };
 
@@ -51,7 +49,8 @@
 /* Collects the commands for a direct request to the machine; false if there are none. */
 bool fl_reconcile_collect_commands(struct fl_node *node, struct fl_machine *machine,
                                    struct fl_command_list *commands);
-/* The machine is proven gone, for the reason `why`: so is all that was on it. */
-void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine, const char *why);
+/* The machine is proven gone, for this reason (for the log): so is all that was on it. */
+void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine,
+                               const char *reason);
 
 #endif
