--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -55,10 +55,9 @@
 	free(types);
 }
 
-double fl_autoscaler_spot_loss_rate(const struct fl_node *node)
+double fl_autoscaler_spot_loss_rate(const struct fl_autoscaler *autoscaler)
 {
-	return node->autoscaler.spot_losses /
-	       (node->autoscaler.spot_machine_seconds + tunables.spot_prior_s);
+	return autoscaler->spot_losses / (autoscaler->spot_machine_seconds + tunables.spot_prior_s);
 }
 
 /* Adds the time since the last count for each spot machine that is up. */
@@ -95,10 +94,7 @@
 	while (fl_sleep(tunables.interval_s) == 0) {
 		if (!fl_leader_lease_is_valid(&node->leader_lease))
 			continue;
-		/*
-		 * No call of this coroutine is under way here, and machines with a command are
-		 * kept.
-		 */
+		/* This coroutine has no call under way here; machines with a command are kept. */
 		fl_cluster_purge_tombstones(&node->cluster, fl_now() - tunables.tombstone_s);
 		count_spot_time(node);
 		fl_autoscaler_scale_in(node);
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -28,7 +28,7 @@
 	FAULTY,       /* too many faults, and quarantined */
 	SILENT,       /* its heartbeats do not arrive */
 	UNREACHABLE,  /* its heartbeats arrive, our answers do not reach it */
-	NEVER_BOOTED, /* no heartbeat came long after its rental */
+	NEVER_BOOTED, /* no heartbeat long after its rental */
 	DRAINING      /* as decided before */
 };
 
@@ -53,7 +53,7 @@
 	return "unknown";
 }
 
-/* Whether a machine that is not spot may go without cutting into the headroom for services. */
+/* Whether a machine that is not spot is spare beyond the headroom for services; counts it off. */
 static bool take_surplus(struct fl_autoscaler *autoscaler, const struct fl_machine *machine,
                          const struct fl_machine_type *type)
 {
@@ -77,8 +77,9 @@
 	       now - machine->lifecycle.first_seen_at > max_boot_s;
 }
 
-/* Of a machine that is up and runs nothing. */
-static enum scale_in_reason empty_machine_reason(struct fl_node *node, struct fl_machine *machine,
+/* Decides on a machine that is up and runs nothing. */
+static enum scale_in_reason empty_machine_reason(struct fl_autoscaler *autoscaler,
+                                                 struct fl_machine *machine,
                                                  const struct fl_machine_type *type, double now)
 {
 	if (machine->lifecycle.idle_since <= 0)
@@ -90,10 +91,10 @@
 		return KEPT;
 	if (machine->spot)
 		return IDLE;
-	return take_surplus(&node->autoscaler, machine, type) ? IDLE : KEPT;
+	return take_surplus(autoscaler, machine, type) ? IDLE : KEPT;
 }
 
-/* `timeouts`: of silent machines, by zone, in worker leases. */
+/* Decides on any machine. `timeouts`: of silent machines, by zone, in worker leases. */
 static enum scale_in_reason scale_in_reason(struct fl_node *node, struct fl_machine *machine,
                                             double now, const double timeouts[FL_ZONES_MAX])
 {
@@ -117,15 +118,15 @@
 		machine->lifecycle.idle_since = 0;
 		return KEPT;
 	}
-	return empty_machine_reason(node, machine, type, now);
+	return empty_machine_reason(&node->autoscaler, machine, type, now);
 }
 
-static void suspect_silent_zones(struct fl_node *node, double now,
+static void suspect_silent_zones(struct fl_autoscaler *autoscaler, double now,
                                  const double timeouts[FL_ZONES_MAX])
 {
 	for (int z = 0; z < FL_ZONES_MAX; z++)
 		if (timeouts[z] > 1)
-			node->autoscaler.zone_suspected_until[z] = now + tunables.zone_suspected_s;
+			autoscaler->zone_suspected_until[z] = now + tunables.zone_suspected_s;
 }
 
 /* Chooses the machines to be returned; returns their number. */
@@ -135,14 +136,15 @@
 	int count = 0;
 
 	fl_failure_detector_timeouts(node, now, timeouts);
-	suspect_silent_zones(node, now, timeouts);
+	suspect_silent_zones(&node->autoscaler, now, timeouts);
 	for (int i = 0; i < node->cluster.machines.count && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 		enum scale_in_reason reason = scale_in_reason(node, machine, now, timeouts);
 
 		if (reason == KEPT)
 			continue;
-		fl_info("cloud", "scale in: %s reason=\"%s\"", machine->name, reason_text(reason));
+		fl_info("cloud", "machine draining: %s reason=\"%s\"", machine->name,
+		        reason_text(reason));
 		/* Half of those that are reclaimed give no notice: silence is the first sign. */
 		node->autoscaler.spot_losses += machine->spot && reason == SILENT;
 		machine->lifecycle.draining = true;
