--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -1,4 +1,4 @@
-/* One node without connections: its set-up, its roles, and the reports delivered to it. */
+/* One node without connections: its set-up, its roles, and the heartbeats delivered to it. */
 #include "node_fixture.h"
 
 #include <setjmp.h>
@@ -14,7 +14,7 @@
 #include "coordination/request_router.h"
 #include "transport/clock.h"
 
-void become_leader(struct fixture *fixture, uint64_t fencing_token)
+void become_leader(struct node_fixture *fixture, uint64_t fencing_token)
 {
 	struct fl_node *node = &fixture->node;
 
@@ -31,7 +31,7 @@
 
 int set_up(void **state)
 {
-	struct fl_cloud_machine_type kind = {
+	struct fl_cloud_machine_type type = {
 		.name = "g", .cpus = 8, .ram_gb = 64, .zones = {"a", "b"}, .zone_count = 2};
 	struct fl_job_spec spec = {.task_count = 4,
 	                           .cpus = 1,
@@ -39,7 +39,7 @@
 	                           .priority = FL_STANDARD,
 	                           .machine_type_count = -1,
 	                           .due_s = -1};
-	struct fixture *fixture = calloc(1, sizeof(*fixture));
+	struct node_fixture *fixture = calloc(1, sizeof(*fixture));
 	struct fl_cluster *cluster;
 
 	assert_non_null(fixture);
@@ -53,7 +53,7 @@
 	strcpy(fixture->config.location, "a");
 	fl_symbol_intern(&cluster->zones, "a");
 	fl_symbol_intern(&cluster->zones, "b");
-	fl_machine_types_set(&cluster->machines, &cluster->zones, &kind, 1);
+	fl_machine_types_set(&cluster->machines, &cluster->zones, &type, 1);
 	strcpy(cluster->teams.by_index[0].name, "team");
 	cluster->teams.count = 1;
 	strcpy(spec.ref, "run-000001");
@@ -61,17 +61,17 @@
 	strcpy(spec.job_class, "c");
 	strcpy(spec.image, "i");
 	fixture->job = fl_job_add(cluster, &spec, 0, 1);
-	become_leader(fixture, EPOCH);
+	become_leader(fixture, FENCING_TOKEN);
 	*state = fixture;
 	return 0;
 }
 
 int tear_down(void **state)
 {
-	struct fixture *fixture = *state;
-	struct fl_cached_heartbeat *cached, *tmp;
+	struct node_fixture *fixture = *state;
+	struct fl_cached_heartbeat *cached, *next;
 
-	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, tmp) {
+	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, next) {
 		HASH_DEL(fixture->node.follower.cached_heartbeats, cached);
 		free(cached->text);
 		free(cached);
@@ -87,15 +87,15 @@
 	return 0;
 }
 
-struct fl_heartbeat make_report(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
-                                struct fl_task_status *tasks, int n)
+struct fl_heartbeat make_heartbeat(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
+                                   struct fl_task_status *tasks, int task_count)
 {
 	struct fl_heartbeat heartbeat = {.incarnation = incarnation,
 	                                 .sequence = sequence,
 	                                 .fencing_token = fencing_token,
 	                                 .interruption_in_s = -1,
 	                                 .tasks = tasks,
-	                                 .task_count = n};
+	                                 .task_count = task_count};
 
 	strcpy(heartbeat.host, "m-000001");
 	strcpy(heartbeat.endpoint, "127.0.0.1:1");
@@ -104,8 +104,8 @@
 	return heartbeat;
 }
 
-int deliver_report(struct fixture *fixture, struct fl_heartbeat heartbeat,
-                   enum fl_heartbeat_source source)
+int deliver_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
+                      enum fl_heartbeat_source source)
 {
 	struct fl_command_list commands;
 	enum fl_reconcile_result result;
@@ -120,17 +120,44 @@
 	return fl_reconcile_is_rejection(result) ? REJECTED(result) : command_count;
 }
 
-struct fl_machine *only_machine(struct fixture *fixture)
+int deliver_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence)
+{
+	return deliver_heartbeat(fixture,
+	                         make_heartbeat(incarnation, sequence, FENCING_TOKEN, NULL, 0),
+	                         FL_HEARTBEAT_FROM_WORKER);
+}
+
+int deliver_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
+                           struct fl_task_status *status)
+{
+	return deliver_heartbeat(fixture,
+	                         make_heartbeat(incarnation, sequence, FENCING_TOKEN, status, 1),
+	                         FL_HEARTBEAT_FROM_WORKER);
+}
+
+int deliver_idle_heartbeats(struct node_fixture *fixture, uint64_t first, uint64_t last,
+                            double last_reply_age_s)
+{
+	int command_count = 0;
+
+	for (uint64_t sequence = first; sequence <= last; sequence++) {
+		set_last_reply_age(fixture, last_reply_age_s);
+		command_count += deliver_idle_heartbeat(fixture, 1, sequence);
+	}
+	return command_count;
+}
+
+struct fl_machine *only_machine(struct node_fixture *fixture)
 {
 	return fl_machine_find(&fixture->node.cluster.machines, "m-000001");
 }
 
-void answered_ago(struct fixture *fixture, double seconds)
+void set_last_reply_age(struct node_fixture *fixture, double seconds)
 {
 	only_machine(fixture)->outbound.last_reply_at = fl_now() - seconds;
 }
 
-struct fl_task *place_task(struct fixture *fixture, uint32_t index)
+struct fl_task *place_task(struct node_fixture *fixture, uint32_t index)
 {
 	assert_int_equal(fl_task_place(&fixture->node.cluster, fixture->job, index,
 	                               only_machine(fixture),
@@ -150,15 +177,15 @@
 	return status;
 }
 
-void become_follower(struct fixture *fixture, int peers)
+void become_follower(struct node_fixture *fixture, int peer_count)
 {
 	struct fl_node *node = &fixture->node;
 
 	node->leader_lease.held = node->leadership.active = node->cluster.leading = false;
 	node->machine_types_known = node->jobs_known = true;
 	strcpy(node->leader_view.leader, "n1");
-	node->peer_count = peers;
-	for (int i = 0; i < peers; i++) {
+	node->peer_count = peer_count;
+	for (int i = 0; i < peer_count; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
 		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = -1e9;
@@ -167,8 +194,8 @@
 	node->kv_store.last_failure_at = -1e9;
 }
 
-struct fl_http_response user_call(struct fixture *fixture, enum fl_user_request kind,
-                                  const char *ref, const char *body)
+struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_user_request kind,
+                                          const char *ref, const char *body)
 {
 	struct fl_http_response response = {.status = 500};
 
@@ -181,23 +208,23 @@
 	return response;
 }
 
-int kills_in_answer;
+int stop_commands_in_reply;
 
-int send_report(struct fixture *fixture, struct fl_heartbeat heartbeat, char *to)
+int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat, char *to)
 {
 	char *text = fl_heartbeat_encode(&heartbeat);
 	struct fl_http_response response =
-		user_call(fixture, FL_USER_REQUEST_HEARTBEAT, NULL, text);
+		send_user_request(fixture, FL_USER_REQUEST_HEARTBEAT, NULL, text);
 	cJSON *object = response.body ? fl_json_parse(response.body, strlen(response.body)) : NULL;
 	const cJSON *element;
 
-	kills_in_answer = 0;
+	stop_commands_in_reply = 0;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16];
 
 		fl_json_get_string(element, "Verb", verb, sizeof(verb));
 		assert_string_not_equal(verb, "launch");
-		kills_in_answer += strcmp(verb, "kill") == 0;
+		stop_commands_in_reply += strcmp(verb, "kill") == 0;
 	}
 
 	if (to && fl_json_get_string(object, "Steward", to, FL_NAME_MAX) != FL_JSON_OK)
@@ -208,7 +235,51 @@
 	return response.status;
 }
 
-cJSON *cancelled_record(struct fixture *fixture, double seconds)
+int send_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence)
+{
+	return send_heartbeat(fixture,
+	                      make_heartbeat(incarnation, sequence, FENCING_TOKEN, NULL, 0), NULL);
+}
+
+int send_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
+                        struct fl_task_status *status)
+{
+	return send_heartbeat(
+		fixture, make_heartbeat(incarnation, sequence, FENCING_TOKEN, status, 1), NULL);
+}
+
+static void send_and_note_status(void *argument)
+{
+	struct waiting_heartbeat *waiting = argument;
+
+	waiting->status = send_heartbeat(waiting->fixture, waiting->heartbeat, NULL);
+}
+
+void send_waiting_heartbeat(struct waiting_heartbeat *waiting)
+{
+	waiting->loop = ev_loop_new(0);
+	fl_coroutines_init(waiting->loop);
+	assert_non_null(fl_coroutine_spawn(send_and_note_status, waiting));
+	run_waiting_heartbeat(waiting);
+}
+
+void run_waiting_heartbeat(const struct waiting_heartbeat *waiting)
+{
+	ev_run(waiting->loop, EVRUN_NOWAIT);
+}
+
+void end_waiting_heartbeat(struct waiting_heartbeat *waiting)
+{
+	fl_coroutines_shutdown();
+	ev_loop_destroy(waiting->loop);
+}
+
+double renewable_time(const struct node_fixture *fixture)
+{
+	return fixture->config.cancel_s - fixture->config.lease_s - 1;
+}
+
+cJSON *cancelled_record(struct node_fixture *fixture, double seconds)
 {
 	struct fl_job_spec spec;
 
@@ -216,7 +287,7 @@
 	return fl_job_record_cancelled(&spec, 1, fl_wall() - seconds);
 }
 
-void apply_cancellation(struct fixture *fixture, double seconds)
+void apply_cancellation(struct node_fixture *fixture, double seconds)
 {
 	cJSON *record = cancelled_record(fixture, seconds);
 
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -73,7 +73,7 @@
 		.path = "/x", .encode = encode, .hop = hop, .timeout_s = 2};
 }
 
-static enum fl_forward_result forward(struct fixture *fixture, enum fl_forward_hop hop,
+static enum fl_forward_result forward(struct node_fixture *fixture, enum fl_forward_hop hop,
                                       struct link leader, struct link third)
 {
 	const struct fl_forward_request request = request_of(hop);
@@ -90,7 +90,7 @@
 }
 
 /* A follower of n1, with a third controller. */
-static void follow(struct fixture *fixture)
+static void follow(struct node_fixture *fixture)
 {
 	become_follower(fixture, PEERS);
 	strcpy(fixture->node.leader_view.leader, "n1");
@@ -103,7 +103,7 @@
 
 static void the_leader_is_asked_first_and_a_third_node_only_if_it_fails(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 
 	follow(fixture);
 	assert_int_equal(forward(fixture, FL_HOP_FIRST, answers, down), FL_FORWARD_ANSWERED);
@@ -130,7 +130,7 @@
 
 static void each_failure_has_its_result(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	const struct link late = {.rc = -ETIMEDOUT}, cancelled = {.rc = -ECANCELED};
 
 	follow(fixture);
@@ -144,7 +144,7 @@
 	assert_false(fl_forward_leader_is_reachable(&fixture->node));
 }
 
-static enum fl_forward_result forward_and_decode(struct fixture *fixture, int status,
+static enum fl_forward_result forward_and_decode(struct node_fixture *fixture, int status,
                                                  enum fl_decode_result decoded)
 {
 	const struct fl_forward_request request = request_of(FL_HOP_LAST);
@@ -156,7 +156,7 @@
 
 static void a_reply_is_judged_by_status_and_body(void **state)
 {
-	struct fixture *fixture = *state;
+	struct node_fixture *fixture = *state;
 	struct fl_forward_request request = request_of(FL_HOP_LAST);
 	struct fl_http_reply reply;
 
