--- a/src/coordination/api/status_query_batch.c
+++ b/src/coordination/api/status_query_batch.c
@@ -33,11 +33,11 @@
 	struct fl_job_status_report reports[FL_STATUS_QUERY_MAX];
 };
 
-static char *encode_queries(const void *context, bool last_hop, bool disconnected)
+static char *encode_queries(const void *context, const struct fl_forward_flags *flags)
 {
 	const struct status_batch *batch = context;
 
-	(void)last_hop, (void)disconnected;
+	(void)flags;
 	return fl_status_query_encode(batch->refs, batch->count);
 }
 
@@ -64,12 +64,11 @@
 	return fl_forward_and_decode(node, &request, decode_answers, batch);
 }
 
-/* The batch that one more query joins; NULL: it is full, or no memory. `*began`: it is new. */
-static struct status_batch *find_batch(struct fl_batch_queue *queue, bool *began)
+/* The batch that one more query joins, begun if there is none; NULL: it is full, or no memory. */
+static struct status_batch *find_batch(struct fl_batch_queue *queue)
 {
 	struct status_batch *batch = (struct status_batch *)queue->filling;
 
-	*began = !batch;
 	if (batch)
 		return batch->count < FL_STATUS_QUERY_MAX ? batch : NULL;
 	batch = calloc(1, sizeof(*batch));
@@ -96,17 +95,16 @@
 	struct fl_batch_queue *queue = &node->api.status_queries;
 	enum fl_query_result result = FL_QUERY_FAILED;
 	struct status_batch *batch;
-	bool began;
 	int index;
 
 	if (!queue->filling && !fl_forward_leader_is_reachable(node))
 		return FL_QUERY_FAILED;
-	batch = find_batch(queue, &began);
+	batch = find_batch(queue);
 	if (!batch)
 		return FL_QUERY_OVERLOADED;
 	index = batch->count++;
 	fl_copy_string(batch->refs[index], sizeof(batch->refs[index]), ref);
-	if (fl_batch_await(node, queue, &batch->batch, began, &policy) == FL_FORWARD_ANSWERED)
+	if (fl_batch_await(node, queue, &batch->batch, &policy) == FL_FORWARD_ANSWERED)
 		result = respond_from_batch(batch, index, response);
 	if (fl_batch_release(&batch->batch))
 		free(batch);
--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -94,7 +94,7 @@
 	struct fl_autoscaler *autoscaler = &node->autoscaler;
 
 	while (fl_sleep(tunables.interval_s) == 0) {
-		if (!fl_leader_lease_is_valid(node))
+		if (!fl_leader_lease_is_valid(&node->leader_lease))
 			continue;
 		/* This coroutine has no call under way here; machines with a command are kept. */
 		fl_cluster_purge_tombstones(&node->cluster, fl_now() - tunables.tombstone_s);
--- a/src/coordination/election/leader_lease.h
+++ b/src/coordination/election/leader_lease.h
@@ -1,7 +1,7 @@
 /*
  * The leader's lease as this node holds it: whether the node may act as the leader at this moment.
  * The lease is judged by the steady clock at each use, not by an event, so that a process that
- * stood still for longer than its lease finds it expired before it does anything by it.
+ * was suspended for longer than its lease finds it expired before it does anything by it.
  */
 #ifndef FL_COORDINATION_ELECTION_LEADER_LEASE_H
 #define FL_COORDINATION_ELECTION_LEADER_LEASE_H
@@ -23,8 +23,8 @@
 	double token_raised_at;       /* steady; of the last attempt to raise it */
 };
 
-/* Whether this node holds a valid lease. To be checked again after every wait. */
-bool fl_leader_lease_is_valid(const struct fl_node *node);
+/* Whether the lease is held and still valid. To be checked again after every wait. */
+bool fl_leader_lease_is_valid(const struct fl_leader_lease *lease);
 /* Whether the lease is valid and the cluster state is loaded: the node may decide and respond. */
 bool fl_is_leader(const struct fl_node *node);
 /*
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -35,8 +35,8 @@
 	return peer ? 2 + (int)(peer - node->peers) : 0;
 }
 
-/* Without a third controller nothing is lost by trying one that did not answer lately. */
-static bool may_call(const struct fl_node *node, const struct fl_peer *peer)
+/* Without a third controller nothing is lost by trying one whose last exchange failed. */
+static bool may_request(const struct fl_node *node, const struct fl_peer *peer)
 {
 	return peer->up || node->peer_count == 1;
 }
@@ -45,7 +45,7 @@
 {
 	const struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
 
-	return leader && may_call(node, leader);
+	return leader && may_request(node, leader);
 }
 
 bool fl_forward_ends_here(const struct fl_node *node, bool last_hop)
@@ -53,7 +53,7 @@
 	return last_hop || strcmp(node->leader_view.leader, node->config->node) == 0;
 }
 
-static enum fl_forward_result result_of_call(int rc)
+static enum fl_forward_result result_of_request(int rc)
 {
 	switch (rc) {
 	case 0:
@@ -67,8 +67,7 @@
 	}
 }
 
-/* Sends a request to one peer, which replies with 421 if it neither leads nor reaches the leader.
- */
+/* Sends a request to one peer; its reply is 421 if it neither leads nor reaches the leader. */
 static enum fl_forward_result forward_via(struct fl_peer *peer, const char *path, const char *text,
                                           double timeout_s, struct fl_http_reply *out)
 {
@@ -78,7 +77,7 @@
 		return FL_FORWARD_OUT_OF_MEMORY;
 	if (timeout_s <= 0)
 		return FL_FORWARD_TIMED_OUT;
-	result = result_of_call(fl_http_call(&peer->http, "POST", path, text, timeout_s, out));
+	result = result_of_request(fl_http_call(&peer->http, "POST", path, text, timeout_s, out));
 	if (result == FL_FORWARD_ANSWERED && out->status == 421) {
 		fl_buffer_free(&out->body);
 		return FL_FORWARD_NO_LEADER;
@@ -93,7 +92,8 @@
 	double timeout_s = request->hop == FL_HOP_LAST
 	                           ? request->timeout_s
 	                           : fmin(tunables.direct_timeout_s, request->timeout_s);
-	char *text = request->encode(request->context, true, false);
+	const struct fl_forward_flags flags = {.last_hop = true};
+	char *text = request->encode(request->context, &flags);
 	enum fl_forward_result result = forward_via(leader, request->path, text, timeout_s, out);
 
 	free(text);
@@ -106,15 +106,17 @@
 	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
 	double until = fl_now() + request->timeout_s;
 	enum fl_forward_result result = FL_FORWARD_NO_LEADER;
+	struct fl_forward_flags flags = {.last_hop = false};
 	char *text;
 
 	if (!leader)
 		return result;
-	if (may_call(node, leader))
+	if (may_request(node, leader))
 		result = forward_directly(leader, request, out);
 	if (result == FL_FORWARD_ANSWERED || request->hop == FL_HOP_LAST)
 		return result;
-	text = request->encode(request->context, false, fl_kv_is_unavailable(&node->kv_store));
+	flags.disconnected = fl_kv_is_unavailable(&node->kv_store);
+	text = request->encode(request->context, &flags);
 	for (int i = 0; i < node->peer_count && result != FL_FORWARD_ANSWERED; i++) {
 		struct fl_peer *peer = &node->peers[i];
 
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -18,17 +18,15 @@
 } tunables = {
 	.interval_s = 1.0,    /* s between two exchanges with each peer */
 	.timeout_s = 1.0,     /* s; a link that takes longer counts as down */
-	.clock_slack_s = 1.0, /* s; told once more, for clocks that drift apart */
+	.clock_slack_s = 1.0, /* s; repeated in a reply, for clocks that drift apart */
 };
 
-/* A steady time before any other. */
-#define LONG_AGO (-1e9)
 /* An age that is as good as any greater one, in s. */
 #define AGE_MAX_S 1e6
 
 double fl_gossip_last_exchange_at(const struct fl_node *node)
 {
-	double last = LONG_AGO;
+	double last = FL_LONG_AGO;
 
 	for (int i = 0; i < node->peer_count; i++)
 		if (node->peers[i].last_exchange_at > last)
@@ -59,14 +57,14 @@
  * no user is told of a cancellation but by a controller that has learned of it: if all of them have
  * replied, nothing that anybody was told before the oldest of these requests is missing here,
  * whatever the key-value store does meanwhile. A process that has not read the jobs itself since it
- * started tells nothing of this kind: the one before it may have told a user.
+ * started gives no such guarantee: the one before it may have told a user.
  */
 static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
                             const struct fl_gossip *gossip, double sent_at)
 {
 	double oldest = sent_at;
 
-	/* Had we stood still after sending the watermark's age, we would be told too little. */
+	/* Had this node been suspended after sending its age, the reply would lack some. */
 	if (!gossip->complete || !node->jobs_known ||
 	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
@@ -79,10 +77,9 @@
 
 static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent_at)
 {
-	/* With a valid lease nothing is learned: the higher token is its own, raised this moment.
-	 */
+	/* With a valid lease the higher token is its own, being raised: nothing is learned. */
 	if (gossip->fencing_token > node->leader_view.fencing_token && node->leader_lease.held) {
-		if (fl_leader_lease_is_valid(node) ||
+		if (fl_leader_lease_is_valid(&node->leader_lease) ||
 		    strcmp(gossip->leader, node->config->node) == 0)
 			return;
 		fl_leader_lease_step_down(node, "a peer knows a higher fencing token");
@@ -124,7 +121,7 @@
 	gossip->fencing_token = node->leader_view.fencing_token;
 	gossip->leadership_age_s = age_s(node->leader_view.confirmed_at);
 	gossip->watermark_age_s = age_s(node->cancellation_watermark);
-	gossip->is_leader = fl_leader_lease_is_valid(node);
+	gossip->is_leader = fl_leader_lease_is_valid(&node->leader_lease);
 }
 
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
@@ -140,8 +137,8 @@
 	}
 	/*
 	 * A request raises nothing here: it may have been held back on its way for minutes. But
-	 * then nobody waits for the reply any more, so the asker's age was this at most a timeout
-	 * ago.
+	 * then nobody waits for the reply any more, so the requester's watermark had this age at
+	 * most a timeout ago.
 	 */
 	since = fl_now() - gossip.watermark_age_s - tunables.timeout_s - tunables.clock_slack_s;
 	fl_gossip_free(&gossip);
@@ -215,7 +212,7 @@
 void fl_gossip_start(struct fl_node *node)
 {
 	for (int i = 0; i < node->peer_count; i++) {
-		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = LONG_AGO;
+		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = FL_LONG_AGO;
 		fl_coroutine_spawn(gossip_coroutine, &node->peers[i]);
 	}
 }
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -122,7 +122,7 @@
 		const struct fl_wal_group *group = &failover->wal.groups[i];
 		struct fl_job *job = fl_job_find(failover->cluster, group->ref);
 
-		/* No such job: it is over, and older writes of the log may stay for ever. */
+		/* No such job: it is over, and older writes of the log may stay indefinitely. */
 		if (group->restored || !job)
 			continue;
 		if (fl_task_block_restore(failover->cluster, job, group->block_index, &source,
@@ -194,7 +194,7 @@
 	}
 	mark_finished_jobs(&node->cluster);
 	fl_info("failover",
-	        "cluster state loaded jobs=%u progress_records=%d orphan_records=%d took=%.2fs",
+	        "cluster state loaded jobs=%u progress_records=%d orphan_records=%d took_s=%.2f",
 	        HASH_COUNT(node->cluster.jobs), failover.progress_record_count,
 	        failover.orphan_record_count, fl_now() - failover.started_at);
 	return FL_FAILOVER_LOADED;
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -13,6 +13,7 @@
 
 #include "coroutine_fixture.h"
 #include "storage/keys.h"
+#include "protocol/peers.h"
 #include "transport/clock.h"
 
 static void answer_as_kv_store(void *context, const struct fl_http_request *request,
--- a/tests/test_cancellation_gossip.c
+++ b/tests/test_cancellation_gossip.c
@@ -12,8 +12,10 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "coordination/follower/gossip.h"
 #include "coordination/node.h"
 #include "node_fixture.h"
+#include "protocol/peers.h"
 #include "transport/clock.h"
 
 /* One exchange between two controllers, asked so long ago. */
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -115,7 +115,7 @@
 		assert_non_null(sim_spawn(PROCESS, stay_ready, NULL));
 
 	sim_time_run(fl_now() + busy_for_s);
-	assert_true(fl_leader_lease_is_valid(node));
+	assert_true(fl_leader_lease_is_valid(&node->leader_lease));
 	assert_int_equal(world.lease_grants, 1);
 
 	/* One each 0.8 s, and what the work before it takes. */
