--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -180,19 +180,19 @@
          .inject_faults = degraded_kv_then_outage,
          .first_variant = 0,
          .variant_count = 4,
-         .protects = "renewal_rules.c: the cancellation watermark; job_responses.c"},
+         .protects = "renewal_rules.c: the cancellation watermark; cancellation.c"},
 	{.name = "lost_write_reply",
          .seed_name = "answer_lost",
          .inject_faults = lost_write_reply,
          .first_variant = 2,
          .variant_count = 1,
-         .protects = "job_responses.c: undecided states; progress_writer.c: rereading"},
+         .protects = "status_from_leader.c: undecided states; progress_writer.c: rereading"},
 	{.name = "lost_write_reply",
          .seed_name = "answer_lost",
          .inject_faults = lost_write_reply,
          .first_variant = 119,
          .variant_count = 1,
-         .protects = "job_responses.c: the conditions of a cancellation"},
+         .protects = "cancellation.c: the conditions of the transaction"},
 };
 
 const struct combination_group kv_store_combinations = {
