--- a/src/transport/coroutine.c
+++ b/src/transport/coroutine.c
@@ -229,7 +229,7 @@
 	fl_coroutine_stacks_free();
 }
 
-struct fl_coroutine *fl_coroutine_spawn(void (*fn)(void *), void *arg)
+struct fl_coroutine *fl_coroutine_spawn(void (*function)(void *), void *arg)
 {
 	struct fl_coroutine *coroutine = calloc(1, sizeof(*coroutine));
 	size_t stack_size = fl_coroutine_stack_size();
@@ -241,7 +241,7 @@
 		free(coroutine);
 		return NULL;
 	}
-	coroutine->function = fn;
+	coroutine->function = function;
 	coroutine->argument = arg;
 	coroutine->context =
 		make_fcontext(coroutine->stack + stack_size, stack_size, coroutine_entry);
--- a/src/transport/coroutine.h
+++ b/src/transport/coroutine.h
@@ -27,7 +27,7 @@
 void fl_coroutines_shutdown(void);
 
 /* Starts a coroutine, which is freed when its function returns; NULL: out of memory. */
-struct fl_coroutine *fl_coroutine_spawn(void (*fn)(void *), void *arg);
+struct fl_coroutine *fl_coroutine_spawn(void (*function)(void *), void *arg);
 /*
  * Makes the coroutine's present wait and all its later ones return -ECANCELED. Must not be called
  * once its function has returned, since it is freed then.
--- a/src/transport/coroutine_context.h
+++ b/src/transport/coroutine_context.h
@@ -24,8 +24,8 @@
 	fcontext_t fctx;
 	void *data;
 };
-extern struct transfer jump_fcontext(fcontext_t to, void *vp);
-/* `sp` is the upper end of the stack. */
-extern fcontext_t make_fcontext(void *sp, size_t size, void (*fn)(struct transfer));
+extern struct transfer jump_fcontext(fcontext_t target, void *argument);
+/* `stack_end` is the upper end of the stack. */
+extern fcontext_t make_fcontext(void *stack_end, size_t size, void (*function)(struct transfer));
 
 #endif
--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -44,7 +44,7 @@
 	void *main_fake;
 	const void *main_bottom;
 	size_t main_size;
-} rt;
+} runtime;
 
 /* ---- routines ---- */
 
@@ -54,7 +54,7 @@
 		return;
 	coroutine->ready = true;
 	coroutine->result = result;
-	fl_coroutine_queue_push(coroutine->urgent ? &rt.urgent : &rt.ready, coroutine);
+	fl_coroutine_queue_push(coroutine->urgent ? &runtime.urgent : &runtime.ready, coroutine);
 }
 
 static void wake(struct fl_coroutine *coroutine, int result)
@@ -70,45 +70,45 @@
 {
 	struct fl_coroutine *coroutine = transfer.data;
 
-	FIBER_FINISH(NULL, &rt.main_bottom, &rt.main_size);
-	rt.main_ctx = transfer.fctx;
+	FIBER_FINISH(NULL, &runtime.main_bottom, &runtime.main_size);
+	runtime.main_ctx = transfer.fctx;
 	coroutine->function(coroutine->argument);
 	coroutine->finished = true;
-	FIBER_START(NULL, rt.main_bottom, rt.main_size);
-	jump_fcontext(rt.main_ctx, NULL);
+	FIBER_START(NULL, runtime.main_bottom, runtime.main_size);
+	jump_fcontext(runtime.main_ctx, NULL);
 	abort();
 }
 
 static char *stack_get(void)
 {
-	char *p;
-
-	if (rt.spares > 0)
-		return rt.spare[--rt.spares];
-	p = mmap(NULL, STACK, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE,
-	         -1, 0);
-	sim_require(p != MAP_FAILED);
-	return p;
+	char *stack;
+
+	if (runtime.spares > 0)
+		return runtime.spare[--runtime.spares];
+	stack = mmap(NULL, STACK, PROT_READ | PROT_WRITE,
+	             MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE, -1, 0);
+	sim_require(stack != MAP_FAILED);
+	return stack;
 }
 
-static void stack_put(char *p)
+static void stack_put(char *stack)
 {
-	if (rt.spares < SPARE)
-		rt.spare[rt.spares++] = p;
+	if (runtime.spares < SPARE)
+		runtime.spare[runtime.spares++] = stack;
 	else
-		munmap(p, STACK);
+		munmap(stack, STACK);
 }
 
 static void resume(struct fl_coroutine *coroutine)
 {
 	struct transfer transfer;
 
-	rt.current = coroutine;
+	runtime.current = coroutine;
 	coroutine->ready = coroutine->parked = false;
-	FIBER_START(&rt.main_fake, coroutine->stack, STACK);
+	FIBER_START(&runtime.main_fake, coroutine->stack, STACK);
 	transfer = jump_fcontext(coroutine->context, coroutine);
-	FIBER_FINISH(rt.main_fake, NULL, NULL);
-	rt.current = NULL;
+	FIBER_FINISH(runtime.main_fake, NULL, NULL);
+	runtime.current = NULL;
 	if (!coroutine->finished) {
 		coroutine->context = transfer.fctx;
 		return;
@@ -116,7 +116,7 @@
 	if (coroutine->prev)
 		coroutine->prev->next = coroutine->next;
 	else
-		rt.all = coroutine->next;
+		runtime.all = coroutine->next;
 	if (coroutine->next)
 		coroutine->next->prev = coroutine->prev;
 	stack_put(coroutine->stack);
@@ -125,14 +125,14 @@
 
 static int park(void)
 {
-	struct fl_coroutine *coroutine = rt.current;
+	struct fl_coroutine *coroutine = runtime.current;
 	struct transfer transfer;
 
 	coroutine->parked = true;
-	FIBER_START(&coroutine->fake_stack, rt.main_bottom, rt.main_size);
-	transfer = jump_fcontext(rt.main_ctx, NULL);
-	FIBER_FINISH(coroutine->fake_stack, &rt.main_bottom, &rt.main_size);
-	rt.main_ctx = transfer.fctx;
+	FIBER_START(&coroutine->fake_stack, runtime.main_bottom, runtime.main_size);
+	transfer = jump_fcontext(runtime.main_ctx, NULL);
+	FIBER_FINISH(coroutine->fake_stack, &runtime.main_bottom, &runtime.main_size);
+	runtime.main_ctx = transfer.fctx;
 	return coroutine->cancelled ? -ECANCELED : coroutine->result;
 }
 
@@ -141,46 +141,46 @@
 /* All that waited is ready, in its order; one that is slow runs one of them, and waits again. */
 static void goes_on(void *arg)
 {
-	struct waiting *w = arg;
+	struct waiting *waiting = arg;
 	struct fl_coroutine *coroutine;
 
-	while ((coroutine = fl_coroutine_queue_pop(&w->urgent)))
-		fl_coroutine_queue_push(&rt.urgent, coroutine);
-	while ((coroutine = fl_coroutine_queue_pop(&w->ready)))
-		fl_coroutine_queue_push(&rt.ready, coroutine);
+	while ((coroutine = fl_coroutine_queue_pop(&waiting->urgent)))
+		fl_coroutine_queue_push(&runtime.urgent, coroutine);
+	while ((coroutine = fl_coroutine_queue_pop(&waiting->ready)))
+		fl_coroutine_queue_push(&runtime.ready, coroutine);
 }
 
 void sim_process_pause_until(int process, double until)
 {
-	struct waiting *w = &rt.waiting[process];
+	struct waiting *waiting = &runtime.waiting[process];
 
 	sim_require(process > 0 && process < PROCESSES);
-	if (until <= w->until)
+	if (until <= waiting->until)
 		return;
-	w->until = until;
-	sim_timer_disarm(&w->timer);
-	w->timer.function = goes_on;
-	w->timer.argument = w;
-	sim_timer_arm(&w->timer, until - fl_now());
+	waiting->until = until;
+	sim_timer_disarm(&waiting->timer);
+	waiting->timer.function = goes_on;
+	waiting->timer.argument = waiting;
+	sim_timer_arm(&waiting->timer, until - fl_now());
 }
 
 static bool has_to_wait(const struct fl_coroutine *coroutine)
 {
-	return coroutine->process && !coroutine->cancelled && !rt.ending &&
-	       rt.waiting[coroutine->process].until > fl_now();
+	return coroutine->process && !coroutine->cancelled && !runtime.ending &&
+	       runtime.waiting[coroutine->process].until > fl_now();
 }
 
 static void drain(void)
 {
 	struct fl_coroutine *coroutine;
 
-	while ((coroutine = fl_coroutine_queue_pop(&rt.urgent)) ||
-	       (coroutine = fl_coroutine_queue_pop(&rt.ready))) {
-		struct waiting *w = &rt.waiting[coroutine->process];
+	while ((coroutine = fl_coroutine_queue_pop(&runtime.urgent)) ||
+	       (coroutine = fl_coroutine_queue_pop(&runtime.ready))) {
+		struct waiting *waiting = &runtime.waiting[coroutine->process];
 
 		if (has_to_wait(coroutine)) {
-			fl_coroutine_queue_push(coroutine->urgent ? &w->urgent : &w->ready,
-			                        coroutine);
+			fl_coroutine_queue_push(
+				coroutine->urgent ? &waiting->urgent : &waiting->ready, coroutine);
 			continue;
 		}
 		if (coroutine->process)
@@ -189,15 +189,15 @@
 	}
 }
 
-static bool dying(int process) { return process && process == rt.dying; }
+static bool dying(int process) { return process && process == runtime.dying; }
 
-struct fl_coroutine *sim_spawn(int process, void (*fn)(void *), void *arg)
+struct fl_coroutine *sim_spawn(int process, void (*function)(void *), void *arg)
 {
 	struct fl_coroutine *coroutine = calloc(1, sizeof(*coroutine));
 
 	sim_require(coroutine != NULL && process < PROCESSES);
 	coroutine->stack = stack_get();
-	coroutine->function = fn;
+	coroutine->function = function;
 	coroutine->argument = arg;
 	coroutine->process = process;
 	/* What a dying process still begins, dies with it. */
@@ -205,32 +205,33 @@
 	coroutine->context = make_fcontext(coroutine->stack + STACK, STACK, entry);
 	coroutine->timer.function = on_timer;
 	coroutine->timer.argument = coroutine;
-	coroutine->next = rt.all;
-	if (rt.all)
-		rt.all->prev = coroutine;
-	rt.all = coroutine;
+	coroutine->next = runtime.all;
+	if (runtime.all)
+		runtime.all->prev = coroutine;
+	runtime.all = coroutine;
 	make_ready(coroutine, 0);
 	return coroutine;
 }
 
-int sim_process(void) { return rt.current ? rt.current->process : 0; }
+int sim_process(void) { return runtime.current ? runtime.current->process : 0; }
 
 void sim_process_cancel(int process)
 {
-	rt.dying = process;
-	goes_on(&rt.waiting[process]);
-	for (struct fl_coroutine *coroutine = rt.all; coroutine; coroutine = coroutine->next)
+	runtime.dying = process;
+	goes_on(&runtime.waiting[process]);
+	for (struct fl_coroutine *coroutine = runtime.all; coroutine; coroutine = coroutine->next)
 		if (coroutine->process == process)
 			fl_coroutine_cancel(coroutine);
 }
 
 int sim_process_coroutine_count(int process)
 {
-	int n = 0;
+	int count = 0;
 
-	for (const struct fl_coroutine *coroutine = rt.all; coroutine; coroutine = coroutine->next)
-		n += coroutine->process == process;
-	return n;
+	for (const struct fl_coroutine *coroutine = runtime.all; coroutine;
+	     coroutine = coroutine->next)
+		count += coroutine->process == process;
+	return count;
 }
 
 void sim_time_begin(void) { sim_clock_begin(); }
@@ -253,28 +254,28 @@
 {
 	struct sim_timer *timer;
 
-	rt.ending = true;
+	runtime.ending = true;
 	for (int i = 0; i < PROCESSES; i++)
-		goes_on(&rt.waiting[i]);
+		goes_on(&runtime.waiting[i]);
 	do {
-		for (struct fl_coroutine *coroutine = rt.all; coroutine;
+		for (struct fl_coroutine *coroutine = runtime.all; coroutine;
 		     coroutine = coroutine->next)
 			fl_coroutine_cancel(coroutine);
 		drain();
 		while ((timer = sim_timer_any()))
 			drop(timer);
-	} while (rt.all);
-	while (rt.spares > 0)
-		munmap(rt.spare[--rt.spares], STACK);
+	} while (runtime.all);
+	while (runtime.spares > 0)
+		munmap(runtime.spare[--runtime.spares], STACK);
 	sim_clock_end();
-	memset(&rt, 0, sizeof(rt));
+	memset(&runtime, 0, sizeof(runtime));
 }
 
 /* ---- what the controllers' code calls ---- */
 
-struct fl_coroutine *fl_coroutine_spawn(void (*fn)(void *), void *arg)
+struct fl_coroutine *fl_coroutine_spawn(void (*function)(void *), void *arg)
 {
-	return sim_spawn(sim_process(), fn, arg);
+	return sim_spawn(sim_process(), function, arg);
 }
 
 void fl_coroutine_cancel(struct fl_coroutine *coroutine)
@@ -284,19 +285,19 @@
 		wake(coroutine, -ECANCELED);
 }
 
-bool fl_coroutine_cancelled(void) { return rt.current && rt.current->cancelled; }
+bool fl_coroutine_cancelled(void) { return runtime.current && runtime.current->cancelled; }
 
-void fl_coroutine_set_urgent(void) { rt.current->urgent = true; }
+void fl_coroutine_set_urgent(void) { runtime.current->urgent = true; }
 
 /* Work takes no virtual time, unless its process is made slow. */
-bool fl_coroutines_overloaded(void) { return rt.waiting[sim_process()].ready.head != NULL; }
+bool fl_coroutines_overloaded(void) { return runtime.waiting[sim_process()].ready.head != NULL; }
 
 /* Computing takes no time here: nothing is ever behind. */
 bool fl_coroutine_defer(int max_waiting) { return max_waiting > 0; }
 
 int fl_sleep(double seconds)
 {
-	struct fl_coroutine *coroutine = rt.current;
+	struct fl_coroutine *coroutine = runtime.current;
 	int rc;
 
 	if (coroutine->cancelled)
@@ -308,7 +309,7 @@
 
 int fl_condition_wait(struct fl_condition *condition, double timeout_s)
 {
-	struct fl_coroutine *coroutine = rt.current;
+	struct fl_coroutine *coroutine = runtime.current;
 
 	if (coroutine->cancelled)
 		return -ECANCELED;
--- a/tests/sim_time.h
+++ b/tests/sim_time.h
@@ -51,7 +51,7 @@
 
 /* The current one. A process is a number above 0; 0 is whatever is not a controller. */
 int sim_process(void);
-struct fl_coroutine *sim_spawn(int process, void (*fn)(void *), void *arg);
+struct fl_coroutine *sim_spawn(int process, void (*function)(void *), void *arg);
 /* Its coroutines unwind at this very moment: gone after the caller's next wait. */
 void sim_process_cancel(int process);
 int sim_process_coroutine_count(int process);
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -140,19 +140,19 @@
 	for (int j = 100; j < 160; j++) {
 		struct fl_job *job = add_job(sim, j);
 
-		for (uint32_t p = 0; p < TASKS; p++) {
+		for (uint32_t index = 0; index < TASKS; index++) {
 			char host[FL_NAME_MAX], *group;
 
-			format_host(1000 + j * 2 + (int)p % 2, host);
+			format_host(1000 + j * 2 + (int)index % 2, host);
 			assert_int_equal(
-				fl_task_place(&sim->node.cluster, job, p,
+				fl_task_place(&sim->node.cluster, job, index,
 			                      &(struct fl_new_attempt){
 						      fl_machine_get(&sim->node.cluster.machines,
 			                                             host, 0),
 						      1},
 			                      0),
 				0);
-			if (p + 1 < TASKS)
+			if (index + 1 < TASKS)
 				continue;
 			group = fl_wal_group_encode(&sim->node.cluster, job, 0);
 			assert_non_null(group);
