--- a/src/transport/coroutine.c
+++ b/src/transport/coroutine.c
@@ -18,17 +18,13 @@
 
 struct fl_coroutine {
 	struct fl_coroutine_links links; /* first: see coroutine_queue.h */
-	fcontext_t context;
-	char *stack;
-	void (*function)(void *);
-	void *argument;
+	struct fl_coroutine_context context;
 	struct fl_coroutine *prev, *next; /* all coroutines */
 	struct ev_io io;
 	struct ev_timer timer;
-	void *fake_stack; /* of the address sanitizer */
-	int result;       /* of the wait that has ended */
-	bool awaits_io;   /* else `io`, if it is active, only keeps its registration */
-	bool suspended, ready, cancelled, finished, urgent;
+	int result;     /* of the wait that has ended */
+	bool awaits_io; /* else `io`, if it is active, only keeps its registration */
+	bool suspended, ready, cancelled, urgent;
 };
 _Static_assert(offsetof(struct fl_coroutine, links) == 0, "see coroutine_queue.h");
 
@@ -42,11 +38,7 @@
 	/* Run when nothing else is ready, and one at the end of a turn. */
 	struct fl_coroutine_queue deferred;
 	int deferred_count;
-	/* The stack of the event loop, which coroutines are resumed from. */
-	fcontext_t loop_context;
-	void *loop_fake_stack;
-	const void *loop_stack_bottom;
-	size_t loop_stack_size;
+	struct fl_loop_context loop_context; /* the stack of the event loop */
 } scheduler;
 
 struct ev_loop *fl_loop(void) { return scheduler.loop; }
@@ -100,21 +92,6 @@
 	wake(watcher->data, -ETIMEDOUT);
 }
 
-static void coroutine_entry(struct transfer transfer)
-{
-	struct fl_coroutine *coroutine = transfer.data;
-	struct transfer back;
-
-	FIBER_FINISH(NULL, &scheduler.loop_stack_bottom, &scheduler.loop_stack_size);
-	scheduler.loop_context = transfer.fctx;
-	coroutine->function(coroutine->argument);
-	coroutine->finished = true;
-	FIBER_START(NULL, scheduler.loop_stack_bottom, scheduler.loop_stack_size);
-	back = jump_fcontext(scheduler.loop_context, NULL);
-	(void)back;
-	abort();
-}
-
 /* Frees a coroutine whose function has returned. */
 static void destroy(struct fl_coroutine *coroutine)
 {
@@ -126,39 +103,31 @@
 		coroutine->next->prev = coroutine->prev;
 	ev_io_stop(scheduler.loop, &coroutine->io);
 	scheduler.coroutine_count--;
-	fl_coroutine_stack_release(coroutine->stack);
+	fl_coroutine_stack_release(coroutine->context.stack);
 	free(coroutine);
 }
 
 /* Runs a coroutine, on its own stack, until it waits or ends. */
 static void resume(struct fl_coroutine *coroutine)
 {
-	struct transfer transfer;
+	bool suspended;
 
 	scheduler.current = coroutine;
 	coroutine->ready = coroutine->suspended = false;
-	FIBER_START(&scheduler.loop_fake_stack, coroutine->stack, fl_coroutine_stack_size());
-	transfer = jump_fcontext(coroutine->context, coroutine);
-	FIBER_FINISH(scheduler.loop_fake_stack, NULL, NULL);
+	suspended = fl_context_resume(&scheduler.loop_context, &coroutine->context,
+	                              fl_coroutine_stack_size());
 	scheduler.current = NULL;
-	if (coroutine->finished)
+	if (!suspended)
 		destroy(coroutine);
-	else
-		coroutine->context = transfer.fctx;
 }
 
 /* Back to the event loop, until the current coroutine is woken: the result of its wait. */
 static int suspend(void)
 {
 	struct fl_coroutine *coroutine = scheduler.current;
-	struct transfer transfer;
 
 	coroutine->suspended = true;
-	FIBER_START(&coroutine->fake_stack, scheduler.loop_stack_bottom, scheduler.loop_stack_size);
-	transfer = jump_fcontext(scheduler.loop_context, NULL);
-	FIBER_FINISH(coroutine->fake_stack, &scheduler.loop_stack_bottom,
-	             &scheduler.loop_stack_size);
-	scheduler.loop_context = transfer.fctx;
+	fl_context_suspend(&scheduler.loop_context, &coroutine->context);
 	return coroutine->cancelled ? -ECANCELED : coroutine->result;
 }
 
@@ -232,19 +201,17 @@
 struct fl_coroutine *fl_coroutine_spawn(void (*function)(void *), void *arg)
 {
 	struct fl_coroutine *coroutine = calloc(1, sizeof(*coroutine));
-	size_t stack_size = fl_coroutine_stack_size();
 
 	if (!coroutine)
 		return NULL;
-	coroutine->stack = fl_coroutine_stack_acquire();
-	if (!coroutine->stack) {
+	coroutine->context.stack = fl_coroutine_stack_acquire();
+	if (!coroutine->context.stack) {
 		free(coroutine);
 		return NULL;
 	}
-	coroutine->function = function;
-	coroutine->argument = arg;
-	coroutine->context =
-		make_fcontext(coroutine->stack + stack_size, stack_size, coroutine_entry);
+	coroutine->context.function = function;
+	coroutine->context.argument = arg;
+	fl_context_init(&coroutine->context, fl_coroutine_stack_size());
 	ev_init(&coroutine->io, on_io);
 	/* After the process was suspended both are due: data that has arrived was not missed. */
 	ev_set_priority(&coroutine->io, EV_MAXPRI);
--- a/src/transport/coroutine_context.h
+++ b/src/transport/coroutine_context.h
@@ -1,31 +1,39 @@
 /*
- * Internal to coroutine schedulers: the switch from one stack to another. The switch is boost's,
- * whose own headers are C++; address sanitizer needs a call at each one, or it reports a
- * frame of another stack as an overrun.
+ * Internal to coroutine schedulers: the switch between the stack of a scheduler's loop and that of
+ * a coroutine. When a coroutine runs is the scheduler's decision, and so is what its waits mean.
  */
 #ifndef FL_TRANSPORT_COROUTINE_CONTEXT_H
 #define FL_TRANSPORT_COROUTINE_CONTEXT_H
 
+#include <stdbool.h>
 #include <stddef.h>
 
-#if defined(__SANITIZE_ADDRESS__)
-#include <sanitizer/common_interface_defs.h>
-#define FIBER_START(save, bottom, size) __sanitizer_start_switch_fiber(save, bottom, size)
-#define FIBER_FINISH(save, bottom, size) __sanitizer_finish_switch_fiber(save, bottom, size)
-#else
-#define FIBER_START(save, bottom, size) ((void)(save), (void)(bottom), (void)(size))
-#define FIBER_FINISH(save, bottom, size) ((void)(save), (void)(bottom), (void)(size))
-#endif
+/* The stack that coroutines are resumed from; all zero before the first resume. */
+struct fl_loop_context {
+	void *resume_point;
+	void *fake_stack; /* of the address sanitizer, as are the next two */
+	const void *stack_bottom;
+	size_t stack_size;
+};
 
-/* A suspended stack, to be continued once. */
-typedef void *fcontext_t;
-/* What a switch brings: the stack that was left, and the value that was passed. */
-struct transfer {
-	fcontext_t fctx;
-	void *data;
+/* The stack of one coroutine, and the function that it was started for. */
+struct fl_coroutine_context {
+	void *resume_point;
+	char *stack; /* its lowest byte; the scheduler acquires and releases it */
+	void (*function)(void *);
+	void *argument;
+	void *fake_stack; /* of the address sanitizer */
 };
-extern struct transfer jump_fcontext(fcontext_t target, void *argument);
-/* `stack_end` is the upper end of the stack. */
-extern fcontext_t make_fcontext(void *stack_end, size_t size, void (*function)(struct transfer));
+
+/* Prepares `context`, whose stack, function and argument are set, for its first resume. */
+void fl_context_init(struct fl_coroutine_context *context, size_t stack_size);
+/*
+ * Runs a coroutine until it suspends itself: true. False: its function has returned, and its stack
+ * may be released. Called on the loop's stack.
+ */
+bool fl_context_resume(struct fl_loop_context *loop, struct fl_coroutine_context *context,
+                       size_t stack_size);
+/* Back to the loop, until the next resume. Called on the coroutine's stack. */
+void fl_context_suspend(struct fl_loop_context *loop, struct fl_coroutine_context *context);
 
 #endif
--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -1,4 +1,4 @@
-/* The routines that the controllers' code runs in, and processes that are slow or stand still. */
+/* The coroutines that the controllers' code runs in, and processes that are slow or stand still. */
 #include "sim.h"
 
 #include <errno.h>
@@ -14,16 +14,12 @@
 enum { STACK = 256 * 1024, SPARE = 256, PROCESSES = 256 };
 struct fl_coroutine {
 	struct fl_coroutine_links links; /* first: see coroutine_queue.h */
-	fcontext_t context;
-	char *stack;
-	void (*function)(void *);
-	void *argument;
+	struct fl_coroutine_context context;
 	int process;
 	struct fl_coroutine *prev, *next;
 	struct sim_timer timer;
-	void *fake_stack;
 	int result;
-	bool parked, ready, cancelled, finished, urgent;
+	bool parked, ready, cancelled, urgent;
 };
 _Static_assert(offsetof(struct fl_coroutine, links) == 0, "see coroutine_queue.h");
 
@@ -40,13 +36,10 @@
 	} waiting[PROCESSES];
 	char *spare[SPARE];
 	int spares;
-	fcontext_t main_ctx;
-	void *main_fake;
-	const void *main_bottom;
-	size_t main_size;
+	struct fl_loop_context loop_context;
 } runtime;
 
-/* ---- routines ---- */
+/* ---- coroutines ---- */
 
 static void make_ready(struct fl_coroutine *coroutine, int result)
 {
@@ -66,19 +59,6 @@
 
 static void on_timer(void *arg) { wake(arg, -ETIMEDOUT); }
 
-static void entry(struct transfer transfer)
-{
-	struct fl_coroutine *coroutine = transfer.data;
-
-	FIBER_FINISH(NULL, &runtime.main_bottom, &runtime.main_size);
-	runtime.main_ctx = transfer.fctx;
-	coroutine->function(coroutine->argument);
-	coroutine->finished = true;
-	FIBER_START(NULL, runtime.main_bottom, runtime.main_size);
-	jump_fcontext(runtime.main_ctx, NULL);
-	abort();
-}
-
 static char *stack_get(void)
 {
 	char *stack;
@@ -101,38 +81,30 @@
 
 static void resume(struct fl_coroutine *coroutine)
 {
-	struct transfer transfer;
+	bool parked;
 
 	runtime.current = coroutine;
 	coroutine->ready = coroutine->parked = false;
-	FIBER_START(&runtime.main_fake, coroutine->stack, STACK);
-	transfer = jump_fcontext(coroutine->context, coroutine);
-	FIBER_FINISH(runtime.main_fake, NULL, NULL);
+	parked = fl_context_resume(&runtime.loop_context, &coroutine->context, STACK);
 	runtime.current = NULL;
-	if (!coroutine->finished) {
-		coroutine->context = transfer.fctx;
+	if (parked)
 		return;
-	}
 	if (coroutine->prev)
 		coroutine->prev->next = coroutine->next;
 	else
 		runtime.all = coroutine->next;
 	if (coroutine->next)
 		coroutine->next->prev = coroutine->prev;
-	stack_put(coroutine->stack);
+	stack_put(coroutine->context.stack);
 	free(coroutine);
 }
 
 static int park(void)
 {
 	struct fl_coroutine *coroutine = runtime.current;
-	struct transfer transfer;
 
 	coroutine->parked = true;
-	FIBER_START(&coroutine->fake_stack, runtime.main_bottom, runtime.main_size);
-	transfer = jump_fcontext(runtime.main_ctx, NULL);
-	FIBER_FINISH(coroutine->fake_stack, &runtime.main_bottom, &runtime.main_size);
-	runtime.main_ctx = transfer.fctx;
+	fl_context_suspend(&runtime.loop_context, &coroutine->context);
 	return coroutine->cancelled ? -ECANCELED : coroutine->result;
 }
 
@@ -196,13 +168,13 @@
 	struct fl_coroutine *coroutine = calloc(1, sizeof(*coroutine));
 
 	sim_require(coroutine != NULL && process < PROCESSES);
-	coroutine->stack = stack_get();
-	coroutine->function = function;
-	coroutine->argument = arg;
+	coroutine->context.stack = stack_get();
+	coroutine->context.function = function;
+	coroutine->context.argument = arg;
 	coroutine->process = process;
 	/* What a dying process still begins, dies with it. */
 	coroutine->cancelled = dying(process);
-	coroutine->context = make_fcontext(coroutine->stack + STACK, STACK, entry);
+	fl_context_init(&coroutine->context, STACK);
 	coroutine->timer.function = on_timer;
 	coroutine->timer.argument = coroutine;
 	coroutine->next = runtime.all;
