--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -15,7 +15,8 @@
 	.direct_timeout_s = 0.7, /* s for a direct request to the leader, if there is another way */
 };
 
-struct fl_peer *fl_peer_find(struct fl_node *node, const char *name)
+/* The other controller of this name, or NULL. */
+static struct fl_peer *find_peer(struct fl_node *node, const char *name)
 {
 	for (int i = 0; i < node->peer_count; i++)
 		if (strcmp(node->peers[i].name, name) == 0)
@@ -31,7 +32,7 @@
 		return 0;
 	if (strcmp(name, node->config->node) == 0)
 		return 1;
-	peer = fl_peer_find(node, name);
+	peer = find_peer(node, name);
 	return peer ? 2 + (int)(peer - node->peers) : 0;
 }
 
@@ -43,7 +44,7 @@
 
 bool fl_forward_leader_is_reachable(struct fl_node *node)
 {
-	const struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
+	const struct fl_peer *leader = find_peer(node, node->leader_view.leader);
 
 	return leader && may_request(node, leader);
 }
@@ -103,7 +104,7 @@
 enum fl_forward_result fl_forward(struct fl_node *node, const struct fl_forward_request *request,
                                   struct fl_http_reply *out)
 {
-	struct fl_peer *leader = fl_peer_find(node, node->leader_view.leader);
+	struct fl_peer *leader = find_peer(node, node->leader_view.leader);
 	double until = fl_now() + request->timeout_s;
 	enum fl_forward_result result = FL_FORWARD_NO_LEADER;
 	struct fl_forward_flags flags = {.last_hop = false};
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -10,7 +10,6 @@
 #include "transport/http_client.h"
 
 struct fl_node;
-struct fl_peer;
 
 /* The hop of a request: received from a client, or forwarded by another controller. */
 enum fl_forward_hop { FL_HOP_FIRST, FL_HOP_LAST };
@@ -49,8 +48,6 @@
 	double timeout_s; /* for all attempts together */
 };
 
-/* The other controller of this name, or NULL. */
-struct fl_peer *fl_peer_find(struct fl_node *node, const char *name);
 /* A small number for a controller's name: 1 this node, above it the others; 0: not known. */
 int fl_node_index(struct fl_node *node, const char *name);
 /* Whether another controller is known to lead, to which requests may be sent directly. */
--- a/tests/contract_fixture.h
+++ b/tests/contract_fixture.h
@@ -1,6 +1,6 @@
 /* The far side of a call over HTTP: scripted answers, and each request compared as it came in. */
-#ifndef CONTRACT_FIXTURE_H
-#define CONTRACT_FIXTURE_H
+#ifndef FL_TESTS_CONTRACT_FIXTURE_H
+#define FL_TESTS_CONTRACT_FIXTURE_H
 
 /* One call: the request that is expected, and the answer to it. */
 struct contract_exchange {
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -142,7 +142,7 @@
 	assert_int_equal(job->counts.waiting, 124);
 }
 
-struct fl_heartbeat make_heartbeat(struct fl_task_status tasks[13])
+struct fl_heartbeat make_heartbeat(struct fl_task_status tasks[CACHED_TASKS])
 {
 	static const enum fl_task_state states[] = {FL_TASK_STATE_PULLING, FL_TASK_STATE_RUNNING,
 	                                            FL_TASK_STATE_CHECKPOINTING,
@@ -162,7 +162,7 @@
 	                                 .fencing_token = 103,
 	                                 .interruption_in_s = 104.5,
 	                                 .tasks = tasks,
-	                                 .task_count = 13};
+	                                 .task_count = CACHED_TASKS};
 
 	for (uint32_t i = 0; i < CACHED_TASKS; i++) {
 		tasks[i] = (struct fl_task_status){.index = 3 + i, .attempt = 21 + i};
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -72,14 +72,14 @@
 
 enum { CACHED_TASKS = 13 };
 
-/* The description in LIVE. */
+/* The description in LIVE_JOB. */
 extern const struct fl_job_spec live_spec;
 /* The heartbeat in CACHED_IDLE_HEARTBEAT. */
 extern const struct fl_heartbeat heartbeat_without_tasks;
 
 /* The zones and teams that the records name. */
 void add_zones_and_teams(struct fl_cluster *cluster);
-/* The job of LIVE, in a leader's state that knows those and MACHINE_TYPES. */
+/* The job of LIVE_JOB, in a leader's state that knows those and MACHINE_TYPES. */
 struct fl_job *add_job(struct fl_cluster *cluster);
 /* The state that PROGRESS and OTHER_WAL_GROUP are the texts of. */
 void make_progress(struct fl_cluster *cluster, struct fl_job *job);
