--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -27,9 +27,9 @@
 /* The last time at which the machine was surely in contact both ways. */
 static double last_contact(const struct fl_node *node, const struct fl_machine *machine)
 {
-	double heartbeat_at =
-		fmax(fmax(machine->heartbeat.last_at, node->leadership.heartbeats_receivable_since),
-	             machine->lifecycle.first_seen_at);
+	double heartbeat_at = fmax(fmax(machine->heartbeat.last_received_at,
+	                                node->leadership.heartbeats_receivable_since),
+	                           machine->lifecycle.first_seen_at);
 
 	/* Heartbeats from a machine that is not reachable for our replies do not count. */
 	return fmin(heartbeat_at, fl_reachability_lost_since(machine));
