--- a/src/coordination/api/request_forwarding.c
+++ b/src/coordination/api/request_forwarding.c
@@ -39,7 +39,7 @@
                              struct fl_http_reply *reply)
 {
 	const struct fl_forward_request forward = {.path = FL_PATH_FORWARD,
-	                                           .encode_request = encode_request,
+	                                           .encode = encode_request,
 	                                           .context = request,
 	                                           .hop = request->hop,
 	                                           .timeout_s = request->timeout_s};
