--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -34,9 +34,9 @@
 		const struct fl_job *job = machine->assignments[i].job;
 
 		if (job->priority >= service->priority)
-			fl_resources_subtract(&available, fl_job_need(job));
+			fl_resources_subtract(&available, fl_job_task_resources(job));
 	}
-	return fl_placement_capacity(fl_job_need(service), available);
+	return fl_fitting_task_count(fl_job_task_resources(service), available);
 }
 
 /*
@@ -79,14 +79,14 @@
 /* Counts what the plan has left on machines that boot or are to be rented. */
 static void add_planned_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
-	struct fl_resources need = fl_job_need(headroom->service);
+	struct fl_resources need = fl_job_task_resources(headroom->service);
 
 	for (int i = 0; i < plan->count; i++) {
 		const struct fl_planned_machine *planned = &plan->machines[i];
 
 		if (!planned->kind.spot)
 			headroom->capacity[planned->kind.zone % headroom->shares] +=
-				fl_placement_capacity(need, planned->free);
+				fl_fitting_task_count(need, planned->free);
 	}
 }
 
@@ -94,7 +94,7 @@
 static void add_rentals(struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
 	struct fl_planned_job model = {.job = headroom->service};
-	struct fl_resources need = fl_job_need(headroom->service);
+	struct fl_resources need = fl_job_task_resources(headroom->service);
 
 	for (int z = 0; z < headroom->shares; z++) {
 		int only_zone = headroom->shares > 1 ? z : FL_ANY_ZONE;
@@ -105,7 +105,7 @@
 
 			if (!rental)
 				break;
-			headroom->capacity[z] += fmax(1, fl_placement_capacity(need, rental->free));
+			headroom->capacity[z] += fmax(1, fl_fitting_task_count(need, rental->free));
 		}
 	}
 }
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -42,8 +42,8 @@
 
 		if (fl_finished_job_find(&node->cluster, cancellation->ref))
 			continue;
-		fl_cluster_learn_cancelled(&node->cluster, cancellation->ref,
-		                           fl_now() - cancellation->age_s);
+		fl_cluster_mark_cancelled(&node->cluster, cancellation->ref,
+		                          fl_now() - cancellation->age_s);
 		job = node->leadership.active ? fl_job_find(&node->cluster, cancellation->ref)
 		                              : NULL;
 		if (job)
--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -46,11 +46,11 @@
 	enum fl_kv_result result;
 
 	/* A leader has its own list, of the failover: see fl_failover_load. */
-	if (!node->cluster.leading)
-		fl_cluster_list_begin(&node->cluster);
+	if (!node->cluster.has_leader_state)
+		fl_cluster_begin_job_list(&node->cluster);
 	result = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, on_job_event, node, revision);
-	if (result == FL_KV_OK && !node->cluster.leading)
-		fl_cluster_list_end(&node->cluster, *revision);
+	if (result == FL_KV_OK && !node->cluster.has_leader_state)
+		fl_cluster_end_job_list(&node->cluster, *revision);
 	return result;
 }
 
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -78,8 +78,8 @@
 		activate(node);
 		return;
 	}
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = false;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = false;
 }
 
 void fl_leadership_begin(struct fl_node *node)
@@ -103,7 +103,7 @@
 	       fl_condition_wait(&leadership->coroutine_ended, tunables.end_check_interval_s) !=
 	               -ECANCELED)
 		;
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = false;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = false;
 	fl_info("leadership", "%s ended leadership", node->config->node);
 }
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -81,7 +81,7 @@
 	enum fl_node_start_result result;
 
 	node->config = config;
-	node->cluster.finished_dropped_at = FL_LONG_AGO;
+	node->cluster.finished_dropped_up_to = FL_LONG_AGO;
 	node->cancellation_watermark = FL_LONG_AGO;
 	node->cluster.finished_max =
 		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_memory_share /
--- a/src/coordination/persistence/job_record_refresh.h
+++ b/src/coordination/persistence/job_record_refresh.h
@@ -25,7 +25,7 @@
 /*
  * Reads the records of a job whose last write had an unknown outcome. By ref, not by pointer: the
  * job may be gone when the response arrives. Only the record writer may drop the job, so one that
- * is over keeps its `final_write_unknown`. `out` is set only if a record was found.
+ * is over keeps its `write_outcome_unknown`. `out` is set only if a record was found.
  */
 enum fl_record_result fl_job_record_refresh(struct fl_node *node, const char *ref,
                                             struct fl_refreshed_job *out);
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -66,7 +66,7 @@
 
 	if (attempt->team == job->team || attempt->service || attempt->within_guaranteed)
 		return false;
-	return !fl_team_within_guaranteed(team, team->used_cpus, team->used_gpus);
+	return !fl_team_fits_guaranteed_quota(team, team->used_cpus, team->used_gpus);
 }
 
 /* Whether the job may preempt the attempt: by priority, or by its team's guaranteed quota. */
@@ -261,8 +261,8 @@
 static enum entitlement entitlement_of(const struct fl_sched_job *job, const struct fl_team *team)
 {
 	bool within = job->within_guaranteed &&
-	              fl_team_within_guaranteed(team, team->used_cpus + job->need.cpus,
-	                                        team->used_gpus + job->need.gpus);
+	              fl_team_fits_guaranteed_quota(team, team->used_cpus + job->need.cpus,
+	                                            team->used_gpus + job->need.gpus);
 
 	return within ? ENTITLED_BY_GUARANTEE : ENTITLED_BY_PRIORITY;
 }
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -82,7 +82,7 @@
 	                             snapshot.input.job_count);
 	node->leadership.cycle_count++;
 	log_cycle(node->leadership.cycle_count, &snapshot.input, &output, fl_now() - now);
-	if (node->cluster.dirty)
+	if (node->cluster.dirty_jobs)
 		fl_condition_broadcast(&node->record_writer.writes_pending);
 out:
 	fl_sched_output_free(&output);
@@ -105,7 +105,8 @@
 			continue;
 		for (int k = 0; k < machine->assignment_count; k++) {
 			struct fl_job *job = machine->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
+			struct fl_task *task =
+				fl_task_find(job, machine->assignments[k].task_index);
 
 			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
@@ -124,7 +125,8 @@
 
 		for (int k = 0; k < machine->assignment_count; k++) {
 			struct fl_job *job = machine->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
+			struct fl_task *task =
+				fl_task_find(job, machine->assignments[k].task_index);
 
 			if (job->kind == FL_GANG && job->counts.waiting > 0 &&
 			    task->stop_reason == FL_STOP_NONE)
@@ -168,7 +170,7 @@
 		run_cycle(node);
 		gap_s = fl_scheduling_cycle_gap_s(node->config->core_share, fl_now() - started_at,
 		                                  fl_cpu_time() - processor_started);
-		if (node->cluster.dirty)
+		if (node->cluster.dirty_jobs)
 			fl_condition_broadcast(&node->record_writer.writes_pending);
 		request_token_raise(node, started_at);
 	}
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -28,7 +28,7 @@
 static double last_contact(const struct fl_node *node, const struct fl_machine *machine)
 {
 	double heartbeat_at =
-		fmax(fmax(machine->heartbeat.last_at, node->leadership.heartbeats_since),
+		fmax(fmax(machine->heartbeat.last_received_at, node->leadership.heartbeats_since),
 	             machine->lifecycle.first_seen_at);
 
 	/* Heartbeats from a machine that is not reachable for our replies do not count. */
--- a/src/storage/array.c
+++ b/src/storage/array.c
@@ -2,9 +2,9 @@
 
 #include <stdlib.h>
 
-void *fl_array_grow(void *items, int count, int *capacity, size_t item_size, int first_capacity)
+void *fl_array_grow(void *items, int count, int *capacity, size_t item_size, int initial_capacity)
 {
-	int new_capacity = *capacity ? 2 * *capacity : first_capacity;
+	int new_capacity = *capacity ? 2 * *capacity : initial_capacity;
 	void *grown;
 
 	if (count < *capacity)
--- a/src/storage/array.h
+++ b/src/storage/array.h
@@ -12,9 +12,9 @@
 
 /*
  * Ensures that an array of `count` items can hold one more; the first allocation is of
- * `first_capacity` items. Returns the array, which may have moved, and updates `*capacity`. NULL
+ * `initial_capacity` items. Returns the array, which may have moved, and updates `*capacity`. NULL
  * without memory: the array and its capacity stay as they are, and the caller still owns it.
  */
-void *fl_array_grow(void *items, int count, int *capacity, size_t item_size, int first_capacity);
+void *fl_array_grow(void *items, int count, int *capacity, size_t item_size, int initial_capacity);
 
 #endif
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -5,7 +5,7 @@
 
 #include "storage/jobs.h"
 
-void fl_cluster_learn_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at)
+void fl_cluster_mark_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at)
 {
 	struct fl_job *job = fl_job_find(cluster, ref);
 
@@ -16,7 +16,7 @@
 		return;
 	}
 	job->cancelled_at = cancelled_at;
-	if (!cluster->leading) {
+	if (!cluster->has_leader_state) {
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
@@ -25,14 +25,14 @@
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
 
-void fl_cluster_describe(struct fl_machine *machine, int type, int zone, bool spot,
-                         const char *endpoint)
+void fl_cluster_describe_machine(struct fl_machine *machine, int type, int zone, bool spot,
+                                 const char *endpoint)
 {
 	bool was_known = machine->zone != FL_INDEX_NONE;
 
 	if (zone >= FL_ZONES_MAX)
 		return;
-	fl_machine_describe(machine, type, zone, spot, endpoint);
+	fl_machine_set_description(machine, type, zone, spot, endpoint);
 	if (was_known || machine->zone == FL_INDEX_NONE)
 		return;
 	for (int i = 0; i < machine->assignment_count; i++) {
@@ -42,19 +42,19 @@
 }
 
 /* Whether the machine can be freed: no attempt and no command under way refers to it. */
-static bool is_purgeable(const struct fl_machine *machine, double before)
+static bool tombstone_is_purgeable(const struct fl_machine *machine, double before)
 {
 	return machine->lifecycle.decommissioned && machine->lifecycle.decommissioned_at < before &&
 	       machine->assignment_count == 0 && !machine->outbound.command_in_flight;
 }
 
 /* Updates the tasks of a machine whose id has changed, as they refer to it by its id. */
-static void update_machine_of_tasks(const struct fl_machine *machine)
+static void update_machine_ids_of_tasks(const struct fl_machine *machine)
 {
 	for (int i = 0; i < machine->assignment_count; i++) {
 		const struct fl_assignment *assignment = &machine->assignments[i];
 
-		fl_task_peek(assignment->job, assignment->index)->machine = machine->id;
+		fl_task_find(assignment->job, assignment->task_index)->machine_id = machine->id;
 	}
 }
 
@@ -63,15 +63,15 @@
 	for (int i = cluster->machines.count - 1; i >= 0; i--) {
 		struct fl_machine *machine = cluster->machines.by_id[i], *moved;
 
-		if (!is_purgeable(machine, before))
+		if (!tombstone_is_purgeable(machine, before))
 			continue;
 		moved = fl_machine_drop(&cluster->machines, machine);
 		if (moved)
-			update_machine_of_tasks(moved);
+			update_machine_ids_of_tasks(moved);
 	}
 }
 
-static void forget_tasks_of(struct fl_job *job)
+static void clear_task_state(struct fl_job *job)
 {
 	fl_job_free_task_blocks(job);
 	job->counts = (struct fl_job_counts){.waiting = job->task_count};
@@ -79,19 +79,19 @@
 	job->retry.not_before = 0;
 	job->record.is_dirty = false;
 	job->record.final_write_in_flight = false;
-	job->record.final_write_unknown = false;
+	job->record.write_outcome_unknown = false;
 }
 
-void fl_cluster_forget_tasks(struct fl_cluster *cluster)
+void fl_cluster_free_leader_state(struct fl_cluster *cluster)
 {
 	struct fl_job *job, *next;
 
 	HASH_ITER (hh, cluster->jobs, job, next) {
-		forget_tasks_of(job);
+		clear_task_state(job);
 		if (job->cancelled)
 			fl_job_finalise(cluster, job, FL_CANCELLED);
 	}
-	cluster->dirty = NULL;
+	cluster->dirty_jobs = NULL;
 	for (int i = 0; i < cluster->teams.count; i++)
 		cluster->teams.by_index[i].used_cpus = cluster->teams.by_index[i].used_gpus = 0;
 	fl_machines_clear(&cluster->machines);
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -9,7 +9,7 @@
 #include "transport/text.h"
 
 /* Capacities to begin with. */
-enum { FIRST_MACHINES = 64, FIRST_ASSIGNMENTS = 4 };
+enum { INITIAL_MACHINE_CAPACITY = 64, INITIAL_ASSIGNMENT_CAPACITY = 4 };
 
 int fl_machine_type_find(const struct fl_machines *machines, const char *name)
 {
@@ -20,8 +20,8 @@
 }
 
 /* A bit for each zone of the type that is configured here. */
-static uint32_t zones_mask(const struct fl_cloud_machine_type *offered,
-                           const struct fl_symbol_table *zones)
+static uint32_t configured_zones_mask(const struct fl_cloud_machine_type *offered,
+                                      const struct fl_symbol_table *zones)
 {
 	uint32_t mask = 0;
 
@@ -34,9 +34,9 @@
 	return mask;
 }
 
-static void set_type(struct fl_machine_type *machine_type,
-                     const struct fl_cloud_machine_type *offered,
-                     const struct fl_symbol_table *zones)
+static void set_machine_type(struct fl_machine_type *machine_type,
+                             const struct fl_cloud_machine_type *offered,
+                             const struct fl_symbol_table *zones)
 {
 	memset(machine_type, 0, sizeof(*machine_type));
 	fl_copy_string(machine_type->name, sizeof(machine_type->name), offered->name);
@@ -48,7 +48,7 @@
 	machine_type->price = offered->price;
 	machine_type->spot_price = offered->spot_price;
 	machine_type->ready_s = offered->ready_s;
-	machine_type->zones = zones_mask(offered, zones);
+	machine_type->zone_mask = configured_zones_mask(offered, zones);
 }
 
 void fl_machine_types_set(struct fl_machines *machines, const struct fl_symbol_table *zones,
@@ -64,7 +64,7 @@
 		}
 		if (index == FL_INDEX_NONE)
 			index = machines->type_count++;
-		set_type(&machines->types[index], &types[i], zones);
+		set_machine_type(&machines->types[index], &types[i], zones);
 	}
 }
 
@@ -76,14 +76,14 @@
 	return machine;
 }
 
-struct fl_machine *fl_machine_get(struct fl_machines *machines, const char *name, double now)
+struct fl_machine *fl_machine_get_or_add(struct fl_machines *machines, const char *name, double now)
 {
 	struct fl_machine *machine = fl_machine_find(machines, name), **by_id;
 
 	if (machine)
 		return machine;
 	by_id = fl_array_grow(machines->by_id, machines->count, &machines->capacity, sizeof(*by_id),
-	                      FIRST_MACHINES);
+	                      INITIAL_MACHINE_CAPACITY);
 	if (!by_id)
 		return NULL;
 	machines->by_id = by_id;
@@ -101,8 +101,8 @@
 	return machine;
 }
 
-void fl_machine_describe(struct fl_machine *machine, int type, int zone, bool spot,
-                         const char *endpoint)
+void fl_machine_set_description(struct fl_machine *machine, int type, int zone, bool spot,
+                                const char *endpoint)
 {
 	if (type == FL_INDEX_NONE || zone == FL_INDEX_NONE)
 		return;
@@ -120,7 +120,7 @@
 {
 	struct fl_assignment *assignments = fl_array_grow(
 		machine->assignments, machine->assignment_count, &machine->assignment_capacity,
-		sizeof(*assignments), FIRST_ASSIGNMENTS);
+		sizeof(*assignments), INITIAL_ASSIGNMENT_CAPACITY);
 
 	if (!assignments)
 		return false;
@@ -133,7 +133,8 @@
                                   uint32_t index)
 {
 	for (int i = 0; i < machine->assignment_count; i++) {
-		if (machine->assignments[i].job == job && machine->assignments[i].index == index) {
+		if (machine->assignments[i].job == job &&
+		    machine->assignments[i].task_index == index) {
 			machine->assignments[i] = machine->assignments[--machine->assignment_count];
 			return;
 		}
@@ -151,7 +152,7 @@
 	machine->cached_images[0] = image;
 }
 
-uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available)
+uint32_t fl_fitting_task_count(struct fl_resources need, struct fl_resources available)
 {
 	const double max_count = 1e6;
 	double count = max_count;
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -6,10 +6,10 @@
 #include "storage/write_ahead_log.h"
 
 /* Which tasks of a block are written. */
-enum scope { ALL_TASKS, UNSAVED_TASKS };
+enum task_scope { ALL_TASKS, UNSAVED_TASKS };
 
 /* The array [first,second]. */
-static cJSON *number_pair(double first, double second)
+static cJSON *encode_number_pair(double first, double second)
 {
 	cJSON *item = cJSON_CreateArray();
 
@@ -21,10 +21,10 @@
 static cJSON *encode_placed(const struct fl_cluster *cluster, uint32_t index,
                             const struct fl_task *task)
 {
-	cJSON *item = number_pair(index, task->attempt);
+	cJSON *item = encode_number_pair(index, task->attempt);
 
 	cJSON_AddItemToArray(item,
-	                     cJSON_CreateString(cluster->machines.by_id[task->machine]->name));
+	                     cJSON_CreateString(cluster->machines.by_id[task->machine_id]->name));
 	cJSON_AddItemToArray(item, cJSON_CreateNumber((double)task->incarnation));
 	cJSON_AddItemToArray(item, cJSON_CreateNumber(round(task->placed_wall)));
 	return item;
@@ -34,7 +34,7 @@
  * The last task of the range of done ones that begins with this one. What is done and saved already
  * may stand in the log once more.
  */
-static uint32_t last_done(const struct fl_task_block *block, uint32_t first)
+static uint32_t end_of_done_range(const struct fl_task_block *block, uint32_t first)
 {
 	uint32_t last = first;
 
@@ -48,8 +48,8 @@
  *  "m":[[index,attempt,machine,incarnation,placed],...]}:
  * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
  */
-static cJSON *encode(const struct fl_cluster *cluster, const struct fl_job *job,
-                     uint32_t block_index, enum scope scope)
+static cJSON *encode_block(const struct fl_cluster *cluster, const struct fl_job *job,
+                           uint32_t block_index, enum task_scope scope)
 {
 	const struct fl_task_block *block = job->blocks[block_index];
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
@@ -61,17 +61,17 @@
 	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && base + i < job->task_count; i++) {
 		const struct fl_task *task = &block->tasks[i];
 
-		if (scope == UNSAVED_TASKS && fl_task_saved(block, task))
+		if (scope == UNSAVED_TASKS && fl_task_change_is_saved(block, task))
 			continue;
 		if (task->phase == FL_TASK_DONE) {
-			uint32_t last = last_done(block, i);
+			uint32_t last = end_of_done_range(block, i);
 
-			cJSON_AddItemToArray(done, number_pair(base + i, base + last));
+			cJSON_AddItemToArray(done, encode_number_pair(base + i, base + last));
 			i = last;
 		} else if (task->phase == FL_TASK_PLACED) {
 			cJSON_AddItemToArray(placed, encode_placed(cluster, base + i, task));
 		} else if (task->attempt > 0) {
-			cJSON_AddItemToArray(waiting, number_pair(base + i, task->attempt));
+			cJSON_AddItemToArray(waiting, encode_number_pair(base + i, task->attempt));
 		}
 	}
 	return object;
@@ -80,17 +80,17 @@
 cJSON *fl_task_block_encode(const struct fl_cluster *cluster, const struct fl_job *job,
                             uint32_t block_index)
 {
-	return encode(cluster, job, block_index, ALL_TASKS);
+	return encode_block(cluster, job, block_index, ALL_TASKS);
 }
 
 cJSON *fl_task_block_encode_unsaved(const struct fl_cluster *cluster, const struct fl_job *job,
                                     uint32_t block_index)
 {
-	return encode(cluster, job, block_index, UNSAVED_TASKS);
+	return encode_block(cluster, job, block_index, UNSAVED_TASKS);
 }
 
 /* Where a state of a task was read from. */
-enum source { FROM_RECORD, FROM_LOG };
+enum state_source { FROM_RECORD, FROM_LOG };
 
 /* A task's state as written. Of two states of a task the newer one counts. */
 struct task_state {
@@ -99,11 +99,11 @@
 	const char *machine; /* in the value it was read from */
 	uint64_t incarnation;
 	double placed_wall;
-	enum source source; /* FROM_LOG: the log alone has it, no record */
+	enum state_source source; /* FROM_LOG: the log alone has it, no record */
 };
 
 /* DONE is final; attempts only rise; of one attempt, the release follows the placement. */
-static bool is_newer(const struct task_state *state, const struct task_state *other)
+static bool task_state_is_newer(const struct task_state *state, const struct task_state *other)
 {
 	if (state->phase == FL_TASK_DONE || other->phase == FL_TASK_DONE)
 		return other->phase != FL_TASK_DONE;
@@ -113,15 +113,15 @@
 }
 
 /* A block of which the states are being merged. */
-struct merge {
+struct block_merge {
 	const struct fl_job *job;
 	uint32_t block_index;
-	enum source source; /* of what is being merged */
+	enum state_source source; /* of what is being merged */
 	struct task_state states[FL_TASK_BLOCK_SIZE];
 };
 
 /* Keeps the newer of a task's state so far and this one; MALFORMED: no task of the block. */
-static enum fl_decode_result merge_task(struct merge *merge, uint64_t index,
+static enum fl_decode_result merge_task(struct block_merge *merge, uint64_t index,
                                         const struct task_state *state)
 {
 	uint64_t base = (uint64_t)merge->block_index * FL_TASK_BLOCK_SIZE;
@@ -130,7 +130,7 @@
 	if (index < base || index >= base + FL_TASK_BLOCK_SIZE || index >= merge->job->task_count)
 		return FL_DECODE_MALFORMED;
 	newest = &merge->states[index - base];
-	if (is_newer(state, newest))
+	if (task_state_is_newer(state, newest))
 		*newest = *state;
 	return FL_DECODE_OK;
 }
@@ -143,7 +143,7 @@
 	return FL_DECODE_OK;
 }
 
-static enum fl_decode_result merge_done(struct merge *merge, const cJSON *item)
+static enum fl_decode_result merge_done(struct block_merge *merge, const cJSON *item)
 {
 	const struct task_state state = {.phase = FL_TASK_DONE, .source = merge->source};
 	uint64_t first, last;
@@ -156,7 +156,7 @@
 	return FL_DECODE_OK;
 }
 
-static enum fl_decode_result merge_waiting(struct merge *merge, const cJSON *item)
+static enum fl_decode_result merge_waiting(struct block_merge *merge, const cJSON *item)
 {
 	struct task_state state = {.phase = FL_TASK_WAITING, .source = merge->source};
 	uint64_t index, attempt;
@@ -168,7 +168,7 @@
 	return merge_task(merge, index, &state);
 }
 
-static enum fl_decode_result merge_placed(struct merge *merge, const cJSON *item)
+static enum fl_decode_result merge_placed(struct block_merge *merge, const cJSON *item)
 {
 	struct task_state state = {.phase = FL_TASK_PLACED, .source = merge->source};
 	const cJSON *name = cJSON_GetArrayItem(item, 2);
@@ -188,7 +188,7 @@
 }
 
 /* Merges the states in a record, or in a group of the log, into the block's. */
-static enum fl_decode_result merge_record(struct merge *merge, const cJSON *value)
+static enum fl_decode_result merge_record(struct block_merge *merge, const cJSON *value)
 {
 	const cJSON *item;
 
@@ -210,7 +210,7 @@
 {
 	struct fl_recorded_attempt recorded = {
 		.attempt = state->attempt,
-		.machine = fl_machine_get(&cluster->machines, state->machine, now),
+		.machine = fl_machine_get_or_add(&cluster->machines, state->machine, now),
 		.incarnation = state->incarnation,
 		.placed_wall = state->placed_wall};
 
@@ -224,7 +224,7 @@
                                           uint32_t index, const struct task_state *state,
                                           double now)
 {
-	struct fl_task *task = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get_or_alloc(job, index);
 	enum fl_decode_result result = FL_DECODE_OK;
 
 	if (!task || task->phase != FL_TASK_WAITING)
@@ -246,14 +246,14 @@
 		return result;
 	/* The next write of the log replaces this one: it must include what no record has yet. */
 	if (state->source == FROM_LOG)
-		fl_task_touch(cluster, job, index);
+		fl_task_mark_changed(cluster, job, index);
 	return FL_DECODE_OK;
 }
 
 /* Merges the groups of the block in the log, all of which count as restored. */
-static enum fl_decode_result merge_log(struct merge *merge, struct fl_wal *wal)
+static enum fl_decode_result merge_log(struct block_merge *merge, struct fl_wal *wal)
 {
-	int i = fl_wal_first(wal, merge->job->ref, merge->block_index);
+	int i = fl_wal_first_group(wal, merge->job->ref, merge->block_index);
 
 	merge->source = FROM_LOG;
 	for (; i != FL_INDEX_NONE; i = wal->groups[i].next_of_block) {
@@ -268,11 +268,11 @@
                                             uint32_t block_index,
                                             const struct fl_task_block_source *source, double now)
 {
-	struct merge merge = {.job = job, .block_index = block_index, .source = FROM_RECORD};
+	struct block_merge merge = {.job = job, .block_index = block_index, .source = FROM_RECORD};
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 	enum fl_decode_result result;
 
-	if (block_index >= job->block_count || !fl_task_get(job, base))
+	if (block_index >= job->block_count || !fl_task_get_or_alloc(job, base))
 		return FL_DECODE_MALFORMED;
 	result = merge_record(&merge, source->value);
 	if (result == FL_DECODE_OK && source->wal)
@@ -284,7 +284,8 @@
 	return result;
 }
 
-enum fl_decode_result fl_task_block_count(const cJSON *value, uint32_t *done, uint32_t *placed)
+enum fl_decode_result fl_progress_record_add_counts(const cJSON *value, uint32_t *done,
+                                                    uint32_t *placed)
 {
 	uint64_t first, last;
 	const cJSON *item;
--- a/src/storage/symbol_table.c
+++ b/src/storage/symbol_table.c
@@ -6,7 +6,7 @@
 
 #include "storage/array.h"
 
-enum { FIRST_CAPACITY = 16 };
+enum { INITIAL_CAPACITY = 16 };
 
 struct fl_symbol {
 	UT_hash_handle hh;
@@ -31,7 +31,7 @@
 	if (index != FL_INDEX_NONE)
 		return index;
 	by_index = fl_array_grow(symbols->by_index, symbols->count, &symbols->capacity,
-	                         sizeof(*by_index), FIRST_CAPACITY);
+	                         sizeof(*by_index), INITIAL_CAPACITY);
 	if (!by_index)
 		return FL_INDEX_NONE;
 	symbols->by_index = by_index;
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -6,7 +6,7 @@
 #include "storage/progress_records.h"
 #include "transport/text.h"
 
-enum { FIRST_GROUPS = 64 };
+enum { INITIAL_GROUP_CAPACITY = 64 };
 
 struct wal_block_key {
 	char ref[FL_REF_MAX];
@@ -36,7 +36,7 @@
 	return fl_json_print_and_delete(item);
 }
 
-cJSON *fl_wal_value_begin(void)
+cJSON *fl_wal_value_create(void)
 {
 	cJSON *object = cJSON_CreateObject();
 
@@ -44,7 +44,7 @@
 	return object;
 }
 
-void fl_wal_value_add(cJSON *value, const char *group)
+void fl_wal_value_add_group(cJSON *value, const char *group)
 {
 	cJSON_AddItemToArray(cJSON_GetObjectItemCaseSensitive(value, "log"),
 	                     cJSON_CreateRaw(group));
@@ -65,7 +65,7 @@
 }
 
 /* Appends the group with this index to the list of its block; false without memory. */
-static bool index_group(struct fl_wal *wal, int index)
+static bool append_to_block_list(struct fl_wal *wal, int index)
 {
 	struct fl_wal_group *group = &wal->groups[index];
 	struct fl_wal_block *block = find_block(wal, group->ref, group->block_index);
@@ -85,7 +85,7 @@
 	return true;
 }
 
-int fl_wal_first(const struct fl_wal *wal, const char *ref, uint32_t block_index)
+int fl_wal_first_group(const struct fl_wal *wal, const char *ref, uint32_t block_index)
 {
 	const struct fl_wal_block *block = find_block(wal, ref, block_index);
 
@@ -95,8 +95,9 @@
 /* Adds a group, with a copy of its changes; false without memory. */
 static bool add_group(struct fl_wal *wal, const struct fl_wal_group *group)
 {
-	struct fl_wal_group *groups = fl_array_grow(
-		wal->groups, wal->group_count, &wal->group_capacity, sizeof(*groups), FIRST_GROUPS);
+	struct fl_wal_group *groups =
+		fl_array_grow(wal->groups, wal->group_count, &wal->group_capacity, sizeof(*groups),
+	                      INITIAL_GROUP_CAPACITY);
 	int index = wal->group_count;
 
 	if (!groups)
@@ -105,7 +106,7 @@
 	groups[index] = *group;
 	groups[index].changes = cJSON_Duplicate(group->changes, true);
 	wal->group_count++;
-	return groups[index].changes && index_group(wal, index);
+	return groups[index].changes && append_to_block_list(wal, index);
 }
 
 static enum fl_decode_result read_group(struct fl_wal *wal, const cJSON *item)
@@ -123,7 +124,7 @@
 	return add_group(wal, &group) ? FL_DECODE_OK : FL_DECODE_NO_MEMORY;
 }
 
-enum fl_decode_result fl_wal_read(struct fl_wal *wal, const cJSON *value)
+enum fl_decode_result fl_wal_read_value(struct fl_wal *wal, const cJSON *value)
 {
 	const cJSON *list = fl_json_get(value, "log"), *item;
 
