--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -20,7 +20,7 @@
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
-	/* An isolated leader: the tasks still count for it, and it reads the record later. */
+	/* This leader may be isolated: it still counts the tasks, and reads the record later. */
 	job->cancelled = true;
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
@@ -41,14 +41,14 @@
 	}
 }
 
-/* Whether the machine can be freed: no attempt and no command under way refers to it. */
+/* Returns whether the tombstone can be freed: no attempt and no command in flight refers to it. */
 static bool tombstone_is_purgeable(const struct fl_machine *machine, double before)
 {
 	return machine->lifecycle.decommissioned && machine->lifecycle.decommissioned_at < before &&
 	       machine->assignment_count == 0 && !machine->outbound.command_in_flight;
 }
 
-/* Updates the tasks of a machine whose id has changed, as they refer to it by its id. */
+/* Updates the tasks of a machine whose id has changed; they refer to the machine by its id. */
 static void update_machine_ids_of_tasks(const struct fl_machine *machine)
 {
 	for (int i = 0; i < machine->assignment_count; i++) {
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -1,9 +1,9 @@
 /*
- * The state of the cluster as one node knows it: live jobs and their tasks, finished jobs, teams
- * and machines. A follower holds the descriptions of jobs only; a leader also tasks and machines.
- * The counts of jobs, teams, machines and zones always agree with the phases of the tasks, so only
- * tasks.c and progress_records.c change phases. Times are steady, in seconds, unless their name
- * says _wall.
+ * The state of the cluster in one node's memory: live jobs and their tasks, finished jobs, teams
+ * and machines. A follower holds only the descriptions of jobs; a leader also holds their tasks and
+ * the machines. The counters of jobs, teams, machines and zones must agree with the phases of the
+ * tasks, so only tasks.c and progress_records.c change a phase. Points in time are on the monotonic
+ * clock, in seconds, unless the name ends in _wall (wall clock).
  */
 #ifndef FL_STORAGE_CLUSTER_H
 #define FL_STORAGE_CLUSTER_H
@@ -14,12 +14,12 @@
 #include "storage/machines.h"
 #include "storage/teams.h"
 
-/* Tasks in one progress record, which so stays well within 4 KiB a value. */
+/* Number of tasks in one progress record; keeps the stored value well below 4 KiB. */
 enum { FL_TASK_BLOCK_SIZE = 64 };
 
-/* The phase of a task. PLACED: an attempt may be on a machine. DONE is final. */
+/* The phase of a task. PLACED: an attempt may exist on a machine. DONE is final. */
 enum fl_task_phase { FL_TASK_WAITING, FL_TASK_PLACED, FL_TASK_DONE };
-/* The state of a placed task in the newest heartbeat of its machine. NONE: not seen there yet. */
+/* The state of a placed task in its machine's latest heartbeat. NONE: not reported yet. */
 enum fl_observed_state {
 	FL_OBSERVED_NONE,
 	FL_OBSERVED_PULLING,
@@ -34,125 +34,126 @@
 	enum fl_task_phase phase : 8;
 	enum fl_observed_state observed : 8;
 	enum fl_stop_reason stop_reason : 8;
-	uint8_t failure_count; /* error exits in a row */
-	bool start_sent;      /* a reply had its start command, and no heartbeat has shown it yet */
-	uint32_t attempt;     /* the last one used; 0: none yet */
-	int32_t machine_id;   /* id, while PLACED */
-	uint64_t incarnation; /* of the machine, at placement */
-	uint64_t fencing_token; /* of this leader when it placed it; 0: read from a record */
-	uint64_t generation;    /* of the block, when this task last changed */
-	double running_since;   /* of its placement or, when running, of its start */
-	double placed_wall;     /* of the placement, for the record */
-	double not_before;      /* WAITING: backoff */
+	uint8_t failure_count;  /* consecutive exits with an error */
+	bool start_sent;        /* start command sent in a reply, not yet reported by a heartbeat */
+	uint32_t attempt;       /* number of the latest attempt; 0: none yet */
+	int32_t machine_id;     /* valid while PLACED */
+	uint64_t incarnation;   /* incarnation of the machine's worker at placement */
+	uint64_t fencing_token; /* this leader's token at placement; 0: not placed by this leader */
+	uint64_t generation;    /* the block's generation when this task last changed */
+	double running_since;   /* time of the placement, or of the start if the task is running */
+	double placed_wall;     /* wall-clock time of the placement, as stored in the record */
+	double not_before;      /* WAITING: earliest time of the next start, after a backoff */
 };
 
 /* The tasks that share a progress record, FL_TASK_BLOCK_SIZE of them. */
 struct fl_task_block {
 	struct fl_task tasks[FL_TASK_BLOCK_SIZE];
-	uint64_t generation;        /* counts changes; a task has that of its last one */
-	uint64_t saved_generation;  /* changes up to it are in the progress record */
-	uint64_t logged_generation; /* changes up to it are durable: in the log or the record */
-	uint64_t mod_revision;      /* of the record; 0: there is none */
-	bool revision_unknown;      /* a write had an unknown outcome: read before writing again */
+	uint64_t generation;        /* number of changes; a task holds that of its latest change */
+	uint64_t saved_generation;  /* changes up to this one are in the progress record */
+	uint64_t logged_generation; /* changes up to this one are durable: in the log or record */
+	uint64_t mod_revision;      /* revision of the progress record; 0: no record exists */
+	bool revision_unknown;      /* a write had an unknown outcome; read before writing again */
 };
 
-/* How many of a job's tasks are in each phase; running ones count as placed, too. */
+/* Number of a job's tasks in each phase; running tasks are also counted as placed. */
 struct fl_job_counts {
 	uint32_t waiting, placed, running, done;
 };
 
-/* How a job's placed tasks are spread, and what placing its next ones depends on. */
+/* Distribution of a job's placed tasks over zones, and state used to place the next ones. */
 struct fl_job_placement {
 	uint32_t by_zone[FL_ZONES_MAX];
-	uint32_t in_unknown_zone;     /* on machines whose zone is not known yet */
-	uint32_t scan_from;           /* no task below it is WAITING */
-	double backfill_window_until; /* backfill window while this job is first in the queue; 0:
-	                                 not set */
+	uint32_t in_unknown_zone;     /* placed on machines whose zone is not known yet */
+	uint32_t scan_from;           /* no task with a lower index is WAITING */
+	double backfill_window_until; /* end of the window when first in the queue; 0: not set */
 };
 
-/* When a job that fails may try again. */
+/* When the tasks of a failing job may be started again. */
 struct fl_job_retry {
-	double not_before;             /* backoff of the whole job */
-	uint32_t consecutive_failures; /* error exits in a row, on any machine */
+	double not_before;             /* end of the backoff of the whole job */
+	uint32_t consecutive_failures; /* consecutive exits with an error, on any machine */
 };
 
-/* The state of a job's records in the key-value store, and of writes still to be made. */
+/* The state of a job's records in the key-value store, and of pending writes. */
 struct fl_job_record_state {
-	uint64_t mod_revision;      /* of the job record */
-	struct fl_job *next_dirty;  /* on the cluster's list of jobs with unsaved blocks */
-	bool is_dirty;              /* it is on that list */
-	bool seen_in_list;          /* it was in the list of job records being read */
-	bool final_write_in_flight; /* its final record is being written */
-	bool write_outcome_unknown; /* that had an unknown outcome: read before writing again */
+	uint64_t mod_revision;      /* revision of the job record */
+	struct fl_job *next_dirty;  /* next job on the cluster's list `dirty_jobs` */
+	bool is_dirty;              /* the job is on that list */
+	bool seen_in_list;          /* the list of job records being read contains the job */
+	bool final_write_in_flight; /* a write of the final record is in flight */
+	bool write_outcome_unknown; /* a write's outcome is unknown; read before writing again */
 };
 
-/* A job that is not over yet. */
+/* A live job: one that is not finished yet. */
 struct fl_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
-	int job_class, team, image, zone; /* indexes; zone FL_INDEX_NONE: any */
+	int job_class, team, image, zone; /* indexes; zone FL_INDEX_NONE: any zone */
 	enum fl_job_kind kind;
 	enum fl_priority priority;
 	uint32_t task_count;
-	double cpus, gpus, ram_gb, image_gb; /* of one task */
+	double cpus, gpus, ram_gb, image_gb; /* per task */
 	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s;
-	uint32_t allowed_type_mask; /* bit per allowed machine type; UINT32_MAX: any */
+	uint32_t allowed_type_mask; /* one bit per allowed machine type; UINT32_MAX: any type */
 	bool same_zone, spread_zones, spot_allowed;
-	bool within_guaranteed_quota; /* fits its team's guaranteed quota, after its earlier jobs */
-	bool cancelled;               /* its user has cancelled it; tasks may still have to stop */
-	double cancelled_at;          /* not after its user got the answer; 0: not cancelled */
+	bool within_guaranteed_quota; /* fits the quota along with the team's earlier jobs */
+	bool cancelled;      /* cancelled by its user; tasks may still have to be stopped */
+	double cancelled_at; /* not later than the reply to the cancellation; 0: not cancelled */
 	double submitted_wall;
 	struct fl_job_record_state record;
 	struct fl_job_counts counts;
 	struct fl_job_placement placement;
 	struct fl_job_retry retry;
 	uint32_t block_count;
-	struct fl_task_block **blocks; /* NULL entry: all its tasks wait and never ran */
+	struct fl_task_block **blocks; /* NULL: all tasks of the block wait and have never run */
 };
 
-/* A job that is over, as held in memory; its final record is never deleted. */
+/* A finished job in memory; its final record in the key-value store is never deleted. */
 struct fl_finished_job {
 	UT_hash_handle hh;
 	char ref[FL_REF_MAX];
 	enum fl_job_status status : 8;
 	uint32_t task_count;
-	double cancelled_at; /* if CANCELLED: the deadline for its tasks counts from here */
-	double added_at;     /* when this process learned that it is over */
+	double cancelled_at; /* CANCELLED: start of the deadline by which its tasks must stop */
+	double added_at;     /* when this process added the job */
 };
 
-/* All that a node knows of jobs and machines. Zero-initialised is empty. */
+/* All jobs and machines known to a node; empty when zero-initialised. */
 struct fl_cluster {
 	struct fl_symbol_table classes, images, zones;
 	struct fl_teams teams;
 	struct fl_machines machines;
-	struct fl_job *jobs;              /* live, by ref */
-	struct fl_finished_job *finished; /* by ref, oldest first */
-	unsigned finished_max; /* the oldest beyond it are dropped from memory; 0: no limit */
-	double finished_dropped_up_to; /* `added_at` of the newest one dropped; 0: none was */
-	struct fl_job *dirty_jobs;     /* jobs with unsaved blocks */
-	uint64_t job_list_revision;    /* of the list that the leadership began with */
-	bool has_leader_state;         /* tasks and machines are held here, not only descriptions */
+	struct fl_job *jobs;              /* live jobs by ref */
+	struct fl_finished_job *finished; /* finished jobs by ref, in the order of addition */
+	unsigned finished_max;            /* limit of `finished`; the oldest are dropped; 0: none */
+	double finished_dropped_up_to;    /* `added_at` of the newest one dropped; 0: none */
+	struct fl_job *dirty_jobs;        /* jobs with unsaved blocks or a final record to write */
+	uint64_t job_list_revision;       /* revision of the job list that the failover read */
+	bool has_leader_state;            /* holds tasks and machines, not only job descriptions */
 };
 
 /*
- * Applies a cancellation that another controller reports before this node has read the record. A
- * leader keeps the job until its tasks are gone, any other node finalises it; idempotent.
+ * Marks a job as cancelled without applying its record, e.g. when another controller reports the
+ * cancellation first. A leader keeps the job until its tasks have stopped; any other node finalises
+ * it. Idempotent.
  */
 void fl_cluster_mark_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at);
 /*
- * As fl_machine_set_description, and counts the machine's attempts in its zone when that becomes
- * known. Ignored if the zone is beyond FL_ZONES_MAX.
+ * Like fl_machine_set_description, but also counts the machine's attempts in its zone once the zone
+ * becomes known. Does nothing if the zone is FL_ZONES_MAX or greater.
  */
 void fl_cluster_describe_machine(struct fl_machine *machine, int type, int zone, bool spot,
                                  const char *endpoint);
 /*
- * Frees the tombstones of machines that were decommissioned before the steady time `before`, which
- * changes ids of others: only to be called where nobody holds a machine or an id across a wait.
+ * Frees the tombstones of machines that were decommissioned before `before`. This changes the ids
+ * of other machines, so it may only be called where no coroutine holds a machine or a machine id
+ * across a wait.
  */
 void fl_cluster_purge_tombstones(struct fl_cluster *cluster, double before);
-/* Frees what only a leader knows (tasks, machines, usage); cancelled jobs are finalised. */
+/* Frees the state that only a leader holds (tasks, machines, usage); finalises cancelled jobs. */
 void fl_cluster_free_leader_state(struct fl_cluster *cluster);
-/* Frees all that the cluster holds, but not the cluster itself. */
+/* Frees the contents of the cluster, but not the cluster itself. */
 void fl_cluster_free(struct fl_cluster *cluster);
 
 #endif
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -31,7 +31,7 @@
 		return; /* a final state never changes */
 	finished = calloc(1, sizeof(*finished));
 	if (!finished) {
-		/* Lists of cancellations since an earlier time are incomplete without it. */
+		/* Without this job, lists of cancellations since an earlier time are incomplete. */
 		cluster->finished_dropped_up_to = fl_now();
 		return;
 	}
@@ -45,7 +45,7 @@
 		drop_oldest_job(cluster);
 }
 
-/* The one learned last; NULL: there is none. */
+/* Returns the job that was added last, or NULL if there is none. */
 static const struct fl_finished_job *newest_finished_job(const struct fl_cluster *cluster)
 {
 	if (!cluster->finished)
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -90,7 +90,7 @@
 	return FL_DECODE_OK;
 }
 
-/* The fields of a final state, if the record holds one. */
+/* Decodes the fields of the final state, if the record has one. */
 static enum fl_decode_result decode_final_fields(const cJSON *value, struct fl_job_record *out)
 {
 	enum fl_json_result final;
@@ -118,8 +118,8 @@
 	if (decode_final_fields(value, out) != FL_DECODE_OK)
 		return FL_DECODE_MALFORMED;
 	/*
-	 * A cancelled job keeps its description. If it is malformed, so is the record: accepted
-	 * without it, the job's tasks would be counted and stopped by nobody.
+	 * A cancelled job keeps its description. If the description is malformed, the whole record
+	 * is rejected: without a description, the job's tasks would be neither counted nor stopped.
 	 */
 	out->has_spec = !out->final || fl_json_get(value, FL_FIELD_REF);
 	if (!out->has_spec)
@@ -133,7 +133,7 @@
 	return FL_DECODE_OK;
 }
 
-/* A job whose records are being read, and where the decoded one is stored. */
+/* A job whose records are being read, and the destination of the decoded record. */
 struct record_reader {
 	struct fl_kv_store *store;
 	const char *ref;
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -15,7 +15,7 @@
 {
 	struct fl_job *job, *next;
 
-	/* A job that was stored after the list was made is not in it, but not over either. */
+	/* A job stored after the list's revision is not in the list, but is not finished either. */
 	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->record.seen_in_list && job->record.mod_revision <= revision &&
 		    job->counts.placed == 0)
@@ -42,7 +42,8 @@
 	if (!job)
 		job = fl_job_add(cluster, &record->spec, record->submitted_wall, revision);
 	if (!job)
-		fl_error("jobs", "record names an unknown team or zone: %s", ref);
+		fl_error("jobs",
+		         "job record ignored; unknown team or zone, or out of memory job=%s", ref);
 	if (job && !cluster->has_leader_state)
 		job->record.seen_in_list = true;
 	return job;
@@ -53,10 +54,10 @@
                                          uint64_t revision)
 {
 	/*
-	 * A leader finalises when the tasks are gone. It must not take this record for its own
-	 * write: while it was still loading its cluster state, another node may have been leader
-	 * and have cancelled the job. Found when such a record was ignored: the job stayed live on
-	 * this node for ever.
+	 * A leader finalises a job when its tasks have stopped. It must not mistake this record for
+	 * its own write: while it was still loading its cluster state, another node may have been
+	 * the leader and cancelled the job. If the record were ignored, the job would stay live on
+	 * this node indefinitely.
 	 */
 	if (job && cluster->has_leader_state) {
 		fl_cluster_update_live_job(cluster, job, record, revision);
@@ -79,9 +80,9 @@
 	struct fl_job_record record;
 
 	/*
-	 * A leader's `listed` marks belong to its failover alone: a watch that lists anew or lags
-	 * meanwhile must neither preserve a job that the failover's list lacks nor drop one that it
-	 * contains.
+	 * On a leader, only the failover sets `seen_in_list`: a watch that lists again or lags
+	 * meanwhile must neither keep a job that the failover's list lacks nor drop a job that this
+	 * list contains.
 	 */
 	if (job && !cluster->has_leader_state)
 		job->record.seen_in_list = true;
@@ -90,15 +91,15 @@
 	if (!value || fl_finished_job_find(cluster, ref))
 		return NULL;
 	/*
-	 * A watch may lag behind the list that a leader began with: what the list no longer held is
-	 * over, and a late event of its submission must not make it live again.
+	 * A watch may lag behind the job list that the failover read. A job that was no longer in
+	 * this list is finished, and a late event of its submission must not make it live again.
 	 */
 	if (!job && cluster->has_leader_state && revision <= cluster->job_list_revision)
 		return NULL;
 	if (job && revision <= job->record.mod_revision)
 		return job;
 	if (fl_job_record_decode(value, ref, &record) != FL_DECODE_OK) {
-		fl_error("jobs", "unreadable record: %s", ref);
+		fl_error("jobs", "job record unreadable; ignored job=%s", ref);
 		return NULL;
 	}
 	return record.final ? apply_final_record(cluster, job, ref, &record, revision)
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -12,7 +12,7 @@
 	return job;
 }
 
-/* A bit for each allowed machine type that is known. */
+/* Returns a mask with one bit for each allowed machine type that is known. */
 static uint32_t allowed_types_mask(const struct fl_cluster *cluster, const struct fl_job_spec *spec)
 {
 	uint32_t mask = 0;
@@ -28,7 +28,7 @@
 	return mask;
 }
 
-/* Copies the fields that need no translation into indexes of this process. */
+/* Copies the fields that are not translated into indexes of this process. */
 static void copy_spec(struct fl_job *job, const struct fl_job_spec *spec)
 {
 	fl_copy_string(job->ref, sizeof(job->ref), spec->ref);
@@ -57,7 +57,7 @@
 
 	if (job)
 		return job;
-	/* With an unknown zone as FL_INDEX_NONE, the job would run in any zone. */
+	/* If an unknown zone were stored as FL_INDEX_NONE, the job would run in any zone. */
 	if (team == FL_INDEX_NONE || (spec->has_zone && zone == FL_INDEX_NONE))
 		return NULL;
 	job = calloc(1, sizeof(*job));
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -1,6 +1,7 @@
 /*
- * The keys of all records in the key-value store. They are stored data: a change would lose what
- * earlier versions wrote. The parts of a key are a prefix, a job id and a number.
+ * The keys of all records in the key-value store. They must not change, because records written by
+ * earlier versions would not be found any more. The key of a job's record consists of a prefix, the
+ * job id and, in a progress record, the block index.
  */
 #ifndef FL_STORAGE_KEYS_H
 #define FL_STORAGE_KEYS_H
@@ -8,7 +9,7 @@
 #include "protocol/kv_store.h"
 #include "protocol/users.h"
 
-/* Keys, and the prefixes of keys that continue with a job's id or a number. */
+/* Complete keys (FL_KEY_*) and prefixes of keys (FL_PREFIX_*). */
 #define FL_KEY_LEADER "c/lead"
 #define FL_KEY_FENCING_TOKEN "c/epoch"
 #define FL_PREFIX_ELECTION "c/"
@@ -18,15 +19,15 @@
 #define FL_PREFIX_PROGRESS "p/"
 #define FL_PREFIX_HEARTBEAT_DIGESTS "k/"
 #define FL_PREFIX_WAL "w/"
-#define FL_KEY_WAL_FIRST_VALUE "w/0" /* in every write of the log */
+#define FL_KEY_WAL_FIRST_VALUE "w/0" /* the log's first value, part of every write of the log */
 
-/* The key of a live or cancelled job. */
+/* Writes the key of the record of a live or cancelled job. */
 void fl_key_job(char key[FL_KEY_MAX], const char *ref);
-/* The key of a job's final record. */
+/* Writes the key of a job's final record. */
 void fl_key_finished(char key[FL_KEY_MAX], const char *ref);
-/* The key of a progress record. */
+/* Writes the key of the progress record of a task block. */
 void fl_key_progress(char key[FL_KEY_MAX], const char *ref, uint32_t block_index);
-/* Takes "p/run-000412/3" apart. */
+/* Parses the key of a progress record, e.g. "p/run-000412/3". */
 enum fl_decode_result fl_key_progress_parse(const char *key, char ref[FL_REF_MAX],
                                             uint32_t *block_index);
 
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -8,7 +8,7 @@
 #include "transport/log.h"
 #include "transport/text.h"
 
-/* Capacities to begin with. */
+/* Initial capacities of arrays, in items. */
 enum { INITIAL_MACHINE_CAPACITY = 64, INITIAL_ASSIGNMENT_CAPACITY = 4 };
 
 int fl_machine_type_find(const struct fl_machines *machines, const char *name)
@@ -19,7 +19,7 @@
 	return FL_INDEX_NONE;
 }
 
-/* A bit for each zone of the type that is configured here. */
+/* Returns a mask with one bit for each zone of the type that is configured on this node. */
 static uint32_t configured_zones_mask(const struct fl_cloud_machine_type *offered,
                                       const struct fl_symbol_table *zones)
 {
@@ -58,8 +58,9 @@
 		int index = fl_machine_type_find(machines, types[i].name);
 
 		if (index == FL_INDEX_NONE && machines->type_count == FL_MACHINE_TYPES_MAX) {
-			fl_error("cloud", "machine type ignored: %s max=%d", types[i].name,
-			         FL_MACHINE_TYPES_MAX);
+			fl_error("cloud",
+			         "machine type ignored; the limit is reached type=%s max=%d",
+			         types[i].name, FL_MACHINE_TYPES_MAX);
 			continue;
 		}
 		if (index == FL_INDEX_NONE)
--- a/src/storage/placement_rules.c
+++ b/src/storage/placement_rules.c
@@ -6,7 +6,7 @@
 {
 	uint32_t half = (rule->task_count + 1) / 2;
 
-	/* A task in an unknown zone may be in any of them: it counts against each. */
+	/* A task in an unknown zone may be in any zone, so it counts against each of them. */
 	if (rule->spread_zones &&
 	    rule->placed_by_zone[zone] + rule->placed_in_unknown_zone + 1 > half)
 		return false;
--- a/src/storage/placement_rules.h
+++ b/src/storage/placement_rules.h
@@ -1,8 +1,8 @@
 /*
- * The rules of a job's constraints by which a task may go to a machine or a zone. They stand here
- * once, for the scheduling cycle, which places tasks on machines, and for the autoscaler, which
- * plans machines for them: if they differed, machines would be rented that no task may use. What
- * is free on a machine plays no part.
+ * Placement constraints of jobs: which machines and zones their tasks may use. The scheduling
+ * cycle, which places tasks on machines, and the autoscaler, which plans machines for tasks, share
+ * these rules; if their rules differed, machines would be rented that no task may use. The free
+ * resources of a machine are not considered here.
  */
 #ifndef FL_STORAGE_PLACEMENT_RULES_H
 #define FL_STORAGE_PLACEMENT_RULES_H
@@ -10,10 +10,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* In place of the index of a zone: any zone is possible. */
+/* Used in place of a zone index: any zone is possible. */
 #define FL_ANY_ZONE (-1)
 
-/* A kind of machine: indices of its type and zone, and whether it is a spot machine. */
+/* A kind of machine: the indexes of its type and zone, and whether it is a spot machine. */
 struct fl_machine_kind {
 	int type, zone;
 	bool spot;
@@ -21,12 +21,12 @@
 
 /* The kinds of machine that a job may use. */
 struct fl_kind_rule {
-	uint32_t allowed_types; /* one bit each */
-	int zone;               /* the only one; negative: any */
+	uint32_t allowed_types; /* one bit per machine type */
+	int zone;               /* the only zone allowed; negative: any zone */
 	bool spot_allowed;
 };
 
-/* How a job's tasks may be distributed over the zones, and where they are. It owns nothing. */
+/* How a job's tasks may be distributed over zones, and where they are placed. Owns no memory. */
 struct fl_zone_rule {
 	bool same_zone;    /* all tasks in one zone */
 	bool spread_zones; /* at most half of the tasks, rounded up, in one zone */
@@ -36,8 +36,8 @@
 };
 
 /*
- * Whether the rule admits machines of this kind. Inline: a scheduling cycle calls it for each job
- * and machine.
+ * Returns whether the rule admits machines of this kind. Inline because a scheduling cycle calls it
+ * for each job and machine.
  */
 static inline bool fl_kind_rule_admits(struct fl_kind_rule rule, struct fl_machine_kind kind)
 {
@@ -48,7 +48,7 @@
 	return rule.spot_allowed || !kind.spot;
 }
 
-/* Whether one more task may go to this zone. */
+/* Returns whether one more task may be placed in this zone. */
 bool fl_zone_rule_admits(const struct fl_zone_rule *rule, int zone);
 
 #endif
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -5,10 +5,10 @@
 
 #include "storage/write_ahead_log.h"
 
-/* Which tasks of a block are written. */
+/* Which tasks of a block are encoded. */
 enum task_scope { ALL_TASKS, UNSAVED_TASKS };
 
-/* The array [first,second]. */
+/* Returns the array [first,second]. */
 static cJSON *encode_number_pair(double first, double second)
 {
 	cJSON *item = cJSON_CreateArray();
@@ -31,8 +31,8 @@
 }
 
 /*
- * The last task of the range of done ones that begins with this one. What is done and saved already
- * may stand in the log once more.
+ * Returns the last task of the range of done tasks that begins at `first`. The range may include
+ * tasks that are already saved; the log may repeat them.
  */
 static uint32_t end_of_done_range(const struct fl_task_block *block, uint32_t first)
 {
@@ -44,9 +44,9 @@
 }
 
 /*
- * {"d":[[first,last],...],"t":[[index,attempt],...],
- *  "m":[[index,attempt,machine,incarnation,placed],...]}:
- * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
+ * Encodes a block as {"d":[[first,last],...],"t":[[index,attempt],...],
+ * "m":[[index,attempt,machine,incarnation,placed],...]}: ranges of done tasks, waiting tasks with
+ * earlier attempts, and placed tasks with the wall-clock time of their placement.
  */
 static cJSON *encode_block(const struct fl_cluster *cluster, const struct fl_job *job,
                            uint32_t block_index, enum task_scope scope)
@@ -89,20 +89,23 @@
 	return encode_block(cluster, job, block_index, UNSAVED_TASKS);
 }
 
-/* Where a state of a task was read from. */
+/* Where a task's state was read from. */
 enum state_source { FROM_RECORD, FROM_LOG };
 
-/* A task's state as written. Of two states of a task the newer one counts. */
+/* A task's state as stored. Of two states of a task, the newer one is used. */
 struct task_state {
 	enum fl_task_phase phase;
 	uint32_t attempt;
-	const char *machine; /* in the value it was read from */
+	const char *machine; /* name, borrowed from the decoded value */
 	uint64_t incarnation;
 	double placed_wall;
-	enum state_source source; /* FROM_LOG: the log alone has it, no record */
+	enum state_source source; /* FROM_LOG: only the log holds this state, no record does */
 };
 
-/* DONE is final; attempts only rise; of one attempt, the release follows the placement. */
+/*
+ * Returns whether `state` is newer than `other`: DONE is final, attempt numbers only increase, and
+ * within an attempt the release follows the placement.
+ */
 static bool task_state_is_newer(const struct task_state *state, const struct task_state *other)
 {
 	if (state->phase == FL_TASK_DONE || other->phase == FL_TASK_DONE)
@@ -112,15 +115,15 @@
 	return state->phase == FL_TASK_WAITING && other->phase == FL_TASK_PLACED;
 }
 
-/* A block of which the states are being merged. */
+/* A block whose task states are being merged. */
 struct block_merge {
 	const struct fl_job *job;
 	uint32_t block_index;
-	enum state_source source; /* of what is being merged */
+	enum state_source source; /* of the value being merged */
 	struct task_state states[FL_TASK_BLOCK_SIZE];
 };
 
-/* Keeps the newer of a task's state so far and this one; MALFORMED: no task of the block. */
+/* Keeps the newer of a task's merged state and `state`; MALFORMED if the block has no such task. */
 static enum fl_decode_result merge_task(struct block_merge *merge, uint64_t index,
                                         const struct task_state *state)
 {
@@ -177,7 +180,7 @@
 	if (fl_json_get_item(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
 	    fl_json_get_item(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK ||
 	    fl_json_get_item(item, 3, FL_COUNT_MAX, &state.incarnation) != FL_JSON_OK ||
-	    /* Records of earlier versions have no time: it counts as placed now. */
+	    /* Records of earlier versions have no time; the task then counts as placed now. */
 	    fl_json_get_item(item, 4, FL_COUNT_MAX, &placed) == FL_JSON_INVALID ||
 	    !cJSON_IsString(name) || strlen(name->valuestring) >= FL_NAME_MAX)
 		return FL_DECODE_MALFORMED;
@@ -187,7 +190,7 @@
 	return merge_task(merge, index, &state);
 }
 
-/* Merges the states in a record, or in a group of the log, into the block's. */
+/* Merges the task states of a progress record, or of a group of the log, into the block. */
 static enum fl_decode_result merge_record(struct block_merge *merge, const cJSON *value)
 {
 	const cJSON *item;
@@ -244,13 +247,13 @@
 	}
 	if (result != FL_DECODE_OK)
 		return result;
-	/* The next write of the log replaces this one: it must include what no record has yet. */
+	/* The next write replaces the log, so it must include changes that no record holds yet. */
 	if (state->source == FROM_LOG)
 		fl_task_mark_changed(cluster, job, index);
 	return FL_DECODE_OK;
 }
 
-/* Merges the groups of the block in the log, all of which count as restored. */
+/* Merges the block's groups in the log, and marks them as restored. */
 static enum fl_decode_result merge_log(struct block_merge *merge, struct fl_wal *wal)
 {
 	int i = fl_wal_first_group(wal, merge->job->ref, merge->block_index);
--- a/src/storage/resources.h
+++ b/src/storage/resources.h
@@ -1,14 +1,14 @@
 /*
- * Amounts of the three resources that tasks need and machines have. They are sums of decimal
- * fractions: whether one fits into another is compared with a slack, and sums are always made in
- * the order of the calls, since decisions are compared bit for bit.
+ * Amounts of the three resources that tasks need and machines have. Amounts are sums of decimal
+ * fractions, so comparisons allow a tolerance. Sums are computed in the order of the calls, because
+ * decisions are compared bit for bit.
  */
 #ifndef FL_STORAGE_RESOURCES_H
 #define FL_STORAGE_RESOURCES_H
 
 #include <stdbool.h>
 
-/* Slack of a comparison, in the unit of the amount. */
+/* Tolerance of a comparison, in the unit of the amount. */
 #define FL_RESOURCES_EPSILON 1e-6
 
 struct fl_resources {
@@ -29,7 +29,7 @@
 	total->ram_gb -= amount.ram_gb;
 }
 
-/* Whether `need` fits into what is available, which a reservation can make negative. */
+/* Returns whether `need` fits into `available`, which a reservation can make negative. */
 static inline bool fl_resources_fit(struct fl_resources need, struct fl_resources available)
 {
 	return need.cpus <= available.cpus + FL_RESOURCES_EPSILON &&
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -69,20 +69,20 @@
 	return job->task_count;
 }
 
-/* Is the task running on its machine, as far as heartbeats show? */
+/* Returns whether a task in this state is running on its machine, according to heartbeats. */
 static bool state_is_running(enum fl_observed_state observed)
 {
 	return observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
 }
 
-/* The job's tasks on machines in the same zone as this one. */
+/* Returns the counter of the job's placed tasks in this machine's zone. */
 static uint32_t *zone_task_counter(struct fl_job *job, const struct fl_machine *machine)
 {
 	return machine->zone != FL_INDEX_NONE ? &job->placement.by_zone[machine->zone]
 	                                      : &job->placement.in_unknown_zone;
 }
 
-/* Counts a WAITING task as on the machine. */
+/* Assigns a WAITING task to the machine and counts it as placed; the caller sets its fields. */
 static enum fl_place_result assign_to_machine(struct fl_cluster *cluster, struct fl_job *job,
                                               const struct fl_task *task, uint32_t index,
                                               struct fl_machine *machine)
@@ -104,7 +104,7 @@
 	return FL_PLACE_OK;
 }
 
-/* Undoes assign; the caller counts the task's new phase. */
+/* Reverts assign_to_machine; the caller sets and counts the task's new phase. */
 static void remove_from_machine(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                                 struct fl_task *task)
 {
@@ -113,7 +113,7 @@
 
 	fl_machine_remove_assignment(machine, job, index);
 	fl_resources_subtract(&machine->used, fl_job_task_resources(job));
-	/* Adding and subtracting fractions leaves a rounding error, which would add up. */
+	/* Adding and subtracting fractions leaves a rounding error, which would accumulate. */
 	if (machine->assignment_count == 0)
 		machine->used = (struct fl_resources){0};
 	team->used_cpus -= job->cpus;
@@ -165,11 +165,12 @@
 	task->machine_id = recorded->machine->id;
 	task->incarnation = recorded->incarnation;
 	task->placed_wall = recorded->placed_wall;
-	/* Placed by an earlier leader: the work since then is lost if the task is stopped. */
+	/* An earlier leader placed the task; stopping it loses the work since the placement. */
 	task->running_since = fmin(now, fl_since(recorded->placed_wall));
 	/*
-	 * Its image is there, and stays when the task is lost with its worker's incarnation: after
-	 * an outage of all controllers hundreds of tasks start again, fastest where they ran.
+	 * The image is on the machine, and stays there if the task is lost with its worker's
+	 * incarnation. After an outage of all controllers, hundreds of tasks start again, which is
+	 * fastest on the machines where they ran.
 	 */
 	fl_machine_record_image(recorded->machine, job->image);
 	return FL_PLACE_OK;
@@ -214,9 +215,10 @@
 	if (runs_now && !was_running) {
 		job->counts.running++;
 		/*
-		 * Read from a record and found running: it began long ago, at some time after its
-		 * placement. Counted from now, every new leader would take old work for new, and
-		 * preempt what is nearly done.
+		 * A task that was restored from a record and is reported as running started some
+		 * time after its placement, possibly long ago, so its placement time is kept. With
+		 * `now` instead, every new leader would take old work for new and preempt tasks
+		 * that are nearly done.
 		 */
 		if (task->fencing_token != 0 || task->observed != FL_OBSERVED_NONE)
 			task->running_since = now;
--- a/src/storage/teams.h
+++ b/src/storage/teams.h
@@ -1,6 +1,6 @@
 /*
- * Teams: guaranteed and maximum quotas, and what their placed tasks use. Usage counts a task from
- * its placement until it is proven gone.
+ * Teams: guaranteed and maximum quotas, and the resources used by their placed tasks. A task is
+ * counted from its placement until it is proven gone.
  */
 #ifndef FL_STORAGE_TEAMS_H
 #define FL_STORAGE_TEAMS_H
@@ -9,10 +9,10 @@
 
 #include "storage/array.h"
 
-/* Teams at most. */
+/* Maximum number of teams. */
 enum { FL_TEAMS_MAX = 64 };
 
-/* A team, as configured, and what it uses. */
+/* A team's configuration and its current usage. */
 struct fl_team {
 	char name[64];
 	double guaranteed_cpus, guaranteed_gpus; /* guaranteed quota; 0: none */
@@ -26,11 +26,11 @@
 	int count;
 };
 
-/* Index of the team, or FL_INDEX_NONE. */
+/* Returns the index of the team, or FL_INDEX_NONE. */
 int fl_teams_find(const struct fl_teams *teams, const char *name);
-/* Would the team stay within its maximum with this much in use? */
+/* Returns whether this usage stays within the team's maximum quota. */
 bool fl_team_fits_maximum_quota(const struct fl_team *team, double cpus, double gpus);
-/* Does this much fit into what the team is guaranteed? Nothing fits if nothing is. */
+/* Returns whether this usage fits into the team's guaranteed quota; false if the team has none. */
 bool fl_team_fits_guaranteed_quota(const struct fl_team *team, double cpus, double gpus);
 
 #endif
--- a/src/storage/token_bucket.c
+++ b/src/storage/token_bucket.c
@@ -1,6 +1,6 @@
 #include "storage/token_bucket.h"
 
-static const double slack_tokens = 1e-9; /* tokens */
+static const double slack_tokens = 1e-9;
 
 void fl_token_bucket_init(struct fl_token_bucket *bucket, double rate, double burst, double now)
 {
@@ -23,7 +23,7 @@
 double fl_token_bucket_take(struct fl_token_bucket *bucket, double count, double now)
 {
 	fl_token_bucket_available(bucket, now);
-	/* Slightly too few are enough: the wait could be too short for the clock to advance. */
+	/* Tolerates a tiny shortage: the wait could be too short for the clock to advance. */
 	if (bucket->tokens >= count - slack_tokens || bucket->tokens >= bucket->burst) {
 		bucket->tokens -= count;
 		return 0;
--- a/src/storage/token_bucket.h
+++ b/src/storage/token_bucket.h
@@ -1,23 +1,27 @@
 /*
- * A token bucket, which limits the rate of requests or records of a node. It does not wait: callers
- * sleep for as long as it returns, or give up.
+ * A token bucket, which limits the rate of requests or records of a node. It does not wait: the
+ * caller sleeps for the returned time or abandons the operation.
  */
 #ifndef FL_STORAGE_TOKEN_BUCKET_H
 #define FL_STORAGE_TOKEN_BUCKET_H
 
-/* `tokens` as of the steady time `updated_at`; `rate` tokens come in a second, up to `burst`. */
+/*
+ * `tokens` are available at `updated_at` (monotonic clock, s); `rate` tokens are added per second,
+ * up to `burst`.
+ */
 struct fl_token_bucket {
 	double rate, burst, tokens, updated_at;
 };
 
-/* A full bucket; `now` is steady here and below. */
+/* Initialises a full bucket; `now` is on the monotonic clock, s, here and below. */
 void fl_token_bucket_init(struct fl_token_bucket *bucket, double rate, double burst, double now);
 /*
- * Seconds to wait before `count` tokens may be taken; 0: they are taken. More than the burst are
- * taken when the bucket is full, and leave a debt.
+ * Takes `count` tokens and returns 0, or takes none and returns the seconds to wait before the next
+ * try. A count above the burst is taken when the bucket is full, and leaves a negative number of
+ * tokens.
  */
 double fl_token_bucket_take(struct fl_token_bucket *bucket, double count, double now);
-/* How many tokens may be taken now. */
+/* Returns the number of tokens available at `now`. */
 double fl_token_bucket_available(struct fl_token_bucket *bucket, double now);
 
 #endif
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -13,14 +13,14 @@
 	uint32_t block_index;
 };
 
-/* The groups of one block: a list through their `next_of_block`. */
+/* The groups of one block, linked by `next_of_block`. */
 struct fl_wal_block {
 	UT_hash_handle hh;
 	struct wal_block_key key;
 	int first, last;
 };
 
-/* A group: ["run-000412",3,{...}] */
+/* Encodes a group as [job id, block index, changes], e.g. ["run-000412",3,{...}]. */
 char *fl_wal_group_encode(const struct fl_cluster *cluster, const struct fl_job *job,
                           uint32_t block_index)
 {
@@ -50,7 +50,7 @@
 	                     cJSON_CreateRaw(group));
 }
 
-/* The key is hashed and compared as bytes, so all of them are set. */
+/* Finds a block's groups. The key is hashed and compared bytewise, so all its bytes are set. */
 static struct fl_wal_block *find_block(const struct fl_wal *wal, const char *ref,
                                        uint32_t block_index)
 {
@@ -64,7 +64,7 @@
 	return block;
 }
 
-/* Appends the group with this index to the list of its block; false without memory. */
+/* Appends the group with this index to its block's list; returns false if out of memory. */
 static bool append_to_block_list(struct fl_wal *wal, int index)
 {
 	struct fl_wal_group *group = &wal->groups[index];
@@ -92,7 +92,7 @@
 	return block ? block->first : FL_INDEX_NONE;
 }
 
-/* Adds a group, with a copy of its changes; false without memory. */
+/* Adds a group with a copy of its changes; returns false if out of memory. */
 static bool add_group(struct fl_wal *wal, const struct fl_wal_group *group)
 {
 	struct fl_wal_group *groups =
