--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -107,7 +107,7 @@
 		const struct fl_job *job = machine->assignments[k].job;
 		const struct fl_task *task = fl_task_find(job, machine->assignments[k].task_index);
 
-		if (job->kind == FL_ARRAY && task->observed == FL_OBSERVED_RUNNING &&
+		if (job->kind == FL_ARRAY && task->last_observed_state == FL_OBSERVED_RUNNING &&
 		    job->expected_s - (plan->now - task->running_since) <
 		            tunables.ending_soon * boot_s)
 			count++;
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -145,7 +145,8 @@
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
-	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
+	if (task->last_observed_state == FL_OBSERVED_RUNNING ||
+	    task->last_observed_state == FL_OBSERVED_CHECKPOINTING)
 		estimate_s -= now - task->running_since;
 	/* Past its estimate: it counts as ending by the next cycle. */
 	return fmax(estimate_s, tunables.overdue_left_s);
@@ -155,7 +156,7 @@
 static double lost_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double since_start_s =
-		task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
+		task->last_observed_state == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
 
 	return job->checkpoint_every_s > 0 ? fmin(since_start_s, job->checkpoint_cost_s)
 	                                   : since_start_s;
--- a/src/coordination/workers/reconciliation_commands.c
+++ b/src/coordination/workers/reconciliation_commands.c
@@ -16,7 +16,7 @@
 double fl_attempt_grace_period_s(const struct fl_job *job, const struct fl_task *task)
 {
 	if (job->cancelled || job->checkpoint_every_s <= 0 ||
-	    task->observed == FL_OBSERVED_CHECKPOINTING)
+	    task->last_observed_state == FL_OBSERVED_CHECKPOINTING)
 		return 0;
 	return job->checkpoint_cost_s + tunables.checkpoint_margin_s;
 }
@@ -36,7 +36,7 @@
 			                    &(struct fl_command){
 						    FL_COMMAND_STOP, job->ref, index, task->attempt,
 						    fl_attempt_grace_period_s(job, task)});
-		} else if (task->observed == FL_OBSERVED_NONE &&
+		} else if (task->last_observed_state == FL_OBSERVED_NONE &&
 		           fl_task_change_is_durable(job, index)) {
 			fl_command_list_add(commands,
 			                    &(struct fl_command){FL_COMMAND_START, job->ref, index,
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -109,7 +109,7 @@
 {
 	enum fl_observed_state observed = observed_state(status->state);
 
-	if (task->observed == observed)
+	if (task->last_observed_state == observed)
 		return;
 	fl_debug("workers", "task %s: %s/%u machine=%s after_s=%.1f", observed_state_name(observed),
 	         job->ref, status->index, context->machine->name,
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -59,7 +59,7 @@
 		release(context, job, index);
 		return FL_REPLY_WITHOUT_START;
 	}
-	if (task->observed != FL_OBSERVED_NONE) {
+	if (task->last_observed_state != FL_OBSERVED_NONE) {
 		/* Was seen in this incarnation, was never forgotten, and is no more. */
 		fl_error("workers", "task lost: %s/%u machine=%s reason=not_reported", job->ref,
 		         index, machine_name);
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -32,7 +32,7 @@
 /* One task of a job. */
 struct fl_task {
 	enum fl_task_phase phase : 8;
-	enum fl_observed_state observed : 8;
+	enum fl_observed_state last_observed_state : 8;
 	enum fl_stop_reason stop_reason : 8;
 	uint8_t failure_count;  /* consecutive exits with an error */
 	bool start_sent;        /* start command sent in a reply, not yet reported by a heartbeat */
@@ -65,7 +65,7 @@
 struct fl_job_placement {
 	uint32_t by_zone[FL_ZONES_MAX];
 	uint32_t in_unknown_zone;     /* placed on machines whose zone is not known yet */
-	uint32_t scan_from;           /* no task with a lower index is WAITING */
+	uint32_t waiting_scan_start;  /* no task with a lower index is WAITING */
 	double backfill_window_until; /* end of the window when first in the queue; 0: not set */
 };
 
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -51,18 +51,19 @@
 
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now)
 {
-	uint32_t i = from > job->placement.scan_from ? from : job->placement.scan_from;
-	bool lowest = i == job->placement.scan_from;
+	uint32_t i =
+		from > job->placement.waiting_scan_start ? from : job->placement.waiting_scan_start;
+	bool at_scan_start = i == job->placement.waiting_scan_start;
 
 	for (; i < job->task_count; i++) {
 		const struct fl_task *task = fl_task_find(job, i);
 
 		if (task && task->phase != FL_TASK_WAITING) {
-			if (lowest)
-				job->placement.scan_from = i + 1;
+			if (at_scan_start)
+				job->placement.waiting_scan_start = i + 1;
 			continue;
 		}
-		lowest = false;
+		at_scan_start = false;
 		if (!task || task->not_before <= now)
 			return i;
 	}
@@ -120,9 +121,9 @@
 	team->used_gpus -= job->gpus;
 	(*zone_task_counter(job, machine))--;
 	job->counts.placed--;
-	if (state_is_running(task->observed))
+	if (state_is_running(task->last_observed_state))
 		job->counts.running--;
-	task->observed = FL_OBSERVED_NONE;
+	task->last_observed_state = FL_OBSERVED_NONE;
 	task->start_sent = false;
 	task->stop_reason = FL_STOP_NONE;
 	task->machine_id = FL_INDEX_NONE;
@@ -143,7 +144,7 @@
 	task->machine_id = attempt->machine->id;
 	task->incarnation = attempt->machine->heartbeat.incarnation;
 	task->fencing_token = attempt->fencing_token;
-	task->observed = FL_OBSERVED_NONE;
+	task->last_observed_state = FL_OBSERVED_NONE;
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
 	task->placed_wall = fl_wall();
@@ -187,8 +188,8 @@
 	task->phase = FL_TASK_WAITING;
 	task->not_before = not_before;
 	job->counts.waiting++;
-	if (index < job->placement.scan_from)
-		job->placement.scan_from = index;
+	if (index < job->placement.waiting_scan_start)
+		job->placement.waiting_scan_start = index;
 	fl_task_mark_changed(cluster, job, index);
 }
 
@@ -210,7 +211,8 @@
 void fl_task_set_observed_state(struct fl_job *job, struct fl_task *task,
                                 enum fl_observed_state observed, double now)
 {
-	bool was_running = state_is_running(task->observed), runs_now = state_is_running(observed);
+	bool was_running = state_is_running(task->last_observed_state),
+	     runs_now = state_is_running(observed);
 
 	if (runs_now && !was_running) {
 		job->counts.running++;
@@ -220,11 +222,11 @@
 		 * `now` instead, every new leader would take old work for new and preempt tasks
 		 * that are nearly done.
 		 */
-		if (task->fencing_token != 0 || task->observed != FL_OBSERVED_NONE)
+		if (task->fencing_token != 0 || task->last_observed_state != FL_OBSERVED_NONE)
 			task->running_since = now;
 	} else if (was_running && !runs_now) {
 		job->counts.running--;
 	}
-	task->observed = observed;
+	task->last_observed_state = observed;
 	task->start_sent = false;
 }
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -121,7 +121,7 @@
 	set_last_reply_age(fixture, 1);
 	deliver_task_heartbeat(fixture, 1, 4, &status);
 	assert_int_equal(only_machine(fixture)->outbound.unacknowledged_replies, 0);
-	assert_int_equal(task->observed, FL_OBSERVED_RUNNING);
+	assert_int_equal(task->last_observed_state, FL_OBSERVED_RUNNING);
 
 	/* A longer pause, as after an outage, is over with the next prompt heartbeat. */
 	set_last_reply_age(fixture, 6);
