--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -113,7 +113,7 @@
 	target->within_guaranteed = job->within_guaranteed_quota;
 	target->background = is_background(builder->node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
-	target->window_left_s = window_left_s(job, builder->now);
+	target->window_remaining_s = window_left_s(job, builder->now);
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
@@ -141,7 +141,7 @@
 static double estimated_left_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double estimate_s =
-		job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_estimate_s;
+		job->expected_s > 0 ? job->expected_s : fl_sched_default_params.default_estimate_s;
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
@@ -180,8 +180,8 @@
 	target->preemptible = !target->stopping;
 	target->within_guaranteed = job->within_guaranteed_quota;
 	target->used = fl_job_task_resources(job);
-	target->left_s = estimated_left_s(job, task, builder->now);
-	target->lost_s = lost_s(job, task, builder->now);
+	target->estimated_remaining_s = estimated_left_s(job, task, builder->now);
+	target->stop_loss_s = lost_s(job, task, builder->now);
 	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
 	                            waited_s > input->params->overdue_after_s;
 	builder->snapshot->attempts[input->attempt_count++] = *assignment;
@@ -292,7 +292,7 @@
 	memset(snapshot, 0, sizeof(*snapshot));
 	if (!allocate(snapshot, cluster))
 		return FL_SCHEDULE_OUT_OF_MEMORY;
-	snapshot->input.params = &fl_sched_defaults;
+	snapshot->input.params = &fl_sched_default_params;
 	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, next)
@@ -302,7 +302,7 @@
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
 			add_machine(&builder, cluster->machines.by_id[i]);
 	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(&node->autoscaler);
-	snapshot->input.resume_position = node->leadership.resume_position;
+	snapshot->input.resume_position = node->leadership.queue_resume_position;
 	return FL_SCHEDULE_OK;
 }
 
