--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -20,7 +20,7 @@
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
-	/* An isolated leader: the tasks still count for it, and it reads the record later. */
+	/* This leader may be isolated: it still counts the tasks, and reads the record later. */
 	job->cancelled = true;
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
@@ -41,15 +41,15 @@
 	}
 }
 
-/* Whether the machine can be freed: no attempt and no command under way refers to it. */
-static bool is_purgeable(const struct fl_machine *machine, double before)
+/* Returns whether the tombstone can be freed: no attempt and no command in flight refers to it. */
+static bool tombstone_is_purgeable(const struct fl_machine *machine, double before)
 {
 	return machine->lifecycle.decommissioned && machine->lifecycle.decommissioned_at < before &&
 	       machine->assignment_count == 0 && !machine->outbound.command_in_flight;
 }
 
-/* Updates the tasks of a machine whose id has changed, as they refer to it by its id. */
-static void update_machine_of_tasks(const struct fl_machine *machine)
+/* Updates the tasks of a machine whose id has changed; they refer to the machine by its id. */
+static void update_machine_ids_of_tasks(const struct fl_machine *machine)
 {
 	for (int i = 0; i < machine->assignment_count; i++) {
 		const struct fl_assignment *assignment = &machine->assignments[i];
@@ -63,15 +63,15 @@
 	for (int i = cluster->machines.count - 1; i >= 0; i--) {
 		struct fl_machine *machine = cluster->machines.by_id[i], *moved;
 
-		if (!is_purgeable(machine, before))
+		if (!tombstone_is_purgeable(machine, before))
 			continue;
 		moved = fl_machine_drop(&cluster->machines, machine);
 		if (moved)
-			update_machine_of_tasks(moved);
+			update_machine_ids_of_tasks(moved);
 	}
 }
 
-static void forget_tasks_of(struct fl_job *job)
+static void clear_task_state(struct fl_job *job)
 {
 	fl_job_free_task_blocks(job);
 	job->counts = (struct fl_job_counts){.waiting = job->task_count};
@@ -87,7 +87,7 @@
 	struct fl_job *job, *next;
 
 	HASH_ITER (hh, cluster->jobs, job, next) {
-		forget_tasks_of(job);
+		clear_task_state(job);
 		if (job->cancelled)
 			fl_job_finalise(cluster, job, FL_CANCELLED);
 	}
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -13,7 +13,7 @@
 	return finished;
 }
 
-static void drop_oldest(struct fl_cluster *cluster)
+static void drop_oldest_job(struct fl_cluster *cluster)
 {
 	struct fl_finished_job *oldest = cluster->finished;
 
@@ -31,7 +31,7 @@
 		return; /* a final state never changes */
 	finished = calloc(1, sizeof(*finished));
 	if (!finished) {
-		/* Lists of cancellations since an earlier time are incomplete without it. */
+		/* Without this job, lists of cancellations since an earlier time are incomplete. */
 		cluster->finished_dropped_up_to = fl_now();
 		return;
 	}
@@ -42,11 +42,11 @@
 	finished->added_at = fl_now();
 	HASH_ADD_STR(cluster->finished, ref, finished);
 	if (cluster->finished_max > 0 && HASH_COUNT(cluster->finished) > cluster->finished_max)
-		drop_oldest(cluster);
+		drop_oldest_job(cluster);
 }
 
-/* The one learned last; NULL: there is none. */
-static const struct fl_finished_job *newest_of(const struct fl_cluster *cluster)
+/* Returns the job that was added last, or NULL if there is none. */
+static const struct fl_finished_job *newest_finished_job(const struct fl_cluster *cluster)
 {
 	if (!cluster->finished)
 		return NULL;
@@ -56,7 +56,7 @@
 bool fl_finished_jobs_cancelled_since(const struct fl_cluster *cluster, double since, int max,
                                       const struct fl_finished_job **out, int *count)
 {
-	const struct fl_finished_job *finished = newest_of(cluster);
+	const struct fl_finished_job *finished = newest_finished_job(cluster);
 
 	*count = 0;
 	if (cluster->finished_dropped_up_to > since)
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -13,7 +13,7 @@
 	return object;
 }
 
-static cJSON *add_final(cJSON *object, enum fl_job_status status, uint32_t task_count)
+static cJSON *add_final_fields(cJSON *object, enum fl_job_status status, uint32_t task_count)
 {
 	cJSON_AddStringToObject(object, "final", fl_status_name(status));
 	cJSON_AddNumberToObject(object, "parts", task_count);
@@ -22,14 +22,14 @@
 
 cJSON *fl_job_record_encode_final(enum fl_job_status status, uint32_t task_count)
 {
-	return add_final(cJSON_CreateObject(), status, task_count);
+	return add_final_fields(cJSON_CreateObject(), status, task_count);
 }
 
 cJSON *fl_job_record_encode_cancelled(const struct fl_job_spec *spec, double submitted_wall,
                                       double cancelled_wall)
 {
-	cJSON *object = add_final(fl_job_record_encode_live(spec, submitted_wall), FL_CANCELLED,
-	                          spec->task_count);
+	cJSON *object = add_final_fields(fl_job_record_encode_live(spec, submitted_wall),
+	                                 FL_CANCELLED, spec->task_count);
 
 	cJSON_AddNumberToObject(object, "cancelled", cancelled_wall);
 	return object;
@@ -90,8 +90,8 @@
 	return FL_DECODE_OK;
 }
 
-/* The fields of a final state, if the record holds one. */
-static enum fl_decode_result decode_final(const cJSON *value, struct fl_job_record *out)
+/* Decodes the fields of the final state, if the record has one. */
+static enum fl_decode_result decode_final_fields(const cJSON *value, struct fl_job_record *out)
 {
 	enum fl_json_result final;
 	uint64_t task_count;
@@ -115,11 +115,11 @@
                                            struct fl_job_record *out)
 {
 	memset(out, 0, sizeof(*out));
-	if (decode_final(value, out) != FL_DECODE_OK)
+	if (decode_final_fields(value, out) != FL_DECODE_OK)
 		return FL_DECODE_MALFORMED;
 	/*
-	 * A cancelled job keeps its description. If it is malformed, so is the record: accepted
-	 * without it, the job's tasks would be counted and stopped by nobody.
+	 * A cancelled job keeps its description. If the description is malformed, the whole record
+	 * is rejected: without a description, the job's tasks would be neither counted nor stopped.
 	 */
 	out->has_spec = !out->final || fl_json_get(value, FL_FIELD_REF);
 	if (!out->has_spec)
@@ -133,7 +133,7 @@
 	return FL_DECODE_OK;
 }
 
-/* A job whose records are being read, and where the decoded one is stored. */
+/* A job whose records are being read, and the destination of the decoded record. */
 struct record_reader {
 	struct fl_kv_store *store;
 	const char *ref;
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -12,8 +12,8 @@
 	return job;
 }
 
-/* A bit for each allowed machine type that is known. */
-static uint32_t machine_types_mask(const struct fl_cluster *cluster, const struct fl_job_spec *spec)
+/* Returns a mask with one bit for each allowed machine type that is known. */
+static uint32_t allowed_types_mask(const struct fl_cluster *cluster, const struct fl_job_spec *spec)
 {
 	uint32_t mask = 0;
 
@@ -28,7 +28,7 @@
 	return mask;
 }
 
-/* Copies the fields that need no translation into indexes of this process. */
+/* Copies the fields that are not translated into indexes of this process. */
 static void copy_spec(struct fl_job *job, const struct fl_job_spec *spec)
 {
 	fl_copy_string(job->ref, sizeof(job->ref), spec->ref);
@@ -57,7 +57,7 @@
 
 	if (job)
 		return job;
-	/* With an unknown zone as FL_INDEX_NONE, the job would run in any zone. */
+	/* If an unknown zone were stored as FL_INDEX_NONE, the job would run in any zone. */
 	if (team == FL_INDEX_NONE || (spec->has_zone && zone == FL_INDEX_NONE))
 		return NULL;
 	job = calloc(1, sizeof(*job));
@@ -68,7 +68,7 @@
 	job->image = fl_symbol_intern(&cluster->images, spec->image);
 	job->team = team;
 	job->zone = zone;
-	job->allowed_type_mask = machine_types_mask(cluster, spec);
+	job->allowed_type_mask = allowed_types_mask(cluster, spec);
 	job->submitted_wall = submitted_wall;
 	job->record.mod_revision = revision;
 	job->counts.waiting = spec->task_count;
@@ -85,7 +85,7 @@
 	job->blocks = NULL;
 }
 
-static void unlink_dirty(struct fl_cluster *cluster, struct fl_job *job)
+static void remove_from_dirty_list(struct fl_cluster *cluster, struct fl_job *job)
 {
 	struct fl_job **link = &cluster->dirty_jobs;
 
@@ -98,7 +98,7 @@
 
 void fl_job_drop(struct fl_cluster *cluster, struct fl_job *job)
 {
-	unlink_dirty(cluster, job);
+	remove_from_dirty_list(cluster, job);
 	HASH_DEL(cluster->jobs, job);
 	fl_job_free_task_blocks(job);
 	free(job);
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -8,8 +8,8 @@
 #include "transport/log.h"
 #include "transport/text.h"
 
-/* Capacities to begin with. */
-enum { FIRST_MACHINES = 64, FIRST_ASSIGNMENTS = 4 };
+/* Initial capacities of arrays, in items. */
+enum { INITIAL_MACHINE_CAPACITY = 64, INITIAL_ASSIGNMENT_CAPACITY = 4 };
 
 int fl_machine_type_find(const struct fl_machines *machines, const char *name)
 {
@@ -19,9 +19,9 @@
 	return FL_INDEX_NONE;
 }
 
-/* A bit for each zone of the type that is configured here. */
-static uint32_t zones_mask(const struct fl_cloud_machine_type *offered,
-                           const struct fl_symbol_table *zones)
+/* Returns a mask with one bit for each zone of the type that is configured on this node. */
+static uint32_t configured_zones_mask(const struct fl_cloud_machine_type *offered,
+                                      const struct fl_symbol_table *zones)
 {
 	uint32_t mask = 0;
 
@@ -34,9 +34,9 @@
 	return mask;
 }
 
-static void set_type(struct fl_machine_type *machine_type,
-                     const struct fl_cloud_machine_type *offered,
-                     const struct fl_symbol_table *zones)
+static void set_machine_type(struct fl_machine_type *machine_type,
+                             const struct fl_cloud_machine_type *offered,
+                             const struct fl_symbol_table *zones)
 {
 	memset(machine_type, 0, sizeof(*machine_type));
 	fl_copy_string(machine_type->name, sizeof(machine_type->name), offered->name);
@@ -48,7 +48,7 @@
 	machine_type->price = offered->price;
 	machine_type->spot_price = offered->spot_price;
 	machine_type->ready_s = offered->ready_s;
-	machine_type->zone_mask = zones_mask(offered, zones);
+	machine_type->zone_mask = configured_zones_mask(offered, zones);
 }
 
 void fl_machine_types_set(struct fl_machines *machines, const struct fl_symbol_table *zones,
@@ -58,13 +58,14 @@
 		int index = fl_machine_type_find(machines, types[i].name);
 
 		if (index == FL_INDEX_NONE && machines->type_count == FL_MACHINE_TYPES_MAX) {
-			fl_error("cloud", "machine type ignored: %s max=%d", types[i].name,
-			         FL_MACHINE_TYPES_MAX);
+			fl_error("cloud",
+			         "machine type ignored; the limit is reached type=%s max=%d",
+			         types[i].name, FL_MACHINE_TYPES_MAX);
 			continue;
 		}
 		if (index == FL_INDEX_NONE)
 			index = machines->type_count++;
-		set_type(&machines->types[index], &types[i], zones);
+		set_machine_type(&machines->types[index], &types[i], zones);
 	}
 }
 
@@ -83,7 +84,7 @@
 	if (machine)
 		return machine;
 	by_id = fl_array_grow(machines->by_id, machines->count, &machines->capacity, sizeof(*by_id),
-	                      FIRST_MACHINES);
+	                      INITIAL_MACHINE_CAPACITY);
 	if (!by_id)
 		return NULL;
 	machines->by_id = by_id;
@@ -120,7 +121,7 @@
 {
 	struct fl_assignment *assignments = fl_array_grow(
 		machine->assignments, machine->assignment_count, &machine->assignment_capacity,
-		sizeof(*assignments), FIRST_ASSIGNMENTS);
+		sizeof(*assignments), INITIAL_ASSIGNMENT_CAPACITY);
 
 	if (!assignments)
 		return false;
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -5,11 +5,11 @@
 
 #include "storage/write_ahead_log.h"
 
-/* Which tasks of a block are written. */
-enum scope { ALL_TASKS, UNSAVED_TASKS };
+/* Which tasks of a block are encoded. */
+enum task_scope { ALL_TASKS, UNSAVED_TASKS };
 
-/* The array [first,second]. */
-static cJSON *number_pair(double first, double second)
+/* Returns the array [first,second]. */
+static cJSON *encode_number_pair(double first, double second)
 {
 	cJSON *item = cJSON_CreateArray();
 
@@ -21,7 +21,7 @@
 static cJSON *encode_placed(const struct fl_cluster *cluster, uint32_t index,
                             const struct fl_task *task)
 {
-	cJSON *item = number_pair(index, task->attempt);
+	cJSON *item = encode_number_pair(index, task->attempt);
 
 	cJSON_AddItemToArray(item,
 	                     cJSON_CreateString(cluster->machines.by_id[task->machine_id]->name));
@@ -31,10 +31,10 @@
 }
 
 /*
- * The last task of the range of done ones that begins with this one. What is done and saved already
- * may stand in the log once more.
+ * Returns the last task of the range of done tasks that begins at `first`. The range may include
+ * tasks that are already saved; the log may repeat them.
  */
-static uint32_t last_done(const struct fl_task_block *block, uint32_t first)
+static uint32_t end_of_done_range(const struct fl_task_block *block, uint32_t first)
 {
 	uint32_t last = first;
 
@@ -44,12 +44,12 @@
 }
 
 /*
- * {"d":[[first,last],...],"t":[[index,attempt],...],
- *  "m":[[index,attempt,machine,incarnation,placed],...]}:
- * done ranges, waiting tasks that have used attempts, placed tasks with their wall time.
+ * Encodes a block as {"d":[[first,last],...],"t":[[index,attempt],...],
+ * "m":[[index,attempt,machine,incarnation,placed],...]}: ranges of done tasks, waiting tasks with
+ * earlier attempts, and placed tasks with the wall-clock time of their placement.
  */
-static cJSON *encode(const struct fl_cluster *cluster, const struct fl_job *job,
-                     uint32_t block_index, enum scope scope)
+static cJSON *encode_block(const struct fl_cluster *cluster, const struct fl_job *job,
+                           uint32_t block_index, enum task_scope scope)
 {
 	const struct fl_task_block *block = job->blocks[block_index];
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
@@ -64,14 +64,14 @@
 		if (scope == UNSAVED_TASKS && fl_task_change_is_saved(block, task))
 			continue;
 		if (task->phase == FL_TASK_DONE) {
-			uint32_t last = last_done(block, i);
+			uint32_t last = end_of_done_range(block, i);
 
-			cJSON_AddItemToArray(done, number_pair(base + i, base + last));
+			cJSON_AddItemToArray(done, encode_number_pair(base + i, base + last));
 			i = last;
 		} else if (task->phase == FL_TASK_PLACED) {
 			cJSON_AddItemToArray(placed, encode_placed(cluster, base + i, task));
 		} else if (task->attempt > 0) {
-			cJSON_AddItemToArray(waiting, number_pair(base + i, task->attempt));
+			cJSON_AddItemToArray(waiting, encode_number_pair(base + i, task->attempt));
 		}
 	}
 	return object;
@@ -80,30 +80,33 @@
 cJSON *fl_task_block_encode(const struct fl_cluster *cluster, const struct fl_job *job,
                             uint32_t block_index)
 {
-	return encode(cluster, job, block_index, ALL_TASKS);
+	return encode_block(cluster, job, block_index, ALL_TASKS);
 }
 
 cJSON *fl_task_block_encode_unsaved(const struct fl_cluster *cluster, const struct fl_job *job,
                                     uint32_t block_index)
 {
-	return encode(cluster, job, block_index, UNSAVED_TASKS);
+	return encode_block(cluster, job, block_index, UNSAVED_TASKS);
 }
 
-/* Where a state of a task was read from. */
-enum source { FROM_RECORD, FROM_LOG };
+/* Where a task's state was read from. */
+enum state_source { FROM_RECORD, FROM_LOG };
 
-/* A task's state as written. Of two states of a task the newer one counts. */
+/* A task's state as stored. Of two states of a task, the newer one is used. */
 struct task_state {
 	enum fl_task_phase phase;
 	uint32_t attempt;
-	const char *machine; /* in the value it was read from */
+	const char *machine; /* name, borrowed from the decoded value */
 	uint64_t incarnation;
 	double placed_wall;
-	enum source source; /* FROM_LOG: the log alone has it, no record */
+	enum state_source source; /* FROM_LOG: only the log holds this state, no record does */
 };
 
-/* DONE is final; attempts only rise; of one attempt, the release follows the placement. */
-static bool is_newer(const struct task_state *state, const struct task_state *other)
+/*
+ * Returns whether `state` is newer than `other`: DONE is final, attempt numbers only increase, and
+ * within an attempt the release follows the placement.
+ */
+static bool task_state_is_newer(const struct task_state *state, const struct task_state *other)
 {
 	if (state->phase == FL_TASK_DONE || other->phase == FL_TASK_DONE)
 		return other->phase != FL_TASK_DONE;
@@ -112,16 +115,16 @@
 	return state->phase == FL_TASK_WAITING && other->phase == FL_TASK_PLACED;
 }
 
-/* A block of which the states are being merged. */
-struct merge {
+/* A block whose task states are being merged. */
+struct block_merge {
 	const struct fl_job *job;
 	uint32_t block_index;
-	enum source source; /* of what is being merged */
+	enum state_source source; /* of the value being merged */
 	struct task_state states[FL_TASK_BLOCK_SIZE];
 };
 
-/* Keeps the newer of a task's state so far and this one; MALFORMED: no task of the block. */
-static enum fl_decode_result merge_task(struct merge *merge, uint64_t index,
+/* Keeps the newer of a task's merged state and `state`; MALFORMED if the block has no such task. */
+static enum fl_decode_result merge_task(struct block_merge *merge, uint64_t index,
                                         const struct task_state *state)
 {
 	uint64_t base = (uint64_t)merge->block_index * FL_TASK_BLOCK_SIZE;
@@ -130,7 +133,7 @@
 	if (index < base || index >= base + FL_TASK_BLOCK_SIZE || index >= merge->job->task_count)
 		return FL_DECODE_MALFORMED;
 	newest = &merge->states[index - base];
-	if (is_newer(state, newest))
+	if (task_state_is_newer(state, newest))
 		*newest = *state;
 	return FL_DECODE_OK;
 }
@@ -143,7 +146,7 @@
 	return FL_DECODE_OK;
 }
 
-static enum fl_decode_result merge_done(struct merge *merge, const cJSON *item)
+static enum fl_decode_result merge_done(struct block_merge *merge, const cJSON *item)
 {
 	const struct task_state state = {.phase = FL_TASK_DONE, .source = merge->source};
 	uint64_t first, last;
@@ -156,7 +159,7 @@
 	return FL_DECODE_OK;
 }
 
-static enum fl_decode_result merge_waiting(struct merge *merge, const cJSON *item)
+static enum fl_decode_result merge_waiting(struct block_merge *merge, const cJSON *item)
 {
 	struct task_state state = {.phase = FL_TASK_WAITING, .source = merge->source};
 	uint64_t index, attempt;
@@ -168,7 +171,7 @@
 	return merge_task(merge, index, &state);
 }
 
-static enum fl_decode_result merge_placed(struct merge *merge, const cJSON *item)
+static enum fl_decode_result merge_placed(struct block_merge *merge, const cJSON *item)
 {
 	struct task_state state = {.phase = FL_TASK_PLACED, .source = merge->source};
 	const cJSON *name = cJSON_GetArrayItem(item, 2);
@@ -177,7 +180,7 @@
 	if (fl_json_get_item(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
 	    fl_json_get_item(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK ||
 	    fl_json_get_item(item, 3, FL_COUNT_MAX, &state.incarnation) != FL_JSON_OK ||
-	    /* Records of earlier versions have no time: it counts as placed now. */
+	    /* Records of earlier versions have no time; the task then counts as placed now. */
 	    fl_json_get_item(item, 4, FL_COUNT_MAX, &placed) == FL_JSON_INVALID ||
 	    !cJSON_IsString(name) || strlen(name->valuestring) >= FL_NAME_MAX)
 		return FL_DECODE_MALFORMED;
@@ -187,8 +190,8 @@
 	return merge_task(merge, index, &state);
 }
 
-/* Merges the states in a record, or in a group of the log, into the block's. */
-static enum fl_decode_result merge_record(struct merge *merge, const cJSON *value)
+/* Merges the task states of a progress record, or of a group of the log, into the block. */
+static enum fl_decode_result merge_record(struct block_merge *merge, const cJSON *value)
 {
 	const cJSON *item;
 
@@ -244,14 +247,14 @@
 	}
 	if (result != FL_DECODE_OK)
 		return result;
-	/* The next write of the log replaces this one: it must include what no record has yet. */
+	/* The next write replaces the log, so it must include changes that no record holds yet. */
 	if (state->source == FROM_LOG)
 		fl_task_mark_changed(cluster, job, index);
 	return FL_DECODE_OK;
 }
 
-/* Merges the groups of the block in the log, all of which count as restored. */
-static enum fl_decode_result merge_log(struct merge *merge, struct fl_wal *wal)
+/* Merges the block's groups in the log, and marks them as restored. */
+static enum fl_decode_result merge_log(struct block_merge *merge, struct fl_wal *wal)
 {
 	int i = fl_wal_first_group(wal, merge->job->ref, merge->block_index);
 
@@ -268,7 +271,7 @@
                                             uint32_t block_index,
                                             const struct fl_task_block_source *source, double now)
 {
-	struct merge merge = {.job = job, .block_index = block_index, .source = FROM_RECORD};
+	struct block_merge merge = {.job = job, .block_index = block_index, .source = FROM_RECORD};
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 	enum fl_decode_result result;
 
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -53,40 +53,40 @@
 {
 	uint32_t i =
 		from > job->placement.waiting_scan_start ? from : job->placement.waiting_scan_start;
-	bool lowest = i == job->placement.waiting_scan_start;
+	bool at_scan_start = i == job->placement.waiting_scan_start;
 
 	for (; i < job->task_count; i++) {
 		const struct fl_task *task = fl_task_find(job, i);
 
 		if (task && task->phase != FL_TASK_WAITING) {
-			if (lowest)
+			if (at_scan_start)
 				job->placement.waiting_scan_start = i + 1;
 			continue;
 		}
-		lowest = false;
+		at_scan_start = false;
 		if (!task || task->not_before <= now)
 			return i;
 	}
 	return job->task_count;
 }
 
-/* Is the task running on its machine, as far as heartbeats show? */
-static bool is_running(enum fl_observed_state observed)
+/* Returns whether a task in this state is running on its machine, according to heartbeats. */
+static bool state_is_running(enum fl_observed_state observed)
 {
 	return observed == FL_OBSERVED_RUNNING || observed == FL_OBSERVED_CHECKPOINTING;
 }
 
-/* The job's tasks on machines in the same zone as this one. */
-static uint32_t *zone_count(struct fl_job *job, const struct fl_machine *machine)
+/* Returns the counter of the job's placed tasks in this machine's zone. */
+static uint32_t *zone_task_counter(struct fl_job *job, const struct fl_machine *machine)
 {
 	return machine->zone != FL_INDEX_NONE ? &job->placement.by_zone[machine->zone]
 	                                      : &job->placement.in_unknown_zone;
 }
 
-/* Counts a WAITING task as on the machine. */
-static enum fl_place_result assign(struct fl_cluster *cluster, struct fl_job *job,
-                                   const struct fl_task *task, uint32_t index,
-                                   struct fl_machine *machine)
+/* Assigns a WAITING task to the machine and counts it as placed; the caller sets its fields. */
+static enum fl_place_result assign_to_machine(struct fl_cluster *cluster, struct fl_job *job,
+                                              const struct fl_task *task, uint32_t index,
+                                              struct fl_machine *machine)
 {
 	struct fl_team *team = &cluster->teams.by_index[job->team];
 
@@ -99,29 +99,29 @@
 	fl_resources_add(&machine->used, fl_job_task_resources(job));
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
-	(*zone_count(job, machine))++;
+	(*zone_task_counter(job, machine))++;
 	job->counts.placed++;
 	job->counts.waiting--;
 	return FL_PLACE_OK;
 }
 
-/* Undoes assign; the caller counts the task's new phase. */
-static void unassign(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                     struct fl_task *task)
+/* Reverts assign_to_machine; the caller sets and counts the task's new phase. */
+static void remove_from_machine(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                                struct fl_task *task)
 {
 	struct fl_machine *machine = cluster->machines.by_id[task->machine_id];
 	struct fl_team *team = &cluster->teams.by_index[job->team];
 
 	fl_machine_remove_assignment(machine, job, index);
 	fl_resources_subtract(&machine->used, fl_job_task_resources(job));
-	/* Adding and subtracting fractions leaves a rounding error, which would add up. */
+	/* Adding and subtracting fractions leaves a rounding error, which would accumulate. */
 	if (machine->assignment_count == 0)
 		machine->used = (struct fl_resources){0};
 	team->used_cpus -= job->cpus;
 	team->used_gpus -= job->gpus;
-	(*zone_count(job, machine))--;
+	(*zone_task_counter(job, machine))--;
 	job->counts.placed--;
-	if (is_running(task->last_observed_state))
+	if (state_is_running(task->last_observed_state))
 		job->counts.running--;
 	task->last_observed_state = FL_OBSERVED_NONE;
 	task->start_sent = false;
@@ -134,7 +134,8 @@
                                    const struct fl_new_attempt *attempt, double now)
 {
 	struct fl_task *task = fl_task_get_or_alloc(job, index);
-	enum fl_place_result result = assign(cluster, job, task, index, attempt->machine);
+	enum fl_place_result result =
+		assign_to_machine(cluster, job, task, index, attempt->machine);
 
 	if (result != FL_PLACE_OK)
 		return result;
@@ -155,7 +156,8 @@
                                      const struct fl_recorded_attempt *recorded, double now)
 {
 	struct fl_task *task = fl_task_get_or_alloc(job, index);
-	enum fl_place_result result = assign(cluster, job, task, index, recorded->machine);
+	enum fl_place_result result =
+		assign_to_machine(cluster, job, task, index, recorded->machine);
 
 	if (result != FL_PLACE_OK)
 		return result;
@@ -164,11 +166,12 @@
 	task->machine_id = recorded->machine->id;
 	task->incarnation = recorded->incarnation;
 	task->placed_wall = recorded->placed_wall;
-	/* Placed by an earlier leader: the work since then is lost if the task is stopped. */
+	/* An earlier leader placed the task; stopping it loses the work since the placement. */
 	task->running_since = fmin(now, fl_since(recorded->placed_wall));
 	/*
-	 * Its image is there, and stays when the task is lost with its worker's incarnation: after
-	 * an outage of all controllers hundreds of tasks start again, fastest where they ran.
+	 * The image is on the machine, and stays there if the task is lost with its worker's
+	 * incarnation. After an outage of all controllers, hundreds of tasks start again, which is
+	 * fastest on the machines where they ran.
 	 */
 	fl_machine_record_image(recorded->machine, job->image);
 	return FL_PLACE_OK;
@@ -181,7 +184,7 @@
 
 	if (!task || task->phase != FL_TASK_PLACED)
 		return;
-	unassign(cluster, job, index, task);
+	remove_from_machine(cluster, job, index, task);
 	task->phase = FL_TASK_WAITING;
 	task->not_before = not_before;
 	job->counts.waiting++;
@@ -197,7 +200,7 @@
 	if (!task || task->phase == FL_TASK_DONE)
 		return;
 	if (task->phase == FL_TASK_PLACED)
-		unassign(cluster, job, index, task);
+		remove_from_machine(cluster, job, index, task);
 	else
 		job->counts.waiting--;
 	task->phase = FL_TASK_DONE;
@@ -208,14 +211,16 @@
 void fl_task_set_observed_state(struct fl_job *job, struct fl_task *task,
                                 enum fl_observed_state observed, double now)
 {
-	bool was_running = is_running(task->last_observed_state), runs_now = is_running(observed);
+	bool was_running = state_is_running(task->last_observed_state),
+	     runs_now = state_is_running(observed);
 
 	if (runs_now && !was_running) {
 		job->counts.running++;
 		/*
-		 * Read from a record and found running: it began long ago, at some time after its
-		 * placement. Counted from now, every new leader would take old work for new, and
-		 * preempt what is nearly done.
+		 * A task that was restored from a record and is reported as running started some
+		 * time after its placement, possibly long ago, so its placement time is kept. With
+		 * `now` instead, every new leader would take old work for new and preempt tasks
+		 * that are nearly done.
 		 */
 		if (task->fencing_token != 0 || task->last_observed_state != FL_OBSERVED_NONE)
 			task->running_since = now;
