--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -22,7 +22,8 @@
 {
 	double rate = node->config->state_rps * tunables.kv_share / (node->peer_count + 1);
 
-	fl_token_bucket_init(&node->api.read_budget, rate, rate * tunables.burst_s, fl_now());
+	fl_token_bucket_init(&node->api.record_read_budget, rate, rate * tunables.burst_s,
+	                     fl_now());
 }
 
 /*
@@ -35,7 +36,7 @@
 	/* While there is a leader the others forward their queries to it, and read nothing. */
 	if (fl_is_leader(node))
 		request_count /= node->peer_count + 1;
-	return fl_token_bucket_take(&node->api.read_budget, request_count, fl_now()) <= 0;
+	return fl_token_bucket_take(&node->api.record_read_budget, request_count, fl_now()) <= 0;
 }
 
 static struct fl_job_lookup *create(const char *ref)
--- a/src/coordination/api/status_from_leader.c
+++ b/src/coordination/api/status_from_leader.c
@@ -33,7 +33,7 @@
 		fl_finished_job_add(&node->cluster, ref, record->status, record->task_count,
 		                    fl_since(record->cancelled_wall));
 	else if (revision > job->record.mod_revision)
-		fl_job_record_refresh_apply(node, job, record, revision);
+		fl_job_record_apply_cancellation(node, job, record, revision);
 }
 
 /* Applies a live record; if the cluster state does not accept it the job counts as pending. */
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -246,7 +246,7 @@
 		respond_with_status(submission);
 		return;
 	}
-	if (!node->machine_types_known) {
+	if (!node->machine_types_loaded) {
 		postpone(submission, "the submission cannot be validated yet");
 		return;
 	}
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -29,8 +29,8 @@
 	double last = FL_LONG_AGO;
 
 	for (int i = 0; i < node->peer_count; i++)
-		if (node->peers[i].last_exchange_at > last)
-			last = node->peers[i].last_exchange_at;
+		if (node->peers[i].last_response_at > last)
+			last = node->peers[i].last_response_at;
 	return last;
 }
 
@@ -65,12 +65,12 @@
 	double oldest = sent_at;
 
 	/* Had this node been suspended after sending its age, the reply would lack some. */
-	if (!gossip->complete || !node->jobs_known ||
+	if (!gossip->complete || !node->live_jobs_loaded ||
 	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
-	peer->complete_as_of = sent_at;
+	peer->cancellations_complete_as_of = sent_at;
 	for (int i = 0; i < node->peer_count; i++)
-		oldest = fmin(oldest, node->peers[i].complete_as_of);
+		oldest = fmin(oldest, node->peers[i].cancellations_complete_as_of);
 	node->cancellation_watermark =
 		fmax(node->cancellation_watermark, fmax(oldest, sent_at - gossip->watermark_age_s));
 }
@@ -84,7 +84,7 @@
 			return;
 		fl_leader_lease_step_down(node, "a peer knows a higher fencing token");
 	}
-	fl_leader_view_learn(&node->leader_view, gossip->fencing_token, gossip->leader,
+	fl_leader_view_merge(&node->leader_view, gossip->fencing_token, gossip->leader,
 	                     sent_at - gossip->leadership_age_s);
 }
 
@@ -97,7 +97,7 @@
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
 	int count;
 
-	if (!node->jobs_known ||
+	if (!node->live_jobs_loaded ||
 	    !fl_finished_jobs_cancelled_since(&node->cluster, since, FL_GOSSIP_CANCELLED_MAX, list,
 	                                      &count))
 		return;
@@ -184,7 +184,7 @@
 	free(text);
 	if (rc != 0)
 		return false;
-	peer->last_exchange_at = fl_now();
+	peer->last_response_at = fl_now();
 	if (reply.status == 200)
 		fl_gossip_handle_reply(peer->node, peer, reply.body.data, reply.body.length,
 		                       sent_at);
@@ -212,7 +212,8 @@
 void fl_gossip_start(struct fl_node *node)
 {
 	for (int i = 0; i < node->peer_count; i++) {
-		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = FL_LONG_AGO;
+		node->peers[i].last_response_at = node->peers[i].cancellations_complete_as_of =
+			FL_LONG_AGO;
 		fl_coroutine_spawn(gossip_coroutine, &node->peers[i]);
 	}
 }
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -62,7 +62,7 @@
 		return true;
 	if (!has_fencing_token(node, fencing_token))
 		refresh_fencing_token(node, until);
-	if (has_fencing_token(node, fencing_token) && !node->jobs_known && fl_now() < until)
+	if (has_fencing_token(node, fencing_token) && !node->live_jobs_loaded && fl_now() < until)
 		fl_condition_wait(&node->jobs_listed, until - fl_now());
 	return knows_enough(node, fencing_token);
 }
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -120,7 +120,7 @@
 			&node->peers[node->follower.redirect_cursor++ % node->peer_count];
 
 		/* Not to one that was lost earlier. */
-		if (peer->last_exchange_at > last_exchange_at - tunables.same_cause_s)
+		if (peer->last_response_at > last_exchange_at - tunables.same_cause_s)
 			return begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
--- a/src/coordination/persistence/final_record_writer.c
+++ b/src/coordination/persistence/final_record_writer.c
@@ -83,7 +83,7 @@
 }
 
 /* Finishes a job that is over, whatever the outcome of an earlier write of its final record. */
-static enum fl_kv_result finalise(struct fl_node *node, struct fl_job *job)
+static enum fl_kv_result finalise_job(struct fl_node *node, struct fl_job *job)
 {
 	struct fl_refreshed_job refreshed;
 
@@ -91,7 +91,7 @@
 		return write_final_record(node, job);
 	if (fl_job_record_refresh(node, job->ref, &refreshed) != FL_RECORD_FOUND)
 		return FL_KV_UNAVAILABLE;
-	if (refreshed.over) {
+	if (refreshed.is_finished) {
 		finish_job(node, job, refreshed.status);
 		return FL_KV_OK;
 	}
@@ -108,7 +108,7 @@
 		next = job->record.next_dirty;
 		if (!fl_job_is_over(job))
 			continue;
-		result = finalise(node, job);
+		result = finalise_job(node, job);
 		if (result == FL_KV_OK || fl_coroutine_cancelled() || !fl_is_leader(node))
 			return result;
 	}
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -25,7 +25,7 @@
 	memset(writer, 0, sizeof(*writer));
 }
 
-void fl_record_writer_begin(struct fl_record_writer *writer, double store_write_rate)
+void fl_record_writer_init_budget(struct fl_record_writer *writer, double store_write_rate)
 {
 	double rate = store_write_rate * tunables.write_share;
 
@@ -45,7 +45,7 @@
 }
 
 /* Takes jobs with nothing left to write off the dirty list. */
-static void remove_saved(struct fl_cluster *cluster)
+static void remove_saved_jobs(struct fl_cluster *cluster)
 {
 	struct fl_job **link = &cluster->dirty;
 
@@ -62,28 +62,28 @@
 }
 
 /* Writes what starts wait for, then one final record, then some of the rest. */
-static enum fl_kv_result write_all(struct fl_node *node)
+static enum fl_kv_result write_pending_records(struct fl_node *node)
 {
-	enum fl_kv_result final, result = fl_progress_write_urgent(node);
+	enum fl_kv_result final_result, result = fl_progress_write_urgent(node);
 
 	if (result != FL_KV_OK)
 		return result;
 	fl_command_send_pending(node);
-	final = fl_final_record_write_one(node);
+	final_result = fl_final_record_write_one(node);
 	if (!fl_is_leader(node))
 		return FL_KV_UNAVAILABLE;
 	result = fl_progress_write_within_budget(node);
 	if (result != FL_KV_OK)
 		return result;
-	remove_saved(&node->cluster);
-	return final;
+	remove_saved_jobs(&node->cluster);
+	return final_result;
 }
 
 /*
  * Nothing can be written before the budget allows it, but urgent changes may occur meanwhile. False
  * if the coroutine is cancelled.
  */
-static bool await_budget_or_work(struct fl_node *node)
+static bool await_budget_or_urgent_change(struct fl_node *node)
 {
 	struct fl_record_writer *writer = &node->record_writer;
 	double available = fl_token_bucket_available(&writer->write_budget, fl_now());
@@ -100,8 +100,9 @@
 
 	while (running && !fl_coroutine_cancelled()) {
 		if (fl_is_leader(node) && node->cluster.dirty) {
-			running = write_all(node) == FL_KV_OK ? await_budget_or_work(node)
-			                                      : fl_sleep(tunables.retry_s) == 0;
+			running = write_pending_records(node) == FL_KV_OK
+			                  ? await_budget_or_urgent_change(node)
+			                  : fl_sleep(tunables.retry_s) == 0;
 			continue;
 		}
 		if (fl_is_leader(node) && node->record_writer.pending_deletions)
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -74,7 +74,7 @@
 		fl_error("schedule", "cycle failed: out of memory");
 		goto out;
 	}
-	node->leadership.resume_position = output.resume_position;
+	node->leadership.queue_resume_position = output.resume_position;
 	if (output.resume_position)
 		node->leadership.cycle_due = true;
 	fl_scheduling_decisions_apply(node, &snapshot, &output, now);
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -298,7 +298,7 @@
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
 			add_machine(&builder, cluster->machines.by_id[i]);
 	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(&node->autoscaler);
-	snapshot->input.resume_position = node->leadership.resume_position;
+	snapshot->input.resume_position = node->leadership.queue_resume_position;
 	return FL_SCHEDULE_OK;
 }
 
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -28,7 +28,7 @@
 static double last_contact(const struct fl_node *node, const struct fl_machine *machine)
 {
 	double heartbeat_at =
-		fmax(fmax(machine->heartbeat.last_at, node->leadership.heartbeats_since),
+		fmax(fmax(machine->heartbeat.last_at, node->leadership.heartbeats_receivable_since),
 	             machine->lifecycle.first_seen_at);
 
 	/* Heartbeats from a machine that is not reachable for our replies do not count. */
@@ -38,8 +38,8 @@
 /* Whether a controller fell silent at about this time (steady). */
 static bool fell_silent_at(const struct fl_peer *peer, double at)
 {
-	return peer->last_exchange_at > at - tunables.zone_slack_s &&
-	       peer->last_exchange_at < at + tunables.zone_slack_s;
+	return peer->last_response_at > at - tunables.zone_slack_s &&
+	       peer->last_response_at < at + tunables.zone_slack_s;
 }
 
 /*
@@ -108,7 +108,7 @@
 	for (int i = 0; i < node->peer_count; i++)
 		if (!node->peers[i].up || now < node->peers[i].up_since + node->config->lease_s)
 			return false;
-	return now > node->leadership.heartbeats_since + node->config->lease_s;
+	return now > node->leadership.heartbeats_receivable_since + node->config->lease_s;
 }
 
 /* Whether the machine's silence says anything of the network. */
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -186,13 +186,14 @@
 	struct fl_node *node = &fixture->node;
 
 	node->leader_lease.held = node->leadership.active = node->cluster.leading = false;
-	node->machine_types_known = node->jobs_known = true;
+	node->machine_types_loaded = node->live_jobs_loaded = true;
 	strcpy(node->leader_view.leader, "n1");
 	node->peer_count = peer_count;
 	for (int i = 0; i < peer_count; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
-		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = -1e9;
+		node->peers[i].last_response_at = node->peers[i].cancellations_complete_as_of =
+			-1e9;
 	}
 	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
--- a/tests/test_cancellation_gossip.c
+++ b/tests/test_cancellation_gossip.c
@@ -127,10 +127,10 @@
 	gossip(fixture, 0, outage.first_peer, 0.1);
 	assert_true(fixture->node.cancellation_watermark <= outage.old_watermark);
 
-	peer->node.jobs_known = false; /* just restarted: what had it confirmed before? */
+	peer->node.live_jobs_loaded = false; /* just restarted: what had it confirmed before? */
 	assert_no_progress(&outage, 0.1);
 
-	peer->node.jobs_known = true;
+	peer->node.live_jobs_loaded = true;
 	assert_no_progress(&outage, 2.0); /* suspended between the question and its sending */
 
 	peer->node.cluster.finished_dropped_at = fl_now(); /* something learned was dropped */
@@ -162,7 +162,7 @@
 	struct outage outage;
 
 	begin_outage(&outage, fixture);
-	fixture->node.jobs_known = false;
+	fixture->node.live_jobs_loaded = false;
 
 	gossip(fixture, 0, outage.first_peer, 0.1);
 	gossip(fixture, 1, outage.second_peer, 0.1);
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -18,7 +18,7 @@
 
 	machine->heartbeat.last_at = machine->outbound.last_reachable_at =
 		machine->lifecycle.first_seen_at = fl_now() - seconds;
-	fixture->node.leadership.heartbeats_since = fl_now() - 1000;
+	fixture->node.leadership.heartbeats_receivable_since = fl_now() - 1000;
 }
 
 static bool is_expired(struct node_fixture *fixture)
@@ -82,10 +82,10 @@
 	double renewable_s = renewable_time(fixture);
 
 	set_silence(fixture, 11);
-	peer->last_exchange_at = fl_now() - 12;
+	peer->last_response_at = fl_now() - 12;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
-	peer->last_exchange_at = only_machine(fixture)->heartbeat.last_at;
+	peer->last_response_at = only_machine(fixture)->heartbeat.last_at;
 	assert_true(is_expired(fixture));
 }
 
@@ -96,9 +96,9 @@
 	struct fl_peer *peer = add_peer_in_zone(fixture);
 
 	set_silence(fixture, 11);
-	peer->last_exchange_at = fl_now() - 30;
+	peer->last_response_at = fl_now() - 30;
 	assert_true(is_expired(fixture));
-	peer->last_exchange_at = only_machine(fixture)->heartbeat.last_at;
+	peer->last_response_at = only_machine(fixture)->heartbeat.last_at;
 	strcpy(peer->location, "b");
 	assert_true(is_expired(fixture));
 }
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -70,7 +70,7 @@
 static void follow_nobody(struct frontend_fixture *fixture, double reads_per_s)
 {
 	fixture->node.peer_count = 0;
-	fixture->node.machine_types_known = fixture->node.jobs_known = true;
+	fixture->node.machine_types_loaded = fixture->node.live_jobs_loaded = true;
 	fixture->config.state_rps = reads_per_s;
 	fl_job_lookups_init(&fixture->node);
 }
