--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -15,25 +15,25 @@
 	double read_interval_s, retry_s, campaign_stagger_s, watch_timeout_s;
 	double token_raise_interval_s;
 } tunables = {
-	.lease_ttl_s = 3.0,         /* s; for at most so long a dead leader is not replaced */
-	.renew_interval_s = 0.8,    /* s; three tries before the lease expires */
-	.clock_drift_share = 0.001, /* share; twice what the platform allows between two clocks */
-	.expiry_margin_s = 0.1,     /* s; for a timer that fires late */
-	.read_interval_s = 1.0,     /* s; between a follower's reads, which confirm the leader */
-	.retry_s = 0.3,             /* s; after a refused request */
-	.campaign_stagger_s = 0.05, /* s a node; so that not all campaign at once */
-	.watch_timeout_s = 10.0,    /* s; length of a watch */
-	.token_raise_interval_s = 4.0, /* s; minimum between two raises of the fencing token */
+	.lease_ttl_s = 3.0,      /* maximum time for which a failed leader blocks its replacement */
+	.renew_interval_s = 0.8, /* allows three attempts before the lease expires */
+	.clock_drift_share = 0.001,    /* twice what the platform allows between two clocks */
+	.expiry_margin_s = 0.1,        /* for a timer that fires late */
+	.read_interval_s = 1.0,        /* between a follower's reads, which confirm the leader */
+	.retry_s = 0.3,                /* delay after a failed request */
+	.campaign_stagger_s = 0.05,    /* per rank, so that the nodes do not campaign at once */
+	.watch_timeout_s = 10.0,       /* duration of one watch request */
+	.token_raise_interval_s = 4.0, /* minimum between two raises of the fencing token */
 };
 
-/* Until when a lease is valid (steady) whose grant or renewal was sent at this time. */
+/* Returns when a lease that was requested at `sent_at` expires; monotonic clock, s. */
 static double lease_valid_until(double sent_at)
 {
 	return sent_at + tunables.lease_ttl_s * (1 - tunables.clock_drift_share) -
 	       tunables.expiry_margin_s;
 }
 
-/* Takes the leader key with the next fencing token, in one compare-and-swap. */
+/* Writes the leader key and the next fencing token in one compare-and-swap transaction. */
 static enum fl_kv_result claim_leader_key(struct fl_node *node,
                                           const struct fl_election_state *state, uint64_t lease_id,
                                           uint64_t *revision)
@@ -51,8 +51,8 @@
 }
 
 /*
- * Tries to become the leader. The lease's time is counted from before the grant was sent, so that
- * it ends here no later than in the store.
+ * Tries to become the leader. The lease period is counted from before the grant is sent, so that
+ * the lease expires on this node no later than in the key-value store.
  */
 static void acquire_leadership(struct fl_node *node, const struct fl_election_state *state)
 {
@@ -63,7 +63,7 @@
 	if (fl_kv_lease_grant(&node->kv_store, tunables.lease_ttl_s, &lease_id) != FL_KV_OK)
 		return;
 	if (claim_leader_key(node, state, lease_id, &revision) != FL_KV_OK) {
-		/* If the write was, or will yet be, executed: the key is deleted with its lease. */
+		/* If the write was or will be executed, revoking the lease deletes the key. */
 		fl_kv_lease_revoke(&node->kv_store, lease_id);
 		return;
 	}
@@ -78,11 +78,11 @@
 	node->leader_view.confirmed_at = sent_at;
 	fl_copy_string(node->leader_view.leader, sizeof(node->leader_view.leader),
 	               node->config->node);
-	fl_info("election", "%s became leader fencing_token=%llu", node->config->node,
+	fl_info("election", "leader elected node=%s fencing_token=%llu", node->config->node,
 	        (unsigned long long)lease->fencing_token);
 }
 
-/* Raises the fencing token of a leader, so that commands with the old one are rejected. */
+/* Raises the leader's fencing token, so that workers reject commands with the old one. */
 static void raise_fencing_token(struct fl_node *node)
 {
 	struct fl_leader_lease *lease = &node->leader_lease;
@@ -106,7 +106,7 @@
 		lease->token_raise_wanted = false;
 	} else if (fl_leader_view_read(&node->leader_view, &node->kv_store, &state) == FL_KV_OK &&
 	           lease->held && state.leader_mod_revision == lease->leader_mod_revision) {
-		/* The write may have been executed: the stored token counts. */
+		/* The write may have been executed, so the stored token is adopted. */
 		lease->fencing_token = state.fencing_token;
 		lease->token_mod_revision = state.token_mod_revision;
 	}
@@ -114,12 +114,12 @@
 		node->leader_view.fencing_token = lease->fencing_token;
 }
 
-/* A renewal that was sent at this time (steady) has succeeded. */
+/* Handles the success of a renewal that was sent at `sent_at` (monotonic clock, s). */
 static void on_lease_renewed(struct fl_node *node, double sent_at)
 {
 	struct fl_leader_lease *lease = &node->leader_lease;
 
-	/* While the lease was in doubt no digest could arrive: silence is counted from now. */
+	/* No digest is read while the lease is expired, so silence of workers counts from now. */
 	if (fl_now() > lease->valid_until)
 		node->leadership.heartbeats_receivable_since = fl_now();
 	lease->valid_until = lease_valid_until(sent_at);
@@ -149,12 +149,17 @@
 		return 0;
 	}
 	if (fl_now() > lease->valid_until)
-		fl_debug("election", "lease not renewed: result=%s; renewing worker leases only",
+		fl_debug("election",
+		         "leader lease not renewed; retried, with only worker leases renewed "
+		         "meanwhile result=%s",
 		         fl_kv_result_text(result));
 	return tunables.retry_s;
 }
 
-/* An earlier process of this node holds the key; it has ended, or this one would not run. */
+/*
+ * Revokes the lease of an earlier process of this node that still holds the leader key. That
+ * process has ended, since otherwise this one would not run.
+ */
 static void revoke_lease_of_earlier_process(struct fl_node *node,
                                             const struct fl_election_state *state)
 {
@@ -169,8 +174,8 @@
 }
 
 /*
- * Campaigns if there is no leader; returns the seconds until the next try. `rank` is this node's
- * place among all controllers, so that they do not try at the same moment.
+ * Campaigns if there is no leader; returns the seconds until the next attempt. The delay before a
+ * campaign depends on `rank`, so that the controllers do not campaign at the same time.
  */
 static double campaign(struct fl_node *node, int rank)
 {
@@ -185,14 +190,14 @@
 		return 0;
 	}
 	if (state.has_leader)
-		return tunables.retry_s; /* its own key, given up, about to expire */
+		return tunables.retry_s; /* own key from before the step down; it expires soon */
 	if (fl_sleep(tunables.campaign_stagger_s * rank) != 0)
 		return 0;
 	acquire_leadership(node, &state);
 	return node->leader_lease.held ? 0 : tunables.retry_s;
 }
 
-/* One step of the election; returns the seconds until the next. */
+/* Performs one step of the election; returns the seconds until the next step. */
 static double advance_election(struct fl_node *node, int rank)
 {
 	if (node->leader_lease.held) {
@@ -200,7 +205,7 @@
 			node->election_callbacks->begin_leadership(node);
 		return renew_lease(node);
 	}
-	/* The failover ends by itself, as the lease is lost. */
+	/* The failover in progress ends by itself, since the lease is lost. */
 	if (node->leadership.loading)
 		return tunables.retry_s;
 	if (node->leadership.active)
@@ -209,7 +214,7 @@
 	                                                            : tunables.retry_s;
 }
 
-/* This node's place among all controllers, by name, from 0. */
+/* Returns this node's position among all controllers in the order of their names, from 0. */
 static int rank_among_controllers(const struct fl_node *node)
 {
 	int rank = 0;
@@ -261,20 +266,23 @@
 		view->fencing_token = fencing_token;
 }
 
-/* Lists the election keys, from which a watch can go on: `*revision` is that of the list. */
+/* Lists the election keys. A watch can continue from `*revision`, the revision of the list. */
 static enum fl_kv_result list_election_keys(struct fl_node *node, uint64_t *revision)
 {
 	double sent_at = fl_now();
 	enum fl_kv_result result =
 		fl_kv_list(&node->kv_store, FL_PREFIX_ELECTION, on_election_event, node, revision);
 
-	/* A read like any other: with it a node just started can renew at once. */
+	/* The list confirms the view, so a node that has just started can renew worker leases. */
 	if (result == FL_KV_OK)
 		fl_leader_view_confirm(&node->leader_view, sent_at);
 	return result;
 }
 
-/* Learns of a leader's end within milliseconds, where reading at intervals would take a second. */
+/*
+ * Watches the election keys, so that the loss of a leader is noticed within milliseconds; periodic
+ * reads would take up to a second.
+ */
 static void watch_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
@@ -284,7 +292,7 @@
 		.on_event = on_election_event,
 		.context = node,
 	};
-	uint64_t revision = 0; /* 0: to be listed */
+	uint64_t revision = 0; /* 0: the keys must be listed first */
 
 	fl_coroutine_set_urgent();
 	while (!fl_coroutine_cancelled()) {
--- a/src/coordination/election/leader_lease.c
+++ b/src/coordination/election/leader_lease.c
@@ -20,8 +20,8 @@
 
 	if (!lease->held)
 		return;
-	fl_info("election", "%s stepped down: %s fencing_token=%llu", node->config->node, reason,
-	        (unsigned long long)lease->fencing_token);
+	fl_info("election", "leader stepped down node=%s reason=\"%s\" fencing_token=%llu",
+	        node->config->node, reason, (unsigned long long)lease->fencing_token);
 	lease->held = false;
 	lease->valid_until = 0;
 	fl_condition_broadcast(&node->leader_view.changed);
--- a/src/coordination/election/leader_lease.h
+++ b/src/coordination/election/leader_lease.h
@@ -1,7 +1,8 @@
 /*
- * The leader's lease as this node holds it: whether the node may act as the leader at this moment.
- * The lease is judged by the steady clock at each use, not by an event, so that a process that
- * was suspended for longer than its lease finds it expired before it does anything by it.
+ * The leader lease as held by this node, which determines whether the node may act as the leader.
+ * The lease is checked against the monotonic clock at each use rather than by a timer, so that a
+ * process that was paused for longer than its lease detects the expiry before it acts as the
+ * leader. Times are in seconds of the monotonic clock.
  */
 #ifndef FL_COORDINATION_ELECTION_LEADER_LEASE_H
 #define FL_COORDINATION_ELECTION_LEADER_LEASE_H
@@ -11,25 +12,28 @@
 
 struct fl_node;
 
-/* The lease of this node; all but `held` is valid only while it is held. */
+/* This node's lease. The fields other than `held` are valid only while the lease is held. */
 struct fl_leader_lease {
 	bool held;
 	uint64_t lease_id;
-	uint64_t leader_mod_revision; /* of the leader key: every write of a leader expects it */
+	uint64_t leader_mod_revision; /* of the leader key; every write of a leader expects it */
 	uint64_t token_mod_revision;  /* of the fencing token's key */
-	uint64_t fencing_token;       /* in every command of this leader */
-	double valid_until;           /* steady; by this node's clock, less its possible drift */
-	bool token_raise_wanted;      /* the token is to be raised, to fence late direct commands */
-	double token_raised_at;       /* steady; of the last attempt to raise it */
+	uint64_t fencing_token;       /* included in every command of this leader */
+	double valid_until;           /* expiry by this node's clock, less its possible drift */
+	bool token_raise_wanted; /* a higher token is requested, to fence late direct commands */
+	double token_raised_at;  /* time of the last attempt to raise the token */
 };
 
-/* Whether the lease is held and still valid. To be checked again after every wait. */
+/* Returns whether the lease is held and not expired. Must be checked again after every wait. */
 bool fl_leader_lease_is_valid(const struct fl_leader_lease *lease);
-/* Whether the lease is valid and the cluster state is loaded: the node may decide and respond. */
+/*
+ * Returns whether the lease is valid and the cluster state is loaded, so that this node may make
+ * decisions and respond as the leader.
+ */
 bool fl_is_leader(const struct fl_node *node);
 /*
- * Gives up the lease, if it is held. `reason` goes into the log: the lease has expired, or a higher
- * fencing token is known.
+ * Stops holding the lease, if it is held, without revoking it in the key-value store. `reason` is
+ * logged, for example that the lease has expired or that a higher fencing token is known.
  */
 void fl_leader_lease_step_down(struct fl_node *node, const char *reason);
 
--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -13,9 +13,9 @@
 static const struct {
 	double types_check_interval_s, retry_s, watch_timeout_s;
 } tunables = {
-	.types_check_interval_s = 0.1, /* s between two checks whether machine types are known */
-	.retry_s = 0.5,                /* s after a failed read */
-	.watch_timeout_s = 1.0, /* s; length of a watch, whose end shows that nothing was missed */
+	.types_check_interval_s = 0.1, /* between checks whether machine types are loaded */
+	.retry_s = 0.5,                /* delay after a failed read */
+	.watch_timeout_s = 1.0,        /* a completed watch proves that no change was missed */
 };
 
 static void on_job_event(void *context, const struct fl_kv_event *event)
@@ -33,19 +33,19 @@
 	if (!job || !node->leadership.active)
 		return;
 	if (job->cancelled && !was_cancelled) {
-		fl_info("jobs", "job cancelled: %s source=record", ref);
+		fl_info("jobs", "job cancelled job=%s source=record", ref);
 		fl_command_stop_job(node, job);
 	}
 	node->leadership.cycle_due = true;
 	fl_condition_broadcast(&node->leadership.work_available);
 }
 
-/* Lists the live jobs, from which a watch can go on: `*revision` is that of the list. */
+/* Lists the live jobs. A watch can continue from `*revision`, the revision of the list. */
 static enum fl_kv_result list_jobs(struct fl_node *node, uint64_t *revision)
 {
 	enum fl_kv_result result;
 
-	/* A leader has its own list, of the failover: see fl_failover_load_cluster. */
+	/* While a node leads, its failover lists the jobs: see fl_failover_load_cluster. */
 	if (!node->cluster.leading)
 		fl_cluster_list_begin(&node->cluster);
 	result = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, on_job_event, node, revision);
@@ -54,7 +54,10 @@
 	return result;
 }
 
-/* A list or a watch that was sent at this time (steady) has succeeded: nothing was missed. */
+/*
+ * Handles the success of a list or watch that was sent at `sent_at` (monotonic clock, s): no change
+ * before then was missed.
+ */
 static void on_jobs_read(struct fl_node *node, double sent_at)
 {
 	node->cancellation_watermark = fmax(node->cancellation_watermark, sent_at);
@@ -62,7 +65,7 @@
 		return;
 	node->live_jobs_loaded = true;
 	fl_condition_broadcast(&node->jobs_listed);
-	fl_info("node", "%s ready", node->config->node);
+	fl_info("node", "controller ready node=%s", node->config->node);
 }
 
 static void job_watch_coroutine(void *arg)
@@ -74,7 +77,7 @@
 		.on_event = on_job_event,
 		.context = node,
 	};
-	uint64_t revision = 0; /* 0: to be listed */
+	uint64_t revision = 0; /* 0: the jobs must be listed first */
 
 	while (!node->machine_types_loaded)
 		if (fl_sleep(tunables.types_check_interval_s) != 0)
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -14,22 +14,23 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-/* A failover in progress, and what it has found so far. */
+/* A failover in progress, and the records that it has counted so far. */
 struct failover {
-	struct fl_cluster *cluster;      /* the state that is restored */
-	struct fl_record_writer *writer; /* what it needs to know of the records */
-	double started_at;               /* steady */
+	struct fl_cluster *cluster;      /* the state being restored */
+	struct fl_record_writer *writer; /* receives the log's revision and pending deletions */
+	double started_at;               /* monotonic clock, s */
 	struct fl_wal wal;
 	int progress_record_count, orphan_record_count, unreadable_record_count;
 };
 
 static void report_unreadable_record(struct failover *failover, const char *key)
 {
-	fl_error("failover", "unreadable record: %s", key);
+	fl_error("failover",
+	         "record unreadable; scheduling is suspended until it is repaired key=%s", key);
 	failover->unreadable_record_count++;
 }
 
-/* Adds a live job from its record; NULL if its record cannot be used. */
+/* Adds a live job from its record; returns NULL if the record cannot be used. */
 static struct fl_job *restore_live_job(struct failover *failover,
                                        const struct fl_job_record *record,
                                        const struct fl_kv_event *event)
@@ -38,8 +39,11 @@
 	                                event->mod_revision);
 
 	if (!job) {
-		/* Its progress records would be taken for orphans, and be deleted. */
-		fl_error("failover", "record names an unknown team or zone: %s", event->key);
+		/* Without the job, its progress records would be deleted as orphans. */
+		fl_error("failover",
+		         "job not restored: unknown team or zone, or out of memory; scheduling is "
+		         "suspended key=%s",
+		         event->key);
 		failover->unreadable_record_count++;
 		return NULL;
 	}
@@ -67,10 +71,11 @@
 	}
 	if (!record.final)
 		return;
-	/* A cancelled job whose tasks may still run is kept, to be stopped and counted. */
+	/* A cancelled job is kept while its tasks may run: they must be stopped and counted. */
 	if (job) {
 		job->cancelled = true;
-		/* If each new leader counted anew, one that leads briefly would stop nothing. */
+		/* If the deadline restarted at each failover, brief leaders would enforce nothing.
+		 */
 		job->cancelled_at = fl_since(record.cancelled_wall);
 	}
 	fl_finished_job_add(failover->cluster, ref, record.status, record.task_count,
@@ -92,7 +97,7 @@
 	}
 	job = fl_job_find(failover->cluster, ref);
 	if (!job) {
-		/* A final write had more to delete than fits in one transaction. */
+		/* An orphan: a final write had more deletions than fit in one transaction. */
 		failover->orphan_record_count++;
 		fl_pending_deletions_add(&failover->writer->pending_deletions, event->key);
 		return;
@@ -113,7 +118,7 @@
 		failover->writer->wal_mod_revision = event->mod_revision;
 }
 
-/* Blocks that only the write-ahead log holds: their records were not written yet. */
+/* Restores blocks held only by the write-ahead log: their records were not written yet. */
 static void restore_wal_only_blocks(struct failover *failover)
 {
 	const struct fl_task_block_source source = {.wal = &failover->wal};
@@ -122,12 +127,14 @@
 		const struct fl_wal_group *group = &failover->wal.groups[i];
 		struct fl_job *job = fl_job_find(failover->cluster, group->ref);
 
-		/* No such job: it is over, and older writes of the log may stay indefinitely. */
+		/* A missing job is finished: older values of the log may stay indefinitely. */
 		if (group->restored || !job)
 			continue;
 		if (fl_task_block_restore(failover->cluster, job, group->block_index, &source,
 		                          failover->started_at) != FL_DECODE_OK) {
-			fl_error("failover", "unreadable write-ahead log: job=%s block=%u",
+			fl_error("failover",
+			         "write-ahead log entry unreadable; scheduling is suspended until "
+			         "it is repaired job=%s block=%u",
 			         group->ref, group->block_index);
 			failover->unreadable_record_count++;
 		}
@@ -149,7 +156,7 @@
 	node->cancellation_watermark = fmax(node->cancellation_watermark, sent_at);
 	if (fl_kv_list(store, FL_PREFIX_WAL, load_wal_value, failover, &revision) != FL_KV_OK)
 		return FL_FAILOVER_STORE_FAILED;
-	/* The remaining reads would be useless, and a part of the state must not be used. */
+	/* Without the lease the state must not be used, so the remaining reads are skipped. */
 	if (!node->leader_lease.held)
 		return FL_FAILOVER_LEASE_LOST;
 	if (fl_kv_list(store, FL_PREFIX_PROGRESS, load_progress_record, failover, &revision) !=
@@ -160,9 +167,9 @@
 }
 
 /*
- * Has the final records of jobs written that are over. Found when all controllers were restarted
- * again and again: the leader before had recorded the last task as done and not yet the job. No
- * task of it changes any more, so nothing else would ever finish it.
+ * Marks finished jobs as dirty, so that their final records are written. Guards against jobs that
+ * never finish: when the previous leader ends after it has recorded the last task as done but
+ * before it has written the final record, no later task change marks the job.
  */
 static void mark_finished_jobs(struct fl_cluster *cluster)
 {
@@ -187,8 +194,10 @@
 	if (result != FL_FAILOVER_LOADED)
 		return result;
 	if (failover.unreadable_record_count > 0) {
-		/* A task may run on a machine that could not be read: nothing may be decided. */
-		fl_error("failover", "no decisions: unreadable_records=%d",
+		/* A task may run on a machine whose record is unreadable: no decision is safe. */
+		fl_error("failover",
+		         "failover failed; retried until all records are readable "
+		         "unreadable_records=%d",
 		         failover.unreadable_record_count);
 		return FL_FAILOVER_UNREADABLE_RECORD;
 	}
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -17,7 +17,7 @@
 static const struct {
 	double end_check_interval_s;
 } tunables = {
-	.end_check_interval_s = 1.0, /* s between two checks whether the coroutines have ended */
+	.end_check_interval_s = 1.0, /* between checks whether the coroutines have ended */
 };
 
 static void run_leader_coroutine(void *arg)
@@ -30,7 +30,7 @@
 	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
 
-/* Starts a coroutine that ends with the leadership. */
+/* Starts a coroutine that is cancelled when the leadership ends. */
 static void start_leader_coroutine(struct fl_node *node, void (*run)(struct fl_node *))
 {
 	struct fl_leadership *leadership = &node->leadership;
@@ -39,14 +39,15 @@
 	*slot = (struct fl_leader_coroutine){.node = node, .run = run};
 	slot->coroutine = fl_coroutine_spawn(run_leader_coroutine, slot);
 	if (!slot->coroutine) {
-		fl_error("leadership", "coroutine not started: out of memory");
+		fl_error("leadership", "leader coroutine not started: out of memory; leadership "
+		                       "continues without it");
 		return;
 	}
 	leadership->coroutine_count++;
 	leadership->coroutines_running++;
 }
 
-/* The cluster state is loaded: from now on this node decides and responds. */
+/* Starts the leader's coroutines; from then on this node makes decisions and responds. */
 static void activate_leadership(struct fl_node *node)
 {
 	struct fl_leadership *leadership = &node->leadership;
@@ -65,7 +66,7 @@
 	start_leader_coroutine(node, fl_finished_jobs_loader_run);
 }
 
-/* Loads the cluster state and starts the other coroutines. */
+/* Loads the cluster state and, if the lease is still valid, activates the leadership. */
 static void load_and_activate_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
@@ -88,7 +89,7 @@
 	memset(&node->leadership, 0, sizeof(node->leadership));
 	node->leadership.loading = fl_coroutine_spawn(load_and_activate_coroutine, node) != NULL;
 	if (!node->leadership.loading)
-		fl_error("leadership", "coroutine not started: out of memory");
+		fl_error("leadership", "failover not started: out of memory; retried");
 }
 
 void fl_leadership_end(struct fl_node *node)
@@ -105,5 +106,5 @@
 		;
 	fl_cluster_forget_tasks(&node->cluster);
 	node->cluster.leading = false;
-	fl_info("leadership", "%s ended leadership", node->config->node);
+	fl_info("leadership", "leadership ended node=%s", node->config->node);
 }
--- a/src/coordination/leadership/leadership.h
+++ b/src/coordination/leadership/leadership.h
@@ -1,6 +1,7 @@
 /*
  * Leadership: the state of a leader, and the start and end of the coroutines that only a leader
- * runs. It begins with a failover, which loads the cluster state, and ends when the lease is lost.
+ * runs. Leadership begins with a failover, which loads the cluster state, and ends when the lease
+ * is lost.
  */
 #ifndef FL_COORDINATION_LEADERSHIP_LEADERSHIP_H
 #define FL_COORDINATION_LEADERSHIP_LEADERSHIP_H
@@ -24,31 +25,30 @@
 
 /* The state of a leader; reset when a leadership begins. */
 struct fl_leadership {
-	bool loading; /* the cluster state is being loaded, by a coroutine of its own */
-	bool active;  /* the cluster state is loaded, the coroutines run */
-	uint64_t first_fencing_token;       /* at the failover; later ones are higher */
-	double heartbeats_receivable_since; /* steady; since when heartbeats could arrive
-	                                       uninterrupted */
+	bool loading; /* a separate coroutine is loading the cluster state */
+	bool active;  /* the cluster state is loaded and the leader's coroutines run */
+	uint64_t first_fencing_token; /* token when the failover completed; later ones are higher */
+	/* Since when heartbeats could arrive without interruption; monotonic clock, s. */
+	double heartbeats_receivable_since;
 	struct fl_leader_coroutine coroutines[FL_LEADER_COROUTINES_MAX];
 	int coroutine_count;
-	int coroutines_running; /* these, and the ones that send commands (workers/command) */
+	int coroutines_running; /* including those that send commands (workers/command) */
 	struct fl_condition coroutine_ended;
-	struct fl_condition work_available; /* a scheduling cycle may have something to decide */
-	bool cycle_due;                     /* a scheduling cycle is wanted */
-	int queue_resume_position; /* place in the queue order where the last cycle ran out of time
-	                            */
+	struct fl_condition work_available; /* signalled when a scheduling cycle may be needed */
+	bool cycle_due;                     /* a scheduling cycle is requested */
+	int queue_resume_position; /* queue position at which the last cycle ran out of time */
 	uint64_t cycle_count;
 	int commands_in_flight;  /* direct commands in progress */
-	int retained_exit_count; /* exited tasks, to be forgotten only after a higher token */
+	int retained_exit_count; /* exited tasks that workers may forget only after a token raise */
 };
 
 /*
- * Loads the cluster state and starts the leader's coroutines, in a coroutine of its own: the lease
- * must be renewed meanwhile. It gives up when the lease is lost, and may be called again when
- * `loading` is false. It does not wait.
+ * Starts a coroutine that loads the cluster state and then starts the leader's coroutines; the
+ * caller must renew the lease meanwhile. The coroutine stops if the lease is lost. May be called
+ * again once `loading` is false. Does not wait.
  */
 void fl_leadership_begin(struct fl_node *node);
-/* Cancels the coroutines, waits until they have ended, and drops the state of a leader. */
+/* Cancels the leader's coroutines, waits until they have ended, and drops the leader's state. */
 void fl_leadership_end(struct fl_node *node);
 
 #endif
--- a/src/coordination/machine_types.c
+++ b/src/coordination/machine_types.c
@@ -9,10 +9,10 @@
 static const struct {
 	double retry_s;
 } tunables = {
-	.retry_s = 0.5, /* s after a failed read */
+	.retry_s = 0.5, /* delay after a failed read */
 };
 
-/* The types in the record that a leader keeps, to be freed; false if there is no readable one. */
+/* Reads the types from the leader's record; the caller frees them. False: no readable record. */
 static bool read_recorded_types(struct fl_kv_store *store, struct fl_cloud_machine_type **types,
                                 int *count)
 {
@@ -26,9 +26,9 @@
 }
 
 /*
- * Reads the types, to be freed, from their record, else from the cloud. Found in a rehearsal: all
- * controllers were restarted while the cloud was unavailable, and none could serve until it was
- * back.
+ * Reads the types from their record or else from the cloud; the caller frees them. The record
+ * guards against an outage: without it, controllers that all restart while the cloud is unavailable
+ * cannot serve until it recovers.
  */
 static bool read_machine_types(struct fl_node *node, struct fl_cloud_machine_type **types,
                                int *count)
@@ -39,7 +39,7 @@
 		return true;
 	result = fl_cloud_machine_types(&node->cloud, types, count);
 	if (result == FL_CLOUD_UNREADABLE)
-		fl_error("cloud", "machine types unreadable");
+		fl_error("cloud", "machine type list unreadable; retried");
 	return result == FL_CLOUD_OK;
 }
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -20,16 +20,16 @@
 	double finished_memory_share, public_connection_share;
 	double idle_timeout_intervals, idle_timeout_min_s;
 } tunables = {
-	.peer_idle_connections = 6,  /* connections kept open to each peer */
-	.cloud_idle_connections = 2, /* connections kept open to the cloud */
-	.outbound_connections = 48, /* connections to key-value store, cloud and machines at once */
-	.finished_memory_share = 0.1,   /* share of the memory for final states kept in memory */
-	.public_connection_share = 0.6, /* minimum share of all connections for users and workers */
-	.idle_timeout_intervals = 4.0, /* heartbeat intervals until a silent connection is closed */
-	.idle_timeout_min_s = 20.0,    /* s for which it is kept in any case: users ask every 5 s */
+	.peer_idle_connections = 6,     /* kept open to each peer */
+	.cloud_idle_connections = 2,    /* kept open to the cloud */
+	.outbound_connections = 48,     /* to the key-value store, the cloud and machines at once */
+	.finished_memory_share = 0.1,   /* of the memory, for final states of jobs */
+	.public_connection_share = 0.6, /* of all connections, at least, for users and workers */
+	.idle_timeout_intervals = 4.0,  /* heartbeat intervals until an idle connection is closed */
+	.idle_timeout_min_s = 20.0,     /* at least, since users query every 5 s */
 };
 
-/* Gives the zones and job classes that the settings name their indices, in this order. */
+/* Assigns indices to the zones and job classes of the settings; false: out of memory. */
 static bool intern_zones_and_classes(struct fl_node *node)
 {
 	const struct fl_config *config = node->config;
@@ -101,7 +101,7 @@
 	return FL_NODE_STARTED;
 }
 
-/* Starts the public server and the one for other controllers. */
+/* Starts the public server and the server for other controllers. */
 static enum fl_node_start_result start_servers(struct fl_node *node)
 {
 	const struct fl_config *config = node->config;
@@ -118,12 +118,13 @@
 }
 
 /*
- * Found with 2,000 workers on one controller: the fifth of all sockets that was reserved for the
- * peers was missing for users. What peers need does not grow with the number of machines.
+ * Reserves only the connections that peers need, which do not grow with the number of machines.
+ * With a fifth of all connections reserved for peers and 2,000 workers on one controller, users
+ * lacked connections.
  */
 int fl_node_public_connections_max(const struct fl_config *config)
 {
-	/* From each peer its maximum, and to one of them, the leader, the same from here. */
+	/* The maximum from each peer, and the same from this node to one of them, the leader. */
 	int peer_connections =
 		(config->peer_count + 1) * FL_PEER_CONNECTIONS_MAX + config->peer_count;
 	int remaining = config->max_connections - peer_connections - tunables.outbound_connections;
@@ -147,7 +148,7 @@
 
 	if (limit < config->max_connections)
 		fl_error("node",
-		         "open file limit below max_connections: limit=%d max_connections=%d",
+		         "open file limit too low for max_connections limit=%d max_connections=%d",
 		         limit, config->max_connections);
 }
 
@@ -177,7 +178,7 @@
 	fl_follower_start(node);
 	fl_machine_types_loader_start(node);
 	fl_job_watch_start(node);
-	fl_info("node", "%s listening on %s location=%s", config->node, config->bind,
-	        config->location);
+	fl_info("node", "controller started node=%s bind=%s location=%s", config->node,
+	        config->bind, config->location);
 	return FL_NODE_STARTED;
 }
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -1,6 +1,7 @@
 /*
- * One controller: the state of every node, whether it leads or not, and its two servers. All of it
- * is used by coroutines of one thread, so it changes only where a coroutine waits.
+ * One controller: the state that every node has, leader or follower, and its two servers. The state
+ * is used by coroutines of one thread, so it changes only where a coroutine waits. Times are in
+ * seconds of the monotonic clock.
  */
 #ifndef FL_COORDINATION_NODE_H
 #define FL_COORDINATION_NODE_H
@@ -25,26 +26,25 @@
 
 struct fl_election_callbacks;
 
-/* Another controller, and whether gossip exchanges with it complete. */
+/* Another controller, and the state of the gossip exchanges with it. */
 struct fl_peer {
 	struct fl_node *node;
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
-	double up_since;                     /* steady; while up */
-	double last_response_at;             /* steady; of the last exchange that got a response */
-	double cancellations_complete_as_of; /* steady; sending of the last exchange that returned
-	                                        all it knows */
+	double up_since;                     /* start of the current up period; valid while `up` */
+	double last_response_at;             /* when the peer last responded */
+	double cancellations_complete_as_of; /* sending time of the last complete exchange */
 	bool up;
 };
 
-/* Users' requests in progress on a node. */
+/* The state of users' requests on a node. */
 struct fl_user_api {
-	struct fl_job_lookup *job_lookups; /* by ref: reads of records for status queries */
+	struct fl_job_lookup *job_lookups; /* reads of job records for status queries, by job id */
 	struct fl_token_bucket record_read_budget;
-	struct fl_batch_queue status_queries; /* status queries to the leader */
-	int forwarded_in_flight;              /* other requests being forwarded to the leader */
-	double last_readiness_probe_at; /* steady; when the load balancer last asked for /ready */
+	struct fl_batch_queue status_queries; /* batches of status queries to the leader */
+	int forwarded_in_flight;              /* other requests in flight to the leader */
+	double last_readiness_probe_at;       /* when the load balancer last requested /ready */
 };
 
 /* One controller process. */
@@ -55,17 +55,17 @@
 	struct fl_cloud cloud;
 	struct fl_peer peers[FL_CONFIG_PEERS];
 	int peer_count;
-	char process_id[FL_PROCESS_ID_MAX]; /* names this process, not only this node */
+	char process_id[FL_PROCESS_ID_MAX]; /* differs from the node's earlier processes */
 	bool machine_types_loaded, live_jobs_loaded;
-	/* Job classes with indices below it have an objective in the settings. */
+	/* Number of job classes with an objective in the settings; their indices are below it. */
 	int slo_class_count;
 	/*
-	 * Steady. Every cancellation that was confirmed to any user, or known to any controller, up
-	 * to then is in the cluster state: see "Renewal of worker leases by followers" in
+	 * Every cancellation that was confirmed to any user, or known to any controller, up to
+	 * this time is in the cluster state: see "Renewal of worker leases by followers" in
 	 * docs/design.md.
 	 */
 	double cancellation_watermark;
-	struct fl_condition jobs_listed; /* the first list of live jobs is read */
+	struct fl_condition jobs_listed; /* signalled once the first list of live jobs is read */
 
 	struct fl_user_api api;
 	const struct fl_election_callbacks *election_callbacks;
@@ -77,15 +77,15 @@
 	struct fl_autoscaler autoscaler;
 };
 
-/* Unless it is FL_NODE_STARTED, the controller cannot serve: the process should exit. */
+/* Unless the result is FL_NODE_STARTED, the controller cannot serve and should exit. */
 enum fl_node_start_result {
 	FL_NODE_STARTED = 0,
 	FL_NODE_OUT_OF_MEMORY,
-	FL_NODE_BAD_ADDRESS,  /* one of the addresses in the settings cannot be parsed */
-	FL_NODE_CANNOT_LISTEN /* on one of its two addresses */
+	FL_NODE_BAD_ADDRESS,  /* an address in the settings cannot be parsed */
+	FL_NODE_CANNOT_LISTEN /* a server cannot listen on its address */
 };
 
-/* Starts a controller with its servers and coroutines; it is never freed. Keeps `config`. */
+/* Starts a controller and its servers. A started one is never freed and keeps `config`. */
 enum fl_node_start_result fl_node_start(const struct fl_config *config);
 
 /* Maximum number of connections from one controller to another; the last one is for gossip. */
@@ -94,7 +94,7 @@
 		FL_HEARTBEAT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_USER_REQUESTS_MAX + 1
 };
 
-/* Maximum number of connections of users and workers, out of all that the settings allow. */
+/* Returns the maximum number of connections of users and workers, out of max_connections. */
 int fl_node_public_connections_max(const struct fl_config *config);
 
 #endif
--- a/src/coordination/persistence/final_record_writer.c
+++ b/src/coordination/persistence/final_record_writer.c
@@ -39,7 +39,7 @@
 	return block_index;
 }
 
-/* Has the progress records from this block on deleted later. */
+/* Queues the job's progress records from this block on for later deletion. */
 static void defer_deletions(struct fl_node *node, const struct fl_job *job, uint32_t block_index)
 {
 	char key[FL_KEY_MAX];
@@ -54,11 +54,11 @@
 
 static void finish_job(struct fl_node *node, struct fl_job *job, enum fl_job_status status)
 {
-	fl_info("jobs", "job finished: %s status=%s", job->ref, fl_status_name(status));
+	fl_info("jobs", "job finished job=%s status=%s", job->ref, fl_status_name(status));
 	fl_job_finalise(&node->cluster, job, status);
 }
 
-/* Writes the final record and deletes the progress records, in one transaction if they are few. */
+/* Writes the final record and deletes as many progress records as fit in its transaction. */
 static enum fl_kv_result write_final_record(struct fl_node *node, struct fl_job *job)
 {
 	enum fl_job_status status = job->cancelled ? FL_CANCELLED : FL_DONE;
@@ -82,7 +82,7 @@
 	return result;
 }
 
-/* Finishes a job that is over, whatever the outcome of an earlier write of its final record. */
+/* Finishes a job; first reads its records if an earlier write of them had an unknown outcome. */
 static enum fl_kv_result finalise_job(struct fl_node *node, struct fl_job *job)
 {
 	struct fl_refreshed_job refreshed;
@@ -104,7 +104,7 @@
 	struct fl_job *job, *next;
 
 	for (job = node->cluster.dirty; job; job = next) {
-		/* Only this coroutine takes jobs off the list, so the next one stays on it. */
+		/* Only this coroutine removes jobs from the list, so the next one stays on it. */
 		next = job->record.next_dirty;
 		if (!fl_job_is_over(job))
 			continue;
--- a/src/coordination/persistence/final_record_writer.h
+++ b/src/coordination/persistence/final_record_writer.h
@@ -1,6 +1,6 @@
 /*
- * Writes the final records of jobs that are over. A job is finished only once that is stored: until
- * then users are given its earlier state.
+ * Writes the final records of finished jobs. A job is reported as finished only once its final
+ * record is stored; until then users get its earlier status.
  */
 #ifndef FL_COORDINATION_PERSISTENCE_FINAL_RECORD_WRITER_H
 #define FL_COORDINATION_PERSISTENCE_FINAL_RECORD_WRITER_H
@@ -10,8 +10,9 @@
 struct fl_node;
 
 /*
- * Writes the final record of one job that is over; a failed write does not hold up other jobs. The
- * result is that of the last write tried, FL_KV_OK if there was none.
+ * Writes the final record of one finished job. If the write fails, the next job is tried, so that
+ * one job does not block the others. Returns the result of the last write attempted, or FL_KV_OK if
+ * there was none.
  */
 enum fl_kv_result fl_final_record_write_one(struct fl_node *node);
 
--- a/src/coordination/persistence/finished_jobs_loader.c
+++ b/src/coordination/persistence/finished_jobs_loader.c
@@ -10,7 +10,7 @@
 static const struct {
 	double list_interval_s;
 } tunables = {
-	.list_interval_s = 0.5, /* s between two lists */
+	.list_interval_s = 0.5, /* pause between two lists */
 };
 
 static void on_finished_job(void *context, const struct fl_kv_event *event)
--- a/src/coordination/persistence/job_record_refresh.c
+++ b/src/coordination/persistence/job_record_refresh.c
@@ -12,7 +12,7 @@
 	if (!fl_cluster_apply_cancellation(&node->cluster, job, record, revision))
 		return;
 	fl_command_stop_job(node, job);
-	fl_info("jobs", "job cancelled: %s source=record", job->ref);
+	fl_info("jobs", "job cancelled job=%s source=record", job->ref);
 }
 
 enum fl_record_result fl_job_record_refresh(struct fl_node *node, const char *ref,
--- a/src/coordination/persistence/job_record_refresh.h
+++ b/src/coordination/persistence/job_record_refresh.h
@@ -10,22 +10,23 @@
 
 /* The stored state of a job whose last write had an unknown outcome. */
 struct fl_refreshed_job {
-	bool is_finished;          /* its final record is written */
-	enum fl_job_status status; /* the final one, if it is over */
+	bool is_finished;          /* its final record is stored */
+	enum fl_job_status status; /* final status, valid if `is_finished` */
 };
 
 /*
- * Applies the record of a live job, from whichever read: if it says that the job is cancelled, the
- * tasks are stopped. Found with slow controllers: the write of a cancellation timed out and so did
- * the read after it. The user was answered from the record, and the leader, which learned of
- * cancellations only by its own writes, stopped nothing.
+ * Applies the record of a live job, from any read, and stops the job's tasks if the record is newly
+ * cancelled. Guards against tasks that are never stopped: when the write of a cancellation times
+ * out, and so does the read after it, the user is answered from the record, while a leader that
+ * relies on its own writes stops nothing.
  */
 void fl_job_record_apply_cancellation(struct fl_node *node, struct fl_job *job,
                                       const struct fl_job_record *record, uint64_t revision);
 /*
- * Reads the records of a job whose last write had an unknown outcome. By ref, not by pointer: the
- * job may be gone when the response arrives. Only the record writer may drop the job, so one that
- * is over keeps its `final_write_unknown`. `out` is set only if a record was found.
+ * Reads the records of a job whose last write had an unknown outcome. Takes a job id, not a
+ * pointer, since the job may be dropped before the response arrives. Only the record writer may
+ * drop a job, so a finished one keeps its `final_write_unknown`. `out` is set only if a record was
+ * found.
  */
 enum fl_record_result fl_job_record_refresh(struct fl_node *node, const char *ref,
                                             struct fl_refreshed_job *out);
--- a/src/coordination/persistence/pending_deletions.c
+++ b/src/coordination/persistence/pending_deletions.c
@@ -16,13 +16,13 @@
 	struct fl_pending_deletion *deletion = malloc(sizeof(*deletion));
 
 	if (!deletion)
-		return; /* the record stays until the next failover, which does no harm */
+		return; /* the record remains until the next failover, which does no harm */
 	fl_copy_string(deletion->key, sizeof(deletion->key), key);
 	deletion->next = *list;
 	*list = deletion;
 }
 
-/* Frees the list up to `end`, which stays. */
+/* Frees the entries before `end`. */
 static void free_deletions_until(struct fl_pending_deletion **list,
                                  const struct fl_pending_deletion *end)
 {
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -11,16 +11,16 @@
 static const struct {
 	int wal_min_blocks;
 } tunables = {
-	.wal_min_blocks = 3, /* blocks that starts wait for, from which on the log is used */
+	.wal_min_blocks = 3, /* urgent blocks; fewer are written as progress records */
 };
 
 /* Maximum number of blocks in one transaction. */
 enum { BATCH_MAX = 128 };
 
-/* Which blocks a transaction of progress records includes. */
+/* The blocks that a transaction of progress records includes. */
 enum scope { UNSAVED_BLOCKS, URGENT_BLOCKS };
 
-/* A block in a transaction, and the generation of its changes that the transaction holds. */
+/* A block in a transaction, and the generation up to which its changes are included. */
 struct written_block {
 	struct fl_job *job;
 	uint32_t block_index;
@@ -33,7 +33,7 @@
 	int count;
 };
 
-/* Whether a start waits for this block to be durable; exited tasks can wait. */
+/* Returns whether a start waits for this block to be durable; exited tasks are not urgent. */
 static bool block_is_urgent(const struct fl_task_block *block)
 {
 	uint64_t durable = block->saved_generation > block->logged_generation
@@ -77,8 +77,8 @@
 }
 
 /*
- * Adds the blocks to write, up to `block_limit`. False, if the revision of one must be read first:
- * a transaction that expects a wrong one would fail.
+ * Adds up to `block_limit` blocks to the transaction. Returns false if the revision of one must be
+ * read first, since a transaction that expects a wrong revision would fail.
  */
 static bool collect_blocks(const struct fl_node *node, struct fl_kv_txn *txn, struct batch *batch,
                            int block_limit, enum scope scope)
@@ -104,7 +104,7 @@
 	return true;
 }
 
-/* A write of this record had an unknown outcome or met another revision: read the stored one. */
+/* Reads a record's revision after a write with an unknown outcome or a failed comparison. */
 static enum fl_kv_result reread_revision(struct fl_node *node, const struct fl_job *job,
                                          uint32_t block_index)
 {
@@ -119,7 +119,7 @@
 	return result;
 }
 
-/* Rereads one revision that is unknown; the next write rereads another. */
+/* Rereads one unknown revision; the next write rereads another. */
 static enum fl_kv_result reread_unknown_revision(struct fl_node *node)
 {
 	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty)
@@ -132,7 +132,7 @@
 	return FL_KV_OK;
 }
 
-/* Applies the result of a write. Only this coroutine drops jobs, so these still exist. */
+/* Applies the result of a write. The jobs still exist: only this coroutine drops jobs. */
 static void apply_batch_result(const struct batch *batch, enum fl_kv_result result,
                                uint64_t revision)
 {
--- a/src/coordination/persistence/progress_writer.h
+++ b/src/coordination/persistence/progress_writer.h
@@ -6,9 +6,9 @@
 
 struct fl_node;
 
-/* Makes durable what starts wait for: few records by themselves, many at once by the log. */
+/* Stores the placements that starts wait for: few as progress records, many through the log. */
 enum fl_kv_result fl_progress_write_urgent(struct fl_node *node);
-/* Writes as many of the other records as the write budget allows without waiting for it. */
+/* Writes as many unsaved progress records as the write budget allows without waiting. */
 enum fl_kv_result fl_progress_write_within_budget(struct fl_node *node);
 
 #endif
--- a/src/coordination/persistence/record_txn.c
+++ b/src/coordination/persistence/record_txn.c
@@ -13,7 +13,7 @@
 	fl_kv_txn_expect_revision(txn, FL_KEY_LEADER, lease->leader_mod_revision);
 }
 
-/* Waits until the budget allows this many writes; false if the coroutine is cancelled. */
+/* Waits until the budget allows the writes; returns false if the coroutine is cancelled. */
 static bool await_write_budget(struct fl_token_bucket *budget, double writes)
 {
 	double delay_s;
@@ -44,6 +44,6 @@
 	enum fl_kv_result result = fl_kv_txn_commit(&node->kv_store, txn, revision, failed_key);
 
 	if (result == FL_KV_COMPARE_FAILED && strcmp(failed_key, FL_KEY_LEADER) == 0)
-		fl_leader_lease_step_down(node, "another leader");
+		fl_leader_lease_step_down(node, "leader key changed");
 	return result;
 }
--- a/src/coordination/persistence/record_txn.h
+++ b/src/coordination/persistence/record_txn.h
@@ -1,6 +1,6 @@
 /*
- * The transactions in which a leader writes its records: on condition that it is still the leader,
- * and within its share of the store's writes.
+ * The transactions in which a leader writes its records. They succeed only while it is still the
+ * leader, and are limited to its share of the store's write rate.
  */
 #ifndef FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
 #define FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
@@ -13,15 +13,15 @@
 /* Maximum bytes of values in one transaction, whose request may have 64 KiB in all. */
 enum { FL_RECORD_TXN_BYTES_MAX = 40000 };
 
-/* A transaction that expects the leader key as the holder of this lease wrote it. */
+/* Begins a transaction that expects the leader key as the holder of this lease wrote it. */
 void fl_record_txn_init(const struct fl_leader_lease *lease, struct fl_kv_txn *txn);
 /*
- * Waits until the write budget allows the transaction: FL_KV_OK if it may be sent now. Else the
- * builder is freed and nothing is executed: FL_KV_UNAVAILABLE if this node is the leader no more,
- * FL_KV_CANCELLED if the coroutine is cancelled.
+ * Waits until the write budget allows the transaction. Returns FL_KV_OK if it may be sent now.
+ * Otherwise frees the builder without sending: FL_KV_UNAVAILABLE if this node is no longer the
+ * leader, FL_KV_CANCELLED if the coroutine is cancelled.
  */
 enum fl_kv_result fl_record_txn_admit(struct fl_node *node, struct fl_kv_txn *txn);
-/* Sends an admitted transaction, freeing the builder; steps down if there is another leader. */
+/* Sends an admitted transaction, freeing the builder; steps down if the leader key changed. */
 enum fl_kv_result fl_record_txn_commit(struct fl_node *node, struct fl_kv_txn *txn,
                                        uint64_t *revision);
 
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -14,9 +14,9 @@
 static const struct {
 	double write_share, retry_s, idle_interval_s;
 } tunables = {
-	.write_share = 0.7,     /* share of the store's writes that the leader's records use */
-	.retry_s = 0.2,         /* s after a failed write */
-	.idle_interval_s = 0.5, /* s after which the writer checks again, unless it is woken */
+	.write_share = 0.7,     /* of the store's write rate, for the leader's records */
+	.retry_s = 0.2,         /* delay after a failed write */
+	.idle_interval_s = 0.5, /* maximum wait for a signal before the writer checks again */
 };
 
 void fl_record_writer_reset(struct fl_record_writer *writer)
@@ -32,7 +32,7 @@
 	fl_token_bucket_init(&writer->write_budget, rate, rate, fl_now());
 }
 
-/* Whether some block of the job has changes that its record lacks. */
+/* Returns whether a block of the job has changes that its progress record lacks. */
 static bool has_unsaved_block(const struct fl_job *job)
 {
 	for (uint32_t i = 0; i < job->block_count; i++) {
@@ -44,7 +44,7 @@
 	return false;
 }
 
-/* Takes jobs with nothing left to write off the dirty list. */
+/* Removes jobs with nothing left to write from the dirty list. */
 static void remove_saved_jobs(struct fl_cluster *cluster)
 {
 	struct fl_job **link = &cluster->dirty;
@@ -61,7 +61,7 @@
 	}
 }
 
-/* Writes what starts wait for, then one final record, then some of the rest. */
+/* Writes the placements that starts wait for, one final record, and some other records. */
 static enum fl_kv_result write_pending_records(struct fl_node *node)
 {
 	enum fl_kv_result final_result, result = fl_progress_write_urgent(node);
@@ -80,8 +80,8 @@
 }
 
 /*
- * Nothing can be written before the budget allows it, but urgent changes may occur meanwhile. False
- * if the coroutine is cancelled.
+ * Waits until the write budget allows a write or, since urgent changes may occur meanwhile, until
+ * one is signalled. Returns false if the coroutine is cancelled.
  */
 static bool await_budget_or_urgent_change(struct fl_node *node)
 {
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -14,11 +14,11 @@
 	double value_fill_share;
 	size_t initial_capacity;
 } tunables = {
-	.value_fill_share = 0.85, /* share of a value's limit that the log fills */
-	.initial_capacity = 64,   /* blocks that a write has capacity for at first */
+	.value_fill_share = 0.85, /* of a value's size limit, to be filled by the log */
+	.initial_capacity = 64,   /* blocks; doubled when a write needs more */
 };
 
-/* A block in the write, and the generation of its changes that the write holds. */
+/* A block in the write, and the generation up to which its changes are included. */
 struct logged_block {
 	struct fl_job *job;
 	uint32_t block_index;
@@ -30,14 +30,14 @@
 	struct fl_kv_txn txn;
 	struct logged_block *blocks;
 	size_t block_count, block_capacity;
-	cJSON *value; /* the value being filled; NULL: none is begun */
+	cJSON *value; /* value being filled; NULL if none is begun */
 	size_t value_bytes;
-	int value_count; /* values that are complete */
+	int value_count; /* completed values */
 	size_t value_limit;
 	int value_count_max;
 };
 
-/* Reserves capacity for one block more; false: out of memory. */
+/* Reserves capacity for one more block; returns false if out of memory. */
 static bool reserve_block(struct wal_write *write)
 {
 	size_t capacity =
@@ -54,7 +54,7 @@
 	return true;
 }
 
-/* Moves the value being filled, if there is one, into the transaction. */
+/* Moves the value being filled, if any, into the transaction. */
 static void finish_value(struct wal_write *write)
 {
 	char key[FL_KEY_MAX];
@@ -67,7 +67,7 @@
 	write->value_bytes = 0;
 }
 
-/* Adds the unsaved changes of a block, if it has any; false if they do not fit. */
+/* Adds the unsaved changes of a block, if any; returns false if they do not fit. */
 static bool add_block(struct wal_write *write, const struct fl_cluster *cluster, struct fl_job *job,
                       uint32_t block_index)
 {
@@ -94,7 +94,7 @@
 	return fits;
 }
 
-/* Adds all unsaved changes, in as few values as they fit into; false if they do not fit. */
+/* Adds all unsaved changes, filling value after value; returns false if they do not fit. */
 static bool add_unsaved_blocks(struct wal_write *write, const struct fl_cluster *cluster)
 {
 	for (struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
@@ -105,7 +105,7 @@
 	return true;
 }
 
-/* Every write of the log replaces the one before it, so it expects the revision that is stored. */
+/* Makes the log's stored revision known, which the next write expects since it replaces it. */
 static enum fl_kv_result read_wal_revision(struct fl_node *node)
 {
 	struct fl_record_writer *writer = &node->record_writer;
@@ -133,10 +133,10 @@
 	return write;
 }
 
-/* Marks the changes that a committed write holds as logged. */
+/* Marks the changes in a committed write as logged. */
 static void mark_blocks_logged(const struct wal_write *write)
 {
-	/* Only the record writer's coroutine drops jobs, so these still exist. */
+	/* The jobs still exist: only the record writer's coroutine drops jobs. */
 	for (size_t i = 0; i < write->block_count; i++) {
 		const struct logged_block *logged = &write->blocks[i];
 
@@ -153,7 +153,7 @@
 	if (result != FL_KV_OK)
 		return FL_WAL_FAILED;
 	result = fl_record_txn_commit(node, &write->txn, &revision);
-	fl_debug("records", "write-ahead log written blocks=%zu values=%d result=%s",
+	fl_debug("records", "write-ahead log write attempted blocks=%zu values=%d result=%s",
 	         write->block_count, write->value_count, fl_kv_result_text(result));
 	if (result == FL_KV_OK) {
 		writer->wal_mod_revision = revision;
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -20,7 +20,7 @@
 static const struct {
 	int deferred_queries_max;
 } tunables = {
-	.deferred_queries_max = 64, /* status queries deferred at once; answered within a second */
+	.deferred_queries_max = 64, /* as many status queries are answered within a second */
 };
 
 static void respond_to_readiness_probe(struct fl_node *node, struct fl_http_response *response)
@@ -72,14 +72,15 @@
 
 	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != expected_method(kind)) {
 		fl_respond_error(response, 405, "method not allowed");
-		/* After a HEAD the body would be taken for the next response. */
+		/* The client of a HEAD request would parse the body as the next response. */
 		response->close = true;
 		return;
 	}
 	/*
-	 * An overloaded controller answers probes, submissions, cancellations and heartbeats first.
-	 * A status query is repeated in any case, and one that is rejected at once may reach a
-	 * better node. Where enough are answered, none is starved: one a turn always is.
+	 * An overloaded controller handles probes, submissions, cancellations and heartbeats before
+	 * status queries. Users repeat status queries anyway, and a query that is rejected at once
+	 * may reach a less loaded node. Deferred queries do not starve: each turn runs at least
+	 * one of them.
 	 */
 	if (kind == FL_USER_REQUEST_STATUS && !fl_coroutine_defer(tunables.deferred_queries_max)) {
 		fl_respond_unavailable(response, "too many status queries in progress");
@@ -102,7 +103,7 @@
 
 	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) !=
 	    FL_DECODE_OK) {
-		fl_error("peers", "forwarded request rejected: malformed");
+		fl_error("peers", "forwarded request rejected reason=\"malformed body\"");
 		fl_respond_error(response, 400, "malformed forwarded request");
 		return;
 	}
@@ -113,7 +114,7 @@
 		.body = forwarded.body,
 		.body_len = forwarded.body ? strlen(forwarded.body) : 0,
 	};
-	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
+	/* Only the leader responds; a request before its last hop is forwarded once more. */
 	if (!fl_is_leader(node) && fl_forward_ends_here(node, forwarded.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
@@ -130,7 +131,7 @@
 	if (strcmp(path, FL_PATH_GOSSIP) == 0) {
 		fl_gossip_serve(node, request->body, request->body_len, response);
 	} else if (strcmp(path, FL_PATH_STATUS) == 0) {
-		/* For up to 256 users at once, and answered from memory. */
+		/* One batch holds queries of up to 256 users and is answered from memory. */
 		fl_coroutine_set_urgent();
 		fl_status_query_serve(node, request->body, request->body_len, response);
 	} else if (strcmp(path, FL_PATH_HEARTBEATS) == 0) {
--- a/src/coordination/responses.c
+++ b/src/coordination/responses.c
@@ -9,7 +9,7 @@
 static const struct {
 	int retry_after_s;
 } tunables = {
-	.retry_after_s = 1, /* s; Retry-After of a 503 */
+	.retry_after_s = 1, /* Retry-After header of a 503 response */
 };
 
 void fl_respond_error(struct fl_http_response *response, int status, const char *fmt, ...)
@@ -29,6 +29,6 @@
 {
 	fl_respond_error(response, 503, "%s", reason);
 	response->retry_after_s = tunables.retry_after_s;
-	/* The load balancer may choose a better node than this one for the next try. */
+	/* On a new connection the load balancer may choose a better node for the retry. */
 	response->close = true;
 }
