--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -34,7 +34,7 @@
 		return;
 	if (job->cancelled && !was_cancelled) {
 		fl_info("jobs", "job cancelled job=%s source=record", ref);
-		fl_command_stop_job(node, job);
+		fl_command_stop_cancelled_job(node, job);
 	}
 	node->leadership.cycle_due = true;
 	fl_condition_broadcast(&node->leadership.work_available);
@@ -46,11 +46,11 @@
 	enum fl_kv_result result;
 
 	/* While a node leads, its failover lists the jobs: see fl_failover_load_cluster. */
-	if (!node->cluster.leading)
-		fl_cluster_list_begin(&node->cluster);
+	if (!node->cluster.has_leader_state)
+		fl_cluster_begin_job_list(&node->cluster);
 	result = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, on_job_event, node, revision);
-	if (result == FL_KV_OK && !node->cluster.leading)
-		fl_cluster_list_end(&node->cluster, *revision);
+	if (result == FL_KV_OK && !node->cluster.has_leader_state)
+		fl_cluster_end_job_list(&node->cluster, *revision);
 	return result;
 }
 
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -48,7 +48,7 @@
 		return NULL;
 	}
 	job->record.mod_revision = event->mod_revision;
-	job->record.listed = true;
+	job->record.seen_in_list = true;
 	return job;
 }
 
@@ -112,9 +112,9 @@
 {
 	struct failover *failover = context;
 
-	if (fl_wal_read(&failover->wal, event->value) != FL_DECODE_OK)
+	if (fl_wal_read_value(&failover->wal, event->value) != FL_DECODE_OK)
 		report_unreadable_record(failover, event->key);
-	if (strcmp(event->key, FL_KEY_WAL) == 0)
+	if (strcmp(event->key, FL_KEY_WAL_FIRST_VALUE) == 0)
 		failover->writer->wal_mod_revision = event->mod_revision;
 }
 
@@ -148,11 +148,11 @@
 	double sent_at = fl_now();
 	uint64_t revision;
 
-	fl_cluster_list_begin(&node->cluster);
+	fl_cluster_begin_job_list(&node->cluster);
 	if (fl_kv_list(store, FL_PREFIX_JOBS, load_job_record, failover, &revision) != FL_KV_OK)
 		return FL_FAILOVER_STORE_FAILED;
-	fl_cluster_list_end(&node->cluster, revision);
-	node->cluster.list_revision = revision;
+	fl_cluster_end_job_list(&node->cluster, revision);
+	node->cluster.job_list_revision = revision;
 	node->cancellation_watermark = fmax(node->cancellation_watermark, sent_at);
 	if (fl_kv_list(store, FL_PREFIX_WAL, load_wal_value, failover, &revision) != FL_KV_OK)
 		return FL_FAILOVER_STORE_FAILED;
@@ -176,7 +176,7 @@
 	struct fl_job *job, *next;
 
 	HASH_ITER (hh, cluster->jobs, job, next)
-		if (fl_job_is_over(job))
+		if (fl_job_is_finished(job))
 			fl_job_mark_dirty(cluster, job);
 }
 
@@ -186,8 +186,8 @@
 		.cluster = &node->cluster, .writer = &node->record_writer, .started_at = fl_now()};
 	enum fl_failover_result result;
 
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = true;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = true;
 	result = load_records(node, &failover);
 	node->record_writer.wal_revision_known = result == FL_FAILOVER_LOADED;
 	fl_wal_free(&failover.wal);
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -57,11 +57,11 @@
 	leadership->active = true;
 	leadership->cycle_due = true;
 	fl_record_writer_init_budget(&node->record_writer, node->config->state_write_rps);
-	fl_autoscaler_begin(node);
+	fl_autoscaler_reset(node);
 	start_leader_coroutine(node, fl_scheduling_cycle_run);
 	start_leader_coroutine(node, fl_record_writer_run);
 	start_leader_coroutine(node, fl_digest_reader_run);
-	start_leader_coroutine(node, fl_command_enforcement_run);
+	start_leader_coroutine(node, fl_cancellation_enforcement_run);
 	start_leader_coroutine(node, fl_autoscaler_run);
 	start_leader_coroutine(node, fl_finished_jobs_loader_run);
 }
@@ -79,8 +79,8 @@
 		activate_leadership(node);
 		return;
 	}
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = false;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = false;
 }
 
 void fl_leadership_begin(struct fl_node *node)
@@ -104,7 +104,7 @@
 	       fl_condition_wait(&leadership->coroutine_ended, tunables.end_check_interval_s) !=
 	               -ECANCELED)
 		;
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = false;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = false;
 	fl_info("leadership", "leadership ended node=%s", node->config->node);
 }
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -81,7 +81,7 @@
 	enum fl_node_start_result result;
 
 	node->config = config;
-	node->cluster.finished_dropped_at = FL_LONG_AGO;
+	node->cluster.finished_dropped_up_to = FL_LONG_AGO;
 	node->cancellation_watermark = FL_LONG_AGO;
 	node->cluster.finished_max =
 		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_memory_share /
@@ -137,7 +137,7 @@
 {
 	char text[256];
 
-	for (int i = 0; fl_admission_tight_setting(config, i, text, sizeof(text)); i++)
+	for (int i = 0; fl_admission_describe_tight_setting(config, i, text, sizeof(text)); i++)
 		fl_error("node", "%s", text);
 }
 
@@ -163,7 +163,7 @@
 	enum fl_node_start_result result;
 
 	log_tight_settings(config);
-	fl_http_set_body_memory_limit(fl_admission_body_bytes(config));
+	fl_http_set_body_memory_limit(fl_admission_max_body_bytes(config));
 	raise_open_file_limit(config);
 	if (!node)
 		return FL_NODE_OUT_OF_MEMORY;
--- a/src/coordination/persistence/job_record_refresh.c
+++ b/src/coordination/persistence/job_record_refresh.c
@@ -9,9 +9,9 @@
 void fl_job_record_apply_cancellation(struct fl_node *node, struct fl_job *job,
                                       const struct fl_job_record *record, uint64_t revision)
 {
-	if (!fl_cluster_apply_cancellation(&node->cluster, job, record, revision))
+	if (!fl_cluster_update_live_job(&node->cluster, job, record, revision))
 		return;
-	fl_command_stop_job(node, job);
+	fl_command_stop_cancelled_job(node, job);
 	fl_info("jobs", "job cancelled job=%s source=record", job->ref);
 }
 
--- a/src/coordination/persistence/job_record_refresh.h
+++ b/src/coordination/persistence/job_record_refresh.h
@@ -25,8 +25,8 @@
 /*
  * Reads the records of a job whose last write had an unknown outcome. Takes a job id, not a
  * pointer, since the job may be dropped before the response arrives. Only the record writer may
- * drop a job, so a finished one keeps its `final_write_unknown`. `out` is set only if a record was
- * found.
+ * drop a job, so a finished one keeps its `write_outcome_unknown`. `out` is set only if a record
+ * was found.
  */
 enum fl_record_result fl_job_record_refresh(struct fl_node *node, const char *ref,
                                             struct fl_refreshed_job *out);
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -52,7 +52,7 @@
 {
 	int count = 0;
 
-	for (const struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
+	for (const struct fl_job *job = cluster->dirty_jobs; job; job = job->record.next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 
@@ -83,7 +83,7 @@
 static bool collect_blocks(const struct fl_node *node, struct fl_kv_txn *txn, struct batch *batch,
                            int block_limit, enum scope scope)
 {
-	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty) {
+	for (struct fl_job *job = node->cluster.dirty_jobs; job; job = job->record.next_dirty) {
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 			char key[FL_KEY_MAX];
@@ -122,7 +122,7 @@
 /* Rereads one unknown revision; the next write rereads another. */
 static enum fl_kv_result reread_unknown_revision(struct fl_node *node)
 {
-	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty)
+	for (struct fl_job *job = node->cluster.dirty_jobs; job; job = job->record.next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -47,12 +47,12 @@
 /* Removes jobs with nothing left to write from the dirty list. */
 static void remove_saved_jobs(struct fl_cluster *cluster)
 {
-	struct fl_job **link = &cluster->dirty;
+	struct fl_job **link = &cluster->dirty_jobs;
 
 	while (*link) {
 		struct fl_job *job = *link;
 
-		if (has_unsaved_block(job) || fl_job_is_over(job)) {
+		if (has_unsaved_block(job) || fl_job_is_finished(job)) {
 			link = &job->record.next_dirty;
 		} else {
 			*link = job->record.next_dirty;
@@ -88,7 +88,7 @@
 	struct fl_record_writer *writer = &node->record_writer;
 	double available = fl_token_bucket_available(&writer->write_budget, fl_now());
 
-	if (!node->cluster.dirty || available >= 1)
+	if (!node->cluster.dirty_jobs || available >= 1)
 		return true;
 	return fl_condition_wait(&writer->writes_pending,
 	                         (1 - available) / writer->write_budget.rate) != -ECANCELED;
@@ -99,7 +99,7 @@
 	bool running = true;
 
 	while (running && !fl_coroutine_cancelled()) {
-		if (fl_is_leader(node) && node->cluster.dirty) {
+		if (fl_is_leader(node) && node->cluster.dirty_jobs) {
 			running = write_pending_records(node) == FL_KV_OK
 			                  ? await_budget_or_urgent_change(node)
 			                  : fl_sleep(tunables.retry_s) == 0;
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -84,8 +84,8 @@
 	       reserve_block(write);
 	if (fits) {
 		if (!write->value)
-			write->value = fl_wal_value_begin();
-		fl_wal_value_add(write->value, group);
+			write->value = fl_wal_value_create();
+		fl_wal_value_add_group(write->value, group);
 		write->value_bytes += bytes;
 		write->blocks[write->block_count++] = (struct logged_block){
 			job, block_index, fl_job_task_block(job, block_index)->generation};
@@ -97,7 +97,7 @@
 /* Adds all unsaved changes, filling value after value; returns false if they do not fit. */
 static bool add_unsaved_blocks(struct wal_write *write, const struct fl_cluster *cluster)
 {
-	for (struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
+	for (struct fl_job *job = cluster->dirty_jobs; job; job = job->record.next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++)
 			if (!add_block(write, cluster, job, i))
 				return false;
@@ -113,7 +113,8 @@
 
 	if (writer->wal_revision_known)
 		return FL_KV_OK;
-	result = fl_kv_get_revision(&node->kv_store, FL_KEY_WAL, &writer->wal_mod_revision);
+	result = fl_kv_get_revision(&node->kv_store, FL_KEY_WAL_FIRST_VALUE,
+	                            &writer->wal_mod_revision);
 	writer->wal_revision_known = result == FL_KV_OK;
 	return result;
 }
@@ -129,7 +130,8 @@
 	if (write.value_count_max > values_per_txn)
 		write.value_count_max = (int)values_per_txn;
 	fl_record_txn_init(&node->leader_lease, &write.txn);
-	fl_kv_txn_expect_revision(&write.txn, FL_KEY_WAL, node->record_writer.wal_mod_revision);
+	fl_kv_txn_expect_revision(&write.txn, FL_KEY_WAL_FIRST_VALUE,
+	                          node->record_writer.wal_mod_revision);
 	return write;
 }
 
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -23,7 +23,7 @@
 
 static void hold_leader_lease(struct fl_node *node)
 {
-	node->leader_lease.held = node->leadership.active = node->cluster.leading = true;
+	node->leader_lease.held = node->leadership.active = node->cluster.has_leader_state = true;
 	node->leader_lease.valid_until = fl_now() + 1e6;
 	node->leader_lease.leader_mod_revision = 33;
 }
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -100,8 +100,9 @@
 	fixture->progress = progress;
 	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED)
 		note_failure(fixture, "a good record is not read");
-	return fixture->node.cluster.dirty &&
-	       fixture->node.cluster.dirty == fl_job_find(&fixture->node.cluster, "run-000001");
+	return fixture->node.cluster.dirty_jobs &&
+	       fixture->node.cluster.dirty_jobs ==
+	               fl_job_find(&fixture->node.cluster, "run-000001");
 }
 
 static void load_finished_jobs(void *argument)
