--- a/src/coordination/api/cancellation.c
+++ b/src/coordination/api/cancellation.c
@@ -83,7 +83,7 @@
 			fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(cancelled_wall));
 	} else if (result == FL_KV_OK) {
 		fl_cluster_apply_cancellation(&node->cluster, job, &record, revision);
-		fl_command_stop_job(node, job);
+		fl_command_stop_cancelled_job(node, job);
 		fl_info("jobs", "job cancelled: %s", ref);
 	} else if (result == FL_KV_UNAVAILABLE) {
 		/* The write was not executed: the record is unchanged. */
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -47,7 +47,7 @@
 		job = node->leadership.active ? fl_job_find(&node->cluster, cancellation->ref)
 		                              : NULL;
 		if (job)
-			fl_command_stop_job(node, job);
+			fl_command_stop_cancelled_job(node, job);
 		fl_info("jobs", "job cancelled: %s source=%s", cancellation->ref, gossip->node);
 	}
 }
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -82,17 +82,17 @@
 		return;
 	}
 	/* Only now: a node that has just started knew of no cancellation before it waited. */
-	if (fl_renewal_holds_overdue_task(node, heartbeat)) {
+	if (fl_renewal_heartbeat_has_overdue_task(node, heartbeat)) {
 		fl_debug("follower", "renewal rejected: %s holds a task of a cancelled job",
 		         heartbeat->host);
 		fl_respond_error(response, 503, "task of a cancelled job overdue");
 		return;
 	}
 	fl_command_list_init(&commands, node->leader_view.fencing_token);
-	fl_renewal_stop_cancelled(&node->cluster, heartbeat, &commands);
+	fl_renewal_add_stop_commands(&node->cluster, heartbeat, &commands);
 	response->status = 200;
 	response->body = fl_command_list_take(&commands);
 	fl_heartbeat_cache(node, heartbeat);
 	if (node->leadership.active)
-		fl_reconcile_renewal(node, heartbeat);
+		fl_reconcile_record_renewal(node, heartbeat);
 }
--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -34,7 +34,7 @@
 		return;
 	if (job->cancelled && !was_cancelled) {
 		fl_info("jobs", "job cancelled: %s source=record", ref);
-		fl_command_stop_job(node, job);
+		fl_command_stop_cancelled_job(node, job);
 	}
 	node->leadership.cycle_due = true;
 	fl_condition_broadcast(&node->leadership.work_available);
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -60,7 +60,7 @@
 	start_coroutine(node, fl_scheduling_cycle_run);
 	start_coroutine(node, fl_record_writer_run);
 	start_coroutine(node, fl_digest_reader_run);
-	start_coroutine(node, fl_command_enforcement_run);
+	start_coroutine(node, fl_cancellation_enforcement_run);
 	start_coroutine(node, fl_autoscaler_run);
 	start_coroutine(node, fl_finished_jobs_loader_run);
 }
--- a/src/coordination/persistence/job_record_refresh.c
+++ b/src/coordination/persistence/job_record_refresh.c
@@ -11,7 +11,7 @@
 {
 	if (!fl_cluster_apply_cancellation(&node->cluster, job, record, revision))
 		return;
-	fl_command_stop_job(node, job);
+	fl_command_stop_cancelled_job(node, job);
 	fl_info("jobs", "job cancelled: %s source=record", job->ref);
 }
 
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -65,8 +65,9 @@
 	return 0;
 }
 
-bool fl_failure_detector_expired(const struct fl_node *node, const struct fl_machine *machine,
-                                 double now, const double leases[FL_ZONES_MAX])
+bool fl_failure_detector_machine_expired(const struct fl_node *node,
+                                         const struct fl_machine *machine, double now,
+                                         const double leases[FL_ZONES_MAX])
 {
 	double silent_s = now - last_contact(node, machine) - tunables.margin_s;
 	double allowed_s, renewed_s;
@@ -142,8 +143,8 @@
  * are lost by twos and threes. Spot machines are interrupted in waves, so only on-demand ones are
  * counted, in all and in each zone.
  */
-void fl_failure_detector_timeouts(const struct fl_node *node, double now,
-                                  double leases[FL_ZONES_MAX])
+void fl_failure_detector_zone_timeouts(const struct fl_node *node, double now,
+                                       double leases[FL_ZONES_MAX])
 {
 	struct silence all = {0}, by_zone[FL_ZONES_MAX] = {{0}};
 
--- a/src/coordination/workers/heartbeat.c
+++ b/src/coordination/workers/heartbeat.c
@@ -4,8 +4,8 @@
 
 #include "storage/jobs.h"
 
-bool fl_heartbeat_is_after(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
-                           uint64_t sequence)
+bool fl_heartbeat_is_newer_than(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
+                                uint64_t sequence)
 {
 	if (heartbeat->incarnation != incarnation)
 		return heartbeat->incarnation > incarnation;
--- a/src/coordination/workers/reconciliation_contact.c
+++ b/src/coordination/workers/reconciliation_contact.c
@@ -4,12 +4,13 @@
 #include "coordination/workers/reconciliation_internal.h"
 #include "transport/log.h"
 
-bool fl_reconcile_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
+bool fl_reconcile_heartbeat_is_newer(const struct fl_machine *machine,
+                                     const struct fl_heartbeat *heartbeat)
 {
 	if (machine->heartbeat.last_at <= 0)
 		return true;
-	return fl_heartbeat_is_after(heartbeat, machine->heartbeat.incarnation,
-	                             machine->heartbeat.sequence);
+	return fl_heartbeat_is_newer_than(heartbeat, machine->heartbeat.incarnation,
+	                                  machine->heartbeat.sequence);
 }
 
 /*
--- a/src/coordination/workers/reconciliation_exit.c
+++ b/src/coordination/workers/reconciliation_exit.c
@@ -80,8 +80,8 @@
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
-void fl_reconcile_exit(const struct fl_heartbeat_context *context, struct fl_job *job,
-                       struct fl_task *task, const struct fl_task_status *status)
+void fl_reconcile_exited_attempt(const struct fl_heartbeat_context *context, struct fl_job *job,
+                                 struct fl_task *task, const struct fl_task_status *status)
 {
 	struct fl_node *node = context->node;
 	double pause_s = 0;
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -117,8 +117,8 @@
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
-void fl_reconcile_reported(const struct fl_heartbeat_context *context,
-                           const struct fl_task_status *status)
+void fl_reconcile_reported_attempt(const struct fl_heartbeat_context *context,
+                                   const struct fl_task_status *status)
 {
 	struct fl_job *job = fl_job_find(&context->node->cluster, status->ref);
 	struct fl_task *task =
@@ -130,7 +130,7 @@
 	}
 	fl_machine_record_image(context->machine, job->image);
 	if (status->state == FL_TASK_STATE_EXITED) {
-		fl_reconcile_exit(context, job, task, status);
+		fl_reconcile_exited_attempt(context, job, task, status);
 		return;
 	}
 	observe(context, job, task, status);
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -77,7 +77,7 @@
 	return FL_REPLY_WITH_START;
 }
 
-enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_context *context)
+enum fl_reply_kind fl_reconcile_unreported_attempts(const struct fl_heartbeat_context *context)
 {
 	const struct fl_machine *machine = context->machine;
 	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -25,9 +25,9 @@
 {
 	double timeouts[FL_ZONES_MAX];
 
-	fl_failure_detector_timeouts(&fixture->node, fl_now(), timeouts);
-	return fl_failure_detector_expired(&fixture->node, only_machine(fixture), fl_now(),
-	                                   timeouts);
+	fl_failure_detector_zone_timeouts(&fixture->node, fl_now(), timeouts);
+	return fl_failure_detector_machine_expired(&fixture->node, only_machine(fixture), fl_now(),
+	                                           timeouts);
 }
 
 /* A machine with a task, whose zone has the only peer. */
