--- a/src/coordination/workers/command.c
+++ b/src/coordination/workers/command.c
@@ -9,28 +9,28 @@
 
 static const struct {
 	int max_in_flight;
-	double timeout_s, cancel_share, enforce_interval_s;
+	double request_timeout_s, overdue_share, enforcement_interval_s;
 } tunables = {
-	.max_in_flight = 24,       /* direct commands; the others go with replies to heartbeats */
-	.timeout_s = 2.0,          /* s for a direct command */
-	.cancel_share = 0.45,      /* share of cancel_s after which a task's machine is returned */
-	.enforce_interval_s = 1.0, /* s between two checks for tasks of cancelled jobs */
+	.max_in_flight = 24, /* further commands go only with replies to heartbeats */
+	.request_timeout_s = 2.0,
+	.overdue_share = 0.45, /* of cancel_s; then the machine of an unfinished task is drained */
+	.enforcement_interval_s = 1.0,
 };
 
-/* The argument of a coroutine that sends commands to one machine; owned by it. */
+/* The argument of sender_coroutine, which sends commands to one machine and frees the argument. */
 struct command_sender {
 	struct fl_node *node;
 	struct fl_machine *machine;
 };
 
-/* Whether direct commands may be sent to the machine. */
-static bool accepts_commands(const struct fl_machine *machine)
+/* Returns whether direct commands may be sent to the machine. */
+static bool machine_accepts_commands(const struct fl_machine *machine)
 {
 	return machine->lifecycle.up && !machine->lifecycle.decommissioned;
 }
 
-/* The body of a request with all commands for the machine, to be freed; NULL: there are none. */
-static char *collect_commands(struct fl_node *node, struct fl_machine *machine)
+/* Returns the request body with the machine's commands, to be freed; NULL if there are none. */
+static char *encode_commands(struct fl_node *node, struct fl_machine *machine)
 {
 	struct fl_command_list commands;
 
@@ -43,20 +43,21 @@
 	return fl_command_list_take(&commands);
 }
 
-/* Sends the commands of this moment once, and applies the heartbeat that replies to them. */
-static void send_once(struct fl_node *node, struct fl_machine *machine)
+/* Sends the current commands in one request and applies the heartbeat in the response. */
+static void send_commands_once(struct fl_node *node, struct fl_machine *machine)
 {
 	struct fl_heartbeat heartbeat;
 	enum fl_worker_result result;
 	char *body;
 
 	machine->outbound.command_pending = false;
-	if (!fl_is_leader(node) || !accepts_commands(machine) || !machine->endpoint[0])
+	if (!fl_is_leader(node) || !machine_accepts_commands(machine) || !machine->endpoint[0])
 		return;
-	body = collect_commands(node, machine);
+	body = encode_commands(node, machine);
 	if (!body)
 		return;
-	result = fl_worker_send_commands(machine->endpoint, body, tunables.timeout_s, &heartbeat);
+	result = fl_worker_send_commands(machine->endpoint, body, tunables.request_timeout_s,
+	                                 &heartbeat);
 	free(body);
 	if (result == FL_WORKER_ACCEPTED || result == FL_WORKER_REJECTED) {
 		if (fl_is_leader(node))
@@ -71,7 +72,7 @@
 	struct fl_node *node = sender->node;
 
 	while (sender->machine->outbound.command_pending && !fl_coroutine_cancelled())
-		send_once(node, sender->machine);
+		send_commands_once(node, sender->machine);
 	sender->machine->outbound.command_in_flight = false;
 	node->leadership.commands_in_flight--;
 	node->leadership.coroutines_running--;
@@ -86,7 +87,7 @@
 	machine->outbound.command_pending = true;
 	if (machine->outbound.command_in_flight ||
 	    node->leadership.commands_in_flight >= tunables.max_in_flight)
-		return; /* the reply to the worker's next heartbeat has the commands all the same */
+		return; /* the reply to the worker's next heartbeat has the commands, too */
 	sender = malloc(sizeof(*sender));
 	if (!sender)
 		return;
@@ -105,12 +106,12 @@
 	for (int i = 0; i < node->cluster.machines.count; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (machine->outbound.command_pending && accepts_commands(machine))
+		if (machine->outbound.command_pending && machine_accepts_commands(machine))
 			fl_command_send(node, machine);
 	}
 }
 
-static bool holds_task_of(const struct fl_machine *machine, const struct fl_job *job)
+static bool machine_has_task_of(const struct fl_machine *machine, const struct fl_job *job)
 {
 	for (int i = 0; i < machine->assignment_count; i++)
 		if (machine->assignments[i].job == job)
@@ -123,7 +124,7 @@
 	for (int i = 0; i < node->cluster.machines.count; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (holds_task_of(machine, job))
+		if (machine_has_task_of(machine, job))
 			fl_command_send(node, machine);
 	}
 	fl_job_mark_dirty(&node->cluster, job);
@@ -131,10 +132,10 @@
 	fl_condition_broadcast(&node->leadership.work_available);
 }
 
-/* Stops the tasks of cancelled jobs on one machine, or returns the machine when time is short. */
+/* Stops the tasks of cancelled jobs on one machine; drains the machine if one is overdue. */
 static void enforce_cancellations(struct fl_node *node, struct fl_machine *machine, double now)
 {
-	double overdue_s = tunables.cancel_share * node->config->cancel_s;
+	double overdue_s = tunables.overdue_share * node->config->cancel_s;
 
 	for (int i = 0; i < machine->assignment_count && !machine->lifecycle.decommissioned; i++) {
 		struct fl_job *job = machine->assignments[i].job;
@@ -143,7 +144,7 @@
 			continue;
 		if (now > job->cancelled_at + overdue_s && !machine->lifecycle.draining) {
 			fl_info("workers",
-			        "machine draining: %s reason=cancelled_task_overdue job=%s",
+			        "machine draining machine=%s reason=cancelled_task_overdue job=%s",
 			        machine->name, job->ref);
 			machine->lifecycle.draining = true;
 		}
@@ -153,7 +154,7 @@
 
 void fl_cancellation_enforcement_run(struct fl_node *node)
 {
-	while (fl_sleep(tunables.enforce_interval_s) == 0) {
+	while (fl_sleep(tunables.enforcement_interval_s) == 0) {
 		double now = fl_now();
 
 		if (!fl_is_leader(node))
--- a/src/coordination/workers/command.h
+++ b/src/coordination/workers/command.h
@@ -1,9 +1,9 @@
 /*
- * Direct commands to machines, which need not wait for the worker's next heartbeat, and the
- * enforcement of the time by which tasks of cancelled jobs must have ended.
+ * Direct commands: requests with commands that the leader sends to a worker without waiting for its
+ * next heartbeat. Also enforces the deadline by which the tasks of cancelled jobs must have ended.
  *
- * A direct command only speeds things up: every command also goes with the reply to a heartbeat.
- * At most one is under way to a machine.
+ * A direct command only saves time: every command is also part of the reply to a heartbeat. At most
+ * one direct command per machine is in flight.
  */
 #ifndef FL_COORDINATION_WORKERS_COMMAND_H
 #define FL_COORDINATION_WORKERS_COMMAND_H
@@ -12,13 +12,16 @@
 struct fl_job;
 struct fl_machine;
 
-/* Sends the machine its commands directly, or again once the request under way has returned. */
+/*
+ * Sends the machine its commands directly; if a request to it is in flight, once that has returned.
+ * Beyond the limit of requests in flight they go with the reply to the worker's next heartbeat.
+ */
 void fl_command_send(struct fl_node *node, struct fl_machine *machine);
-/* The same for all machines with new tasks, now that their records are written. */
+/* Sends pending commands of all machines; to be called when new tasks' records are written. */
 void fl_command_send_pending(struct fl_node *node);
-/* Stops the tasks of a job that the cluster state has as cancelled, on all machines. */
+/* Sends stop commands for a job that is marked as cancelled to all machines with its tasks. */
 void fl_command_stop_cancelled_job(struct fl_node *node, struct fl_job *job);
-/* Enforces cancellations; runs in a coroutine of the leader, until that is cancelled. */
+/* Enforces the cancellation deadline; runs in a coroutine of the leader until it is cancelled. */
 void fl_cancellation_enforcement_run(struct fl_node *node);
 
 #endif
--- a/src/coordination/workers/digest_reader.c
+++ b/src/coordination/workers/digest_reader.c
@@ -7,13 +7,13 @@
 #include "transport/log.h"
 
 static const struct {
-	double retry_s, watch_timeout_s;
+	double read_retry_delay_s, watch_timeout_s;
 } tunables = {
-	.retry_s = 0.2,          /* s after a failed read */
-	.watch_timeout_s = 10.0, /* s until a watch is begun anew */
+	.read_retry_delay_s = 0.2,
+	.watch_timeout_s = 10.0,
 };
 
-static void on_digest(void *context, const struct fl_kv_event *event)
+static void on_digest_event(void *context, const struct fl_kv_event *event)
 {
 	struct fl_node *node = context;
 	const cJSON *item;
@@ -24,28 +24,29 @@
 		struct fl_heartbeat heartbeat;
 
 		if (fl_cached_heartbeat_decode(item, &heartbeat) != FL_DECODE_OK) {
-			fl_error("workers", "heartbeat rejected: malformed digest=%s", event->key);
+			fl_error("workers", "digest entry malformed; heartbeat skipped key=%s",
+			         event->key);
 			continue;
 		}
-		/* The machine lives, but is not reachable from here: it gets no new task. */
+		/* The machine is up, but the leader may not reach it, so it gets no new task. */
 		fl_reconcile_heartbeat(node, &heartbeat, NULL, FL_HEARTBEAT_FROM_DIGEST);
 		fl_heartbeat_free(&heartbeat);
 	}
 }
 
-/* Lists all digests, or, once there is a revision, watches for those written after it. */
+/* Lists all digests if `*revision` is 0, else watches for digests written after it. */
 static enum fl_kv_result read_digests(struct fl_node *node, uint64_t *revision)
 {
 	const struct fl_kv_watch_request watch = {
 		.prefix = FL_PREFIX_HEARTBEAT_DIGESTS,
 		.timeout_s = tunables.watch_timeout_s,
-		.on_event = on_digest,
+		.on_event = on_digest_event,
 		.context = node,
 	};
 
 	if (*revision == 0)
-		return fl_kv_list(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, on_digest, node,
-		                  revision);
+		return fl_kv_list(&node->kv_store, FL_PREFIX_HEARTBEAT_DIGESTS, on_digest_event,
+		                  node, revision);
 	return fl_kv_watch(&node->kv_store, &watch, revision);
 }
 
@@ -58,7 +59,7 @@
 
 		if (result == FL_KV_COMPACTED)
 			revision = 0;
-		if (result != FL_KV_OK && fl_sleep(tunables.retry_s) != 0)
+		if (result != FL_KV_OK && fl_sleep(tunables.read_retry_delay_s) != 0)
 			break;
 	}
 }
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -1,8 +1,8 @@
 /*
- * The failure detector: when a machine whose heartbeats do not arrive, or that is not reachable for
- * our replies, is considered lost. How long a machine may be silent depends on how many are silent
- * at once, and on whether controllers of its zone may still renew its lease. Read-only: it decides
- * nothing and changes nothing.
+ * The failure detector: determines when a machine is considered lost because its heartbeats do not
+ * arrive or the leader's replies do not reach it. The timeout depends on how many machines are
+ * silent at once, and on whether controllers of the machine's zone may still renew its lease. The
+ * detector is read-only: the caller decides about the machine. Times: monotonic clock, s.
  */
 #ifndef FL_COORDINATION_WORKERS_FAILURE_DETECTOR_H
 #define FL_COORDINATION_WORKERS_FAILURE_DETECTOR_H
@@ -14,14 +14,14 @@
 struct fl_node;
 
 /*
- * How long machines may be silent at `now` (steady), by zone, in worker leases: longer where many
- * are silent at once, shorter where single machines must be the cause.
+ * Sets the timeout of silent machines, by zone, in worker leases: longer if many machines are
+ * silent at once, shorter if the silence must be a fault of single machines.
  */
 void fl_failure_detector_zone_timeouts(const struct fl_node *node, double now,
-                                       double leases[FL_ZONES_MAX]);
-/* Whether the machine has been silent at `now` (steady) for longer than these timeouts allow. */
+                                       double timeout_leases[FL_ZONES_MAX]);
+/* Returns whether the machine's silence exceeds its timeout and possible renewals of its lease. */
 bool fl_failure_detector_machine_expired(const struct fl_node *node,
                                          const struct fl_machine *machine, double now,
-                                         const double leases[FL_ZONES_MAX]);
+                                         const double timeout_leases[FL_ZONES_MAX]);
 
 #endif
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -5,7 +5,7 @@
 #include "coordination/workers/reconciliation.h"
 #include "coordination/workers/renewal_rules.h"
 
-/* NULL, or why the worker's lease is not renewed by this reply. */
+/* Returns why the reply must not renew the worker's lease; NULL if it may. */
 static const char *rejection_reason(const struct fl_node *node,
                                     const struct fl_heartbeat *heartbeat,
                                     enum fl_reconcile_result result, int command_count)
@@ -14,8 +14,7 @@
 		return "machine unknown";
 	if (!fl_renewal_watermark_is_fresh(node))
 		return "cancellation watermark too old";
-	/* A heartbeat that was ignored gets no stop command: see
-	 * fl_renewal_heartbeat_has_overdue_task. */
+	/* An ignored heartbeat gets no stop command: an overdue task must not keep the lease. */
 	if (command_count == 0 && fl_renewal_heartbeat_has_overdue_task(node, heartbeat))
 		return "task of a cancelled job overdue";
 	return NULL;
@@ -36,7 +35,7 @@
 		fl_respond_error(response, 503, "%s", reason);
 		return;
 	}
-	/* The same heartbeat forwarded twice, or one from before this leadership. */
+	/* A duplicate heartbeat, or one from before this leadership, has no commands yet. */
 	if (commands.count == 0)
 		fl_renewal_add_stop_commands(&node->cluster, heartbeat, &commands);
 	response->status = 200;
--- a/src/coordination/workers/leader_reply.h
+++ b/src/coordination/workers/leader_reply.h
@@ -1,8 +1,8 @@
 /*
- * The leader's reply to a worker's heartbeat: commands, which renew the worker's lease, or a
- * rejection, after which the worker tries another node. The commands come from the reconciliation,
- * whether the lease may be renewed is decided by the renewal rules; this module joins the two. A
- * node that does not lead replies by follower/lease_renewal instead, under the same rules.
+ * The leader's reply to a worker's heartbeat: either commands, which also renew the worker's lease,
+ * or a rejection, after which the worker tries another node. The reconciliation provides the
+ * commands, and the renewal rules decide whether the lease may be renewed. A follower replies with
+ * follower/lease_renewal instead, under the same rules.
  */
 #ifndef FL_COORDINATION_WORKERS_LEADER_REPLY_H
 #define FL_COORDINATION_WORKERS_LEADER_REPLY_H
@@ -13,8 +13,8 @@
 struct fl_node;
 
 /*
- * Applies the heartbeat and fills in the response: 200 with the leader's commands, or 503. Only
- * while this node leads. It does not wait.
+ * Applies the heartbeat and sets the response: 200 with the leader's commands, or 503. To be called
+ * only while this node is the leader. Does not suspend the coroutine.
  */
 void fl_leader_reply_respond(struct fl_node *node, const struct fl_heartbeat *heartbeat,
                              struct fl_http_response *response);
--- a/src/coordination/workers/reachability.h
+++ b/src/coordination/workers/reachability.h
@@ -1,9 +1,9 @@
 /*
- * Whether a machine is reachable. Heartbeats may arrive from a machine to which neither replies nor
- * commands get through (a one-way partition): work placed there would be lost. That a reply has
- * arrived is acknowledged by its effect on the next heartbeat: the fencing token the worker has
- * seen, a start command that was executed, an incarnation that did not end, and that the worker did
- * not time out before its next heartbeat.
+ * Detects machines that the leader cannot reach. In a one-way partition heartbeats arrive from a
+ * machine, but replies and commands do not reach it, and work placed there would be lost. The next
+ * heartbeat acknowledges a reply by its effects: the fencing token that the worker has seen, a
+ * start command that was executed, an incarnation that did not end, and no timeout of the worker
+ * while waiting for the reply. Times: monotonic clock, s.
  */
 #ifndef FL_COORDINATION_WORKERS_REACHABILITY_H
 #define FL_COORDINATION_WORKERS_REACHABILITY_H
@@ -15,23 +15,23 @@
 
 struct fl_node;
 
-/* Whether a reply has a start command, whose effect the next heartbeat must show. */
+/* Whether a reply has a start command; if so, the next heartbeat must show its effect. */
 enum fl_reply_kind { FL_REPLY_WITHOUT_START, FL_REPLY_WITH_START };
 
 /*
- * A newer heartbeat has come on a connection that is answered, at `now` (steady). To be called
- * before the heartbeat changes the cluster state.
+ * Checks whether a newer heartbeat acknowledges the last reply. To be called when the heartbeat has
+ * arrived from the worker, which waits for a reply, and before it changes the cluster state.
  */
 void fl_reachability_on_heartbeat(const struct fl_node *node, struct fl_machine *machine,
                                   const struct fl_heartbeat *heartbeat, double now);
-/* The heartbeat is being answered, with this fencing token, at `now` (steady). */
+/* Records a reply to a heartbeat, sent with this fencing token. */
 void fl_reachability_on_reply(struct fl_machine *machine, uint64_t fencing_token,
                               enum fl_reply_kind kind, double now);
-/* The machine itself has answered a command. */
+/* Records that the machine is reachable, because it has replied to a direct command. */
 void fl_reachability_confirm(struct fl_machine *machine);
-/* Whether the machine may be unreachable, so that nothing new is placed there. */
+/* Returns whether the machine may be unreachable, so that no task should be placed there. */
 bool fl_reachability_is_suspect(const struct fl_machine *machine);
-/* Steady: since when the machine has been unreachable, reachable until then; else INFINITY. */
+/* Returns the time since when the machine has been unreachable; INFINITY if it is reachable. */
 double fl_reachability_lost_since(const struct fl_machine *machine);
 
 #endif
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -21,8 +21,8 @@
 	return true;
 }
 
-/* Applies a heartbeat that counts, in this order. */
-static void apply(const struct fl_heartbeat_context *context)
+/* Applies a heartbeat. Reachability is checked first, against the unchanged cluster state. */
+static void apply_heartbeat(const struct fl_heartbeat_context *context)
 {
 	const struct fl_heartbeat *heartbeat = context->heartbeat;
 	struct fl_machine *machine = context->machine;
@@ -64,7 +64,7 @@
 
 	if (context.machine && context.machine->lifecycle.decommissioned)
 		return FL_RECONCILE_DECOMMISSIONED;
-	/* The token is this leader's own, being raised: the next heartbeat is applied. */
+	/* This leader's own token raise is not confirmed yet; the next heartbeat is applied. */
 	if (heartbeat->fencing_token > node->leader_lease.fencing_token)
 		return FL_RECONCILE_HIGHER_TOKEN;
 	if (fl_reconcile_predates_leadership(node, heartbeat))
@@ -76,7 +76,7 @@
 		return FL_RECONCILE_OUT_OF_MEMORY;
 	if (!fl_reconcile_heartbeat_is_newer(context.machine, heartbeat))
 		return FL_RECONCILE_IGNORED_STALE;
-	apply(&context);
+	apply_heartbeat(&context);
 	return FL_RECONCILE_APPLIED;
 }
 
@@ -93,8 +93,8 @@
 {
 	if (machine->lifecycle.decommissioned)
 		return;
-	fl_info("cloud", "machine decommissioned: %s reason=\"%s\" attempts=%d", machine->name,
-	        reason, machine->assignment_count);
+	fl_info("cloud", "machine decommissioned machine=%s reason=\"%s\" attempts=%d",
+	        machine->name, reason, machine->assignment_count);
 	machine->lifecycle.decommissioned = true;
 	machine->lifecycle.decommissioned_at = fl_now();
 	machine->lifecycle.up = false;
--- a/src/coordination/workers/reconciliation.h
+++ b/src/coordination/workers/reconciliation.h
@@ -1,11 +1,11 @@
 /*
- * Reconciliation of the desired with the observed state: what a worker's heartbeat proves about the
- * attempts on its machine, and which commands result from it. Only the leader calls it. Nothing in
- * it waits, so that a heartbeat is applied and answered under one check of the lease.
+ * Reconciliation of the desired with the observed state: determines what a worker's heartbeat
+ * proves about the attempts on its machine, and which commands result. Only the leader calls it.
+ * None of its functions suspends the coroutine, so one check of the leader lease covers the
+ * heartbeat and its reply.
  *
- * Invariant: an attempt is released only once it is proven not to be on its machine, neither now
- * nor later; an old heartbeat, or an old start command that is still under way, must not defeat
- * that.
+ * Invariant: an attempt is released only after proof that it is not on its machine and cannot start
+ * there later. Stale heartbeats and start commands that are still in flight must not break this.
  */
 #ifndef FL_COORDINATION_WORKERS_RECONCILIATION_H
 #define FL_COORDINATION_WORKERS_RECONCILIATION_H
@@ -17,25 +17,24 @@
 struct fl_node;
 struct fl_machine;
 
-/* How a heartbeat came. */
+/* How a heartbeat reached the leader. */
 enum fl_heartbeat_source {
 	FL_HEARTBEAT_FROM_WORKER,  /* from the worker, which waits for the reply */
-	FL_HEARTBEAT_FROM_COMMAND, /* as the reply to a direct command */
-	FL_HEARTBEAT_FROM_DIGEST   /* in a digest: the machine lives, but may be unreachable */
+	FL_HEARTBEAT_FROM_COMMAND, /* in the worker's response to a direct command */
+	FL_HEARTBEAT_FROM_DIGEST   /* in a digest: the machine is up, but may be unreachable */
 };
 
-/* What became of a heartbeat, and how the worker is to be answered. */
+/* The result of reconciling a heartbeat, which determines the reply to the worker. */
 enum fl_reconcile_result {
-	FL_RECONCILE_APPLIED,       /* the cluster state and the commands rest on it */
-	FL_RECONCILE_IGNORED_STALE, /* a newer one was applied: reply, it changed nothing */
-	FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP, /* sent before this leadership was known: reply,
-	                                           likewise */
-	FL_RECONCILE_DECOMMISSIONED,            /* its machine is proven gone: reject it */
-	FL_RECONCILE_HIGHER_TOKEN, /* has a higher fencing token than this leader: reject it */
-	FL_RECONCILE_OUT_OF_MEMORY /* its machine could not be added: reject it */
+	FL_RECONCILE_APPLIED,       /* the cluster state and commands reflect it */
+	FL_RECONCILE_IGNORED_STALE, /* not newer than an applied one: no effect; reply */
+	FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP, /* older fencing token: no effect; reply */
+	FL_RECONCILE_DECOMMISSIONED,            /* its machine is proven gone: reject */
+	FL_RECONCILE_HIGHER_TOKEN, /* its fencing token is higher than this leader's: reject */
+	FL_RECONCILE_OUT_OF_MEMORY /* its machine could not be added: reject */
 };
 
-/* Whether a heartbeat with this result is to be rejected, rather than to be answered. */
+/* Returns whether the reply to a heartbeat with this result is a rejection. */
 bool fl_reconcile_is_rejection(enum fl_reconcile_result result);
 /*
  * Applies a heartbeat to the cluster state; with FL_HEARTBEAT_FROM_WORKER the commands for its
@@ -45,12 +44,18 @@
                                                 const struct fl_heartbeat *heartbeat,
                                                 struct fl_command_list *commands,
                                                 enum fl_heartbeat_source source);
-/* To be called when a leader whose lease is in doubt has renewed a worker's, without commands. */
+/*
+ * Records, for the reachability check, a reply without start commands that renewed a worker's
+ * lease. To be called while the leader cannot confirm its own lease.
+ */
 void fl_reconcile_record_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat);
-/* Collects the commands for a direct request to the machine; false if there are none. */
+/* Adds the commands for a direct request to the machine; returns false if there are none. */
 bool fl_reconcile_collect_commands(struct fl_node *node, struct fl_machine *machine,
                                    struct fl_command_list *commands);
-/* The machine is proven gone, for this reason (for the log): so is all that was on it. */
+/*
+ * Marks a machine that is proven gone as decommissioned and releases all attempts on it. `reason`
+ * is for the log.
+ */
 void fl_reconcile_decommission(struct fl_node *node, struct fl_machine *machine,
                                const char *reason);
 
--- a/src/coordination/workers/reconciliation_commands.c
+++ b/src/coordination/workers/reconciliation_commands.c
@@ -1,11 +1,11 @@
-/* Which commands the attempts on a machine need. */
+/* Determines the commands that the attempts on a machine need. */
 #include "coordination/node.h"
 #include "coordination/workers/reconciliation_internal.h"
 
 static const struct {
 	double checkpoint_margin_s;
 } tunables = {
-	.checkpoint_margin_s = 1.0, /* s that a stop may take beside the checkpoint itself */
+	.checkpoint_margin_s = 1.0, /* for the stop, in addition to the checkpoint */
 };
 
 bool fl_attempt_should_run(const struct fl_job *job, const struct fl_task *task)
--- a/src/coordination/workers/reconciliation_contact.c
+++ b/src/coordination/workers/reconciliation_contact.c
@@ -1,4 +1,4 @@
-/* Which heartbeats count, and what they show of the machine itself. */
+/* Recognises stale heartbeats, and updates the state of the machine itself from the others. */
 #include "coordination/node.h"
 #include "coordination/workers/heartbeat.h"
 #include "coordination/workers/reconciliation_internal.h"
@@ -14,9 +14,10 @@
 }
 
 /*
- * It may have been sent long before: after a failover nothing is known yet that would show a late
- * copy to be old. Such a heartbeat is answered, and does not count as contact. A worker that
- * receives the reply sends another heartbeat at once, with the fencing token.
+ * A heartbeat with an older fencing token may be a late copy: after a failover the leader has no
+ * incarnation and sequence number to compare it with. It gets a reply, but does not count as
+ * contact. A worker that receives the reply sends another heartbeat at once, with the new fencing
+ * token.
  */
 bool fl_reconcile_predates_leadership(const struct fl_node *node,
                                       const struct fl_heartbeat *heartbeat)
@@ -24,8 +25,8 @@
 	return heartbeat->fencing_token < node->leadership.first_fencing_token;
 }
 
-static void describe(struct fl_node *node, struct fl_machine *machine,
-                     const struct fl_heartbeat *heartbeat)
+static void describe_machine(struct fl_node *node, struct fl_machine *machine,
+                             const struct fl_heartbeat *heartbeat)
 {
 	int type = fl_machine_type_find(&node->cluster.machines, heartbeat->type);
 	int zone = fl_symbol_find(&node->cluster.zones, heartbeat->zone);
@@ -33,14 +34,14 @@
 	fl_cluster_describe(machine, type, zone, heartbeat->spot, heartbeat->endpoint);
 }
 
-/* Records the notice of a spot machine's interruption; whether it is new. */
-static bool record_interruption(struct fl_machine *machine, const struct fl_heartbeat *heartbeat,
-                                double now)
+/* Records the interruption notice of a spot machine; returns whether the notice is new. */
+static bool record_interruption_notice(struct fl_machine *machine,
+                                       const struct fl_heartbeat *heartbeat, double now)
 {
 	if (heartbeat->interruption_in_s < 0 || machine->lifecycle.interruption_at != 0)
 		return false;
 	machine->lifecycle.interruption_at = now + heartbeat->interruption_in_s;
-	fl_info("cloud", "interruption notice: %s in_s=%.0f", machine->name,
+	fl_info("cloud", "interruption notice received machine=%s in_s=%.0f", machine->name,
 	        heartbeat->interruption_in_s);
 	return true;
 }
@@ -52,13 +53,13 @@
 	struct fl_node *node = context->node;
 	bool came_up = !machine->lifecycle.up, interrupted;
 
-	describe(node, machine, heartbeat);
+	describe_machine(node, machine, heartbeat);
 	machine->heartbeat.incarnation = heartbeat->incarnation;
 	machine->heartbeat.sequence = heartbeat->sequence;
 	machine->heartbeat.last_at = context->now;
 	machine->lifecycle.up = true;
 	machine->heartbeat.orphan_task_count = 0;
-	interrupted = record_interruption(machine, heartbeat, context->now);
+	interrupted = record_interruption_notice(machine, heartbeat, context->now);
 	if (came_up || interrupted)
 		fl_condition_broadcast(&node->leadership.work_available);
 	if (context->source != FL_HEARTBEAT_FROM_DIGEST)
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -1,11 +1,11 @@
-/* What the attempts that a heartbeat reports mean. */
+/* Handles the attempts that a heartbeat reports. */
 #include "coordination/node.h"
 #include "coordination/workers/reconciliation_internal.h"
 #include "transport/log.h"
 
-/* Adds a command for a reported attempt to the reply, if there is one. */
-static void reply_with(const struct fl_heartbeat_context *context, enum fl_command_kind kind,
-                       const struct fl_task_status *status, double grace_period_s)
+/* Adds a command for a reported attempt to the reply, if the heartbeat gets one. */
+static void add_reply_command(const struct fl_heartbeat_context *context, enum fl_command_kind kind,
+                              const struct fl_task_status *status, double grace_period_s)
 {
 	if (context->commands)
 		fl_command_list_add(context->commands,
@@ -43,9 +43,9 @@
 	return "unknown";
 }
 
-/* Completed is completed, whichever attempt it was. */
-static void complete_by_stale_attempt(struct fl_node *node, struct fl_job *job,
-                                      const struct fl_task_status *status)
+/* Completes a waiting array task by an earlier attempt, so that it does not run again. */
+static void complete_task_by_stale_attempt(struct fl_node *node, struct fl_job *job,
+                                           const struct fl_task_status *status)
 {
 	struct fl_task *task;
 
@@ -60,58 +60,60 @@
 }
 
 /*
- * Whether the worker may drop an exited attempt: only when no late start command can start it
- * again. One of an older leader cannot: a heartbeat that counts carries this leadership's token.
+ * Returns whether the worker may forget an exited attempt, which is safe once no late start command
+ * can start it again. Commands of an older leader cannot, since every applied heartbeat carries
+ * this leadership's fencing token. Direct commands of this leader cannot once the worker has seen a
+ * higher token.
  */
-static bool may_forget(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
+static bool forget_is_safe(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
 {
 	return heartbeat->fencing_token > machine->outbound.direct_start_token;
 }
 
-/* Whether the record has all that this exited attempt has changed. */
-static bool is_recorded(const struct fl_job *job, const struct fl_task_status *status)
+/* Returns whether all changes by this exited attempt are in the record or write-ahead log. */
+static bool exit_is_durable(const struct fl_job *job, const struct fl_task_status *status)
 {
 	return !job || status->index >= job->task_count || fl_task_durable(job, status->index);
 }
 
 /*
- * A reported attempt that is not the current one: it is stopped if it runs, and forgotten by the
- * worker when that is safe. `job`: NULL if it is not known.
+ * Handles a reported attempt that is not the current one: stops it if it has not exited, and has
+ * the worker forget it when that is safe. `job` is NULL if the job is not known.
  */
-static void reconcile_stale(const struct fl_heartbeat_context *context, struct fl_job *job,
-                            const struct fl_task_status *status)
+static void reconcile_stale_attempt(const struct fl_heartbeat_context *context, struct fl_job *job,
+                                    const struct fl_task_status *status)
 {
 	struct fl_machine *machine = context->machine;
 
 	if (status->state != FL_TASK_STATE_EXITED) {
 		machine->heartbeat.orphan_task_count++;
-		reply_with(context, FL_COMMAND_STOP, status, 0);
+		add_reply_command(context, FL_COMMAND_STOP, status, 0);
 		return;
 	}
-	complete_by_stale_attempt(context->node, job, status);
-	if (!may_forget(machine, context->heartbeat))
+	complete_task_by_stale_attempt(context->node, job, status);
+	if (!forget_is_safe(machine, context->heartbeat))
 		context->node->leadership.retained_exit_count++;
-	else if (is_recorded(job, status))
-		reply_with(context, FL_COMMAND_FORGET, status, 0);
+	else if (exit_is_durable(job, status))
+		add_reply_command(context, FL_COMMAND_FORGET, status, 0);
 }
 
-/* Whether a reported attempt is the one that the cluster state has on this machine. */
-static bool is_current(const struct fl_machine *machine, const struct fl_task *task,
-                       const struct fl_task_status *status)
+/* Returns whether the reported attempt is the one that the cluster state places on the machine. */
+static bool is_current_attempt(const struct fl_machine *machine, const struct fl_task *task,
+                               const struct fl_task_status *status)
 {
 	return task && task->phase == FL_TASK_PLACED && task->machine == machine->id &&
 	       task->attempt == status->attempt;
 }
 
-static void observe(const struct fl_heartbeat_context *context, struct fl_job *job,
-                    struct fl_task *task, const struct fl_task_status *status)
+static void update_observed_state(const struct fl_heartbeat_context *context, struct fl_job *job,
+                                  struct fl_task *task, const struct fl_task_status *status)
 {
 	enum fl_observed_state observed = observed_state(status->state);
 
 	if (task->observed == observed)
 		return;
-	fl_debug("workers", "task %s: %s/%u machine=%s after_s=%.1f", observed_state_name(observed),
-	         job->ref, status->index, context->machine->name,
+	fl_debug("workers", "task %s task=%s/%u machine=%s after_s=%.1f",
+	         observed_state_name(observed), job->ref, status->index, context->machine->name,
 	         context->now - task->running_since);
 	fl_task_observe(job, task, observed, context->now);
 	fl_condition_broadcast(&context->node->leadership.work_available);
@@ -124,8 +126,8 @@
 	struct fl_task *task =
 		job && status->index < job->task_count ? fl_task_peek(job, status->index) : NULL;
 
-	if (!is_current(context->machine, task, status)) {
-		reconcile_stale(context, job, status);
+	if (!is_current_attempt(context->machine, task, status)) {
+		reconcile_stale_attempt(context, job, status);
 		return;
 	}
 	fl_machine_record_image(context->machine, job->image);
@@ -133,7 +135,8 @@
 		fl_reconcile_exited_attempt(context, job, task, status);
 		return;
 	}
-	observe(context, job, task, status);
+	update_observed_state(context, job, task, status);
 	if (!fl_attempt_should_run(job, task))
-		reply_with(context, FL_COMMAND_STOP, status, fl_attempt_grace_period_s(job, task));
+		add_reply_command(context, FL_COMMAND_STOP, status,
+		                  fl_attempt_grace_period_s(job, task));
 }
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -1,16 +1,18 @@
-/* What it means that a heartbeat does not report an attempt placed on its machine. */
+/* Handles the attempts placed on a machine that its heartbeat does not report. */
 #include "coordination/node.h"
 #include "coordination/workers/heartbeat.h"
 #include "coordination/workers/reconciliation_internal.h"
 #include "transport/log.h"
 
 /*
- * Whether the absence of an attempt from this heartbeat proves that it is not on the machine. Not
- * if the heartbeat may have been sent before an older leader's reply was executed, nor if a direct
- * start command may still arrive: both are ruled out once the worker has seen a higher fencing
- * token than they carry. Nor if the heartbeat replies to a direct command and a reply has had the
- * start command: the former may overtake the latter, which may be under way until the worker sends
- * its next heartbeat of its own.
+ * Returns whether the absence of an attempt from this heartbeat proves that it is not on the
+ * machine. It does not in these cases:
+ * - The heartbeat may have been sent before the worker executed an older leader's reply, or a
+ *   direct start command may still arrive. Both are ruled out once the worker has seen a higher
+ *   fencing token than theirs.
+ * - The heartbeat is the response to a direct command, and a reply has had the start command. The
+ *   response may overtake that reply, which may be in flight until the worker's next heartbeat of
+ *   its own.
  */
 static bool absence_is_conclusive(const struct fl_heartbeat_context *context,
                                   const struct fl_task *task)
@@ -19,54 +21,58 @@
 
 	if (task->start_sent && context->source == FL_HEARTBEAT_FROM_COMMAND)
 		return false;
-	/* The start command of a reply is executed before the worker's next heartbeat or never. */
+	/* A reply's start command is executed before the worker's next heartbeat or never. */
 	return machine->outbound.direct_start_token == 0 ||
 	       context->heartbeat->fencing_token > machine->outbound.direct_start_token;
 }
 
-static void release(const struct fl_heartbeat_context *context, struct fl_job *job, uint32_t index)
+static void release_task(const struct fl_heartbeat_context *context, struct fl_job *job,
+                         uint32_t index)
 {
 	fl_task_release(&context->node->cluster, job, index, 0);
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
 /*
- * An attempt that is to be stopped: released if its absence is proven. Else a direct start command
- * may still arrive, which a higher fencing token rules out.
+ * Releases an attempt that is to be stopped if its absence is proven. If a direct start command may
+ * still arrive, requests a higher fencing token, which rules that out.
  */
-static void release_if_conclusive(const struct fl_heartbeat_context *context, struct fl_job *job,
-                                  uint32_t index, const struct fl_task *task)
+static void release_task_if_absence_proven(const struct fl_heartbeat_context *context,
+                                           struct fl_job *job, uint32_t index,
+                                           const struct fl_task *task)
 {
 	const struct fl_machine *machine = context->machine;
 
 	if (absence_is_conclusive(context, task))
-		release(context, job, index);
+		release_task(context, job, index);
 	else if (machine->outbound.direct_start_token >= context->heartbeat->fencing_token &&
 	         machine->outbound.direct_start_token > 0)
 		context->node->leader_lease.token_raise_wanted = true;
 }
 
-static enum fl_reply_kind reconcile_absent(const struct fl_heartbeat_context *context,
-                                           struct fl_job *job, uint32_t index)
+static enum fl_reply_kind reconcile_absent_attempt(const struct fl_heartbeat_context *context,
+                                                   struct fl_job *job, uint32_t index)
 {
 	const char *machine_name = context->machine->name;
 	struct fl_task *task = fl_task_peek(job, index);
 
 	if (task->incarnation < context->heartbeat->incarnation) {
-		/* The incarnation in which it was placed is over, and so is the attempt. */
-		fl_info("workers", "task lost: %s/%u machine=%s reason=new_incarnation", job->ref,
-		        index, machine_name);
-		release(context, job, index);
+		/* The worker's incarnation at placement has ended, and the attempt with it. */
+		fl_info("workers", "task lost task=%s/%u machine=%s reason=new_incarnation",
+		        job->ref, index, machine_name);
+		release_task(context, job, index);
 		return FL_REPLY_WITHOUT_START;
 	}
 	if (task->observed != FL_OBSERVED_NONE) {
-		/* Was seen in this incarnation, was never forgotten, and is no more. */
-		fl_error("workers", "task lost: %s/%u machine=%s reason=not_reported", job->ref,
-		         index, machine_name);
+		/* The attempt was reported in this incarnation; no forget command was sent. */
+		fl_error("workers",
+		         "task lost; treated as not started task=%s/%u machine=%s "
+		         "reason=not_reported",
+		         job->ref, index, machine_name);
 		fl_task_observe(job, task, FL_OBSERVED_NONE, context->now);
 	}
 	if (!fl_attempt_should_run(job, task)) {
-		release_if_conclusive(context, job, index, task);
+		release_task_if_absence_proven(context, job, index, task);
 		return FL_REPLY_WITHOUT_START;
 	}
 	if (!context->commands || !fl_task_durable(job, index))
@@ -82,12 +88,12 @@
 	const struct fl_machine *machine = context->machine;
 	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
 
-	/* Backwards, since a released attempt leaves the list. */
+	/* Backwards, since releasing an attempt removes it from the list. */
 	for (int i = machine->assignment_count - 1; i >= 0; i--) {
 		struct fl_assignment assignment = machine->assignments[i];
 
 		if (!fl_heartbeat_reports_attempt(context->heartbeat, assignment) &&
-		    reconcile_absent(context, assignment.job, assignment.index) ==
+		    reconcile_absent_attempt(context, assignment.job, assignment.index) ==
 		            FL_REPLY_WITH_START)
 			kind = FL_REPLY_WITH_START;
 	}
--- a/src/coordination/workers/renewal_rules.c
+++ b/src/coordination/workers/renewal_rules.c
@@ -4,14 +4,14 @@
 #include "transport/clock.h"
 
 static const struct {
-	double margin_s;
+	double window_margin_s;
 } tunables = {
-	.margin_s = 1.0, /* s off the renewal window, for drift and late timers */
+	.window_margin_s = 1.0, /* for clock drift and late timers */
 };
 
 double fl_renewal_window_s(const struct fl_config *config)
 {
-	return config->cancel_s - config->lease_s - tunables.margin_s;
+	return config->cancel_s - config->lease_s - tunables.window_margin_s;
 }
 
 bool fl_renewal_watermark_is_fresh(const struct fl_node *node)
@@ -19,7 +19,7 @@
 	return fl_now() - node->cancellation_watermark <= fl_renewal_window_s(node->config);
 }
 
-/* The cancelled job that a reported task which has not exited belongs to; NULL: there is none. */
+/* Returns the cancelled job of a reported task that has not exited; NULL if there is none. */
 static const struct fl_finished_job *cancelled_job_of(const struct fl_cluster *cluster,
                                                       const struct fl_task_status *status)
 {
