--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -28,9 +28,9 @@
 /* Returns the time from which silence is counted: of the last contact in both directions. */
 static double last_contact_at(const struct fl_node *node, const struct fl_machine *machine)
 {
-	double heartbeat_at =
-		fmax(fmax(machine->heartbeat.last_at, node->leadership.heartbeats_since),
-	             machine->lifecycle.first_seen_at);
+	double heartbeat_at = fmax(fmax(machine->heartbeat.last_received_at,
+	                                node->leadership.heartbeats_receivable_since),
+	                           machine->lifecycle.first_seen_at);
 
 	/* Heartbeats from a machine that the leader's replies do not reach are no contact. */
 	return fmin(heartbeat_at, fl_reachability_lost_since(machine));
@@ -39,8 +39,8 @@
 /* Returns whether a controller's last gossip exchange was at about this time. */
 static bool peer_fell_silent_near(const struct fl_peer *peer, double silent_at)
 {
-	return peer->last_exchange_at > silent_at - tunables.zone_silence_slack_s &&
-	       peer->last_exchange_at < silent_at + tunables.zone_silence_slack_s;
+	return peer->last_response_at > silent_at - tunables.zone_silence_slack_s &&
+	       peer->last_response_at < silent_at + tunables.zone_silence_slack_s;
 }
 
 /*
@@ -113,7 +113,7 @@
 	for (int i = 0; i < node->peer_count; i++)
 		if (!node->peers[i].up || now < node->peers[i].up_since + node->config->lease_s)
 			return false;
-	return now > node->leadership.heartbeats_since + node->config->lease_s;
+	return now > node->leadership.heartbeats_receivable_since + node->config->lease_s;
 }
 
 /* Returns whether silence of the machine would be evidence of a network fault. */
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -70,8 +70,8 @@
 	if (fl_reconcile_predates_leadership(node, heartbeat))
 		return FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP;
 	if (!context.machine)
-		context.machine =
-			fl_machine_get(&node->cluster.machines, heartbeat->host, context.now);
+		context.machine = fl_machine_get_or_add(&node->cluster.machines, heartbeat->host,
+		                                        context.now);
 	if (!context.machine)
 		return FL_RECONCILE_OUT_OF_MEMORY;
 	if (!fl_reconcile_heartbeat_is_newer(context.machine, heartbeat))
@@ -100,6 +100,6 @@
 	machine->lifecycle.up = false;
 	while (machine->assignment_count > 0)
 		fl_task_release(&node->cluster, machine->assignments[0].job,
-		                machine->assignments[0].index, 0);
+		                machine->assignments[0].task_index, 0);
 	fl_condition_broadcast(&node->leadership.work_available);
 }
--- a/src/coordination/workers/reconciliation_exit.c
+++ b/src/coordination/workers/reconciliation_exit.c
@@ -84,7 +84,7 @@
 	job->retry.consecutive_failures = 0;
 	job->retry.not_before = 0;
 	context->machine->health.fault_count = 0;
-	fl_task_done(&context->node->cluster, job, index);
+	fl_task_mark_done(&context->node->cluster, job, index);
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -52,9 +52,9 @@
 	if (status->exit != FL_EXIT_DONE || !job || job->cancelled ||
 	    status->index >= job->task_count || job->kind != FL_ARRAY)
 		return;
-	task = fl_task_get(job, status->index);
+	task = fl_task_get_or_alloc(job, status->index);
 	if (task && task->phase == FL_TASK_WAITING) {
-		fl_task_done(&node->cluster, job, status->index);
+		fl_task_mark_done(&node->cluster, job, status->index);
 		fl_condition_broadcast(&node->leadership.work_available);
 	}
 }
@@ -73,7 +73,8 @@
 /* Returns whether all changes by this exited attempt are in the record or write-ahead log. */
 static bool exit_is_durable(const struct fl_job *job, const struct fl_task_status *status)
 {
-	return !job || status->index >= job->task_count || fl_task_durable(job, status->index);
+	return !job || status->index >= job->task_count ||
+	       fl_task_change_is_durable(job, status->index);
 }
 
 /*
@@ -101,7 +102,7 @@
 static bool is_current_attempt(const struct fl_machine *machine, const struct fl_task *task,
                                const struct fl_task_status *status)
 {
-	return task && task->phase == FL_TASK_PLACED && task->machine == machine->id &&
+	return task && task->phase == FL_TASK_PLACED && task->machine_id == machine->id &&
 	       task->attempt == status->attempt;
 }
 
@@ -110,12 +111,12 @@
 {
 	enum fl_observed_state observed = observed_state(status->state);
 
-	if (task->observed == observed)
+	if (task->last_observed_state == observed)
 		return;
 	fl_debug("workers", "task %s task=%s/%u machine=%s after_s=%.1f",
 	         observed_state_name(observed), job->ref, status->index, context->machine->name,
 	         context->now - task->running_since);
-	fl_task_observe(job, task, observed, context->now);
+	fl_task_set_observed_state(job, task, observed, context->now);
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
@@ -124,7 +125,7 @@
 {
 	struct fl_job *job = fl_job_find(&context->node->cluster, status->ref);
 	struct fl_task *task =
-		job && status->index < job->task_count ? fl_task_peek(job, status->index) : NULL;
+		job && status->index < job->task_count ? fl_task_find(job, status->index) : NULL;
 
 	if (!is_current_attempt(context->machine, task, status)) {
 		reconcile_stale_attempt(context, job, status);
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -54,7 +54,7 @@
                                                    struct fl_job *job, uint32_t index)
 {
 	const char *machine_name = context->machine->name;
-	struct fl_task *task = fl_task_peek(job, index);
+	struct fl_task *task = fl_task_find(job, index);
 
 	if (task->incarnation < context->heartbeat->incarnation) {
 		/* The worker's incarnation at placement has ended, and the attempt with it. */
@@ -63,19 +63,19 @@
 		release_task(context, job, index);
 		return FL_REPLY_WITHOUT_START;
 	}
-	if (task->observed != FL_OBSERVED_NONE) {
+	if (task->last_observed_state != FL_OBSERVED_NONE) {
 		/* The attempt was reported in this incarnation; no forget command was sent. */
 		fl_error("workers",
 		         "task lost; treated as not started task=%s/%u machine=%s "
 		         "reason=not_reported",
 		         job->ref, index, machine_name);
-		fl_task_observe(job, task, FL_OBSERVED_NONE, context->now);
+		fl_task_set_observed_state(job, task, FL_OBSERVED_NONE, context->now);
 	}
 	if (!fl_attempt_should_run(job, task)) {
 		release_task_if_absence_proven(context, job, index, task);
 		return FL_REPLY_WITHOUT_START;
 	}
-	if (!context->commands || !fl_task_durable(job, index))
+	if (!context->commands || !fl_task_change_is_durable(job, index))
 		return FL_REPLY_WITHOUT_START;
 	fl_command_list_add(context->commands, &(struct fl_command){FL_COMMAND_START, job->ref,
 	                                                            index, task->attempt, 0});
@@ -93,7 +93,7 @@
 		struct fl_assignment assignment = machine->assignments[i];
 
 		if (!fl_heartbeat_reports_attempt(context->heartbeat, assignment) &&
-		    reconcile_absent_attempt(context, assignment.job, assignment.index) ==
+		    reconcile_absent_attempt(context, assignment.job, assignment.task_index) ==
 		            FL_REPLY_WITH_START)
 			kind = FL_REPLY_WITH_START;
 	}
