--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -16,21 +16,22 @@
 	uint32_t done_count, placed_count;
 };
 
-static void count_progress(void *context, const struct fl_kv_event *event)
+static void add_task_block_counts(void *context, const struct fl_kv_event *event)
 {
 	struct progress *progress = context;
 
 	fl_task_block_count(event->value, &progress->done_count, &progress->placed_count);
 }
 
-static struct fl_job_status_report read_progress(struct fl_kv_store *kv_store, const char *ref)
+static struct fl_job_status_report read_progress_report(struct fl_kv_store *kv_store,
+                                                        const char *ref)
 {
 	struct progress progress = {0};
 	char key[FL_KEY_MAX];
 	uint64_t revision;
 
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
-	fl_kv_list(kv_store, key, count_progress, &progress, &revision);
+	fl_kv_list(kv_store, key, add_task_block_counts, &progress, &revision);
 	return (struct fl_job_status_report){.known = true,
 	                                     .status = progress.placed_count ? FL_RUNNING
 	                                                                     : FL_PENDING,
@@ -61,8 +62,8 @@
 
 	if (record->final) {
 		report = fl_final_job_report(record->status, record->task_count);
-	} else if (fl_job_lookup_within_budget(node, 1)) {
-		report = read_progress(&node->kv_store, ref);
+	} else if (fl_job_lookup_take_budget(node, 1)) {
+		report = read_progress_report(&node->kv_store, ref);
 	} else {
 		fl_respond_unavailable(response, "too many status queries");
 		return;
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -62,7 +62,7 @@
 static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
                             const struct fl_gossip *gossip, double sent_at)
 {
-	double oldest = sent_at;
+	double oldest_sent_at = sent_at;
 
 	/* Had this node been suspended after sending its age, the reply would lack some. */
 	if (!gossip->complete || !node->jobs_known ||
@@ -70,9 +70,10 @@
 		return;
 	peer->complete_as_of = sent_at;
 	for (int i = 0; i < node->peer_count; i++)
-		oldest = fmin(oldest, node->peers[i].complete_as_of);
+		oldest_sent_at = fmin(oldest_sent_at, node->peers[i].complete_as_of);
 	node->cancellation_watermark =
-		fmax(node->cancellation_watermark, fmax(oldest, sent_at - gossip->watermark_age_s));
+		fmax(node->cancellation_watermark,
+	             fmax(oldest_sent_at, sent_at - gossip->watermark_age_s));
 }
 
 static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent_at)
@@ -89,10 +90,10 @@
 }
 
 /* Seconds since `at` (steady). */
-static double age_s(double at) { return fmin(AGE_MAX_S, fmax(0, fl_now() - at)); }
+static double seconds_since(double at) { return fmin(AGE_MAX_S, fmax(0, fl_now() - at)); }
 
 /* Adds what this node has learned since `since` (steady), so that the reply can be relied on. */
-static void add_cancelled(const struct fl_node *node, double since, struct fl_gossip *gossip)
+static void add_cancellations(const struct fl_node *node, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
 	int count;
@@ -109,18 +110,18 @@
 	for (int i = 0; i < count; i++) {
 		fl_copy_string(gossip->cancelled[i].ref, sizeof(gossip->cancelled[i].ref),
 		               list[i]->ref);
-		gossip->cancelled[i].age_s = age_s(list[i]->cancelled_at);
+		gossip->cancelled[i].age_s = seconds_since(list[i]->cancelled_at);
 	}
 }
 
-static void describe_self(struct fl_node *node, struct fl_gossip *gossip)
+static void init_own_gossip(struct fl_node *node, struct fl_gossip *gossip)
 {
 	memset(gossip, 0, sizeof(*gossip));
 	fl_copy_string(gossip->node, sizeof(gossip->node), node->config->node);
 	fl_copy_string(gossip->leader, sizeof(gossip->leader), node->leader_view.leader);
 	gossip->fencing_token = node->leader_view.fencing_token;
-	gossip->leadership_age_s = age_s(node->leader_view.confirmed_at);
-	gossip->watermark_age_s = age_s(node->cancellation_watermark);
+	gossip->leadership_age_s = seconds_since(node->leader_view.confirmed_at);
+	gossip->watermark_age_s = seconds_since(node->cancellation_watermark);
 	gossip->is_leader = fl_leader_lease_is_valid(&node->leader_lease);
 }
 
@@ -142,18 +143,18 @@
 	 */
 	since = fl_now() - gossip.watermark_age_s - tunables.timeout_s - tunables.clock_slack_s;
 	fl_gossip_free(&gossip);
-	describe_self(node, &gossip);
-	add_cancelled(node, since, &gossip);
+	init_own_gossip(node, &gossip);
+	add_cancellations(node, since, &gossip);
 	response->status = 200;
 	response->body = fl_gossip_encode(&gossip);
 	fl_gossip_free(&gossip);
 }
 
-char *fl_gossip_request(struct fl_node *node)
+char *fl_gossip_request_encode(struct fl_node *node)
 {
 	struct fl_gossip gossip;
 
-	describe_self(node, &gossip);
+	init_own_gossip(node, &gossip);
 	return fl_gossip_encode(&gossip);
 }
 
@@ -173,11 +174,11 @@
 }
 
 /* One exchange with a peer; whether it completed, with whatever status. */
-static bool exchange(struct fl_peer *peer)
+static bool exchange_with_peer(struct fl_peer *peer)
 {
 	double sent_at = fl_now();
 	struct fl_http_reply reply;
-	char *text = fl_gossip_request(peer->node);
+	char *text = fl_gossip_request_encode(peer->node);
 	int rc =
 		fl_http_call(&peer->http, "POST", FL_PATH_GOSSIP, text, tunables.timeout_s, &reply);
 
@@ -206,7 +207,7 @@
 	struct fl_peer *peer = arg;
 
 	while (fl_sleep(tunables.interval_s) == 0)
-		record_link_state(peer, exchange(peer));
+		record_link_state(peer, exchange_with_peer(peer));
 }
 
 void fl_gossip_start(struct fl_node *node)
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -136,7 +136,7 @@
 {
 	char text[256];
 
-	for (int i = 0; fl_admission_tight_setting(config, i, text, sizeof(text)); i++)
+	for (int i = 0; fl_admission_describe_tight_setting(config, i, text, sizeof(text)); i++)
 		fl_error("node", "%s", text);
 }
 
@@ -161,7 +161,7 @@
 	enum fl_node_start_result result;
 
 	log_tight_settings(config);
-	fl_http_set_body_memory_limit(fl_admission_body_bytes(config));
+	fl_http_set_body_memory_limit(fl_admission_max_body_bytes(config));
 	raise_open_file_limit(config);
 	if (!node)
 		return FL_NODE_OUT_OF_MEMORY;
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -114,7 +114,7 @@
 		.body_len = forwarded.body ? strlen(forwarded.body) : 0,
 	};
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
-	if (!fl_is_leader(node) && fl_forward_ends_here(node, forwarded.last_hop))
+	if (!fl_is_leader(node) && fl_forward_is_forbidden(node, forwarded.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
 		fl_route_user_request(node, &client_request, response);
--- a/tests/contract_store_fixture.c
+++ b/tests/contract_store_fixture.c
@@ -154,7 +154,7 @@
 	virtual_time_end();
 	HASH_ITER (hh, world.node.follower.cached_heartbeats, cached, next) {
 		HASH_DEL(world.node.follower.cached_heartbeats, cached);
-		free(cached->text);
+		free(cached->digest_entry);
 		free(cached);
 	}
 	fl_cluster_free(&world.node.cluster);
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -75,7 +75,7 @@
 
 	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, next) {
 		HASH_DEL(fixture->node.follower.cached_heartbeats, cached);
-		free(cached->text);
+		free(cached->digest_entry);
 		free(cached);
 	}
 	while (fixture->node.follower.misplaced_workers) {
--- a/tests/test_cancellation_gossip.c
+++ b/tests/test_cancellation_gossip.c
@@ -21,7 +21,7 @@
 /* One exchange between two controllers, asked so long ago. */
 static void gossip(struct node_fixture *from, int peer_index, struct node_fixture *to, double ago_s)
 {
-	char *request = fl_gossip_request(&from->node);
+	char *request = fl_gossip_request_encode(&from->node);
 	struct fl_http_response response = {0};
 
 	fl_gossip_serve(&to->node, request, strlen(request), &response);
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -31,12 +31,13 @@
 	assert_non_null(cached);
 
 	cached->cached_at = received_at = fl_now() - 9;
-	cached->stored = true;
+	cached->in_digest = true;
 	assert_int_equal(send_idle_heartbeat(fixture, 1, 19), 200);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
-	assert_true(cached->sequence == 20 && cached->cached_at == received_at && cached->stored);
+	assert_true(cached->sequence == 20 && cached->cached_at == received_at &&
+	            cached->in_digest);
 	assert_int_equal(send_idle_heartbeat(fixture, 2, 3), 200);
-	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
+	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->in_digest);
 }
 
 /* What passes through the key-value store is the same as in the heartbeat. */
@@ -97,13 +98,13 @@
 	node->leader_view.fencing_token = 0;
 
 	/* Another heartbeat has the fencing token read already. */
-	node->follower.token_refresh.in_flight = true;
+	node->follower.fencing_token_refresh.in_flight = true;
 	send_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 0);
 
 	node->leader_view.fencing_token = FENCING_TOKEN;
-	node->follower.token_refresh.in_flight = false;
-	fl_condition_broadcast(&node->follower.token_refresh.completed);
+	node->follower.fencing_token_refresh.in_flight = false;
+	fl_condition_broadcast(&node->follower.fencing_token_refresh.completed);
 	run_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 0);
 
@@ -172,7 +173,7 @@
 
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
-	fixture->node.follower.token_refresh.refreshed_at = fl_now();
+	fixture->node.follower.fencing_token_refresh.refreshed_at = fl_now();
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 503);
 }
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -83,7 +83,7 @@
 	world.node = &fixture->node;
 	world.links[0] = leader;
 	world.links[1] = third;
-	result = fl_forward(&fixture->node, &request, &reply);
+	result = fl_forward_to_leader(&fixture->node, &request, &reply);
 	if (result == FL_FORWARD_ANSWERED)
 		fl_buffer_free(&reply.body);
 	return result;
@@ -170,7 +170,8 @@
 	assert_int_equal(forward_and_decode(fixture, 421, FL_DECODE_OK), FL_FORWARD_NO_LEADER);
 	request.encode = encode_nothing;
 	world.links[0].calls = 0;
-	assert_int_equal(fl_forward(&fixture->node, &request, &reply), FL_FORWARD_OUT_OF_MEMORY);
+	assert_int_equal(fl_forward_to_leader(&fixture->node, &request, &reply),
+	                 FL_FORWARD_OUT_OF_MEMORY);
 	assert_int_equal(world.links[0].calls, 0);
 }
 
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -72,7 +72,7 @@
 	if (fl_sleep(query->begins_at) != 0)
 		return;
 	began_at = fl_now();
-	query->result = fl_status_query(&world.follower, query->ref, &query->response);
+	query->result = fl_status_query_send(&world.follower, query->ref, &query->response);
 	query->duration_s = fl_now() - began_at;
 	query->completed = true;
 }
