--- a/src/coordination/api/admission.c
+++ b/src/coordination/api/admission.c
@@ -8,14 +8,14 @@
 	double usable_memory_share, body_memory_share, idle_connection_kb, idle_process_mb,
 		forwarded_heartbeat_cpu_s, min_core_share;
 } tunables = {
-	.usable_memory_share =
-		0.75, /* of the memory; with more in use no job is admitted: 80% holds */
-	.body_memory_share = 0.15, /* of the memory, for bodies of requests being received */
-	.idle_connection_kb = 9,   /* of an idle connection; test_message_costs holds it */
-	.idle_process_mb = 6,      /* of a controller that has just started */
-	.forwarded_heartbeat_cpu_s =
-		0.00025,        /* processor time that a forwarded heartbeat costs the leader */
-	.min_core_share = 0.02, /* of a core; with less, hundreds of machines are too many */
+	/* Share of ram_mb above which no job is admitted; usage then stays within 80%. */
+	.usable_memory_share = 0.75,
+	.body_memory_share = 0.15, /* of ram_mb, for the bodies of requests being received */
+	.idle_connection_kb = 9,   /* asserted by test_message_costs */
+	.idle_process_mb = 6,      /* used by a controller that has just started */
+	.forwarded_heartbeat_cpu_s = 0.00025, /* processor time of the leader */
+	/* Of a core; with less, a leader cannot serve hundreds of machines. */
+	.min_core_share = 0.02,
 };
 
 static const double bytes_per_mb = 1024.0 * 1024.0;
@@ -47,11 +47,12 @@
 
 static void describe_memory(const struct fl_config *config, char *text, size_t cap)
 {
-	snprintf(text, cap,
-	         "ram_mb is %g: %d connections take %.0f MB, and beyond %.0f MB in use submissions "
-	         "get 503",
-	         config->ram_mb, config->max_connections, connections_mb(config),
-	         usable_memory_mb(config));
+	snprintf(
+		text, cap,
+		"memory setting low ram_mb=%g max_connections=%d connections_mb=%.0f limit_mb=%.0f "
+		"effect=\"submissions get 503 above limit_mb\"",
+		config->ram_mb, config->max_connections, connections_mb(config),
+		usable_memory_mb(config));
 }
 
 static bool core_share_is_tight(const struct fl_config *config)
@@ -62,12 +63,12 @@
 static void describe_core_share(const struct fl_config *config, char *text, size_t cap)
 {
 	snprintf(text, cap,
-	         "core_share is %g: a leader answers about %.0f heartbeats a second, and more than "
-	         "that wait",
+	         "core setting low core_share=%g heartbeats_per_s=%.0f "
+	         "effect=\"a leader delays more heartbeats than that\"",
 	         config->core_share, config->core_share / tunables.forwarded_heartbeat_cpu_s);
 }
 
-/* The settings that a controller can be started with although they are tight. */
+/* The checks for tight settings; a controller starts in spite of them. */
 static const struct {
 	bool (*is_tight)(const struct fl_config *config);
 	void (*describe)(const struct fl_config *config, char *text, size_t cap);
--- a/src/coordination/api/admission.h
+++ b/src/coordination/api/admission.h
@@ -1,7 +1,8 @@
 /*
- * Admission by memory: while it is low new jobs are rejected before anything is stored, so that
- * accepted ones can be kept. Settings with which that, or a slow leader, is likely are named at the
- * start. Pure functions of the settings, but for the memory in use.
+ * Admission control by memory: while memory is low, new jobs are rejected before anything is
+ * stored, so that the accepted ones can be kept. Settings that make such rejections or a slow
+ * leader likely are logged at the start. Apart from the memory in use, all results depend on the
+ * settings alone.
  */
 #ifndef FL_COORDINATION_API_ADMISSION_H
 #define FL_COORDINATION_API_ADMISSION_H
@@ -11,13 +12,13 @@
 
 #include "config.h"
 
-/* Whether there is memory for one more job, with all that is accepted already. */
+/* Returns whether the memory in use leaves room for one more job. */
 bool fl_admission_has_memory(const struct fl_config *config);
-/* Bytes that the bodies of all requests being received may take together. */
+/* Maximum number of bytes for the bodies of all requests that are being received. */
 size_t fl_admission_max_body_bytes(const struct fl_config *config);
 /*
- * Writes a text that names a tight setting and what it costs; false: there are no more. `index`
- * counts the tight ones from 0, so that the caller can log all of them.
+ * Writes a log text that names a tight setting and its consequence. `index` counts the tight
+ * settings from 0, so that the caller can log all of them; returns false if there are no more.
  */
 bool fl_admission_describe_tight_setting(const struct fl_config *config, int index, char *text,
                                          size_t cap);
--- a/src/coordination/api/cancellation.c
+++ b/src/coordination/api/cancellation.c
@@ -13,9 +13,9 @@
 #include "transport/log.h"
 
 /*
- * Makes sure that the cluster state has the job, from its record if need be. False: it is no live
- * job, or the record cannot be read, and the response is that of a status query: a job that only
- * its record knows to be over is answered with its counts.
+ * Loads the job from its record unless the cluster state has it. Returns false if the job is not
+ * live or its record cannot be read; the response is then that of a status query, so that a job
+ * whose end is found only in its record is answered with its task counts.
  */
 static bool load_job(struct fl_node *node, const char *ref, struct fl_http_response *response)
 {
@@ -31,7 +31,7 @@
 	return false;
 }
 
-/* The live job if it can be cancelled now; NULL: the response says why it cannot. */
+/* Returns the live job if it can be cancelled now, else NULL with the response filled in. */
 static struct fl_job *find_cancellable_job(struct fl_node *node, const char *ref,
                                            struct fl_http_response *response)
 {
@@ -52,7 +52,7 @@
 	return job;
 }
 
-/* Writes the cancelled record, if this node is still the leader and the record is unchanged. */
+/* Stores the cancelled record if this node is still the leader and the record is unchanged. */
 static enum fl_kv_result store_cancellation(struct fl_node *node, const struct fl_job *job,
                                             double cancelled_wall, uint64_t *revision)
 {
@@ -70,7 +70,7 @@
 	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
 }
 
-/* Applies the result of the write, during which the job and the leadership may have ended. */
+/* Applies the result of the write; the job or the leadership may have ended during the write. */
 static void apply_write_result(struct fl_node *node, const char *ref, enum fl_kv_result result,
                                double cancelled_wall, uint64_t revision)
 {
@@ -84,7 +84,7 @@
 	} else if (result == FL_KV_OK) {
 		fl_cluster_apply_cancellation(&node->cluster, job, &record, revision);
 		fl_command_stop_job(node, job);
-		fl_info("jobs", "job cancelled: %s", ref);
+		fl_info("jobs", "job cancelled job=%s", ref);
 	} else if (result == FL_KV_UNAVAILABLE) {
 		/* The write was not executed: the record is unchanged. */
 		job->record.final_write_unknown = false;
@@ -110,7 +110,7 @@
 	job = find_cancellable_job(node, ref, response);
 	if (!job)
 		return;
-	/* Until the result is known only the record is: see fl_job_status_from_memory. */
+	/* Until the write returns, status queries read the record: fl_job_status_from_memory. */
 	job->record.final_write_unknown = true;
 	result = store_cancellation(node, job, cancelled_wall, &revision);
 	apply_write_result(node, ref, result, cancelled_wall, revision);
@@ -118,7 +118,7 @@
 	if (finished)
 		fl_respond_cancellation(response, ref, finished->status);
 	else if (result == FL_KV_OK)
-		/* Stored; a node that has lost its lease leaves the tasks to the next leader. */
+		/* Stored; if this node has lost its lease, the next leader stops the tasks. */
 		fl_respond_cancellation(response, ref, FL_CANCELLED);
 	else
 		fl_respond_unavailable(response, "the cancellation could not be stored");
--- a/src/coordination/api/feasibility.c
+++ b/src/coordination/api/feasibility.c
@@ -20,7 +20,7 @@
 	       spec->ram_gb <= machine_type->ram_gb;
 }
 
-/* A bit for each zone where an allowed machine type that a task fits is offered. */
+/* Returns a bit for each zone that offers an allowed machine type which a task fits. */
 static uint32_t find_feasible_zones(const struct fl_cluster *cluster,
                                     const struct fl_job_spec *spec)
 {
@@ -35,7 +35,7 @@
 	return zones;
 }
 
-/* All tasks of a service or a gang run at once; an array's can run one after the other. */
+/* All tasks of a service or a gang run at once; those of an array can run one by one. */
 static bool runs_all_tasks_at_once(const struct fl_job_spec *spec)
 {
 	return spec->kind != FL_ARRAY && spec->task_count > 1;
@@ -43,7 +43,7 @@
 
 static bool has_several_zones(uint32_t zones) { return (zones & (zones - 1)) != 0; }
 
-/* A job that cannot have two zones could never place half of its tasks. */
+/* A spread job that is limited to one zone could never place half of its tasks. */
 static bool can_spread_over_zones(const struct fl_job_spec *spec, uint32_t zones)
 {
 	return !spec->same_zone && has_several_zones(zones);
@@ -72,7 +72,7 @@
 			return FL_INFEASIBLE_UNKNOWN_ZONE;
 		zones &= 1u << zone;
 	}
-	/* A type that is offered in no zone of ours cannot be rented. */
+	/* A machine type that is offered in no known zone cannot be rented. */
 	if (!zones)
 		return FL_INFEASIBLE_NO_MACHINE_TYPE;
 	if (runs_all_tasks_at_once(spec) && spec->spread_zones &&
--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -12,11 +12,10 @@
 static const struct {
 	double kv_request_share, burst_s, reads_per_lookup, wait_timeout_s;
 } tunables = {
-	.kv_request_share =
-		0.4,    /* of the store's requests, for the status queries of all controllers */
-	.burst_s = 2.0, /* s of that share that may be used at once */
-	.reads_per_lookup = 2, /* requests: the live record, then the final one */
-	.wait_timeout_s = 1.8, /* s that a query waits for another's read; users wait 2 s */
+	.kv_request_share = 0.4, /* of the store's request rate, for all controllers together */
+	.burst_s = 2.0,          /* how much of that share may be used at once */
+	.reads_per_lookup = 2,   /* the live record, then the final one */
+	.wait_timeout_s = 1.8,   /* for another request's read; users wait 2 s */
 };
 
 void fl_job_lookups_init(struct fl_node *node)
@@ -27,13 +26,14 @@
 }
 
 /*
- * Found with 580 jobs and no leader for a moment: each status query read the records, 185 a second
- * against the 70 requests that the key-value store takes. The new leader's own reads were refused,
- * and its failover took 14 s. Beyond their share status queries get 503, at once.
+ * Beyond their share, status queries get 503 at once. Without this limit, when there was no leader
+ * for a moment, the status queries for 580 jobs read records at a rate of 185 a second, while the
+ * key-value store takes 70 requests a second: it refused the new leader's own reads, and the
+ * failover took 14 s.
  */
 bool fl_job_lookup_take_budget(struct fl_node *node, double request_count)
 {
-	/* While there is a leader the others forward their queries to it, and read nothing. */
+	/* The leader may use the whole share: the other nodes forward their queries to it. */
 	if (fl_is_leader(node))
 		request_count /= node->peer_count + 1;
 	return fl_token_bucket_take(&node->api.read_budget, request_count, fl_now()) <= 0;
@@ -57,8 +57,8 @@
 }
 
 /*
- * Enters a lookup whose read begins: later requests wait for the next one. The coroutine that reads
- * holds it, and removes it from the table itself.
+ * Adds a lookup to the table when its read begins: requests that arrive later wait for the next
+ * lookup. The reading coroutine holds the lookup and removes it from the table itself.
  */
 static void add_lookup(struct fl_node *node, struct fl_job_lookup *lookup)
 {
@@ -71,7 +71,7 @@
 	fl_condition_broadcast(&lookup->completed);
 }
 
-/* Waits until the lookup is done; false: timed out, or the caller is being cancelled. */
+/* Waits until the lookup is done; returns false if that timed out or was cancelled. */
 static bool await_lookup(struct fl_job_lookup *lookup)
 {
 	while (!lookup->done && fl_condition_wait(&lookup->completed, tunables.wait_timeout_s) == 0)
@@ -79,7 +79,7 @@
 	return lookup->done;
 }
 
-/* A job that is done never changes again: the next query is answered from memory. */
+/* A done job never changes again, so later queries for it are answered from memory. */
 static void cache_done_job(struct fl_node *node, const struct fl_job_lookup *lookup)
 {
 	if (lookup->result == FL_RECORD_FOUND && lookup->record.final && !lookup->value &&
@@ -88,7 +88,7 @@
 		                    0);
 }
 
-/* Reads for all holders of `lookup`, which is in the table, and removes it from there. */
+/* Reads the records for all holders of `lookup`, and removes it from the table. */
 static void read_records(struct fl_node *node, struct fl_job_lookup *lookup)
 {
 	lookup->result = FL_RECORD_UNAVAILABLE;
@@ -102,7 +102,7 @@
 	complete_lookup(lookup);
 }
 
-/* The first request that came after the read `before` was sent reads for all of them. */
+/* Waits for the previous read, then reads for all requests that arrived since it was sent. */
 static void read_after_previous(struct fl_node *node, struct fl_job_lookup *previous,
                                 struct fl_job_lookup *lookup)
 {
@@ -118,7 +118,7 @@
 	release_lookup(previous);
 }
 
-/* A copy of the result of the lookup, for one of its holders. */
+/* Copies the lookup's result for one of its holders. */
 static enum fl_record_result copy_result(const struct fl_job_lookup *lookup,
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision)
--- a/src/coordination/api/job_status_response.c
+++ b/src/coordination/api/job_status_response.c
@@ -24,7 +24,7 @@
 		fl_status_encode(ref, report->status, report->done_count, report->running_count);
 }
 
-/* A response of a status without task counts. */
+/* Responds with a job's status, without task counts. */
 static void respond_without_counts(struct fl_http_response *response, int http_status,
                                    const char *ref, enum fl_job_status status)
 {
--- a/src/coordination/api/request_forwarding.c
+++ b/src/coordination/api/request_forwarding.c
@@ -8,8 +8,8 @@
 static const struct {
 	double status_timeout_s, write_timeout_s;
 } tunables = {
-	.status_timeout_s = 1.2, /* s for a forwarded status query; users wait 2 s for it */
-	.write_timeout_s = 2.0,  /* s for a cancellation or submission; users wait 5 s */
+	.status_timeout_s = 1.2, /* for a forwarded status query; users wait 2 s */
+	.write_timeout_s = 2.0,  /* for a cancellation or submission; users wait 5 s */
 };
 
 double fl_user_request_timeout_s(enum fl_user_request kind)
--- a/src/coordination/api/status_from_leader.c
+++ b/src/coordination/api/status_from_leader.c
@@ -17,13 +17,13 @@
 
 	if (finished)
 		return fl_final_job_report(finished->status, finished->task_count);
-	/* While a final write is under way, another node may already know its outcome. */
+	/* Another node may already have read a final record whose write is not confirmed here. */
 	if (!job || job->record.final_write_in_flight || job->record.final_write_unknown)
 		return (struct fl_job_status_report){0};
 	return fl_live_job_report(job);
 }
 
-/* Applies the final record to the cluster state, if it is newer than what that has. */
+/* Applies the final record to the cluster state, unless the state there is newer. */
 static void apply_final_record(struct fl_node *node, const char *ref,
                                const struct fl_job_record *record, uint64_t revision)
 {
@@ -36,7 +36,7 @@
 		fl_job_record_refresh_apply(node, job, record, revision);
 }
 
-/* Applies a live record; if the cluster state does not accept it the job counts as pending. */
+/* Applies a live record; a job that the cluster state does not accept is reported pending. */
 static struct fl_job_status_report apply_live_record(struct fl_node *node, const char *ref,
                                                      const cJSON *value, uint64_t revision)
 {
@@ -62,7 +62,7 @@
 		*report = fl_final_job_report(finished->status, finished->task_count);
 		result = FL_RECORD_FOUND;
 	} else if (result == FL_RECORD_FOUND && record.final) {
-		/* Without a value it is the last record: the tasks are gone, nothing follows. */
+		/* Without a value it is the last record: all tasks are gone, nothing to apply. */
 		if (value)
 			apply_final_record(node, ref, &record, revision);
 		*report = fl_final_job_report(record.status, record.task_count);
--- a/src/coordination/api/status_from_leader.h
+++ b/src/coordination/api/status_from_leader.h
@@ -1,6 +1,6 @@
 /*
- * The status of a job as the leader knows it, the node whose lease is valid now: from memory where
- * that is certain, else from the job's record. The caller has just checked fl_is_leader.
+ * The status of a job on the leader, the node whose lease is valid now: from memory where the
+ * status is certain, else from the job's record. The caller has just checked fl_is_leader.
  */
 #ifndef FL_COORDINATION_API_STATUS_FROM_LEADER_H
 #define FL_COORDINATION_API_STATUS_FROM_LEADER_H
@@ -12,21 +12,21 @@
 struct fl_cluster;
 struct fl_node;
 
-/* What this leader knows of a job. Does not wait; not `known` if only its record can tell. */
+/* Returns the report from memory; not `known` if the record must be read. Does not wait. */
 struct fl_job_status_report fl_job_status_from_memory(const struct fl_cluster *cluster,
                                                       const char *ref);
 /*
- * What the record says of a job that memory does not settle: one that this leader does not know,
- * or whose last write has no known result yet. What was read is applied to the cluster state.
+ * Reads the record of a job whose status is not certain from memory: the leader does not have the
+ * job, or the outcome of the job's last write is unknown. Applies the record to the cluster state.
  * Waits. `report` is set only for FL_RECORD_FOUND.
  */
 enum fl_record_result fl_job_status_from_record(struct fl_node *node, const char *ref,
                                                 struct fl_job_status_report *report);
-/* Answers with the result of fl_job_status_from_record: the status, 404 or 503. */
+/* Responds with the result of fl_job_status_from_record: the status, 404 or 503. */
 void fl_respond_record_status(struct fl_http_response *response, const char *ref,
                               enum fl_record_result result,
                               const struct fl_job_status_report *report);
-/* Answers a status query, from memory where that is certain, else from the record. */
+/* Answers a status query, from memory where the status is certain, else from the record. */
 void fl_leader_respond_job_status(struct fl_node *node, const char *ref,
                                   struct fl_http_response *response);
 
--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -11,7 +11,7 @@
 #include "storage/progress_records.h"
 #include "transport/clock.h"
 
-/* Tasks of a job, summed over its progress records. */
+/* Task counts of a job, summed over its progress records. */
 struct progress {
 	uint32_t done_count, placed_count;
 };
@@ -39,7 +39,7 @@
 	                                     .running_count = progress.placed_count};
 }
 
-/* Reads the job's record, and notes a cancellation found there. */
+/* Reads the job's record; a cancellation found there is added to the cluster state. */
 static enum fl_record_result read_record(struct fl_node *node, const char *ref,
                                          struct fl_job_record *record)
 {
@@ -47,7 +47,7 @@
 	cJSON *value = NULL;
 	enum fl_record_result result = fl_job_lookup_read(node, ref, record, &value, &revision);
 
-	/* The user is told of it, so the other controllers must learn it from this one. */
+	/* The user will know of the cancellation, so this node's gossip must contain it. */
 	if (result == FL_RECORD_FOUND && record->final && value)
 		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
 	cJSON_Delete(value);
--- a/src/coordination/api/status_from_records.h
+++ b/src/coordination/api/status_from_records.h
@@ -1,6 +1,6 @@
 /*
- * The status of a job without a leader in reach: the stored records decide, which are never older
- * than what any user was told before.
+ * The status of a job while no leader is reachable, from the stored records. They are never older
+ * than a status that any user has received before.
  */
 #ifndef FL_COORDINATION_API_STATUS_FROM_RECORDS_H
 #define FL_COORDINATION_API_STATUS_FROM_RECORDS_H
@@ -9,7 +9,7 @@
 
 struct fl_node;
 
-/* Answers a status query from the job's record and, while it is live, its progress. Waits. */
+/* Answers a status query from the records of the job and, if it is live, its tasks. Waits. */
 void fl_respond_status_from_records(struct fl_node *node, const char *ref,
                                     struct fl_http_response *response);
 
--- a/src/coordination/api/status_query_batch.c
+++ b/src/coordination/api/status_query_batch.c
@@ -11,14 +11,14 @@
 #include "transport/text.h"
 
 static const struct {
-	double send_timeout_s; /* s until a request may be sent */
+	double send_timeout_s; /* maximum wait of a batch until it may be sent */
 	/*
-	 * s for a request; users wait 2 s. Found with 3% of a core and 1,900 jobs queried: an
-	 * overloaded leader stands still for a second at a time, and with 0.8 s all queries of that
-	 * time went to the records, which cannot answer so many.
+	 * For one request; users wait 2 s. An overloaded leader (3% of a core, 1,900 jobs queried)
+	 * does not respond for a second at a time: with 0.8 s, all queries of such a second fell
+	 * back to the records, and the key-value store cannot serve that many reads.
 	 */
 	double request_timeout_s;
-	int max_in_flight; /* requests to the leader: one that stalls must not hold up all */
+	int max_in_flight; /* more than one, so that a stalled request does not block the rest */
 } tunables = {
 	.send_timeout_s = 0.5,
 	.request_timeout_s = 1.2,
@@ -27,7 +27,7 @@
 
 /* Queries that share a request. */
 struct status_batch {
-	struct fl_batch base; /* first: see fl_batch */
+	struct fl_batch base; /* must be first: see fl_batch */
 	int count;
 	char refs[FL_STATUS_QUERY_MAX][FL_REF_MAX];
 	struct fl_job_status_report reports[FL_STATUS_QUERY_MAX];
@@ -49,8 +49,8 @@
 }
 
 /*
- * Sends a batch to the leader directly, never through a third controller: queries that need one
- * are forwarded one by one.
+ * Sends a batch to the leader directly. Queries that have to pass through a third controller are
+ * forwarded one by one instead.
  */
 static enum fl_forward_result exchange_batch(struct fl_node *node, struct fl_batch *base)
 {
@@ -64,7 +64,7 @@
 	return fl_forward_and_decode(node, &request, decode_answers, batch);
 }
 
-/* The batch that one more query joins, begun if there is none; NULL: it is full, or no memory. */
+/* Returns the open batch, begun if there is none; NULL if it is full or memory is exhausted. */
 static struct status_batch *find_batch(struct fl_batch_queue *queue)
 {
 	struct status_batch *batch = (struct status_batch *)queue->open_batch;
@@ -124,12 +124,12 @@
 	if (result == FL_DECODE_NO_MEMORY) {
 		fl_respond_unavailable(response, "memory is low");
 	} else if (result == FL_DECODE_MALFORMED) {
-		fl_error("peers", "status queries rejected: malformed");
+		fl_error("peers", "status queries malformed; request rejected");
 		fl_respond_error(response, 400, "malformed status queries");
 	} else if (!fl_is_leader(node)) {
 		fl_respond_error(response, 421, "not the leader");
 	} else {
-		/* Nothing waits from here on: every report is covered by the lease just checked. */
+		/* Nothing below waits, so the lease just checked covers every report. */
 		for (int i = 0; i < count; i++)
 			reports[i] = fl_job_status_from_memory(&node->cluster, refs[i]);
 		response->status = 200;
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -18,7 +18,7 @@
 static const struct {
 	double kv_down_s;
 } tunables = {
-	.kv_down_s = 0.3, /* s after a refusal in which the key-value store counts as down */
+	.kv_down_s = 0.3, /* after a failed request, for which the key-value store counts as down */
 };
 
 /* A submission being handled. It owns nothing. */
@@ -42,14 +42,14 @@
 
 /* ---- duplicate submissions ---- */
 
-/* Whether a submission is a duplicate of one that was accepted. */
+/* Whether a submission is a duplicate of an accepted one. */
 enum duplicate_check {
-	DUPLICATE_NO,       /* the job is not known */
-	DUPLICATE_ANSWERED, /* it is, and the response has its state */
-	DUPLICATE_UNDECIDED /* neither the store nor the leader answers now */
+	DUPLICATE_NO,       /* the job has no record */
+	DUPLICATE_ANSWERED, /* a duplicate; the response has the job's status */
+	DUPLICATE_UNDECIDED /* neither the store nor the leader answered */
 };
 
-/* Like respond_if_duplicate, by asking the leader. */
+/* Like respond_if_duplicate, by a status query to the leader. */
 static enum duplicate_check respond_if_leader_knows_job(const struct submission *submission)
 {
 	const struct fl_outgoing_user_request request = {
@@ -67,7 +67,7 @@
 	return reply.status == 404 ? DUPLICATE_NO : DUPLICATE_UNDECIDED;
 }
 
-/* Whether the job has a record. */
+/* Reads whether the job has a record. */
 static enum fl_record_result look_up_record(struct fl_kv_store *kv_store, const char *ref)
 {
 	struct fl_job_record record;
@@ -90,9 +90,9 @@
 }
 
 /*
- * Answers a duplicate submission with the state of the job. What the key-value store refuses to
- * this node alone the leader may know: else a malformed submission would get 503, from this node
- * only, and its user would retry for a minute.
+ * Answers a duplicate submission with the status of the job. If the key-value store refuses this
+ * node's read, the leader is queried: otherwise a malformed submission would get 503, from this
+ * node alone, and its user would retry for a minute.
  */
 static enum duplicate_check respond_if_duplicate(const struct submission *submission)
 {
@@ -113,7 +113,7 @@
 
 /* ---- rejection, permanent or temporary ---- */
 
-/* Rejects permanently, but answers a duplicate; 503 if it is not known whether it is one. */
+/* Rejects with this status, unless it is a duplicate; 503 if that cannot be decided. */
 static void reject_permanently(const struct submission *submission, int status, const char *reason)
 {
 	switch (respond_if_duplicate(submission)) {
@@ -125,12 +125,12 @@
 		break;
 	case DUPLICATE_NO:
 		fl_respond_error(submission->response, status, "%s", reason);
-		fl_info("jobs", "job rejected: %s: %s", submission->spec->ref, reason);
+		fl_info("jobs", "job rejected job=%s reason=\"%s\"", submission->spec->ref, reason);
 		break;
 	}
 }
 
-/* Responds 503; false: it is a duplicate, and is answered as such. */
+/* Responds 503 and returns true; false if the submission was answered as a duplicate. */
 static bool reject_temporarily(const struct submission *submission, const char *reason)
 {
 	if (respond_if_duplicate(submission) == DUPLICATE_ANSWERED)
@@ -142,8 +142,8 @@
 /* ---- acceptance ---- */
 
 /*
- * Adds the stored job to the cluster state, unless a watch has done so already. A leader's
- * list at this revision or a later one would hold the job if it were still live.
+ * Adds the stored job to the cluster state, unless a watch has already added it. A leader whose job
+ * list was read at this revision or a later one has the job already if it is still live.
  */
 static void add_stored_job(struct fl_node *node, const struct fl_job_spec *spec,
                            double submitted_wall, uint64_t revision)
@@ -158,7 +158,7 @@
 	}
 }
 
-/* Writes the job's record, if it has none of either kind. */
+/* Writes the job's live record, if the job has neither a live nor a final record. */
 static enum fl_kv_result store_job(struct fl_node *node, const struct fl_job_spec *spec)
 {
 	double submitted_wall = fl_wall();
@@ -180,8 +180,9 @@
 }
 
 /*
- * The key-value store may refuse this node alone, or be cut off from it, and not the leader. The
- * decoded submission is sent, not the body: a large one, escaped once more, would be over 64 KiB.
+ * The key-value store may refuse this node's requests, or be partitioned from this node, while the
+ * leader reaches it. The decoded submission is sent and not the body, since a large body would
+ * exceed 64 KiB when it is escaped once more.
  */
 static bool submit_through_leader(const struct submission *submission)
 {
@@ -203,14 +204,14 @@
 	                                         reply.status == 200 || reply.status == 201);
 }
 
-/* Stores a feasible job, here or through the leader. */
+/* Stores a feasible job, by this node or through the leader. */
 static void accept_job(const struct submission *submission)
 {
 	const struct fl_job_spec *spec = submission->spec;
 	bool may_forward = submission->hop == FL_HOP_FIRST;
 	enum fl_kv_result result = FL_KV_UNAVAILABLE;
 
-	/* A partition shows only as a timeout: a try here first would cost the user a second. */
+	/* In a network partition, a write from here would time out and cost the user a second. */
 	if (may_forward && fl_kv_is_unavailable(&submission->node->kv_store)) {
 		if (submit_through_leader(submission))
 			return;
@@ -219,7 +220,7 @@
 	if (!kv_store_is_down(&submission->node->kv_store))
 		result = store_job(submission->node, spec);
 	if (result == FL_KV_OK) {
-		fl_info("jobs", "job accepted: %s class=%s team=%s tasks=%u cpus=%g gpus=%g",
+		fl_info("jobs", "job accepted job=%s class=%s team=%s tasks=%u cpus=%g gpus=%g",
 		        spec->ref, spec->job_class, spec->team, spec->task_count, spec->cpus,
 		        spec->gpus);
 		fl_respond_job_accepted(submission->response, spec->ref);
@@ -234,9 +235,9 @@
 	fl_respond_unavailable(submission->response, "the job could not be stored");
 }
 
-/* ---- the decision ---- */
+/* ---- validation ---- */
 
-/* Decides on a well-formed submission. */
+/* Handles a submission whose fields are all valid. */
 static void handle_valid_submission(const struct submission *submission)
 {
 	struct fl_node *node = submission->node;
@@ -256,7 +257,8 @@
 	else if (fl_admission_has_memory(node->config))
 		accept_job(submission);
 	else if (reject_temporarily(submission, "memory is low"))
-		fl_info("jobs", "job not admitted: %s: memory is low", submission->spec->ref);
+		fl_info("jobs", "job not admitted job=%s reason=\"memory is low\"",
+		        submission->spec->ref);
 }
 
 void fl_handle_submission(struct fl_node *node, const char *body, size_t len,
@@ -276,7 +278,7 @@
 	bad_field = fl_job_spec_decode(object, &spec);
 	cJSON_Delete(object);
 	if (!spec.ref[0]) {
-		/* A job without an id cannot be looked up: its submission has no duplicate. */
+		/* Without a job id, the submission cannot be a duplicate. */
 		fl_respond_error(response, 400, FL_FIELD_REF ": missing or invalid");
 		return;
 	}
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -10,13 +10,13 @@
 #include "coordination/responses.h"
 #include "transport/clock.h"
 
-/* Who answers a user's request for a job. */
+/* Who answers a user's request about a job. */
 enum responder {
-	RESPONDER_ANSWERED,     /* none: the response is filled in */
-	RESPONDER_FINISHED_JOB, /* this node's memory of a job that is over */
+	RESPONDER_ANSWERED,     /* none: the response is already filled in */
+	RESPONDER_FINISHED_JOB, /* this node's memory of a finished job */
 	RESPONDER_THIS_LEADER,
-	RESPONDER_LEADER_FOR_PEER, /* only the leader: another controller forwarded it */
-	RESPONDER_LEADER           /* another controller, if it is in reach */
+	RESPONDER_LEADER_FOR_PEER, /* only the leader: a peer forwarded the request */
+	RESPONDER_LEADER           /* another controller; without it, the records */
 };
 
 static enum responder find_responder(const struct fl_node *node, const char *ref,
@@ -35,7 +35,7 @@
 	return hop == FL_HOP_LAST ? RESPONDER_LEADER_FOR_PEER : RESPONDER_LEADER;
 }
 
-/* Forwards the request; false: the leader gave no answer that a user can get. */
+/* Forwards the request; returns false without a reply that can be passed on to a user. */
 static bool respond_through_leader(struct fl_node *node,
                                    const struct fl_outgoing_user_request *request,
                                    struct fl_http_response *response)
@@ -46,7 +46,7 @@
 	       fl_respond_with_reply(response, &reply, reply.status == 200 || reply.status == 404);
 }
 
-/* Answers another controller: forwarded to the leader only, so once more at most. */
+/* Answers another controller's request: forwards it once more, directly to the leader. */
 static void respond_to_peer(struct fl_node *node, enum fl_user_request kind, const char *ref,
                             struct fl_http_response *response)
 {
@@ -61,8 +61,8 @@
 }
 
 /*
- * Sends the query to the leader in a batch; what the leader's memory cannot answer is forwarded by
- * itself, in the time that is left. Without an answer the stored records decide.
+ * Sends the query to the leader in a batch. If that fails or the leader cannot answer from memory,
+ * the query is forwarded alone, in the time that is left; after that, the stored records are read.
  */
 static void query_leader_or_records(struct fl_node *node, const char *ref,
                                     struct fl_http_response *response)
--- a/src/coordination/follower/follower.c
+++ b/src/coordination/follower/follower.c
@@ -11,7 +11,7 @@
 static const struct {
 	double digest_interval_s;
 } tunables = {
-	.digest_interval_s = 2.0, /* s between two digests in the key-value store */
+	.digest_interval_s = 2.0, /* between two writes of digests to the key-value store */
 };
 
 void fl_follower_handle_heartbeat(struct fl_node *node, const char *body, size_t len,
@@ -21,14 +21,14 @@
 	struct fl_heartbeat heartbeat;
 
 	if (fl_heartbeat_decode(body, len, &heartbeat) != FL_DECODE_OK) {
-		fl_error("workers", "heartbeat rejected: malformed");
+		fl_error("workers", "heartbeat malformed; rejected");
 		fl_respond_error(response, 400, "malformed heartbeat");
 		return;
 	}
 	heartbeat.entry_node = fl_node_index(node, node->config->node);
 	target = fl_redirect_target(node, &heartbeat);
 	if (target) {
-		fl_debug("follower", "worker redirected: %s target=%s", heartbeat.host,
+		fl_debug("follower", "worker redirected machine=%s peer=%s", heartbeat.host,
 		         target->name);
 		response->status = 421;
 		response->body = fl_redirect_encode(target->name);
@@ -40,7 +40,7 @@
 	fl_heartbeat_free(&heartbeat);
 }
 
-/* One coroutine for both: what is cached of old workers is dropped before a digest is written. */
+/* One coroutine for both, so that old workers are dropped before a digest is written. */
 static void maintenance_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
--- a/src/coordination/follower/follower.h
+++ b/src/coordination/follower/follower.h
@@ -1,7 +1,7 @@
 /*
- * What a node does with workers' heartbeats: as the leader it replies with commands, else it
- * forwards them to the leader, renews the worker's lease itself, or redirects the worker to another
- * node.
+ * Handling of workers' heartbeats: a node redirects a misplaced worker to another node; otherwise
+ * the leader replies with commands, and a follower forwards the heartbeat to the leader or renews
+ * the worker's lease itself.
  */
 #ifndef FL_COORDINATION_FOLLOWER_FOLLOWER_H
 #define FL_COORDINATION_FOLLOWER_FOLLOWER_H
@@ -17,22 +17,22 @@
 
 struct fl_node;
 
-/* What a node holds for the workers that send it heartbeats while it does not lead. */
+/* The state that a node keeps for the workers that send their heartbeats to it. */
 struct fl_follower {
 	struct fl_cached_heartbeat *cached_heartbeats;
 	struct fl_misplaced_worker *misplaced_workers;
-	int redirect_round_robin; /* whose turn it is to get a worker that is redirected */
+	int redirect_round_robin; /* counter that selects the peer of the next redirect */
 	struct fl_digest_slot digest_slots[FL_DIGESTS_MAX];
 	struct fl_token_bucket digest_write_budget;
 	struct fl_fencing_token_refresh fencing_token_refresh;
-	struct fl_batch_queue heartbeat_batches; /* to the leader */
+	struct fl_batch_queue heartbeat_batches; /* heartbeats being forwarded to the leader */
 };
 
-/* Starts the coroutines of the gossip between controllers, and of the digests. */
+/* Starts the coroutines that exchange gossip with the other controllers and write digests. */
 void fl_follower_start(struct fl_node *node);
 /*
- * Answers a worker's heartbeat: with commands of the leader, with a renewal, with a redirect (421),
- * or with an error. It may wait.
+ * Answers a worker's heartbeat with the leader's commands, a lease renewal, a redirect (421) or an
+ * error. May wait.
  */
 void fl_follower_handle_heartbeat(struct fl_node *node, const char *body, size_t len,
                                   struct fl_http_response *response);
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -12,10 +12,10 @@
 static const struct {
 	double direct_timeout_s;
 } tunables = {
-	.direct_timeout_s = 0.7, /* s for a direct request to the leader, if there is another way */
+	.direct_timeout_s = 0.7, /* for a direct request, if a third controller can be tried next */
 };
 
-/* The other controller of this name, or NULL. */
+/* Returns the peer of this name, or NULL. */
 static struct fl_peer *find_peer(struct fl_node *node, const char *name)
 {
 	for (int i = 0; i < node->peer_count; i++)
@@ -36,7 +36,7 @@
 	return peer ? 2 + (int)(peer - node->peers) : 0;
 }
 
-/* Without a third controller nothing is lost by trying one whose last exchange failed. */
+/* Without a third controller, even a peer whose last gossip exchange failed is tried. */
 static bool may_be_reachable(const struct fl_node *node, const struct fl_peer *peer)
 {
 	return peer->up || node->peer_count == 1;
@@ -68,7 +68,7 @@
 	}
 }
 
-/* Sends a request to one peer; its reply is 421 if it neither leads nor reaches the leader. */
+/* Sends a request to a peer, which replies 421 if it neither leads nor reaches the leader. */
 static enum fl_forward_result forward_via(struct fl_peer *peer, const char *path, const char *text,
                                           double timeout_s, struct fl_http_reply *reply)
 {
@@ -155,8 +155,8 @@
 	                                                         reply.body.length))
 	                             : FL_FORWARD_REJECTED;
 	if (result == FL_FORWARD_MALFORMED_REPLY)
-		fl_error("peers", "malformed reply: path=%s leader=%s", request->path,
-		         node->leader_view.leader);
+		fl_error("peers", "reply malformed; forwarded request failed path=%s leader=%s",
+		         request->path, node->leader_view.leader);
 	fl_buffer_free(&reply.body);
 	return result;
 }
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -16,12 +16,12 @@
 static const struct {
 	double interval_s, timeout_s, clock_slack_s;
 } tunables = {
-	.interval_s = 1.0,    /* s between two exchanges with each peer */
-	.timeout_s = 1.0,     /* s; a link that takes longer counts as down */
-	.clock_slack_s = 1.0, /* s; repeated in a reply, for clocks that drift apart */
+	.interval_s = 1.0,    /* between two exchanges with a peer */
+	.timeout_s = 1.0,     /* of an exchange; a slower peer counts as unreachable */
+	.clock_slack_s = 1.0, /* overlap between replies, for clock drift */
 };
 
-/* An age that is as good as any greater one, in s. */
+/* Upper limit of the ages in messages, which need not be exact beyond it. */
 #define AGE_MAX_S 1e6
 
 double fl_gossip_last_exchange_at(const struct fl_node *node)
@@ -48,23 +48,25 @@
 		                              : NULL;
 		if (job)
 			fl_command_stop_job(node, job);
-		fl_info("jobs", "job cancelled: %s source=%s", cancellation->ref, gossip->node);
+		fl_info("jobs", "job cancellation received job=%s peer=%s", cancellation->ref,
+		        gossip->node);
 	}
 }
 
 /*
- * What a peer has learned since this node's watermark makes this node know as much as the peer. And
- * no user is told of a cancellation but by a controller that has learned of it: if all of them have
- * replied, nothing that anybody was told before the oldest of these requests is missing here,
- * whatever the key-value store does meanwhile. A process that has not read the jobs itself since it
- * started gives no such guarantee: the one before it may have told a user.
+ * A complete reply has all cancellations that the peer has learned of since this node's watermark,
+ * and a user is told of a cancellation only by a controller that has learned of it. So once all
+ * peers have replied, this node has every cancellation that any user was told of before the oldest
+ * of these requests, even if the key-value store is unavailable. This does not hold for a process
+ * that has not read the job records since its start: its predecessor may have told a user of a
+ * cancellation that the new process lacks.
  */
 static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
                             const struct fl_gossip *gossip, double sent_at)
 {
 	double oldest_sent_at = sent_at;
 
-	/* Had this node been suspended after sending its age, the reply would lack some. */
+	/* If this node was suspended during the exchange, the reply may lack cancellations. */
 	if (!gossip->complete || !node->jobs_known ||
 	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
@@ -78,21 +80,21 @@
 
 static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent_at)
 {
-	/* With a valid lease the higher token is its own, being raised: nothing is learned. */
+	/* If this node's lease is valid, the higher token is its own, which it is raising. */
 	if (gossip->fencing_token > node->leader_view.fencing_token && node->leader_lease.held) {
 		if (fl_leader_lease_is_valid(&node->leader_lease) ||
 		    strcmp(gossip->leader, node->config->node) == 0)
 			return;
-		fl_leader_lease_step_down(node, "a peer knows a higher fencing token");
+		fl_leader_lease_step_down(node, "a peer reported a higher fencing token");
 	}
 	fl_leader_view_learn(&node->leader_view, gossip->fencing_token, gossip->leader,
 	                     sent_at - gossip->leadership_age_s);
 }
 
-/* Seconds since `at` (steady). */
+/* Returns the seconds since `at`, at most AGE_MAX_S. */
 static double seconds_since(double at) { return fmin(AGE_MAX_S, fmax(0, fl_now() - at)); }
 
-/* Adds what this node has learned since `since` (steady), so that the reply can be relied on. */
+/* Adds all cancellations learned of since `since`, or none: then the reply is not complete. */
 static void add_cancellations(const struct fl_node *node, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
@@ -132,14 +134,14 @@
 	double since;
 
 	if (fl_gossip_decode(body, len, &gossip) != FL_DECODE_OK) {
-		fl_error("peers", "request rejected: malformed path=%s", FL_PATH_GOSSIP);
+		fl_error("peers", "gossip request malformed; rejected path=%s", FL_PATH_GOSSIP);
 		fl_respond_error(response, 400, "malformed gossip");
 		return;
 	}
 	/*
-	 * A request raises nothing here: it may have been held back on its way for minutes. But
-	 * then nobody waits for the reply any more, so the requester's watermark had this age at
-	 * most a timeout ago.
+	 * A request raises no watermark here, since it may have been delayed for minutes. The
+	 * requester waits only one timeout for the reply, though: if it still does, its watermark
+	 * had this age at most one timeout ago.
 	 */
 	since = fl_now() - gossip.watermark_age_s - tunables.timeout_s - tunables.clock_slack_s;
 	fl_gossip_free(&gossip);
@@ -164,7 +166,8 @@
 	struct fl_gossip gossip;
 
 	if (fl_gossip_decode(body, len, &gossip) != FL_DECODE_OK) {
-		fl_error("peers", "malformed reply: path=%s peer=%s", FL_PATH_GOSSIP, peer->name);
+		fl_error("peers", "gossip reply malformed; ignored path=%s peer=%s", FL_PATH_GOSSIP,
+		         peer->name);
 		return;
 	}
 	learn_cancellations(node, &gossip);
@@ -173,7 +176,7 @@
 	fl_gossip_free(&gossip);
 }
 
-/* One exchange with a peer; whether it completed, with whatever status. */
+/* Exchanges gossip with a peer; returns whether a reply with any status arrived. */
 static bool exchange_with_peer(struct fl_peer *peer)
 {
 	double sent_at = fl_now();
@@ -197,7 +200,7 @@
 {
 	if (peer->up != up) {
 		peer->up_since = fl_now();
-		fl_info("peers", "peer %s: %s", up ? "reachable" : "unreachable", peer->name);
+		fl_info("peers", "peer %s peer=%s", up ? "reachable" : "unreachable", peer->name);
 	}
 	peer->up = up;
 }
--- a/src/coordination/follower/gossip.h
+++ b/src/coordination/follower/gossip.h
@@ -1,9 +1,11 @@
 /*
- * Gossip: an exchange of about once a second with each other controller, on who leads, since when
- * that is confirmed, and which jobs were cancelled. It also shows which controllers are reachable.
+ * Gossip: about once a second, a controller exchanges messages with each other controller on which
+ * one leads, when that was last confirmed, and which jobs were cancelled. The exchanges also show
+ * which controllers are reachable. Points in time are seconds of the monotonic clock.
  *
- * The reply contains all that the peer has learned since the requester's watermark, so that an
- * exchange that succeeds raises that watermark; nothing in a request may be relied on.
+ * A reply contains all cancellations that the peer has learned of since the requester's watermark,
+ * so that a successful exchange raises that watermark. The receiver of a request learns nothing
+ * from it, since it may have been delayed for minutes.
  */
 #ifndef FL_COORDINATION_FOLLOWER_GOSSIP_H
 #define FL_COORDINATION_FOLLOWER_GOSSIP_H
@@ -15,16 +17,16 @@
 struct fl_node;
 struct fl_peer;
 
-/* Starts a coroutine for each other controller; no exchange counts as completed yet. */
+/* Starts a coroutine for each other controller, with no exchange completed yet. */
 void fl_gossip_start(struct fl_node *node);
-/* Steady: when an exchange with any other controller last completed; long ago if none did. */
+/* Returns when an exchange with any peer last completed; FL_LONG_AGO if none has. */
 double fl_gossip_last_exchange_at(const struct fl_node *node);
-/* The text of a request; the caller frees it. */
+/* Returns the text of a gossip request; the caller frees it. */
 char *fl_gossip_request_encode(struct fl_node *node);
-/* Answers another controller's request. */
+/* Answers another controller's gossip request. */
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
                      struct fl_http_response *response);
-/* Applies the reply of `peer` to a request that was sent at `sent_at` (steady). */
+/* Applies the reply of `peer` to a request that was sent at `sent_at`. */
 void fl_gossip_handle_reply(struct fl_node *node, struct fl_peer *peer, const char *body,
                             size_t len, double sent_at);
 
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -17,15 +17,15 @@
 	double record_fill_share, kv_write_share, max_cached_age_intervals,
 		max_written_age_intervals;
 } tunables = {
-	.record_fill_share = 0.85, /* share of a value's limit that a digest fills */
-	.kv_write_share = 0.12, /* share of the key-value store's writes for one node's digests */
-	.max_cached_age_intervals = 5,  /* intervals of digests for which a heartbeat is kept */
-	.max_written_age_intervals = 2, /* the same, for which it is worth to be written */
+	.record_fill_share = 0.85,      /* of the size limit of a value, for one digest */
+	.kv_write_share = 0.12,         /* of the store's write rate, for one node's digests */
+	.max_cached_age_intervals = 5,  /* digest intervals until a heartbeat is dropped */
+	.max_written_age_intervals = 2, /* digest intervals until it is too old to be written */
 };
 
 /*
- * A copy of a heartbeat may come long after it, also to a node that has cached newer ones: it does
- * not show that the worker lives now, and replaces nothing.
+ * A duplicate of a heartbeat may arrive long after the original, also when a newer one is cached.
+ * It does not show that the worker is alive now, and so replaces nothing.
  */
 void fl_heartbeat_cache(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
@@ -62,7 +62,7 @@
 	free(cached);
 }
 
-/* Reads the revision of the stored record of a slot, if it is not known. */
+/* Reads the revision of a slot's stored record, unless it is known. */
 static enum fl_kv_result read_slot_revision(struct fl_node *node, const char *key,
                                             struct fl_digest_slot *slot)
 {
@@ -76,9 +76,8 @@
 }
 
 /*
- * Each record is written only over the revision that this process knows to be stored: a write of
- * its own, or of the process before it, that is executed late must not replace a newer one.
- * Consumes the digest.
+ * Writes a digest record only over the revision that this process knows to be stored: a late write
+ * of this process or of its predecessor must not replace a newer record. Consumes the digest.
  */
 static enum fl_kv_result write_digest(struct fl_node *node, int index, cJSON *digest)
 {
@@ -102,14 +101,14 @@
 		slot->mod_revision = revision;
 	else if (result != FL_KV_UNAVAILABLE)
 		slot->revision_known = false;
-	fl_debug("follower", "heartbeat digest written index=%d result=%s", index,
+	fl_debug("follower", "heartbeat digest write finished index=%d result=\"%s\"", index,
 	         fl_kv_result_text(result));
 	return result;
 }
 
 /*
- * What fits into one record, of what was cached since `since` (steady) and no digest holds yet, to
- * be deleted. NULL: nothing is left.
+ * Builds a digest of as many heartbeats as fit into one record, from those that were cached since
+ * `since` and are not in a digest yet. The caller deletes it; NULL if there are none.
  */
 static cJSON *build_digest(struct fl_node *node, double since)
 {
@@ -130,7 +129,7 @@
 		fl_digest_add(digest, cached->digest_entry);
 		used += len;
 		cached->in_digest = true;
-		/* Last in turn from now on: if the budget is short, each machine gets its share. */
+		/* Moved to the end, so that a small write budget is shared by all machines. */
 		HASH_DEL(node->follower.cached_heartbeats, cached);
 		HASH_ADD_STR(node->follower.cached_heartbeats, host, cached);
 	}
@@ -138,9 +137,10 @@
 }
 
 /*
- * The leader must not consider machines lost whose leases are renewed here and whose heartbeats do
- * not arrive there. These travel through the key-value store, many to a record, within a share of
- * its writes: the leader's own records and the users' submissions need the rest.
+ * The leader must not consider a machine lost whose lease is renewed by this node and whose
+ * heartbeats do not reach the leader. These heartbeats are passed on through the key-value store,
+ * many to a record, within a share of its writes: the leader's own records and the users'
+ * submissions need the rest.
  */
 static void write_digests(struct fl_node *node, double since)
 {
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -12,9 +12,9 @@
 	double send_timeout_s, exchange_timeout_s;
 	int max_in_flight;
 } tunables = {
-	.send_timeout_s = 0.75,    /* s until a request is sent; then renewed from here */
-	.exchange_timeout_s = 1.5, /* s for the leader's reply; the worker gives up after 4 */
-	.max_in_flight = FL_HEARTBEAT_REQUESTS_MAX, /* one that stalls must not hold up all */
+	.send_timeout_s = 0.75,    /* until the batch is sent; then this node renews leases */
+	.exchange_timeout_s = 1.5, /* for the leader's reply; the worker times out after 4 s */
+	.max_in_flight = FL_HEARTBEAT_REQUESTS_MAX, /* a stalled one must not block the rest */
 };
 
 /* The heartbeats of one request, and the replies to them. */
@@ -26,7 +26,7 @@
 	struct fl_heartbeat_reply replies[FL_PEER_HEARTBEATS_MAX];
 };
 
-/* What a request is made of. */
+/* The contents of a request, passed to encode_request as its context. */
 struct heartbeat_request {
 	cJSON *heartbeats;
 	const char *entry_node;
@@ -74,7 +74,7 @@
 	free(batch);
 }
 
-/* The batch that a heartbeat goes into: the one being filled, or a new one. NULL: no memory. */
+/* Returns the open batch if it has room for the heartbeat, else a new one; NULL: no memory. */
 static struct heartbeat_batch *find_or_begin_batch(struct fl_batch_queue *queue, size_t len)
 {
 	struct heartbeat_batch *batch = (struct heartbeat_batch *)queue->open_batch;
@@ -131,7 +131,7 @@
 	return result;
 }
 
-/* ---- for another controller ---- */
+/* ---- requests of other controllers ---- */
 
 static struct fl_heartbeat_reply answer_heartbeat(struct fl_node *node, const char *entry_node,
                                                   const cJSON *item)
@@ -144,13 +144,14 @@
 		fl_leader_reply_respond(node, &heartbeat, &response);
 		fl_heartbeat_free(&heartbeat);
 	} else {
-		fl_error("peers", "heartbeat rejected: malformed entry_node=%s", entry_node);
+		fl_error("peers", "forwarded heartbeat malformed; rejected entry_node=%s",
+		         entry_node);
 		fl_respond_error(&response, 400, "malformed heartbeat");
 	}
 	return (struct fl_heartbeat_reply){response.status, response.body};
 }
 
-/* It does not wait: all of them are answered under the lease that was checked. */
+/* Does not wait, so that the lease that the caller has checked covers all replies. */
 static void answer_heartbeats(struct fl_node *node, const struct fl_peer_heartbeats *message,
                               struct fl_http_response *response)
 {
@@ -166,7 +167,7 @@
 		free(replies[i].body);
 }
 
-/* The sender has lost the key-value store too: its heartbeats go with our digest. */
+/* The sender cannot reach the key-value store, so this node adds the heartbeats to its digest. */
 static void cache_heartbeats(struct fl_node *node, const struct fl_peer_heartbeats *message)
 {
 	const cJSON *item;
@@ -207,7 +208,8 @@
 	struct fl_peer_heartbeats message;
 
 	if (fl_peer_heartbeats_decode(body, len, &message) != FL_DECODE_OK) {
-		fl_error("peers", "request rejected: malformed path=%s", FL_PATH_HEARTBEATS);
+		fl_error("peers", "forwarded heartbeats malformed; request rejected path=%s",
+		         FL_PATH_HEARTBEATS);
 		fl_respond_error(response, 400, "malformed heartbeats");
 		return;
 	}
--- a/src/coordination/follower/isolation.c
+++ b/src/coordination/follower/isolation.c
@@ -9,7 +9,7 @@
 static const struct {
 	double isolation_delay_s;
 } tunables = {
-	.isolation_delay_s = 1.5, /* s without any reply before a node counts as isolated */
+	.isolation_delay_s = 1.5, /* without any reply, until a node counts as isolated */
 };
 
 bool fl_node_is_isolated(const struct fl_node *node)
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -11,14 +11,15 @@
 static const struct {
 	double refresh_interval_s, wait_timeout_s;
 } tunables = {
-	.refresh_interval_s = 0.5, /* s between two reads of who leads, at least */
-	.wait_timeout_s = 1.5,     /* s for which a heartbeat waits for such a read */
+	.refresh_interval_s = 0.5, /* minimum time between two reads of the leader view */
+	.wait_timeout_s = 1.5,     /* of a heartbeat for fencing token and job list */
 };
 
 /*
- * Never a lower fencing token: the worker would drop the reply and wait there until its lease ends.
- * How old the token is does not matter: a lease renewed with an old one decides nothing, and a
- * worker that has seen a newer one drops the reply.
+ * Returns whether this node has a fencing token that is not lower than the worker's: the worker
+ * would drop a reply with a lower one and stay with this node until its lease ends. The age of the
+ * token does not matter: nothing is decided by a lease that was renewed with an old token, and a
+ * worker that has seen a newer token drops the reply.
  */
 static bool has_current_fencing_token(const struct fl_node *node, uint64_t fencing_token)
 {
@@ -32,7 +33,7 @@
 	       fl_renewal_watermark_is_fresh(node);
 }
 
-/* Reads who leads; one read serves all that wait for it. */
+/* Reads the leader view; all heartbeats that wait meanwhile share the read. */
 static void refresh_fencing_token(struct fl_node *node, double deadline)
 {
 	struct fl_fencing_token_refresh *refresh = &node->follower.fencing_token_refresh;
@@ -49,11 +50,11 @@
 }
 
 /*
- * A node that has just started gets heartbeats of many workers at once and knows neither a fencing
- * token nor the jobs, and so no cancellation watermark. It waits for both: a worker rejected
- * meanwhile loses seconds of its lease on nodes that are down. Found in logs of the return of all
- * controllers: whoever had waited for the token was rejected because the jobs were not listed yet,
- * some 50 workers each time.
+ * Waits for the fencing token and the job list, if this node lacks them, and returns whether it can
+ * renew leases. A node that has just started has neither, and so no cancellation watermark, when
+ * many workers send it heartbeats at once; a rejected worker loses seconds of its lease on nodes
+ * that are down. With a wait for the token alone, some 50 workers were rejected each time that all
+ * controllers restarted, because the jobs were not listed yet.
  */
 static bool wait_until_can_renew(struct fl_node *node, uint64_t fencing_token)
 {
@@ -76,16 +77,18 @@
 
 	if (!wait_until_can_renew(node, heartbeat->fencing_token)) {
 		fl_debug("follower",
-		         "renewal rejected: %s fencing_token=%llu known=%llu watermark_age_s=%.1f",
+		         "lease renewal rejected machine=%s fencing_token=%llu known_token=%llu "
+		         "watermark_age_s=%.1f",
 		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
 		         (unsigned long long)node->leader_view.fencing_token,
 		         fl_now() - node->cancellation_watermark);
 		fl_respond_error(response, 503, "leadership not confirmed");
 		return;
 	}
-	/* Only now: a node that has just started knew of no cancellation before it waited. */
+	/* After the wait, since a node that has just started has no cancellations before it. */
 	if (fl_renewal_holds_overdue_task(node, heartbeat)) {
-		fl_debug("follower", "renewal rejected: %s holds a task of a cancelled job",
+		fl_debug("follower",
+		         "lease renewal rejected machine=%s reason=\"cancelled task overdue\"",
 		         heartbeat->host);
 		fl_respond_error(response, 503, "task of a cancelled job overdue");
 		return;
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -13,15 +13,14 @@
 	double min_peer_up_s, redirect_interval_leases, min_served_heartbeats,
 		readiness_probe_timeout_s, same_cause_window_s;
 } tunables = {
-	.min_peer_up_s = 1.0, /* s that the node of a worker's own zone must have been up */
-	.redirect_interval_leases = 1.5,  /* leases between two redirects of one worker */
-	.min_served_heartbeats = 1.0,     /* heartbeat intervals that it is served here before */
-	.readiness_probe_timeout_s = 2.5, /* s; the load balancer asks about once a second */
-	.same_cause_window_s =
-		4.0, /* s within which links that fail together fail for one reason */
+	.min_peer_up_s = 1.0, /* time for which the peer in the worker's zone was reachable */
+	.redirect_interval_leases = 1.5,  /* lease durations between two redirects of a worker */
+	.min_served_heartbeats = 1.0,     /* heartbeat intervals before the first redirect */
+	.readiness_probe_timeout_s = 2.5, /* the load balancer probes about once a second */
+	.same_cause_window_s = 4.0,       /* links that fail within it have failed together */
 };
 
-/* The misplaced worker of this name, added if it is not known yet; NULL without memory. */
+/* Returns the misplaced worker on this machine, added if it is new; NULL if out of memory. */
 static struct fl_misplaced_worker *find_or_add_misplaced_worker(struct fl_follower *follower,
                                                                 const char *host, double now)
 {
@@ -39,17 +38,17 @@
 	return worker;
 }
 
-/* Seconds between two redirects of one worker. */
+/* Returns the minimum time between two redirects of one worker, in s. */
 static double redirect_interval_s(const struct fl_node *node)
 {
 	return tunables.redirect_interval_leases * node->config->lease_s;
 }
 
 /*
- * Whether a worker may be redirected now, which is then noted as done. It is redirected once in
- * more than a lease, after that it is served where it is; and not before it was answered here: it
- * may have looked for a living node until its lease is nearly over, and half a second more on its
- * way would be its tasks' end.
+ * Returns whether a worker may be redirected now, and if so records the redirect. A worker is
+ * redirected once in more than a lease and otherwise served here, and it is served here first: it
+ * may have searched for a live node until its lease has nearly expired, and a redirect that takes
+ * half a second more would end its tasks.
  */
 static bool try_begin_redirect(struct fl_node *node, const char *host)
 {
@@ -68,9 +67,9 @@
 }
 
 /*
- * A worker's lease is best renewed by a node of its own zone. One that sends heartbeats across
- * zones when they are partitioned tries node after node for 5 s each, and its lease ends before it
- * comes to its own.
+ * Returns the peer in the worker's own zone if the worker is to be redirected there. When zones are
+ * partitioned, a worker that sends its heartbeats to another zone tries node after node for 5 s
+ * each, and its lease ends before it reaches the node of its own zone.
  */
 static const struct fl_peer *find_own_zone_target(struct fl_node *node,
                                                   const struct fl_heartbeat *heartbeat)
@@ -90,8 +89,9 @@
 }
 
 /*
- * Whether it is this isolated node's own links that failed: the users' load balancer still probes
- * it, so that the region is reachable, and key-value store and controllers were lost at once.
+ * Returns whether this isolated node's own links have failed: the users' load balancer still probes
+ * the node, so its region is reachable, and the key-value store and the other controllers became
+ * unreachable at the same time.
  */
 static bool own_links_failed(const struct fl_node *node, double last_exchange_at)
 {
@@ -104,12 +104,11 @@
 }
 
 /*
- * Where to redirect the workers of an isolated node. It could renew their leases, but the leader,
- * which gets none of their heartbeats, would consider their machines lost after a lease. They are
- * better off elsewhere if it is this node's own links that failed. A node that is partitioned
- * together with its zone renews its workers' leases, since no other node is reachable for them
- * either; so does the last node alive in an outage. Each worker is redirected once in more than a
- * lease, to the nodes in turn.
+ * Returns the peer for a worker of this node if the node is isolated. It could renew the lease, but
+ * the leader gets no heartbeats and would consider the machine lost after a lease. Other nodes
+ * serve the worker better if only this node's own links have failed. A node that is partitioned
+ * together with its zone renews its workers' leases, since they cannot reach any other node either;
+ * the last node that is up in an outage does the same. Workers are redirected to the peers in turn.
  */
 static const struct fl_peer *find_target_if_isolated(struct fl_node *node,
                                                      const struct fl_heartbeat *heartbeat)
@@ -122,7 +121,7 @@
 		const struct fl_peer *peer =
 			&node->peers[node->follower.redirect_round_robin++ % node->peer_count];
 
-		/* Not to one that was lost earlier. */
+		/* Skips a peer that had become unreachable before the others. */
 		if (peer->last_exchange_at > last_exchange_at - tunables.same_cause_window_s)
 			return try_begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
--- a/src/coordination/follower/request_batch.c
+++ b/src/coordination/follower/request_batch.c
@@ -11,7 +11,7 @@
 
 void fl_batch_close(struct fl_batch_queue *queue) { queue->open_batch = NULL; }
 
-/* Sends the batch when a request may be sent; what comes later goes into the next one. */
+/* Sends the batch as soon as a request may be sent; later parts go into the next batch. */
 static void send_batch(struct fl_node *node, struct fl_batch_queue *queue, struct fl_batch *batch,
                        const struct fl_batch_policy *policy)
 {
--- a/src/coordination/follower/request_batch.h
+++ b/src/coordination/follower/request_batch.h
@@ -1,9 +1,9 @@
 /*
- * Requests to another controller that many callers share: those that come while as many requests
- * are in flight as may be go together with the next one. A caller's part never goes into a request
- * that was sent before it came.
+ * Batches: requests to another controller that many callers share. Callers that arrive while the
+ * maximum number of requests is in flight join the next one. The reply that a caller gets is always
+ * to a request that was sent after the caller arrived.
  *
- * The callers of one batch hold it jointly; the last one to release it frees it.
+ * All callers of a batch hold it; the last one to release it frees it.
  */
 #ifndef FL_COORDINATION_FOLLOWER_REQUEST_BATCH_H
 #define FL_COORDINATION_FOLLOWER_REQUEST_BATCH_H
@@ -15,7 +15,7 @@
 
 struct fl_node;
 
-/* What callers share: the first member of a struct that holds their parts. */
+/* A batch: the first member of a struct that holds the callers' parts of the request. */
 struct fl_batch {
 	int holder_count; /* coroutines that hold it */
 	bool done;
@@ -23,37 +23,37 @@
 	enum fl_forward_result result; /* valid when done */
 };
 
-/* The batches of one kind that are on their way from one node. Zero-initialised is empty. */
+/* The batches of one kind that a node sends. Zero-initialised is empty. */
 struct fl_batch_queue {
-	struct fl_batch
-		*open_batch; /* collects parts until a request may be sent; NULL: none does */
+	struct fl_batch *open_batch; /* collects parts until a request may be sent; NULL: none */
 	int in_flight;
-	struct fl_condition request_returned; /* a request has returned, with or without a reply */
+	struct fl_condition request_returned; /* broadcast after each request, replied or not */
 };
 
 /* How batches of one kind are sent. */
 struct fl_batch_policy {
-	int max_in_flight;         /* requests at once */
-	double send_timeout_s;     /* s for which a batch waits until it may be sent */
-	double exchange_timeout_s; /* s that an exchange takes at most */
-	/* Sends the request and reads the replies. */
+	int max_in_flight;         /* maximum number of requests in flight */
+	double send_timeout_s;     /* maximum wait of a batch until it may be sent */
+	double exchange_timeout_s; /* maximum duration of an exchange */
+	/* Sends the request and decodes its reply. */
 	enum fl_forward_result (*exchange)(struct fl_node *node, struct fl_batch *batch);
 };
 
 /*
- * From now on this batch collects parts. Whoever begins it adds the first part and awaits it before
- * waiting for anything else, and is thereby the one that sends it.
+ * Makes the batch the open one, which collects parts. The caller must add the first part and call
+ * fl_batch_await before it waits for anything else, which makes it the sender of the batch.
  */
 void fl_batch_begin(struct fl_batch_queue *queue, struct fl_batch *batch);
-/* No more parts go into the batch that collects them now. */
+/* Closes the open batch: later parts go into another one. */
 void fl_batch_close(struct fl_batch_queue *queue);
 /*
- * For each caller, after it has put its part into the batch; with FL_FORWARD_ANSWERED the replies
- * are there. The first caller, which began the batch, sends it when it may; the others wait.
+ * To be called by each caller after it has added its part. With FL_FORWARD_ANSWERED, the replies
+ * are in the batch. The first caller, which began the batch, sends it as soon as a request may be
+ * sent; the others wait for the result.
  */
 enum fl_forward_result fl_batch_await(struct fl_node *node, struct fl_batch_queue *queue,
                                       struct fl_batch *batch, const struct fl_batch_policy *policy);
-/* The caller needs it no more; true: nobody does, and the caller frees it. */
+/* Releases the caller's hold; returns true if it was the last, so that the caller frees it. */
 bool fl_batch_release(struct fl_batch *batch);
 
 #endif
