--- a/src/coordination/api/status_query_batch.c
+++ b/src/coordination/api/status_query_batch.c
@@ -41,9 +41,9 @@
 	return fl_status_query_encode(batch->refs, batch->count);
 }
 
-static enum fl_decode_result decode_answers(void *context, const char *body, size_t len)
+static enum fl_decode_result decode_answers(void *decode_context, const char *body, size_t len)
 {
-	struct status_batch *batch = context;
+	struct status_batch *batch = decode_context;
 
 	return fl_status_answer_decode(body, len, batch->reports, batch->count);
 }
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -70,7 +70,7 @@
 
 /* Sends a request to a peer, which replies 421 if it neither leads nor reaches the leader. */
 static enum fl_forward_result forward_via(struct fl_peer *peer, const char *path, const char *text,
-                                          double timeout_s, struct fl_http_reply *reply)
+                                          double timeout_s, struct fl_http_reply *leader_reply)
 {
 	enum fl_forward_result result;
 
@@ -78,9 +78,10 @@
 		return FL_FORWARD_OUT_OF_MEMORY;
 	if (timeout_s <= 0)
 		return FL_FORWARD_TIMED_OUT;
-	result = result_of_request(fl_http_call(&peer->http, "POST", path, text, timeout_s, reply));
-	if (result == FL_FORWARD_ANSWERED && reply->status == 421) {
-		fl_buffer_free(&reply->body);
+	result = result_of_request(
+		fl_http_call(&peer->http, "POST", path, text, timeout_s, leader_reply));
+	if (result == FL_FORWARD_ANSWERED && leader_reply->status == 421) {
+		fl_buffer_free(&leader_reply->body);
 		return FL_FORWARD_NO_LEADER;
 	}
 	return result;
@@ -88,14 +89,15 @@
 
 static enum fl_forward_result forward_directly(struct fl_peer *leader,
                                                const struct fl_forward_request *request,
-                                               struct fl_http_reply *reply)
+                                               struct fl_http_reply *leader_reply)
 {
 	double timeout_s = request->hop == FL_HOP_LAST
 	                           ? request->timeout_s
 	                           : fmin(tunables.direct_timeout_s, request->timeout_s);
 	const struct fl_forward_flags flags = {.last_hop = true};
 	char *text = request->encode(request->context, &flags);
-	enum fl_forward_result result = forward_via(leader, request->path, text, timeout_s, reply);
+	enum fl_forward_result result =
+		forward_via(leader, request->path, text, timeout_s, leader_reply);
 
 	free(text);
 	return result;
@@ -103,7 +105,7 @@
 
 enum fl_forward_result fl_forward_to_leader(struct fl_node *node,
                                             const struct fl_forward_request *request,
-                                            struct fl_http_reply *reply)
+                                            struct fl_http_reply *leader_reply)
 {
 	struct fl_peer *leader = find_peer(node, node->leader_view.leader);
 	double deadline = fl_now() + request->timeout_s;
@@ -114,7 +116,7 @@
 	if (!leader)
 		return result;
 	if (may_be_reachable(node, leader))
-		result = forward_directly(leader, request, reply);
+		result = forward_directly(leader, request, leader_reply);
 	if (result == FL_FORWARD_ANSWERED || request->hop == FL_HOP_LAST)
 		return result;
 	flags.kv_store_unavailable = fl_kv_is_unavailable(&node->kv_store);
@@ -123,7 +125,8 @@
 		struct fl_peer *peer = &node->peers[i];
 
 		if (peer != leader && peer->up)
-			result = forward_via(peer, request->path, text, deadline - fl_now(), reply);
+			result = forward_via(peer, request->path, text, deadline - fl_now(),
+			                     leader_reply);
 	}
 	free(text);
 	return result;
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -56,11 +56,11 @@
 bool fl_forward_is_forbidden(const struct fl_node *node, bool last_hop);
 /*
  * Forwards a request to the leader, directly or, on the first hop, through a third controller. With
- * FL_FORWARD_ANSWERED `reply` is filled in, and the caller frees its body. Waits.
+ * FL_FORWARD_ANSWERED `leader_reply` is filled in, and the caller frees its body. Waits.
  */
 enum fl_forward_result fl_forward_to_leader(struct fl_node *node,
                                             const struct fl_forward_request *request,
-                                            struct fl_http_reply *reply);
+                                            struct fl_http_reply *leader_reply);
 /* The same, for a reply with status 200 and a body that `decode` reads into its context. */
 enum fl_forward_result fl_forward_and_decode(struct fl_node *node,
                                              const struct fl_forward_request *request,
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -50,9 +50,9 @@
 	                                   .timeout_s = tunables.exchange_timeout_s};
 }
 
-static enum fl_decode_result decode_replies(void *context, const char *body, size_t len)
+static enum fl_decode_result decode_replies(void *decode_context, const char *body, size_t len)
 {
-	struct heartbeat_batch *batch = context;
+	struct heartbeat_batch *batch = decode_context;
 
 	return fl_heartbeat_replies_decode(body, len, batch->replies, batch->count);
 }
