--- a/src/coordination/api/feasibility.c
+++ b/src/coordination/api/feasibility.c
@@ -30,7 +30,7 @@
 		const struct fl_machine_type *machine_type = &cluster->machines.types[i];
 
 		if (is_allowed_type(spec, machine_type->name) && task_fits(spec, machine_type))
-			zones |= machine_type->zones;
+			zones |= machine_type->zone_mask;
 	}
 	return zones;
 }
@@ -53,7 +53,7 @@
 {
 	double task_count = runs_all_tasks_at_once(spec) ? spec->task_count : 1;
 
-	return !fl_team_within_maximum(team, spec->cpus * task_count, spec->gpus * task_count);
+	return !fl_team_fits_maximum_quota(team, spec->cpus * task_count, spec->gpus * task_count);
 }
 
 enum fl_infeasibility fl_job_infeasibility(const struct fl_cluster *cluster,
--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -22,7 +22,8 @@
 {
 	double rate = node->config->state_rps * tunables.kv_request_share / (node->peer_count + 1);
 
-	fl_token_bucket_init(&node->api.read_budget, rate, rate * tunables.burst_s, fl_now());
+	fl_token_bucket_init(&node->api.record_read_budget, rate, rate * tunables.burst_s,
+	                     fl_now());
 }
 
 /*
@@ -36,7 +37,7 @@
 	/* The leader may use the whole share: the other nodes forward their queries to it. */
 	if (fl_is_leader(node))
 		request_count /= node->peer_count + 1;
-	return fl_token_bucket_take(&node->api.read_budget, request_count, fl_now()) <= 0;
+	return fl_token_bucket_take(&node->api.record_read_budget, request_count, fl_now()) <= 0;
 }
 
 static struct fl_job_lookup *create_lookup(const char *ref)
--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -20,7 +20,7 @@
 {
 	struct progress *progress = context;
 
-	fl_task_block_count(event->value, &progress->done_count, &progress->placed_count);
+	fl_progress_record_add_counts(event->value, &progress->done_count, &progress->placed_count);
 }
 
 static struct fl_job_status_report read_progress_report(struct fl_kv_store *kv_store,
@@ -49,7 +49,7 @@
 
 	/* The user will know of the cancellation, so this node's gossip must contain it. */
 	if (result == FL_RECORD_FOUND && record->final && value)
-		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
+		fl_cluster_mark_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
 	cJSON_Delete(value);
 	return result;
 }
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -148,7 +148,8 @@
 static void add_stored_job(struct fl_node *node, const struct fl_job_spec *spec,
                            double submitted_wall, uint64_t revision)
 {
-	bool already_finished = node->cluster.leading && revision <= node->cluster.list_revision;
+	bool already_finished =
+		node->cluster.has_leader_state && revision <= node->cluster.job_list_revision;
 
 	if (job_is_known(&node->cluster, spec->ref) || already_finished)
 		return;
@@ -172,7 +173,7 @@
 	fl_kv_txn_expect_revision(&txn, key, 0);
 	fl_key_job(key, spec->ref);
 	fl_kv_txn_expect_revision(&txn, key, 0);
-	fl_kv_txn_put(&txn, key, fl_job_record_live(spec, submitted_wall), 0);
+	fl_kv_txn_put(&txn, key, fl_job_record_encode_live(spec, submitted_wall), 0);
 	result = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
 	if (result == FL_KV_OK)
 		add_stored_job(node, spec, submitted_wall, revision);
@@ -247,7 +248,7 @@
 		respond_with_job_status(submission);
 		return;
 	}
-	if (!node->machine_types_known) {
+	if (!node->machine_types_loaded) {
 		reject_temporarily(submission, "the submission cannot be validated yet");
 		return;
 	}
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -29,8 +29,8 @@
 	double last = FL_LONG_AGO;
 
 	for (int i = 0; i < node->peer_count; i++)
-		if (node->peers[i].last_exchange_at > last)
-			last = node->peers[i].last_exchange_at;
+		if (node->peers[i].last_response_at > last)
+			last = node->peers[i].last_response_at;
 	return last;
 }
 
@@ -42,12 +42,12 @@
 
 		if (fl_finished_job_find(&node->cluster, cancellation->ref))
 			continue;
-		fl_cluster_learn_cancelled(&node->cluster, cancellation->ref,
-		                           fl_now() - cancellation->age_s);
+		fl_cluster_mark_cancelled(&node->cluster, cancellation->ref,
+		                          fl_now() - cancellation->age_s);
 		job = node->leadership.active ? fl_job_find(&node->cluster, cancellation->ref)
 		                              : NULL;
 		if (job)
-			fl_command_stop_job(node, job);
+			fl_command_stop_cancelled_job(node, job);
 		fl_info("jobs", "job cancellation received job=%s peer=%s", cancellation->ref,
 		        gossip->node);
 	}
@@ -67,12 +67,12 @@
 	double oldest_sent_at = sent_at;
 
 	/* If this node was suspended during the exchange, the reply may lack cancellations. */
-	if (!gossip->complete || !node->jobs_known ||
+	if (!gossip->complete || !node->live_jobs_loaded ||
 	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
-	peer->complete_as_of = sent_at;
+	peer->cancellations_complete_as_of = sent_at;
 	for (int i = 0; i < node->peer_count; i++)
-		oldest_sent_at = fmin(oldest_sent_at, node->peers[i].complete_as_of);
+		oldest_sent_at = fmin(oldest_sent_at, node->peers[i].cancellations_complete_as_of);
 	node->cancellation_watermark =
 		fmax(node->cancellation_watermark,
 	             fmax(oldest_sent_at, sent_at - gossip->watermark_age_s));
@@ -87,7 +87,7 @@
 			return;
 		fl_leader_lease_step_down(node, "a peer reported a higher fencing token");
 	}
-	fl_leader_view_learn(&node->leader_view, gossip->fencing_token, gossip->leader,
+	fl_leader_view_merge(&node->leader_view, gossip->fencing_token, gossip->leader,
 	                     sent_at - gossip->leadership_age_s);
 }
 
@@ -100,7 +100,7 @@
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
 	int count;
 
-	if (!node->jobs_known ||
+	if (!node->live_jobs_loaded ||
 	    !fl_finished_jobs_cancelled_since(&node->cluster, since, FL_GOSSIP_CANCELLED_MAX, list,
 	                                      &count))
 		return;
@@ -188,7 +188,7 @@
 	free(text);
 	if (rc != 0)
 		return false;
-	peer->last_exchange_at = fl_now();
+	peer->last_response_at = fl_now();
 	if (reply.status == 200)
 		fl_gossip_handle_reply(peer->node, peer, reply.body.data, reply.body.length,
 		                       sent_at);
@@ -216,7 +216,8 @@
 void fl_gossip_start(struct fl_node *node)
 {
 	for (int i = 0; i < node->peer_count; i++) {
-		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = FL_LONG_AGO;
+		node->peers[i].last_response_at = node->peers[i].cancellations_complete_as_of =
+			FL_LONG_AGO;
 		fl_coroutine_spawn(gossip_coroutine, &node->peers[i]);
 	}
 }
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -33,7 +33,7 @@
 	char *text;
 
 	HASH_FIND_STR(node->follower.cached_heartbeats, heartbeat->host, cached);
-	if (cached && !fl_heartbeat_is_after(heartbeat, cached->incarnation, cached->sequence))
+	if (cached && !fl_heartbeat_is_newer_than(heartbeat, cached->incarnation, cached->sequence))
 		return;
 	text = fl_cached_heartbeat_encode(heartbeat);
 	if (!text)
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -64,7 +64,7 @@
 		return true;
 	if (!has_current_fencing_token(node, fencing_token))
 		refresh_fencing_token(node, deadline);
-	if (has_current_fencing_token(node, fencing_token) && !node->jobs_known &&
+	if (has_current_fencing_token(node, fencing_token) && !node->live_jobs_loaded &&
 	    fl_now() < deadline)
 		fl_condition_wait(&node->jobs_listed, deadline - fl_now());
 	return can_renew(node, fencing_token);
@@ -86,7 +86,7 @@
 		return;
 	}
 	/* After the wait, since a node that has just started has no cancellations before it. */
-	if (fl_renewal_holds_overdue_task(node, heartbeat)) {
+	if (fl_renewal_heartbeat_has_overdue_task(node, heartbeat)) {
 		fl_debug("follower",
 		         "lease renewal rejected machine=%s reason=\"cancelled task overdue\"",
 		         heartbeat->host);
@@ -94,10 +94,10 @@
 		return;
 	}
 	fl_command_list_init(&commands, node->leader_view.fencing_token);
-	fl_renewal_stop_cancelled(&node->cluster, heartbeat, &commands);
+	fl_renewal_add_stop_commands(&node->cluster, heartbeat, &commands);
 	response->status = 200;
 	response->body = fl_command_list_take(&commands);
 	fl_heartbeat_cache(node, heartbeat);
 	if (node->leadership.active)
-		fl_reconcile_renewal(node, heartbeat);
+		fl_reconcile_record_renewal(node, heartbeat);
 }
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -122,7 +122,7 @@
 			&node->peers[node->follower.redirect_round_robin++ % node->peer_count];
 
 		/* Skips a peer that had become unreachable before the others. */
-		if (peer->last_exchange_at > last_exchange_at - tunables.same_cause_window_s)
+		if (peer->last_response_at > last_exchange_at - tunables.same_cause_window_s)
 			return try_begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -32,7 +32,7 @@
  * up, and then it stands still for a second. By the steady clock cycles of 4 ms, ten a second, were
  * 4% of the time, and left nothing of the share for heartbeats and status queries.
  */
-double fl_scheduling_cycle_gap_s(double core_share, double took_s, double processor_s)
+double fl_scheduling_cycle_interval_s(double core_share, double took_s, double processor_s)
 {
 	double share = fmin(core_share, 1);
 	double busy_s = fmax(took_s, processor_s / share);
@@ -74,7 +74,7 @@
 		fl_error("schedule", "cycle failed: out of memory");
 		goto out;
 	}
-	node->leadership.resume_position = output.resume_position;
+	node->leadership.queue_resume_position = output.resume_position;
 	if (output.resume_position)
 		node->leadership.cycle_due = true;
 	fl_scheduling_decisions_apply(node, &snapshot, &output, now);
@@ -82,7 +82,7 @@
 	                             snapshot.input.job_count);
 	node->leadership.cycle_count++;
 	log_cycle(node->leadership.cycle_count, &snapshot.input, &output, fl_now() - now);
-	if (node->cluster.dirty)
+	if (node->cluster.dirty_jobs)
 		fl_condition_broadcast(&node->record_writer.writes_pending);
 out:
 	fl_sched_output_free(&output);
@@ -105,7 +105,8 @@
 			continue;
 		for (int k = 0; k < machine->assignment_count; k++) {
 			struct fl_job *job = machine->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
+			struct fl_task *task =
+				fl_task_find(job, machine->assignments[k].task_index);
 
 			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
@@ -124,7 +125,8 @@
 
 		for (int k = 0; k < machine->assignment_count; k++) {
 			struct fl_job *job = machine->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
+			struct fl_task *task =
+				fl_task_find(job, machine->assignments[k].task_index);
 
 			if (job->kind == FL_GANG && job->counts.waiting > 0 &&
 			    task->stop_reason == FL_STOP_NONE)
@@ -166,9 +168,10 @@
 		drain_interrupted_machines(node);
 		stop_incomplete_gangs(node);
 		run_cycle(node);
-		gap_s = fl_scheduling_cycle_gap_s(node->config->core_share, fl_now() - started_at,
-		                                  fl_cpu_time() - processor_started);
-		if (node->cluster.dirty)
+		gap_s = fl_scheduling_cycle_interval_s(node->config->core_share,
+		                                       fl_now() - started_at,
+		                                       fl_cpu_time() - processor_started);
+		if (node->cluster.dirty_jobs)
 			fl_condition_broadcast(&node->record_writer.writes_pending);
 		request_token_raise(node, started_at);
 	}
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -78,7 +78,9 @@
 /* What is left of the job's backfill window; < 0: it has none. */
 static double window_left_s(const struct fl_job *job, double now)
 {
-	return job->placement.window_until > 0 ? fmax(0, job->placement.window_until - now) : -1;
+	return job->placement.backfill_window_until > 0
+	               ? fmax(0, job->placement.backfill_window_until - now)
+	               : -1;
 }
 
 /* Adds the job, if any of its tasks may start now. */
@@ -97,10 +99,10 @@
 	target->team = job->team;
 	target->waited_s = builder->now_wall - job->submitted_wall;
 	target->estimate_s = job->expected_s;
-	target->need = fl_job_need(job);
+	target->need = fl_job_task_resources(job);
 	target->image_gb = job->image_gb;
 	target->task_count = job->task_count;
-	target->allowed_types = job->types;
+	target->allowed_types = job->allowed_type_mask;
 	target->zone = job->zone;
 	target->same_zone = job->same_zone;
 	target->spread_zones = job->spread_zones;
@@ -108,10 +110,10 @@
 	memcpy(target->placed_by_zone, job->placement.by_zone, sizeof(target->placed_by_zone));
 	target->placed_in_unknown_zone = job->placement.in_unknown_zone;
 	target->image = job->image;
-	target->within_guaranteed = job->within_guaranteed;
+	target->within_guaranteed = job->within_guaranteed_quota;
 	target->background = is_background(builder->node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
-	target->window_left_s = window_left_s(job, builder->now);
+	target->window_remaining_s = window_left_s(job, builder->now);
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
@@ -139,11 +141,12 @@
 static double estimated_left_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double estimate_s =
-		job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_estimate_s;
+		job->expected_s > 0 ? job->expected_s : fl_sched_default_params.default_estimate_s;
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
-	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
+	if (task->last_observed_state == FL_OBSERVED_RUNNING ||
+	    task->last_observed_state == FL_OBSERVED_CHECKPOINTING)
 		estimate_s -= now - task->running_since;
 	/* Past its estimate: it counts as ending by the next cycle. */
 	return fmax(estimate_s, tunables.overdue_left_s);
@@ -153,7 +156,7 @@
 static double lost_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double since_start_s =
-		task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
+		task->last_observed_state == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
 
 	return job->checkpoint_every_s > 0 ? fmin(since_start_s, job->checkpoint_cost_s)
 	                                   : since_start_s;
@@ -165,7 +168,7 @@
 	struct fl_sched_input *input = &builder->snapshot->input;
 	struct fl_sched_attempt *target = &input->attempts[input->attempt_count];
 	const struct fl_job *job = assignment->job;
-	const struct fl_task *task = fl_task_peek(job, assignment->index);
+	const struct fl_task *task = fl_task_find(job, assignment->task_index);
 	double waited_s = builder->now_wall - job->submitted_wall;
 
 	memset(target, 0, sizeof(*target));
@@ -175,10 +178,10 @@
 	target->service = job->kind == FL_SERVICE;
 	target->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
 	target->preemptible = !target->stopping;
-	target->within_guaranteed = job->within_guaranteed;
-	target->used = fl_job_need(job);
-	target->left_s = estimated_left_s(job, task, builder->now);
-	target->lost_s = lost_s(job, task, builder->now);
+	target->within_guaranteed = job->within_guaranteed_quota;
+	target->used = fl_job_task_resources(job);
+	target->estimated_remaining_s = estimated_left_s(job, task, builder->now);
+	target->stop_loss_s = lost_s(job, task, builder->now);
 	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
 	                            waited_s > input->params->overdue_after_s;
 	builder->snapshot->attempts[input->attempt_count++] = *assignment;
@@ -212,7 +215,7 @@
 		job = scratch[i];
 		cpus[job->team] += job->cpus * job->task_count;
 		gpus[job->team] += job->gpus * job->task_count;
-		job->within_guaranteed = fl_team_within_guaranteed(
+		job->within_guaranteed_quota = fl_team_fits_guaranteed_quota(
 			&cluster->teams.by_index[job->team], cpus[job->team], gpus[job->team]);
 	}
 }
@@ -225,14 +228,15 @@
  */
 static struct fl_reservation active_reservation(const struct fl_machine *machine, double now)
 {
-	if (machine->reservation.at <= 0 || now > machine->reservation.at + tunables.reservation_s)
+	if (machine->reservation.reserved_at <= 0 ||
+	    now > machine->reservation.reserved_at + tunables.reservation_s)
 		return (struct fl_reservation){0};
-	return (struct fl_reservation){.active = true,
-	                               .within_guaranteed = machine->reservation.within_guaranteed,
-	                               .priority = machine->reservation.priority,
-	                               .resources = {machine->reservation.cpus,
-	                                             machine->reservation.gpus,
-	                                             machine->reservation.ram_gb}};
+	return (struct fl_reservation){
+		.active = true,
+		.within_guaranteed = machine->reservation.within_guaranteed_quota,
+		.priority = machine->reservation.priority,
+		.resources = {machine->reservation.cpus, machine->reservation.gpus,
+	                      machine->reservation.ram_gb}};
 }
 
 static void add_machine(const struct builder *builder, struct fl_machine *machine)
@@ -288,7 +292,7 @@
 	memset(snapshot, 0, sizeof(*snapshot));
 	if (!allocate(snapshot, cluster))
 		return FL_SCHEDULE_OUT_OF_MEMORY;
-	snapshot->input.params = &fl_sched_defaults;
+	snapshot->input.params = &fl_sched_default_params;
 	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, next)
@@ -298,7 +302,7 @@
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
 			add_machine(&builder, cluster->machines.by_id[i]);
 	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(&node->autoscaler);
-	snapshot->input.resume_position = node->leadership.resume_position;
+	snapshot->input.resume_position = node->leadership.queue_resume_position;
 	return FL_SCHEDULE_OK;
 }
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -16,9 +16,9 @@
 	struct fl_config config = {.max_connections = 3565, .peer_count = 4};
 
 	(void)state;
-	assert_true(fl_node_public_connections(&config) >= 3000);
+	assert_true(fl_node_public_connections_max(&config) >= 3000);
 	config.max_connections = 16;
-	assert_in_range(fl_node_public_connections(&config), 8, 15);
+	assert_in_range(fl_node_public_connections_max(&config), 8, 15);
 }
 
 /*
@@ -33,7 +33,7 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(limits) / sizeof(limits[0]); i++) {
 		struct fl_config config = {.peer_count = 4, .max_connections = limits[i]};
-		int public_share = fl_node_public_connections(&config);
+		int public_share = fl_node_public_connections_max(&config);
 		int from_peers = config.peer_count * FL_PEER_CONNECTIONS_MAX;
 		int to_leader = FL_PEER_CONNECTIONS_MAX + config.peer_count;
 
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -94,7 +94,7 @@
 
 	become_follower(fixture, 0);
 	node->cancellation_watermark = -1e9;
-	node->jobs_known = false;
+	node->live_jobs_loaded = false;
 	node->leader_view.fencing_token = 0;
 
 	/* Another heartbeat has the fencing token read already. */
@@ -109,7 +109,7 @@
 	assert_int_equal(waiting.status, 0);
 
 	node->cancellation_watermark = fl_now();
-	node->jobs_known = true;
+	node->live_jobs_loaded = true;
 	fl_condition_broadcast(&node->jobs_listed);
 	run_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 200);
@@ -125,7 +125,7 @@
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
-		fixture->node.peers[i].last_exchange_at = now - duration_s;
+		fixture->node.peers[i].last_response_at = now - duration_s;
 	}
 	fixture->node.api.last_readiness_probe_at = now;
 	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark =
@@ -196,7 +196,7 @@
 	/* The others ended long before the key-value store failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
-		fixture->node.peers[i].last_exchange_at -= 20;
+		fixture->node.peers[i].last_response_at -= 20;
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
