--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -12,10 +12,10 @@
 static const struct {
 	double direct_timeout_s;
 } tunables = {
-	.direct_timeout_s = 0.7, /* s for a direct request to the leader, if there is another way */
+	.direct_timeout_s = 0.7, /* for a direct request, if a third controller can be tried next */
 };
 
-/* The other controller of this name, or NULL. */
+/* Returns the peer of this name, or NULL. */
 static struct fl_peer *find_peer(struct fl_node *node, const char *name)
 {
 	for (int i = 0; i < node->peer_count; i++)
@@ -36,7 +36,7 @@
 	return peer ? 2 + (int)(peer - node->peers) : 0;
 }
 
-/* Without a third controller nothing is lost by trying one whose last exchange failed. */
+/* Without a third controller, even a peer whose last gossip exchange failed is tried. */
 static bool may_be_reachable(const struct fl_node *node, const struct fl_peer *peer)
 {
 	return peer->up || node->peer_count == 1;
@@ -68,9 +68,9 @@
 	}
 }
 
-/* Sends a request to one peer; its reply is 421 if it neither leads nor reaches the leader. */
+/* Sends a request to a peer, which replies 421 if it neither leads nor reaches the leader. */
 static enum fl_forward_result forward_via(struct fl_peer *peer, const char *path, const char *text,
-                                          double timeout_s, struct fl_http_reply *reply)
+                                          double timeout_s, struct fl_http_reply *leader_reply)
 {
 	enum fl_forward_result result;
 
@@ -78,9 +78,10 @@
 		return FL_FORWARD_OUT_OF_MEMORY;
 	if (timeout_s <= 0)
 		return FL_FORWARD_TIMED_OUT;
-	result = result_of_request(fl_http_call(&peer->http, "POST", path, text, timeout_s, reply));
-	if (result == FL_FORWARD_ANSWERED && reply->status == 421) {
-		fl_buffer_free(&reply->body);
+	result = result_of_request(
+		fl_http_call(&peer->http, "POST", path, text, timeout_s, leader_reply));
+	if (result == FL_FORWARD_ANSWERED && leader_reply->status == 421) {
+		fl_buffer_free(&leader_reply->body);
 		return FL_FORWARD_NO_LEADER;
 	}
 	return result;
@@ -88,14 +89,15 @@
 
 static enum fl_forward_result forward_directly(struct fl_peer *leader,
                                                const struct fl_forward_request *request,
-                                               struct fl_http_reply *reply)
+                                               struct fl_http_reply *leader_reply)
 {
 	double timeout_s = request->hop == FL_HOP_LAST
 	                           ? request->timeout_s
 	                           : fmin(tunables.direct_timeout_s, request->timeout_s);
 	const struct fl_forward_flags flags = {.last_hop = true};
 	char *text = request->encode(request->context, &flags);
-	enum fl_forward_result result = forward_via(leader, request->path, text, timeout_s, reply);
+	enum fl_forward_result result =
+		forward_via(leader, request->path, text, timeout_s, leader_reply);
 
 	free(text);
 	return result;
@@ -103,7 +105,7 @@
 
 enum fl_forward_result fl_forward_to_leader(struct fl_node *node,
                                             const struct fl_forward_request *request,
-                                            struct fl_http_reply *reply)
+                                            struct fl_http_reply *leader_reply)
 {
 	struct fl_peer *leader = find_peer(node, node->leader_view.leader);
 	double deadline = fl_now() + request->timeout_s;
@@ -114,7 +116,7 @@
 	if (!leader)
 		return result;
 	if (may_be_reachable(node, leader))
-		result = forward_directly(leader, request, reply);
+		result = forward_directly(leader, request, leader_reply);
 	if (result == FL_FORWARD_ANSWERED || request->hop == FL_HOP_LAST)
 		return result;
 	flags.kv_store_unavailable = fl_kv_is_unavailable(&node->kv_store);
@@ -123,7 +125,8 @@
 		struct fl_peer *peer = &node->peers[i];
 
 		if (peer != leader && peer->up)
-			result = forward_via(peer, request->path, text, deadline - fl_now(), reply);
+			result = forward_via(peer, request->path, text, deadline - fl_now(),
+			                     leader_reply);
 	}
 	free(text);
 	return result;
@@ -155,8 +158,8 @@
 	                                                         reply.body.length))
 	                             : FL_FORWARD_REJECTED;
 	if (result == FL_FORWARD_MALFORMED_REPLY)
-		fl_error("peers", "malformed reply: path=%s leader=%s", request->path,
-		         node->leader_view.leader);
+		fl_error("peers", "reply malformed; forwarded request failed path=%s leader=%s",
+		         request->path, node->leader_view.leader);
 	fl_buffer_free(&reply.body);
 	return result;
 }
