--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -54,11 +54,11 @@
 
 	config.ram_mb = 16;
 	assert_true(fl_admission_describe_tight_setting(&config, 0, text, sizeof(text)));
-	assert_non_null(strstr(text, "ram_mb is 16: 900 connections take 8 MB"));
+	assert_non_null(strstr(text, "ram_mb=16 max_connections=900 connections_mb=8 "));
 
 	config.core_share = 0.01;
 	assert_true(fl_admission_describe_tight_setting(&config, 1, text, sizeof(text)));
-	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 heartbeats"));
+	assert_non_null(strstr(text, "core_share=0.01 heartbeats_per_s=40 "));
 	assert_false(fl_admission_describe_tight_setting(&config, 2, text, sizeof(text)));
 }
 
