--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -66,8 +66,8 @@
 static void count_spot_time(struct fl_node *node)
 {
 	struct fl_autoscaler *autoscaler = &node->autoscaler;
-	double now = fl_now(), since_s = now - autoscaler->spot_counted_at;
-	bool first = autoscaler->spot_counted_at <= 0;
+	double now = fl_now(), since_s = now - autoscaler->spot_time_counted_until;
+	bool first = autoscaler->spot_time_counted_until <= 0;
 
 	for (int i = 0; i < node->cluster.machines.count && !first; i++) {
 		const struct fl_machine *machine = node->cluster.machines.by_id[i];
@@ -75,10 +75,10 @@
 		if (machine->spot && machine->lifecycle.up && !machine->lifecycle.decommissioned)
 			autoscaler->spot_machine_seconds += since_s;
 	}
-	autoscaler->spot_counted_at = now;
+	autoscaler->spot_time_counted_until = now;
 }
 
-void fl_autoscaler_begin(struct fl_node *node)
+void fl_autoscaler_reset(struct fl_node *node)
 {
 	struct fl_autoscaler *autoscaler = &node->autoscaler;
 	double calls_per_s = node->config->cloud_rps * tunables.call_share;
@@ -101,7 +101,7 @@
 		count_spot_time(node);
 		fl_autoscaler_scale_in(node);
 		fl_autoscaler_scale_out(node);
-		if (fl_now() > autoscaler->listed_at + tunables.list_interval_s)
+		if (fl_now() > autoscaler->last_list_started_at + tunables.list_interval_s)
 			fl_autoscaler_list_machines(node);
 		if (fl_now() > autoscaler->types_refreshed_at + tunables.types_interval_s) {
 			autoscaler->types_refreshed_at = fl_now();
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -40,22 +40,22 @@
 	double no_capacity_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX][2];
 	/* Steady; until then too many machines of the zone are silent. */
 	double zone_suspected_until[FL_ZONES_MAX];
-	double listed_at;          /* steady; when the last complete list began */
-	double types_refreshed_at; /* steady; when types and prices were last requested */
+	double last_list_started_at; /* steady; when the last complete list began */
+	double types_refreshed_at;   /* steady; when types and prices were last requested */
 	struct fl_token_bucket call_budget;
-	double spot_losses;          /* spot machines that were reclaimed */
-	double spot_machine_seconds; /* the time that spot machines were up */
-	double spot_counted_at;      /* steady; up to when that is counted */
+	double spot_losses;             /* spot machines that were reclaimed */
+	double spot_machine_seconds;    /* the time that spot machines were up */
+	double spot_time_counted_until; /* steady; up to when that is counted */
 	/*
 	 * How many accelerators the machines that are not spot could be returned with before the
 	 * headroom for services is cut into: by zone, or one number if there is one share; no
 	 * shares: no headroom is kept.
 	 */
-	int headroom_surplus[FL_ZONES_MAX], headroom_shares;
+	int headroom_surplus[FL_ZONES_MAX], headroom_share_count;
 };
 
 /* Resets the autoscaler, when leadership begins. */
-void fl_autoscaler_begin(struct fl_node *node);
+void fl_autoscaler_reset(struct fl_node *node);
 /* The coroutine of a leader, with its fl_node; returns when it is cancelled. */
 void fl_autoscaler_run(struct fl_node *node);
 /* Chance a second that a spot machine is reclaimed, from the losses under this leadership. */
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -22,9 +22,9 @@
 static bool can_take_task(const struct fl_planned_machine *machine,
                           const struct fl_planned_job *planned)
 {
-	return fl_autoscaler_job_allows(planned->job, machine->kind) &&
+	return fl_autoscaler_job_allows_kind(planned->job, machine->kind) &&
 	       fl_resources_fit(fl_job_need(planned->job), machine->free) &&
-	       fl_autoscaler_zone_allows(planned, machine->kind.zone);
+	       fl_autoscaler_job_allows_zone(planned, machine->kind.zone);
 }
 
 /*
@@ -36,13 +36,15 @@
 {
 	struct fl_planned_machine *chosen;
 
-	while (*next < plan->count && !can_take_task(&plan->machines[*next], planned)) {
+	while (*next < plan->planned_machine_count &&
+	       !can_take_task(&plan->machines[*next], planned)) {
 		plan->autoscaler->machines_examined++;
 		++*next;
 	}
 	plan->autoscaler->machines_examined++;
-	chosen = *next < plan->count ? &plan->machines[*next]
-	                             : fl_autoscaler_add_rental(plan, planned, FL_ANY_ZONE);
+	chosen = *next < plan->planned_machine_count
+	                 ? &plan->machines[*next]
+	                 : fl_autoscaler_add_cheapest_rental(plan, planned, FL_ANY_ZONE);
 	if (!chosen)
 		return false;
 	fl_resources_subtract(&chosen->free, fl_job_need(planned->job));
@@ -130,7 +132,7 @@
 		boot_s = machines->types[machine->type].ready_s;
 		plan->machines_by_zone[machine->zone]++;
 		if (is_booting(plan, machine, boot_s))
-			fl_autoscaler_add_planned(plan, kind, FL_PLANNED_BOOTING);
+			fl_autoscaler_add_planned_machine(plan, kind, FL_PLANNED_BOOTING);
 		plan->tasks_ending_soon += count_ending_soon(plan, machine, boot_s);
 	}
 }
@@ -162,7 +164,7 @@
 static void store_requests(struct fl_autoscaler *autoscaler, const struct fl_autoscaler_plan *plan)
 {
 	autoscaler->request_count = 0;
-	for (int i = 0; i < plan->count; i++) {
+	for (int i = 0; i < plan->planned_machine_count; i++) {
 		struct fl_scale_out_request *request;
 
 		if (plan->machines[i].origin != FL_PLANNED_RENTAL)
@@ -188,8 +190,8 @@
 	if (node->autoscaler.scale_out_in_flight)
 		return;
 	node->autoscaler.machines_examined = 0;
-	plan.capacity = node->cluster.machines.count + FL_PLANNED_RENTALS_MAX + 1;
-	plan.machines = malloc((size_t)plan.capacity * sizeof(*plan.machines));
+	plan.planned_machine_capacity = node->cluster.machines.count + FL_PLANNED_RENTALS_MAX + 1;
+	plan.machines = malloc((size_t)plan.planned_machine_capacity * sizeof(*plan.machines));
 	if (!plan.machines)
 		return;
 	add_existing(&plan);
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -27,7 +27,7 @@
 	struct fl_resources available;
 
 	if (machine->spot || machine->lifecycle.draining ||
-	    !fl_autoscaler_job_allows(service, kind))
+	    !fl_autoscaler_job_allows_kind(service, kind))
 		return 0;
 	available = fl_machine_type_capacity(&machines->types[machine->type]);
 	for (int i = 0; i < machine->assignment_count; i++) {
@@ -81,7 +81,7 @@
 {
 	struct fl_resources need = fl_job_need(headroom->service);
 
-	for (int i = 0; i < plan->count; i++) {
+	for (int i = 0; i < plan->planned_machine_count; i++) {
 		const struct fl_planned_machine *planned = &plan->machines[i];
 
 		if (!planned->kind.spot)
@@ -101,7 +101,7 @@
 
 		while (headroom->capacity[z] < headroom->needed) {
 			const struct fl_planned_machine *rental =
-				fl_autoscaler_add_rental(plan, &model, only_zone);
+				fl_autoscaler_add_cheapest_rental(plan, &model, only_zone);
 
 			if (!rental)
 				break;
@@ -122,13 +122,13 @@
 	struct headroom headroom = {0};
 	double task_count, arrivals;
 
-	autoscaler->headroom_shares = 0;
+	autoscaler->headroom_share_count = 0;
 	headroom.service = recent_services(plan, &task_count);
 	if (!headroom.service || cluster->machines.type_count == 0)
 		return;
 	/* What must be apart needs capacity in each zone, also to replace what is lost in one. */
 	headroom.shares = headroom.service->spread_zones ? cluster->zones.count : 1;
-	autoscaler->headroom_shares = headroom.shares;
+	autoscaler->headroom_share_count = headroom.shares;
 	arrivals = task_count / tunables.learn_s * cluster->machines.types[0].ready_s;
 	headroom.needed = ceil((arrivals + tunables.spread * sqrt(arrivals)) / headroom.shares);
 	add_machines(plan, &headroom);
--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -78,6 +78,6 @@
 			more = false;
 		free(listed);
 	}
-	node->autoscaler.listed_at = begun_at;
+	node->autoscaler.last_list_started_at = begun_at;
 	decommission_missing(node, begun_at, known_count);
 }
--- a/src/coordination/autoscaling/planned_machines.c
+++ b/src/coordination/autoscaling/planned_machines.c
@@ -12,28 +12,28 @@
 	.spread_weight = 0.1,  /* of the price, per task in the zone, of a job to be spread */
 };
 
-struct fl_planned_machine *fl_autoscaler_add_planned(struct fl_autoscaler_plan *plan,
-                                                     struct fl_machine_kind kind,
-                                                     enum fl_planned_origin origin)
+struct fl_planned_machine *fl_autoscaler_add_planned_machine(struct fl_autoscaler_plan *plan,
+                                                             struct fl_machine_kind kind,
+                                                             enum fl_planned_origin origin)
 {
 	const struct fl_machine_type *type = &plan->cluster->machines.types[kind.type];
 
-	if (plan->count == plan->capacity)
+	if (plan->planned_machine_count == plan->planned_machine_capacity)
 		return NULL;
-	plan->machines[plan->count] =
+	plan->machines[plan->planned_machine_count] =
 		(struct fl_planned_machine){kind, origin, fl_machine_type_capacity(type)};
 	plan->rental_count += origin == FL_PLANNED_RENTAL;
-	return &plan->machines[plan->count++];
+	return &plan->machines[plan->planned_machine_count++];
 }
 
-bool fl_autoscaler_job_allows(const struct fl_job *job, struct fl_machine_kind kind)
+bool fl_autoscaler_job_allows_kind(const struct fl_job *job, struct fl_machine_kind kind)
 {
 	struct fl_kind_rule rule = {job->types, job->zone, job->spot_allowed};
 
 	return fl_kind_rule_admits(rule, kind);
 }
 
-bool fl_autoscaler_zone_allows(const struct fl_planned_job *planned, int zone)
+bool fl_autoscaler_job_allows_zone(const struct fl_planned_job *planned, int zone)
 {
 	const struct fl_job *job = planned->job;
 	/* The plan leaves tasks in unknown zones out: placed_in_unknown_zone is 0. */
@@ -65,8 +65,8 @@
 		return false;
 	if (!fl_resources_fit(fl_job_need(planned->job), fl_machine_type_capacity(type)))
 		return false;
-	if (!fl_autoscaler_job_allows(planned->job, kind) ||
-	    !fl_autoscaler_zone_allows(planned, kind.zone))
+	if (!fl_autoscaler_job_allows_kind(planned->job, kind) ||
+	    !fl_autoscaler_job_allows_zone(planned, kind.zone))
 		return false;
 	return autoscaler->no_capacity_until[kind.type][kind.zone][kind.spot] <= plan->now;
 }
@@ -109,9 +109,9 @@
 	}
 }
 
-struct fl_planned_machine *fl_autoscaler_add_rental(struct fl_autoscaler_plan *plan,
-                                                    const struct fl_planned_job *planned,
-                                                    int only_zone)
+struct fl_planned_machine *fl_autoscaler_add_cheapest_rental(struct fl_autoscaler_plan *plan,
+                                                             const struct fl_planned_job *planned,
+                                                             int only_zone)
 {
 	const struct fl_cluster *cluster = plan->cluster;
 	struct fl_machine_kind cheapest = {0};
@@ -130,5 +130,5 @@
 	if (lowest_cost == INFINITY)
 		return NULL;
 	plan->machines_by_zone[cheapest.zone]++;
-	return fl_autoscaler_add_planned(plan, cheapest, FL_PLANNED_RENTAL);
+	return fl_autoscaler_add_planned_machine(plan, cheapest, FL_PLANNED_RENTAL);
 }
--- a/src/coordination/autoscaling/planned_machines.h
+++ b/src/coordination/autoscaling/planned_machines.h
@@ -30,7 +30,7 @@
 	struct fl_autoscaler *autoscaler;
 	const struct fl_cluster *cluster;
 	struct fl_planned_machine *machines; /* owned */
-	int count, capacity, rental_count;
+	int planned_machine_count, planned_machine_capacity, rental_count;
 	double tasks_ending_soon; /* tasks that end before a rented machine could boot */
 	int machines_by_zone[FL_ZONES_MAX];
 	double now, now_wall; /* steady, and of the time of day */
@@ -43,19 +43,19 @@
 };
 
 /* Whether the job's type, zone and price constraints admit such a machine. */
-bool fl_autoscaler_job_allows(const struct fl_job *job, struct fl_machine_kind kind);
+bool fl_autoscaler_job_allows_kind(const struct fl_job *job, struct fl_machine_kind kind);
 /* Whether one more task may go to this zone. */
-bool fl_autoscaler_zone_allows(const struct fl_planned_job *planned, int zone);
+bool fl_autoscaler_job_allows_zone(const struct fl_planned_job *planned, int zone);
 /* Adds an empty machine of this kind to the plan; NULL if the plan is full. */
-struct fl_planned_machine *fl_autoscaler_add_planned(struct fl_autoscaler_plan *plan,
-                                                     struct fl_machine_kind kind,
-                                                     enum fl_planned_origin origin);
+struct fl_planned_machine *fl_autoscaler_add_planned_machine(struct fl_autoscaler_plan *plan,
+                                                             struct fl_machine_kind kind,
+                                                             enum fl_planned_origin origin);
 /*
  * Adds the cheapest rental for one task of the job, in this zone or in FL_ANY_ZONE; NULL if there
  * is none.
  */
-struct fl_planned_machine *fl_autoscaler_add_rental(struct fl_autoscaler_plan *plan,
-                                                    const struct fl_planned_job *planned,
-                                                    int only_zone);
+struct fl_planned_machine *fl_autoscaler_add_cheapest_rental(struct fl_autoscaler_plan *plan,
+                                                             const struct fl_planned_job *planned,
+                                                             int only_zone);
 
 #endif
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -59,9 +59,9 @@
 {
 	int *surplus;
 
-	if (autoscaler->headroom_shares == 0)
+	if (autoscaler->headroom_share_count == 0)
 		return true;
-	surplus = &autoscaler->headroom_surplus[machine->zone % autoscaler->headroom_shares];
+	surplus = &autoscaler->headroom_surplus[machine->zone % autoscaler->headroom_share_count];
 	if (*surplus < type->gpus)
 		return false;
 	*surplus -= (int)type->gpus;
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -56,7 +56,7 @@
 	leadership->active = true;
 	leadership->cycle_due = true;
 	fl_record_writer_begin(&node->record_writer, node->config->state_write_rps);
-	fl_autoscaler_begin(node);
+	fl_autoscaler_reset(node);
 	start_coroutine(node, fl_scheduling_cycle_run);
 	start_coroutine(node, fl_record_writer_run);
 	start_coroutine(node, fl_digest_reader_run);
--- a/src/coordination/scheduling/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -65,7 +65,7 @@
 	if (max_duration_s && estimate_s <= 0)
 		job->estimate_s =
 			job->service ? INFINITY : cycle->input->params->default_estimate_s;
-	if (fl_sched_start_fitting(cycle, job_index, max_duration_s))
+	if (fl_sched_start_fitting_tasks(cycle, job_index, max_duration_s))
 		cycle->output->unplaced_tasks[job_index] =
 			job->startable_count - cycle->tasks_awaiting_image -
 			fl_sched_request_preemptions(cycle, job_index, max_duration_s);
@@ -77,14 +77,14 @@
 {
 	const struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	bool backfill = cycle->output->top_job >= 0;
-	bool bound = backfill && fl_sched_bound_by_top(cycle, job);
+	bool bound = backfill && fl_sched_is_bound_by_window(cycle, job);
 
 	consider_job(cycle, job_index, bound ? window_by_machine : NULL);
 	if (backfill || cycle->output->unplaced_tasks[job_index] == 0)
 		return;
-	fl_sched_set_window(cycle, job_index);
-	if (!cycle->failed)
-		fl_sched_window_by_machine(cycle, window_by_machine);
+	fl_sched_set_backfill_window(cycle, job_index);
+	if (!cycle->out_of_memory)
+		fl_sched_compute_backfill_limits(cycle, window_by_machine);
 }
 
 static void consider_jobs_in_order(struct fl_sched_cycle *cycle)
@@ -95,10 +95,10 @@
 	int resume = input->resume_position < input->job_count ? input->resume_position : 0;
 
 	if (!window_by_machine) {
-		cycle->failed = true;
+		cycle->out_of_memory = true;
 		return;
 	}
-	for (int position = 0; position < input->job_count && !cycle->failed; position++) {
+	for (int position = 0; position < input->job_count && !cycle->out_of_memory; position++) {
 		int job_index = cycle->order[position];
 		bool backfill = cycle->output->top_job >= 0;
 
@@ -132,7 +132,7 @@
 
 	cycle->order = malloc(job_count * sizeof(*cycle->order));
 	cycle->rank = malloc(job_count * sizeof(*cycle->rank));
-	cycle->priority = malloc(job_count * sizeof(*cycle->priority));
+	cycle->effective_priority = malloc(job_count * sizeof(*cycle->effective_priority));
 	cycle->releasing = calloc(machine_count, sizeof(*cycle->releasing));
 	cycle->start_cost = malloc(machine_count * sizeof(*cycle->start_cost));
 	cycle->preemption_cost = malloc(machine_count * sizeof(*cycle->preemption_cost));
@@ -141,7 +141,7 @@
 	cycle->attempts_by_machine = malloc(attempt_count * sizeof(*cycle->attempts_by_machine));
 	cycle->lowest_priority = malloc(machine_count * sizeof(*cycle->lowest_priority));
 	cycle->output->unplaced_tasks = calloc(job_count, sizeof(*cycle->output->unplaced_tasks));
-	return cycle->order && cycle->rank && cycle->priority && cycle->releasing &&
+	return cycle->order && cycle->rank && cycle->effective_priority && cycle->releasing &&
 	       cycle->start_cost && cycle->preemption_cost && cycle->victims &&
 	       cycle->first_attempt && cycle->attempts_by_machine && cycle->lowest_priority &&
 	       cycle->output->unplaced_tasks;
@@ -151,7 +151,7 @@
 {
 	free(cycle->order);
 	free(cycle->rank);
-	free(cycle->priority);
+	free(cycle->effective_priority);
 	free(cycle->releasing);
 	free(cycle->start_cost);
 	free(cycle->preemption_cost);
@@ -174,10 +174,10 @@
 		fl_sched_sort_jobs(&cycle);
 		consider_jobs_in_order(&cycle);
 	} else {
-		cycle.failed = true;
+		cycle.out_of_memory = true;
 	}
 	release(&cycle);
-	return cycle.failed ? FL_SCHEDULE_OUT_OF_MEMORY : FL_SCHEDULE_OK;
+	return cycle.out_of_memory ? FL_SCHEDULE_OUT_OF_MEMORY : FL_SCHEDULE_OK;
 }
 
 void fl_sched_output_free(struct fl_sched_output *output)
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -23,15 +23,16 @@
 
 /* Parameters of the priority of a job. */
 struct fl_sched_params {
-	double alpha, beta, gamma, r, omega; /* the paper's */
-	double default_estimate_s;           /* for jobs with no estimate */
-	double overdue_after_s; /* wait after which a job is overdue: see aging_power */
-	double aging_power;     /* power by which the weight of the wait grows from then on */
+	double wait_exponent, estimate_exponent, cpus_exponent, priority_base,
+		window_factor;     /* the paper's */
+	double default_estimate_s; /* for jobs with no estimate */
+	double overdue_after_s;    /* wait after which a job is overdue: see aging_power */
+	double aging_exponent;     /* power by which the weight of the wait grows from then on */
 	double background_overdue_factor; /* times that wait for background work */
 };
 
 /* The parameters that a controller uses; the reasons are in schedule_order.c. */
-extern const struct fl_sched_params fl_sched_defaults;
+extern const struct fl_sched_params fl_sched_default_params;
 
 /* A job with tasks to be placed. */
 struct fl_sched_job {
@@ -52,7 +53,7 @@
 	bool begun;      /* some task of it runs, or is done */
 	uint32_t placed_by_zone[FL_ZONES_MAX], placed_in_unknown_zone; /* tasks placed, by zone */
 	int image;
-	double window_left_s; /* what is left of its backfill window; < 0: none yet */
+	double window_remaining_s; /* what is left of its backfill window; < 0: none yet */
 };
 
 /*
@@ -85,8 +86,8 @@
 	bool within_guaranteed; /* of a job within its team's guaranteed quota */
 	bool last_running_task; /* of an overdue job: only urgent work preempts it */
 	struct fl_resources used;
-	double left_s; /* by its estimate; INFINITY for a service */
-	double lost_s; /* work that a stop would lose */
+	double estimated_remaining_s; /* by its estimate; INFINITY for a service */
+	double stop_loss_s;           /* work that a stop would lose */
 };
 
 /*
@@ -133,7 +134,8 @@
 };
 
 /* The priority of a job within its rank: the product of the paper, with what is added to it. */
-double fl_sched_priority(const struct fl_sched_params *params, const struct fl_sched_job *job);
+double fl_sched_effective_priority(const struct fl_sched_params *params,
+                                   const struct fl_sched_job *job);
 /* Runs a cycle. Free the output whatever the result. */
 enum fl_schedule_result fl_schedule(struct fl_sched_input *input, struct fl_sched_output *output);
 /* Frees the arrays of the output, and clears it. */
--- a/src/coordination/scheduling/schedule_backfill.c
+++ b/src/coordination/scheduling/schedule_backfill.c
@@ -27,7 +27,7 @@
 static int add_end(const struct fl_sched_input *input, int attempt_index, struct attempt_end *ends,
                    int count)
 {
-	double left_s = input->attempts[attempt_index].left_s;
+	double left_s = input->attempts[attempt_index].estimated_remaining_s;
 
 	if (left_s < INFINITY)
 		ends[count++] = (struct attempt_end){left_s, attempt_index};
@@ -65,7 +65,7 @@
 	for (int i = 0; i < input->machine_count; i++) {
 		uint32_t count = 0;
 
-		if (fl_sched_allowed(job, &input->machines[i]))
+		if (fl_sched_job_allows_machine(job, &input->machines[i]))
 			count = fl_sched_placement_capacity(job, available[i]);
 		by_zone[input->machines[i].zone] += count;
 		total += count;
@@ -117,8 +117,8 @@
 	if (job->gang)
 		return time_until_gang_fits(input, job, ends);
 	for (int i = 0; i < input->machine_count; i++)
-		if (fl_sched_allowed(job, &input->machines[i]) &&
-		    fl_sched_zone_allows(job, input->machines[i].zone))
+		if (fl_sched_job_allows_machine(job, &input->machines[i]) &&
+		    fl_sched_job_allows_zone(job, input->machines[i].zone))
 			wait_s = fmin(wait_s, time_until_fit(cycle, job, i, ends));
 	return wait_s;
 }
@@ -128,7 +128,7 @@
  * scattered pieces is no capacity. The window only shrinks while the same job stays on top: set
  * anew in each cycle, it would never end.
  */
-void fl_sched_set_window(struct fl_sched_cycle *cycle, int top)
+void fl_sched_set_backfill_window(struct fl_sched_cycle *cycle, int top)
 {
 	const struct fl_sched_job *job = &cycle->input->jobs[top];
 	struct attempt_end *ends =
@@ -136,23 +136,23 @@
 	double window_s;
 
 	if (!ends) {
-		cycle->failed = true;
+		cycle->out_of_memory = true;
 		return;
 	}
-	window_s = cycle->input->params->omega * time_until_start(cycle, job, ends);
+	window_s = cycle->input->params->window_factor * time_until_start(cycle, job, ends);
 	free(ends);
-	if (job->window_left_s >= 0 && job->window_left_s < window_s)
-		window_s = job->window_left_s;
+	if (job->window_remaining_s >= 0 && job->window_remaining_s < window_s)
+		window_s = job->window_remaining_s;
 	cycle->output->top_job = top;
 	cycle->output->window_s = window_s;
 }
 
-void fl_sched_window_by_machine(const struct fl_sched_cycle *cycle, double *max_duration_s)
+void fl_sched_compute_backfill_limits(const struct fl_sched_cycle *cycle, double *max_duration_s)
 {
 	const struct fl_sched_job *top = &cycle->input->jobs[cycle->output->top_job];
 
 	for (int i = 0; i < cycle->input->machine_count; i++)
-		max_duration_s[i] = fl_sched_allowed(top, &cycle->input->machines[i])
+		max_duration_s[i] = fl_sched_job_allows_machine(top, &cycle->input->machines[i])
 		                            ? cycle->output->window_s
 		                            : INFINITY;
 }
@@ -161,8 +161,8 @@
  * The window keeps lower jobs from delaying the top one. A job of a higher priority than the top's
  * may preempt what the top runs: an array that has waited long must not delay it by being on top.
  */
-bool fl_sched_bound_by_top(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job)
+bool fl_sched_is_bound_by_window(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job)
 {
-	return !fl_sched_precedes_arrays(job) &&
+	return !fl_sched_is_urgent_service(job) &&
 	       job->priority <= cycle->input->jobs[cycle->output->top_job].priority;
 }
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -3,7 +3,7 @@
 
 #include <math.h>
 
-bool fl_sched_zone_allows(const struct fl_sched_job *job, int zone)
+bool fl_sched_job_allows_zone(const struct fl_sched_job *job, int zone)
 {
 	const struct fl_zone_rule rule = {.same_zone = job->same_zone,
 	                                  .spread_zones = job->spread_zones,
@@ -14,7 +14,8 @@
 	return fl_zone_rule_admits(&rule, zone);
 }
 
-bool fl_sched_team_allows(const struct fl_sched_input *input, const struct fl_sched_job *job)
+bool fl_sched_within_team_maximum(const struct fl_sched_input *input,
+                                  const struct fl_sched_job *job)
 {
 	const struct fl_team *team = &input->teams[job->team];
 
@@ -22,7 +23,7 @@
 	                              team->used_gpus + job->need.gpus);
 }
 
-bool fl_sched_depends_on_zones(const struct fl_sched_job *job)
+bool fl_sched_cost_depends_on_zones(const struct fl_sched_job *job)
 {
 	return job->spread_zones || job->same_zone;
 }
@@ -48,7 +49,7 @@
 	if (job->priority < reserved->priority)
 		return false;
 	/* Services too: an urgent one goes before a critical array, which may preempt it. */
-	if (fl_sched_precedes_arrays(job))
+	if (fl_sched_is_urgent_service(job))
 		return true;
 	return !cycle->resumed && (!reserved->within_guaranteed || job->within_guaranteed);
 }
@@ -73,8 +74,8 @@
 	return blocked;
 }
 
-struct fl_resources fl_sched_capacity_for(const struct fl_sched_cycle *cycle,
-                                          const struct fl_sched_job *job, int machine_index)
+struct fl_resources fl_sched_available_resources(const struct fl_sched_cycle *cycle,
+                                                 const struct fl_sched_job *job, int machine_index)
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 	struct fl_resources available = machine->free;
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -42,7 +42,7 @@
                                const struct fl_sched_machine *machine)
 {
 	double cost = tunables.packing_weight_s * (machine->free.gpus - job->need.gpus);
-	double fetch_weight = fl_sched_precedes_arrays(job) ? tunables.urgent_fetch_weight : 1;
+	double fetch_weight = fl_sched_is_urgent_service(job) ? tunables.urgent_fetch_weight : 1;
 	double on_demand_s = job->spot_allowed && !machine->spot ? tunables.on_demand_s : 0;
 
 	cost += fl_sched_image_fetch_s(job, machine) * fetch_weight;
@@ -55,7 +55,7 @@
 	return cost;
 }
 
-int fl_sched_lowest_cost(const double *costs, int count)
+int fl_sched_lowest_cost_index(const double *costs, int count)
 {
 	double lowest = INFINITY;
 	int best_index = -1;
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -16,9 +16,9 @@
 struct fl_sched_cycle {
 	struct fl_sched_input *input;
 	struct fl_sched_output *output;
-	int *order;       /* indices of jobs, first to be considered first */
-	int *rank;        /* per job; a higher rank goes before any priority */
-	double *priority; /* per job */
+	int *order;                 /* indices of jobs, first to be considered first */
+	int *rank;                  /* per job; a higher rank goes before any priority */
+	double *effective_priority; /* per job */
 	/*
 	 * The attempts on machine i are attempts_by_machine[first_attempt[i]] up to
 	 * [first_attempt[i + 1]].
@@ -33,7 +33,7 @@
 	bool resumed; /* the cycle skipped a part of the order before the job being considered */
 	/* Tasks of the job being considered with capacity requested where their image is cached. */
 	uint32_t tasks_awaiting_image;
-	bool failed; /* no memory */
+	bool out_of_memory; /* no memory */
 };
 
 /* ---- order: schedule_order.c ---- */
@@ -41,17 +41,17 @@
 /* Seconds that a task is estimated to run, of a service too. */
 double fl_sched_estimate_s(const struct fl_sched_params *params, const struct fl_sched_job *job);
 /* Whether a job is a service that may preempt arrays, and is therefore placed before them. */
-bool fl_sched_precedes_arrays(const struct fl_sched_job *job);
+bool fl_sched_is_urgent_service(const struct fl_sched_job *job);
 /* Whether a job has waited for longer than overdue_after_s and has not begun; never a service. */
-bool fl_sched_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job);
+bool fl_sched_is_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job);
 /* Fills in the order, the rank and the priority of the cycle. */
 void fl_sched_sort_jobs(struct fl_sched_cycle *cycle);
 
 /* ---- constraints and capacity: schedule_constraints.c ---- */
 
 /* Whether the job's type, zone and price constraints admit the machine. */
-static inline bool fl_sched_allowed(const struct fl_sched_job *job,
-                                    const struct fl_sched_machine *machine)
+static inline bool fl_sched_job_allows_machine(const struct fl_sched_job *job,
+                                               const struct fl_sched_machine *machine)
 {
 	struct fl_kind_rule rule = {job->allowed_types, job->zone, job->spot_allowed};
 	struct fl_machine_kind kind = {machine->type, machine->zone, machine->spot};
@@ -60,16 +60,17 @@
 }
 
 /* Whether one more task may go to this zone, by where the job's other tasks are. */
-bool fl_sched_zone_allows(const struct fl_sched_job *job, int zone);
+bool fl_sched_job_allows_zone(const struct fl_sched_job *job, int zone);
 /* Whether one more task stays within the maximum quota of the job's team. */
-bool fl_sched_team_allows(const struct fl_sched_input *input, const struct fl_sched_job *job);
+bool fl_sched_within_team_maximum(const struct fl_sched_input *input,
+                                  const struct fl_sched_job *job);
 /* Whether placing a task of the job changes the cost of other machines for its other tasks. */
-bool fl_sched_depends_on_zones(const struct fl_sched_job *job);
+bool fl_sched_cost_depends_on_zones(const struct fl_sched_job *job);
 /* How many tasks of the job fit into these resources. */
 uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, struct fl_resources available);
 /* What is or will be free on a machine for this job, less what is reserved for others. */
-struct fl_resources fl_sched_capacity_for(const struct fl_sched_cycle *cycle,
-                                          const struct fl_sched_job *job, int machine_index);
+struct fl_resources fl_sched_available_resources(const struct fl_sched_cycle *cycle,
+                                                 const struct fl_sched_job *job, int machine_index);
 
 /* ---- cost: schedule_cost.c ---- */
 
@@ -80,7 +81,7 @@
 double fl_sched_placement_cost(const struct fl_sched_input *input, const struct fl_sched_job *job,
                                const struct fl_sched_machine *machine);
 /* Index of the first of the lowest finite costs; -1: none is finite. */
-int fl_sched_lowest_cost(const double *costs, int count);
+int fl_sched_lowest_cost_index(const double *costs, int count);
 
 /* ---- placement: schedule_placement.c ---- */
 
@@ -89,8 +90,8 @@
  * `max_duration_s` (per machine; NULL: no bound) only tasks start that are estimated to end within
  * it.
  */
-bool fl_sched_start_fitting(struct fl_sched_cycle *cycle, int job_index,
-                            const double *max_duration_s);
+bool fl_sched_start_fitting_tasks(struct fl_sched_cycle *cycle, int job_index,
+                                  const double *max_duration_s);
 
 /* ---- preemption: schedule_preemption.c ---- */
 
@@ -98,11 +99,11 @@
  * Whether a task of an urgent service waits for a machine that has its image, rather than be
  * started on this one and wait for the fetch. If so, capacity for it is requested there.
  */
-bool fl_sched_wait_for_cached_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
-                                    int machine_index);
+bool fl_sched_request_machine_with_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
+                                         int machine_index);
 /*
  * Requests capacity for what still waits, by preemption, and returns for how many tasks it was
- * found. `max_duration_s` as for fl_sched_start_fitting.
+ * found. `max_duration_s` as for fl_sched_start_fitting_tasks.
  */
 uint32_t fl_sched_request_preemptions(struct fl_sched_cycle *cycle, int job_index,
                                       const double *max_duration_s);
@@ -110,10 +111,11 @@
 /* ---- backfill: schedule_backfill.c ---- */
 
 /* Makes a job the blocked top job, and sets its backfill window. */
-void fl_sched_set_window(struct fl_sched_cycle *cycle, int top);
+void fl_sched_set_backfill_window(struct fl_sched_cycle *cycle, int top);
 /* Per machine, how long a backfilled task may run: any time where the top job may not run. */
-void fl_sched_window_by_machine(const struct fl_sched_cycle *cycle, double *max_duration_s);
+void fl_sched_compute_backfill_limits(const struct fl_sched_cycle *cycle, double *max_duration_s);
 /* Whether the top job's window bounds this job. */
-bool fl_sched_bound_by_top(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job);
+bool fl_sched_is_bound_by_window(const struct fl_sched_cycle *cycle,
+                                 const struct fl_sched_job *job);
 
 #endif
--- a/src/coordination/scheduling/schedule_order.c
+++ b/src/coordination/scheduling/schedule_order.c
@@ -7,15 +7,15 @@
 #include <math.h>
 #include <stdlib.h>
 
-const struct fl_sched_params fl_sched_defaults = {
-	.alpha = 1,    /* power; a job rises as it waits */
-	.beta = -1,    /* power; short ones first */
-	.gamma = -0.5, /* power; narrow ones first: users count jobs, not tasks */
-	.r = 10,       /* one priority is worth ten times the wait */
-	.omega = 4,    /* times; the finite value that did best in the paper's tables */
+const struct fl_sched_params fl_sched_default_params = {
+	.wait_exponent = 1,      /* power; a job rises as it waits */
+	.estimate_exponent = -1, /* power; short ones first */
+	.cpus_exponent = -0.5,   /* power; narrow ones first: users count jobs, not tasks */
+	.priority_base = 10,     /* one priority is worth ten times the wait */
+	.window_factor = 4,      /* times; the finite value that did best in the paper's tables */
 	.default_estimate_s = 3600, /* s; for a job with neither an estimate nor a history */
 	.overdue_after_s = 120, /* s; half of what users grant the largest job before it begins */
-	.aging_power = 4, /* power; at twice overdue_after_s it outweighs all but the priority */
+	.aging_exponent = 4, /* power; at twice overdue_after_s it outweighs all but the priority */
 	.background_overdue_factor = 3, /* times; nobody says when it should be done */
 };
 
@@ -37,7 +37,8 @@
 	return job->estimate_s > 0 ? job->estimate_s : params->default_estimate_s;
 }
 
-double fl_sched_priority(const struct fl_sched_params *params, const struct fl_sched_job *job)
+double fl_sched_effective_priority(const struct fl_sched_params *params,
+                                   const struct fl_sched_job *job)
 {
 	double wait_s = job->waited_s > tunables.min_wait_s ? job->waited_s : tunables.min_wait_s;
 	double estimate_s = fl_sched_estimate_s(params, job);
@@ -55,15 +56,15 @@
 	 * tasks of 300 s: after two minutes they went before arrays of their own priority that are
 	 * to be done within 150 s, and occupied all machines of the site for five minutes.
 	 */
-	return pow(wait_s / REFERENCE_S, params->alpha) *
-	       (1 + pow(wait_s / overdue_after_s, params->aging_power)) *
-	       pow(estimate_s / REFERENCE_S, params->beta) *
-	       pow(cpus / REFERENCE_CPUS, params->gamma) *
-	       pow(params->r, (int)job->priority - 1 - job->background);
+	return pow(wait_s / REFERENCE_S, params->wait_exponent) *
+	       (1 + pow(wait_s / overdue_after_s, params->aging_exponent)) *
+	       pow(estimate_s / REFERENCE_S, params->estimate_exponent) *
+	       pow(cpus / REFERENCE_CPUS, params->cpus_exponent) *
+	       pow(params->priority_base, (int)job->priority - 1 - job->background);
 }
 
 /* Placing such a service first saves the preemption. */
-bool fl_sched_precedes_arrays(const struct fl_sched_job *job)
+bool fl_sched_is_urgent_service(const struct fl_sched_job *job)
 {
 	return job->service && job->priority >= FL_URGENT;
 }
@@ -73,7 +74,7 @@
  * for one task. That costs little capacity, so it is possible under any overload; how fast the rest
  * follows is left to the order.
  */
-bool fl_sched_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job)
+bool fl_sched_is_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
 	return !job->service && !job->begun && job->waited_s > params->overdue_after_s;
 }
@@ -84,9 +85,9 @@
  */
 static enum rank rank_of(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
-	if (fl_sched_precedes_arrays(job))
+	if (fl_sched_is_urgent_service(job))
 		return RANK_URGENT_SERVICE;
-	if (fl_sched_overdue(params, job))
+	if (fl_sched_is_overdue(params, job))
 		return RANK_OVERDUE;
 	return job->within_guaranteed ? RANK_WITHIN_GUARANTEE : RANK_OTHER;
 }
@@ -98,8 +99,8 @@
 
 	if (cycle->rank[left] != cycle->rank[right])
 		return cycle->rank[right] - cycle->rank[left];
-	if (cycle->priority[left] != cycle->priority[right])
-		return cycle->priority[left] > cycle->priority[right] ? -1 : 1;
+	if (cycle->effective_priority[left] != cycle->effective_priority[right])
+		return cycle->effective_priority[left] > cycle->effective_priority[right] ? -1 : 1;
 	return left < right ? -1 : left > right;
 }
 
@@ -110,7 +111,8 @@
 	for (int i = 0; i < input->job_count; i++) {
 		cycle->order[i] = i;
 		cycle->rank[i] = (int)rank_of(input->params, &input->jobs[i]);
-		cycle->priority[i] = fl_sched_priority(input->params, &input->jobs[i]);
+		cycle->effective_priority[i] =
+			fl_sched_effective_priority(input->params, &input->jobs[i]);
 	}
 	qsort_r(cycle->order, (size_t)input->job_count, sizeof(*cycle->order), compare_jobs, cycle);
 }
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -14,14 +14,15 @@
                          struct start_terms terms, int machine_index)
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
-	struct fl_resources available = fl_sched_capacity_for(cycle, job, machine_index);
+	struct fl_resources available = fl_sched_available_resources(cycle, job, machine_index);
 
 	if (terms.zone != FL_ANY_ZONE && machine->zone != terms.zone)
 		return INFINITY;
 	/* Available includes what stops under way will free: the task must fit without it too. */
 	if (!fl_resources_fit(job->need, available) || !fl_resources_fit(job->need, machine->free))
 		return INFINITY;
-	if (!fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone))
+	if (!fl_sched_job_allows_machine(job, machine) ||
+	    !fl_sched_job_allows_zone(job, machine->zone))
 		return INFINITY;
 	if (terms.max_duration_s && terms.max_duration_s[machine_index] < job->estimate_s)
 		return INFINITY;
@@ -50,7 +51,7 @@
 	for (int i = 0; i < input->machine_count; i++) {
 		const struct fl_sched_machine *machine = &input->machines[i];
 
-		if (fl_sched_allowed(job, machine))
+		if (fl_sched_job_allows_machine(job, machine))
 			capacity[machine->zone] += fl_sched_placement_capacity(job, machine->free);
 	}
 	for (int z = 0; z < FL_ZONES_MAX; z++)
@@ -70,7 +71,7 @@
 	starts = fl_array_grow(output->starts, output->start_count, &output->start_capacity,
 	                       sizeof(*starts), FL_SCHED_FIRST_CAPACITY);
 	if (!starts) {
-		cycle->failed = true;
+		cycle->out_of_memory = true;
 		return;
 	}
 	output->starts = starts;
@@ -104,7 +105,7 @@
 static void update_start_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                                struct start_terms terms, int machine_index)
 {
-	if (fl_sched_depends_on_zones(job))
+	if (fl_sched_cost_depends_on_zones(job))
 		compute_start_costs(cycle, job, terms);
 	else
 		cycle->start_cost[machine_index] = start_cost(cycle, job, terms, machine_index);
@@ -118,20 +119,21 @@
 {
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	struct start_terms terms = {choose_zone(cycle->input, job), max_duration_s};
-	bool only_one = fl_sched_overdue(cycle->input->params, job) && !job->gang;
+	bool only_one = fl_sched_is_overdue(cycle->input->params, job) && !job->gang;
 	uint32_t left_out = only_one ? job->startable_count - 1 : 0;
 
 	cycle->tasks_awaiting_image = 0;
 	compute_start_costs(cycle, job, terms);
-	while (job->startable_count > left_out + cycle->tasks_awaiting_image && !cycle->failed) {
+	while (job->startable_count > left_out + cycle->tasks_awaiting_image &&
+	       !cycle->out_of_memory) {
 		int best;
 
-		if (!fl_sched_team_allows(cycle->input, job))
+		if (!fl_sched_within_team_maximum(cycle->input, job))
 			return false;
-		best = fl_sched_lowest_cost(cycle->start_cost, cycle->input->machine_count);
+		best = fl_sched_lowest_cost_index(cycle->start_cost, cycle->input->machine_count);
 		if (best < 0)
 			return true;
-		if (fl_sched_wait_for_cached_image(cycle, job, best)) {
+		if (fl_sched_request_machine_with_image(cycle, job, best)) {
 			cycle->tasks_awaiting_image++;
 			compute_start_costs(cycle, job, terms);
 			continue;
@@ -142,8 +144,8 @@
 	return false;
 }
 
-bool fl_sched_start_fitting(struct fl_sched_cycle *cycle, int job_index,
-                            const double *max_duration_s)
+bool fl_sched_start_fitting_tasks(struct fl_sched_cycle *cycle, int job_index,
+                                  const double *max_duration_s)
 {
 	const struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	int earlier_count = cycle->output->start_count;
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -90,8 +90,8 @@
 	const struct fl_sched_attempt *left = &input->attempts[left_index];
 	const struct fl_sched_attempt *right = &input->attempts[right_index];
 
-	if (left->lost_s != right->lost_s)
-		return left->lost_s < right->lost_s ? -1 : 1;
+	if (left->stop_loss_s != right->stop_loss_s)
+		return left->stop_loss_s < right->stop_loss_s ? -1 : 1;
 	return left_index - right_index;
 }
 
@@ -121,7 +121,7 @@
                                               const struct fl_sched_job *job, int machine_index,
                                               enum entitlement entitlement)
 {
-	struct fl_resources available = fl_sched_capacity_for(cycle, job, machine_index);
+	struct fl_resources available = fl_sched_available_resources(cycle, job, machine_index);
 	int candidate_count = collect_victims(cycle, job, machine_index, entitlement);
 	struct victim_selection selection = {0};
 
@@ -130,7 +130,7 @@
 			&cycle->input->attempts[cycle->victims[selection.count++]];
 
 		fl_resources_add(&available, victim->used);
-		selection.cost_s += victim->lost_s + tunables.stop_cost_s;
+		selection.cost_s += victim->stop_loss_s + tunables.stop_cost_s;
 	}
 	if (!fl_resources_fit(job->need, available))
 		selection.cost_s = INFINITY;
@@ -147,7 +147,7 @@
 	                            &output->preemption_capacity, sizeof(*preemptions),
 	                            FL_SCHED_FIRST_CAPACITY);
 	if (!preemptions) {
-		cycle->failed = true;
+		cycle->out_of_memory = true;
 		return;
 	}
 	output->preemptions = preemptions;
@@ -162,7 +162,8 @@
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 
-	if (!fl_sched_allowed(job, machine) || !fl_sched_zone_allows(job, machine->zone))
+	if (!fl_sched_job_allows_machine(job, machine) ||
+	    !fl_sched_job_allows_zone(job, machine->zone))
 		return false;
 	if (terms.choice == MACHINES_WITH_IMAGE && fl_sched_image_fetch_s(job, machine) > 0)
 		return false;
@@ -221,7 +222,7 @@
 static bool request_preemption(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                struct preemption_terms terms)
 {
-	int best = fl_sched_lowest_cost(cycle->preemption_cost, cycle->input->machine_count);
+	int best = fl_sched_lowest_cost_index(cycle->preemption_cost, cycle->input->machine_count);
 	struct victim_selection selection;
 
 	if (best < 0)
@@ -230,7 +231,7 @@
 	for (int k = 0; k < selection.count; k++)
 		preempt_attempt(cycle, cycle->victims[k]);
 	reserve(&cycle->input->machines[best], job, terms.entitlement);
-	if (fl_sched_depends_on_zones(job))
+	if (fl_sched_cost_depends_on_zones(job))
 		compute_preemption_costs(cycle, job, terms);
 	else
 		cycle->preemption_cost[best] = preemption_cost(cycle, job, terms, best);
@@ -243,13 +244,13 @@
  * so, long before the fetch could end; when they are not, the task starts on the free machine after
  * all.
  */
-bool fl_sched_wait_for_cached_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
-                                    int machine_index)
+bool fl_sched_request_machine_with_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
+                                         int machine_index)
 {
 	double fetch_s = fl_sched_image_fetch_s(job, &cycle->input->machines[machine_index]);
 	struct preemption_terms terms = {.choice = MACHINES_WITH_IMAGE};
 
-	if (!fl_sched_precedes_arrays(job) || job->gang)
+	if (!fl_sched_is_urgent_service(job) || job->gang)
 		return false;
 	if (fetch_s <= tunables.max_fetch_s || job->waited_s >= fetch_s)
 		return false;
@@ -279,10 +280,11 @@
 	uint32_t requested = 0;
 	bool costs_computed = false;
 
-	while (requested < job->startable_count - cycle->tasks_awaiting_image && !cycle->failed) {
+	while (requested < job->startable_count - cycle->tasks_awaiting_image &&
+	       !cycle->out_of_memory) {
 		enum entitlement entitlement = entitlement_of(job, team);
 
-		if (!fl_sched_team_allows(cycle->input, job))
+		if (!fl_sched_within_team_maximum(cycle->input, job))
 			break;
 		if (entitlement == ENTITLED_BY_PRIORITY && job->priority == FL_BEST_EFFORT)
 			break;
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -32,7 +32,7 @@
  * up, and then it stands still for a second. By the steady clock cycles of 4 ms, ten a second, were
  * 4% of the time, and left nothing of the share for heartbeats and status queries.
  */
-double fl_scheduling_cycle_gap_s(double core_share, double took_s, double processor_s)
+double fl_scheduling_cycle_interval_s(double core_share, double took_s, double processor_s)
 {
 	double share = fmin(core_share, 1);
 	double busy_s = fmax(took_s, processor_s / share);
@@ -166,8 +166,9 @@
 		drain_interrupted_machines(node);
 		stop_incomplete_gangs(node);
 		run_cycle(node);
-		gap_s = fl_scheduling_cycle_gap_s(node->config->core_share, fl_now() - started_at,
-		                                  fl_cpu_time() - processor_started);
+		gap_s = fl_scheduling_cycle_interval_s(node->config->core_share,
+		                                       fl_now() - started_at,
+		                                       fl_cpu_time() - processor_started);
 		if (node->cluster.dirty)
 			fl_condition_broadcast(&node->record_writer.writes_pending);
 		request_token_raise(node, started_at);
--- a/src/coordination/scheduling/scheduling_cycle.h
+++ b/src/coordination/scheduling/scheduling_cycle.h
@@ -17,6 +17,6 @@
  * Seconds from the begin of a cycle to that of the next, after a cycle of `took_s` by the steady
  * clock and `processor_s` of processor time, with this share of a core.
  */
-double fl_scheduling_cycle_gap_s(double core_share, double took_s, double processor_s);
+double fl_scheduling_cycle_interval_s(double core_share, double took_s, double processor_s);
 
 #endif
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -111,7 +111,7 @@
 	target->within_guaranteed = job->within_guaranteed;
 	target->background = is_background(builder->node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
-	target->window_left_s = window_left_s(job, builder->now);
+	target->window_remaining_s = window_left_s(job, builder->now);
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
@@ -139,7 +139,7 @@
 static double estimated_left_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double estimate_s =
-		job->expected_s > 0 ? job->expected_s : fl_sched_defaults.default_estimate_s;
+		job->expected_s > 0 ? job->expected_s : fl_sched_default_params.default_estimate_s;
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
@@ -177,8 +177,8 @@
 	target->preemptible = !target->stopping;
 	target->within_guaranteed = job->within_guaranteed;
 	target->used = fl_job_need(job);
-	target->left_s = estimated_left_s(job, task, builder->now);
-	target->lost_s = lost_s(job, task, builder->now);
+	target->estimated_remaining_s = estimated_left_s(job, task, builder->now);
+	target->stop_loss_s = lost_s(job, task, builder->now);
 	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
 	                            waited_s > input->params->overdue_after_s;
 	builder->snapshot->attempts[input->attempt_count++] = *assignment;
@@ -288,7 +288,7 @@
 	memset(snapshot, 0, sizeof(*snapshot));
 	if (!allocate(snapshot, cluster))
 		return FL_SCHEDULE_OUT_OF_MEMORY;
-	snapshot->input.params = &fl_sched_defaults;
+	snapshot->input.params = &fl_sched_default_params;
 	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
 	mark_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, next)
--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -13,7 +13,7 @@
 void run_schedule(struct snapshot *snapshot, struct fl_sched_output *output)
 {
 	struct fl_sched_input input = {
-		.params = &fl_sched_defaults,
+		.params = &fl_sched_default_params,
 		.jobs = snapshot->jobs,
 		.job_count = snapshot->job_count,
 		.machines = snapshot->machines,
@@ -38,7 +38,7 @@
 	                             .waited_s = waited_s,
 	                             .allowed_types = 1,
 	                             .zone = -1,
-	                             .window_left_s = -1};
+	                             .window_remaining_s = -1};
 }
 
 struct fl_sched_machine plain_machine(double cpus)
@@ -54,5 +54,5 @@
 	                                 .preemptible = true,
 	                                 .used.cpus = cpus,
 	                                 .used.ram_gb = 1,
-	                                 .left_s = left_s};
+	                                 .estimated_remaining_s = left_s};
 }
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -144,8 +144,8 @@
 
 	model->top_job = job_index;
 	model->window_s = 4 * model_time_to_fit(model, job);
-	if (job->window_left_s >= 0)
-		model->window_s = fmin(model->window_s, job->window_left_s);
+	if (job->window_remaining_s >= 0)
+		model->window_s = fmin(model->window_s, job->window_remaining_s);
 	for (int i = 0; i < model->snapshot.machine_count; i++)
 		latest_end[i] = model_machine_allowed(job, &model->snapshot.machines[i])
 		                        ? model->window_s
--- a/tests/schedule_model_reservations.c
+++ b/tests/schedule_model_reservations.c
@@ -20,7 +20,8 @@
 
 		if (attempt->machine == machine && !victims[i] &&
 		    model_may_preempt(model, job, attempt, within_guarantee) &&
-		    (cheapest < 0 || attempt->lost_s < model->snapshot.attempts[cheapest].lost_s))
+		    (cheapest < 0 ||
+		     attempt->stop_loss_s < model->snapshot.attempts[cheapest].stop_loss_s))
 			cheapest = i;
 	}
 	return cheapest;
@@ -42,7 +43,7 @@
 			return INFINITY;
 		victims[cheapest] = true;
 		fl_resources_add(&available, model->snapshot.attempts[cheapest].used);
-		cost += model->snapshot.attempts[cheapest].lost_s + 1;
+		cost += model->snapshot.attempts[cheapest].stop_loss_s + 1;
 	}
 	return cost;
 }
@@ -83,8 +84,8 @@
 
 		for (int i = 0; i < model->snapshot.attempt_count; i++)
 			if (victims[i] &&
-			    (next < 0 || model->snapshot.attempts[i].lost_s <
-			                         model->snapshot.attempts[next].lost_s))
+			    (next < 0 || model->snapshot.attempts[i].stop_loss_s <
+			                         model->snapshot.attempts[next].stop_loss_s))
 				next = i;
 		if (next < 0)
 			return;
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -177,8 +177,8 @@
 	for (int i = 0; i < model->snapshot.attempt_count; i++) {
 		const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
 
-		if (attempt->machine == machine_index && attempt->left_s <= time_s &&
-		    attempt->left_s != INFINITY)
+		if (attempt->machine == machine_index && attempt->estimated_remaining_s <= time_s &&
+		    attempt->estimated_remaining_s != INFINITY)
 			fl_resources_add(&available, attempt->used);
 	}
 	return available;
@@ -218,8 +218,8 @@
 	if (model_fits_at(model, job, 0))
 		return 0;
 	for (int i = 0; i < model->snapshot.attempt_count; i++)
-		if (model->snapshot.attempts[i].left_s < best &&
-		    model_fits_at(model, job, model->snapshot.attempts[i].left_s))
-			best = model->snapshot.attempts[i].left_s;
+		if (model->snapshot.attempts[i].estimated_remaining_s < best &&
+		    model_fits_at(model, job, model->snapshot.attempts[i].estimated_remaining_s))
+			best = model->snapshot.attempts[i].estimated_remaining_s;
 	return best;
 }
--- a/tests/schedule_random.c
+++ b/tests/schedule_random.c
@@ -51,8 +51,9 @@
 		attempt.used.cpus = 1 + random_below(rng, 6);
 		attempt.used.gpus = random_below(rng, 3);
 		attempt.used.ram_gb = 4 + random_below(rng, 12);
-		attempt.left_s = attempt.service ? INFINITY : 1 + random_below(rng, 200);
-		attempt.lost_s = random_below(rng, 100) + 0.001 * i;
+		attempt.estimated_remaining_s =
+			attempt.service ? INFINITY : 1 + random_below(rng, 200);
+		attempt.stop_loss_s = random_below(rng, 100) + 0.001 * i;
 		if (attempt.used.cpus > machine->free.cpus ||
 		    attempt.used.gpus > machine->free.gpus ||
 		    attempt.used.ram_gb > machine->free.ram_gb)
@@ -91,7 +92,7 @@
 		job->spread_zones = !job->same_zone && random_below(rng, 3) == 0;
 		job->spot_allowed = random_below(rng, 2) > 0;
 		job->image = (int)random_below(rng, 5);
-		job->window_left_s = random_below(rng, 2) ? -1 : random_below(rng, 300);
+		job->window_remaining_s = random_below(rng, 2) ? -1 : random_below(rng, 300);
 	}
 }
 
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -37,12 +37,12 @@
 		                                      .zone = -1,
 		                                      .spot_allowed = true,
 		                                      .begun = true,
-		                                      .window_left_s = -1};
+		                                      .window_remaining_s = -1};
 	site->jobs[BACKGROUND].waited_s = background_waited_s;
 	site->jobs[BACKGROUND].begun = background_begun;
 	site->machine =
 		(struct fl_sched_machine){.free.cpus = 8, .free.ram_gb = 64, .pull_gb_s = 1};
-	site->in = (struct fl_sched_input){.params = &fl_sched_defaults,
+	site->in = (struct fl_sched_input){.params = &fl_sched_default_params,
 	                                   .jobs = site->jobs,
 	                                   .job_count = JOBS,
 	                                   .machines = &site->machine,
@@ -95,7 +95,7 @@
 	struct site site;
 
 	(void)state;
-	init_site(&site, fl_sched_defaults.overdue_after_s + 1, false);
+	init_site(&site, fl_sched_default_params.overdue_after_s + 1, false);
 	site.jobs[BACKGROUND].background = true;
 	assert_int_equal(first_started(&site), BACKGROUND);
 }
--- a/tests/test_schedule_backfill.c
+++ b/tests/test_schedule_backfill.c
@@ -54,7 +54,8 @@
 	assert_int_equal(output.start_count, 1);
 	fl_sched_output_free(&output);
 
-	snapshot.jobs[0].window_left_s = 40; /* what is left of the window that was set long ago */
+	snapshot.jobs[0].window_remaining_s =
+		40; /* what is left of the window that was set long ago */
 	snapshot.jobs[1] = plain_job(1, 1, 50, 1);
 	snapshot.machines[0] = plain_machine(2);
 	run_schedule(&snapshot, &output);
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -141,15 +141,15 @@
 		struct fl_sched_job *job = &snapshot->jobs[model->starts[i].job];
 		struct fl_sched_machine *machine = &snapshot->machines[model->starts[i].machine];
 
-		snapshot->attempts[snapshot->attempt_count] =
-			(struct fl_sched_attempt){.machine = model->starts[i].machine,
-		                                  .team = job->team,
-		                                  .priority = job->priority,
-		                                  .service = job->service,
-		                                  .preemptible = true,
-		                                  .used = job->need,
-		                                  .left_s = job->service ? INFINITY : 50,
-		                                  .lost_s = 0.001 * snapshot->attempt_count};
+		snapshot->attempts[snapshot->attempt_count] = (struct fl_sched_attempt){
+			.machine = model->starts[i].machine,
+			.team = job->team,
+			.priority = job->priority,
+			.service = job->service,
+			.preemptible = true,
+			.used = job->need,
+			.estimated_remaining_s = job->service ? INFINITY : 50,
+			.stop_loss_s = 0.001 * snapshot->attempt_count};
 		snapshot->attempt_count++;
 		fl_resources_subtract(&machine->free, job->need);
 		snapshot->teams[job->team].used_cpus += job->need.cpus;
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -64,9 +64,9 @@
 	site->attempts[0] = running_attempt(1, 4, 60);
 	site->attempts[1] = running_attempt(2, 4, 60);
 	site->attempts[0].priority = site->attempts[1].priority = FL_BEST_EFFORT;
-	site->attempts[0].lost_s = 5;
-	site->attempts[1].lost_s = 500;
-	site->input = (struct fl_sched_input){.params = &fl_sched_defaults,
+	site->attempts[0].stop_loss_s = 5;
+	site->attempts[1].stop_loss_s = 500;
+	site->input = (struct fl_sched_input){.params = &fl_sched_default_params,
 	                                      .jobs = &site->job,
 	                                      .job_count = 1,
 	                                      .machines = site->machines,
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -35,7 +35,7 @@
 	snapshot.attempts[0] = running_attempt(0, 60, 1000);
 	do {
 		int checks_left = 3;
-		struct fl_sched_input input = {.params = &fl_sched_defaults,
+		struct fl_sched_input input = {.params = &fl_sched_default_params,
 		                               .jobs = snapshot.jobs,
 		                               .job_count = snapshot.job_count,
 		                               .machines = snapshot.machines,
@@ -130,7 +130,7 @@
 		*attempt = running_attempt(i, 1, load->ends_at[i] - now);
 		attempt->priority = load->arrivals[load->running[i]].job.priority;
 		attempt->team = load->arrivals[load->running[i]].job.team;
-		attempt->lost_s = 1;
+		attempt->stop_loss_s = 1;
 		cycle_input.slot_of_attempt[input->attempt_count++] = i;
 		cycle_input.team_usage[attempt->team].used_cpus += 1;
 	}
@@ -156,7 +156,7 @@
 			held += load->running[i] == arrival;
 		cycle_input.attempts[attempt_index].last_running_task =
 			held == 1 && now - load->arrivals[arrival].arrived_at >
-					     fl_sched_defaults.overdue_after_s;
+					     fl_sched_default_params.overdue_after_s;
 	}
 }
 
@@ -195,7 +195,7 @@
 	for (int i = 0; i < SLOTS; i++)
 		load->running[i] = -1;
 	for (int now = 0; now < SECONDS; now++) {
-		struct fl_sched_input input = {.params = &fl_sched_defaults,
+		struct fl_sched_input input = {.params = &fl_sched_default_params,
 		                               .jobs = cycle_input.jobs,
 		                               .machines = cycle_input.machines,
 		                               .machine_count = SLOTS,
--- a/tests/test_scheduling_cycle.c
+++ b/tests/test_scheduling_cycle.c
@@ -12,7 +12,7 @@
 /* The part of the processor that scheduling cycles of this length use, one after the other. */
 static double used_share(double core_share, double processor_s)
 {
-	double gap = fl_scheduling_cycle_gap_s(core_share, processor_s, processor_s);
+	double gap = fl_scheduling_cycle_interval_s(core_share, processor_s, processor_s);
 
 	return period_s / gap * processor_s / (period_s * core_share);
 }
@@ -33,8 +33,8 @@
 static void a_scheduling_cycle_waits_for_a_second_at_most(void **state)
 {
 	(void)state;
-	assert_true(fl_scheduling_cycle_gap_s(small_core_share, 0.5, 0.5) <= 1);
-	assert_true(fl_scheduling_cycle_gap_s(small_core_share, 0, 0) <= 0.1);
+	assert_true(fl_scheduling_cycle_interval_s(small_core_share, 0.5, 0.5) <= 1);
+	assert_true(fl_scheduling_cycle_interval_s(small_core_share, 0, 0) <= 0.1);
 }
 
 /* A scheduling cycle that uses up its budget each second leaves as much to other work, too. */
