--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -1,4 +1,4 @@
-/* The coroutine of the autoscaler, the machine types on offer, and the losses of spot machines. */
+/* The autoscaler's coroutine, the offered machine types, and the loss rate of spot machines. */
 #include "coordination/autoscaling/autoscaler.h"
 
 #include <stdlib.h>
@@ -16,19 +16,22 @@
 #include "transport/log.h"
 
 static const struct {
-	double interval_s, list_interval_s, types_interval_s, tombstone_s, spot_prior_s;
+	double interval_s, list_interval_s, types_interval_s, tombstone_retention_s, spot_prior_s;
 	double call_share, burst_s;
 } tunables = {
-	.interval_s = 0.5,        /* s between two examinations of the machines */
-	.list_interval_s = 3.0,   /* s between two lists */
-	.types_interval_s = 30.0, /* s between two requests of types and prices */
-	.tombstone_s = 900.0,     /* s; messages may arrive minutes late */
-	.spot_prior_s = 3600.0,   /* machine-seconds without a loss assumed at first */
-	.call_share = 0.8,        /* share of the cloud's calls a second that is used */
-	.burst_s = 2,             /* s of calls that may be saved up */
+	.interval_s = 0.5,              /* between two examinations of the machines */
+	.list_interval_s = 3.0,         /* between two machine lists */
+	.types_interval_s = 30.0,       /* between two requests for types and prices */
+	.tombstone_retention_s = 900.0, /* messages may arrive minutes late */
+	.spot_prior_s = 3600.0,         /* machine-seconds without a loss, added as a prior */
+	.call_share = 0.8,              /* share of the cloud's rate limit that is used */
+	.burst_s = 2,                   /* calls that may be saved up, in seconds of the rate */
 };
 
-/* For controllers that start while the cloud is out: see machine_types.c. */
+/*
+ * Stores the machine types for controllers that start while the cloud is unavailable: see
+ * machine_types.c.
+ */
 static void store_machine_types(struct fl_node *node, const struct fl_cloud_machine_type *types,
                                 int count)
 {
@@ -36,12 +39,12 @@
 	uint64_t revision;
 
 	if (fl_token_bucket_take(&node->record_writer.write_budget, 1, fl_now()) > 0)
-		return; /* starts of tasks need the writes: the next refresh will do */
+		return; /* task starts need the writes; the next refresh stores the types */
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->leader_lease.leader_mod_revision);
 	fl_kv_txn_put(&txn, FL_KEY_MACHINE_TYPES, fl_machine_types_encode(types, count), 0);
 	if (fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL) != FL_KV_OK)
-		fl_debug("cloud", "machine types not stored");
+		fl_debug("cloud", "machine types not stored; retried after the next refresh");
 }
 
 static void refresh_machine_types(struct fl_node *node)
@@ -62,8 +65,8 @@
 	return autoscaler->spot_losses / (autoscaler->spot_machine_seconds + tunables.spot_prior_s);
 }
 
-/* Adds the time since the last count for each spot machine that is up. */
-static void count_spot_time(struct fl_node *node)
+/* Adds the time since the last call for each spot machine that is up. */
+static void add_spot_machine_time(struct fl_node *node)
 {
 	struct fl_autoscaler *autoscaler = &node->autoscaler;
 	double now = fl_now(), since_s = now - autoscaler->spot_time_counted_until;
@@ -82,11 +85,11 @@
 {
 	struct fl_autoscaler *autoscaler = &node->autoscaler;
 	double calls_per_s = node->config->cloud_rps * tunables.call_share;
-	double burst = tunables.burst_s * node->config->cloud_rps * tunables.call_share;
+	double burst_calls = tunables.burst_s * node->config->cloud_rps * tunables.call_share;
 
 	memset(autoscaler, 0, sizeof(*autoscaler));
-	autoscaler->types_refreshed_at = FL_LONG_AGO; /* what was read from a record may be old */
-	fl_token_bucket_init(&autoscaler->call_budget, calls_per_s, burst, fl_now());
+	autoscaler->types_refreshed_at = FL_LONG_AGO; /* types from a record may be outdated */
+	fl_token_bucket_init(&autoscaler->call_budget, calls_per_s, burst_calls, fl_now());
 }
 
 void fl_autoscaler_run(struct fl_node *node)
@@ -96,9 +99,13 @@
 	while (fl_sleep(tunables.interval_s) == 0) {
 		if (!fl_leader_lease_is_valid(&node->leader_lease))
 			continue;
-		/* This coroutine has no call under way here; machines with a command are kept. */
-		fl_cluster_purge_tombstones(&node->cluster, fl_now() - tunables.tombstone_s);
-		count_spot_time(node);
+		/*
+		 * Safe: no call of this coroutine is in flight, and machines with a command in
+		 * flight are kept.
+		 */
+		fl_cluster_purge_tombstones(&node->cluster,
+		                            fl_now() - tunables.tombstone_retention_s);
+		add_spot_machine_time(node);
 		fl_autoscaler_scale_in(node);
 		fl_autoscaler_scale_out(node);
 		if (fl_now() > autoscaler->last_list_started_at + tunables.list_interval_s)
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -1,10 +1,12 @@
 /*
- * The autoscaler of a leader: machines are rented for tasks that the last scheduling cycle could
- * not place (scale out), and returned when they are idle, have failed or are silent (scale in).
+ * The autoscaler of a leader rents machines for tasks that the last scheduling cycle could not
+ * place (scale out), and returns machines that are idle, failed or silent (scale in).
  *
- * All calls to the cloud are made by one coroutine, within a budget of calls a second and only
- * while the leader lease is valid. The plan of what to rent is made by the scheduling cycle, which
- * never waits; while a rental is in flight no plan is made, so that nothing is rented twice.
+ * One coroutine makes all calls to the cloud, within a rate limit and only while the leader lease
+ * is valid. The scheduling cycle, which never waits, plans the rentals; it makes no plan while a
+ * rental is in flight, so that no rental is made twice.
+ *
+ * Points in time are of the monotonic clock, in seconds.
  */
 #ifndef FL_COORDINATION_AUTOSCALING_AUTOSCALER_H
 #define FL_COORDINATION_AUTOSCALING_AUTOSCALER_H
@@ -19,50 +21,51 @@
 struct fl_node;
 struct fl_job;
 
-/* Rentals that one plan may ask for. */
+/* Maximum number of requests in one plan. */
 enum { FL_SCALE_OUT_REQUESTS_MAX = 32 };
 
-/* Machines of one kind to be rented with one call. */
+/* A request for machines of one kind, which one call rents. */
 struct fl_scale_out_request {
 	struct fl_machine_kind kind;
 	int count;
 };
 
-/* The state of a leader's autoscaler, beside the machines themselves; reset at each failover. */
+/* The state of a leader's autoscaler, except the machines; reset at each failover. */
 struct fl_autoscaler {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
 	int request_count;
-	long machines_examined; /* planned machines examined by the last plan: its work */
-	/* Calls are under way: which machines there will be is unknown until they return. */
+	long machines_examined; /* of the plan: planned machines that it examined, its work */
+	/* Rental calls are in flight; until they return, the rented machines are unknown. */
 	bool scale_out_in_flight;
-	uint64_t rental_name_count; /* names given out by this leadership */
-	/* By type, zone and spot or not; steady: until then no such machine is requested. */
+	uint64_t rental_name_count; /* rental names used by this leader since the failover */
+	/* By type, zone, and on-demand (0) or spot (1): no such machine is requested until then. */
 	double no_capacity_until[FL_MACHINE_TYPES_MAX][FL_ZONES_MAX][2];
-	/* Steady; until then too many machines of the zone are silent. */
+	/* By zone: rentals cost more until then, as too many machines of the zone were silent. */
 	double zone_suspected_until[FL_ZONES_MAX];
-	double last_list_started_at; /* steady; when the last complete list began */
-	double types_refreshed_at;   /* steady; when types and prices were last requested */
+	double last_list_started_at; /* start of the last complete machine list */
+	double types_refreshed_at;   /* last request for types and prices */
 	struct fl_token_bucket call_budget;
-	double spot_losses;             /* spot machines that were reclaimed */
-	double spot_machine_seconds;    /* the time that spot machines were up */
-	double spot_time_counted_until; /* steady; up to when that is counted */
+	double spot_losses;             /* number of spot machines that were reclaimed */
+	double spot_machine_seconds;    /* total time for which spot machines were up */
+	double spot_time_counted_until; /* end of the time that spot_machine_seconds covers */
 	/*
-	 * How many accelerators the machines that are not spot could be returned with before the
-	 * headroom for services is cut into: by zone, or one number if there is one share; no
-	 * shares: no headroom is kept.
+	 * Headroom beyond what services need, in tasks of the model service (headroom.c): by zone,
+	 * or one entry for all zones if there is one share. Scale in deducts the accelerators of
+	 * each on-demand machine that it returns. With no shares, no headroom is kept.
 	 */
 	int headroom_surplus[FL_ZONES_MAX], headroom_share_count;
 };
 
-/* Resets the autoscaler, when leadership begins. */
+/* Resets the autoscaler when a leadership begins. */
 void fl_autoscaler_reset(struct fl_node *node);
-/* The coroutine of a leader, with its fl_node; returns when it is cancelled. */
+/* Runs the autoscaler in a coroutine of the leader; returns when the coroutine is cancelled. */
 void fl_autoscaler_run(struct fl_node *node);
-/* Chance a second that a spot machine is reclaimed, from the losses under this leadership. */
+/* Returns the probability per second that a spot machine is reclaimed, by this leader's losses. */
 double fl_autoscaler_spot_loss_rate(const struct fl_autoscaler *autoscaler);
 /*
- * Plans rentals for what the last cycle could not place, and for headroom (autoscaler_plan.c).
- * `unplaced_tasks`: their number, by job. Does nothing while a rental is in flight.
+ * Plans rentals for tasks that the last cycle could not place, and for headroom
+ * (autoscaler_plan.c). `unplaced_tasks`: the number of such tasks of each job. Does nothing while a
+ * rental is in flight.
  */
 void fl_autoscaler_plan_scale_out(struct fl_node *node, struct fl_job **jobs,
                                   const uint32_t *unplaced_tasks, int count);
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -1,6 +1,6 @@
 /*
- * The plan of rentals (fl_autoscaler_plan_scale_out in autoscaler.h): the tasks that no machine had
- * capacity for are placed on machines that boot or could be rented.
+ * Plans rentals (fl_autoscaler_plan_scale_out in autoscaler.h): places the tasks for which no
+ * machine had capacity on machines that are booting or could be rented.
  */
 #include <math.h>
 #include <stdlib.h>
@@ -13,10 +13,10 @@
 #include "transport/log.h"
 
 static const struct {
-	double boot_late, ending_soon;
+	double max_boot_times, ending_soon_boot_times;
 } tunables = {
-	.boot_late = 1.6,   /* boot times after which a booting machine is not counted on */
-	.ending_soon = 0.7, /* boot times within which an ending task's resources are waited for */
+	.max_boot_times = 1.6, /* boot times after which a booting machine is no longer expected */
+	.ending_soon_boot_times = 0.7, /* boot times within which freed resources are waited for */
 };
 
 static bool can_take_task(const struct fl_planned_machine *machine,
@@ -28,22 +28,24 @@
 }
 
 /*
- * Places a task on a planned machine, a further rental if need be; false if there is none. `next`
- * is the first machine that may still take a task of this job: its tasks are all alike, capacity
- * only gets less and zones only close, so one that was skipped need not be examined again.
+ * Places a task on a planned machine, adding a rental if necessary; returns false if no machine can
+ * take it. `next_machine` is the first machine that may still take a task of this job: all tasks of
+ * a job are alike, and both capacity and the allowed zones only shrink, so a skipped machine need
+ * not be examined again.
  */
-static bool place_task(struct fl_autoscaler_plan *plan, struct fl_planned_job *planned, int *next)
+static bool place_task(struct fl_autoscaler_plan *plan, struct fl_planned_job *planned,
+                       int *next_machine)
 {
 	struct fl_planned_machine *chosen;
 
-	while (*next < plan->planned_machine_count &&
-	       !can_take_task(&plan->machines[*next], planned)) {
+	while (*next_machine < plan->planned_machine_count &&
+	       !can_take_task(&plan->machines[*next_machine], planned)) {
 		plan->autoscaler->machines_examined++;
-		++*next;
+		++*next_machine;
 	}
 	plan->autoscaler->machines_examined++;
-	chosen = *next < plan->planned_machine_count
-	                 ? &plan->machines[*next]
+	chosen = *next_machine < plan->planned_machine_count
+	                 ? &plan->machines[*next_machine]
 	                 : fl_autoscaler_add_cheapest_rental(plan, planned, FL_ANY_ZONE);
 	if (!chosen)
 		return false;
@@ -52,30 +54,33 @@
 	return true;
 }
 
-/* How many tasks fit into what is left of a quota, of which each takes `need`; 0: no quota. */
-static double tasks_within(double max, double used, double need, double count)
+/*
+ * Returns how many of `count` tasks that need `need` each fit into the rest of a quota; if `max` is
+ * 0 there is no quota.
+ */
+static double tasks_within_quota(double max, double used, double need, double count)
 {
 	if (max <= 0 || need <= 0)
 		return count;
 	return fmin(count, floor((max - used) / need + FL_RESOURCES_EPSILON));
 }
 
-/* Of `count` tasks, how many the maximum quota of the job's team allows: more need no machine. */
+/* Returns how many of `count` tasks the team's maximum quota allows; the others need no machine. */
 static uint32_t limit_by_team(const struct fl_teams *teams, const struct fl_job *job,
                               uint32_t count)
 {
 	const struct fl_team *team = &teams->by_index[job->team];
 	double allowed = count;
 
-	allowed = tasks_within(team->max_gpus, team->used_gpus, job->gpus, allowed);
-	allowed = tasks_within(team->max_cpus, team->used_cpus, job->cpus, allowed);
+	allowed = tasks_within_quota(team->max_gpus, team->used_gpus, job->gpus, allowed);
+	allowed = tasks_within_quota(team->max_cpus, team->used_cpus, job->cpus, allowed);
 	return allowed > 0 ? (uint32_t)allowed : 0;
 }
 
 static void plan_job(struct fl_autoscaler_plan *plan, const struct fl_job *job, uint32_t count)
 {
 	struct fl_planned_job planned = {.job = job};
-	int next = 0;
+	int next_machine = 0;
 
 	memcpy(planned.placed_by_zone, job->placement.by_zone, sizeof(planned.placed_by_zone));
 	count = limit_by_team(&plan->cluster->teams, job, count);
@@ -83,11 +88,11 @@
 		plan->tasks_ending_soon -= 1;
 		count--;
 	}
-	while (count > 0 && place_task(plan, &planned, &next))
+	while (count > 0 && place_task(plan, &planned, &next_machine))
 		count--;
 }
 
-/* Whether the machine boots, and is not overdue. */
+/* Returns whether the machine is still booting, is not overdue and has no tasks. */
 static bool is_booting(const struct fl_autoscaler_plan *plan, const struct fl_machine *machine,
                        double boot_s)
 {
@@ -95,11 +100,11 @@
 
 	if (lifecycle->up || lifecycle->draining || machine->assignment_count > 0)
 		return false;
-	/* Some boot for minutes and a few never end: nothing must wait for those. */
-	return plan->now - lifecycle->first_seen_at < tunables.boot_late * boot_s;
+	/* Some machines boot for minutes and a few never finish: no task may wait for these. */
+	return plan->now - lifecycle->first_seen_at < tunables.max_boot_times * boot_s;
 }
 
-/* How many tasks of arrays end on the machine before a rented one could boot. */
+/* Counts the array tasks that end on the machine before a rented machine could boot. */
 static int count_ending_soon(const struct fl_autoscaler_plan *plan,
                              const struct fl_machine *machine, double boot_s)
 {
@@ -111,14 +116,14 @@
 
 		if (job->kind == FL_ARRAY && task->observed == FL_OBSERVED_RUNNING &&
 		    job->expected_s - (plan->now - task->running_since) <
-		            tunables.ending_soon * boot_s)
+		            tunables.ending_soon_boot_times * boot_s)
 			count++;
 	}
 	return count;
 }
 
-/* Adds the machines that boot, and counts the tasks that end soon on those that are up. */
-static void add_existing(struct fl_autoscaler_plan *plan)
+/* Adds the booting machines, and counts the tasks that end soon on machines that are up. */
+static void add_existing_machines(struct fl_autoscaler_plan *plan)
 {
 	const struct fl_machines *machines = &plan->cluster->machines;
 
@@ -142,9 +147,12 @@
 	return left.type == right.type && left.zone == right.zone && left.spot == right.spot;
 }
 
-/* The request for this kind that is not full, or a new one; NULL: there are too many. */
-static struct fl_scale_out_request *find_request(struct fl_autoscaler *autoscaler,
-                                                 struct fl_machine_kind kind)
+/*
+ * Returns a request for this kind with room for one more machine, adding one if necessary; NULL if
+ * the plan has too many requests.
+ */
+static struct fl_scale_out_request *find_or_add_request(struct fl_autoscaler *autoscaler,
+                                                        struct fl_machine_kind kind)
 {
 	struct fl_scale_out_request *request;
 
@@ -160,7 +168,7 @@
 	return request;
 }
 
-/* Puts the planned rentals of one kind together into requests. */
+/* Groups the planned rentals by kind into requests. */
 static void store_requests(struct fl_autoscaler *autoscaler, const struct fl_autoscaler_plan *plan)
 {
 	autoscaler->request_count = 0;
@@ -169,9 +177,10 @@
 
 		if (plan->machines[i].origin != FL_PLANNED_RENTAL)
 			continue;
-		request = find_request(autoscaler, plan->machines[i].kind);
+		request = find_or_add_request(autoscaler, plan->machines[i].kind);
 		if (!request) {
-			fl_debug("cloud", "rentals postponed: more than %d requests",
+			fl_debug("cloud",
+			         "rentals postponed to the next plan; too many requests limit=%d",
 			         FL_SCALE_OUT_REQUESTS_MAX);
 			break;
 		}
@@ -194,7 +203,7 @@
 	plan.machines = malloc((size_t)plan.planned_machine_capacity * sizeof(*plan.machines));
 	if (!plan.machines)
 		return;
-	add_existing(&plan);
+	add_existing_machines(&plan);
 	for (int priority = FL_CRITICAL; priority >= FL_BEST_EFFORT; priority--)
 		for (int i = 0; i < count; i++)
 			if ((int)jobs[i]->priority == priority && unplaced_tasks[i] > 0)
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -5,21 +5,24 @@
 #include "coordination/node.h"
 
 static const struct {
-	double learn_s, spread;
+	double arrival_window_s, margin_std_devs;
 } tunables = {
-	.learn_s = 300.0, /* s over which the arrivals of services are counted */
-	.spread = 2.0,    /* standard deviations of the arrivals while a machine boots, on top */
+	.arrival_window_s = 300.0, /* time over which the arrivals of services are counted */
+	.margin_std_devs = 2.0,    /* margin above the mean arrivals in one boot time */
 };
 
-/* The headroom that is needed and that there is, in tasks of a model service. */
+/* The headroom that is needed and that is available, in tasks of a model service. */
 struct headroom {
-	const struct fl_job *service;  /* the model */
-	int shares;                    /* by zone, or 1: for all zones together */
-	double needed;                 /* of each share */
-	double capacity[FL_ZONES_MAX]; /* of each share */
+	const struct fl_job *service;  /* the model service */
+	int share_count;               /* one per zone, or 1 for all zones together */
+	double needed;                 /* tasks of each share */
+	double capacity[FL_ZONES_MAX]; /* tasks of each share */
 };
 
-/* Tasks of a service that could start on the machine at once, preempting what they may. */
+/*
+ * Returns how many tasks of the service could start on the machine at once. Resources of
+ * lower-priority tasks count as available, since the service may preempt them.
+ */
 static uint32_t service_capacity(const struct fl_machines *machines,
                                  const struct fl_machine *machine, const struct fl_job *service)
 {
@@ -40,11 +43,11 @@
 }
 
 /*
- * The newest of the services submitted in the last learn_s, the model for those to come, and how
- * many tasks all of them have; NULL: there was none.
+ * Returns the newest urgent service submitted within arrival_window_s, the model for services to
+ * come, and in `*task_count` the tasks of all such services; NULL if there is none.
  */
-static const struct fl_job *recent_services(const struct fl_autoscaler_plan *plan,
-                                            double *task_count)
+static const struct fl_job *newest_recent_service(const struct fl_autoscaler_plan *plan,
+                                                  double *task_count)
 {
 	const struct fl_job *newest = NULL;
 	struct fl_job *job, *next;
@@ -52,7 +55,7 @@
 	*task_count = 0;
 	HASH_ITER (hh, plan->cluster->jobs, job, next) {
 		if (job->kind != FL_SERVICE || job->priority < FL_URGENT ||
-		    plan->now_wall - job->submitted_wall > tunables.learn_s)
+		    plan->now_wall - job->submitted_wall > tunables.arrival_window_s)
 			continue;
 		*task_count += job->task_count;
 		if (!newest || job->submitted_wall > newest->submitted_wall)
@@ -61,8 +64,8 @@
 	return newest;
 }
 
-/* Counts the machines that are up. */
-static void add_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
+/* Adds the capacity of the machines that are up. */
+static void add_running_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
 	const struct fl_machines *machines = &plan->cluster->machines;
 
@@ -71,12 +74,12 @@
 
 		if (machine->lifecycle.up && !machine->lifecycle.decommissioned &&
 		    machine->described)
-			headroom->capacity[machine->zone % headroom->shares] +=
+			headroom->capacity[machine->zone % headroom->share_count] +=
 				service_capacity(machines, machine, headroom->service);
 	}
 }
 
-/* Counts what the plan has left on machines that boot or are to be rented. */
+/* Adds the capacity that the plan leaves on booting machines and planned rentals. */
 static void add_planned_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
 	struct fl_resources need = fl_job_need(headroom->service);
@@ -85,19 +88,19 @@
 		const struct fl_planned_machine *planned = &plan->machines[i];
 
 		if (!planned->kind.spot)
-			headroom->capacity[planned->kind.zone % headroom->shares] +=
+			headroom->capacity[planned->kind.zone % headroom->share_count] +=
 				fl_placement_capacity(need, planned->free);
 	}
 }
 
-/* Rents until each share has the capacity that is needed. */
+/* Adds rentals until each share has the needed capacity. */
 static void add_rentals(struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
 	struct fl_planned_job model = {.job = headroom->service};
 	struct fl_resources need = fl_job_need(headroom->service);
 
-	for (int z = 0; z < headroom->shares; z++) {
-		int only_zone = headroom->shares > 1 ? z : FL_ANY_ZONE;
+	for (int z = 0; z < headroom->share_count; z++) {
+		int only_zone = headroom->share_count > 1 ? z : FL_ANY_ZONE;
 
 		while (headroom->capacity[z] < headroom->needed) {
 			const struct fl_planned_machine *rental =
@@ -111,9 +114,9 @@
 }
 
 /*
- * A service should not wait for a machine to boot. As many tasks as arrived lately in one boot
- * time, and a spread more, must find capacity at once on machines that are up, be it by preempting
- * arrays.
+ * A service should not wait for a machine to boot. Machines that are up must have capacity for as
+ * many tasks as recently arrived in one boot time, plus a margin; resources of arrays that can be
+ * preempted count as capacity.
  */
 void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan)
 {
@@ -123,16 +126,17 @@
 	double task_count, arrivals;
 
 	autoscaler->headroom_share_count = 0;
-	headroom.service = recent_services(plan, &task_count);
+	headroom.service = newest_recent_service(plan, &task_count);
 	if (!headroom.service || cluster->machines.type_count == 0)
 		return;
-	/* What must be apart needs capacity in each zone, also to replace what is lost in one. */
-	headroom.shares = headroom.service->spread_zones ? cluster->zones.count : 1;
-	autoscaler->headroom_share_count = headroom.shares;
-	arrivals = task_count / tunables.learn_s * cluster->machines.types[0].ready_s;
-	headroom.needed = ceil((arrivals + tunables.spread * sqrt(arrivals)) / headroom.shares);
-	add_machines(plan, &headroom);
-	for (int z = 0; z < headroom.shares; z++)
+	/* A service spread over zones needs headroom in each, also to replace lost replicas. */
+	headroom.share_count = headroom.service->spread_zones ? cluster->zones.count : 1;
+	autoscaler->headroom_share_count = headroom.share_count;
+	arrivals = task_count / tunables.arrival_window_s * cluster->machines.types[0].ready_s;
+	headroom.needed =
+		ceil((arrivals + tunables.margin_std_devs * sqrt(arrivals)) / headroom.share_count);
+	add_running_machines(plan, &headroom);
+	for (int z = 0; z < headroom.share_count; z++)
 		autoscaler->headroom_surplus[z] = (int)(headroom.capacity[z] - headroom.needed);
 	add_planned_machines(plan, &headroom);
 	add_rentals(plan, &headroom);
--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -9,13 +9,13 @@
 #include "transport/text.h"
 
 static const struct {
-	double list_lags, list_slack_s;
+	double max_list_lags, list_slack_s;
 } tunables = {
-	.list_lags = 2.0,    /* lags of a list by which it may be out of date */
-	.list_slack_s = 1.0, /* s beyond them, for the call itself */
+	.max_list_lags = 2.0, /* list lags by which a list may be out of date */
+	.list_slack_s = 1.0,  /* in addition, for the call itself */
 };
 
-/* Applies one entry of a list. `known_count`: machines known when the list began. */
+/* Applies one entry of the list. `known_count`: number of machines known when the list began. */
 static void apply_listed_machine(struct fl_node *node, const struct fl_cloud_machine *listed,
                                  double now, int known_count)
 {
@@ -36,12 +36,14 @@
 }
 
 /*
- * A machine missing from a list is proven gone only if even the oldest state that the list may
- * show, of list_lags lags ago, is later than the time when the machine was first seen.
+ * Decommissions machines that the list does not contain. A missing machine is proven gone only if
+ * even the oldest state that the list may show, of max_list_lags lags ago, is later than the time
+ * when the machine was first seen.
  */
 static void decommission_missing(struct fl_node *node, double begun_at, int known_count)
 {
-	double max_age_s = tunables.list_lags * node->config->list_lag_s + tunables.list_slack_s;
+	double max_age_s =
+		tunables.max_list_lags * node->config->list_lag_s + tunables.list_slack_s;
 
 	for (int i = 0; i < known_count; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
--- a/src/coordination/autoscaling/machine_list.h
+++ b/src/coordination/autoscaling/machine_list.h
@@ -1,6 +1,7 @@
 /*
- * The list of the cloud's machines: it tells which machines there are, and is the proof that one
- * has failed or is gone. It may be out of date by the lag in the settings; a proof allows for that.
+ * The list of the machines rented from the cloud, which shows what machines exist and proves that a
+ * machine has failed or is gone. The list may be out of date by the list lag in the settings; the
+ * proof allows for the lag.
  */
 #ifndef FL_COORDINATION_AUTOSCALING_MACHINE_LIST_H
 #define FL_COORDINATION_AUTOSCALING_MACHINE_LIST_H
@@ -9,7 +10,7 @@
 
 /*
  * Lists all machines, page by page, and decommissions those that have failed or are gone. If a call
- * fails nothing is concluded from the machines that are missing, and the next list begins anew.
+ * fails, missing machines are not decommissioned, and the next list starts from the first page.
  */
 void fl_autoscaler_list_machines(struct fl_node *node);
 
--- a/src/coordination/autoscaling/planned_machines.c
+++ b/src/coordination/autoscaling/planned_machines.c
@@ -5,11 +5,11 @@
 #include "coordination/node.h"
 
 static const struct {
-	double suspected_cost, zone_balance, spread_weight;
+	double suspected_zone_cost_factor, zone_balance_weight, spread_weight;
 } tunables = {
-	.suspected_cost = 2.0, /* times the price, in a zone where too many machines are silent */
-	.zone_balance = 1e-4,  /* of the price, per machine in the zone: decides between equals */
-	.spread_weight = 0.1,  /* of the price, per task in the zone, of a job to be spread */
+	.suspected_zone_cost_factor = 2.0, /* in a zone where too many machines are silent */
+	.zone_balance_weight = 1e-4, /* share of the price, per machine in the zone: breaks ties */
+	.spread_weight = 0.1, /* share of the price, per task in the zone, for a job to be spread */
 };
 
 struct fl_planned_machine *fl_autoscaler_add_planned_machine(struct fl_autoscaler_plan *plan,
@@ -36,7 +36,7 @@
 bool fl_autoscaler_job_allows_zone(const struct fl_planned_job *planned, int zone)
 {
 	const struct fl_job *job = planned->job;
-	/* The plan leaves tasks in unknown zones out: placed_in_unknown_zone is 0. */
+	/* The plan ignores tasks in unknown zones: placed_in_unknown_zone is 0. */
 	const struct fl_zone_rule rule = {.same_zone = job->same_zone,
 	                                  .spread_zones = job->spread_zones,
 	                                  .task_count = job->task_count,
@@ -45,8 +45,9 @@
 	return fl_zone_rule_admits(&rule, zone);
 }
 
-/* Price a second of one task's share of the machine. */
-static double unit_price(const struct fl_machine_type *type, const struct fl_job *job, bool spot)
+/* Returns the price per second of one task's share of the machine. */
+static double price_per_task(const struct fl_machine_type *type, const struct fl_job *job,
+                             bool spot)
 {
 	uint32_t task_count =
 		fl_placement_capacity(fl_job_need(job), fl_machine_type_capacity(type));
@@ -54,8 +55,8 @@
 	return (spot ? type->spot_price : type->price) / (task_count > 0 ? task_count : 1);
 }
 
-/* Whether one more task of the job could run on such a machine, and one can be had. */
-static bool may_rent(const struct fl_autoscaler_plan *plan, const struct fl_planned_job *planned,
+/* Returns whether this kind can be rented and could run one more task of the job. */
+static bool can_rent(const struct fl_autoscaler_plan *plan, const struct fl_planned_job *planned,
                      struct fl_machine_kind kind)
 {
 	const struct fl_machine_type *type = &plan->cluster->machines.types[kind.type];
@@ -71,7 +72,7 @@
 	return autoscaler->no_capacity_until[kind.type][kind.zone][kind.spot] <= plan->now;
 }
 
-/* The cost of a rental as the choice counts it; INFINITY: not possible, or refused lately. */
+/* Returns the cost by which rentals are compared; INFINITY if not possible or refused recently. */
 static double rental_cost(const struct fl_autoscaler_plan *plan,
                           const struct fl_planned_job *planned, struct fl_machine_kind kind)
 {
@@ -79,23 +80,23 @@
 	const struct fl_job *job = planned->job;
 	double spread, cost;
 
-	if (!may_rent(plan, planned, kind))
+	if (!can_rent(plan, planned, kind))
 		return INFINITY;
 	spread =
 		job->spread_zones ? tunables.spread_weight * planned->placed_by_zone[kind.zone] : 0;
-	/* Among equal prices, the zone with the fewest machines. */
-	cost = unit_price(type, job, kind.spot) *
-	       (1 + tunables.zone_balance * plan->machines_by_zone[kind.zone] + spread);
-	/* A machine whose heartbeats do not arrive is paid for nothing. */
+	/* Among equal prices, prefer the zone with the fewest machines. */
+	cost = price_per_task(type, job, kind.spot) *
+	       (1 + tunables.zone_balance_weight * plan->machines_by_zone[kind.zone] + spread);
+	/* A machine whose heartbeats do not arrive costs money but runs no tasks. */
 	if (plan->autoscaler->zone_suspected_until[kind.zone] > plan->now)
-		cost *= tunables.suspected_cost;
+		cost *= tunables.suspected_zone_cost_factor;
 	return cost;
 }
 
-/* The cheapest kind in one zone, if it costs less than `*lowest_cost`, which it then replaces. */
-static void find_cheaper(const struct fl_autoscaler_plan *plan,
-                         const struct fl_planned_job *planned, struct fl_machine_kind kind,
-                         double *lowest_cost, struct fl_machine_kind *cheapest)
+/* Replaces `*cheapest` and `*lowest_cost` if a spot or on-demand rental of this kind costs less. */
+static void update_cheapest(const struct fl_autoscaler_plan *plan,
+                            const struct fl_planned_job *planned, struct fl_machine_kind kind,
+                            double *lowest_cost, struct fl_machine_kind *cheapest)
 {
 	for (int spot = 0; spot < 2; spot++) {
 		double cost;
@@ -124,7 +125,7 @@
 			struct fl_machine_kind kind = {.type = type, .zone = z};
 
 			if (only_zone == FL_ANY_ZONE || z == only_zone)
-				find_cheaper(plan, planned, kind, &lowest_cost, &cheapest);
+				update_cheapest(plan, planned, kind, &lowest_cost, &cheapest);
 		}
 	}
 	if (lowest_cost == INFINITY)
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -11,25 +11,25 @@
 #include "transport/log.h"
 
 static const struct {
-	double zone_suspected_s, idle_boots, max_boots, boot_slack_s;
+	double zone_suspected_s, idle_boot_times, max_boot_times, boot_slack_s;
 	int max_faults;
 } tunables = {
-	.zone_suspected_s = 20.0, /* s for which a zone with many silent machines costs more */
-	.idle_boots = 0.4,        /* boot times for which an idle machine is kept */
-	.max_boots = 3.0,         /* boot times after which a booting machine is drained */
-	.boot_slack_s = 5.0,      /* s beyond them, for types that boot in no time */
-	.max_faults = 2,          /* of a quarantined machine; with more it is returned */
+	.zone_suspected_s = 20.0, /* time for which a zone with many silent machines costs more */
+	.idle_boot_times = 0.4,   /* boot times for which an idle machine is kept */
+	.max_boot_times = 3.0,    /* boot times after which a booting machine is drained */
+	.boot_slack_s = 5.0,      /* in addition, for types that boot very fast */
+	.max_faults = 2,          /* of a quarantined machine; with more faults it is returned */
 };
 
 /* Why a machine is to be returned. */
 enum scale_in_reason {
-	KEPT, /* it is not */
+	KEPT, /* not to be returned */
 	IDLE,
-	FAULTY,       /* too many faults, and quarantined */
-	SILENT,       /* its heartbeats do not arrive */
-	UNREACHABLE,  /* its heartbeats arrive, our answers do not reach it */
-	NEVER_BOOTED, /* no heartbeat long after its rental */
-	DRAINING      /* as decided before */
+	FAULTY,       /* quarantined with too many faults */
+	SILENT,       /* no heartbeats arrive */
+	UNREACHABLE,  /* heartbeats arrive, but our replies do not reach the machine */
+	NEVER_BOOTED, /* no heartbeat long after the rental */
+	DRAINING      /* already being drained */
 };
 
 static const char *reason_text(enum scale_in_reason reason)
@@ -53,9 +53,13 @@
 	return "unknown";
 }
 
-/* Whether a machine that is not spot is spare beyond the headroom for services; counts it off. */
-static bool take_surplus(struct fl_autoscaler *autoscaler, const struct fl_machine *machine,
-                         const struct fl_machine_type *type)
+/*
+ * Returns whether the headroom for services stays intact without an on-demand machine; if so,
+ * deducts the machine from the surplus.
+ */
+static bool take_headroom_surplus(struct fl_autoscaler *autoscaler,
+                                  const struct fl_machine *machine,
+                                  const struct fl_machine_type *type)
 {
 	int *surplus;
 
@@ -71,13 +75,13 @@
 static bool never_booted(const struct fl_machine *machine, const struct fl_machine_type *type,
                          double now)
 {
-	double max_boot_s = tunables.max_boots * type->ready_s + tunables.boot_slack_s;
+	double max_boot_s = tunables.max_boot_times * type->ready_s + tunables.boot_slack_s;
 
 	return !machine->lifecycle.up && machine->assignment_count == 0 &&
 	       now - machine->lifecycle.first_seen_at > max_boot_s;
 }
 
-/* Decides on a machine that is up and runs nothing. */
+/* Returns why a machine that is up and runs no tasks is to be returned. */
 static enum scale_in_reason empty_machine_reason(struct fl_autoscaler *autoscaler,
                                                  struct fl_machine *machine,
                                                  const struct fl_machine_type *type, double now)
@@ -87,14 +91,17 @@
 	if (machine->health.quarantined_until > now &&
 	    machine->health.fault_count > tunables.max_faults)
 		return FAULTY;
-	if (now - machine->lifecycle.idle_since <= tunables.idle_boots * type->ready_s)
+	if (now - machine->lifecycle.idle_since <= tunables.idle_boot_times * type->ready_s)
 		return KEPT;
 	if (machine->spot)
 		return IDLE;
-	return take_surplus(autoscaler, machine, type) ? IDLE : KEPT;
+	return take_headroom_surplus(autoscaler, machine, type) ? IDLE : KEPT;
 }
 
-/* Decides on any machine. `timeouts`: of silent machines, by zone, in worker leases. */
+/*
+ * Returns why a machine is to be returned. `timeouts`: of silent machines, by zone, in worker
+ * leases.
+ */
 static enum scale_in_reason scale_in_reason(struct fl_node *node, struct fl_machine *machine,
                                             double now, const double timeouts[FL_ZONES_MAX])
 {
@@ -129,8 +136,8 @@
 			autoscaler->zone_suspected_until[z] = now + tunables.zone_suspected_s;
 }
 
-/* Chooses the machines to be returned; returns their number. */
-static int choose_machines(struct fl_node *node, struct fl_machine *chosen[FL_DELETE_MAX])
+/* Chooses the machines to be returned, and marks them as draining; returns their number. */
+static int choose_machines_to_return(struct fl_node *node, struct fl_machine *chosen[FL_DELETE_MAX])
 {
 	double now = fl_now(), timeouts[FL_ZONES_MAX];
 	int count = 0;
@@ -143,9 +150,12 @@
 
 		if (reason == KEPT)
 			continue;
-		fl_info("cloud", "machine draining: %s reason=\"%s\"", machine->name,
+		fl_info("cloud", "machine draining machine=%s reason=\"%s\"", machine->name,
 		        reason_text(reason));
-		/* Half of those that are reclaimed give no notice: silence is the first sign. */
+		/*
+		 * Half of the reclaimed spot machines give no notice: silence is then the first
+		 * sign.
+		 */
 		node->autoscaler.spot_losses += machine->spot && reason == SILENT;
 		machine->lifecycle.draining = true;
 		chosen[count++] = machine;
@@ -157,7 +167,7 @@
 {
 	struct fl_machine *chosen[FL_DELETE_MAX];
 	const char *names[FL_DELETE_MAX];
-	int count = choose_machines(node, chosen);
+	int count = choose_machines_to_return(node, chosen);
 
 	for (int i = 0; i < count; i++)
 		names[i] = chosen[i]->name;
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -11,17 +11,17 @@
 
 static const struct {
 	double no_capacity_s;
-	int tries;
+	int max_tries;
 } tunables = {
-	.no_capacity_s = 20.0, /* s for which a refused kind of machine is not requested again */
-	.tries = 3,            /* of one rental without an answer */
+	.no_capacity_s = 20.0, /* a kind without capacity is not requested for this time */
+	.max_tries = 3,        /* calls for one rental while its outcome is unknown */
 };
 
-/* One rental, and its result. */
+/* One rental and its result. */
 struct rental {
 	const struct fl_scale_out_request *request;
 	char name[64];
-	struct fl_cloud_rental call; /* refers to the name above */
+	struct fl_cloud_rental call; /* points to the name above */
 	char (*hosts)[FL_NAME_MAX];
 	int host_count;
 	enum fl_cloud_result result;
@@ -33,7 +33,7 @@
 	struct fl_machine_kind kind = request->kind;
 
 	*rental = (struct rental){.request = request, .result = FL_CLOUD_UNAVAILABLE};
-	/* With the fencing token of the failover in it no other leader uses the name, ever. */
+	/* The fencing token of the failover keeps any other leader from using the same name. */
 	snprintf(rental->name, sizeof(rental->name), "r-%llu-%llu",
 	         (unsigned long long)node->leadership.first_fencing_token,
 	         (unsigned long long)++node->autoscaler.rental_name_count);
@@ -42,10 +42,10 @@
 		fl_symbol_name(&node->cluster.zones, kind.zone), kind.spot, request->count};
 }
 
-/* Makes the rental; repeated when unanswered, which its name allows. */
-static enum fl_call_permission call_rent(struct fl_node *node, struct rental *rental)
+/* Makes the rental call, and repeats it if the outcome is unknown: the name makes it idempotent. */
+static enum fl_call_permission rent_with_retries(struct fl_node *node, struct rental *rental)
 {
-	for (int i = 0; i < tunables.tries; i++) {
+	for (int i = 0; i < tunables.max_tries; i++) {
 		enum fl_call_permission permission = fl_autoscaler_await_call_budget(node);
 
 		if (permission != FL_CALL_ALLOWED)
@@ -70,7 +70,7 @@
 		if (!machine)
 			continue;
 		fl_cluster_describe(machine, kind.type, kind.zone, kind.spot, NULL);
-		fl_debug("cloud", "machine rented: %s spot=%d", machine->name, kind.spot);
+		fl_debug("cloud", "machine rented machine=%s spot=%d", machine->name, kind.spot);
 	}
 }
 
@@ -82,18 +82,20 @@
 		fl_info("cloud", "machines rented type=%s zone=%s spot=%d count=%d requested=%d",
 		        call->type, call->zone, call->spot, rental->host_count, call->count);
 	else
-		fl_info("cloud", "rental failed type=%s zone=%s spot=%d error=\"%s\"", call->type,
-		        call->zone, call->spot, fl_cloud_result_text(rental->result));
+		fl_info("cloud",
+		        "rental failed; planned again by the next cycle type=%s zone=%s spot=%d "
+		        "error=\"%s\"",
+		        call->type, call->zone, call->spot, fl_cloud_result_text(rental->result));
 }
 
-/* Makes one rental; false: the next must not be made. */
-static bool scale_out_one(struct fl_node *node, const struct fl_scale_out_request *request)
+/* Makes one rental; returns false if the next one must not be made. */
+static bool make_rental(struct fl_node *node, const struct fl_scale_out_request *request)
 {
 	struct fl_machine_kind kind = request->kind;
 	struct rental rental;
 
 	init_rental(node, request, &rental);
-	if (call_rent(node, &rental) != FL_CALL_ALLOWED)
+	if (rent_with_retries(node, &rental) != FL_CALL_ALLOWED)
 		return false;
 	add_rented_machines(node, &rental);
 	free(rental.hosts);
@@ -116,7 +118,7 @@
 	node->autoscaler.scale_out_in_flight = true;
 	node->autoscaler.request_count = 0;
 	for (int i = 0; i < count; i++)
-		if (!scale_out_one(node, &requests[i]))
+		if (!make_rental(node, &requests[i]))
 			break;
 	node->autoscaler.scale_out_in_flight = false;
 	fl_condition_broadcast(&node->leadership.work_available);
--- a/src/coordination/scheduling/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -1,11 +1,14 @@
-/* A scheduling cycle: its memory, the indices over the attempts, and the jobs in their order. */
+/* A scheduling cycle: its memory, the attempts by machine, and the jobs considered in order. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* Sorts the attempts by machine: hundreds of machines must not each walk over all of them. */
+/*
+ * Groups the attempts by machine, so that no step scans all attempts for each of hundreds of
+ * machines.
+ */
 static void index_attempts(struct fl_sched_cycle *cycle)
 {
 	const struct fl_sched_input *input = cycle->input;
@@ -15,19 +18,19 @@
 		first_attempt[input->attempts[i].machine + 1]++;
 	for (int i = 0; i < input->machine_count; i++)
 		first_attempt[i + 1] += first_attempt[i];
-	/*
-	 * From the end, so that each machine's begin is reached just as its attempts are all
-	 * entered.
-	 */
+	/* Fills from the end: each machine's end index is decremented down to its start index. */
 	for (int i = input->attempt_count - 1; i >= 0; i--)
 		cycle->attempts_by_machine[--first_attempt[input->attempts[i].machine + 1]] = i;
-	/* Each entry now stands one place too far, at its own begin. */
+	/* Entry i + 1 now holds the start index of machine i: shift the entries by one. */
 	for (int i = 0; i < input->machine_count; i++)
 		first_attempt[i] = first_attempt[i + 1];
 	first_attempt[input->machine_count] = input->attempt_count;
 }
 
-/* A request by priority alone need not examine a machine that runs nothing lower. */
+/*
+ * Finds the lowest priority on each machine: a preemption by priority need not examine machines
+ * that run nothing of a lower priority.
+ */
 static void find_lowest_priorities(struct fl_sched_cycle *cycle)
 {
 	for (int i = 0; i < cycle->input->machine_count; i++)
@@ -41,7 +44,7 @@
 	}
 }
 
-/* Counts what the victims of earlier cycles will free, by machine. */
+/* Adds the resources, by machine, that the attempts being stopped will free. */
 static void add_releasing_resources(struct fl_sched_cycle *cycle)
 {
 	for (int i = 0; i < cycle->input->attempt_count; i++) {
@@ -53,8 +56,8 @@
 }
 
 /*
- * Starts a job's tasks, and requests capacity for the rest; `max_duration_s` bounds a backfilled
- * job.
+ * Starts tasks of a job, and requests capacity for the rest. `max_duration_s` limits a backfilled
+ * job; NULL: no limit.
  */
 static void consider_job(struct fl_sched_cycle *cycle, int job_index, const double *max_duration_s)
 {
@@ -72,29 +75,30 @@
 	job->estimate_s = estimate_s;
 }
 
-/* Considers one job; if it is the first that stays short of capacity, it becomes the top job. */
-static void consider_in_turn(struct fl_sched_cycle *cycle, int job_index, double *window_by_machine)
+/* Considers one job. The first job that is left short of capacity becomes the top job. */
+static void consider_next_job(struct fl_sched_cycle *cycle, int job_index,
+                              double *backfill_limits_s)
 {
 	const struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	bool backfill = cycle->output->top_job >= 0;
-	bool bound = backfill && fl_sched_is_bound_by_window(cycle, job);
+	bool bound_by_window = backfill && fl_sched_is_bound_by_window(cycle, job);
 
-	consider_job(cycle, job_index, bound ? window_by_machine : NULL);
+	consider_job(cycle, job_index, bound_by_window ? backfill_limits_s : NULL);
 	if (backfill || cycle->output->unplaced_tasks[job_index] == 0)
 		return;
 	fl_sched_set_backfill_window(cycle, job_index);
 	if (!cycle->out_of_memory)
-		fl_sched_compute_backfill_limits(cycle, window_by_machine);
+		fl_sched_compute_backfill_limits(cycle, backfill_limits_s);
 }
 
 static void consider_jobs_in_order(struct fl_sched_cycle *cycle)
 {
 	struct fl_sched_input *input = cycle->input;
-	double *window_by_machine =
-		malloc(((size_t)input->machine_count + 1) * sizeof(*window_by_machine));
+	double *backfill_limits_s =
+		malloc(((size_t)input->machine_count + 1) * sizeof(*backfill_limits_s));
 	int resume = input->resume_position < input->job_count ? input->resume_position : 0;
 
-	if (!window_by_machine) {
+	if (!backfill_limits_s) {
 		cycle->out_of_memory = true;
 		return;
 	}
@@ -103,28 +107,32 @@
 		bool backfill = cycle->output->top_job >= 0;
 
 		/*
-		 * Found with cycles too long for their budget: those that resumed in the middle of
-		 * the order gave the capacity that preemptions had freed for its head to others,
-		 * which the head preempted again, tens of thousands of times a day.
+		 * After a resumption, jobs must not use reserved resources. When cycles exceeded
+		 * their budget, the resumed ones gave the resources that preemptions had freed for
+		 * the head of the order to other jobs, which the head preempted again, tens of
+		 * thousands of times a day.
 		 */
 		cycle->resumed = resume > 0 && backfill;
 
 		if (input->jobs[job_index].startable_count == 0)
 			continue;
-		/* The head of the order is always considered; the rest resumes where it stopped. */
+		/*
+		 * The head of the order is always considered; then the cycle resumes where the last
+		 * one stopped.
+		 */
 		if (backfill && position < resume)
 			continue;
 		if (backfill && input->out_of_time && input->out_of_time(input->context)) {
 			cycle->output->resume_position = position;
 			break;
 		}
-		consider_in_turn(cycle, job_index, window_by_machine);
+		consider_next_job(cycle, job_index, backfill_limits_s);
 	}
-	free(window_by_machine);
+	free(backfill_limits_s);
 }
 
-/* Allocates what a cycle works with and what it puts out; false without memory. */
-static bool allocate(struct fl_sched_cycle *cycle)
+/* Allocates the arrays of a cycle and of its output; returns false if out of memory. */
+static bool allocate_cycle(struct fl_sched_cycle *cycle)
 {
 	size_t machine_count = (size_t)cycle->input->machine_count + 1;
 	size_t job_count = (size_t)cycle->input->job_count + 1;
@@ -147,7 +155,7 @@
 	       cycle->output->unplaced_tasks;
 }
 
-static void release(struct fl_sched_cycle *cycle)
+static void free_cycle(struct fl_sched_cycle *cycle)
 {
 	free(cycle->order);
 	free(cycle->rank);
@@ -167,7 +175,7 @@
 
 	memset(output, 0, sizeof(*output));
 	output->top_job = -1;
-	if (allocate(&cycle)) {
+	if (allocate_cycle(&cycle)) {
 		index_attempts(&cycle);
 		find_lowest_priorities(&cycle);
 		add_releasing_resources(&cycle);
@@ -176,7 +184,7 @@
 	} else {
 		cycle.out_of_memory = true;
 	}
-	release(&cycle);
+	free_cycle(&cycle);
 	return cycle.out_of_memory ? FL_SCHEDULE_OUT_OF_MEMORY : FL_SCHEDULE_OK;
 }
 
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -1,11 +1,11 @@
 /*
- * One scheduling cycle, as a pure function: a snapshot goes in, decisions come out. It reads no
- * clock, makes no call and writes no log; equal snapshots give equal decisions, bit for bit (unless
- * a budget ends a cycle early). Jobs are ordered by the priority of "Scheduling Jobs on Parallel
- * Systems Using a Relaxed Backfill Strategy"; what is added to it is explained in docs/design.md.
+ * One scheduling cycle as a pure function from a snapshot to decisions. It reads no clock, makes no
+ * calls and writes no log lines; equal snapshots give bit-identical decisions (unless a time budget
+ * ends a cycle early). Jobs are ordered by the priority of "Scheduling Jobs on Parallel Systems
+ * Using a Relaxed Backfill Strategy"; docs/design.md explains the additions to it.
  *
- * A cycle never starts more on a machine than is free there, never takes a team beyond its maximum
- * quota, and starts a gang as a whole or not at all.
+ * A cycle never starts more on a machine than fits into its free resources, never takes a team
+ * beyond its maximum quota, and starts a gang as a whole or not at all.
  *
  * Machines, jobs, attempts and teams refer to each other by their index in the snapshot. Durations
  * are in seconds.
@@ -23,75 +23,76 @@
 
 /* Parameters of the priority of a job. */
 struct fl_sched_params {
-	double wait_exponent, estimate_exponent, cpus_exponent, priority_base,
-		window_factor;     /* the paper's */
-	double default_estimate_s; /* for jobs with no estimate */
-	double overdue_after_s;    /* wait after which a job is overdue: see aging_power */
-	double aging_exponent;     /* power by which the weight of the wait grows from then on */
-	double background_overdue_factor; /* times that wait for background work */
+	/* The exponents alpha, beta and gamma, and the factors r and omega of the paper. */
+	double wait_exponent, estimate_exponent, cpus_exponent, priority_base, window_factor;
+	double default_estimate_s; /* of jobs without an estimate */
+	double overdue_after_s;    /* wait after which a job is overdue: see aging_exponent */
+	double aging_exponent;     /* exponent by which the weight of the wait grows from then on */
+	double background_overdue_factor; /* factor on overdue_after_s for background jobs */
 };
 
-/* The parameters that a controller uses; the reasons are in schedule_order.c. */
+/* The parameters that controllers use; schedule_order.c gives the reasons. */
 extern const struct fl_sched_params fl_sched_default_params;
 
-/* A job with tasks to be placed. */
+/* A job with tasks to place. */
 struct fl_sched_job {
 	enum fl_priority priority;
 	bool service;
-	bool gang; /* all its waiting tasks start at once, or none */
+	bool gang; /* all its startable tasks start in one cycle, or none */
 	int team;
-	double waited_s, estimate_s; /* estimate_s: of one task; 0: none */
-	struct fl_resources need;    /* of one task */
+	double waited_s, estimate_s; /* estimate_s: duration of one task; 0: no estimate */
+	struct fl_resources need;    /* resources of one task */
 	double image_gb;
 	uint32_t task_count, startable_count; /* startable: waiting tasks that may start now */
-	uint32_t allowed_types;               /* machine types it may use, one bit each */
-	int zone;                             /* the only one; -1: any */
+	uint32_t allowed_types;               /* machine types that the job may use, one bit each */
+	int zone;                             /* the only allowed zone; -1: any */
 	bool same_zone, spread_zones, spot_allowed;
-	/* Fits its team's guaranteed quota together with the team's earlier jobs. */
+	/* The job fits its team's guaranteed quota together with the team's earlier jobs. */
 	bool within_guaranteed;
-	bool background; /* an array of a class for which no SLO is set, though some are */
-	bool begun;      /* some task of it runs, or is done */
-	uint32_t placed_by_zone[FL_ZONES_MAX], placed_in_unknown_zone; /* tasks placed, by zone */
+	bool background; /* an array of a class without an SLO, while other classes have one */
+	bool begun;      /* some task of the job is placed or done */
+	uint32_t placed_by_zone[FL_ZONES_MAX], placed_in_unknown_zone; /* placed tasks, by zone */
 	int image;
-	double window_remaining_s; /* what is left of its backfill window; < 0: none yet */
+	double window_remaining_s; /* rest of its backfill window; < 0: no window yet */
 };
 
 /*
- * Resources of a machine for which a job waits, also while victims are being stopped there:
- * meanwhile only jobs of the same or a higher priority may start there.
+ * Resources of a machine that are reserved for a waiting job, also while victims are being stopped
+ * there: meanwhile only jobs of the same or a higher priority may use them.
  */
 struct fl_reservation {
 	bool active, within_guaranteed;
 	enum fl_priority priority;
-	struct fl_resources resources; /* reserved; the rest of the machine is free to all */
+	struct fl_resources resources; /* all jobs may use the rest of the machine */
 };
 
 /* A machine on which tasks may start. */
 struct fl_sched_machine {
 	int type, zone;
 	bool spot;
-	bool runs_service; /* a service runs here, so that the machine is kept in any case */
-	struct fl_reservation reserved, requested; /* by earlier cycles, and by this one */
+	bool runs_service; /* a service runs on it, so that it is not scaled in */
+	struct fl_reservation reserved, requested; /* by earlier cycles; by this cycle */
 	struct fl_resources free;
 	double pull_gb_s;
 	const int *cached_images; /* FL_IMAGE_CACHE_MAX images, borrowed; NULL: none */
 };
 
-/* An attempt that may be on a machine. */
+/* An attempt that may be running on a machine. */
 struct fl_sched_attempt {
 	int machine, team;
 	enum fl_priority priority;
 	bool service, stopping;
-	bool preemptible;       /* may be chosen as a victim at all */
-	bool within_guaranteed; /* of a job within its team's guaranteed quota */
-	bool last_running_task; /* of an overdue job: only urgent work preempts it */
+	bool preemptible;       /* may be chosen as a victim */
+	bool within_guaranteed; /* its job is within its team's guaranteed quota */
+	bool last_running_task; /* only placed task of an overdue job: only urgent ones preempt it
+	                         */
 	struct fl_resources used;
-	double estimated_remaining_s; /* by its estimate; INFINITY for a service */
-	double stop_loss_s;           /* work that a stop would lose */
+	double estimated_remaining_s; /* by its job's estimate; INFINITY for a service */
+	double stop_loss_s;           /* work lost if the attempt is stopped */
 };
 
 /*
- * The snapshot, owned by the caller. The cycle changes jobs, machines, attempts and teams as it
+ * The snapshot, owned by the caller. The cycle updates jobs, machines, attempts and teams as it
  * decides.
  */
 struct fl_sched_input {
@@ -102,11 +103,11 @@
 	int machine_count;
 	struct fl_sched_attempt *attempts;
 	int attempt_count;
-	struct fl_team *teams;       /* a copy: used amounts are updated by the cycle */
-	double spot_loss_rate;       /* chance a second that a spot machine is reclaimed */
-	int resume_position;         /* place in the order where the last cycle ran out of time */
-	bool (*out_of_time)(void *); /* NULL: no budget */
-	void *context;               /* its argument */
+	struct fl_team *teams; /* a copy, in which the cycle updates the used amounts */
+	double spot_loss_rate; /* probability per second that a spot machine is reclaimed */
+	int resume_position;   /* position in the order where the last cycle ran out of time */
+	bool (*out_of_time)(void *); /* whether the time budget is used up; NULL: no budget */
+	void *context;               /* argument of out_of_time */
 };
 
 /* A decision to start one task of a job on a machine. */
@@ -114,31 +115,31 @@
 	int job, machine;
 };
 
-/* The decisions, owned by the output. */
+/* The decisions; the output owns the arrays. */
 struct fl_sched_output {
 	struct fl_sched_start *starts;
 	int start_count, start_capacity;
-	int *preemptions; /* the attempts to be stopped */
+	int *preemptions; /* indices of the attempts to be stopped */
 	int preemption_count, preemption_capacity;
-	uint32_t *unplaced_tasks; /* per job: tasks left without a machine, team limits apart */
-	int top_job;              /* the blocked top job; -1: none */
-	double window_s;          /* its backfill window from now on */
-	int resume_position;      /* 0: the cycle came to its end */
+	uint32_t *unplaced_tasks; /* per job: tasks left without a machine for lack of capacity */
+	int top_job;              /* index of the blocked top job; -1: none */
+	double window_s;          /* backfill window of the top job from now on */
+	int resume_position;      /* where the cycle ran out of time; 0: the cycle is complete */
 	long machines_examined;   /* the work of the cycle, independent of the clock */
 };
 
-/* How a step of a cycle ended, and what the caller must do with what it put out. */
+/* The result of a step of a cycle, and whether its output can be used. */
 enum fl_schedule_result {
-	FL_SCHEDULE_OK = 0,       /* use it */
-	FL_SCHEDULE_OUT_OF_MEMORY /* only free it: it is incomplete */
+	FL_SCHEDULE_OK = 0,       /* the output is complete */
+	FL_SCHEDULE_OUT_OF_MEMORY /* the output is incomplete: only free it */
 };
 
-/* The priority of a job within its rank: the product of the paper, with what is added to it. */
+/* Returns the priority of a job within its rank: the product of the paper, with additions. */
 double fl_sched_effective_priority(const struct fl_sched_params *params,
                                    const struct fl_sched_job *job);
-/* Runs a cycle. Free the output whatever the result. */
+/* Runs a cycle. The caller frees the output, also after a failure. */
 enum fl_schedule_result fl_schedule(struct fl_sched_input *input, struct fl_sched_output *output);
-/* Frees the arrays of the output, and clears it. */
+/* Frees the arrays of the output and resets it. */
 void fl_sched_output_free(struct fl_sched_output *output);
 
 #endif
--- a/src/coordination/scheduling/schedule_backfill.c
+++ b/src/coordination/scheduling/schedule_backfill.c
@@ -1,42 +1,43 @@
 /*
- * Backfill: how long jobs lower in the order may use what the blocked top job waits for. The window
- * is that of "Scheduling Jobs on Parallel Systems Using a Relaxed Backfill Strategy": omega times
- * hpwait, the time until the top job fits by the estimates.
+ * Backfill: limits how long jobs lower in the order may use resources that the blocked top job
+ * waits for. The window is that of "Scheduling Jobs on Parallel Systems Using a Relaxed Backfill
+ * Strategy": omega (window_factor) times hpwait, the estimated time until the top job fits.
  */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-/* When an attempt ends by its estimate. */
+/* The estimated end of an attempt. */
 struct attempt_end {
-	double in_s;
+	double ends_in_s;
 	int attempt_index;
 };
 
-static int compare_ends(const void *left_item, const void *right_item)
+static int compare_attempt_ends(const void *left_item, const void *right_item)
 {
 	const struct attempt_end *left = left_item, *right = right_item;
 
-	if (left->in_s != right->in_s)
-		return left->in_s < right->in_s ? -1 : 1;
+	if (left->ends_in_s != right->ends_in_s)
+		return left->ends_in_s < right->ends_in_s ? -1 : 1;
 	return left->attempt_index - right->attempt_index;
 }
 
-/* Adds the attempt's end, if it has one; returns the new count. */
-static int add_end(const struct fl_sched_input *input, int attempt_index, struct attempt_end *ends,
-                   int count)
+/* Appends the attempt's end, if it has one; returns the new count. */
+static int add_attempt_end(const struct fl_sched_input *input, int attempt_index,
+                           struct attempt_end *ends, int count)
 {
-	double left_s = input->attempts[attempt_index].estimated_remaining_s;
+	double remaining_s = input->attempts[attempt_index].estimated_remaining_s;
 
-	if (left_s < INFINITY)
-		ends[count++] = (struct attempt_end){left_s, attempt_index};
+	if (remaining_s < INFINITY)
+		ends[count++] = (struct attempt_end){remaining_s, attempt_index};
 	return count;
 }
 
-/* Time until one task of the job fits on this machine, by the estimated ends. */
-static double time_until_fit(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                             int machine_index, struct attempt_end *ends)
+/* Returns the estimated time until one task of the job fits on the machine. */
+static double time_until_task_fits(const struct fl_sched_cycle *cycle,
+                                   const struct fl_sched_job *job, int machine_index,
+                                   struct attempt_end *ends)
 {
 	const struct fl_sched_input *input = cycle->input;
 	struct fl_resources available = input->machines[machine_index].free;
@@ -46,17 +47,17 @@
 		return 0;
 	for (int k = cycle->first_attempt[machine_index];
 	     k < cycle->first_attempt[machine_index + 1]; k++)
-		end_count = add_end(input, cycle->attempts_by_machine[k], ends, end_count);
-	qsort(ends, (size_t)end_count, sizeof(*ends), compare_ends);
+		end_count = add_attempt_end(input, cycle->attempts_by_machine[k], ends, end_count);
+	qsort(ends, (size_t)end_count, sizeof(*ends), compare_attempt_ends);
 	for (int i = 0; i < end_count; i++) {
 		fl_resources_add(&available, input->attempts[ends[i].attempt_index].used);
 		if (fl_resources_fit(job->need, available))
-			return ends[i].in_s;
+			return ends[i].ends_in_s;
 	}
 	return INFINITY;
 }
 
-/* Whether the startable tasks of a gang all fit into these resources, given per machine. */
+/* Returns whether all startable tasks of a gang fit into these resources, given per machine. */
 static bool gang_fits(const struct fl_sched_input *input, const struct fl_sched_job *job,
                       const struct fl_resources *available)
 {
@@ -76,38 +77,38 @@
 	return total >= job->startable_count;
 }
 
-/* Time until a whole gang fits, counted in tasks that each machine really has capacity for. */
+/* Returns the estimated time until a whole gang fits, by the tasks that fit on each machine. */
 static double time_until_gang_fits(const struct fl_sched_input *input,
                                    const struct fl_sched_job *job, struct attempt_end *ends)
 {
 	struct fl_resources *available =
 		calloc((size_t)input->machine_count + 1, sizeof(*available));
 	double wait_s = 0;
-	int end_count = 0, ended = 0;
+	int end_count = 0, ended_count = 0;
 
 	if (!available)
 		return INFINITY;
 	for (int i = 0; i < input->machine_count; i++)
 		available[i] = input->machines[i].free;
 	for (int i = 0; i < input->attempt_count; i++)
-		end_count = add_end(input, i, ends, end_count);
-	qsort(ends, (size_t)end_count, sizeof(*ends), compare_ends);
+		end_count = add_attempt_end(input, i, ends, end_count);
+	qsort(ends, (size_t)end_count, sizeof(*ends), compare_attempt_ends);
 	while (!gang_fits(input, job, available)) {
 		const struct fl_sched_attempt *attempt;
 
-		if (ended == end_count) {
+		if (ended_count == end_count) {
 			wait_s = INFINITY;
 			break;
 		}
-		attempt = &input->attempts[ends[ended].attempt_index];
-		wait_s = ends[ended++].in_s;
+		attempt = &input->attempts[ends[ended_count].attempt_index];
+		wait_s = ends[ended_count++].ends_in_s;
 		fl_resources_add(&available[attempt->machine], attempt->used);
 	}
 	free(available);
 	return wait_s;
 }
 
-/* The paper's hpwait: the time until the job, or one task of it, can start by the estimates. */
+/* Returns the paper's hpwait: the estimated time until the job, or one task of it, can start. */
 static double time_until_start(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                                struct attempt_end *ends)
 {
@@ -119,14 +120,14 @@
 	for (int i = 0; i < input->machine_count; i++)
 		if (fl_sched_job_allows_machine(job, &input->machines[i]) &&
 		    fl_sched_job_allows_zone(job, input->machines[i].zone))
-			wait_s = fmin(wait_s, time_until_fit(cycle, job, i, ends));
+			wait_s = fmin(wait_s, time_until_task_fits(cycle, job, i, ends));
 	return wait_s;
 }
 
 /*
- * The paper's hpwait is taken by machine rather than by cores in total: capacity that is freed in
- * scattered pieces is no capacity. The window only shrinks while the same job stays on top: set
- * anew in each cycle, it would never end.
+ * The paper's hpwait is computed per machine rather than for the total number of cores, since
+ * capacity that is fragmented over machines fits no task. The window only shrinks while the same
+ * job stays on top: if each cycle reset it, it would never end.
  */
 void fl_sched_set_backfill_window(struct fl_sched_cycle *cycle, int top)
 {
@@ -158,8 +159,8 @@
 }
 
 /*
- * The window keeps lower jobs from delaying the top one. A job of a higher priority than the top's
- * may preempt what the top runs: an array that has waited long must not delay it by being on top.
+ * The window keeps lower jobs from delaying the top job. A job of a higher priority may preempt
+ * tasks of the top job anyway, so an array that reached the top by waiting must not delay it.
  */
 bool fl_sched_is_bound_by_window(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job)
 {
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -1,4 +1,4 @@
-/* Where a task may run by its constraints, and the capacity that is available to it there. */
+/* The placement constraints of a job, and the resources available to its tasks on a machine. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
@@ -30,18 +30,18 @@
 
 uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, struct fl_resources available)
 {
-	/* A reservation can make an amount negative that the job itself needs none of. */
+	/* A reservation can make an amount negative that the job does not need. */
 	if (!fl_resources_fit(job->need, available))
 		return 0;
 	return fl_placement_capacity(job->need, available);
 }
 
 /*
- * What a preemption has freed is reserved for the job it was made for. By the product alone a job
- * that has waited goes before one of a higher priority, which may preempt it: found with idle-time
- * arrays of 288 tasks, which took the capacity again in every other cycle and were stopped 80,000
- * times in ten minutes. Nor does a cycle that resumes in the middle of the order give others what
- * its head waits for.
+ * Resources freed by a preemption are reserved for the preempting job. By the paper's product
+ * alone, a lower-priority job that has waited long goes before the preempting job, takes the
+ * resources and is preempted again: idle-time arrays of 288 tasks took them in every other cycle
+ * and were stopped 80,000 times in ten minutes. After a resumption in the middle of the order,
+ * other jobs must not get the resources either: the head of the order waits for them.
  */
 static bool may_use_reservation(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                                 const struct fl_reservation *reserved)
@@ -54,24 +54,24 @@
 	return !cycle->resumed && (!reserved->within_guaranteed || job->within_guaranteed);
 }
 
-/* What is withheld from the job on this machine. */
-static struct fl_resources blocked_resources(const struct fl_sched_cycle *cycle,
-                                             const struct fl_sched_job *job,
-                                             const struct fl_sched_machine *machine)
+/* Returns the resources of the machine that are withheld from the job. */
+static struct fl_resources withheld_resources(const struct fl_sched_cycle *cycle,
+                                              const struct fl_sched_job *job,
+                                              const struct fl_sched_machine *machine)
 {
 	const struct fl_reservation *reserved = &machine->reserved;
 	const struct fl_reservation *requested = &machine->requested;
-	struct fl_resources blocked = reserved->resources;
+	struct fl_resources withheld = reserved->resources;
 
 	if (!reserved->active || may_use_reservation(cycle, job, reserved))
 		return (struct fl_resources){0};
-	/* What was requested again in this cycle is subtracted from what is free already. */
+	/* Resources requested again in this cycle are already subtracted from the free ones. */
 	if (requested->active && requested->priority >= reserved->priority) {
-		blocked.cpus = fmax(0, blocked.cpus - requested->resources.cpus);
-		blocked.gpus = fmax(0, blocked.gpus - requested->resources.gpus);
-		blocked.ram_gb = fmax(0, blocked.ram_gb - requested->resources.ram_gb);
+		withheld.cpus = fmax(0, withheld.cpus - requested->resources.cpus);
+		withheld.gpus = fmax(0, withheld.gpus - requested->resources.gpus);
+		withheld.ram_gb = fmax(0, withheld.ram_gb - requested->resources.ram_gb);
 	}
-	return blocked;
+	return withheld;
 }
 
 struct fl_resources fl_sched_available_resources(const struct fl_sched_cycle *cycle,
@@ -81,6 +81,6 @@
 	struct fl_resources available = machine->free;
 
 	fl_resources_add(&available, cycle->releasing[machine_index]);
-	fl_resources_subtract(&available, blocked_resources(cycle, job, machine));
+	fl_resources_subtract(&available, withheld_resources(cycle, job, machine));
 	return available;
 }
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -1,24 +1,24 @@
-/* Cost: what a task costs on a machine where it fits, and how the lowest cost is found. */
+/* Cost: the cost of a task on a machine where it fits, and the search for the lowest cost. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 
 static const struct {
-	double spread_weight_s, empty_machine_s, on_demand_s, packing_weight_s, restart_s,
-		urgent_fetch_weight;
+	double zone_replica_cost_s, empty_machine_cost_s, on_demand_cost_s, free_gpu_cost_s,
+		restart_s, urgent_fetch_weight;
 } tunables = {
-	.spread_weight_s = 1000,  /* s per replica already in the zone: spreading beats a fetch */
-	.empty_machine_s = 8,     /* s; a machine without a service: empty, it could be scaled in */
-	.on_demand_s = 8,         /* s; such a machine, on demand, for a job that may use spot */
-	.packing_weight_s = 1,    /* s per free accelerator left: bin packing, others empty */
-	.restart_s = 30,          /* s to start over what was lost, beside the work itself */
-	.urgent_fetch_weight = 3, /* times that a fetch counts for an urgent service */
+	.zone_replica_cost_s = 1000, /* per replica in the zone: outweighs a fetch */
+	.empty_machine_cost_s = 8,   /* without a service: if empty, it could be scaled in */
+	.on_demand_cost_s = 8,       /* such a machine, on demand, for a job that may use spot */
+	.free_gpu_cost_s = 1,     /* per accelerator left free: bin packing, so that others empty */
+	.restart_s = 30,          /* time to restart a lost task, in addition to the lost work */
+	.urgent_fetch_weight = 3, /* weight of the image fetch of an urgent service */
 };
 
 /*
- * The expected loss of this task on a spot machine: where many are reclaimed, a long task is lost
- * again and again there, and its job is the last to end. That matters for a job that has waited,
- * be it because of what it lost; others take the lower price.
+ * Returns the expected loss of the task on a spot machine. Where many spot machines are reclaimed,
+ * a long task is lost repeatedly, and its job ends last. This only matters for a job that has
+ * waited long, possibly because of such losses; other jobs use the lower price.
  */
 static double expected_loss_s(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
@@ -41,17 +41,18 @@
 double fl_sched_placement_cost(const struct fl_sched_input *input, const struct fl_sched_job *job,
                                const struct fl_sched_machine *machine)
 {
-	double cost = tunables.packing_weight_s * (machine->free.gpus - job->need.gpus);
+	double cost = tunables.free_gpu_cost_s * (machine->free.gpus - job->need.gpus);
 	double fetch_weight = fl_sched_is_urgent_service(job) ? tunables.urgent_fetch_weight : 1;
-	double on_demand_s = job->spot_allowed && !machine->spot ? tunables.on_demand_s : 0;
+	double on_demand_cost_s =
+		job->spot_allowed && !machine->spot ? tunables.on_demand_cost_s : 0;
 
 	cost += fl_sched_image_fetch_s(job, machine) * fetch_weight;
 	if (!machine->runs_service)
-		cost += tunables.empty_machine_s + on_demand_s;
+		cost += tunables.empty_machine_cost_s + on_demand_cost_s;
 	if (machine->spot)
 		cost += expected_loss_s(input, job);
 	if (job->spread_zones)
-		cost += tunables.spread_weight_s * job->placed_by_zone[machine->zone];
+		cost += tunables.zone_replica_cost_s * job->placed_by_zone[machine->zone];
 	return cost;
 }
 
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -1,6 +1,6 @@
 /*
- * What the files of the schedule share: the state of one cycle, and the steps that a cycle is made
- * of, by the file that owns each. Nothing outside schedule*.c includes this.
+ * Shared by the schedule*.c files only: the state of one cycle, and the steps of a cycle, grouped
+ * by the file that implements them.
  */
 #ifndef FL_COORDINATION_SCHEDULING_SCHEDULE_INTERNAL_H
 #define FL_COORDINATION_SCHEDULING_SCHEDULE_INTERNAL_H
@@ -9,47 +9,50 @@
 #include "storage/array.h"
 #include "storage/placement_rules.h"
 
-/* Items of the first allocation of a list in the output. */
+/* Initial capacity of the arrays in the output. */
 enum { FL_SCHED_FIRST_CAPACITY = 32 };
 
 /* The state of one cycle. */
 struct fl_sched_cycle {
 	struct fl_sched_input *input;
 	struct fl_sched_output *output;
-	int *order;                 /* indices of jobs, first to be considered first */
-	int *rank;                  /* per job; a higher rank goes before any priority */
+	int *order;                 /* indices of jobs, in the order in which they are considered */
+	int *rank;                  /* per job; compared before the effective priority */
 	double *effective_priority; /* per job */
 	/*
-	 * The attempts on machine i are attempts_by_machine[first_attempt[i]] up to
-	 * [first_attempt[i + 1]].
+	 * The attempts on machine i are attempts_by_machine[first_attempt[i]] up to, but not
+	 * including, attempts_by_machine[first_attempt[i + 1]].
 	 */
 	int *first_attempt, *attempts_by_machine;
-	int *lowest_priority; /* per machine: of its attempts, those being stopped aside */
-	/* Per machine: what stops under way will free, less what this cycle has requested of it. */
+	int *lowest_priority; /* per machine: of its attempts that are not being stopped */
+	/*
+	 * Per machine: resources that the attempts being stopped will free. Requests of this cycle
+	 * are subtracted from the free resources of the machine.
+	 */
 	struct fl_resources *releasing;
-	/* Per machine, for the job being considered; INFINITY: not possible there. */
+	/* Per machine, for the job being considered; INFINITY: not possible on that machine. */
 	double *start_cost, *preemption_cost;
-	int *victims; /* scratch space for the attempts on any one machine */
+	int *victims; /* scratch space for the attempts on one machine */
 	bool resumed; /* the cycle skipped a part of the order before the job being considered */
 	/* Tasks of the job being considered with capacity requested where their image is cached. */
 	uint32_t tasks_awaiting_image;
-	bool out_of_memory; /* no memory */
+	bool out_of_memory; /* an allocation failed: the output is incomplete */
 };
 
 /* ---- order: schedule_order.c ---- */
 
-/* Seconds that a task is estimated to run, of a service too. */
+/* Returns the estimated duration of a task, also of a service. */
 double fl_sched_estimate_s(const struct fl_sched_params *params, const struct fl_sched_job *job);
-/* Whether a job is a service that may preempt arrays, and is therefore placed before them. */
+/* Returns whether a job is a service that may preempt arrays, and so is placed before them. */
 bool fl_sched_is_urgent_service(const struct fl_sched_job *job);
-/* Whether a job has waited for longer than overdue_after_s and has not begun; never a service. */
+/* Returns whether a job has waited over overdue_after_s without beginning; never a service. */
 bool fl_sched_is_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job);
-/* Fills in the order, the rank and the priority of the cycle. */
+/* Computes the order, the ranks and the effective priorities of the cycle. */
 void fl_sched_sort_jobs(struct fl_sched_cycle *cycle);
 
 /* ---- constraints and capacity: schedule_constraints.c ---- */
 
-/* Whether the job's type, zone and price constraints admit the machine. */
+/* Returns whether the job's type, zone and spot constraints admit the machine. */
 static inline bool fl_sched_job_allows_machine(const struct fl_sched_job *job,
                                                const struct fl_sched_machine *machine)
 {
@@ -59,36 +62,36 @@
 	return fl_kind_rule_admits(rule, kind);
 }
 
-/* Whether one more task may go to this zone, by where the job's other tasks are. */
+/* Returns whether one more task may run in this zone, given the zones of the job's other tasks. */
 bool fl_sched_job_allows_zone(const struct fl_sched_job *job, int zone);
-/* Whether one more task stays within the maximum quota of the job's team. */
+/* Returns whether one more task stays within the maximum quota of the job's team. */
 bool fl_sched_within_team_maximum(const struct fl_sched_input *input,
                                   const struct fl_sched_job *job);
-/* Whether placing a task of the job changes the cost of other machines for its other tasks. */
+/* Returns whether placing a task changes the costs of other machines for the job's other tasks. */
 bool fl_sched_cost_depends_on_zones(const struct fl_sched_job *job);
-/* How many tasks of the job fit into these resources. */
+/* Returns how many tasks of the job fit into these resources. */
 uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, struct fl_resources available);
-/* What is or will be free on a machine for this job, less what is reserved for others. */
+/* Returns what is or will be free on a machine for this job, without reservations for others. */
 struct fl_resources fl_sched_available_resources(const struct fl_sched_cycle *cycle,
                                                  const struct fl_sched_job *job, int machine_index);
 
 /* ---- cost: schedule_cost.c ---- */
 
-/* Seconds to fetch the job's image; 0 if the machine has it. */
+/* Returns the seconds to fetch the job's image; 0 if the machine has cached it. */
 double fl_sched_image_fetch_s(const struct fl_sched_job *job,
                               const struct fl_sched_machine *machine);
-/* The cost of a task on a machine where it fits, in seconds; the lowest is the best. */
+/* Returns the cost, in seconds, of a task on a machine where it fits; the lowest is the best. */
 double fl_sched_placement_cost(const struct fl_sched_input *input, const struct fl_sched_job *job,
                                const struct fl_sched_machine *machine);
-/* Index of the first of the lowest finite costs; -1: none is finite. */
+/* Returns the index of the first of the lowest finite costs; -1: none is finite. */
 int fl_sched_lowest_cost_index(const double *costs, int count);
 
 /* ---- placement: schedule_placement.c ---- */
 
 /*
- * Starts what fits now; true if tasks are left for lack of capacity, not for the team's quota. With
- * `max_duration_s` (per machine; NULL: no bound) only tasks start that are estimated to end within
- * it.
+ * Starts the tasks that fit now; returns whether tasks are left for lack of capacity rather than
+ * because of the team's quota. With `max_duration_s` (per machine; NULL: no limit), only tasks
+ * start whose estimated duration is within the limit.
  */
 bool fl_sched_start_fitting_tasks(struct fl_sched_cycle *cycle, int job_index,
                                   const double *max_duration_s);
@@ -96,14 +99,15 @@
 /* ---- preemption: schedule_preemption.c ---- */
 
 /*
- * Whether a task of an urgent service waits for a machine that has its image, rather than be
- * started on this one and wait for the fetch. If so, capacity for it is requested there.
+ * Requests capacity for a task of an urgent service on a machine that has its image cached, if the
+ * fetch on this machine would take long. Returns whether the task waits for that capacity rather
+ * than starting on this machine.
  */
 bool fl_sched_request_machine_with_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                          int machine_index);
 /*
- * Requests capacity for what still waits, by preemption, and returns for how many tasks it was
- * found. `max_duration_s` as for fl_sched_start_fitting_tasks.
+ * Requests capacity by preemption for the tasks that could not start; returns for how many tasks it
+ * was found. `max_duration_s`: as for fl_sched_start_fitting_tasks.
  */
 uint32_t fl_sched_request_preemptions(struct fl_sched_cycle *cycle, int job_index,
                                       const double *max_duration_s);
@@ -112,9 +116,9 @@
 
 /* Makes a job the blocked top job, and sets its backfill window. */
 void fl_sched_set_backfill_window(struct fl_sched_cycle *cycle, int top);
-/* Per machine, how long a backfilled task may run: any time where the top job may not run. */
+/* Computes how long backfilled tasks may run, per machine: INFINITY if the top job may not. */
 void fl_sched_compute_backfill_limits(const struct fl_sched_cycle *cycle, double *max_duration_s);
-/* Whether the top job's window bounds this job. */
+/* Returns whether the top job's backfill window limits this job. */
 bool fl_sched_is_bound_by_window(const struct fl_sched_cycle *cycle,
                                  const struct fl_sched_job *job);
 
--- a/src/coordination/scheduling/schedule_order.c
+++ b/src/coordination/scheduling/schedule_order.c
@@ -1,6 +1,7 @@
 /*
  * The order in which a cycle considers the jobs: by rank, then by the priority of "Scheduling Jobs
- * on Parallel Systems Using a Relaxed Backfill Strategy" with a growing weight of the wait.
+ * on Parallel Systems Using a Relaxed Backfill Strategy", in which the weight of the wait also
+ * grows.
  */
 #include "coordination/scheduling/schedule_internal.h"
 
@@ -8,28 +9,28 @@
 #include <stdlib.h>
 
 const struct fl_sched_params fl_sched_default_params = {
-	.wait_exponent = 1,      /* power; a job rises as it waits */
-	.estimate_exponent = -1, /* power; short ones first */
-	.cpus_exponent = -0.5,   /* power; narrow ones first: users count jobs, not tasks */
-	.priority_base = 10,     /* one priority is worth ten times the wait */
-	.window_factor = 4,      /* times; the finite value that did best in the paper's tables */
-	.default_estimate_s = 3600, /* s; for a job with neither an estimate nor a history */
-	.overdue_after_s = 120, /* s; half of what users grant the largest job before it begins */
-	.aging_exponent = 4, /* power; at twice overdue_after_s it outweighs all but the priority */
-	.background_overdue_factor = 3, /* times; nobody says when it should be done */
+	.wait_exponent = 1,      /* a job rises as it waits */
+	.estimate_exponent = -1, /* short jobs first */
+	.cpus_exponent = -0.5,   /* narrow jobs first: users count jobs, not tasks */
+	.priority_base = 10,     /* one priority level is worth ten times the wait */
+	.window_factor = 4,      /* the finite value with the best results in the paper's tables */
+	.default_estimate_s = 3600, /* for a job with neither an estimate nor a history */
+	.overdue_after_s = 120,     /* half of what users grant the largest job before it begins */
+	.aging_exponent = 4, /* at twice overdue_after_s, the wait outweighs all but the priority */
+	.background_overdue_factor = 3, /* background jobs have no deadline */
 };
 
 static const struct {
 	double min_wait_s;
 } tunables = {
-	.min_wait_s = 0.1, /* s; so that jobs just submitted are ordered by the other factors */
+	.min_wait_s = 0.1, /* so that jobs just submitted are ordered by the other factors */
 };
 
-/* The units of the factors of the priority: an hour, and the processors of a wide job. */
-#define REFERENCE_S 3600
+/* The units of the factors of the priority: an hour, and the CPUs of a wide job. */
+#define REFERENCE_DURATION_S 3600
 #define REFERENCE_CPUS 32
 
-/* Jobs of a higher rank are considered before all of a lower one. */
+/* Jobs of a higher rank are considered before all jobs of a lower rank. */
 enum rank { RANK_OTHER, RANK_WITHIN_GUARANTEE, RANK_OVERDUE, RANK_URGENT_SERVICE };
 
 double fl_sched_estimate_s(const struct fl_sched_params *params, const struct fl_sched_job *job)
@@ -49,30 +50,31 @@
 	if (cpus <= 0)
 		cpus = 1;
 	/*
-	 * By the product alone a wide, long job starves behind a stream of small ones: it needs as
-	 * many times their wait as it is wider and longer. The weight of the wait therefore grows.
+	 * By the paper's product alone, a wide and long job starves behind a stream of small jobs:
+	 * it must wait as many times longer than they do as it is wider and longer. The weight of
+	 * the wait therefore grows.
 	 *
-	 * Background work is one priority lower. Found on a day with six idle-time arrays of 161
-	 * tasks of 300 s: after two minutes they went before arrays of their own priority that are
-	 * to be done within 150 s, and occupied all machines of the site for five minutes.
+	 * Background jobs count as one priority lower. Otherwise six idle-time arrays of 161 tasks
+	 * of 300 s went, after two minutes, before arrays of the same priority that were due within
+	 * 150 s, and occupied all machines of the site for five minutes.
 	 */
-	return pow(wait_s / REFERENCE_S, params->wait_exponent) *
+	return pow(wait_s / REFERENCE_DURATION_S, params->wait_exponent) *
 	       (1 + pow(wait_s / overdue_after_s, params->aging_exponent)) *
-	       pow(estimate_s / REFERENCE_S, params->estimate_exponent) *
+	       pow(estimate_s / REFERENCE_DURATION_S, params->estimate_exponent) *
 	       pow(cpus / REFERENCE_CPUS, params->cpus_exponent) *
 	       pow(params->priority_base, (int)job->priority - 1 - job->background);
 }
 
-/* Placing such a service first saves the preemption. */
+/* Placing an urgent service first avoids a preemption. */
 bool fl_sched_is_urgent_service(const struct fl_sched_job *job)
 {
 	return job->service && job->priority >= FL_URGENT;
 }
 
 /*
- * No array starves, whatever is submitted after it: one that is overdue goes before other arrays,
- * for one task. That costs little capacity, so it is possible under any overload; how fast the rest
- * follows is left to the order.
+ * No array starves, regardless of later submissions: one task of an overdue array goes before other
+ * arrays. One task takes little capacity, so this is possible under any overload; the order decides
+ * how fast the other tasks follow.
  */
 bool fl_sched_is_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
@@ -80,10 +82,10 @@
 }
 
 /*
- * What may preempt others goes before those it may preempt. Else the capacity that a
- * preemption has freed is taken by the next in the order, and the preemptions go on without end.
+ * A job that may preempt others goes before them. Otherwise the next job in the order takes the
+ * resources that a preemption has freed, and the preemptions repeat without end.
  */
-static enum rank rank_of(const struct fl_sched_params *params, const struct fl_sched_job *job)
+static enum rank job_rank(const struct fl_sched_params *params, const struct fl_sched_job *job)
 {
 	if (fl_sched_is_urgent_service(job))
 		return RANK_URGENT_SERVICE;
@@ -110,7 +112,7 @@
 
 	for (int i = 0; i < input->job_count; i++) {
 		cycle->order[i] = i;
-		cycle->rank[i] = (int)rank_of(input->params, &input->jobs[i]);
+		cycle->rank[i] = (int)job_rank(input->params, &input->jobs[i]);
 		cycle->effective_priority[i] =
 			fl_sched_effective_priority(input->params, &input->jobs[i]);
 	}
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -1,43 +1,43 @@
-/* Placement: the choice of a machine for each task, and the starts. */
+/* Placement: chooses a machine for each task, and starts the tasks. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
 
-/* Where and for how long the tasks of the job being considered may start. */
-struct start_terms {
-	int zone;                     /* the only one, or FL_ANY_ZONE */
-	const double *max_duration_s; /* per machine; NULL: no bound */
+/* The limits on where and for how long the tasks of the job being considered may run. */
+struct start_limits {
+	int zone;                     /* the only allowed zone, or FL_ANY_ZONE */
+	const double *max_duration_s; /* per machine; NULL: no limit */
 };
 
-/* The cost of a start on one machine; INFINITY: not possible. */
+/* Returns the cost of a start on one machine; INFINITY: not possible. */
 static double start_cost(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                         struct start_terms terms, int machine_index)
+                         struct start_limits limits, int machine_index)
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 	struct fl_resources available = fl_sched_available_resources(cycle, job, machine_index);
 
-	if (terms.zone != FL_ANY_ZONE && machine->zone != terms.zone)
+	if (limits.zone != FL_ANY_ZONE && machine->zone != limits.zone)
 		return INFINITY;
-	/* Available includes what stops under way will free: the task must fit without it too. */
+	/* `available` includes resources still being freed: the task must also fit without them. */
 	if (!fl_resources_fit(job->need, available) || !fl_resources_fit(job->need, machine->free))
 		return INFINITY;
 	if (!fl_sched_job_allows_machine(job, machine) ||
 	    !fl_sched_job_allows_zone(job, machine->zone))
 		return INFINITY;
-	if (terms.max_duration_s && terms.max_duration_s[machine_index] < job->estimate_s)
+	if (limits.max_duration_s && limits.max_duration_s[machine_index] < job->estimate_s)
 		return INFINITY;
 	return fl_sched_placement_cost(cycle->input, job, machine);
 }
 
 static void compute_start_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                                struct start_terms terms)
+                                struct start_limits limits)
 {
 	cycle->output->machines_examined += cycle->input->machine_count;
 	for (int i = 0; i < cycle->input->machine_count; i++)
-		cycle->start_cost[i] = start_cost(cycle, job, terms, i);
+		cycle->start_cost[i] = start_cost(cycle, job, limits, i);
 }
 
-/* The zone of a job that must have just one: where its tasks are, else where most of them fit. */
+/* Returns the zone of a job whose tasks must share one: that of its tasks, else where most fit. */
 static int choose_zone(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
 	double capacity[FL_ZONES_MAX] = {0};
@@ -83,7 +83,7 @@
 	job->startable_count--;
 }
 
-/* Undoes the starts beyond the first `kept_count`, the last one first. */
+/* Undoes the starts after the first `kept_count`, the last one first. */
 static void undo_starts(struct fl_sched_cycle *cycle, int kept_count)
 {
 	while (cycle->output->start_count > kept_count) {
@@ -101,30 +101,31 @@
 	}
 }
 
-/* Updates the costs after a start on `machine_index`, on all machines if they depend on it. */
+/* Updates the cost of `machine_index` after a start, and all costs if they depend on zones. */
 static void update_start_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                               struct start_terms terms, int machine_index)
+                               struct start_limits limits, int machine_index)
 {
 	if (fl_sched_cost_depends_on_zones(job))
-		compute_start_costs(cycle, job, terms);
+		compute_start_costs(cycle, job, limits);
 	else
-		cycle->start_cost[machine_index] = start_cost(cycle, job, terms, machine_index);
+		cycle->start_cost[machine_index] = start_cost(cycle, job, limits, machine_index);
 }
 
 /*
- * Starts the job's tasks one by one, each on the best machine; of an overdue array just one. True
- * if tasks are left for lack of capacity.
+ * Starts the job's tasks one by one, each on the machine of the lowest cost; of an overdue array
+ * only one task. Returns whether tasks are left for lack of capacity.
  */
-static bool start_each(struct fl_sched_cycle *cycle, int job_index, const double *max_duration_s)
+static bool start_tasks_one_by_one(struct fl_sched_cycle *cycle, int job_index,
+                                   const double *max_duration_s)
 {
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
-	struct start_terms terms = {choose_zone(cycle->input, job), max_duration_s};
-	bool only_one = fl_sched_is_overdue(cycle->input->params, job) && !job->gang;
-	uint32_t left_out = only_one ? job->startable_count - 1 : 0;
+	struct start_limits limits = {choose_zone(cycle->input, job), max_duration_s};
+	bool one_task_only = fl_sched_is_overdue(cycle->input->params, job) && !job->gang;
+	uint32_t held_back_count = one_task_only ? job->startable_count - 1 : 0;
 
 	cycle->tasks_awaiting_image = 0;
-	compute_start_costs(cycle, job, terms);
-	while (job->startable_count > left_out + cycle->tasks_awaiting_image &&
+	compute_start_costs(cycle, job, limits);
+	while (job->startable_count > held_back_count + cycle->tasks_awaiting_image &&
 	       !cycle->out_of_memory) {
 		int best;
 
@@ -135,11 +136,11 @@
 			return true;
 		if (fl_sched_request_machine_with_image(cycle, job, best)) {
 			cycle->tasks_awaiting_image++;
-			compute_start_costs(cycle, job, terms);
+			compute_start_costs(cycle, job, limits);
 			continue;
 		}
 		start_task(cycle, job_index, best);
-		update_start_costs(cycle, job, terms, best);
+		update_start_costs(cycle, job, limits, best);
 	}
 	return false;
 }
@@ -149,7 +150,7 @@
 {
 	const struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	int earlier_count = cycle->output->start_count;
-	bool short_of_capacity = start_each(cycle, job_index, max_duration_s);
+	bool short_of_capacity = start_tasks_one_by_one(cycle, job_index, max_duration_s);
 
 	if (job->gang && job->startable_count > 0)
 		undo_starts(cycle, earlier_count);
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -1,4 +1,4 @@
-/* Preemption: which attempts may be stopped for a job, and the requests for their resources. */
+/* Preemption: which attempts may be stopped for a job, and how their resources are requested. */
 #include "coordination/scheduling/schedule_internal.h"
 
 #include <math.h>
@@ -7,56 +7,55 @@
 static const struct {
 	double max_fetch_s, max_cached_loss_s, stop_cost_s;
 } tunables = {
-	.max_fetch_s = 4,        /* s; a longer fetch of an urgent service is worth a preemption */
-	.max_cached_loss_s = 60, /* s of work that such a preemption may lose */
-	.stop_cost_s = 1,        /* s that each stop costs beside the work it loses */
+	.max_fetch_s = 4,        /* an urgent service with a longer fetch may preempt */
+	.max_cached_loss_s = 60, /* work that such a preemption may lose */
+	.stop_cost_s = 1,        /* cost of each stop in addition to the lost work */
 };
 
 /* What entitles a job to preempt, in addition to its priority. */
 enum entitlement {
-	ENTITLED_BY_PRIORITY, /* nothing */
-	ENTITLED_BY_GUARANTEE /* its team's guaranteed quota, against teams beyond theirs */
+	ENTITLED_BY_PRIORITY, /* nothing else */
+	ENTITLED_BY_GUARANTEE /* its team's guaranteed quota, against teams that exceed theirs */
 };
 
-/* Which machines a request may choose. */
+/* Which machines a request may use. */
 enum machine_choice {
 	ANY_MACHINE,
-	MACHINES_WITH_IMAGE /* and only at a small loss */
+	MACHINES_WITH_IMAGE /* with the job's image cached, and only if little work is lost */
 };
 
-/* The terms of a request for resources. */
-struct preemption_terms {
+/* The terms of a request for resources by preemption. */
+struct preemption_request {
 	enum entitlement entitlement;
 	enum machine_choice choice;
-	const double *max_duration_s; /* per machine; NULL: no bound */
+	const double *max_duration_s; /* per machine; NULL: no limit */
 };
 
-/* The cheapest victims on a machine: the first `count` of cycle->victims. */
+/* The cheapest victims on a machine: the first `count` entries of cycle->victims. */
 struct victim_selection {
 	int count;
-	double cost_s; /* INFINITY: the task would not fit even without them */
+	double cost_s; /* INFINITY: the task would not fit even without the victims */
 };
 
 /*
- * Found in the simulated fault combinations: a standard array beyond its team's guaranteed quota
- * preempted a best-effort service within its own by priority, and that preempted the array by its
- * guarantee, 39 times in a row. A guarantee holds whatever the priority, so the first of the two
- * preemptions is forbidden. No service is preempted for a guarantee, so services may preempt by
- * priority all that is lower.
+ * Returns whether the attempt's job could in turn preempt this job by its guarantee. Without this
+ * check, a standard array beyond its team's guaranteed quota preempted by priority a best-effort
+ * service within its own, which preempted the array by guarantee, 39 times in a row. A guarantee
+ * holds against any priority, so the first of the two preemptions is forbidden. No service is
+ * preempted by guarantee, so services may preempt any lower priority.
  */
-static bool could_preempt_in_turn(const struct fl_sched_job *job,
-                                  const struct fl_sched_attempt *attempt)
+static bool could_be_preempted_back(const struct fl_sched_job *job,
+                                    const struct fl_sched_attempt *attempt)
 {
 	return attempt->within_guaranteed && !job->within_guaranteed && !job->service &&
 	       attempt->team != job->team;
 }
 
 /*
- * Whether a job within its team's guaranteed quota may preempt the attempt for that.
+ * Returns whether a job within its team's guaranteed quota may preempt the attempt by guarantee.
  *
- * An attempt that is itself within a guaranteed quota is exempt, though its team uses more besides:
- * found in the simulated fault combinations, it went first in the next cycle, and was preempted
- * again.
+ * An attempt that is itself within a guaranteed quota is exempt, even if its team exceeds the quota
+ * with other tasks: otherwise it starts first in the next cycle and is preempted again.
  */
 static bool may_preempt_by_guarantee(const struct fl_sched_cycle *cycle,
                                      const struct fl_sched_job *job,
@@ -69,7 +68,7 @@
 	return !fl_team_within_guaranteed(team, team->used_cpus, team->used_gpus);
 }
 
-/* Whether the job may preempt the attempt: by priority, or by its team's guaranteed quota. */
+/* Returns whether the job may preempt the attempt, by priority or by its team's guarantee. */
 static bool may_preempt(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                         const struct fl_sched_attempt *attempt, enum entitlement entitlement)
 {
@@ -78,12 +77,12 @@
 	if (attempt->last_running_task && job->priority < FL_URGENT)
 		return false;
 	if (attempt->priority < job->priority)
-		return !could_preempt_in_turn(job, attempt);
+		return !could_be_preempted_back(job, attempt);
 	return entitlement == ENTITLED_BY_GUARANTEE &&
 	       may_preempt_by_guarantee(cycle, job, attempt);
 }
 
-static int compare_losses(const void *left_item, const void *right_item, void *context)
+static int compare_stop_losses(const void *left_item, const void *right_item, void *context)
 {
 	const struct fl_sched_input *input = context;
 	int left_index = *(const int *)left_item, right_index = *(const int *)right_item;
@@ -95,7 +94,10 @@
 	return left_index - right_index;
 }
 
-/* Puts what the job may preempt on a machine into cycle->victims, the smallest loss first. */
+/*
+ * Stores the attempts on a machine that the job may preempt in cycle->victims, the smallest loss
+ * first; returns their number.
+ */
 static int collect_victims(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                            int machine_index, enum entitlement entitlement)
 {
@@ -112,7 +114,8 @@
 			victims[count++] = attempt_index;
 	}
 	if (count > 1)
-		qsort_r(victims, (size_t)count, sizeof(*victims), compare_losses, cycle->input);
+		qsort_r(victims, (size_t)count, sizeof(*victims), compare_stop_losses,
+		        cycle->input);
 	return count;
 }
 
@@ -156,53 +159,54 @@
 	fl_resources_add(&cycle->releasing[attempt->machine], attempt->used);
 }
 
-/* Whether the job may start on the machine by all but its resources. */
-static bool may_start_on(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                         struct preemption_terms terms, int machine_index)
+/* Returns whether the job may start on the machine, apart from the resources. */
+static bool constraints_allow_start(const struct fl_sched_cycle *cycle,
+                                    const struct fl_sched_job *job,
+                                    struct preemption_request request, int machine_index)
 {
 	const struct fl_sched_machine *machine = &cycle->input->machines[machine_index];
 
 	if (!fl_sched_job_allows_machine(job, machine) ||
 	    !fl_sched_job_allows_zone(job, machine->zone))
 		return false;
-	if (terms.choice == MACHINES_WITH_IMAGE && fl_sched_image_fetch_s(job, machine) > 0)
+	if (request.choice == MACHINES_WITH_IMAGE && fl_sched_image_fetch_s(job, machine) > 0)
 		return false;
-	return !terms.max_duration_s || terms.max_duration_s[machine_index] >= job->estimate_s;
+	return !request.max_duration_s || request.max_duration_s[machine_index] >= job->estimate_s;
 }
 
-/* The cost of a request on one machine; INFINITY: not possible. */
+/* Returns the cost of a request on one machine; INFINITY: not possible. */
 static double preemption_cost(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                              struct preemption_terms terms, int machine_index)
+                              struct preemption_request request, int machine_index)
 {
 	double cost_s;
 
-	/* Where it may not start, a preemption would only free resources for others. */
-	if (!may_start_on(cycle, job, terms, machine_index))
+	/* Where the job may not start, a preemption would only free resources for other jobs. */
+	if (!constraints_allow_start(cycle, job, request, machine_index))
 		return INFINITY;
-	cost_s = select_victims(cycle, job, machine_index, terms.entitlement).cost_s;
-	/* On most machines nothing can be freed: that saves the cost of the placement. */
+	cost_s = select_victims(cycle, job, machine_index, request.entitlement).cost_s;
+	/* On most machines nothing can be freed: this return saves computing the placement cost. */
 	if (cost_s == INFINITY)
 		return INFINITY;
-	if (terms.choice == MACHINES_WITH_IMAGE && cost_s > tunables.max_cached_loss_s)
+	if (request.choice == MACHINES_WITH_IMAGE && cost_s > tunables.max_cached_loss_s)
 		return INFINITY;
 	return cost_s +
 	       fl_sched_placement_cost(cycle->input, job, &cycle->input->machines[machine_index]);
 }
 
 static void compute_preemption_costs(struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
-                                     struct preemption_terms terms)
+                                     struct preemption_request request)
 {
 	cycle->output->machines_examined += cycle->input->machine_count;
 	for (int i = 0; i < cycle->input->machine_count; i++)
-		cycle->preemption_cost[i] = preemption_cost(cycle, job, terms, i);
+		cycle->preemption_cost[i] = preemption_cost(cycle, job, request, i);
 }
 
 /*
- * Reserves what one task of the job needs: no other job of this cycle may use it, the part that is
- * free already included.
+ * Reserves the resources of one task: no other job of this cycle may use them, including the part
+ * that is already free.
  */
-static void reserve(struct fl_sched_machine *machine, struct fl_sched_job *job,
-                    enum entitlement entitlement)
+static void reserve_resources(struct fl_sched_machine *machine, struct fl_sched_job *job,
+                              enum entitlement entitlement)
 {
 	fl_resources_subtract(&machine->free, job->need);
 	job->placed_by_zone[machine->zone]++;
@@ -215,51 +219,52 @@
 }
 
 /*
- * Requests resources for one more task on the machine of the lowest cost: what is being freed
- * already, else that of the cheapest victims. The task starts in a later cycle, when the victims
- * are proven gone. False: no machine can give them.
+ * Requests resources for one more task on the machine of the lowest cost: resources that are being
+ * freed already, otherwise those of the cheapest victims. The task starts in a later cycle, when
+ * the victims are proven gone. Returns false if no machine can provide the resources.
  */
 static bool request_preemption(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
-                               struct preemption_terms terms)
+                               struct preemption_request request)
 {
 	int best = fl_sched_lowest_cost_index(cycle->preemption_cost, cycle->input->machine_count);
 	struct victim_selection selection;
 
 	if (best < 0)
 		return false;
-	selection = select_victims(cycle, job, best, terms.entitlement);
+	selection = select_victims(cycle, job, best, request.entitlement);
 	for (int k = 0; k < selection.count; k++)
 		preempt_attempt(cycle, cycle->victims[k]);
-	reserve(&cycle->input->machines[best], job, terms.entitlement);
+	reserve_resources(&cycle->input->machines[best], job, request.entitlement);
 	if (fl_sched_cost_depends_on_zones(job))
-		compute_preemption_costs(cycle, job, terms);
+		compute_preemption_costs(cycle, job, request);
 	else
-		cycle->preemption_cost[best] = preemption_cost(cycle, job, terms, best);
+		cycle->preemption_cost[best] = preemption_cost(cycle, job, request, best);
 	return true;
 }
 
 /*
- * A new service need not wait out a long fetch on a free machine, if another has its image and
- * little would be lost by a preemption there. That machine's resources are freed within a second or
- * so, long before the fetch could end; when they are not, the task starts on the free machine after
- * all.
+ * A new service need not wait for a long image fetch on a free machine if another machine has the
+ * image cached and a preemption there would lose little work. The resources there are freed within
+ * about a second, long before the fetch could end; if they are not, the task starts on the free
+ * machine after all.
  */
 bool fl_sched_request_machine_with_image(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                          int machine_index)
 {
 	double fetch_s = fl_sched_image_fetch_s(job, &cycle->input->machines[machine_index]);
-	struct preemption_terms terms = {.choice = MACHINES_WITH_IMAGE};
+	struct preemption_request request = {.choice = MACHINES_WITH_IMAGE};
 
 	if (!fl_sched_is_urgent_service(job) || job->gang)
 		return false;
 	if (fetch_s <= tunables.max_fetch_s || job->waited_s >= fetch_s)
 		return false;
-	compute_preemption_costs(cycle, job, terms);
-	return request_preemption(cycle, job, terms);
+	compute_preemption_costs(cycle, job, request);
+	return request_preemption(cycle, job, request);
 }
 
-/* What entitles one more task of the job, the team's use so far included. */
-static enum entitlement entitlement_of(const struct fl_sched_job *job, const struct fl_team *team)
+/* Returns what entitles one more task of the job, given the team's usage so far. */
+static enum entitlement next_task_entitlement(const struct fl_sched_job *job,
+                                              const struct fl_team *team)
 {
 	bool within = job->within_guaranteed &&
 	              fl_team_within_guaranteed(team, team->used_cpus + job->need.cpus,
@@ -269,35 +274,35 @@
 }
 
 /*
- * Requests resources for tasks one by one, until none can be had; returns their number. The team's
- * use includes them meanwhile.
+ * Requests resources for tasks one by one, until no machine can provide them; returns the number of
+ * tasks. Meanwhile the team's usage includes these tasks.
  */
-static uint32_t request_each(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
-                             const double *max_duration_s)
+static uint32_t request_tasks_one_by_one(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
+                                         const double *max_duration_s)
 {
 	struct fl_team *team = &cycle->input->teams[job->team];
-	struct preemption_terms terms = {.max_duration_s = max_duration_s};
+	struct preemption_request request = {.max_duration_s = max_duration_s};
 	uint32_t requested = 0;
 	bool costs_computed = false;
 
 	while (requested < job->startable_count - cycle->tasks_awaiting_image &&
 	       !cycle->out_of_memory) {
-		enum entitlement entitlement = entitlement_of(job, team);
+		enum entitlement entitlement = next_task_entitlement(job, team);
 
 		if (!fl_sched_within_team_maximum(cycle->input, job))
 			break;
 		if (entitlement == ENTITLED_BY_PRIORITY && job->priority == FL_BEST_EFFORT)
 			break;
 		/*
-		 * A request on one machine changes the cost on no other: they are all computed
-		 * once a job, unless the entitlement changes.
+		 * A request on one machine does not change the cost of any other machine: the costs
+		 * are computed once per job, and again if the entitlement changes.
 		 */
-		if (!costs_computed || terms.entitlement != entitlement) {
-			terms.entitlement = entitlement;
-			compute_preemption_costs(cycle, job, terms);
+		if (!costs_computed || request.entitlement != entitlement) {
+			request.entitlement = entitlement;
+			compute_preemption_costs(cycle, job, request);
 		}
 		costs_computed = true;
-		if (!request_preemption(cycle, job, terms))
+		if (!request_preemption(cycle, job, request))
 			break;
 		team->used_cpus += job->need.cpus;
 		team->used_gpus += job->need.gpus;
@@ -314,10 +319,13 @@
 	double used_cpus = team->used_cpus, used_gpus = team->used_gpus;
 	uint32_t requested;
 
-	/* A gang requests nothing: victims of some of it would free what it cannot use yet. */
+	/*
+	 * A gang requests nothing: victims for a part of it would free resources that it cannot use
+	 * yet.
+	 */
 	if (job->gang)
 		return 0;
-	requested = request_each(cycle, job, max_duration_s);
+	requested = request_tasks_one_by_one(cycle, job, max_duration_s);
 	team->used_cpus = used_cpus;
 	team->used_gpus = used_gpus;
 	return requested;
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -13,31 +13,35 @@
 #include "transport/log.h"
 
 static const struct {
-	double min_gap_s, max_gap_s, max_share, max_budget_s, retained_exit_s;
+	double min_interval_s, max_interval_s, max_cycle_share, max_budget_s,
+		min_token_raise_interval_s;
 } tunables = {
-	.min_gap_s = 0.1,        /* s between two cycles at least: many heartbeats, one cycle */
-	.max_gap_s = 1.0,        /* s between two cycles at most */
-	.max_share = 0.5,        /* of this controller's processor for cycles */
-	.max_budget_s = 0.03,    /* s of a cycle before it stops and is resumed by the next */
-	.retained_exit_s = 40.0, /* s; retained exits wait this long for a higher fencing token */
+	.min_interval_s = 0.1,  /* at least; one cycle handles many heartbeats */
+	.max_interval_s = 1.0,  /* at most */
+	.max_cycle_share = 0.5, /* share of this controller's processor time for cycles */
+	.max_budget_s = 0.03,   /* time after which a cycle stops, to be resumed by the next */
+	.min_token_raise_interval_s = 40.0, /* between token raises for retained exits */
 };
 
 double fl_scheduling_cycle_budget_s(double core_share)
 {
-	return fmin(tunables.max_budget_s, tunables.max_share * core_share * tunables.max_gap_s);
+	return fmin(tunables.max_budget_s,
+	            tunables.max_cycle_share * core_share * tunables.max_interval_s);
 }
 
 /*
- * Found with 3.6% of a core: the system lets a process run at full speed until its share is used
- * up, and then it stands still for a second. By the steady clock cycles of 4 ms, ten a second, were
- * 4% of the time, and left nothing of the share for heartbeats and status queries.
+ * The operating system lets a process run at full speed until its share of a core is used up, and
+ * then suspends it for a second. The interval therefore depends on processor time too: with 3.6% of
+ * a core, ten cycles of 4 ms a second took 4% of the elapsed time, but left nothing of the share
+ * for heartbeats and status queries.
  */
-double fl_scheduling_cycle_interval_s(double core_share, double took_s, double processor_s)
+double fl_scheduling_cycle_interval_s(double core_share, double duration_s, double cpu_s)
 {
 	double share = fmin(core_share, 1);
-	double busy_s = fmax(took_s, processor_s / share);
+	double busy_s = fmax(duration_s, cpu_s / share);
 
-	return fmin(tunables.max_gap_s, fmax(tunables.min_gap_s, busy_s / tunables.max_share));
+	return fmin(tunables.max_interval_s,
+	            fmax(tunables.min_interval_s, busy_s / tunables.max_cycle_share));
 }
 
 static bool out_of_time(void *context)
@@ -48,14 +52,14 @@
 }
 
 static void log_cycle(uint64_t number, const struct fl_sched_input *input,
-                      const struct fl_sched_output *output, double took_s)
+                      const struct fl_sched_output *output, double duration_s)
 {
 	fl_debug("schedule",
-	         "cycle done number=%llu jobs=%d machines=%d starts=%d preemptions=%d "
+	         "cycle finished cycle=%llu jobs=%d machines=%d starts=%d preemptions=%d "
 	         "duration_ms=%.1f%s",
 	         (unsigned long long)number, input->job_count, input->machine_count,
-	         output->start_count, output->preemption_count, took_s * 1000,
-	         output->resume_position ? " incomplete" : "");
+	         output->start_count, output->preemption_count, duration_s * 1000,
+	         output->resume_position ? " incomplete=true" : "");
 }
 
 static void run_cycle(struct fl_node *node)
@@ -71,7 +75,7 @@
 	snapshot.input.out_of_time = out_of_time;
 	snapshot.input.context = &deadline;
 	if (fl_schedule(&snapshot.input, &output) != FL_SCHEDULE_OK) {
-		fl_error("schedule", "cycle failed: out of memory");
+		fl_error("schedule", "cycle skipped reason=\"out of memory\"");
 		goto out;
 	}
 	node->leadership.resume_position = output.resume_position;
@@ -89,13 +93,14 @@
 	fl_snapshot_free(&snapshot);
 }
 
-static void drain_task(struct fl_node *node, struct fl_machine *machine, struct fl_task *task)
+static void stop_task_to_drain(struct fl_node *node, struct fl_machine *machine,
+                               struct fl_task *task)
 {
 	task->stop_reason = FL_STOP_DRAIN;
 	fl_command_send(node, machine);
 }
 
-/* Drains machines with an interruption notice of what can save its progress. */
+/* Stops the tasks that can save their progress on machines with an interruption notice. */
 static void drain_interrupted_machines(struct fl_node *node)
 {
 	for (int i = 0; i < node->cluster.machines.count; i++) {
@@ -109,14 +114,14 @@
 
 			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
-			/* What cannot save progress runs on: it may end before that. */
+			/* A task that cannot save progress runs on: it may end in time. */
 			if (job->kind == FL_SERVICE || job->checkpoint_every_s > 0)
-				drain_task(node, machine, task);
+				stop_task_to_drain(node, machine, task);
 		}
 	}
 }
 
-/* A gang that lost a task cannot go on: the rest is stopped, and it starts again as a whole. */
+/* Stops the other tasks of a gang that lost a task: the gang must start again as a whole. */
 static void stop_incomplete_gangs(struct fl_node *node)
 {
 	for (int i = 0; i < node->cluster.machines.count; i++) {
@@ -128,47 +133,51 @@
 
 			if (job->kind == FL_GANG && job->counts.waiting > 0 &&
 			    task->stop_reason == FL_STOP_NONE)
-				drain_task(node, machine, task);
+				stop_task_to_drain(node, machine, task);
 		}
 	}
 }
 
-/* Waits for work, and until the steady time `earliest`; false: the coroutine is cancelled. */
-static bool await_next_cycle(struct fl_node *node, double earliest)
+/*
+ * Waits for work, and until `earliest_start` (monotonic clock, s); returns false if the coroutine
+ * is cancelled.
+ */
+static bool await_next_cycle(struct fl_node *node, double earliest_start)
 {
-	double timeout_s = node->leadership.cycle_due ? tunables.min_gap_s : tunables.max_gap_s;
+	double timeout_s =
+		node->leadership.cycle_due ? tunables.min_interval_s : tunables.max_interval_s;
 
 	if (fl_condition_wait(&node->leadership.work_available, timeout_s) == -ECANCELED)
 		return false;
-	return fl_now() >= earliest || fl_sleep(earliest - fl_now()) == 0;
+	return fl_now() >= earliest_start || fl_sleep(earliest_start - fl_now()) == 0;
 }
 
-/* Exits whose records are kept for a late heartbeat are released by a higher fencing token. */
+/* Requests a higher fencing token if workers retain exited tasks, to be forgotten only after it. */
 static void request_token_raise(struct fl_node *node, double now)
 {
 	if (node->leadership.retained_exit_count > 0 &&
-	    now > node->leader_lease.token_raised_at + tunables.retained_exit_s)
+	    now > node->leader_lease.token_raised_at + tunables.min_token_raise_interval_s)
 		node->leader_lease.token_raise_wanted = true;
 	node->leadership.retained_exit_count = 0;
 }
 
 void fl_scheduling_cycle_run(struct fl_node *node)
 {
-	double started_at = 0, processor_started, gap_s = tunables.min_gap_s;
+	double started_at = 0, cpu_started_at, interval_s = tunables.min_interval_s;
 
 	while (!fl_coroutine_cancelled()) {
-		if (!await_next_cycle(node, started_at + gap_s))
+		if (!await_next_cycle(node, started_at + interval_s))
 			break;
 		if (!fl_is_leader(node))
 			continue;
 		started_at = fl_now();
-		processor_started = fl_cpu_time();
+		cpu_started_at = fl_cpu_time();
 		drain_interrupted_machines(node);
 		stop_incomplete_gangs(node);
 		run_cycle(node);
-		gap_s = fl_scheduling_cycle_interval_s(node->config->core_share,
-		                                       fl_now() - started_at,
-		                                       fl_cpu_time() - processor_started);
+		interval_s = fl_scheduling_cycle_interval_s(node->config->core_share,
+		                                            fl_now() - started_at,
+		                                            fl_cpu_time() - cpu_started_at);
 		if (node->cluster.dirty)
 			fl_condition_broadcast(&node->record_writer.writes_pending);
 		request_token_raise(node, started_at);
--- a/src/coordination/scheduling/scheduling_cycle.h
+++ b/src/coordination/scheduling/scheduling_cycle.h
@@ -1,22 +1,23 @@
 /*
- * Scheduling cycles of a leader: a snapshot of the cluster goes to the schedule, and its decisions
- * are applied to the cluster. A cycle runs when there is work, at intervals that leave the rest of
- * the controller its part of a small share of a core. All of it runs in one coroutine, and nothing
- * between the snapshot and the decisions waits, so that the cluster does not change meanwhile.
+ * Scheduling cycles of a leader: a cycle takes a snapshot of the cluster, computes decisions from
+ * it and applies them to the cluster. A cycle runs when there is work, at intervals that leave the
+ * rest of the controller its part of a small share of a core. All cycles run in one coroutine, and
+ * no cycle waits between the snapshot and the decisions, so that the cluster does not change in
+ * between.
  */
 #ifndef FL_COORDINATION_SCHEDULING_SCHEDULING_CYCLE_H
 #define FL_COORDINATION_SCHEDULING_SCHEDULING_CYCLE_H
 
 struct fl_node;
 
-/* The coroutine of a leader, with its fl_node; returns when it is cancelled. */
+/* Runs scheduling cycles in a coroutine of the leader; returns when the coroutine is cancelled. */
 void fl_scheduling_cycle_run(struct fl_node *node);
-/* Seconds after which a cycle stops, to be resumed by the next, with this share of a core. */
+/* Returns the seconds after which a cycle stops, for a share of a core; the next resumes it. */
 double fl_scheduling_cycle_budget_s(double core_share);
 /*
- * Seconds from the begin of a cycle to that of the next, after a cycle of `took_s` by the steady
- * clock and `processor_s` of processor time, with this share of a core.
+ * Returns the seconds from the start of a cycle to the start of the next, for a share of a core,
+ * after a cycle that took `duration_s` on the monotonic clock and `cpu_s` of processor time.
  */
-double fl_scheduling_cycle_interval_s(double core_share, double took_s, double processor_s);
+double fl_scheduling_cycle_interval_s(double core_share, double duration_s, double cpu_s);
 
 #endif
--- a/src/coordination/scheduling/scheduling_decisions.c
+++ b/src/coordination/scheduling/scheduling_decisions.c
@@ -16,12 +16,12 @@
 	    fl_task_place(&node->cluster, job, index, &attempt, now) != FL_PLACE_OK)
 		return;
 	fl_machine_record_image(machine, job->image);
-	/* The reservation is used; jobs that still wait request theirs again in each cycle. */
+	/* The reservation is used up; jobs that still wait request a new one in each cycle. */
 	if (job->priority >= machine->reservation.priority)
 		machine->reservation.at = 0;
 	job->placement.window_until = 0;
 	machine->outbound.command_pending = true;
-	fl_info("schedule", "task started: %s/%u attempt=%u machine=%s", job->ref, index,
+	fl_info("schedule", "task placed task=%s/%u attempt=%u machine=%s", job->ref, index,
 	        fl_task_peek(job, index)->attempt, machine->name);
 }
 
@@ -44,13 +44,13 @@
 		struct fl_task *task = fl_task_peek(victim->job, victim->index);
 
 		task->stop_reason = FL_STOP_PREEMPT;
-		fl_info("schedule", "task preempted: %s/%u", victim->job->ref, victim->index);
+		fl_info("schedule", "task preempted task=%s/%u", victim->job->ref, victim->index);
 		fl_command_send(node, node->cluster.machines.by_id[task->machine]);
 	}
 }
 
-static void apply_window(const struct fl_snapshot *snapshot, const struct fl_sched_output *output,
-                         double now)
+static void apply_backfill_window(const struct fl_snapshot *snapshot,
+                                  const struct fl_sched_output *output, double now)
 {
 	struct fl_job *top;
 
@@ -69,7 +69,7 @@
 		const struct fl_reservation *requested = &scheduled->requested;
 		struct fl_machine *machine = snapshot->machines[i];
 
-		/* A request for the rest of a machine does not replace a higher reservation. */
+		/* A request for the rest of a machine leaves a higher reservation in place. */
 		if (!requested->active ||
 		    (reserved->active && reserved->priority > requested->priority))
 			continue;
@@ -87,6 +87,6 @@
 {
 	apply_starts(node, snapshot, output, now);
 	apply_preemptions(node, snapshot, output);
-	apply_window(snapshot, output, now);
+	apply_backfill_window(snapshot, output, now);
 	apply_reservations(snapshot, now);
 }
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -10,28 +10,28 @@
 #include "transport/clock.h"
 
 static const struct {
-	int min_considered, considered_per_machine, max_heartbeat_intervals;
-	double reservation_s, overdue_left_s;
+	int min_considered_tasks, considered_tasks_per_machine, max_heartbeat_intervals;
+	double reservation_s, overdue_remaining_s;
 } tunables = {
-	.min_considered = 256,        /* tasks of one job considered in one cycle, on any site */
-	.considered_per_machine = 2,  /* the same for each machine that is up, on large ones */
-	.max_heartbeat_intervals = 3, /* after which a silent machine gets no new task */
-	.reservation_s = 3.0,         /* s for which what a preemption frees is reserved */
-	.overdue_left_s = 1.0,        /* s left of a task past its estimate: up to the next cycle */
+	.min_considered_tasks = 256, /* tasks of one job in one cycle, at any number of machines */
+	.considered_tasks_per_machine = 2, /* on larger sites, per machine that is up */
+	.max_heartbeat_intervals = 3,      /* silence after which a machine gets no new tasks */
+	.reservation_s = 3.0, /* time for which resources freed by a preemption stay reserved */
+	.overdue_remaining_s = 1.0, /* of a task past its estimate: until the next cycle */
 };
 
-/* A snapshot being taken. */
+/* A snapshot that is being built. */
 struct builder {
 	const struct fl_node *node;
 	struct fl_snapshot *snapshot;
 	double now, now_wall;
-	uint32_t max_considered; /* tasks of one job */
+	uint32_t max_considered_tasks; /* tasks of one job */
 };
 
 /*
- * How many tasks of one job a cycle considers. Found on a day of our own with 4,000 machines: of
- * one array of 9,000 tasks 256 were considered, machines were rented for no more, and the site
- * would have grown by 128 machines a boot. So it may double with each.
+ * Returns how many tasks of one job a cycle considers. The limit grows with the number of machines,
+ * so that the site may double with each boot time: with a limit of 256 tasks, an array of 9,000
+ * tasks on a site for 4,000 machines would have added only 128 machines per boot time.
  */
 static uint32_t max_tasks_considered(const struct fl_machines *machines)
 {
@@ -41,21 +41,22 @@
 		const struct fl_machine_lifecycle *lifecycle = &machines->by_id[i]->lifecycle;
 
 		if (lifecycle->up && !lifecycle->decommissioned)
-			count += tunables.considered_per_machine;
+			count += tunables.considered_tasks_per_machine;
 	}
-	return (uint32_t)(count > tunables.min_considered ? count : tunables.min_considered);
+	return (uint32_t)(count > tunables.min_considered_tasks ? count
+	                                                        : tunables.min_considered_tasks);
 }
 
-/* How many waiting tasks of the job may start now; all of a gang or none. */
-static uint32_t count_startable(struct fl_job *job, uint32_t max_considered, double now)
+/* Returns how many waiting tasks of the job may start now; for a gang all of them or 0. */
+static uint32_t count_startable_tasks(struct fl_job *job, uint32_t max_considered_tasks, double now)
 {
 	bool gang = job->kind == FL_GANG;
-	uint32_t max_count = gang ? job->task_count : max_considered;
+	uint32_t max_count = gang ? job->task_count : max_considered_tasks;
 	uint32_t index = 0, count = 0;
 
 	if (job->retry.not_before > now)
 		return 0;
-	/* A gang starts only whole: all that is not done, and none of it anywhere yet. */
+	/* A gang starts only as a whole: all tasks not done, while none of them is placed. */
 	if (gang && job->counts.placed > 0)
 		return 0;
 	while (count < max_count) {
@@ -68,27 +69,28 @@
 	return gang && count < job->counts.waiting ? 0 : count;
 }
 
-/* Urgent work and services count by their priority alone. */
-static bool is_background(const struct fl_node *node, const struct fl_job *job)
+/* Returns whether the job is background work. Urgent work and services count by priority alone. */
+static bool is_background_job(const struct fl_node *node, const struct fl_job *job)
 {
 	return node->slo_class_count > 0 && job->job_class >= node->slo_class_count &&
 	       job->kind == FL_ARRAY && job->priority < FL_URGENT;
 }
 
-/* What is left of the job's backfill window; < 0: it has none. */
-static double window_left_s(const struct fl_job *job, double now)
+/* Returns the rest of the job's backfill window; < 0: no window. */
+static double backfill_window_remaining_s(const struct fl_job *job, double now)
 {
 	return job->placement.window_until > 0 ? fmax(0, job->placement.window_until - now) : -1;
 }
 
-/* Adds the job, if any of its tasks may start now. */
+/* Adds the job if any of its tasks may start now. */
 static void add_job(const struct builder *builder, struct fl_job *job)
 {
 	struct fl_snapshot *snapshot = builder->snapshot;
 	struct fl_sched_job *target = &snapshot->input.jobs[snapshot->input.job_count];
 
 	memset(target, 0, sizeof(*target));
-	target->startable_count = count_startable(job, builder->max_considered, builder->now);
+	target->startable_count =
+		count_startable_tasks(job, builder->max_considered_tasks, builder->now);
 	if (target->startable_count == 0)
 		return;
 	target->priority = job->priority;
@@ -109,13 +111,13 @@
 	target->placed_in_unknown_zone = job->placement.in_unknown_zone;
 	target->image = job->image;
 	target->within_guaranteed = job->within_guaranteed;
-	target->background = is_background(builder->node, job);
+	target->background = is_background_job(builder->node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
-	target->window_remaining_s = window_left_s(job, builder->now);
+	target->window_remaining_s = backfill_window_remaining_s(job, builder->now);
 	snapshot->jobs[snapshot->input.job_count++] = job;
 }
 
-/* Whether new tasks may be placed on the machine. */
+/* Returns whether new tasks may be placed on the machine. */
 static bool is_schedulable(const struct fl_node *node, const struct fl_machine *machine, double now)
 {
 	const struct fl_machine_lifecycle *lifecycle;
@@ -135,8 +137,8 @@
 	       !fl_reachability_is_suspect(machine);
 }
 
-/* Seconds that the task still runs by its job's estimate. */
-static double estimated_left_s(const struct fl_job *job, const struct fl_task *task, double now)
+/* Returns the seconds that the task will still run by its job's estimate. */
+static double task_remaining_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double estimate_s =
 		job->expected_s > 0 ? job->expected_s : fl_sched_default_params.default_estimate_s;
@@ -145,12 +147,12 @@
 		return INFINITY;
 	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
 		estimate_s -= now - task->running_since;
-	/* Past its estimate: it counts as ending by the next cycle. */
-	return fmax(estimate_s, tunables.overdue_left_s);
+	/* A task past its estimate counts as ending by the next cycle. */
+	return fmax(estimate_s, tunables.overdue_remaining_s);
 }
 
-/* Seconds of work that a stop of the task would lose. */
-static double lost_s(const struct fl_job *job, const struct fl_task *task, double now)
+/* Returns the seconds of work that a stop of the task would lose. */
+static double task_stop_loss_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double since_start_s =
 		task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
@@ -177,14 +179,14 @@
 	target->preemptible = !target->stopping;
 	target->within_guaranteed = job->within_guaranteed;
 	target->used = fl_job_need(job);
-	target->estimated_remaining_s = estimated_left_s(job, task, builder->now);
-	target->stop_loss_s = lost_s(job, task, builder->now);
+	target->estimated_remaining_s = task_remaining_s(job, task, builder->now);
+	target->stop_loss_s = task_stop_loss_s(job, task, builder->now);
 	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
 	                            waited_s > input->params->overdue_after_s;
 	builder->snapshot->attempts[input->attempt_count++] = *assignment;
 }
 
-static int compare_submissions(const void *left_item, const void *right_item)
+static int compare_submission_times(const void *left_item, const void *right_item)
 {
 	const struct fl_job *left = *(struct fl_job *const *)left_item;
 	const struct fl_job *right = *(struct fl_job *const *)right_item;
@@ -195,10 +197,10 @@
 }
 
 /*
- * Marks the jobs that fit their team's guaranteed quota together with the team's earlier ones not
- * yet over. `scratch` holds all jobs.
+ * Marks the jobs that fit their team's guaranteed quota together with the team's earlier unfinished
+ * jobs. `scratch` has room for all jobs.
  */
-static void mark_within_guarantee(struct fl_cluster *cluster, struct fl_job **scratch)
+static void mark_jobs_within_guarantee(struct fl_cluster *cluster, struct fl_job **scratch)
 {
 	double cpus[FL_TEAMS_MAX] = {0}, gpus[FL_TEAMS_MAX] = {0};
 	struct fl_job *job, *next;
@@ -207,7 +209,7 @@
 	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->cancelled)
 			scratch[count++] = job;
-	qsort(scratch, count, sizeof(*scratch), compare_submissions);
+	qsort(scratch, count, sizeof(*scratch), compare_submission_times);
 	for (size_t i = 0; i < count; i++) {
 		job = scratch[i];
 		cpus[job->team] += job->cpus * job->task_count;
@@ -218,10 +220,10 @@
 }
 
 /*
- * A victim is gone when its machine says so, some cycles later, and until then the job may request
- * resources elsewhere, where the cost is lower meanwhile. Found in the simulated fault
- * combinations: what was freed then went to what had been preempted, which was preempted again,
- * every second for minutes.
+ * Returns the machine's reservation if it has not expired. A heartbeat proves a victim gone only
+ * some cycles after the stop, and in between the job may request resources elsewhere, at a lower
+ * cost. Without the reservation, the freed resources went to the preempted job, which was preempted
+ * again, every second for minutes.
  */
 static struct fl_reservation active_reservation(const struct fl_machine *machine, double now)
 {
@@ -258,7 +260,7 @@
 	snapshot->machines[machine_index] = machine;
 }
 
-static bool allocate(struct fl_snapshot *snapshot, const struct fl_cluster *cluster)
+static bool allocate_snapshot(struct fl_snapshot *snapshot, const struct fl_cluster *cluster)
 {
 	size_t job_count = HASH_COUNT(cluster->jobs) + 1;
 	size_t machine_count = (size_t)cluster->machines.count + 1;
@@ -286,11 +288,11 @@
 	struct fl_job *job, *next;
 
 	memset(snapshot, 0, sizeof(*snapshot));
-	if (!allocate(snapshot, cluster))
+	if (!allocate_snapshot(snapshot, cluster))
 		return FL_SCHEDULE_OUT_OF_MEMORY;
 	snapshot->input.params = &fl_sched_default_params;
 	memcpy(snapshot->input.teams, cluster->teams.by_index, sizeof(cluster->teams.by_index));
-	mark_within_guarantee(cluster, snapshot->jobs);
+	mark_jobs_within_guarantee(cluster, snapshot->jobs);
 	HASH_ITER (hh, cluster->jobs, job, next)
 		if (!job->cancelled && job->counts.waiting > 0)
 			add_job(&builder, job);
--- a/src/coordination/scheduling/scheduling_snapshot.h
+++ b/src/coordination/scheduling/scheduling_snapshot.h
@@ -1,6 +1,6 @@
 /*
- * The snapshot of the cluster that a scheduling cycle works on. The schedule's own entries are
- * copies; what their indices stand for points into the cluster, and is valid only until the cluster
+ * The snapshot of the cluster for a scheduling cycle. The entries of the input are copies; the
+ * objects that their indices refer to belong to the cluster, and are valid only until the cluster
  * changes.
  */
 #ifndef FL_COORDINATION_SCHEDULING_SCHEDULING_SNAPSHOT_H
@@ -12,7 +12,7 @@
 
 struct fl_node;
 
-/* The input of the schedule, and what its indices stand for. */
+/* The input of a cycle, and the objects of the cluster that its indices refer to. */
 struct fl_snapshot {
 	struct fl_sched_input input;
 	struct fl_job **jobs;
@@ -21,12 +21,12 @@
 };
 
 /*
- * Takes a snapshot; `now`: steady. Free it whatever the result. Also marks each job of the cluster
- * that is within its team's guaranteed quota.
+ * Takes a snapshot at `now` (monotonic clock, s). The caller frees it, also after a failure. Also
+ * marks each job of the cluster that is within its team's guaranteed quota.
  */
 enum fl_schedule_result fl_snapshot_take(struct fl_node *node, struct fl_snapshot *snapshot,
                                          double now);
-/* Frees the arrays of a snapshot, not what they point to. */
+/* Frees the arrays of a snapshot, not the objects that they point to. */
 void fl_snapshot_free(struct fl_snapshot *snapshot);
 
 #endif
