--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -34,7 +34,7 @@
 struct fl_autoscaler {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
 	int request_count;
-	long machines_examined; /* of the plan: planned machines that it examined, its work */
+	long machines_examined; /* planned machines examined by the last plan: its work */
 	/* Rental calls are in flight; until they return, the rented machines are unknown. */
 	bool scale_out_in_flight;
 	uint64_t rental_name_count; /* rental names used by this leader since the failover */
@@ -45,7 +45,7 @@
 	double last_list_started_at; /* start of the last complete machine list */
 	double types_refreshed_at;   /* last request for types and prices */
 	struct fl_token_bucket call_budget;
-	double spot_losses;             /* number of spot machines that were reclaimed */
+	double spot_losses;             /* spot machines that were reclaimed or fell silent */
 	double spot_machine_seconds;    /* total time for which spot machines were up */
 	double spot_time_counted_until; /* end of the time that spot_machine_seconds covers */
 	/*
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -23,7 +23,7 @@
 
 /* Parameters of the priority of a job. */
 struct fl_sched_params {
-	/* The exponents alpha, beta and gamma, and the factors r and omega of the paper. */
+	/* alpha, beta, gamma, r and omega of the paper, in this order */
 	double wait_exponent, estimate_exponent, cpus_exponent, priority_base, window_factor;
 	double default_estimate_s; /* of jobs without an estimate */
 	double overdue_after_s;    /* wait after which a job is overdue: see aging_exponent */
@@ -84,8 +84,8 @@
 	bool service, stopping;
 	bool preemptible;       /* may be chosen as a victim */
 	bool within_guaranteed; /* its job is within its team's guaranteed quota */
-	bool last_running_task; /* only placed task of an overdue job: only urgent ones preempt it
-	                         */
+	/* The only placed task of an overdue job: only urgent jobs may preempt it. */
+	bool last_running_task;
 	struct fl_resources used;
 	double estimated_remaining_s; /* by its job's estimate; INFINITY for a service */
 	double stop_loss_s;           /* work lost if the attempt is stopped */
@@ -106,8 +106,9 @@
 	struct fl_team *teams; /* a copy, in which the cycle updates the used amounts */
 	double spot_loss_rate; /* probability per second that a spot machine is reclaimed */
 	int resume_position;   /* position in the order where the last cycle ran out of time */
-	bool (*out_of_time)(void *); /* whether the time budget is used up; NULL: no budget */
-	void *context;               /* argument of out_of_time */
+	bool (*out_of_time)(
+		void *); /* returns whether the time budget is used up; NULL: no budget */
+	void *context;   /* argument of out_of_time */
 };
 
 /* A decision to start one task of a job on a machine. */
--- a/src/coordination/scheduling/schedule_backfill.c
+++ b/src/coordination/scheduling/schedule_backfill.c
@@ -127,7 +127,7 @@
 /*
  * The paper's hpwait is computed per machine rather than for the total number of cores, since
  * capacity that is fragmented over machines fits no task. The window only shrinks while the same
- * job stays on top: if each cycle reset it, it would never end.
+ * job stays on top: if each cycle computed it again, it would never end.
  */
 void fl_sched_set_backfill_window(struct fl_sched_cycle *cycle, int top)
 {
@@ -160,7 +160,8 @@
 
 /*
  * The window keeps lower jobs from delaying the top job. A job of a higher priority may preempt
- * tasks of the top job anyway, so an array that reached the top by waiting must not delay it.
+ * tasks of the top job anyway, so an array that reached the top by waiting must not delay such a
+ * job.
  */
 bool fl_sched_is_bound_by_window(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job)
 {
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -152,7 +152,7 @@
 	return fl_now() >= earliest_start || fl_sleep(earliest_start - fl_now()) == 0;
 }
 
-/* Requests a higher fencing token if workers retain exited tasks, to be forgotten only after it. */
+/* Requests a higher fencing token if workers retain exited tasks, which it lets them forget. */
 static void request_token_raise(struct fl_node *node, double now)
 {
 	if (node->leadership.retained_exit_count > 0 &&
