--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -106,9 +106,8 @@
 	struct fl_team *teams; /* a copy, in which the cycle updates the used amounts */
 	double spot_loss_rate; /* probability per second that a spot machine is reclaimed */
 	int resume_position;   /* position in the order where the last cycle ran out of time */
-	bool (*out_of_time)(
-		void *); /* returns whether the time budget is used up; NULL: no budget */
-	void *context;   /* argument of out_of_time */
+	bool (*out_of_time)(void *); /* whether the time budget is used up; NULL: no budget */
+	void *context;               /* argument of out_of_time */
 };
 
 /* A decision to start one task of a job on a machine. */
