--- a/src/coordination/api/cancellation.c
+++ b/src/coordination/api/cancellation.c
@@ -38,14 +38,14 @@
 	struct fl_job *job = fl_job_find(&node->cluster, ref);
 	struct fl_refreshed_job refreshed;
 
-	if (job->record.final_write_unknown && !job->record.final_write_in_flight)
+	if (job->record.write_outcome_unknown && !job->record.final_write_in_flight)
 		fl_job_record_refresh(node, ref, &refreshed);
 	job = fl_is_leader(node) ? fl_job_find(&node->cluster, ref) : NULL;
 	if (job && job->cancelled) {
 		fl_respond_cancellation(response, ref, FL_CANCELLED);
 		return NULL;
 	}
-	if (!job || job->record.final_write_in_flight || job->record.final_write_unknown) {
+	if (!job || job->record.final_write_in_flight || job->record.write_outcome_unknown) {
 		fl_respond_unavailable(response, "the job's state is being written");
 		return NULL;
 	}
@@ -61,12 +61,13 @@
 	char key[FL_KEY_MAX];
 
 	fl_key_job(key, job->ref);
-	fl_job_describe(&node->cluster, job, &spec);
+	fl_job_to_spec(&node->cluster, job, &spec);
 	fl_kv_txn_init(&txn);
 	fl_kv_txn_expect_revision(&txn, FL_KEY_LEADER, node->leader_lease.leader_mod_revision);
 	fl_kv_txn_expect_revision(&txn, key, job->record.mod_revision);
 	fl_kv_txn_put(&txn, key,
-	              fl_job_record_cancelled(&spec, job->submitted_wall, cancelled_wall), 0);
+	              fl_job_record_encode_cancelled(&spec, job->submitted_wall, cancelled_wall),
+	              0);
 	return fl_kv_txn_commit(&node->kv_store, &txn, revision, NULL);
 }
 
@@ -80,14 +81,14 @@
 
 	if (!job) {
 		if (result == FL_KV_OK)
-			fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(cancelled_wall));
+			fl_cluster_mark_cancelled(&node->cluster, ref, fl_since(cancelled_wall));
 	} else if (result == FL_KV_OK) {
-		fl_cluster_apply_cancellation(&node->cluster, job, &record, revision);
-		fl_command_stop_job(node, job);
+		fl_cluster_update_live_job(&node->cluster, job, &record, revision);
+		fl_command_stop_cancelled_job(node, job);
 		fl_info("jobs", "job cancelled: %s", ref);
 	} else if (result == FL_KV_UNAVAILABLE) {
 		/* The write was not executed: the record is unchanged. */
-		job->record.final_write_unknown = false;
+		job->record.write_outcome_unknown = false;
 	} else {
 		fl_job_record_refresh(node, ref, &refreshed);
 	}
@@ -111,7 +112,7 @@
 	if (!job)
 		return;
 	/* Until the result is known only the record is: see fl_job_status_from_memory. */
-	job->record.final_write_unknown = true;
+	job->record.write_outcome_unknown = true;
 	result = store_cancellation(node, job, cancelled_wall, &revision);
 	apply_write_result(node, ref, result, cancelled_wall, revision);
 	finished = fl_finished_job_find(&node->cluster, ref);
--- a/src/coordination/api/feasibility.c
+++ b/src/coordination/api/feasibility.c
@@ -21,7 +21,8 @@
 }
 
 /* A bit for each zone where an allowed machine type that a task fits is offered. */
-static uint32_t find_zones(const struct fl_cluster *cluster, const struct fl_job_spec *spec)
+static uint32_t find_feasible_zones(const struct fl_cluster *cluster,
+                                    const struct fl_job_spec *spec)
 {
 	uint32_t zones = 0;
 
@@ -29,37 +30,37 @@
 		const struct fl_machine_type *machine_type = &cluster->machines.types[i];
 
 		if (is_allowed_type(spec, machine_type->name) && task_fits(spec, machine_type))
-			zones |= machine_type->zones;
+			zones |= machine_type->zone_mask;
 	}
 	return zones;
 }
 
 /* All tasks of a service or a gang run at once; an array's can run one after the other. */
-static bool runs_at_once(const struct fl_job_spec *spec)
+static bool runs_all_tasks_at_once(const struct fl_job_spec *spec)
 {
 	return spec->kind != FL_ARRAY && spec->task_count > 1;
 }
 
-static bool has_two_zones(uint32_t zones) { return (zones & (zones - 1)) != 0; }
+static bool has_several_zones(uint32_t zones) { return (zones & (zones - 1)) != 0; }
 
 /* A job that cannot have two zones could never place half of its tasks. */
-static bool can_spread(const struct fl_job_spec *spec, uint32_t zones)
+static bool can_spread_over_zones(const struct fl_job_spec *spec, uint32_t zones)
 {
-	return !spec->same_zone && has_two_zones(zones);
+	return !spec->same_zone && has_several_zones(zones);
 }
 
 static bool exceeds_team_limit(const struct fl_team *team, const struct fl_job_spec *spec)
 {
-	double task_count = runs_at_once(spec) ? spec->task_count : 1;
+	double task_count = runs_all_tasks_at_once(spec) ? spec->task_count : 1;
 
-	return !fl_team_within_maximum(team, spec->cpus * task_count, spec->gpus * task_count);
+	return !fl_team_fits_maximum_quota(team, spec->cpus * task_count, spec->gpus * task_count);
 }
 
 enum fl_infeasibility fl_job_infeasibility(const struct fl_cluster *cluster,
                                            const struct fl_job_spec *spec)
 {
 	int team = fl_teams_find(&cluster->teams, spec->team), zone;
-	uint32_t zones = find_zones(cluster, spec);
+	uint32_t zones = find_feasible_zones(cluster, spec);
 
 	if (team < 0)
 		return FL_INFEASIBLE_UNKNOWN_TEAM;
@@ -74,7 +75,8 @@
 	/* A type that is offered in no zone of ours cannot be rented. */
 	if (!zones)
 		return FL_INFEASIBLE_NO_MACHINE_TYPE;
-	if (runs_at_once(spec) && spec->spread_zones && !can_spread(spec, zones))
+	if (runs_all_tasks_at_once(spec) && spec->spread_zones &&
+	    !can_spread_over_zones(spec, zones))
 		return FL_INFEASIBLE_SPREAD;
 	if (exceeds_team_limit(&cluster->teams.by_index[team], spec))
 		return FL_INFEASIBLE_TEAM_LIMIT;
--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -10,19 +10,21 @@
 #include "transport/text.h"
 
 static const struct {
-	double kv_share, burst_s, reads_per_lookup, timeout_s;
+	double kv_request_share, burst_s, reads_per_lookup, wait_timeout_s;
 } tunables = {
-	.kv_share = 0.4, /* of the store's requests, for the status queries of all controllers */
-	.burst_s = 2.0,  /* s of that share that may be used at once */
+	.kv_request_share =
+		0.4,    /* of the store's requests, for the status queries of all controllers */
+	.burst_s = 2.0, /* s of that share that may be used at once */
 	.reads_per_lookup = 2, /* requests: the live record, then the final one */
-	.timeout_s = 1.8,      /* s that a query waits for another's read; users wait 2 s */
+	.wait_timeout_s = 1.8, /* s that a query waits for another's read; users wait 2 s */
 };
 
 void fl_job_lookups_init(struct fl_node *node)
 {
-	double rate = node->config->state_rps * tunables.kv_share / (node->peer_count + 1);
+	double rate = node->config->state_rps * tunables.kv_request_share / (node->peer_count + 1);
 
-	fl_token_bucket_init(&node->api.read_budget, rate, rate * tunables.burst_s, fl_now());
+	fl_token_bucket_init(&node->api.record_read_budget, rate, rate * tunables.burst_s,
+	                     fl_now());
 }
 
 /*
@@ -30,15 +32,15 @@
  * against the 70 requests that the key-value store takes. The new leader's own reads were refused,
  * and its failover took 14 s. Beyond their share status queries get 503, at once.
  */
-bool fl_job_lookup_within_budget(struct fl_node *node, double request_count)
+bool fl_job_lookup_take_budget(struct fl_node *node, double request_count)
 {
 	/* While there is a leader the others forward their queries to it, and read nothing. */
 	if (fl_is_leader(node))
 		request_count /= node->peer_count + 1;
-	return fl_token_bucket_take(&node->api.read_budget, request_count, fl_now()) <= 0;
+	return fl_token_bucket_take(&node->api.record_read_budget, request_count, fl_now()) <= 0;
 }
 
-static struct fl_job_lookup *create(const char *ref)
+static struct fl_job_lookup *create_lookup(const char *ref)
 {
 	struct fl_job_lookup *lookup = calloc(1, sizeof(*lookup));
 
@@ -47,7 +49,7 @@
 	return lookup;
 }
 
-static void release(struct fl_job_lookup *lookup)
+static void release_lookup(struct fl_job_lookup *lookup)
 {
 	if (--lookup->holder_count > 0)
 		return;
@@ -59,27 +61,27 @@
  * Enters a lookup whose read begins: later requests wait for the next one. The coroutine that reads
  * holds it, and removes it from the table itself.
  */
-static void enter(struct fl_node *node, struct fl_job_lookup *lookup)
+static void add_lookup(struct fl_node *node, struct fl_job_lookup *lookup)
 {
 	HASH_ADD_STR(node->api.job_lookups, ref, lookup);
 }
 
-static void complete(struct fl_job_lookup *lookup)
+static void complete_lookup(struct fl_job_lookup *lookup)
 {
 	lookup->done = true;
 	fl_condition_broadcast(&lookup->completed);
 }
 
 /* Waits until the lookup is done; false: timed out, or the caller is being cancelled. */
-static bool await(struct fl_job_lookup *lookup)
+static bool await_lookup(struct fl_job_lookup *lookup)
 {
-	while (!lookup->done && fl_condition_wait(&lookup->completed, tunables.timeout_s) == 0)
+	while (!lookup->done && fl_condition_wait(&lookup->completed, tunables.wait_timeout_s) == 0)
 		;
 	return lookup->done;
 }
 
 /* A job that is done never changes again: the next query is answered from memory. */
-static void remember_done_job(struct fl_node *node, const struct fl_job_lookup *lookup)
+static void cache_done_job(struct fl_node *node, const struct fl_job_lookup *lookup)
 {
 	if (lookup->result == FL_RECORD_FOUND && lookup->record.final && !lookup->value &&
 	    lookup->record.status == FL_DONE)
@@ -91,30 +93,30 @@
 static void read_records(struct fl_node *node, struct fl_job_lookup *lookup)
 {
 	lookup->result = FL_RECORD_UNAVAILABLE;
-	if (fl_job_lookup_within_budget(node, tunables.reads_per_lookup))
+	if (fl_job_lookup_take_budget(node, tunables.reads_per_lookup))
 		lookup->result = fl_job_record_read(&node->kv_store, lookup->ref, &lookup->record,
 		                                    &lookup->value, &lookup->mod_revision);
-	remember_done_job(node, lookup);
+	cache_done_job(node, lookup);
 	HASH_DEL(node->api.job_lookups, lookup);
 	if (lookup->next)
-		enter(node, lookup->next);
-	complete(lookup);
+		add_lookup(node, lookup->next);
+	complete_lookup(lookup);
 }
 
 /* The first request that came after the read `before` was sent reads for all of them. */
-static void read_after(struct fl_node *node, struct fl_job_lookup *before,
-                       struct fl_job_lookup *lookup)
+static void read_after_previous(struct fl_node *node, struct fl_job_lookup *previous,
+                                struct fl_job_lookup *lookup)
 {
-	before->next = lookup;
-	before->holder_count++;
-	if (await(before)) {
+	previous->next = lookup;
+	previous->holder_count++;
+	if (await_lookup(previous)) {
 		read_records(node, lookup);
 	} else {
-		before->next = NULL;
+		previous->next = NULL;
 		lookup->result = FL_RECORD_UNAVAILABLE;
-		complete(lookup);
+		complete_lookup(lookup);
 	}
-	release(before);
+	release_lookup(previous);
 }
 
 /* A copy of the result of the lookup, for one of its holders. */
@@ -136,24 +138,24 @@
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision)
 {
-	struct fl_job_lookup *lookup, *under_way;
+	struct fl_job_lookup *lookup, *current;
 	enum fl_record_result result;
 
 	*value = NULL;
-	HASH_FIND_STR(node->api.job_lookups, ref, under_way);
-	lookup = under_way && under_way->next ? under_way->next : create(ref);
+	HASH_FIND_STR(node->api.job_lookups, ref, current);
+	lookup = current && current->next ? current->next : create_lookup(ref);
 	if (!lookup)
 		return FL_RECORD_UNAVAILABLE;
 	lookup->holder_count++;
-	if (!under_way) {
-		enter(node, lookup);
+	if (!current) {
+		add_lookup(node, lookup);
 		read_records(node, lookup);
-	} else if (!under_way->next) {
-		read_after(node, under_way, lookup);
+	} else if (!current->next) {
+		read_after_previous(node, current, lookup);
 	} else {
-		await(lookup);
+		await_lookup(lookup);
 	}
 	result = copy_result(lookup, record, value, revision);
-	release(lookup);
+	release_lookup(lookup);
 	return result;
 }
--- a/src/coordination/api/job_lookup.h
+++ b/src/coordination/api/job_lookup.h
@@ -35,6 +35,6 @@
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision);
 /* Takes `request_count` requests from status queries' share of the store; false: used up. */
-bool fl_job_lookup_within_budget(struct fl_node *node, double request_count);
+bool fl_job_lookup_take_budget(struct fl_node *node, double request_count);
 
 #endif
--- a/src/coordination/api/request_forwarding.c
+++ b/src/coordination/api/request_forwarding.c
@@ -19,7 +19,7 @@
 }
 
 /* Status queries leave half of the connections to cancellations and submissions. */
-static bool may_forward(const struct fl_node *node, enum fl_user_request kind)
+static bool is_below_in_flight_limit(const struct fl_node *node, enum fl_user_request kind)
 {
 	int max_in_flight = kind == FL_USER_REQUEST_STATUS ? FL_PEER_USER_REQUESTS_MAX / 2
 	                                                   : FL_PEER_USER_REQUESTS_MAX;
@@ -27,28 +27,28 @@
 	return node->api.forwarded_in_flight < max_in_flight;
 }
 
-static char *encode(const void *context, const struct fl_forward_flags *flags)
+static char *encode_request(const void *context, const struct fl_forward_flags *flags)
 {
-	const struct fl_user_forward *request = context;
+	const struct fl_outgoing_user_request *request = context;
 
 	return fl_forwarded_request_encode(request->kind, flags->last_hop, request->ref,
 	                                   request->body);
 }
 
-bool fl_user_request_forward(struct fl_node *node, const struct fl_user_forward *request,
+bool fl_user_request_forward(struct fl_node *node, const struct fl_outgoing_user_request *request,
                              struct fl_http_reply *reply)
 {
 	const struct fl_forward_request forward = {.path = FL_PATH_FORWARD,
-	                                           .encode = encode,
+	                                           .encode_request = encode_request,
 	                                           .context = request,
 	                                           .hop = request->hop,
 	                                           .timeout_s = request->timeout_s};
 	bool answered;
 
-	if (!may_forward(node, request->kind))
+	if (!is_below_in_flight_limit(node, request->kind))
 		return false;
 	node->api.forwarded_in_flight++;
-	answered = fl_forward(node, &forward, reply) == FL_FORWARD_ANSWERED;
+	answered = fl_forward_to_leader(node, &forward, reply) == FL_FORWARD_ANSWERED;
 	node->api.forwarded_in_flight--;
 	return answered;
 }
--- a/src/coordination/api/request_forwarding.h
+++ b/src/coordination/api/request_forwarding.h
@@ -18,7 +18,7 @@
 enum { FL_PEER_USER_REQUESTS_MAX = 24 };
 
 /* A user's request on its way to the leader. It owns nothing. */
-struct fl_user_forward {
+struct fl_outgoing_user_request {
 	enum fl_user_request kind;
 	const char *ref;  /* NULL: a submission */
 	const char *body; /* NULL: none */
@@ -29,10 +29,11 @@
 /* How long a forwarded request of this kind may take, in s: less than its user waits for it. */
 double fl_user_request_timeout_s(enum fl_user_request kind);
 /*
- * Forwards a user's request to the leader, as fl_forward does. Waits. True: the leader answered,
- * and the caller owns `reply`. False: it cannot be reached, or too many requests are under way.
+ * Forwards a user's request to the leader, as fl_forward_to_leader does. Waits. True: the leader
+ * answered, and the caller owns `reply`. False: it cannot be reached, or too many requests are
+ * under way.
  */
-bool fl_user_request_forward(struct fl_node *node, const struct fl_user_forward *request,
+bool fl_user_request_forward(struct fl_node *node, const struct fl_outgoing_user_request *request,
                              struct fl_http_reply *reply);
 /* Makes the reply the response if it is `usable`, else frees it; returns `usable`. */
 bool fl_respond_with_reply(struct fl_http_response *response, struct fl_http_reply *reply,
--- a/src/coordination/api/status_from_leader.c
+++ b/src/coordination/api/status_from_leader.c
@@ -18,7 +18,7 @@
 	if (finished)
 		return fl_final_job_report(finished->status, finished->task_count);
 	/* While a final write is under way, another node may already know its outcome. */
-	if (!job || job->record.final_write_in_flight || job->record.final_write_unknown)
+	if (!job || job->record.final_write_in_flight || job->record.write_outcome_unknown)
 		return (struct fl_job_status_report){0};
 	return fl_live_job_report(job);
 }
@@ -33,7 +33,7 @@
 		fl_finished_job_add(&node->cluster, ref, record->status, record->task_count,
 		                    fl_since(record->cancelled_wall));
 	else if (revision > job->record.mod_revision)
-		fl_job_record_refresh_apply(node, job, record, revision);
+		fl_job_record_apply_cancellation(node, job, record, revision);
 }
 
 /* Applies a live record; if the cluster state does not accept it the job counts as pending. */
--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -16,21 +16,22 @@
 	uint32_t done_count, placed_count;
 };
 
-static void count_progress(void *context, const struct fl_kv_event *event)
+static void add_task_block_counts(void *context, const struct fl_kv_event *event)
 {
 	struct progress *progress = context;
 
-	fl_task_block_count(event->value, &progress->done_count, &progress->placed_count);
+	fl_progress_record_add_counts(event->value, &progress->done_count, &progress->placed_count);
 }
 
-static struct fl_job_status_report read_progress(struct fl_kv_store *kv_store, const char *ref)
+static struct fl_job_status_report read_progress_report(struct fl_kv_store *kv_store,
+                                                        const char *ref)
 {
 	struct progress progress = {0};
 	char key[FL_KEY_MAX];
 	uint64_t revision;
 
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
-	fl_kv_list(kv_store, key, count_progress, &progress, &revision);
+	fl_kv_list(kv_store, key, add_task_block_counts, &progress, &revision);
 	return (struct fl_job_status_report){.known = true,
 	                                     .status = progress.placed_count ? FL_RUNNING
 	                                                                     : FL_PENDING,
@@ -48,7 +49,7 @@
 
 	/* The user is told of it, so the other controllers must learn it from this one. */
 	if (result == FL_RECORD_FOUND && record->final && value)
-		fl_cluster_learn_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
+		fl_cluster_mark_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
 	cJSON_Delete(value);
 	return result;
 }
@@ -61,8 +62,8 @@
 
 	if (record->final) {
 		report = fl_final_job_report(record->status, record->task_count);
-	} else if (fl_job_lookup_within_budget(node, 1)) {
-		report = read_progress(&node->kv_store, ref);
+	} else if (fl_job_lookup_take_budget(node, 1)) {
+		report = read_progress_report(&node->kv_store, ref);
 	} else {
 		fl_respond_unavailable(response, "too many status queries");
 		return;
--- a/src/coordination/api/status_query_batch.c
+++ b/src/coordination/api/status_query_batch.c
@@ -41,9 +41,9 @@
 	return fl_status_query_encode(batch->refs, batch->count);
 }
 
-static enum fl_decode_result decode_answers(void *into, const char *body, size_t len)
+static enum fl_decode_result decode_answers(void *context, const char *body, size_t len)
 {
-	struct status_batch *batch = into;
+	struct status_batch *batch = context;
 
 	return fl_status_answer_decode(body, len, batch->reports, batch->count);
 }
@@ -52,9 +52,9 @@
  * Sends a batch to the leader directly, never through a third controller: queries that need one
  * are forwarded one by one.
  */
-static enum fl_forward_result exchange(struct fl_node *node, struct fl_batch *shared)
+static enum fl_forward_result exchange_batch(struct fl_node *node, struct fl_batch *base)
 {
-	struct status_batch *batch = (struct status_batch *)shared;
+	struct status_batch *batch = (struct status_batch *)base;
 	const struct fl_forward_request request = {.path = FL_PATH_STATUS,
 	                                           .encode = encode_queries,
 	                                           .context = batch,
@@ -67,7 +67,7 @@
 /* The batch that one more query joins, begun if there is none; NULL: it is full, or no memory. */
 static struct status_batch *find_batch(struct fl_batch_queue *queue)
 {
-	struct status_batch *batch = (struct status_batch *)queue->filling;
+	struct status_batch *batch = (struct status_batch *)queue->open_batch;
 
 	if (batch)
 		return batch->count < FL_STATUS_QUERY_MAX ? batch : NULL;
@@ -87,17 +87,17 @@
 	return FL_QUERY_ANSWERED;
 }
 
-enum fl_query_result fl_status_query(struct fl_node *node, const char *ref,
-                                     struct fl_http_response *response)
+enum fl_query_result fl_status_query_send(struct fl_node *node, const char *ref,
+                                          struct fl_http_response *response)
 {
 	const struct fl_batch_policy policy = {tunables.max_in_flight, tunables.send_timeout_s,
-	                                       tunables.request_timeout_s, exchange};
+	                                       tunables.request_timeout_s, exchange_batch};
 	struct fl_batch_queue *queue = &node->api.status_queries;
 	enum fl_query_result result = FL_QUERY_FAILED;
 	struct status_batch *batch;
 	int index;
 
-	if (!queue->filling && !fl_forward_leader_is_reachable(node))
+	if (!queue->open_batch && !fl_forward_leader_is_reachable(node))
 		return FL_QUERY_FAILED;
 	batch = find_batch(queue);
 	if (!batch)
--- a/src/coordination/api/status_query_batch.h
+++ b/src/coordination/api/status_query_batch.h
@@ -24,8 +24,8 @@
 };
 
 /* Sends the query to the leader, in a batch with others. Waits. */
-enum fl_query_result fl_status_query(struct fl_node *node, const char *ref,
-                                     struct fl_http_response *response);
+enum fl_query_result fl_status_query_send(struct fl_node *node, const char *ref,
+                                          struct fl_http_response *response);
 /*
  * Answers another controller's batch, from memory alone: 200, 400 if it is malformed, 421 if this
  * node is not the leader, 503 without memory. Does not wait.
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -43,16 +43,16 @@
 /* ---- duplicate submissions ---- */
 
 /* Whether a submission is a duplicate of one that was accepted. */
-enum duplicate {
+enum duplicate_check {
 	DUPLICATE_NO,       /* the job is not known */
 	DUPLICATE_ANSWERED, /* it is, and the response has its state */
 	DUPLICATE_UNDECIDED /* neither the store nor the leader answers now */
 };
 
 /* Like respond_if_duplicate, by asking the leader. */
-static enum duplicate ask_leader_if_duplicate(const struct submission *submission)
+static enum duplicate_check respond_if_leader_knows_job(const struct submission *submission)
 {
-	const struct fl_user_forward request = {
+	const struct fl_outgoing_user_request request = {
 		.kind = FL_USER_REQUEST_STATUS,
 		.ref = submission->spec->ref,
 		.hop = FL_HOP_FIRST,
@@ -68,7 +68,7 @@
 }
 
 /* Whether the job has a record. */
-static enum fl_record_result find_record(struct fl_kv_store *kv_store, const char *ref)
+static enum fl_record_result look_up_record(struct fl_kv_store *kv_store, const char *ref)
 {
 	struct fl_job_record record;
 	uint64_t revision;
@@ -82,7 +82,7 @@
 	return result;
 }
 
-static enum duplicate respond_with_status(const struct submission *submission)
+static enum duplicate_check respond_with_job_status(const struct submission *submission)
 {
 	fl_handle_status_request(submission->node, submission->spec->ref, submission->hop,
 	                         submission->response);
@@ -94,27 +94,27 @@
  * this node alone the leader may know: else a malformed submission would get 503, from this node
  * only, and its user would retry for a minute.
  */
-static enum duplicate respond_if_duplicate(const struct submission *submission)
+static enum duplicate_check respond_if_duplicate(const struct submission *submission)
 {
 	if (job_is_known(&submission->node->cluster, submission->spec->ref))
-		return respond_with_status(submission);
-	switch (find_record(&submission->node->kv_store, submission->spec->ref)) {
+		return respond_with_job_status(submission);
+	switch (look_up_record(&submission->node->kv_store, submission->spec->ref)) {
 	case FL_RECORD_FOUND:
-		return respond_with_status(submission);
+		return respond_with_job_status(submission);
 	case FL_RECORD_NOT_FOUND:
 		return DUPLICATE_NO;
 	case FL_RECORD_UNREADABLE:
 	case FL_RECORD_UNAVAILABLE:
 		break;
 	}
-	return submission->hop == FL_HOP_FIRST ? ask_leader_if_duplicate(submission)
+	return submission->hop == FL_HOP_FIRST ? respond_if_leader_knows_job(submission)
 	                                       : DUPLICATE_UNDECIDED;
 }
 
 /* ---- rejection, permanent or temporary ---- */
 
 /* Rejects permanently, but answers a duplicate; 503 if it is not known whether it is one. */
-static void reject(const struct submission *submission, int status, const char *reason)
+static void reject_permanently(const struct submission *submission, int status, const char *reason)
 {
 	switch (respond_if_duplicate(submission)) {
 	case DUPLICATE_ANSWERED:
@@ -131,7 +131,7 @@
 }
 
 /* Responds 503; false: it is a duplicate, and is answered as such. */
-static bool postpone(const struct submission *submission, const char *reason)
+static bool reject_temporarily(const struct submission *submission, const char *reason)
 {
 	if (respond_if_duplicate(submission) == DUPLICATE_ANSWERED)
 		return false;
@@ -148,9 +148,10 @@
 static void add_stored_job(struct fl_node *node, const struct fl_job_spec *spec,
                            double submitted_wall, uint64_t revision)
 {
-	bool over = node->cluster.leading && revision <= node->cluster.list_revision;
+	bool already_finished =
+		node->cluster.has_leader_state && revision <= node->cluster.job_list_revision;
 
-	if (job_is_known(&node->cluster, spec->ref) || over)
+	if (job_is_known(&node->cluster, spec->ref) || already_finished)
 		return;
 	if (fl_job_add(&node->cluster, spec, submitted_wall, revision) && node->leadership.active) {
 		node->leadership.cycle_due = true;
@@ -172,7 +173,7 @@
 	fl_kv_txn_expect_revision(&txn, key, 0);
 	fl_key_job(key, spec->ref);
 	fl_kv_txn_expect_revision(&txn, key, 0);
-	fl_kv_txn_put(&txn, key, fl_job_record_live(spec, submitted_wall), 0);
+	fl_kv_txn_put(&txn, key, fl_job_record_encode_live(spec, submitted_wall), 0);
 	result = fl_kv_txn_commit(&node->kv_store, &txn, &revision, NULL);
 	if (result == FL_KV_OK)
 		add_stored_job(node, spec, submitted_wall, revision);
@@ -185,7 +186,7 @@
  */
 static bool submit_through_leader(const struct submission *submission)
 {
-	struct fl_user_forward request = {
+	struct fl_outgoing_user_request request = {
 		.kind = FL_USER_REQUEST_SUBMIT,
 		.hop = FL_HOP_FIRST,
 		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT)};
@@ -237,25 +238,25 @@
 /* ---- the decision ---- */
 
 /* Decides on a well-formed submission. */
-static void decide(const struct submission *submission)
+static void handle_valid_submission(const struct submission *submission)
 {
 	struct fl_node *node = submission->node;
 	enum fl_infeasibility infeasibility;
 
 	if (job_is_known(&node->cluster, submission->spec->ref)) {
-		respond_with_status(submission);
+		respond_with_job_status(submission);
 		return;
 	}
-	if (!node->machine_types_known) {
-		postpone(submission, "the submission cannot be validated yet");
+	if (!node->machine_types_loaded) {
+		reject_temporarily(submission, "the submission cannot be validated yet");
 		return;
 	}
 	infeasibility = fl_job_infeasibility(&node->cluster, submission->spec);
 	if (infeasibility != FL_FEASIBLE)
-		reject(submission, 422, fl_infeasibility_text(infeasibility));
+		reject_permanently(submission, 422, fl_infeasibility_text(infeasibility));
 	else if (fl_admission_has_memory(node->config))
 		accept_job(submission);
-	else if (postpone(submission, "memory is low"))
+	else if (reject_temporarily(submission, "memory is low"))
 		fl_info("jobs", "job not admitted: %s: memory is low", submission->spec->ref);
 }
 
@@ -283,9 +284,9 @@
 	if (fl_respond_if_isolated(node, response))
 		return;
 	if (!bad_field) {
-		decide(&submission);
+		handle_valid_submission(&submission);
 		return;
 	}
 	snprintf(reason, sizeof(reason), "%s: missing or invalid", bad_field);
-	reject(&submission, 400, reason);
+	reject_permanently(&submission, 400, reason);
 }
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -36,8 +36,9 @@
 }
 
 /* Forwards the request; false: the leader gave no answer that a user can get. */
-static bool respond_by_leader(struct fl_node *node, const struct fl_user_forward *request,
-                              struct fl_http_response *response)
+static bool respond_through_leader(struct fl_node *node,
+                                   const struct fl_outgoing_user_request *request,
+                                   struct fl_http_response *response)
 {
 	struct fl_http_reply reply;
 
@@ -49,12 +50,13 @@
 static void respond_to_peer(struct fl_node *node, enum fl_user_request kind, const char *ref,
                             struct fl_http_response *response)
 {
-	const struct fl_user_forward request = {.kind = kind,
-	                                        .ref = ref,
-	                                        .hop = FL_HOP_LAST,
-	                                        .timeout_s = fl_user_request_timeout_s(kind)};
+	const struct fl_outgoing_user_request request = {.kind = kind,
+	                                                 .ref = ref,
+	                                                 .hop = FL_HOP_LAST,
+	                                                 .timeout_s =
+	                                                         fl_user_request_timeout_s(kind)};
 
-	if (!respond_by_leader(node, &request, response))
+	if (!respond_through_leader(node, &request, response))
 		fl_respond_error(response, 421, "not the leader");
 }
 
@@ -65,10 +67,10 @@
 static void query_leader_or_records(struct fl_node *node, const char *ref,
                                     struct fl_http_response *response)
 {
-	struct fl_user_forward request = {.kind = FL_USER_REQUEST_STATUS, .ref = ref};
+	struct fl_outgoing_user_request request = {.kind = FL_USER_REQUEST_STATUS, .ref = ref};
 	double deadline = fl_now() + fl_user_request_timeout_s(FL_USER_REQUEST_STATUS);
 
-	switch (fl_status_query(node, ref, response)) {
+	switch (fl_status_query_send(node, ref, response)) {
 	case FL_QUERY_ANSWERED:
 		return;
 	case FL_QUERY_OVERLOADED:
@@ -79,20 +81,20 @@
 		break;
 	}
 	request.timeout_s = deadline - fl_now();
-	if (request.timeout_s <= 0 || !respond_by_leader(node, &request, response))
+	if (request.timeout_s <= 0 || !respond_through_leader(node, &request, response))
 		fl_respond_status_from_records(node, ref, response);
 }
 
 static void forward_cancellation(struct fl_node *node, const char *ref,
                                  struct fl_http_response *response)
 {
-	const struct fl_user_forward request = {
+	const struct fl_outgoing_user_request request = {
 		.kind = FL_USER_REQUEST_CANCEL,
 		.ref = ref,
 		.hop = FL_HOP_FIRST,
 		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_CANCEL)};
 
-	if (!respond_by_leader(node, &request, response))
+	if (!respond_through_leader(node, &request, response))
 		fl_respond_unavailable(response, "no leader");
 }
 
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -23,7 +23,7 @@
                           const struct fl_planned_job *planned)
 {
 	return fl_autoscaler_job_allows_kind(planned->job, machine->kind) &&
-	       fl_resources_fit(fl_job_need(planned->job), machine->free) &&
+	       fl_resources_fit(fl_job_task_resources(planned->job), machine->free) &&
 	       fl_autoscaler_job_allows_zone(planned, machine->kind.zone);
 }
 
@@ -49,7 +49,7 @@
 	                 : fl_autoscaler_add_cheapest_rental(plan, planned, FL_ANY_ZONE);
 	if (!chosen)
 		return false;
-	fl_resources_subtract(&chosen->free, fl_job_need(planned->job));
+	fl_resources_subtract(&chosen->free, fl_job_task_resources(planned->job));
 	planned->placed_by_zone[chosen->kind.zone]++;
 	return true;
 }
@@ -112,9 +112,9 @@
 
 	for (int k = 0; machine->lifecycle.up && k < machine->assignment_count; k++) {
 		const struct fl_job *job = machine->assignments[k].job;
-		const struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
+		const struct fl_task *task = fl_task_find(job, machine->assignments[k].task_index);
 
-		if (job->kind == FL_ARRAY && task->observed == FL_OBSERVED_RUNNING &&
+		if (job->kind == FL_ARRAY && task->last_observed_state == FL_OBSERVED_RUNNING &&
 		    job->expected_s - (plan->now - task->running_since) <
 		            tunables.ending_soon_boot_times * boot_s)
 			count++;
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -37,9 +37,9 @@
 		const struct fl_job *job = machine->assignments[i].job;
 
 		if (job->priority >= service->priority)
-			fl_resources_subtract(&available, fl_job_need(job));
+			fl_resources_subtract(&available, fl_job_task_resources(job));
 	}
-	return fl_placement_capacity(fl_job_need(service), available);
+	return fl_fitting_task_count(fl_job_task_resources(service), available);
 }
 
 /*
@@ -82,14 +82,14 @@
 /* Adds the capacity that the plan leaves on booting machines and planned rentals. */
 static void add_planned_machines(const struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
-	struct fl_resources need = fl_job_need(headroom->service);
+	struct fl_resources need = fl_job_task_resources(headroom->service);
 
 	for (int i = 0; i < plan->planned_machine_count; i++) {
 		const struct fl_planned_machine *planned = &plan->machines[i];
 
 		if (!planned->kind.spot)
 			headroom->capacity[planned->kind.zone % headroom->share_count] +=
-				fl_placement_capacity(need, planned->free);
+				fl_fitting_task_count(need, planned->free);
 	}
 }
 
@@ -97,7 +97,7 @@
 static void add_rentals(struct fl_autoscaler_plan *plan, struct headroom *headroom)
 {
 	struct fl_planned_job model = {.job = headroom->service};
-	struct fl_resources need = fl_job_need(headroom->service);
+	struct fl_resources need = fl_job_task_resources(headroom->service);
 
 	for (int z = 0; z < headroom->share_count; z++) {
 		int only_zone = headroom->share_count > 1 ? z : FL_ANY_ZONE;
@@ -108,7 +108,7 @@
 
 			if (!rental)
 				break;
-			headroom->capacity[z] += fmax(1, fl_placement_capacity(need, rental->free));
+			headroom->capacity[z] += fmax(1, fl_fitting_task_count(need, rental->free));
 		}
 	}
 }
--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -20,15 +20,15 @@
                                  double now, int known_count)
 {
 	struct fl_cluster *cluster = &node->cluster;
-	struct fl_machine *machine = fl_machine_get(&cluster->machines, listed->host, now);
+	struct fl_machine *machine = fl_machine_get_or_add(&cluster->machines, listed->host, now);
 
 	if (!machine)
 		return;
-	fl_cluster_describe(machine, fl_machine_type_find(&cluster->machines, listed->type),
-	                    fl_symbol_find(&cluster->zones, listed->zone), listed->spot,
-	                    listed->endpoint);
+	fl_cluster_describe_machine(machine, fl_machine_type_find(&cluster->machines, listed->type),
+	                            fl_symbol_find(&cluster->zones, listed->zone), listed->spot,
+	                            listed->endpoint);
 	if (machine->id < known_count)
-		machine->lifecycle.listed = true;
+		machine->lifecycle.seen_in_list = true;
 	if (listed->status == FL_CLOUD_MACHINE_FAILED && !machine->lifecycle.decommissioned)
 		fl_reconcile_decommission(node, machine, "failed");
 	if (listed->status == FL_CLOUD_MACHINE_FAILED)
@@ -48,7 +48,7 @@
 	for (int i = 0; i < known_count; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 
-		if (machine->lifecycle.decommissioned || machine->lifecycle.listed ||
+		if (machine->lifecycle.decommissioned || machine->lifecycle.seen_in_list ||
 		    begun_at <= machine->lifecycle.first_seen_at + max_age_s)
 			continue;
 		node->autoscaler.spot_losses += machine->spot;
@@ -64,7 +64,7 @@
 	bool more = true;
 
 	for (int i = 0; i < known_count; i++)
-		node->cluster.machines.by_id[i]->lifecycle.listed = false;
+		node->cluster.machines.by_id[i]->lifecycle.seen_in_list = false;
 	while (more) {
 		struct fl_cloud_machine *listed;
 		int count;
--- a/src/coordination/autoscaling/planned_machines.c
+++ b/src/coordination/autoscaling/planned_machines.c
@@ -28,7 +28,7 @@
 
 bool fl_autoscaler_job_allows_kind(const struct fl_job *job, struct fl_machine_kind kind)
 {
-	struct fl_kind_rule rule = {job->types, job->zone, job->spot_allowed};
+	struct fl_kind_rule rule = {job->allowed_type_mask, job->zone, job->spot_allowed};
 
 	return fl_kind_rule_admits(rule, kind);
 }
@@ -50,7 +50,7 @@
                              bool spot)
 {
 	uint32_t task_count =
-		fl_placement_capacity(fl_job_need(job), fl_machine_type_capacity(type));
+		fl_fitting_task_count(fl_job_task_resources(job), fl_machine_type_capacity(type));
 
 	return (spot ? type->spot_price : type->price) / (task_count > 0 ? task_count : 1);
 }
@@ -62,9 +62,9 @@
 	const struct fl_machine_type *type = &plan->cluster->machines.types[kind.type];
 	const struct fl_autoscaler *autoscaler = plan->autoscaler;
 
-	if (!(type->zones >> kind.zone & 1))
+	if (!(type->zone_mask >> kind.zone & 1))
 		return false;
-	if (!fl_resources_fit(fl_job_need(planned->job), fl_machine_type_capacity(type)))
+	if (!fl_resources_fit(fl_job_task_resources(planned->job), fl_machine_type_capacity(type)))
 		return false;
 	if (!fl_autoscaler_job_allows_kind(planned->job, kind) ||
 	    !fl_autoscaler_job_allows_zone(planned, kind.zone))
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -114,7 +114,7 @@
 		return DRAINING;
 	if (machine->lifecycle.decommissioned)
 		return KEPT;
-	if (fl_failure_detector_expired(node, machine, now, timeouts))
+	if (fl_failure_detector_machine_expired(node, machine, now, timeouts))
 		return fl_reachability_lost_since(machine) < INFINITY ? UNREACHABLE : SILENT;
 	if (!type)
 		return KEPT;
@@ -142,7 +142,7 @@
 	double now = fl_now(), timeouts[FL_ZONES_MAX];
 	int count = 0;
 
-	fl_failure_detector_timeouts(node, now, timeouts);
+	fl_failure_detector_zone_timeouts(node, now, timeouts);
 	suspect_silent_zones(&node->autoscaler, now, timeouts);
 	for (int i = 0; i < node->cluster.machines.count && count < FL_DELETE_MAX; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -65,11 +65,11 @@
 
 	for (int i = 0; i < rental->host_count; i++) {
 		struct fl_machine *machine =
-			fl_machine_get(&node->cluster.machines, rental->hosts[i], fl_now());
+			fl_machine_get_or_add(&node->cluster.machines, rental->hosts[i], fl_now());
 
 		if (!machine)
 			continue;
-		fl_cluster_describe(machine, kind.type, kind.zone, kind.spot, NULL);
+		fl_cluster_describe_machine(machine, kind.type, kind.zone, kind.spot, NULL);
 		fl_debug("cloud", "machine rented machine=%s spot=%d", machine->name, kind.spot);
 	}
 }
--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -11,13 +11,13 @@
 #include "transport/text.h"
 
 static const struct {
-	double lease_ttl_s, renew_interval_s, clock_drift, expiry_margin_s;
+	double lease_ttl_s, renew_interval_s, clock_drift_share, expiry_margin_s;
 	double read_interval_s, retry_s, campaign_stagger_s, watch_timeout_s;
 	double token_raise_interval_s;
 } tunables = {
 	.lease_ttl_s = 3.0,         /* s; for at most so long a dead leader is not replaced */
 	.renew_interval_s = 0.8,    /* s; three tries before the lease expires */
-	.clock_drift = 0.001,       /* share; twice what the platform allows between two clocks */
+	.clock_drift_share = 0.001, /* share; twice what the platform allows between two clocks */
 	.expiry_margin_s = 0.1,     /* s; for a timer that fires late */
 	.read_interval_s = 1.0,     /* s; between a follower's reads, which confirm the leader */
 	.retry_s = 0.3,             /* s; after a refused request */
@@ -27,16 +27,16 @@
 };
 
 /* Until when a lease is valid (steady) whose grant or renewal was sent at this time. */
-static double lease_expiry(double sent_at)
+static double lease_valid_until(double sent_at)
 {
-	return sent_at + tunables.lease_ttl_s * (1 - tunables.clock_drift) -
+	return sent_at + tunables.lease_ttl_s * (1 - tunables.clock_drift_share) -
 	       tunables.expiry_margin_s;
 }
 
 /* Takes the leader key with the next fencing token, in one compare-and-swap. */
-static enum fl_kv_result take_leader_key(struct fl_node *node,
-                                         const struct fl_election_state *state, uint64_t lease_id,
-                                         uint64_t *revision)
+static enum fl_kv_result claim_leader_key(struct fl_node *node,
+                                          const struct fl_election_state *state, uint64_t lease_id,
+                                          uint64_t *revision)
 {
 	struct fl_kv_txn txn;
 
@@ -62,7 +62,7 @@
 
 	if (fl_kv_lease_grant(&node->kv_store, tunables.lease_ttl_s, &lease_id) != FL_KV_OK)
 		return;
-	if (take_leader_key(node, state, lease_id, &revision) != FL_KV_OK) {
+	if (claim_leader_key(node, state, lease_id, &revision) != FL_KV_OK) {
 		/* If the write was, or will yet be, executed: the key is deleted with its lease. */
 		fl_kv_lease_revoke(&node->kv_store, lease_id);
 		return;
@@ -70,7 +70,7 @@
 	lease->lease_id = lease_id;
 	lease->leader_mod_revision = lease->token_mod_revision = revision;
 	lease->fencing_token = state->fencing_token + 1;
-	lease->valid_until = lease_expiry(sent_at);
+	lease->valid_until = lease_valid_until(sent_at);
 	lease->held = true;
 	lease->token_raise_wanted = false;
 	lease->token_raised_at = fl_now();
@@ -121,8 +121,8 @@
 
 	/* While the lease was in doubt no digest could arrive: silence is counted from now. */
 	if (fl_now() > lease->valid_until)
-		node->leadership.heartbeats_since = fl_now();
-	lease->valid_until = lease_expiry(sent_at);
+		node->leadership.heartbeats_receivable_since = fl_now();
+	lease->valid_until = lease_valid_until(sent_at);
 	fl_leader_view_confirm(&node->leader_view, sent_at);
 	if (lease->token_raise_wanted &&
 	    fl_now() > lease->token_raised_at + tunables.token_raise_interval_s)
@@ -205,8 +205,8 @@
 		return tunables.retry_s;
 	if (node->leadership.active)
 		node->election_callbacks->end_leadership(node);
-	return node->machine_types_known && node->jobs_known ? campaign(node, rank)
-	                                                     : tunables.retry_s;
+	return node->machine_types_loaded && node->live_jobs_loaded ? campaign(node, rank)
+	                                                            : tunables.retry_s;
 }
 
 /* This node's place among all controllers, by name, from 0. */
@@ -234,7 +234,7 @@
 	}
 }
 
-static void on_leader_key(struct fl_node *node, const cJSON *value)
+static void on_leader_key_change(struct fl_node *node, const cJSON *value)
 {
 	struct fl_leader_view *view = &node->leader_view;
 	struct fl_leader_record leader;
@@ -254,7 +254,7 @@
 	uint64_t fencing_token;
 
 	if (strcmp(event->key, FL_KEY_LEADER) == 0)
-		on_leader_key(node, event->value);
+		on_leader_key_change(node, event->value);
 	else if (strcmp(event->key, FL_KEY_FENCING_TOKEN) == 0 && event->value &&
 	         fl_fencing_token_record_decode(event->value, &fencing_token) &&
 	         fencing_token > view->fencing_token)
--- a/src/coordination/election/leader_view.c
+++ b/src/coordination/election/leader_view.c
@@ -19,7 +19,7 @@
 		view->confirmed_at = confirmed_at;
 }
 
-void fl_leader_view_learn(struct fl_leader_view *view, uint64_t fencing_token, const char *leader,
+void fl_leader_view_merge(struct fl_leader_view *view, uint64_t fencing_token, const char *leader,
                           double confirmed_at)
 {
 	if (fencing_token < view->fencing_token || fencing_token == 0)
--- a/src/coordination/election/leader_view.h
+++ b/src/coordination/election/leader_view.h
@@ -35,7 +35,7 @@
  * confirmed later (`confirmed_at`: steady, by this node's clock). A leader that is not known there
  * (empty) replaces none.
  */
-void fl_leader_view_learn(struct fl_leader_view *view, uint64_t fencing_token, const char *leader,
+void fl_leader_view_merge(struct fl_leader_view *view, uint64_t fencing_token, const char *leader,
                           double confirmed_at);
 /* Reads leader and fencing token, and updates the view unless the token is outdated. */
 enum fl_kv_result fl_leader_view_read(struct fl_leader_view *view, struct fl_kv_store *store,
--- a/src/coordination/follower/follower.c
+++ b/src/coordination/follower/follower.c
@@ -41,14 +41,14 @@
 }
 
 /* One coroutine for both: what is cached of old workers is dropped before a digest is written. */
-static void upkeep_coroutine(void *arg)
+static void maintenance_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
 
 	while (fl_sleep(tunables.digest_interval_s) == 0) {
 		double now = fl_now();
 
-		fl_redirect_forget(node, now);
+		fl_redirect_expire_workers(node, now);
 		fl_heartbeat_digest_write(node, now, tunables.digest_interval_s);
 	}
 }
@@ -57,5 +57,5 @@
 {
 	fl_heartbeat_digest_init(node, tunables.digest_interval_s);
 	fl_gossip_start(node);
-	fl_coroutine_spawn(upkeep_coroutine, node);
+	fl_coroutine_spawn(maintenance_coroutine, node);
 }
--- a/src/coordination/follower/follower.h
+++ b/src/coordination/follower/follower.h
@@ -21,11 +21,11 @@
 struct fl_follower {
 	struct fl_cached_heartbeat *cached_heartbeats;
 	struct fl_misplaced_worker *misplaced_workers;
-	int redirect_cursor; /* whose turn it is to get a worker that is redirected */
-	struct fl_digest_slot digests[FL_DIGESTS_MAX];
-	struct fl_token_bucket write_budget;
-	struct fl_token_refresh token_refresh;
-	struct fl_batch_queue heartbeat_forwards; /* to the leader */
+	int redirect_round_robin; /* whose turn it is to get a worker that is redirected */
+	struct fl_digest_slot digest_slots[FL_DIGESTS_MAX];
+	struct fl_token_bucket digest_write_budget;
+	struct fl_fencing_token_refresh fencing_token_refresh;
+	struct fl_batch_queue heartbeat_batches; /* to the leader */
 };
 
 /* Starts the coroutines of the gossip between controllers, and of the digests. */
--- a/src/coordination/follower/forwarding.c
+++ b/src/coordination/follower/forwarding.c
@@ -37,7 +37,7 @@
 }
 
 /* Without a third controller nothing is lost by trying one whose last exchange failed. */
-static bool may_request(const struct fl_node *node, const struct fl_peer *peer)
+static bool may_be_reachable(const struct fl_node *node, const struct fl_peer *peer)
 {
 	return peer->up || node->peer_count == 1;
 }
@@ -46,10 +46,10 @@
 {
 	const struct fl_peer *leader = find_peer(node, node->leader_view.leader);
 
-	return leader && may_request(node, leader);
+	return leader && may_be_reachable(node, leader);
 }
 
-bool fl_forward_ends_here(const struct fl_node *node, bool last_hop)
+bool fl_forward_is_forbidden(const struct fl_node *node, bool last_hop)
 {
 	return last_hop || strcmp(node->leader_view.leader, node->config->node) == 0;
 }
@@ -70,7 +70,7 @@
 
 /* Sends a request to one peer; its reply is 421 if it neither leads nor reaches the leader. */
 static enum fl_forward_result forward_via(struct fl_peer *peer, const char *path, const char *text,
-                                          double timeout_s, struct fl_http_reply *out)
+                                          double timeout_s, struct fl_http_reply *reply)
 {
 	enum fl_forward_result result;
 
@@ -78,9 +78,9 @@
 		return FL_FORWARD_OUT_OF_MEMORY;
 	if (timeout_s <= 0)
 		return FL_FORWARD_TIMED_OUT;
-	result = result_of_request(fl_http_call(&peer->http, "POST", path, text, timeout_s, out));
-	if (result == FL_FORWARD_ANSWERED && out->status == 421) {
-		fl_buffer_free(&out->body);
+	result = result_of_request(fl_http_call(&peer->http, "POST", path, text, timeout_s, reply));
+	if (result == FL_FORWARD_ANSWERED && reply->status == 421) {
+		fl_buffer_free(&reply->body);
 		return FL_FORWARD_NO_LEADER;
 	}
 	return result;
@@ -88,41 +88,42 @@
 
 static enum fl_forward_result forward_directly(struct fl_peer *leader,
                                                const struct fl_forward_request *request,
-                                               struct fl_http_reply *out)
+                                               struct fl_http_reply *reply)
 {
 	double timeout_s = request->hop == FL_HOP_LAST
 	                           ? request->timeout_s
 	                           : fmin(tunables.direct_timeout_s, request->timeout_s);
 	const struct fl_forward_flags flags = {.last_hop = true};
 	char *text = request->encode(request->context, &flags);
-	enum fl_forward_result result = forward_via(leader, request->path, text, timeout_s, out);
+	enum fl_forward_result result = forward_via(leader, request->path, text, timeout_s, reply);
 
 	free(text);
 	return result;
 }
 
-enum fl_forward_result fl_forward(struct fl_node *node, const struct fl_forward_request *request,
-                                  struct fl_http_reply *out)
+enum fl_forward_result fl_forward_to_leader(struct fl_node *node,
+                                            const struct fl_forward_request *request,
+                                            struct fl_http_reply *reply)
 {
 	struct fl_peer *leader = find_peer(node, node->leader_view.leader);
-	double until = fl_now() + request->timeout_s;
+	double deadline = fl_now() + request->timeout_s;
 	enum fl_forward_result result = FL_FORWARD_NO_LEADER;
 	struct fl_forward_flags flags = {.last_hop = false};
 	char *text;
 
 	if (!leader)
 		return result;
-	if (may_request(node, leader))
-		result = forward_directly(leader, request, out);
+	if (may_be_reachable(node, leader))
+		result = forward_directly(leader, request, reply);
 	if (result == FL_FORWARD_ANSWERED || request->hop == FL_HOP_LAST)
 		return result;
-	flags.disconnected = fl_kv_is_unavailable(&node->kv_store);
+	flags.kv_store_unavailable = fl_kv_is_unavailable(&node->kv_store);
 	text = request->encode(request->context, &flags);
 	for (int i = 0; i < node->peer_count && result != FL_FORWARD_ANSWERED; i++) {
 		struct fl_peer *peer = &node->peers[i];
 
 		if (peer != leader && peer->up)
-			result = forward_via(peer, request->path, text, until - fl_now(), out);
+			result = forward_via(peer, request->path, text, deadline - fl_now(), reply);
 	}
 	free(text);
 	return result;
@@ -143,16 +144,16 @@
 
 enum fl_forward_result fl_forward_and_decode(struct fl_node *node,
                                              const struct fl_forward_request *request,
-                                             fl_forward_decoder decode, void *into)
+                                             fl_forward_decoder decode, void *decode_context)
 {
 	struct fl_http_reply reply;
-	enum fl_forward_result result = fl_forward(node, request, &reply);
+	enum fl_forward_result result = fl_forward_to_leader(node, request, &reply);
 
 	if (result != FL_FORWARD_ANSWERED)
 		return result;
-	result = reply.status == 200
-	                 ? result_of_decoding(decode(into, reply.body.data, reply.body.length))
-	                 : FL_FORWARD_REJECTED;
+	result = reply.status == 200 ? result_of_decoding(decode(decode_context, reply.body.data,
+	                                                         reply.body.length))
+	                             : FL_FORWARD_REJECTED;
 	if (result == FL_FORWARD_MALFORMED_REPLY)
 		fl_error("peers", "malformed reply: path=%s leader=%s", request->path,
 		         node->leader_view.leader);
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -30,8 +30,8 @@
 
 /* What a forwarded request says to the controller that receives it. */
 struct fl_forward_flags {
-	bool last_hop;     /* the receiver must not forward it */
-	bool disconnected; /* the sender has lost the key-value store */
+	bool last_hop;             /* the receiver must not forward it */
+	bool kv_store_unavailable; /* the sender has lost the key-value store */
 };
 
 /* Makes the text of a forwarded request, to be freed; NULL: no memory. */
@@ -53,16 +53,17 @@
 /* Whether another controller is known to lead, to which requests may be sent directly. */
 bool fl_forward_leader_is_reachable(struct fl_node *node);
 /* Whether a forwarded request that this node cannot answer must not be forwarded from here. */
-bool fl_forward_ends_here(const struct fl_node *node, bool last_hop);
+bool fl_forward_is_forbidden(const struct fl_node *node, bool last_hop);
 /*
  * Forwards a request to the leader, direct or, on the first hop, through a third node. With
  * FL_FORWARD_ANSWERED `out` is filled in, whose body the caller frees. It waits.
  */
-enum fl_forward_result fl_forward(struct fl_node *node, const struct fl_forward_request *request,
-                                  struct fl_http_reply *out);
+enum fl_forward_result fl_forward_to_leader(struct fl_node *node,
+                                            const struct fl_forward_request *request,
+                                            struct fl_http_reply *reply);
 /* The same, if the reply must have status 200 and a body that `decode` reads, with `into`. */
 enum fl_forward_result fl_forward_and_decode(struct fl_node *node,
                                              const struct fl_forward_request *request,
-                                             fl_forward_decoder decode, void *into);
+                                             fl_forward_decoder decode, void *decode_context);
 
 #endif
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -29,8 +29,8 @@
 	double last = FL_LONG_AGO;
 
 	for (int i = 0; i < node->peer_count; i++)
-		if (node->peers[i].last_exchange_at > last)
-			last = node->peers[i].last_exchange_at;
+		if (node->peers[i].last_response_at > last)
+			last = node->peers[i].last_response_at;
 	return last;
 }
 
@@ -42,12 +42,12 @@
 
 		if (fl_finished_job_find(&node->cluster, cancellation->ref))
 			continue;
-		fl_cluster_learn_cancelled(&node->cluster, cancellation->ref,
-		                           fl_now() - cancellation->age_s);
+		fl_cluster_mark_cancelled(&node->cluster, cancellation->ref,
+		                          fl_now() - cancellation->age_s);
 		job = node->leadership.active ? fl_job_find(&node->cluster, cancellation->ref)
 		                              : NULL;
 		if (job)
-			fl_command_stop_job(node, job);
+			fl_command_stop_cancelled_job(node, job);
 		fl_info("jobs", "job cancelled: %s source=%s", cancellation->ref, gossip->node);
 	}
 }
@@ -62,17 +62,18 @@
 static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
                             const struct fl_gossip *gossip, double sent_at)
 {
-	double oldest = sent_at;
+	double oldest_sent_at = sent_at;
 
 	/* Had this node been suspended after sending its age, the reply would lack some. */
-	if (!gossip->complete || !node->jobs_known ||
+	if (!gossip->complete || !node->live_jobs_loaded ||
 	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
-	peer->complete_as_of = sent_at;
+	peer->cancellations_complete_as_of = sent_at;
 	for (int i = 0; i < node->peer_count; i++)
-		oldest = fmin(oldest, node->peers[i].complete_as_of);
+		oldest_sent_at = fmin(oldest_sent_at, node->peers[i].cancellations_complete_as_of);
 	node->cancellation_watermark =
-		fmax(node->cancellation_watermark, fmax(oldest, sent_at - gossip->watermark_age_s));
+		fmax(node->cancellation_watermark,
+	             fmax(oldest_sent_at, sent_at - gossip->watermark_age_s));
 }
 
 static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent_at)
@@ -84,7 +85,7 @@
 			return;
 		fl_leader_lease_step_down(node, "a peer knows a higher fencing token");
 	}
-	fl_leader_view_learn(&node->leader_view, gossip->fencing_token, gossip->leader,
+	fl_leader_view_merge(&node->leader_view, gossip->fencing_token, gossip->leader,
 	                     sent_at - gossip->leadership_age_s);
 }
 
@@ -92,12 +93,12 @@
 static double age_s(double at) { return fmin(AGE_MAX_S, fmax(0, fl_now() - at)); }
 
 /* Adds what this node has learned since `since` (steady), so that the reply can be relied on. */
-static void add_cancelled(const struct fl_node *node, double since, struct fl_gossip *gossip)
+static void add_cancellations(const struct fl_node *node, double since, struct fl_gossip *gossip)
 {
 	const struct fl_finished_job *list[FL_GOSSIP_CANCELLED_MAX];
 	int count;
 
-	if (!node->jobs_known ||
+	if (!node->live_jobs_loaded ||
 	    !fl_finished_jobs_cancelled_since(&node->cluster, since, FL_GOSSIP_CANCELLED_MAX, list,
 	                                      &count))
 		return;
@@ -113,7 +114,7 @@
 	}
 }
 
-static void describe_self(struct fl_node *node, struct fl_gossip *gossip)
+static void init_own_gossip(struct fl_node *node, struct fl_gossip *gossip)
 {
 	memset(gossip, 0, sizeof(*gossip));
 	fl_copy_string(gossip->node, sizeof(gossip->node), node->config->node);
@@ -142,18 +143,18 @@
 	 */
 	since = fl_now() - gossip.watermark_age_s - tunables.timeout_s - tunables.clock_slack_s;
 	fl_gossip_free(&gossip);
-	describe_self(node, &gossip);
-	add_cancelled(node, since, &gossip);
+	init_own_gossip(node, &gossip);
+	add_cancellations(node, since, &gossip);
 	response->status = 200;
 	response->body = fl_gossip_encode(&gossip);
 	fl_gossip_free(&gossip);
 }
 
-char *fl_gossip_request(struct fl_node *node)
+char *fl_gossip_request_encode(struct fl_node *node)
 {
 	struct fl_gossip gossip;
 
-	describe_self(node, &gossip);
+	init_own_gossip(node, &gossip);
 	return fl_gossip_encode(&gossip);
 }
 
@@ -173,18 +174,18 @@
 }
 
 /* One exchange with a peer; whether it completed, with whatever status. */
-static bool exchange(struct fl_peer *peer)
+static bool exchange_with_peer(struct fl_peer *peer)
 {
 	double sent_at = fl_now();
 	struct fl_http_reply reply;
-	char *text = fl_gossip_request(peer->node);
+	char *text = fl_gossip_request_encode(peer->node);
 	int rc =
 		fl_http_call(&peer->http, "POST", FL_PATH_GOSSIP, text, tunables.timeout_s, &reply);
 
 	free(text);
 	if (rc != 0)
 		return false;
-	peer->last_exchange_at = fl_now();
+	peer->last_response_at = fl_now();
 	if (reply.status == 200)
 		fl_gossip_handle_reply(peer->node, peer, reply.body.data, reply.body.length,
 		                       sent_at);
@@ -206,13 +207,14 @@
 	struct fl_peer *peer = arg;
 
 	while (fl_sleep(tunables.interval_s) == 0)
-		record_link_state(peer, exchange(peer));
+		record_link_state(peer, exchange_with_peer(peer));
 }
 
 void fl_gossip_start(struct fl_node *node)
 {
 	for (int i = 0; i < node->peer_count; i++) {
-		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = FL_LONG_AGO;
+		node->peers[i].last_response_at = node->peers[i].cancellations_complete_as_of =
+			FL_LONG_AGO;
 		fl_coroutine_spawn(gossip_coroutine, &node->peers[i]);
 	}
 }
--- a/src/coordination/follower/gossip.h
+++ b/src/coordination/follower/gossip.h
@@ -20,7 +20,7 @@
 /* Steady: when an exchange with any other controller last completed; long ago if none did. */
 double fl_gossip_last_exchange_at(const struct fl_node *node);
 /* The text of a request; the caller frees it. */
-char *fl_gossip_request(struct fl_node *node);
+char *fl_gossip_request_encode(struct fl_node *node);
 /* Answers another controller's request. */
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
                      struct fl_http_response *response);
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -14,12 +14,12 @@
 #include "transport/text.h"
 
 static const struct {
-	double record_use, write_share, keep_intervals, write_intervals;
+	double record_fill_share, kv_write_share, max_cached_intervals, max_written_intervals;
 } tunables = {
-	.record_use = 0.85,   /* share of a value's limit that a digest fills */
-	.write_share = 0.12,  /* share of the key-value store's writes for one node's digests */
-	.keep_intervals = 5,  /* intervals of digests for which a heartbeat is kept */
-	.write_intervals = 2, /* the same, for which it is worth to be written */
+	.record_fill_share = 0.85, /* share of a value's limit that a digest fills */
+	.kv_write_share = 0.12, /* share of the key-value store's writes for one node's digests */
+	.max_cached_intervals = 5,  /* intervals of digests for which a heartbeat is kept */
+	.max_written_intervals = 2, /* the same, for which it is worth to be written */
 };
 
 /*
@@ -32,7 +32,7 @@
 	char *text;
 
 	HASH_FIND_STR(node->follower.cached_heartbeats, heartbeat->host, cached);
-	if (cached && !fl_heartbeat_is_after(heartbeat, cached->incarnation, cached->sequence))
+	if (cached && !fl_heartbeat_is_newer_than(heartbeat, cached->incarnation, cached->sequence))
 		return;
 	text = fl_cached_heartbeat_encode(heartbeat);
 	if (!text)
@@ -46,18 +46,18 @@
 		fl_copy_string(cached->host, sizeof(cached->host), heartbeat->host);
 		HASH_ADD_STR(node->follower.cached_heartbeats, host, cached);
 	}
-	free(cached->text);
-	cached->text = text;
+	free(cached->digest_entry);
+	cached->digest_entry = text;
 	cached->incarnation = heartbeat->incarnation;
 	cached->sequence = heartbeat->sequence;
 	cached->cached_at = fl_now();
-	cached->stored = false;
+	cached->in_digest = false;
 }
 
-static void uncache(struct fl_follower *follower, struct fl_cached_heartbeat *cached)
+static void drop_cached_heartbeat(struct fl_follower *follower, struct fl_cached_heartbeat *cached)
 {
 	HASH_DEL(follower->cached_heartbeats, cached);
-	free(cached->text);
+	free(cached->digest_entry);
 	free(cached);
 }
 
@@ -81,7 +81,7 @@
  */
 static enum fl_kv_result write_digest(struct fl_node *node, int index, cJSON *digest)
 {
-	struct fl_digest_slot *slot = &node->follower.digests[index];
+	struct fl_digest_slot *slot = &node->follower.digest_slots[index];
 	char key[FL_KEY_MAX];
 	struct fl_kv_txn txn;
 	uint64_t revision;
@@ -110,24 +110,25 @@
  * What fits into one record, of what was cached since `since` (steady) and no digest holds yet, to
  * be deleted. NULL: nothing is left.
  */
-static cJSON *fill_digest(struct fl_node *node, double since)
+static cJSON *build_digest(struct fl_node *node, double since)
 {
-	size_t limit = (size_t)(node->config->value_kb * 1024 * tunables.record_use), used = 0;
+	size_t limit = (size_t)(node->config->value_kb * 1024 * tunables.record_fill_share),
+	       used = 0;
 	struct fl_cached_heartbeat *cached, *tmp;
 	cJSON *digest = NULL;
 
 	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp) {
-		size_t len = strlen(cached->text) + 1;
+		size_t len = strlen(cached->digest_entry) + 1;
 
-		if (cached->stored || cached->cached_at < since || len > limit)
+		if (cached->in_digest || cached->cached_at < since || len > limit)
 			continue;
 		if (used + len > limit)
 			break;
 		if (!digest)
 			digest = fl_digest_begin(node->leader_view.fencing_token);
-		fl_digest_add(digest, cached->text);
+		fl_digest_add(digest, cached->digest_entry);
 		used += len;
-		cached->stored = true;
+		cached->in_digest = true;
 		/* Last in turn from now on: if the budget is short, each machine gets its share. */
 		HASH_DEL(node->follower.cached_heartbeats, cached);
 		HASH_ADD_STR(node->follower.cached_heartbeats, host, cached);
@@ -145,9 +146,9 @@
 	for (int i = 0; i < FL_DIGESTS_MAX; i++) {
 		cJSON *digest;
 
-		if (fl_token_bucket_take(&node->follower.write_budget, 1, fl_now()) > 0)
+		if (fl_token_bucket_take(&node->follower.digest_write_budget, 1, fl_now()) > 0)
 			return;
-		digest = fill_digest(node, since);
+		digest = build_digest(node, since);
 		if (!digest || write_digest(node, i, digest) != FL_KV_OK)
 			return;
 	}
@@ -155,10 +156,10 @@
 
 void fl_heartbeat_digest_init(struct fl_node *node, double interval_s)
 {
-	double writes_per_s = node->config->state_write_rps * tunables.write_share;
+	double writes_per_s = node->config->state_write_rps * tunables.kv_write_share;
 
-	fl_token_bucket_init(&node->follower.write_budget, writes_per_s, writes_per_s * interval_s,
-	                     fl_now());
+	fl_token_bucket_init(&node->follower.digest_write_budget, writes_per_s,
+	                     writes_per_s * interval_s, fl_now());
 }
 
 void fl_heartbeat_digest_write(struct fl_node *node, double now, double interval_s)
@@ -166,10 +167,10 @@
 	struct fl_cached_heartbeat *cached, *tmp;
 
 	HASH_ITER (hh, node->follower.cached_heartbeats, cached, tmp)
-		if (cached->cached_at < now - tunables.keep_intervals * interval_s)
-			uncache(&node->follower, cached);
+		if (cached->cached_at < now - tunables.max_cached_intervals * interval_s)
+			drop_cached_heartbeat(&node->follower, cached);
 	if (!node->follower.cached_heartbeats || fl_leader_lease_is_valid(&node->leader_lease) ||
 	    !node->leader_view.leader[0] || fl_kv_is_unavailable(&node->kv_store))
 		return;
-	write_digests(node, now - tunables.write_intervals * interval_s);
+	write_digests(node, now - tunables.max_written_intervals * interval_s);
 }
--- a/src/coordination/follower/heartbeat_digest.h
+++ b/src/coordination/follower/heartbeat_digest.h
@@ -19,9 +19,9 @@
 	UT_hash_handle hh;
 	char host[FL_NAME_MAX];
 	uint64_t incarnation, sequence;
-	char *text;       /* owned; as it goes into a digest */
-	double cached_at; /* steady */
-	bool stored;      /* a digest holds it already */
+	char *digest_entry; /* owned; as it goes into a digest */
+	double cached_at;   /* steady */
+	bool in_digest;     /* a digest holds it already */
 };
 
 /* Maximum number of digest records of one node: 4,000 machines, forty to a value of 4 KiB. */
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -37,11 +37,11 @@
 	const struct heartbeat_request *request = context;
 
 	return fl_peer_heartbeats_encode(request->heartbeats, request->entry_node, flags->last_hop,
-	                                 flags->disconnected);
+	                                 flags->kv_store_unavailable);
 }
 
-static struct fl_forward_request forward_request(const struct heartbeat_request *request,
-                                                 enum fl_forward_hop hop)
+static struct fl_forward_request make_forward_request(const struct heartbeat_request *request,
+                                                      enum fl_forward_hop hop)
 {
 	return (struct fl_forward_request){.path = FL_PATH_HEARTBEATS,
 	                                   .encode = encode_request,
@@ -50,18 +50,18 @@
 	                                   .timeout_s = tunables.exchange_timeout_s};
 }
 
-static enum fl_decode_result decode_replies(void *into, const char *body, size_t len)
+static enum fl_decode_result decode_replies(void *context, const char *body, size_t len)
 {
-	struct heartbeat_batch *batch = into;
+	struct heartbeat_batch *batch = context;
 
 	return fl_heartbeat_replies_decode(body, len, batch->replies, batch->count);
 }
 
-static enum fl_forward_result exchange(struct fl_node *node, struct fl_batch *shared)
+static enum fl_forward_result exchange_batch(struct fl_node *node, struct fl_batch *base)
 {
-	struct heartbeat_batch *batch = (struct heartbeat_batch *)shared;
+	struct heartbeat_batch *batch = (struct heartbeat_batch *)base;
 	struct heartbeat_request heartbeats = {batch->heartbeats, node->config->node};
-	struct fl_forward_request request = forward_request(&heartbeats, FL_HOP_FIRST);
+	struct fl_forward_request request = make_forward_request(&heartbeats, FL_HOP_FIRST);
 
 	return fl_forward_and_decode(node, &request, decode_replies, batch);
 }
@@ -75,9 +75,9 @@
 }
 
 /* The batch that a heartbeat goes into: the one being filled, or a new one. NULL: no memory. */
-static struct heartbeat_batch *batch_for(struct fl_batch_queue *queue, size_t len)
+static struct heartbeat_batch *find_or_begin_batch(struct fl_batch_queue *queue, size_t len)
 {
-	struct heartbeat_batch *batch = (struct heartbeat_batch *)queue->filling;
+	struct heartbeat_batch *batch = (struct heartbeat_batch *)queue->open_batch;
 
 	if (batch && (batch->count == FL_PEER_HEARTBEATS_MAX ||
 	              batch->bytes + len > FL_PEER_HEARTBEATS_BYTES)) {
@@ -94,8 +94,8 @@
 	return batch;
 }
 
-static enum fl_forward_result take_reply(struct fl_heartbeat_reply *reply,
-                                         struct fl_http_response *response)
+static enum fl_forward_result respond_with_reply(struct fl_heartbeat_reply *reply,
+                                                 struct fl_http_response *response)
 {
 	if (reply->status != 200)
 		return FL_FORWARD_REJECTED;
@@ -109,15 +109,15 @@
                                             struct fl_http_response *response)
 {
 	const struct fl_batch_policy policy = {tunables.max_in_flight, tunables.send_timeout_s,
-	                                       tunables.exchange_timeout_s, exchange};
-	struct fl_batch_queue *queue = &node->follower.heartbeat_forwards;
+	                                       tunables.exchange_timeout_s, exchange_batch};
+	struct fl_batch_queue *queue = &node->follower.heartbeat_batches;
 	enum fl_forward_result result;
 	struct heartbeat_batch *batch;
 	int index;
 
 	if (len > FL_PEER_HEARTBEATS_BYTES)
 		return FL_FORWARD_TOO_LARGE;
-	batch = batch_for(queue, len);
+	batch = find_or_begin_batch(queue, len);
 	if (!batch)
 		return FL_FORWARD_OUT_OF_MEMORY;
 	index = batch->count++;
@@ -125,7 +125,7 @@
 	fl_heartbeat_list_add(batch->heartbeats, body);
 	result = fl_batch_await(node, queue, &batch->batch, &policy);
 	if (result == FL_FORWARD_ANSWERED)
-		result = take_reply(&batch->replies[index], response);
+		result = respond_with_reply(&batch->replies[index], response);
 	if (fl_batch_release(&batch->batch))
 		free_batch(batch);
 	return result;
@@ -133,8 +133,8 @@
 
 /* ---- for another controller ---- */
 
-static struct fl_heartbeat_reply answer_one(struct fl_node *node, const char *entry_node,
-                                            const cJSON *item)
+static struct fl_heartbeat_reply answer_heartbeat(struct fl_node *node, const char *entry_node,
+                                                  const cJSON *item)
 {
 	struct fl_http_response response = {.status = 500};
 	struct fl_heartbeat heartbeat;
@@ -151,15 +151,15 @@
 }
 
 /* It does not wait: all of them are answered under the lease that was checked. */
-static void answer_all(struct fl_node *node, const struct fl_peer_heartbeats *message,
-                       struct fl_http_response *response)
+static void answer_heartbeats(struct fl_node *node, const struct fl_peer_heartbeats *message,
+                              struct fl_http_response *response)
 {
 	struct fl_heartbeat_reply replies[FL_PEER_HEARTBEATS_MAX] = {0};
 	int count = 0;
 	const cJSON *item;
 
 	cJSON_ArrayForEach (item, message->list)
-		replies[count++] = answer_one(node, message->entry_node, item);
+		replies[count++] = answer_heartbeat(node, message->entry_node, item);
 	response->status = 200;
 	response->body = fl_heartbeat_replies_encode(replies, count);
 	for (int i = 0; i < count; i++)
@@ -167,7 +167,7 @@
 }
 
 /* The sender has lost the key-value store too: its heartbeats go with our digest. */
-static void cache_all(struct fl_node *node, const struct fl_peer_heartbeats *message)
+static void cache_heartbeats(struct fl_node *node, const struct fl_peer_heartbeats *message)
 {
 	const cJSON *item;
 
@@ -181,13 +181,13 @@
 	}
 }
 
-static void forward_again(struct fl_node *node, const struct fl_peer_heartbeats *message,
-                          struct fl_http_response *response)
+static void forward_last_hop(struct fl_node *node, const struct fl_peer_heartbeats *message,
+                             struct fl_http_response *response)
 {
 	struct heartbeat_request heartbeats = {(cJSON *)message->list, message->entry_node};
-	struct fl_forward_request request = forward_request(&heartbeats, FL_HOP_LAST);
+	struct fl_forward_request request = make_forward_request(&heartbeats, FL_HOP_LAST);
 	struct fl_http_reply reply;
-	enum fl_forward_result result = fl_forward(node, &request, &reply);
+	enum fl_forward_result result = fl_forward_to_leader(node, &request, &reply);
 
 	if (result == FL_FORWARD_ANSWERED && reply.status == 200) {
 		response->status = 200;
@@ -197,7 +197,7 @@
 	if (result == FL_FORWARD_ANSWERED)
 		fl_buffer_free(&reply.body);
 	if (message->disconnected)
-		cache_all(node, message);
+		cache_heartbeats(node, message);
 	fl_respond_error(response, 421, "not the leader");
 }
 
@@ -212,10 +212,10 @@
 		return;
 	}
 	if (fl_is_leader(node))
-		answer_all(node, &message, response);
-	else if (fl_forward_ends_here(node, message.last_hop))
+		answer_heartbeats(node, &message, response);
+	else if (fl_forward_is_forbidden(node, message.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
-		forward_again(node, &message, response);
+		forward_last_hop(node, &message, response);
 	fl_peer_heartbeats_free(&message);
 }
--- a/src/coordination/follower/isolation.c
+++ b/src/coordination/follower/isolation.c
@@ -7,9 +7,9 @@
 #include "transport/clock.h"
 
 static const struct {
-	double silence_s;
+	double isolation_delay_s;
 } tunables = {
-	.silence_s = 1.5, /* s without any reply before a node counts as isolated */
+	.isolation_delay_s = 1.5, /* s without any reply before a node counts as isolated */
 };
 
 bool fl_node_is_isolated(const struct fl_node *node)
@@ -22,5 +22,5 @@
 		if (node->peers[i].up)
 			return false;
 	last_reply_at = fmax(fl_gossip_last_exchange_at(node), node->kv_store.last_success_at);
-	return fl_now() > last_reply_at + tunables.silence_s;
+	return fl_now() > last_reply_at + tunables.isolation_delay_s;
 }
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -20,24 +20,25 @@
  * How old the token is does not matter: a lease renewed with an old one decides nothing, and a
  * worker that has seen a newer one drops the reply.
  */
-static bool has_fencing_token(const struct fl_node *node, uint64_t fencing_token)
+static bool has_current_fencing_token(const struct fl_node *node, uint64_t fencing_token)
 {
 	return node->leader_view.fencing_token > 0 &&
 	       node->leader_view.fencing_token >= fencing_token;
 }
 
-static bool knows_enough(const struct fl_node *node, uint64_t fencing_token)
+static bool can_renew(const struct fl_node *node, uint64_t fencing_token)
 {
-	return has_fencing_token(node, fencing_token) && fl_renewal_watermark_is_fresh(node);
+	return has_current_fencing_token(node, fencing_token) &&
+	       fl_renewal_watermark_is_fresh(node);
 }
 
 /* Reads who leads; one read serves all that wait for it. */
-static void refresh_fencing_token(struct fl_node *node, double until)
+static void refresh_fencing_token(struct fl_node *node, double deadline)
 {
-	struct fl_token_refresh *refresh = &node->follower.token_refresh;
+	struct fl_fencing_token_refresh *refresh = &node->follower.fencing_token_refresh;
 
 	if (refresh->in_flight) {
-		fl_condition_wait(&refresh->completed, until - fl_now());
+		fl_condition_wait(&refresh->completed, deadline - fl_now());
 	} else if (fl_now() > refresh->refreshed_at + tunables.refresh_interval_s) {
 		refresh->in_flight = true;
 		fl_leader_view_refresh(node);
@@ -54,17 +55,18 @@
  * controllers: whoever had waited for the token was rejected because the jobs were not listed yet,
  * some 50 workers each time.
  */
-static bool may_renew(struct fl_node *node, uint64_t fencing_token)
+static bool wait_until_can_renew(struct fl_node *node, uint64_t fencing_token)
 {
-	double until = fl_now() + tunables.wait_timeout_s;
+	double deadline = fl_now() + tunables.wait_timeout_s;
 
-	if (knows_enough(node, fencing_token))
+	if (can_renew(node, fencing_token))
 		return true;
-	if (!has_fencing_token(node, fencing_token))
-		refresh_fencing_token(node, until);
-	if (has_fencing_token(node, fencing_token) && !node->jobs_known && fl_now() < until)
-		fl_condition_wait(&node->jobs_listed, until - fl_now());
-	return knows_enough(node, fencing_token);
+	if (!has_current_fencing_token(node, fencing_token))
+		refresh_fencing_token(node, deadline);
+	if (has_current_fencing_token(node, fencing_token) && !node->live_jobs_loaded &&
+	    fl_now() < deadline)
+		fl_condition_wait(&node->jobs_listed, deadline - fl_now());
+	return can_renew(node, fencing_token);
 }
 
 void fl_lease_renewal_respond(struct fl_node *node, const struct fl_heartbeat *heartbeat,
@@ -72,7 +74,7 @@
 {
 	struct fl_command_list commands;
 
-	if (!may_renew(node, heartbeat->fencing_token)) {
+	if (!wait_until_can_renew(node, heartbeat->fencing_token)) {
 		fl_debug("follower",
 		         "renewal rejected: %s fencing_token=%llu known=%llu watermark_age_s=%.1f",
 		         heartbeat->host, (unsigned long long)heartbeat->fencing_token,
@@ -82,17 +84,17 @@
 		return;
 	}
 	/* Only now: a node that has just started knew of no cancellation before it waited. */
-	if (fl_renewal_holds_overdue_task(node, heartbeat)) {
+	if (fl_renewal_heartbeat_has_overdue_task(node, heartbeat)) {
 		fl_debug("follower", "renewal rejected: %s holds a task of a cancelled job",
 		         heartbeat->host);
 		fl_respond_error(response, 503, "task of a cancelled job overdue");
 		return;
 	}
 	fl_command_list_init(&commands, node->leader_view.fencing_token);
-	fl_renewal_stop_cancelled(&node->cluster, heartbeat, &commands);
+	fl_renewal_add_stop_commands(&node->cluster, heartbeat, &commands);
 	response->status = 200;
 	response->body = fl_command_list_take(&commands);
 	fl_heartbeat_cache(node, heartbeat);
 	if (node->leadership.active)
-		fl_reconcile_renewal(node, heartbeat);
+		fl_reconcile_record_renewal(node, heartbeat);
 }
--- a/src/coordination/follower/lease_renewal.h
+++ b/src/coordination/follower/lease_renewal.h
@@ -13,7 +13,7 @@
 struct fl_node;
 
 /* A read of the leader view that all heartbeats waiting for it share. Zero-initialised is ready. */
-struct fl_token_refresh {
+struct fl_fencing_token_refresh {
 	double refreshed_at; /* steady */
 	bool in_flight;
 	struct fl_condition completed;
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -10,18 +10,20 @@
 #include "transport/text.h"
 
 static const struct {
-	double min_up_s, interval_leases, settle_heartbeats, probe_timeout_s, same_cause_s;
+	double min_peer_up_s, redirect_interval_leases, min_served_heartbeats,
+		readiness_probe_timeout_s, same_cause_window_s;
 } tunables = {
-	.min_up_s = 1.0,          /* s that the node of a worker's own zone must have been up */
-	.interval_leases = 1.5,   /* leases between two redirects of one worker */
-	.settle_heartbeats = 1.0, /* heartbeat intervals that it is served here before */
-	.probe_timeout_s = 2.5,   /* s; the load balancer asks about once a second */
-	.same_cause_s = 4.0,      /* s within which links that fail together fail for one reason */
+	.min_peer_up_s = 1.0, /* s that the node of a worker's own zone must have been up */
+	.redirect_interval_leases = 1.5,  /* leases between two redirects of one worker */
+	.min_served_heartbeats = 1.0,     /* heartbeat intervals that it is served here before */
+	.readiness_probe_timeout_s = 2.5, /* s; the load balancer asks about once a second */
+	.same_cause_window_s =
+		4.0, /* s within which links that fail together fail for one reason */
 };
 
 /* The misplaced worker of this name, added if it is not known yet; NULL without memory. */
-static struct fl_misplaced_worker *misplaced_worker(struct fl_follower *follower, const char *host,
-                                                    double now)
+static struct fl_misplaced_worker *find_or_add_misplaced_worker(struct fl_follower *follower,
+                                                                const char *host, double now)
 {
 	struct fl_misplaced_worker *worker;
 
@@ -40,7 +42,7 @@
 /* Seconds between two redirects of one worker. */
 static double redirect_interval_s(const struct fl_node *node)
 {
-	return tunables.interval_leases * node->config->lease_s;
+	return tunables.redirect_interval_leases * node->config->lease_s;
 }
 
 /*
@@ -49,14 +51,15 @@
  * may have looked for a living node until its lease is nearly over, and half a second more on its
  * way would be its tasks' end.
  */
-static bool begin_redirect(struct fl_node *node, const char *host)
+static bool try_begin_redirect(struct fl_node *node, const char *host)
 {
 	double now = fl_now();
-	struct fl_misplaced_worker *worker = misplaced_worker(&node->follower, host, now);
+	struct fl_misplaced_worker *worker =
+		find_or_add_misplaced_worker(&node->follower, host, now);
 
 	if (!worker)
 		return false;
-	if (now < worker->first_seen_at + tunables.settle_heartbeats * node->config->report_s)
+	if (now < worker->first_seen_at + tunables.min_served_heartbeats * node->config->report_s)
 		return false;
 	if (worker->redirected_at > 0 && now < worker->redirected_at + redirect_interval_s(node))
 		return false;
@@ -69,7 +72,7 @@
  * zones when they are partitioned tries node after node for 5 s each, and its lease ends before it
  * comes to its own.
  */
-static const struct fl_peer *redirect_to_own_zone(struct fl_node *node,
+static const struct fl_peer *find_own_zone_target(struct fl_node *node,
                                                   const struct fl_heartbeat *heartbeat)
 {
 	double now = fl_now();
@@ -80,8 +83,8 @@
 		const struct fl_peer *peer = &node->peers[i];
 
 		if (strcmp(peer->location, heartbeat->zone) == 0 && peer->up &&
-		    now > peer->up_since + tunables.min_up_s)
-			return begin_redirect(node, heartbeat->host) ? peer : NULL;
+		    now > peer->up_since + tunables.min_peer_up_s)
+			return try_begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
 }
@@ -94,10 +97,10 @@
 {
 	double last_success_at = node->kv_store.last_success_at;
 
-	if (fl_now() > node->api.last_readiness_probe_at + tunables.probe_timeout_s)
+	if (fl_now() > node->api.last_readiness_probe_at + tunables.readiness_probe_timeout_s)
 		return false;
-	return last_exchange_at >= last_success_at - tunables.same_cause_s &&
-	       last_exchange_at <= last_success_at + tunables.same_cause_s;
+	return last_exchange_at >= last_success_at - tunables.same_cause_window_s &&
+	       last_exchange_at <= last_success_at + tunables.same_cause_window_s;
 }
 
 /*
@@ -108,8 +111,8 @@
  * either; so does the last node alive in an outage. Each worker is redirected once in more than a
  * lease, to the nodes in turn.
  */
-static const struct fl_peer *redirect_from_isolated(struct fl_node *node,
-                                                    const struct fl_heartbeat *heartbeat)
+static const struct fl_peer *find_target_if_isolated(struct fl_node *node,
+                                                     const struct fl_heartbeat *heartbeat)
 {
 	double last_exchange_at = fl_gossip_last_exchange_at(node);
 
@@ -117,29 +120,29 @@
 		return NULL;
 	for (int i = 0; i < node->peer_count; i++) {
 		const struct fl_peer *peer =
-			&node->peers[node->follower.redirect_cursor++ % node->peer_count];
+			&node->peers[node->follower.redirect_round_robin++ % node->peer_count];
 
 		/* Not to one that was lost earlier. */
-		if (peer->last_exchange_at > last_exchange_at - tunables.same_cause_s)
-			return begin_redirect(node, heartbeat->host) ? peer : NULL;
+		if (peer->last_response_at > last_exchange_at - tunables.same_cause_window_s)
+			return try_begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
 }
 
 const struct fl_peer *fl_redirect_target(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
-	const struct fl_peer *target = redirect_to_own_zone(node, heartbeat);
+	const struct fl_peer *target = find_own_zone_target(node, heartbeat);
 
-	return target ? target : redirect_from_isolated(node, heartbeat);
+	return target ? target : find_target_if_isolated(node, heartbeat);
 }
 
-void fl_redirect_forget(struct fl_node *node, double now)
+void fl_redirect_expire_workers(struct fl_node *node, double now)
 {
-	double before = now - redirect_interval_s(node);
+	double cutoff = now - redirect_interval_s(node);
 	struct fl_misplaced_worker *worker, *tmp;
 
 	HASH_ITER (hh, node->follower.misplaced_workers, worker, tmp) {
-		if (worker->first_seen_at >= before || worker->redirected_at >= before)
+		if (worker->first_seen_at >= cutoff || worker->redirected_at >= cutoff)
 			continue;
 		HASH_DEL(node->follower.misplaced_workers, worker);
 		free(worker);
--- a/src/coordination/follower/redirect.h
+++ b/src/coordination/follower/redirect.h
@@ -25,6 +25,6 @@
 const struct fl_peer *fl_redirect_target(struct fl_node *node,
                                          const struct fl_heartbeat *heartbeat);
 /* Drops workers that neither came nor were redirected for long. `now`: steady. */
-void fl_redirect_forget(struct fl_node *node, double now);
+void fl_redirect_expire_workers(struct fl_node *node, double now);
 
 #endif
--- a/src/coordination/follower/request_batch.c
+++ b/src/coordination/follower/request_batch.c
@@ -6,21 +6,21 @@
 
 void fl_batch_begin(struct fl_batch_queue *queue, struct fl_batch *batch)
 {
-	queue->filling = batch;
+	queue->open_batch = batch;
 }
 
-void fl_batch_close(struct fl_batch_queue *queue) { queue->filling = NULL; }
+void fl_batch_close(struct fl_batch_queue *queue) { queue->open_batch = NULL; }
 
 /* Sends the batch when a request may be sent; what comes later goes into the next one. */
 static void send_batch(struct fl_node *node, struct fl_batch_queue *queue, struct fl_batch *batch,
                        const struct fl_batch_policy *policy)
 {
-	double until = fl_now() + policy->send_timeout_s;
+	double deadline = fl_now() + policy->send_timeout_s;
 
-	while (queue->in_flight >= policy->max_in_flight && fl_now() < until)
-		if (fl_condition_wait(&queue->request_returned, until - fl_now()) == -ECANCELED)
+	while (queue->in_flight >= policy->max_in_flight && fl_now() < deadline)
+		if (fl_condition_wait(&queue->request_returned, deadline - fl_now()) == -ECANCELED)
 			break;
-	if (queue->filling == batch)
+	if (queue->open_batch == batch)
 		fl_batch_close(queue);
 	batch->result = FL_FORWARD_OVERLOADED;
 	if (queue->in_flight < policy->max_in_flight) {
@@ -35,10 +35,10 @@
 
 static enum fl_forward_result await_completion(struct fl_batch *batch, double timeout_s)
 {
-	double until = fl_now() + timeout_s;
+	double deadline = fl_now() + timeout_s;
 
-	while (!batch->done && fl_now() < until)
-		if (fl_condition_wait(&batch->completed, until - fl_now()) == -ECANCELED)
+	while (!batch->done && fl_now() < deadline)
+		if (fl_condition_wait(&batch->completed, deadline - fl_now()) == -ECANCELED)
 			return FL_FORWARD_CANCELLED;
 	return batch->done ? batch->result : FL_FORWARD_TIMED_OUT;
 }
--- a/src/coordination/follower/request_batch.h
+++ b/src/coordination/follower/request_batch.h
@@ -25,7 +25,8 @@
 
 /* The batches of one kind that are on their way from one node. Zero-initialised is empty. */
 struct fl_batch_queue {
-	struct fl_batch *filling; /* collects parts until a request may be sent; NULL: none does */
+	struct fl_batch
+		*open_batch; /* collects parts until a request may be sent; NULL: none does */
 	int in_flight;
 	struct fl_condition request_returned; /* a request has returned, with or without a reply */
 };
--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -34,7 +34,7 @@
 		return;
 	if (job->cancelled && !was_cancelled) {
 		fl_info("jobs", "job cancelled: %s source=record", ref);
-		fl_command_stop_job(node, job);
+		fl_command_stop_cancelled_job(node, job);
 	}
 	node->leadership.cycle_due = true;
 	fl_condition_broadcast(&node->leadership.work_available);
@@ -45,12 +45,12 @@
 {
 	enum fl_kv_result result;
 
-	/* A leader has its own list, of the failover: see fl_failover_load. */
-	if (!node->cluster.leading)
-		fl_cluster_list_begin(&node->cluster);
+	/* A leader has its own list, of the failover: see fl_failover_load_cluster. */
+	if (!node->cluster.has_leader_state)
+		fl_cluster_begin_job_list(&node->cluster);
 	result = fl_kv_list(&node->kv_store, FL_PREFIX_JOBS, on_job_event, node, revision);
-	if (result == FL_KV_OK && !node->cluster.leading)
-		fl_cluster_list_end(&node->cluster, *revision);
+	if (result == FL_KV_OK && !node->cluster.has_leader_state)
+		fl_cluster_end_job_list(&node->cluster, *revision);
 	return result;
 }
 
@@ -58,9 +58,9 @@
 static void on_jobs_read(struct fl_node *node, double sent_at)
 {
 	node->cancellation_watermark = fmax(node->cancellation_watermark, sent_at);
-	if (node->jobs_known)
+	if (node->live_jobs_loaded)
 		return;
-	node->jobs_known = true;
+	node->live_jobs_loaded = true;
 	fl_condition_broadcast(&node->jobs_listed);
 	fl_info("node", "%s ready", node->config->node);
 }
@@ -76,7 +76,7 @@
 	};
 	uint64_t revision = 0; /* 0: to be listed */
 
-	while (!node->machine_types_known)
+	while (!node->machine_types_loaded)
 		if (fl_sleep(tunables.types_check_interval_s) != 0)
 			return;
 	while (!fl_coroutine_cancelled()) {
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -23,7 +23,7 @@
 	int progress_record_count, orphan_record_count, unreadable_record_count;
 };
 
-static void reject_record(struct failover *failover, const char *key)
+static void report_unreadable_record(struct failover *failover, const char *key)
 {
 	fl_error("failover", "unreadable record: %s", key);
 	failover->unreadable_record_count++;
@@ -44,11 +44,11 @@
 		return NULL;
 	}
 	job->record.mod_revision = event->mod_revision;
-	job->record.listed = true;
+	job->record.seen_in_list = true;
 	return job;
 }
 
-static void load_job(void *context, const struct fl_kv_event *event)
+static void load_job_record(void *context, const struct fl_kv_event *event)
 {
 	struct failover *failover = context;
 	const char *ref = event->key + strlen(FL_PREFIX_JOBS);
@@ -57,7 +57,7 @@
 
 	if (strlen(ref) >= FL_REF_MAX || !event->value ||
 	    fl_job_record_decode(event->value, ref, &record) != FL_DECODE_OK) {
-		reject_record(failover, event->key);
+		report_unreadable_record(failover, event->key);
 		return;
 	}
 	if (record.has_spec) {
@@ -99,7 +99,7 @@
 	}
 	if (fl_task_block_restore(failover->cluster, job, block_index, &source,
 	                          failover->started_at) != FL_DECODE_OK)
-		reject_record(failover, event->key);
+		report_unreadable_record(failover, event->key);
 	failover->progress_record_count++;
 }
 
@@ -107,9 +107,9 @@
 {
 	struct failover *failover = context;
 
-	if (fl_wal_read(&failover->wal, event->value) != FL_DECODE_OK)
-		reject_record(failover, event->key);
-	if (strcmp(event->key, FL_KEY_WAL) == 0)
+	if (fl_wal_read_value(&failover->wal, event->value) != FL_DECODE_OK)
+		report_unreadable_record(failover, event->key);
+	if (strcmp(event->key, FL_KEY_WAL_FIRST_VALUE) == 0)
 		failover->writer->wal_mod_revision = event->mod_revision;
 }
 
@@ -141,11 +141,11 @@
 	double sent_at = fl_now();
 	uint64_t revision;
 
-	fl_cluster_list_begin(&node->cluster);
-	if (fl_kv_list(store, FL_PREFIX_JOBS, load_job, failover, &revision) != FL_KV_OK)
+	fl_cluster_begin_job_list(&node->cluster);
+	if (fl_kv_list(store, FL_PREFIX_JOBS, load_job_record, failover, &revision) != FL_KV_OK)
 		return FL_FAILOVER_STORE_FAILED;
-	fl_cluster_list_end(&node->cluster, revision);
-	node->cluster.list_revision = revision;
+	fl_cluster_end_job_list(&node->cluster, revision);
+	node->cluster.job_list_revision = revision;
 	node->cancellation_watermark = fmax(node->cancellation_watermark, sent_at);
 	if (fl_kv_list(store, FL_PREFIX_WAL, load_wal_value, failover, &revision) != FL_KV_OK)
 		return FL_FAILOVER_STORE_FAILED;
@@ -169,18 +169,18 @@
 	struct fl_job *job, *next;
 
 	HASH_ITER (hh, cluster->jobs, job, next)
-		if (fl_job_is_over(job))
+		if (fl_job_is_finished(job))
 			fl_job_mark_dirty(cluster, job);
 }
 
-enum fl_failover_result fl_failover_load(struct fl_node *node)
+enum fl_failover_result fl_failover_load_cluster(struct fl_node *node)
 {
 	struct failover failover = {
 		.cluster = &node->cluster, .writer = &node->record_writer, .started_at = fl_now()};
 	enum fl_failover_result result;
 
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = true;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = true;
 	result = load_records(node, &failover);
 	node->record_writer.wal_revision_known = result == FL_FAILOVER_LOADED;
 	fl_wal_free(&failover.wal);
--- a/src/coordination/leadership/failover.h
+++ b/src/coordination/leadership/failover.h
@@ -23,6 +23,6 @@
  * Loads jobs, the write-ahead log and progress records into the cluster state, of which nothing of
  * an earlier leadership is kept. It waits for the key-value store.
  */
-enum fl_failover_result fl_failover_load(struct fl_node *node);
+enum fl_failover_result fl_failover_load_cluster(struct fl_node *node);
 
 #endif
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -22,16 +22,16 @@
 
 static void run_leader_coroutine(void *arg)
 {
-	struct fl_leader_coroutine *self = arg;
-	struct fl_node *node = self->node;
+	struct fl_leader_coroutine *leader_coroutine = arg;
+	struct fl_node *node = leader_coroutine->node;
 
-	self->run(node);
+	leader_coroutine->run(node);
 	node->leadership.coroutines_running--;
 	fl_condition_broadcast(&node->leadership.coroutine_ended);
 }
 
 /* Starts a coroutine that ends with the leadership. */
-static void start_coroutine(struct fl_node *node, void (*run)(struct fl_node *))
+static void start_leader_coroutine(struct fl_node *node, void (*run)(struct fl_node *))
 {
 	struct fl_leadership *leadership = &node->leadership;
 	struct fl_leader_coroutine *slot = &leadership->coroutines[leadership->coroutine_count];
@@ -47,22 +47,22 @@
 }
 
 /* The cluster state is loaded: from now on this node decides and responds. */
-static void activate(struct fl_node *node)
+static void activate_leadership(struct fl_node *node)
 {
 	struct fl_leadership *leadership = &node->leadership;
 
 	leadership->first_fencing_token = node->leader_lease.fencing_token;
-	leadership->heartbeats_since = fl_now();
+	leadership->heartbeats_receivable_since = fl_now();
 	leadership->active = true;
 	leadership->cycle_due = true;
-	fl_record_writer_begin(&node->record_writer, node->config->state_write_rps);
+	fl_record_writer_init_budget(&node->record_writer, node->config->state_write_rps);
 	fl_autoscaler_reset(node);
-	start_coroutine(node, fl_scheduling_cycle_run);
-	start_coroutine(node, fl_record_writer_run);
-	start_coroutine(node, fl_digest_reader_run);
-	start_coroutine(node, fl_command_enforcement_run);
-	start_coroutine(node, fl_autoscaler_run);
-	start_coroutine(node, fl_finished_jobs_loader_run);
+	start_leader_coroutine(node, fl_scheduling_cycle_run);
+	start_leader_coroutine(node, fl_record_writer_run);
+	start_leader_coroutine(node, fl_digest_reader_run);
+	start_leader_coroutine(node, fl_cancellation_enforcement_run);
+	start_leader_coroutine(node, fl_autoscaler_run);
+	start_leader_coroutine(node, fl_finished_jobs_loader_run);
 }
 
 /* Loads the cluster state and starts the other coroutines. */
@@ -70,16 +70,16 @@
 {
 	struct fl_node *node = arg;
 	uint64_t lease_id = node->leader_lease.lease_id;
-	enum fl_failover_result result = fl_failover_load(node);
+	enum fl_failover_result result = fl_failover_load_cluster(node);
 
 	node->leadership.loading = false;
 	if (result == FL_FAILOVER_LOADED && fl_leader_lease_is_valid(&node->leader_lease) &&
 	    node->leader_lease.lease_id == lease_id) {
-		activate(node);
+		activate_leadership(node);
 		return;
 	}
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = false;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = false;
 }
 
 void fl_leadership_begin(struct fl_node *node)
@@ -103,7 +103,7 @@
 	       fl_condition_wait(&leadership->coroutine_ended, tunables.end_check_interval_s) !=
 	               -ECANCELED)
 		;
-	fl_cluster_forget_tasks(&node->cluster);
-	node->cluster.leading = false;
+	fl_cluster_free_leader_state(&node->cluster);
+	node->cluster.has_leader_state = false;
 	fl_info("leadership", "%s ended leadership", node->config->node);
 }
--- a/src/coordination/leadership/leadership.h
+++ b/src/coordination/leadership/leadership.h
@@ -26,15 +26,17 @@
 struct fl_leadership {
 	bool loading; /* the cluster state is being loaded, by a coroutine of its own */
 	bool active;  /* the cluster state is loaded, the coroutines run */
-	uint64_t first_fencing_token; /* at the failover; later ones are higher */
-	double heartbeats_since;      /* steady; since when heartbeats could arrive uninterrupted */
+	uint64_t first_fencing_token;       /* at the failover; later ones are higher */
+	double heartbeats_receivable_since; /* steady; since when heartbeats could arrive
+	                                       uninterrupted */
 	struct fl_leader_coroutine coroutines[FL_LEADER_COROUTINES_MAX];
 	int coroutine_count;
 	int coroutines_running; /* these, and the ones that send commands (workers/command) */
 	struct fl_condition coroutine_ended;
 	struct fl_condition work_available; /* a scheduling cycle may have something to decide */
 	bool cycle_due;                     /* a scheduling cycle is wanted */
-	int resume_position; /* place in the queue order where the last cycle ran out of time */
+	int queue_resume_position; /* place in the queue order where the last cycle ran out of time
+	                            */
 	uint64_t cycle_count;
 	int commands_in_flight;  /* direct commands in progress */
 	int retained_exit_count; /* exited tasks, to be forgotten only after a higher token */
--- a/src/coordination/machine_types.c
+++ b/src/coordination/machine_types.c
@@ -54,10 +54,10 @@
 			return;
 	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, count);
 	free(types);
-	node->machine_types_known = true;
+	node->machine_types_loaded = true;
 }
 
-void fl_machine_types_start(struct fl_node *node)
+void fl_machine_types_loader_start(struct fl_node *node)
 {
 	fl_coroutine_spawn(machine_types_coroutine, node);
 }
--- a/src/coordination/machine_types.h
+++ b/src/coordination/machine_types.h
@@ -8,6 +8,6 @@
 struct fl_node;
 
 /* Starts the coroutine, which ends once they are known. */
-void fl_machine_types_start(struct fl_node *node);
+void fl_machine_types_loader_start(struct fl_node *node);
 
 #endif
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -16,13 +16,13 @@
 #include "transport/text.h"
 
 static const struct {
-	int peer_idle_connections, cloud_idle_connections, own_connections;
+	int peer_idle_connections, cloud_idle_connections, outbound_connections;
 	double finished_memory_share, public_connection_share;
 	double idle_timeout_intervals, idle_timeout_min_s;
 } tunables = {
 	.peer_idle_connections = 6,  /* connections kept open to each peer */
 	.cloud_idle_connections = 2, /* connections kept open to the cloud */
-	.own_connections = 48, /* connections to key-value store, cloud and machines at once */
+	.outbound_connections = 48, /* connections to key-value store, cloud and machines at once */
 	.finished_memory_share = 0.1,   /* share of the memory for final states kept in memory */
 	.public_connection_share = 0.6, /* minimum share of all connections for users and workers */
 	.idle_timeout_intervals = 4.0, /* heartbeat intervals until a silent connection is closed */
@@ -30,7 +30,7 @@
 };
 
 /* Gives the zones and job classes that the settings name their indices, in this order. */
-static bool intern_names(struct fl_node *node)
+static bool intern_zones_and_classes(struct fl_node *node)
 {
 	const struct fl_config *config = node->config;
 	struct fl_cluster *cluster = &node->cluster;
@@ -81,13 +81,13 @@
 	enum fl_node_start_result result;
 
 	node->config = config;
-	node->cluster.finished_dropped_at = FL_LONG_AGO;
+	node->cluster.finished_dropped_up_to = FL_LONG_AGO;
 	node->cancellation_watermark = FL_LONG_AGO;
 	node->cluster.finished_max =
 		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_memory_share /
 	                   sizeof(struct fl_finished_job));
 	snprintf(node->process_id, sizeof(node->process_id), "%s-%.6f", config->node, fl_wall());
-	if (!intern_names(node))
+	if (!intern_zones_and_classes(node))
 		return FL_NODE_OUT_OF_MEMORY;
 	init_teams(&node->cluster.teams, config);
 	result = init_peers(node);
@@ -105,7 +105,7 @@
 static enum fl_node_start_result start_servers(struct fl_node *node)
 {
 	const struct fl_config *config = node->config;
-	int public_connections = fl_node_public_connections(config);
+	int public_connections = fl_node_public_connections_max(config);
 	double idle_timeout_s = fmax(tunables.idle_timeout_min_s,
 	                             tunables.idle_timeout_intervals * config->report_s);
 
@@ -121,12 +121,12 @@
  * Found with 2,000 workers on one controller: the fifth of all sockets that was reserved for the
  * peers was missing for users. What peers need does not grow with the number of machines.
  */
-int fl_node_public_connections(const struct fl_config *config)
+int fl_node_public_connections_max(const struct fl_config *config)
 {
 	/* From each peer its maximum, and to one of them, the leader, the same from here. */
 	int peer_connections =
 		(config->peer_count + 1) * FL_PEER_CONNECTIONS_MAX + config->peer_count;
-	int remaining = config->max_connections - peer_connections - tunables.own_connections;
+	int remaining = config->max_connections - peer_connections - tunables.outbound_connections;
 	int min_connections = (int)(config->max_connections * tunables.public_connection_share);
 
 	return remaining > min_connections ? remaining : min_connections;
@@ -136,13 +136,14 @@
 {
 	char text[256];
 
-	for (int i = 0; fl_admission_tight_setting(config, i, text, sizeof(text)); i++)
+	for (int i = 0; fl_admission_describe_tight_setting(config, i, text, sizeof(text)); i++)
 		fl_error("node", "%s", text);
 }
 
 static void raise_open_file_limit(const struct fl_config *config)
 {
-	int limit = fl_raise_open_file_limit(config->max_connections + tunables.own_connections);
+	int limit =
+		fl_raise_open_file_limit(config->max_connections + tunables.outbound_connections);
 
 	if (limit < config->max_connections)
 		fl_error("node",
@@ -161,7 +162,7 @@
 	enum fl_node_start_result result;
 
 	log_tight_settings(config);
-	fl_http_set_body_memory_limit(fl_admission_body_bytes(config));
+	fl_http_set_body_memory_limit(fl_admission_max_body_bytes(config));
 	raise_open_file_limit(config);
 	if (!node)
 		return FL_NODE_OUT_OF_MEMORY;
@@ -174,7 +175,7 @@
 	}
 	fl_election_start(node, &election_callbacks);
 	fl_follower_start(node);
-	fl_machine_types_start(node);
+	fl_machine_types_loader_start(node);
 	fl_job_watch_start(node);
 	fl_info("node", "%s listening on %s location=%s", config->node, config->bind,
 	        config->location);
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -31,16 +31,17 @@
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
-	double up_since;         /* steady; while up */
-	double last_exchange_at; /* steady; of the last exchange that got a response */
-	double complete_as_of; /* steady; sending of the last exchange that returned all it knows */
+	double up_since;                     /* steady; while up */
+	double last_response_at;             /* steady; of the last exchange that got a response */
+	double cancellations_complete_as_of; /* steady; sending of the last exchange that returned
+	                                        all it knows */
 	bool up;
 };
 
 /* Users' requests in progress on a node. */
 struct fl_user_api {
 	struct fl_job_lookup *job_lookups; /* by ref: reads of records for status queries */
-	struct fl_token_bucket read_budget;
+	struct fl_token_bucket record_read_budget;
 	struct fl_batch_queue status_queries; /* status queries to the leader */
 	int forwarded_in_flight;              /* other requests being forwarded to the leader */
 	double last_readiness_probe_at; /* steady; when the load balancer last asked for /ready */
@@ -55,7 +56,7 @@
 	struct fl_peer peers[FL_CONFIG_PEERS];
 	int peer_count;
 	char process_id[FL_PROCESS_ID_MAX]; /* names this process, not only this node */
-	bool machine_types_known, jobs_known;
+	bool machine_types_loaded, live_jobs_loaded;
 	/* Job classes with indices below it have an objective in the settings. */
 	int slo_class_count;
 	/*
@@ -94,6 +95,6 @@
 };
 
 /* Maximum number of connections of users and workers, out of all that the settings allow. */
-int fl_node_public_connections(const struct fl_config *config);
+int fl_node_public_connections_max(const struct fl_config *config);
 
 #endif
--- a/src/coordination/persistence/final_record_writer.c
+++ b/src/coordination/persistence/final_record_writer.c
@@ -28,7 +28,7 @@
 	fl_kv_txn_expect_revision(txn, key, job->record.mod_revision);
 	fl_kv_txn_delete(txn, key);
 	fl_key_finished(key, job->ref);
-	fl_kv_txn_put(txn, key, fl_job_record_final(status, job->task_count), 0);
+	fl_kv_txn_put(txn, key, fl_job_record_encode_final(status, job->task_count), 0);
 	for (; block_index < job->block_count && txn->operation_count < node->config->txn_ops;
 	     block_index++) {
 		if (!has_progress_record(fl_job_task_block(job, block_index)))
@@ -78,24 +78,24 @@
 		return FL_KV_OK;
 	}
 	job->record.final_write_in_flight = false;
-	job->record.final_write_unknown = result != FL_KV_UNAVAILABLE;
+	job->record.write_outcome_unknown = result != FL_KV_UNAVAILABLE;
 	return result;
 }
 
 /* Finishes a job that is over, whatever the outcome of an earlier write of its final record. */
-static enum fl_kv_result finalise(struct fl_node *node, struct fl_job *job)
+static enum fl_kv_result finalise_job(struct fl_node *node, struct fl_job *job)
 {
 	struct fl_refreshed_job refreshed;
 
-	if (!job->record.final_write_unknown)
+	if (!job->record.write_outcome_unknown)
 		return write_final_record(node, job);
 	if (fl_job_record_refresh(node, job->ref, &refreshed) != FL_RECORD_FOUND)
 		return FL_KV_UNAVAILABLE;
-	if (refreshed.over) {
+	if (refreshed.is_finished) {
 		finish_job(node, job, refreshed.status);
 		return FL_KV_OK;
 	}
-	return fl_job_is_over(job) ? write_final_record(node, job) : FL_KV_OK;
+	return fl_job_is_finished(job) ? write_final_record(node, job) : FL_KV_OK;
 }
 
 enum fl_kv_result fl_final_record_write_one(struct fl_node *node)
@@ -103,12 +103,12 @@
 	enum fl_kv_result result = FL_KV_OK;
 	struct fl_job *job, *next;
 
-	for (job = node->cluster.dirty; job; job = next) {
+	for (job = node->cluster.dirty_jobs; job; job = next) {
 		/* Only this coroutine takes jobs off the list, so the next one stays on it. */
 		next = job->record.next_dirty;
-		if (!fl_job_is_over(job))
+		if (!fl_job_is_finished(job))
 			continue;
-		result = finalise(node, job);
+		result = finalise_job(node, job);
 		if (result == FL_KV_OK || fl_coroutine_cancelled() || !fl_is_leader(node))
 			return result;
 	}
--- a/src/coordination/persistence/finished_jobs_loader.c
+++ b/src/coordination/persistence/finished_jobs_loader.c
@@ -8,9 +8,9 @@
 #include "storage/keys.h"
 
 static const struct {
-	double interval_s;
+	double list_interval_s;
 } tunables = {
-	.interval_s = 0.5, /* s between two lists */
+	.list_interval_s = 0.5, /* s between two lists */
 };
 
 static void on_finished_job(void *context, const struct fl_kv_event *event)
@@ -33,7 +33,7 @@
 	uint64_t revision;
 	int digit = 0;
 
-	while (fl_sleep(tunables.interval_s) == 0) {
+	while (fl_sleep(tunables.list_interval_s) == 0) {
 		if (digit > 9 || !fl_is_leader(node))
 			continue;
 		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
--- a/src/coordination/persistence/job_record_refresh.c
+++ b/src/coordination/persistence/job_record_refresh.c
@@ -6,12 +6,12 @@
 #include "storage/job_updates.h"
 #include "transport/log.h"
 
-void fl_job_record_refresh_apply(struct fl_node *node, struct fl_job *job,
-                                 const struct fl_job_record *record, uint64_t revision)
+void fl_job_record_apply_cancellation(struct fl_node *node, struct fl_job *job,
+                                      const struct fl_job_record *record, uint64_t revision)
 {
-	if (!fl_cluster_apply_cancellation(&node->cluster, job, record, revision))
+	if (!fl_cluster_update_live_job(&node->cluster, job, record, revision))
 		return;
-	fl_command_stop_job(node, job);
+	fl_command_stop_cancelled_job(node, job);
 	fl_info("jobs", "job cancelled: %s source=record", job->ref);
 }
 
@@ -26,10 +26,10 @@
 		fl_job_record_read(&node->kv_store, ref, &record, &value, &revision);
 
 	if (result == FL_RECORD_FOUND) {
-		*out = (struct fl_refreshed_job){.over = !value, .status = record.status};
+		*out = (struct fl_refreshed_job){.is_finished = !value, .status = record.status};
 		job = node->leadership.active ? fl_job_find(&node->cluster, ref) : NULL;
 		if (value && job)
-			fl_job_record_refresh_apply(node, job, &record, revision);
+			fl_job_record_apply_cancellation(node, job, &record, revision);
 	}
 	cJSON_Delete(value);
 	return result;
--- a/src/coordination/persistence/job_record_refresh.h
+++ b/src/coordination/persistence/job_record_refresh.h
@@ -10,7 +10,7 @@
 
 /* The stored state of a job whose last write had an unknown outcome. */
 struct fl_refreshed_job {
-	bool over;                 /* its final record is written */
+	bool is_finished;          /* its final record is written */
 	enum fl_job_status status; /* the final one, if it is over */
 };
 
@@ -20,12 +20,12 @@
  * the read after it. The user was answered from the record, and the leader, which learned of
  * cancellations only by its own writes, stopped nothing.
  */
-void fl_job_record_refresh_apply(struct fl_node *node, struct fl_job *job,
-                                 const struct fl_job_record *record, uint64_t revision);
+void fl_job_record_apply_cancellation(struct fl_node *node, struct fl_job *job,
+                                      const struct fl_job_record *record, uint64_t revision);
 /*
  * Reads the records of a job whose last write had an unknown outcome. By ref, not by pointer: the
  * job may be gone when the response arrives. Only the record writer may drop the job, so one that
- * is over keeps its `final_write_unknown`. `out` is set only if a record was found.
+ * is over keeps its `write_outcome_unknown`. `out` is set only if a record was found.
  */
 enum fl_record_result fl_job_record_refresh(struct fl_node *node, const char *ref,
                                             struct fl_refreshed_job *out);
--- a/src/coordination/persistence/pending_deletions.c
+++ b/src/coordination/persistence/pending_deletions.c
@@ -23,7 +23,8 @@
 }
 
 /* Frees the list up to `end`, which stays. */
-static void free_until(struct fl_pending_deletion **list, const struct fl_pending_deletion *end)
+static void free_deletions_until(struct fl_pending_deletion **list,
+                                 const struct fl_pending_deletion *end)
 {
 	while (*list != end) {
 		struct fl_pending_deletion *deletion = *list;
@@ -33,7 +34,10 @@
 	}
 }
 
-void fl_pending_deletions_free(struct fl_pending_deletion **list) { free_until(list, NULL); }
+void fl_pending_deletions_free(struct fl_pending_deletion **list)
+{
+	free_deletions_until(list, NULL);
+}
 
 void fl_pending_deletions_write(struct fl_node *node)
 {
@@ -47,5 +51,5 @@
 		fl_kv_txn_delete(&txn, next->key);
 	if (fl_record_txn_admit(node, &txn) == FL_KV_OK &&
 	    fl_record_txn_commit(node, &txn, &revision) == FL_KV_OK)
-		free_until(list, next);
+		free_deletions_until(list, next);
 }
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -34,7 +34,7 @@
 };
 
 /* Whether a start waits for this block to be durable; exited tasks can wait. */
-static bool is_urgent(const struct fl_task_block *block)
+static bool block_is_urgent(const struct fl_task_block *block)
 {
 	uint64_t durable = block->saved_generation > block->logged_generation
 	                           ? block->saved_generation
@@ -48,48 +48,49 @@
 	return false;
 }
 
-static int count_urgent(const struct fl_cluster *cluster)
+static int count_urgent_blocks(const struct fl_cluster *cluster)
 {
 	int count = 0;
 
-	for (const struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
+	for (const struct fl_job *job = cluster->dirty_jobs; job; job = job->record.next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 
-			count += block && is_urgent(block);
+			count += block && block_is_urgent(block);
 		}
 	return count;
 }
 
-static bool is_in_scope(const struct fl_task_block *block, enum scope scope)
+static bool block_is_in_scope(const struct fl_task_block *block, enum scope scope)
 {
 	if (!block || block->generation <= block->saved_generation)
 		return false;
-	return scope == UNSAVED_BLOCKS || is_urgent(block);
+	return scope == UNSAVED_BLOCKS || block_is_urgent(block);
 }
 
-static bool is_full(const struct fl_config *config, const struct batch *batch, int block_limit)
+static bool batch_is_full(const struct fl_config *config, const struct batch *batch,
+                          int block_limit)
 {
 	return batch->count >= block_limit || batch->count >= config->txn_ops ||
 	       batch->count >= BATCH_MAX ||
-	       batch->count * config->value_kb * 1024 > FL_RECORD_TXN_BYTES;
+	       batch->count * config->value_kb * 1024 > FL_RECORD_TXN_BYTES_MAX;
 }
 
 /*
  * Adds the blocks to write, up to `block_limit`. False, if the revision of one must be read first:
  * a transaction that expects a wrong one would fail.
  */
-static bool collect(const struct fl_node *node, struct fl_kv_txn *txn, struct batch *batch,
-                    int block_limit, enum scope scope)
+static bool collect_blocks(const struct fl_node *node, struct fl_kv_txn *txn, struct batch *batch,
+                           int block_limit, enum scope scope)
 {
-	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty) {
+	for (struct fl_job *job = node->cluster.dirty_jobs; job; job = job->record.next_dirty) {
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 			char key[FL_KEY_MAX];
 
-			if (!is_in_scope(block, scope))
+			if (!block_is_in_scope(block, scope))
 				continue;
-			if (is_full(node->config, batch, block_limit))
+			if (batch_is_full(node->config, batch, block_limit))
 				return true;
 			if (block->revision_unknown)
 				return false;
@@ -121,7 +122,7 @@
 /* Rereads one revision that is unknown; the next write rereads another. */
 static enum fl_kv_result reread_unknown_revision(struct fl_node *node)
 {
-	for (struct fl_job *job = node->cluster.dirty; job; job = job->record.next_dirty)
+	for (struct fl_job *job = node->cluster.dirty_jobs; job; job = job->record.next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++) {
 			const struct fl_task_block *block = fl_job_task_block(job, i);
 
@@ -132,7 +133,8 @@
 }
 
 /* Applies the result of a write. Only this coroutine drops jobs, so these still exist. */
-static void apply_result(const struct batch *batch, enum fl_kv_result result, uint64_t revision)
+static void apply_batch_result(const struct batch *batch, enum fl_kv_result result,
+                               uint64_t revision)
 {
 	for (int i = 0; i < batch->count; i++) {
 		const struct written_block *written = &batch->blocks[i];
@@ -156,7 +158,7 @@
 	bool revisions_known;
 
 	fl_record_txn_init(&node->leader_lease, &txn);
-	revisions_known = collect(node, &txn, &batch, block_limit, scope);
+	revisions_known = collect_blocks(node, &txn, &batch, block_limit, scope);
 	if (!revisions_known || batch.count == 0) {
 		fl_kv_txn_free(&txn);
 		return revisions_known ? FL_KV_OK : reread_unknown_revision(node);
@@ -165,13 +167,13 @@
 	if (result != FL_KV_OK)
 		return result;
 	result = fl_record_txn_commit(node, &txn, &revision);
-	apply_result(&batch, result, revision);
+	apply_batch_result(&batch, result, revision);
 	return result;
 }
 
 enum fl_kv_result fl_progress_write_urgent(struct fl_node *node)
 {
-	int count = count_urgent(&node->cluster);
+	int count = count_urgent_blocks(&node->cluster);
 
 	if (count == 0)
 		return FL_KV_OK;
--- a/src/coordination/persistence/record_txn.c
+++ b/src/coordination/persistence/record_txn.c
@@ -14,7 +14,7 @@
 }
 
 /* Waits until the budget allows this many writes; false if the coroutine is cancelled. */
-static bool await_budget(struct fl_token_bucket *budget, double writes)
+static bool await_write_budget(struct fl_token_bucket *budget, double writes)
 {
 	double delay_s;
 
@@ -26,7 +26,7 @@
 
 enum fl_kv_result fl_record_txn_admit(struct fl_node *node, struct fl_kv_txn *txn)
 {
-	if (!await_budget(&node->record_writer.write_budget, txn->operation_count)) {
+	if (!await_write_budget(&node->record_writer.write_budget, txn->operation_count)) {
 		fl_kv_txn_free(txn);
 		return FL_KV_CANCELLED;
 	}
--- a/src/coordination/persistence/record_txn.h
+++ b/src/coordination/persistence/record_txn.h
@@ -11,7 +11,7 @@
 struct fl_node;
 
 /* Maximum bytes of values in one transaction, whose request may have 64 KiB in all. */
-enum { FL_RECORD_TXN_BYTES = 40000 };
+enum { FL_RECORD_TXN_BYTES_MAX = 40000 };
 
 /* A transaction that expects the leader key as the holder of this lease wrote it. */
 void fl_record_txn_init(const struct fl_leader_lease *lease, struct fl_kv_txn *txn);
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -25,7 +25,7 @@
 	memset(writer, 0, sizeof(*writer));
 }
 
-void fl_record_writer_begin(struct fl_record_writer *writer, double store_write_rate)
+void fl_record_writer_init_budget(struct fl_record_writer *writer, double store_write_rate)
 {
 	double rate = store_write_rate * tunables.write_share;
 
@@ -45,14 +45,14 @@
 }
 
 /* Takes jobs with nothing left to write off the dirty list. */
-static void remove_saved(struct fl_cluster *cluster)
+static void remove_saved_jobs(struct fl_cluster *cluster)
 {
-	struct fl_job **link = &cluster->dirty;
+	struct fl_job **link = &cluster->dirty_jobs;
 
 	while (*link) {
 		struct fl_job *job = *link;
 
-		if (has_unsaved_block(job) || fl_job_is_over(job)) {
+		if (has_unsaved_block(job) || fl_job_is_finished(job)) {
 			link = &job->record.next_dirty;
 		} else {
 			*link = job->record.next_dirty;
@@ -62,33 +62,33 @@
 }
 
 /* Writes what starts wait for, then one final record, then some of the rest. */
-static enum fl_kv_result write_all(struct fl_node *node)
+static enum fl_kv_result write_pending_records(struct fl_node *node)
 {
-	enum fl_kv_result final, result = fl_progress_write_urgent(node);
+	enum fl_kv_result final_result, result = fl_progress_write_urgent(node);
 
 	if (result != FL_KV_OK)
 		return result;
 	fl_command_send_pending(node);
-	final = fl_final_record_write_one(node);
+	final_result = fl_final_record_write_one(node);
 	if (!fl_is_leader(node))
 		return FL_KV_UNAVAILABLE;
 	result = fl_progress_write_within_budget(node);
 	if (result != FL_KV_OK)
 		return result;
-	remove_saved(&node->cluster);
-	return final;
+	remove_saved_jobs(&node->cluster);
+	return final_result;
 }
 
 /*
  * Nothing can be written before the budget allows it, but urgent changes may occur meanwhile. False
  * if the coroutine is cancelled.
  */
-static bool await_budget_or_work(struct fl_node *node)
+static bool await_budget_or_urgent_change(struct fl_node *node)
 {
 	struct fl_record_writer *writer = &node->record_writer;
 	double available = fl_token_bucket_available(&writer->write_budget, fl_now());
 
-	if (!node->cluster.dirty || available >= 1)
+	if (!node->cluster.dirty_jobs || available >= 1)
 		return true;
 	return fl_condition_wait(&writer->writes_pending,
 	                         (1 - available) / writer->write_budget.rate) != -ECANCELED;
@@ -99,9 +99,10 @@
 	bool running = true;
 
 	while (running && !fl_coroutine_cancelled()) {
-		if (fl_is_leader(node) && node->cluster.dirty) {
-			running = write_all(node) == FL_KV_OK ? await_budget_or_work(node)
-			                                      : fl_sleep(tunables.retry_s) == 0;
+		if (fl_is_leader(node) && node->cluster.dirty_jobs) {
+			running = write_pending_records(node) == FL_KV_OK
+			                  ? await_budget_or_urgent_change(node)
+			                  : fl_sleep(tunables.retry_s) == 0;
 			continue;
 		}
 		if (fl_is_leader(node) && node->record_writer.pending_deletions)
--- a/src/coordination/persistence/record_writer.h
+++ b/src/coordination/persistence/record_writer.h
@@ -29,7 +29,7 @@
 /* Drops the state of an earlier leadership. */
 void fl_record_writer_reset(struct fl_record_writer *writer);
 /* Fills the write budget, once the cluster state is loaded; the rate is in writes a second. */
-void fl_record_writer_begin(struct fl_record_writer *writer, double store_write_rate);
+void fl_record_writer_init_budget(struct fl_record_writer *writer, double store_write_rate);
 /* Runs in a coroutine of the leader, until that is cancelled. */
 void fl_record_writer_run(struct fl_node *node);
 
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -84,8 +84,8 @@
 	       reserve_block(write);
 	if (fits) {
 		if (!write->value)
-			write->value = fl_wal_value_begin();
-		fl_wal_value_add(write->value, group);
+			write->value = fl_wal_value_create();
+		fl_wal_value_add_group(write->value, group);
 		write->value_bytes += bytes;
 		write->blocks[write->block_count++] = (struct logged_block){
 			job, block_index, fl_job_task_block(job, block_index)->generation};
@@ -95,9 +95,9 @@
 }
 
 /* Adds all unsaved changes, in as few values as they fit into; false if they do not fit. */
-static bool fill(struct wal_write *write, const struct fl_cluster *cluster)
+static bool add_unsaved_blocks(struct wal_write *write, const struct fl_cluster *cluster)
 {
-	for (struct fl_job *job = cluster->dirty; job; job = job->record.next_dirty)
+	for (struct fl_job *job = cluster->dirty_jobs; job; job = job->record.next_dirty)
 		for (uint32_t i = 0; i < job->block_count; i++)
 			if (!add_block(write, cluster, job, i))
 				return false;
@@ -113,28 +113,30 @@
 
 	if (writer->wal_revision_known)
 		return FL_KV_OK;
-	result = fl_kv_get_revision(&node->kv_store, FL_KEY_WAL, &writer->wal_mod_revision);
+	result = fl_kv_get_revision(&node->kv_store, FL_KEY_WAL_FIRST_VALUE,
+	                            &writer->wal_mod_revision);
 	writer->wal_revision_known = result == FL_KV_OK;
 	return result;
 }
 
-static struct wal_write begin_write(const struct fl_node *node)
+static struct wal_write begin_wal_write(const struct fl_node *node)
 {
 	struct wal_write write = {.value_count_max = node->config->txn_ops};
 	double value_limit = node->config->value_kb * 1024 * tunables.value_fill_share;
 	double values_per_txn;
 
 	write.value_limit = (size_t)value_limit;
-	values_per_txn = FL_RECORD_TXN_BYTES / (double)write.value_limit;
+	values_per_txn = FL_RECORD_TXN_BYTES_MAX / (double)write.value_limit;
 	if (write.value_count_max > values_per_txn)
 		write.value_count_max = (int)values_per_txn;
 	fl_record_txn_init(&node->leader_lease, &write.txn);
-	fl_kv_txn_expect_revision(&write.txn, FL_KEY_WAL, node->record_writer.wal_mod_revision);
+	fl_kv_txn_expect_revision(&write.txn, FL_KEY_WAL_FIRST_VALUE,
+	                          node->record_writer.wal_mod_revision);
 	return write;
 }
 
 /* Marks the changes that a committed write holds as logged. */
-static void mark_logged(const struct wal_write *write)
+static void mark_blocks_logged(const struct wal_write *write)
 {
 	/* Only the record writer's coroutine drops jobs, so these still exist. */
 	for (size_t i = 0; i < write->block_count; i++) {
@@ -144,7 +146,7 @@
 	}
 }
 
-static enum fl_wal_write_result commit(struct fl_node *node, struct wal_write *write)
+static enum fl_wal_write_result commit_wal_write(struct fl_node *node, struct wal_write *write)
 {
 	struct fl_record_writer *writer = &node->record_writer;
 	enum fl_kv_result result = fl_record_txn_admit(node, &write->txn);
@@ -157,7 +159,7 @@
 	         write->block_count, write->value_count, fl_kv_result_text(result));
 	if (result == FL_KV_OK) {
 		writer->wal_mod_revision = revision;
-		mark_logged(write);
+		mark_blocks_logged(write);
 		return FL_WAL_WRITTEN;
 	}
 	if (result != FL_KV_UNAVAILABLE)
@@ -172,9 +174,9 @@
 
 	if (read_wal_revision(node) != FL_KV_OK)
 		return FL_WAL_FAILED;
-	write = begin_write(node);
-	if (fill(&write, &node->cluster)) {
-		result = commit(node, &write);
+	write = begin_wal_write(node);
+	if (add_unsaved_blocks(&write, &node->cluster)) {
+		result = commit_wal_write(node, &write);
 	} else {
 		fl_kv_txn_free(&write.txn);
 		cJSON_Delete(write.value);
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -23,12 +23,12 @@
 	.deferred_queries_max = 64, /* status queries deferred at once; answered within a second */
 };
 
-static void respond_ready(struct fl_node *node, struct fl_http_response *response)
+static void respond_to_readiness_probe(struct fl_node *node, struct fl_http_response *response)
 {
 	bool ready;
 
 	node->api.last_readiness_probe_at = fl_now();
-	ready = node->machine_types_known && node->jobs_known && !fl_node_is_isolated(node);
+	ready = node->machine_types_loaded && node->live_jobs_loaded && !fl_node_is_isolated(node);
 	response->status = ready ? 200 : 503;
 }
 
@@ -50,7 +50,7 @@
 		fl_follower_handle_heartbeat(node, request->body, request->body_len, response);
 		break;
 	case FL_USER_REQUEST_READY:
-		respond_ready(node, response);
+		respond_to_readiness_probe(node, response);
 		break;
 	case FL_USER_REQUEST_UNKNOWN:
 		fl_respond_error(response, 404, "no such path");
@@ -58,7 +58,7 @@
 	}
 }
 
-static enum http_method method_of(enum fl_user_request kind)
+static enum http_method expected_method(enum fl_user_request kind)
 {
 	return kind == FL_USER_REQUEST_STATUS || kind == FL_USER_REQUEST_READY ? HTTP_GET
 	                                                                       : HTTP_POST;
@@ -70,7 +70,7 @@
 	char ref[FL_REF_MAX];
 	enum fl_user_request kind = fl_user_route(request->path, ref);
 
-	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != method_of(kind)) {
+	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != expected_method(kind)) {
 		fl_respond_error(response, 405, "method not allowed");
 		/* After a HEAD the body would be taken for the next response. */
 		response->close = true;
@@ -114,7 +114,7 @@
 		.body_len = forwarded.body ? strlen(forwarded.body) : 0,
 	};
 	/* Only a leader answers; one hop further, if the sender could not reach it itself. */
-	if (!fl_is_leader(node) && fl_forward_ends_here(node, forwarded.last_hop))
+	if (!fl_is_leader(node) && fl_forward_is_forbidden(node, forwarded.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
 		fl_route_user_request(node, &client_request, response);
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -19,8 +19,8 @@
 {
 	const struct fl_team *team = &input->teams[job->team];
 
-	return fl_team_within_maximum(team, team->used_cpus + job->need.cpus,
-	                              team->used_gpus + job->need.gpus);
+	return fl_team_fits_maximum_quota(team, team->used_cpus + job->need.cpus,
+	                                  team->used_gpus + job->need.gpus);
 }
 
 bool fl_sched_cost_depends_on_zones(const struct fl_sched_job *job)
@@ -33,7 +33,7 @@
 	/* A reservation can make an amount negative that the job does not need. */
 	if (!fl_resources_fit(job->need, available))
 		return 0;
-	return fl_placement_capacity(job->need, available);
+	return fl_fitting_task_count(job->need, available);
 }
 
 /*
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -65,7 +65,7 @@
 
 	if (attempt->team == job->team || attempt->service || attempt->within_guaranteed)
 		return false;
-	return !fl_team_within_guaranteed(team, team->used_cpus, team->used_gpus);
+	return !fl_team_fits_guaranteed_quota(team, team->used_cpus, team->used_gpus);
 }
 
 /* Returns whether the job may preempt the attempt, by priority or by its team's guarantee. */
@@ -267,8 +267,8 @@
                                               const struct fl_team *team)
 {
 	bool within = job->within_guaranteed &&
-	              fl_team_within_guaranteed(team, team->used_cpus + job->need.cpus,
-	                                        team->used_gpus + job->need.gpus);
+	              fl_team_fits_guaranteed_quota(team, team->used_cpus + job->need.cpus,
+	                                            team->used_gpus + job->need.gpus);
 
 	return within ? ENTITLED_BY_GUARANTEE : ENTITLED_BY_PRIORITY;
 }
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -78,7 +78,7 @@
 		fl_error("schedule", "cycle skipped reason=\"out of memory\"");
 		goto out;
 	}
-	node->leadership.resume_position = output.resume_position;
+	node->leadership.queue_resume_position = output.resume_position;
 	if (output.resume_position)
 		node->leadership.cycle_due = true;
 	fl_scheduling_decisions_apply(node, &snapshot, &output, now);
@@ -86,7 +86,7 @@
 	                             snapshot.input.job_count);
 	node->leadership.cycle_count++;
 	log_cycle(node->leadership.cycle_count, &snapshot.input, &output, fl_now() - now);
-	if (node->cluster.dirty)
+	if (node->cluster.dirty_jobs)
 		fl_condition_broadcast(&node->record_writer.writes_pending);
 out:
 	fl_sched_output_free(&output);
@@ -110,7 +110,8 @@
 			continue;
 		for (int k = 0; k < machine->assignment_count; k++) {
 			struct fl_job *job = machine->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
+			struct fl_task *task =
+				fl_task_find(job, machine->assignments[k].task_index);
 
 			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
@@ -129,7 +130,8 @@
 
 		for (int k = 0; k < machine->assignment_count; k++) {
 			struct fl_job *job = machine->assignments[k].job;
-			struct fl_task *task = fl_task_peek(job, machine->assignments[k].index);
+			struct fl_task *task =
+				fl_task_find(job, machine->assignments[k].task_index);
 
 			if (job->kind == FL_GANG && job->counts.waiting > 0 &&
 			    task->stop_reason == FL_STOP_NONE)
@@ -178,7 +180,7 @@
 		interval_s = fl_scheduling_cycle_interval_s(node->config->core_share,
 		                                            fl_now() - started_at,
 		                                            fl_cpu_time() - cpu_started_at);
-		if (node->cluster.dirty)
+		if (node->cluster.dirty_jobs)
 			fl_condition_broadcast(&node->record_writer.writes_pending);
 		request_token_raise(node, started_at);
 	}
--- a/src/coordination/scheduling/scheduling_decisions.c
+++ b/src/coordination/scheduling/scheduling_decisions.c
@@ -18,11 +18,11 @@
 	fl_machine_record_image(machine, job->image);
 	/* The reservation is used up; jobs that still wait request a new one in each cycle. */
 	if (job->priority >= machine->reservation.priority)
-		machine->reservation.at = 0;
-	job->placement.window_until = 0;
+		machine->reservation.reserved_at = 0;
+	job->placement.backfill_window_until = 0;
 	machine->outbound.command_pending = true;
 	fl_info("schedule", "task placed task=%s/%u attempt=%u machine=%s", job->ref, index,
-	        fl_task_peek(job, index)->attempt, machine->name);
+	        fl_task_find(job, index)->attempt, machine->name);
 }
 
 static void apply_starts(struct fl_node *node, const struct fl_snapshot *snapshot,
@@ -41,11 +41,12 @@
 {
 	for (int i = 0; i < output->preemption_count; i++) {
 		const struct fl_assignment *victim = &snapshot->attempts[output->preemptions[i]];
-		struct fl_task *task = fl_task_peek(victim->job, victim->index);
+		struct fl_task *task = fl_task_find(victim->job, victim->task_index);
 
 		task->stop_reason = FL_STOP_PREEMPT;
-		fl_info("schedule", "task preempted task=%s/%u", victim->job->ref, victim->index);
-		fl_command_send(node, node->cluster.machines.by_id[task->machine]);
+		fl_info("schedule", "task preempted task=%s/%u", victim->job->ref,
+		        victim->task_index);
+		fl_command_send(node, node->cluster.machines.by_id[task->machine_id]);
 	}
 }
 
@@ -57,8 +58,8 @@
 	if (output->top_job < 0 || output->window_s >= INFINITY)
 		return;
 	top = snapshot->jobs[output->top_job];
-	if (top->placement.window_until <= 0)
-		top->placement.window_until = now + output->window_s;
+	if (top->placement.backfill_window_until <= 0)
+		top->placement.backfill_window_until = now + output->window_s;
 }
 
 static void apply_reservations(const struct fl_snapshot *snapshot, double now)
@@ -73,8 +74,8 @@
 		if (!requested->active ||
 		    (reserved->active && reserved->priority > requested->priority))
 			continue;
-		machine->reservation.at = now;
-		machine->reservation.within_guaranteed = requested->within_guaranteed;
+		machine->reservation.reserved_at = now;
+		machine->reservation.within_guaranteed_quota = requested->within_guaranteed;
 		machine->reservation.priority = requested->priority;
 		machine->reservation.cpus = requested->resources.cpus;
 		machine->reservation.gpus = requested->resources.gpus;
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -79,7 +79,9 @@
 /* Returns the rest of the job's backfill window; < 0: no window. */
 static double backfill_window_remaining_s(const struct fl_job *job, double now)
 {
-	return job->placement.window_until > 0 ? fmax(0, job->placement.window_until - now) : -1;
+	return job->placement.backfill_window_until > 0
+	               ? fmax(0, job->placement.backfill_window_until - now)
+	               : -1;
 }
 
 /* Adds the job if any of its tasks may start now. */
@@ -99,10 +101,10 @@
 	target->team = job->team;
 	target->waited_s = builder->now_wall - job->submitted_wall;
 	target->estimate_s = job->expected_s;
-	target->need = fl_job_need(job);
+	target->need = fl_job_task_resources(job);
 	target->image_gb = job->image_gb;
 	target->task_count = job->task_count;
-	target->allowed_types = job->types;
+	target->allowed_types = job->allowed_type_mask;
 	target->zone = job->zone;
 	target->same_zone = job->same_zone;
 	target->spread_zones = job->spread_zones;
@@ -110,7 +112,7 @@
 	memcpy(target->placed_by_zone, job->placement.by_zone, sizeof(target->placed_by_zone));
 	target->placed_in_unknown_zone = job->placement.in_unknown_zone;
 	target->image = job->image;
-	target->within_guaranteed = job->within_guaranteed;
+	target->within_guaranteed = job->within_guaranteed_quota;
 	target->background = is_background_job(builder->node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
 	target->window_remaining_s = backfill_window_remaining_s(job, builder->now);
@@ -145,7 +147,8 @@
 
 	if (job->kind == FL_SERVICE)
 		return INFINITY;
-	if (task->observed == FL_OBSERVED_RUNNING || task->observed == FL_OBSERVED_CHECKPOINTING)
+	if (task->last_observed_state == FL_OBSERVED_RUNNING ||
+	    task->last_observed_state == FL_OBSERVED_CHECKPOINTING)
 		estimate_s -= now - task->running_since;
 	/* A task past its estimate counts as ending by the next cycle. */
 	return fmax(estimate_s, tunables.overdue_remaining_s);
@@ -155,7 +158,7 @@
 static double task_stop_loss_s(const struct fl_job *job, const struct fl_task *task, double now)
 {
 	double since_start_s =
-		task->observed == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
+		task->last_observed_state == FL_OBSERVED_RUNNING ? now - task->running_since : 0;
 
 	return job->checkpoint_every_s > 0 ? fmin(since_start_s, job->checkpoint_cost_s)
 	                                   : since_start_s;
@@ -167,7 +170,7 @@
 	struct fl_sched_input *input = &builder->snapshot->input;
 	struct fl_sched_attempt *target = &input->attempts[input->attempt_count];
 	const struct fl_job *job = assignment->job;
-	const struct fl_task *task = fl_task_peek(job, assignment->index);
+	const struct fl_task *task = fl_task_find(job, assignment->task_index);
 	double waited_s = builder->now_wall - job->submitted_wall;
 
 	memset(target, 0, sizeof(*target));
@@ -177,8 +180,8 @@
 	target->service = job->kind == FL_SERVICE;
 	target->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
 	target->preemptible = !target->stopping;
-	target->within_guaranteed = job->within_guaranteed;
-	target->used = fl_job_need(job);
+	target->within_guaranteed = job->within_guaranteed_quota;
+	target->used = fl_job_task_resources(job);
 	target->estimated_remaining_s = task_remaining_s(job, task, builder->now);
 	target->stop_loss_s = task_stop_loss_s(job, task, builder->now);
 	target->last_running_task = job->kind != FL_SERVICE && job->counts.placed == 1 &&
@@ -214,7 +217,7 @@
 		job = scratch[i];
 		cpus[job->team] += job->cpus * job->task_count;
 		gpus[job->team] += job->gpus * job->task_count;
-		job->within_guaranteed = fl_team_within_guaranteed(
+		job->within_guaranteed_quota = fl_team_fits_guaranteed_quota(
 			&cluster->teams.by_index[job->team], cpus[job->team], gpus[job->team]);
 	}
 }
@@ -227,14 +230,15 @@
  */
 static struct fl_reservation active_reservation(const struct fl_machine *machine, double now)
 {
-	if (machine->reservation.at <= 0 || now > machine->reservation.at + tunables.reservation_s)
+	if (machine->reservation.reserved_at <= 0 ||
+	    now > machine->reservation.reserved_at + tunables.reservation_s)
 		return (struct fl_reservation){0};
-	return (struct fl_reservation){.active = true,
-	                               .within_guaranteed = machine->reservation.within_guaranteed,
-	                               .priority = machine->reservation.priority,
-	                               .resources = {machine->reservation.cpus,
-	                                             machine->reservation.gpus,
-	                                             machine->reservation.ram_gb}};
+	return (struct fl_reservation){
+		.active = true,
+		.within_guaranteed = machine->reservation.within_guaranteed_quota,
+		.priority = machine->reservation.priority,
+		.resources = {machine->reservation.cpus, machine->reservation.gpus,
+	                      machine->reservation.ram_gb}};
 }
 
 static void add_machine(const struct builder *builder, struct fl_machine *machine)
@@ -300,7 +304,7 @@
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
 			add_machine(&builder, cluster->machines.by_id[i]);
 	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(&node->autoscaler);
-	snapshot->input.resume_position = node->leadership.resume_position;
+	snapshot->input.resume_position = node->leadership.queue_resume_position;
 	return FL_SCHEDULE_OK;
 }
 
--- a/src/coordination/workers/command.c
+++ b/src/coordination/workers/command.c
@@ -118,7 +118,7 @@
 	return false;
 }
 
-void fl_command_stop_job(struct fl_node *node, struct fl_job *job)
+void fl_command_stop_cancelled_job(struct fl_node *node, struct fl_job *job)
 {
 	for (int i = 0; i < node->cluster.machines.count; i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
@@ -151,7 +151,7 @@
 	}
 }
 
-void fl_command_enforcement_run(struct fl_node *node)
+void fl_cancellation_enforcement_run(struct fl_node *node)
 {
 	while (fl_sleep(tunables.enforce_interval_s) == 0) {
 		double now = fl_now();
--- a/src/coordination/workers/command.h
+++ b/src/coordination/workers/command.h
@@ -17,8 +17,8 @@
 /* The same for all machines with new tasks, now that their records are written. */
 void fl_command_send_pending(struct fl_node *node);
 /* Stops the tasks of a job that the cluster state has as cancelled, on all machines. */
-void fl_command_stop_job(struct fl_node *node, struct fl_job *job);
+void fl_command_stop_cancelled_job(struct fl_node *node, struct fl_job *job);
 /* Enforces cancellations; runs in a coroutine of the leader, until that is cancelled. */
-void fl_command_enforcement_run(struct fl_node *node);
+void fl_cancellation_enforcement_run(struct fl_node *node);
 
 #endif
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -27,9 +27,9 @@
 /* The last time at which the machine was surely in contact both ways. */
 static double last_contact(const struct fl_node *node, const struct fl_machine *machine)
 {
-	double heartbeat_at =
-		fmax(fmax(machine->heartbeat.last_at, node->leadership.heartbeats_since),
-	             machine->lifecycle.first_seen_at);
+	double heartbeat_at = fmax(fmax(machine->heartbeat.last_received_at,
+	                                node->leadership.heartbeats_receivable_since),
+	                           machine->lifecycle.first_seen_at);
 
 	/* Heartbeats from a machine that is not reachable for our replies do not count. */
 	return fmin(heartbeat_at, fl_reachability_lost_since(machine));
@@ -38,8 +38,8 @@
 /* Whether a controller fell silent at about this time (steady). */
 static bool fell_silent_at(const struct fl_peer *peer, double at)
 {
-	return peer->last_exchange_at > at - tunables.zone_slack_s &&
-	       peer->last_exchange_at < at + tunables.zone_slack_s;
+	return peer->last_response_at > at - tunables.zone_slack_s &&
+	       peer->last_response_at < at + tunables.zone_slack_s;
 }
 
 /*
@@ -65,8 +65,9 @@
 	return 0;
 }
 
-bool fl_failure_detector_expired(const struct fl_node *node, const struct fl_machine *machine,
-                                 double now, const double leases[FL_ZONES_MAX])
+bool fl_failure_detector_machine_expired(const struct fl_node *node,
+                                         const struct fl_machine *machine, double now,
+                                         const double leases[FL_ZONES_MAX])
 {
 	double silent_s = now - last_contact(node, machine) - tunables.margin_s;
 	double allowed_s, renewed_s;
@@ -108,7 +109,7 @@
 	for (int i = 0; i < node->peer_count; i++)
 		if (!node->peers[i].up || now < node->peers[i].up_since + node->config->lease_s)
 			return false;
-	return now > node->leadership.heartbeats_since + node->config->lease_s;
+	return now > node->leadership.heartbeats_receivable_since + node->config->lease_s;
 }
 
 /* Whether the machine's silence says anything of the network. */
@@ -142,8 +143,8 @@
  * are lost by twos and threes. Spot machines are interrupted in waves, so only on-demand ones are
  * counted, in all and in each zone.
  */
-void fl_failure_detector_timeouts(const struct fl_node *node, double now,
-                                  double leases[FL_ZONES_MAX])
+void fl_failure_detector_zone_timeouts(const struct fl_node *node, double now,
+                                       double leases[FL_ZONES_MAX])
 {
 	struct silence all = {0}, by_zone[FL_ZONES_MAX] = {{0}};
 
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -17,10 +17,11 @@
  * How long machines may be silent at `now` (steady), by zone, in worker leases: longer where many
  * are silent at once, shorter where single machines must be the cause.
  */
-void fl_failure_detector_timeouts(const struct fl_node *node, double now,
-                                  double leases[FL_ZONES_MAX]);
+void fl_failure_detector_zone_timeouts(const struct fl_node *node, double now,
+                                       double leases[FL_ZONES_MAX]);
 /* Whether the machine has been silent at `now` (steady) for longer than these timeouts allow. */
-bool fl_failure_detector_expired(const struct fl_node *node, const struct fl_machine *machine,
-                                 double now, const double leases[FL_ZONES_MAX]);
+bool fl_failure_detector_machine_expired(const struct fl_node *node,
+                                         const struct fl_machine *machine, double now,
+                                         const double leases[FL_ZONES_MAX]);
 
 #endif
--- a/src/coordination/workers/heartbeat.c
+++ b/src/coordination/workers/heartbeat.c
@@ -4,8 +4,8 @@
 
 #include "storage/jobs.h"
 
-bool fl_heartbeat_is_after(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
-                           uint64_t sequence)
+bool fl_heartbeat_is_newer_than(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
+                                uint64_t sequence)
 {
 	if (heartbeat->incarnation != incarnation)
 		return heartbeat->incarnation > incarnation;
@@ -15,12 +15,12 @@
 bool fl_heartbeat_reports_attempt(const struct fl_heartbeat *heartbeat,
                                   struct fl_assignment assignment)
 {
-	uint32_t attempt = fl_task_peek(assignment.job, assignment.index)->attempt;
+	uint32_t attempt = fl_task_find(assignment.job, assignment.task_index)->attempt;
 
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_task_status *status = &heartbeat->tasks[i];
 
-		if (status->index == assignment.index && status->attempt == attempt &&
+		if (status->index == assignment.task_index && status->attempt == attempt &&
 		    strcmp(status->ref, assignment.job->ref) == 0)
 			return true;
 	}
--- a/src/coordination/workers/heartbeat.h
+++ b/src/coordination/workers/heartbeat.h
@@ -13,8 +13,8 @@
 #include "storage/machines.h"
 
 /* Whether it is newer than its worker's heartbeat with these: by incarnation, then sequence. */
-bool fl_heartbeat_is_after(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
-                           uint64_t sequence);
+bool fl_heartbeat_is_newer_than(const struct fl_heartbeat *heartbeat, uint64_t incarnation,
+                                uint64_t sequence);
 /* Whether it has the current attempt of this assignment, in whatever state. */
 bool fl_heartbeat_reports_attempt(const struct fl_heartbeat *heartbeat,
                                   struct fl_assignment assignment);
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -14,8 +14,9 @@
 		return "machine unknown";
 	if (!fl_renewal_watermark_is_fresh(node))
 		return "cancellation watermark too old";
-	/* A heartbeat that was ignored gets no stop command: see fl_renewal_holds_overdue_task. */
-	if (command_count == 0 && fl_renewal_holds_overdue_task(node, heartbeat))
+	/* A heartbeat that was ignored gets no stop command: see
+	 * fl_renewal_heartbeat_has_overdue_task. */
+	if (command_count == 0 && fl_renewal_heartbeat_has_overdue_task(node, heartbeat))
 		return "task of a cancelled job overdue";
 	return NULL;
 }
@@ -37,7 +38,7 @@
 	}
 	/* The same heartbeat forwarded twice, or one from before this leadership. */
 	if (commands.count == 0)
-		fl_renewal_stop_cancelled(&node->cluster, heartbeat, &commands);
+		fl_renewal_add_stop_commands(&node->cluster, heartbeat, &commands);
 	response->status = 200;
 	response->body = fl_command_list_take(&commands);
 }
--- a/src/coordination/workers/reachability.c
+++ b/src/coordination/workers/reachability.c
@@ -47,7 +47,7 @@
 	for (int i = 0; i < machine->assignment_count; i++) {
 		struct fl_assignment assignment = machine->assignments[i];
 
-		if (fl_task_peek(assignment.job, assignment.index)->start_sent &&
+		if (fl_task_find(assignment.job, assignment.task_index)->start_sent &&
 		    !fl_heartbeat_reports_attempt(heartbeat, assignment))
 			return false;
 	}
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -11,10 +11,10 @@
 	switch (result) {
 	case FL_RECONCILE_APPLIED:
 	case FL_RECONCILE_IGNORED_STALE:
-	case FL_RECONCILE_IGNORED_EARLIER:
+	case FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP:
 		return false;
 	case FL_RECONCILE_DECOMMISSIONED:
-	case FL_RECONCILE_TOKEN_NOT_RAISED:
+	case FL_RECONCILE_HIGHER_TOKEN:
 	case FL_RECONCILE_OUT_OF_MEMORY:
 		return true;
 	}
@@ -41,8 +41,8 @@
 	}
 	fl_reconcile_record_contact(context);
 	for (int i = 0; i < heartbeat->task_count; i++)
-		fl_reconcile_reported(context, &heartbeat->tasks[i]);
-	kind = fl_reconcile_unreported(context);
+		fl_reconcile_reported_attempt(context, &heartbeat->tasks[i]);
+	kind = fl_reconcile_unreported_attempts(context);
 	if (context->source == FL_HEARTBEAT_FROM_WORKER)
 		fl_reachability_on_reply(machine, node->leader_lease.fencing_token, kind,
 		                         context->now);
@@ -66,25 +66,25 @@
 		return FL_RECONCILE_DECOMMISSIONED;
 	/* The token is this leader's own, being raised: the next heartbeat is applied. */
 	if (heartbeat->fencing_token > node->leader_lease.fencing_token)
-		return FL_RECONCILE_TOKEN_NOT_RAISED;
+		return FL_RECONCILE_HIGHER_TOKEN;
 	if (fl_reconcile_predates_leadership(node, heartbeat))
-		return FL_RECONCILE_IGNORED_EARLIER;
+		return FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP;
 	if (!context.machine)
-		context.machine =
-			fl_machine_get(&node->cluster.machines, heartbeat->host, context.now);
+		context.machine = fl_machine_get_or_add(&node->cluster.machines, heartbeat->host,
+		                                        context.now);
 	if (!context.machine)
 		return FL_RECONCILE_OUT_OF_MEMORY;
-	if (!fl_reconcile_is_newer(context.machine, heartbeat))
+	if (!fl_reconcile_heartbeat_is_newer(context.machine, heartbeat))
 		return FL_RECONCILE_IGNORED_STALE;
 	apply(&context);
 	return FL_RECONCILE_APPLIED;
 }
 
-void fl_reconcile_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat)
+void fl_reconcile_record_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat)
 {
 	struct fl_machine *machine = fl_machine_find(&node->cluster.machines, heartbeat->host);
 
-	if (machine && machine->lifecycle.up && fl_reconcile_is_newer(machine, heartbeat))
+	if (machine && machine->lifecycle.up && fl_reconcile_heartbeat_is_newer(machine, heartbeat))
 		fl_reachability_on_reply(machine, node->leader_lease.fencing_token,
 		                         FL_REPLY_WITHOUT_START, fl_now());
 }
@@ -100,6 +100,6 @@
 	machine->lifecycle.up = false;
 	while (machine->assignment_count > 0)
 		fl_task_release(&node->cluster, machine->assignments[0].job,
-		                machine->assignments[0].index, 0);
+		                machine->assignments[0].task_index, 0);
 	fl_condition_broadcast(&node->leadership.work_available);
 }
--- a/src/coordination/workers/reconciliation.h
+++ b/src/coordination/workers/reconciliation.h
@@ -26,12 +26,13 @@
 
 /* What became of a heartbeat, and how the worker is to be answered. */
 enum fl_reconcile_result {
-	FL_RECONCILE_APPLIED,          /* the cluster state and the commands rest on it */
-	FL_RECONCILE_IGNORED_STALE,    /* a newer one was applied: reply, it changed nothing */
-	FL_RECONCILE_IGNORED_EARLIER,  /* sent before this leadership was known: reply, likewise */
-	FL_RECONCILE_DECOMMISSIONED,   /* its machine is proven gone: reject it */
-	FL_RECONCILE_TOKEN_NOT_RAISED, /* has a higher fencing token than this leader: reject it */
-	FL_RECONCILE_OUT_OF_MEMORY     /* its machine could not be added: reject it */
+	FL_RECONCILE_APPLIED,       /* the cluster state and the commands rest on it */
+	FL_RECONCILE_IGNORED_STALE, /* a newer one was applied: reply, it changed nothing */
+	FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP, /* sent before this leadership was known: reply,
+	                                           likewise */
+	FL_RECONCILE_DECOMMISSIONED,            /* its machine is proven gone: reject it */
+	FL_RECONCILE_HIGHER_TOKEN, /* has a higher fencing token than this leader: reject it */
+	FL_RECONCILE_OUT_OF_MEMORY /* its machine could not be added: reject it */
 };
 
 /* Whether a heartbeat with this result is to be rejected, rather than to be answered. */
@@ -45,7 +46,7 @@
                                                 struct fl_command_list *commands,
                                                 enum fl_heartbeat_source source);
 /* To be called when a leader whose lease is in doubt has renewed a worker's, without commands. */
-void fl_reconcile_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat);
+void fl_reconcile_record_renewal(struct fl_node *node, const struct fl_heartbeat *heartbeat);
 /* Collects the commands for a direct request to the machine; false if there are none. */
 bool fl_reconcile_collect_commands(struct fl_node *node, struct fl_machine *machine,
                                    struct fl_command_list *commands);
--- a/src/coordination/workers/reconciliation_commands.c
+++ b/src/coordination/workers/reconciliation_commands.c
@@ -16,7 +16,7 @@
 double fl_attempt_grace_period_s(const struct fl_job *job, const struct fl_task *task)
 {
 	if (job->cancelled || job->checkpoint_every_s <= 0 ||
-	    task->observed == FL_OBSERVED_CHECKPOINTING)
+	    task->last_observed_state == FL_OBSERVED_CHECKPOINTING)
 		return 0;
 	return job->checkpoint_cost_s + tunables.checkpoint_margin_s;
 }
@@ -28,15 +28,16 @@
 
 	for (int i = 0; i < machine->assignment_count; i++) {
 		struct fl_job *job = machine->assignments[i].job;
-		uint32_t index = machine->assignments[i].index;
-		struct fl_task *task = fl_task_peek(job, index);
+		uint32_t index = machine->assignments[i].task_index;
+		struct fl_task *task = fl_task_find(job, index);
 
 		if (!fl_attempt_should_run(job, task)) {
 			fl_command_list_add(commands,
 			                    &(struct fl_command){
 						    FL_COMMAND_STOP, job->ref, index, task->attempt,
 						    fl_attempt_grace_period_s(job, task)});
-		} else if (task->observed == FL_OBSERVED_NONE && fl_task_durable(job, index)) {
+		} else if (task->last_observed_state == FL_OBSERVED_NONE &&
+		           fl_task_change_is_durable(job, index)) {
 			fl_command_list_add(commands,
 			                    &(struct fl_command){FL_COMMAND_START, job->ref, index,
 			                                         task->attempt, 0});
--- a/src/coordination/workers/reconciliation_contact.c
+++ b/src/coordination/workers/reconciliation_contact.c
@@ -4,12 +4,13 @@
 #include "coordination/workers/reconciliation_internal.h"
 #include "transport/log.h"
 
-bool fl_reconcile_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat)
+bool fl_reconcile_heartbeat_is_newer(const struct fl_machine *machine,
+                                     const struct fl_heartbeat *heartbeat)
 {
-	if (machine->heartbeat.last_at <= 0)
+	if (machine->heartbeat.last_received_at <= 0)
 		return true;
-	return fl_heartbeat_is_after(heartbeat, machine->heartbeat.incarnation,
-	                             machine->heartbeat.sequence);
+	return fl_heartbeat_is_newer_than(heartbeat, machine->heartbeat.incarnation,
+	                                  machine->heartbeat.sequence);
 }
 
 /*
@@ -29,7 +30,7 @@
 	int type = fl_machine_type_find(&node->cluster.machines, heartbeat->type);
 	int zone = fl_symbol_find(&node->cluster.zones, heartbeat->zone);
 
-	fl_cluster_describe(machine, type, zone, heartbeat->spot, heartbeat->endpoint);
+	fl_cluster_describe_machine(machine, type, zone, heartbeat->spot, heartbeat->endpoint);
 }
 
 /* Records the notice of a spot machine's interruption; whether it is new. */
@@ -54,7 +55,7 @@
 	describe(node, machine, heartbeat);
 	machine->heartbeat.incarnation = heartbeat->incarnation;
 	machine->heartbeat.sequence = heartbeat->sequence;
-	machine->heartbeat.last_at = context->now;
+	machine->heartbeat.last_received_at = context->now;
 	machine->lifecycle.up = true;
 	machine->heartbeat.orphan_task_count = 0;
 	interrupted = record_interruption(machine, heartbeat, context->now);
--- a/src/coordination/workers/reconciliation_exit.c
+++ b/src/coordination/workers/reconciliation_exit.c
@@ -76,12 +76,12 @@
 	job->retry.consecutive_failures = 0;
 	job->retry.not_before = 0;
 	context->machine->health.fault_count = 0;
-	fl_task_done(&context->node->cluster, job, index);
+	fl_task_mark_done(&context->node->cluster, job, index);
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
-void fl_reconcile_exit(const struct fl_heartbeat_context *context, struct fl_job *job,
-                       struct fl_task *task, const struct fl_task_status *status)
+void fl_reconcile_exited_attempt(const struct fl_heartbeat_context *context, struct fl_job *job,
+                                 struct fl_task *task, const struct fl_task_status *status)
 {
 	struct fl_node *node = context->node;
 	double pause_s = 0;
--- a/src/coordination/workers/reconciliation_internal.h
+++ b/src/coordination/workers/reconciliation_internal.h
@@ -26,7 +26,8 @@
 /* ---- which heartbeats count: reconciliation_contact.c ---- */
 
 /* Whether it is newer than any that was applied; the first one received is always newer. */
-bool fl_reconcile_is_newer(const struct fl_machine *machine, const struct fl_heartbeat *heartbeat);
+bool fl_reconcile_heartbeat_is_newer(const struct fl_machine *machine,
+                                     const struct fl_heartbeat *heartbeat);
 /* Whether a heartbeat was sent before its worker knew of this leadership. */
 bool fl_reconcile_predates_leadership(const struct fl_node *node,
                                       const struct fl_heartbeat *heartbeat);
@@ -43,15 +44,15 @@
 /* ---- what the attempts of a heartbeat mean ---- */
 
 /* The current attempt of a task has exited: reconciliation_exit.c. */
-void fl_reconcile_exit(const struct fl_heartbeat_context *context, struct fl_job *job,
-                       struct fl_task *task, const struct fl_task_status *status);
+void fl_reconcile_exited_attempt(const struct fl_heartbeat_context *context, struct fl_job *job,
+                                 struct fl_task *task, const struct fl_task_status *status);
 /* An attempt that the heartbeat reports: reconciliation_reported.c. */
-void fl_reconcile_reported(const struct fl_heartbeat_context *context,
-                           const struct fl_task_status *status);
+void fl_reconcile_reported_attempt(const struct fl_heartbeat_context *context,
+                                   const struct fl_task_status *status);
 /*
  * The attempts placed on the machine that the heartbeat does not report: each is started, or
  * concluded to be gone. Returns whether a start command was added: reconciliation_unreported.c.
  */
-enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_context *context);
+enum fl_reply_kind fl_reconcile_unreported_attempts(const struct fl_heartbeat_context *context);
 
 #endif
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -52,9 +52,9 @@
 	if (status->exit != FL_EXIT_DONE || !job || job->cancelled ||
 	    status->index >= job->task_count || job->kind != FL_ARRAY)
 		return;
-	task = fl_task_get(job, status->index);
+	task = fl_task_get_or_alloc(job, status->index);
 	if (task && task->phase == FL_TASK_WAITING) {
-		fl_task_done(&node->cluster, job, status->index);
+		fl_task_mark_done(&node->cluster, job, status->index);
 		fl_condition_broadcast(&node->leadership.work_available);
 	}
 }
@@ -71,7 +71,8 @@
 /* Whether the record has all that this exited attempt has changed. */
 static bool is_recorded(const struct fl_job *job, const struct fl_task_status *status)
 {
-	return !job || status->index >= job->task_count || fl_task_durable(job, status->index);
+	return !job || status->index >= job->task_count ||
+	       fl_task_change_is_durable(job, status->index);
 }
 
 /*
@@ -99,7 +100,7 @@
 static bool is_current(const struct fl_machine *machine, const struct fl_task *task,
                        const struct fl_task_status *status)
 {
-	return task && task->phase == FL_TASK_PLACED && task->machine == machine->id &&
+	return task && task->phase == FL_TASK_PLACED && task->machine_id == machine->id &&
 	       task->attempt == status->attempt;
 }
 
@@ -108,21 +109,21 @@
 {
 	enum fl_observed_state observed = observed_state(status->state);
 
-	if (task->observed == observed)
+	if (task->last_observed_state == observed)
 		return;
 	fl_debug("workers", "task %s: %s/%u machine=%s after_s=%.1f", observed_state_name(observed),
 	         job->ref, status->index, context->machine->name,
 	         context->now - task->running_since);
-	fl_task_observe(job, task, observed, context->now);
+	fl_task_set_observed_state(job, task, observed, context->now);
 	fl_condition_broadcast(&context->node->leadership.work_available);
 }
 
-void fl_reconcile_reported(const struct fl_heartbeat_context *context,
-                           const struct fl_task_status *status)
+void fl_reconcile_reported_attempt(const struct fl_heartbeat_context *context,
+                                   const struct fl_task_status *status)
 {
 	struct fl_job *job = fl_job_find(&context->node->cluster, status->ref);
 	struct fl_task *task =
-		job && status->index < job->task_count ? fl_task_peek(job, status->index) : NULL;
+		job && status->index < job->task_count ? fl_task_find(job, status->index) : NULL;
 
 	if (!is_current(context->machine, task, status)) {
 		reconcile_stale(context, job, status);
@@ -130,7 +131,7 @@
 	}
 	fl_machine_record_image(context->machine, job->image);
 	if (status->state == FL_TASK_STATE_EXITED) {
-		fl_reconcile_exit(context, job, task, status);
+		fl_reconcile_exited_attempt(context, job, task, status);
 		return;
 	}
 	observe(context, job, task, status);
--- a/src/coordination/workers/reconciliation_unreported.c
+++ b/src/coordination/workers/reconciliation_unreported.c
@@ -50,7 +50,7 @@
                                            struct fl_job *job, uint32_t index)
 {
 	const char *machine_name = context->machine->name;
-	struct fl_task *task = fl_task_peek(job, index);
+	struct fl_task *task = fl_task_find(job, index);
 
 	if (task->incarnation < context->heartbeat->incarnation) {
 		/* The incarnation in which it was placed is over, and so is the attempt. */
@@ -59,17 +59,17 @@
 		release(context, job, index);
 		return FL_REPLY_WITHOUT_START;
 	}
-	if (task->observed != FL_OBSERVED_NONE) {
+	if (task->last_observed_state != FL_OBSERVED_NONE) {
 		/* Was seen in this incarnation, was never forgotten, and is no more. */
 		fl_error("workers", "task lost: %s/%u machine=%s reason=not_reported", job->ref,
 		         index, machine_name);
-		fl_task_observe(job, task, FL_OBSERVED_NONE, context->now);
+		fl_task_set_observed_state(job, task, FL_OBSERVED_NONE, context->now);
 	}
 	if (!fl_attempt_should_run(job, task)) {
 		release_if_conclusive(context, job, index, task);
 		return FL_REPLY_WITHOUT_START;
 	}
-	if (!context->commands || !fl_task_durable(job, index))
+	if (!context->commands || !fl_task_change_is_durable(job, index))
 		return FL_REPLY_WITHOUT_START;
 	fl_command_list_add(context->commands, &(struct fl_command){FL_COMMAND_START, job->ref,
 	                                                            index, task->attempt, 0});
@@ -77,7 +77,7 @@
 	return FL_REPLY_WITH_START;
 }
 
-enum fl_reply_kind fl_reconcile_unreported(const struct fl_heartbeat_context *context)
+enum fl_reply_kind fl_reconcile_unreported_attempts(const struct fl_heartbeat_context *context)
 {
 	const struct fl_machine *machine = context->machine;
 	enum fl_reply_kind kind = FL_REPLY_WITHOUT_START;
@@ -87,7 +87,7 @@
 		struct fl_assignment assignment = machine->assignments[i];
 
 		if (!fl_heartbeat_reports_attempt(context->heartbeat, assignment) &&
-		    reconcile_absent(context, assignment.job, assignment.index) ==
+		    reconcile_absent(context, assignment.job, assignment.task_index) ==
 		            FL_REPLY_WITH_START)
 			kind = FL_REPLY_WITH_START;
 	}
--- a/src/coordination/workers/renewal_rules.c
+++ b/src/coordination/workers/renewal_rules.c
@@ -31,7 +31,8 @@
 	return finished && finished->status == FL_CANCELLED ? finished : NULL;
 }
 
-bool fl_renewal_holds_overdue_task(const struct fl_node *node, const struct fl_heartbeat *heartbeat)
+bool fl_renewal_heartbeat_has_overdue_task(const struct fl_node *node,
+                                           const struct fl_heartbeat *heartbeat)
 {
 	double before = fl_now() - fl_renewal_window_s(node->config);
 
@@ -45,9 +46,9 @@
 	return false;
 }
 
-void fl_renewal_stop_cancelled(const struct fl_cluster *cluster,
-                               const struct fl_heartbeat *heartbeat,
-                               struct fl_command_list *commands)
+void fl_renewal_add_stop_commands(const struct fl_cluster *cluster,
+                                  const struct fl_heartbeat *heartbeat,
+                                  struct fl_command_list *commands)
 {
 	for (int i = 0; i < heartbeat->task_count; i++) {
 		const struct fl_task_status *status = &heartbeat->tasks[i];
--- a/src/coordination/workers/renewal_rules.h
+++ b/src/coordination/workers/renewal_rules.h
@@ -31,15 +31,15 @@
  * been cancelled a minute ago. Such a lease is not to be renewed by any node; and a cancellation
  * that this node does not know of is younger than its watermark.
  */
-bool fl_renewal_holds_overdue_task(const struct fl_node *node,
-                                   const struct fl_heartbeat *heartbeat);
+bool fl_renewal_heartbeat_has_overdue_task(const struct fl_node *node,
+                                           const struct fl_heartbeat *heartbeat);
 /*
  * Adds stop commands for tasks of cancelled jobs. What is known to be cancelled is stopped by
  * whoever answers, not only no longer renewed: the final state is stored, so the stop is right
  * whichever node sends it, and comes with the answer that renews the lease, or neither does.
  */
-void fl_renewal_stop_cancelled(const struct fl_cluster *cluster,
-                               const struct fl_heartbeat *heartbeat,
-                               struct fl_command_list *commands);
+void fl_renewal_add_stop_commands(const struct fl_cluster *cluster,
+                                  const struct fl_heartbeat *heartbeat,
+                                  struct fl_command_list *commands);
 
 #endif
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -5,7 +5,7 @@
 
 #include "storage/jobs.h"
 
-void fl_cluster_learn_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at)
+void fl_cluster_mark_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at)
 {
 	struct fl_job *job = fl_job_find(cluster, ref);
 
@@ -16,7 +16,7 @@
 		return;
 	}
 	job->cancelled_at = cancelled_at;
-	if (!cluster->leading) {
+	if (!cluster->has_leader_state) {
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
@@ -25,14 +25,14 @@
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
 
-void fl_cluster_describe(struct fl_machine *machine, int type, int zone, bool spot,
-                         const char *endpoint)
+void fl_cluster_describe_machine(struct fl_machine *machine, int type, int zone, bool spot,
+                                 const char *endpoint)
 {
 	bool was_known = machine->zone != FL_INDEX_NONE;
 
 	if (zone >= FL_ZONES_MAX)
 		return;
-	fl_machine_describe(machine, type, zone, spot, endpoint);
+	fl_machine_set_description(machine, type, zone, spot, endpoint);
 	if (was_known || machine->zone == FL_INDEX_NONE)
 		return;
 	for (int i = 0; i < machine->assignment_count; i++) {
@@ -54,7 +54,7 @@
 	for (int i = 0; i < machine->assignment_count; i++) {
 		const struct fl_assignment *assignment = &machine->assignments[i];
 
-		fl_task_peek(assignment->job, assignment->index)->machine = machine->id;
+		fl_task_find(assignment->job, assignment->task_index)->machine_id = machine->id;
 	}
 }
 
@@ -79,10 +79,10 @@
 	job->retry.not_before = 0;
 	job->record.is_dirty = false;
 	job->record.final_write_in_flight = false;
-	job->record.final_write_unknown = false;
+	job->record.write_outcome_unknown = false;
 }
 
-void fl_cluster_forget_tasks(struct fl_cluster *cluster)
+void fl_cluster_free_leader_state(struct fl_cluster *cluster)
 {
 	struct fl_job *job, *next;
 
@@ -91,7 +91,7 @@
 		if (job->cancelled)
 			fl_job_finalise(cluster, job, FL_CANCELLED);
 	}
-	cluster->dirty = NULL;
+	cluster->dirty_jobs = NULL;
 	for (int i = 0; i < cluster->teams.count; i++)
 		cluster->teams.by_index[i].used_cpus = cluster->teams.by_index[i].used_gpus = 0;
 	fl_machines_clear(&cluster->machines);
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -32,12 +32,12 @@
 /* One task of a job. */
 struct fl_task {
 	enum fl_task_phase phase : 8;
-	enum fl_observed_state observed : 8;
+	enum fl_observed_state last_observed_state : 8;
 	enum fl_stop_reason stop_reason : 8;
 	uint8_t failure_count; /* error exits in a row */
 	bool start_sent;      /* a reply had its start command, and no heartbeat has shown it yet */
 	uint32_t attempt;     /* the last one used; 0: none yet */
-	int32_t machine;      /* id, while PLACED */
+	int32_t machine_id;   /* id, while PLACED */
 	uint64_t incarnation; /* of the machine, at placement */
 	uint64_t fencing_token; /* of this leader when it placed it; 0: read from a record */
 	uint64_t generation;    /* of the block, when this task last changed */
@@ -64,9 +64,10 @@
 /* How a job's placed tasks are spread, and what placing its next ones depends on. */
 struct fl_job_placement {
 	uint32_t by_zone[FL_ZONES_MAX];
-	uint32_t in_unknown_zone; /* on machines whose zone is not known yet */
-	uint32_t scan_from;       /* no task below it is WAITING */
-	double window_until; /* backfill window while this job is first in the queue; 0: not set */
+	uint32_t in_unknown_zone;     /* on machines whose zone is not known yet */
+	uint32_t waiting_scan_start;  /* no task below it is WAITING */
+	double backfill_window_until; /* backfill window while this job is first in the queue; 0:
+	                                 not set */
 };
 
 /* When a job that fails may try again. */
@@ -80,9 +81,9 @@
 	uint64_t mod_revision;      /* of the job record */
 	struct fl_job *next_dirty;  /* on the cluster's list of jobs with unsaved blocks */
 	bool is_dirty;              /* it is on that list */
-	bool listed;                /* it was in the list of job records being read */
+	bool seen_in_list;          /* it was in the list of job records being read */
 	bool final_write_in_flight; /* its final record is being written */
-	bool final_write_unknown;   /* that had an unknown outcome: read before writing again */
+	bool write_outcome_unknown; /* that had an unknown outcome: read before writing again */
 };
 
 /* A job that is not over yet. */
@@ -95,11 +96,11 @@
 	uint32_t task_count;
 	double cpus, gpus, ram_gb, image_gb; /* of one task */
 	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s;
-	uint32_t types; /* bit per allowed machine type; UINT32_MAX: any */
+	uint32_t allowed_type_mask; /* bit per allowed machine type; UINT32_MAX: any */
 	bool same_zone, spread_zones, spot_allowed;
-	bool within_guaranteed; /* fits its team's guaranteed quota, after its earlier jobs */
-	bool cancelled;         /* its user has cancelled it; tasks may still have to stop */
-	double cancelled_at;    /* not after its user got the answer; 0: not cancelled */
+	bool within_guaranteed_quota; /* fits its team's guaranteed quota, after its earlier jobs */
+	bool cancelled;               /* its user has cancelled it; tasks may still have to stop */
+	double cancelled_at;          /* not after its user got the answer; 0: not cancelled */
 	double submitted_wall;
 	struct fl_job_record_state record;
 	struct fl_job_counts counts;
@@ -116,7 +117,7 @@
 	enum fl_job_status status : 8;
 	uint32_t task_count;
 	double cancelled_at; /* if CANCELLED: the deadline for its tasks counts from here */
-	double learned_at;   /* when this process learned that it is over */
+	double added_at;     /* when this process learned that it is over */
 };
 
 /* All that a node knows of jobs and machines. Zero-initialised is empty. */
@@ -126,31 +127,31 @@
 	struct fl_machines machines;
 	struct fl_job *jobs;              /* live, by ref */
 	struct fl_finished_job *finished; /* by ref, oldest first */
-	unsigned finished_max;      /* the oldest beyond it are dropped from memory; 0: no limit */
-	double finished_dropped_at; /* `learned_at` of the newest one dropped; 0: none was */
-	struct fl_job *dirty;       /* jobs with unsaved blocks */
-	uint64_t list_revision;     /* of the list that the leadership began with */
-	bool leading;               /* tasks and machines are held here, not only descriptions */
+	unsigned finished_max; /* the oldest beyond it are dropped from memory; 0: no limit */
+	double finished_dropped_up_to; /* `added_at` of the newest one dropped; 0: none was */
+	struct fl_job *dirty_jobs;     /* jobs with unsaved blocks */
+	uint64_t job_list_revision;    /* of the list that the leadership began with */
+	bool has_leader_state;         /* tasks and machines are held here, not only descriptions */
 };
 
 /*
  * Applies a cancellation that another controller reports before this node has read the record. A
  * leader keeps the job until its tasks are gone, any other node finalises it; idempotent.
  */
-void fl_cluster_learn_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at);
+void fl_cluster_mark_cancelled(struct fl_cluster *cluster, const char *ref, double cancelled_at);
 /*
- * As fl_machine_describe, and counts the machine's attempts in its zone when that becomes known.
- * Ignored if the zone is beyond FL_ZONES_MAX.
+ * As fl_machine_set_description, and counts the machine's attempts in its zone when that becomes
+ * known. Ignored if the zone is beyond FL_ZONES_MAX.
  */
-void fl_cluster_describe(struct fl_machine *machine, int type, int zone, bool spot,
-                         const char *endpoint);
+void fl_cluster_describe_machine(struct fl_machine *machine, int type, int zone, bool spot,
+                                 const char *endpoint);
 /*
  * Frees the tombstones of machines that were decommissioned before the steady time `before`, which
  * changes ids of others: only to be called where nobody holds a machine or an id across a wait.
  */
 void fl_cluster_purge_tombstones(struct fl_cluster *cluster, double before);
 /* Frees what only a leader knows (tasks, machines, usage); cancelled jobs are finalised. */
-void fl_cluster_forget_tasks(struct fl_cluster *cluster);
+void fl_cluster_free_leader_state(struct fl_cluster *cluster);
 /* Frees all that the cluster holds, but not the cluster itself. */
 void fl_cluster_free(struct fl_cluster *cluster);
 
--- a/src/storage/finished_jobs.c
+++ b/src/storage/finished_jobs.c
@@ -18,7 +18,7 @@
 	struct fl_finished_job *oldest = cluster->finished;
 
 	HASH_DEL(cluster->finished, oldest);
-	cluster->finished_dropped_at = oldest->learned_at;
+	cluster->finished_dropped_up_to = oldest->added_at;
 	free(oldest);
 }
 
@@ -32,14 +32,14 @@
 	finished = calloc(1, sizeof(*finished));
 	if (!finished) {
 		/* Lists of cancellations since an earlier time are incomplete without it. */
-		cluster->finished_dropped_at = fl_now();
+		cluster->finished_dropped_up_to = fl_now();
 		return;
 	}
 	fl_copy_string(finished->ref, sizeof(finished->ref), ref);
 	finished->status = status;
 	finished->task_count = task_count;
 	finished->cancelled_at = cancelled_at;
-	finished->learned_at = fl_now();
+	finished->added_at = fl_now();
 	HASH_ADD_STR(cluster->finished, ref, finished);
 	if (cluster->finished_max > 0 && HASH_COUNT(cluster->finished) > cluster->finished_max)
 		drop_oldest(cluster);
@@ -59,9 +59,9 @@
 	const struct fl_finished_job *finished = newest_of(cluster);
 
 	*count = 0;
-	if (cluster->finished_dropped_at > since)
+	if (cluster->finished_dropped_up_to > since)
 		return false;
-	for (; finished && finished->learned_at >= since; finished = finished->hh.prev) {
+	for (; finished && finished->added_at >= since; finished = finished->hh.prev) {
 		if (finished->status != FL_CANCELLED)
 			continue;
 		if (*count == max)
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -5,7 +5,7 @@
 #include "storage/keys.h"
 #include "transport/text.h"
 
-cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted_wall)
+cJSON *fl_job_record_encode_live(const struct fl_job_spec *spec, double submitted_wall)
 {
 	cJSON *object = fl_job_spec_encode(spec);
 
@@ -20,16 +20,16 @@
 	return object;
 }
 
-cJSON *fl_job_record_final(enum fl_job_status status, uint32_t task_count)
+cJSON *fl_job_record_encode_final(enum fl_job_status status, uint32_t task_count)
 {
 	return add_final(cJSON_CreateObject(), status, task_count);
 }
 
-cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted_wall,
-                               double cancelled_wall)
+cJSON *fl_job_record_encode_cancelled(const struct fl_job_spec *spec, double submitted_wall,
+                                      double cancelled_wall)
 {
-	cJSON *object =
-		add_final(fl_job_record_live(spec, submitted_wall), FL_CANCELLED, spec->task_count);
+	cJSON *object = add_final(fl_job_record_encode_live(spec, submitted_wall), FL_CANCELLED,
+	                          spec->task_count);
 
 	cJSON_AddNumberToObject(object, "cancelled", cancelled_wall);
 	return object;
@@ -38,19 +38,20 @@
 static void describe_machine_types(const struct fl_cluster *cluster, const struct fl_job *job,
                                    struct fl_job_spec *out)
 {
-	if (job->types == UINT32_MAX) {
+	if (job->allowed_type_mask == UINT32_MAX) {
 		out->machine_type_count = FL_ANY_MACHINE_TYPE;
 		return;
 	}
 	out->machine_type_count = 0;
 	for (int i = 0; i < cluster->machines.type_count; i++)
-		if ((job->types >> i & 1) && out->machine_type_count < FL_ALLOWED_TYPES_MAX)
+		if ((job->allowed_type_mask >> i & 1) &&
+		    out->machine_type_count < FL_ALLOWED_TYPES_MAX)
 			fl_copy_string(out->machine_types[out->machine_type_count++], FL_NAME_MAX,
 			               cluster->machines.types[i].name);
 }
 
-void fl_job_describe(const struct fl_cluster *cluster, const struct fl_job *job,
-                     struct fl_job_spec *out)
+void fl_job_to_spec(const struct fl_cluster *cluster, const struct fl_job *job,
+                    struct fl_job_spec *out)
 {
 	memset(out, 0, sizeof(*out));
 	fl_copy_string(out->ref, sizeof(out->ref), job->ref);
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -38,15 +38,15 @@
                                          uint64_t *revision);
 
 /* The record of a live job; owned by the caller, like the two below. */
-cJSON *fl_job_record_live(const struct fl_job_spec *spec, double submitted_wall);
+cJSON *fl_job_record_encode_live(const struct fl_job_spec *spec, double submitted_wall);
 /* The record of a job that is over. */
-cJSON *fl_job_record_final(enum fl_job_status status, uint32_t task_count);
+cJSON *fl_job_record_encode_final(enum fl_job_status status, uint32_t task_count);
 /* The record of a job that its user has cancelled and whose tasks have still to be stopped. */
-cJSON *fl_job_record_cancelled(const struct fl_job_spec *spec, double submitted_wall,
-                               double cancelled_wall);
+cJSON *fl_job_record_encode_cancelled(const struct fl_job_spec *spec, double submitted_wall,
+                                      double cancelled_wall);
 /* The description that a job was submitted with, from its state in memory. */
-void fl_job_describe(const struct fl_cluster *cluster, const struct fl_job *job,
-                     struct fl_job_spec *out);
+void fl_job_to_spec(const struct fl_cluster *cluster, const struct fl_job *job,
+                    struct fl_job_spec *out);
 /* Decodes the record of the job with this id; MALFORMED if any of it cannot be read. */
 enum fl_decode_result fl_job_record_decode(const cJSON *value, const char *ref,
                                            struct fl_job_record *out);
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -3,30 +3,30 @@
 #include "transport/clock.h"
 #include "transport/log.h"
 
-void fl_cluster_list_begin(struct fl_cluster *cluster)
+void fl_cluster_begin_job_list(struct fl_cluster *cluster)
 {
 	struct fl_job *job, *next;
 
 	HASH_ITER (hh, cluster->jobs, job, next)
-		job->record.listed = false;
+		job->record.seen_in_list = false;
 }
 
-void fl_cluster_list_end(struct fl_cluster *cluster, uint64_t revision)
+void fl_cluster_end_job_list(struct fl_cluster *cluster, uint64_t revision)
 {
 	struct fl_job *job, *next;
 
 	/* A job that was stored after the list was made is not in it, but not over either. */
 	HASH_ITER (hh, cluster->jobs, job, next)
-		if (!job->record.listed && job->record.mod_revision <= revision &&
+		if (!job->record.seen_in_list && job->record.mod_revision <= revision &&
 		    job->counts.placed == 0)
 			fl_job_drop(cluster, job);
 }
 
-bool fl_cluster_apply_cancellation(struct fl_cluster *cluster, struct fl_job *job,
-                                   const struct fl_job_record *record, uint64_t revision)
+bool fl_cluster_update_live_job(struct fl_cluster *cluster, struct fl_job *job,
+                                const struct fl_job_record *record, uint64_t revision)
 {
 	job->record.mod_revision = revision;
-	job->record.final_write_unknown = false;
+	job->record.write_outcome_unknown = false;
 	if (!record->final || job->cancelled)
 		return false;
 	job->cancelled = true;
@@ -42,8 +42,8 @@
 		job = fl_job_add(cluster, &record->spec, record->submitted_wall, revision);
 	if (!job)
 		fl_error("jobs", "record names an unknown team or zone: %s", ref);
-	if (job && !cluster->leading)
-		job->record.listed = true;
+	if (job && !cluster->has_leader_state)
+		job->record.seen_in_list = true;
 	return job;
 }
 
@@ -56,8 +56,8 @@
 	 * and have cancelled the job. Found when such a record was ignored: the job stayed live on
 	 * this node for ever.
 	 */
-	if (job && cluster->leading) {
-		fl_cluster_apply_cancellation(cluster, job, record, revision);
+	if (job && cluster->has_leader_state) {
+		fl_cluster_update_live_job(cluster, job, record, revision);
 		return job;
 	}
 	if (job) {
@@ -81,9 +81,9 @@
 	 * meanwhile must neither preserve a job that the failover's list lacks nor drop one that it
 	 * contains.
 	 */
-	if (job && !cluster->leading)
-		job->record.listed = true;
-	if (job && !value && !cluster->leading && revision > job->record.mod_revision)
+	if (job && !cluster->has_leader_state)
+		job->record.seen_in_list = true;
+	if (job && !value && !cluster->has_leader_state && revision > job->record.mod_revision)
 		fl_job_drop(cluster, job);
 	if (!value || fl_finished_job_find(cluster, ref))
 		return NULL;
@@ -91,7 +91,7 @@
 	 * A watch may lag behind the list that a leader began with: what the list no longer held is
 	 * over, and a late event of its submission must not make it live again.
 	 */
-	if (!job && cluster->leading && revision <= cluster->list_revision)
+	if (!job && cluster->has_leader_state && revision <= cluster->job_list_revision)
 		return NULL;
 	if (job && revision <= job->record.mod_revision)
 		return job;
--- a/src/storage/job_updates.h
+++ b/src/storage/job_updates.h
@@ -16,12 +16,12 @@
                                            const cJSON *value, uint64_t revision);
 
 /* Applies the record of a leader's live job; true if it is newly cancelled. */
-bool fl_cluster_apply_cancellation(struct fl_cluster *cluster, struct fl_job *job,
-                                   const struct fl_job_record *record, uint64_t revision);
+bool fl_cluster_update_live_job(struct fl_cluster *cluster, struct fl_job *job,
+                                const struct fl_job_record *record, uint64_t revision);
 
 /* Called before a whole list of job records is read: no live job counts as listed yet. */
-void fl_cluster_list_begin(struct fl_cluster *cluster);
+void fl_cluster_begin_job_list(struct fl_cluster *cluster);
 /* Called after it, with the list's revision: live jobs that it no longer holds are dropped. */
-void fl_cluster_list_end(struct fl_cluster *cluster, uint64_t revision);
+void fl_cluster_end_job_list(struct fl_cluster *cluster, uint64_t revision);
 
 #endif
--- a/src/storage/jobs.c
+++ b/src/storage/jobs.c
@@ -68,7 +68,7 @@
 	job->image = fl_symbol_intern(&cluster->images, spec->image);
 	job->team = team;
 	job->zone = zone;
-	job->types = machine_types_mask(cluster, spec);
+	job->allowed_type_mask = machine_types_mask(cluster, spec);
 	job->submitted_wall = submitted_wall;
 	job->record.mod_revision = revision;
 	job->counts.waiting = spec->task_count;
@@ -87,7 +87,7 @@
 
 static void unlink_dirty(struct fl_cluster *cluster, struct fl_job *job)
 {
-	struct fl_job **link = &cluster->dirty;
+	struct fl_job **link = &cluster->dirty_jobs;
 
 	while (*link && *link != job)
 		link = &(*link)->record.next_dirty;
@@ -115,11 +115,11 @@
 	if (job->record.is_dirty)
 		return;
 	job->record.is_dirty = true;
-	job->record.next_dirty = cluster->dirty;
-	cluster->dirty = job;
+	job->record.next_dirty = cluster->dirty_jobs;
+	cluster->dirty_jobs = job;
 }
 
-bool fl_job_is_over(const struct fl_job *job)
+bool fl_job_is_finished(const struct fl_job *job)
 {
 	return job->cancelled ? job->counts.placed == 0 : job->counts.done == job->task_count;
 }
--- a/src/storage/jobs.h
+++ b/src/storage/jobs.h
@@ -33,11 +33,11 @@
 /* Something of the job is to be written: changes of a block or, when over, its final state. */
 void fl_job_mark_dirty(struct fl_cluster *cluster, struct fl_job *job);
 /* All its tasks are done; or it is cancelled, and none may be on a machine any more. */
-bool fl_job_is_over(const struct fl_job *job);
+bool fl_job_is_finished(const struct fl_job *job);
 /* The status that its user sees. Never DONE, which a job is only once it is finalised. */
 enum fl_job_status fl_job_current_status(const struct fl_job *job);
 /* What one task of the job needs. */
-static inline struct fl_resources fl_job_need(const struct fl_job *job)
+static inline struct fl_resources fl_job_task_resources(const struct fl_job *job)
 {
 	return (struct fl_resources){job->cpus, job->gpus, job->ram_gb};
 }
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -18,7 +18,7 @@
 #define FL_PREFIX_PROGRESS "p/"
 #define FL_PREFIX_HEARTBEAT_DIGESTS "k/"
 #define FL_PREFIX_WAL "w/"
-#define FL_KEY_WAL "w/0" /* in every write of the log */
+#define FL_KEY_WAL_FIRST_VALUE "w/0" /* in every write of the log */
 
 /* The key of a live or cancelled job. */
 void fl_key_job(char key[FL_KEY_MAX], const char *ref);
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -48,7 +48,7 @@
 	machine_type->price = offered->price;
 	machine_type->spot_price = offered->spot_price;
 	machine_type->ready_s = offered->ready_s;
-	machine_type->zones = zones_mask(offered, zones);
+	machine_type->zone_mask = zones_mask(offered, zones);
 }
 
 void fl_machine_types_set(struct fl_machines *machines, const struct fl_symbol_table *zones,
@@ -76,7 +76,7 @@
 	return machine;
 }
 
-struct fl_machine *fl_machine_get(struct fl_machines *machines, const char *name, double now)
+struct fl_machine *fl_machine_get_or_add(struct fl_machines *machines, const char *name, double now)
 {
 	struct fl_machine *machine = fl_machine_find(machines, name), **by_id;
 
@@ -101,8 +101,8 @@
 	return machine;
 }
 
-void fl_machine_describe(struct fl_machine *machine, int type, int zone, bool spot,
-                         const char *endpoint)
+void fl_machine_set_description(struct fl_machine *machine, int type, int zone, bool spot,
+                                const char *endpoint)
 {
 	if (type == FL_INDEX_NONE || zone == FL_INDEX_NONE)
 		return;
@@ -133,7 +133,8 @@
                                   uint32_t index)
 {
 	for (int i = 0; i < machine->assignment_count; i++) {
-		if (machine->assignments[i].job == job && machine->assignments[i].index == index) {
+		if (machine->assignments[i].job == job &&
+		    machine->assignments[i].task_index == index) {
 			machine->assignments[i] = machine->assignments[--machine->assignment_count];
 			return;
 		}
@@ -151,7 +152,7 @@
 	machine->cached_images[0] = image;
 }
 
-uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available)
+uint32_t fl_fitting_task_count(struct fl_resources need, struct fl_resources available)
 {
 	const double max_count = 1e6;
 	double count = max_count;
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -19,7 +19,7 @@
 struct fl_machine_type {
 	char name[FL_NAME_MAX];
 	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price, ready_s;
-	uint32_t zones; /* bit per zone index */
+	uint32_t zone_mask; /* bit per zone index */
 };
 
 struct fl_job;
@@ -27,7 +27,7 @@
 /* An attempt that may be on a machine. */
 struct fl_assignment {
 	struct fl_job *job;
-	uint32_t index;
+	uint32_t task_index;
 };
 
 /* How far a machine is on its way from rental to return. */
@@ -39,14 +39,14 @@
 	bool up;                  /* a heartbeat has reached this leader */
 	bool draining;            /* is to be returned; nothing more is placed here */
 	bool scaled_in;           /* it has been returned to the cloud */
-	bool listed;              /* was in the list being read */
+	bool seen_in_list;        /* was in the list being read */
 	bool decommissioned;      /* proven gone: a tombstone that rejects late heartbeats */
 };
 
 /* The newest heartbeat. */
 struct fl_machine_heartbeat {
 	uint64_t incarnation, sequence; /* order heartbeats, in this order */
-	double last_at;                 /* when it came */
+	double last_received_at;        /* when it came */
 	int entry_node;        /* the node that it was sent to, by an index; 0: not known */
 	int orphan_task_count; /* its tasks that no record accounts for */
 };
@@ -67,10 +67,10 @@
 
 /* Resources reserved for a waiting job: see struct fl_reservation in schedule.h. */
 struct fl_machine_reservation {
-	double at; /* when it was last made; 0: never */
+	double reserved_at; /* when it was last made; 0: never */
 	double cpus, gpus, ram_gb;
 	enum fl_priority priority : 8;
-	bool within_guaranteed;
+	bool within_guaranteed_quota;
 };
 
 /* What failures on the machine lead to. */
@@ -115,13 +115,14 @@
 /* NULL: no such machine. */
 struct fl_machine *fl_machine_find(const struct fl_machines *machines, const char *name);
 /* The machine, added if it is not known yet; NULL without memory. */
-struct fl_machine *fl_machine_get(struct fl_machines *machines, const char *name, double now);
+struct fl_machine *fl_machine_get_or_add(struct fl_machines *machines, const char *name,
+                                         double now);
 /*
  * Sets type, zone and kind of rental, once, and the newest endpoint. Does nothing if type or zone
  * is FL_INDEX_NONE.
  */
-void fl_machine_describe(struct fl_machine *machine, int type, int zone, bool spot,
-                         const char *endpoint);
+void fl_machine_set_description(struct fl_machine *machine, int type, int zone, bool spot,
+                                const char *endpoint);
 /* Records that an attempt may be on the machine; false without memory. */
 bool fl_machine_add_assignment(struct fl_machine *machine, struct fl_job *job, uint32_t index);
 /* Undoes fl_machine_add_assignment. */
@@ -130,7 +131,7 @@
 /* Records that the image is on the machine; the least recently used one is forgotten. */
 void fl_machine_record_image(struct fl_machine *machine, int image);
 /* How many tasks that need `need` each fit into `available`. */
-uint32_t fl_placement_capacity(struct fl_resources need, struct fl_resources available);
+uint32_t fl_fitting_task_count(struct fl_resources need, struct fl_resources available);
 /* What an empty machine of the type has. */
 static inline struct fl_resources fl_machine_type_capacity(const struct fl_machine_type *type)
 {
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -24,7 +24,7 @@
 	cJSON *item = number_pair(index, task->attempt);
 
 	cJSON_AddItemToArray(item,
-	                     cJSON_CreateString(cluster->machines.by_id[task->machine]->name));
+	                     cJSON_CreateString(cluster->machines.by_id[task->machine_id]->name));
 	cJSON_AddItemToArray(item, cJSON_CreateNumber((double)task->incarnation));
 	cJSON_AddItemToArray(item, cJSON_CreateNumber(round(task->placed_wall)));
 	return item;
@@ -61,7 +61,7 @@
 	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE && base + i < job->task_count; i++) {
 		const struct fl_task *task = &block->tasks[i];
 
-		if (scope == UNSAVED_TASKS && fl_task_saved(block, task))
+		if (scope == UNSAVED_TASKS && fl_task_change_is_saved(block, task))
 			continue;
 		if (task->phase == FL_TASK_DONE) {
 			uint32_t last = last_done(block, i);
@@ -210,7 +210,7 @@
 {
 	struct fl_recorded_attempt recorded = {
 		.attempt = state->attempt,
-		.machine = fl_machine_get(&cluster->machines, state->machine, now),
+		.machine = fl_machine_get_or_add(&cluster->machines, state->machine, now),
 		.incarnation = state->incarnation,
 		.placed_wall = state->placed_wall};
 
@@ -224,7 +224,7 @@
                                           uint32_t index, const struct task_state *state,
                                           double now)
 {
-	struct fl_task *task = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get_or_alloc(job, index);
 	enum fl_decode_result result = FL_DECODE_OK;
 
 	if (!task || task->phase != FL_TASK_WAITING)
@@ -246,14 +246,14 @@
 		return result;
 	/* The next write of the log replaces this one: it must include what no record has yet. */
 	if (state->source == FROM_LOG)
-		fl_task_touch(cluster, job, index);
+		fl_task_mark_changed(cluster, job, index);
 	return FL_DECODE_OK;
 }
 
 /* Merges the groups of the block in the log, all of which count as restored. */
 static enum fl_decode_result merge_log(struct merge *merge, struct fl_wal *wal)
 {
-	int i = fl_wal_first(wal, merge->job->ref, merge->block_index);
+	int i = fl_wal_first_group(wal, merge->job->ref, merge->block_index);
 
 	merge->source = FROM_LOG;
 	for (; i != FL_INDEX_NONE; i = wal->groups[i].next_of_block) {
@@ -272,7 +272,7 @@
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 	enum fl_decode_result result;
 
-	if (block_index >= job->block_count || !fl_task_get(job, base))
+	if (block_index >= job->block_count || !fl_task_get_or_alloc(job, base))
 		return FL_DECODE_MALFORMED;
 	result = merge_record(&merge, source->value);
 	if (result == FL_DECODE_OK && source->wal)
@@ -284,7 +284,8 @@
 	return result;
 }
 
-enum fl_decode_result fl_task_block_count(const cJSON *value, uint32_t *done, uint32_t *placed)
+enum fl_decode_result fl_progress_record_add_counts(const cJSON *value, uint32_t *done,
+                                                    uint32_t *placed)
 {
 	uint64_t first, last;
 	const cJSON *item;
--- a/src/storage/progress_records.h
+++ b/src/storage/progress_records.h
@@ -32,6 +32,7 @@
                                             uint32_t block_index,
                                             const struct fl_task_block_source *source, double now);
 /* Adds the counts of a progress record, for a node that is not the leader. */
-enum fl_decode_result fl_task_block_count(const cJSON *value, uint32_t *done, uint32_t *placed);
+enum fl_decode_result fl_progress_record_add_counts(const cJSON *value, uint32_t *done,
+                                                    uint32_t *placed);
 
 #endif
