--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -6,14 +6,14 @@
 #include "storage/jobs.h"
 #include "transport/clock.h"
 
-struct fl_task *fl_task_peek(const struct fl_job *job, uint32_t index)
+struct fl_task *fl_task_find(const struct fl_job *job, uint32_t index)
 {
 	struct fl_task_block *block = fl_job_task_block(job, index / FL_TASK_BLOCK_SIZE);
 
 	return block ? &block->tasks[index % FL_TASK_BLOCK_SIZE] : NULL;
 }
 
-struct fl_task *fl_task_get(struct fl_job *job, uint32_t index)
+struct fl_task *fl_task_get_or_alloc(struct fl_job *job, uint32_t index)
 {
 	struct fl_task_block **block;
 
@@ -27,20 +27,21 @@
 	return *block ? &(*block)->tasks[index % FL_TASK_BLOCK_SIZE] : NULL;
 }
 
-bool fl_task_durable(const struct fl_job *job, uint32_t index)
+bool fl_task_change_is_durable(const struct fl_job *job, uint32_t index)
 {
 	const struct fl_task_block *block = fl_job_task_block(job, index / FL_TASK_BLOCK_SIZE);
-	const struct fl_task *task = fl_task_peek(job, index);
+	const struct fl_task *task = fl_task_find(job, index);
 
-	return !task || fl_task_saved(block, task) || task->generation <= block->logged_generation;
+	return !task || fl_task_change_is_saved(block, task) ||
+	       task->generation <= block->logged_generation;
 }
 
-bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *task)
+bool fl_task_change_is_saved(const struct fl_task_block *block, const struct fl_task *task)
 {
 	return task->generation <= block->saved_generation;
 }
 
-void fl_task_touch(struct fl_cluster *cluster, struct fl_job *job, uint32_t index)
+void fl_task_mark_changed(struct fl_cluster *cluster, struct fl_job *job, uint32_t index)
 {
 	struct fl_task_block *block = job->blocks[index / FL_TASK_BLOCK_SIZE];
 
@@ -50,15 +51,16 @@
 
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now)
 {
-	uint32_t i = from > job->placement.scan_from ? from : job->placement.scan_from;
-	bool lowest = i == job->placement.scan_from;
+	uint32_t i =
+		from > job->placement.waiting_scan_start ? from : job->placement.waiting_scan_start;
+	bool lowest = i == job->placement.waiting_scan_start;
 
 	for (; i < job->task_count; i++) {
-		const struct fl_task *task = fl_task_peek(job, i);
+		const struct fl_task *task = fl_task_find(job, i);
 
 		if (task && task->phase != FL_TASK_WAITING) {
 			if (lowest)
-				job->placement.scan_from = i + 1;
+				job->placement.waiting_scan_start = i + 1;
 			continue;
 		}
 		lowest = false;
@@ -94,7 +96,7 @@
 		return FL_PLACE_NOT_WAITING;
 	if (!fl_machine_add_assignment(machine, job, index))
 		return FL_PLACE_NO_MEMORY;
-	fl_resources_add(&machine->used, fl_job_need(job));
+	fl_resources_add(&machine->used, fl_job_task_resources(job));
 	team->used_cpus += job->cpus;
 	team->used_gpus += job->gpus;
 	(*zone_count(job, machine))++;
@@ -107,11 +109,11 @@
 static void unassign(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                      struct fl_task *task)
 {
-	struct fl_machine *machine = cluster->machines.by_id[task->machine];
+	struct fl_machine *machine = cluster->machines.by_id[task->machine_id];
 	struct fl_team *team = &cluster->teams.by_index[job->team];
 
 	fl_machine_remove_assignment(machine, job, index);
-	fl_resources_subtract(&machine->used, fl_job_need(job));
+	fl_resources_subtract(&machine->used, fl_job_task_resources(job));
 	/* Adding and subtracting fractions leaves a rounding error, which would add up. */
 	if (machine->assignment_count == 0)
 		machine->used = (struct fl_resources){0};
@@ -119,47 +121,47 @@
 	team->used_gpus -= job->gpus;
 	(*zone_count(job, machine))--;
 	job->counts.placed--;
-	if (is_running(task->observed))
+	if (is_running(task->last_observed_state))
 		job->counts.running--;
-	task->observed = FL_OBSERVED_NONE;
+	task->last_observed_state = FL_OBSERVED_NONE;
 	task->start_sent = false;
 	task->stop_reason = FL_STOP_NONE;
-	task->machine = FL_INDEX_NONE;
+	task->machine_id = FL_INDEX_NONE;
 	task->fencing_token = 0;
 }
 
 enum fl_place_result fl_task_place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                                    const struct fl_new_attempt *attempt, double now)
 {
-	struct fl_task *task = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get_or_alloc(job, index);
 	enum fl_place_result result = assign(cluster, job, task, index, attempt->machine);
 
 	if (result != FL_PLACE_OK)
 		return result;
 	task->phase = FL_TASK_PLACED;
 	task->attempt++;
-	task->machine = attempt->machine->id;
+	task->machine_id = attempt->machine->id;
 	task->incarnation = attempt->machine->heartbeat.incarnation;
 	task->fencing_token = attempt->fencing_token;
-	task->observed = FL_OBSERVED_NONE;
+	task->last_observed_state = FL_OBSERVED_NONE;
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
 	task->placed_wall = fl_wall();
-	fl_task_touch(cluster, job, index);
+	fl_task_mark_changed(cluster, job, index);
 	return FL_PLACE_OK;
 }
 
 enum fl_place_result fl_task_restore(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                                      const struct fl_recorded_attempt *recorded, double now)
 {
-	struct fl_task *task = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get_or_alloc(job, index);
 	enum fl_place_result result = assign(cluster, job, task, index, recorded->machine);
 
 	if (result != FL_PLACE_OK)
 		return result;
 	task->phase = FL_TASK_PLACED;
 	task->attempt = recorded->attempt;
-	task->machine = recorded->machine->id;
+	task->machine_id = recorded->machine->id;
 	task->incarnation = recorded->incarnation;
 	task->placed_wall = recorded->placed_wall;
 	/* Placed by an earlier leader: the work since then is lost if the task is stopped. */
@@ -175,7 +177,7 @@
 void fl_task_release(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                      double not_before)
 {
-	struct fl_task *task = fl_task_peek(job, index);
+	struct fl_task *task = fl_task_find(job, index);
 
 	if (!task || task->phase != FL_TASK_PLACED)
 		return;
@@ -183,14 +185,14 @@
 	task->phase = FL_TASK_WAITING;
 	task->not_before = not_before;
 	job->counts.waiting++;
-	if (index < job->placement.scan_from)
-		job->placement.scan_from = index;
-	fl_task_touch(cluster, job, index);
+	if (index < job->placement.waiting_scan_start)
+		job->placement.waiting_scan_start = index;
+	fl_task_mark_changed(cluster, job, index);
 }
 
-void fl_task_done(struct fl_cluster *cluster, struct fl_job *job, uint32_t index)
+void fl_task_mark_done(struct fl_cluster *cluster, struct fl_job *job, uint32_t index)
 {
-	struct fl_task *task = fl_task_get(job, index);
+	struct fl_task *task = fl_task_get_or_alloc(job, index);
 
 	if (!task || task->phase == FL_TASK_DONE)
 		return;
@@ -200,13 +202,13 @@
 		job->counts.waiting--;
 	task->phase = FL_TASK_DONE;
 	job->counts.done++;
-	fl_task_touch(cluster, job, index);
+	fl_task_mark_changed(cluster, job, index);
 }
 
-void fl_task_observe(struct fl_job *job, struct fl_task *task, enum fl_observed_state observed,
-                     double now)
+void fl_task_set_observed_state(struct fl_job *job, struct fl_task *task,
+                                enum fl_observed_state observed, double now)
 {
-	bool was_running = is_running(task->observed), runs_now = is_running(observed);
+	bool was_running = is_running(task->last_observed_state), runs_now = is_running(observed);
 
 	if (runs_now && !was_running) {
 		job->counts.running++;
@@ -215,11 +217,11 @@
 		 * placement. Counted from now, every new leader would take old work for new, and
 		 * preempt what is nearly done.
 		 */
-		if (task->fencing_token != 0 || task->observed != FL_OBSERVED_NONE)
+		if (task->fencing_token != 0 || task->last_observed_state != FL_OBSERVED_NONE)
 			task->running_since = now;
 	} else if (was_running && !runs_now) {
 		job->counts.running--;
 	}
-	task->observed = observed;
+	task->last_observed_state = observed;
 	task->start_sent = false;
 }
--- a/src/storage/tasks.h
+++ b/src/storage/tasks.h
@@ -9,15 +9,15 @@
 #include "storage/cluster.h"
 
 /* The task, whose block is allocated if need be; NULL without memory. */
-struct fl_task *fl_task_get(struct fl_job *job, uint32_t index);
+struct fl_task *fl_task_get_or_alloc(struct fl_job *job, uint32_t index);
 /* The task if its block exists, else NULL (it waits and never ran). */
-struct fl_task *fl_task_peek(const struct fl_job *job, uint32_t index);
+struct fl_task *fl_task_find(const struct fl_job *job, uint32_t index);
 /* Does the record or the write-ahead log hold its last change? */
-bool fl_task_durable(const struct fl_job *job, uint32_t index);
+bool fl_task_change_is_durable(const struct fl_job *job, uint32_t index);
 /* Does the record hold its last change? */
-bool fl_task_saved(const struct fl_task_block *block, const struct fl_task *task);
+bool fl_task_change_is_saved(const struct fl_task_block *block, const struct fl_task *task);
 /* Marks the task, its block and the job as changed; the block must exist. */
-void fl_task_touch(struct fl_cluster *cluster, struct fl_job *job, uint32_t index);
+void fl_task_mark_changed(struct fl_cluster *cluster, struct fl_job *job, uint32_t index);
 /* The next WAITING task at or after `from` that may start at `now`; task_count if there is none. */
 uint32_t fl_task_next_waiting(struct fl_job *job, uint32_t from, double now);
 
@@ -56,9 +56,9 @@
 void fl_task_release(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                      double not_before);
 /* Any -> DONE. */
-void fl_task_done(struct fl_cluster *cluster, struct fl_job *job, uint32_t index);
+void fl_task_mark_done(struct fl_cluster *cluster, struct fl_job *job, uint32_t index);
 /* Updates a placed task, and the job's count of running ones, from a heartbeat. */
-void fl_task_observe(struct fl_job *job, struct fl_task *task, enum fl_observed_state observed,
-                     double now);
+void fl_task_set_observed_state(struct fl_job *job, struct fl_task *task,
+                                enum fl_observed_state observed, double now);
 
 #endif
--- a/src/storage/teams.c
+++ b/src/storage/teams.c
@@ -12,14 +12,14 @@
 	return FL_INDEX_NONE;
 }
 
-bool fl_team_within_maximum(const struct fl_team *team, double cpus, double gpus)
+bool fl_team_fits_maximum_quota(const struct fl_team *team, double cpus, double gpus)
 {
 	if (team->max_cpus > 0 && cpus > team->max_cpus + FL_RESOURCES_EPSILON)
 		return false;
 	return !(team->max_gpus > 0 && gpus > team->max_gpus + FL_RESOURCES_EPSILON);
 }
 
-bool fl_team_within_guaranteed(const struct fl_team *team, double cpus, double gpus)
+bool fl_team_fits_guaranteed_quota(const struct fl_team *team, double cpus, double gpus)
 {
 	if (team->guaranteed_cpus <= 0 && team->guaranteed_gpus <= 0)
 		return false;
--- a/src/storage/teams.h
+++ b/src/storage/teams.h
@@ -29,8 +29,8 @@
 /* Index of the team, or FL_INDEX_NONE. */
 int fl_teams_find(const struct fl_teams *teams, const char *name);
 /* Would the team stay within its maximum with this much in use? */
-bool fl_team_within_maximum(const struct fl_team *team, double cpus, double gpus);
+bool fl_team_fits_maximum_quota(const struct fl_team *team, double cpus, double gpus);
 /* Does this much fit into what the team is guaranteed? Nothing fits if nothing is. */
-bool fl_team_within_guaranteed(const struct fl_team *team, double cpus, double gpus);
+bool fl_team_fits_guaranteed_quota(const struct fl_team *team, double cpus, double gpus);
 
 #endif
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -36,7 +36,7 @@
 	return fl_json_print_and_delete(item);
 }
 
-cJSON *fl_wal_value_begin(void)
+cJSON *fl_wal_value_create(void)
 {
 	cJSON *object = cJSON_CreateObject();
 
@@ -44,7 +44,7 @@
 	return object;
 }
 
-void fl_wal_value_add(cJSON *value, const char *group)
+void fl_wal_value_add_group(cJSON *value, const char *group)
 {
 	cJSON_AddItemToArray(cJSON_GetObjectItemCaseSensitive(value, "log"),
 	                     cJSON_CreateRaw(group));
@@ -85,7 +85,7 @@
 	return true;
 }
 
-int fl_wal_first(const struct fl_wal *wal, const char *ref, uint32_t block_index)
+int fl_wal_first_group(const struct fl_wal *wal, const char *ref, uint32_t block_index)
 {
 	const struct fl_wal_block *block = find_block(wal, ref, block_index);
 
@@ -123,7 +123,7 @@
 	return add_group(wal, &group) ? FL_DECODE_OK : FL_DECODE_NO_MEMORY;
 }
 
-enum fl_decode_result fl_wal_read(struct fl_wal *wal, const cJSON *value)
+enum fl_decode_result fl_wal_read_value(struct fl_wal *wal, const cJSON *value)
 {
 	const cJSON *list = fl_json_get(value, "log"), *item;
 
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -34,16 +34,16 @@
 char *fl_wal_group_encode(const struct fl_cluster *cluster, const struct fl_job *job,
                           uint32_t block_index);
 /* A value without groups, owned by the caller. */
-cJSON *fl_wal_value_begin(void);
+cJSON *fl_wal_value_create(void);
 /* Adds an encoded group, which is copied, to a value. */
-void fl_wal_value_add(cJSON *value, const char *group);
+void fl_wal_value_add_group(cJSON *value, const char *group);
 /* Adds a value's groups; unless the result is OK, those before the bad one are added. */
-enum fl_decode_result fl_wal_read(struct fl_wal *wal, const cJSON *value);
+enum fl_decode_result fl_wal_read_value(struct fl_wal *wal, const cJSON *value);
 /*
  * Index of the first group of a block, from which `next_of_block` leads to the others in the order
  * they were read in, or FL_INDEX_NONE. So a failover reads each group once, not once a block.
  */
-int fl_wal_first(const struct fl_wal *wal, const char *ref, uint32_t block_index);
+int fl_wal_first_group(const struct fl_wal *wal, const char *ref, uint32_t block_index);
 /* Frees the groups; the log is empty then. */
 void fl_wal_free(struct fl_wal *wal);
 
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -64,7 +64,7 @@
 	add_zones_and_teams(cluster);
 	fl_machine_types_set(&cluster->machines, &cluster->zones, types, count);
 	free(types);
-	cluster->leading = true;
+	cluster->has_leader_state = true;
 	job = fl_job_add(cluster, &live_spec, 1700000100.25, 5);
 	assert_non_null(job);
 	return job;
@@ -73,7 +73,7 @@
 static void place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index, uint32_t attempt,
                   const char *machine, uint64_t incarnation, double placed)
 {
-	struct fl_machine *at = fl_machine_get(&cluster->machines, machine, 1);
+	struct fl_machine *at = fl_machine_get_or_add(&cluster->machines, machine, 1);
 
 	assert_non_null(at);
 	assert_int_equal(
@@ -81,23 +81,23 @@
 	                        &(struct fl_recorded_attempt){attempt, at, incarnation, placed},
 	                        fl_now()),
 		FL_PLACE_OK);
-	fl_task_touch(cluster, job, index);
+	fl_task_mark_changed(cluster, job, index);
 }
 
 static void wait_after(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                        uint32_t attempt)
 {
-	fl_task_get(job, index)->attempt = attempt;
-	fl_task_touch(cluster, job, index);
+	fl_task_get_or_alloc(job, index)->attempt = attempt;
+	fl_task_mark_changed(cluster, job, index);
 }
 
 void make_progress(struct fl_cluster *cluster, struct fl_job *job)
 {
 	for (uint32_t index = 64; index <= 66; index++)
-		fl_task_done(cluster, job, index);
+		fl_task_mark_done(cluster, job, index);
 	wait_after(cluster, job, 67, 2);
 	place(cluster, job, 68, 3, "m-000012", 101, 1700000123);
-	fl_task_done(cluster, job, 70);
+	fl_task_mark_done(cluster, job, 70);
 	wait_after(cluster, job, 72, 5);
 	place(cluster, job, 127, 4, "m-000013", 102, 1700000456);
 	wait_after(cluster, job, 128, 6);
@@ -107,14 +107,14 @@
                  enum fl_task_phase phase, uint32_t attempt, const char *machine,
                  uint64_t incarnation, double placed)
 {
-	const struct fl_task *task = fl_task_peek(job, index);
+	const struct fl_task *task = fl_task_find(job, index);
 
 	assert_non_null(task);
 	assert_int_equal(task->phase, phase);
 	assert_int_equal(task->attempt, attempt);
 	if (phase != FL_TASK_PLACED)
 		return;
-	assert_string_equal(cluster->machines.by_id[task->machine]->name, machine);
+	assert_string_equal(cluster->machines.by_id[task->machine_id]->name, machine);
 	assert_int_equal(task->incarnation, incarnation);
 	assert_true(task->placed_wall == placed);
 }
--- a/tests/contract_store_fixture.c
+++ b/tests/contract_store_fixture.c
@@ -139,7 +139,7 @@
 	world.config.report_s = 2;
 	world.config.lease_s = 10;
 	world.config.cancel_s = 40;
-	node->machine_types_known = node->jobs_known = true;
+	node->machine_types_loaded = node->live_jobs_loaded = true;
 	node->kv_store.last_failure_at = -1e9;
 	add_zones_and_teams(&node->cluster);
 	*state = node;
@@ -154,7 +154,7 @@
 	virtual_time_end();
 	HASH_ITER (hh, world.node.follower.cached_heartbeats, cached, next) {
 		HASH_DEL(world.node.follower.cached_heartbeats, cached);
-		free(cached->text);
+		free(cached->digest_entry);
 		free(cached);
 	}
 	fl_cluster_free(&world.node.cluster);
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -120,7 +120,7 @@
 	node->kv_store.last_success_at = node->leader_view.confirmed_at =
 		node->cancellation_watermark = fl_now();
 	node->kv_store.last_failure_at = -1e9;
-	node->machine_types_known = node->jobs_known = true;
+	node->machine_types_loaded = node->live_jobs_loaded = true;
 	strcpy(node->leader_view.leader, "n1");
 	node->peer_count = 1;
 	strcpy(node->peers[0].name, "n1");
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -20,9 +20,9 @@
 {
 	struct fl_node *node = &fixture->node;
 
-	fl_cluster_forget_tasks(&node->cluster);
+	fl_cluster_free_leader_state(&node->cluster);
 	memset(&node->leadership, 0, sizeof(node->leadership));
-	node->cluster.leading = node->leadership.active = true;
+	node->cluster.has_leader_state = node->leadership.active = true;
 	node->leader_lease.held = true;
 	node->leader_lease.valid_until = fl_now() + 1e6;
 	node->leader_lease.fencing_token = node->leadership.first_fencing_token =
@@ -75,7 +75,7 @@
 
 	HASH_ITER (hh, fixture->node.follower.cached_heartbeats, cached, next) {
 		HASH_DEL(fixture->node.follower.cached_heartbeats, cached);
-		free(cached->text);
+		free(cached->digest_entry);
 		free(cached);
 	}
 	while (fixture->node.follower.misplaced_workers) {
@@ -169,7 +169,7 @@
 		0);
 	fl_job_task_block(fixture->job, 0)->saved_generation =
 		fl_job_task_block(fixture->job, 0)->generation;
-	return fl_task_peek(fixture->job, index);
+	return fl_task_find(fixture->job, index);
 }
 
 struct fl_task_status running_task(uint32_t index, uint32_t attempt)
@@ -185,14 +185,15 @@
 {
 	struct fl_node *node = &fixture->node;
 
-	node->leader_lease.held = node->leadership.active = node->cluster.leading = false;
-	node->machine_types_known = node->jobs_known = true;
+	node->leader_lease.held = node->leadership.active = node->cluster.has_leader_state = false;
+	node->machine_types_loaded = node->live_jobs_loaded = true;
 	strcpy(node->leader_view.leader, "n1");
 	node->peer_count = peer_count;
 	for (int i = 0; i < peer_count; i++) {
 		snprintf(node->peers[i].name, sizeof(node->peers[i].name), "n%d", i + 1);
 		strcpy(node->peers[i].location, "b");
-		node->peers[i].last_exchange_at = node->peers[i].complete_as_of = -1e9;
+		node->peers[i].last_response_at = node->peers[i].cancellations_complete_as_of =
+			-1e9;
 	}
 	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
@@ -287,8 +288,8 @@
 {
 	struct fl_job_spec spec;
 
-	fl_job_describe(&fixture->node.cluster, fixture->job, &spec);
-	return fl_job_record_cancelled(&spec, 1, fl_wall() - seconds);
+	fl_job_to_spec(&fixture->node.cluster, fixture->job, &spec);
+	return fl_job_record_encode_cancelled(&spec, 1, fl_wall() - seconds);
 }
 
 void apply_cancellation(struct node_fixture *fixture, double seconds)
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -54,7 +54,7 @@
 	struct fl_node *node = &sim->node;
 
 	memset(&node->leadership, 0, sizeof(node->leadership));
-	node->cluster.leading = node->leadership.active = true;
+	node->cluster.has_leader_state = node->leadership.active = true;
 	node->leader_lease.held = true;
 	node->leader_lease.valid_until = never;
 	node->leader_lease.fencing_token = node->leadership.first_fencing_token =
@@ -73,7 +73,7 @@
 		cJSON *value = parse_stored(sim->wal_values[i]);
 
 		if (value)
-			assert_int_equal(fl_wal_read(wal, value), 0);
+			assert_int_equal(fl_wal_read_value(wal, value), 0);
 		cJSON_Delete(value);
 	}
 }
@@ -95,7 +95,7 @@
 {
 	struct fl_wal wal = {0};
 
-	fl_cluster_forget_tasks(&sim->node.cluster);
+	fl_cluster_free_leader_state(&sim->node.cluster);
 	start_leadership(sim);
 	read_wal(sim, &wal);
 	for (int job = 0; job < JOBS; job++)
@@ -126,7 +126,7 @@
 		uint32_t index = fl_task_next_waiting(job, 0, never);
 
 		if (index >= job->task_count || !machine->lifecycle.up || machine->used.cpus >= 4 ||
-		    !fl_team_within_maximum(team, team->used_cpus + 1, 0))
+		    !fl_team_fits_maximum_quota(team, team->used_cpus + 1, 0))
 			continue;
 		assert_int_equal(
 			fl_task_place(cluster, job, index,
@@ -147,7 +147,7 @@
 
 	if (!group)
 		return false;
-	fl_wal_value_add(value, group);
+	fl_wal_value_add_group(value, group);
 	free(group);
 	block = fl_job_task_block(job, 0);
 	block->logged_generation = block->generation;
@@ -161,7 +161,7 @@
 	int value_count = 1 + random_below(sim, WAL_VALUES), group_count = 0;
 
 	for (int i = 0; i < value_count; i++)
-		values[i] = fl_wal_value_begin();
+		values[i] = fl_wal_value_create();
 	for (int i = 0; i < JOBS; i++) {
 		struct fl_job *job = find_job(sim, i);
 
@@ -208,7 +208,7 @@
 		struct fl_job *job = find_job(sim, i);
 
 		for (uint32_t index = 0; job && index < TASKS; index++) {
-			const struct fl_task *task = fl_task_peek(job, index);
+			const struct fl_task *task = fl_task_find(job, index);
 
 			if (task && task->phase == FL_TASK_DONE)
 				assert_true(sim->actually_done[i][index]);
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -154,7 +154,7 @@
 
 	HASH_ITER (hh, follower->cached_heartbeats, cached, tmp) {
 		HASH_DEL(follower->cached_heartbeats, cached);
-		free(cached->text);
+		free(cached->digest_entry);
 		free(cached);
 	}
 	HASH_ITER (hh, follower->misplaced_workers, worker, next) {
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -16,9 +16,9 @@
 	struct fl_config config = {.max_connections = 3565, .peer_count = 4};
 
 	(void)state;
-	assert_true(fl_node_public_connections(&config) >= 3000);
+	assert_true(fl_node_public_connections_max(&config) >= 3000);
 	config.max_connections = 16;
-	assert_in_range(fl_node_public_connections(&config), 8, 15);
+	assert_in_range(fl_node_public_connections_max(&config), 8, 15);
 }
 
 /*
@@ -33,7 +33,7 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(limits) / sizeof(limits[0]); i++) {
 		struct fl_config config = {.peer_count = 4, .max_connections = limits[i]};
-		int public_share = fl_node_public_connections(&config);
+		int public_share = fl_node_public_connections_max(&config);
 		int from_peers = config.peer_count * FL_PEER_CONNECTIONS_MAX;
 		int to_leader = FL_PEER_CONNECTIONS_MAX + config.peer_count;
 
@@ -50,16 +50,16 @@
 	char text[256];
 
 	(void)state;
-	assert_false(fl_admission_tight_setting(&config, 0, text, sizeof(text)));
+	assert_false(fl_admission_describe_tight_setting(&config, 0, text, sizeof(text)));
 
 	config.ram_mb = 16;
-	assert_true(fl_admission_tight_setting(&config, 0, text, sizeof(text)));
+	assert_true(fl_admission_describe_tight_setting(&config, 0, text, sizeof(text)));
 	assert_non_null(strstr(text, "ram_mb is 16: 900 connections take 8 MB"));
 
 	config.core_share = 0.01;
-	assert_true(fl_admission_tight_setting(&config, 1, text, sizeof(text)));
+	assert_true(fl_admission_describe_tight_setting(&config, 1, text, sizeof(text)));
 	assert_non_null(strstr(text, "core_share is 0.01: a leader answers about 40 heartbeats"));
-	assert_false(fl_admission_tight_setting(&config, 2, text, sizeof(text)));
+	assert_false(fl_admission_describe_tight_setting(&config, 2, text, sizeof(text)));
 }
 
 int main(void)
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -53,7 +53,7 @@
 
 	/* With the jobs not read for so long, any may have been cancelled. */
 	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
-	fixture->node.jobs_known = true;
+	fixture->node.live_jobs_loaded = true;
 	assert_int_equal(send_idle_heartbeat(fixture, 1, 24), 503);
 }
 
@@ -88,13 +88,13 @@
 
 	become_follower(fixture, 0);
 	fixture->node.cancellation_watermark = -1e9;
-	fixture->node.jobs_known = false;
+	fixture->node.live_jobs_loaded = false;
 	send_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 0);
 
 	apply_cancellation(fixture, fixture->config.cancel_s - fixture->config.lease_s + 1);
 	fixture->node.cancellation_watermark = fl_now();
-	fixture->node.jobs_known = true;
+	fixture->node.live_jobs_loaded = true;
 	fl_condition_broadcast(&fixture->node.jobs_listed);
 	run_waiting_heartbeat(&waiting);
 
@@ -109,7 +109,7 @@
 	struct fl_task_status status = running_task(0, 1);
 	double renewable_s = renewable_time(fixture);
 
-	fixture->node.cluster.leading = false;
+	fixture->node.cluster.has_leader_state = false;
 	apply_cancellation(fixture, renewable_s + 2);
 	become_leader(fixture, FENCING_TOKEN + 1);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 503);
@@ -135,12 +135,12 @@
 	struct fl_job_record decoded;
 	cJSON *record;
 
-	fixture->job->record.final_write_unknown = true;
+	fixture->job->record.write_outcome_unknown = true;
 	record = cancelled_record(fixture, 3);
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
 
-	fl_job_record_refresh_apply(&fixture->node, fixture->job, &decoded, 9);
-	assert_true(fixture->job->cancelled && !fixture->job->record.final_write_unknown &&
+	fl_job_record_apply_cancellation(&fixture->node, fixture->job, &decoded, 9);
+	assert_true(fixture->job->cancelled && !fixture->job->record.write_outcome_unknown &&
 	            fixture->job->record.mod_revision == 9);
 
 	/* Or while it still loads its cluster state, and its lease may be another's already. */
--- a/tests/test_cancellation_gossip.c
+++ b/tests/test_cancellation_gossip.c
@@ -21,7 +21,7 @@
 /* One exchange between two controllers, asked so long ago. */
 static void gossip(struct node_fixture *from, int peer_index, struct node_fixture *to, double ago_s)
 {
-	char *request = fl_gossip_request(&from->node);
+	char *request = fl_gossip_request_encode(&from->node);
 	struct fl_http_response response = {0};
 
 	fl_gossip_serve(&to->node, request, strlen(request), &response);
@@ -127,23 +127,23 @@
 	gossip(fixture, 0, outage.first_peer, 0.1);
 	assert_true(fixture->node.cancellation_watermark <= outage.old_watermark);
 
-	peer->node.jobs_known = false; /* just restarted: what had it confirmed before? */
+	peer->node.live_jobs_loaded = false; /* just restarted: what had it confirmed before? */
 	assert_no_progress(&outage, 0.1);
 
-	peer->node.jobs_known = true;
+	peer->node.live_jobs_loaded = true;
 	assert_no_progress(&outage, 2.0); /* suspended between the question and its sending */
 
-	peer->node.cluster.finished_dropped_at = fl_now(); /* something learned was dropped */
+	peer->node.cluster.finished_dropped_up_to = fl_now(); /* something learned was dropped */
 	assert_no_progress(&outage, 0.1);
 
-	peer->node.cluster.finished_dropped_at = -1e9;
+	peer->node.cluster.finished_dropped_up_to = -1e9;
 	learn_too_many_cancellations(peer);
 	assert_no_progress(&outage, 0.1);
 
 	for (struct fl_finished_job *entry = peer->node.cluster.finished; entry;
 	     entry = entry->hh.next)
 		/* Older than what the asker knows: not sent again. */
-		entry->learned_at = outage.old_watermark - 9;
+		entry->added_at = outage.old_watermark - 9;
 
 	/* The last one that it learned, and the only one that is sent. */
 	fl_finished_job_add(&peer->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
@@ -162,7 +162,7 @@
 	struct outage outage;
 
 	begin_outage(&outage, fixture);
-	fixture->node.jobs_known = false;
+	fixture->node.live_jobs_loaded = false;
 
 	gossip(fixture, 0, outage.first_peer, 0.1);
 	gossip(fixture, 1, outage.second_peer, 0.1);
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -26,8 +26,8 @@
 	struct fl_job *job = fl_job_find(&sim->node.cluster, "run-000000");
 
 	assert_null(fl_job_task_block(job, 0));
-	assert_true(fl_task_durable(job, 0));
-	assert_null(fl_task_peek(job, TASKS - 1));
+	assert_true(fl_task_change_is_durable(job, 0));
+	assert_null(fl_task_find(job, TASKS - 1));
 
 	fl_job_finalise(&sim->node.cluster, job, FL_CANCELLED);
 	assert_int_equal(fl_finished_job_find(&sim->node.cluster, "run-000000")->status,
@@ -51,9 +51,10 @@
 	cJSON_Delete(value);
 	assert_int_equal(job->counts.done, 2);
 	assert_int_equal(job->placement.in_unknown_zone, 1);
-	assert_int_equal(fl_task_peek(job, 2)->attempt, 7);
+	assert_int_equal(fl_task_find(job, 2)->attempt, 7);
 
-	fl_cluster_describe(fl_machine_find(&cluster->machines, "m-000009"), 0, 1, false, "x");
+	fl_cluster_describe_machine(fl_machine_find(&cluster->machines, "m-000009"), 0, 1, false,
+	                            "x");
 	assert_int_equal(job->placement.in_unknown_zone, 0);
 	assert_int_equal(job->placement.by_zone[1], 1);
 
@@ -83,7 +84,7 @@
 
 	for (int i = 0; i < 2; i++) {
 		value = fl_json_parse(i ? newer : older, strlen(i ? newer : older));
-		assert_int_equal(fl_wal_read(&wal, value), 0);
+		assert_int_equal(fl_wal_read_value(&wal, value), 0);
 		cJSON_Delete(value);
 	}
 
@@ -94,21 +95,21 @@
 	                 0);
 	cJSON_Delete(value);
 	assert_true(wal.groups[0].restored && wal.groups[1].restored);
-	assert_int_equal(fl_task_peek(job, 0)->phase, FL_TASK_DONE);
-	assert_int_equal(fl_task_peek(job, 1)->phase, FL_TASK_WAITING);
-	assert_int_equal(fl_task_peek(job, 1)->attempt, 4);
-	assert_int_equal(fl_task_peek(job, 2)->phase, FL_TASK_WAITING);
-	assert_int_equal(fl_task_peek(job, 2)->attempt, 2);
-	assert_int_equal(fl_task_peek(job, 3)->phase, FL_TASK_DONE);
-	assert_int_equal(fl_task_peek(job, 4)->phase, FL_TASK_PLACED);
+	assert_int_equal(fl_task_find(job, 0)->phase, FL_TASK_DONE);
+	assert_int_equal(fl_task_find(job, 1)->phase, FL_TASK_WAITING);
+	assert_int_equal(fl_task_find(job, 1)->attempt, 4);
+	assert_int_equal(fl_task_find(job, 2)->phase, FL_TASK_WAITING);
+	assert_int_equal(fl_task_find(job, 2)->attempt, 2);
+	assert_int_equal(fl_task_find(job, 3)->phase, FL_TASK_DONE);
+	assert_int_equal(fl_task_find(job, 4)->phase, FL_TASK_PLACED);
 	assert_int_equal(job->counts.placed, 1);
 	assert_int_equal(job->counts.done, 2);
 
 	/* What only the write-ahead log holds is unsaved here too, so that the next value holds it
 	 * again. */
 	assert_true(job->record.is_dirty);
-	assert_false(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 4)));
-	assert_true(fl_task_saved(fl_job_task_block(job, 0), fl_task_peek(job, 1)));
+	assert_false(fl_task_change_is_saved(fl_job_task_block(job, 0), fl_task_find(job, 4)));
+	assert_true(fl_task_change_is_saved(fl_job_task_block(job, 0), fl_task_find(job, 1)));
 	fl_wal_free(&wal);
 }
 
@@ -123,7 +124,7 @@
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
 		cJSON *value = fl_json_parse(malformed[i], strlen(malformed[i]));
 
-		assert_int_not_equal(fl_wal_read(&wal, value), 0);
+		assert_int_not_equal(fl_wal_read_value(&wal, value), 0);
 		cJSON_Delete(value);
 		fl_wal_free(&wal);
 	}
@@ -147,8 +148,8 @@
 			assert_int_equal(
 				fl_task_place(&sim->node.cluster, job, index,
 			                      &(struct fl_new_attempt){
-						      fl_machine_get(&sim->node.cluster.machines,
-			                                             host, 0),
+						      fl_machine_get_or_add(
+							      &sim->node.cluster.machines, host, 0),
 						      1},
 			                      0),
 				0);
@@ -180,31 +181,31 @@
 	strcpy(spec.team, "team");
 	strcpy(spec.job_class, "c");
 	strcpy(spec.image, "i");
-	record = fl_job_record_live(&spec, 5);
-	cluster->list_revision = 100;
+	record = fl_job_record_encode_live(&spec, 5);
+	cluster->job_list_revision = 100;
 	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 90));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 101));
 
 	/* Nor does a late event during the failover's list: only the list itself marks jobs. */
-	cluster->list_revision = 0;
-	fl_cluster_list_begin(cluster);
+	cluster->job_list_revision = 0;
+	fl_cluster_begin_job_list(cluster);
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 102));
 
-	fl_cluster_list_end(cluster, 103);
+	fl_cluster_end_job_list(cluster, 103);
 	assert_null(fl_job_find(cluster, spec.ref));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 104));
 
 	/* A follower drops what is deleted, and what a new list no longer holds. */
-	cluster->leading = false;
+	cluster->has_leader_state = false;
 	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, NULL, 110));
 	assert_null(fl_job_find(cluster, spec.ref));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 120));
 
-	fl_cluster_list_begin(cluster);
-	fl_cluster_list_end(cluster, 119);
+	fl_cluster_begin_job_list(cluster);
+	fl_cluster_end_job_list(cluster, 119);
 	assert_non_null(fl_job_find(cluster, spec.ref));
 
-	fl_cluster_list_end(cluster, 120);
+	fl_cluster_end_job_list(cluster, 120);
 	assert_null(fl_job_find(cluster, spec.ref));
 	cJSON_Delete(record);
 }
@@ -240,8 +241,8 @@
 		char host[FL_NAME_MAX];
 
 		format_host(50 + i, host);
-		machine[i] = fl_machine_get(&cluster->machines, host, 0);
-		fl_cluster_describe(machine[i], 0, 0, false, "x");
+		machine[i] = fl_machine_get_or_add(&cluster->machines, host, 0);
+		fl_cluster_describe_machine(machine[i], 0, 0, false, "x");
 		assert_int_equal(fl_task_place(cluster, job, (uint32_t)i,
 		                               &(struct fl_new_attempt){machine[i], 1}, 0),
 		                 0);
@@ -251,8 +252,8 @@
 	fl_cluster_purge_tombstones(cluster, fl_now() + 1);
 	assert_int_equal(cluster->machines.count, 2);
 	assert_null(fl_machine_find(&cluster->machines, "m-000050"));
-	assert_ptr_equal(cluster->machines.by_id[fl_task_peek(job, 2)->machine], machine[2]);
-	assert_ptr_equal(cluster->machines.by_id[fl_task_peek(job, 1)->machine], machine[1]);
+	assert_ptr_equal(cluster->machines.by_id[fl_task_find(job, 2)->machine_id], machine[2]);
+	assert_ptr_equal(cluster->machines.by_id[fl_task_find(job, 1)->machine_id], machine[1]);
 
 	fl_task_release(cluster, job, 2, 0);
 	assert_int_equal(machine[2]->assignment_count, 0);
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -94,7 +94,7 @@
 	assert_true(record.submitted_wall == submitted);
 	assert_true(record.cancelled_wall == 0);
 	assert_job_spec(&record.spec, spec);
-	assert_json_text(fl_job_record_live(spec, submitted), text);
+	assert_json_text(fl_job_record_encode_live(spec, submitted), text);
 }
 
 static void a_live_job_is_stored_with_every_field_of_its_description(void **state)
@@ -117,8 +117,9 @@
 	assert_true(record.submitted_wall == 1700000200.5);
 	assert_true(record.cancelled_wall == 1700000300.75);
 	assert_job_spec(&record.spec, &cancelled_spec);
-	assert_json_text(fl_job_record_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
-	                 CANCELLED_JOB);
+	assert_json_text(
+		fl_job_record_encode_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
+		CANCELLED_JOB);
 }
 
 static void assert_final(const char *text, enum fl_job_status status, uint32_t task_count)
@@ -129,7 +130,7 @@
 	assert_false(record.has_spec);
 	assert_int_equal(record.status, status);
 	assert_int_equal(record.task_count, task_count);
-	assert_json_text(fl_job_record_final(status, task_count), text);
+	assert_json_text(fl_job_record_encode_final(status, task_count), text);
 }
 
 static void a_job_that_is_over_is_stored_as_its_status_and_size(void **state)
@@ -147,8 +148,8 @@
 	struct fl_job_spec spec;
 
 	(void)state;
-	fl_job_describe(&cluster, job, &spec);
-	assert_json_text(fl_job_record_live(&spec, job->submitted_wall), LIVE_JOB);
+	fl_job_to_spec(&cluster, job, &spec);
+	assert_json_text(fl_job_record_encode_live(&spec, job->submitted_wall), LIVE_JOB);
 	fl_cluster_free(&cluster);
 }
 
@@ -203,7 +204,7 @@
 	assert_string_equal(FL_PREFIX_PROGRESS, "p/");
 	assert_string_equal(FL_PREFIX_HEARTBEAT_DIGESTS, "k/");
 	assert_string_equal(FL_PREFIX_WAL, "w/");
-	assert_string_equal(FL_KEY_WAL, "w/0");
+	assert_string_equal(FL_KEY_WAL_FIRST_VALUE, "w/0");
 	assert_string_equal(FL_REF_BEGIN, "run-");
 	assert_int_equal(FL_TASK_BLOCK_SIZE, 64);
 
--- a/tests/test_contract_progress_records.c
+++ b/tests/test_contract_progress_records.c
@@ -51,7 +51,7 @@
 	uint32_t done = 10, placed = 20;
 
 	(void)state;
-	assert_int_equal(fl_task_block_count(tree, &done, &placed), 0);
+	assert_int_equal(fl_progress_record_add_counts(tree, &done, &placed), 0);
 	cJSON_Delete(tree);
 	assert_int_equal(done, 14);
 	assert_int_equal(placed, 22);
@@ -61,7 +61,7 @@
 {
 	struct fl_cluster cluster = {0};
 	struct fl_job *job = add_job(&cluster);
-	cJSON *value = fl_wal_value_begin();
+	cJSON *value = fl_wal_value_create();
 	static const char *const expected[] = {NULL, WAL_GROUP, OTHER_WAL_GROUP};
 
 	(void)state;
@@ -70,7 +70,7 @@
 		char *group = fl_wal_group_encode(&cluster, job, block_index);
 
 		assert_string_equal(group, expected[block_index]);
-		fl_wal_value_add(value, group);
+		fl_wal_value_add_group(value, group);
 		free(group);
 	}
 	assert_json_text(value, WAL_VALUE);
@@ -85,7 +85,7 @@
 	struct fl_wal wal = {0};
 
 	(void)state;
-	assert_int_equal(fl_wal_read(&wal, tree), 0);
+	assert_int_equal(fl_wal_read_value(&wal, tree), 0);
 	cJSON_Delete(tree);
 	assert_int_equal(wal.group_count, 2);
 	assert_string_equal(wal.groups[0].ref, "run-000412");
@@ -98,7 +98,7 @@
 	                 0);
 	assert_true(wal.groups[0].restored && !wal.groups[1].restored);
 	assert_progress(&cluster, job);
-	assert_false(fl_task_saved(fl_job_task_block(job, 1), fl_task_peek(job, 68)));
+	assert_false(fl_task_change_is_saved(fl_job_task_block(job, 1), fl_task_find(job, 68)));
 	fl_wal_free(&wal);
 	fl_cluster_free(&cluster);
 }
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -23,7 +23,7 @@
 
 static void hold_leader_lease(struct fl_node *node)
 {
-	node->leader_lease.held = node->leadership.active = node->cluster.leading = true;
+	node->leader_lease.held = node->leadership.active = node->cluster.has_leader_state = true;
 	node->leader_lease.valid_until = fl_now() + 1e6;
 	node->leader_lease.leader_mod_revision = 33;
 }
@@ -52,7 +52,7 @@
 static void load_records(struct fl_node *node)
 {
 	node->leader_lease.held = true;
-	world.result = fl_failover_load(node);
+	world.result = fl_failover_load_cluster(node);
 }
 
 static void a_new_leader_loads_what_stands_under_the_keys(void **state)
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -103,7 +103,7 @@
 	world.config.core_share = 1;
 	world.config.state_rps = world.config.state_write_rps = 100;
 	world.config.cloud_rps = 1;
-	node->machine_types_known = node->jobs_known = true;
+	node->machine_types_loaded = node->live_jobs_loaded = true;
 	assert_non_null(sim_spawn(PROCESS, start_election, NULL));
 
 	sim_time_run(fl_now() + busy_from_s);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -40,7 +40,7 @@
 		note_failure(fixture, "a good list is not read");
 	free(machines);
 	fixture->lists_without_more = true;
-	if (fl_failover_load(&fixture->node) == FL_FAILOVER_LOADED ||
+	if (fl_failover_load_cluster(&fixture->node) == FL_FAILOVER_LOADED ||
 	    fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
 		note_failure(fixture, "half a list passes for a whole one");
 	fixture->lists_without_more = false;
@@ -52,7 +52,7 @@
 
 	fixture->node.leader_lease.held = true;
 	fixture->record = RECORD("\"Apart\":true");
-	if (fl_failover_load(&fixture->node) != FL_FAILOVER_LOADED ||
+	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED ||
 	    !fl_job_find(&fixture->node.cluster, "run-000001"))
 		note_failure(fixture, "a good record is not read");
 	check_partial_lists(fixture);
@@ -62,7 +62,7 @@
 		fixture->node.cluster.jobs = NULL;
 		fixture->node.cluster.finished = NULL;
 		fl_symbol_intern(&fixture->node.cluster.zones, "a");
-		if (fl_failover_load(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
+		if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
 		    fixture->node.cluster.finished)
 			note_failure(fixture, "is decided by: %s", fixture->record);
 	}
@@ -98,10 +98,11 @@
 {
 	fixture->record = record;
 	fixture->progress = progress;
-	if (fl_failover_load(&fixture->node) != FL_FAILOVER_LOADED)
+	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED)
 		note_failure(fixture, "a good record is not read");
-	return fixture->node.cluster.dirty &&
-	       fixture->node.cluster.dirty == fl_job_find(&fixture->node.cluster, "run-000001");
+	return fixture->node.cluster.dirty_jobs &&
+	       fixture->node.cluster.dirty_jobs ==
+	               fl_job_find(&fixture->node.cluster, "run-000001");
 }
 
 static void load_finished_jobs(void *argument)
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -16,18 +16,18 @@
 {
 	struct fl_machine *machine = only_machine(fixture);
 
-	machine->heartbeat.last_at = machine->outbound.last_reachable_at =
+	machine->heartbeat.last_received_at = machine->outbound.last_reachable_at =
 		machine->lifecycle.first_seen_at = fl_now() - seconds;
-	fixture->node.leadership.heartbeats_since = fl_now() - 1000;
+	fixture->node.leadership.heartbeats_receivable_since = fl_now() - 1000;
 }
 
 static bool is_expired(struct node_fixture *fixture)
 {
 	double timeouts[FL_ZONES_MAX];
 
-	fl_failure_detector_timeouts(&fixture->node, fl_now(), timeouts);
-	return fl_failure_detector_expired(&fixture->node, only_machine(fixture), fl_now(),
-	                                   timeouts);
+	fl_failure_detector_zone_timeouts(&fixture->node, fl_now(), timeouts);
+	return fl_failure_detector_machine_expired(&fixture->node, only_machine(fixture), fl_now(),
+	                                           timeouts);
 }
 
 /* A machine with a task, whose zone has the only peer. */
@@ -82,10 +82,10 @@
 	double renewable_s = renewable_time(fixture);
 
 	set_silence(fixture, 11);
-	peer->last_exchange_at = fl_now() - 12;
+	peer->last_response_at = fl_now() - 12;
 	assert_false(is_expired(fixture));
 	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
-	peer->last_exchange_at = only_machine(fixture)->heartbeat.last_at;
+	peer->last_response_at = only_machine(fixture)->heartbeat.last_received_at;
 	assert_true(is_expired(fixture));
 }
 
@@ -96,9 +96,9 @@
 	struct fl_peer *peer = add_peer_in_zone(fixture);
 
 	set_silence(fixture, 11);
-	peer->last_exchange_at = fl_now() - 30;
+	peer->last_response_at = fl_now() - 30;
 	assert_true(is_expired(fixture));
-	peer->last_exchange_at = only_machine(fixture)->heartbeat.last_at;
+	peer->last_response_at = only_machine(fixture)->heartbeat.last_received_at;
 	strcpy(peer->location, "b");
 	assert_true(is_expired(fixture));
 }
@@ -109,10 +109,10 @@
 	struct fl_machine *machine;
 
 	snprintf(name, sizeof(name), "m-%06d", number);
-	machine = fl_machine_get(&fixture->node.cluster.machines, name, fl_now() - 100);
-	fl_cluster_describe(machine, 0, zone, spot, "x");
+	machine = fl_machine_get_or_add(&fixture->node.cluster.machines, name, fl_now() - 100);
+	fl_cluster_describe_machine(machine, 0, zone, spot, "x");
 	machine->lifecycle.up = true;
-	machine->heartbeat.last_at = fl_now();
+	machine->heartbeat.last_received_at = fl_now();
 	return machine;
 }
 
@@ -133,7 +133,7 @@
 	/* This one is due; three more of the four of its zone are silent too. */
 	for (int i = 0; i < 3; i++) {
 		silent[i] = add_machine(fixture, 30 + i, false, 0);
-		silent[i]->heartbeat.last_at = fl_now() - 7;
+		silent[i]->heartbeat.last_received_at = fl_now() - 7;
 	}
 	set_silence(fixture, 11);
 	assert_false(is_expired(fixture));
@@ -159,13 +159,13 @@
 	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
 	for (int i = 2; i < 42; i++)
-		add_machine(fixture, i, false, i % 2)->heartbeat.last_at =
+		add_machine(fixture, i, false, i % 2)->heartbeat.last_received_at =
 			fl_now() - (i < 7 ? 7 : 0);
 	set_silence(fixture, 8);
 	assert_true(is_expired(fixture));
 
 	for (int i = 43; i < 46; i++)
-		add_machine(fixture, i, false, i % 2)->heartbeat.last_at = fl_now() - 7;
+		add_machine(fixture, i, false, i % 2)->heartbeat.last_received_at = fl_now() - 7;
 	assert_false(is_expired(fixture));
 
 	set_silence(fixture, 11);
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -31,12 +31,13 @@
 	assert_non_null(cached);
 
 	cached->cached_at = received_at = fl_now() - 9;
-	cached->stored = true;
+	cached->in_digest = true;
 	assert_int_equal(send_idle_heartbeat(fixture, 1, 19), 200);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
-	assert_true(cached->sequence == 20 && cached->cached_at == received_at && cached->stored);
+	assert_true(cached->sequence == 20 && cached->cached_at == received_at &&
+	            cached->in_digest);
 	assert_int_equal(send_idle_heartbeat(fixture, 2, 3), 200);
-	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->stored);
+	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->in_digest);
 }
 
 /* What passes through the key-value store is the same as in the heartbeat. */
@@ -93,22 +94,22 @@
 
 	become_follower(fixture, 0);
 	node->cancellation_watermark = -1e9;
-	node->jobs_known = false;
+	node->live_jobs_loaded = false;
 	node->leader_view.fencing_token = 0;
 
 	/* Another heartbeat has the fencing token read already. */
-	node->follower.token_refresh.in_flight = true;
+	node->follower.fencing_token_refresh.in_flight = true;
 	send_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 0);
 
 	node->leader_view.fencing_token = FENCING_TOKEN;
-	node->follower.token_refresh.in_flight = false;
-	fl_condition_broadcast(&node->follower.token_refresh.completed);
+	node->follower.fencing_token_refresh.in_flight = false;
+	fl_condition_broadcast(&node->follower.fencing_token_refresh.completed);
 	run_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 0);
 
 	node->cancellation_watermark = fl_now();
-	node->jobs_known = true;
+	node->live_jobs_loaded = true;
 	fl_condition_broadcast(&node->jobs_listed);
 	run_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 200);
@@ -124,7 +125,7 @@
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
-		fixture->node.peers[i].last_exchange_at = now - duration_s;
+		fixture->node.peers[i].last_response_at = now - duration_s;
 	}
 	fixture->node.api.last_readiness_probe_at = now;
 	fixture->node.leader_view.confirmed_at = fixture->node.cancellation_watermark =
@@ -172,7 +173,7 @@
 
 	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
-	fixture->node.follower.token_refresh.refreshed_at = fl_now();
+	fixture->node.follower.fencing_token_refresh.refreshed_at = fl_now();
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 503);
 }
@@ -195,7 +196,7 @@
 	/* The others ended long before the key-value store failed. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
-		fixture->node.peers[i].last_exchange_at -= 20;
+		fixture->node.peers[i].last_response_at -= 20;
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -83,7 +83,7 @@
 	world.node = &fixture->node;
 	world.links[0] = leader;
 	world.links[1] = third;
-	result = fl_forward(&fixture->node, &request, &reply);
+	result = fl_forward_to_leader(&fixture->node, &request, &reply);
 	if (result == FL_FORWARD_ANSWERED)
 		fl_buffer_free(&reply.body);
 	return result;
@@ -170,7 +170,8 @@
 	assert_int_equal(forward_and_decode(fixture, 421, FL_DECODE_OK), FL_FORWARD_NO_LEADER);
 	request.encode = encode_nothing;
 	world.links[0].calls = 0;
-	assert_int_equal(fl_forward(&fixture->node, &request, &reply), FL_FORWARD_OUT_OF_MEMORY);
+	assert_int_equal(fl_forward_to_leader(&fixture->node, &request, &reply),
+	                 FL_FORWARD_OUT_OF_MEMORY);
 	assert_int_equal(world.links[0].calls, 0);
 }
 
@@ -181,21 +182,21 @@
 
 	(void)state;
 	fl_leader_view_init(&view);
-	fl_leader_view_learn(&view, 0, "n1", 5);
+	fl_leader_view_merge(&view, 0, "n1", 5);
 	assert_string_equal(view.leader, "");
-	fl_leader_view_learn(&view, 7, "n1", 5);
+	fl_leader_view_merge(&view, 7, "n1", 5);
 	assert_true(view.fencing_token == 7 && view.confirmed_at == 5);
 	assert_string_equal(view.leader, "n1");
-	fl_leader_view_learn(&view, 6, "n2", 9);
-	fl_leader_view_learn(&view, 7, "n2", 5);
+	fl_leader_view_merge(&view, 6, "n2", 9);
+	fl_leader_view_merge(&view, 7, "n2", 5);
 	assert_true(view.fencing_token == 7 && view.confirmed_at == 5);
 	assert_string_equal(view.leader, "n1");
 	/* Confirmed later, by a node that knows of no leader. */
-	fl_leader_view_learn(&view, 7, "", 6);
+	fl_leader_view_merge(&view, 7, "", 6);
 	assert_true(view.confirmed_at == 6);
 	assert_string_equal(view.leader, "n1");
 	/* A higher token counts, however old the word of it. */
-	fl_leader_view_learn(&view, 8, "n2", 1);
+	fl_leader_view_merge(&view, 8, "n2", 1);
 	assert_true(view.fencing_token == 8 && view.confirmed_at == 6);
 	assert_string_equal(view.leader, "n2");
 }
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -171,8 +171,8 @@
 	add_peer(&world.follower, "host-1");
 	add_peer(&world.follower, "host-3");
 	add_peer(&world.third, "host-1");
-	world.leader.leadership.active = world.leader.leader_lease.held = world.leader.jobs_known =
-		true;
+	world.leader.leadership.active = world.leader.leader_lease.held =
+		world.leader.live_jobs_loaded = true;
 	world.leader.leader_lease.valid_until = fl_now() + 1000;
 	world.leader.leader_lease.fencing_token = world.leader.leadership.first_fencing_token =
 		FENCING_TOKEN;
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -70,7 +70,7 @@
 static void follow_nobody(struct frontend_fixture *fixture, double reads_per_s)
 {
 	fixture->node.peer_count = 0;
-	fixture->node.machine_types_known = fixture->node.jobs_known = true;
+	fixture->node.machine_types_loaded = fixture->node.live_jobs_loaded = true;
 	fixture->config.state_rps = reads_per_s;
 	fl_job_lookups_init(&fixture->node);
 }
@@ -157,7 +157,7 @@
 	                           .kind = FL_ARRAY};
 	struct fl_job *job;
 
-	node->leadership.active = node->leader_lease.held = node->cluster.leading = true;
+	node->leadership.active = node->leader_lease.held = node->cluster.has_leader_state = true;
 	node->leader_lease.valid_until = fl_now() + 1000;
 	/* What is read has not seen the end: nothing stands there. */
 	fixture->job_known = false;
@@ -166,7 +166,7 @@
 	fl_job_lookups_init(node);
 	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
 	/* A final write is under way: only the record may know its outcome. */
-	job->record.final_write_unknown = true;
+	job->record.write_outcome_unknown = true;
 	spawn_query(fixture, &query, "run-000001");
 	while (fixture->record_reads < 1)
 		fl_sleep(0.01);
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -64,8 +64,8 @@
 		char name[FL_NAME_MAX];
 
 		snprintf(name, sizeof(name), "m-%06d", i);
-		site->machines[i] = fl_machine_get(&cluster->machines, name, fl_now());
-		fl_cluster_describe(site->machines[i], 0, 0, true, "x");
+		site->machines[i] = fl_machine_get_or_add(&cluster->machines, name, fl_now());
+		fl_cluster_describe_machine(site->machines[i], 0, 0, true, "x");
 		site->machines[i]->lifecycle.up = true;
 		site->machines[i]->heartbeat.incarnation = 1;
 		site->machines[i]->outbound.last_reachable_at = fl_now();
@@ -77,7 +77,7 @@
 {
 	struct site *site = *state;
 
-	fl_cluster_forget_tasks(&site->node.cluster);
+	fl_cluster_free_leader_state(&site->node.cluster);
 	fl_cluster_free(&site->node.cluster);
 	free(site);
 	return 0;
@@ -152,7 +152,7 @@
 		site->machines[i]->lifecycle.first_seen_at = fl_now();
 	}
 	site->node.cluster.machines.types[0].ready_s = 60;
-	site->node.cluster.machines.types[0].zones = 1;
+	site->node.cluster.machines.types[0].zone_mask = 1;
 	fl_autoscaler_plan_scale_out(&site->node, &site->job, &missing_tasks, 1);
 
 	assert_true(site->node.autoscaler.request_count > 0);
@@ -193,7 +193,7 @@
 
 	fill_machines(site);
 	for (uint32_t i = 0; i < FL_TASK_BLOCK_SIZE; i++)
-		fl_task_done(cluster, site->job, i);
+		fl_task_mark_done(cluster, site->job, i);
 	record = fl_json_print_and_delete(fl_task_block_encode(cluster, site->job, 0));
 	assert_true(strlen(record) <= 64);
 	free(record);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -89,11 +89,11 @@
 	                  FL_HEARTBEAT_FROM_COMMAND);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 
-	fl_task_peek(fixture->job, 0)->start_sent = false;
+	fl_task_find(fixture->job, 0)->start_sent = false;
 	fixture->node.leader_lease.fencing_token++;
 	for (uint64_t sequence = 6; sequence < 9; sequence++) {
 		set_last_reply_age(fixture, 1);
-		fl_task_peek(fixture->job, 0)->stop_reason = FL_STOP_PREEMPT;
+		fl_task_find(fixture->job, 0)->stop_reason = FL_STOP_PREEMPT;
 		deliver_idle_heartbeat(fixture, 1, sequence);
 	}
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
@@ -121,7 +121,7 @@
 	set_last_reply_age(fixture, 1);
 	deliver_task_heartbeat(fixture, 1, 4, &status);
 	assert_int_equal(only_machine(fixture)->outbound.unacknowledged_replies, 0);
-	assert_int_equal(task->observed, FL_OBSERVED_RUNNING);
+	assert_int_equal(task->last_observed_state, FL_OBSERVED_RUNNING);
 
 	/* A longer pause, as after an outage, is over with the next prompt heartbeat. */
 	set_last_reply_age(fixture, 6);
@@ -194,22 +194,23 @@
 	assert_null(only_machine(fixture));
 
 	/* One that is known from a record: the copy neither shows life nor what is absent. */
-	fl_cluster_describe(fl_machine_get(&fixture->node.cluster.machines, "m-000001", fl_now()),
-	                    0, 0, false, "x");
+	fl_cluster_describe_machine(
+		fl_machine_get_or_add(&fixture->node.cluster.machines, "m-000001", fl_now()), 0, 0,
+		false, "x");
 	assert_int_equal(
 		fl_task_restore(&fixture->node.cluster, fixture->job, 1,
 	                        &(struct fl_recorded_attempt){3, only_machine(fixture), 1, 0},
 	                        fl_now()),
 		FL_PLACE_OK);
 
-	task = fl_task_peek(fixture->job, 1);
+	task = fl_task_find(fixture->job, 1);
 	task->stop_reason = FL_STOP_PREEMPT;
 	assert_int_equal(deliver_heartbeat(fixture,
 	                                   make_heartbeat(9, 50, FENCING_TOKEN - 1, &status, 1),
 	                                   FL_HEARTBEAT_FROM_WORKER),
 	                 0);
 	assert_false(only_machine(fixture)->lifecycle.up);
-	assert_true(only_machine(fixture)->heartbeat.last_at == 0);
+	assert_true(only_machine(fixture)->heartbeat.last_received_at == 0);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 
 	/* The worker itself has seen the answer and sends the fencing token: now it
@@ -228,7 +229,7 @@
 	deliver_idle_heartbeat(fixture, 2, 10);
 	place_task(fixture, 0);
 	deliver_task_heartbeat(fixture, 2, 12, &status);
-	only_machine(fixture)->heartbeat.last_at =
+	only_machine(fixture)->heartbeat.last_received_at =
 		only_machine(fixture)->outbound.last_reachable_at = heartbeat_at = fl_now() - 30;
 	for (int source = FL_HEARTBEAT_FROM_WORKER; source <= FL_HEARTBEAT_FROM_DIGEST; source++) {
 		/* Older, of the same number, and of an earlier incarnation with a higher number. */
@@ -245,7 +246,7 @@
 		                                   (enum fl_heartbeat_source)source),
 		                 0);
 	}
-	assert_true(only_machine(fixture)->heartbeat.last_at == heartbeat_at &&
+	assert_true(only_machine(fixture)->heartbeat.last_received_at == heartbeat_at &&
 	            only_machine(fixture)->outbound.last_reachable_at == heartbeat_at);
 	assert_int_equal(fixture->job->counts.placed, 1);
 
--- a/tests/test_reconcile_results.c
+++ b/tests/test_reconcile_results.c
@@ -23,9 +23,9 @@
 {
 	struct node_fixture *fixture = *state;
 
-	assert_int_equal(reconcile(fixture, 1, 1, FENCING_TOKEN - 1), FL_RECONCILE_IGNORED_EARLIER);
-	assert_int_equal(reconcile(fixture, 1, 1, FENCING_TOKEN + 1),
-	                 FL_RECONCILE_TOKEN_NOT_RAISED);
+	assert_int_equal(reconcile(fixture, 1, 1, FENCING_TOKEN - 1),
+	                 FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP);
+	assert_int_equal(reconcile(fixture, 1, 1, FENCING_TOKEN + 1), FL_RECONCILE_HIGHER_TOKEN);
 	assert_null(only_machine(fixture));
 	assert_int_equal(reconcile(fixture, 2, 5, FENCING_TOKEN), FL_RECONCILE_APPLIED);
 	assert_int_equal(reconcile(fixture, 2, 5, FENCING_TOKEN), FL_RECONCILE_IGNORED_STALE);
@@ -42,9 +42,9 @@
 	(void)state;
 	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_APPLIED));
 	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_IGNORED_STALE));
-	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_IGNORED_EARLIER));
+	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP));
 	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_DECOMMISSIONED));
-	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_TOKEN_NOT_RAISED));
+	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_HIGHER_TOKEN));
 	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_OUT_OF_MEMORY));
 }
 
@@ -53,10 +53,10 @@
 	const struct fl_heartbeat heartbeat = {.incarnation = 4, .sequence = 7};
 
 	(void)state;
-	assert_true(fl_heartbeat_is_after(&heartbeat, 3, 9));
-	assert_true(fl_heartbeat_is_after(&heartbeat, 4, 6));
-	assert_false(fl_heartbeat_is_after(&heartbeat, 4, 7));
-	assert_false(fl_heartbeat_is_after(&heartbeat, 5, 1));
+	assert_true(fl_heartbeat_is_newer_than(&heartbeat, 3, 9));
+	assert_true(fl_heartbeat_is_newer_than(&heartbeat, 4, 6));
+	assert_false(fl_heartbeat_is_newer_than(&heartbeat, 4, 7));
+	assert_false(fl_heartbeat_is_newer_than(&heartbeat, 5, 1));
 }
 
 int main(void)
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -108,7 +108,7 @@
 
 	(void)worker;
 	if (machine && machine->assignment_count > 0)
-		fl_task_peek(machine->assignments[0].job, machine->assignments[0].index)
+		fl_task_find(machine->assignments[0].job, machine->assignments[0].task_index)
 			->stop_reason = FL_STOP_PREEMPT;
 }
 
@@ -189,13 +189,13 @@
 	struct fl_machine *machine;
 
 	format_host(host, heartbeat.host);
-	machine = fl_machine_get(&cluster->machines, heartbeat.host, 0);
-	fl_cluster_describe(machine, 0, 0, false, "x");
+	machine = fl_machine_get_or_add(&cluster->machines, heartbeat.host, 0);
+	fl_cluster_describe_machine(machine, 0, 0, false, "x");
 	machine->heartbeat.incarnation = 1;
 	assert_int_equal(
 		fl_task_place(cluster, job, index, &(struct fl_new_attempt){machine, 1}, 0), 0);
 	copy_text(status.ref, sizeof(status.ref), job->ref);
-	status.attempt = fl_task_peek(job, index)->attempt;
+	status.attempt = fl_task_find(job, index)->attempt;
 	heartbeat.tasks = &status;
 	heartbeat.task_count = 1;
 	assert_int_equal(
@@ -238,7 +238,7 @@
 
 	/* Where a task of the job has completed, two are enough. */
 	job = fl_job_find(&sim->node.cluster, "run-000001");
-	fl_task_done(&sim->node.cluster, job, 0);
+	fl_task_mark_done(&sim->node.cluster, job, 0);
 	assert_true(fail_task(sim, job, 61, 1, 1)->health.quarantined_until <= now);
 	assert_true(fail_task(sim, job, 61, 2, 2)->health.quarantined_until > now);
 }
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -73,7 +73,7 @@
 	struct world *world = calloc(1, sizeof(*world));
 
 	assert_non_null(world);
-	world->cluster.leading = true;
+	world->cluster.has_leader_state = true;
 	world->cluster.teams.count = 1;
 	snprintf(world->cluster.teams.by_index[0].name,
 	         sizeof(world->cluster.teams.by_index[0].name), "team");
@@ -152,14 +152,14 @@
 	cJSON_AddItemToArray(item, cJSON_CreateNumber(group->block_index));
 	cJSON_AddItemToArray(item, encode_group(group));
 	text = fl_json_print_and_delete(item);
-	fl_wal_value_add(value, text);
+	fl_wal_value_add_group(value, text);
 	free(text);
 }
 
 /* The groups from `from` up to `to`, read from a value as the key-value store would return it. */
 static void read_wal_value(struct fl_wal *wal, const struct world *world, int from, int to)
 {
-	cJSON *value = fl_wal_value_begin(), *parsed;
+	cJSON *value = fl_wal_value_create(), *parsed;
 	char *text;
 
 	for (int i = from; i < to; i++)
@@ -167,7 +167,7 @@
 	text = fl_json_print_and_delete(value);
 	parsed = fl_json_parse(text, strlen(text));
 	assert_non_null(parsed);
-	assert_int_equal(fl_wal_read(wal, parsed), 0);
+	assert_int_equal(fl_wal_read_value(wal, parsed), 0);
 	cJSON_Delete(parsed);
 	free(text);
 }
@@ -231,7 +231,7 @@
 
 static void compare_task(const struct world *world, int j, uint32_t index, uint32_t counts[3])
 {
-	const struct fl_task *task = fl_task_peek(world->jobs[j], index);
+	const struct fl_task *task = fl_task_find(world->jobs[j], index);
 	const struct fl_task_block *block_index =
 		fl_job_task_block(world->jobs[j], index / FL_TASK_BLOCK_SIZE);
 	struct change best = {.phase = FL_TASK_WAITING};
@@ -248,14 +248,14 @@
 		return;
 	}
 	assert_int_equal(task->phase, best.phase);
-	assert_int_equal(!fl_task_saved(block_index, task), best.logged);
+	assert_int_equal(!fl_task_change_is_saved(block_index, task), best.logged);
 	if (best.phase == FL_TASK_DONE)
 		return;
 	assert_int_equal(task->attempt, best.attempt);
 	if (best.phase != FL_TASK_PLACED)
 		return;
 	snprintf(name, sizeof(name), "host-%d", best.machine);
-	assert_string_equal(world->cluster.machines.by_id[task->machine]->name, name);
+	assert_string_equal(world->cluster.machines.by_id[task->machine_id]->name, name);
 	assert_int_equal(task->incarnation, best.incarnation);
 }
 
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -72,7 +72,7 @@
 	if (fl_sleep(query->begins_at) != 0)
 		return;
 	began_at = fl_now();
-	query->result = fl_status_query(&world.follower, query->ref, &query->response);
+	query->result = fl_status_query_send(&world.follower, query->ref, &query->response);
 	query->duration_s = fl_now() - began_at;
 	query->completed = true;
 }
@@ -190,7 +190,7 @@
 	format_ref(queries[1].ref, 1);
 	format_ref(queries[2].ref, 2);
 	fl_job_find(&world.leader.cluster, queries[1].ref)->record.final_write_in_flight = true;
-	fl_job_find(&world.leader.cluster, queries[2].ref)->record.final_write_unknown = true;
+	fl_job_find(&world.leader.cluster, queries[2].ref)->record.write_outcome_unknown = true;
 	run_queries(queries, 3);
 
 	for (int i = 0; i < 3; i++) {
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -164,7 +164,7 @@
 	for (int i = 0; i < CASES; i++)
 		if (!cases[i].unreadable)
 			expect_status(fixture, cases[i].fields, 503, "nobody can tell");
-	fixture->kv_store_refuses = fixture->node.machine_types_known = false;
+	fixture->kv_store_refuses = fixture->node.machine_types_loaded = false;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
 		note_failure(fixture, "machine types unknown");
 }
--- a/tests/test_write_ahead_log.c
+++ b/tests/test_write_ahead_log.c
@@ -25,7 +25,7 @@
 			cJSON_AddItemToArray(item, cJSON_CreateObject());
 			cJSON_AddItemToArray(list, item);
 		}
-	assert_int_equal(fl_wal_read(wal, value), 0);
+	assert_int_equal(fl_wal_read_value(wal, value), 0);
 	cJSON_Delete(value);
 }
 
@@ -48,7 +48,7 @@
 			int before = -1;
 
 			snprintf(ref, sizeof(ref), "run-%06u", j);
-			for (int i = fl_wal_first(&wal, ref, k); i >= 0;
+			for (int i = fl_wal_first_group(&wal, ref, k); i >= 0;
 			     i = wal.groups[i].next_of_block) {
 				assert_string_equal(wal.groups[i].ref, ref);
 				assert_int_equal(wal.groups[i].block_index, k);
@@ -58,10 +58,10 @@
 			}
 		}
 	assert_int_equal(steps, job_count * block_count * value_count);
-	assert_int_equal(fl_wal_first(&wal, "run-000000", block_count), -1);
-	assert_int_equal(fl_wal_first(&wal, "run-999999", 0), -1);
+	assert_int_equal(fl_wal_first_group(&wal, "run-000000", block_count), -1);
+	assert_int_equal(fl_wal_first_group(&wal, "run-999999", 0), -1);
 	fl_wal_free(&wal);
-	assert_int_equal(fl_wal_first(&wal, "run-000000", 0), -1);
+	assert_int_equal(fl_wal_first_group(&wal, "run-000000", 0), -1);
 }
 
 int main(void)
