--- a/tests/sim.h
+++ b/tests/sim.h
@@ -39,7 +39,7 @@
 /* 0 with a reply whose body is the caller's to free, or a negative errno as of fl_http_call(). */
 int sim_call(struct sim_endpoint from, struct sim_endpoint to, const char *method, const char *path,
              const char *body, double timeout_s, struct fl_http_reply *out);
-void sim_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME]);
+void sim_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME_SIZE]);
 struct sim_endpoint sim_endpoint_of(const struct sockaddr_in *address);
 /* Ends all calls, and with them all time. */
 void sim_net_end(void);
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -264,7 +264,7 @@
 {
 	const struct sim_machine *machine = &sim.machines[index];
 	cJSON *item = cJSON_CreateObject();
-	char address[FL_CONFIG_NAME];
+	char address[FL_CONFIG_NAME_SIZE];
 
 	sim_address((struct sim_endpoint){ENDPOINT_WORKER, index}, address);
 	cJSON_AddStringToObject(item, "Ref", machine->name);
