--- a/src/config.c
+++ b/src/config.c
@@ -19,19 +19,19 @@
 	size_t offset;
 	enum setting_type type;
 	bool optional;
-	double min, max; /* of a number */
+	double min, max; /* range of a number */
 };
 
 /* A table of settings that are read into struct fl_config. */
 struct table {
-	const char *key, *path; /* `path` is the prefix of its settings' full keys */
+	const char *key, *key_prefix; /* the settings' full keys begin with `key_prefix` */
 	const struct setting *settings;
 	size_t setting_count;
 };
 
 /* An optional list of tables, each read into an element of an array in struct fl_config. */
 struct table_list {
-	const char *key, *parent_path;
+	const char *key, *parent_prefix;
 	const struct setting *settings;
 	size_t setting_count;
 	size_t array_offset, element_size, count_offset;
@@ -39,7 +39,7 @@
 };
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
-/* Rows for a field of `owner`; the key of a number is followed by its minimum and maximum. */
+/* Initialisers of a setting that is stored in a field of the struct `owner`. */
 #define STRING(owner, field, name)                                                                 \
 	{                                                                                          \
 		(name), offsetof(owner, field), SETTING_STRING, false, 0, 0                        \
@@ -112,13 +112,13 @@
 	NUMBER(struct fl_config, list_lag_s, "list_lag_s", 0, 3600),
 };
 
-/* With less than these minima a controller cannot serve at all. */
+/* Below these minimum values a controller cannot serve. */
 static const struct setting resource_settings[] = {
-	/* Of a core; gossip with four others alone takes 0.004. */
+	/* Cores; gossip with four peers alone takes 0.004. */
 	NUMBER(struct fl_config, core_share, "core_share", 0.005, 1024),
-	/* MB; the program takes 6, and a whole list of records some more. */
+	/* MB; the program takes 6, and a list of all records takes more. */
 	NUMBER(struct fl_config, ram_mb, "ram_mb", 16, 1e9),
-	/* 48 are for key-value store, cloud and commands. */
+	/* 48 connections are for the key-value store, the cloud and commands to machines. */
 	INTEGER(struct fl_config, max_connections, "max_connections", 64, 1e6),
 };
 
@@ -134,7 +134,7 @@
 
 static const struct table_list peer_list = {
 	.key = "known",
-	.parent_path = "",
+	.parent_prefix = "",
 	.settings = peer_settings,
 	.setting_count = COUNT(peer_settings),
 	.array_offset = offsetof(struct fl_config, peers),
@@ -145,7 +145,7 @@
 
 static const struct table_list team_list = {
 	.key = "teams",
-	.parent_path = "settings.",
+	.parent_prefix = "settings.",
 	.settings = team_settings,
 	.setting_count = COUNT(team_settings),
 	.array_offset = offsetof(struct fl_config, teams),
@@ -156,7 +156,7 @@
 
 static const struct table_list slo_list = {
 	.key = "objectives",
-	.parent_path = "settings.",
+	.parent_prefix = "settings.",
 	.settings = slo_settings,
 	.setting_count = COUNT(slo_settings),
 	.array_offset = offsetof(struct fl_config, slos),
@@ -165,20 +165,20 @@
 	.max = FL_CONFIG_SLOS_MAX,
 };
 
-/* A file being read, and its first error. */
+/* The state of reading a settings file: its first error, and whether there is one. */
 struct reader {
 	struct fl_config_error *error;
 	bool failed;
 };
 
-/* A value in the file, and the path of the table that holds it, which its full key begins with. */
+/* A value in the file; its full key is `key_prefix` followed by `key`. */
 struct value {
 	const cJSON *json;
-	const char *path, *key;
+	const char *key_prefix, *key;
 };
 
 __attribute__((format(printf, 4, 5))) static void
-record_error(struct reader *reader, const char *path, const char *key, const char *fmt, ...)
+record_error(struct reader *reader, const char *key_prefix, const char *key, const char *fmt, ...)
 {
 	struct fl_config_error *error = reader->error;
 	va_list ap;
@@ -186,19 +186,19 @@
 	if (reader->failed)
 		return;
 	reader->failed = true;
-	snprintf(error->key, sizeof(error->key), "%s%s", path, key);
+	snprintf(error->key, sizeof(error->key), "%s%s", key_prefix, key);
 	va_start(ap, fmt);
 	vsnprintf(error->reason, sizeof(error->reason), fmt, ap);
 	va_end(ap);
 }
 
-static const cJSON *require_key(struct reader *reader, const cJSON *object, const char *path,
+static const cJSON *require_key(struct reader *reader, const cJSON *object, const char *key_prefix,
                                 const char *key)
 {
 	const cJSON *json = cJSON_GetObjectItemCaseSensitive(object, key);
 
 	if (!json)
-		record_error(reader, path, key, "missing");
+		record_error(reader, key_prefix, key, "missing");
 	return json;
 }
 
@@ -207,12 +207,12 @@
 	const char *text = value->json->valuestring;
 
 	if (!cJSON_IsString(value->json))
-		record_error(reader, value->path, value->key, "must be a string");
+		record_error(reader, value->key_prefix, value->key, "must be a string");
 	else if (!text[0])
-		record_error(reader, value->path, value->key, "must not be empty");
+		record_error(reader, value->key_prefix, value->key, "must not be empty");
 	else if (strlen(text) >= FL_CONFIG_NAME_SIZE)
-		record_error(reader, value->path, value->key, "longer than %d characters",
-		             FL_CONFIG_NAME_SIZE - 1);
+		record_error(reader, value->key_prefix, value->key,
+		             "must have at most %d characters", FL_CONFIG_NAME_SIZE - 1);
 	else
 		fl_copy_string(out, FL_CONFIG_NAME_SIZE, text);
 }
@@ -223,7 +223,7 @@
 
 	read_string(reader, value, out);
 	if (!reader->failed && fl_address_parse(out, &address) != 0)
-		record_error(reader, value->path, value->key,
+		record_error(reader, value->key_prefix, value->key,
 		             "must be an IPv4 address and port, like 10.0.0.1:8080");
 }
 
@@ -233,9 +233,9 @@
 	double number = value->json->valuedouble;
 
 	if (!cJSON_IsNumber(value->json) || !isfinite(number))
-		record_error(reader, value->path, value->key, "must be a number");
+		record_error(reader, value->key_prefix, value->key, "must be a number");
 	else if (number < setting->min || number > setting->max)
-		record_error(reader, value->path, value->key, "must lie between %g and %g",
+		record_error(reader, value->key_prefix, value->key, "must lie between %g and %g",
 		             setting->min, setting->max);
 	else
 		*out = number;
@@ -248,18 +248,18 @@
 
 	read_number(reader, value, setting, &number);
 	if (!reader->failed && number != floor(number))
-		record_error(reader, value->path, value->key, "must be a whole number");
+		record_error(reader, value->key_prefix, value->key, "must be a whole number");
 	*out = (int)number;
 }
 
-static void read_setting(struct reader *reader, const cJSON *object, const char *path,
+static void read_setting(struct reader *reader, const cJSON *object, const char *key_prefix,
                          const struct setting *setting, char *out)
 {
-	struct value value = {NULL, path, setting->key};
+	struct value value = {NULL, key_prefix, setting->key};
 
 	if (setting->optional && !cJSON_GetObjectItemCaseSensitive(object, setting->key))
 		return;
-	value.json = require_key(reader, object, path, setting->key);
+	value.json = require_key(reader, object, key_prefix, setting->key);
 	if (!value.json)
 		return;
 	switch (setting->type) {
@@ -278,33 +278,33 @@
 	}
 }
 
-/* The table with this key; NULL, with an error, if there is none. */
-static const cJSON *require_table(struct reader *reader, const cJSON *object, const char *path,
-                                  const char *key)
+/* Returns the table with this key; NULL, with an error recorded, if there is none. */
+static const cJSON *require_table(struct reader *reader, const cJSON *object,
+                                  const char *key_prefix, const char *key)
 {
-	const cJSON *json = require_key(reader, object, path, key);
+	const cJSON *json = require_key(reader, object, key_prefix, key);
 
 	if (json && !cJSON_IsObject(json)) {
-		record_error(reader, path, key, "must be a table");
+		record_error(reader, key_prefix, key, "must be a table");
 		return NULL;
 	}
 	return json;
 }
 
-/* An array that may be missing; NULL then, or when it is ill-typed. */
-static const cJSON *get_list(struct reader *reader, const cJSON *object, const char *path,
-                             const char *key, int max)
+/* Returns an optional array; NULL if it is missing, or, with an error recorded, not valid. */
+static const cJSON *get_optional_array(struct reader *reader, const cJSON *object,
+                                       const char *key_prefix, const char *key, int max)
 {
 	const cJSON *json = cJSON_GetObjectItemCaseSensitive(object, key);
 
 	if (!json)
 		return NULL;
 	if (!cJSON_IsArray(json)) {
-		record_error(reader, path, key, "must be an array");
+		record_error(reader, key_prefix, key, "must be an array");
 		return NULL;
 	}
 	if (cJSON_GetArraySize(json) > max) {
-		record_error(reader, path, key, "more than %d entries", max);
+		record_error(reader, key_prefix, key, "must have at most %d entries", max);
 		return NULL;
 	}
 	return json;
@@ -314,24 +314,27 @@
                        struct fl_config *config)
 {
 	for (size_t i = 0; i < table->setting_count; i++)
-		read_setting(reader, object, table->path, &table->settings[i], (char *)config);
+		read_setting(reader, object, table->key_prefix, &table->settings[i],
+		             (char *)config);
 }
 
 static void read_table_list(struct reader *reader, const cJSON *object,
                             const struct table_list *list, struct fl_config *config)
 {
-	const cJSON *array = get_list(reader, object, list->parent_path, list->key, list->max);
+	const cJSON *array =
+		get_optional_array(reader, object, list->parent_prefix, list->key, list->max);
 	int *count = (int *)((char *)config + list->count_offset);
 	const cJSON *item;
-	char path[48];
+	char key_prefix[48];
 
 	cJSON_ArrayForEach (item, array) {
 		char *element =
 			(char *)config + list->array_offset + (size_t)*count * list->element_size;
 
-		snprintf(path, sizeof(path), "%s%s[%d].", list->parent_path, list->key, *count);
+		snprintf(key_prefix, sizeof(key_prefix), "%s%s[%d].", list->parent_prefix,
+		         list->key, *count);
 		for (size_t i = 0; i < list->setting_count; i++)
-			read_setting(reader, item, path, &list->settings[i], element);
+			read_setting(reader, item, key_prefix, &list->settings[i], element);
 		(*count)++;
 	}
 }
@@ -342,10 +345,11 @@
 
 	if (!require_key(reader, settings, "settings.", "zones"))
 		return;
-	list = get_list(reader, settings, "settings.", "zones", FL_CONFIG_ZONES_MAX);
+	list = get_optional_array(reader, settings, "settings.", "zones", FL_CONFIG_ZONES_MAX);
 	cJSON_ArrayForEach (item, list) {
 		if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_CONFIG_NAME_SIZE) {
-			record_error(reader, "settings.", "zones", "must hold names");
+			record_error(reader, "settings.", "zones",
+			             "each zone must be a string of valid length");
 			return;
 		}
 		fl_copy_string(config->zones[config->zone_count++], FL_CONFIG_NAME_SIZE,
--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
 /*
- * The program: reads the command line and the settings file, starts the node and runs its
+ * The main program: reads the command line and the settings file, starts the node and runs its
  * coroutines until a signal ends the process.
  */
 #include <argp.h>
@@ -13,13 +13,13 @@
 #include "transport/coroutine.h"
 #include "transport/log.h"
 
-/* Exit status: the command line, LOG_LEVEL or the settings file is wrong. */
+/* Exit status for an error in the command line, LOG_LEVEL or the settings file. */
 enum { EXIT_USAGE = 2 };
 
 const char *argp_program_version = "fawnlead " FL_VERSION;
 
 struct args {
-	const char *config;
+	const char *config_path;
 	bool check_only;
 };
 
@@ -35,7 +35,7 @@
 
 	switch (key) {
 	case 'c':
-		arguments->config = arg;
+		arguments->config_path = arg;
 		return 0;
 	case 'n':
 		arguments->check_only = true;
@@ -44,7 +44,7 @@
 		argp_error(state, "unexpected argument '%s'", arg);
 		return 0;
 	case ARGP_KEY_END:
-		if (!arguments->config)
+		if (!arguments->config_path)
 			argp_error(state, "--config FILE is required");
 		return 0;
 	default:
@@ -56,7 +56,7 @@
 	.options = options,
 	.parser = parse_option,
 	.doc = "A cluster scheduler: one controller of a fawnlead service.\v"
-	       "Variables: LOG_LEVEL is error, info (the default) or debug.",
+	       "Environment variables: LOG_LEVEL is error, info (the default) or debug.",
 };
 
 int main(int argc, char **argv)
@@ -74,20 +74,20 @@
 		        level);
 		return EXIT_USAGE;
 	}
-	if (fl_config_read(args.config, &config, &error) != FL_CONFIG_OK) {
+	if (fl_config_read(args.config_path, &config, &error) != FL_CONFIG_OK) {
 		fl_config_error_text(&error, text, sizeof(text));
 		fprintf(stderr, "fawnlead: %s\n", text);
 		return EXIT_USAGE;
 	}
 	if (args.check_only) {
-		printf("%s: good\n", args.config);
+		printf("%s: good\n", args.config_path);
 		return 0;
 	}
 	signal(SIGPIPE, SIG_IGN);
 	fl_coroutines_init(ev_default_loop(EVFLAG_AUTO));
 	if (fl_node_start(&config) != FL_NODE_STARTED) {
 		fprintf(stderr, "fawnlead: %s: cannot listen on bind or cluster_listen\n",
-		        args.config);
+		        args.config_path);
 		return 1;
 	}
 	fl_coroutines_run();
--- a/src/toml.cpp
+++ b/src/toml.cpp
@@ -6,21 +6,21 @@
 #include <string>
 #include <toml++/toml.h>
 
-static cJSON *convert(const toml::node &node)
+static cJSON *convert_to_cjson(const toml::node &node)
 {
 	if (const auto *table = node.as_table()) {
 		cJSON *object = cJSON_CreateObject();
 
 		for (const auto &[key, value] : *table)
 			cJSON_AddItemToObject(object, std::string(key.str()).c_str(),
-			                      convert(value));
+			                      convert_to_cjson(value));
 		return object;
 	}
 	if (const auto *array = node.as_array()) {
 		cJSON *list = cJSON_CreateArray();
 
 		for (const auto &value : *array)
-			cJSON_AddItemToArray(list, convert(value));
+			cJSON_AddItemToArray(list, convert_to_cjson(value));
 		return list;
 	}
 	if (const auto *string = node.as_string())
@@ -48,7 +48,7 @@
 			snprintf(reason, reason_size, "cannot be read");
 			return FL_TOML_UNREADABLE;
 		}
-		*out = convert(toml::parse(text));
+		*out = convert_to_cjson(toml::parse(text));
 		if (*out)
 			return FL_TOML_OK;
 		snprintf(reason, reason_size, "out of memory");
--- a/src/transport/clock.c
+++ b/src/transport/clock.c
@@ -19,7 +19,10 @@
 
 double fl_monotonic_from_wall(double wall)
 {
-	/* In this order, a suspension in between makes the result too early, never too late. */
+	/*
+	 * The monotonic clock is read first: a process pause between the two reads makes the result
+	 * too early, never too late.
+	 */
 	double now = fl_now();
 
 	return now - (wall > 0 ? fmax(0, fl_wall_time() - wall) : 0);
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -1,20 +1,24 @@
 /*
- * The clocks: the steady one for every duration and deadline, wall time only for what outlives a
- * process, processor time for what work costs. They do not wait and cannot fail.
+ * Clocks: the monotonic clock for all durations and deadlines, the wall clock only for times that
+ * outlive the process, and processor time for the cost of work. Reading a clock neither waits nor
+ * fails.
  */
 #ifndef FL_TRANSPORT_CLOCK_H
 #define FL_TRANSPORT_CLOCK_H
 
-/* A time of the steady clock before any other: for what has not happened yet. */
+/* A monotonic time before all others, for an event that has not happened yet. */
 #define FL_LONG_AGO (-1e9)
 
-/* Seconds of the steady clock. */
+/* Returns the time of the monotonic clock, s. */
 double fl_now(void);
-/* Seconds of the wall clock, since 1970. */
+/* Returns the time of the wall clock, s since 1970. */
 double fl_wall_time(void);
-/* Seconds of processor time that this process has used. */
+/* Returns the processor time that this process has used, s. */
 double fl_cpu_time(void);
-/* The steady time of a past wall time; 0 is an unknown wall time, for which it is now. */
+/*
+ * Converts a past wall time to a time of the monotonic clock. For an unknown wall time, which is 0,
+ * and for a future one it returns the present time.
+ */
 double fl_monotonic_from_wall(double wall);
 
 #endif
--- a/src/transport/coroutine.c
+++ b/src/transport/coroutine.c
@@ -13,17 +13,17 @@
 static const struct {
 	double turn_s;
 } tunables = {
-	.turn_s = 0.005, /* s for which ordinary coroutines run before new events are polled */
+	.turn_s = 0.005, /* s; ordinary coroutines run this long before new events are polled */
 };
 
 struct fl_coroutine {
-	struct fl_coroutine_links links; /* first: see coroutine_queue.h */
+	struct fl_coroutine_links links; /* must be first: see coroutine_queue.h */
 	struct fl_coroutine_context context;
-	struct fl_coroutine *prev, *next; /* all coroutines */
+	struct fl_coroutine *prev, *next; /* neighbours in the list of all coroutines */
 	struct ev_io io;
 	struct ev_timer timer;
-	int result;     /* of the wait that has ended */
-	bool awaits_io; /* else `io`, if it is active, only keeps its registration */
+	int result;     /* result of the last wait */
+	bool awaits_io; /* the present wait is for `io`; otherwise `io` may still be registered */
 	bool suspended, ready, cancelled, urgent;
 };
 _Static_assert(offsetof(struct fl_coroutine, links) == 0, "see coroutine_queue.h");
@@ -31,14 +31,14 @@
 static struct {
 	struct ev_loop *loop;
 	struct ev_prepare prepare;
-	struct ev_idle more_ready; /* active: some are still ready, so the loop must not sleep */
+	struct ev_idle more_ready; /* active while coroutines are ready: the loop must not block */
 	struct fl_coroutine *all, *current;
 	int coroutine_count;
 	struct fl_coroutine_queue ready, urgent;
-	/* Run when nothing else is ready, and one at the end of a turn. */
+	/* Coroutines that run when no other is ready, and otherwise one at the end of a turn. */
 	struct fl_coroutine_queue deferred;
 	int deferred_count;
-	struct fl_loop_context loop_context; /* the stack of the event loop */
+	struct fl_loop_context loop_context; /* context of the event loop's stack */
 } scheduler;
 
 struct ev_loop *fl_event_loop(void) { return scheduler.loop; }
@@ -57,7 +57,7 @@
 		        result);
 }
 
-static struct fl_coroutine *take_deferred(void)
+static struct fl_coroutine *pop_deferred(void)
 {
 	struct fl_coroutine *coroutine = fl_coroutine_queue_pop(&scheduler.deferred);
 
@@ -65,7 +65,10 @@
 	return coroutine;
 }
 
-/* The registration of its socket stays: most often it waits for the same socket next. */
+/*
+ * Ends the coroutine's wait and makes it ready. Its I/O watcher stays registered, since the next
+ * wait is most often for the same socket.
+ */
 static void wake(struct fl_coroutine *coroutine, int result)
 {
 	coroutine->awaits_io = false;
@@ -79,7 +82,7 @@
 	struct fl_coroutine *coroutine = watcher->data;
 
 	(void)revents;
-	/* It waits for something else: a level-triggered event would fire again and again. */
+	/* The coroutine waits for something else; the level-triggered event would repeat. */
 	if (!coroutine->awaits_io)
 		ev_io_stop(loop, watcher);
 	else
@@ -107,7 +110,7 @@
 	free(coroutine);
 }
 
-/* Runs a coroutine, on its own stack, until it waits or ends. */
+/* Runs a coroutine on its own stack until it waits or its function returns. */
 static void resume(struct fl_coroutine *coroutine)
 {
 	bool suspended;
@@ -121,7 +124,7 @@
 		destroy(coroutine);
 }
 
-/* Back to the event loop, until the current coroutine is woken: the result of its wait. */
+/* Suspends the current coroutine until it is woken; returns the result of its wait. */
 static int suspend(void)
 {
 	struct fl_coroutine *coroutine = scheduler.current;
@@ -132,10 +135,11 @@
 }
 
 /*
- * Found with controllers several times slower: one turn over all that was ready took seconds, and
- * the lease, whose response had long arrived, expired. So the urgent ones go first, and a turn of
- * the others ends after a while, to poll for events. Deferred ones run when nothing else is ready,
- * or else one a turn, so that they are late but never starved.
+ * Runs ready coroutines for one turn: the urgent ones first, the others until `turn_s` has passed,
+ * after which the loop polls for new events. On controllers several times slower, a turn over all
+ * ready coroutines took seconds, and a lease expired although the response to its renewal had
+ * arrived. Deferred coroutines run when no other is ready, and otherwise one in each turn, so that
+ * they are delayed but not starved.
  */
 static void run_ready(void)
 {
@@ -144,11 +148,11 @@
 
 	while ((coroutine = fl_coroutine_queue_pop(&scheduler.urgent)) ||
 	       (coroutine = fl_coroutine_queue_pop(&scheduler.ready)) ||
-	       (coroutine = take_deferred())) {
+	       (coroutine = pop_deferred())) {
 		resume(coroutine);
 		if (!scheduler.urgent.head && (scheduler.ready.head || scheduler.deferred.head) &&
 		    fl_now() > turn_end) {
-			coroutine = scheduler.ready.head ? take_deferred() : NULL;
+			coroutine = scheduler.ready.head ? pop_deferred() : NULL;
 			if (coroutine)
 				resume(coroutine);
 			break;
@@ -213,7 +217,7 @@
 	coroutine->context.argument = arg;
 	fl_context_init(&coroutine->context, fl_coroutine_stack_size());
 	ev_init(&coroutine->io, on_io);
-	/* After the process was suspended both are due: data that has arrived was not missed. */
+	/* After a process pause both may be due: data that has arrived must not time out. */
 	ev_set_priority(&coroutine->io, EV_MAXPRI);
 	ev_init(&coroutine->timer, on_timer);
 	coroutine->io.data = coroutine->timer.data = coroutine;
@@ -280,7 +284,7 @@
 
 	if (coroutine->cancelled)
 		return -ECANCELED;
-	/* Each registration is a system call; that of an earlier wait is used again. */
+	/* Each registration is a system call, so that of an earlier wait is reused. */
 	if (!ev_is_active(&coroutine->io) || coroutine->io.fd != fd ||
 	    coroutine->io.events != events) {
 		ev_io_stop(scheduler.loop, &coroutine->io);
--- a/src/transport/coroutine_context.c
+++ b/src/transport/coroutine_context.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 
 /*
- * The address sanitizer needs a call before and after each switch, or it reports a frame of another
- * stack as an overrun.
+ * The address sanitizer needs a call before and after each switch of stacks; without the calls it
+ * reports a frame of the other stack as an overrun.
  */
 #if defined(__SANITIZE_ADDRESS__)
 #include <sanitizer/common_interface_defs.h>
@@ -15,9 +15,9 @@
 #define FIBER_FINISH(save, bottom, size) ((void)(save), (void)(bottom), (void)(size))
 #endif
 
-/* Boost's switch, declared here because boost's own headers are C++. */
+/* Boost's context switch, declared here because Boost's own headers are C++. */
 typedef void *fcontext_t;
-/* What a switch brings: the stack that was left, and the value that was passed. */
+/* The result of a switch: the context that was left, and the value that it passed. */
 struct transfer {
 	fcontext_t fctx;
 	void *data;
@@ -26,7 +26,7 @@
 /* `stack_end` is the upper end of the stack. */
 extern fcontext_t make_fcontext(void *stack_end, size_t size, void (*function)(struct transfer));
 
-/* Passed with each switch to a coroutine, which reads it at its first. */
+/* The value passed with each switch to a coroutine; only the first one is read. */
 struct resumption {
 	struct fl_loop_context *loop;
 	struct fl_coroutine_context *context;
@@ -62,7 +62,7 @@
 	transfer = jump_fcontext(context->resume_point, &resumption);
 	FIBER_FINISH(loop->fake_stack, NULL, NULL);
 	context->resume_point = transfer.fctx;
-	/* Only a function that has returned passes a value. */
+	/* A coroutine passes a value only when its function has returned. */
 	return transfer.data == NULL;
 }
 
--- a/src/transport/coroutine_context.h
+++ b/src/transport/coroutine_context.h
@@ -1,6 +1,6 @@
 /*
- * Internal to coroutine schedulers: the switch between the stack of a scheduler's loop and that of
- * a coroutine. When a coroutine runs is the scheduler's decision, and so is what its waits mean.
+ * Internal to coroutine schedulers: switches between the stack of a scheduler's loop and the stack
+ * of a coroutine. The scheduler decides when a coroutine runs and implements its waits.
  */
 #ifndef FL_TRANSPORT_COROUTINE_CONTEXT_H
 #define FL_TRANSPORT_COROUTINE_CONTEXT_H
@@ -8,32 +8,32 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* The stack that coroutines are resumed from; all zero before the first resume. */
+/* The loop's stack, from which coroutines are resumed; zero-initialised before the first resume. */
 struct fl_loop_context {
 	void *resume_point;
-	void *fake_stack; /* of the address sanitizer, as are the next two */
+	void *fake_stack; /* for the address sanitizer, like the next two fields */
 	const void *stack_bottom;
 	size_t stack_size;
 };
 
-/* The stack of one coroutine, and the function that it was started for. */
+/* The stack of one coroutine, and the function that runs on it. */
 struct fl_coroutine_context {
 	void *resume_point;
-	char *stack; /* its lowest byte; the scheduler acquires and releases it */
+	char *stack; /* lowest byte of the stack, which the scheduler acquires and releases */
 	void (*function)(void *);
 	void *argument;
-	void *fake_stack; /* of the address sanitizer */
+	void *fake_stack; /* for the address sanitizer */
 };
 
-/* Prepares `context`, whose stack, function and argument are set, for its first resume. */
+/* Prepares a context, whose stack, function and argument are set, for its first resume. */
 void fl_context_init(struct fl_coroutine_context *context, size_t stack_size);
 /*
- * Runs a coroutine until it suspends itself: true. False: its function has returned, and its stack
- * may be released. Called on the loop's stack.
+ * Resumes a coroutine, on the loop's stack. Returns true when the coroutine has suspended itself,
+ * and false when its function has returned, after which its stack may be released.
  */
 bool fl_context_resume(struct fl_loop_context *loop, struct fl_coroutine_context *context,
                        size_t stack_size);
-/* Back to the loop, until the next resume. Called on the coroutine's stack. */
+/* Switches to the loop until the next resume. Called on the coroutine's stack. */
 void fl_context_suspend(struct fl_loop_context *loop, struct fl_coroutine_context *context);
 
 #endif
--- a/src/transport/coroutine_stack.c
+++ b/src/transport/coroutine_stack.c
@@ -6,12 +6,12 @@
 	size_t stack_bytes, guard_bytes;
 	int spare_max;
 } tunables = {
-	.stack_bytes = (size_t)256 * 1024, /* bytes; deep JSON plus a signal handler's frame */
-	.guard_bytes = 4096,               /* bytes; an overrun faults instead of corrupting */
-	.spare_max = 32,                   /* stacks kept for reuse; each has a few touched pages */
+	.stack_bytes = (size_t)256 * 1024, /* for deeply nested JSON and a signal handler's frame */
+	.guard_bytes = 4096,               /* an overrun faults instead of corrupting memory */
+	.spare_max = 32, /* stacks kept for reuse, each with a few resident pages */
 };
 
-/* Of which `spare_max` are used. */
+/* Length of the array of spare stacks, of which `spare_max` elements are used. */
 enum { SPARE_CAPACITY = 64 };
 
 static struct {
@@ -19,7 +19,7 @@
 	int count;
 } spare;
 
-static void unmap(char *stack)
+static void unmap_stack(char *stack)
 {
 	munmap(stack - tunables.guard_bytes, tunables.guard_bytes + tunables.stack_bytes);
 }
@@ -37,7 +37,7 @@
 	if (mapping == MAP_FAILED)
 		return NULL;
 	if (mprotect(mapping, tunables.guard_bytes, PROT_NONE) != 0) {
-		unmap(mapping + tunables.guard_bytes);
+		unmap_stack(mapping + tunables.guard_bytes);
 		return NULL;
 	}
 	return mapping + tunables.guard_bytes;
@@ -48,11 +48,11 @@
 	if (spare.count < tunables.spare_max)
 		spare.stacks[spare.count++] = stack;
 	else
-		unmap(stack);
+		unmap_stack(stack);
 }
 
 void fl_coroutine_stacks_free(void)
 {
 	while (spare.count > 0)
-		unmap(spare.stacks[--spare.count]);
+		unmap_stack(spare.stacks[--spare.count]);
 }
--- a/src/transport/http.c
+++ b/src/transport/http.c
@@ -10,11 +10,11 @@
 #include "transport/coroutine.h"
 
 /* Maximum bytes of a request's path and query; bytes of one read. */
-enum { URL_MAX = 8192, READ_SIZE = 8192 };
+enum { URL_BYTES_MAX = 8192, READ_BYTES = 8192 };
 
 /*
- * What a parser's callback returns to end the parsing. Not 1, which at the end of the headers would
- * mean that there is no body.
+ * Return values of the parser's callbacks. Parsing is not aborted with 1, which at the end of the
+ * headers would mean that the message has no body.
  */
 enum { PARSER_CONTINUE = 0, PARSER_ABORT = -1 };
 
@@ -22,12 +22,12 @@
 {
 	struct fl_http_message *message = parser->data;
 
-	if (message->url.length + count > URL_MAX)
+	if (message->url.length + count > URL_BYTES_MAX)
 		return PARSER_ABORT;
 	return fl_buffer_append(&message->url, bytes, count) ? PARSER_ABORT : PARSER_CONTINUE;
 }
 
-/* Bytes of the bodies of requests that are being read or served. */
+/* Bytes of the bodies of requests that are being read or served; a limit of 0 means no limit. */
 static struct {
 	size_t reserved, limit;
 } body_memory;
@@ -82,7 +82,7 @@
 	return PARSER_CONTINUE;
 }
 
-static const http_parser_settings callbacks = {
+static const http_parser_settings parser_callbacks = {
 	.on_url = on_url,
 	.on_headers_complete = on_headers,
 	.on_body = on_body,
@@ -90,12 +90,12 @@
 };
 
 void fl_http_message_init(struct fl_http_message *message, enum http_parser_type type,
-                          size_t max_body)
+                          size_t max_body_bytes)
 {
 	memset(message, 0, sizeof(*message));
 	http_parser_init(&message->parser, type);
 	message->parser.data = message;
-	message->max_body_bytes = max_body;
+	message->max_body_bytes = max_body_bytes;
 }
 
 void fl_http_message_free(struct fl_http_message *message)
@@ -107,15 +107,17 @@
 }
 
 /*
- * What all coroutines read into: none waits between a read and the parsing of it. On the stack of
- * each connection it stayed in memory for as long as the connection was idle.
+ * The buffer that all coroutines read into; no coroutine waits between a read and the parsing of
+ * its bytes. A buffer on the stack of each connection stayed in memory while the connection was
+ * idle.
  */
-static char read_buffer[READ_SIZE];
+static char read_buffer[READ_BYTES];
 
-/* Parses bytes that were read, none at the end of the connection: 0 or a negative errno. */
-static int parse(struct fl_http_message *message, size_t count)
+/* Parses `count` read bytes, none at the end of the connection; returns 0 or a negative errno. */
+static int parse_read_bytes(struct fl_http_message *message, size_t count)
 {
-	size_t parsed = http_parser_execute(&message->parser, &callbacks, read_buffer, count);
+	size_t parsed =
+		http_parser_execute(&message->parser, &parser_callbacks, read_buffer, count);
 
 	if (message->too_large)
 		return -EMSGSIZE;
@@ -133,15 +135,15 @@
 int fl_http_message_read(struct fl_http_message *message, int fd, double timeout_s)
 {
 	double deadline = fl_now() + timeout_s;
-	bool more_expected = false; /* the buffer was filled: the rest has probably arrived */
+	bool more_expected = false; /* the last read filled the buffer: more has probably arrived */
 
 	while (!message->complete) {
 		ssize_t count;
 		int rc = 0;
 
 		/*
-		 * First the wait: a message has hardly ever arrived before it is read. One that has
-		 * arrived is valid even after the deadline.
+		 * The wait comes before the read, since a message has rarely arrived at this point.
+		 * Bytes that have arrived are read even after the deadline.
 		 */
 		if (!more_expected)
 			rc = fl_io_wait(fd, EV_READ, fmax(0, deadline - fl_now()));
@@ -158,7 +160,7 @@
 			if (message->remainder_timeout_s > 0)
 				deadline = fmin(deadline, fl_now() + message->remainder_timeout_s);
 		}
-		rc = parse(message, (size_t)count);
+		rc = parse_read_bytes(message, (size_t)count);
 		if (rc)
 			return rc;
 	}
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -9,9 +9,9 @@
 #include "transport/coroutine.h"
 
 static const struct {
-	size_t max_body;
+	size_t max_body_bytes;
 } tunables = {
-	.max_body = 8UL * 1024 * 1024, /* bytes; a full page of the key-value store, and a margin */
+	.max_body_bytes = 8UL * 1024 * 1024, /* a full page of the key-value store and a margin */
 };
 
 int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
@@ -28,7 +28,7 @@
 		close(client->idle_fds[--client->idle_count]);
 }
 
-/* Waits until a connect in progress has ended: 0 or a negative errno. */
+/* Waits for the end of a connect in progress; returns 0 or a negative errno. */
 static int await_connect(int fd, double timeout_s)
 {
 	socklen_t length = sizeof(int);
@@ -42,7 +42,7 @@
 	return -error;
 }
 
-/* A new connection to the server, or a negative errno. */
+/* Opens a connection to the server; returns its socket or a negative errno. */
 static int open_connection(struct fl_http_client *client, double timeout_s)
 {
 	int fd = fl_socket_open();
@@ -59,8 +59,8 @@
 	return rc;
 }
 
-/* Keeps the connection for another request, if the server does, too, and `max_idle` allows it. */
-static void keep_or_close(struct fl_http_client *client, int fd, bool keep_alive)
+/* Keeps the connection for another request if the server and `max_idle` allow it. */
+static void keep_or_close_connection(struct fl_http_client *client, int fd, bool keep_alive)
 {
 	if (!keep_alive || client->idle_count >= client->max_idle) {
 		fl_socket_close(fd);
@@ -85,9 +85,9 @@
 	return rc;
 }
 
-/* Sends a request over a connection and reads the response. */
-static int exchange(int fd, const struct fl_buffer *request, double deadline,
-                    struct fl_http_message *response)
+/* Sends a request over a connection and reads its response. */
+static int round_trip(int fd, const struct fl_buffer *request, double deadline,
+                      struct fl_http_message *response)
 {
 	int rc = fl_write_all(fd, request->data, request->length, deadline - fl_now());
 
@@ -96,7 +96,7 @@
 	return fl_http_message_read(response, fd, deadline - fl_now());
 }
 
-/* Sends a request, over a kept connection if there is one, and reads the response. */
+/* Sends a request, over an idle connection if there is one, and reads its response. */
 static int send_request(struct fl_http_client *client, const struct fl_buffer *request,
                         double deadline, struct fl_http_message *response)
 {
@@ -108,16 +108,16 @@
 
 		if (fd < 0)
 			return fd;
-		rc = exchange(fd, request, deadline, response);
+		rc = round_trip(fd, request, deadline, response);
 		if (rc != -ECONNRESET || !reused || response->started) {
-			keep_or_close(client, fd, !rc && response->keep_alive);
+			keep_or_close_connection(client, fd, !rc && response->keep_alive);
 			return rc;
 		}
-		/* The server closed a kept connection before it read this request: use another. */
+		/* The server closed the idle connection before it read the request: try another. */
 		fl_socket_close(fd);
-		/* A parser that has seen the end of a connection cannot read another one. */
+		/* A parser that has seen the end of a connection cannot parse another response. */
 		fl_http_message_free(response);
-		fl_http_message_init(response, HTTP_RESPONSE, tunables.max_body);
+		fl_http_message_init(response, HTTP_RESPONSE, tunables.max_body_bytes);
 	}
 }
 
@@ -130,7 +130,7 @@
 	int rc;
 
 	memset(out, 0, sizeof(*out));
-	fl_http_message_init(&response, HTTP_RESPONSE, tunables.max_body);
+	fl_http_message_init(&response, HTTP_RESPONSE, tunables.max_body_bytes);
 	rc = encode_request(method, path, body, &request);
 	if (!rc)
 		rc = send_request(client, &request, deadline, &response);
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,16 +1,16 @@
 /*
- * An HTTP/1.1 client for one address, with a few kept connections. Several coroutines may use one
- * client at once, each over a connection of its own.
+ * An HTTP/1.1 client for one address, which keeps a few idle connections for reuse. Several
+ * coroutines may use one client at once, each over its own connection.
  */
 #ifndef FL_TRANSPORT_HTTP_CLIENT_H
 #define FL_TRANSPORT_HTTP_CLIENT_H
 
 #include "transport/http.h"
 
-/* Maximum number of kept connections. */
+/* Maximum number of idle connections that a client keeps. */
 enum { FL_HTTP_IDLE_CONNECTIONS_MAX = 8 };
 
-/* A client, and its connections that are kept for the next request. */
+/* A client and its idle connections, which are kept for later requests. */
 struct fl_http_client {
 	struct sockaddr_in addr;
 	int idle_fds[FL_HTTP_IDLE_CONNECTIONS_MAX];
@@ -24,14 +24,17 @@
 	struct fl_buffer body;
 };
 
-/* Keeps at most `max_idle` connections. 0, or -EINVAL for an address that cannot be parsed. */
+/*
+ * Initialises a client that keeps at most `max_idle` idle connections. Returns 0, or -EINVAL if the
+ * address cannot be parsed.
+ */
 int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle);
-/* Closes the kept connections. */
+/* Closes the idle connections. */
 void fl_http_client_close(struct fl_http_client *client);
 /*
- * Sends a request and reads its response, waiting in the current coroutine: 0 and `out` filled
- * (free out->body), or a negative errno. After any error the request may still be executed: the
- * caller must expect that.
+ * Sends a request and reads its response, waiting in the current coroutine. Returns 0 with `out`
+ * set (the caller frees out->body), or a negative errno. After an error the server may still
+ * execute the request, or may have executed it already.
  */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -13,32 +13,32 @@
 
 static const struct {
 	double write_timeout_s;
-	size_t max_body;
-	double accept_retry_s, remainder_timeout_s, drain_timeout_s;
-	int single_response_part, retry_after_s;
+	size_t max_body_bytes;
+	double accept_retry_s, remainder_timeout_s, discard_read_timeout_s;
+	int single_response_divisor, retry_after_s;
 } tunables = {
-	.write_timeout_s = 5.0,        /* s; users wait 2 to 5 s, so a longer write helps nobody */
-	.max_body = (size_t)64 * 1024, /* bytes; the protocol's limit */
-	.accept_retry_s = 0.05,        /* s after a failed accept, so that it does not spin */
-	.remainder_timeout_s = 4.0,    /* s for the rest of a request; no client waits longer */
-	.drain_timeout_s = 1.0,        /* s for each read of a body that is discarded */
-	.single_response_part = 32,    /* one in so many connections is for one response each */
-	.retry_after_s = 1,            /* s; Retry-After where the memory for bodies is in use */
+	.write_timeout_s = 5.0,              /* users wait 2 to 5 s for a response, and no longer */
+	.max_body_bytes = (size_t)64 * 1024, /* the protocol's limit */
+	.accept_retry_s = 0.05,              /* without this delay, failing accepts would spin */
+	.remainder_timeout_s = 4.0,          /* for the rest of a request; no client waits longer */
+	.discard_read_timeout_s = 1.0,       /* for each read of a body that is discarded */
+	.single_response_divisor = 32, /* the last 1/32 of the limit is for single responses */
+	.retry_after_s = 1,            /* sent while the memory for request bodies is in use */
 };
 
-/* Maximum reads of a body that is discarded, and the bytes of each. */
-enum { DRAIN_READS_MAX = 200, DRAIN_READ_SIZE = 8192 };
+/* Maximum number of reads of a body that is discarded, and the bytes of each read. */
+enum { DISCARD_READS_MAX = 200, DISCARD_READ_BYTES = 8192 };
 
-/* Connections that the kernel holds until they are accepted. */
+/* Maximum number of connections that the kernel queues until they are accepted. */
 enum { LISTEN_BACKLOG = 512 };
 
-/* Digits of an int, with its sign. */
+/* Characters of an int in decimal, with its sign. */
 enum { INT_DIGITS = 11 };
 
 struct fl_http_server {
 	int fd;
 	int connection_count, connection_limit;
-	double idle_timeout_s; /* without it, a peer behind a partition held a socket for ever */
+	double idle_timeout_s; /* without it, a partitioned peer held a socket indefinitely */
 	fl_http_handler handler;
 	void *context;
 };
@@ -74,20 +74,23 @@
 }
 
 /*
- * Kept connections of thousands of workers must not exclude the load balancer's probes and the
- * users: without a connection for them, a node that could serve would count as failed.
+ * Returns whether connections are to be closed after one response. Idle connections of thousands of
+ * workers must not exclude the load balancer's probes and the users: a node with no connection left
+ * for them would count as failed although it could serve.
  */
-static bool nearly_full(const struct fl_http_server *server)
+static bool is_nearly_full(const struct fl_http_server *server)
 {
 	return server->connection_count >
-	       server->connection_limit - server->connection_limit / tunables.single_response_part;
+	       server->connection_limit -
+	               server->connection_limit / tunables.single_response_divisor;
 }
 
 /*
- * An overloaded server must not spend its time on clients that have closed: they have retried
- * elsewhere, and each response to nobody delays the next client until it has closed too.
+ * Returns whether the server is overloaded and the client has closed the connection. Such a client
+ * has retried elsewhere, and a response to it would delay the next client until that one, too, has
+ * closed its connection.
  */
-static bool client_has_closed(int fd)
+static bool is_abandoned_under_load(int fd)
 {
 	char byte;
 
@@ -95,10 +98,10 @@
 }
 
 /*
- * The body of the response to a request that cannot be served, or NULL. The status is always 400:
- * users retry after any other one, and this request will not become valid. One that is shorter than
- * its length is malformed too, when its client has closed or sends no more; a client that sent
- * nothing at all gets no response.
+ * Returns the body of the response to a malformed request; NULL for other errors. The status is
+ * always 400: users retry after any other error status, and a malformed request stays malformed. A
+ * body shorter than its Content-Length is malformed, too, if its client has closed the connection
+ * or sends nothing more. A client that has sent nothing at all gets no response.
  */
 static const char *malformed_request_error(const struct fl_http_message *message, int rc)
 {
@@ -116,24 +119,25 @@
 }
 
 /*
- * Lets a response reach a client that is still sending its body: an early close would reset the
- * connection. Not inlined, since the buffer would be part of the stack of every idle connection.
+ * Reads and discards the rest of a request's body, so that the response reaches a client that is
+ * still sending: an early close would reset the connection. Not inlined, since the buffer would
+ * then be part of the stack of every idle connection.
  */
-static __attribute__((noinline)) void drain(int fd)
+static __attribute__((noinline)) void discard_body(int fd)
 {
-	for (int i = 0; i < DRAIN_READS_MAX; i++) {
-		char discarded[DRAIN_READ_SIZE];
+	for (int i = 0; i < DISCARD_READS_MAX; i++) {
+		char discarded[DISCARD_READ_BYTES];
 		ssize_t count = recv(fd, discarded, sizeof(discarded), 0);
 
 		if (count == 0 || (count < 0 && errno != EAGAIN))
 			break;
-		if (count < 0 && fl_io_wait(fd, EV_READ, tunables.drain_timeout_s) != 0)
+		if (count < 0 && fl_io_wait(fd, EV_READ, tunables.discard_read_timeout_s) != 0)
 			break;
 	}
 }
 
-/* Responds to a request that was not read in full, after which the connection is of no use. */
-static void reject(int fd, int status, const char *body)
+/* Responds to a request that was not read in full; the connection cannot be used again. */
+static void reject_request(int fd, int status, const char *body)
 {
 	struct fl_http_response response = {.status = status,
 	                                    .body = (char *)body,
@@ -144,20 +148,20 @@
 	shutdown(fd, SHUT_WR);
 }
 
-/* Responds to a request whose reading ended with the error `rc`, if it gets a response. */
+/* Responds, where a response is due, to a request whose reading failed with `rc`. */
 static void respond_read_error(int fd, const struct fl_http_message *message, int rc)
 {
 	const char *malformed = malformed_request_error(message, rc);
 
 	if (malformed)
-		reject(fd, 400, malformed);
+		reject_request(fd, 400, malformed);
 	else if (rc == -ENOBUFS)
-		reject(fd, 503, "{\"error\":\"request body memory limit reached\"}");
+		reject_request(fd, 503, "{\"error\":\"request body memory limit reached\"}");
 	if (rc == -EMSGSIZE || rc == -ENOBUFS)
-		drain(fd);
+		discard_body(fd);
 }
 
-/* The request in a message that was read; it is valid as long as the message. */
+/* Returns the request in a message that was read; it is valid as long as the message is. */
 static struct fl_http_request request_of(struct fl_http_message *message)
 {
 	char *path = message->url.data;
@@ -174,8 +178,8 @@
 	};
 }
 
-/* Serves one request; returns whether the connection can be used for another one. */
-static bool serve_one(struct connection *connection)
+/* Serves one request; returns whether the connection can be used for another request. */
+static bool serve_request(struct connection *connection)
 {
 	struct fl_http_server *server = connection->server;
 	struct fl_http_response response = {.status = 500};
@@ -184,16 +188,16 @@
 	bool keep_alive = false;
 	int rc;
 
-	fl_http_message_init(&message, HTTP_REQUEST, tunables.max_body);
+	fl_http_message_init(&message, HTTP_REQUEST, tunables.max_body_bytes);
 	message.remainder_timeout_s = tunables.remainder_timeout_s;
 	rc = fl_http_message_read(&message, connection->fd, server->idle_timeout_s);
 	if (rc)
 		respond_read_error(connection->fd, &message, rc);
-	if (rc || client_has_closed(connection->fd))
+	if (rc || is_abandoned_under_load(connection->fd))
 		goto out;
 	request = request_of(&message);
 	server->handler(server->context, &request, &response);
-	keep_alive = message.keep_alive && !response.close_connection && !nearly_full(server);
+	keep_alive = message.keep_alive && !response.close_connection && !is_nearly_full(server);
 	if (send_response(connection->fd, &response, keep_alive) != 0)
 		keep_alive = false;
 out:
@@ -206,14 +210,14 @@
 {
 	struct connection *connection = arg;
 
-	while (!fl_coroutine_cancelled() && serve_one(connection))
+	while (!fl_coroutine_cancelled() && serve_request(connection))
 		;
 	fl_socket_close(connection->fd);
 	connection->server->connection_count--;
 	free(connection);
 }
 
-/* Starts the coroutine of an accepted connection; false: at the limit, or out of memory. */
+/* Starts the coroutine of an accepted connection; false at the limit or when out of memory. */
 static bool start_connection(struct fl_http_server *server, int fd)
 {
 	struct connection *connection;
@@ -233,7 +237,7 @@
 	return true;
 }
 
-static void accept_loop(void *arg)
+static void accept_connections(void *arg)
 {
 	struct fl_http_server *server = arg;
 
@@ -250,7 +254,8 @@
 		fl_socket_set_no_delay(fd);
 		if (start_connection(server, fd))
 			continue;
-		fl_error("transport", "connection rejected: open=%d limit=%d",
+		fl_error("transport",
+		         "connection rejected; limit reached or out of memory open=%d limit=%d",
 		         server->connection_count, server->connection_limit);
 		close(fd);
 	}
@@ -258,8 +263,8 @@
 	server->fd = -1;
 }
 
-/* A socket that listens on the address, or a negative errno. */
-static int listen_on(const struct sockaddr_in *address)
+/* Opens a socket that listens on the address; returns it or a negative errno. */
+static int open_listening_socket(const struct sockaddr_in *address)
 {
 	int enabled = 1;
 	int fd = fl_socket_open();
@@ -291,7 +296,7 @@
 	server = calloc(1, sizeof(*server));
 	if (!server)
 		return NULL;
-	fd = listen_on(&address);
+	fd = open_listening_socket(&address);
 	if (fd < 0) {
 		free(server);
 		errno = -fd;
@@ -302,7 +307,7 @@
 	                                  .idle_timeout_s = idle_timeout_s,
 	                                  .handler = handler,
 	                                  .context = context};
-	if (!fl_coroutine_spawn(accept_loop, server)) {
+	if (!fl_coroutine_spawn(accept_connections, server)) {
 		close(fd);
 		free(server);
 		errno = ENOMEM;
--- a/src/transport/log.c
+++ b/src/transport/log.c
@@ -25,7 +25,7 @@
 void fl_log(enum fl_log_level level, const char *area, const char *fmt, ...)
 {
 	char line[1024];
-	const int length_max = (int)sizeof(line) - 2; /* without the newline */
+	const int length_max = (int)sizeof(line) - 2; /* the newline excluded */
 	va_list ap;
 	int length;
 
@@ -38,7 +38,7 @@
 	if (length > length_max)
 		length = length_max;
 	line[length++] = '\n';
-	/* One write a line, so that lines of several processes never mix. */
+	/* Each line is one write, so that the lines of several processes do not interleave. */
 	if (write(STDERR_FILENO, line, (size_t)length) < 0)
 		return;
 }
--- a/src/transport/log.h
+++ b/src/transport/log.h
@@ -1,20 +1,20 @@
 /*
- * Logging with levels to standard error. Every line has the form "LEVEL area: text"; the area is a
- * short noun, and the text begins with its subject.
+ * Logging with levels to standard error. Every line has the form "LEVEL area: event key=value ...";
+ * the area is a short noun, and the event a subject and a participle, such as "job accepted".
  */
 #ifndef FL_TRANSPORT_LOG_H
 #define FL_TRANSPORT_LOG_H
 
 #include <stdbool.h>
 
-/* In increasing order of detail. */
+/* Log levels, in increasing order of detail. */
 enum fl_log_level { FL_LOG_ERROR, FL_LOG_INFO, FL_LOG_DEBUG };
 
-/* Sets the level up to which lines are written: 0, or -EINVAL if there is no level of this name. */
+/* Sets the level up to which lines are written; returns 0, or -EINVAL for an unknown name. */
 int fl_log_set_level(const char *name);
-/* Whether lines of this level are written. */
+/* Returns whether lines of this level are written. */
 bool fl_log_enabled(enum fl_log_level level);
-/* Writes a line, cut off at about a thousand bytes; fl_error, fl_info and fl_debug call it. */
+/* Writes a line, truncated at about 1,000 bytes; called through fl_error, fl_info and fl_debug. */
 void fl_log(enum fl_log_level level, const char *area, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
--- a/src/transport/memory.c
+++ b/src/transport/memory.c
@@ -7,8 +7,8 @@
 static const struct {
 	size_t program_bytes, stack_bytes;
 } tunables = {
-	.program_bytes = (size_t)4 * 1024 * 1024, /* bytes of code and data that are touched */
-	/* bytes of a stack that are touched; test_message_costs checks it */
+	.program_bytes = (size_t)4 * 1024 * 1024, /* resident code and data */
+	/* resident part of a coroutine's stack; test_message_costs checks it */
 	.stack_bytes = (size_t)8 * 1024,
 };
 
--- a/src/transport/socket.c
+++ b/src/transport/socket.c
@@ -87,7 +87,7 @@
 	struct rlimit limit;
 
 	if (getrlimit(RLIMIT_NOFILE, &limit) != 0)
-		return count; /* unknown: a failing accept will be logged */
+		return count; /* the limit is unknown and assumed to suffice */
 	if (limit.rlim_cur < (rlim_t)count) {
 		limit.rlim_cur = limit.rlim_max < (rlim_t)count ? limit.rlim_max : (rlim_t)count;
 		if (setrlimit(RLIMIT_NOFILE, &limit) != 0 && getrlimit(RLIMIT_NOFILE, &limit) != 0)
--- a/src/transport/text.h
+++ b/src/transport/text.h
@@ -6,9 +6,9 @@
 #include <stddef.h>
 
 /*
- * Copies `from` into the `size` bytes at `to`, always with a terminator, and as much of it as fits.
- * Returns false if it was cut off. A caller that has checked the length before, or copies between
- * buffers of the same size, may ignore the result. The two must not overlap; `size` is at least 1.
+ * Copies as much of `from` as fits into the `size` bytes at `to`, always with a terminator. Returns
+ * false if the copy was truncated. A caller that has checked the length, or copies between buffers
+ * of the same size, may ignore the result. `from` and `to` must not overlap; `size` is at least 1.
  */
 bool fl_copy_string(char *to, size_t size, const char *from);
 
