--- a/tests/sim_check_replies.c
+++ b/tests/sim_check_replies.c
@@ -1,6 +1,6 @@
 /*
- * The invariants on what users are told: what is final stays, nothing accepted is forgotten, and
- * nothing invalid is accepted. And on names that belong to one process.
+ * The invariants on replies to users: a final status stays, no accepted job is lost, and no invalid
+ * job is accepted. Also checks that a fencing token or rental name is used by one process only.
  */
 #include "sim.h"
 
@@ -32,17 +32,19 @@
 	return reported;
 }
 
-/* Only a reply to a request sent after the first shows that something was taken back. */
+/* Only a request that was sent after the final status was reported shows that it was reverted. */
 static void check_final_status(const struct sim_job *job, double sent_at,
                                const struct reported_status *reported, const char *request)
 {
 	if (job->reported_done_at > 0 && sent_at > job->reported_done_at && !reported->is_done)
-		sim_violation("went_back", "%s was done and is '%s' (%s)", job->spec.ref,
+		sim_violation("status_reverted",
+		              "job no longer done job=%s status=%s request=\"%s\"", job->spec.ref,
 		              reported->status, request);
 	if (job->reported_cancelled_at > 0 && sent_at > job->reported_cancelled_at &&
 	    !reported->is_cancelled)
-		sim_violation("went_back", "%s was cancelled and is '%s' (%s)", job->spec.ref,
-		              reported->status, request);
+		sim_violation("status_reverted",
+		              "job no longer cancelled job=%s status=%s request=\"%s\"",
+		              job->spec.ref, reported->status, request);
 }
 
 static void check_status(struct sim_job *job, double sent_at, const char *body, const char *request)
@@ -50,14 +52,17 @@
 	struct reported_status reported = decode_status(body);
 
 	if (strcmp(reported.ref, job->spec.ref) != 0)
-		sim_violation("answer", "%s of %s is answered for '%s'", request, job->spec.ref,
-		              reported.ref);
+		sim_violation("wrong_job",
+		              "reply names another job request=\"%s\" job=%s reply_job=%s", request,
+		              job->spec.ref, reported.ref);
 	check_final_status(job, sent_at, &reported, request);
 	if (reported.is_cancelled && job->cancel_sent_at == 0)
-		sim_violation("went_back", "%s is cancelled and nobody cancelled it",
-		              job->spec.ref);
+		sim_violation("unrequested_cancellation",
+		              "job cancelled without a cancellation request job=%s", job->spec.ref);
 	if (reported.is_done && !sim_job_is_completed(job))
-		sim_violation("not_done", "%s is called done (%s)", job->spec.ref, request);
+		sim_violation("not_done",
+		              "job reported done before its completion job=%s request=\"%s\"",
+		              job->spec.ref, request);
 	if (reported.is_cancelled && job->reported_cancelled_at == 0)
 		job->reported_cancelled_at = fl_now();
 	if (reported.is_done && job->reported_done_at == 0)
@@ -69,9 +74,10 @@
 static void check_accepted(struct sim_job *job, double sent_at, int status, const char *body)
 {
 	if (job->invalid)
-		sim_violation("accepted", "%s cannot run or lacks a field", job->spec.ref);
+		sim_violation("invalid_accepted", "invalid job accepted job=%s", job->spec.ref);
 	if (job->accepted_at > 0 && status == 201 && sent_at > job->accepted_at)
-		sim_violation("went_back", "%s is accepted anew", job->spec.ref);
+		sim_violation("accepted_twice", "accepted job accepted as a new one job=%s",
+		              job->spec.ref);
 	if (job->accepted_at == 0)
 		job->accepted_at = job->last_answered_at = fl_now();
 	check_status(job, sent_at, body, "submission");
@@ -80,9 +86,11 @@
 static void check_rejected(struct sim_job *job, int status, const char *body)
 {
 	if (job->accepted_at > 0)
-		sim_violation("forgotten", "%s: submitted again, status=%d", job->spec.ref, status);
+		sim_violation("job_lost", "accepted job rejected when resubmitted job=%s status=%d",
+		              job->spec.ref, status);
 	else if (!job->invalid)
-		sim_violation("rejected", "%s: status=%d %s", job->spec.ref, status, body);
+		sim_violation("valid_rejected", "valid job rejected job=%s status=%d body=%s",
+		              job->spec.ref, status, body);
 	job->rejected_at = fl_now();
 }
 
@@ -97,7 +105,9 @@
 void sim_check_query_reply(struct sim_job *job, double sent_at, int status, const char *body)
 {
 	if (status == 404 && sent_at > job->accepted_at)
-		sim_violation("forgotten", "%s: status=404", job->spec.ref);
+		sim_violation("job_lost",
+		              "accepted job not found by status query job=%s status=404",
+		              job->spec.ref);
 	if (status != 200)
 		return;
 	job->last_answered_at = fl_now();
@@ -107,12 +117,14 @@
 void sim_check_cancel_reply(struct sim_job *job, double sent_at, int status, const char *body)
 {
 	if (status == 404)
-		sim_violation("forgotten", "%s: cancelled, status=404", job->spec.ref);
+		sim_violation("job_lost",
+		              "accepted job not found by cancellation job=%s status=404",
+		              job->spec.ref);
 	if (status == 200)
 		check_status(job, sent_at, body, "cancellation");
 }
 
-/* ---- names that belong to one process ---- */
+/* ---- fencing tokens and rental names ---- */
 
 static struct {
 	char rental_names[IDS_MAX][64];
@@ -128,8 +140,10 @@
 	for (int i = 0; i < seen_ids.token_count; i++)
 		if (seen_ids.tokens[i] == fencing_token) {
 			if (seen_ids.token_processes[i] != process)
-				sim_violation("fencing_token", "%llu is used by two processes",
-				              (unsigned long long)fencing_token);
+				sim_violation(
+					"fencing_token",
+					"fencing token used by two processes fencing_token=%llu",
+					(unsigned long long)fencing_token);
 			return;
 		}
 	if (seen_ids.token_count == IDS_MAX)
@@ -143,7 +157,9 @@
 	for (int i = 0; i < seen_ids.rental_count; i++)
 		if (strcmp(seen_ids.rental_names[i], name) == 0) {
 			if (seen_ids.rental_processes[i] != process)
-				sim_violation("rental_name", "%s is used by two processes", name);
+				sim_violation("rental_name",
+				              "rental name used by two processes rental_name=%s",
+				              name);
 			return;
 		}
 	if (seen_ids.rental_count == IDS_MAX)
--- a/tests/sim_check_service.c
+++ b/tests/sim_check_service.c
@@ -1,6 +1,7 @@
 /*
- * The invariants on service: once the faults are over no job waits beside free capacity, and at the
- * end most jobs of each class and team have started.
+ * The invariants on service levels: after the last fault no job waits beside free capacity, and by
+ * the end of the run at least half of the jobs of each class and team, and all of the largest ones,
+ * have started.
  */
 #include "sim.h"
 
@@ -9,12 +10,12 @@
 #include "transport/clock.h"
 
 static const struct {
-	double max_waiting_s;   /* s that a job may wait beside free capacity */
-	double largest_start_s; /* s within which the largest jobs of a class start */
-	int min_jobs;           /* jobs of which half can be asked for */
+	double max_waiting_s;   /* longest wait of a job beside free capacity */
+	double largest_start_s; /* longest wait of the largest jobs of a class */
+	int min_jobs;           /* least size of a class or team whose starts are checked */
 } tunables = {90, 240, 8};
 
-/* Runs bring more jobs than their teams may run at once: those beyond the quotas have to wait. */
+/* A run has more jobs than the teams' quotas allow at once, so jobs beyond a quota may wait. */
 static bool team_is_full(const struct sim_job *job)
 {
 	const struct sim_team *team = sim_check_team_of(job);
@@ -58,7 +59,8 @@
 			job->starving_since = fl_now();
 		} else if (fl_now() > job->starving_since + tunables.max_waiting_s &&
 		           !job->starvation_reported) {
-			sim_violation("waiting", "%s waits beside free capacity", job->spec.ref);
+			sim_violation("starvation", "job waiting beside free capacity job=%s",
+			              job->spec.ref);
 			job->starvation_reported = true;
 		}
 	}
@@ -66,7 +68,7 @@
 
 /* ---- service levels ---- */
 
-/* Jobs that had a fair time to start, and of those the ones that did. */
+/* Counts of the jobs that had enough time to start, and of those that did start. */
 struct service_level {
 	int job_count, started_count;
 };
@@ -87,8 +89,10 @@
 static void check_half_started(const char *group, const char *name, struct service_level level)
 {
 	if (level.job_count >= tunables.min_jobs && 2 * level.started_count < level.job_count)
-		sim_violation("unserved", "%s %s: jobs=%d started=%d", group, name, level.job_count,
-		              level.started_count);
+		sim_violation("not_started",
+		              "fewer than half of the jobs started group=\"%s\" name=%s jobs=%d "
+		              "started=%d",
+		              group, name, level.job_count, level.started_count);
 }
 
 static double total_cpus(const struct sim_job *job)
@@ -96,7 +100,7 @@
 	return job->spec.task_count * job->spec.cpus;
 }
 
-/* Those within a quarter of the size of the class's largest. */
+/* Returns whether the job has at least 75 % of the CPUs of the largest job of its class. */
 static bool is_among_largest(const struct sim_job *job)
 {
 	double largest = 0;
@@ -126,7 +130,8 @@
 			continue;
 		count_job(&largest, job);
 		if (job->starts == 0 && fl_now() > job->accepted_at + tunables.largest_start_s)
-			sim_violation("unserved", "%s, among the largest of %s, never started",
+			sim_violation("not_started",
+			              "one of the largest jobs never started job=%s class=%s",
 			              job->spec.ref, name);
 	}
 	check_half_started("class", name, all);
--- a/tests/sim_clock.c
+++ b/tests/sim_clock.c
@@ -1,4 +1,4 @@
-/* Virtual time: the clocks, and the timers in the order in which they are due. */
+/* Virtual time: the clocks, and a heap of timers in the order in which they are due. */
 #include "sim_time.h"
 
 #include <stdlib.h>
@@ -7,13 +7,13 @@
 #include "transport/clock.h"
 #include "transport/memory.h"
 
-/* Both clocks begin somewhere: nothing may take them for spans since a start. */
+/* Neither clock starts at 0, so that a point in time mistaken for a duration is noticed. */
 static const double monotonic_start_s = 5000, wall_start_s = 1.7e9, min_sleep_s = 1e-6;
 
 static struct {
 	double now;
 	uint64_t last_sequence;
-	struct sim_timer **heap; /* from 1 */
+	struct sim_timer **heap; /* indexed from 1 */
 	int count, capacity;
 } clocks;
 
@@ -21,7 +21,7 @@
 
 double fl_wall(void) { return clocks.now - monotonic_start_s + wall_start_s; }
 
-/* One process holds several controllers: what one of them does is not known. */
+/* One real process runs all controllers, so the memory use of one is not known. */
 size_t fl_memory_in_use(void) { return 0; }
 
 /* Virtual time passes between pieces of work, not within them. */
@@ -84,7 +84,7 @@
 		clocks.heap = realloc(clocks.heap, (size_t)clocks.capacity * sizeof(*clocks.heap));
 		sim_require(clocks.heap != NULL);
 	}
-	/* No span is shorter than this: a remainder lost in rounding would be slept for ever. */
+	/* A shorter remainder may be lost in rounding, and a loop that sleeps for it never ends. */
 	if (seconds > 0 && seconds < min_sleep_s)
 		seconds = min_sleep_s;
 	timer->due_at = clocks.now + (seconds > 0 ? seconds : 0);
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,4 +1,4 @@
-/* The cloud: machine types, rentals by name, deletion, and a list that lags. */
+/* The fake cloud: machine types, rentals by name, deletion, and a machine list that lags. */
 #include "sim.h"
 
 #include <stdio.h>
@@ -88,7 +88,7 @@
 	return count;
 }
 
-/* Up within a second or two, several times too late, or never. */
+/* The machine is up within 2 s, several times too late, or never. */
 static void apply_irregular_boot(struct sim_machine *machine)
 {
 	const struct sim_fault *fault = sim_fault_active(FAULT_IRREGULAR_BOOTS, -1);
@@ -122,7 +122,7 @@
 	machine->spot = spot;
 	machine->rented_at = fl_now();
 	machine->never_boots = sim_chance(0.04) && !sim.reliable_machines;
-	/* At times up within a second or two: long before it is listed. */
+	/* Some machines are up within 2 s, long before they are listed. */
 	boot_s = sim_chance(0.2) ? sim_random_between(0.5, 2)
 	                         : sim_random_between(0.6, 1.5) * sim_machine_types[type].ready_s;
 	machine->ready_at = fl_now() + boot_s;
@@ -149,7 +149,7 @@
 	double count;
 };
 
-/* False if it is invalid. */
+/* Returns false if the request is invalid. */
 static bool decode_rental_request(const struct fl_http_request *request,
                                   struct rental_request *rental)
 {
@@ -177,7 +177,7 @@
 	return NULL;
 }
 
-/* NULL: there is no capacity. */
+/* Returns NULL if there is no capacity. */
 static const struct rental *add_rental(const struct rental_request *request)
 {
 	int capacity =
@@ -196,7 +196,7 @@
 	return rental;
 }
 
-/* The same name again rents nothing. */
+/* A name that was used before rents nothing, and gets the same reply. */
 static void serve_rental(int process, const struct fl_http_request *http,
                          struct fl_http_response *response)
 {
@@ -241,7 +241,7 @@
 	json_response(response, 200, NULL);
 }
 
-/* At a moment past: once listed it stays so till it is gone. */
+/* Returns whether the list has the machine at a past time; once listed it stays until its end. */
 static bool is_listed(struct sim_machine *machine, double as_of)
 {
 	if (machine->failed)
@@ -279,13 +279,13 @@
 	return item;
 }
 
-/* Does it come after the last name of the page before? */
+/* Returns whether the machine comes after the previous page, whose last name is in `from`. */
 static bool is_after_previous_page(const struct sim_machine *machine, const char *from)
 {
 	return !from || strncmp(machine->name, from + strlen("From="), strlen(machine->name)) > 0;
 }
 
-/* The list lags behind. */
+/* The list shows a past state, which is up to list_lag_s old, and at times twice that. */
 static void serve_list(const struct fl_http_request *request, struct fl_http_response *response)
 {
 	double as_of = fl_now() -
--- a/tests/sim_concurrent_reads.c
+++ b/tests/sim_concurrent_reads.c
@@ -1,4 +1,4 @@
-/* Users who read at all nodes within milliseconds of whatever was said to them. */
+/* Users who query all nodes within milliseconds of a change of their job. */
 #include "sim.h"
 
 #include <stdio.h>
@@ -11,7 +11,7 @@
 	int reads_per_burst;
 } tunables = {2.0, 4};
 
-/* Of one user at one node. */
+/* The reads of one user at one node. */
 struct read_burst {
 	struct sim_job *job;
 	int node;
@@ -67,7 +67,7 @@
 	sim_spawn(0, run_read_burst, burst);
 }
 
-/* By several users of a team at once; some submit it again, and some cancel at once. */
+/* Several users query the job at once; some also resubmit it, and some cancel it at once. */
 void sim_user_read_all_nodes(struct sim_job *job)
 {
 	if (!sim_fault_active(FAULT_CONCURRENT_READS, -1) || job->invalid)
--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -1,4 +1,4 @@
-/* The coroutines that the controllers' code runs in, and processes that are slow or stand still. */
+/* Coroutines in virtual time, for the controllers' code, and processes that are slow or paused. */
 #include "sim.h"
 
 #include <errno.h>
@@ -28,7 +28,7 @@
 	struct fl_coroutine_queue ready, urgent;
 	int cancelled_process; /* the last process that was cancelled */
 	bool ending;
-	/* What of a process has to wait until its computer has time for it again. */
+	/* A process that is paused until then, and its ready coroutines. */
 	struct paused_process {
 		double until;
 		struct fl_coroutine_queue ready, urgent;
@@ -109,9 +109,9 @@
 	return coroutine->cancelled ? -ECANCELED : coroutine->result;
 }
 
-/* ---- processes that are slow or stand still ---- */
+/* ---- processes that are slow or paused ---- */
 
-/* All that waited is ready, in its order; one that is slow runs one of them, and waits again. */
+/* Queues the paused coroutines again, in order; a slow process runs one and is paused again. */
 static void release_paused_coroutines(void *arg)
 {
 	struct paused_process *paused = arg;
@@ -176,7 +176,7 @@
 	coroutine->context.function = function;
 	coroutine->context.argument = arg;
 	coroutine->process = process;
-	/* What a dying process still begins, dies with it. */
+	/* A coroutine that a cancelled process still starts is cancelled, too. */
 	coroutine->cancelled = is_cancelled_process(process);
 	fl_context_init(&coroutine->context, STACK_BYTES);
 	coroutine->timer.function = wake_on_timeout;
@@ -247,7 +247,7 @@
 	memset(&scheduler, 0, sizeof(scheduler));
 }
 
-/* ---- what the controllers' code calls ---- */
+/* ---- the functions of transport/coroutine.h ---- */
 
 struct fl_coroutine *fl_coroutine_spawn(void (*function)(void *), void *arg)
 {
@@ -265,13 +265,13 @@
 
 void fl_coroutine_set_urgent(void) { scheduler.current->urgent = true; }
 
-/* Work takes no virtual time, unless its process is made slow. */
+/* Work takes no virtual time, so coroutines only wait in a slow or paused process. */
 bool fl_coroutines_overloaded(void)
 {
 	return scheduler.paused[sim_current_process()].ready.head != NULL;
 }
 
-/* Computing takes no time here: nothing is ever behind. */
+/* Work takes no virtual time, so there is nothing to wait for. */
 bool fl_coroutine_defer(int max_waiting) { return max_waiting > 0; }
 
 int fl_sleep(double seconds)
@@ -304,7 +304,7 @@
 		wake(condition->first, 0);
 }
 
-/* There are no sockets here. */
+/* The simulation has no sockets. */
 void fl_io_unregister(int fd) { (void)fd; }
 
 int fl_io_wait(int fd, int events, double timeout_s)
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -1,9 +1,9 @@
-/* Faults: when they begin and end, whom they affect, and what some do then. */
+/* Faults: their beginning and end, their targets, and the actions of some kinds. */
 #include "sim.h"
 
 #include "transport/clock.h"
 
-/* The last leader that was known; a fault may begin while there is none. */
+/* The last known leader, for a fault that begins while there is none. */
 static int last_leader;
 
 void sim_fault_inject(const struct sim_fault *fault)
@@ -57,7 +57,7 @@
 	return false;
 }
 
-/* Machines with tasks, so that it matters; a count, or else a share of them. */
+/* Chooses machines with tasks, so that the fault has an effect: `count`, or else a share. */
 static void choose_machines_with_tasks(struct sim_fault *fault)
 {
 	int candidates = 0, wanted;
@@ -73,7 +73,7 @@
 	}
 }
 
-/* ---- what some do when they begin and end ---- */
+/* ---- actions at the beginning and end of faults ---- */
 
 static void choose_machines_of_job(struct sim_fault *fault, const struct sim_job *job)
 {
@@ -125,7 +125,7 @@
 	for (int i = 0; i < sim.machine_count; i++)
 		if (fault->affects_machine[i]) {
 			sim_machine_terminate(i);
-			sim.machines[i].terminated_at += 30; /* listed as running for so long */
+			sim.machines[i].terminated_at += 30; /* s for which it stays listed */
 		}
 }
 
@@ -141,7 +141,7 @@
 	int node = sim_node_of_process(process);
 	const struct sim_fault *slow = node < 0 ? NULL : sim_fault_active(FAULT_SLOW_NODES, node);
 
-	/* Now and then a piece that takes long, as a scheduling cycle over all jobs does. */
+	/* Some pieces of work take 30 times as long, as a scheduling cycle over all jobs does. */
 	if (slow)
 		sim_process_pause_until(process,
 		                        fl_now() + slow->magnitude * (sim_chance(0.02) ? 30 : 1));
@@ -155,7 +155,7 @@
 				sim_job_add_random(sim_elapsed_s() + sim_random_between(0, 2)));
 }
 
-/* ---- begin and end ---- */
+/* ---- beginning and end of faults ---- */
 
 static bool affects_machines(enum sim_fault_kind kind)
 {
--- a/tests/sim_faults.h
+++ b/tests/sim_faults.h
@@ -1,7 +1,7 @@
 /*
- * Fault injection of the simulation: faults are injected before a run and begin and end at their
- * times. Each part of the simulation asks whether a fault is active where it would do something
- * else then; the network asks here about every message.
+ * Fault injection of the simulation: faults are injected before a run, and each has a start and a
+ * duration. Each part of the simulation looks up the active faults that change what it does, and
+ * the network does so for every message.
  */
 #ifndef FL_TESTS_SIM_FAULTS_H
 #define FL_TESTS_SIM_FAULTS_H
@@ -12,35 +12,38 @@
 #include "sim_limits.h"
 
 enum sim_fault_kind {
-	FAULT_KV_UNAVAILABLE,         /* 503 for all */
-	FAULT_KV_REFUSES_NODE,        /* 503 for one node */
-	FAULT_KV_SLOW,                /* replies take up to `magnitude` s */
-	FAULT_DELAYED_WRITES,         /* a share gets no reply and is applied 2 to 12 s later */
-	FAULT_PARTITION_FROM_KV,      /* a node's packets to the key-value store are lost */
-	FAULT_PARTITION_FROM_PEERS,   /* and those to other controllers */
-	FAULT_PARTITION_FROM_WORKERS, /* and those to and from machines */
-	FAULT_ZONE_PARTITION,         /* no packets between a zone and all else */
-	FAULT_OUTBOUND_PARTITION,     /* machines that reach no controller, and are reached */
-	FAULT_INBOUND_PARTITION,      /* machines that get no replies and no commands */
-	FAULT_MACHINE_HANG,           /* machines that stand still */
-	FAULT_PACKETS_HELD,         /* packets between controllers and machines wait for its end */
-	FAULT_DELAYED_HEARTBEATS,   /* a share of the heartbeats comes once more, much later */
-	FAULT_SLOW_LINKS,           /* up to `magnitude` s each way */
-	FAULT_LOST_REPLIES,         /* a share of the replies to heartbeats and commands */
-	FAULT_NODE_DOWN,            /* killed, and started again at the end */
-	FAULT_CLOUD_UNAVAILABLE,    /* 503 */
-	FAULT_MACHINE_TERMINATION,  /* machines die */
-	FAULT_CANCEL_RUNNING,       /* users cancel jobs that run */
+	FAULT_KV_UNAVAILABLE,    /* 503 for all requests */
+	FAULT_KV_REFUSES_NODE,   /* 503 for the requests of a node */
+	FAULT_KV_SLOW,           /* replies take up to `magnitude` s */
+	FAULT_DELAYED_WRITES,    /* a share of writes is applied 2 to 12 s late, without a reply */
+	FAULT_PARTITION_FROM_KV, /* messages between a node and the key-value store are lost */
+	FAULT_PARTITION_FROM_PEERS,   /* messages between a node and its peers are lost */
+	FAULT_PARTITION_FROM_WORKERS, /* messages between a node and all workers are lost */
+	FAULT_ZONE_PARTITION,         /* messages between a zone and all else are lost */
+	FAULT_OUTBOUND_PARTITION,     /* heartbeats of some machines are lost, commands arrive */
+	FAULT_INBOUND_PARTITION,      /* replies and commands to some machines are lost */
+	FAULT_MACHINE_HANG,           /* some machines hang */
+	FAULT_PACKETS_HELD,        /* requests between a node and workers are held until the end */
+	FAULT_DELAYED_HEARTBEATS,  /* a share of the heartbeats arrives a second time, much later */
+	FAULT_SLOW_LINKS,          /* latencies of up to `magnitude` s in each direction */
+	FAULT_LOST_REPLIES,        /* a share of the replies to heartbeats and commands is lost */
+	FAULT_NODE_DOWN,           /* controllers are killed, and restarted at the end */
+	FAULT_CLOUD_UNAVAILABLE,   /* 503 for all requests */
+	FAULT_MACHINE_TERMINATION, /* some machines end, and are listed for 30 s more */
+	FAULT_CANCEL_RUNNING,      /* users cancel running jobs */
 	FAULT_CANCEL_AT_COMPLETION, /* a share of jobs is cancelled as its last task completes */
-	FAULT_INVALID_REQUESTS,     /* duplicate submissions, invalid jobs, cancelled twice */
-	FAULT_SUBMISSION_BURST,     /* a burst of submissions */
-	/* From here on in the order in which the random faults came to know them. */
-	FAULT_DELAYED_COMMANDS,       /* a share of direct commands is executed late, no reply */
-	FAULT_CONCURRENT_READS,       /* users read at all nodes within ms of whatever changed */
-	FAULT_SLOW_NODES,             /* controllers compute `magnitude` s at each piece of work */
-	FAULT_PROCESS_PAUSE,          /* controllers are paused, and their clocks run on */
-	FAULT_SHARED_IMAGE_BANDWIDTH, /* images that a machine fetches at once share its rate */
-	FAULT_IRREGULAR_BOOTS,        /* a share of new machines is up at once, late or never */
+	FAULT_INVALID_REQUESTS,     /* duplicate submissions, invalid jobs, cancelled done jobs */
+	FAULT_SUBMISSION_BURST,     /* `count` submissions within 2 s */
+	/*
+	 * The order is fixed, since kinds are drawn by number: random_faults draws from those
+	 * above, random_timing_faults from all.
+	 */
+	FAULT_DELAYED_COMMANDS, /* a share of direct commands is executed late, without a reply */
+	FAULT_CONCURRENT_READS, /* users query all nodes within ms of a change of their job */
+	FAULT_SLOW_NODES,       /* controllers take `magnitude` s for each piece of work */
+	FAULT_PROCESS_PAUSE,    /* controllers are paused while their clocks run on */
+	FAULT_SHARED_IMAGE_BANDWIDTH, /* concurrent image fetches share the machine's bandwidth */
+	FAULT_IRREGULAR_BOOTS,        /* a share of new machines is up early, late or never */
 	FAULT_STATUS_QUERY_STORM,     /* `magnitude` times as many status queries */
 	SIM_FAULT_KINDS
 };
@@ -52,26 +55,26 @@
 
 struct sim_fault {
 	enum sim_fault_kind kind;
-	double start_s, duration_s; /* s from the beginning */
-	int target;                 /* TARGET_LEADER is resolved when it begins */
-	double magnitude;           /* a probability, or s */
-	int count;                  /* machines or jobs; 0: all that there are */
-	double hang_s; /* FAULT_CANCEL_RUNNING: how long the machines of those jobs hang */
-	/* FAULT_DELAYED_WRITES: applied at once, and only the reply is lost. */
+	double start_s, duration_s; /* start_s: since the beginning of the run */
+	int target;                 /* TARGET_LEADER is resolved when the fault begins */
+	double magnitude;           /* probability, share, factor, or s */
+	int count;                  /* number of machines or jobs; 0: `magnitude` is the share */
+	double hang_s; /* FAULT_CANCEL_RUNNING: duration for which the jobs' machines hang */
+	/* FAULT_DELAYED_WRITES: the write is not delayed, and only its reply is lost. */
 	bool reply_lost_only;
-	/* FAULT_DELAYED_HEARTBEATS: held for the next leader, and sent to every node then. */
+	/* FAULT_DELAYED_HEARTBEATS: copies wait for the next leader, then go to every node. */
 	bool held_for_next_leader;
 	bool active;
-	bool affects_machine[SIM_MACHINES]; /* chosen when it begins */
+	bool affects_machine[SIM_MACHINES]; /* chosen when the fault begins */
 };
 
-/* Takes a copy into the run, before its start. */
+/* Adds a copy of the fault to the run, before the run starts. */
 void sim_fault_inject(const struct sim_fault *fault);
-/* The same with the fields by name, as in SIM_INJECT(FAULT_KV_SLOW, .start_s = 3, ...). */
+/* The same with designated initializers: SIM_INJECT(FAULT_KV_SLOW, .start_s = 3, ...). */
 #define SIM_INJECT(fault_kind, ...)                                                                \
 	sim_fault_inject(&(struct sim_fault){.kind = (fault_kind), __VA_ARGS__})
 void sim_faults_start(void);
-/* An active fault of this kind that affects the node or zone; -1: any. NULL: none. */
+/* Returns an active fault of this kind that affects the node or zone (-1: any), or NULL. */
 const struct sim_fault *sim_fault_active(enum sim_fault_kind kind, int target);
 
 #endif
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -13,8 +13,8 @@
 
 static const struct {
 	double reply_timeout_s;
-	double next_node_delay_s;     /* before the next node is tried */
-	double interruption_notice_s; /* of a spot machine */
+	double next_node_delay_s;     /* delay before the next node is tried */
+	double interruption_notice_s; /* notice before the interruption of a spot machine */
 } tunables = {4.0, 1.0, 20.0};
 
 void sim_heartbeat_make_due(struct sim_machine *machine)
@@ -23,7 +23,7 @@
 	fl_condition_broadcast(&machine->heartbeat_due);
 }
 
-/* < 0: no notice. */
+/* Returns < 0 if no notice has been given. */
 static double interruption_in_s(const struct sim_machine *machine)
 {
 	double left_s = machine->interruption_at - fl_now();
@@ -58,17 +58,17 @@
 
 struct heartbeat_copy {
 	char *text;
-	double delay_s; /* < 0: from 2 s to well over a lease */
+	double delay_s; /* < 0: random, from 2 s to 2.5 leases */
 	int machine, node;
 };
 
-/* Those that wait for the next leader. */
+/* Copies that are held for the next leader. */
 static struct {
 	struct heartbeat_copy copies[HELD_COPIES_MAX];
 	int count;
 } held;
 
-/* In any order, and nobody reads the reply. */
+/* Copies arrive in any order, and their replies are discarded. */
 static void deliver_copy(void *arg)
 {
 	struct heartbeat_copy *copy = arg;
@@ -98,7 +98,7 @@
 {
 	for (int i = 0; i < held.count; i++) {
 		const struct heartbeat_copy *copy = &held.copies[i];
-		/* In the very moment, or during the failover. */
+		/* Some arrive as soon as the new leader is elected, others during its failover. */
 		double delay_s = sim_random_between(0, sim_chance(0.5) ? 0.01 : 0.6);
 
 		for (int k = 0; k < sim.node_count; k++)
@@ -148,7 +148,7 @@
 	cJSON *object = fl_json_parse(reply->body.data, reply->body.length);
 	uint64_t fencing_token = 0;
 
-	/* One that is dropped leaves the worker at this node while its lease runs out. */
+	/* After an ignored reply the worker keeps sending to this node while its lease runs out. */
 	if (fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
 	    fencing_token >= machine->fencing_token && incarnation == machine->incarnation) {
 		sim_machine_raise_fencing_token(machine, fencing_token);
@@ -173,7 +173,7 @@
 	return target;
 }
 
-/* Where to next; the s until then. `reply` is NULL if there was none. */
+/* Chooses the node of the next heartbeat; returns its delay in s. `reply`: NULL if none came. */
 static double choose_next_node(struct sim_machine *machine, const struct fl_http_reply *reply)
 {
 	int target = reply && reply->status == 421 ? redirect_target(reply) : -1;
@@ -189,7 +189,7 @@
 static double handle_reply(struct sim_machine *machine, double sent_at, uint64_t incarnation,
                            const struct fl_http_reply *reply)
 {
-	/* It may have hung since, for longer than it waits. */
+	/* The machine may have hung since, for longer than the timeout. */
 	if (reply && fl_now() > sent_at + tunables.reply_timeout_s)
 		reply = NULL;
 	sim_machine_end_expired_lease(machine);
@@ -210,7 +210,8 @@
 	int rc;
 
 	if (strlen(text) > BODY_BYTES_MAX)
-		sim_violation("too_large", "%s: heartbeat bytes=%zu", machine->name, strlen(text));
+		sim_violation("heartbeat_size", "heartbeat too large machine=%s bytes=%zu",
+		              machine->name, strlen(text));
 	machine->last_heartbeat_sent_at = sent_at;
 	machine->heartbeat_pending = false;
 	copy_heartbeat_if_faulty(from.index, text);
--- a/tests/sim_invariants.c
+++ b/tests/sim_invariants.c
@@ -1,6 +1,7 @@
 /*
- * The invariant checker: the protocol's rules on what workers run, from nothing else. No task runs
- * twice, on a wrong machine, beyond its team's quota, or after its cancellation was confirmed.
+ * The invariant checker, based only on the protocol's rules for what workers run: no task runs
+ * twice at a time, on a wrong machine, beyond its team's quota, or longer than cancel_s after its
+ * cancellation was confirmed.
  */
 #include "sim.h"
 
@@ -12,7 +13,7 @@
 
 static const struct {
 	double check_interval_s;
-	double max_unanswered_s; /* s without an answer after which a job counts as forgotten */
+	double max_unanswered_s; /* time without a reply after which a job counts as lost */
 } tunables = {0.5, 75};
 
 double sim_elapsed_s(void) { return fl_now() - sim.started_at; }
@@ -65,7 +66,7 @@
 	return spec->machine_type_count < 0;
 }
 
-/* Where the other tasks of the job run: how many in this zone, and how many elsewhere. */
+/* Counts the running tasks of the job in this zone and in other zones. */
 static void count_tasks_by_zone(const struct sim_job *job, int zone, int *here, int *elsewhere)
 {
 	*here = *elsewhere = 0;
@@ -114,14 +115,16 @@
 
 	sim_check_team_usage(team, &cpus, &gpus);
 	if (cpus > team->cpus_max + 1e-6 || gpus > team->gpus_max + 1e-6)
-		sim_violation("quota", "team %s: cpus=%g gpus=%g with %s/%u", team->name, cpus,
-		              gpus, job->spec.ref, index);
+		sim_violation("quota", "team quota exceeded team=%s cpus=%g gpus=%g task=%s/%u",
+		              team->name, cpus, gpus, job->spec.ref, index);
 }
 
 static void check_not_cancelled(struct sim_job *job, uint32_t index, const char *machine)
 {
 	if (cancellation_is_overdue(job)) {
-		sim_violation("ran_cancelled", "%s/%u starts on %s, %.1f s after its user was told",
+		sim_violation("cancelled_task_ran",
+		              "task of a cancelled job started task=%s/%u machine=%s "
+		              "since_confirmed_s=%.1f",
 		              job->spec.ref, index, machine, fl_now() - job->reported_cancelled_at);
 	} else if (job->reported_cancelled_at > 0) {
 		job->starts_after_cancellation++;
@@ -139,22 +142,25 @@
 	if (++job->task_starts[index] > sim.max_task_starts)
 		sim.max_task_starts = job->task_starts[index];
 	if (job->copies_running[index] > 0)
-		sim_violation("ran_twice", "%s/%u starts on %s and is on %s", job->spec.ref, index,
-		              machine->name, sim.machines[job->last_machine[index]].name);
+		sim_violation("task_ran_twice",
+		              "running task started again task=%s/%u machine=%s running_on=%s",
+		              job->spec.ref, index, machine->name,
+		              sim.machines[job->last_machine[index]].name);
 	if (misplaced)
-		sim_violation("wrong_place", "%s/%u on %s: %s", job->spec.ref, index, machine->name,
-		              misplaced);
+		sim_violation("wrong_placement",
+		              "task started on a wrong machine task=%s/%u machine=%s reason=\"%s\"",
+		              job->spec.ref, index, machine->name, misplaced);
 	job->copies_running[index]++;
 	job->last_machine[index] = machine_index;
 	check_quota(job, index);
 	check_not_cancelled(job, index, machine->name);
 	if (job->invalid)
-		sim_violation("accepted", "%s is invalid and starts", job->spec.ref);
+		sim_violation("invalid_accepted", "invalid job started job=%s", job->spec.ref);
 }
 
 void sim_check_task_ended(struct sim_job *job, uint32_t index) { job->copies_running[index]--; }
 
-/* ---- from time to time ---- */
+/* ---- periodic checks ---- */
 
 static void check_cancelled_task(const struct sim_machine *machine, const struct sim_task *task)
 {
@@ -163,7 +169,9 @@
 	if (!task->used || !task->counted_running || !cancellation_is_overdue(job) ||
 	    job->overdue_violation_reported)
 		return;
-	sim_violation("ran_cancelled", "%s/%u is on %s, %.1f s after its user was told",
+	sim_violation("cancelled_task_ran",
+	              "task of a cancelled job still running task=%s/%u machine=%s "
+	              "since_confirmed_s=%.1f",
 	              job->spec.ref, task->status.index, machine->name,
 	              fl_now() - job->reported_cancelled_at);
 	job->overdue_violation_reported = true;
@@ -173,7 +181,7 @@
 {
 	for (int i = 0; i < sim.machine_count; i++) {
 		const struct sim_machine *machine = &sim.machines[i];
-		/* A machine that hangs ends its tasks before it resumes. */
+		/* A hung machine whose lease has expired drops its tasks when it resumes. */
 		bool lease_expired =
 			machine->hung && fl_now() > machine->lease_started_at + sim.lease_s;
 
@@ -199,7 +207,7 @@
 	sim_spawn(0, run_periodic_checks, NULL);
 }
 
-/* ---- at the end ---- */
+/* ---- at the end of the run ---- */
 
 static void check_not_forgotten(const struct sim_job *job)
 {
@@ -208,8 +216,8 @@
 	if (job->last_answered_at > since)
 		since = job->last_answered_at;
 	if (job->accepted_at > 0 && fl_now() > since + tunables.max_unanswered_s)
-		sim_violation("forgotten", "%s: no answer for %.0f s", job->spec.ref,
-		              fl_now() - since);
+		sim_violation("job_lost", "status queries unanswered job=%s unanswered_s=%.0f",
+		              job->spec.ref, fl_now() - since);
 }
 
 void sim_check_end(void)
@@ -218,5 +226,5 @@
 		check_not_forgotten(&sim.jobs[i]);
 	sim_check_service_levels();
 	if (sim.starts == 0)
-		sim_violation("nothing_ran", "no task was started");
+		sim_violation("no_task_started", "no task was started");
 }
--- a/tests/sim_jobs.c
+++ b/tests/sim_jobs.c
@@ -1,4 +1,4 @@
-/* The jobs of a simulated site: random ones, as their users submit them. */
+/* The jobs of a simulated site, which are random, and their submissions. */
 #include "sim.h"
 
 #include <stdio.h>
--- a/tests/sim_kv_store.c
+++ b/tests/sim_kv_store.c
@@ -1,6 +1,6 @@
 /*
- * The simulation's key-value store: the model in virtual time, with the real one's limits on rates
- * and sizes, and with the injected faults.
+ * The fake key-value store: kv_model.h in virtual time, with the real store's limits on rates and
+ * sizes, and with the injected faults.
  */
 #include "sim.h"
 
@@ -16,7 +16,8 @@
 
 static struct {
 	struct kv_model model;
-	double request_tokens, write_tokens, refilled_at; /* token buckets of one second's size */
+	/* Token buckets, each of which holds the tokens of 1 s. */
+	double request_tokens, write_tokens, refilled_at;
 } store;
 
 static bool refuses_requests_from(struct sim_endpoint from)
@@ -28,8 +29,8 @@
 /* ---- watches ---- */
 
 /*
- * Until an event has come or the time is over: false if cancelled. Open watches stay open in an
- * outage, and while one node is refused.
+ * Waits for an event or the deadline; returns false if cancelled. Open watches stay open during an
+ * outage, and while the store refuses their node.
  */
 static bool wait_for_event(struct sim_endpoint from, const char *prefix, uint64_t revision,
                            double until)
@@ -62,7 +63,7 @@
 
 /* ---- limits ---- */
 
-/* What the real store would refuse. */
+/* Checks a transaction for sizes that the real store would refuse. */
 static void check_sizes(const cJSON *transaction)
 {
 	const struct fl_config *config = &sim.config[0];
@@ -71,13 +72,14 @@
 	int condition_count = cJSON_GetArraySize(fl_json_get(transaction, "When"));
 
 	if (operation_count > config->txn_ops || condition_count > 4 * config->txn_ops)
-		sim_violation("transaction", "operations=%d conditions=%d", operation_count,
+		sim_violation("transaction_size",
+		              "transaction too large operations=%d conditions=%d", operation_count,
 		              condition_count);
 	cJSON_ArrayForEach (operation, operations) {
 		char *value = cJSON_PrintUnformatted(fl_json_get(operation, "V"));
 
 		if (value && (double)strlen(value) > config->value_kb * 1024)
-			sim_violation("value", "bytes=%zu", strlen(value));
+			sim_violation("value_size", "value too large bytes=%zu", strlen(value));
 		free(value);
 	}
 }
@@ -106,7 +108,7 @@
 /* ---- faults ---- */
 
 struct delays {
-	double before_s, after_s; /* of the request's effect */
+	double before_s, after_s; /* delays before and after the request is applied */
 	bool reply_lost;
 };
 
@@ -117,7 +119,7 @@
 	struct delays delays = {.before_s =
 	                                sim_chance(0.01) ? sim_random_between(0.1, 0.4) : 0.002};
 
-	/* Slow before it is applied, or after: then a caller may give up on what was done. */
+	/* Delayed before or after it is applied: callers may time out on an applied write. */
 	if (slow && sim_chance(0.5))
 		delays.before_s = sim_random_between(0, slow->magnitude);
 	else if (slow)
@@ -130,12 +132,12 @@
 	return delays;
 }
 
-/* False if the caller is to get no reply. */
+/* Returns false if cancelled. */
 static bool wait_before_applying(const struct delays *delays)
 {
 	if (fl_sleep(delays->before_s) != 0)
 		return false;
-	/* What is on its way when the store goes down is applied when it is back. */
+	/* A delayed write that is due during an outage is applied after the outage. */
 	while (delays->reply_lost && sim_fault_active(FAULT_KV_UNAVAILABLE, -1))
 		if (fl_sleep(0.3) != 0)
 			return false;
@@ -147,7 +149,7 @@
 static void serve_list(const char *query, struct fl_http_response *response)
 {
 	char page[16];
-	/* Small pages, so that paging is really used. */
+	/* Small pages, so that clients have to fetch several. */
 	int limit = atoi(kv_model_param(query, "Page=", page, sizeof(page))) > 7 ? 7 : 3;
 
 	kv_model_serve_list(&store.model, query, limit, response);
@@ -209,9 +211,9 @@
 	cJSON_Delete(transaction);
 }
 
-/* ---- the store itself ---- */
+/* ---- leases, beginning and end ---- */
 
-/* After an outage every lease has its full time again. */
+/* Expires leases; after an outage every lease gets its full time again. */
 static void run_leases(void *arg)
 {
 	bool was_unavailable = false;
--- a/tests/sim_limits.h
+++ b/tests/sim_limits.h
@@ -7,12 +7,12 @@
 	SIM_ZONES = 3,
 	SIM_TEAMS = 2,
 	SIM_MACHINE_TYPES = 2,
-	SIM_MACHINE_IMAGES = 4,  /* that a machine keeps */
-	SIM_BURST_JOBS_MAX = 96, /* where bursts and invalid requests stop */
+	SIM_MACHINE_IMAGES = 4,  /* images that a machine keeps */
+	SIM_BURST_JOBS_MAX = 96, /* bursts and invalid requests add no jobs beyond this */
 	SIM_FAULTS_MAX = 64
 };
 
-/* Machines and jobs at most, tasks of a job, and tasks on a machine, exited ones included. */
+/* Maximum numbers of machines, jobs, tasks of a job, and tasks on a machine (exited ones too). */
 #ifdef SIM_LARGE_SITE
 enum { SIM_MACHINES = 4400, SIM_JOBS = 32, SIM_JOB_TASKS = 512, SIM_MACHINE_TASKS = 16 };
 #else
--- a/tests/sim_load_balancer.c
+++ b/tests/sim_load_balancer.c
@@ -1,4 +1,4 @@
-/* The users' load balancer: it probes the nodes' readiness and spreads requests over the ready. */
+/* The users' load balancer: probes the nodes' readiness and spreads requests over ready nodes. */
 #include "sim.h"
 
 #include <errno.h>
@@ -8,14 +8,14 @@
 
 static const struct {
 	double probe_interval_s, probe_timeout_s;
-	double min_unhealthy_s; /* at least, once a node is taken out */
+	double min_unhealthy_s; /* least time for which a removed node stays out */
 	int failures_to_remove, successes_to_return;
-	int max_tries; /* nodes tried for a request at most */
+	int max_tries; /* most nodes tried for a request */
 } tunables = {1.0, 1.0, 3, 2, 2, 3};
 
 static struct backend {
 	bool healthy, was_healthy;
-	int consecutive_failures, consecutive_successes; /* in a row */
+	int consecutive_failures, consecutive_successes;
 	double unhealthy_until;
 } backends[SIM_NODES];
 
@@ -60,7 +60,7 @@
 		record_probe(backend, probe_succeeds((int)(backend - backends)));
 }
 
-/* Any healthy one; -1: none. */
+/* Returns a random healthy node; -1: none. */
 static int choose_node(void)
 {
 	int healthy_count = 0, chosen = -1;
--- a/tests/sim_message_faults.c
+++ b/tests/sim_message_faults.c
@@ -1,4 +1,4 @@
-/* What the faults do to messages: partitions, packets that are held, latencies. */
+/* The effects of faults on messages: losses by partitions, held messages, latencies. */
 #include "sim.h"
 
 static bool is_node(struct sim_endpoint endpoint)
@@ -6,7 +6,7 @@
 	return endpoint.kind == ENDPOINT_NODE || endpoint.kind == ENDPOINT_PEER;
 }
 
-/* -1: it is in no zone. */
+/* Returns -1 for an endpoint in no zone. */
 static int zone_of(struct sim_endpoint endpoint)
 {
 	if (is_node(endpoint))
@@ -14,7 +14,7 @@
 	return endpoint.kind == ENDPOINT_WORKER ? sim.machines[endpoint.index].zone : -1;
 }
 
-/* The node of a message between a node and something of this kind; -1: it is no such message. */
+/* Returns the node in a message between a node and an endpoint of this kind; -1: there is none. */
 static int node_in_message_with(struct sim_endpoint from, struct sim_endpoint to,
                                 enum sim_endpoint_kind kind)
 {
@@ -59,7 +59,7 @@
 
 	if (is_reply && lost_replies && sim_chance(lost_replies->magnitude))
 		return true;
-	/* A call keeps its ends: `from` is the caller, also of a reply. */
+	/* `from` is the caller and `to` the server, also for the reply of a call. */
 	if (from.kind == ENDPOINT_WORKER)
 		return affects_worker(is_reply ? FAULT_INBOUND_PARTITION : FAULT_OUTBOUND_PARTITION,
 		                      from);
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -1,4 +1,4 @@
-/* The network of the simulation: calls between hosts, in place of the HTTP client. */
+/* The network of the simulation: calls between endpoints, in place of the HTTP client. */
 #include "sim.h"
 
 #include <arpa/inet.h>
@@ -9,10 +9,10 @@
 
 #include "transport/clock.h"
 
-/* Held by its caller, and by whatever carries it on: a message's timer, or the server. */
+/* Referenced by its caller and by the message's timer or the coroutine that serves the call. */
 struct call {
 	struct sim_endpoint from, to;
-	int process; /* of the caller */
+	int process; /* process of the caller */
 	char *method, *path, *body;
 	struct fl_http_response response;
 	int result;
@@ -21,7 +21,7 @@
 	struct sim_timer timer;
 };
 
-/* Everything ends: messages are dropped. */
+/* The simulation ends, and messages are dropped. */
 static bool network_ending;
 
 /* ---- addresses ---- */
@@ -74,7 +74,7 @@
 	release_call(call);
 }
 
-/* The reply comes back, or is lost on its way. */
+/* Delivers the reply, unless a fault loses it. */
 static void deliver_reply(void *arg)
 {
 	struct call *call = arg;
@@ -150,7 +150,7 @@
 	struct call *call = arg;
 
 	if (!network_ending && sim_message_is_held(call->from, call->to)) {
-		/* Held back, and delivered when the link is there again. */
+		/* Delivery is tried again until the fault that holds the message has ended. */
 		sim_timer_arm(&call->timer, 0.2);
 	} else if (network_ending || sim_message_is_lost(call->from, call->to, false)) {
 		release_call(call);
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -1,4 +1,4 @@
-/* The controllers of the simulation: their processes, and in place of the HTTP server. */
+/* The controllers of the simulation: configuration, processes, and a fake of the HTTP server. */
 #include "sim.h"
 
 #include <stdio.h>
@@ -16,10 +16,10 @@
 };
 
 static struct {
-	int process[SIM_NODES]; /* that runs as this node; 0: down */
+	int process[SIM_NODES]; /* number of the node's process; 0: the node is down */
 	struct registered_handler public[SIM_NODES], peers[SIM_NODES];
-	int process_count; /* started so far */
-	int starting_node; /* while its process starts */
+	int process_count; /* processes started so far */
+	int starting_node; /* node whose process is being started */
 } nodes;
 
 /* ---- settings ---- */
@@ -164,7 +164,7 @@
 	}
 }
 
-/* What a process leaves in memory; its coroutines have ended. */
+/* Frees the memory of a process whose coroutines have ended. */
 static void free_node(int index)
 {
 	struct fl_node *node = nodes.public[index].context;
--- a/tests/sim_random.c
+++ b/tests/sim_random.c
@@ -1,4 +1,4 @@
-/* The random numbers of the simulation (splitmix64): one seed, one sequence. */
+/* The random numbers of the simulation (splitmix64); a seed always gives the same sequence. */
 #include "sim_time.h"
 
 static uint64_t generator_state;
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -1,4 +1,4 @@
-/* The tasks on a machine: commands, image fetches, runs, checkpoints and ends. */
+/* The tasks on a machine: commands, image fetches, runs, checkpoints and exits. */
 #include "sim.h"
 
 #include <stdlib.h>
@@ -34,7 +34,7 @@
 	task->job->progress_s[task->status.index] = progress_now(task);
 }
 
-/* Stopped without a new checkpoint: what the regular ones saved stays. */
+/* A task stopped without a new checkpoint keeps the progress of its last regular one. */
 static void fall_back_to_checkpoint(const struct sim_task *task)
 {
 	double interval_s = task->job->spec.checkpoint_every_s;
@@ -104,7 +104,7 @@
 	       task->phase_ends_at > fl_now();
 }
 
-/* The first task for which this one's image is being fetched; itself if for none before it. */
+/* Returns the index of the first task that fetches this task's image, or else its own index. */
 static int first_fetch_of_image(const struct sim_machine *machine, int index)
 {
 	const struct sim_task *task = &machine->tasks[index];
@@ -125,7 +125,7 @@
 	return count;
 }
 
-/* Each of n images gets an n-th of the rate, and so is late by the rest of the time. */
+/* Each of n images gets 1/n of the bandwidth, which delays it by (n - 1)/n of the elapsed time. */
 static void delay_fetches(struct sim_machine *machine, double elapsed_s)
 {
 	int image_count = images_being_fetched(machine);
@@ -136,7 +136,7 @@
 				elapsed_s * (image_count - 1) / image_count;
 }
 
-/* Several images that are fetched at once share the machine's rate; tasks share their image's. */
+/* Concurrent fetches share the machine's bandwidth; tasks with the same image share its fetch. */
 static void share_image_bandwidth(struct sim_machine *machine)
 {
 	double elapsed_s =
@@ -253,7 +253,7 @@
 	abort();
 }
 
-/* FL_EXIT_OTHER: nothing is against it. */
+/* Returns FL_EXIT_OTHER if the task can start. */
 static enum fl_exit start_refusal_reason(const struct sim_machine *machine,
                                          const struct sim_job *job,
                                          const struct fl_task_status *status)
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -10,15 +10,15 @@
 static const struct {
 	double submit_timeout_s, query_timeout_s;
 	double query_interval_s;
-	double final_query_interval_s; /* of a job that is done or cancelled */
-	double retry_interval_s;       /* before a request is repeated */
-	double submit_retry_timeout_s; /* after which a submission is given up */
-	int repeated_queries;          /* in a row, of one who cannot wait */
+	double final_query_interval_s; /* interval for a job that is done or cancelled */
+	double retry_interval_s;       /* delay before a request is repeated */
+	double submit_retry_timeout_s; /* time after which a submission is no longer retried */
+	int repeated_queries;          /* queries of one user in quick succession */
 } tunables = {5.0, 2.0, 5.0, 15.0, 1.0, 60.0, 10};
 
 /* ---- one request ---- */
 
-/* What a user knows; users read at all nodes when it changes. */
+/* The reported state of a job; when it changes, users may query all nodes. */
 struct user_view {
 	bool accepted, done, cancelled;
 };
@@ -70,7 +70,7 @@
 	read_all_nodes_if_changed(job, before);
 }
 
-/* True when the cancellation is answered. */
+/* Returns whether the cancellation was answered with 200. */
 static bool cancel_once(struct sim_job *job)
 {
 	struct user_view before = user_view_of(job);
@@ -103,7 +103,7 @@
 	return is_final ? tunables.final_query_interval_s : tunables.query_interval_s;
 }
 
-/* False if cancelled. */
+/* Returns false if the coroutine was cancelled. */
 static bool submit_until_answered(struct sim_job *job)
 {
 	double retry_until = fl_now() + tunables.submit_retry_timeout_s;
@@ -153,7 +153,7 @@
 		sim_spawn(0, cancel_when_due, job);
 }
 
-/* ---- what faults and tasks make users do ---- */
+/* ---- requests caused by faults and tasks ---- */
 
 static void query_repeatedly(void *arg)
 {
@@ -205,7 +205,7 @@
 	sim_spawn(0, resubmit, job);
 }
 
-/* ---- jobs nobody submitted, and invalid requests ---- */
+/* ---- requests for unknown jobs, and invalid requests ---- */
 
 static void request_unknown_job(bool cancel)
 {
@@ -218,7 +218,9 @@
 	if (sim_load_balancer_call(method, path, NULL, tunables.query_timeout_s, &reply) != 0)
 		return;
 	if (reply.status == 200)
-		sim_violation("invented", "%s %s: status=200", method, path);
+		sim_violation("unknown_job_found",
+		              "request for an unknown job succeeded method=%s path=%s status=200",
+		              method, path);
 	fl_buffer_free(&reply.body);
 }
 
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -1,4 +1,4 @@
-/* Machines and their workers: boots, leases, direct commands, hangs and ends. */
+/* Machines and their workers: boots, leases, direct commands, hangs and terminations. */
 #include "sim.h"
 
 #include <errno.h>
@@ -11,7 +11,7 @@
 static const struct {
 	double min_heartbeat_gap_s;
 	double tick_s;
-	/* Of commands that are delayed by a fault. */
+	/* The bounds of the delay under FAULT_DELAYED_COMMANDS. */
 	double command_delay_min_s, command_delay_max_s;
 } tunables = {0.5, 0.05, 2.0, 16.0};
 
@@ -71,7 +71,7 @@
 	return due_at - fl_now();
 }
 
-/* False if cancelled. */
+/* Returns false if the coroutine was cancelled. */
 static bool wait_until_due(struct sim_machine *machine, double due_at)
 {
 	while (!machine->terminated) {
@@ -157,7 +157,7 @@
 	cJSON_Delete(object);
 }
 
-/* Then nobody gets the reply, and the command is executed all the same. */
+/* A delayed command is executed, and its reply is lost. */
 static bool command_is_delayed(void)
 {
 	const struct sim_fault *fault = sim_fault_active(FAULT_DELAYED_COMMANDS, -1);
