--- a/tests/sim.h
+++ b/tests/sim.h
@@ -43,7 +43,7 @@
  */
 int sim_call(struct sim_endpoint from, struct sim_endpoint to, const char *method, const char *path,
              const char *body, double timeout_s, struct fl_http_reply *out);
-void sim_endpoint_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME]);
+void sim_endpoint_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME_SIZE]);
 struct sim_endpoint sim_endpoint_from_address(const struct sockaddr_in *address);
 /* Drops all messages and ends virtual time. */
 void sim_net_end(void);
--- a/tests/sim_clock.c
+++ b/tests/sim_clock.c
@@ -19,7 +19,7 @@
 
 double fl_now(void) { return clocks.now; }
 
-double fl_wall(void) { return clocks.now - monotonic_start_s + wall_start_s; }
+double fl_wall_time(void) { return clocks.now - monotonic_start_s + wall_start_s; }
 
 /* One real process runs all controllers, so the memory use of one is not known. */
 size_t fl_memory_in_use(void) { return 0; }
@@ -27,9 +27,10 @@
 /* Virtual time passes between pieces of work, not within them. */
 double fl_cpu_time(void) { return 0; }
 
-double fl_since(double wall)
+double fl_monotonic_from_wall(double wall)
 {
-	return wall > 0 && wall < fl_wall() ? clocks.now - (fl_wall() - wall) : clocks.now;
+	return wall > 0 && wall < fl_wall_time() ? clocks.now - (fl_wall_time() - wall)
+	                                         : clocks.now;
 }
 
 /* ---- timers ---- */
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -265,7 +265,7 @@
 {
 	const struct sim_machine *machine = &sim.machines[index];
 	cJSON *item = cJSON_CreateObject();
-	char address[FL_CONFIG_NAME];
+	char address[FL_CONFIG_NAME_SIZE];
 
 	sim_endpoint_address((struct sim_endpoint){ENDPOINT_WORKER, index}, address);
 	cJSON_AddStringToObject(item, "Ref", machine->name);
--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -314,6 +314,6 @@
 }
 
 void fl_coroutines_init(struct ev_loop *loop) { (void)loop; }
-struct ev_loop *fl_loop(void) { return NULL; }
+struct ev_loop *fl_event_loop(void) { return NULL; }
 void fl_coroutines_run(void) { abort(); }
 void fl_coroutines_shutdown(void) { abort(); }
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -26,10 +26,10 @@
 
 /* ---- addresses ---- */
 
-void sim_endpoint_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME])
+void sim_endpoint_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME_SIZE])
 {
-	snprintf(out, FL_CONFIG_NAME, "10.%d.%d.%d:%d", endpoint.kind + 1, endpoint.index / 200,
-	         endpoint.index % 200 + 1, 9000);
+	snprintf(out, FL_CONFIG_NAME_SIZE, "10.%d.%d.%d:%d", endpoint.kind + 1,
+	         endpoint.index / 200, endpoint.index % 200 + 1, 9000);
 }
 
 struct sim_endpoint sim_endpoint_from_address(const struct sockaddr_in *address)
