--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -1,4 +1,4 @@
-/* The coroutines that the controllers' code runs in, and processes that are slow or stand still. */
+/* Coroutines in virtual time, for the controllers' code, and processes that are slow or paused. */
 #include "sim.h"
 
 #include <errno.h>
@@ -26,10 +26,10 @@
 static struct {
 	struct fl_coroutine *all, *current;
 	struct fl_coroutine_queue ready, urgent;
-	int dying; /* the last process that was cancelled */
+	int cancelled_process; /* the last process that was cancelled */
 	bool ending;
-	/* What of a process has to wait until its computer has time for it again. */
-	struct paused {
+	/* A process that is paused until then, and its ready coroutines. */
+	struct paused_process {
 		double until;
 		struct fl_coroutine_queue ready, urgent;
 		struct sim_timer timer;
@@ -109,12 +109,12 @@
 	return coroutine->cancelled ? -ECANCELED : coroutine->result;
 }
 
-/* ---- processes that are slow or stand still ---- */
+/* ---- processes that are slow or paused ---- */
 
-/* All that waited is ready, in its order; one that is slow runs one of them, and waits again. */
+/* Queues the paused coroutines again, in order; a slow process runs one and is paused again. */
 static void release_paused_coroutines(void *arg)
 {
-	struct paused *paused = arg;
+	struct paused_process *paused = arg;
 	struct fl_coroutine *coroutine;
 
 	while ((coroutine = fl_coroutine_queue_pop(&paused->urgent)))
@@ -125,7 +125,7 @@
 
 void sim_process_pause_until(int process, double until)
 {
-	struct paused *paused = &scheduler.paused[process];
+	struct paused_process *paused = &scheduler.paused[process];
 
 	sim_require(process > 0 && process < PROCESSES_MAX);
 	if (until <= paused->until)
@@ -149,7 +149,7 @@
 
 	while ((coroutine = fl_coroutine_queue_pop(&scheduler.urgent)) ||
 	       (coroutine = fl_coroutine_queue_pop(&scheduler.ready))) {
-		struct paused *paused = &scheduler.paused[coroutine->process];
+		struct paused_process *paused = &scheduler.paused[coroutine->process];
 
 		if (process_is_paused(coroutine)) {
 			fl_coroutine_queue_push(
@@ -162,7 +162,10 @@
 	}
 }
 
-static bool dying(int process) { return process && process == scheduler.dying; }
+static bool is_cancelled_process(int process)
+{
+	return process && process == scheduler.cancelled_process;
+}
 
 struct fl_coroutine *sim_spawn(int process, void (*function)(void *), void *arg)
 {
@@ -173,8 +176,8 @@
 	coroutine->context.function = function;
 	coroutine->context.argument = arg;
 	coroutine->process = process;
-	/* What a dying process still begins, dies with it. */
-	coroutine->cancelled = dying(process);
+	/* A coroutine that a cancelled process still starts is cancelled, too. */
+	coroutine->cancelled = is_cancelled_process(process);
 	fl_context_init(&coroutine->context, STACK_BYTES);
 	coroutine->timer.function = wake_on_timeout;
 	coroutine->timer.argument = coroutine;
@@ -190,7 +193,7 @@
 
 void sim_process_cancel(int process)
 {
-	scheduler.dying = process;
+	scheduler.cancelled_process = process;
 	release_paused_coroutines(&scheduler.paused[process]);
 	for (struct fl_coroutine *coroutine = scheduler.all; coroutine; coroutine = coroutine->next)
 		if (coroutine->process == process)
@@ -244,7 +247,7 @@
 	memset(&scheduler, 0, sizeof(scheduler));
 }
 
-/* ---- what the controllers' code calls ---- */
+/* ---- the functions of transport/coroutine.h ---- */
 
 struct fl_coroutine *fl_coroutine_spawn(void (*function)(void *), void *arg)
 {
@@ -262,13 +265,13 @@
 
 void fl_coroutine_set_urgent(void) { scheduler.current->urgent = true; }
 
-/* Work takes no virtual time, unless its process is made slow. */
+/* Work takes no virtual time, so coroutines only wait in a slow or paused process. */
 bool fl_coroutines_overloaded(void)
 {
 	return scheduler.paused[sim_current_process()].ready.head != NULL;
 }
 
-/* Computing takes no time here: nothing is ever behind. */
+/* Work takes no virtual time, so there is nothing to wait for. */
 bool fl_coroutine_defer(int max_waiting) { return max_waiting > 0; }
 
 int fl_sleep(double seconds)
@@ -301,7 +304,7 @@
 		wake(condition->first, 0);
 }
 
-/* There are no sockets here. */
+/* The simulation has no sockets. */
 void fl_io_unregister(int fd) { (void)fd; }
 
 int fl_io_wait(int fd, int events, double timeout_s)
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -1,4 +1,4 @@
-/* The controllers of the simulation: their processes, and in place of the HTTP server. */
+/* The controllers of the simulation: configuration, processes, and a fake of the HTTP server. */
 #include "sim.h"
 
 #include <stdio.h>
@@ -10,16 +10,16 @@
 #include "copy_text.h"
 #include "transport/clock.h"
 
-struct served {
+struct registered_handler {
 	fl_http_handler handler;
 	void *context;
 };
 
 static struct {
-	int process[SIM_NODES]; /* that runs as this node; 0: down */
-	struct served public[SIM_NODES], peers[SIM_NODES];
-	int process_count; /* started so far */
-	int starting_node; /* while its process starts */
+	int process[SIM_NODES]; /* number of the node's process; 0: the node is down */
+	struct registered_handler public[SIM_NODES], peers[SIM_NODES];
+	int process_count; /* processes started so far */
+	int starting_node; /* node whose process is being started */
 } nodes;
 
 /* ---- settings ---- */
@@ -98,23 +98,24 @@
 struct fl_http_server *fl_http_serve(const char *addr, int max_connections, double idle_timeout_s,
                                      fl_http_handler handler, void *context)
 {
-	struct served *served = nodes.public;
+	struct registered_handler *registered = nodes.public;
 	struct sockaddr_in address;
 
 	(void)max_connections, (void)idle_timeout_s;
 	sim_require(fl_address_parse(addr, &address) == 0);
 	if (sim_endpoint_from_address(&address).kind == ENDPOINT_PEER)
-		served = nodes.peers;
-	served[nodes.starting_node] = (struct served){handler, context};
+		registered = nodes.peers;
+	registered[nodes.starting_node] = (struct registered_handler){handler, context};
 	return (struct fl_http_server *)&nodes;
 }
 
 void sim_node_serve(struct sim_endpoint to, const struct fl_http_request *request,
                     struct fl_http_response *response)
 {
-	const struct served *served = to.kind == ENDPOINT_PEER ? nodes.peers : nodes.public;
+	const struct registered_handler *registered =
+		to.kind == ENDPOINT_PEER ? nodes.peers : nodes.public;
 
-	served[to.index].handler(served[to.index].context, request, response);
+	registered[to.index].handler(registered[to.index].context, request, response);
 }
 
 /* ---- processes ---- */
@@ -163,7 +164,7 @@
 	}
 }
 
-/* What a process leaves in memory; its coroutines have ended. */
+/* Frees the memory of a process whose coroutines have ended. */
 static void free_node(int index)
 {
 	struct fl_node *node = nodes.public[index].context;
@@ -174,7 +175,7 @@
 	free_follower(&node->follower);
 	fl_cluster_free(&node->cluster);
 	free(node);
-	nodes.public[index] = nodes.peers[index] = (struct served){0};
+	nodes.public[index] = nodes.peers[index] = (struct registered_handler){0};
 }
 
 void sim_node_kill(int node)
