--- a/src/coordination/workers/command.c
+++ b/src/coordination/workers/command.c
@@ -40,7 +40,7 @@
 		cJSON_Delete(commands.root);
 		return NULL;
 	}
-	return fl_command_list_take(&commands);
+	return fl_command_list_take_body(&commands);
 }
 
 /* Sends the commands of this moment once, and applies the heartbeat that replies to them. */
--- a/src/coordination/workers/reachability.c
+++ b/src/coordination/workers/reachability.c
@@ -35,8 +35,8 @@
 {
 	if (since_reply_s < tunables.timeout_s)
 		return false;
-	if (heartbeat->entry_node && machine->heartbeat.entry_node && node->peer_count > 0)
-		return heartbeat->entry_node != machine->heartbeat.entry_node;
+	if (heartbeat->entry_node_index && machine->heartbeat.entry_node && node->peer_count > 0)
+		return heartbeat->entry_node_index != machine->heartbeat.entry_node;
 	return tunables.max_interval_factor * node->config->report_s < tunables.timeout_s;
 }
 
@@ -90,7 +90,7 @@
 	double since_reply_s = has_replied ? now - machine->outbound.last_reply_at : 0;
 
 	machine->outbound.last_reply_timed_out = timed_out(node, machine, heartbeat, since_reply_s);
-	machine->heartbeat.entry_node = heartbeat->entry_node;
+	machine->heartbeat.entry_node = heartbeat->entry_node_index;
 	if (!has_replied)
 		return;
 	if (last_reply_had_no_effect(node, machine, heartbeat, since_reply_s))
--- a/src/coordination/workers/reconciliation_exit.c
+++ b/src/coordination/workers/reconciliation_exit.c
@@ -86,7 +86,7 @@
 	struct fl_node *node = context->node;
 	double pause_s = 0;
 
-	switch (status->exit) {
+	switch (status->exit_reason) {
 	case FL_EXIT_DONE:
 		record_completion(context, job, task, status->index);
 		return;
@@ -99,7 +99,7 @@
 		pause_s = tunables.refused_s;
 		fl_info("workers", "start refused: %s/%u machine=%s reason=%s", job->ref,
 		        status->index, context->machine->name,
-		        status->exit == FL_EXIT_BUSY ? "busy" : "no_capacity");
+		        status->exit_reason == FL_EXIT_BUSY ? "busy" : "no_capacity");
 		break;
 	case FL_EXIT_ERROR:
 	case FL_EXIT_UNKNOWN_TASK:
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -195,7 +195,7 @@
 		node->peers[i].last_response_at = node->peers[i].cancellations_complete_as_of =
 			-1e9;
 	}
-	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
+	node->cancellation_watermark = node->kv_store.last_success_sent_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
 }
 
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -16,11 +16,11 @@
 	task->counted_running = false;
 }
 
-static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit exit)
+static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit_reason exit)
 {
 	leave_machine(task);
 	task->status.state = FL_TASK_STATE_EXITED;
-	task->status.exit = exit;
+	task->status.exit_reason = exit;
 	sim_heartbeat_request(machine);
 }
 
@@ -163,7 +163,7 @@
 	} else if (task->status.state == FL_TASK_STATE_RUNNING) {
 		task_completed(machine, task);
 	} else {
-		task->status.saved = true;
+		task->status.checkpoint_saved = true;
 		end_task(machine, task, FL_EXIT_STOPPED);
 	}
 }
@@ -254,8 +254,9 @@
 }
 
 /* FL_EXIT_OTHER: nothing is against it. */
-static enum fl_exit start_refusal(const struct sim_machine *machine, const struct sim_job *job,
-                                  const struct fl_task_status *status)
+static enum fl_exit_reason start_refusal(const struct sim_machine *machine,
+                                         const struct sim_job *job,
+                                         const struct fl_task_status *status)
 {
 	if (!job || job->first_sent_at == 0 || status->index >= job->spec.task_count)
 		return FL_EXIT_UNKNOWN_TASK;
@@ -267,7 +268,7 @@
 static void start_task(struct sim_machine *machine, const struct fl_task_status *status)
 {
 	struct sim_job *job = sim_job_find(status->ref);
-	enum fl_exit refusal = start_refusal(machine, job, status);
+	enum fl_exit_reason refusal = start_refusal(machine, job, status);
 	struct sim_task *task = new_task(machine, status);
 
 	task->job = job;
