--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -8,9 +8,8 @@
 static const struct {
 	double request_timeout_s, default_pull_gb_s;
 } tunables = {
-	.request_timeout_s =
-		4.0, /* s; the cloud is slow at times, and a rental may be carried out late */
-	.default_pull_gb_s = 1.0, /* of a type that names none, or none above zero */
+	.request_timeout_s = 4.0, /* the cloud is slow at times and may execute a rental late */
+	.default_pull_gb_s = 1.0, /* GB/s, for a type whose rate is missing or 0 */
 };
 
 static enum fl_cloud_result result_of_http_status(int status)
@@ -53,18 +52,18 @@
 	case FL_CLOUD_OUTCOME_UNKNOWN:
 		return "outcome unknown";
 	case FL_CLOUD_UNEXPECTED_RESPONSE:
-		return "unreadable answer";
+		return "unexpected response";
 	}
 	return "unknown result";
 }
 
-/* What the cloud answered. */
+/* A response of the cloud. */
 struct answer {
-	int status;  /* 0: there is no answer */
-	cJSON *tree; /* owned; NULL: none, or no JSON */
+	int status;  /* 0: no response */
+	cJSON *tree; /* owned; NULL: none, or not valid JSON */
 };
 
-/* One request; takes `body` over. `answer->tree` is the caller's in any case. */
+/* Sends a request and frees `body`. The caller owns `answer->tree` on every result. */
 static enum fl_cloud_result send_request(struct fl_cloud *cloud, const char *method,
                                          const char *path, cJSON *body, struct answer *answer)
 {
@@ -188,7 +187,10 @@
 	return result;
 }
 
-/* A 503 with this reason lasts; one with another reason, or with none, is temporary. */
+/*
+ * Returns whether the response is a 503 for lack of capacity, which lasts. A 503 with another
+ * reason, or with none, is temporary.
+ */
 static bool is_out_of_capacity(const struct answer *answer)
 {
 	char reason[64];
@@ -278,7 +280,7 @@
 	return FL_DECODE_OK;
 }
 
-/* On any result `*machines` is the caller's. */
+/* The caller owns `*machines` on every result. */
 static enum fl_decode_result
 decode_machine_page(const cJSON *answer, struct fl_cloud_machine **machines, int *count, bool *more)
 {
@@ -290,7 +292,7 @@
 	if (!*machines)
 		return FL_DECODE_NO_MEMORY;
 	cJSON_ArrayForEach (item, list) {
-		/* With a partial list, machines missing from it would count as returned. */
+		/* Machines missing from a partial list would be treated as returned. */
 		if (decode_machine(item, &(*machines)[*count]) != FL_DECODE_OK)
 			return FL_DECODE_MALFORMED;
 		(*count)++;
--- a/src/protocol/heartbeat_digests.c
+++ b/src/protocol/heartbeat_digests.c
@@ -17,7 +17,8 @@
 }
 
 /*
- * [host,incarnation,sequence,fencing token,interruption_in_s,[[ref,index,attempt,state,exit],...]]
+ * Format: [host,incarnation,sequence,fencing token,interruption_in_s,
+ *          [[ref,index,attempt,state,exit reason],...]]; the exit reason only of an exited task.
  */
 char *fl_cached_heartbeat_encode(const struct fl_heartbeat *heartbeat)
 {
--- a/src/protocol/heartbeat_digests.h
+++ b/src/protocol/heartbeat_digests.h
@@ -1,22 +1,22 @@
 /*
- * Digests of cached heartbeats, as they go through the key-value store, where every byte of
- * hundreds of machines counts against values and writes: what is on a machine, but not what is
- * known of it anyway (machine type, zone, endpoint).
+ * Heartbeat digests: cached heartbeats of hundreds of machines in the compact form in which they
+ * are stored in the key-value store, whose value sizes and writes are limited. A digest holds the
+ * tasks on each machine, but not its type, zone and endpoint, which are known from elsewhere.
  */
 #ifndef FL_PROTOCOL_HEARTBEAT_DIGESTS_H
 #define FL_PROTOCOL_HEARTBEAT_DIGESTS_H
 
 #include "protocol/workers.h"
 
-/* The text of one cached heartbeat in a digest, to be freed. */
+/* Encodes a cached heartbeat as an entry of a digest; the caller frees the text. */
 char *fl_cached_heartbeat_encode(const struct fl_heartbeat *heartbeat);
-/* Reads one; machine type, zone and endpoint stay empty. */
+/* Decodes an entry of a digest; machine type, zone and endpoint stay empty. */
 enum fl_decode_result fl_cached_heartbeat_decode(const cJSON *item, struct fl_heartbeat *out);
-/* A new digest without heartbeats, owned by the caller. */
+/* Creates a digest without heartbeats; the caller owns it. */
 cJSON *fl_digest_create(uint64_t fencing_token);
-/* Adds a text of fl_cached_heartbeat_encode, which is copied. */
+/* Adds a text encoded by fl_cached_heartbeat_encode, which is copied. */
 void fl_digest_add_heartbeat(cJSON *digest, const char *encoded_heartbeat);
-/* The heartbeats of a digest that was read, still unchecked, in its tree; NULL: there are none. */
+/* Returns the entries of a parsed digest, not yet validated, in its tree; NULL: there are none. */
 const cJSON *fl_digest_heartbeats(const cJSON *digest);
 
 #endif
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -10,14 +10,15 @@
 static const struct {
 	int max_depth;
 } tunables = {
-	.max_depth = 32, /* levels; cJSON recurses, and a coroutine's stack is small */
+	.max_depth = 32, /* levels; the cJSON parser recurses, and a coroutine's stack is small */
 };
 
 static const double amount_max = 1e12;
 
 /*
- * The end of a string whose opening quote is before `position`: the position behind the closing
- * quote, or `length` if there is none. 0: it holds an escaped NUL, at which cJSON would end it.
+ * Returns the position after the closing quote of the string whose opening quote is just before
+ * `position`, or `length` if it has no closing quote. Returns 0 if the string contains an escaped
+ * NUL, at which cJSON would truncate it.
  */
 static size_t find_string_end(const char *text, size_t position, size_t length)
 {
@@ -36,7 +37,7 @@
 	return length;
 }
 
-/* Whether the nesting is within the limit, and no string is cut short by an escaped NUL. */
+/* Returns whether the nesting is within the limit and no string contains an escaped NUL. */
 static bool is_safe_for_cjson(const char *text, size_t length)
 {
 	int depth = 0;
@@ -58,7 +59,7 @@
 	return true;
 }
 
-/* How many bytes at the start are surely ASCII, tested a word at a time. */
+/* Returns how many leading bytes are known to be ASCII, tested in words of 8 bytes. */
 static size_t ascii_prefix_length(const char *text, size_t length)
 {
 	const uint64_t high_bits = 0x8080808080808080;
@@ -74,7 +75,7 @@
 	return i;
 }
 
-/* How many bytes a character with this first byte has, if it is one. */
+/* Returns the length of a UTF-8 character by its first byte, if that is valid. */
 static size_t utf8_length_from_lead_byte(unsigned char lead)
 {
 	if (lead < 0x80)
@@ -84,7 +85,7 @@
 	return lead < 0xf0 ? 3 : 4;
 }
 
-/* An encoding longer than need be, a surrogate, or beyond the last code point. */
+/* Returns whether the bytes are an overlong encoding, a surrogate, or above U+10FFFF. */
 static bool is_utf8_out_of_range(const unsigned char *bytes)
 {
 	switch (bytes[0]) {
@@ -101,7 +102,7 @@
 	}
 }
 
-/* How many bytes the character at `bytes` has; 0 if it is none, or could be written shorter. */
+/* Returns the length of the character at `bytes`; 0 if it is invalid or overlong. */
 static size_t utf8_length(const unsigned char *bytes, size_t available)
 {
 	size_t length = utf8_length_from_lead_byte(bytes[0]);
@@ -117,8 +118,8 @@
 }
 
 /*
- * cJSON passes any bytes on, but JSON is UTF-8: a name that is not would be accepted here and
- * rejected by the key-value store, each time its user tries.
+ * cJSON accepts any bytes, but JSON must be UTF-8: a name in another encoding would be accepted
+ * here and rejected by the key-value store, on every retry by its user.
  */
 static bool is_utf8(const char *text, size_t length)
 {
@@ -136,7 +137,7 @@
 
 cJSON *fl_json_parse(const char *text, size_t length)
 {
-	/* An embedded NUL would end the text early and hide what follows. */
+	/* An embedded NUL would truncate the text, and the rest would be ignored. */
 	if (!text || memchr(text, 0, length) || !is_safe_for_cjson(text, length) ||
 	    !is_utf8(text, length))
 		return NULL;
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -12,11 +12,11 @@
 	double timeout_s, watch_slack_s;
 	int page_size, max_idle_connections, max_idle_watch_connections;
 } tunables = {
-	.timeout_s = 1.0,                /* s; answers take 10 ms, at times a few hundred */
-	.watch_slack_s = 2.0,            /* s; what a watch may take beyond its own timeout */
-	.page_size = 1000,               /* items; the store's own maximum */
-	.max_idle_connections = 6,       /* connections kept for short requests */
-	.max_idle_watch_connections = 2, /* and for watches */
+	.timeout_s = 1.0,                /* responses take 10 ms, sometimes a few hundred */
+	.watch_slack_s = 2.0,            /* time a watch may take beyond its own timeout */
+	.page_size = 1000,               /* keys; the store's own maximum */
+	.max_idle_connections = 6,       /* for short requests */
+	.max_idle_watch_connections = 2, /* for watches */
 };
 
 bool fl_kv_init(struct fl_kv_store *store, const char *address)
@@ -77,14 +77,14 @@
 	return "unknown result";
 }
 
-/* One request to the store. */
+/* A request to the store. */
 struct request {
 	const char *method, *path;
 	const char *body; /* NULL: none */
 	double timeout_s;
 };
 
-/* `*answer` is the caller's to delete in any case; NULL: there is none, or it is no JSON. */
+/* The caller deletes `*answer` on every result; NULL: no response, or not valid JSON. */
 static enum fl_kv_result send_request(struct fl_kv_store *store, struct fl_http_client *client,
                                       const struct request *request, cJSON **answer)
 {
@@ -172,13 +172,13 @@
 	return FL_KV_OK;
 }
 
-/* A list that is being read page by page. */
+/* The progress of reading a list page by page. */
 struct list_reader {
 	struct fl_kv_store *store;
 	const char *prefix;
-	char last_key[FL_KEY_MAX]; /* of the last page; empty: none read yet */
+	char last_key[FL_KEY_MAX]; /* the last key read; empty: none yet */
 	bool more;
-	uint64_t revision; /* of the last page */
+	uint64_t revision; /* the store's at the last page read */
 };
 
 static enum fl_kv_result read_page(struct list_reader *reader, fl_kv_event_fn on_event,
@@ -187,7 +187,7 @@
 	const cJSON *items = fl_json_get(object, "Items");
 	enum fl_kv_result result;
 
-	/* Without `More`, a truncated list would count as complete. */
+	/* Without `More`, a truncated list would be taken for a complete one. */
 	if (!cJSON_IsArray(items) ||
 	    fl_json_get_bool(object, "More", &reader->more) != FL_JSON_OK ||
 	    fl_json_get_uint(object, "LedgerRev", &reader->revision) != FL_JSON_OK)
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -1,8 +1,8 @@
 /*
- * The client of the key-value store that outlives every controller: compare-and-swap transactions,
- * leases, lists and watches. Every call waits for the answer, so it must be made from a coroutine.
- * Each write raises the store's revision; a key's `mod_revision` is that of its last write. Unless
- * the result is FL_KV_OK, outputs hold nothing.
+ * The client of the key-value store, whose data outlives every controller: compare-and-swap
+ * transactions, leases, lists and watches. Every call waits for the response and must be made from
+ * a coroutine. Each write raises the store's revision; the `mod_revision` of a key is the revision
+ * of its last write. Unless the result is FL_KV_OK, outputs hold no valid value.
  */
 #ifndef FL_PROTOCOL_KV_STORE_H
 #define FL_PROTOCOL_KV_STORE_H
@@ -10,99 +10,107 @@
 #include "protocol/json.h"
 #include "transport/http_client.h"
 
-/* Bytes of a key with its terminator. */
+/* Maximum size of a key in bytes, with its terminator. */
 enum { FL_KEY_MAX = 96 };
 
-/* The result of a request: what the caller may conclude, and what it has to do. */
+/* The result of a request, with what it implies and how the caller should react. */
 enum fl_kv_result {
 	FL_KV_OK = 0,
 	FL_KV_NOT_FOUND,      /* no such key or lease */
-	FL_KV_COMPARE_FAILED, /* a condition does not hold: nothing was written */
-	FL_KV_COMPACTED,      /* the revision to watch from is too old: list again */
-	FL_KV_UNAVAILABLE,    /* refused for now (429, 503) and not executed: try again later */
-	FL_KV_INVALID,        /* refused as malformed, or because its lease has expired */
-	FL_KV_CANCELLED,      /* the calling coroutine is being cancelled: unwind */
-	/* No answer, or none that can be read: it may have been executed, or may still be. */
+	FL_KV_COMPARE_FAILED, /* a condition does not hold; nothing was written */
+	FL_KV_COMPACTED,      /* the revision to watch from is too old; list the keys again */
+	FL_KV_UNAVAILABLE,    /* rejected (429, 503) and not executed; retry later */
+	FL_KV_INVALID,        /* rejected as malformed, or because the lease has expired */
+	FL_KV_CANCELLED,      /* the calling coroutine is cancelled; clean up and return */
+	/* No readable response; the request may be executed already, or later. */
 	FL_KV_OUTCOME_UNKNOWN
 };
 
-/* The words for a result in a log line. */
+/* Returns a description of the result for log lines. */
 const char *fl_kv_result_text(enum fl_kv_result result);
 
-/* The client, and when the store last answered; times are steady, in seconds. */
+/* A client, and when the store last responded. Times: monotonic clock, s. */
 struct fl_kv_store {
-	struct fl_http_client client;       /* short requests */
-	struct fl_http_client watch_client; /* one open watch, on a connection of its own */
-	double last_success_sent_at;        /* when the newest request that was answered was sent */
-	double last_failure_at;             /* when one last got a 503, or no answer */
+	struct fl_http_client client;       /* for short requests */
+	struct fl_http_client watch_client; /* for one open watch, on its own connection */
+	/* When the newest request was sent that got a response other than 429 or 503. */
+	double last_success_sent_at;
+	double last_failure_at; /* when a request last got a 503 or no response */
 };
 
-/* Builds a transaction: conditions, and the writes made if all of them hold. */
+/* A builder of a transaction: conditions, and the writes executed if all of them hold. */
 struct fl_kv_txn {
 	cJSON *root, *conditions, *operations;
 	int operation_count;
 };
 
-/* A key in a list, or its change in a watch. */
+/* A listed key, or the change of a watched key. */
 struct fl_kv_event {
 	const char *key;
-	const cJSON *value; /* NULL: deleted */
+	const cJSON *value; /* NULL: the key was deleted */
 	uint64_t mod_revision;
 };
 
 /*
- * True if the last failure (a 503, or no answer) came after the newest answered request was sent:
- * an answer to an earlier one proves nothing of the time since. A 429 counts as neither.
+ * Returns whether the last failure (a 503 or no response) came after the newest successful request
+ * was sent: a response to a request sent earlier does not show that the store has recovered. A 429
+ * is neither a failure nor a success.
  */
 bool fl_kv_is_unavailable(const struct fl_kv_store *store);
-/* False: the address is malformed. */
+/* Initialises a client; returns false if the address is malformed. */
 bool fl_kv_init(struct fl_kv_store *store, const char *address);
-/* Reads a key. `*value` is owned by the caller; `lease_id` (if not NULL) gets its lease, or 0. */
+/*
+ * Reads a key. The caller owns `*value`, which is NULL on a failure. `lease_id` (if not NULL)
+ * receives the lease that the key is bound to, or 0.
+ */
 enum fl_kv_result fl_kv_get(struct fl_kv_store *store, const char *key, cJSON **value,
                             uint64_t *revision, uint64_t *lease_id);
 /*
- * Reads the revision of a key whose last write had an unknown outcome or met another revision; 0 if
- * there is no such key. `*mod_revision` is set only on FL_KV_OK.
+ * Reads the `mod_revision` of a key, for a write that had an unknown outcome or failed its
+ * comparison; 0 if there is no such key. `*mod_revision` is set only on FL_KV_OK.
  */
 enum fl_kv_result fl_kv_get_revision(struct fl_kv_store *store, const char *key,
                                      uint64_t *mod_revision);
 
-/* Called for each change; it is valid during the call only. */
+/* Called for each listed key or change; `event` is valid only during the call. */
 typedef void (*fl_kv_event_fn)(void *context, const struct fl_kv_event *event);
 /*
- * Lists every key under the prefix, page by page. `*revision` is the store's at the first page, so
- * that a watch from there misses nothing. On a failure, some keys may have been delivered.
+ * Lists every key with the prefix, page by page. `*revision` is the store's revision at the first
+ * page, so that a watch from it misses no change. On a failure, some keys may have been delivered.
  */
 enum fl_kv_result fl_kv_list(struct fl_kv_store *store, const char *prefix, fl_kv_event_fn on_event,
                              void *context, uint64_t *revision);
-/* What a watch delivers, how long it waits for it, and to whom. */
+/* A watch: the keys, how long to wait for a change, and the callback for each change. */
 struct fl_kv_watch_request {
 	const char *prefix;
-	double timeout_s; /* the store answers then at the latest */
+	double timeout_s; /* the store responds after this time even without a change */
 	fl_kv_event_fn on_event;
 	void *context; /* passed to `on_event` */
 };
 
 /*
- * One watch: delivers the changes after `*revision`, which rises with them. On a failure it stays,
- * though some changes may have been delivered: these come again.
+ * Makes one watch request: delivers the changes after `*revision` and raises it. On a failure
+ * `*revision` stays, though some changes may have been delivered; they are delivered again.
  */
 enum fl_kv_result fl_kv_watch(struct fl_kv_store *store, const struct fl_kv_watch_request *watch,
                               uint64_t *revision);
 
-/* An empty transaction. */
+/* Begins an empty transaction. */
 void fl_kv_txn_init(struct fl_kv_txn *txn);
 /* Frees a transaction that will not be sent. */
 void fl_kv_txn_free(struct fl_kv_txn *txn);
-/* Condition: the key has this revision; 0: it does not exist. */
+/* Adds the condition that the key has this `mod_revision`; 0: that it does not exist. */
 void fl_kv_txn_expect_revision(struct fl_kv_txn *txn, const char *key, uint64_t revision);
-/* Writes the key; takes ownership of the value. A key with a lease is deleted when that ends. */
+/*
+ * Adds a write of the key and takes ownership of the value. A key with a lease (`lease_id` not 0)
+ * is deleted when the lease ends.
+ */
 void fl_kv_txn_put(struct fl_kv_txn *txn, const char *key, cJSON *value, uint64_t lease_id);
-/* Deletes the key. */
+/* Adds a deletion of the key. */
 void fl_kv_txn_delete(struct fl_kv_txn *txn, const char *key);
 /*
- * Sends the transaction and consumes the builder. On FL_KV_COMPARE_FAILED, `failed` (if not NULL)
- * gets the first failed key, or is empty if the store names none.
+ * Sends the transaction and consumes the builder. On FL_KV_COMPARE_FAILED, `failed_key` (if not
+ * NULL) receives the first key whose condition failed, or is empty if the response names none.
  */
 enum fl_kv_result fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn,
                                    uint64_t *revision, char failed_key[FL_KEY_MAX]);
@@ -112,7 +120,7 @@
 /* Renews a lease. */
 enum fl_kv_result fl_kv_lease_keep_alive(struct fl_kv_store *store, uint64_t lease_id,
                                          double timeout_s);
-/* Ends a lease, and the keys that are bound to it. */
+/* Ends a lease; the store deletes the keys that are bound to it. */
 enum fl_kv_result fl_kv_lease_revoke(struct fl_kv_store *store, uint64_t lease_id);
 
 #endif
--- a/src/protocol/peer_heartbeats.c
+++ b/src/protocol/peer_heartbeats.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The range of HTTP statuses. */
+/* The range of valid HTTP statuses. */
 enum { STATUS_MIN = 100, STATUS_MAX = 599 };
 
 cJSON *fl_heartbeat_list_create(void) { return cJSON_CreateArray(); }
 
 void fl_heartbeat_list_add(cJSON *list, const char *body)
 {
-	/* Raw: the leader decodes each heartbeat once, as a part of the message. */
+	/* Added as raw JSON, not as a string: the leader parses it together with the message. */
 	cJSON_AddItemToArray(list, cJSON_CreateRaw(body));
 }
 
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -99,7 +99,7 @@
 	return fl_json_print_and_delete(object);
 }
 
-/* Whether nodes forward this kind of request, with the fields that belong to it and a valid id. */
+/* Returns whether nodes forward this kind of request and its body and job id are as required. */
 static bool is_forwardable(uint64_t kind, const char *ref, const cJSON *body)
 {
 	if (kind == FL_USER_REQUEST_SUBMIT)
--- a/src/protocol/status_messages.c
+++ b/src/protocol/status_messages.c
@@ -1,6 +1,6 @@
 #include "protocol/status_messages.h"
 
-/* {"refs":["run-000412",...]} */
+/* Format: {"refs":["run-000412",...]} */
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count)
 {
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "refs");
@@ -35,7 +35,7 @@
 	return result;
 }
 
-/* {"jobs":[[status,done,running],null,...]} */
+/* Format: {"jobs":[[status,done,running],null,...]}; null: the status is not known. */
 char *fl_status_answer_encode(const struct fl_job_status_report *reports, int count)
 {
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "jobs");
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -9,7 +9,7 @@
 static const char *const kind_names[] = {"sweep", "standing", "ensemble"};
 static const char *const status_names[] = {"pending", "running", "done", "aborted"};
 
-/* The paths of the API; a job's id follows the jobs path. */
+/* The paths of the API; the path of a job is the jobs path, '/' and the job id. */
 static const char jobs_path[] = "/v2/runs";
 static const char heartbeat_path[] = "/hello";
 static const char ready_path[] = "/ready";
@@ -38,7 +38,10 @@
 	return true;
 }
 
-/* An escaped control character takes six bytes: with such names a record could get too large. */
+/*
+ * Returns whether the name is not empty and has no control characters. Each of them takes six bytes
+ * when escaped, so that a record with such names could exceed the size limit.
+ */
 static bool is_valid_name(const char *name)
 {
 	if (!*name)
@@ -122,7 +125,7 @@
 	return false;
 }
 
-/* What the job is; NULL, or the first bad field. */
+/* Decodes the job's identity, kind, size and image; returns NULL or the first bad field. */
 static const char *decode_identity_fields(const cJSON *object, struct fl_job_spec *out)
 {
 	if (!fl_job_ref_decode(fl_json_get(object, FL_FIELD_REF), out->ref))
@@ -142,7 +145,7 @@
 	return NULL;
 }
 
-/* Where it may run; NULL, or the first bad field. */
+/* Decodes where the job may run; returns NULL or the first bad field. */
 static const char *decode_placement_fields(const cJSON *object, struct fl_job_spec *out)
 {
 	if (!decode_machine_types(object, out))
@@ -158,7 +161,7 @@
 	return NULL;
 }
 
-/* What it needs and how long it takes; NULL, or the first bad field. */
+/* Decodes the job's resources and durations; returns NULL or the first bad field. */
 static const char *decode_amount_fields(const cJSON *object, struct fl_job_spec *out)
 {
 	const struct {
@@ -251,7 +254,7 @@
 	return fl_json_print_and_delete(object);
 }
 
-/* `id` ends at `end`. One that no job can have leaves `ref` empty. */
+/* Copies the job id from `id` up to `end`; leaves `ref` empty if it is not valid. */
 static void copy_valid_ref(char ref[FL_REF_MAX], const char *id, const char *end)
 {
 	size_t length = (size_t)(end - id);
@@ -284,7 +287,7 @@
 	suffix = strchr(id, '/');
 	if (suffix && strcmp(suffix, cancel_suffix) != 0)
 		return FL_USER_REQUEST_UNKNOWN;
-	/* The path is valid even with an id that no job can have: the job is unknown. */
+	/* A path with an invalid job id is still valid: the response is that no such job exists. */
 	copy_valid_ref(ref, id, suffix ? suffix : id + strlen(id));
 	return suffix ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
 }
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -10,10 +10,10 @@
                                                 "busy", "no_such", "mates_gone", "alone"};
 static const char *const command_names[] = {"launch", "kill", "forget"};
 
-/* The statuses of a worker's answers that hold a heartbeat. */
+/* HTTP statuses of a worker's response; with ACCEPTED and REJECTED it holds a heartbeat. */
 enum { STATUS_ACCEPTED = 200, STATUS_REJECTED = 409, STATUS_INVALID = 400 };
 
-/* "run-000412/3" */
+/* Decodes the name of a task, such as "run-000412/3". */
 static bool decode_task_name(const char *name, struct fl_task_status *status)
 {
 	const char *slash = strchr(name, '/');
@@ -64,7 +64,10 @@
 	int count = cJSON_GetArraySize(list);
 	const cJSON *item;
 
-	/* Decoded without its tasks, it would show none on the machine: each would start again. */
+	/*
+	 * A heartbeat without the list must not be read as one without tasks: each task of the
+	 * machine would be started again.
+	 */
 	if (!cJSON_IsArray(list))
 		return FL_DECODE_MALFORMED;
 	if (count == 0)
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -1,7 +1,7 @@
 /*
- * The protocol with workers: their heartbeats, and the commands that they get as the answer to one
- * or directly. Encoded texts are the caller's to free. What a worker sends is checked field by
- * field: a heartbeat that is decoded holds valid job ids, indexes and states only.
+ * The protocol with workers: their heartbeats, and the commands sent to them in the reply to a
+ * heartbeat or directly. The caller frees encoded texts. Every field that a worker sends is
+ * validated: a decoded heartbeat holds only valid job ids, task indexes and states.
  */
 #ifndef FL_PROTOCOL_WORKERS_H
 #define FL_PROTOCOL_WORKERS_H
@@ -9,7 +9,7 @@
 #include "protocol/users.h"
 #include "transport/http_client.h"
 
-/* The state of a task in a heartbeat. AWAITING_GANG: it waits for the gang's other tasks. */
+/* The state of a task in a heartbeat. AWAITING_GANG: it waits for the other tasks of its gang. */
 enum fl_task_state {
 	FL_TASK_STATE_PULLING,
 	FL_TASK_STATE_RUNNING,
@@ -17,7 +17,7 @@
 	FL_TASK_STATE_EXITED,
 	FL_TASK_STATE_AWAITING_GANG
 };
-/* Why a task ended. OTHER: no reason is given, or none that this version knows. */
+/* Why a task ended. OTHER: the reason is missing, or this version does not know it. */
 enum fl_exit_reason {
 	FL_EXIT_DONE,
 	FL_EXIT_STOPPED,
@@ -36,8 +36,8 @@
 	uint32_t index;
 	uint32_t attempt;
 	enum fl_task_state state;
-	enum fl_exit_reason exit_reason; /* valid if EXITED */
-	bool checkpoint_saved;           /* its checkpoint is stored */
+	enum fl_exit_reason exit_reason; /* valid only if `state` is EXITED */
+	bool checkpoint_saved;           /* the task's checkpoint is stored */
 };
 
 /* A worker's heartbeat. */
@@ -45,25 +45,24 @@
 	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], type[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
 	uint64_t incarnation, sequence, fencing_token;
-	double interruption_in_s;     /* seconds until the machine is taken back; < 0: no notice */
+	double interruption_in_s;     /* until the cloud reclaims the machine; < 0: no notice */
 	struct fl_task_status *tasks; /* owned; see fl_heartbeat_free */
 	int task_count;
-	int entry_node_index; /* not in the message: the node it was sent to, by an index; 0: not
-	                         known */
+	int entry_node_index; /* of the node it was sent to; 0: unknown; not in the message */
 };
 
-/* What a worker is to do with an attempt. */
+/* The action of a command on an attempt of a task. */
 enum fl_command_kind { FL_COMMAND_START, FL_COMMAND_STOP, FL_COMMAND_FORGET };
 
-/* A command to a worker, about one attempt of a task. */
+/* A command to a worker, for one attempt of a task. */
 struct fl_command {
 	enum fl_command_kind kind;
-	const char *ref; /* the job; not owned */
+	const char *ref; /* the job id; not owned */
 	uint32_t index, attempt;
-	double grace_period_s; /* of FL_COMMAND_STOP; not sent with the others */
+	double grace_period_s; /* sent only with FL_COMMAND_STOP */
 };
 
-/* Builds the answer to a heartbeat, or the body of a direct command. */
+/* A builder of the reply to a heartbeat, or of the body of a direct command. */
 struct fl_command_list {
 	cJSON *root, *list;
 	int count;
@@ -72,37 +71,38 @@
 /* Decodes a heartbeat. */
 enum fl_decode_result fl_heartbeat_decode(const char *body, size_t length,
                                           struct fl_heartbeat *out);
-/* The same from JSON that has been parsed; NULL is malformed. */
+/* Decodes a heartbeat from parsed JSON; NULL is malformed. */
 enum fl_decode_result fl_heartbeat_decode_json(const cJSON *object, struct fl_heartbeat *out);
 /* Frees what a heartbeat holds, not the struct itself. */
 void fl_heartbeat_free(struct fl_heartbeat *heartbeat);
-/* The heartbeat as fl_heartbeat_decode reads it, to be freed; the tests' workers send it. */
+/* Encodes a heartbeat as fl_heartbeat_decode reads it; used by the workers of the tests. */
 char *fl_heartbeat_encode(const struct fl_heartbeat *heartbeat);
 
-/* Begins commands that carry this fencing token. */
+/* Begins an empty list of commands with this fencing token. */
 void fl_command_list_init(struct fl_command_list *commands, uint64_t fencing_token);
 /* Adds a command, whose strings are copied. */
 void fl_command_list_add(struct fl_command_list *commands, const struct fl_command *command);
-/* Makes the commands valid for this incarnation of the worker only, as direct ones must be. */
+/* Makes the commands valid only for this incarnation of the worker; required for direct ones. */
 void fl_command_list_bind_incarnation(struct fl_command_list *commands, uint64_t incarnation);
-/* The body, to be freed; the builder is used up. */
+/* Returns the encoded body and consumes the builder. */
 char *fl_command_list_take_body(struct fl_command_list *commands);
 
 /* The result of a direct command. */
 enum fl_worker_result {
-	FL_WORKER_ACCEPTED, /* carried out; the heartbeat shows its effect */
-	FL_WORKER_REJECTED, /* of another incarnation or fencing token; the heartbeat shows why */
-	FL_WORKER_INVALID,  /* refused as malformed (400); no heartbeat */
-	FL_WORKER_OUTCOME_UNKNOWN /* no heartbeat: it may or may not have been carried out */
+	FL_WORKER_ACCEPTED, /* executed; the heartbeat shows the effect */
+	FL_WORKER_REJECTED, /* another incarnation or fencing token; the heartbeat shows which */
+	FL_WORKER_INVALID,  /* rejected as malformed (400); no heartbeat */
+	FL_WORKER_OUTCOME_UNKNOWN /* no heartbeat; the command may have been executed */
 };
 
 /*
- * POST /commands to a worker. `heartbeat` is the caller's to free if ACCEPTED or REJECTED, and
- * empty else. Waits for at most `timeout_s`, so it must be called from a coroutine.
+ * Sends commands to a worker by POST /commands. If the result is ACCEPTED or REJECTED, the caller
+ * frees `heartbeat`; otherwise it is empty. Waits for at most `timeout_s`, so it must be called
+ * from a coroutine.
  */
 enum fl_worker_result fl_worker_send_commands(const char *endpoint, const char *body,
                                               double timeout_s, struct fl_heartbeat *heartbeat);
-/* The answer that names the node to send heartbeats to (NULL: none is known), to be freed. */
+/* Encodes the reply that redirects a worker's heartbeats to `node`; NULL: no node is known. */
 char *fl_redirect_encode(const char *node);
 
 #endif
