--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -1,7 +1,7 @@
 /*
  * Messages between controllers: periodic gossip about the leader and cancellations, and users'
- * requests that are forwarded to the leader. Points in time are sent as ages in seconds, because
- * the clocks of two controllers cannot be compared; an age is that at the time of sending.
+ * requests that are forwarded to the leader. Points in time are sent as ages, in seconds at the
+ * time of sending, because the clocks of two controllers cannot be compared.
  */
 #ifndef FL_PROTOCOL_PEERS_H
 #define FL_PROTOCOL_PEERS_H
@@ -27,7 +27,7 @@
 	/* Time since the sending of the store read that shows this leader and fencing token. */
 	double leader_confirmed_age_s;
 	bool sender_is_leader;  /* the sender holds a valid leader lease */
-	double watermark_age_s; /* cancellations after the watermark may be missing */
+	double watermark_age_s; /* the sender may lack cancellations after its watermark */
 	/*
 	 * In a reply: `cancelled` has every cancellation that the sender has learned of since the
 	 * requester's watermark. If false, some may be missing, and the requester must not raise
