--- a/src/coordination/api/status_from_leader.c
+++ b/src/coordination/api/status_from_leader.c
@@ -31,7 +31,7 @@
 
 	if (!job)
 		fl_finished_job_add(&node->cluster, ref, record->status, record->task_count,
-		                    fl_since(record->cancelled_wall));
+		                    fl_monotonic_from_wall(record->cancelled_wall));
 	else if (revision > job->record.mod_revision)
 		fl_job_record_apply_cancellation(node, job, record, revision);
 }
--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -49,7 +49,8 @@
 
 	/* The user is told of it, so the other controllers must learn it from this one. */
 	if (result == FL_RECORD_FOUND && record->final && value)
-		fl_cluster_mark_cancelled(&node->cluster, ref, fl_since(record->cancelled_wall));
+		fl_cluster_mark_cancelled(&node->cluster, ref,
+		                          fl_monotonic_from_wall(record->cancelled_wall));
 	cJSON_Delete(value);
 	return result;
 }
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -185,7 +185,7 @@
 	struct fl_autoscaler_plan plan = {.autoscaler = &node->autoscaler,
 	                                  .cluster = &node->cluster,
 	                                  .now = fl_now(),
-	                                  .now_wall = fl_wall()};
+	                                  .now_wall = fl_wall_time()};
 
 	if (node->autoscaler.scale_out_in_flight)
 		return;
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -73,7 +73,7 @@
 	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != expected_method(kind)) {
 		fl_respond_error(response, 405, "method not allowed");
 		/* After a HEAD the body would be taken for the next response. */
-		response->close = true;
+		response->close_connection = true;
 		return;
 	}
 	/*
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -146,7 +146,7 @@
 	task->last_observed_state = FL_OBSERVED_NONE;
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
-	task->placed_wall = fl_wall();
+	task->placed_wall = fl_wall_time();
 	fl_task_mark_changed(cluster, job, index);
 	return FL_PLACE_OK;
 }
@@ -165,7 +165,7 @@
 	task->incarnation = recorded->incarnation;
 	task->placed_wall = recorded->placed_wall;
 	/* Placed by an earlier leader: the work since then is lost if the task is stopped. */
-	task->running_since = fmin(now, fl_since(recorded->placed_wall));
+	task->running_since = fmin(now, fl_monotonic_from_wall(recorded->placed_wall));
 	/*
 	 * Its image is there, and stays when the task is lost with its worker's incarnation: after
 	 * an outage of all controllers hundreds of tasks start again, fastest where they ran.
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -289,7 +289,7 @@
 	struct fl_job_spec spec;
 
 	fl_job_to_spec(&fixture->node.cluster, fixture->job, &spec);
-	return fl_job_record_encode_cancelled(&spec, 1, fl_wall() - seconds);
+	return fl_job_record_encode_cancelled(&spec, 1, fl_wall_time() - seconds);
 }
 
 void apply_cancellation(struct node_fixture *fixture, double seconds)
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -29,7 +29,7 @@
 } world;
 
 /* Each piece of work of a busy controller takes a while, in which nothing else of it runs. */
-void sim_process_compute(int process)
+void sim_process_delay_if_slow(int process)
 {
 	if (world.busy)
 		sim_process_pause_until(process, fl_now() + computation_s);
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -262,7 +262,7 @@
 		response = send_user_request(fixture, requests[i].kind, "run-000001",
 		                             requests[i].body);
 		assert_int_equal(response.status, 503);
-		assert_true(response.retry_after_s > 0 && response.close);
+		assert_true(response.retry_after_s > 0 && response.close_connection);
 		free(response.body);
 	}
 
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -41,7 +41,7 @@
 };
 
 /* No controller here is slow. */
-void sim_process_compute(int process) { (void)process; }
+void sim_process_delay_if_slow(int process) { (void)process; }
 
 /* To the leader, or to the third controller, which passes messages on. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -38,7 +38,7 @@
 };
 
 /* No controller here is slow. */
-void sim_process_compute(int process) { (void)process; }
+void sim_process_delay_if_slow(int process) { (void)process; }
 
 /* The link between the two: the leader answers half-way, by what it knows at that moment. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
