--- a/src/protocol/status_messages.c
+++ b/src/protocol/status_messages.c
@@ -1,6 +1,6 @@
 #include "protocol/status_messages.h"
 
-/* {"refs":["run-000412",...]} */
+/* Format: {"refs":["run-000412",...]} */
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count)
 {
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "refs");
@@ -35,7 +35,7 @@
 	return result;
 }
 
-/* {"jobs":[[status,done,running],null,...]} */
+/* Format: {"jobs":[[status,done,running],null,...]}; null: the status is not known. */
 char *fl_status_answer_encode(const struct fl_job_status_report *reports, int count)
 {
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "jobs");
@@ -44,9 +44,8 @@
 		const struct fl_job_status_report *report = &reports[i];
 		double values[] = {report->status, report->done_count, report->running_count};
 
-		cJSON_AddItemToArray(list, report->known_to_leader
-		                                   ? cJSON_CreateDoubleArray(values, 3)
-		                                   : cJSON_CreateNull());
+		cJSON_AddItemToArray(list, report->status_known ? cJSON_CreateDoubleArray(values, 3)
+		                                                : cJSON_CreateNull());
 	}
 	return fl_json_print_and_delete(object);
 }
@@ -62,7 +61,7 @@
 	    fl_json_get_uint_at(item, 1, FL_TASKS_MAX, &done) != FL_JSON_OK ||
 	    fl_json_get_uint_at(item, 2, FL_TASKS_MAX, &running) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
-	*out = (struct fl_job_status_report){.known_to_leader = true,
+	*out = (struct fl_job_status_report){.status_known = true,
 	                                     .status = (enum fl_job_status)status,
 	                                     .done_count = (uint32_t)done,
 	                                     .running_count = (uint32_t)running};
