--- a/src/coordination/api/job_status_response.c
+++ b/src/coordination/api/job_status_response.c
@@ -4,14 +4,14 @@
 
 struct fl_job_status_report fl_final_job_report(enum fl_job_status status, uint32_t task_count)
 {
-	return (struct fl_job_status_report){.known_to_leader = true,
+	return (struct fl_job_status_report){.status_known = true,
 	                                     .status = status,
 	                                     .done_count = status == FL_DONE ? task_count : 0};
 }
 
 struct fl_job_status_report fl_live_job_report(const struct fl_job *job)
 {
-	return (struct fl_job_status_report){.known_to_leader = true,
+	return (struct fl_job_status_report){.status_known = true,
 	                                     .status = fl_job_current_status(job),
 	                                     .done_count = job->counts.done,
 	                                     .running_count = job->counts.running};
--- a/src/coordination/api/status_query_batch.c
+++ b/src/coordination/api/status_query_batch.c
@@ -81,7 +81,7 @@
 static enum fl_query_result respond_from_batch(const struct status_batch *batch, int index,
                                                struct fl_http_response *response)
 {
-	if (!batch->reports[index].known_to_leader)
+	if (!batch->reports[index].status_known)
 		return FL_QUERY_NOT_IN_MEMORY;
 	fl_respond_job_status(response, batch->refs[index], &batch->reports[index]);
 	return FL_QUERY_ANSWERED;
--- a/tests/test_contract_peers.c
+++ b/tests/test_contract_peers.c
@@ -211,7 +211,7 @@
 	(void)state;
 	assert_int_equal(fl_status_answer_decode(text, strlen(text), got, COUNT_OF(expected)), 0);
 	for (int i = 0; i < COUNT_OF(expected); i++) {
-		assert_int_equal(got[i].known_to_leader, expected[i].known_to_leader);
+		assert_int_equal(got[i].status_known, expected[i].status_known);
 		assert_int_equal(got[i].status, expected[i].status);
 		assert_int_equal(got[i].done_count, expected[i].done_count);
 		assert_int_equal(got[i].running_count, expected[i].running_count);
--- a/tests/test_status_messages.c
+++ b/tests/test_status_messages.c
@@ -47,10 +47,10 @@
 	text = fl_status_answer_encode(states, 2);
 	assert_int_equal(fl_status_answer_decode(text, strlen(text), decoded_states, 2),
 	                 FL_DECODE_OK);
-	assert_true(decoded_states[0].known_to_leader && decoded_states[0].status == FL_RUNNING);
+	assert_true(decoded_states[0].status_known && decoded_states[0].status == FL_RUNNING);
 	assert_int_equal(decoded_states[0].done_count, 3);
 	assert_int_equal(decoded_states[0].running_count, 13);
-	assert_false(decoded_states[1].known_to_leader);
+	assert_false(decoded_states[1].status_known);
 	free(text);
 	assert_int_equal(decode_answer("{\"jobs\":[null]}", 2), FL_DECODE_MALFORMED);
 	assert_int_equal(decode_answer("{\"jobs\":[[9,0,0]]}", 1), FL_DECODE_MALFORMED);
