--- a/tests/fake_workers.c
+++ b/tests/fake_workers.c
@@ -86,7 +86,7 @@
 {
 	for (int i = 0; i < FAKE_TASKS; i++)
 		if (machine->tasks[i].used &&
-		    worker_command_names_attempt(status, &machine->tasks[i].status))
+		    worker_command_is_for_attempt(status, &machine->tasks[i].status))
 			return &machine->tasks[i];
 	return NULL;
 }
@@ -98,7 +98,7 @@
 		for (int i = 0; i < FAKE_TASKS && !fake_machines[k]->deleted; i++) {
 			const struct fake_task *task = &fake_machines[k]->tasks[i];
 
-			if (!task->used || !worker_command_names_task(status, &task->status))
+			if (!task->used || !worker_command_is_for_task(status, &task->status))
 				continue;
 			if (fake_machines[k] == machine && task->status.attempt == status->attempt)
 				return true;
--- a/tests/reconciliation_workers.c
+++ b/tests/reconciliation_workers.c
@@ -56,7 +56,7 @@
 
 	for (int i = 0; i < WORKER_TASKS; i++)
 		copies += is_running(&worker->tasks[i]) &&
-		          worker_command_names_task(status, &worker->tasks[i].status);
+		          worker_command_is_for_task(status, &worker->tasks[i].status);
 	return copies;
 }
 
@@ -95,7 +95,7 @@
 {
 	for (int i = 0; i < WORKER_TASKS; i++)
 		if (worker->tasks[i].used &&
-		    worker_command_names_attempt(status, &worker->tasks[i].status))
+		    worker_command_is_for_attempt(status, &worker->tasks[i].status))
 			return &worker->tasks[i];
 	return NULL;
 }
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -128,7 +128,7 @@
  * leader, which took the record for its own earlier write, did not stop the job that it had
  * confirmed.
  */
-static void a_leader_learns_of_a_cancellation_from_the_record(void **state)
+static void a_leader_applies_a_cancellation_from_the_job_record(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_finished_job *final;
@@ -181,7 +181,7 @@
 		NODE_TEST(a_cancellation_read_while_a_heartbeat_waits_is_applied),
 		NODE_TEST(a_repeated_heartbeat_is_answered_with_the_stop_command_again),
 		NODE_TEST(a_new_leader_does_not_renew_the_lease_of_a_cancelled_task),
-		NODE_TEST(a_leader_learns_of_a_cancellation_from_the_record),
+		NODE_TEST(a_leader_applies_a_cancellation_from_the_job_record),
 		NODE_TEST(a_cancellation_keeps_its_age_across_a_failover),
 	};
 
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -175,7 +175,7 @@
 }
 
 /* Across a failover nothing is known that would show a copy to be old, except its fencing token. */
-static void a_late_heartbeat_copy_after_a_failover_is_only_answered(void **state)
+static void a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_task_status status = running_task(0, 1);
@@ -288,7 +288,7 @@
 		NODE_TEST(a_machine_is_suspect_after_commands_without_effect),
 		NODE_TEST(a_machine_is_not_suspect_after_one_lost_reply),
 		NODE_TEST(a_machine_with_a_long_heartbeat_interval_is_not_suspect),
-		NODE_TEST(a_late_heartbeat_copy_after_a_failover_is_only_answered),
+		NODE_TEST(a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied),
 		NODE_TEST(a_late_heartbeat_copy_within_a_leadership_changes_nothing),
 		NODE_TEST(a_command_reply_that_overtakes_a_heartbeat_reply_proves_no_absence),
 	};
