--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -1,4 +1,4 @@
-/* Plain entries for snapshots, and a scheduling cycle of the real scheduler on one. */
+/* Default entries for snapshots, and a cycle of the real scheduler on a snapshot. */
 #include "schedule_fixture.h"
 
 #include <setjmp.h>
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-static int no_cache[FL_IMAGE_CACHE_MAX];
+static int default_cached_images[FL_IMAGE_CACHE_MAX];
 
 void run_schedule(struct snapshot *snapshot, struct fl_sched_output *output)
 {
@@ -44,8 +44,10 @@
 
 struct fl_sched_machine plain_machine(double cpus)
 {
-	return (struct fl_sched_machine){
-		.free.cpus = cpus, .free.ram_gb = 64, .pull_gb_s = 1, .cached_images = no_cache};
+	return (struct fl_sched_machine){.free.cpus = cpus,
+	                                 .free.ram_gb = 64,
+	                                 .pull_gb_s = 1,
+	                                 .cached_images = default_cached_images};
 }
 
 struct fl_sched_attempt running_attempt(int machine, double cpus, double remaining_s)
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -7,7 +7,7 @@
 
 enum { OVERDUE_AFTER_S = 120, RANK_URGENT_SERVICE = 3 };
 
-/* The machine with the lowest score that may take one more task now; -1: none. */
+/* Returns the machine with the lowest cost on which one more task may start now; -1: none. */
 static int model_best_machine(const struct model *model, const struct fl_sched_job *job, int zone,
                               const struct model_constraint *constraint)
 {
@@ -22,7 +22,7 @@
 		    !model_zone_allowed(job, machine->zone) ||
 		    !model_duration_allowed(constraint, i))
 			continue;
-		/* Reserved to one before this job. */
+		/* Resources reserved for a job that precedes this one are not available. */
 		if (!model_task_fits(job, model_available_resources(model, job, i)))
 			continue;
 		if (best < 0 ||
@@ -33,7 +33,10 @@
 	return best;
 }
 
-/* Whether one task of a service waits for a machine that has its image, which is then reserved. */
+/*
+ * Returns whether a task of an urgent service waits for a machine that has its image cached, rather
+ * than starting on this machine. If so, capacity has been requested there.
+ */
 static bool model_task_awaits_image(struct model *model, struct fl_sched_job *job,
                                     const struct fl_sched_machine *machine)
 {
@@ -58,7 +61,7 @@
 	job->startable_count--;
 }
 
-/* Starts what fits; whether some of the rest found no machine. */
+/* Starts the tasks that fit; returns whether a remaining task found no machine. */
 static bool model_start_fitting_tasks(struct model *model, int job_index,
                                       const struct model_constraint *constraint)
 {
@@ -105,7 +108,7 @@
 	return job->within_guaranteed ? 1 : 0;
 }
 
-/* The formula of the paper, with the waiting of overdue jobs. */
+/* Returns the priority by the paper's formula, in which the weight of the wait also grows. */
 static double model_effective_priority(const struct fl_sched_job *job)
 {
 	static const double weights[] = {0.1, 1, 10, 100};
@@ -116,7 +119,7 @@
 	       (1 / sqrt(job->need.cpus * job->task_count / 32)) * weights[job->priority];
 }
 
-/* The job to be examined next: by rank, then by the priority formula; -1: none is left. */
+/* Returns the job to be considered next, by rank and then by priority; -1: none is left. */
 static int model_next_job(const struct model *model, const bool *examined)
 {
 	int next = -1, next_rank = 0;
@@ -139,7 +142,7 @@
 	return next;
 }
 
-/* The job becomes the top one, whose window bounds the ends of what starts after it. */
+/* Makes the job the top job, whose window limits the duration of tasks that start later. */
 static void model_set_top_job(struct model *model, int job_index, double *max_task_duration_s)
 {
 	const struct fl_sched_job *job = &model->snapshot.jobs[job_index];
@@ -161,7 +164,7 @@
 	                                                    : job->service      ? INFINITY
 	                                                                        : 3600};
 
-	/* The top's window does not bind what may stop the top's tasks. */
+	/* The window of the top job does not limit jobs that may preempt the top job's tasks. */
 	if (model->top_job >= 0 && model_job_rank(job) != RANK_URGENT_SERVICE &&
 	    job->priority <= model->snapshot.jobs[model->top_job].priority)
 		constraint.max_task_duration_s = max_task_duration_s;
--- a/tests/schedule_model_reservations.c
+++ b/tests/schedule_model_reservations.c
@@ -1,4 +1,4 @@
-/* The reservations of the model: which machine, and what is preempted there. */
+/* The reservations of the model: the machine for each, and the attempts preempted there. */
 #include "schedule_model.h"
 
 #include <math.h>
@@ -10,7 +10,7 @@
 	       constraint->estimate_s <= constraint->max_task_duration_s[machine];
 }
 
-/* Of the attempts on a machine that may be preempted, that which loses least; -1: none. */
+/* Returns the preemptible attempt on a machine that would lose the least work; -1: none. */
 static int model_cheapest_victim(const struct model *model, const struct fl_sched_job *job,
                                  int machine, bool within_guarantee, const bool *victims)
 {
@@ -28,7 +28,7 @@
 	return cheapest;
 }
 
-/* Cost of freeing resources for one task on a machine; INFINITY if that is impossible. */
+/* Returns the cost of freeing resources for a task on a machine; INFINITY: not possible. */
 static double model_preemption_cost(const struct model *model, const struct fl_sched_job *job,
                                     int machine, bool within_guarantee, bool *victims)
 {
@@ -49,7 +49,7 @@
 	return cost;
 }
 
-/* The machine on which one more task costs least to make fit; -1: none. */
+/* Returns the machine with the lowest cost of preemption and placement of a task; -1: none. */
 static int model_machine_to_reserve(const struct model *model, const struct fl_sched_job *job,
                                     const struct model_constraint *constraint)
 {
@@ -78,7 +78,7 @@
 	return best;
 }
 
-/* Cheapest first, as they were chosen. */
+/* Preempts the victims, the cheapest first, which is the order in which they were chosen. */
 static void model_preempt_victims(struct model *model, int machine, bool *victims)
 {
 	for (;;) {
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -1,4 +1,4 @@
-/* The rules of the model: where a task may run, at what score, and what may be stopped for it. */
+/* The rules of the model: where a task may run, at what cost, and what may be preempted for it. */
 #include "schedule_model.h"
 
 #include <math.h>
@@ -84,7 +84,7 @@
 	return cost;
 }
 
-/* How many tasks of the job fit, a thousand at most. */
+/* Returns how many tasks of the job fit, at most 1000. */
 static int model_task_capacity(const struct fl_sched_job *job, struct fl_resources available)
 {
 	int count = 0;
@@ -132,7 +132,10 @@
 	if (attempt->last_running_task && job->priority != FL_URGENT &&
 	    job->priority != FL_CRITICAL)
 		return false;
-	/* What is within a guarantee gives way to a service, its own team, or another guarantee. */
+	/*
+	 * By priority, guaranteed work is preempted only for a service, its own team or other
+	 * guaranteed work.
+	 */
 	if (attempt->priority < job->priority)
 		return !attempt->within_guaranteed || job->within_guaranteed || job->service ||
 		       attempt->team == job->team;
@@ -141,7 +144,7 @@
 	       !model_usage_within_guarantee(team, team->used_cpus, team->used_gpus);
 }
 
-/* What of a reservation the other requests of this cycle do not cover is not available. */
+/* Subtracts the part of a reservation that the requests of this cycle do not cover. */
 static void model_subtract_uncovered(double *available, double reserved, double requested)
 {
 	if (reserved > requested)
@@ -168,7 +171,7 @@
 	return available;
 }
 
-/* Free on a machine at this time from now, by the estimates of its attempts. */
+/* Returns what is free on a machine `time_s` from now, by the estimates of its attempts. */
 static struct fl_resources model_free_resources_at(const struct model *model, int machine_index,
                                                    double time_s)
 {
@@ -184,7 +187,7 @@
 	return available;
 }
 
-/* Would the job's next start fit at this time from now, by the estimates? */
+/* Returns whether the job's next start fits `time_s` from now, by the estimates. */
 static bool model_job_fits_at(const struct model *model, const struct fl_sched_job *job,
                               double time_s)
 {
--- a/tests/schedule_random.c
+++ b/tests/schedule_random.c
@@ -1,4 +1,4 @@
-/* Random machines, attempts and jobs; the draws follow each other in a fixed order. */
+/* Random machines, attempts and jobs. The order of the draws is fixed: seeds depend on it. */
 #include "schedule_random.h"
 
 #include <math.h>
--- a/tests/schedule_random.h
+++ b/tests/schedule_random.h
@@ -1,4 +1,4 @@
-/* Random snapshots of a cluster, the same ones for the same seed. */
+/* Random snapshots of a cluster; equal seeds give equal snapshots. */
 #ifndef FL_TESTS_SCHEDULE_RANDOM_H
 #define FL_TESTS_SCHEDULE_RANDOM_H
 
@@ -6,10 +6,13 @@
 
 #include "schedule_fixture.h"
 
-/* A whole number from 0 to limit - 1. */
+/* Returns a random integer from 0 to limit - 1. */
 double random_below(gsl_rng *rng, int limit);
 
-/* At most so many jobs and machines, and so many tries to add an attempt that fits. */
+/*
+ * Fills the snapshot with at most `jobs` jobs and `machines` machines, and with those of
+ * `attempt_tries` random attempts that fit on their machine.
+ */
 void random_snapshot(gsl_rng *rng, struct snapshot *snapshot, int jobs, int machines,
                      int attempt_tries);
 
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -1,6 +1,6 @@
 /*
- * Background work: arrays of classes for which the settings name no service-level objective. It
- * waits for work of its priority that is expected by a time, and still begins as soon as any other.
+ * Background work: arrays of classes without a service-level objective (SLO) in the settings. It
+ * waits for work of its priority that has an SLO, but begins as early as any other job.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -50,7 +50,7 @@
 	                                      .teams = &site->team};
 }
 
-/* Which job the only free place goes to. */
+/* Runs a cycle; returns the job that gets the only free place. */
 static int first_started_job(struct site *site)
 {
 	struct fl_sched_output output;
@@ -70,7 +70,7 @@
 	(void)state;
 	init_site(&site, 90, true);
 
-	/* By the product of the paper the longer wait decides. */
+	/* By the paper's priority formula, the job that has waited longer starts first. */
 	assert_int_equal(first_started_job(&site), BACKGROUND);
 
 	init_site(&site, 90, true);
@@ -78,7 +78,7 @@
 	assert_int_equal(first_started_job(&site), WITH_SLO);
 }
 
-/* Its waiting weighs more and more too, so that no stream of other work keeps it for ever. */
+/* The weight of its wait grows as well, so that no stream of other work can starve it. */
 static void background_work_starts_when_it_has_waited_long(void **state)
 {
 	struct site site;
@@ -89,7 +89,7 @@
 	assert_int_equal(first_started_job(&site), BACKGROUND);
 }
 
-/* The largest job of any class begins within four minutes. */
+/* Even the largest job of any class must begin within four minutes. */
 static void background_work_begins_as_early_as_any_other(void **state)
 {
 	struct site site;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -1,6 +1,6 @@
 /*
- * Cancelled jobs: their tasks end in bounded time, whichever controllers are reachable, since no
- * lease of a worker is renewed by a node that cannot exclude a cancellation.
+ * The tasks of cancelled jobs end in bounded time, regardless of which controllers are reachable,
+ * since a node renews a worker's lease only if it can rule out a cancellation.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,8 +21,8 @@
 #include "transport/clock.h"
 
 /*
- * Found with controllers eight times slower: nobody led for long enough to stop anything, and all
- * renewed leases of cancelled tasks past the time in which these must have ended.
+ * Guards against cancelled tasks that run past their deadline: with controllers eight times slower,
+ * no leader led for long enough to stop a task, and all controllers kept renewing the leases.
  */
 static void the_lease_of_a_cancelled_task_is_not_renewed_past_its_deadline(void **state)
 {
@@ -33,7 +33,7 @@
 
 	become_follower(fixture, 0);
 
-	/* One more lease still ends before the tasks must have ended. */
+	/* A lease renewed now still ends before the deadline of the cancelled tasks. */
 	apply_cancellation(fixture, renewable_s - 2);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 200);
 
@@ -43,7 +43,7 @@
 	final->cancelled_at -= 3;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 21, &status), 503);
 
-	/* Others are renewed, and so is this one when the task has ended. */
+	/* The lease is renewed if the task is of another job or has ended. */
 	strcpy(status.ref, "run-000002");
 	assert_int_equal(send_task_heartbeat(fixture, 1, 22, &status), 200);
 
@@ -51,13 +51,16 @@
 	status.state = FL_TASK_STATE_EXITED;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 23, &status), 200);
 
-	/* With the jobs not read for so long, any may have been cancelled. */
+	/* The job records were not read for so long that any job may have been cancelled. */
 	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	fixture->node.live_jobs_loaded = true;
 	assert_int_equal(send_idle_heartbeat(fixture, 1, 24), 503);
 }
 
-/* Forwarded on two paths, only the second answer reached the worker, and it was empty. */
+/*
+ * Guards against a lost stop command: a heartbeat was forwarded on two paths, and only the second
+ * reply, which had no commands, reached the worker.
+ */
 static void a_repeated_heartbeat_is_answered_with_the_stop_command_again(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -76,8 +79,9 @@
 }
 
 /*
- * Found with slow controllers that had all ended: the heartbeat came before the list of jobs,
- * waited for it, and was answered by what had been known before the wait.
+ * Guards against a renewal for a cancelled task: after a restart of all controllers, which were
+ * slow, a heartbeat arrived before the job list, waited for it, and was answered from the state
+ * before the wait.
  */
 static void a_cancellation_read_while_a_heartbeat_waits_is_applied(void **state)
 {
@@ -102,7 +106,10 @@
 	end_waiting_heartbeat(&waiting);
 }
 
-/* A new leader answers its first heartbeats without applying them, and renews no such lease. */
+/*
+ * A new leader replies to heartbeats with an older fencing token without applying them, so it must
+ * not renew the lease of a cancelled task.
+ */
 static void a_new_leader_does_not_renew_the_lease_of_a_cancelled_task(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -114,7 +121,7 @@
 	become_leader(fixture, FENCING_TOKEN + 1);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 503);
 
-	/* One that is taken in has its task stopped, and the answer may renew the lease. */
+	/* The reply to an applied heartbeat stops the task, and may therefore renew the lease. */
 	assert_int_equal(
 		send_heartbeat(fixture, make_heartbeat(1, 21, FENCING_TOKEN + 1, &status, 1), NULL),
 		200);
@@ -124,9 +131,9 @@
 }
 
 /*
- * Found with controllers eight times slower: the write of a cancellation went unanswered, and the
- * leader, which took the record for its own earlier write, did not stop the job that it had
- * confirmed.
+ * Guards against a cancelled job that is not stopped: with controllers eight times slower, the
+ * write of a cancellation got no reply, and the leader took the record for its own earlier write
+ * and did not stop the job, although it had confirmed the cancellation.
  */
 static void a_leader_applies_a_cancellation_from_the_job_record(void **state)
 {
@@ -143,7 +150,10 @@
 	assert_true(fixture->job->cancelled && !fixture->job->record.write_outcome_unknown &&
 	            fixture->job->record.mod_revision == 9);
 
-	/* Or while it still loads its cluster state, and its lease may be another's already. */
+	/*
+	 * The same holds while the node loads its cluster state, when another node may already hold
+	 * the leader lease.
+	 */
 	fixture->job->cancelled = fixture->node.leadership.active = false;
 	final = fixture->node.cluster.finished;
 	HASH_DEL(fixture->node.cluster.finished, final);
@@ -157,7 +167,10 @@
 	assert_non_null(fl_finished_job_find(&fixture->node.cluster, fixture->job->ref));
 }
 
-/* A new leader continues the count: else one that leads briefly would never expire a machine. */
+/*
+ * If the time since the cancellation restarted at each failover, leaders that lead only briefly
+ * would never expire a machine.
+ */
 static void a_cancellation_keeps_its_age_across_a_failover(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -170,7 +183,7 @@
 	assert_true(decoded.final && decoded.has_spec && decoded.status == FL_CANCELLED);
 	assert_true(fabs(fl_since(decoded.cancelled_wall) - (fl_now() - 20)) < 1);
 
-	/* Records of earlier versions do not say: they count from now. */
+	/* Records of earlier versions lack the time of the cancellation; it counts from now. */
 	assert_true(fabs(fl_since(0) - fl_now()) < 1);
 }
 
--- a/tests/test_cancellation_gossip.c
+++ b/tests/test_cancellation_gossip.c
@@ -1,6 +1,6 @@
 /*
- * Cancellations learned from the other controllers: what a node that cannot read the records knows
- * of them, and for how long it may renew leases by that.
+ * Cancellations learned from other controllers: a node that cannot read the job records learns of
+ * them by gossip, and may renew leases for as long as its cancellation watermark is recent.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,7 +18,7 @@
 #include "protocol/peers.h"
 #include "transport/clock.h"
 
-/* One exchange between two controllers, asked so long ago. */
+/* Exchanges gossip between two controllers; the request was sent `sent_ago_s` ago. */
 static void exchange_gossip(struct node_fixture *requester, int peer_index,
                             struct node_fixture *replier, double sent_ago_s)
 {
@@ -34,8 +34,8 @@
 }
 
 /*
- * A node that the key-value store refuses learns from another what has been cancelled, so it knows
- * as much as that one, and stops the task with the same answer that renews the lease.
+ * A node without access to the key-value store learns of cancellations from a peer. It then stops
+ * the task with the same reply that renews the lease.
  */
 static void a_controller_learns_cancellations_from_a_peer(void **state)
 {
@@ -49,7 +49,7 @@
 	fixture->node.cancellation_watermark = fl_now() - renewable_s - 1;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 20, &status), 503);
 
-	/* The other has read the records 3 s ago, and a job has been cancelled since. */
+	/* The peer read the job records 3 s ago, and has learned of a cancellation since. */
 	apply_cancellation(other, 1);
 	other->node.cancellation_watermark = fl_now() - 3;
 	exchange_gossip(fixture, 0, other, 0.01);
@@ -58,7 +58,7 @@
 	assert_int_equal(send_task_heartbeat(fixture, 1, 21, &status), 200);
 	assert_int_equal(stop_commands_in_reply, 1);
 
-	/* What has ended needs no stop, and what is not cancelled gets none. */
+	/* A task that has ended or whose job is not cancelled gets no stop command. */
 	status.state = FL_TASK_STATE_EXITED;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 22, &status), 200);
 	assert_int_equal(stop_commands_in_reply, 0);
@@ -70,10 +70,10 @@
 	tear_down((void **)&other);
 }
 
-/* Three followers that have not read for so long that they may renew no lease. */
+/* Three followers that have not read the job records for so long that they renew no leases. */
 struct outage {
 	struct node_fixture *fixture, *first_peer, *second_peer;
-	double old_watermark;
+	double old_watermark; /* of all three; monotonic clock, s */
 };
 
 static void begin_outage(struct outage *outage, struct node_fixture *fixture)
@@ -95,14 +95,14 @@
 	tear_down((void **)&outage->second_peer);
 }
 
-/* The second peer is asked, and what it replies is not enough. */
+/* Exchanges gossip with the second peer; its reply must not raise the watermark. */
 static void assert_watermark_not_raised(const struct outage *outage, double sent_ago_s)
 {
 	exchange_gossip(outage->fixture, 1, outage->second_peer, sent_ago_s);
 	assert_true(outage->fixture->node.cancellation_watermark <= outage->old_watermark);
 }
 
-/* It has learned of more cancellations than a reply has room for. */
+/* Adds more cancellations than fit into one reply. */
 static void add_more_cancellations_than_fit(struct node_fixture *fixture)
 {
 	for (int i = 0; i <= FL_GOSSIP_CANCELLED_MAX; i++) {
@@ -114,9 +114,10 @@
 }
 
 /*
- * In an outage nobody can read. But no user gets a cancellation confirmed except by a controller
- * that has learned of it: when all have answered, the oldest question counts like a read. One that
- * is silent, has not read since it started, knows more than fits, or answers too late ends that.
+ * During an outage no controller can read the job records. But only a controller that has learned
+ * of a cancellation confirms it to a user, so once all peers have replied, the time of the oldest
+ * request counts as the time of a read. This does not hold if a peer does not reply or replies too
+ * late, has not read the records since its start, or has more cancellations than fit into a reply.
  */
 static void gossip_replies_of_all_peers_raise_the_cancellation_watermark(void **state)
 {
@@ -128,14 +129,17 @@
 	exchange_gossip(fixture, 0, outage.first_peer, 0.1);
 	assert_true(fixture->node.cancellation_watermark <= outage.old_watermark);
 
-	peer->node.live_jobs_loaded = false; /* just restarted: what had it confirmed before? */
+	/* The peer has just restarted: its earlier process may have confirmed a cancellation. */
+	peer->node.live_jobs_loaded = false;
 	assert_watermark_not_raised(&outage, 0.1);
 
 	peer->node.live_jobs_loaded = true;
-	assert_watermark_not_raised(&outage,
-	                            2.0); /* suspended between the question and its sending */
 
-	peer->node.cluster.finished_dropped_up_to = fl_now(); /* something learned was dropped */
+	/* The reply is too late: this node was suspended during the exchange. */
+	assert_watermark_not_raised(&outage, 2.0);
+
+	/* The peer has dropped cancellations that it had learned of. */
+	peer->node.cluster.finished_dropped_up_to = fl_now();
 	assert_watermark_not_raised(&outage, 0.1);
 
 	peer->node.cluster.finished_dropped_up_to = -1e9;
@@ -144,10 +148,10 @@
 
 	for (struct fl_finished_job *entry = peer->node.cluster.finished; entry;
 	     entry = entry->hh.next)
-		/* Older than what the asker knows: not sent again. */
+		/* Older than the requester's watermark, so not sent again. */
 		entry->added_at = outage.old_watermark - 9;
 
-	/* The last one that it learned, and the only one that is sent. */
+	/* The cancellation learned last, and the only one that is sent. */
 	fl_finished_job_add(&peer->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
 	exchange_gossip(fixture, 1, peer, 0.1);
 
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -1,7 +1,6 @@
 /*
- * The cluster state in memory and its forms in the key-value store: progress records and the
- * write-ahead log, jobs that appear and are deleted, final states, and machines whose entries are
- * purged.
+ * The cluster state in memory and in the key-value store: progress records, the write-ahead log,
+ * added and deleted jobs, final states, and machines whose entries are purged.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,7 +18,7 @@
 #include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
-/* A job cancelled before any task was placed has no task blocks: this once crashed the leader. */
+/* Guards against a crash of the leader: a job cancelled before any placement has no blocks. */
 static void a_job_without_task_blocks_can_be_cancelled(void **state)
 {
 	struct simulation *sim = *state;
@@ -34,7 +33,7 @@
 	                 FL_CANCELLED);
 }
 
-/* A machine's attempts count in their zone from when the zone is known, and not before. */
+/* Attempts on a machine are counted for its zone only once that zone is known. */
 static void tasks_are_counted_by_zone_when_the_zone_becomes_known(void **state)
 {
 	static const char record[] = "{\"d\":[[0,1]],\"t\":[[2,7]],\"m\":[[3,2,\"m-000009\",1]]}";
@@ -64,8 +63,9 @@
 }
 
 /*
- * The write-ahead log is read with the records, whichever is newer: what is done stays done, a
- * higher attempt counts, and an attempt that was released is not placed again by an older entry.
+ * A progress record and the write-ahead log are merged by the newer state of each task: a done task
+ * stays done, the higher attempt number is used, and an older entry does not place a released
+ * attempt again.
  */
 static void write_ahead_log_and_record_are_merged_by_the_newer_entry(void **state)
 {
@@ -105,8 +105,10 @@
 	assert_int_equal(job->counts.placed, 1);
 	assert_int_equal(job->counts.done, 2);
 
-	/* What only the write-ahead log holds is unsaved here too, so that the next value holds it
-	 * again. */
+	/*
+	 * Changes that only the write-ahead log holds count as unsaved, so that its next value
+	 * contains them again.
+	 */
 	assert_true(job->record.is_dirty);
 	assert_false(fl_task_change_is_saved(fl_job_task_block(job, 0), fl_task_find(job, 4)));
 	assert_true(fl_task_change_is_saved(fl_job_task_block(job, 0), fl_task_find(job, 1)));
@@ -130,7 +132,7 @@
 	}
 }
 
-/* Hundreds of tasks of many jobs become durable in a few values, where records take one each. */
+/* Placements of many jobs become durable in a few values; records would need one per job. */
 static void the_write_ahead_log_holds_many_jobs_in_few_values(void **state)
 {
 	struct simulation *sim = *state;
@@ -164,11 +166,14 @@
 	}
 	assert_int_equal(groups, 60);
 
-	/* 300 placements: at most five values of 4 KiB instead of sixty. */
+	/* 300 placements take at most five values of 4 KiB instead of sixty. */
 	assert_true(bytes < 5 * 0.85 * 4096);
 }
 
-/* A watch lags: the submission of a job that was over before the failover arrives after it. */
+/*
+ * A watch may lag: the event of a submission can arrive after a failover although the job had
+ * finished before it.
+ */
 static void a_deleted_job_is_not_restored_by_a_late_watch_event(void **state)
 {
 	struct simulation *sim = *state;
@@ -186,7 +191,10 @@
 	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 90));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 101));
 
-	/* Nor does a late event during the failover's list: only the list itself marks jobs. */
+	/*
+	 * A late event while a failover reads the job list does not restore the job either: only
+	 * the list marks jobs as present.
+	 */
 	cluster->job_list_revision = 0;
 	fl_cluster_begin_job_list(cluster);
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 102));
@@ -195,7 +203,7 @@
 	assert_null(fl_job_find(cluster, spec.ref));
 	assert_non_null(fl_cluster_apply_job_record(cluster, spec.ref, record, 104));
 
-	/* A follower drops what is deleted, and what a new list no longer holds. */
+	/* A follower drops deleted jobs, and jobs that a new list no longer contains. */
 	cluster->has_leader_state = false;
 	assert_null(fl_cluster_apply_job_record(cluster, spec.ref, NULL, 110));
 	assert_null(fl_job_find(cluster, spec.ref));
@@ -210,7 +218,7 @@
 	cJSON_Delete(record);
 }
 
-/* Final states are cached up to a bound; the oldest are only in their records. */
+/* Final states are cached up to a maximum number; older ones are only in their records. */
 static void cached_final_states_are_bounded_by_their_maximum(void **state)
 {
 	struct simulation *sim = *state;
@@ -229,7 +237,7 @@
 	assert_non_null(fl_finished_job_find(cluster, "run-001015"));
 }
 
-/* The index of a purged machine passes to another one, whose tasks must refer to it. */
+/* A purge gives the index of the machine to another one, whose tasks must use the new index. */
 static void tasks_refer_to_their_machine_after_another_was_purged(void **state)
 {
 	struct simulation *sim = *state;
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -1,6 +1,6 @@
 /*
- * A controller that is busy keeps its lease: the coroutines of the lease go before all that is
- * ready. Virtual time, and a key-value store made here.
+ * A busy controller keeps its leader lease, because the coroutines of the lease run before all
+ * other ready coroutines. Uses virtual time and a fake of the key-value store and the cloud.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,8 +17,8 @@
 #include "virtual_time_fixture.h"
 
 enum { PROCESS = 1, BUSY_COROUTINES = 300 };
-static const double computation_s = 0.005;   /* s of each piece of work */
-static const double one_way_delay_s = 0.002; /* s each way of a call */
+static const double computation_s = 0.005;   /* of each piece of work */
+static const double one_way_delay_s = 0.002; /* in each direction of a call */
 static const double idle_duration_s = 2, busy_duration_s = 30;
 
 static struct {
@@ -28,14 +28,14 @@
 	int renewals, lease_grants;
 } fixture;
 
-/* Each piece of work of a busy controller takes a while, in which nothing else of it runs. */
+/* Each piece of work of a busy controller takes time during which it runs no other coroutine. */
 void sim_process_compute(int process)
 {
 	if (fixture.busy)
 		sim_process_pause_until(process, fl_now() + computation_s);
 }
 
-/* An empty key-value store that grants leases; and a cloud without machines. */
+/* Returns the reply of an empty key-value store that grants leases, or of an empty cloud. */
 static const char *response_text(const char *path)
 {
 	if (strstr(path, "/extend")) {
@@ -79,7 +79,7 @@
 	fl_election_start(&fixture.node, &callbacks);
 }
 
-/* Ready again as soon as it has run. */
+/* A coroutine that is ready again as soon as it has run. */
 static void yield_forever(void *arg)
 {
 	(void)arg;
@@ -88,8 +88,8 @@
 }
 
 /*
- * Without it each wait of a renewal is as long as a round of all that is ready, 1.5 s here, and the
- * lease of 3 s ends.
+ * Without this precedence, each wait of a renewal takes a round of all ready coroutines, 1.5 s
+ * here, and the lease of 3 s ends.
  */
 static void a_leader_keeps_its_lease_when_its_controller_is_busy(void **state)
 {
@@ -118,7 +118,7 @@
 	assert_true(fl_leader_lease_is_valid(&node->leader_lease));
 	assert_int_equal(fixture.lease_grants, 1);
 
-	/* One each 0.8 s, and what the work before it takes. */
+	/* A renewal is due every 0.8 s, plus the time of the work that runs before it. */
 	assert_true(fixture.renewals - renewals_before >= (int)busy_duration_s);
 
 	virtual_time_end();
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -1,6 +1,6 @@
 /*
- * What a new leader and a follower read from the key-value store: a record that cannot be read and
- * a list that is not whole decide nothing, and a job that is over is finished.
+ * What a new leader and a follower read from the key-value store: malformed records and incomplete
+ * lists lead to no decision, and a job whose tasks have all ended is finished.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -29,7 +29,7 @@
 	"{\"final\":\"aborted\"}",
 };
 
-/* What a list lacks counts as deleted: it must say that it is complete. */
+/* A list must state whether it is complete, because missing entries count as deleted. */
 static void check_partial_lists(struct frontend_fixture *fixture)
 {
 	struct fl_cloud_machine *machines;
@@ -37,12 +37,12 @@
 	int count;
 
 	if (fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
-		note_failure(fixture, "a good list is not read");
+		note_failure(fixture, "a well-formed list was not read");
 	free(machines);
 	fixture->lists_without_more = true;
 	if (fl_failover_load_cluster(&fixture->node) == FL_FAILOVER_LOADED ||
 	    fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
-		note_failure(fixture, "half a list passes for a whole one");
+		note_failure(fixture, "an incomplete list was accepted as complete");
 	fixture->lists_without_more = false;
 }
 
@@ -54,7 +54,7 @@
 	fixture->record = RECORD("\"Apart\":true");
 	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED ||
 	    !fl_job_find(&fixture->node.cluster, "run-000001"))
-		note_failure(fixture, "a good record is not read");
+		note_failure(fixture, "a well-formed record was not read");
 	check_partial_lists(fixture);
 	for (size_t i = 0; i < sizeof(malformed_records) / sizeof(malformed_records[0]); i++) {
 		fixture->record = malformed_records[i];
@@ -64,10 +64,11 @@
 		fl_symbol_intern(&fixture->node.cluster.zones, "a");
 		if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
 		    fixture->node.cluster.finished)
-			note_failure(fixture, "is decided by: %s", fixture->record);
+			note_failure(fixture, "failover accepted a malformed record: %s",
+			             fixture->record);
 	}
 	if (fixture->record_writes)
-		note_failure(fixture, "something is written");
+		note_failure(fixture, "a job record was written");
 }
 
 static void a_new_leader_makes_no_decision_if_a_record_is_malformed(void **state)
@@ -75,7 +76,7 @@
 	run_in_coroutine(*state, load_malformed_records);
 }
 
-/* Nor does a node whose watch brings it: the job neither runs nor is over. */
+/* A malformed record from the watch adds neither a live nor a finished job. */
 static void a_follower_ignores_a_malformed_record(void **state)
 {
 	struct frontend_fixture *fixture = *state;
@@ -92,14 +93,14 @@
 	}
 }
 
-/* Loads one job with this progress; is its final state to be written? */
+/* Loads one job with this progress; returns whether its final record is due to be written. */
 static bool loaded_job_is_finished(struct frontend_fixture *fixture, const char *record,
                                    const char *progress)
 {
 	fixture->record = record;
 	fixture->progress = progress;
 	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED)
-		note_failure(fixture, "a good record is not read");
+		note_failure(fixture, "a well-formed record was not read");
 	return fixture->node.cluster.dirty_jobs &&
 	       fixture->node.cluster.dirty_jobs ==
 	               fl_job_find(&fixture->node.cluster, "run-000001");
@@ -112,18 +113,19 @@
 
 	fixture->node.leader_lease.held = true;
 	if (loaded_job_is_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
-		note_failure(fixture, "one task is still to run");
+		note_failure(fixture, "job finished although one task has not ended");
 	if (!loaded_job_is_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
-		note_failure(fixture, "all its tasks are done");
+		note_failure(fixture, "job not finished although all its tasks are done");
 	if (!loaded_job_is_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
-		note_failure(fixture, "it is cancelled, and nothing of it is anywhere");
+		note_failure(fixture,
+		             "cancelled job not finished although no task of it is placed");
 	if (loaded_job_is_finished(fixture, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
-		note_failure(fixture, "it is cancelled, and a task may still run");
+		note_failure(fixture, "cancelled job finished although a task may still run");
 }
 
 /*
- * The previous leader ended between the record of the last task and that of the job. Nothing of the
- * job changes any more: found as a job that stayed pending for ever with all its tasks done.
+ * Guards against a job that stays pending with all its tasks done: if the previous leader ended
+ * after the record of the last task and before the final record, no task of the job changes again.
  */
 static void a_new_leader_finishes_jobs_whose_tasks_have_all_ended(void **state)
 {
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -1,4 +1,4 @@
-/* The failure detector: after what silence a machine is declared lost, alone or with others. */
+/* The failure detector: after how long a silence a machine expires, alone or with others. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -30,7 +30,7 @@
 	                                           timeouts);
 }
 
-/* A machine with a task, whose zone has the only peer. */
+/* Adds a machine with a task, and the only peer, in the same zone; returns the peer. */
 static struct fl_peer *add_machine_with_peer_in_zone(struct node_fixture *fixture)
 {
 	struct fl_peer *peer = &fixture->node.peers[0];
@@ -42,7 +42,7 @@
 	return peer;
 }
 
-/* All controllers well for long: only the machine can be faulty, a shorter silence is enough. */
+/* If all controllers are stable, only the machine can be faulty, so a shorter timeout applies. */
 static void a_machine_expires_early_when_all_controllers_are_stable(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -58,7 +58,7 @@
 	assert_true(machine_is_expired(fixture));
 }
 
-/* Workers may still be looking for a node: it expires after a lease. */
+/* Workers may still be searching for a controller, so the machine expires after a lease. */
 static void a_machine_expires_after_a_lease_when_a_controller_came_up_recently(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -74,7 +74,7 @@
 	assert_true(machine_is_expired(fixture));
 }
 
-/* With its zone's controllers it expires when these must stop renewing. */
+/* If its zone's controllers are silent too, it expires when they must stop renewing leases. */
 static void a_machine_expires_late_when_the_controller_of_its_zone_is_silent_too(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -89,7 +89,7 @@
 	assert_true(machine_is_expired(fixture));
 }
 
-/* Silent long before, or of another zone. */
+/* The controller fell silent long before the machine, or is in another zone. */
 static void a_machine_expires_after_a_lease_when_the_silent_controller_is_unrelated(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -117,8 +117,8 @@
 }
 
 /*
- * Found on a standard day: a zone apart, whose controller had just ended, expired a few machines
- * at a time, each time too few to look like a partition, until all of it was returned.
+ * Guards against the loss of a partitioned zone: when its controller had just ended, its machines
+ * expired a few at a time, each time too few to indicate a partition, until all were returned.
  */
 static void a_zone_is_not_expired_a_few_machines_at_a_time(void **state)
 {
@@ -130,7 +130,7 @@
 	for (int i = 2; i < 22; i++)
 		add_machine(fixture, i, false, 1);
 
-	/* This one is due; three more of the four of its zone are silent too. */
+	/* m-000001 is past its timeout; the other three machines of its zone are silent too. */
 	for (int i = 0; i < 3; i++) {
 		silent_machines[i] = add_machine(fixture, 30 + i, false, 0);
 		silent_machines[i]->heartbeat.last_received_at = fl_now() - 7;
@@ -141,7 +141,7 @@
 	set_machine_silence(fixture, 31);
 	assert_true(machine_is_expired(fixture));
 
-	/* Many reclaimed spot machines are no sign of a partition. */
+	/* Many reclaimed spot machines do not indicate a partition. */
 	set_machine_silence(fixture, 11);
 	for (int i = 0; i < 3; i++)
 		silent_machines[i]->spot = true;
@@ -149,8 +149,9 @@
 }
 
 /*
- * Found at a thousand machines: dozens that failed at once were waited for as in a partition of two
- * links, since more than two were silent. How many are many depends on the number of machines.
+ * Guards against late detection on a large site: of a thousand machines, dozens failed at once and
+ * got the timeout of a network partition, because more than two were silent. The limit is therefore
+ * a share of the machines.
  */
 static void a_small_share_of_silent_machines_expires_early(void **state)
 {
@@ -172,7 +173,7 @@
 	assert_true(machine_is_expired(fixture));
 }
 
-/* An unreachable machine expires like a silent one; many at once point at this node. */
+/* An unreachable machine expires like a silent one; many at once indicate a fault of this node. */
 static void an_unreachable_machine_expires_unless_many_are_unreachable_at_once(void **state)
 {
 	struct node_fixture *fixture = *state;
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -1,6 +1,6 @@
 /*
- * An array of 100,000 tasks, the most that the protocol allows: what it costs in memory, records
- * and the work of a scheduling cycle, by counts.
+ * The cost of an array of 100,000 tasks, the maximum of the protocol: memory, records and the work
+ * of a scheduling cycle, measured by counts rather than by time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,7 +21,7 @@
 enum {
 	MACHINES = 300,
 	TASKS_PER_MACHINE = 48,
-	VALUE_MAX_BYTES = 4096, /* bytes, of the smallest key-value store that is run */
+	VALUE_MAX_BYTES = 4096, /* of the smallest key-value store in use */
 	PLACEMENT_MAX_BYTES = 48
 };
 
@@ -92,7 +92,7 @@
 	return count;
 }
 
-/* The first tasks in order, as many as the machines hold. */
+/* Places the first tasks in order, as many as fit on the machines; returns their number. */
 static uint32_t fill_machines(struct site *site)
 {
 	uint32_t index = 0;
@@ -119,7 +119,7 @@
 	assert_true(sizeof(struct fl_task_block) <= (size_t)FL_TASK_BLOCK_SIZE * 80);
 }
 
-/* Its 100,000 waiting tasks are no more work than those that one scheduling cycle may start. */
+/* The work for 100,000 waiting tasks is no more than for those that one cycle may start. */
 static void a_scheduling_cycle_examines_few_tasks_of_a_large_array(void **state)
 {
 	struct site *site = *state;
@@ -137,11 +137,11 @@
 	fl_sched_output_free(&output);
 	fl_snapshot_free(&snapshot);
 
-	/* Nothing is allocated by looking. */
+	/* A scheduling cycle allocates no task blocks. */
 	assert_int_equal(allocated_block_count(site->job), 0);
 }
 
-/* Its tasks are all alike: the plan of rentals looks at each machine once, not for each task. */
+/* All its tasks are alike, so the plan examines each machine once rather than once per task. */
 static void a_scale_out_plan_examines_each_machine_once_for_a_large_array(void **state)
 {
 	struct site *site = *state;
@@ -160,7 +160,7 @@
 	assert_true(site->node.autoscaler.machines_examined <= MACHINES + 2L * (long)missing_tasks);
 }
 
-/* Every task block fits into a value, and the write-ahead log holds a placement in few bytes. */
+/* Every task block fits into a value, and a placement takes few bytes of the write-ahead log. */
 static void each_task_block_of_a_large_array_fits_into_a_value(void **state)
 {
 	struct site *site = *state;
@@ -184,7 +184,7 @@
 	assert_true(log_bytes <= (size_t)placed * PLACEMENT_MAX_BYTES);
 }
 
-/* What is done is ranges: a task block that is done takes a few bytes, whatever it went through. */
+/* Done tasks are stored as ranges, so a done block takes few bytes regardless of its history. */
 static void a_done_task_block_is_stored_as_a_range(void **state)
 {
 	struct site *site = *state;
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -1,6 +1,7 @@
 /*
- * Messages that arrive one way only, late, or twice: machines that send heartbeats and receive no
- * answers, copies of heartbeats long after them, and replies that overtake answers.
+ * One-way partitions and late, duplicate and out-of-order messages: machines whose heartbeats
+ * arrive but which receive no replies, late copies of heartbeats, and responses to direct commands
+ * that overtake replies to heartbeats.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,8 +16,7 @@
 #include "node_fixture.h"
 #include "transport/clock.h"
 
-/* Heartbeats arrive, answers do not: the start command shows no effect, however often it is sent.
- */
+/* Heartbeats arrive but replies do not, so repeated start commands have no effect. */
 static void an_unreachable_machine_gets_no_new_task_and_loses_none_early(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -30,10 +30,10 @@
 	assert_int_equal(start_commands, 3);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 
-	/* Silence counts from the first reply without effect, not from the last heartbeat. */
+	/* Silence is counted from the first unacknowledged reply, not from the last heartbeat. */
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < fl_now() - 4);
 
-	/* Its attempt may have been started all the same: only a proof frees it. */
+	/* The attempt may have started nevertheless; it is released after proof of its absence. */
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 	assert_int_equal(fixture->job->counts.waiting, 3);
 
@@ -43,14 +43,14 @@
 	assert_int_equal(fixture->job->counts.waiting, 4);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 
-	/* Gone for good: its work is free once, and a later heartbeat changes nothing. */
+	/* A decommission does not release the task again, and a later heartbeat has no effect. */
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "returned");
 	assert_int_equal(deliver_idle_heartbeat(fixture, 2, 6),
 	                 REJECTED(FL_RECONCILE_DECOMMISSIONED));
 	assert_int_equal(fixture->job->counts.waiting, 4);
 }
 
-/* An idle machine shows it only by incarnations that end and by waiting out its timeout. */
+/* Only ended incarnations and timeouts of its worker show that an idle machine is unreachable. */
 static void an_idle_unreachable_machine_is_detected(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -58,7 +58,7 @@
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 1), 0);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 
-	/* A worker that had its reply sends the next one soon; this one waited for its timeout. */
+	/* A worker that receives a reply sends its next heartbeat soon; this worker timed out. */
 	set_last_reply_age(fixture, 5);
 	deliver_idle_heartbeat(fixture, 1, 2);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
@@ -69,13 +69,13 @@
 	}
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < INFINITY);
 
-	/* Once it answers a command itself, all is well again. */
+	/* A response to a direct command shows that the machine is reachable again. */
 	deliver_heartbeat(fixture, make_heartbeat(3, 31, FENCING_TOKEN, NULL, 0),
 	                  FL_HEARTBEAT_FROM_COMMAND);
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) == INFINITY);
 }
 
-/* However prompt its heartbeats: a command or fencing token without effect twice is enough. */
+/* Two replies without effect are enough, even if the heartbeats of the machine are prompt. */
 static void a_machine_is_suspect_after_commands_without_effect(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -123,7 +123,7 @@
 	assert_int_equal(only_machine(fixture)->outbound.unacknowledged_replies, 0);
 	assert_int_equal(task->last_observed_state, FL_OBSERVED_RUNNING);
 
-	/* A longer pause, as after an outage, is over with the next prompt heartbeat. */
+	/* After a longer pause, as in an outage, it is suspect until its next prompt heartbeat. */
 	set_last_reply_age(fixture, 6);
 	deliver_task_heartbeat(fixture, 1, 5, &status);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
@@ -134,8 +134,9 @@
 }
 
 /*
- * Found at the size at which workers send a heartbeat every 6 s: the time between two heartbeats
- * made every idle machine look unreachable. That it stays at its node shows that answers reach it.
+ * Guards against reachable machines that get no tasks: on sites so large that workers send a
+ * heartbeat every 6 s, the time between two heartbeats made every idle machine look unreachable. A
+ * worker that keeps sending to the same node shows that replies reach it.
  */
 static void a_machine_with_a_long_heartbeat_interval_is_not_suspect(void **state)
 {
@@ -145,7 +146,7 @@
 	fixture->config.report_s = 6;
 	fixture->node.peer_count = 2;
 	for (heartbeat.entry_node = 1; heartbeat.entry_node <= 3; heartbeat.entry_node++) {
-		/* It changes its node after a timeout, or when it was redirected. */
+		/* A worker changes its entry node after a timeout or a redirect. */
 		for (int i = 0; i < 3; i++) {
 			deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 			assert_int_equal(fl_reachability_is_suspect(only_machine(fixture)),
@@ -155,7 +156,7 @@
 		}
 	}
 
-	/* Even then its own answer to a command, or a start command that shows, ends the doubt. */
+	/* Even then, a response to a direct command or an executed start command is enough. */
 	heartbeat.entry_node = 1;
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
@@ -164,7 +165,7 @@
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_COMMAND);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 
-	/* Where there is no other node, only a start command without effect shows it. */
+	/* Without another node, only a start command without effect makes a machine suspect. */
 	fixture->node.peer_count = 0;
 	for (int i = 0; i < 3; i++) {
 		set_last_reply_age(fixture, 6);
@@ -174,14 +175,14 @@
 	}
 }
 
-/* Across a failover nothing is known that would show a copy to be old, except its fencing token. */
+/* After a failover, only its fencing token shows that a copy of a heartbeat is old. */
 static void a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_task_status status = running_task(0, 1);
 	struct fl_task *task;
 
-	/* A machine that the leader before returned: no record, no list names it any more. */
+	/* The previous leader returned this machine, so no record and no list contains it. */
 	assert_int_equal(deliver_heartbeat(fixture,
 	                                   make_heartbeat(1, 50, FENCING_TOKEN - 1, &status, 1),
 	                                   FL_HEARTBEAT_FROM_WORKER),
@@ -193,7 +194,7 @@
 	                 0);
 	assert_null(only_machine(fixture));
 
-	/* One that is known from a record: the copy neither shows life nor what is absent. */
+	/* For a machine known from a record, a copy proves no contact and no absence of a task. */
 	fl_cluster_describe_machine(
 		fl_machine_get_or_add(&fixture->node.cluster.machines, "m-000001", fl_now()), 0, 0,
 		false, "x");
@@ -213,8 +214,7 @@
 	assert_true(only_machine(fixture)->heartbeat.last_received_at == 0);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 
-	/* The worker itself has seen the answer and sends the fencing token: now it
-	 * counts. */
+	/* The worker has received a reply and sends its fencing token: this one is applied. */
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 70), 0);
 	assert_true(only_machine(fixture)->lifecycle.up);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
@@ -232,7 +232,7 @@
 	only_machine(fixture)->heartbeat.last_received_at =
 		only_machine(fixture)->outbound.last_reachable_at = heartbeat_at = fl_now() - 30;
 	for (int source = FL_HEARTBEAT_FROM_WORKER; source <= FL_HEARTBEAT_FROM_DIGEST; source++) {
-		/* Older, of the same number, and of an earlier incarnation with a higher number. */
+		/* Older, duplicate, and of an earlier incarnation with a higher number. */
 		assert_int_equal(deliver_heartbeat(fixture,
 		                                   make_heartbeat(2, 11, FENCING_TOKEN, NULL, 0),
 		                                   (enum fl_heartbeat_source)source),
@@ -258,10 +258,11 @@
 }
 
 /*
- * Found by the random walk: a reply with a start command is in flight when the task is stopped. The
- * reply to the stop lacks the task, since the worker has not had the answer yet.
+ * Guards against a task that is released too early: the reply with its start command is in flight
+ * when the task is stopped. The response to the stop command does not report the task, since the
+ * worker has not received that reply yet.
  */
-static void a_command_reply_that_overtakes_a_heartbeat_reply_proves_no_absence(void **state)
+static void a_command_response_that_overtakes_a_heartbeat_reply_does_not_prove_absence(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_task *task;
@@ -275,7 +276,7 @@
 	                  FL_HEARTBEAT_FROM_COMMAND);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 
-	/* Its own next heartbeat is sent when the answer has been carried out or dropped. */
+	/* The worker sends its next heartbeat after it has executed or dropped that reply. */
 	deliver_idle_heartbeat(fixture, 1, 4);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
 }
@@ -290,7 +291,8 @@
 		NODE_TEST(a_machine_with_a_long_heartbeat_interval_is_not_suspect),
 		NODE_TEST(a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied),
 		NODE_TEST(a_late_heartbeat_copy_within_a_leadership_changes_nothing),
-		NODE_TEST(a_command_reply_that_overtakes_a_heartbeat_reply_proves_no_absence),
+		NODE_TEST(
+			a_command_response_that_overtakes_a_heartbeat_reply_does_not_prove_absence),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_reconcile_results.c
+++ b/tests/test_reconcile_results.c
@@ -1,4 +1,4 @@
-/* Which result a heartbeat has, by the reason why it counts or not; and their order. */
+/* The results of heartbeats, by the reason why they are applied or not, and their order. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -19,7 +19,7 @@
 	return fl_reconcile_heartbeat(&fixture->node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND);
 }
 
-static void heartbeat_results_tell_why_a_heartbeat_was_not_applied(void **state)
+static void heartbeat_results_distinguish_why_a_heartbeat_was_not_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
 
@@ -32,7 +32,7 @@
 	assert_int_equal(reconcile(fixture, 1, 9, FENCING_TOKEN), FL_RECONCILE_IGNORED_STALE);
 	fl_reconcile_decommission(&fixture->node, only_machine(fixture), "test");
 	assert_int_equal(reconcile(fixture, 2, 6, FENCING_TOKEN), FL_RECONCILE_DECOMMISSIONED);
-	/* Whatever else is wrong with it: the worker is to learn that its machine is gone. */
+	/* This result takes precedence, so that the worker learns that its machine is gone. */
 	assert_int_equal(reconcile(fixture, 2, 6, FENCING_TOKEN - 1), FL_RECONCILE_DECOMMISSIONED);
 	assert_int_equal(reconcile(fixture, 2, 6, FENCING_TOKEN + 1), FL_RECONCILE_DECOMMISSIONED);
 }
@@ -62,7 +62,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		NODE_TEST(heartbeat_results_tell_why_a_heartbeat_was_not_applied),
+		NODE_TEST(heartbeat_results_distinguish_why_a_heartbeat_was_not_applied),
 		NODE_TEST(ignored_heartbeats_are_not_rejected),
 		NODE_TEST(the_incarnation_takes_precedence_over_the_sequence_number),
 	};
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -1,7 +1,7 @@
 /*
- * Jobs, attempts and records under random interleavings: heartbeats late or repeated, answers and
- * commands lost, late or carried out twice, leaders that end and are followed by others. And a job
- * whose every attempt fails.
+ * Jobs, attempts and records under random interleavings: heartbeats that are late or repeated,
+ * replies and commands that are lost, late or executed twice, and failovers. Also the retries of a
+ * job whose every attempt fails, and the quarantine of machines.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,7 +21,7 @@
 	struct worker *worker = &sim->workers[worker_index];
 	char *text;
 
-	/* An answer in flight is carried out before the next heartbeat or never. */
+	/* A reply in flight is executed before the next heartbeat or never. */
 	if (worker->reply_in_flight && random_below(sim, 4))
 		execute_commands(sim, worker_index, worker->reply_in_flight, false);
 	drop_reply(worker);
@@ -36,7 +36,7 @@
 	struct worker *worker = &sim->workers[worker_index];
 	struct fl_task_status *status;
 
-	/* Not used, but drawn so that each seed still plays the same case. */
+	/* Unused, but drawn so that each seed still gives the same sequence of steps. */
 	(void)random_below(sim, WORKER_TASKS);
 	for (int i = 0; i < WORKER_TASKS; i++) {
 		if (!worker->tasks[i].used ||
@@ -100,7 +100,7 @@
 	place_some_tasks(sim);
 }
 
-/* The scheduler stops something to free its resources. */
+/* Marks a task on the first machine for preemption, as the scheduler does. */
 static void preempt_a_task(struct simulation *sim, int worker)
 {
 	const struct fl_machines *machines = &sim->node.cluster.machines;
@@ -112,7 +112,7 @@
 			->stop_reason = FL_STOP_PREEMPT;
 }
 
-/* What a step may do, and how often. */
+/* The possible actions of a step, with their relative frequencies. */
 static const struct {
 	int weight;
 	void (*run)(struct simulation *sim, int worker);
@@ -160,22 +160,22 @@
 		done_tasks += sim->completions;
 		failovers += sim->failovers;
 		for (int j = 0; j < JOBS; j++) {
-			bool all = true;
+			bool all_done = true;
 
 			for (int k = 0; k < TASKS; k++)
-				all = all && sim->actually_done[j][k];
-			finished_jobs += all;
+				all_done = all_done && sim->actually_done[j][k];
+			finished_jobs += all_done;
 		}
 		tear_down(sim);
 	}
 
-	/* The random walk must make progress: jobs finish, leaders change. */
+	/* The random steps must make progress: jobs finish and leaders change. */
 	assert_true(start_commands > 4000 && done_tasks > 600 && failovers > 500 &&
 	            finished_jobs > 10);
 	free(sim);
 }
 
-/* One task of the job is placed on the machine and fails there. */
+/* Places a task of the job on the machine and reports that it failed; returns the machine. */
 static struct fl_machine *place_and_fail_task(struct simulation *sim, struct fl_job *job,
                                               int host_number, uint32_t index, uint64_t sequence)
 {
@@ -204,7 +204,7 @@
 	return machine;
 }
 
-/* A job that fails everywhere waits longer and longer, and does not make machines look faulty. */
+/* A job that fails on every machine is delayed ever longer, and no machine is quarantined. */
 static void a_job_backs_off_when_it_fails_on_every_machine(void **state)
 {
 	struct simulation *sim = *state;
@@ -222,7 +222,7 @@
 	assert_true(job->retry.not_before > now + 30 && job->retry.not_before < now + 90);
 }
 
-/* Two tasks of a job of which nothing ever completed are no evidence against their machine. */
+/* Two failed tasks of a job without a completed task do not quarantine their machine. */
 static void a_machine_is_quarantined_only_after_enough_failures(void **state)
 {
 	struct simulation *sim = *state;
@@ -233,10 +233,10 @@
 	assert_true(place_and_fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
 	assert_true(place_and_fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
 
-	/* A third in a row is: a service of one task must not go there again and again. */
+	/* A third one does; otherwise a service of one task would start there again and again. */
 	assert_true(place_and_fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
 
-	/* Where a task of the job has completed, two are enough. */
+	/* If another task of the job has completed, two failures are enough. */
 	job = fl_job_find(&sim->node.cluster, "run-000001");
 	fl_task_mark_done(&sim->node.cluster, job, 0);
 	assert_true(place_and_fail_task(sim, job, 61, 1, 1)->health.quarantined_until <= now);
--- a/tests/test_schedule_backfill.c
+++ b/tests/test_schedule_backfill.c
@@ -1,6 +1,6 @@
 /*
- * The backfill window of the scheduling cycle: how long it is, and that it does not begin anew with
- * each scheduling cycle.
+ * The backfill window of the scheduling cycle: its length, and that it does not restart with each
+ * cycle.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,7 +12,7 @@
 
 #include "schedule_fixture.h"
 
-/* Half of each of two machines is free in 10 s, a whole machine only in 100 s. */
+/* Half of each of two machines becomes free in 10 s, a whole machine only in 100 s. */
 static void a_backfill_window_is_not_shortened_by_fragmented_capacity(void **state)
 {
 	struct snapshot snapshot = {.job_count = 2, .machine_count = 2, .attempt_count = 4};
@@ -33,13 +33,13 @@
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.top_job, 0);
 
-	/* Judged by cores in total, it would be 4 * 10. */
+	/* Computed from the total of the free CPUs, the window would be 4 * 10 s. */
 	assert_true(fabs(output.window_s - 4 * 100) < 1e-6);
 	assert_int_equal(output.start_count, 1);
 	fl_sched_output_free(&output);
 }
 
-/* The window lasts over scheduling cycles: it may shrink but does not begin anew. */
+/* The window spans several scheduling cycles: it may shrink but does not restart. */
 static void a_backfill_window_does_not_restart_with_each_cycle(void **state)
 {
 	struct snapshot snapshot = {.job_count = 2, .machine_count = 1, .attempt_count = 1};
@@ -54,8 +54,7 @@
 	assert_int_equal(output.start_count, 1);
 	fl_sched_output_free(&output);
 
-	snapshot.jobs[0].window_remaining_s =
-		40; /* what is left of the window that was set long ago */
+	snapshot.jobs[0].window_remaining_s = 40; /* rest of a window set in an earlier cycle */
 	snapshot.jobs[1] = plain_job(1, 1, 50, 1);
 	snapshot.machines[0] = plain_machine(2);
 	run_schedule(&snapshot, &output);
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -1,6 +1,6 @@
 /*
- * The scheduling cycle against the slow, plain model of the same rules: on random snapshots, and
- * over many scheduling cycles in which each continues from the decisions of the one before.
+ * Compares the scheduling cycle with the slow, plain model of the same rules: on random snapshots,
+ * and over many cycles, each of which continues from the decisions of the previous one.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -46,7 +46,7 @@
 		assert_int_equal(output->preemptions[i], model->preemptions[i]);
 }
 
-/* Runs one cycle of both on the snapshot, which the real one changes. */
+/* Runs a cycle of the model and a real one, which changes the snapshot; asserts equal results. */
 static void compare_with_model(struct model *model, struct snapshot *snapshot,
                                struct totals *totals)
 {
@@ -71,7 +71,7 @@
 	totals->preemptions += output.preemption_count;
 	totals->top_jobs += output.top_job >= 0;
 	totals->machines_examined += output.machines_examined;
-	/* Each start, each reservation and each job that finds no machine examines all of them. */
+	/* Each start, each reservation and each job that finds no machine examines all machines. */
 	totals->machines_examined_max +=
 		(long)snapshot->machine_count *
 		(output.start_count + 2 * snapshot->job_count + 2 * output.preemption_count);
@@ -118,10 +118,10 @@
 		compare_with_model(model, snapshot, &small);
 	}
 
-	/* The snapshots must reach all of it. */
+	/* The snapshots must lead to starts, preemptions and top jobs. */
 	assert_true(small.starts > 4000 && small.preemptions > 400 && small.top_jobs > 400);
 
-	/* Hundreds of machines: the same decisions, and no more work than starts times machines. */
+	/* With hundreds of machines, decisions are equal and the work is bounded as above. */
 	for (int round = 0; round < 60; round++) {
 		random_snapshot(rng, snapshot, JOBS_MAX, MACHINES_MAX, ATTEMPTS_MAX);
 		for (int i = 0; i < TEAMS; i++) {
@@ -135,7 +135,7 @@
 	assert_true(large.machines_examined <= large.machines_examined_max);
 }
 
-/* Applies the model's starts to the snapshot, as a leader would. */
+/* Applies the model's starts to the snapshot, as a leader would; returns their number. */
 static long apply_starts(struct snapshot *snapshot, const struct model *model)
 {
 	for (int i = 0; i < model->start_count && snapshot->attempt_count < ATTEMPTS_MAX; i++) {
@@ -162,7 +162,7 @@
 	return model->start_count;
 }
 
-/* Some attempts end: what was stopped, and of the rest one in so many. */
+/* Ends the preempted attempts, and one in `one_in` of the others at random. */
 static void end_attempts(gsl_rng *rng, struct snapshot *snapshot, const struct model *model,
                          int one_in)
 {
@@ -183,7 +183,7 @@
 	}
 }
 
-/* Jobs without waiting tasks are replaced by others; the rest wait on. */
+/* Increases the wait of all jobs, and replaces jobs without startable tasks by new ones. */
 static void replace_finished_jobs(gsl_rng *rng, struct snapshot *snapshot,
                                   struct snapshot *replacement)
 {
@@ -198,8 +198,8 @@
 }
 
 /*
- * Hundreds of machines and thousands of tasks over many scheduling cycles: the decisions are
- * the plain model's all along, and the work stays in proportion to what is started.
+ * Hundreds of machines and thousands of tasks over many scheduling cycles: in each cycle the
+ * decisions equal those of the model, and the work stays in proportion to the starts.
  */
 static void scheduling_decisions_on_hundreds_of_machines_match_the_model(void **state)
 {
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -1,4 +1,4 @@
-/* Placement by the scheduling cycle: gangs as a whole, and services where their image is cached. */
+/* Placement: gangs start as a whole, and services start where their image is cached. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,8 +32,8 @@
 }
 
 /*
- * A service of two tasks, a free machine without its image, and two full ones that have it: on the
- * first a stop loses little, on the second too much.
+ * A service of two tasks, a free machine without its image, and two full machines with the image:
+ * stopping the attempt on the first of these loses little work, on the second too much.
  */
 struct cached_image_site {
 	int cached_images[FL_IMAGE_CACHE_MAX];
@@ -89,7 +89,10 @@
 	assert_int_equal(fl_schedule(&site->input, &site->output), FL_SCHEDULE_OK);
 }
 
-/* After a cycle: one task waits, and capacity is counted anew while the first victim stops. */
+/*
+ * Updates the snapshot after a cycle: one task waits, the first victim is being stopped, and the
+ * free resources are set accordingly.
+ */
 static void prepare_next_cycle(struct cached_image_site *site)
 {
 	fl_sched_output_free(&site->output);
@@ -101,8 +104,9 @@
 }
 
 /*
- * Found at a thousand machines: a quarter of the services' tasks were late by their fetch alone,
- * on free machines, while others that held the image ran arrays begun a moment ago.
+ * Guards against late service tasks: at a thousand machines, a quarter of them were late only
+ * because they fetched their image on a free machine, while machines with the image cached ran
+ * arrays that had just begun.
  */
 static void a_service_preempts_where_its_image_is_cached_if_little_is_lost(void **state)
 {
@@ -119,7 +123,7 @@
 	fl_sched_output_free(output);
 }
 
-/* Capacity about to become free is not requested again, and no other is used. */
+/* Capacity about to become free is not requested again, and no other capacity is used. */
 static void a_service_waits_for_the_machine_with_its_image_while_it_becomes_free(void **state)
 {
 	struct cached_image_site *site = *state;
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -1,6 +1,6 @@
 /*
  * Preemption by the scheduling cycle: capacity that is about to become free is not requested twice,
- * and goes to the job for which a task was stopped.
+ * and goes to the job for which the attempt there was preempted.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,7 +11,7 @@
 
 #include "schedule_fixture.h"
 
-/* What was stopped and has not ended yet is capacity already reserved: nothing more is stopped. */
+/* The resources of a victim that has not ended yet are reserved, so no other is stopped. */
 static void a_reservation_is_not_made_twice_for_capacity_about_to_become_free(void **state)
 {
 	struct snapshot snapshot = {.job_count = 1, .machine_count = 2, .attempt_count = 2};
@@ -42,7 +42,7 @@
 
 enum { LOW_PRIORITY_JOB, HIGH_PRIORITY_JOB, COMPETING_JOBS };
 
-/* Two jobs on two machines over many cycles, and what was started and preempted of them. */
+/* Two jobs on two machines over many cycles, with the number of starts and preemptions. */
 struct competition {
 	struct snapshot snapshot;
 	int starts[COMPETING_JOBS];
@@ -73,7 +73,7 @@
 	}
 }
 
-/* What is stopped has ended by the next cycle; capacity is counted anew. */
+/* Removes the victims, which have ended by the next cycle, and recomputes the free CPUs. */
 static void end_stopped_attempts(struct snapshot *snapshot)
 {
 	int kept_count = 0;
@@ -106,9 +106,10 @@
 }
 
 /*
- * A best-effort array that has waited long goes before one of a higher priority, which may stop it.
- * Each stop must be the higher one's start, in the next cycle but one at most: found as 80,000
- * stops in ten minutes, by which the higher array got nothing either.
+ * Guards against endless preemption: a best-effort array that has waited long precedes an array of
+ * higher priority, which preempts it, and takes the freed capacity again. There were 80,000
+ * preemptions in ten minutes, and the higher array got nothing either. Each preemption must lead to
+ * a start of the higher array, in the second cycle after it at the latest.
  */
 static void preempted_capacity_goes_to_the_preempting_job(void **state)
 {
@@ -126,11 +127,14 @@
 
 	assert_int_equal(competition.starts[HIGH_PRIORITY_JOB], 6);
 
-	/* Ten filled the machines; what was stopped for six tasks may have started once more. */
+	/* Ten tasks fill the machines; those preempted for six tasks may have started again. */
 	assert_true(competition.starts[LOW_PRIORITY_JOB] >= 10 && competition.preemptions <= 12);
 }
 
-/* Each of two jobs could stop the other, one by priority and one by guarantee: only one may. */
+/*
+ * If two jobs could preempt each other, one by its priority and one by its guarantee, only one of
+ * them may.
+ */
 static void guaranteed_work_is_not_preempted_by_a_job_that_it_could_preempt(void **state)
 {
 	struct snapshot snapshot = {.job_count = 1, .machine_count = 1, .attempt_count = 1};
@@ -149,7 +153,7 @@
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 0);
 	fl_sched_output_free(&output);
-	/* Beyond the guarantee it gives way to the higher priority. */
+	/* An attempt beyond the guarantee is preempted for a higher priority. */
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.jobs[0].startable_count = 1;
 	snapshot.attempts[0].within_guaranteed = false;
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -1,6 +1,6 @@
 /*
- * Starvation: under adversarial streams of jobs every job begins in bounded time, and a scheduling
- * cycle that runs out of time continues with the jobs that the last one did not reach.
+ * Starvation: under adversarial streams of jobs every job begins in bounded time, and after a
+ * scheduling cycle that ran out of time the next one resumes with the jobs not yet considered.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,7 +20,7 @@
 	return (*checks_left)-- <= 0;
 }
 
-/* Each cycle has time for a few jobs; every job is examined in the end. */
+/* Each cycle has time for a few jobs only; after several cycles every job was considered. */
 static void a_scheduling_cycle_resumes_where_the_last_one_ran_out_of_time(void **state)
 {
 	struct snapshot snapshot = {.job_count = 12, .machine_count = 1, .attempt_count = 1};
@@ -68,21 +68,21 @@
 	int team;
 	bool within_guarantee;
 	uint32_t task_count;
-	double estimate_s, interval_s; /* s of a task; s between two jobs */
+	double estimate_s, interval_s; /* of a task; between two jobs */
 };
 
 struct arrival {
 	struct fl_sched_job job;
 	int class;
-	double arrived_at, begun_at; /* s from the beginning; begun_at < 0: not yet */
+	double arrived_at, begun_at; /* s since the beginning; begun_at < 0: not begun */
 	uint32_t started_count;
 };
 
 struct load {
 	struct arrival arrivals[ARRIVALS_MAX];
 	int arrival_count;
-	int running[SLOTS]; /* the arrival that holds each slot, -1: none */
-	double ends_at[SLOTS];
+	int running[SLOTS];    /* per slot, the arrival whose task runs there; -1: none */
+	double ends_at[SLOTS]; /* of these tasks, s since the beginning */
 };
 
 /* The input of one scheduling cycle, and the arrival or slot of each of its jobs and attempts. */
@@ -115,7 +115,7 @@
 	}
 }
 
-/* The machines, and the tasks on them that have not ended yet. */
+/* Adds the machines, and the attempts on them that have not ended yet. */
 static void add_machines_and_attempts(struct load *load, struct fl_sched_input *input, int now)
 {
 	for (int i = 0; i < SLOTS; i++) {
@@ -185,7 +185,7 @@
 	}
 }
 
-/* Runs `SLOTS` one-task machines under the streams; each job's begin and starts are noted. */
+/* Runs SLOTS one-task machines under the streams; records when each job begins and its starts. */
 static void run_load(struct load *load, const struct stream *streams,
                      const struct fl_team *team_settings)
 {
@@ -213,7 +213,7 @@
 	}
 }
 
-/* Every job that arrived early enough has begun within four minutes. */
+/* Asserts that all jobs, except those of the last four minutes, began within four minutes. */
 static void assert_all_begun(const struct load *load)
 {
 	for (int i = 0; i < load->arrival_count; i++) {
@@ -223,12 +223,12 @@
 			continue;
 		assert_true(arrival->begun_at >= 0);
 		assert_true(arrival->begun_at - arrival->arrived_at <= 240);
-		/* And what it began with was not preempted for ever. */
+		/* At least one of its starts was not undone by a preemption. */
 		assert_true(arrival->started_count > 0);
 	}
 }
 
-/* Share of the tasks of a class that were started, of those that came before the last minutes. */
+/* Returns the started share of a class's tasks, except those of the last four minutes. */
 static double started_share(const struct load *load, int class)
 {
 	double started = 0, all = 0;
@@ -258,7 +258,7 @@
 static const struct fl_team teams[TEAMS] = {
 	{.guaranteed_cpus = 64}, {.max_cpus = 0}, {.max_cpus = 0}};
 
-/* Small jobs that fill nearly all of the 32 slots, and ever more wide ones. */
+/* Small jobs that fill nearly all of the 32 slots, and a growing number of wide jobs. */
 static void no_job_starves_when_small_jobs_compete_with_wide_ones(void **state)
 {
 	static const struct stream small_and_wide[CLASSES] = {
@@ -285,7 +285,7 @@
 	assert_all_begun(load);
 }
 
-/* Best-effort work may be stopped for the rest. */
+/* Best-effort work may be preempted for standard work. */
 static void no_job_starves_when_standard_work_fills_all_slots(void **state)
 {
 	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
--- a/tests/test_scheduling_cycle.c
+++ b/tests/test_scheduling_cycle.c
@@ -1,5 +1,4 @@
-/* How often scheduling cycles run, and how long they may take, by the controller's share of a core.
- */
+/* The interval and the time budget of scheduling cycles, by the controller's share of a core. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,7 +8,7 @@
 
 static const double small_core_share = 0.03, period_s = 60;
 
-/* The part of the processor that scheduling cycles of this length use, one after the other. */
+/* Returns the part of the core share that successive cycles of this processor time use. */
 static double used_part_of_core_share(double core_share, double processor_s)
 {
 	double interval_s = fl_scheduling_cycle_interval_s(core_share, processor_s, processor_s);
@@ -18,8 +17,9 @@
 }
 
 /*
- * Found with 3.6% of a core: a process runs at full speed until its share is used up, so that by
- * the clock a scheduling cycle of 4 ms was nothing, and ten of them a second took the whole share.
+ * Guards against cycles that use up a small core share: a process runs at full speed until its
+ * share is used up, so with 3.6% of a core a cycle of 4 ms on the clock seemed negligible, but ten
+ * of them per second took the whole share.
  */
 static void scheduling_cycles_leave_half_of_a_small_core_share(void **state)
 {
@@ -29,7 +29,7 @@
 	assert_true(used_part_of_core_share(1, 0.004) < 0.51);
 }
 
-/* Work that was stopped at its budget goes on within a second. */
+/* A cycle that stopped at its time budget is resumed within a second. */
 static void the_next_scheduling_cycle_begins_within_a_second(void **state)
 {
 	(void)state;
@@ -37,7 +37,7 @@
 	assert_true(fl_scheduling_cycle_interval_s(small_core_share, 0, 0) <= 0.1);
 }
 
-/* A scheduling cycle that uses up its budget each second leaves as much to other work, too. */
+/* A cycle that uses up its budget each second leaves as much of the share to other work. */
 static void a_scheduling_cycle_stops_within_its_part_of_the_core_share(void **state)
 {
 	(void)state;
