--- a/tests/reconciliation_workers.c
+++ b/tests/reconciliation_workers.c
@@ -109,10 +109,10 @@
 	return NULL;
 }
 
-static void end_task(struct worker_task *task, enum fl_exit exit)
+static void end_task(struct worker_task *task, enum fl_exit_reason exit)
 {
 	task->status.state = FL_TASK_STATE_EXITED;
-	task->status.exit = exit;
+	task->status.exit_reason = exit;
 }
 
 static void start_task(struct simulation *sim, struct worker *worker,
@@ -162,10 +162,10 @@
 	uint64_t fencing_token, incarnation;
 	const cJSON *item;
 
-	assert_int_equal(fl_json_get_count(object, "Epoch", &fencing_token), FL_JSON_OK);
+	assert_int_equal(fl_json_get_uint(object, "Epoch", &fencing_token), FL_JSON_OK);
 	if (fencing_token < worker->fencing_token)
 		goto out;
-	if (direct && (fl_json_get_count(object, "Tenure", &incarnation) != FL_JSON_OK ||
+	if (direct && (fl_json_get_uint(object, "Tenure", &incarnation) != FL_JSON_OK ||
 	               incarnation != worker->incarnation))
 		goto out;
 	worker->fencing_token = fencing_token;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -181,10 +181,10 @@
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
 	cJSON_Delete(record);
 	assert_true(decoded.final && decoded.has_spec && decoded.status == FL_CANCELLED);
-	assert_true(fabs(fl_since(decoded.cancelled_wall) - (fl_now() - 20)) < 1);
+	assert_true(fabs(fl_monotonic_from_wall(decoded.cancelled_wall) - (fl_now() - 20)) < 1);
 
 	/* Records of earlier versions lack the time of the cancellation; it counts from now. */
-	assert_true(fabs(fl_since(0) - fl_now()) < 1);
+	assert_true(fabs(fl_monotonic_from_wall(0) - fl_now()) < 1);
 }
 
 int main(void)
--- a/tests/test_contract_workers.c
+++ b/tests/test_contract_workers.c
@@ -89,14 +89,15 @@
 	fl_command_list_init(&commands, 41);
 	add_one_command_of_each_verb(&commands);
 	assert_int_equal(commands.count, 3);
-	assert_text(fl_command_list_take(&commands),
+	assert_text(fl_command_list_take_body(&commands),
 	            "{\"Epoch\":41,\"Orders\":["
 	            "{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
 	            "{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
 	            "{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}]}");
 
 	fl_command_list_init(&commands, 912345678901234);
-	assert_text(fl_command_list_take(&commands), "{\"Epoch\":912345678901234,\"Orders\":[]}");
+	assert_text(fl_command_list_take_body(&commands),
+	            "{\"Epoch\":912345678901234,\"Orders\":[]}");
 }
 
 static void a_redirect_names_the_node_to_send_heartbeats_to(void **state)
@@ -142,7 +143,7 @@
 	fl_command_list_init(&commands, 41);
 	add_one_command_of_each_verb(&commands);
 	fl_command_list_bind_incarnation(&commands, 7);
-	got.body = fl_command_list_take(&commands);
+	got.body = fl_command_list_take_body(&commands);
 	assert_string_equal(got.body, command_text);
 
 	contract_run(send_commands, &got, script, COUNT_OF(script));
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -29,7 +29,7 @@
 } fixture;
 
 /* Each piece of work of a busy controller takes time during which it runs no other coroutine. */
-void sim_process_compute(int process)
+void sim_process_delay_if_slow(int process)
 {
 	if (fixture.busy)
 		sim_process_pause_until(process, fl_now() + computation_s);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -36,12 +36,12 @@
 	bool more;
 	int count;
 
-	if (fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
+	if (fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
 		note_failure(fixture, "a well-formed list was not read");
 	free(machines);
 	fixture->lists_without_more = true;
 	if (fl_failover_load_cluster(&fixture->node) == FL_FAILOVER_LOADED ||
-	    fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
+	    fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
 		note_failure(fixture, "an incomplete list was accepted as complete");
 	fixture->lists_without_more = false;
 }
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -164,7 +164,7 @@
 	fixture->reads_gated = true;
 	fixture->config.state_rps = 1000;
 	fl_job_lookups_init(node);
-	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
+	job = fl_job_add(&node->cluster, &spec, fl_wall_time(), 1);
 	/* A final write is under way: only the record may know its outcome. */
 	job->record.write_outcome_unknown = true;
 	spawn_query(fixture, &query, "run-000001");
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -58,7 +58,7 @@
 	snprintf(cluster->teams.by_index[0].name, FL_NAME_MAX, "guest");
 	assert_int_equal(fl_symbol_intern(&cluster->zones, "a"), 0);
 	fl_machine_types_set(&cluster->machines, &cluster->zones, &type, 1);
-	site->job = fl_job_add(cluster, &spec, fl_wall(), 1);
+	site->job = fl_job_add(cluster, &spec, fl_wall_time(), 1);
 	assert_non_null(site->job);
 	for (int i = 0; i < MACHINES; i++) {
 		char name[FL_NAME_MAX];
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -145,19 +145,20 @@
 
 	fixture->config.report_s = 6;
 	fixture->node.peer_count = 2;
-	for (heartbeat.entry_node = 1; heartbeat.entry_node <= 3; heartbeat.entry_node++) {
+	for (heartbeat.entry_node_index = 1; heartbeat.entry_node_index <= 3;
+	     heartbeat.entry_node_index++) {
 		/* A worker changes its entry node after a timeout or a redirect. */
 		for (int i = 0; i < 3; i++) {
 			deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 			assert_int_equal(fl_reachability_is_suspect(only_machine(fixture)),
-			                 heartbeat.entry_node > 1 && i == 0);
+			                 heartbeat.entry_node_index > 1 && i == 0);
 			set_last_reply_age(fixture, 6);
 			heartbeat.sequence++;
 		}
 	}
 
 	/* Even then, a response to a direct command or an executed start command is enough. */
-	heartbeat.entry_node = 1;
+	heartbeat.entry_node_index = 1;
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -44,8 +44,8 @@
 			continue;
 		status = &worker->tasks[i].status;
 		status->state = FL_TASK_STATE_EXITED;
-		status->exit = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
-		if (status->exit == FL_EXIT_DONE) {
+		status->exit_reason = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
+		if (status->exit_reason == FL_EXIT_DONE) {
 			sim->actually_done[atoi(status->ref + 4)][status->index] = true;
 			sim->completions++;
 		}
@@ -185,7 +185,7 @@
 	                                 .fencing_token = 1,
 	                                 .interruption_in_s = -1};
 	struct fl_task_status status = {
-		.index = index, .state = FL_TASK_STATE_EXITED, .exit = FL_EXIT_ERROR};
+		.index = index, .state = FL_TASK_STATE_EXITED, .exit_reason = FL_EXIT_ERROR};
 	struct fl_machine *machine;
 
 	format_host(host_number, heartbeat.host);
--- a/tests/worker_command.c
+++ b/tests/worker_command.c
@@ -24,7 +24,7 @@
 
 	fl_json_get_string(item, "Verb", verb, sizeof(verb));
 	fl_json_get_string(item, "Part", name, sizeof(name));
-	fl_json_get_count(item, "Try", &attempt);
+	fl_json_get_uint(item, "Try", &attempt);
 	fl_json_get_amount(item, "WindDownS", &command.grace_period_s);
 	slash = strchr(name, '/');
 	if (!slash)
