--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -1,4 +1,4 @@
-/* Plain entries for snapshots, and a scheduling cycle of the real scheduler on one. */
+/* Default entries for snapshots, and a cycle of the real scheduler on a snapshot. */
 #include "schedule_fixture.h"
 
 #include <setjmp.h>
--- a/tests/worker_command.c
+++ b/tests/worker_command.c
@@ -37,14 +37,15 @@
 	return command;
 }
 
-bool worker_command_is_for_task(const struct fl_task_status *command,
+bool worker_command_is_for_task(const struct fl_task_status *command_task,
                                 const struct fl_task_status *task)
 {
-	return command->index == task->index && strcmp(command->ref, task->ref) == 0;
+	return command_task->index == task->index && strcmp(command_task->ref, task->ref) == 0;
 }
 
-bool worker_command_is_for_attempt(const struct fl_task_status *command,
+bool worker_command_is_for_attempt(const struct fl_task_status *command_task,
                                    const struct fl_task_status *task)
 {
-	return command->attempt == task->attempt && worker_command_is_for_task(command, task);
+	return command_task->attempt == task->attempt &&
+	       worker_command_is_for_task(command_task, task);
 }
