--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -19,13 +19,13 @@
 
 static const char *const malformed_records[] = {
 	"{}",
-	RECORD("\"Parts\":0"),
-	RECORD("\"Ref\":\"run-000002\""),
-	RECORD("\"Owner\":\"nobody\""),
-	RECORD("\"Site\":\"z\""),
-	RECORD("\"final\":7"),
-	RECORD("\"final\":\"over\",\"parts\":4"),
-	RECORD("\"final\":\"aborted\",\"parts\":4,\"Tier\":\"high\""),
+	JOB_RECORD("\"Parts\":0"),
+	JOB_RECORD("\"Ref\":\"run-000002\""),
+	JOB_RECORD("\"Owner\":\"nobody\""),
+	JOB_RECORD("\"Site\":\"z\""),
+	JOB_RECORD("\"final\":7"),
+	JOB_RECORD("\"final\":\"over\",\"parts\":4"),
+	JOB_RECORD("\"final\":\"aborted\",\"parts\":4,\"Tier\":\"high\""),
 	"{\"final\":\"aborted\"}",
 };
 
@@ -39,11 +39,11 @@
 	if (fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
 		note_failure(fixture, "a well-formed list was not read");
 	free(machines);
-	fixture->lists_without_more = true;
+	fixture->lists_lack_more_field = true;
 	if (fl_failover_load_cluster(&fixture->node) == FL_FAILOVER_LOADED ||
 	    fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
 		note_failure(fixture, "an incomplete list was accepted as complete");
-	fixture->lists_without_more = false;
+	fixture->lists_lack_more_field = false;
 }
 
 static void load_malformed_records(void *argument)
@@ -51,13 +51,13 @@
 	struct frontend_fixture *fixture = argument;
 
 	fixture->node.leader_lease.held = true;
-	fixture->record = RECORD("\"Apart\":true");
+	fixture->job_record = JOB_RECORD("\"Apart\":true");
 	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED ||
 	    !fl_job_find(&fixture->node.cluster, "run-000001"))
 		note_failure(fixture, "a well-formed record was not read");
 	check_partial_lists(fixture);
 	for (size_t i = 0; i < sizeof(malformed_records) / sizeof(malformed_records[0]); i++) {
-		fixture->record = malformed_records[i];
+		fixture->job_record = malformed_records[i];
 		fl_cluster_free(&fixture->node.cluster);
 		fixture->node.cluster.jobs = NULL;
 		fixture->node.cluster.finished = NULL;
@@ -65,7 +65,7 @@
 		if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
 		    fixture->node.cluster.finished)
 			note_failure(fixture, "failover accepted a malformed record: %s",
-			             fixture->record);
+			             fixture->job_record);
 	}
 	if (fixture->record_writes)
 		note_failure(fixture, "a job record was written");
@@ -97,8 +97,8 @@
 static bool loaded_job_is_finished(struct frontend_fixture *fixture, const char *record,
                                    const char *progress)
 {
-	fixture->record = record;
-	fixture->progress = progress;
+	fixture->job_record = record;
+	fixture->progress_record = progress;
 	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED)
 		note_failure(fixture, "a well-formed record was not read");
 	return fixture->node.cluster.dirty_jobs &&
@@ -108,13 +108,14 @@
 
 static void load_finished_jobs(void *argument)
 {
-	static const char cancelled[] = RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
+	static const char cancelled[] =
+		JOB_RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
 	struct frontend_fixture *fixture = argument;
 
 	fixture->node.leader_lease.held = true;
-	if (loaded_job_is_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
+	if (loaded_job_is_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
 		note_failure(fixture, "job finished although one task has not ended");
-	if (!loaded_job_is_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
+	if (!loaded_job_is_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
 		note_failure(fixture, "job not finished although all its tasks are done");
 	if (!loaded_job_is_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
 		note_failure(fixture,
