--- a/tests/fake_kv_store.c
+++ b/tests/fake_kv_store.c
@@ -96,7 +96,7 @@
 			return;
 	}
 	if (every_nth(fake_services.kv_refuses_every, number)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	if (every_nth(fake_services.kv_slow_every, number) && fl_sleep(0.3) != 0)
--- a/tests/fake_workers.c
+++ b/tests/fake_workers.c
@@ -260,7 +260,7 @@
 		return;
 	}
 	if (machine->deleted || strcmp(request->path, "/commands") != 0) {
-		json_response(response, 404, NULL);
+		set_json_response(response, 404, NULL);
 		return;
 	}
 	accepted = accept_commands(machine, request->body);
--- a/tests/sim_kv_store.c
+++ b/tests/sim_kv_store.c
@@ -175,7 +175,7 @@
 	if (!wait_before(&delays))
 		return;
 	if (!delays.reply_lost && refuses(from)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	apply(request, transaction, response);
@@ -191,7 +191,7 @@
 	cJSON *transaction = NULL;
 
 	if (refuses(from)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	if (strcmp(request->path, "/multi") == 0) {
@@ -199,7 +199,7 @@
 		sim_require(transaction != NULL);
 	}
 	if (!take_tokens(transaction))
-		json_response(response, 429, NULL);
+		set_json_response(response, 429, NULL);
 	else if (strcmp(request->path, "/follow") == 0)
 		serve_watch(from, request->query, response);
 	else
