--- a/tests/contract_heartbeats.c
+++ b/tests/contract_heartbeats.c
@@ -1,4 +1,4 @@
-/* The heartbeats of the wire contract, as values and as texts, and their comparison. */
+/* The heartbeats of the wire contract as C values and as JSON texts, and comparisons of them. */
 #include "contract_heartbeats.h"
 
 #include <setjmp.h>
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -1,4 +1,4 @@
-/* The state that the literal texts tell of, made without reading them. */
+/* The cluster state that the literal records describe, built without decoding them. */
 #include "contract_records_fixture.h"
 
 #include <setjmp.h>
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -1,7 +1,7 @@
 /*
- * The literal texts of stored records: one of each kind, as it stands in the key-value store.
- * Records outlive the program that wrote them: whatever is renamed in the sources, these texts
- * stay.
+ * Literal stored records, one of each kind, as they are in the key-value store. Records outlive the
+ * program that wrote them, so these texts must not change when identifiers are renamed in the
+ * sources.
  */
 #ifndef FL_TESTS_CONTRACT_RECORDS_FIXTURE_H
 #define FL_TESTS_CONTRACT_RECORDS_FIXTURE_H
@@ -38,7 +38,7 @@
 #define FINAL_RECORD_DONE "{\"final\":\"done\",\"parts\":71}"
 #define FINAL_RECORD_CANCELLED "{\"final\":\"aborted\",\"parts\":72}"
 
-/* Of the second task block of a job of 130 tasks. */
+/* The progress record of the second task block of a job with 130 tasks. */
 #define PROGRESS_RECORD                                                                            \
 	"{\"d\":[[64,66],[70,70]],\"t\":[[67,2],[72,5]],"                                          \
 	"\"m\":[[68,3,\"m-000012\",101,1700000123],[127,4,\"m-000013\",102,1700000456]]}"
@@ -46,7 +46,7 @@
 #define OTHER_WAL_GROUP "[\"run-000412\",2,{\"d\":[],\"t\":[[128,6]],\"m\":[]}]"
 #define WAL_VALUE "{\"log\":[" WAL_GROUP "," OTHER_WAL_GROUP "]}"
 
-/* A task in each state, and one that ended for each reason. */
+/* A cached heartbeat with a task in each state, and an exited task for each exit reason. */
 #define CACHED_HEARTBEAT                                                                           \
 	"[\"m-000012\",101,102,103,104.5,[[\"run-000412\",3,21,0],[\"run-000413\",4,22,1],"        \
 	"[\"run-000414\",5,23,2],[\"run-000415\",6,24,4],[\"run-000416\",7,25,3,0],"               \
@@ -72,24 +72,24 @@
 
 enum { CACHED_TASK_COUNT = 13 };
 
-/* The description in LIVE_JOB_RECORD. */
+/* The job description in LIVE_JOB_RECORD. */
 extern const struct fl_job_spec live_job_spec;
 /* The heartbeat in CACHED_IDLE_HEARTBEAT. */
 extern const struct fl_heartbeat cached_idle_heartbeat;
 
-/* The zones and teams that the records name. */
+/* Adds the zones and teams that the records name. */
 void add_zones_and_teams(struct fl_cluster *cluster);
-/* The job of LIVE_JOB_RECORD, in a leader's state that knows those and MACHINE_TYPES_RECORD. */
+/* Adds the job of LIVE_JOB_RECORD to a leader's state, with its zones, teams and machine types. */
 struct fl_job *add_live_job(struct fl_cluster *cluster);
-/* The state that PROGRESS and OTHER_WAL_GROUP are the texts of. */
+/* Brings the tasks into the states that PROGRESS_RECORD and OTHER_WAL_GROUP describe. */
 void set_recorded_progress(struct fl_cluster *cluster, struct fl_job *job);
-/* Machine, incarnation and time are those of a placed task. */
+/* Asserts the state of a task; machine, incarnation and placement time only if it is placed. */
 void assert_task_state(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
                        enum fl_task_phase phase, uint32_t attempt, const char *machine,
                        uint64_t incarnation, double placed);
-/* What PROGRESS says, and nothing else, of the second task block. */
+/* Asserts that the second task block is exactly in the state of PROGRESS_RECORD. */
 void assert_recorded_progress(const struct fl_cluster *cluster, const struct fl_job *job);
-/* The heartbeat that CACHED_HEARTBEAT is the text of. */
+/* Returns the heartbeat of CACHED_HEARTBEAT, whose tasks are stored in `tasks`. */
 struct fl_heartbeat make_cached_heartbeat(struct fl_task_status tasks[CACHED_TASK_COUNT]);
 
 #endif
--- a/tests/contract_store_fixture.c
+++ b/tests/contract_store_fixture.c
@@ -1,4 +1,4 @@
-/* The node, its key-value store of literals in virtual time, and what it wrote there. */
+/* A node in virtual time with a key-value store of literal records, and the writes to the store. */
 #include "contract_store_fixture.h"
 
 #include <setjmp.h>
@@ -101,7 +101,7 @@
 		fl_buffer_printf(body, "{\"Grant\":%d}", LEASE_ID);
 	} else if (strcmp(method, "DELETE") == 0) {
 		store_fixture.revoked_lease_id = atoi(path + strlen("/holds/"));
-		/* The key ends with its lease. */
+		/* A key is deleted when its lease is revoked. */
 		for (int i = 0; i < store_fixture.stored_count; i++)
 			if (store_fixture.stored[i].lease_id == store_fixture.revoked_lease_id)
 				store_fixture.stored[i].key = "gone";
@@ -183,6 +183,6 @@
 		if (strcmp(store_fixture.transactions[i], expected) == 0)
 			return;
 	for (int i = 0; i < store_fixture.transaction_count; i++)
-		print_message("written: %s\n", store_fixture.transactions[i]);
-	fail_msg("not written: %s", expected);
+		print_message("transaction written: %s\n", store_fixture.transactions[i]);
+	fail_msg("transaction not written: %s", expected);
 }
--- a/tests/contract_store_fixture.h
+++ b/tests/contract_store_fixture.h
@@ -1,6 +1,6 @@
 /*
- * One node in virtual time, with a key-value store that holds literal records and takes down, byte
- * for byte, what is written to it.
+ * One node in virtual time, with a key-value store that holds literal records and keeps every
+ * transaction that is written to it, byte for byte.
  */
 #ifndef FL_TESTS_CONTRACT_STORE_FIXTURE_H
 #define FL_TESTS_CONTRACT_STORE_FIXTURE_H
@@ -18,29 +18,29 @@
 	} stored[STORED_RECORDS_MAX];
 	int stored_count;
 	char transactions[TRANSACTIONS_MAX]
-			 [TRANSACTION_TEXT_MAX]; /* the transactions, in their order */
+			 [TRANSACTION_TEXT_MAX]; /* bodies, in the order of arrival */
 	int transaction_count;
-	const char *watch_events; /* what the watches learn once; NULL: nothing */
-	bool lists_unavailable;   /* of the key-value store */
+	const char *watch_events; /* JSON events that the next watch of "c/" returns; NULL: none */
+	bool lists_unavailable;   /* lists get 503 */
 	int lease_grant_count, revoked_lease_id;
 	void (*action)(struct fl_node *node);
-	int action_result; /* of that, where it has one; 0 is good */
+	int action_result; /* set by the action if it has a result; 0: success */
 };
 
 extern struct contract_store store_fixture;
 
-/* Before and after each test: `state` is the node, and nothing is stored. */
+/* Run before and after each test. `*state` becomes the node; the store is empty at first. */
 int set_up_node(void **state);
 
 int tear_down_node(void **state);
 
-/* Stores the literal under the key; lease 0 is none. */
+/* Stores the literal value under the key; lease 0: none. Neither string is copied. */
 void store_record(const char *key, const char *value, int mod_revision, int lease_id);
 
-/* Runs this as the node, for so long. */
+/* Runs the action in a coroutine of the node, for this many seconds of virtual time. */
 void run_action_on_node(void (*action)(struct fl_node *node), double seconds);
 
-/* Among the transactions there is this one, byte for byte. */
+/* Asserts that one of the written transactions is exactly this one. */
 void assert_transaction_written(const char *expected);
 
 #endif
--- a/tests/contract_text.c
+++ b/tests/contract_text.c
@@ -1,4 +1,4 @@
-/* Literal JSON texts and job descriptions, compared in full. */
+/* Full comparisons of JSON texts and of job descriptions. */
 #include "contract_text.h"
 
 #include <setjmp.h>
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -1,4 +1,4 @@
-/* One node on loopback: the answers of its key-value store and its leader, and its set-up. */
+/* One node on loopback, its set-up, and the fake key-value store and leader that respond to it. */
 #include "frontend_fixture.h"
 
 #include <setjmp.h>
--- a/tests/json_response.h
+++ b/tests/json_response.h
@@ -1,11 +1,11 @@
-/* Replies of the fakes: a status and a JSON body. */
+/* HTTP responses of the fakes and simulated systems: a status and a JSON body. */
 #ifndef FL_TESTS_JSON_RESPONSE_H
 #define FL_TESTS_JSON_RESPONSE_H
 
 #include "protocol/json.h"
 #include "transport/http_server.h"
 
-/* Takes the object; NULL gives an empty one. */
+/* Sets status and body, and deletes the object; NULL gives an empty object as body. */
 static inline void set_json_response(struct fl_http_response *response, int status, cJSON *object)
 {
 	response->status = status;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,4 +1,4 @@
-/* What a controller admits by its resources: its shares of the sockets, and tight settings. */
+/* Limits by the resource settings: how connections are shared, and which settings are tight. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +10,7 @@
 #include "coordination/api/admission.h"
 #include "coordination/node.h"
 
-/* What is set aside for peers grows with them, and not with the machines. */
+/* The number of connections reserved for peers grows with the peers, not with the machines. */
 static void public_connections_grow_with_the_connection_limit(void **state)
 {
 	struct fl_config config = {.max_connections = 3565, .peer_count = 4};
@@ -22,8 +22,9 @@
 }
 
 /*
- * Four peers may each want their part of a leader with few sockets, while its public side is full:
- * peers, key-value store, cloud and commands keep their share, and so do users and workers.
+ * Four peers may each open all their connections to a leader with few connections while users and
+ * workers use all public ones: peers, key-value store, cloud and direct commands keep their share,
+ * and so do users and workers.
  */
 static void connection_shares_stay_within_the_connection_limit(void **state)
 {
--- a/tests/test_contract_election.c
+++ b/tests/test_contract_election.c
@@ -1,6 +1,6 @@
 /*
- * The golden test of the election's records: a node finds a literal leader and fencing token under
- * literal keys, and what it writes there is compared byte for byte.
+ * Golden test of the records of the leader election: a node reads a literal leader and fencing
+ * token under literal keys, and its own writes are compared byte for byte.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -77,7 +77,7 @@
 	assert_int_equal(store_fixture.transaction_count, 0);
 }
 
-/* Once it has started, lists are refused: only the watch can tell it. */
+/* After the start, lists get 503, so that the node can get the change only from its watch. */
 static void a_watch_event_updates_the_leader_and_fencing_token(void **state)
 {
 	const struct fl_node *node = *state;
@@ -124,7 +124,7 @@
 	const struct fl_node *node = *state;
 	const struct fl_machine *machine;
 
-	/* The fencing token of the first heartbeat is next. */
+	/* The new leader's fencing token is then 103, as in the first heartbeat of the digest. */
 	store_record("c/epoch", "{\"epoch\":102}", 31, 0);
 	store_record("f/run-000414", FINAL_RECORD_DONE, 40, 0);
 	store_record("k/host-2/0", DIGEST_RECORD, 41, 0);
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -1,7 +1,8 @@
 /*
- * The golden test of stored job records, machine types and keys: one literal text of each kind is
- * read, where every field must get its value, and written from that state, byte for byte. A field,
- * key or word that is renamed in what is stored fails here, also if both sides are.
+ * Golden test of stored job records, machine types and keys. One literal text of each kind is
+ * decoded to the expected value of every field, and encoded from that state, byte for byte.
+ * Renaming a stored field, key or word fails here, even if it is renamed in both encoder and
+ * decoder.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -142,7 +143,7 @@
 	assert_final_job_record(FINAL_RECORD_CANCELLED, FL_CANCELLED, 72);
 }
 
-/* What a job was submitted with survives its stay in memory, where its record is written from. */
+/* Job records are also written from the state in memory, which must keep the whole description. */
 static void a_job_in_memory_is_encoded_as_the_record_that_it_came_from(void **state)
 {
 	struct fl_cluster cluster = {0};
--- a/tests/test_contract_kv.c
+++ b/tests/test_contract_kv.c
@@ -1,7 +1,7 @@
 /*
- * The wire contract of the key-value store, byte for byte. The names in the C code are its own and
- * may change; a field, word or path here that changes is another protocol, which the other side
- * does not speak. The texts are written out and never produced by the code under test.
+ * The wire contract with the key-value store, byte for byte. C identifiers may be renamed, but a
+ * change of a field, word or path in these texts makes the protocol incompatible with the other
+ * side. The texts are written out here and never produced by the code under test.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,7 +17,7 @@
 #include "contract_text.h"
 #include "protocol/kv_store.h"
 
-/* Changes as text, one a line: key, revision, value. */
+/* Events as text, one per line: key, revision, and value or "deleted". */
 struct event_log {
 	char text[512];
 };
--- a/tests/test_contract_peers.c
+++ b/tests/test_contract_peers.c
@@ -1,7 +1,7 @@
 /*
- * The wire contract of the other controllers, byte for byte. The names in the C code are its own
- * and may change; a field, word or path here that changes is another protocol, which the other side
- * does not speak. The texts are written out and never produced by the code under test.
+ * The wire contract with the other controllers, byte for byte. C identifiers may be renamed, but a
+ * change of a field, word or path in these texts makes the protocol incompatible with the other
+ * side. The texts are written out here and never produced by the code under test.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -74,7 +74,7 @@
 {
 	static const struct {
 		const char *text;
-		enum fl_user_request kind;
+		enum fl_user_request request_kind;
 		bool last_hop;
 		const char *ref, *body;
 	} forwarded[] = {
@@ -93,7 +93,7 @@
 		assert_int_equal(fl_forwarded_request_decode(forwarded[i].text,
 		                                             strlen(forwarded[i].text), &got),
 		                 0);
-		assert_int_equal(got.kind, forwarded[i].kind);
+		assert_int_equal(got.kind, forwarded[i].request_kind);
 		assert_int_equal(got.last_hop, forwarded[i].last_hop);
 		assert_string_equal(got.ref, forwarded[i].ref ? forwarded[i].ref : "");
 		if (forwarded[i].body)
@@ -101,10 +101,10 @@
 		else
 			assert_null(got.body);
 		fl_forwarded_request_free(&got);
-		assert_text_and_free(
-			fl_forwarded_request_encode(forwarded[i].kind, forwarded[i].last_hop,
-		                                    forwarded[i].ref, forwarded[i].body),
-			forwarded[i].text);
+		assert_text_and_free(fl_forwarded_request_encode(
+					     forwarded[i].request_kind, forwarded[i].last_hop,
+					     forwarded[i].ref, forwarded[i].body),
+		                     forwarded[i].text);
 	}
 }
 
@@ -219,7 +219,7 @@
 	assert_text_and_free(fl_status_answer_encode(expected, COUNT_OF(expected)), text);
 }
 
-/* ---- cached heartbeats, which a later leader reads from the key-value store ---- */
+/* ---- cached heartbeats, which a new leader reads from the key-value store ---- */
 
 static const char cached_heartbeat_text[] =
 	"[\"m-000231\",3,4123456789,912345678901234,27.5,["
--- a/tests/test_contract_progress_records.c
+++ b/tests/test_contract_progress_records.c
@@ -1,8 +1,8 @@
 /*
- * The golden test of stored progress records, write-ahead log and heartbeat digests: one literal
- * text of each kind is read, where every field must get its value, and written from that state,
- * byte for byte. A field, key or word that is renamed in what is stored fails here, also if both
- * sides are.
+ * Golden test of stored progress records, write-ahead log and heartbeat digests. One literal text
+ * of each kind is decoded to the expected value of every field, and encoded from that state, byte
+ * for byte. Renaming a stored field, key or word fails here, even if it is renamed in both encoder
+ * and decoder.
  */
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_contract_settings.c
+++ b/tests/test_contract_settings.c
@@ -1,7 +1,7 @@
 /*
- * The golden test of the settings file: every key that is read, with the field that it sets, and
- * the refusal of a file that lacks it. Sites keep their files: whatever is renamed in the sources,
- * these keys stay.
+ * Golden test of the settings file: every key with the field that it sets, and the rejection of a
+ * file without the key. Existing installations keep their files, so these keys must not change when
+ * identifiers are renamed in the sources.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,10 +16,10 @@
 
 #include "config.h"
 
-/* Each line as it can be taken out. */
+/* The lines of a complete settings file; the tests leave out one at a time. */
 static const struct {
 	const char *line;
-	const char *expected_error; /* what is said without the line; NULL: nothing */
+	const char *expected_error; /* error text without this line; NULL: rejection not tested */
 } settings[] = {
 	{"node = \"host-1\"\n", "node: missing"},
 	{"location = \"north\"\n", "location: missing"},
@@ -65,7 +65,7 @@
 
 enum { SETTING_LINES = sizeof(settings) / sizeof(settings[0]), SETTINGS_TEXT_MAX = 4096 };
 
-/* Reads the text as a settings file; `error` begins after the file's name. */
+/* Reads the text as a settings file; `error` is the error text after the file's name, or empty. */
 static int read_settings(const char *text, struct fl_config *config, char error[256])
 {
 	char path[] = P_tmpdir "/contract-settings-XXXXXX", message[320] = "";
@@ -87,7 +87,10 @@
 	return result;
 }
 
-/* The whole file without this line; a table's line gives way to that of a table not read. */
+/*
+ * Builds the file without this line (-1: with all lines). A table's header is replaced with that of
+ * a table that is not read, so that its keys do not become part of the previous table.
+ */
 static void build_settings_without(int omitted_line, char text[SETTINGS_TEXT_MAX])
 {
 	size_t length = 0;
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -1,6 +1,6 @@
 /*
- * The golden test of what stands in the key-value store beside the election: a node finds literal
- * records under literal keys, and what it writes there is compared byte for byte.
+ * Golden test of the records in the key-value store other than those of the leader election: a node
+ * reads literal records under literal keys, and its own writes are compared byte for byte.
  */
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_contract_users.c
+++ b/tests/test_contract_users.c
@@ -1,7 +1,7 @@
 /*
- * The wire contract of the users, byte for byte. The names in the C code are its own and may
- * change; a field, word or path here that changes is another protocol, which the other side does
- * not speak. The texts are written out and never produced by the code under test.
+ * The wire contract with users, byte for byte. C identifiers may be renamed, but a change of a
+ * field, word or path in these texts makes the protocol incompatible with the other side. The texts
+ * are written out here and never produced by the code under test.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,7 +15,7 @@
 #include "contract_text.h"
 #include "protocol/users.h"
 
-/* ---- users: job descriptions ---- */
+/* ---- job descriptions ---- */
 
 static const char array_job_text[] =
 	"{\"Ref\":\"run-000412\",\"JobClass\":\"train\",\"Owner\":\"vision\","
@@ -88,7 +88,7 @@
                                             .checkpoint_every_s = 11,
                                             .checkpoint_cost_s = 7};
 
-/* Decoded from the text, and the text again encoded from what was expected. */
+/* Asserts that the text decodes to the expected description, which encodes to the same text. */
 static void assert_job_spec_round_trip(const char *text, const struct fl_job_spec *expected)
 {
 	cJSON *tree = parse_json(text);
@@ -122,7 +122,7 @@
 	"\"Together\":false,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":240,"
 	"\"SnapshotEveryS\":30,\"SnapshotCostS\":4}";
 
-/* As users write it: decimal amounts, and null for each constraint that is not set. */
+/* Users write amounts with a decimal point, and null for each constraint that is not set. */
 static void a_job_description_with_nulls_has_no_constraints(void **state)
 {
 	static const struct fl_job_spec expected = {.ref = "run-000415",
@@ -153,7 +153,7 @@
 	                     critical_job_encoded);
 }
 
-/* The user is told the name of the field. */
+/* The error response to the user contains the name of the field. */
 static void a_missing_or_invalid_field_of_a_job_description_is_named(void **state)
 {
 	static const char *const required[] = {
@@ -180,7 +180,7 @@
 	}
 }
 
-/* ---- users: answers and paths ---- */
+/* ---- responses and paths ---- */
 
 static void a_status_response_has_the_name_of_each_status(void **state)
 {
@@ -223,7 +223,7 @@
 {
 	static const struct {
 		const char *path;
-		enum fl_user_request kind;
+		enum fl_user_request request_kind;
 		const char *ref;
 	} paths[] = {
 		{"/v2/runs", FL_USER_REQUEST_SUBMIT, ""},
@@ -243,7 +243,7 @@
 
 	(void)state;
 	for (int i = 0; i < COUNT_OF(paths); i++) {
-		assert_int_equal(fl_user_route(paths[i].path, ref), paths[i].kind);
+		assert_int_equal(fl_user_route(paths[i].path, ref), paths[i].request_kind);
 		assert_string_equal(ref, paths[i].ref);
 	}
 }
--- a/tests/test_contract_workers.c
+++ b/tests/test_contract_workers.c
@@ -1,7 +1,7 @@
 /*
- * The wire contract of the workers, byte for byte. The names in the C code are its own and may
- * change; a field, word or path here that changes is another protocol, which the other side does
- * not speak. The texts are written out and never produced by the code under test.
+ * The wire contract with workers, byte for byte. C identifiers may be renamed, but a change of a
+ * field, word or path in these texts makes the protocol incompatible with the other side. The texts
+ * are written out here and never produced by the code under test.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -30,7 +30,7 @@
 	assert_text_and_free(fl_heartbeat_encode(&expected), busy_heartbeat_text);
 }
 
-/* The largest count there is. */
+/* 2^53 is the largest valid value: a double holds all integers up to it exactly. */
 static void the_largest_counters_of_a_heartbeat_are_read_exactly(void **state)
 {
 	static const char text[] =
@@ -64,7 +64,7 @@
 	assert_text_and_free(fl_heartbeat_encode(&idle_heartbeat), idle_heartbeat_text);
 }
 
-/* The body of a direct command, with its incarnation. */
+/* The body of direct commands; Tenure is the incarnation of the worker that they are for. */
 static const char command_text[] =
 	"{\"Epoch\":41,\"Orders\":["
 	"{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -1,4 +1,4 @@
-/* The decoders of the protocols on good and bad input, and that their encoders agree with them. */
+/* Decoders of the protocols with valid and malformed input, and round trips with the encoders. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,7 +32,10 @@
 	return bad_field;
 }
 
-/* The good body with one field's value replaced. */
+/*
+ * Decodes good_job_text with this field set to `value`, or without the field if `value` is not
+ * JSON; returns the name of the bad field, or NULL.
+ */
 static const char *decode_job_with_field(const char *field, const char *value)
 {
 	static struct fl_job_spec spec;
@@ -102,11 +105,11 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
-		const char *bad_field =
+		const char *reported_field =
 			decode_job_with_field(malformed[i].field, malformed[i].value);
 
-		assert_non_null(bad_field);
-		assert_string_equal(bad_field, malformed[i].field);
+		assert_non_null(reported_field);
+		assert_string_equal(reported_field, malformed[i].field);
 	}
 }
 
@@ -119,7 +122,7 @@
 	assert_null(decode_job_with_field("Site", ""));
 }
 
-/* Guards the small stacks of coroutines: cJSON recurses once a level. */
+/* Guards against stack overflow: cJSON recurses once per level; coroutine stacks are small. */
 static void malformed_or_deeply_nested_json_is_rejected(void **state)
 {
 	char text[4001];
@@ -164,7 +167,7 @@
 		"{\"Host\":\"m-1\",\"Endpoint\":\"\",\"HostKind\":\"g\",\"Site\":\"a\","
 		"\"Reclaimable\":false,\"Tenure\":1,\"Serial\":1,\"Epoch\":1,"
 		"\"Parts\":[{\"Part\":\"run-000001/100000\",\"Try\":1,\"Status\":\"running\"}]}",
-		/* It would say that nothing is on the machine. */
+		/* A heartbeat without Parts would mean that no task is on the machine. */
 		"{\"Host\":\"m-1\",\"Endpoint\":\"\",\"HostKind\":\"g\",\"Site\":\"a\","
 		"\"Reclaimable\":false,\"Tenure\":1,\"Serial\":1,\"Epoch\":1}",
 	};
@@ -206,7 +209,7 @@
 	assert_memory_equal(decoded_types, &type, sizeof(type));
 	free(decoded_types);
 
-	/* A record without any is refused: no job could be placed by it. */
+	/* A record without machine types is rejected: no job could be placed with it. */
 	assert_int_not_equal(fl_machine_types_decode(empty_list, &decoded_types, &count), 0);
 	assert_null(decoded_types);
 	cJSON_Delete(object);
@@ -216,7 +219,7 @@
 static void an_incomplete_or_unknown_forwarded_request_is_rejected(void **state)
 {
 	static const char *const malformed[] = {
-		/* A heartbeat, which goes another way. */
+		/* Call 5 is a heartbeat, which is not forwarded in this message. */
 		"{\"call\":5,\"last_hop\":true,\"body\":\"{}\"}",
 		"{\"call\":1,\"last_hop\":7,\"body\":\"{}\"}",
 		"{\"call\":5,\"last_hop\":true}",
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -1,6 +1,6 @@
 /*
- * Status queries without a leader: those for one job share a read of its record, and the reads stay
- * within the node's share of the key-value store.
+ * Status queries while there is no leader: queries for one job share a read of its record, and all
+ * reads stay within the node's share of the key-value store's request rate.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,7 +21,7 @@
 	struct frontend_fixture *fixture;
 	char ref[FL_REF_MAX];
 	struct fl_http_response response;
-	char body[256]; /* of the answer, once it is there */
+	char body[256]; /* of the response; empty until it has arrived */
 	bool answered;
 };
 
@@ -66,16 +66,22 @@
 	fl_coroutine_spawn(send_query, query);
 }
 
-/* Nobody leads: each status query is answered from the records, at so many reads a second. */
-static void configure_without_leader(struct frontend_fixture *fixture, double reads_per_s)
+/*
+ * Configures the node to answer each status query from the records, without a leader and with this
+ * request rate of the key-value store.
+ */
+static void configure_without_leader(struct frontend_fixture *fixture, double kv_request_rate)
 {
 	fixture->node.peer_count = 0;
 	fixture->node.machine_types_loaded = fixture->node.live_jobs_loaded = true;
-	fixture->config.state_rps = reads_per_s;
+	fixture->config.state_rps = kv_request_rate;
 	fl_job_lookups_init(&fixture->node);
 }
 
-/* Twenty queries are answered by one read of the record. */
+/*
+ * Two lookups, each a read of the live and of the final record, answer 40 queries: the first lookup
+ * answers the first query, the second one all queries that arrive while the first is in flight.
+ */
 static void query_one_job(void *argument)
 {
 	static struct query queries[QUERIES];
@@ -87,7 +93,7 @@
 		spawn_query(fixture, &queries[i], "run-000001");
 	while (fixture->record_reads < 1)
 		fl_sleep(0.01);
-	/* The first read is in flight, and does not see what is accepted now. */
+	/* The first read is in flight; it does not find the job, which is accepted only now. */
 	fixture->job_known = true;
 	for (int i = QUERIES / 2; i < QUERIES; i++)
 		spawn_query(fixture, &queries[i], "run-000001");
@@ -98,17 +104,18 @@
 	}
 	if (count_answered_with(queries, 0, 1, 404) != 1 ||
 	    count_answered_with(queries, 1, QUERIES, 200) != QUERIES - 1)
-		note_failure(fixture, "a status query is answered by an older read");
+		note_failure(fixture,
+		             "a status query was answered by a read sent before the query");
 	if (fixture->record_reads != 4)
-		note_failure(fixture, "%d reads for one job", fixture->record_reads);
-	/* What is done stays so: one read serves all that ask later. */
+		note_failure(fixture, "%d record reads for one job", fixture->record_reads);
+	/* A done job never changes again, so a later query needs no further read. */
 	fixture->reads_gated = false;
 	fixture->record_reads = 0;
 	spawn_query(fixture, &queries[0], "run-000001");
 	while (!queries[0].answered)
 		fl_sleep(0.01);
 	if (fixture->record_reads != 0 || queries[0].response.status != 200)
-		note_failure(fixture, "what is done is read again");
+		note_failure(fixture, "the record of a done job was read again");
 }
 
 static void status_queries_for_one_job_share_reads_sent_after_their_arrival(void **state)
@@ -116,7 +123,7 @@
 	run_in_coroutine(*state, query_one_job);
 }
 
-/* Queries beyond the share of the key-value store are refused at once. */
+/* Queries beyond the node's share of the key-value store's request rate get 503 at once. */
 static void query_many_jobs(void *argument)
 {
 	static struct query queries[QUERIES];
@@ -133,10 +140,11 @@
 	if (fixture->record_reads < 4 || fixture->record_reads > 12 ||
 	    count_answered_with(queries, 0, QUERIES, 404) * 2 != fixture->record_reads ||
 	    count_answered_with(queries, 0, QUERIES, 503) + fixture->record_reads / 2 != QUERIES)
-		note_failure(fixture, "%d reads of 10 a second", fixture->record_reads);
+		note_failure(fixture, "%d record reads at a request rate of 10 a second",
+		             fixture->record_reads);
 	for (int i = 0; i < QUERIES; i++)
 		if (queries[i].response.status == 503 && queries[i].response.retry_after_s <= 0)
-			note_failure(fixture, "no time is given for the next try");
+			note_failure(fixture, "a 503 response has no Retry-After");
 }
 
 static void status_queries_for_many_jobs_stay_within_the_read_budget(void **state)
@@ -144,7 +152,7 @@
 	run_in_coroutine(*state, query_many_jobs);
 }
 
-/* The leader itself waits for a record, and the job ends meanwhile: its end is what is said. */
+/* A job finishes while the leader waits for its record: the response reports the job done. */
 static void finish_job_while_its_record_is_read(void *argument)
 {
 	static struct query query;
@@ -159,13 +167,13 @@
 
 	node->leadership.active = node->leader_lease.held = node->cluster.has_leader_state = true;
 	node->leader_lease.valid_until = fl_now() + 1000;
-	/* What is read has not seen the end: nothing stands there. */
+	/* The read begins before the job is finished and finds no record. */
 	fixture->job_known = false;
 	fixture->reads_gated = true;
 	fixture->config.state_rps = 1000;
 	fl_job_lookups_init(node);
 	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
-	/* A final write is under way: only the record may know its outcome. */
+	/* The outcome of the job's final write is unknown, so the leader has to read the record. */
 	job->record.write_outcome_unknown = true;
 	spawn_query(fixture, &query, "run-000001");
 	while (fixture->record_reads < 1)
@@ -176,7 +184,7 @@
 		fl_sleep(0.01);
 	}
 	if (query.response.status != 200 || !strstr(query.body, "done"))
-		note_failure(fixture, "%d %s", query.response.status, query.body);
+		note_failure(fixture, "status %d, body %s", query.response.status, query.body);
 }
 
 static void a_job_that_finishes_while_its_record_is_read_is_reported_done(void **state)
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -1,4 +1,4 @@
-/* Progress records and the write-ahead log: a restore against a plain reading of the same. */
+/* Restores of random progress records and write-ahead logs, compared with a reference merge. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,7 +14,7 @@
 
 enum { JOBS = 5, TASKS_MAX = 300, GROUPS_MAX = 120, CHANGES_MAX = 24, MACHINES = 6, ROUNDS = 300 };
 
-/* One state of a task, as a record or a group of the write-ahead log has it. */
+/* The state of a task in a progress record or in a group of the write-ahead log. */
 struct change {
 	uint32_t index;
 	enum fl_task_phase phase;
@@ -24,7 +24,7 @@
 	bool from_wal;
 };
 
-/* A record or a group of the write-ahead log. */
+/* The changes of one task block: a progress record or a group of the write-ahead log. */
 struct group {
 	int job;
 	uint32_t block_index;
@@ -42,7 +42,7 @@
 
 static uint64_t seed;
 
-/* xorshift64: the same numbers on every machine. */
+/* xorshift64, which yields the same numbers on every machine. */
 static uint32_t random_below(uint32_t limit)
 {
 	seed ^= seed << 13;
@@ -51,7 +51,7 @@
 	return (uint32_t)(seed >> 33) % limit;
 }
 
-static void add_job(struct scenario *scenario, int job, uint32_t task_count)
+static void add_job(struct scenario *scenario, int i, uint32_t task_count)
 {
 	struct fl_job_spec spec = {.task_count = task_count,
 	                           .cpus = 1,
@@ -60,12 +60,12 @@
 	                           .machine_type_count = -1,
 	                           .due_s = -1};
 
-	snprintf(spec.ref, sizeof(spec.ref), "run-%06d", job + 1);
+	snprintf(spec.ref, sizeof(spec.ref), "run-%06d", i + 1);
 	snprintf(spec.team, sizeof(spec.team), "team");
 	snprintf(spec.job_class, sizeof(spec.job_class), "class");
 	snprintf(spec.image, sizeof(spec.image), "image");
-	scenario->jobs[job] = fl_job_add(&scenario->cluster, &spec, 0, 1);
-	assert_non_null(scenario->jobs[job]);
+	scenario->jobs[i] = fl_job_add(&scenario->cluster, &spec, 0, 1);
+	assert_non_null(scenario->jobs[i]);
 }
 
 static struct scenario *create_scenario(void)
@@ -86,7 +86,7 @@
 	free(scenario);
 }
 
-/* Some tasks of the task block in rising order, each in a random state. */
+/* Fills the group with some tasks of the task block, in rising order and in random states. */
 static void fill_group_randomly(struct group *group, const struct scenario *scenario, int job,
                                 uint32_t block_index)
 {
@@ -157,7 +157,7 @@
 	free(text);
 }
 
-/* The groups from `from` up to `to`, read from a value as the key-value store would return it. */
+/* Encodes the groups from `from` to `to` - 1 as one value of the log, and reads that value. */
 static void read_wal_value(struct fl_wal *wal, const struct scenario *scenario, int from, int to)
 {
 	cJSON *value = fl_wal_value_create(), *parsed;
@@ -183,19 +183,22 @@
 	assert_int_equal(wal->group_count, scenario->group_count);
 }
 
-/* As a failover does it: the records, then what only the write-ahead log has. */
+/* Restores as a failover does: first the records, then task blocks that only the log contains. */
 static void restore_records_and_wal(struct scenario *scenario, struct fl_wal *wal)
 {
-	for (int j = 0; j < JOBS; j++)
-		for (uint32_t k = 0; k < scenario->jobs[j]->block_count; k++) {
-			cJSON *value = scenario->records[j][k].change_count > 0
-			                       ? encode_group(&scenario->records[j][k])
-			                       : NULL;
+	for (int job_index = 0; job_index < JOBS; job_index++)
+		for (uint32_t block_index = 0; block_index < scenario->jobs[job_index]->block_count;
+		     block_index++) {
+			cJSON *value =
+				scenario->records[job_index][block_index].change_count > 0
+					? encode_group(&scenario->records[job_index][block_index])
+					: NULL;
 
 			if (value)
 				assert_int_equal(
 					fl_task_block_restore(
-						&scenario->cluster, scenario->jobs[j], k,
+						&scenario->cluster, scenario->jobs[job_index],
+						block_index,
 						&(struct fl_task_block_source){value, 7, wal}, 0),
 					0);
 			cJSON_Delete(value);
@@ -211,7 +214,10 @@
 				0);
 }
 
-/* The plain reading: of two states done counts, then the higher attempt, then one not placed. */
+/*
+ * The reference merge. Of two states of a task, the one that is done is used, else the one with the
+ * higher attempt, else the waiting one.
+ */
 static void merge_group_changes(struct change *best, const struct group *group, uint32_t index,
                                 bool from_wal)
 {
@@ -232,19 +238,19 @@
 	}
 }
 
-static void assert_restored_task(const struct scenario *scenario, int job, uint32_t index,
+static void assert_restored_task(const struct scenario *scenario, int job_index, uint32_t index,
                                  uint32_t counts[3])
 {
-	const struct fl_task *task = fl_task_find(scenario->jobs[job], index);
+	const struct fl_task *task = fl_task_find(scenario->jobs[job_index], index);
 	const struct fl_task_block *block =
-		fl_job_task_block(scenario->jobs[job], index / FL_TASK_BLOCK_SIZE);
+		fl_job_task_block(scenario->jobs[job_index], index / FL_TASK_BLOCK_SIZE);
 	struct change best = {.phase = FL_TASK_WAITING};
 	char name[16];
 
-	merge_group_changes(&best, &scenario->records[job][index / FL_TASK_BLOCK_SIZE], index,
+	merge_group_changes(&best, &scenario->records[job_index][index / FL_TASK_BLOCK_SIZE], index,
 	                    false);
 	for (int i = 0; i < scenario->group_count; i++)
-		if (scenario->groups[i].job == job &&
+		if (scenario->groups[i].job == job_index &&
 		    scenario->groups[i].block_index == index / FL_TASK_BLOCK_SIZE)
 			merge_group_changes(&best, &scenario->groups[i], index, true);
 	counts[best.phase]++;
@@ -266,14 +272,15 @@
 
 static void assert_restored_jobs(const struct scenario *scenario)
 {
-	for (int j = 0; j < JOBS; j++) {
+	for (int job_index = 0; job_index < JOBS; job_index++) {
 		uint32_t counts[3] = {0};
 
-		for (uint32_t i = 0; i < scenario->jobs[j]->task_count; i++)
-			assert_restored_task(scenario, j, i, counts);
-		assert_int_equal(scenario->jobs[j]->counts.waiting, counts[FL_TASK_WAITING]);
-		assert_int_equal(scenario->jobs[j]->counts.placed, counts[FL_TASK_PLACED]);
-		assert_int_equal(scenario->jobs[j]->counts.done, counts[FL_TASK_DONE]);
+		for (uint32_t i = 0; i < scenario->jobs[job_index]->task_count; i++)
+			assert_restored_task(scenario, job_index, i, counts);
+		assert_int_equal(scenario->jobs[job_index]->counts.waiting,
+		                 counts[FL_TASK_WAITING]);
+		assert_int_equal(scenario->jobs[job_index]->counts.placed, counts[FL_TASK_PLACED]);
+		assert_int_equal(scenario->jobs[job_index]->counts.done, counts[FL_TASK_DONE]);
 	}
 }
 
@@ -285,19 +292,21 @@
 		struct fl_wal wal = {0};
 
 		seed = 0x9e3779b97f4a7c15ULL * (uint64_t)(round + 1);
-		for (int j = 0; j < JOBS; j++) {
-			add_job(scenario, j, 1 + random_below(TASKS_MAX));
-			for (uint32_t k = 0; k < scenario->jobs[j]->block_count; k++)
+		for (int job_index = 0; job_index < JOBS; job_index++) {
+			add_job(scenario, job_index, 1 + random_below(TASKS_MAX));
+			for (uint32_t block_index = 0;
+			     block_index < scenario->jobs[job_index]->block_count; block_index++)
 				if (random_below(2))
-					fill_group_randomly(&scenario->records[j][k], scenario, j,
-					                    k);
+					fill_group_randomly(
+						&scenario->records[job_index][block_index],
+						scenario, job_index, block_index);
 		}
 		scenario->group_count = (int)random_below(GROUPS_MAX + 1);
 		for (int i = 0; i < scenario->group_count; i++) {
-			int j = (int)random_below(JOBS);
+			int job_index = (int)random_below(JOBS);
 
-			fill_group_randomly(&scenario->groups[i], scenario, j,
-			                    random_below(scenario->jobs[j]->block_count));
+			fill_group_randomly(&scenario->groups[i], scenario, job_index,
+			                    random_below(scenario->jobs[job_index]->block_count));
 		}
 		read_wal(&wal, scenario);
 		restore_records_and_wal(scenario, &wal);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* The settings file: what of it is refused, and that the error names the setting. */
+/* Settings files that are rejected with an error that names the setting. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -22,7 +22,7 @@
 	"[settings.cloud]\nrps = 3.0\nlist_lag_s = 10.0\n"
 	"[settings.resources]\ncore_share = 0.12\nram_mb = 72.0\nmax_connections = 1500\n";
 
-/* Reads the settings with one piece of text replaced. */
+/* Reads good_settings with `old` replaced by `new`; `old` NULL: unchanged. */
 static int read_settings_with(const char *old, const char *new, char *error, size_t size)
 {
 	struct fl_config *config = calloc(1, sizeof(*config));
@@ -87,7 +87,8 @@
 		                                        sizeof(error)),
 		                     0);
 		if (!strstr(error, malformed[i].expected_error))
-			fail_msg("'%s' does not say '%s'", error, malformed[i].expected_error);
+			fail_msg("error text '%s' does not contain '%s'", error,
+			         malformed[i].expected_error);
 	}
 }
 
--- a/tests/test_status_messages.c
+++ b/tests/test_status_messages.c
@@ -1,4 +1,4 @@
-/* Status queries and their answers between controllers: encoded, decoded, and refused. */
+/* Status queries between controllers and the responses to them: round trips and malformed ones. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -1,6 +1,6 @@
 /*
- * Submissions that are accepted and refused: the verdict must not depend on what the node can
- * reach.
+ * Accepted and rejected submissions: as long as the node can reach the key-value store or the
+ * leader, the status must not depend on which of them it reaches.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -41,14 +41,14 @@
 	int status = submit(fixture, fields, NULL);
 
 	if (status != expected)
-		note_failure(fixture, "%d instead of %d, %s: %.200s", status, expected, condition,
-		             fields);
+		note_failure(fixture, "status %d instead of %d, %s: %.200s", status, expected,
+		             condition, fields);
 }
 
 static const struct {
 	const char *fields;
 	int status;
-	bool ref_unreadable; /* not even the Ref: 400 though it may be known */
+	bool ref_unreadable; /* the Ref, too, cannot be decoded: 400 even if the job is known */
 } cases[] = {
 	{"", 201, false},
 	{"\"Parts\":null", 400, false},
@@ -69,16 +69,16 @@
 	{"\"HostKinds\":[\"none\",\"both\"]", 201, false},
 	{"\"Vcpus\":1000", 422, false},
 	{"\"Vcpus\":0,\"RamGb\":0", 422, false},
-	/* Offered in zone a only, and in no zone that is known. */
+	/* 50 CPUs are offered in zone a only, 99 CPUs in no known zone. */
 	{"\"Vcpus\":50", 201, false},
 	{"\"Vcpus\":50,\"Site\":\"b\"", 422, false},
 	{"\"Vcpus\":50,\"HostKinds\":[\"both\"]", 422, false},
 	{"\"Vcpus\":99", 422, false},
-	/* The limit: one task of an array, all of the others. */
+	/* The team's limit counts one task of an array, but all tasks of a service or gang. */
 	{"\"Parts\":101", 201, false},
 	{"\"Parts\":101,\"JobKind\":\"standing\"", 422, false},
 	{"\"Parts\":101,\"JobKind\":\"ensemble\"", 422, false},
-	/* Zones that half of a service or a gang can never get. */
+	/* A service or gang that is limited to one zone could never place half of its tasks. */
 	{"\"Apart\":true,\"JobKind\":\"standing\"", 201, false},
 	{"\"Apart\":true,\"JobKind\":\"standing\",\"Site\":\"a\"", 422, false},
 	{"\"Apart\":true,\"JobKind\":\"ensemble\",\"Together\":true", 422, false},
@@ -99,9 +99,9 @@
 {
 	struct frontend_fixture *fixture = argument;
 
-	submit_all_cases(fixture, "all is well");
+	submit_all_cases(fixture, "key-value store available");
 	fixture->kv_store_returns_503 = true;
-	submit_all_cases(fixture, "refused by the key-value store");
+	submit_all_cases(fixture, "key-value store unavailable");
 }
 
 static void a_submission_status_does_not_depend_on_the_key_value_store(void **state)
@@ -109,7 +109,7 @@
 	run_in_coroutine(*state, submit_with_and_without_kv_store);
 }
 
-/* Field, and as much white space as escapes of two characters, within the limit of a body. */
+/* Submits a body within the limit of 64 KiB that exceeds it when its newlines are escaped. */
 static void submit_large_body(void *argument)
 {
 	enum { LARGE = 50000, ESCAPED = 20000 };
@@ -123,11 +123,11 @@
 	memcpy(large, "\"Later\":", 8);
 	memcpy(large + LARGE - 10, "[7]", 3);
 	large[LARGE] = 0;
-	expect_status(fixture, large, 201, "large");
+	expect_status(fixture, large, 201, "large body");
 	free(large);
 }
 
-/* The leader gets the decoded job: this body, escaped once more, would be too large. */
+/* The decoded job is forwarded to the leader: the body, escaped once more, would be too large. */
 static void a_submission_is_forwarded_when_its_body_is_large(void **state)
 {
 	run_in_coroutine(*state, submit_large_body);
@@ -143,7 +143,7 @@
 		for (int i = 0; i < CASES; i++)
 			if (cases[i].status != 201)
 				expect_status(fixture, cases[i].fields,
-				              cases[i].ref_unreadable ? 400 : 200, "known");
+				              cases[i].ref_unreadable ? 400 : 200, "job known");
 	}
 }
 
@@ -152,7 +152,7 @@
 	run_in_coroutine(*state, submit_known_job);
 }
 
-/* Not known by any node: neither accepted nor refused. */
+/* Without key-value store and leader, a submission is neither accepted nor rejected: 503. */
 static void submit_without_peers(void *argument)
 {
 	struct frontend_fixture *fixture = argument;
@@ -163,10 +163,11 @@
 	fixture->node.peer_count = 0;
 	for (int i = 0; i < CASES; i++)
 		if (!cases[i].ref_unreadable)
-			expect_status(fixture, cases[i].fields, 503, "nobody can tell");
+			expect_status(fixture, cases[i].fields, 503,
+			              "neither key-value store nor leader reachable");
 	fixture->kv_store_returns_503 = fixture->node.machine_types_loaded = false;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
-		note_failure(fixture, "machine types unknown");
+		note_failure(fixture, "no 503 with Retry-After while machine types are not loaded");
 }
 
 static void a_submission_is_unavailable_when_no_record_can_be_read(void **state)
@@ -174,7 +175,10 @@
 	run_in_coroutine(*state, submit_without_peers);
 }
 
-/* Turned away before anything is stored, with when to come back; what is malformed is said. */
+/*
+ * While memory is low, a new job gets 503 with Retry-After before anything is stored; invalid
+ * submissions still get 400 or 422, and duplicates the status of the job.
+ */
 static void submit_without_memory(void *argument)
 {
 	struct frontend_fixture *fixture = argument;
@@ -182,14 +186,14 @@
 
 	fixture->config.ram_mb = 1;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
-		note_failure(fixture, "accepted without memory");
-	expect_status(fixture, "\"Parts\":0", 400, "without memory");
-	expect_status(fixture, "\"Site\":\"z\"", 422, "without memory");
+		note_failure(fixture, "no 503 with Retry-After while memory is low");
+	expect_status(fixture, "\"Parts\":0", 400, "memory low");
+	expect_status(fixture, "\"Site\":\"z\"", 422, "memory low");
 	fixture->job_known = true;
-	expect_status(fixture, "", 200, "known, without memory");
+	expect_status(fixture, "", 200, "job known, memory low");
 	fixture->job_known = false;
 	fixture->config.ram_mb = 1024;
-	expect_status(fixture, "", 201, "with memory");
+	expect_status(fixture, "", 201, "memory available");
 }
 
 static void a_submission_is_unavailable_when_the_job_does_not_fit_in_memory(void **state)
--- a/tests/test_token_bucket.c
+++ b/tests/test_token_bucket.c
@@ -1,4 +1,4 @@
-/* The token bucket, which limits the rate of writes and calls. */
+/* The token bucket, which limits the rates of writes and requests. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_write_ahead_log.c
+++ b/tests/test_write_ahead_log.c
@@ -1,4 +1,4 @@
-/* The groups of the write-ahead log, found by job and task block. */
+/* How groups of the write-ahead log are found by job and task block. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,19 +9,19 @@
 
 #include "storage/write_ahead_log.h"
 
-/* One value of a log: a group for each task block of each of these jobs. */
+/* Reads one value of the log, with a group for each task block of each job. */
 static void read_value_with_all_blocks(struct fl_wal *wal, uint32_t job_count, uint32_t block_count)
 {
 	cJSON *value = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(value, "log");
 
-	for (uint32_t j = 0; j < job_count; j++)
-		for (uint32_t k = 0; k < block_count; k++) {
+	for (uint32_t job = 0; job < job_count; job++)
+		for (uint32_t block_index = 0; block_index < block_count; block_index++) {
 			cJSON *item = cJSON_CreateArray();
 			char ref[FL_REF_MAX];
 
-			snprintf(ref, sizeof(ref), "run-%06u", j);
+			snprintf(ref, sizeof(ref), "run-%06u", job);
 			cJSON_AddItemToArray(item, cJSON_CreateString(ref));
-			cJSON_AddItemToArray(item, cJSON_CreateNumber(k));
+			cJSON_AddItemToArray(item, cJSON_CreateNumber(block_index));
 			cJSON_AddItemToArray(item, cJSON_CreateObject());
 			cJSON_AddItemToArray(list, item);
 		}
@@ -29,7 +29,10 @@
 	cJSON_Delete(value);
 }
 
-/* All task blocks of a few arrays of the largest size, in three values: as many steps as groups. */
+/*
+ * Lists the groups of all task blocks of four arrays of the largest size, read from three values:
+ * no group may be visited more than once in all, since a failover lists the groups of every block.
+ */
 static void each_group_is_visited_once_when_groups_are_listed_by_block(void **state)
 {
 	const uint32_t job_count = 4,
@@ -42,16 +45,16 @@
 	for (uint32_t value_index = 0; value_index < value_count; value_index++)
 		read_value_with_all_blocks(&wal, job_count, block_count);
 	assert_int_equal(wal.group_count, job_count * block_count * value_count);
-	for (uint32_t j = 0; j < job_count; j++)
-		for (uint32_t k = 0; k < block_count; k++) {
+	for (uint32_t job = 0; job < job_count; job++)
+		for (uint32_t block_index = 0; block_index < block_count; block_index++) {
 			char ref[FL_REF_MAX];
 			int previous_group = -1;
 
-			snprintf(ref, sizeof(ref), "run-%06u", j);
-			for (int i = fl_wal_first_group(&wal, ref, k); i >= 0;
+			snprintf(ref, sizeof(ref), "run-%06u", job);
+			for (int i = fl_wal_first_group(&wal, ref, block_index); i >= 0;
 			     i = wal.groups[i].next_of_block) {
 				assert_string_equal(wal.groups[i].ref, ref);
-				assert_int_equal(wal.groups[i].block_index, k);
+				assert_int_equal(wal.groups[i].block_index, block_index);
 				assert_true(i > previous_group);
 				previous_group = i;
 				visited_group_count++;
