--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -187,18 +187,20 @@
 static void restore_records_and_wal(struct scenario *scenario, struct fl_wal *wal)
 {
 	for (int job_index = 0; job_index < JOBS; job_index++)
-		for (uint32_t block_index = 0; block_index < scenario->jobs[job_index]->block_count;
-		     block_index++) {
+		for (uint32_t task_block_index = 0;
+		     task_block_index < scenario->jobs[job_index]->block_count;
+		     task_block_index++) {
 			cJSON *value =
-				scenario->records[job_index][block_index].change_count > 0
-					? encode_group(&scenario->records[job_index][block_index])
+				scenario->records[job_index][task_block_index].change_count > 0
+					? encode_group(
+						  &scenario->records[job_index][task_block_index])
 					: NULL;
 
 			if (value)
 				assert_int_equal(
 					fl_task_block_restore(
 						&scenario->cluster, scenario->jobs[job_index],
-						block_index,
+						task_block_index,
 						&(struct fl_task_block_source){value, 7, wal}, 0),
 					0);
 			cJSON_Delete(value);
@@ -294,12 +296,13 @@
 		seed = 0x9e3779b97f4a7c15ULL * (uint64_t)(round + 1);
 		for (int job_index = 0; job_index < JOBS; job_index++) {
 			add_job(scenario, job_index, 1 + random_below(TASKS_MAX));
-			for (uint32_t block_index = 0;
-			     block_index < scenario->jobs[job_index]->block_count; block_index++)
+			for (uint32_t task_block_index = 0;
+			     task_block_index < scenario->jobs[job_index]->block_count;
+			     task_block_index++)
 				if (random_below(2))
 					fill_group_randomly(
-						&scenario->records[job_index][block_index],
-						scenario, job_index, block_index);
+						&scenario->records[job_index][task_block_index],
+						scenario, job_index, task_block_index);
 		}
 		scenario->group_count = (int)random_below(GROUPS_MAX + 1);
 		for (int i = 0; i < scenario->group_count; i++) {
--- a/tests/test_write_ahead_log.c
+++ b/tests/test_write_ahead_log.c
@@ -15,13 +15,14 @@
 	cJSON *value = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(value, "log");
 
 	for (uint32_t job = 0; job < job_count; job++)
-		for (uint32_t block_index = 0; block_index < block_count; block_index++) {
+		for (uint32_t task_block_index = 0; task_block_index < block_count;
+		     task_block_index++) {
 			cJSON *item = cJSON_CreateArray();
 			char ref[FL_REF_MAX];
 
 			snprintf(ref, sizeof(ref), "run-%06u", job);
 			cJSON_AddItemToArray(item, cJSON_CreateString(ref));
-			cJSON_AddItemToArray(item, cJSON_CreateNumber(block_index));
+			cJSON_AddItemToArray(item, cJSON_CreateNumber(task_block_index));
 			cJSON_AddItemToArray(item, cJSON_CreateObject());
 			cJSON_AddItemToArray(list, item);
 		}
@@ -46,15 +47,16 @@
 		read_value_with_all_blocks(&wal, job_count, block_count);
 	assert_int_equal(wal.group_count, job_count * block_count * value_count);
 	for (uint32_t job = 0; job < job_count; job++)
-		for (uint32_t block_index = 0; block_index < block_count; block_index++) {
+		for (uint32_t task_block_index = 0; task_block_index < block_count;
+		     task_block_index++) {
 			char ref[FL_REF_MAX];
 			int previous_group = -1;
 
 			snprintf(ref, sizeof(ref), "run-%06u", job);
-			for (int i = fl_wal_first_group(&wal, ref, block_index); i >= 0;
+			for (int i = fl_wal_first_group(&wal, ref, task_block_index); i >= 0;
 			     i = wal.groups[i].next_of_block) {
 				assert_string_equal(wal.groups[i].ref, ref);
-				assert_int_equal(wal.groups[i].block_index, block_index);
+				assert_int_equal(wal.groups[i].block_index, task_block_index);
 				assert_true(i > previous_group);
 				previous_group = i;
 				visited_group_count++;
