--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -148,15 +148,15 @@
 	static const enum fl_task_state states[] = {FL_TASK_STATE_PULLING, FL_TASK_STATE_RUNNING,
 	                                            FL_TASK_STATE_CHECKPOINTING,
 	                                            FL_TASK_STATE_AWAITING_GANG};
-	static const enum fl_exit exits[] = {FL_EXIT_DONE,
-	                                     FL_EXIT_STOPPED,
-	                                     FL_EXIT_ERROR,
-	                                     FL_EXIT_NO_ROOM,
-	                                     FL_EXIT_BUSY,
-	                                     FL_EXIT_UNKNOWN_TASK,
-	                                     FL_EXIT_GANG_PEERS_LOST,
-	                                     FL_EXIT_GANG_INCOMPLETE,
-	                                     FL_EXIT_OTHER};
+	static const enum fl_exit_reason exits[] = {FL_EXIT_DONE,
+	                                            FL_EXIT_STOPPED,
+	                                            FL_EXIT_ERROR,
+	                                            FL_EXIT_NO_ROOM,
+	                                            FL_EXIT_BUSY,
+	                                            FL_EXIT_UNKNOWN_TASK,
+	                                            FL_EXIT_GANG_PEERS_LOST,
+	                                            FL_EXIT_GANG_INCOMPLETE,
+	                                            FL_EXIT_OTHER};
 	struct fl_heartbeat heartbeat = {.host = "m-000012",
 	                                 .incarnation = 101,
 	                                 .sequence = 102,
@@ -169,7 +169,7 @@
 		tasks[i] = (struct fl_task_status){.index = 3 + i, .attempt = 21 + i};
 		snprintf(tasks[i].ref, sizeof(tasks[i].ref), "run-%06u", 412 + i);
 		tasks[i].state = i < 4 ? states[i] : FL_TASK_STATE_EXITED;
-		tasks[i].exit = i < 4 ? FL_EXIT_OTHER : exits[i - 4];
+		tasks[i].exit_reason = i < 4 ? FL_EXIT_OTHER : exits[i - 4];
 	}
 	return heartbeat;
 }
--- a/tests/contract_store_fixture.c
+++ b/tests/contract_store_fixture.c
@@ -21,7 +21,7 @@
 
 struct contract_store store_fixture;
 
-void sim_process_compute(int process) { (void)process; }
+void sim_process_delay_if_slow(int process) { (void)process; }
 
 void store_record(const char *key, const char *value, int mod_revision, int lease_id)
 {
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -42,7 +42,7 @@
 	uint64_t count = 0;
 
 	fl_json_get_string(body, "Rental", name, sizeof(name));
-	fl_json_get_count(body, "Count", &count);
+	fl_json_get_uint(body, "Count", &count);
 	HASH_FIND_STR(rentals, name, rental);
 	if (!rental)
 		return add_rental(name, leader ? leader->mod_revision : 0, count);
--- a/tests/fake_kv_store.c
+++ b/tests/fake_kv_store.c
@@ -15,7 +15,7 @@
 	cJSON *object = fl_json_parse(value, strlen(value));
 	uint64_t fencing_token = 0;
 
-	fl_json_get_count(object, "epoch", &fencing_token);
+	fl_json_get_uint(object, "epoch", &fencing_token);
 	cJSON_Delete(object);
 	return fencing_token;
 }
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -118,7 +118,7 @@
 	assert_true(fixture->kv_store && fixture->leader);
 	connect_client(&node->kv_store.client, fixture->kv_store);
 	connect_client(&node->cloud.http, fixture->kv_store);
-	node->kv_store.last_success_at = node->leader_view.confirmed_at =
+	node->kv_store.last_success_sent_at = node->leader_view.confirmed_at =
 		node->cancellation_watermark = fl_now();
 	node->kv_store.last_failure_at = -1e9;
 	node->machine_types_loaded = node->live_jobs_loaded = true;
--- a/tests/kv_model_requests.c
+++ b/tests/kv_model_requests.c
@@ -169,7 +169,7 @@
 	uint64_t lease_id;
 
 	cJSON_ArrayForEach (operation, operations)
-		if (fl_json_get_count(operation, "Grant", &lease_id) == FL_JSON_OK &&
+		if (fl_json_get_uint(operation, "Grant", &lease_id) == FL_JSON_OK &&
 		    kv_model_lease_find(model, lease_id) < 0)
 			return true;
 	return false;
@@ -187,7 +187,7 @@
 		const struct kv_entry *entry;
 
 		fl_json_get_string(condition, "Key", key, sizeof(key));
-		fl_json_get_count(condition, "KeyRev", &expected);
+		fl_json_get_uint(condition, "KeyRev", &expected);
 		entry = kv_model_find(model, key);
 		if ((entry ? entry->mod_revision : 0) != expected)
 			cJSON_AddItemToArray(failed, cJSON_CreateString(key));
@@ -202,7 +202,7 @@
 	struct kv_entry *entry;
 
 	if (fl_json_get_string(operation, "Put", key, sizeof(key)) == FL_JSON_OK) {
-		if (fl_json_get_count(operation, "Grant", &lease_id) != FL_JSON_OK)
+		if (fl_json_get_uint(operation, "Grant", &lease_id) != FL_JSON_OK)
 			lease_id = 0;
 		kv_model_put(model, key, cJSON_PrintUnformatted(fl_json_get(operation, "V")),
 		             lease_id);
--- a/tests/test_contract_cloud.c
+++ b/tests/test_contract_cloud.c
@@ -94,9 +94,9 @@
 	int unused_count;
 
 	fl_http_client_init(&cloud.http, address, 1);
-	got->result[0] = fl_cloud_machine_types(&cloud, &got->types, &got->count);
-	got->result[1] = fl_cloud_machine_types(&cloud, &unused_types, &unused_count);
-	got->result[2] = fl_cloud_machine_types(&cloud, &unused_types, &unused_count);
+	got->result[0] = fl_cloud_get_machine_types(&cloud, &got->types, &got->count);
+	got->result[1] = fl_cloud_get_machine_types(&cloud, &unused_types, &unused_count);
+	got->result[2] = fl_cloud_get_machine_types(&cloud, &unused_types, &unused_count);
 	fl_http_client_close(&cloud.http);
 }
 
@@ -137,8 +137,9 @@
 
 	fl_http_client_init(&cloud.http, address, 1);
 	for (int i = 0; i < 3; i++)
-		got->result[i] = fl_cloud_rent(&cloud, &rentals[i], &got->hosts[i], &got->count[i]);
-	got->result[3] = fl_cloud_delete(&cloud, deleted_hosts, COUNT_OF(deleted_hosts));
+		got->result[i] =
+			fl_cloud_rent_machines(&cloud, &rentals[i], &got->hosts[i], &got->count[i]);
+	got->result[3] = fl_cloud_delete_machines(&cloud, deleted_hosts, COUNT_OF(deleted_hosts));
 	fl_http_client_close(&cloud.http);
 }
 
@@ -199,8 +200,8 @@
 
 	fl_http_client_init(&cloud.http, address, 1);
 	for (int i = 0; i < 2; i++)
-		got->result[i] = fl_cloud_list(&cloud, from[i], &got->hosts[i], &got->count[i],
-		                               &got->more[i]);
+		got->result[i] = fl_cloud_list_machines(&cloud, from[i], &got->hosts[i],
+		                                        &got->count[i], &got->more[i]);
 	fl_http_client_close(&cloud.http);
 }
 
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -209,7 +209,7 @@
 	assert_string_equal(FL_PREFIX_HEARTBEAT_DIGESTS, "k/");
 	assert_string_equal(FL_PREFIX_WAL, "w/");
 	assert_string_equal(FL_KEY_WAL_FIRST_VALUE, "w/0");
-	assert_string_equal(FL_REF_BEGIN, "run-");
+	assert_string_equal(FL_JOB_REF_PREFIX, "run-");
 	assert_int_equal(FL_TASK_BLOCK_SIZE, 64);
 
 	fl_key_job(key, "run-000412");
--- a/tests/test_contract_peers.c
+++ b/tests/test_contract_peers.c
@@ -27,10 +27,10 @@
 	assert_string_equal(got.node, expected->node);
 	assert_string_equal(got.leader, expected->leader);
 	assert_int_equal(got.fencing_token, expected->fencing_token);
-	assert_true(got.leadership_age_s == expected->leadership_age_s);
-	assert_int_equal(got.is_leader, expected->is_leader);
+	assert_true(got.leader_confirmed_age_s == expected->leader_confirmed_age_s);
+	assert_int_equal(got.sender_is_leader, expected->sender_is_leader);
 	assert_true(got.watermark_age_s == expected->watermark_age_s);
-	assert_int_equal(got.complete, expected->complete);
+	assert_int_equal(got.cancellations_complete, expected->cancellations_complete);
 	assert_int_equal(got.cancelled_count, expected->cancelled_count);
 	for (int i = 0; i < expected->cancelled_count; i++) {
 		assert_string_equal(got.cancelled[i].ref, expected->cancelled[i].ref);
@@ -46,17 +46,17 @@
 	const struct fl_gossip leader_gossip = {.node = "host-1",
 	                                        .leader = "host-1",
 	                                        .fencing_token = 41,
-	                                        .leadership_age_s = 0.25,
-	                                        .is_leader = true,
+	                                        .leader_confirmed_age_s = 0.25,
+	                                        .sender_is_leader = true,
 	                                        .watermark_age_s = 3.5,
 	                                        .cancelled = cancelled,
 	                                        .cancelled_count = COUNT_OF(cancelled)};
 	const struct fl_gossip follower_gossip = {.node = "host-2",
 	                                          .leader = "host-3",
 	                                          .fencing_token = 42,
-	                                          .leadership_age_s = 5,
+	                                          .leader_confirmed_age_s = 5,
 	                                          .watermark_age_s = 6,
-	                                          .complete = true};
+	                                          .cancellations_complete = true};
 
 	(void)state;
 	assert_gossip_round_trip(
@@ -128,7 +128,7 @@
 {
 	struct fl_peer_heartbeats got;
 	struct fl_heartbeat heartbeat;
-	cJSON *list = fl_heartbeat_list_begin();
+	cJSON *list = fl_heartbeat_list_create();
 
 	(void)state;
 	assert_text_and_free(fl_peer_heartbeats_encode(list, "host-2", true, false),
@@ -142,19 +142,20 @@
 	                                           strlen(forwarded_heartbeats_text), &got),
 	                 0);
 	assert_false(got.last_hop);
-	assert_true(got.disconnected);
+	assert_true(got.sender_kv_unavailable);
 	assert_string_equal(got.entry_node, "host-3");
-	assert_int_equal(cJSON_GetArraySize(got.list), 1);
-	assert_int_equal(fl_heartbeat_decode_json(cJSON_GetArrayItem(got.list, 0), &heartbeat), 0);
+	assert_int_equal(cJSON_GetArraySize(got.heartbeat_list), 1);
+	assert_int_equal(
+		fl_heartbeat_decode_json(cJSON_GetArrayItem(got.heartbeat_list, 0), &heartbeat), 0);
 	assert_heartbeat_equal(&heartbeat, &idle_heartbeat);
 	fl_peer_heartbeats_free(&got);
 	assert_int_equal(fl_peer_heartbeats_decode(last_hop_heartbeats_text,
 	                                           strlen(last_hop_heartbeats_text), &got),
 	                 0);
 	assert_true(got.last_hop);
-	assert_false(got.disconnected);
+	assert_false(got.sender_kv_unavailable);
 	assert_string_equal(got.entry_node, "host-2");
-	assert_int_equal(cJSON_GetArraySize(got.list), 0);
+	assert_int_equal(cJSON_GetArraySize(got.heartbeat_list), 0);
 	fl_peer_heartbeats_free(&got);
 }
 
@@ -188,7 +189,7 @@
 {
 	static const char text[] = "{\"refs\":[\"run-000412\",\"run-000413\"]}";
 	static const char refs[][FL_REF_MAX] = {"run-000412", "run-000413"};
-	char got[FL_STATUS_QUERY_MAX][FL_REF_MAX];
+	char got[FL_STATUS_QUERY_JOBS_MAX][FL_REF_MAX];
 	int count;
 
 	(void)state;
@@ -211,7 +212,7 @@
 	(void)state;
 	assert_int_equal(fl_status_answer_decode(text, strlen(text), got, COUNT_OF(expected)), 0);
 	for (int i = 0; i < COUNT_OF(expected); i++) {
-		assert_int_equal(got[i].known, expected[i].known);
+		assert_int_equal(got[i].status_known, expected[i].status_known);
 		assert_int_equal(got[i].status, expected[i].status);
 		assert_int_equal(got[i].done_count, expected[i].done_count);
 		assert_int_equal(got[i].running_count, expected[i].running_count);
@@ -264,7 +265,7 @@
 {
 	static const char text[] = "{\"epoch\":41,\"kept\":[[\"m-000232\",1,88,41,-1,[]],"
 				   "[\"m-000232\",1,88,41,-1,[]]]}";
-	cJSON *digest = fl_digest_begin(41), *tree = parse_json(text);
+	cJSON *digest = fl_digest_create(41), *tree = parse_json(text);
 	const cJSON *list = fl_digest_heartbeats(tree);
 
 	(void)state;
@@ -272,8 +273,8 @@
 	assert_cached_heartbeat(cJSON_GetArrayItem(list, 0), &idle_heartbeat);
 	assert_cached_heartbeat(cJSON_GetArrayItem(list, 1), &idle_heartbeat);
 	cJSON_Delete(tree);
-	fl_digest_add(digest, cached_idle_heartbeat_text);
-	fl_digest_add(digest, cached_idle_heartbeat_text);
+	fl_digest_add_heartbeat(digest, cached_idle_heartbeat_text);
+	fl_digest_add_heartbeat(digest, cached_idle_heartbeat_text);
 	assert_text_and_free(fl_json_print_and_delete(digest), text);
 }
 
--- a/tests/test_contract_progress_records.c
+++ b/tests/test_contract_progress_records.c
@@ -121,17 +121,17 @@
 	struct fl_task_status tasks[CACHED_TASK_COUNT];
 	struct fl_heartbeat heartbeat = make_cached_heartbeat(tasks);
 	char *cached = fl_cached_heartbeat_encode(&heartbeat);
-	cJSON *digest = fl_digest_begin(108);
+	cJSON *digest = fl_digest_create(108);
 
 	(void)state;
 	assert_string_equal(cached, CACHED_HEARTBEAT);
 
-	fl_digest_add(digest, cached);
+	fl_digest_add_heartbeat(digest, cached);
 	free(cached);
 	cached = fl_cached_heartbeat_encode(&cached_idle_heartbeat);
 	assert_string_equal(cached, CACHED_IDLE_HEARTBEAT);
 
-	fl_digest_add(digest, cached);
+	fl_digest_add_heartbeat(digest, cached);
 	free(cached);
 	assert_json_text_and_delete(digest, DIGEST_RECORD);
 }
--- a/tests/test_contract_users.c
+++ b/tests/test_contract_users.c
@@ -186,37 +186,37 @@
 {
 	(void)state;
 	assert_text_and_free(
-		fl_status_encode("run-000412", FL_PENDING, 0, 0),
+		fl_job_status_encode("run-000412", FL_PENDING, 0, 0),
 		"{\"Ref\":\"run-000412\",\"Status\":\"pending\",\"done\":0,\"running\":0}");
 	assert_text_and_free(
-		fl_status_encode("run-000412", FL_RUNNING, 3, 13),
+		fl_job_status_encode("run-000412", FL_RUNNING, 3, 13),
 		"{\"Ref\":\"run-000412\",\"Status\":\"running\",\"done\":3,\"running\":13}");
 	assert_text_and_free(
-		fl_status_encode("run-000413", FL_DONE, 16, 0),
+		fl_job_status_encode("run-000413", FL_DONE, 16, 0),
 		"{\"Ref\":\"run-000413\",\"Status\":\"done\",\"done\":16,\"running\":0}");
 	assert_text_and_free(
-		fl_status_encode("run-000414", FL_CANCELLED, 2, 1),
+		fl_job_status_encode("run-000414", FL_CANCELLED, 2, 1),
 		"{\"Ref\":\"run-000414\",\"Status\":\"aborted\",\"done\":2,\"running\":1}");
 }
 
 static void a_submission_or_cancellation_response_has_no_task_counts(void **state)
 {
 	(void)state;
-	assert_text_and_free(fl_status_encode("run-000412", FL_PENDING, -1, -1),
+	assert_text_and_free(fl_job_status_encode("run-000412", FL_PENDING, -1, -1),
 	                     "{\"Ref\":\"run-000412\",\"Status\":\"pending\"}");
-	assert_text_and_free(fl_status_encode("run-000412", FL_CANCELLED, -1, -1),
+	assert_text_and_free(fl_job_status_encode("run-000412", FL_CANCELLED, -1, -1),
 	                     "{\"Ref\":\"run-000412\",\"Status\":\"aborted\"}");
-	assert_text_and_free(fl_status_encode("run-000412", FL_DONE, -1, -1),
+	assert_text_and_free(fl_job_status_encode("run-000412", FL_DONE, -1, -1),
 	                     "{\"Ref\":\"run-000412\",\"Status\":\"done\"}");
 }
 
 static void each_job_status_has_its_name(void **state)
 {
 	(void)state;
-	assert_string_equal(fl_status_name(FL_PENDING), "pending");
-	assert_string_equal(fl_status_name(FL_RUNNING), "running");
-	assert_string_equal(fl_status_name(FL_DONE), "done");
-	assert_string_equal(fl_status_name(FL_CANCELLED), "aborted");
+	assert_string_equal(fl_job_status_name(FL_PENDING), "pending");
+	assert_string_equal(fl_job_status_name(FL_RUNNING), "running");
+	assert_string_equal(fl_job_status_name(FL_DONE), "done");
+	assert_string_equal(fl_job_status_name(FL_CANCELLED), "aborted");
 }
 
 static void each_path_maps_to_its_request_kind(void **state)
@@ -243,7 +243,8 @@
 
 	(void)state;
 	for (int i = 0; i < COUNT_OF(paths); i++) {
-		assert_int_equal(fl_user_route(paths[i].path, ref), paths[i].request_kind);
+		assert_int_equal(fl_user_request_parse_path(paths[i].path, ref),
+		                 paths[i].request_kind);
 		assert_string_equal(ref, paths[i].ref);
 	}
 }
@@ -251,7 +252,7 @@
 static void a_valid_job_id_is_run_and_six_to_twelve_digits(void **state)
 {
 	(void)state;
-	assert_string_equal(FL_REF_BEGIN, "run-");
+	assert_string_equal(FL_JOB_REF_PREFIX, "run-");
 	assert_true(fl_job_ref_is_valid("run-000412"));
 	assert_true(fl_job_ref_is_valid("run-000000000412"));
 	assert_false(fl_job_ref_is_valid("run-00412"));
--- a/tests/test_contract_workers.c
+++ b/tests/test_contract_workers.c
@@ -90,14 +90,14 @@
 	add_one_command_of_each_verb(&commands);
 	assert_int_equal(commands.count, 3);
 	assert_text_and_free(
-		fl_command_list_take(&commands),
+		fl_command_list_take_body(&commands),
 		"{\"Epoch\":41,\"Orders\":["
 		"{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
 		"{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
 		"{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}]}");
 
 	fl_command_list_init(&commands, 912345678901234);
-	assert_text_and_free(fl_command_list_take(&commands),
+	assert_text_and_free(fl_command_list_take_body(&commands),
 	                     "{\"Epoch\":912345678901234,\"Orders\":[]}");
 }
 
@@ -144,7 +144,7 @@
 	fl_command_list_init(&commands, 41);
 	add_one_command_of_each_verb(&commands);
 	fl_command_list_bind_incarnation(&commands, 7);
-	got.body = fl_command_list_take(&commands);
+	got.body = fl_command_list_take_body(&commands);
 	assert_string_equal(got.body, command_text);
 
 	contract_run_exchanges(send_commands, &got, script, COUNT_OF(script));
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -177,7 +177,7 @@
 	assert_int_equal(fl_heartbeat_decode(heartbeat, strlen(heartbeat), &decoded), 0);
 	assert_int_equal(decoded.task_count, 2);
 	assert_int_equal(decoded.tasks[0].index, 3);
-	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
+	assert_int_equal(decoded.tasks[1].exit_reason, FL_EXIT_DONE);
 	assert_true(decoded.interruption_in_s < 0);
 	fl_heartbeat_free(&decoded);
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++)
@@ -249,16 +249,20 @@
 	char ref[FL_REF_MAX];
 
 	(void)state;
-	assert_int_equal(fl_user_route("/v2/runs", ref), FL_USER_REQUEST_SUBMIT);
-	assert_int_equal(fl_user_route("/v2/runs/run-000001", ref), FL_USER_REQUEST_STATUS);
+	assert_int_equal(fl_user_request_parse_path("/v2/runs", ref), FL_USER_REQUEST_SUBMIT);
+	assert_int_equal(fl_user_request_parse_path("/v2/runs/run-000001", ref),
+	                 FL_USER_REQUEST_STATUS);
 	assert_string_equal(ref, "run-000001");
-	assert_int_equal(fl_user_route("/v2/runs/run-000001/cancel", ref), FL_USER_REQUEST_CANCEL);
+	assert_int_equal(fl_user_request_parse_path("/v2/runs/run-000001/cancel", ref),
+	                 FL_USER_REQUEST_CANCEL);
 	assert_string_equal(ref, "run-000001");
-	assert_int_equal(fl_user_route("/v2/runs/run-000001/stop", ref), FL_USER_REQUEST_UNKNOWN);
-	assert_int_equal(fl_user_route("/v2/runs/whatever", ref), FL_USER_REQUEST_STATUS);
+	assert_int_equal(fl_user_request_parse_path("/v2/runs/run-000001/stop", ref),
+	                 FL_USER_REQUEST_UNKNOWN);
+	assert_int_equal(fl_user_request_parse_path("/v2/runs/whatever", ref),
+	                 FL_USER_REQUEST_STATUS);
 	assert_string_equal(ref, "");
-	assert_int_equal(fl_user_route("/v2/run", ref), FL_USER_REQUEST_UNKNOWN);
-	assert_int_equal(fl_user_route("/ready", ref), FL_USER_REQUEST_READY);
+	assert_int_equal(fl_user_request_parse_path("/v2/run", ref), FL_USER_REQUEST_UNKNOWN);
+	assert_int_equal(fl_user_request_parse_path("/ready", ref), FL_USER_REQUEST_READY);
 }
 
 int main(void)
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -36,12 +36,12 @@
 	bool more;
 	int count;
 
-	if (fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
+	if (fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
 		note_failure(fixture, "a good list is not read");
 	free(machines);
 	fixture->lists_lack_more_field = true;
 	if (fl_failover_load_cluster(&fixture->node) == FL_FAILOVER_LOADED ||
-	    fl_cloud_list(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
+	    fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
 		note_failure(fixture, "half a list passes for a whole one");
 	fixture->lists_lack_more_field = false;
 }
@@ -70,13 +70,13 @@
 		note_failure(fixture, "something is written");
 }
 
-static void a_new_leader_decides_nothing_over_a_malformed_record(void **state)
+static void a_new_leader_makes_no_decision_if_a_record_is_malformed(void **state)
 {
 	run_in_coroutine(*state, load_malformed_records);
 }
 
 /* Nor does a node whose watch brings it: the job neither runs nor is over. */
-static void a_follower_applies_no_malformed_record(void **state)
+static void a_follower_ignores_a_malformed_record(void **state)
 {
 	struct frontend_fixture *fixture = *state;
 
@@ -93,8 +93,8 @@
 }
 
 /* Loads one job with this progress; is its final state to be written? */
-static bool is_to_be_finished(struct frontend_fixture *fixture, const char *record,
-                              const char *progress)
+static bool loaded_job_is_finished(struct frontend_fixture *fixture, const char *record,
+                                   const char *progress)
 {
 	fixture->job_record = record;
 	fixture->progress_record = progress;
@@ -112,13 +112,13 @@
 	struct frontend_fixture *fixture = argument;
 
 	fixture->node.leader_lease.held = true;
-	if (is_to_be_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
+	if (loaded_job_is_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
 		note_failure(fixture, "one task is still to run");
-	if (!is_to_be_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
+	if (!loaded_job_is_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
 		note_failure(fixture, "all its tasks are done");
-	if (!is_to_be_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
+	if (!loaded_job_is_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
 		note_failure(fixture, "it is cancelled, and nothing of it is anywhere");
-	if (is_to_be_finished(fixture, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
+	if (loaded_job_is_finished(fixture, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
 		note_failure(fixture, "it is cancelled, and a task may still run");
 }
 
@@ -126,7 +126,7 @@
  * The previous leader ended between the record of the last task and that of the job. Nothing of the
  * job changes any more: found as a job that stayed pending for ever with all its tasks done.
  */
-static void a_new_leader_finishes_jobs_whose_tasks_are_all_over(void **state)
+static void a_new_leader_finishes_jobs_whose_tasks_have_all_ended(void **state)
 {
 	run_in_coroutine(*state, load_finished_jobs);
 }
@@ -134,9 +134,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(a_new_leader_decides_nothing_over_a_malformed_record),
-		FRONTEND_TEST(a_follower_applies_no_malformed_record),
-		FRONTEND_TEST(a_new_leader_finishes_jobs_whose_tasks_are_all_over),
+		FRONTEND_TEST(a_new_leader_makes_no_decision_if_a_record_is_malformed),
+		FRONTEND_TEST(a_follower_ignores_a_malformed_record),
+		FRONTEND_TEST(a_new_leader_finishes_jobs_whose_tasks_have_all_ended),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -172,7 +172,7 @@
 	fixture->reads_gated = true;
 	fixture->config.state_rps = 1000;
 	fl_job_lookups_init(node);
-	job = fl_job_add(&node->cluster, &spec, fl_wall(), 1);
+	job = fl_job_add(&node->cluster, &spec, fl_wall_time(), 1);
 	/* The outcome of the job's final write is unknown, so the leader has to read the record. */
 	job->record.write_outcome_unknown = true;
 	spawn_query(fixture, &query, "run-000001");
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -195,7 +195,7 @@
 	       the_jobs_of_the_elections_end() && all_jobs_are_known_after_the_faults() &&
 	       nothing_forbidden_was_seen());
 	run.over = true;
-	ev_break(fl_loop(), EVBREAK_ALL);
+	ev_break(fl_event_loop(), EVBREAK_ALL);
 }
 
 static void the_service_survives_its_leader(void **state)
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -38,7 +38,7 @@
 };
 
 /* No controller here is slow. */
-void sim_process_compute(int process) { (void)process; }
+void sim_process_delay_if_slow(int process) { (void)process; }
 
 /* The link between the two: the leader answers half-way, by what it knows at that moment. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
@@ -148,7 +148,7 @@
 
 	/* Those that went at once, one each, and a full request after them. */
 	assert_int_equal(world.requests, FL_STATUS_REQUESTS_MAX + 1);
-	assert_int_equal(answered, FL_STATUS_REQUESTS_MAX + FL_STATUS_QUERY_MAX);
+	assert_int_equal(answered, FL_STATUS_REQUESTS_MAX + FL_STATUS_QUERY_JOBS_MAX);
 	assert_int_equal(overloaded, QUERIES - answered);
 
 	free_queries(queries, QUERIES);
--- a/tests/virtual_time_fixture.h
+++ b/tests/virtual_time_fixture.h
@@ -1,6 +1,6 @@
 /*
  * Virtual time without connections, for tests that make the link of fl_http_call themselves. Such a
- * test also defines sim_process_compute.
+ * test also defines sim_process_delay_if_slow.
  */
 #ifndef FL_TESTS_VIRTUAL_TIME_FIXTURE_H
 #define FL_TESTS_VIRTUAL_TIME_FIXTURE_H
