--- a/tests/contract_fixture.c
+++ b/tests/contract_fixture.c
@@ -14,7 +14,7 @@
 
 enum { EXCHANGES_MAX = 16, REQUEST_MAX = 2048 };
 
-struct contract_run_exchanges {
+struct scripted_server {
 	const struct contract_exchange *script;
 	int exchange_count, request_count;
 	char requests[EXCHANGES_MAX][REQUEST_MAX];
@@ -25,7 +25,7 @@
 static void respond_by_script(void *context, const struct fl_http_request *request,
                               struct fl_http_response *response)
 {
-	struct contract_run_exchanges *server = context;
+	struct scripted_server *server = context;
 	int index = server->request_count++;
 
 	response->status = 500;
@@ -40,7 +40,7 @@
 
 static void run_client_calls(const char *address, void *context)
 {
-	const struct contract_run_exchanges *server = context;
+	const struct scripted_server *server = context;
 
 	server->client_calls(address, server->results);
 }
@@ -48,10 +48,10 @@
 void contract_run_exchanges(void (*client_calls)(const char *address, void *results), void *results,
                             const struct contract_exchange *script, int exchange_count)
 {
-	struct contract_run_exchanges server = {.script = script,
-	                                        .exchange_count = exchange_count,
-	                                        .client_calls = client_calls,
-	                                        .results = results};
+	struct scripted_server server = {.script = script,
+	                                 .exchange_count = exchange_count,
+	                                 .client_calls = client_calls,
+	                                 .results = results};
 
 	assert_in_range(exchange_count, 1, EXCHANGES_MAX);
 	run_http_client(&(struct http_run){.max_connections = 16,
--- a/tests/test_contract_store.c
+++ b/tests/test_contract_store.c
@@ -1,6 +1,6 @@
 /*
- * The golden test of what stands in the key-value store beside the election: a node finds literal
- * records under literal keys, and what it writes there is compared byte for byte.
+ * Golden test of the records in the key-value store other than those of the leader election: a node
+ * reads literal records under literal keys, and its own writes are compared byte for byte.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -86,14 +86,14 @@
 	cJSON *value;
 	uint64_t mod_revision;
 	int result;
-} live, final;
+} live_read, final_read;
 
 static void read_records(struct fl_node *node)
 {
-	live.result = fl_job_record_read(&node->kv_store, "run-000412", &live.record, &live.value,
-	                                 &live.mod_revision);
-	final.result = fl_job_record_read(&node->kv_store, "run-000414", &final.record,
-	                                  &final.value, &final.mod_revision);
+	live_read.result = fl_job_record_read(&node->kv_store, "run-000412", &live_read.record,
+	                                      &live_read.value, &live_read.mod_revision);
+	final_read.result = fl_job_record_read(&node->kv_store, "run-000414", &final_read.record,
+	                                       &final_read.value, &final_read.mod_revision);
 }
 
 static void a_job_record_is_read_by_its_live_key_or_its_final_key(void **state)
@@ -101,18 +101,18 @@
 	(void)state;
 	store_record("j/run-000412", LIVE_JOB_RECORD, 35, 0);
 	store_record("f/run-000414", FINAL_RECORD_DONE, 40, 0);
-	live.result = final.result = -1;
+	live_read.result = final_read.result = -1;
 	run_action_on_node(read_records, 1);
 
-	assert_int_equal(live.result, 0);
-	assert_false(live.record.final);
-	assert_int_equal(live.mod_revision, 35);
-	assert_json_text_and_delete(live.value, LIVE_JOB_RECORD);
-	assert_int_equal(final.result, 0);
-	assert_true(final.record.final);
-	assert_int_equal(final.record.status, FL_DONE);
-	assert_int_equal(final.mod_revision, 40);
-	assert_null(final.value);
+	assert_int_equal(live_read.result, 0);
+	assert_false(live_read.record.final);
+	assert_int_equal(live_read.mod_revision, 35);
+	assert_json_text_and_delete(live_read.value, LIVE_JOB_RECORD);
+	assert_int_equal(final_read.result, 0);
+	assert_true(final_read.record.final);
+	assert_int_equal(final_read.record.status, FL_DONE);
+	assert_int_equal(final_read.mod_revision, 40);
+	assert_null(final_read.value);
 }
 
 static void write_digest(struct fl_node *node)
