--- a/tests/test_cancellation_gossip.c
+++ b/tests/test_cancellation_gossip.c
@@ -39,8 +39,8 @@
 static void a_controller_learns_cancellations_from_a_peer(void **state)
 {
 	struct node_fixture *fixture = *state, *other;
-	struct fl_task_status status = running_task(0, 1);
-	double renewable_s = renewable_time(fixture);
+	struct fl_task_status status = running_task_status(0, 1);
+	double renewable_s = lease_renewal_window_s(fixture);
 
 	set_up((void **)&other);
 	become_follower(fixture, 2);
@@ -55,17 +55,17 @@
 	assert_true(fixture->node.cancellation_watermark > fl_now() - 4 &&
 	            fixture->node.cancellation_watermark < fl_now() - 3);
 	assert_int_equal(send_task_heartbeat(fixture, 1, 21, &status), 200);
-	assert_int_equal(stop_commands_in_reply, 1);
+	assert_int_equal(stop_commands_in_last_reply, 1);
 
 	/* What has ended needs no stop, and what is not cancelled gets none. */
 	status.state = FL_TASK_STATE_EXITED;
 	assert_int_equal(send_task_heartbeat(fixture, 1, 22, &status), 200);
-	assert_int_equal(stop_commands_in_reply, 0);
+	assert_int_equal(stop_commands_in_last_reply, 0);
 
-	status = running_task(0, 1);
+	status = running_task_status(0, 1);
 	strcpy(status.ref, "run-000002");
 	assert_int_equal(send_task_heartbeat(fixture, 1, 23, &status), 200);
-	assert_int_equal(stop_commands_in_reply, 0);
+	assert_int_equal(stop_commands_in_last_reply, 0);
 	tear_down((void **)&other);
 }
 
@@ -78,7 +78,7 @@
 static void begin_outage(struct outage *outage, struct node_fixture *fixture)
 {
 	*outage = (struct outage){.fixture = fixture,
-	                          .old_watermark = fl_now() - renewable_time(fixture) - 1};
+	                          .old_watermark = fl_now() - lease_renewal_window_s(fixture) - 1};
 	set_up((void **)&outage->first_peer);
 	set_up((void **)&outage->second_peer);
 	become_follower(fixture, 2);
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -79,7 +79,7 @@
 {
 	struct node_fixture *fixture = *state;
 	struct fl_peer *peer = add_peer_in_zone(fixture);
-	double renewable_s = renewable_time(fixture);
+	double renewable_s = lease_renewal_window_s(fixture);
 
 	set_silence(fixture, 11);
 	peer->last_response_at = fl_now() - 12;
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -107,7 +107,7 @@
 static void a_machine_is_not_suspect_after_one_lost_reply(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_task *task;
 
 	deliver_idle_heartbeat(fixture, 1, 1);
@@ -178,7 +178,7 @@
 static void a_late_heartbeat_copy_after_a_failover_is_only_answered(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_task *task;
 
 	/* A machine that the leader before returned: no record, no list names it any more. */
@@ -223,7 +223,7 @@
 static void a_late_heartbeat_copy_within_a_leadership_changes_nothing(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	double heartbeat_at;
 
 	deliver_idle_heartbeat(fixture, 2, 10);
