--- a/tests/coroutine_fixture.c
+++ b/tests/coroutine_fixture.c
@@ -1,4 +1,4 @@
-/* A coroutine that ends the loop when it returns. */
+/* A coroutine that ends the event loop when its function has returned. */
 #include "coroutine_fixture.h"
 
 #include <setjmp.h>
--- a/tests/coroutine_fixture.h
+++ b/tests/coroutine_fixture.h
@@ -1,12 +1,12 @@
-/* A coroutine that is run to its end, for tests of what only a coroutine can call. */
+/* Runs a coroutine until it returns, for tests of functions that only a coroutine may call. */
 #ifndef FL_TESTS_COROUTINE_FIXTURE_H
 #define FL_TESTS_COROUTINE_FIXTURE_H
 
 #include "transport/coroutine.h"
 
 /*
- * Runs the function as a coroutine on the loop that fl_coroutines_init was given, with all that it
- * spawns, until it returns; asserts that it did.
+ * Runs `function` as a coroutine, together with all coroutines that it spawns, on the event loop
+ * passed to fl_coroutines_init. Asserts that the function has returned.
  */
 void run_coroutine(void (*function)(void *argument), void *argument);
 
--- a/tests/http_fixture.c
+++ b/tests/http_fixture.c
@@ -1,4 +1,4 @@
-/* A server of a free port, and the coroutine that calls it. */
+/* An HTTP server on a free port, and the coroutine that sends requests to it. */
 #include "http_fixture.h"
 
 #include <setjmp.h>
--- a/tests/lint_model.h
+++ b/tests/lint_model.h
@@ -1,7 +1,7 @@
-/* Read before every C source by tests/lint, and by nothing else. uthash's HASH_DEL as clang's
- * analyzer can follow it: it does not know that the first entry of a table has no predecessor, and
- * takes a deleted first entry for one that is still the head, so that freeing it looks like freeing
- * the table. */
+/* Included by tests/lint, and only there, before every C source. Replaces uthash's HASH_DEL by a
+ * form that clang's analyzer can follow: the analyzer does not know that the first entry of a table
+ * has no predecessor, and assumes that a deleted first entry is still the head, so that freeing it
+ * looks like freeing the table. */
 #ifndef __cplusplus
 #include <uthash.h>
 
--- a/tests/no_connections.c
+++ b/tests/no_connections.c
@@ -1,4 +1,4 @@
-/* An HTTP client without connections, for tests that define fl_http_call() themselves. */
+/* An HTTP client that opens no connections, for tests that define fl_http_call() themselves. */
 #include "transport/http_client.h"
 
 int fl_http_client_init(struct fl_http_client *client, const char *addr, int max_idle)
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -1,4 +1,4 @@
-/* One node without connections: its set-up, its roles, and the heartbeats delivered to it. */
+/* A node without connections: its set-up, its roles, and the delivery of heartbeats to it. */
 #include "node_fixture.h"
 
 #include <setjmp.h>
@@ -154,9 +154,9 @@
 	return fl_machine_find(&fixture->node.cluster.machines, "m-000001");
 }
 
-void set_last_reply_age(struct node_fixture *fixture, double seconds)
+void set_last_reply_age(struct node_fixture *fixture, double age_s)
 {
-	only_machine(fixture)->outbound.last_reply_at = fl_now() - seconds;
+	only_machine(fixture)->outbound.last_reply_at = fl_now() - age_s;
 }
 
 struct fl_task *place_task(struct node_fixture *fixture, uint32_t index)
@@ -286,17 +286,17 @@
 	return fixture->config.cancel_s - fixture->config.lease_s - 1;
 }
 
-cJSON *cancelled_job_record(struct node_fixture *fixture, double seconds)
+cJSON *cancelled_job_record(struct node_fixture *fixture, double age_s)
 {
 	struct fl_job_spec spec;
 
 	fl_job_to_spec(&fixture->node.cluster, fixture->job, &spec);
-	return fl_job_record_encode_cancelled(&spec, 1, fl_wall() - seconds);
+	return fl_job_record_encode_cancelled(&spec, 1, fl_wall() - age_s);
 }
 
-void apply_cancellation(struct node_fixture *fixture, double seconds)
+void apply_cancellation(struct node_fixture *fixture, double age_s)
 {
-	cJSON *record = cancelled_job_record(fixture, seconds);
+	cJSON *record = cancelled_job_record(fixture, age_s);
 
 	assert_null(
 		fl_cluster_apply_job_record(&fixture->node.cluster, fixture->job->ref, record, 9));
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,6 +1,6 @@
 /*
- * One node without connections, for the tests of what it does with heartbeats: these are delivered
- * directly, and its answers examined.
+ * A node without connections, for tests of the handling of heartbeats: the test delivers heartbeats
+ * by function calls and checks the replies.
  */
 #ifndef FL_TESTS_NODE_FIXTURE_H
 #define FL_TESTS_NODE_FIXTURE_H
@@ -17,94 +17,100 @@
 	struct fl_job *job;
 };
 
-/* Before and after each test: a node with two zones, one machine type, team and job. */
+/* Sets up a node with two zones, and one machine type, team and job; used for each test. */
 int set_up(void **state);
 
 int tear_down(void **state);
 
-/* The node leads from now on, with this fencing token and without placed tasks. */
+/* Makes the node the leader, with this fencing token and without placed tasks. */
 void become_leader(struct node_fixture *fixture, uint64_t fencing_token);
 
-/* Of the machine m-000001. */
+/* Returns a heartbeat of the machine m-000001. */
 struct fl_heartbeat make_heartbeat(uint64_t incarnation, uint64_t sequence, uint64_t fencing_token,
                                    struct fl_task_status *tasks, int task_count);
 
-/* What deliver_heartbeat returns for a heartbeat that was rejected. */
+/* The return value of deliver_heartbeat for a heartbeat that was rejected with this result. */
 #define REJECTED(result) (-(int)(result))
 
-/* Delivers a heartbeat; the number of commands in its reply, or REJECTED with the result. */
+/* Delivers a heartbeat; returns the number of commands in its reply, or REJECTED(result). */
 int deliver_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
                       enum fl_heartbeat_source source);
 
-/* The same from the worker itself, without tasks or with one, with FENCING_TOKEN. */
+/* The same for a heartbeat from the worker, with FENCING_TOKEN and no task or one task. */
 int deliver_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence);
 
 int deliver_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
                            struct fl_task_status *status);
 
 /*
- * Idle heartbeats of incarnation 1 with the sequence numbers first to last, each so long after the
- * reply before it; the number of commands in their replies.
+ * Delivers idle heartbeats of incarnation 1 with the sequence numbers `first` to `last`, each
+ * `last_reply_age_s` after the previous reply. Returns the number of commands in all replies.
  */
 int deliver_idle_heartbeats(struct node_fixture *fixture, uint64_t first, uint64_t last,
                             double last_reply_age_s);
 
-/* That machine, or NULL. */
+/* Returns the machine m-000001; NULL if the node does not know it yet. */
 struct fl_machine *only_machine(struct node_fixture *fixture);
 
 /* Sets the time since the last reply to the machine. */
-void set_last_reply_age(struct node_fixture *fixture, double seconds);
+void set_last_reply_age(struct node_fixture *fixture, double age_s);
 
-/* Places a task of the job on it, as if its record were written. */
+/* Places a task of the job on m-000001, as if its progress record were written. */
 struct fl_task *place_task(struct node_fixture *fixture, uint32_t index);
 
-/* For a heartbeat: this attempt of a task of the job is running. */
+/* Returns the status of a running attempt of one of the job's tasks, for a heartbeat. */
 struct fl_task_status running_task_status(uint32_t index, uint32_t attempt);
 
-/* Another node leads, and this one is in contact with the key-value store. */
+/* Makes the node a follower of n1 that reaches the key-value store but has heard from no peer. */
 void become_follower(struct node_fixture *fixture, int peer_count);
 
 struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_user_request kind,
                                           const char *ref, const char *body);
 
-extern int stop_commands_in_last_reply; /* to the heartbeat sent last */
+extern int stop_commands_in_last_reply; /* number of them, set by send_heartbeat */
 
-/* Sends it as a worker does; the status, and in `to`, if given, the node of a redirect. */
+/*
+ * Sends a heartbeat as a worker does and returns the status. `redirect_target` may be NULL; else it
+ * is set to the node that a redirect names, or to an empty string.
+ */
 int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
                    char *redirect_target);
 
-/* The same without tasks or with one, with FENCING_TOKEN. */
+/* The same for a heartbeat with FENCING_TOKEN and no task or one task. */
 int send_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence);
 
 int send_task_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence,
                         struct fl_task_status *status);
 
-/* A heartbeat whose answer waits until the node has learned something. */
+/* A heartbeat whose handler waits until the node has read the records that it needs. */
 struct waiting_heartbeat {
 	struct node_fixture *fixture;
 	struct fl_heartbeat heartbeat;
 	struct ev_loop *loop;
-	int status; /* 0: not answered yet */
+	int status; /* of the response; 0: none yet */
 };
 
-/* Sends it in a coroutine; `waiting` lives until end_waiting_heartbeat. */
+/* Sends the heartbeat in a coroutine; `waiting` must exist until end_waiting_heartbeat. */
 void send_waiting_heartbeat(struct waiting_heartbeat *waiting);
 
-/* Runs what is ready now. */
+/* Runs the coroutines that are ready now. */
 void run_waiting_heartbeat(const struct waiting_heartbeat *waiting);
 
 void end_waiting_heartbeat(struct waiting_heartbeat *waiting);
 
-/* For so long after a cancellation leases may be renewed: one more then ends in time. */
+/*
+ * Returns for how many seconds after a cancellation worker leases may be renewed: a lease that is
+ * renewed within this time expires within cancel_s.
+ */
 double lease_renewal_window_s(const struct node_fixture *fixture);
 
-/* The record of the job, cancelled so long ago. */
-cJSON *cancelled_job_record(struct node_fixture *fixture, double seconds);
+/* Returns the final record of the job, cancelled `age_s` ago; the caller deletes it. */
+cJSON *cancelled_job_record(struct node_fixture *fixture, double age_s);
 
-/* Applies that record, as every node does when it is written. */
-void apply_cancellation(struct node_fixture *fixture, double seconds);
+/* Applies that record, as every node does when the record is written. */
+void apply_cancellation(struct node_fixture *fixture, double age_s);
 
-/* A test entry with a node of its own. */
+/* A cmocka test that is run with a new node. */
 #define NODE_TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
 
 #endif
--- a/tests/service_fixture.c
+++ b/tests/service_fixture.c
@@ -21,7 +21,7 @@
 
 static struct controller {
 	int port, peer_port;
-	pid_t pid; /* 0: it is down */
+	pid_t pid; /* 0: the controller is down */
 	char config_file[64];
 	struct fl_http_client client;
 } controllers[CONTROLLERS];
@@ -295,7 +295,7 @@
 		kill_controller(i);
 		unlink(controllers[i].config_file);
 	}
-	/* What suspended coroutines hold is given back by their own cleanup. */
+	/* Suspended coroutines release what they hold in their own cleanup. */
 	fl_coroutines_shutdown();
 	fake_services_free();
 	for (int i = 0; i < CONTROLLERS; i++)
--- a/tests/service_fixture.h
+++ b/tests/service_fixture.h
@@ -1,8 +1,7 @@
 /*
- * Three controllers as real processes on loopback, the fakes around them, and users' requests to
- * them. Everything is called from coroutines of the test's event loop: a request waits there. The
- * one instance is set up by service_set_up() and torn down by service_tear_down(), which also ends
- * the processes of a test that failed.
+ * Three controller processes on loopback, the fakes of the external systems, and users' requests to
+ * the controllers. All functions that send or wait must be called from coroutines of the test's
+ * event loop. There is one instance; service_tear_down() also ends the processes of a failed test.
  */
 #ifndef FL_TESTS_SERVICE_FIXTURE_H
 #define FL_TESTS_SERVICE_FIXTURE_H
@@ -12,38 +11,41 @@
 
 enum { CONTROLLERS = 3, TIMEOUT_S = 90 };
 
-/* Of cmocka. All controllers have been started when it returns. */
+/* Set-up and tear-down for cmocka; the set-up starts all controllers, the tear-down kills them. */
 int service_set_up(void **state);
 int service_tear_down(void **state);
 
 /* ---- processes ---- */
 
 void start_controller(int index);
-/* By SIGKILL; nothing if it is down. */
+/* Kills a controller by SIGKILL; does nothing if the controller is down. */
 void kill_controller(int index);
-/* The leader, or the first controller if there is none; which one it was. */
+/* Kills the leader, or controller 0 if there is no leader, and returns its index. */
 int kill_leader(void);
 void start_stopped_controllers(void);
-/* All of them end and restart at once, whatever each was doing. */
+/* Kills all controllers and restarts them at once. */
 void restart_all_controllers(void);
 
 /* ---- users ---- */
 
-/* Asks controllers that run, from this one on; the status, with the body in `text`; -1: none
- * answers. */
+/*
+ * Sends a request to the running controllers in turn, from `first_controller` on, until one
+ * responds. Returns the status, with the body in `text`; -1 if no controller responds.
+ */
 int call_running_controller(int first_controller, const char *method, const char *path,
                             const char *body, char *text, size_t size);
+/* Submits a job, retried until it is accepted or rejected; returns whether it was accepted. */
 bool submit_job(const char *ref, const char *kind, int task_count, int first_controller);
-/* True if the job is cancelled in the end. */
+/* Cancels a job, retried until the status is 200; returns whether it is reported as cancelled. */
 bool cancel_job(const char *ref);
 
 /* ---- waiting, for TIMEOUT_S at most ---- */
 
 bool wait_until_ready(void);
 bool wait_for_leader(void);
-/* Controllers are asked from this one on, in turn, for a body that holds the text. */
+/* Queries the controllers in turn, from this one on, until a body contains `expected`. */
 bool wait_for_job_status(const char *ref, const char *expected, int first_controller);
-/* The same of each controller, asked first. */
+/* The same for each controller as the first one. */
 bool wait_for_job_status_on_all_controllers(const char *ref, const char *expected);
 bool wait_until_job_stopped(const char *ref);
 bool wait_until_unreachable_machines_are_deleted(void);
--- a/tests/test_coroutine.c
+++ b/tests/test_coroutine.c
@@ -1,4 +1,4 @@
-/* Coroutines that are cancelled, and urgent ones among others that compute for long. */
+/* Cancellation of coroutines, and urgent coroutines among others that compute for long. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,7 +14,7 @@
 struct waiters {
 	struct fl_condition condition;
 	int woken_count, cancelled_count, unwound_count;
-	int timeout_result; /* of a wait for a signal that does not come */
+	int timeout_result; /* of a wait for a broadcast that does not come */
 };
 
 static void wait_for_condition(void *argument)
@@ -26,7 +26,7 @@
 		waiters->woken_count++;
 	if (rc == -ECANCELED) {
 		waiters->cancelled_count++;
-		/* Once cancelled, no wait waits any more: the coroutine unwinds. */
+		/* All later waits of a cancelled coroutine return at once, so that it unwinds. */
 		if (fl_sleep(1000) == -ECANCELED && fl_io_wait(0, EV_READ, -1) == -ECANCELED)
 			waiters->unwound_count++;
 	}
@@ -68,7 +68,7 @@
 struct turns {
 	int pipe[2];
 	int count;
-	char order[BUSY_COROUTINES + 2]; /* b: a busy one, u: the urgent one */
+	char order[BUSY_COROUTINES + 2]; /* b: a busy coroutine, u: the urgent one */
 	ssize_t written;
 	int wait_results[2];
 };
@@ -76,7 +76,7 @@
 static void compute_longer_than_a_turn(void *argument)
 {
 	struct turns *turns = argument;
-	double until = fl_now() + 0.02; /* longer than a turn, however fast the machine */
+	double until = fl_now() + 0.02; /* longer than a turn of the scheduler */
 
 	if (turns->count == 0)
 		turns->written = write(turns->pipe[1], "x", 1);
@@ -96,13 +96,13 @@
 		fl_coroutine_spawn(compute_longer_than_a_turn, turns);
 	turns->wait_results[0] = fl_io_wait(turns->pipe[0], EV_READ, 10);
 	turns->order[turns->count++] = 'u';
-	/* After a standstill the answer and the end of its time come at once: it was not missed. */
+	/* Data that has arrived by the timeout is not missed, even if both are handled late. */
 	turns->wait_results[1] = fl_io_wait(turns->pipe[0], EV_READ, 0);
 }
 
 /*
- * Found with controllers eight times slower: whatever was ready ran to its end before the answer
- * to a renewal was looked at, and the lease, which had been renewed in time, was lost.
+ * Guards against a lost leader lease: on a controller eight times slower, all coroutines that were
+ * ready ran before the response to a lease renewal was read, and a lease renewed in time was lost.
  */
 static void an_urgent_coroutine_runs_before_others_that_are_ready(void **state)
 {
--- a/tests/test_coroutine_order.c
+++ b/tests/test_coroutine_order.c
@@ -1,4 +1,4 @@
-/* In which order coroutines run: urgent ones, ordinary ones, and those that let others go first. */
+/* The order in which urgent, ordinary and deferred coroutines run. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +12,7 @@
 enum { MAX_WAITING = 2, ORDER_SIZE = 32, LOOP_ITERATIONS = 16 };
 static const double longer_than_a_turn_s = 0.02;
 
-/* The clock that turns are measured by: it advances only where a coroutine computes for long. */
+/* The clock that limits a scheduler's turn; it advances only in coroutines that are slow. */
 static double fake_now = 1000;
 
 double fl_now(void) { return fake_now; }
@@ -23,7 +23,7 @@
 
 static void run_ordinary(void *argument) { append_to_order(*(const char *)argument); }
 
-/* Computes until its turn is over. */
+/* Takes longer than a turn of the scheduler. */
 static void run_slow(void *argument)
 {
 	fake_now += longer_than_a_turn_s;
@@ -51,7 +51,7 @@
 	append_to_order('c');
 }
 
-/* No coroutine here waits for long: a few rounds of the loop, none of which may sleep. */
+/* Runs the event loop without sleeping, often enough for all coroutines of a test to end. */
 static void run_all(void)
 {
 	for (int i = 0; i < LOOP_ITERATIONS; i++)
@@ -88,7 +88,7 @@
 	assert_string_equal(order, "ab12");
 }
 
-/* However much is ready, one of the deferred runs each turn. */
+/* One deferred coroutine runs in each turn, even if others are still ready. */
 static void a_deferred_coroutine_is_not_starved_by_slow_ones(void **state)
 {
 	(void)state;
@@ -124,7 +124,7 @@
 
 	run_all();
 
-	/* The urgent one's timer is due when the first turn is over. */
+	/* The timer of the urgent coroutine is due after the first turn. */
 	assert_string_equal(order, "aub1");
 }
 
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -1,6 +1,6 @@
 /*
- * A node that does not lead: the heartbeats that it caches, and what it does with its workers and
- * users when it is disconnected from the key-value store and the other controllers.
+ * A follower: its cache of heartbeats, and its replies to workers and users while it is isolated
+ * from the key-value store and all other controllers.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,7 +16,7 @@
 #include "protocol/heartbeat_digests.h"
 #include "transport/clock.h"
 
-/* A late copy neither replaces a newer heartbeat in the cache nor makes it look fresh. */
+/* A stale or duplicate heartbeat neither replaces a newer one in the cache nor refreshes it. */
 static void a_follower_caches_the_newest_heartbeat(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -40,7 +40,7 @@
 	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->in_digest);
 }
 
-/* What passes through the key-value store is the same as in the heartbeat. */
+/* The digest entry, which passes through the key-value store, decodes to the same heartbeat. */
 static void a_cached_heartbeat_is_restored_from_its_compact_form(void **state)
 {
 	static const char *const malformed[] = {"[]",
@@ -73,7 +73,7 @@
 	fl_heartbeat_free(&decoded);
 	cJSON_Delete(element);
 
-	/* Hundreds of machines share the writes: twenty must fit into the smallest value. */
+	/* Hundreds of machines share the writes: 20 entries must fit into the smallest value. */
 	assert_in_range(strlen(text), 1, 150);
 	free(text);
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
@@ -84,7 +84,7 @@
 	}
 }
 
-/* Refused, the worker would lose seconds of its lease looking for a node that is up. */
+/* A rejected worker would lose seconds of its lease in search of a node that is up. */
 static void a_starting_node_renews_leases_once_it_has_the_fencing_token_and_jobs(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -97,7 +97,7 @@
 	node->live_jobs_loaded = false;
 	node->leader_view.fencing_token = 0;
 
-	/* Another heartbeat has the fencing token read already. */
+	/* A read of the fencing token for another heartbeat is in flight. */
 	node->follower.fencing_token_refresh.in_flight = true;
 	send_waiting_heartbeat(&waiting);
 	assert_int_equal(waiting.status, 0);
@@ -116,7 +116,7 @@
 	end_waiting_heartbeat(&waiting);
 }
 
-/* The node has reached neither the key-value store nor a peer for so long. */
+/* Sets the last contact with the key-value store and all peers to `duration_s` ago. */
 static void disconnect(struct node_fixture *fixture, double duration_s)
 {
 	double now = fl_now();
@@ -132,7 +132,7 @@
 		now - duration_s;
 }
 
-/* As if the workers had come a heartbeat interval earlier. */
+/* Moves the first heartbeat of all misplaced workers one heartbeat interval into the past. */
 static void age_misplaced_workers(struct node_fixture *fixture)
 {
 	for (struct fl_misplaced_worker *worker = fixture->node.follower.misplaced_workers; worker;
@@ -140,7 +140,7 @@
 		worker->first_seen_at -= fixture->config.report_s;
 }
 
-/* The key-value store and the other controllers are unreachable, the workers are not. */
+/* The node reaches neither the key-value store nor another controller, but its workers reach it. */
 static void an_isolated_node_redirects_its_workers_once(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -151,7 +151,7 @@
 	disconnect(fixture, 3);
 	assert_true(fl_node_is_isolated(&fixture->node));
 
-	/* One that has come but now may have little left of its lease: it is answered first. */
+	/* A worker that has just arrived may have little of its lease left: it is served first. */
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
 	strcpy(heartbeat.host, "m-000002");
@@ -159,7 +159,7 @@
 
 	age_misplaced_workers(fixture);
 
-	/* The second worker goes elsewhere than the first: none of them is known to work. */
+	/* The workers are redirected to different peers, since no peer is known to be up. */
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, first), 421);
 
@@ -167,18 +167,18 @@
 	assert_int_equal(send_heartbeat(fixture, heartbeat, second), 421);
 	assert_true(first[0] && second[0] && strcmp(first, second) != 0);
 
-	/* It reached nobody there and is back within its lease: now the lease is renewed. */
+	/* The worker is back within its lease, since the peer was down: its lease is renewed. */
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
-	/* But only while the proof holds: a cancelled job's tasks must end all the same. */
+	/* Not with an old cancellation watermark: tasks of cancelled jobs must end in time. */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
 	fixture->node.follower.fencing_token_refresh.refreshed_at = fl_now();
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 503);
 }
 
-/* Partitioned with its zone, or the only one running: its workers have no other node. */
+/* Workers of a node that is partitioned with its zone, or the only one up, have no other node. */
 static void a_node_isolated_with_its_workers_renews_their_leases(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -193,21 +193,22 @@
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
-	/* The others ended long before the key-value store failed. */
+	/* The peers became unreachable long before the key-value store. */
 	disconnect(fixture, 3);
 	for (int i = 0; i < 4; i++)
 		fixture->node.peers[i].last_response_at -= 20;
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
-	/* An outage of the key-value store with peers in reach is no isolation. */
+	/* A node that reaches a peer is not isolated by an outage of the key-value store. */
 	fixture->node.peers[2].up = true;
 	assert_false(fl_node_is_isolated(&fixture->node));
 }
 
 /*
- * Found in an incident: all controllers had ended, and workers that came to one of the first back
- * with the rest of their lease were redirected to their zone's, half a second away.
+ * Guards against leases that expire during a redirect: after an outage of all controllers, workers
+ * with little of their lease left reached one of the first controllers that were up again, and the
+ * redirect to the controller of their own zone took another half second.
  */
 static void a_worker_is_answered_before_it_is_redirected(void **state)
 {
@@ -227,12 +228,12 @@
 	assert_int_equal(send_heartbeat(fixture, heartbeat, to), 421);
 	assert_string_equal(to, "n1");
 
-	/* It is back, for whatever reason: it stays. */
+	/* A worker that returns after a redirect is served here. */
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 }
 
-/* An isolated node refuses its users at once, and is not ready for the load balancer. */
+/* An isolated node rejects its users' requests, and reports to the load balancer as not ready. */
 static void an_isolated_node_rejects_user_requests_at_once(void **state)
 {
 	static const char job[] =
@@ -258,7 +259,7 @@
 	disconnect(fixture, 3);
 	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
 	for (size_t i = 0; i < sizeof(requests) / sizeof(requests[0]); i++) {
-		/* No coroutine runs here, so that a try to connect would fail the test. */
+		/* This is not a coroutine, so an attempt to connect would fail the test. */
 		response = send_user_request(fixture, requests[i].kind, "run-000001",
 		                             requests[i].body);
 		assert_int_equal(response.status, 503);
@@ -266,7 +267,7 @@
 		free(response.body);
 	}
 
-	/* What is over is known for good, by any node. */
+	/* The status of a finished job is final, so any node can report it. */
 	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
 	response = send_user_request(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
 	assert_int_equal(response.status, 200);
@@ -276,7 +277,7 @@
 	assert_non_null(strstr(response.body, "\"done\""));
 	free(response.body);
 
-	/* Connected again, it is ready. */
+	/* The node is ready again once it is connected. */
 	fixture->node.peers[0].up = true;
 	fixture->node.kv_store.last_success_at = fl_now() + 1;
 	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -1,6 +1,6 @@
 /*
- * Forwarding of requests to the leader: which peers are asked, and which result is concluded from
- * what they reply. The link is made here.
+ * Forwarding of requests to the leader: which peers get a request, and the result that each kind of
+ * reply leads to. The test defines fl_http_call() itself.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,11 +18,11 @@
 
 enum { PEERS = 2 };
 
-/* How a peer behaves. */
+/* The outcome of calls to a peer, and the calls so far. */
 struct link {
 	int rc, status;
 	int calls;
-	bool last_hop; /* of the newest call */
+	bool last_hop; /* whether the last call was marked as the last hop */
 };
 
 static struct {
@@ -59,7 +59,7 @@
 	return NULL;
 }
 
-/* `into`: what the reading of a body comes to. */
+/* Returns the decode result that the test has set. */
 static enum fl_decode_result return_decode_result(void *result, const char *body, size_t len)
 {
 	assert_int_equal(len, 1);
@@ -89,7 +89,7 @@
 	return result;
 }
 
-/* A follower of n1, with a third controller. */
+/* Makes the node a follower of n1, with n2 as a third controller; both are up. */
 static void become_follower_of_n1(struct node_fixture *fixture)
 {
 	become_follower(fixture, PEERS);
@@ -115,11 +115,11 @@
 	assert_false(network.links[1].last_hop);
 	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, does_not_lead, answers),
 	                 FL_FORWARD_ANSWERED);
-	/* On its last hop it goes to the leader alone. */
+	/* On its last hop a request is sent to the leader only. */
 	assert_int_equal(forward_request(fixture, FL_HOP_LAST, does_not_lead, answers),
 	                 FL_FORWARD_NO_LEADER);
 	assert_int_equal(network.links[1].calls, 0);
-	/* A leader that is down is not asked, unless there is no other way. */
+	/* A leader that is down gets no request, unless there is no other peer. */
 	fixture->node.peers[0].up = false;
 	assert_false(fl_forward_leader_is_reachable(&fixture->node));
 	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, answers, answers),
@@ -183,7 +183,7 @@
 	assert_int_equal(network.links[0].calls, 0);
 }
 
-/* What gossip tells of the leader: a token only rises, and the same one can be confirmed later. */
+/* A fencing token from gossip never lowers the known one; the same token may be confirmed later. */
 static void a_leader_view_merges_only_newer_views(void **state)
 {
 	struct fl_leader_view view;
@@ -199,11 +199,11 @@
 	fl_leader_view_merge(&view, 7, "n2", 5);
 	assert_true(view.fencing_token == 7 && view.confirmed_at == 5);
 	assert_string_equal(view.leader, "n1");
-	/* Confirmed later, by a node that knows of no leader. */
+	/* The same token, confirmed later by a node that knows no leader. */
 	fl_leader_view_merge(&view, 7, "", 6);
 	assert_true(view.confirmed_at == 6);
 	assert_string_equal(view.leader, "n1");
-	/* A higher token counts, however old the word of it. */
+	/* A higher token replaces the known one even if its confirmation is older. */
 	fl_leader_view_merge(&view, 8, "n2", 1);
 	assert_true(view.fencing_token == 8 && view.confirmed_at == 6);
 	assert_string_equal(view.leader, "n2");
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -1,7 +1,7 @@
 /*
- * Workers' heartbeats on their way from a follower to the leader: how many messages they cost, that
- * each worker gets the answer to its own, and that a leader that stands still keeps none of them
- * waiting beyond its patience. Virtual time, and a link made here.
+ * Forwarding of workers' heartbeats from a follower to the leader: the number of messages, that
+ * each worker gets the reply to its own heartbeat, and that no worker reaches its timeout while the
+ * leader stalls. Time is virtual, and the test defines fl_http_call() itself.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,29 +21,29 @@
 #include "virtual_time_fixture.h"
 
 enum { WORKERS = 300, FENCING_TOKEN = 4 };
-static const double one_way_latency_s = 0.005; /* s each way of a message */
-static const double worker_timeout_s = 4;      /* s that a worker waits for an answer */
+static const double one_way_latency_s = 0.005;
+static const double worker_timeout_s = 4; /* maximum wait of a worker for a reply */
 
 static struct {
 	struct fl_node follower, third, leader;
 	struct fl_config follower_config, third_config, leader_config;
-	int messages; /* to the leader */
+	int messages; /* sent to the leader */
 	bool link_down, leader_stalls;
 } scenario;
 
 struct worker {
 	char host[FL_NAME_MAX];
-	double send_delay_s; /* s from the beginning */
+	double send_delay_s; /* from the beginning of the test */
 	enum fl_forward_result result;
 	struct fl_http_response response;
 	bool completed;
 	double duration_s;
 };
 
-/* No controller here is slow. */
+/* Computation takes no virtual time. */
 void sim_process_compute(int process) { (void)process; }
 
-/* To the leader, or to the third controller, which passes messages on. */
+/* Calls the leader, or the third controller, which forwards messages. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out)
 {
@@ -81,14 +81,14 @@
 	snprintf(heartbeat.endpoint, sizeof(heartbeat.endpoint), "127.0.0.1:1");
 	snprintf(heartbeat.type, sizeof(heartbeat.type), "t");
 	snprintf(heartbeat.zone, sizeof(heartbeat.zone), "a");
-	/* A task that the leader does not know, so that its answer names the machine's own. */
+	/* A task unknown to the leader, which is named in the reply and differs for each worker. */
 	snprintf(task.ref, sizeof(task.ref), "run-%.6s", worker->host + 2);
 	return fl_heartbeat_encode(&heartbeat);
 }
 
-static void send_heartbeat(void *arg)
+static void send_heartbeat(void *argument)
 {
-	struct worker *worker = arg;
+	struct worker *worker = argument;
 	char *text;
 	double began_at;
 
@@ -103,7 +103,7 @@
 	free(text);
 }
 
-/* All of them send their heartbeats, `interval_s` after one another. */
+/* Runs all workers, which send one heartbeat each at intervals of `interval_s`. */
 static struct worker *run_workers(double interval_s)
 {
 	struct worker *workers = calloc(WORKERS, sizeof(*workers));
@@ -190,7 +190,7 @@
 	return 0;
 }
 
-/* Found with 3% of a core: a message for each heartbeat took more than the leader's processor. */
+/* With 3% of a core, one message for each heartbeat took more than the leader's CPU time. */
 static void many_heartbeats_cost_few_messages(void **state)
 {
 	const int full_messages = (WORKERS + FL_PEER_HEARTBEATS_MAX - 1) / FL_PEER_HEARTBEATS_MAX;
@@ -216,11 +216,11 @@
 {
 	(void)state;
 	scenario.link_down = true;
-	/* Two that went at once, one each, and two full ones after them, in the order they came. */
+	/* Two messages with the first heartbeats, one each, and then two full ones, in order. */
 	assert_int_equal(count_answered_and_free(run_workers(0)), 2 + 2 * FL_PEER_HEARTBEATS_MAX);
 }
 
-/* Each of them is renewed by this node then, before its worker looks for another one. */
+/* The follower then renews the lease itself, before the worker searches for another node. */
 static void forwarding_fails_within_the_worker_timeout_when_the_leader_stalls(void **state)
 {
 	struct worker *workers;
@@ -270,7 +270,7 @@
 	                 FL_DECODE_MALFORMED);
 	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), FL_DECODE_MALFORMED);
 
-	/* What is no heartbeat among others is refused alone. */
+	/* A malformed heartbeat among others is rejected alone. */
 	fl_heartbeat_list_add(list, "{\"Host\":7}");
 	text = fl_peer_heartbeats_encode(list, "host-2", true, true);
 	assert_int_equal(fl_peer_heartbeats_decode(text, strlen(text), &message), 0);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,4 +1,4 @@
-/* HTTP client and server on loopback: connections that are reused, limits, and addresses. */
+/* HTTP client and server on loopback: reuse of connections, limits, and addresses. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,15 +17,15 @@
 
 enum {
 	CONNECTIONS = 16,
-	OVERSIZED_BODY = 69999, /* bytes, more than any request may have */
+	OVERSIZED_BODY = 69999, /* bytes, above the maximum of a request */
 	LARGE_BODY = 60000,
-	BODY_MEMORY_LIMIT = 100000, /* bytes, room for one large body and not for two */
+	BODY_MEMORY_LIMIT = 100000, /* bytes, enough for one large body but not for two */
 	FULL_SERVER_CONNECTIONS = 32
 };
 
 static const char bad_request[] = "HTTP/1.1 400";
 
-/* What server and client note; the first lines of answers are asserted after the run. */
+/* Recorded by server and client; the status lines of the responses are checked after the run. */
 struct exchange {
 	int served_count;
 	char responses[3][400];
@@ -83,13 +83,13 @@
 	assert_response(&client, "/x", "{\"a\":1}", 200);
 	assert_response(&client, "/close", "{\"a\":1}", 200);
 	assert_response(&client, "/x", "{\"a\":1}", 200);
-	/* An idle connection that the other side has closed must not fail the next call. */
+	/* An idle connection that was closed must not make the next call fail. */
 	assert_int_equal(client.idle_count, 1);
 	shutdown(client.idle_fds[0], SHUT_RDWR);
 	assert_response(&client, "/x", "{}", 200);
 	memset(oversized, 'x', OVERSIZED_BODY);
 	oversized[OVERSIZED_BODY] = 0;
-	/* Not 413: users repeat a call after any status other than 400 and 422. */
+	/* Not 413: users retry after any status other than 400 and 422. */
 	assert_response(&client, "/x", oversized, 400);
 	assert_int_equal(fl_http_call(&client, "POST", "/slow", "{}", 0.05, &reply), -ETIMEDOUT);
 	free(oversized);
@@ -118,7 +118,7 @@
 	return fd;
 }
 
-/* Reads what has come, or nothing within 5 s, and closes the connection. */
+/* Reads the data that arrives first, within 5 s, and closes the connection. */
 static void read_response_and_close(int fd, char *text, size_t size)
 {
 	ssize_t received = 0;
@@ -129,7 +129,7 @@
 	fl_close(fd);
 }
 
-/* Sends the head of a longer body, and the end of the connection if wanted. */
+/* Sends less body than announced, and shuts down the sending side if `half_close`. */
 static void send_short_body(const char *address, bool half_close, char *response_text, size_t size)
 {
 	static const char text[] = "POST /x HTTP/1.1\r\nContent-Length: 50\r\n\r\n{}";
@@ -149,7 +149,7 @@
 	send_short_body(address, false, exchange->responses[1], sizeof(exchange->responses[1]));
 }
 
-/* Its caller would wait 5 s for nothing and try again for a minute. */
+/* Without an error response the client would wait for 5 s and retry for a minute. */
 static void a_body_shorter_than_its_content_length_is_rejected(void **state)
 {
 	struct exchange exchange;
@@ -162,7 +162,7 @@
 	assert_int_equal(exchange.served_count, 0);
 }
 
-/* Begins a request with a large body and sends none of it; its socket. */
+/* Sends the headers of a request with a large body, without the body; returns the socket. */
 static int begin_large_body(const char *address)
 {
 	static const char head[] = "POST /x HTTP/1.1\r\nContent-Length: 60000\r\n\r\n";
@@ -180,21 +180,21 @@
 
 	memset(body, ' ', LARGE_BODY);
 	first = begin_large_body(address);
-	/* The first is there before the second. */
+	/* The first request must arrive before the second. */
 	fl_sleep(0.05);
 	second = begin_large_body(address);
 	read_response_and_close(second, exchange->responses[0], sizeof(exchange->responses[0]));
 	assert_int_equal(fl_write_all(first, body, LARGE_BODY, 5), 0);
 	read_response_and_close(first, exchange->responses[1], sizeof(exchange->responses[1]));
 	fl_sleep(0.05);
-	/* There is room again. */
+	/* The memory of the first body is free again. */
 	second = begin_large_body(address);
 	assert_int_equal(fl_write_all(second, body, LARGE_BODY, 5), 0);
 	read_response_and_close(second, exchange->responses[2], sizeof(exchange->responses[2]));
 	free(body);
 }
 
-/* A thousand connections may send 64 KiB each at once: more than a small controller has. */
+/* A thousand connections with 64 KiB each would exceed the memory of a small controller. */
 static void a_body_is_rejected_when_all_bodies_together_reach_the_memory_limit(void **state)
 {
 	struct exchange exchange;
@@ -215,7 +215,7 @@
 	struct fl_http_client clients[FULL_SERVER_CONNECTIONS + 1];
 
 	(void)context;
-	/* All stay open but the last, closed once answered, so that one more can connect. */
+	/* The last connections are closed after their responses, so that one more can connect. */
 	for (int i = 0; i <= FULL_SERVER_CONNECTIONS; i++) {
 		assert_int_equal(fl_http_client_init(&clients[i], address, 1), 0);
 		assert_response(&clients[i], "/x", "{}", 200);
@@ -225,7 +225,7 @@
 		fl_http_client_close(&clients[i]);
 }
 
-/* Found with 2,000 workers on one controller: their idle connections left none for users. */
+/* With 2,000 workers on one controller, their idle connections left none for users. */
 static void a_nearly_full_server_closes_answered_connections(void **state)
 {
 	struct exchange exchange;
--- a/tests/test_message_costs.c
+++ b/tests/test_message_costs.c
@@ -1,6 +1,6 @@
 /*
- * What a message costs in system calls, and an idle connection in memory, by counts. The calls are
- * counted by functions of the same names in this program, which go before the library's.
+ * The number of system calls for a message, and the memory of an idle connection. This program
+ * counts system calls by functions that replace those of the same name in the C library.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,8 +23,8 @@
 enum { CONNECTIONS = 16, MESSAGES = 200, IDLE_CONNECTIONS = 400, WARM_UP_MESSAGES = 3 };
 
 /*
- * Memory of a connection that has been served once and is idle. The sanitizers' own records of
- * stacks and blocks count as memory too.
+ * Maximum memory of an idle connection that has been served once. With the address sanitizer it
+ * includes the sanitizer's own data about stacks and blocks.
  */
 #if defined(__SANITIZE_ADDRESS__)
 enum { IDLE_BYTES_MAX = 32 * 1024 };
@@ -41,7 +41,7 @@
 	long idle_bytes;
 } run;
 
-/* The names of their parameters are the library's. */
+/* The parameters have the names that the C library uses. */
 ssize_t recv(int fd, void *buf, size_t n, int flags)
 {
 	syscall_counts.recv_calls++;
@@ -60,7 +60,7 @@
 	return (int)syscall(SYS_epoll_ctl, epfd, op, fd, event);
 }
 
-/* As deep as a heartbeat is read: the stack below is touched. */
+/* Parses the body as the handler of a heartbeat does, so that it uses as much of the stack. */
 static void echo_body(void *context, const struct fl_http_request *request,
                       struct fl_http_response *response)
 {
@@ -108,9 +108,10 @@
 }
 
 /*
- * Found with 3% of a core: beside its read and its write each message cost a read of nothing and
- * one or two registrations. Both ends are counted: two reads and two writes an exchange, and the
- * client, which gives its connection back to be used by others, registers anew.
+ * Guards against needless system calls, which matter with 3% of a core: each message cost an empty
+ * read and one or two epoll registrations beside its read and write. Both ends are counted: an
+ * exchange has two reads, two writes, and one registration, as the client returns its connection to
+ * the pool and registers it again.
  */
 static void a_message_costs_one_read_and_no_epoll_registration(void **state)
 {
@@ -122,7 +123,7 @@
 	assert_true(syscall_counts.epoll_ctl_calls <= MESSAGES + WARM_UP_MESSAGES);
 }
 
-/* A server's connection keeps its registration while the answer is waited for, too. */
+/* The server's connection also keeps its registration while the handler waits. */
 static void a_message_costs_no_epoll_registration_when_its_handler_waits(void **state)
 {
 	(void)state;
@@ -161,7 +162,7 @@
 		fl_http_client_close(&clients[i]);
 }
 
-/* 1,500 of them must fit into 46 MB, beside all else. */
+/* 1,500 idle connections must fit into 46 MB together with all other data. */
 static void an_idle_connection_holds_little_memory(void **state)
 {
 	(void)state;
@@ -170,7 +171,7 @@
 	            2 * IDLE_CONNECTIONS + CONNECTIONS);
 
 	run_with_server(open_connections, IDLE_CONNECTIONS + CONNECTIONS);
-	print_message("%ld bytes an idle connection\n", run.idle_bytes);
+	print_message("idle connection memory bytes=%ld\n", run.idle_bytes);
 	assert_true(run.idle_bytes > 0);
 	assert_true(run.idle_bytes <= IDLE_BYTES_MAX);
 }
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -1,7 +1,7 @@
 /*
- * The service as three real processes on loopback against the fakes: a job and a service are
- * submitted, the leader is killed meanwhile, replies of the key-value store get lost, commands are
- * executed twice; no task runs twice and every job ends.
+ * The service as three controller processes on loopback, with fakes of the external systems: while
+ * jobs and a service run, the leader is killed, replies of the key-value store are lost, and
+ * commands are executed twice. No task may run twice, and every job must finish.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,7 +17,10 @@
 
 enum { ELECTION_STEPS = 9, JOBS_PER_STEP = 4 };
 
-/* The stages run in a coroutine, from which a failed assertion must not jump out. */
+/*
+ * The result of the stages. They run in a coroutine, and a failed cmocka assertion must not jump
+ * out of it.
+ */
 static struct {
 	const char *failed_condition;
 	bool completed;
@@ -46,18 +49,18 @@
 	return true;
 }
 
-/* By any controller. */
+/* Any controller accepts jobs and reports their status. */
 static bool jobs_are_accepted_and_run(void)
 {
 	EXPECT(submit_job("run-000001", "sweep", 6, 0));
-	EXPECT(submit_job("run-000001", "sweep", 6, 1)); /* again, elsewhere: the same job */
+	EXPECT(submit_job("run-000001", "sweep", 6, 1)); /* resubmitted to another controller */
 	EXPECT(submit_job("run-000002", "standing", 2, 2));
 	EXPECT(wait_for_job_status("run-000002", "\"running\":2", 1));
 	EXPECT(wait_for_job_status("run-000001", "\"Status\":\"done\"", 0));
 	return true;
 }
 
-/* All end during an outage of the cloud: its machine types are read from their record. */
+/* The restart is during an outage of the cloud: machine types are read from their record. */
 static bool all_controllers_restart_without_the_cloud(void)
 {
 	fake_services.cloud_unavailable = true;
@@ -70,7 +73,7 @@
 	return true;
 }
 
-/* From here on the key-value store has faults; the leader is killed meanwhile. */
+/* From this stage on the key-value store injects faults; the leader is killed during them. */
 static bool the_leader_is_killed_during_faults(void)
 {
 	int killed;
@@ -86,7 +89,7 @@
 	start_controller(killed);
 	EXPECT(wait_for_job_status("run-000003", "\"Status\":\"done\"", 0));
 	EXPECT(wait_for_job_status("run-000004", "\"Status\":\"done\"", 1));
-	/* The service ran through all of it. */
+	/* The service kept running throughout. */
 	EXPECT(fake_services_running_tasks("run-000002") == 2);
 	return true;
 }
@@ -97,7 +100,7 @@
 	EXPECT(wait_until_job_stopped("run-000002"));
 	EXPECT(wait_for_job_status("run-000002", "aborted", 2));
 	EXPECT(fake_services.duplicate_starts == 0);
-	/* Finished work is not done again: one completion a task, not counting the lost. */
+	/* Each task of the finished jobs has completed; attempts that were lost do not count. */
 	EXPECT(fake_services.completions >= 6 + 2 + 70 + 3);
 	return true;
 }
@@ -107,7 +110,7 @@
 	snprintf(ref, 24, "run-%06d", 100 * step + index);
 }
 
-/* Many at once, so that their placements go through the write-ahead log. */
+/* Submits many jobs at once, so that their placements go through the write-ahead log. */
 static bool submit_jobs_of_step(int step)
 {
 	char ref[24];
@@ -119,11 +122,10 @@
 	return true;
 }
 
-/* All end at each step of an election and restart at once; what they sent arrives later. */
+/* All controllers restart at each step of an election; a request in flight is applied later. */
 static bool all_controllers_restart_at_each_step_of_an_election(void)
 {
-	/* Copies of heartbeats come two leases late, and the next machines rented are unreachable.
-	 */
+	/* Copies of heartbeats arrive two leases late; the next machines rented are unreachable. */
 	fake_services.delayed_heartbeat_every = 3;
 	fake_services.unreachable_to_rent = 2;
 	EXPECT(submit_job("run-000005", "sweep", 90, 1));
@@ -145,8 +147,8 @@
 {
 	EXPECT(wait_for_job_status("run-000005", "\"Status\":\"done\"", 0));
 	/*
-	 * Idle machines may have been enough, so that no unreachable machine was rented: it
-	 * happened once in sixty runs. More work at once than they can hold has them rented.
+	 * If the idle machines were sufficient (once in 60 runs), no unreachable machine was
+	 * rented. A job with more tasks than they can run at once makes the leader rent more.
 	 */
 	if (fake_services.unreachable_to_rent > 0) {
 		EXPECT(submit_job("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
@@ -155,7 +157,7 @@
 	return true;
 }
 
-/* The faults are over: every accepted job is known to every controller, and done. */
+/* After the faults every controller reports the final status of the accepted jobs. */
 static bool all_jobs_are_known_after_the_faults(void)
 {
 	char ref[24];
@@ -186,10 +188,10 @@
 
 /* ---- the test ---- */
 
-/* The stages build on each other, so that the first that fails ends the rest. */
-static void run_stages(void *arg)
+/* Each stage depends on the stages before it, so the first failure ends the run. */
+static void run_stages(void *argument)
 {
-	(void)arg;
+	(void)argument;
 	(void)(malformed_requests_are_rejected() && jobs_are_accepted_and_run() &&
 	       all_controllers_restart_without_the_cloud() &&
 	       the_leader_is_killed_during_faults() && a_cancelled_service_stops() &&
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -1,6 +1,7 @@
 /*
- * Status queries on their way to the leader: how many requests they cost, and that none is
- * answered by a request that was sent before it came. Virtual time, and a link made here.
+ * Status queries from a follower to the leader: the number of requests, and that no query is
+ * answered by a request that was sent before the query arrived. Time is virtual, and the test
+ * defines fl_http_call() itself.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,8 +20,8 @@
 #include "virtual_time_fixture.h"
 
 enum { QUERIES = 300 };
-static const double one_way_latency_s = 0.005; /* s each way of a request */
-static const double leader_stall_s = 1.0; /* s for which a leader stands still that is overloaded */
+static const double one_way_latency_s = 0.005;
+static const double leader_stall_s = 1.0; /* time without replies of an overloaded leader */
 
 static struct {
 	struct fl_node follower, leader;
@@ -30,17 +31,17 @@
 
 struct query {
 	char ref[FL_REF_MAX];
-	double send_delay_s; /* s from the beginning */
+	double send_delay_s; /* from the beginning of the test */
 	enum fl_query_result result;
 	struct fl_http_response response;
 	bool completed;
 	double duration_s;
 };
 
-/* No controller here is slow. */
+/* Computation takes no virtual time. */
 void sim_process_compute(int process) { (void)process; }
 
-/* The link between the two: the leader answers half-way, by what it knows at that moment. */
+/* Calls the leader, which answers from its memory one one-way latency after the call. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out)
 {
@@ -64,9 +65,9 @@
 	return 0;
 }
 
-static void send_query(void *arg)
+static void send_query(void *argument)
 {
-	struct query *query = arg;
+	struct query *query = argument;
 	double began_at;
 
 	if (fl_sleep(query->send_delay_s) != 0)
@@ -132,7 +133,10 @@
 	free(queries);
 }
 
-/* Found with 1,918 jobs asked about eight times as often: a connection to the leader for each. */
+/*
+ * Guards against a connection to the leader for each query, as happened when 1,918 jobs were
+ * queried eight times as often as usual.
+ */
 static void many_status_queries_cost_few_requests(void **state)
 {
 	struct query *queries = calloc(QUERIES, sizeof(*queries));
@@ -147,7 +151,7 @@
 		overloaded += queries[i].result == FL_QUERY_OVERLOADED;
 	}
 
-	/* Those that went at once, one each, and a full request after them. */
+	/* The first queries are sent at once in one request each, then a full request follows. */
 	assert_int_equal(scenario.requests, FL_STATUS_REQUESTS_MAX + 1);
 	assert_int_equal(answered, FL_STATUS_REQUESTS_MAX + FL_STATUS_QUERY_MAX);
 	assert_int_equal(overloaded, QUERIES - answered);
@@ -155,15 +159,15 @@
 	free_queries(queries, QUERIES);
 }
 
-static void finish_job(void *arg)
+static void finish_job(void *argument)
 {
-	/* Between the leader's answer to the first query and the arrival of that answer. */
+	/* After the leader has answered the first query, but before that answer arrives. */
 	fl_sleep(one_way_latency_s * 1.5);
-	fl_job_finalise(&scenario.leader.cluster, fl_job_find(&scenario.leader.cluster, arg),
+	fl_job_finalise(&scenario.leader.cluster, fl_job_find(&scenario.leader.cluster, argument),
 	                FL_DONE);
 }
 
-/* Another controller may have said `done_count` meanwhile, so no earlier answer will do. */
+/* Another controller may have reported a newer status, so an earlier answer is not enough. */
 static void a_status_query_is_answered_by_a_request_sent_after_it(void **state)
 {
 	struct query *queries = calloc(2, sizeof(*queries));
@@ -215,7 +219,7 @@
 	free_queries(queries, 1);
 }
 
-/* A user waits 2 s, and the records may still have to answer. */
+/* Users wait 2 s, in which the query may still have to be answered from the records. */
 static void a_status_query_returns_within_its_timeout_when_the_leader_does_not_reply(void **state)
 {
 	struct query *queries = calloc(QUERIES, sizeof(*queries));
@@ -237,8 +241,9 @@
 }
 
 /*
- * Found with 3% of a core: an overloaded leader stands still for a second at a time. All that asked
- * then went to the records, and most of 1,900 jobs had no answer for 75 s.
+ * Guards against a fallback to the records during a short stall: with 3% of a core an overloaded
+ * leader does not reply for a second at a time. All queries of such a second went to the records,
+ * and those for most of 1,900 jobs got no answer for 75 s.
  */
 static void a_status_query_waits_for_a_leader_that_stalls_for_a_second(void **state)
 {
--- a/tests/virtual_time_fixture.c
+++ b/tests/virtual_time_fixture.c
@@ -1,4 +1,4 @@
-/* The simulation's time and coroutines, used without its processes and its network. */
+/* The clocks and coroutines of the simulation without its controllers and its network. */
 #include "virtual_time_fixture.h"
 
 #include <stdlib.h>
--- a/tests/virtual_time_fixture.h
+++ b/tests/virtual_time_fixture.h
@@ -1,6 +1,6 @@
 /*
- * Virtual time without connections, for tests that make the link of fl_http_call themselves. Such a
- * test also defines sim_process_compute.
+ * Virtual time without a network, for tests that define fl_http_call() themselves. Such a test must
+ * also define sim_process_compute().
  */
 #ifndef FL_TESTS_VIRTUAL_TIME_FIXTURE_H
 #define FL_TESTS_VIRTUAL_TIME_FIXTURE_H
@@ -9,10 +9,10 @@
 #include "transport/http_client.h"
 #include "transport/http_server.h"
 
-/* Ends what sim_time_begin began; timers that are still set are dropped. */
+/* Ends the virtual time begun by sim_time_begin() and drops all timers that are still armed. */
 void virtual_time_end(void);
 
-/* What a server answered becomes what the client got; the response is freed. */
+/* Copies a server's response to the client's reply, and frees the body of the response. */
 void move_response_to_reply(struct fl_http_response *response, struct fl_http_reply *reply);
 
 #endif
