--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -60,11 +60,12 @@
 }
 
 /* Returns the decode result that the test has set. */
-static enum fl_decode_result return_decode_result(void *result, const char *body, size_t len)
+static enum fl_decode_result return_decode_result(void *decode_context, const char *body,
+                                                  size_t len)
 {
 	assert_int_equal(len, 1);
 	assert_int_equal(body[0], 'x');
-	return *(const enum fl_decode_result *)result;
+	return *(const enum fl_decode_result *)decode_context;
 }
 
 static struct fl_forward_request make_request(enum fl_forward_hop hop)
