--- a/src/config.c
+++ b/src/config.c
@@ -140,7 +140,7 @@
 	.array_offset = offsetof(struct fl_config, peers),
 	.element_size = sizeof(struct fl_config_peer),
 	.count_offset = offsetof(struct fl_config, peer_count),
-	.max = FL_CONFIG_PEERS,
+	.max = FL_CONFIG_PEERS_MAX,
 };
 
 static const struct table_list team_list = {
@@ -151,7 +151,7 @@
 	.array_offset = offsetof(struct fl_config, teams),
 	.element_size = sizeof(struct fl_config_team),
 	.count_offset = offsetof(struct fl_config, team_count),
-	.max = FL_CONFIG_TEAMS,
+	.max = FL_CONFIG_TEAMS_MAX,
 };
 
 static const struct table_list slo_list = {
@@ -162,7 +162,7 @@
 	.array_offset = offsetof(struct fl_config, slos),
 	.element_size = sizeof(struct fl_config_slo),
 	.count_offset = offsetof(struct fl_config, slo_count),
-	.max = FL_CONFIG_SLOS,
+	.max = FL_CONFIG_SLOS_MAX,
 };
 
 /* A file being read, and its first error. */
@@ -210,11 +210,11 @@
 		record_error(reader, value->path, value->key, "must be a string");
 	else if (!text[0])
 		record_error(reader, value->path, value->key, "must not be empty");
-	else if (strlen(text) >= FL_CONFIG_NAME)
+	else if (strlen(text) >= FL_CONFIG_NAME_SIZE)
 		record_error(reader, value->path, value->key, "longer than %d characters",
-		             FL_CONFIG_NAME - 1);
+		             FL_CONFIG_NAME_SIZE - 1);
 	else
-		fl_copy_string(out, FL_CONFIG_NAME, text);
+		fl_copy_string(out, FL_CONFIG_NAME_SIZE, text);
 }
 
 static void read_address(struct reader *reader, const struct value *value, char *out)
@@ -342,13 +342,13 @@
 
 	if (!require_key(reader, settings, "settings.", "zones"))
 		return;
-	list = get_list(reader, settings, "settings.", "zones", FL_CONFIG_ZONES);
+	list = get_list(reader, settings, "settings.", "zones", FL_CONFIG_ZONES_MAX);
 	cJSON_ArrayForEach (item, list) {
-		if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_CONFIG_NAME) {
+		if (!cJSON_IsString(item) || strlen(item->valuestring) >= FL_CONFIG_NAME_SIZE) {
 			record_error(reader, "settings.", "zones", "must hold names");
 			return;
 		}
-		fl_copy_string(config->zones[config->zone_count++], FL_CONFIG_NAME,
+		fl_copy_string(config->zones[config->zone_count++], FL_CONFIG_NAME_SIZE,
 		               item->valuestring);
 	}
 	if (config->zone_count == 0)
--- a/src/config.h
+++ b/src/config.h
@@ -11,27 +11,27 @@
 
 /* Bytes of a name with its terminator, and maximum lengths of the lists. */
 enum {
-	FL_CONFIG_NAME = 64,
-	FL_CONFIG_PEERS = 16,
-	FL_CONFIG_ZONES = 8,
-	FL_CONFIG_TEAMS = 64,
-	FL_CONFIG_SLOS = 64
+	FL_CONFIG_NAME_SIZE = 64,
+	FL_CONFIG_PEERS_MAX = 16,
+	FL_CONFIG_ZONES_MAX = 8,
+	FL_CONFIG_TEAMS_MAX = 64,
+	FL_CONFIG_SLOS_MAX = 64
 };
 
 /* Another controller. */
 struct fl_config_peer {
-	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME], addr[FL_CONFIG_NAME];
+	char node[FL_CONFIG_NAME_SIZE], location[FL_CONFIG_NAME_SIZE], addr[FL_CONFIG_NAME_SIZE];
 };
 
 /* The quota of a team: guaranteed and maximum resources; a maximum of 0 is no limit. */
 struct fl_config_team {
-	char name[FL_CONFIG_NAME];
+	char name[FL_CONFIG_NAME_SIZE];
 	double cpus, cpus_max, gpus, gpus_max;
 };
 
 /* An SLO: the share of the jobs of a class that is to meet a time; no class: of all jobs. */
 struct fl_config_slo {
-	char kind[FL_CONFIG_NAME], job_class[FL_CONFIG_NAME];
+	char kind[FL_CONFIG_NAME_SIZE], job_class[FL_CONFIG_NAME_SIZE];
 	double within_s, share;
 };
 
@@ -40,17 +40,17 @@
  * know; config.c maps them and checks the ranges. Durations are in seconds.
  */
 struct fl_config {
-	char node[FL_CONFIG_NAME], location[FL_CONFIG_NAME];
+	char node[FL_CONFIG_NAME_SIZE], location[FL_CONFIG_NAME_SIZE];
 	/* Addresses of the two servers, the cloud and the key-value store. */
-	char bind[FL_CONFIG_NAME], cluster_listen[FL_CONFIG_NAME];
-	char cloud[FL_CONFIG_NAME], state[FL_CONFIG_NAME];
-	struct fl_config_peer peers[FL_CONFIG_PEERS];
+	char bind[FL_CONFIG_NAME_SIZE], cluster_listen[FL_CONFIG_NAME_SIZE];
+	char cloud[FL_CONFIG_NAME_SIZE], state[FL_CONFIG_NAME_SIZE];
+	struct fl_config_peer peers[FL_CONFIG_PEERS_MAX];
 	int peer_count;
-	char zones[FL_CONFIG_ZONES][FL_CONFIG_NAME];
+	char zones[FL_CONFIG_ZONES_MAX][FL_CONFIG_NAME_SIZE];
 	int zone_count;
-	struct fl_config_team teams[FL_CONFIG_TEAMS];
+	struct fl_config_team teams[FL_CONFIG_TEAMS_MAX];
 	int team_count;
-	struct fl_config_slo slos[FL_CONFIG_SLOS];
+	struct fl_config_slo slos[FL_CONFIG_SLOS_MAX];
 	int slo_count;
 	double report_s; /* between two heartbeats of a worker */
 	double lease_s;  /* of a worker: without a reply for so long, it ends its tasks */
--- a/src/coordination/api/cancellation.c
+++ b/src/coordination/api/cancellation.c
@@ -81,7 +81,8 @@
 
 	if (!job) {
 		if (result == FL_KV_OK)
-			fl_cluster_mark_cancelled(&node->cluster, ref, fl_since(cancelled_wall));
+			fl_cluster_mark_cancelled(&node->cluster, ref,
+			                          fl_monotonic_from_wall(cancelled_wall));
 	} else if (result == FL_KV_OK) {
 		fl_cluster_update_live_job(&node->cluster, job, &record, revision);
 		fl_command_stop_cancelled_job(node, job);
@@ -97,7 +98,7 @@
 void fl_leader_cancel_job(struct fl_node *node, const char *ref, struct fl_http_response *response)
 {
 	const struct fl_finished_job *finished = fl_finished_job_find(&node->cluster, ref);
-	double cancelled_wall = fl_wall();
+	double cancelled_wall = fl_wall_time();
 	enum fl_kv_result result;
 	struct fl_job *job;
 	uint64_t revision = 0;
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -162,7 +162,7 @@
 /* Writes the job's live record, if the job has neither a live nor a final record. */
 static enum fl_kv_result store_job(struct fl_node *node, const struct fl_job_spec *spec)
 {
-	double submitted_wall = fl_wall();
+	double submitted_wall = fl_wall_time();
 	struct fl_kv_txn txn;
 	char key[FL_KEY_MAX];
 	uint64_t revision;
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -158,7 +158,7 @@
 
 	for (int i = 0; i < autoscaler->request_count; i++) {
 		request = &autoscaler->requests[i];
-		if (same_kind(request->kind, kind) && request->count < FL_RENT_MAX)
+		if (same_kind(request->kind, kind) && request->count < FL_CLOUD_RENT_MACHINES_MAX)
 			return request;
 	}
 	if (autoscaler->request_count == FL_SCALE_OUT_REQUESTS_MAX)
@@ -194,7 +194,7 @@
 	struct fl_autoscaler_plan plan = {.autoscaler = &node->autoscaler,
 	                                  .cluster = &node->cluster,
 	                                  .now = fl_now(),
-	                                  .now_wall = fl_wall()};
+	                                  .now_wall = fl_wall_time()};
 
 	if (node->autoscaler.scale_out_in_flight)
 		return;
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -76,10 +76,10 @@
 		job->cancelled = true;
 		/* If the deadline restarted at each failover, brief leaders would enforce nothing.
 		 */
-		job->cancelled_at = fl_since(record.cancelled_wall);
+		job->cancelled_at = fl_monotonic_from_wall(record.cancelled_wall);
 	}
 	fl_finished_job_add(failover->cluster, ref, record.status, record.task_count,
-	                    fl_since(record.cancelled_wall));
+	                    fl_monotonic_from_wall(record.cancelled_wall));
 }
 
 static void load_progress_record(void *context, const struct fl_kv_event *event)
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -86,7 +86,8 @@
 	node->cluster.finished_max =
 		(unsigned)(config->ram_mb * 1024 * 1024 * tunables.finished_memory_share /
 	                   sizeof(struct fl_finished_job));
-	snprintf(node->process_id, sizeof(node->process_id), "%s-%.6f", config->node, fl_wall());
+	snprintf(node->process_id, sizeof(node->process_id), "%s-%.6f", config->node,
+	         fl_wall_time());
 	if (!intern_zones_and_classes(node))
 		return FL_NODE_OUT_OF_MEMORY;
 	init_teams(&node->cluster.teams, config);
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -53,7 +53,7 @@
 	struct fl_cluster cluster;
 	struct fl_kv_store kv_store;
 	struct fl_cloud cloud;
-	struct fl_peer peers[FL_CONFIG_PEERS];
+	struct fl_peer peers[FL_CONFIG_PEERS_MAX];
 	int peer_count;
 	char process_id[FL_PROCESS_ID_MAX]; /* differs from the node's earlier processes */
 	bool machine_types_loaded, live_jobs_loaded;
--- a/src/coordination/responses.c
+++ b/src/coordination/responses.c
@@ -30,5 +30,5 @@
 	fl_respond_error(response, 503, "%s", reason);
 	response->retry_after_s = tunables.retry_after_s;
 	/* On a new connection the load balancer may choose a better node for the retry. */
-	response->close = true;
+	response->close_connection = true;
 }
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -287,7 +287,7 @@
                                          double now)
 {
 	struct fl_cluster *cluster = &node->cluster;
-	struct builder builder = {node, snapshot, now, fl_wall(),
+	struct builder builder = {node, snapshot, now, fl_wall_time(),
 	                          max_tasks_considered(&cluster->machines)};
 	struct fl_job *job, *next;
 
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -30,7 +30,7 @@
 	if (!record->final || job->cancelled)
 		return false;
 	job->cancelled = true;
-	job->cancelled_at = fl_since(record->cancelled_wall);
+	job->cancelled_at = fl_monotonic_from_wall(record->cancelled_wall);
 	fl_finished_job_add(cluster, job->ref, FL_CANCELLED, job->task_count, job->cancelled_at);
 	return true;
 }
@@ -64,11 +64,11 @@
 		return job;
 	}
 	if (job) {
-		job->cancelled_at = fl_since(record->cancelled_wall);
+		job->cancelled_at = fl_monotonic_from_wall(record->cancelled_wall);
 		fl_job_finalise(cluster, job, record->status);
 	} else {
 		fl_finished_job_add(cluster, ref, record->status, record->task_count,
-		                    fl_since(record->cancelled_wall));
+		                    fl_monotonic_from_wall(record->cancelled_wall));
 	}
 	return NULL;
 }
--- a/src/storage/tasks.c
+++ b/src/storage/tasks.c
@@ -147,7 +147,7 @@
 	task->last_observed_state = FL_OBSERVED_NONE;
 	task->stop_reason = FL_STOP_NONE;
 	task->running_since = now;
-	task->placed_wall = fl_wall();
+	task->placed_wall = fl_wall_time();
 	fl_task_mark_changed(cluster, job, index);
 	return FL_PLACE_OK;
 }
@@ -167,7 +167,7 @@
 	task->incarnation = recorded->incarnation;
 	task->placed_wall = recorded->placed_wall;
 	/* An earlier leader placed the task; stopping it loses the work since the placement. */
-	task->running_since = fmin(now, fl_since(recorded->placed_wall));
+	task->running_since = fmin(now, fl_monotonic_from_wall(recorded->placed_wall));
 	/*
 	 * The image is on the machine, and stays there if the task is lost with its worker's
 	 * incarnation. After an outage of all controllers, hundreds of tasks start again, which is
--- a/src/transport/clock.c
+++ b/src/transport/clock.c
@@ -13,14 +13,14 @@
 
 double fl_now(void) { return read_clock(CLOCK_MONOTONIC); }
 
-double fl_wall(void) { return read_clock(CLOCK_REALTIME); }
+double fl_wall_time(void) { return read_clock(CLOCK_REALTIME); }
 
 double fl_cpu_time(void) { return read_clock(CLOCK_PROCESS_CPUTIME_ID); }
 
-double fl_since(double wall)
+double fl_monotonic_from_wall(double wall)
 {
 	/* In this order, a suspension in between makes the result too early, never too late. */
 	double now = fl_now();
 
-	return now - (wall > 0 ? fmax(0, fl_wall() - wall) : 0);
+	return now - (wall > 0 ? fmax(0, fl_wall_time() - wall) : 0);
 }
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -11,10 +11,10 @@
 /* Seconds of the steady clock. */
 double fl_now(void);
 /* Seconds of the wall clock, since 1970. */
-double fl_wall(void);
+double fl_wall_time(void);
 /* Seconds of processor time that this process has used. */
 double fl_cpu_time(void);
 /* The steady time of a past wall time; 0 is an unknown wall time, for which it is now. */
-double fl_since(double wall);
+double fl_monotonic_from_wall(double wall);
 
 #endif
--- a/src/transport/coroutine.c
+++ b/src/transport/coroutine.c
@@ -41,7 +41,7 @@
 	struct fl_loop_context loop_context; /* the stack of the event loop */
 } scheduler;
 
-struct ev_loop *fl_loop(void) { return scheduler.loop; }
+struct ev_loop *fl_event_loop(void) { return scheduler.loop; }
 
 static void enqueue(struct fl_coroutine_queue *queue, struct fl_coroutine *coroutine, int result)
 {
--- a/src/transport/coroutine.h
+++ b/src/transport/coroutine.h
@@ -20,7 +20,7 @@
 /* Prepares the scheduler for this event loop, which it does not own. */
 void fl_coroutines_init(struct ev_loop *loop);
 /* The event loop. */
-struct ev_loop *fl_loop(void);
+struct ev_loop *fl_event_loop(void);
 /* Runs the event loop and the coroutines, until nothing is left to wait for. */
 void fl_coroutines_run(void);
 /* Cancels all coroutines and runs them to their ends. */
--- a/src/transport/http.c
+++ b/src/transport/http.c
@@ -39,7 +39,7 @@
 	if (body_memory.limit > 0 && bytes > 0 && body_memory.reserved + bytes > body_memory.limit)
 		return false;
 	body_memory.reserved += bytes;
-	message->reserved = bytes;
+	message->reserved_bytes = bytes;
 	return true;
 }
 
@@ -49,23 +49,23 @@
 	bool length_known = parser->content_length != ULLONG_MAX;
 	size_t bytes = length_known ? (size_t)parser->content_length : 0;
 
-	if (length_known && parser->content_length > message->max_body) {
+	if (length_known && parser->content_length > message->max_body_bytes) {
 		message->too_large = true;
 		return PARSER_ABORT;
 	}
 	if (parser->type != HTTP_REQUEST)
 		return PARSER_CONTINUE;
 	if (parser->flags & F_CHUNKED)
-		bytes = message->max_body;
-	message->no_buffer_space = !reserve_body_memory(message, bytes);
-	return message->no_buffer_space ? PARSER_ABORT : PARSER_CONTINUE;
+		bytes = message->max_body_bytes;
+	message->body_memory_exhausted = !reserve_body_memory(message, bytes);
+	return message->body_memory_exhausted ? PARSER_ABORT : PARSER_CONTINUE;
 }
 
 static int on_body(http_parser *parser, const char *bytes, size_t count)
 {
 	struct fl_http_message *message = parser->data;
 
-	if (message->body.length + count > message->max_body) {
+	if (message->body.length + count > message->max_body_bytes) {
 		message->too_large = true;
 		return PARSER_ABORT;
 	}
@@ -95,15 +95,15 @@
 	memset(message, 0, sizeof(*message));
 	http_parser_init(&message->parser, type);
 	message->parser.data = message;
-	message->max_body = max_body;
+	message->max_body_bytes = max_body;
 }
 
 void fl_http_message_free(struct fl_http_message *message)
 {
 	fl_buffer_free(&message->url);
 	fl_buffer_free(&message->body);
-	body_memory.reserved -= message->reserved;
-	message->reserved = 0;
+	body_memory.reserved -= message->reserved_bytes;
+	message->reserved_bytes = 0;
 }
 
 /*
@@ -119,7 +119,7 @@
 
 	if (message->too_large)
 		return -EMSGSIZE;
-	if (message->no_buffer_space)
+	if (message->body_memory_exhausted)
 		return -ENOBUFS;
 	if (message->complete)
 		return 0;
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -16,10 +16,10 @@
 struct fl_http_message {
 	http_parser parser;
 	struct fl_buffer url, body;
-	size_t max_body;
-	size_t reserved;            /* bytes of the memory for the bodies of all requests */
+	size_t max_body_bytes;
+	size_t reserved_bytes;      /* bytes of the memory for the bodies of all requests */
 	double remainder_timeout_s; /* s for the rest, once a message has begun; 0: no such limit */
-	bool complete, too_large, no_buffer_space, started;
+	bool complete, too_large, body_memory_exhausted, started;
 	bool keep_alive;
 };
 
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -45,7 +45,7 @@
 /* A new connection to the server, or a negative errno. */
 static int open_connection(struct fl_http_client *client, double timeout_s)
 {
-	int fd = fl_socket();
+	int fd = fl_socket_open();
 	int rc;
 
 	if (fd < 0)
@@ -55,7 +55,7 @@
 	rc = errno == EINPROGRESS ? await_connect(fd, timeout_s) : -errno;
 	if (rc == 0)
 		return fd;
-	fl_close(fd);
+	fl_socket_close(fd);
 	return rc;
 }
 
@@ -63,7 +63,7 @@
 static void keep_or_close(struct fl_http_client *client, int fd, bool keep_alive)
 {
 	if (!keep_alive || client->idle_count >= client->max_idle) {
-		fl_close(fd);
+		fl_socket_close(fd);
 		return;
 	}
 	fl_io_unregister(fd);
@@ -114,7 +114,7 @@
 			return rc;
 		}
 		/* The server closed a kept connection before it read this request: use another. */
-		fl_close(fd);
+		fl_socket_close(fd);
 		/* A parser that has seen the end of a connection cannot read another one. */
 		fl_http_message_free(response);
 		fl_http_message_init(response, HTTP_RESPONSE, tunables.max_body);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -193,7 +193,7 @@
 		goto out;
 	request = request_of(&message);
 	server->handler(server->context, &request, &response);
-	keep_alive = message.keep_alive && !response.close && !nearly_full(server);
+	keep_alive = message.keep_alive && !response.close_connection && !nearly_full(server);
 	if (send_response(connection->fd, &response, keep_alive) != 0)
 		keep_alive = false;
 out:
@@ -208,7 +208,7 @@
 
 	while (!fl_coroutine_cancelled() && serve_one(connection))
 		;
-	fl_close(connection->fd);
+	fl_socket_close(connection->fd);
 	connection->server->connection_count--;
 	free(connection);
 }
@@ -254,7 +254,7 @@
 		         server->connection_count, server->connection_limit);
 		close(fd);
 	}
-	fl_close(server->fd);
+	fl_socket_close(server->fd);
 	server->fd = -1;
 }
 
@@ -262,7 +262,7 @@
 static int listen_on(const struct sockaddr_in *address)
 {
 	int enabled = 1;
-	int fd = fl_socket();
+	int fd = fl_socket_open();
 
 	if (fd < 0)
 		return fd;
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -20,10 +20,10 @@
 
 /* A response, which a handler fills. */
 struct fl_http_response {
-	int status;        /* 500, unless the handler sets it */
-	char *body;        /* JSON, malloc'd and owned by the response; NULL: an empty object */
-	int retry_after_s; /* 0: no such header */
-	bool close;        /* the connection, after this response */
+	int status;            /* 500, unless the handler sets it */
+	char *body;            /* JSON, malloc'd and owned by the response; NULL: an empty object */
+	int retry_after_s;     /* 0: no such header */
+	bool close_connection; /* the connection, after this response */
 };
 
 /* Handles one request, in the coroutine of its connection; it may wait. */
--- a/src/transport/socket.c
+++ b/src/transport/socket.c
@@ -42,7 +42,7 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
 }
 
-int fl_socket(void)
+int fl_socket_open(void)
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
@@ -52,7 +52,7 @@
 	return fd;
 }
 
-void fl_close(int fd)
+void fl_socket_close(int fd)
 {
 	fl_io_unregister(fd);
 	close(fd);
--- a/tests/coroutine_fixture.c
+++ b/tests/coroutine_fixture.c
@@ -20,7 +20,7 @@
 
 	run->function(run->argument);
 	run->finished = true;
-	ev_break(fl_loop(), EVBREAK_ALL);
+	ev_break(fl_event_loop(), EVBREAK_ALL);
 }
 
 void run_coroutine(void (*function)(void *argument), void *argument)
--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -16,5 +16,5 @@
 
 void inject_leader_down_between(double start_s, double window_s, double duration_s)
 {
-	inject_leader_down(sim_between(start_s, start_s + window_s), duration_s);
+	inject_leader_down(sim_random_between(start_s, start_s + window_s), duration_s);
 }
--- a/tests/fault_combinations_failover.c
+++ b/tests/fault_combinations_failover.c
@@ -11,20 +11,22 @@
 
 		job->cancel_s = job->spec.kind == FL_SERVICE ? job->cancel_s : -1;
 		for (uint32_t k = 0; k < job->spec.task_count; k++)
-			job->duration_s[k] = k == 0 ? sim_between(3, 15) : sim_between(40, 110);
+			job->duration_s[k] =
+				k == 0 ? sim_random_between(3, 15) : sim_random_between(40, 110);
 	}
 	for (int i = 0; i < 2 + variant % 2; i++)
-		inject_leader_down_between(45 + 25 * i, 10, sim_between(4, 20));
+		inject_leader_down_between(45 + 25 * i, 10, sim_random_between(4, 20));
 }
 
 /* All controllers are down for longer than a lease. */
 static void all_controllers_down(int variant)
 {
-	double start_s = sim_between(40, 55);
+	double start_s = sim_random_between(40, 55);
 
 	SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s,
-	           .duration_s = sim.lease_s * sim_between(1.1, 2.5), .target = TARGET_ALL_NODES);
-	inject_cancel_running(start_s - sim_between(0.02, 1), 4,
+	           .duration_s = sim.lease_s * sim_random_between(1.1, 2.5),
+	           .target = TARGET_ALL_NODES);
+	inject_cancel_running(start_s - sim_random_between(0.02, 1), 4,
 	                      variant % 2 ? sim.lease_s * 0.8 : 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_CLOUD_UNAVAILABLE, .start_s = start_s - 5, .duration_s = 50);
@@ -41,10 +43,10 @@
 	double start_s = 40;
 
 	for (int i = 0; i < 5; i++) {
-		inject_leader_down(start_s, sim_between(0.1, variant % 2 ? 1 : 6));
-		start_s += sim_between(2, 9);
+		inject_leader_down(start_s, sim_random_between(0.1, variant % 2 ? 1 : 6));
+		start_s += sim_random_between(2, 9);
 	}
-	SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s, .duration_s = sim_between(0.3, 3),
+	SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s, .duration_s = sim_random_between(0.3, 3),
 	           .target = TARGET_ALL_NODES);
 	inject_cancel_running(start_s - 0.1, 4, 0);
 	inject_leader_down(start_s + 9, 0.4);
@@ -54,14 +56,14 @@
 static void ten_failovers(int variant)
 {
 	for (int i = 0; i < 10; i++)
-		inject_leader_down_between(30 + 12 * i, 5, sim_between(0.5, 8));
+		inject_leader_down_between(30 + 12 * i, 5, sim_random_between(0.5, 8));
 	if (variant % 2) {
-		double outage_s = sim_between(8, 40);
+		double outage_s = sim_random_between(8, 40);
 
-		SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = sim_between(50, 80),
+		SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = sim_random_between(50, 80),
 		           .duration_s = outage_s);
 	}
-	inject_cancel_running(sim_between(50, 100), 4, variant % 3 ? 6 : 0);
+	inject_cancel_running(sim_random_between(50, 100), 4, variant % 3 ? 6 : 0);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 60, .duration_s = 1, .count = 10);
 }
 
@@ -72,30 +74,30 @@
 {
 	static const enum sim_fault_kind types[] = {FAULT_INBOUND_PARTITION,
 	                                            FAULT_OUTBOUND_PARTITION, FAULT_MACHINE_HANG};
-	double start_s = sim_between(45, 55), unreachable_s;
+	double start_s = sim_random_between(45, 55), unreachable_s;
 
 	for (int i = 0; i < sim.job_count; i++)
 		for (uint32_t k = 0; k < SIM_JOB_TASKS; k++)
 			sim.jobs[i].duration_s[k] *= 2;
-	unreachable_s = sim_between(6, 40);
-	SIM_INJECT(types[variant % 3], .start_s = start_s - sim_between(0, 4),
+	unreachable_s = sim_random_between(6, 40);
+	SIM_INJECT(types[variant % 3], .start_s = start_s - sim_random_between(0, 4),
 	           .duration_s = unreachable_s, .magnitude = 0.6);
-	inject_leader_down(start_s, sim_between(2, 30));
+	inject_leader_down(start_s, sim_random_between(2, 30));
 	if (variant % 2)
-		inject_cancel_running(start_s + sim_between(-1, 6), 5, 0);
+		inject_cancel_running(start_s + sim_random_between(-1, 6), 5, 0);
 }
 
 /* Cancelled in the seconds in which leadership changes hands. */
 static void cancel_at_failover(int variant)
 {
-	double start_s = sim_between(42, 55);
+	double start_s = sim_random_between(42, 55);
 
 	SIM_INJECT(FAULT_CONCURRENT_READS, .start_s = start_s - 1, .duration_s = 14);
 	if (variant % 2)
 		SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s,
-		           .duration_s = sim_between(3.2, 9), .target = TARGET_LEADER);
+		           .duration_s = sim_random_between(3.2, 9), .target = TARGET_LEADER);
 	else
-		inject_leader_down(start_s, sim_between(0.3, 9));
+		inject_leader_down(start_s, sim_random_between(0.3, 9));
 	for (int i = 0; i < 12; i++)
 		inject_cancel_running(start_s - 0.3 + 0.45 * i, 1, 0);
 	if (variant % 3 == 2)
@@ -106,15 +108,16 @@
 /* All controllers stop, and one of them is back within a second. */
 static void all_down_one_returns(int variant)
 {
-	double start_s = sim_between(42, 55);
-	int first = sim_pick(sim.node_count);
+	double start_s = sim_random_between(42, 55);
+	int first = sim_random_index(sim.node_count);
 
 	for (int i = 0; i < sim.node_count; i++)
 		SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s,
-		           .duration_s = i == first ? sim_between(0.05, 1) : sim_between(10, 40),
+		           .duration_s = i == first ? sim_random_between(0.05, 1)
+		                                    : sim_random_between(10, 40),
 		           .target = i);
 	inject_cancel_running(start_s - 0.1, 4, variant % 2 ? 5 : 0);
-	inject_cancel_running(start_s + sim_between(4, 8), 2, 0);
+	inject_cancel_running(start_s + sim_random_between(4, 8), 2, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_NODE_DOWN, .start_s = start_s + 6, .duration_s = 0.5,
 		           .target = first);
@@ -123,17 +126,18 @@
 /* A leader is paused for longer than its lease; jobs are cancelled through the next. */
 static void process_pause(int variant)
 {
-	double start_s = sim_between(42, 55), duration_s = sim_between(3.5, variant % 2 ? 30 : 9);
+	double start_s = sim_random_between(42, 55),
+	       duration_s = sim_random_between(3.5, variant % 2 ? 30 : 9);
 
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 3, .duration_s = 1, .count = 10);
 	SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
 	inject_cancel_running(start_s - 0.02, 2, 0);
-	inject_cancel_running(start_s + duration_s - sim_between(0, 1), 3, 0);
-	inject_cancel_running(start_s + sim_between(0, duration_s), 2, 0);
+	inject_cancel_running(start_s + duration_s - sim_random_between(0, 1), 3, 0);
+	inject_cancel_running(start_s + sim_random_between(0, duration_s), 2, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s + duration_s + 6,
-		           .duration_s = sim_between(3, 12), .target = TARGET_ALL_NODES);
+		           .duration_s = sim_random_between(3, 12), .target = TARGET_ALL_NODES);
 }
 
 static const struct combination combinations[] = {
--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -8,7 +8,7 @@
 /* What keeps the leader's stop commands from the machines at that moment. */
 static void commands_fail(double start_s, double duration_s)
 {
-	switch (sim_pick(3)) {
+	switch (sim_random_index(3)) {
 	case 0:
 		SIM_INJECT(FAULT_PARTITION_FROM_WORKERS, .start_s = start_s,
 		           .duration_s = duration_s, .target = TARGET_LEADER);
@@ -30,15 +30,16 @@
  */
 static void kv_refusal_then_outage(int variant)
 {
-	double start_s = sim_between(48, 60), next_leader_s = start_s + sim_between(3.5, 5);
-	double outage_s = next_leader_s + sim_between(0.2, 6);
-	double end_s = outage_s + sim.cancel_s + sim_between(5, 15), hang_s;
+	double start_s = sim_random_between(48, 60),
+	       next_leader_s = start_s + sim_random_between(3.5, 5);
+	double outage_s = next_leader_s + sim_random_between(0.2, 6);
+	double end_s = outage_s + sim.cancel_s + sim_random_between(5, 15), hang_s;
 
 	SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s, .duration_s = end_s - start_s,
 	           .target = TARGET_LEADER);
-	hang_s = sim_chance(0.5) ? sim_between(2, 9) : 0;
-	inject_cancel_running(next_leader_s, 3 + sim_pick(4), hang_s);
-	inject_cancel_running(sim_between(next_leader_s, outage_s), 2, 0);
+	hang_s = sim_chance(0.5) ? sim_random_between(2, 9) : 0;
+	inject_cancel_running(next_leader_s, 3 + sim_random_index(4), hang_s);
+	inject_cancel_running(sim_random_between(next_leader_s, outage_s), 2, 0);
 	SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = outage_s, .duration_s = end_s - outage_s);
 	if (variant % 2)
 		SIM_INJECT(FAULT_PARTITION_FROM_WORKERS, .start_s = next_leader_s - 0.1,
@@ -69,13 +70,13 @@
 /* A transaction without a reply is applied late, after newer ones of the same node. */
 static void delayed_write(int variant)
 {
-	double start_s = sim_between(10, 30);
+	double start_s = sim_random_between(10, 30);
 
 	SIM_INJECT(FAULT_DELAYED_WRITES, .start_s = start_s, .duration_s = 70,
 	           .magnitude = variant % 2 ? 0.15 : 0.35);
-	inject_cancel_running(start_s + sim_between(25, 40), 4, 0);
+	inject_cancel_running(start_s + sim_random_between(25, 40), 4, 0);
 	if (variant % 3 == 1)
-		inject_leader_down(start_s + sim_between(20, 40), 8);
+		inject_leader_down(start_s + sim_random_between(20, 40), 8);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s + 30, .duration_s = 12,
 		           .target = TARGET_LEADER);
@@ -84,12 +85,13 @@
 /* Cancelled at the very moment of the refusal, with an outage a second later. */
 static void cancel_at_kv_refusal(int variant)
 {
-	double start_s = sim_between(45, 60), duration_s = sim.cancel_s + sim_between(3, 15);
+	double start_s = sim_random_between(45, 60),
+	       duration_s = sim.cancel_s + sim_random_between(3, 15);
 
 	SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
 	inject_cancel_running(start_s - 0.05 + 0.05 * (variant % 3), 5,
-	                      variant % 2 ? sim_between(3, 9) : 0);
+	                      variant % 2 ? sim_random_between(3, 9) : 0);
 	SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = start_s + 1, .duration_s = duration_s - 1);
 	if (variant % 2)
 		commands_fail(start_s, duration_s);
@@ -98,14 +100,15 @@
 /* A leader partitioned from key-value store and controllers, not from machines and users. */
 static void leader_partition(int variant)
 {
-	double start_s = sim_between(45, 55), duration_s = sim_between(15, 80), hang_s;
+	double start_s = sim_random_between(45, 55), duration_s = sim_random_between(15, 80),
+	       hang_s;
 
 	SIM_INJECT(FAULT_PARTITION_FROM_KV, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
 	SIM_INJECT(FAULT_PARTITION_FROM_PEERS, .start_s = start_s, .duration_s = duration_s,
 	           .target = TARGET_LEADER);
-	hang_s = variant % 2 ? sim_between(3, 9) : 0;
-	inject_cancel_running(start_s + sim_between(3, 7), 5, hang_s);
+	hang_s = variant % 2 ? sim_random_between(3, 9) : 0;
+	inject_cancel_running(start_s + sim_random_between(3, 7), 5, hang_s);
 	inject_cancel_running(start_s + 12, 2, 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_PARTITION_FROM_WORKERS, .start_s = start_s + 5,
@@ -115,19 +118,19 @@
 /* Slow, or refusing the leader and then everybody, while users cancel and query. */
 static void degraded_kv_then_outage(int variant)
 {
-	double start_s = sim_between(40, 50), duration_s = sim.cancel_s + sim_between(3, 20),
-	       hang_s;
+	double start_s = sim_random_between(40, 50),
+	       duration_s = sim.cancel_s + sim_random_between(3, 20), hang_s;
 
 	if (variant % 2)
 		SIM_INJECT(FAULT_KV_REFUSES_NODE, .start_s = start_s, .duration_s = 15,
 		           .target = TARGET_LEADER);
 	else
 		SIM_INJECT(FAULT_KV_SLOW, .start_s = start_s, .duration_s = 15,
-		           .magnitude = sim_between(0.5, 1.6));
+		           .magnitude = sim_random_between(0.5, 1.6));
 	SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = start_s + 15, .duration_s = duration_s);
 	SIM_INJECT(FAULT_INVALID_REQUESTS, .start_s = start_s, .duration_s = 15 + duration_s);
 	hang_s = sim_chance(0.5) ? 8 : 0;
-	inject_cancel_running(start_s + sim_between(4, 14), 4, hang_s);
+	inject_cancel_running(start_s + sim_random_between(4, 14), 4, hang_s);
 	inject_cancel_running(start_s + 14.9, 3, 0);
 	if (variant % 3 == 2)
 		commands_fail(start_s + 14.8, duration_s);
@@ -136,7 +139,7 @@
 /* Applied at once, and only the reply is lost, while all nodes are asked what it wrote. */
 static void lost_write_reply(int variant)
 {
-	double start_s = sim_between(15, 30);
+	double start_s = sim_random_between(15, 30);
 
 	SIM_INJECT(FAULT_DELAYED_WRITES, .start_s = start_s, .duration_s = 70,
 	           .magnitude = variant % 2 ? 0.5 : 0.2, .reply_lost_only = true);
@@ -144,9 +147,9 @@
 	SIM_INJECT(FAULT_INVALID_REQUESTS, .start_s = start_s, .duration_s = 70);
 	SIM_INJECT(FAULT_CANCEL_AT_COMPLETION, .start_s = start_s, .duration_s = 70,
 	           .magnitude = 0.4);
-	inject_cancel_running(start_s + sim_between(15, 35), 5, 0);
+	inject_cancel_running(start_s + sim_random_between(15, 35), 5, 0);
 	if (variant % 3 == 2)
-		inject_leader_down(start_s + sim_between(20, 45), 8);
+		inject_leader_down(start_s + sim_random_between(20, 45), 8);
 }
 
 static const struct combination combinations[] = {
--- a/tests/fault_combinations_load.c
+++ b/tests/fault_combinations_load.c
@@ -8,18 +8,18 @@
  */
 static void quota_reached_at_failover(int variant)
 {
-	double start_s = sim_between(45, 55);
+	double start_s = sim_random_between(45, 55);
 
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 20, .duration_s = 1, .count = 24);
 	/* Copies from before the cancelled tasks began, which must free no capacity. */
 	SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = 15, .duration_s = 80, .magnitude = 0.9);
-	inject_leader_down(start_s, sim_between(5, 30));
+	inject_leader_down(start_s, sim_random_between(5, 30));
 	SIM_INJECT(variant % 2 ? FAULT_INBOUND_PARTITION : FAULT_OUTBOUND_PARTITION,
-	           .start_s = start_s - 1, .duration_s = sim.lease_s + sim_between(-4, 20),
+	           .start_s = start_s - 1, .duration_s = sim.lease_s + sim_random_between(-4, 20),
 	           .magnitude = 0.5);
-	SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s - 2, .duration_s = sim_between(4, 25),
-	           .magnitude = 0.3);
-	inject_cancel_running(start_s + sim_between(1, 8), 6, 0);
+	SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s - 2,
+	           .duration_s = sim_random_between(4, 25), .magnitude = 0.3);
+	inject_cancel_running(start_s + sim_random_between(1, 8), 6, 0);
 }
 
 /* More work than capacity, urgent and not, over slow links. */
@@ -28,7 +28,7 @@
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 20, .duration_s = 1, .count = 40);
 	SIM_INJECT(FAULT_SLOW_LINKS, .start_s = 15, .duration_s = 70,
 	           .magnitude = variant % 2 ? 0.4 : 0.9);
-	inject_cancel_running(sim_between(40, 60), 8, 0);
+	inject_cancel_running(sim_random_between(40, 60), 8, 0);
 	if (variant % 3 == 2)
 		inject_leader_down(50, 10);
 }
@@ -41,10 +41,10 @@
 	for (int i = 0; i < 25; i++)
 		SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 10 + 8 * i, .duration_s = 1,
 		           .count = 2);
-	SIM_INJECT(FAULT_MACHINES_DIE, .start_s = sim_between(60, 90), .duration_s = 1,
-	           .magnitude = 0.4);
+	SIM_INJECT(FAULT_MACHINE_TERMINATION, .start_s = sim_random_between(60, 90),
+	           .duration_s = 1, .magnitude = 0.4);
 	if (variant % 2)
-		inject_leader_down_between(50, 50, sim_between(5, 20));
+		inject_leader_down_between(50, 50, sim_random_between(5, 20));
 }
 
 /*
@@ -71,21 +71,21 @@
 	if (variant % 3 == 1)
 		SIM_INJECT(FAULT_KV_SLOW, .start_s = 20, .duration_s = 70, .magnitude = 1.2);
 	if (variant % 3 == 2)
-		inject_leader_down_between(40, 20, sim_between(1, 9));
+		inject_leader_down_between(40, 20, sim_random_between(1, 9));
 }
 
 /* Every team is at its quota, and the machines of what is cancelled are partitioned or hang. */
 static void all_quotas_reached(int variant)
 {
-	double start_s = sim_between(48, 58);
+	double start_s = sim_random_between(48, 58);
 
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 15, .duration_s = 1, .count = 50);
 	SIM_INJECT(variant % 2 ? FAULT_INBOUND_PARTITION : FAULT_OUTBOUND_PARTITION,
-	           .start_s = start_s - 2, .duration_s = sim.lease_s + sim_between(-3, 25),
+	           .start_s = start_s - 2, .duration_s = sim.lease_s + sim_random_between(-3, 25),
 	           .magnitude = 0.6);
-	inject_cancel_running(start_s, 8, sim.lease_s + sim_between(-6, 6));
-	inject_leader_down_between(start_s - 1, 4, sim_between(2, 20));
-	inject_cancel_running(start_s + sim_between(4, 9), 6, variant % 3 ? 5 : 0);
+	inject_cancel_running(start_s, 8, sim.lease_s + sim_random_between(-6, 6));
+	inject_leader_down_between(start_s - 1, 4, sim_random_between(2, 20));
+	inject_cancel_running(start_s + sim_random_between(4, 9), 6, variant % 3 ? 5 : 0);
 }
 
 /* One-task jobs, four a second, of which a quarter is cancelled. */
@@ -95,49 +95,49 @@
 	 * shared. */
 	sim.max_kv_changes_per_job = 6;
 	for (int i = 0; i < 200; i++) {
-		struct sim_job *job = sim_job_add(8 + 0.25 * i);
+		struct sim_job *job = sim_job_add_random(8 + 0.25 * i);
 
 		job->spec.kind = FL_ARRAY;
 		job->spec.task_count = 1;
 		job->spec.cpus = 2;
 		job->spec.gpus = 0;
-		job->spec.expected_s = sim_between(1, 6);
+		job->spec.expected_s = sim_random_between(1, 6);
 		job->spec.machine_type_count = -1;
 		job->spec.has_zone = job->spec.same_zone = job->spec.spread_zones = false;
 		job->duration_s[0] = job->spec.expected_s;
-		job->cancel_s = sim_chance(0.25) ? job->submit_s + sim_between(0, 9) : -1;
+		job->cancel_s = sim_chance(0.25) ? job->submit_s + sim_random_between(0, 9) : -1;
 		sim_job_encode_request(job);
 	}
 	if (variant % 2)
-		inject_leader_down(sim_between(25, 50), 8);
+		inject_leader_down(sim_random_between(25, 50), 8);
 }
 
 /* Controllers that compute several times slower, with more work and a change of leader. */
 static void slow_controllers(int variant)
 {
-	double start_s = sim_between(25, 35);
+	double start_s = sim_random_between(25, 35);
 
 	SIM_INJECT(FAULT_SLOW_NODES, .start_s = start_s, .duration_s = 45,
 	           .target = TARGET_ALL_NODES, .magnitude = variant % 2 ? 0.001 : 0.0025);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s + 5, .duration_s = 1, .count = 20);
 	inject_cancel_running(start_s + 15, 4, 0);
 	if (variant % 3)
-		inject_leader_down(start_s + sim_between(15, 25), 6);
+		inject_leader_down(start_s + sim_random_between(15, 25), 6);
 	inject_cancel_running(start_s + 30, 4, 0);
 }
 
 /* Eight times as many status queries, while the leader changes. */
 static void status_query_storm(int variant)
 {
-	double start_s = sim_between(40, 50);
+	double start_s = sim_random_between(40, 50);
 
 	SIM_INJECT(FAULT_STATUS_QUERY_STORM, .start_s = 10, .duration_s = 80, .magnitude = 8);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 15, .duration_s = 1, .count = 30);
-	inject_leader_down(start_s, sim_between(1, 12));
+	inject_leader_down(start_s, sim_random_between(1, 12));
 	if (variant % 2)
 		SIM_INJECT(FAULT_KV_SLOW, .start_s = start_s - 3, .duration_s = 15,
 		           .magnitude = 0.8);
-	inject_cancel_running(start_s + sim_between(1, 6), 4, 0);
+	inject_cancel_running(start_s + sim_random_between(1, 6), 4, 0);
 }
 
 static const struct combination combinations[] = {
--- a/tests/fault_combinations_random.c
+++ b/tests/fault_combinations_random.c
@@ -6,19 +6,21 @@
 /* Random pairs and triples of faults. */
 static void random_faults(int variant)
 {
-	double start_s = sim_between(30, 50);
+	double start_s = sim_random_between(30, 50);
 
 	for (int i = 0; i < 2 + variant % 2; i++) {
-		enum sim_fault_kind kind = (enum sim_fault_kind)sim_pick(SIM_FIRST_TIMING_FAULT);
+		enum sim_fault_kind kind =
+			(enum sim_fault_kind)sim_random_index(SIM_FIRST_TIMING_FAULT);
 		bool is_latency = kind == FAULT_KV_SLOW || kind == FAULT_SLOW_LINKS;
-		double magnitude = is_latency ? 1 : sim_between(0.2, 0.8);
-		double duration_s = sim_between(3, 55);
+		double magnitude = is_latency ? 1 : sim_random_between(0.2, 0.8);
+		double duration_s = sim_random_between(3, 55);
 
-		SIM_INJECT(kind, .start_s = start_s + sim_between(0, 10), .duration_s = duration_s,
+		SIM_INJECT(kind, .start_s = start_s + sim_random_between(0, 10),
+		           .duration_s = duration_s,
 		           .target = kind == FAULT_ZONE_PARTITION ? TARGET_ANY_ZONE : TARGET_LEADER,
 		           .magnitude = magnitude, .count = kind >= FAULT_CANCEL_RUNNING ? 6 : 0);
 	}
-	inject_cancel_running(start_s + sim_between(0, 15), 4, 0);
+	inject_cancel_running(start_s + sim_random_between(0, 15), 4, 0);
 }
 
 static double random_magnitude(enum sim_fault_kind kind)
@@ -28,11 +30,11 @@
 	case FAULT_SLOW_LINKS:
 		return 1;
 	case FAULT_SLOW_NODES:
-		return sim_between(0.0005, 0.002);
+		return sim_random_between(0.0005, 0.002);
 	case FAULT_STATUS_QUERY_STORM:
 		return 8;
 	default:
-		return sim_between(0.2, 0.8);
+		return sim_random_between(0.2, 0.8);
 	}
 }
 
@@ -52,8 +54,8 @@
 
 	fault.magnitude = random_magnitude(kind);
 	fault.target = random_target(kind);
-	fault.duration_s = sim_between(3, 55);
-	fault.start_s = start_s + sim_between(0, 10);
+	fault.duration_s = sim_random_between(3, 55);
+	fault.start_s = start_s + sim_random_between(0, 10);
 	fault.reply_lost_only = kind == FAULT_DELAYED_WRITES && sim_chance(0.5);
 	fault.held_for_next_leader = kind == FAULT_DELAYED_HEARTBEATS && sim_chance(0.5);
 	sim_fault_inject(&fault);
@@ -67,14 +69,14 @@
 		FAULT_PROCESS_PAUSE,      FAULT_SHARED_IMAGE_BANDWIDTH, FAULT_IRREGULAR_BOOTS,
 		FAULT_STATUS_QUERY_STORM, FAULT_DELAYED_WRITES,         FAULT_DELAYED_HEARTBEATS,
 	};
-	double start_s = sim_between(25, 45);
+	double start_s = sim_random_between(25, 45);
 
 	inject_random(first[variant % 9], start_s);
 	for (int i = 0; i < 1 + variant % 2; i++)
-		inject_random((enum sim_fault_kind)sim_pick(SIM_FAULT_KINDS), start_s);
+		inject_random((enum sim_fault_kind)sim_random_index(SIM_FAULT_KINDS), start_s);
 	if (sim_chance(0.5))
-		inject_leader_down_between(start_s, 12, sim_between(0.5, 20));
-	inject_cancel_running(start_s + sim_between(0, 15), 4, 0);
+		inject_leader_down_between(start_s, 12, sim_random_between(0.5, 20));
+	inject_cancel_running(start_s + sim_random_between(0, 15), 4, 0);
 }
 
 static const struct combination combinations[] = {
--- a/tests/fault_combinations_workers.c
+++ b/tests/fault_combinations_workers.c
@@ -17,27 +17,27 @@
 		if (spec->kind != FL_ARRAY)
 			continue;
 		spec->checkpoint_every_s = 2;
-		spec->checkpoint_cost_s = sim_between(3, 8);
+		spec->checkpoint_cost_s = sim_random_between(3, 8);
 		sim_job_encode_request(&sim.jobs[i]);
 	}
 	SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = 5, .duration_s = 90, .magnitude = 0.9);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 25, .duration_s = 1, .count = 10);
-	inject_leader_down_between(45, 10, sim_between(1, 20));
-	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = sim_between(50, 65),
+	inject_leader_down_between(45, 10, sim_random_between(1, 20));
+	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = sim_random_between(50, 65),
 	           .duration_s = sim.lease_s + 4, .magnitude = 0.4);
 	if (variant % 2)
-		inject_leader_down(sim_between(70, 85), 10);
+		inject_leader_down(sim_random_between(70, 85), 10);
 }
 
 /* Machines that reach no controller, while direct commands reach them. */
 static void one_way_partition(int variant)
 {
-	double start_s = sim_between(35, 55);
+	double start_s = sim_random_between(35, 55);
 
-	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = start_s, .duration_s = sim_between(5, 40),
-	           .magnitude = variant % 2 ? 1 : 0.5);
+	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = start_s,
+	           .duration_s = sim_random_between(5, 40), .magnitude = variant % 2 ? 1 : 0.5);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s + 2, .duration_s = 1, .count = 8);
-	inject_cancel_running(start_s + sim_between(1, 6), 4, 0);
+	inject_cancel_running(start_s + sim_random_between(1, 6), 4, 0);
 	if (variant % 3 == 2)
 		inject_leader_down(start_s + 3, 15);
 }
@@ -45,11 +45,12 @@
 /* A zone with machines and a controller is partitioned for longer than a lease. */
 static void zone_partition(int variant)
 {
-	double start_s = sim_between(40, 55), duration_s = sim.lease_s * sim_between(1.2, 6);
+	double start_s = sim_random_between(40, 55),
+	       duration_s = sim.lease_s * sim_random_between(1.2, 6);
 
 	SIM_INJECT(FAULT_ZONE_PARTITION, .start_s = start_s, .duration_s = duration_s,
 	           .target = variant % 2 ? TARGET_LEADER : TARGET_ANY_ZONE);
-	inject_cancel_running(start_s + sim_between(-1, 8), 4, 0);
+	inject_cancel_running(start_s + sim_random_between(-1, 8), 4, 0);
 	inject_cancel_running(start_s + duration_s * 0.8, 2, 0);
 	if (variant % 3 == 2)
 		inject_leader_down(start_s + 6, 10);
@@ -58,22 +59,22 @@
 /* A heartbeat is held back until a new leader has acted, and arrives there. */
 static void heartbeats_delayed_past_failover(int variant)
 {
-	double start_s = sim_between(40, 55);
+	double start_s = sim_random_between(40, 55);
 
-	SIM_INJECT(FAULT_PACKETS_HELD, .start_s = start_s, .duration_s = sim_between(5, 30),
+	SIM_INJECT(FAULT_PACKETS_HELD, .start_s = start_s, .duration_s = sim_random_between(5, 30),
 	           .target = variant % 2 ? TARGET_ALL_NODES : TARGET_ANY_NODE);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_PARTITION_FROM_KV, .start_s = start_s + 1, .duration_s = 20,
 		           .target = TARGET_LEADER);
 	else
 		inject_leader_down(start_s + 1, 15);
-	inject_cancel_running(start_s + sim_between(2, 8), 4, 0);
+	inject_cancel_running(start_s + sim_random_between(2, 8), 4, 0);
 }
 
 /* Jobs bound to one zone, arrays too, lose machines. */
 static void zonal_machine_loss(int variant)
 {
-	double start_s = sim_between(40, 55);
+	double start_s = sim_random_between(40, 55);
 
 	for (int i = 0; i < sim.job_count; i++) {
 		struct fl_job_spec *spec = &sim.jobs[i].spec;
@@ -84,7 +85,8 @@
 		copy_text(spec->zone, sizeof(spec->zone), sim.config[0].zones[i % sim.zone_count]);
 		sim_job_encode_request(&sim.jobs[i]);
 	}
-	SIM_INJECT(FAULT_MACHINES_DIE, .start_s = start_s, .duration_s = 1, .magnitude = 0.5);
+	SIM_INJECT(FAULT_MACHINE_TERMINATION, .start_s = start_s, .duration_s = 1,
+	           .magnitude = 0.5);
 	if (variant % 2)
 		inject_leader_down(start_s + 0.5, 10);
 	if (variant % 3 == 2)
@@ -98,8 +100,8 @@
 
 	while (start_s < 70) {
 		SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s,
-		           .duration_s = sim_between(2, sim.lease_s + 2), .magnitude = 0.5);
-		start_s += sim_between(8, 14);
+		           .duration_s = sim_random_between(2, sim.lease_s + 2), .magnitude = 0.5);
+		start_s += sim_random_between(8, 14);
 	}
 	SIM_INJECT(FAULT_LOST_REPLIES, .start_s = 20, .duration_s = 55,
 	           .magnitude = variant % 2 ? 0.4 : 0.15);
@@ -107,8 +109,8 @@
 	SIM_INJECT(FAULT_SLOW_LINKS, .start_s = 25, .duration_s = 45, .magnitude = 0.8);
 	for (int i = 0; i < 11; i++)
 		inject_cancel_running(28 + 3 * i, 1, 0);
-	hang_s = sim_between(3, 9);
-	inject_cancel_running(sim_between(40, 55), 4, hang_s);
+	hang_s = sim_random_between(3, 9);
+	inject_cancel_running(sim_random_between(40, 55), 4, hang_s);
 	if (variant % 3 == 2)
 		inject_leader_down(50, 10);
 }
@@ -116,42 +118,42 @@
 /* A command of a leader that has since stopped or been replaced arrives after the next one's. */
 static void stale_leader_command(int variant)
 {
-	double start_s = sim_between(42, 55);
+	double start_s = sim_random_between(42, 55);
 
 	SIM_INJECT(FAULT_DELAYED_COMMANDS, .start_s = start_s - 12, .duration_s = 40,
 	           .magnitude = variant % 2 ? 0.9 : 0.5);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 6, .duration_s = 1, .count = 14);
 	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = start_s - 5,
-	           .duration_s = sim_between(3, 9), .magnitude = 0.5);
+	           .duration_s = sim_random_between(3, 9), .magnitude = 0.5);
 	inject_cancel_running(start_s - 0.5, 3, 0);
 	switch (variant % 3) {
 	case 0:
-		inject_leader_down(start_s, sim_between(1, 20));
+		inject_leader_down(start_s, sim_random_between(1, 20));
 		break;
 	case 1:
 		SIM_INJECT(FAULT_PROCESS_PAUSE, .start_s = start_s,
-		           .duration_s = sim_between(4, 12), .target = TARGET_LEADER);
+		           .duration_s = sim_random_between(4, 12), .target = TARGET_LEADER);
 		break;
 	default:
 		SIM_INJECT(FAULT_PARTITION_FROM_KV, .start_s = start_s,
-		           .duration_s = sim_between(8, 20), .target = TARGET_LEADER);
+		           .duration_s = sim_random_between(8, 20), .target = TARGET_LEADER);
 		break;
 	}
-	inject_cancel_running(start_s + sim_between(4, 9), 4, 0);
+	inject_cancel_running(start_s + sim_random_between(4, 9), 4, 0);
 }
 
 /* Direct commands delayed for seconds, and executed when nobody waits for them any more. */
 static void delayed_command(int variant)
 {
-	double start_s = sim_between(25, 35), hang_s;
+	double start_s = sim_random_between(25, 35), hang_s;
 
 	SIM_INJECT(FAULT_DELAYED_COMMANDS, .start_s = start_s, .duration_s = 50,
 	           .magnitude = variant % 2 ? 0.4 : 0.9);
 	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = start_s + 2,
-	           .duration_s = sim_between(4, 9), .magnitude = 0.6);
+	           .duration_s = sim_random_between(4, 9), .magnitude = 0.6);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s + 3, .duration_s = 1, .count = 12);
-	hang_s = sim_between(2, sim.lease_s);
-	SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s + sim_between(6, 16),
+	hang_s = sim_random_between(2, sim.lease_s);
+	SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s + sim_random_between(6, 16),
 	           .duration_s = hang_s, .magnitude = 0.4);
 	for (int i = 0; i < 8; i++)
 		inject_cancel_running(start_s + 4 + 4 * i, 1, 0);
@@ -163,7 +165,7 @@
 /* Machines that boot at once get work while writes lag, and the leader stops. */
 static void irregular_boots(int variant)
 {
-	double start_s = sim_between(30, 45);
+	double start_s = sim_random_between(30, 45);
 
 	SIM_INJECT(FAULT_IRREGULAR_BOOTS, .duration_s = 100, .magnitude = 0.9);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 4, .duration_s = 1, .count = 20);
@@ -173,28 +175,28 @@
 	else
 		SIM_INJECT(FAULT_KV_SLOW, .start_s = start_s - 6, .duration_s = 25,
 		           .magnitude = 1.4);
-	inject_leader_down(start_s, sim_between(0.5, 15));
+	inject_leader_down(start_s, sim_random_between(0.5, 15));
 	if (variant % 3 == 2)
-		inject_leader_down(start_s + sim_between(5, 9), 6);
-	inject_cancel_running(start_s + sim_between(-1, 5), 3, 0);
+		inject_leader_down(start_s + sim_random_between(5, 9), 6);
+	inject_cancel_running(start_s + sim_random_between(-1, 5), 3, 0);
 }
 
 /* Heartbeats are held, and reach every controller just as the next leader begins. */
 static void heartbeats_held_for_next_leader(int variant)
 {
-	double start_s = sim_between(42, 52);
+	double start_s = sim_random_between(42, 52);
 
 	SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = start_s - 15, .duration_s = 14.9,
 	           .magnitude = 0.8, .held_for_next_leader = true);
 	if (variant % 2)
 		SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = start_s - 0.5,
-		           .duration_s = sim_between(4, 20), .magnitude = 0.5);
+		           .duration_s = sim_random_between(4, 20), .magnitude = 0.5);
 	else
 		SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 8, .duration_s = 1,
 		           .count = 12);
 	inject_cancel_running(start_s - 3, 4, 0);
-	inject_leader_down(start_s, sim_between(1, 15));
-	inject_cancel_running(start_s + sim_between(3, 7), 3, 0);
+	inject_leader_down(start_s, sim_random_between(1, 15));
+	inject_cancel_running(start_s + sim_random_between(3, 7), 3, 0);
 	if (variant % 3 == 2) {
 		SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = start_s + 5, .duration_s = 10,
 		           .magnitude = 0.8, .held_for_next_leader = true);
@@ -205,19 +207,19 @@
 /* Images that are fetched at once take long, while leaders change and jobs are cancelled. */
 static void shared_image_bandwidth(int variant)
 {
-	double start_s = sim_between(25, 40);
+	double start_s = sim_random_between(25, 40);
 
 	SIM_INJECT(FAULT_SHARED_IMAGE_BANDWIDTH, .duration_s = 100);
 	for (int i = 0; i < sim.job_count; i++) {
-		sim.jobs[i].spec.image_gb = sim_between(3, 9);
+		sim.jobs[i].spec.image_gb = sim_random_between(3, 9);
 		sim_job_encode_request(&sim.jobs[i]);
 	}
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = start_s - 3, .duration_s = 1, .count = 16);
-	inject_leader_down(start_s, sim_between(1, 9));
+	inject_leader_down(start_s, sim_random_between(1, 9));
 	inject_cancel_running(start_s + 0.5, 4, variant % 2 ? 4 : 0);
 	if (variant % 3 == 2)
 		SIM_INJECT(FAULT_MACHINE_HANG, .start_s = start_s + 2,
-		           .duration_s = sim_between(3, sim.lease_s + 2), .magnitude = 0.5);
+		           .duration_s = sim_random_between(3, sim.lease_s + 2), .magnitude = 0.5);
 }
 
 static const struct combination combinations[] = {
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -195,7 +195,7 @@
 		node->peers[i].last_response_at = node->peers[i].cancellations_complete_as_of =
 			-1e9;
 	}
-	node->cancellation_watermark = node->kv_store.last_success_at = fl_now();
+	node->cancellation_watermark = node->kv_store.last_success_sent_at = fl_now();
 	node->kv_store.last_failure_at = -1e9;
 }
 
@@ -291,7 +291,7 @@
 	struct fl_job_spec spec;
 
 	fl_job_to_spec(&fixture->node.cluster, fixture->job, &spec);
-	return fl_job_record_encode_cancelled(&spec, 1, fl_wall() - age_s);
+	return fl_job_record_encode_cancelled(&spec, 1, fl_wall_time() - age_s);
 }
 
 void apply_cancellation(struct node_fixture *fixture, double age_s)
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -2,9 +2,9 @@
  * A simulation of a site in one process: several controllers' real coordination code over a
  * network, a clock and outside systems that the test owns. What the fakes do follows the protocol's
  * pages; the invariant checker knows these pages too, and nothing of the code under test. Time is
- * virtual (sim_time.h) and faults are injected (sim_faults.h). There is one site at a time, `sim`,
- * which the test program defines and zeroes. Points in time are seconds of the steady clock unless
- * they end in _s: those are durations, or seconds from the beginning of the run.
+ * virtual (sim_elapsed_s.h) and faults are injected (sim_faults.h). There is one site at a time,
+ * `sim`, which the test program defines and zeroes. Points in time are seconds of the steady clock
+ * unless they end in _s: those are durations, or seconds from the beginning of the run.
  */
 #ifndef FL_TESTS_SIM_H
 #define FL_TESTS_SIM_H
@@ -39,8 +39,8 @@
 /* 0 with a reply whose body is the caller's to free, or a negative errno as of fl_http_call(). */
 int sim_call(struct sim_endpoint from, struct sim_endpoint to, const char *method, const char *path,
              const char *body, double timeout_s, struct fl_http_reply *out);
-void sim_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME]);
-struct sim_endpoint sim_endpoint_of(const struct sockaddr_in *address);
+void sim_endpoint_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME_SIZE]);
+struct sim_endpoint sim_endpoint_from_address(const struct sockaddr_in *address);
 /* Ends all calls, and with them all time. */
 void sim_net_end(void);
 
@@ -52,7 +52,7 @@
 /* ---- controllers ---- */
 
 /* The settings of a node, by the site's numbers in `sim`. */
-void sim_configure(int node);
+void sim_configure_node(int node);
 int sim_node_zone(int node);
 void sim_node_start(int node);
 void sim_node_kill(int node);
@@ -79,7 +79,7 @@
 /* Puts and deletions so far, those by expired leases too. */
 int sim_kv_change_count(void);
 /* The node that holds the leader's key; -1: none. */
-int sim_leader(void);
+int sim_leader_node(void);
 void sim_kv_end(void);
 
 void sim_cloud_serve(struct sim_endpoint from, const struct fl_http_request *request,
@@ -107,18 +107,19 @@
 	int copies_running[SIM_JOB_TASKS]; /* machines on which it is, at any moment */
 	int last_machine[SIM_JOB_TASKS];   /* the latest of them */
 	int task_starts[SIM_JOB_TASKS];
-	int starts, late_starts; /* late: after its user was told that it is cancelled */
+	int starts,
+		starts_after_cancellation; /* late: after its user was told that it is cancelled */
 	/* What its user did and was told; 0: not yet. */
 	double first_sent_at, accepted_at, rejected_at, cancel_sent_at;
 	double reported_cancelled_at, reported_done_at, last_answered_at;
 	bool cancel_requested, resubmitting;
 	/* Of the checker. */
-	double waiting_since;
+	double starving_since;
 	bool overdue_violation_reported, starvation_reported;
 };
 
 /* A random one; it is in `sim` and stays there. */
-struct sim_job *sim_job_add(double submit_s);
+struct sim_job *sim_job_add_random(double submit_s);
 /* To be called when its spec was changed before it is submitted. */
 void sim_job_encode_request(struct sim_job *job);
 /* NULL: there is none. */
@@ -168,7 +169,7 @@
 	bool heartbeat_pending; /* it has something to tell */
 	struct fl_condition heartbeat_due, resumed;
 	int next_node;
-	struct sim_task tasks[SIM_TASKS];
+	struct sim_task tasks[SIM_MACHINE_TASKS];
 	int task_slots_used; /* ever */
 	char images[SIM_MACHINE_IMAGES][FL_NAME_MAX];
 	int image_count;
@@ -183,15 +184,15 @@
 /* While it hangs, what comes waits. False if the machine has ended. */
 bool sim_machine_wait_until_resumed(struct sim_machine *machine);
 /* If its lease has expired, all tasks go and a new incarnation begins. */
-void sim_machine_check_lease(struct sim_machine *machine);
-void sim_machine_observe_token(struct sim_machine *machine, uint64_t fencing_token);
+void sim_machine_end_expired_lease(struct sim_machine *machine);
+void sim_machine_raise_fencing_token(struct sim_machine *machine, uint64_t fencing_token);
 int sim_machine_index(const struct sim_machine *machine);
 void sim_worker_serve(int process, int machine_index, const struct fl_http_request *request,
                       struct fl_http_response *response);
 
 /* A heartbeat, encoded; the caller's to free. */
 char *sim_heartbeat_encode(struct sim_machine *machine);
-void sim_heartbeat_request(struct sim_machine *machine);
+void sim_heartbeat_make_due(struct sim_machine *machine);
 /* Sends one; the s until the next may be due, < 0: as usual. */
 double sim_heartbeat_send(struct sim_machine *machine);
 /* A new leader begins: what was held for it arrives. */
@@ -202,9 +203,9 @@
 /* All tasks are gone. */
 void sim_tasks_drop(struct sim_machine *machine);
 /* The machine has hung for so long. */
-void sim_tasks_resume_after(struct sim_machine *machine, double seconds);
+void sim_tasks_postpone(struct sim_machine *machine, double seconds);
 /* Executes the commands of a reply or of a direct command. */
-void sim_tasks_command(struct sim_machine *machine, const cJSON *object);
+void sim_tasks_execute_commands(struct sim_machine *machine, const cJSON *object);
 /* Would the job's next task fit, by its resources? */
 bool sim_machine_has_capacity(const struct sim_machine *machine, const struct sim_job *job);
 
@@ -226,14 +227,14 @@
 	int machine_count;
 	/* Sums. */
 	int requests[SIM_ENDPOINT_KINDS]; /* that arrived, by who was called */
-	int starts, completions, late_starts, status_queries;
+	int starts, completions, starts_after_cancellation, status_queries;
 	int max_task_starts; /* of one task */
 	int violation_count;
 	char violations[8192]; /* one a line */
 };
 extern struct sim sim;
 
-double sim_time(void); /* s from the beginning */
+double sim_elapsed_s(void); /* s from the beginning */
 /* Starts all parts of the site: jobs and faults are there already. */
 void sim_start(void);
 /* Frees what a run has left. */
@@ -245,7 +246,7 @@
 	__attribute__((format(printf, 2, 3)));
 void sim_check_begin(void);
 void sim_check_task_started(struct sim_job *job, uint32_t index, int machine_index);
-void sim_check_task_left(struct sim_job *job, uint32_t index);
+void sim_check_task_ended(struct sim_job *job, uint32_t index);
 /* What a user is told in reply to a request that was sent then. */
 void sim_check_submit_reply(struct sim_job *job, double sent_at, int status, const char *body);
 void sim_check_query_reply(struct sim_job *job, double sent_at, int status, const char *body);
@@ -259,10 +260,11 @@
 const struct sim_team *sim_check_team_of(const struct sim_job *job);
 void sim_check_team_usage(const struct sim_team *team, double *cpus, double *gpus);
 /* NULL, or why no further task of the job may start on this machine. */
-const char *sim_check_placement(const struct sim_job *job, const struct sim_machine *machine);
+const char *sim_check_placement_violation(const struct sim_job *job,
+                                          const struct sim_machine *machine);
 /* Jobs that wait beside free capacity; and how many were served, at the end. */
 void sim_check_starvation(void);
 void sim_check_service_levels(void);
-void sim_check_names_begin(void);
+void sim_check_unique_ids_begin(void);
 
 #endif
--- a/tests/sim_check_replies.c
+++ b/tests/sim_check_replies.c
@@ -10,7 +10,7 @@
 #include "protocol/json.h"
 #include "transport/clock.h"
 
-enum { NAMES_MAX = 512 };
+enum { IDS_MAX = 512 };
 
 /* ---- the job's state ---- */
 
@@ -33,8 +33,8 @@
 }
 
 /* Only a reply to a request sent after the first shows that something was taken back. */
-static void check_final(const struct sim_job *job, double sent_at,
-                        const struct reported_status *reported, const char *request)
+static void check_final_status(const struct sim_job *job, double sent_at,
+                               const struct reported_status *reported, const char *request)
 {
 	if (job->reported_done_at > 0 && sent_at > job->reported_done_at && !reported->is_done)
 		sim_violation("went_back", "%s was done and is '%s' (%s)", job->spec.ref,
@@ -52,7 +52,7 @@
 	if (strcmp(reported.ref, job->spec.ref) != 0)
 		sim_violation("answer", "%s of %s is answered for '%s'", request, job->spec.ref,
 		              reported.ref);
-	check_final(job, sent_at, &reported, request);
+	check_final_status(job, sent_at, &reported, request);
 	if (reported.is_cancelled && job->cancel_sent_at == 0)
 		sim_violation("went_back", "%s is cancelled and nobody cancelled it",
 		              job->spec.ref);
@@ -115,39 +115,40 @@
 /* ---- names that belong to one process ---- */
 
 static struct {
-	char rental_names[NAMES_MAX][64];
-	int rental_processes[NAMES_MAX], rental_count;
-	uint64_t tokens[NAMES_MAX];
-	int token_processes[NAMES_MAX], token_count;
-} seen;
+	char rental_names[IDS_MAX][64];
+	int rental_processes[IDS_MAX], rental_count;
+	uint64_t tokens[IDS_MAX];
+	int token_processes[IDS_MAX], token_count;
+} seen_ids;
 
-void sim_check_names_begin(void) { memset(&seen, 0, sizeof(seen)); }
+void sim_check_unique_ids_begin(void) { memset(&seen_ids, 0, sizeof(seen_ids)); }
 
 void sim_check_fencing_token(uint64_t fencing_token, int process)
 {
-	for (int i = 0; i < seen.token_count; i++)
-		if (seen.tokens[i] == fencing_token) {
-			if (seen.token_processes[i] != process)
+	for (int i = 0; i < seen_ids.token_count; i++)
+		if (seen_ids.tokens[i] == fencing_token) {
+			if (seen_ids.token_processes[i] != process)
 				sim_violation("fencing_token", "%llu is used by two processes",
 				              (unsigned long long)fencing_token);
 			return;
 		}
-	if (seen.token_count == NAMES_MAX)
+	if (seen_ids.token_count == IDS_MAX)
 		return;
-	seen.tokens[seen.token_count] = fencing_token;
-	seen.token_processes[seen.token_count++] = process;
+	seen_ids.tokens[seen_ids.token_count] = fencing_token;
+	seen_ids.token_processes[seen_ids.token_count++] = process;
 }
 
 void sim_check_rental_name(const char *name, int process)
 {
-	for (int i = 0; i < seen.rental_count; i++)
-		if (strcmp(seen.rental_names[i], name) == 0) {
-			if (seen.rental_processes[i] != process)
+	for (int i = 0; i < seen_ids.rental_count; i++)
+		if (strcmp(seen_ids.rental_names[i], name) == 0) {
+			if (seen_ids.rental_processes[i] != process)
 				sim_violation("rental_name", "%s is used by two processes", name);
 			return;
 		}
-	if (seen.rental_count == NAMES_MAX)
+	if (seen_ids.rental_count == IDS_MAX)
 		return;
-	snprintf(seen.rental_names[seen.rental_count], sizeof(seen.rental_names[0]), "%s", name);
-	seen.rental_processes[seen.rental_count++] = process;
+	snprintf(seen_ids.rental_names[seen_ids.rental_count], sizeof(seen_ids.rental_names[0]),
+	         "%s", name);
+	seen_ids.rental_processes[seen_ids.rental_count++] = process;
 }
--- a/tests/sim_check_service.c
+++ b/tests/sim_check_service.c
@@ -29,11 +29,11 @@
 static bool could_run_on(const struct sim_job *job, const struct sim_machine *machine)
 {
 	return machine->up && !machine->terminated && !machine->hung &&
-	       machine->interruption_at <= 0 && !sim_check_placement(job, machine) &&
+	       machine->interruption_at <= 0 && !sim_check_placement_violation(job, machine) &&
 	       sim_machine_has_capacity(machine, job);
 }
 
-static bool wants_to_run(const struct sim_job *job)
+static bool waits_to_run(const struct sim_job *job)
 {
 	return job->accepted_at > 0 && !job->invalid && !job->cancel_requested &&
 	       !sim_job_is_completed(job) && !sim_job_is_running(job);
@@ -41,7 +41,7 @@
 
 static bool waits_beside_capacity(const struct sim_job *job)
 {
-	if (!wants_to_run(job) || team_is_full(job))
+	if (!waits_to_run(job) || team_is_full(job))
 		return false;
 	for (int i = 0; i < sim.machine_count; i++)
 		if (could_run_on(job, &sim.machines[i]))
@@ -54,9 +54,9 @@
 	for (int i = 0; i < sim.job_count; i++) {
 		struct sim_job *job = &sim.jobs[i];
 
-		if (sim_time() < sim.faults_end_s || !waits_beside_capacity(job)) {
-			job->waiting_since = fl_now();
-		} else if (fl_now() > job->waiting_since + tunables.max_waiting_s &&
+		if (sim_elapsed_s() < sim.faults_end_s || !waits_beside_capacity(job)) {
+			job->starving_since = fl_now();
+		} else if (fl_now() > job->starving_since + tunables.max_waiting_s &&
 		           !job->starvation_reported) {
 			sim_violation("waiting", "%s waits beside free capacity", job->spec.ref);
 			job->starvation_reported = true;
--- a/tests/sim_clock.c
+++ b/tests/sim_clock.c
@@ -8,7 +8,7 @@
 #include "transport/memory.h"
 
 /* Both clocks begin somewhere: nothing may take them for spans since a start. */
-static const double steady_begin = 5000, wall_begin = 1.7e9, min_sleep_s = 1e-6;
+static const double monotonic_start_s = 5000, wall_start_s = 1.7e9, min_sleep_s = 1e-6;
 
 static struct {
 	double now;
@@ -19,7 +19,7 @@
 
 double fl_now(void) { return clocks.now; }
 
-double fl_wall(void) { return clocks.now - steady_begin + wall_begin; }
+double fl_wall_time(void) { return clocks.now - monotonic_start_s + wall_start_s; }
 
 /* One process holds several controllers: what one of them does is not known. */
 size_t fl_memory_in_use(void) { return 0; }
@@ -27,9 +27,10 @@
 /* Virtual time passes between pieces of work, not within them. */
 double fl_cpu_time(void) { return 0; }
 
-double fl_since(double wall)
+double fl_monotonic_from_wall(double wall)
 {
-	return wall > 0 && wall < fl_wall() ? clocks.now - (fl_wall() - wall) : clocks.now;
+	return wall > 0 && wall < fl_wall_time() ? clocks.now - (fl_wall_time() - wall)
+	                                         : clocks.now;
 }
 
 /* ---- timers ---- */
@@ -110,11 +111,11 @@
 	heap_down(last->heap_index);
 }
 
-void sim_clock_begin(void) { clocks.now = steady_begin; }
+void sim_clock_begin(void) { clocks.now = monotonic_start_s; }
 
 void sim_clock_set(double now) { clocks.now = now; }
 
-struct sim_timer *sim_timer_next(double until)
+struct sim_timer *sim_timer_pop_due(double until)
 {
 	struct sim_timer *timer = clocks.count > 0 ? clocks.heap[1] : NULL;
 
@@ -125,7 +126,7 @@
 	return timer;
 }
 
-struct sim_timer *sim_timer_any(void)
+struct sim_timer *sim_timer_pop_any(void)
 {
 	struct sim_timer *timer = clocks.count > 0 ? clocks.heap[1] : NULL;
 
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -31,7 +31,7 @@
 	cJSON *object = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(object, "error", error);
-	json_response(response, 503, object);
+	set_json_response(response, 503, object);
 }
 
 static void serve_machine_types(struct fl_http_response *response)
@@ -56,7 +56,7 @@
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
 		cJSON_AddItemToArray(list, item);
 	}
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 static int type_index(const char *name)
@@ -95,16 +95,16 @@
 
 	if (!fault || !sim_chance(fault->magnitude))
 		return;
-	switch (sim_pick(4)) {
+	switch (sim_random_index(4)) {
 	case 0:
 		machine->never_boots = true;
 		break;
 	case 1:
-		machine->ready_at =
-			fl_now() + sim_between(2, 6) * sim_machine_types[machine->type].ready_s;
+		machine->ready_at = fl_now() + sim_random_between(2, 6) *
+		                                       sim_machine_types[machine->type].ready_s;
 		break;
 	default:
-		machine->ready_at = fl_now() + sim_between(0.2, 2);
+		machine->ready_at = fl_now() + sim_random_between(0.2, 2);
 		break;
 	}
 }
@@ -123,12 +123,12 @@
 	machine->rented_at = fl_now();
 	machine->never_boots = sim_chance(0.04) && !sim.reliable_machines;
 	/* At times up within a second or two: long before it is listed. */
-	boot_s = sim_chance(0.2) ? sim_between(0.5, 2)
-	                         : sim_between(0.6, 1.5) * sim_machine_types[type].ready_s;
+	boot_s = sim_chance(0.2) ? sim_random_between(0.5, 2)
+	                         : sim_random_between(0.6, 1.5) * sim_machine_types[type].ready_s;
 	machine->ready_at = fl_now() + boot_s;
 	apply_irregular_boot(machine);
 	if (spot && sim_chance(0.15) && !sim.reliable_machines)
-		machine->interruption_at = fl_now() + sim_between(30, 120);
+		machine->interruption_at = fl_now() + sim_random_between(30, 120);
 	sim_machine_boot(sim.machine_count++);
 }
 
@@ -139,7 +139,7 @@
 	for (int i = 0; i < rental->machine_count; i++)
 		cJSON_AddItemToArray(
 			list, cJSON_CreateString(sim.machines[rental->first_machine + i].name));
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 struct rental_request {
@@ -150,7 +150,8 @@
 };
 
 /* False if it is invalid. */
-static bool decode_rental(const struct fl_http_request *request, struct rental_request *rental)
+static bool decode_rental_request(const struct fl_http_request *request,
+                                  struct rental_request *rental)
 {
 	cJSON *object = fl_json_parse(request->body, request->body_len);
 	char type[64] = "", zone[64] = "";
@@ -202,8 +203,8 @@
 	struct rental_request request;
 	const struct rental *rental;
 
-	if (!decode_rental(http, &request)) {
-		json_response(response, 400, NULL);
+	if (!decode_rental_request(http, &request)) {
+		set_json_response(response, 400, NULL);
 		return;
 	}
 	sim_check_rental_name(request.name, process);
@@ -237,49 +238,49 @@
 		}
 	}
 	cJSON_Delete(object);
-	json_response(response, 200, NULL);
+	set_json_response(response, 200, NULL);
 }
 
 /* At a moment past: once listed it stays so till it is gone. */
-static bool is_listed(struct sim_machine *machine, double then)
+static bool is_listed(struct sim_machine *machine, double as_of)
 {
 	if (machine->failed)
 		return true;
-	if (machine->terminated && machine->terminated_at <= then)
+	if (machine->terminated && machine->terminated_at <= as_of)
 		return false;
-	if (machine->rented_at > then && !machine->listed)
+	if (machine->rented_at > as_of && !machine->listed)
 		return false;
 	machine->listed = true;
 	return true;
 }
 
-static const char *status_at(const struct sim_machine *machine, double then)
+static const char *machine_status_at(const struct sim_machine *machine, double as_of)
 {
 	if (machine->failed)
 		return "failed";
-	return machine->never_boots || machine->ready_at > then ? "booting" : "running";
+	return machine->never_boots || machine->ready_at > as_of ? "booting" : "running";
 }
 
-static cJSON *encode_machine(int index, double then)
+static cJSON *encode_machine(int index, double as_of)
 {
 	const struct sim_machine *machine = &sim.machines[index];
 	cJSON *item = cJSON_CreateObject();
-	char address[FL_CONFIG_NAME];
+	char address[FL_CONFIG_NAME_SIZE];
 
-	sim_address((struct sim_endpoint){ENDPOINT_WORKER, index}, address);
+	sim_endpoint_address((struct sim_endpoint){ENDPOINT_WORKER, index}, address);
 	cJSON_AddStringToObject(item, "Ref", machine->name);
 	cJSON_AddStringToObject(item, "Endpoint", address);
 	cJSON_AddStringToObject(item, "HostKind", sim_machine_types[machine->type].name);
 	cJSON_AddStringToObject(item, "Site", sim.config[0].zones[machine->zone]);
 	cJSON_AddBoolToObject(item, "Reclaimable", machine->spot);
-	cJSON_AddStringToObject(item, "Status", status_at(machine, then));
+	cJSON_AddStringToObject(item, "Status", machine_status_at(machine, as_of));
 	cJSON_AddNumberToObject(item, "AgeS",
-	                        then > machine->rented_at ? then - machine->rented_at : 0);
+	                        as_of > machine->rented_at ? as_of - machine->rented_at : 0);
 	return item;
 }
 
 /* Does it come after the last name of the page before? */
-static bool is_after(const struct sim_machine *machine, const char *from)
+static bool is_after_previous_page(const struct sim_machine *machine, const char *from)
 {
 	return !from || strncmp(machine->name, from + strlen("From="), strlen(machine->name)) > 0;
 }
@@ -287,27 +288,29 @@
 /* The list lags behind. */
 static void serve_list(const struct fl_http_request *request, struct fl_http_response *response)
 {
-	double then = fl_now() - sim_between(0, sim_chance(0.1) ? 2 : 1) * sim.config[0].list_lag_s;
+	double as_of = fl_now() -
+	               sim_random_between(0, sim_chance(0.1) ? 2 : 1) * sim.config[0].list_lag_s;
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "Hosts");
 	const char *from = strstr(request->query, "From=");
 	bool more = false;
 	int count = 0;
 
 	for (int i = 0; i < sim.machine_count && !more; i++) {
-		if (!is_after(&sim.machines[i], from) || !is_listed(&sim.machines[i], then))
+		if (!is_after_previous_page(&sim.machines[i], from) ||
+		    !is_listed(&sim.machines[i], as_of))
 			continue;
 		more = ++count > PAGE_MAX;
 		if (!more)
-			cJSON_AddItemToArray(list, encode_machine(i, then));
+			cJSON_AddItemToArray(list, encode_machine(i, as_of));
 	}
 	cJSON_AddBoolToObject(object, "More", more);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 void sim_cloud_serve(struct sim_endpoint from, const struct fl_http_request *request,
                      struct fl_http_response *response)
 {
-	if (fl_sleep(sim_between(0.01, 0.1)) != 0)
+	if (fl_sleep(sim_random_between(0.01, 0.1)) != 0)
 		return;
 	if (sim_fault_active(FAULT_CLOUD_UNAVAILABLE, -1))
 		respond_unavailable(response, "unavailable");
--- a/tests/sim_concurrent_reads.c
+++ b/tests/sim_concurrent_reads.c
@@ -51,7 +51,7 @@
 	struct read_burst *burst = arg;
 
 	for (int i = 0; i < tunables.reads_per_burst; i++) {
-		if (fl_sleep(sim_between(0, i < 2 ? 0.004 : 0.3)) != 0)
+		if (fl_sleep(sim_random_between(0, i < 2 ? 0.004 : 0.3)) != 0)
 			break;
 		read_once(burst);
 	}
--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -11,7 +11,7 @@
 #include "transport/coroutine_context.h"
 #include "transport/coroutine_queue.h"
 
-enum { STACK = 256 * 1024, SPARE = 256, PROCESSES = 256 };
+enum { STACK_BYTES = 256 * 1024, SPARE_STACKS_MAX = 256, PROCESSES_MAX = 256 };
 struct fl_coroutine {
 	struct fl_coroutine_links links; /* first: see coroutine_queue.h */
 	struct fl_coroutine_context context;
@@ -19,7 +19,7 @@
 	struct fl_coroutine *prev, *next;
 	struct sim_timer timer;
 	int result;
-	bool parked, ready, cancelled, urgent;
+	bool suspended, ready, cancelled, urgent;
 };
 _Static_assert(offsetof(struct fl_coroutine, links) == 0, "see coroutine_queue.h");
 
@@ -29,15 +29,15 @@
 	int dying; /* the last process that was cancelled */
 	bool ending;
 	/* What of a process has to wait until its computer has time for it again. */
-	struct waiting {
+	struct paused {
 		double until;
 		struct fl_coroutine_queue ready, urgent;
 		struct sim_timer timer;
-	} waiting[PROCESSES];
-	char *spare[SPARE];
-	int spares;
+	} paused[PROCESSES_MAX];
+	char *spare_stacks[SPARE_STACKS_MAX];
+	int spare_stack_count;
 	struct fl_loop_context loop_context;
-} runtime;
+} scheduler;
 
 /* ---- coroutines ---- */
 
@@ -47,7 +47,8 @@
 		return;
 	coroutine->ready = true;
 	coroutine->result = result;
-	fl_coroutine_queue_push(coroutine->urgent ? &runtime.urgent : &runtime.ready, coroutine);
+	fl_coroutine_queue_push(coroutine->urgent ? &scheduler.urgent : &scheduler.ready,
+	                        coroutine);
 }
 
 static void wake(struct fl_coroutine *coroutine, int result)
@@ -57,15 +58,15 @@
 	make_ready(coroutine, result);
 }
 
-static void on_timer(void *arg) { wake(arg, -ETIMEDOUT); }
+static void wake_on_timeout(void *arg) { wake(arg, -ETIMEDOUT); }
 
 static char *stack_get(void)
 {
 	char *stack;
 
-	if (runtime.spares > 0)
-		return runtime.spare[--runtime.spares];
-	stack = mmap(NULL, STACK, PROT_READ | PROT_WRITE,
+	if (scheduler.spare_stack_count > 0)
+		return scheduler.spare_stacks[--scheduler.spare_stack_count];
+	stack = mmap(NULL, STACK_BYTES, PROT_READ | PROT_WRITE,
 	             MAP_PRIVATE | MAP_ANONYMOUS | MAP_NORESERVE, -1, 0);
 	sim_require(stack != MAP_FAILED);
 	return stack;
@@ -73,125 +74,125 @@
 
 static void stack_put(char *stack)
 {
-	if (runtime.spares < SPARE)
-		runtime.spare[runtime.spares++] = stack;
+	if (scheduler.spare_stack_count < SPARE_STACKS_MAX)
+		scheduler.spare_stacks[scheduler.spare_stack_count++] = stack;
 	else
-		munmap(stack, STACK);
+		munmap(stack, STACK_BYTES);
 }
 
 static void resume(struct fl_coroutine *coroutine)
 {
-	bool parked;
+	bool suspended;
 
-	runtime.current = coroutine;
-	coroutine->ready = coroutine->parked = false;
-	parked = fl_context_resume(&runtime.loop_context, &coroutine->context, STACK);
-	runtime.current = NULL;
-	if (parked)
+	scheduler.current = coroutine;
+	coroutine->ready = coroutine->suspended = false;
+	suspended = fl_context_resume(&scheduler.loop_context, &coroutine->context, STACK_BYTES);
+	scheduler.current = NULL;
+	if (suspended)
 		return;
 	if (coroutine->prev)
 		coroutine->prev->next = coroutine->next;
 	else
-		runtime.all = coroutine->next;
+		scheduler.all = coroutine->next;
 	if (coroutine->next)
 		coroutine->next->prev = coroutine->prev;
 	stack_put(coroutine->context.stack);
 	free(coroutine);
 }
 
-static int park(void)
+static int suspend(void)
 {
-	struct fl_coroutine *coroutine = runtime.current;
+	struct fl_coroutine *coroutine = scheduler.current;
 
-	coroutine->parked = true;
-	fl_context_suspend(&runtime.loop_context, &coroutine->context);
+	coroutine->suspended = true;
+	fl_context_suspend(&scheduler.loop_context, &coroutine->context);
 	return coroutine->cancelled ? -ECANCELED : coroutine->result;
 }
 
 /* ---- processes that are slow or stand still ---- */
 
 /* All that waited is ready, in its order; one that is slow runs one of them, and waits again. */
-static void goes_on(void *arg)
+static void release_paused_coroutines(void *arg)
 {
-	struct waiting *waiting = arg;
+	struct paused *paused = arg;
 	struct fl_coroutine *coroutine;
 
-	while ((coroutine = fl_coroutine_queue_pop(&waiting->urgent)))
-		fl_coroutine_queue_push(&runtime.urgent, coroutine);
-	while ((coroutine = fl_coroutine_queue_pop(&waiting->ready)))
-		fl_coroutine_queue_push(&runtime.ready, coroutine);
+	while ((coroutine = fl_coroutine_queue_pop(&paused->urgent)))
+		fl_coroutine_queue_push(&scheduler.urgent, coroutine);
+	while ((coroutine = fl_coroutine_queue_pop(&paused->ready)))
+		fl_coroutine_queue_push(&scheduler.ready, coroutine);
 }
 
 void sim_process_pause_until(int process, double until)
 {
-	struct waiting *waiting = &runtime.waiting[process];
+	struct paused *paused = &scheduler.paused[process];
 
-	sim_require(process > 0 && process < PROCESSES);
-	if (until <= waiting->until)
+	sim_require(process > 0 && process < PROCESSES_MAX);
+	if (until <= paused->until)
 		return;
-	waiting->until = until;
-	sim_timer_disarm(&waiting->timer);
-	waiting->timer.function = goes_on;
-	waiting->timer.argument = waiting;
-	sim_timer_arm(&waiting->timer, until - fl_now());
+	paused->until = until;
+	sim_timer_disarm(&paused->timer);
+	paused->timer.function = release_paused_coroutines;
+	paused->timer.argument = paused;
+	sim_timer_arm(&paused->timer, until - fl_now());
 }
 
-static bool has_to_wait(const struct fl_coroutine *coroutine)
+static bool process_is_paused(const struct fl_coroutine *coroutine)
 {
-	return coroutine->process && !coroutine->cancelled && !runtime.ending &&
-	       runtime.waiting[coroutine->process].until > fl_now();
+	return coroutine->process && !coroutine->cancelled && !scheduler.ending &&
+	       scheduler.paused[coroutine->process].until > fl_now();
 }
 
-static void drain(void)
+static void run_ready_coroutines(void)
 {
 	struct fl_coroutine *coroutine;
 
-	while ((coroutine = fl_coroutine_queue_pop(&runtime.urgent)) ||
-	       (coroutine = fl_coroutine_queue_pop(&runtime.ready))) {
-		struct waiting *waiting = &runtime.waiting[coroutine->process];
+	while ((coroutine = fl_coroutine_queue_pop(&scheduler.urgent)) ||
+	       (coroutine = fl_coroutine_queue_pop(&scheduler.ready))) {
+		struct paused *paused = &scheduler.paused[coroutine->process];
 
-		if (has_to_wait(coroutine)) {
+		if (process_is_paused(coroutine)) {
 			fl_coroutine_queue_push(
-				coroutine->urgent ? &waiting->urgent : &waiting->ready, coroutine);
+				coroutine->urgent ? &paused->urgent : &paused->ready, coroutine);
 			continue;
 		}
 		if (coroutine->process)
-			sim_process_compute(coroutine->process);
+			sim_process_delay_if_slow(coroutine->process);
 		resume(coroutine);
 	}
 }
 
-static bool dying(int process) { return process && process == runtime.dying; }
+static bool dying(int process) { return process && process == scheduler.dying; }
 
 struct fl_coroutine *sim_spawn(int process, void (*function)(void *), void *arg)
 {
 	struct fl_coroutine *coroutine = calloc(1, sizeof(*coroutine));
 
-	sim_require(coroutine != NULL && process < PROCESSES);
+	sim_require(coroutine != NULL && process < PROCESSES_MAX);
 	coroutine->context.stack = stack_get();
 	coroutine->context.function = function;
 	coroutine->context.argument = arg;
 	coroutine->process = process;
 	/* What a dying process still begins, dies with it. */
 	coroutine->cancelled = dying(process);
-	fl_context_init(&coroutine->context, STACK);
-	coroutine->timer.function = on_timer;
+	fl_context_init(&coroutine->context, STACK_BYTES);
+	coroutine->timer.function = wake_on_timeout;
 	coroutine->timer.argument = coroutine;
-	coroutine->next = runtime.all;
-	if (runtime.all)
-		runtime.all->prev = coroutine;
-	runtime.all = coroutine;
+	coroutine->next = scheduler.all;
+	if (scheduler.all)
+		scheduler.all->prev = coroutine;
+	scheduler.all = coroutine;
 	make_ready(coroutine, 0);
 	return coroutine;
 }
 
-int sim_process(void) { return runtime.current ? runtime.current->process : 0; }
+int sim_current_process(void) { return scheduler.current ? scheduler.current->process : 0; }
 
 void sim_process_cancel(int process)
 {
-	runtime.dying = process;
-	goes_on(&runtime.waiting[process]);
-	for (struct fl_coroutine *coroutine = runtime.all; coroutine; coroutine = coroutine->next)
+	scheduler.dying = process;
+	release_paused_coroutines(&scheduler.paused[process]);
+	for (struct fl_coroutine *coroutine = scheduler.all; coroutine; coroutine = coroutine->next)
 		if (coroutine->process == process)
 			fl_coroutine_cancel(coroutine);
 }
@@ -200,7 +201,7 @@
 {
 	int count = 0;
 
-	for (const struct fl_coroutine *coroutine = runtime.all; coroutine;
+	for (const struct fl_coroutine *coroutine = scheduler.all; coroutine;
 	     coroutine = coroutine->next)
 		count += coroutine->process == process;
 	return count;
@@ -213,8 +214,8 @@
 	for (;;) {
 		struct sim_timer *timer;
 
-		drain();
-		timer = sim_timer_next(until);
+		run_ready_coroutines();
+		timer = sim_timer_pop_due(until);
 		if (!timer)
 			break;
 		timer->function(timer->argument);
@@ -226,69 +227,72 @@
 {
 	struct sim_timer *timer;
 
-	runtime.ending = true;
-	for (int i = 0; i < PROCESSES; i++)
-		goes_on(&runtime.waiting[i]);
+	scheduler.ending = true;
+	for (int i = 0; i < PROCESSES_MAX; i++)
+		release_paused_coroutines(&scheduler.paused[i]);
 	do {
-		for (struct fl_coroutine *coroutine = runtime.all; coroutine;
+		for (struct fl_coroutine *coroutine = scheduler.all; coroutine;
 		     coroutine = coroutine->next)
 			fl_coroutine_cancel(coroutine);
-		drain();
-		while ((timer = sim_timer_any()))
+		run_ready_coroutines();
+		while ((timer = sim_timer_pop_any()))
 			drop(timer);
-	} while (runtime.all);
-	while (runtime.spares > 0)
-		munmap(runtime.spare[--runtime.spares], STACK);
+	} while (scheduler.all);
+	while (scheduler.spare_stack_count > 0)
+		munmap(scheduler.spare_stacks[--scheduler.spare_stack_count], STACK_BYTES);
 	sim_clock_end();
-	memset(&runtime, 0, sizeof(runtime));
+	memset(&scheduler, 0, sizeof(scheduler));
 }
 
 /* ---- what the controllers' code calls ---- */
 
 struct fl_coroutine *fl_coroutine_spawn(void (*function)(void *), void *arg)
 {
-	return sim_spawn(sim_process(), function, arg);
+	return sim_spawn(sim_current_process(), function, arg);
 }
 
 void fl_coroutine_cancel(struct fl_coroutine *coroutine)
 {
 	coroutine->cancelled = true;
-	if (coroutine->parked)
+	if (coroutine->suspended)
 		wake(coroutine, -ECANCELED);
 }
 
-bool fl_coroutine_cancelled(void) { return runtime.current && runtime.current->cancelled; }
+bool fl_coroutine_cancelled(void) { return scheduler.current && scheduler.current->cancelled; }
 
-void fl_coroutine_set_urgent(void) { runtime.current->urgent = true; }
+void fl_coroutine_set_urgent(void) { scheduler.current->urgent = true; }
 
 /* Work takes no virtual time, unless its process is made slow. */
-bool fl_coroutines_overloaded(void) { return runtime.waiting[sim_process()].ready.head != NULL; }
+bool fl_coroutines_overloaded(void)
+{
+	return scheduler.paused[sim_current_process()].ready.head != NULL;
+}
 
 /* Computing takes no time here: nothing is ever behind. */
 bool fl_coroutine_defer(int max_waiting) { return max_waiting > 0; }
 
 int fl_sleep(double seconds)
 {
-	struct fl_coroutine *coroutine = runtime.current;
+	struct fl_coroutine *coroutine = scheduler.current;
 	int rc;
 
 	if (coroutine->cancelled)
 		return -ECANCELED;
 	sim_timer_arm(&coroutine->timer, seconds);
-	rc = park();
+	rc = suspend();
 	return rc == -ETIMEDOUT ? 0 : rc;
 }
 
 int fl_condition_wait(struct fl_condition *condition, double timeout_s)
 {
-	struct fl_coroutine *coroutine = runtime.current;
+	struct fl_coroutine *coroutine = scheduler.current;
 
 	if (coroutine->cancelled)
 		return -ECANCELED;
 	fl_condition_add_waiter(condition, coroutine);
 	if (timeout_s >= 0)
 		sim_timer_arm(&coroutine->timer, timeout_s);
-	return park();
+	return suspend();
 }
 
 void fl_condition_broadcast(struct fl_condition *condition)
@@ -307,6 +311,6 @@
 }
 
 void fl_coroutines_init(struct ev_loop *loop) { (void)loop; }
-struct ev_loop *fl_loop(void) { return NULL; }
+struct ev_loop *fl_event_loop(void) { return NULL; }
 void fl_coroutines_run(void) { abort(); }
 void fl_coroutines_shutdown(void) { abort(); }
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -16,7 +16,7 @@
 
 static int current_or_last_leader(void)
 {
-	int leader = sim_leader();
+	int leader = sim_leader_node();
 
 	if (leader >= 0)
 		last_leader = leader;
@@ -34,10 +34,10 @@
 			fault->target = sim_node_zone(fault->target);
 		break;
 	case TARGET_ANY_NODE:
-		fault->target = sim_pick(sim.node_count);
+		fault->target = sim_random_index(sim.node_count);
 		break;
 	case TARGET_ANY_ZONE:
-		fault->target = sim_pick(sim.zone_count);
+		fault->target = sim_random_index(sim.zone_count);
 		break;
 	default: /* a node, a zone, or all nodes */
 		break;
@@ -58,7 +58,7 @@
 }
 
 /* Machines with tasks, so that it matters; a count, or else a share of them. */
-static void choose_machines(struct sim_fault *fault)
+static void choose_machines_with_tasks(struct sim_fault *fault)
 {
 	int candidates = 0, wanted;
 
@@ -68,14 +68,14 @@
 	for (int i = 0; i < sim.machine_count; i++) {
 		if (!has_tasks(&sim.machines[i]))
 			continue;
-		fault->affects_machine[i] = sim_pick(candidates--) < wanted;
+		fault->affects_machine[i] = sim_random_index(candidates--) < wanted;
 		wanted -= fault->affects_machine[i];
 	}
 }
 
 /* ---- what some do when they begin and end ---- */
 
-static void choose_machines_of(struct sim_fault *fault, const struct sim_job *job)
+static void choose_machines_of_job(struct sim_fault *fault, const struct sim_job *job)
 {
 	for (uint32_t i = 0; i < job->spec.task_count; i++)
 		if (job->copies_running[i] > 0)
@@ -92,11 +92,11 @@
 		struct sim_job *job = &sim.jobs[i];
 
 		if (!sim_job_is_running(job) || job->cancel_requested ||
-		    sim_pick(candidates--) >= wanted)
+		    sim_random_index(candidates--) >= wanted)
 			continue;
 		wanted--;
 		if (fault->hang_s > 0)
-			choose_machines_of(fault, job);
+			choose_machines_of_job(fault, job);
 		sim_user_cancel(job);
 	}
 }
@@ -136,7 +136,7 @@
 			sim_process_pause_until(sim_node_process(i), fl_now() + fault->duration_s);
 }
 
-void sim_process_compute(int process)
+void sim_process_delay_if_slow(int process)
 {
 	int node = sim_node_of_process(process);
 	const struct sim_fault *slow = node < 0 ? NULL : sim_fault_active(FAULT_SLOW_NODES, node);
@@ -151,7 +151,8 @@
 {
 	for (int i = 0; i < count; i++)
 		if (sim.job_count < SIM_BURST_JOBS_MAX - 16)
-			sim_user_start(sim_job_add(sim_time() + sim_between(0, 2)));
+			sim_user_start(
+				sim_job_add_random(sim_elapsed_s() + sim_random_between(0, 2)));
 }
 
 /* ---- begin and end ---- */
@@ -159,14 +160,14 @@
 static bool affects_machines(enum sim_fault_kind kind)
 {
 	return kind == FAULT_OUTBOUND_PARTITION || kind == FAULT_INBOUND_PARTITION ||
-	       kind == FAULT_MACHINE_HANG || kind == FAULT_MACHINES_DIE;
+	       kind == FAULT_MACHINE_HANG || kind == FAULT_MACHINE_TERMINATION;
 }
 
 static void begin_fault(struct sim_fault *fault)
 {
 	resolve_target(fault);
 	if (affects_machines(fault->kind))
-		choose_machines(fault);
+		choose_machines_with_tasks(fault);
 	fault->active = true;
 	if (fault->kind == FAULT_NODE_DOWN)
 		set_nodes_down(fault, true);
@@ -176,7 +177,7 @@
 		set_machines_hung(fault, true);
 	if (fault->kind == FAULT_PROCESS_PAUSE)
 		pause_processes(fault);
-	if (fault->kind == FAULT_MACHINES_DIE)
+	if (fault->kind == FAULT_MACHINE_TERMINATION)
 		terminate_machines(fault);
 	if (fault->kind == FAULT_SUBMISSION_BURST)
 		submit_burst(fault->count);
--- a/tests/sim_faults.h
+++ b/tests/sim_faults.h
@@ -29,7 +29,7 @@
 	FAULT_LOST_REPLIES,         /* a share of the replies to heartbeats and commands */
 	FAULT_NODE_DOWN,            /* killed, and started again at the end */
 	FAULT_CLOUD_UNAVAILABLE,    /* 503 */
-	FAULT_MACHINES_DIE,         /* machines die */
+	FAULT_MACHINE_TERMINATION,  /* machines die */
 	FAULT_CANCEL_RUNNING,       /* users cancel jobs that run */
 	FAULT_CANCEL_AT_COMPLETION, /* a share of jobs is cancelled as its last task completes */
 	FAULT_INVALID_REQUESTS,     /* duplicate submissions, invalid jobs, cancelled twice */
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -17,7 +17,7 @@
 	double interruption_notice_s; /* of a spot machine */
 } tunables = {4.0, 1.0, 20.0};
 
-void sim_heartbeat_request(struct sim_machine *machine)
+void sim_heartbeat_make_due(struct sim_machine *machine)
 {
 	machine->heartbeat_pending = true;
 	fl_condition_broadcast(&machine->heartbeat_due);
@@ -36,7 +36,7 @@
 char *sim_heartbeat_encode(struct sim_machine *machine)
 {
 	struct sim_endpoint endpoint = {ENDPOINT_WORKER, sim_machine_index(machine)};
-	struct fl_task_status tasks[SIM_TASKS];
+	struct fl_task_status tasks[SIM_MACHINE_TASKS];
 	struct fl_heartbeat heartbeat = {.incarnation = machine->incarnation,
 	                                 .sequence = ++machine->sequence,
 	                                 .fencing_token = machine->fencing_token,
@@ -45,7 +45,7 @@
 	                                 .tasks = tasks};
 
 	copy_text(heartbeat.host, sizeof(heartbeat.host), machine->name);
-	sim_address(endpoint, heartbeat.endpoint);
+	sim_endpoint_address(endpoint, heartbeat.endpoint);
 	copy_text(heartbeat.type, sizeof(heartbeat.type), sim_machine_types[machine->type].name);
 	copy_text(heartbeat.zone, sizeof(heartbeat.zone), sim.config[0].zones[machine->zone]);
 	for (int i = 0; i < machine->task_slots_used; i++)
@@ -75,7 +75,7 @@
 	struct fl_http_reply reply;
 
 	if (copy->delay_s < 0)
-		copy->delay_s = sim_between(2, 2.5 * sim.lease_s);
+		copy->delay_s = sim_random_between(2, 2.5 * sim.lease_s);
 	if (fl_sleep(copy->delay_s) == 0 &&
 	    sim_call((struct sim_endpoint){ENDPOINT_WORKER, copy->machine},
 	             (struct sim_endpoint){ENDPOINT_NODE, copy->node}, "POST", "/hello", copy->text,
@@ -99,7 +99,7 @@
 	for (int i = 0; i < held.count; i++) {
 		const struct heartbeat_copy *copy = &held.copies[i];
 		/* In the very moment, or during the failover. */
-		double delay_s = sim_between(0, sim_chance(0.5) ? 0.01 : 0.6);
+		double delay_s = sim_random_between(0, sim_chance(0.5) ? 0.01 : 0.6);
 
 		for (int k = 0; k < sim.node_count; k++)
 			send_copy(copy->text, copy->machine, k, delay_s);
@@ -122,13 +122,13 @@
 	if (held.count < HELD_COPIES_MAX) {
 		held.count++;
 	} else {
-		index = sim_pick(HELD_COPIES_MAX);
+		index = sim_random_index(HELD_COPIES_MAX);
 		free(held.copies[index].text);
 	}
 	held.copies[index] = (struct heartbeat_copy){.text = strdup(text), .machine = machine};
 }
 
-static void copy_if_faulty(int machine, const char *text)
+static void copy_heartbeat_if_faulty(int machine, const char *text)
 {
 	const struct sim_fault *fault = sim_fault_active(FAULT_DELAYED_HEARTBEATS, -1);
 
@@ -137,7 +137,7 @@
 	if (fault->held_for_next_leader)
 		hold_copy(machine, text);
 	else
-		send_copy(text, machine, sim_pick(sim.node_count), -1);
+		send_copy(text, machine, sim_random_index(sim.node_count), -1);
 }
 
 /* ---- replies ---- */
@@ -149,11 +149,11 @@
 	uint64_t fencing_token = 0;
 
 	/* One that is dropped leaves the worker at this node while its lease runs out. */
-	if (fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
+	if (fl_json_get_uint(object, "Epoch", &fencing_token) == FL_JSON_OK &&
 	    fencing_token >= machine->fencing_token && incarnation == machine->incarnation) {
-		sim_machine_observe_token(machine, fencing_token);
+		sim_machine_raise_fencing_token(machine, fencing_token);
 		machine->lease_started_at = sent_at;
-		sim_tasks_command(machine, object);
+		sim_tasks_execute_commands(machine, object);
 	}
 	cJSON_Delete(object);
 }
@@ -180,7 +180,7 @@
 
 	if (target >= 0 && target != machine->next_node) {
 		machine->next_node = target;
-		return sim_chance(0.5) ? 0 : sim_between(0, 0.5);
+		return sim_chance(0.5) ? 0 : sim_random_between(0, 0.5);
 	}
 	machine->next_node = (machine->next_node + 1) % sim.node_count;
 	return tunables.next_node_delay_s;
@@ -192,7 +192,7 @@
 	/* It may have hung since, for longer than it waits. */
 	if (reply && fl_now() > sent_at + tunables.reply_timeout_s)
 		reply = NULL;
-	sim_machine_check_lease(machine);
+	sim_machine_end_expired_lease(machine);
 	if (!reply || reply->status != 200)
 		return choose_next_node(machine, reply);
 	accept_reply(machine, sent_at, incarnation, reply);
@@ -213,7 +213,7 @@
 		sim_violation("too_large", "%s: heartbeat bytes=%zu", machine->name, strlen(text));
 	machine->last_heartbeat_sent_at = sent_at;
 	machine->heartbeat_pending = false;
-	copy_if_faulty(from.index, text);
+	copy_heartbeat_if_faulty(from.index, text);
 	rc = sim_call(from, to, "POST", "/hello", text, tunables.reply_timeout_s, &reply);
 	free(text);
 	if (sim_machine_wait_until_resumed(machine))
--- a/tests/sim_invariants.c
+++ b/tests/sim_invariants.c
@@ -15,7 +15,7 @@
 	double max_unanswered_s; /* s without an answer after which a job counts as forgotten */
 } tunables = {0.5, 75};
 
-double sim_time(void) { return fl_now() - sim.started_at; }
+double sim_elapsed_s(void) { return fl_now() - sim.started_at; }
 
 void sim_violation(const char *invariant, const char *fmt, ...)
 {
@@ -29,7 +29,7 @@
 	sim.violation_count++;
 	used = strlen(sim.violations);
 	snprintf(sim.violations + used, sizeof(sim.violations) - used,
-	         "  %8.2f s  invariant violated: %s: %s\n", sim_time(), invariant, text);
+	         "  %8.2f s  invariant violated: %s: %s\n", sim_elapsed_s(), invariant, text);
 }
 
 /* ---- placement ---- */
@@ -66,7 +66,7 @@
 }
 
 /* Where the other tasks of the job run: how many in this zone, and how many elsewhere. */
-static void count_by_zone(const struct sim_job *job, int zone, int *here, int *elsewhere)
+static void count_tasks_by_zone(const struct sim_job *job, int zone, int *here, int *elsewhere)
 {
 	*here = *elsewhere = 0;
 	for (uint32_t k = 0; k < job->spec.task_count; k++) {
@@ -79,12 +79,13 @@
 	}
 }
 
-const char *sim_check_placement(const struct sim_job *job, const struct sim_machine *machine)
+const char *sim_check_placement_violation(const struct sim_job *job,
+                                          const struct sim_machine *machine)
 {
 	const struct fl_job_spec *spec = &job->spec;
 	int here, elsewhere;
 
-	count_by_zone(job, machine->zone, &here, &elsewhere);
+	count_tasks_by_zone(job, machine->zone, &here, &elsewhere);
 	if (!allows_type(spec, sim_machine_types[machine->type].name))
 		return "wrong machine type";
 	if (spec->has_zone && strcmp(spec->zone, sim.config[0].zones[machine->zone]) != 0)
@@ -100,7 +101,7 @@
 
 /* ---- starts ---- */
 
-static bool is_overdue(const struct sim_job *job)
+static bool cancellation_is_overdue(const struct sim_job *job)
 {
 	return job->reported_cancelled_at > 0 &&
 	       fl_now() > job->reported_cancelled_at + sim.cancel_s;
@@ -119,19 +120,19 @@
 
 static void check_not_cancelled(struct sim_job *job, uint32_t index, const char *machine)
 {
-	if (is_overdue(job)) {
+	if (cancellation_is_overdue(job)) {
 		sim_violation("ran_cancelled", "%s/%u starts on %s, %.1f s after its user was told",
 		              job->spec.ref, index, machine, fl_now() - job->reported_cancelled_at);
 	} else if (job->reported_cancelled_at > 0) {
-		job->late_starts++;
-		sim.late_starts++;
+		job->starts_after_cancellation++;
+		sim.starts_after_cancellation++;
 	}
 }
 
 void sim_check_task_started(struct sim_job *job, uint32_t index, int machine_index)
 {
 	const struct sim_machine *machine = &sim.machines[machine_index];
-	const char *misplaced = sim_check_placement(job, machine);
+	const char *misplaced = sim_check_placement_violation(job, machine);
 
 	sim.starts++;
 	job->starts++;
@@ -151,7 +152,7 @@
 		sim_violation("accepted", "%s is invalid and starts", job->spec.ref);
 }
 
-void sim_check_task_left(struct sim_job *job, uint32_t index) { job->copies_running[index]--; }
+void sim_check_task_ended(struct sim_job *job, uint32_t index) { job->copies_running[index]--; }
 
 /* ---- from time to time ---- */
 
@@ -159,7 +160,7 @@
 {
 	struct sim_job *job = task->job;
 
-	if (!task->used || !task->counted_running || !is_overdue(job) ||
+	if (!task->used || !task->counted_running || !cancellation_is_overdue(job) ||
 	    job->overdue_violation_reported)
 		return;
 	sim_violation("ran_cancelled", "%s/%u is on %s, %.1f s after its user was told",
@@ -183,7 +184,7 @@
 	}
 }
 
-static void run_checks(void *arg)
+static void run_periodic_checks(void *arg)
 {
 	(void)arg;
 	while (fl_sleep(tunables.check_interval_s) == 0) {
@@ -194,8 +195,8 @@
 
 void sim_check_begin(void)
 {
-	sim_check_names_begin();
-	sim_spawn(0, run_checks, NULL);
+	sim_check_unique_ids_begin();
+	sim_spawn(0, run_periodic_checks, NULL);
 }
 
 /* ---- at the end ---- */
--- a/tests/sim_kv_store.c
+++ b/tests/sim_kv_store.c
@@ -16,10 +16,10 @@
 
 static struct {
 	struct kv_model model;
-	double requests_left, writes_left, refilled_at; /* token buckets of one second's size */
+	double request_tokens, write_tokens, refilled_at; /* token buckets of one second's size */
 } store;
 
-static bool refuses(struct sim_endpoint from)
+static bool refuses_requests_from(struct sim_endpoint from)
 {
 	return sim_fault_active(FAULT_KV_UNAVAILABLE, -1) ||
 	       sim_fault_active(FAULT_KV_REFUSES_NODE, from.index);
@@ -35,7 +35,7 @@
                            double until)
 {
 	for (;;) {
-		bool refused = refuses(from);
+		bool refused = refuses_requests_from(from);
 		double timeout_s = refused ? 0.2 : until - fl_now();
 
 		if (!refused && (kv_model_first_event(&store.model, prefix, revision) >= 0 ||
@@ -82,7 +82,7 @@
 	}
 }
 
-static double refill(double left, double per_s)
+static double refilled_tokens(double left, double per_s)
 {
 	double filled = left + (fl_now() - store.refilled_at) * per_s;
 
@@ -93,13 +93,13 @@
 {
 	double writes = cJSON_GetArraySize(fl_json_get(transaction, "Apply"));
 
-	store.requests_left = refill(store.requests_left, REQUESTS_PER_S);
-	store.writes_left = refill(store.writes_left, WRITES_PER_S);
+	store.request_tokens = refilled_tokens(store.request_tokens, REQUESTS_PER_S);
+	store.write_tokens = refilled_tokens(store.write_tokens, WRITES_PER_S);
 	store.refilled_at = fl_now();
-	if (store.requests_left < 1 || store.writes_left < writes)
+	if (store.request_tokens < 1 || store.write_tokens < writes)
 		return false;
-	store.requests_left--;
-	store.writes_left -= writes;
+	store.request_tokens--;
+	store.write_tokens -= writes;
 	return true;
 }
 
@@ -114,23 +114,24 @@
 {
 	const struct sim_fault *slow = sim_fault_active(FAULT_KV_SLOW, -1);
 	const struct sim_fault *delayed = sim_fault_active(FAULT_DELAYED_WRITES, -1);
-	struct delays delays = {.before_s = sim_chance(0.01) ? sim_between(0.1, 0.4) : 0.002};
+	struct delays delays = {.before_s =
+	                                sim_chance(0.01) ? sim_random_between(0.1, 0.4) : 0.002};
 
 	/* Slow before it is applied, or after: then a caller may give up on what was done. */
 	if (slow && sim_chance(0.5))
-		delays.before_s = sim_between(0, slow->magnitude);
+		delays.before_s = sim_random_between(0, slow->magnitude);
 	else if (slow)
-		delays.after_s = sim_between(0, slow->magnitude);
+		delays.after_s = sim_random_between(0, slow->magnitude);
 	if (is_write && delayed && sim_chance(delayed->magnitude)) {
 		delays.reply_lost = true;
 		if (!delayed->reply_lost_only)
-			delays.before_s = sim_between(2, 12);
+			delays.before_s = sim_random_between(2, 12);
 	}
 	return delays;
 }
 
 /* False if the caller is to get no reply. */
-static bool wait_before(const struct delays *delays)
+static bool wait_before_applying(const struct delays *delays)
 {
 	if (fl_sleep(delays->before_s) != 0)
 		return false;
@@ -152,8 +153,8 @@
 	kv_model_serve_list(&store.model, query, limit, response);
 }
 
-static void apply(const struct fl_http_request *request, const cJSON *transaction,
-                  struct fl_http_response *response)
+static void apply_request(const struct fl_http_request *request, const cJSON *transaction,
+                          struct fl_http_response *response)
 {
 	if (transaction) {
 		check_sizes(transaction);
@@ -167,18 +168,19 @@
 	}
 }
 
-static void apply_with_delays(struct sim_endpoint from, const struct fl_http_request *request,
-                              const cJSON *transaction, struct fl_http_response *response)
+static void apply_request_with_delays(struct sim_endpoint from,
+                                      const struct fl_http_request *request,
+                                      const cJSON *transaction, struct fl_http_response *response)
 {
 	struct delays delays = choose_delays(transaction != NULL);
 
-	if (!wait_before(&delays))
+	if (!wait_before_applying(&delays))
 		return;
-	if (!delays.reply_lost && refuses(from)) {
-		json_response(response, 503, NULL);
+	if (!delays.reply_lost && refuses_requests_from(from)) {
+		set_json_response(response, 503, NULL);
 		return;
 	}
-	apply(request, transaction, response);
+	apply_request(request, transaction, response);
 	if (delays.reply_lost)
 		response->status = SIM_NO_REPLY;
 	else if (delays.after_s > 0)
@@ -190,8 +192,8 @@
 {
 	cJSON *transaction = NULL;
 
-	if (refuses(from)) {
-		json_response(response, 503, NULL);
+	if (refuses_requests_from(from)) {
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	if (strcmp(request->path, "/multi") == 0) {
@@ -199,11 +201,11 @@
 		sim_require(transaction != NULL);
 	}
 	if (!take_tokens(transaction))
-		json_response(response, 429, NULL);
+		set_json_response(response, 429, NULL);
 	else if (strcmp(request->path, "/follow") == 0)
 		serve_watch(from, request->query, response);
 	else
-		apply_with_delays(from, request, transaction, response);
+		apply_request_with_delays(from, request, transaction, response);
 	cJSON_Delete(transaction);
 }
 
@@ -212,19 +214,19 @@
 /* After an outage every lease has its full time again. */
 static void run_leases(void *arg)
 {
-	bool was_out = false;
+	bool was_unavailable = false;
 
 	(void)arg;
 	while (fl_sleep(0.02) == 0) {
-		bool out = sim_fault_active(FAULT_KV_UNAVAILABLE, -1) != NULL;
+		bool unavailable = sim_fault_active(FAULT_KV_UNAVAILABLE, -1) != NULL;
 
-		if (was_out && !out) {
+		if (was_unavailable && !unavailable) {
 			kv_model_leases_renew(&store.model);
 			fl_condition_broadcast(&store.model.changed);
-		} else if (!out) {
+		} else if (!unavailable) {
 			kv_model_leases_expire(&store.model);
 		}
-		was_out = out;
+		was_unavailable = unavailable;
 	}
 }
 
@@ -238,8 +240,8 @@
 void sim_kv_begin(void)
 {
 	store.model.before_put = before_put;
-	store.requests_left = REQUESTS_PER_S;
-	store.writes_left = WRITES_PER_S;
+	store.request_tokens = REQUESTS_PER_S;
+	store.write_tokens = WRITES_PER_S;
 	store.refilled_at = fl_now();
 	sim_spawn(0, run_leases, NULL);
 }
@@ -252,7 +254,7 @@
 
 int sim_kv_change_count(void) { return store.model.event_count; }
 
-int sim_leader(void)
+int sim_leader_node(void)
 {
 	char name[KV_MODEL_KEY];
 	int leader = -1;
--- a/tests/sim_limits.h
+++ b/tests/sim_limits.h
@@ -14,9 +14,9 @@
 
 /* Machines and jobs at most, tasks of a job, and tasks on a machine, exited ones included. */
 #ifdef SIM_LARGE_SITE
-enum { SIM_MACHINES = 4400, SIM_JOBS = 32, SIM_JOB_TASKS = 512, SIM_TASKS = 16 };
+enum { SIM_MACHINES = 4400, SIM_JOBS = 32, SIM_JOB_TASKS = 512, SIM_MACHINE_TASKS = 16 };
 #else
-enum { SIM_MACHINES = 160, SIM_JOBS = 400, SIM_JOB_TASKS = 32, SIM_TASKS = 1024 };
+enum { SIM_MACHINES = 160, SIM_JOBS = 400, SIM_JOB_TASKS = 32, SIM_MACHINE_TASKS = 1024 };
 #endif
 
 #endif
--- a/tests/sim_load_balancer.c
+++ b/tests/sim_load_balancer.c
@@ -8,14 +8,14 @@
 
 static const struct {
 	double probe_interval_s, probe_timeout_s;
-	double unhealthy_s; /* at least, once a node is taken out */
+	double min_unhealthy_s; /* at least, once a node is taken out */
 	int failures_to_remove, successes_to_return;
-	int tries; /* nodes tried for a request at most */
+	int max_tries; /* nodes tried for a request at most */
 } tunables = {1.0, 1.0, 3, 2, 2, 3};
 
 static struct backend {
 	bool healthy, was_healthy;
-	int failed_probes, passed_probes; /* in a row */
+	int consecutive_failures, consecutive_successes; /* in a row */
 	double unhealthy_until;
 } backends[SIM_NODES];
 
@@ -27,7 +27,7 @@
 	                out);
 }
 
-static bool probe(int node)
+static bool probe_succeeds(int node)
 {
 	struct fl_http_reply reply;
 
@@ -37,18 +37,18 @@
 	return reply.status == 200;
 }
 
-static void note_probe(struct backend *backend, bool passed)
+static void record_probe(struct backend *backend, bool passed)
 {
 	/* A node that was never healthy needs one success only. */
 	int needed = backend->was_healthy ? tunables.successes_to_return : 1;
 
-	backend->failed_probes = passed ? 0 : backend->failed_probes + 1;
-	backend->passed_probes = passed ? backend->passed_probes + 1 : 0;
-	if (backend->failed_probes == tunables.failures_to_remove && backend->healthy) {
+	backend->consecutive_failures = passed ? 0 : backend->consecutive_failures + 1;
+	backend->consecutive_successes = passed ? backend->consecutive_successes + 1 : 0;
+	if (backend->consecutive_failures == tunables.failures_to_remove && backend->healthy) {
 		backend->healthy = false;
-		backend->unhealthy_until = fl_now() + tunables.unhealthy_s;
+		backend->unhealthy_until = fl_now() + tunables.min_unhealthy_s;
 	}
-	if (backend->passed_probes >= needed && fl_now() > backend->unhealthy_until)
+	if (backend->consecutive_successes >= needed && fl_now() > backend->unhealthy_until)
 		backend->healthy = backend->was_healthy = true;
 }
 
@@ -57,7 +57,7 @@
 	struct backend *backend = arg;
 
 	while (fl_sleep(tunables.probe_interval_s) == 0)
-		note_probe(backend, probe((int)(backend - backends)));
+		record_probe(backend, probe_succeeds((int)(backend - backends)));
 }
 
 /* Any healthy one; -1: none. */
@@ -66,7 +66,7 @@
 	int healthy_count = 0, chosen = -1;
 
 	for (int i = 0; i < sim.node_count; i++)
-		if (backends[i].healthy && sim_pick(++healthy_count) == 0)
+		if (backends[i].healthy && sim_random_index(++healthy_count) == 0)
 			chosen = i;
 	return chosen;
 }
@@ -77,7 +77,7 @@
 	double until = fl_now() + timeout_s;
 	int rc = -EHOSTUNREACH;
 
-	for (int i = 0; i < tunables.tries && rc && rc != -ETIMEDOUT; i++) {
+	for (int i = 0; i < tunables.max_tries && rc && rc != -ETIMEDOUT; i++) {
 		int node = choose_node();
 
 		if (node < 0)
--- a/tests/sim_message_faults.c
+++ b/tests/sim_message_faults.c
@@ -15,8 +15,8 @@
 }
 
 /* The node of a message between a node and something of this kind; -1: it is no such message. */
-static int node_facing(struct sim_endpoint from, struct sim_endpoint to,
-                       enum sim_endpoint_kind kind)
+static int node_in_message_with(struct sim_endpoint from, struct sim_endpoint to,
+                                enum sim_endpoint_kind kind)
 {
 	if (is_node(from) && to.kind == kind)
 		return from.index;
@@ -36,15 +36,15 @@
 	return false;
 }
 
-static bool is_partitioned(int zone)
+static bool zone_is_partitioned(int zone)
 {
 	return zone >= 0 && sim_fault_active(FAULT_ZONE_PARTITION, zone);
 }
 
-static bool zones_are_partitioned(struct sim_endpoint from, struct sim_endpoint to)
+static bool crosses_zone_partition(struct sim_endpoint from, struct sim_endpoint to)
 {
 	return zone_of(from) != zone_of(to) &&
-	       (is_partitioned(zone_of(from)) || is_partitioned(zone_of(to)));
+	       (zone_is_partitioned(zone_of(from)) || zone_is_partitioned(zone_of(to)));
 }
 
 static bool is_lost_between_peers(struct sim_endpoint from, struct sim_endpoint to)
@@ -68,15 +68,15 @@
 
 bool sim_message_is_lost(struct sim_endpoint from, struct sim_endpoint to, bool is_reply)
 {
-	int node = node_facing(from, to, ENDPOINT_KV_STORE);
+	int node = node_in_message_with(from, to, ENDPOINT_KV_STORE);
 
-	if (zones_are_partitioned(from, to))
+	if (crosses_zone_partition(from, to))
 		return true;
 	if (node >= 0 && sim_fault_active(FAULT_PARTITION_FROM_KV, node))
 		return true;
 	if (is_node(from) && is_node(to))
 		return is_lost_between_peers(from, to);
-	node = node_facing(from, to, ENDPOINT_WORKER);
+	node = node_in_message_with(from, to, ENDPOINT_WORKER);
 	if (node < 0)
 		return false;
 	return sim_fault_active(FAULT_PARTITION_FROM_WORKERS, node) ||
@@ -85,7 +85,7 @@
 
 bool sim_message_is_held(struct sim_endpoint from, struct sim_endpoint to)
 {
-	int node = node_facing(from, to, ENDPOINT_WORKER);
+	int node = node_in_message_with(from, to, ENDPOINT_WORKER);
 
 	return node >= 0 && sim_fault_active(FAULT_PACKETS_HELD, node);
 }
@@ -94,5 +94,5 @@
 {
 	const struct sim_fault *slow = sim_fault_active(FAULT_SLOW_LINKS, -1);
 
-	return slow ? sim_between(0, slow->magnitude) : sim_between(0.001, 0.006);
+	return slow ? sim_random_between(0, slow->magnitude) : sim_random_between(0.001, 0.006);
 }
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -17,22 +17,22 @@
 	struct fl_http_response response;
 	int result;
 	int reference_count;
-	struct fl_condition answered;
+	struct fl_condition completed;
 	struct sim_timer timer;
 };
 
 /* Everything ends: messages are dropped. */
-static bool ending;
+static bool network_ending;
 
 /* ---- addresses ---- */
 
-void sim_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME])
+void sim_endpoint_address(struct sim_endpoint endpoint, char out[FL_CONFIG_NAME_SIZE])
 {
-	snprintf(out, FL_CONFIG_NAME, "10.%d.%d.%d:%d", endpoint.kind + 1, endpoint.index / 200,
-	         endpoint.index % 200 + 1, 9000);
+	snprintf(out, FL_CONFIG_NAME_SIZE, "10.%d.%d.%d:%d", endpoint.kind + 1,
+	         endpoint.index / 200, endpoint.index % 200 + 1, 9000);
 }
 
-struct sim_endpoint sim_endpoint_of(const struct sockaddr_in *address)
+struct sim_endpoint sim_endpoint_from_address(const struct sockaddr_in *address)
 {
 	uint32_t ip = ntohl(address->sin_addr.s_addr);
 
@@ -56,7 +56,7 @@
 
 /* ---- replies ---- */
 
-static void release(struct call *call)
+static void release_call(struct call *call)
 {
 	if (--call->reference_count > 0)
 		return;
@@ -67,11 +67,11 @@
 	free(call);
 }
 
-static void complete(struct call *call, int result)
+static void complete_call(struct call *call, int result)
 {
 	call->result = result;
-	fl_condition_broadcast(&call->answered);
-	release(call);
+	fl_condition_broadcast(&call->completed);
+	release_call(call);
 }
 
 /* The reply comes back, or is lost on its way. */
@@ -79,10 +79,10 @@
 {
 	struct call *call = arg;
 
-	if (ending || sim_message_is_lost(call->from, call->to, true))
-		release(call);
+	if (network_ending || sim_message_is_lost(call->from, call->to, true))
+		release_call(call);
 	else
-		complete(call, 0);
+		complete_call(call, 0);
 }
 
 static void send_reply(struct call *call)
@@ -100,7 +100,7 @@
 	return strcmp(name, "POST") == 0 ? HTTP_POST : HTTP_DELETE;
 }
 
-static void dispatch(struct call *call, const struct fl_http_request *request)
+static void dispatch_request(struct call *call, const struct fl_http_request *request)
 {
 	switch (call->to.kind) {
 	case ENDPOINT_KV_STORE:
@@ -122,7 +122,7 @@
 	}
 }
 
-static void serve(void *arg)
+static void serve_call(void *arg)
 {
 	struct call *call = arg;
 	char *query = strchr(call->path, '?');
@@ -136,11 +136,11 @@
 		*query = 0;
 	sim.requests[call->to.kind]++;
 	if (!fl_coroutine_cancelled())
-		dispatch(call, &request);
-	if (ending || call->response.status == SIM_NO_REPLY)
-		release(call);
+		dispatch_request(call, &request);
+	if (network_ending || call->response.status == SIM_NO_REPLY)
+		release_call(call);
 	else if (fl_coroutine_cancelled())
-		complete(call, -ECONNRESET);
+		complete_call(call, -ECONNRESET);
 	else
 		send_reply(call);
 }
@@ -149,15 +149,16 @@
 {
 	struct call *call = arg;
 
-	if (!ending && sim_message_is_held(call->from, call->to)) {
+	if (!network_ending && sim_message_is_held(call->from, call->to)) {
 		/* Held back, and delivered when the link is there again. */
 		sim_timer_arm(&call->timer, 0.2);
-	} else if (ending || sim_message_is_lost(call->from, call->to, false)) {
-		release(call);
+	} else if (network_ending || sim_message_is_lost(call->from, call->to, false)) {
+		release_call(call);
 	} else if (!is_up(call->to)) {
-		complete(call, -ECONNREFUSED);
+		complete_call(call, -ECONNREFUSED);
 	} else {
-		sim_spawn(is_node(call->to) ? sim_node_process(call->to.index) : 0, serve, call);
+		sim_spawn(is_node(call->to) ? sim_node_process(call->to.index) : 0, serve_call,
+		          call);
 	}
 }
 
@@ -171,7 +172,7 @@
 	sim_require(call != NULL);
 	call->from = from;
 	call->to = to;
-	call->process = sim_process();
+	call->process = sim_current_process();
 	call->method = strdup(method);
 	call->path = strdup(path);
 	call->body = strdup(body ? body : "");
@@ -192,7 +193,7 @@
 	if (fl_coroutine_cancelled())
 		return -ECANCELED;
 	call = send_request(from, to, method, path, body);
-	rc = fl_condition_wait(&call->answered, timeout_s);
+	rc = fl_condition_wait(&call->completed, timeout_s);
 	if (rc == 0)
 		rc = call->result;
 	if (rc == 0) {
@@ -201,7 +202,7 @@
 		out->body.length = strlen(out->body.data);
 		call->response.body = NULL;
 	}
-	release(call);
+	release_call(call);
 	return rc;
 }
 
@@ -213,9 +214,9 @@
 
 void sim_net_end(void)
 {
-	ending = true;
+	network_ending = true;
 	sim_time_end(drop_timer);
-	ending = false;
+	network_ending = false;
 }
 
 /* ---- the HTTP client of the controllers ---- */
@@ -232,9 +233,10 @@
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	struct sim_endpoint from = {ENDPOINT_PEER, sim_node_of_process(sim_process())};
+	struct sim_endpoint from = {ENDPOINT_PEER, sim_node_of_process(sim_current_process())};
 
 	if (from.index < 0) /* a process that has just been killed */
 		return -ECANCELED;
-	return sim_call(from, sim_endpoint_of(&client->addr), method, path, body, timeout_s, out);
+	return sim_call(from, sim_endpoint_from_address(&client->addr), method, path, body,
+	                timeout_s, out);
 }
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -37,7 +37,7 @@
 			continue;
 		snprintf(peer->node, sizeof(peer->node), "host-%d", i + 1);
 		copy_text(peer->location, sizeof(peer->location), zone_names[sim_node_zone(i)]);
-		sim_address((struct sim_endpoint){ENDPOINT_PEER, i}, peer->addr);
+		sim_endpoint_address((struct sim_endpoint){ENDPOINT_PEER, i}, peer->addr);
 		config->peer_count++;
 	}
 }
@@ -72,7 +72,7 @@
 	config->max_connections = 400;
 }
 
-void sim_configure(int node)
+void sim_configure_node(int node)
 {
 	struct fl_config *config = &sim.config[node];
 	int zone_count = sim.zone_count;
@@ -81,10 +81,10 @@
 	memset(config, 0, sizeof(*config));
 	snprintf(config->node, sizeof(config->node), "host-%d", node + 1);
 	copy_text(config->location, sizeof(config->location), zone_names[sim_node_zone(node)]);
-	sim_address((struct sim_endpoint){ENDPOINT_NODE, node}, config->bind);
-	sim_address((struct sim_endpoint){ENDPOINT_PEER, node}, config->cluster_listen);
-	sim_address((struct sim_endpoint){ENDPOINT_KV_STORE, 0}, config->state);
-	sim_address((struct sim_endpoint){ENDPOINT_CLOUD, 0}, config->cloud);
+	sim_endpoint_address((struct sim_endpoint){ENDPOINT_NODE, node}, config->bind);
+	sim_endpoint_address((struct sim_endpoint){ENDPOINT_PEER, node}, config->cluster_listen);
+	sim_endpoint_address((struct sim_endpoint){ENDPOINT_KV_STORE, 0}, config->state);
+	sim_endpoint_address((struct sim_endpoint){ENDPOINT_CLOUD, 0}, config->cloud);
 	for (int i = 0; i < zone_count; i++)
 		copy_text(config->zones[i], sizeof(config->zones[i]), zone_names[i]);
 	config->zone_count = zone_count;
@@ -103,7 +103,7 @@
 
 	(void)max_connections, (void)idle_timeout_s;
 	sim_require(fl_address_parse(addr, &address) == 0);
-	if (sim_endpoint_of(&address).kind == ENDPOINT_PEER)
+	if (sim_endpoint_from_address(&address).kind == ENDPOINT_PEER)
 		served = nodes.peers;
 	served[nodes.starting_node] = (struct served){handler, context};
 	return (struct fl_http_server *)&nodes;
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -9,19 +9,19 @@
 #include "transport/clock.h"
 #include "worker_command.h"
 
-static void leave_machine(struct sim_task *task)
+static void count_task_as_ended(struct sim_task *task)
 {
 	if (task->counted_running)
-		sim_check_task_left(task->job, task->status.index);
+		sim_check_task_ended(task->job, task->status.index);
 	task->counted_running = false;
 }
 
-static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit exit)
+static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit_reason exit)
 {
-	leave_machine(task);
+	count_task_as_ended(task);
 	task->status.state = FL_TASK_STATE_EXITED;
-	task->status.exit = exit;
-	sim_heartbeat_request(machine);
+	task->status.exit_reason = exit;
+	sim_heartbeat_make_due(machine);
 }
 
 static double progress_now(const struct sim_task *task)
@@ -59,7 +59,7 @@
 	if (job->completed[index])
 		end_task(machine, task, FL_EXIT_DONE);
 	else
-		sim_heartbeat_request(machine);
+		sim_heartbeat_make_due(machine);
 }
 
 static bool has_image(const struct sim_machine *machine, const char *image)
@@ -70,7 +70,7 @@
 	return false;
 }
 
-static void image_fetched(struct sim_machine *machine, struct sim_task *task)
+static void on_image_fetched(struct sim_machine *machine, struct sim_task *task)
 {
 	if (!has_image(machine, task->job->spec.image))
 		copy_text(machine->images[machine->image_count++ % SIM_MACHINE_IMAGES],
@@ -78,7 +78,7 @@
 	start_running(machine, task);
 }
 
-static void task_completed(struct sim_machine *machine, struct sim_task *task)
+static void on_task_completed(struct sim_machine *machine, struct sim_task *task)
 {
 	const struct sim_fault *cancel = sim_fault_active(FAULT_CANCEL_AT_COMPLETION, -1);
 	struct sim_job *job = task->job;
@@ -105,7 +105,7 @@
 }
 
 /* The first task for which this one's image is being fetched; itself if for none before it. */
-static int first_with_image(const struct sim_machine *machine, int index)
+static int first_fetch_of_image(const struct sim_machine *machine, int index)
 {
 	const struct sim_task *task = &machine->tasks[index];
 
@@ -121,7 +121,7 @@
 	int count = 0;
 
 	for (int i = 0; i < machine->task_slots_used; i++)
-		count += is_fetching(&machine->tasks[i]) && first_with_image(machine, i) == i;
+		count += is_fetching(&machine->tasks[i]) && first_fetch_of_image(machine, i) == i;
 	return count;
 }
 
@@ -137,7 +137,7 @@
 }
 
 /* Several images that are fetched at once share the machine's rate; tasks share their image's. */
-static void share_fetches(struct sim_machine *machine)
+static void share_image_bandwidth(struct sim_machine *machine)
 {
 	double elapsed_s =
 		machine->fetches_checked_at > 0 ? fl_now() - machine->fetches_checked_at : 0;
@@ -145,7 +145,7 @@
 	machine->fetches_checked_at = fl_now();
 	delay_fetches(machine, elapsed_s);
 	for (int i = 0; i < machine->task_slots_used; i++) {
-		const struct sim_task *first = &machine->tasks[first_with_image(machine, i)];
+		const struct sim_task *first = &machine->tasks[first_fetch_of_image(machine, i)];
 
 		if (is_fetching(&machine->tasks[i]) &&
 		    first->phase_ends_at < machine->tasks[i].phase_ends_at)
@@ -159,11 +159,11 @@
 	    fl_now() < task->phase_ends_at)
 		return;
 	if (task->status.state == FL_TASK_STATE_PULLING) {
-		image_fetched(machine, task);
+		on_image_fetched(machine, task);
 	} else if (task->status.state == FL_TASK_STATE_RUNNING) {
-		task_completed(machine, task);
+		on_task_completed(machine, task);
 	} else {
-		task->status.saved = true;
+		task->status.checkpoint_saved = true;
 		end_task(machine, task, FL_EXIT_STOPPED);
 	}
 }
@@ -171,7 +171,7 @@
 void sim_tasks_tick(struct sim_machine *machine)
 {
 	if (sim_fault_active(FAULT_SHARED_IMAGE_BANDWIDTH, -1))
-		share_fetches(machine);
+		share_image_bandwidth(machine);
 	for (int i = 0; i < machine->task_slots_used; i++)
 		if (machine->tasks[i].used)
 			advance_task(machine, &machine->tasks[i]);
@@ -181,12 +181,12 @@
 {
 	for (int i = 0; i < machine->task_slots_used; i++) {
 		if (machine->tasks[i].used)
-			leave_machine(&machine->tasks[i]);
+			count_task_as_ended(&machine->tasks[i]);
 		machine->tasks[i].used = false;
 	}
 }
 
-void sim_tasks_resume_after(struct sim_machine *machine, double seconds)
+void sim_tasks_postpone(struct sim_machine *machine, double seconds)
 {
 	for (int i = 0; i < machine->task_slots_used; i++) {
 		struct sim_task *task = &machine->tasks[i];
@@ -206,7 +206,7 @@
 {
 	for (int i = 0; i < machine->task_slots_used; i++)
 		if (machine->tasks[i].used &&
-		    worker_command_names_attempt(status, &machine->tasks[i].status))
+		    worker_command_is_for_attempt(status, &machine->tasks[i].status))
 			return &machine->tasks[i];
 	return NULL;
 }
@@ -217,7 +217,7 @@
 		const struct sim_task *task = &machine->tasks[i];
 
 		if (task->used && task->status.state != FL_TASK_STATE_EXITED &&
-		    worker_command_names_task(status, &task->status))
+		    worker_command_is_for_task(status, &task->status))
 			return true;
 	}
 	return false;
@@ -240,9 +240,9 @@
 	return cpus <= type->cpus && gpus <= type->gpus && ram <= type->ram_gb;
 }
 
-static struct sim_task *new_task(struct sim_machine *machine, const struct fl_task_status *status)
+static struct sim_task *add_task(struct sim_machine *machine, const struct fl_task_status *status)
 {
-	for (int i = 0; i < SIM_TASKS; i++) {
+	for (int i = 0; i < SIM_MACHINE_TASKS; i++) {
 		if (machine->tasks[i].used)
 			continue;
 		if (i >= machine->task_slots_used)
@@ -254,8 +254,9 @@
 }
 
 /* FL_EXIT_OTHER: nothing is against it. */
-static enum fl_exit start_refusal(const struct sim_machine *machine, const struct sim_job *job,
-                                  const struct fl_task_status *status)
+static enum fl_exit_reason start_refusal_reason(const struct sim_machine *machine,
+                                                const struct sim_job *job,
+                                                const struct fl_task_status *status)
 {
 	if (!job || job->first_sent_at == 0 || status->index >= job->spec.task_count)
 		return FL_EXIT_UNKNOWN_TASK;
@@ -267,8 +268,8 @@
 static void start_task(struct sim_machine *machine, const struct fl_task_status *status)
 {
 	struct sim_job *job = sim_job_find(status->ref);
-	enum fl_exit refusal = start_refusal(machine, job, status);
-	struct sim_task *task = new_task(machine, status);
+	enum fl_exit_reason refusal = start_refusal_reason(machine, job, status);
+	struct sim_task *task = add_task(machine, status);
 
 	task->job = job;
 	if (refusal != FL_EXIT_OTHER) {
@@ -278,8 +279,8 @@
 	task->status.state = FL_TASK_STATE_PULLING;
 	task->phase_ends_at = fl_now();
 	if (!has_image(machine, job->spec.image))
-		task->phase_ends_at += job->spec.image_gb * sim_between(0.8, 1.3);
-	sim_heartbeat_request(machine);
+		task->phase_ends_at += job->spec.image_gb * sim_random_between(0.8, 1.3);
+	sim_heartbeat_make_due(machine);
 	advance_task(machine, task);
 }
 
@@ -297,7 +298,7 @@
 		save_progress(task);
 		task->status.state = FL_TASK_STATE_CHECKPOINTING;
 		task->phase_ends_at = fl_now() + spec->checkpoint_cost_s;
-		sim_heartbeat_request(machine);
+		sim_heartbeat_make_due(machine);
 		return;
 	}
 	if (task->status.state == FL_TASK_STATE_RUNNING)
@@ -326,7 +327,7 @@
 	}
 }
 
-void sim_tasks_command(struct sim_machine *machine, const cJSON *object)
+void sim_tasks_execute_commands(struct sim_machine *machine, const cJSON *object)
 {
 	const cJSON *item;
 
--- a/tests/sim_time.h
+++ b/tests/sim_time.h
@@ -40,9 +40,9 @@
 void sim_timer_arm(struct sim_timer *timer, double seconds);
 void sim_timer_disarm(struct sim_timer *timer);
 /* The first that is due by then, disarmed, with the clocks put to it; NULL: none. */
-struct sim_timer *sim_timer_next(double until);
+struct sim_timer *sim_timer_pop_due(double until);
 /* Any one, disarmed, and no clock moves; NULL: none. */
-struct sim_timer *sim_timer_any(void);
+struct sim_timer *sim_timer_pop_any(void);
 void sim_clock_begin(void);
 void sim_clock_set(double now);
 void sim_clock_end(void);
@@ -50,7 +50,7 @@
 /* ---- processes ---- */
 
 /* The current one. A process is a number above 0; 0 is whatever is not a controller. */
-int sim_process(void);
+int sim_current_process(void);
 struct fl_coroutine *sim_spawn(int process, void (*function)(void *), void *arg);
 /* Its coroutines unwind at this very moment: gone after the caller's next wait. */
 void sim_process_cancel(int process);
@@ -58,14 +58,14 @@
 /* Nothing of it runs before then, while its clocks run on: its timers fire late. */
 void sim_process_pause_until(int process, double until);
 /* It runs one piece of work: if it is slow now, the next has to wait. */
-void sim_process_compute(int process);
+void sim_process_delay_if_slow(int process);
 
 /* ---- random numbers ---- */
 
 void sim_seed(uint64_t seed);
-double sim_between(double low, double high);
+double sim_random_between(double low, double high);
 /* From 0 to count - 1; 0 if there are none. */
-int sim_pick(int count);
+int sim_random_index(int count);
 bool sim_chance(double probability);
 
 #endif
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -12,7 +12,7 @@
 	double query_interval_s;
 	double final_query_interval_s; /* of a job that is done or cancelled */
 	double retry_interval_s;       /* before a request is repeated */
-	double submit_give_up_s;       /* after which a submission is given up */
+	double submit_retry_timeout_s; /* after which a submission is given up */
 	int repeated_queries;          /* in a row, of one who cannot wait */
 } tunables = {5.0, 2.0, 5.0, 15.0, 1.0, 60.0, 10};
 
@@ -23,15 +23,15 @@
 	bool accepted, done, cancelled;
 };
 
-static struct user_view view_of(const struct sim_job *job)
+static struct user_view user_view_of(const struct sim_job *job)
 {
 	return (struct user_view){job->accepted_at > 0, job->reported_done_at > 0,
 	                          job->reported_cancelled_at > 0};
 }
 
-static void read_if_changed(struct sim_job *job, struct user_view before)
+static void read_all_nodes_if_changed(struct sim_job *job, struct user_view before)
 {
-	struct user_view now = view_of(job);
+	struct user_view now = user_view_of(job);
 
 	if (now.accepted != before.accepted || now.done != before.done ||
 	    now.cancelled != before.cancelled)
@@ -40,7 +40,7 @@
 
 static void submit_once(struct sim_job *job)
 {
-	struct user_view before = view_of(job);
+	struct user_view before = user_view_of(job);
 	double sent_at = fl_now();
 	struct fl_http_reply reply;
 
@@ -51,12 +51,12 @@
 		return;
 	sim_check_submit_reply(job, sent_at, reply.status, reply.body.data);
 	fl_buffer_free(&reply.body);
-	read_if_changed(job, before);
+	read_all_nodes_if_changed(job, before);
 }
 
 static void query_once(struct sim_job *job)
 {
-	struct user_view before = view_of(job);
+	struct user_view before = user_view_of(job);
 	double sent_at = fl_now();
 	struct fl_http_reply reply;
 	char path[64];
@@ -67,13 +67,13 @@
 	sim.status_queries++;
 	sim_check_query_reply(job, sent_at, reply.status, reply.body.data);
 	fl_buffer_free(&reply.body);
-	read_if_changed(job, before);
+	read_all_nodes_if_changed(job, before);
 }
 
 /* True when the cancellation is answered. */
 static bool cancel_once(struct sim_job *job)
 {
-	struct user_view before = view_of(job);
+	struct user_view before = user_view_of(job);
 	double sent_at = fl_now();
 	struct fl_http_reply reply;
 	char path[64];
@@ -83,7 +83,7 @@
 		return false;
 	sim_check_cancel_reply(job, sent_at, reply.status, reply.body.data);
 	fl_buffer_free(&reply.body);
-	read_if_changed(job, before);
+	read_all_nodes_if_changed(job, before);
 	return reply.status == 200;
 }
 
@@ -106,12 +106,12 @@
 /* False if cancelled. */
 static bool submit_until_answered(struct sim_job *job)
 {
-	double give_up_at = fl_now() + tunables.submit_give_up_s;
+	double retry_until = fl_now() + tunables.submit_retry_timeout_s;
 
-	while (job->accepted_at == 0 && job->rejected_at == 0 && fl_now() < give_up_at) {
+	while (job->accepted_at == 0 && job->rejected_at == 0 && fl_now() < retry_until) {
 		submit_once(job);
 		if (job->accepted_at == 0 &&
-		    fl_sleep(tunables.retry_interval_s * sim_between(1, 2)) == -ECANCELED)
+		    fl_sleep(tunables.retry_interval_s * sim_random_between(1, 2)) == -ECANCELED)
 			return false;
 	}
 	return true;
@@ -126,7 +126,7 @@
 	if (!submit_until_answered(job))
 		return;
 	while (job->accepted_at > 0) {
-		double interval_s = query_interval_s(job) * sim_between(0.9, 1.1);
+		double interval_s = query_interval_s(job) * sim_random_between(0.9, 1.1);
 
 		if (fl_sleep(interval_s / query_rate_factor()) != 0)
 			return;
@@ -158,7 +158,7 @@
 static void query_repeatedly(void *arg)
 {
 	for (int i = 0; i < tunables.repeated_queries; i++) {
-		if (fl_sleep(sim_between(0, 0.4)) != 0)
+		if (fl_sleep(sim_random_between(0, 0.4)) != 0)
 			return;
 		query_once(arg);
 	}
@@ -176,7 +176,7 @@
 
 	job->cancel_sent_at = fl_now();
 	while (!cancel_once(job))
-		if (fl_sleep(tunables.retry_interval_s * sim_between(1, 1.5)) != 0)
+		if (fl_sleep(tunables.retry_interval_s * sim_random_between(1, 1.5)) != 0)
 			return;
 }
 
@@ -213,7 +213,7 @@
 	struct fl_http_reply reply;
 	char path[64];
 
-	snprintf(path, sizeof(path), "/v2/runs/run-9%05d%s", sim_pick(99999),
+	snprintf(path, sizeof(path), "/v2/runs/run-9%05d%s", sim_random_index(99999),
 	         cancel ? "/cancel" : "");
 	if (sim_load_balancer_call(method, path, NULL, tunables.query_timeout_s, &reply) != 0)
 		return;
@@ -224,7 +224,7 @@
 
 static void submit_invalid_job(void)
 {
-	struct sim_job *job = sim_job_add(sim_time());
+	struct sim_job *job = sim_job_add_random(sim_elapsed_s());
 
 	job->invalid = true;
 	job->spec.cpus = 500;
@@ -237,8 +237,8 @@
 static void send_invalid_requests(void *arg)
 {
 	(void)arg;
-	while (fl_sleep(sim_between(1, 4)) == 0) {
-		struct sim_job *job = &sim.jobs[sim_pick(sim.job_count)];
+	while (fl_sleep(sim_random_between(1, 4)) == 0) {
+		struct sim_job *job = &sim.jobs[sim_random_index(sim.job_count)];
 
 		request_unknown_job(!sim_chance(0.5));
 		if (!sim_fault_active(FAULT_INVALID_REQUESTS, -1))
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -19,17 +19,17 @@
 
 /* ---- leases and fencing tokens ---- */
 
-void sim_machine_check_lease(struct sim_machine *machine)
+void sim_machine_end_expired_lease(struct sim_machine *machine)
 {
 	if (fl_now() <= machine->lease_started_at + sim.lease_s)
 		return;
 	sim_tasks_drop(machine);
 	machine->incarnation++;
 	machine->lease_started_at = fl_now();
-	sim_heartbeat_request(machine);
+	sim_heartbeat_make_due(machine);
 }
 
-void sim_machine_observe_token(struct sim_machine *machine, uint64_t fencing_token)
+void sim_machine_raise_fencing_token(struct sim_machine *machine, uint64_t fencing_token)
 {
 	if (fencing_token <= machine->fencing_token)
 		return;
@@ -37,14 +37,14 @@
 	if (fl_now() < machine->token_reported_at + sim.lease_s / 2)
 		return;
 	machine->token_reported_at = fl_now();
-	sim_heartbeat_request(machine);
+	sim_heartbeat_make_due(machine);
 }
 
 /* ---- the worker ---- */
 
 static void tick_machine(struct sim_machine *machine)
 {
-	sim_machine_check_lease(machine);
+	sim_machine_end_expired_lease(machine);
 	sim_tasks_tick(machine);
 	if (machine->interruption_at > 0 && fl_now() > machine->interruption_at)
 		sim_machine_terminate(sim_machine_index(machine));
@@ -98,7 +98,7 @@
 	machine->up = true;
 	machine->incarnation = 1;
 	machine->lease_started_at = fl_now();
-	machine->next_node = sim_pick(sim.node_count);
+	machine->next_node = sim_random_index(sim.node_count);
 	machine->last_heartbeat_sent_at = -1;
 }
 
@@ -115,14 +115,14 @@
 	while (!machine->terminated) {
 		if (!wait_until_due(machine, due_at) || !sim_machine_wait_until_resumed(machine))
 			return;
-		sim_machine_check_lease(machine);
+		sim_machine_end_expired_lease(machine);
 		delay_s = sim_heartbeat_send(machine);
 		if (delay_s > 0 && fl_sleep(delay_s) != 0)
 			return;
 		due_at = fl_now();
 		if (delay_s < 0)
 			due_at = machine->last_heartbeat_sent_at +
-			         sim.heartbeat_interval_s * sim_between(0.75, 1.25);
+			         sim.heartbeat_interval_s * sim_random_between(0.75, 1.25);
 	}
 }
 
@@ -141,16 +141,16 @@
 	cJSON *object = fl_json_parse(request->body, request->body_len);
 	uint64_t fencing_token = 0, incarnation = 0;
 
-	if (fl_json_get_count(object, "Epoch", &fencing_token) != FL_JSON_OK ||
-	    fl_json_get_count(object, "Tenure", &incarnation) != FL_JSON_OK) {
+	if (fl_json_get_uint(object, "Epoch", &fencing_token) != FL_JSON_OK ||
+	    fl_json_get_uint(object, "Tenure", &incarnation) != FL_JSON_OK) {
 		response->status = 400;
 	} else {
 		sim_check_fencing_token(fencing_token, process);
 		if (fencing_token < machine->fencing_token || incarnation != machine->incarnation) {
 			respond_heartbeat(machine, 409, response);
 		} else {
-			sim_machine_observe_token(machine, fencing_token);
-			sim_tasks_command(machine, object);
+			sim_machine_raise_fencing_token(machine, fencing_token);
+			sim_tasks_execute_commands(machine, object);
 			respond_heartbeat(machine, 200, response);
 		}
 	}
@@ -169,14 +169,15 @@
                       struct fl_http_response *response)
 {
 	struct sim_machine *machine = &sim.machines[machine_index];
-	bool shows_only = strcmp(request->path, "/show") == 0;
-	bool delayed = !shows_only && command_is_delayed();
+	bool is_status_request = strcmp(request->path, "/show") == 0;
+	bool delayed = !is_status_request && command_is_delayed();
 
 	if (delayed)
-		fl_sleep(sim_between(tunables.command_delay_min_s, tunables.command_delay_max_s));
+		fl_sleep(sim_random_between(tunables.command_delay_min_s,
+		                            tunables.command_delay_max_s));
 	if (sim_machine_wait_until_resumed(machine)) {
-		sim_machine_check_lease(machine);
-		if (shows_only)
+		sim_machine_end_expired_lease(machine);
+		if (is_status_request)
 			respond_heartbeat(machine, 200, response);
 		else
 			serve_command(machine, process, request, response);
@@ -216,9 +217,9 @@
 		machine->hung_at = fl_now();
 		return;
 	}
-	sim_tasks_resume_after(machine, fl_now() - machine->hung_at);
+	sim_tasks_postpone(machine, fl_now() - machine->hung_at);
 	machine->fetches_checked_at = fl_now();
-	sim_machine_check_lease(machine);
+	sim_machine_end_expired_lease(machine);
 	fl_condition_broadcast(&machine->resumed);
 }
 
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -128,7 +128,7 @@
  * leader, which took the record for its own earlier write, did not stop the job that it had
  * confirmed.
  */
-static void a_leader_learns_of_a_cancellation_from_the_record(void **state)
+static void a_leader_applies_a_cancellation_from_the_job_record(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_finished_job *final;
@@ -168,10 +168,10 @@
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
 	cJSON_Delete(record);
 	assert_true(decoded.final && decoded.has_spec && decoded.status == FL_CANCELLED);
-	assert_true(fabs(fl_since(decoded.cancelled_wall) - (fl_now() - 20)) < 1);
+	assert_true(fabs(fl_monotonic_from_wall(decoded.cancelled_wall) - (fl_now() - 20)) < 1);
 
 	/* Records of earlier versions do not say: they count from now. */
-	assert_true(fabs(fl_since(0) - fl_now()) < 1);
+	assert_true(fabs(fl_monotonic_from_wall(0) - fl_now()) < 1);
 }
 
 int main(void)
@@ -181,7 +181,7 @@
 		NODE_TEST(a_cancellation_read_while_a_heartbeat_waits_is_applied),
 		NODE_TEST(a_repeated_heartbeat_is_answered_with_the_stop_command_again),
 		NODE_TEST(a_new_leader_does_not_renew_the_lease_of_a_cancelled_task),
-		NODE_TEST(a_leader_learns_of_a_cancellation_from_the_record),
+		NODE_TEST(a_leader_applies_a_cancellation_from_the_job_record),
 		NODE_TEST(a_cancellation_keeps_its_age_across_a_failover),
 	};
 
--- a/tests/test_coroutine.c
+++ b/tests/test_coroutine.c
@@ -84,7 +84,7 @@
 	while (fl_now() < until)
 		;
 	if (turns->count == BUSY_COROUTINES + 1)
-		ev_break(fl_loop(), EVBREAK_ALL);
+		ev_break(fl_event_loop(), EVBREAK_ALL);
 }
 
 static void wait_urgently(void *argument)
--- a/tests/test_coroutine_order.c
+++ b/tests/test_coroutine_order.c
@@ -55,7 +55,7 @@
 static void run_all(void)
 {
 	for (int i = 0; i < LOOP_ITERATIONS; i++)
-		ev_run(fl_loop(), EVRUN_NOWAIT);
+		ev_run(fl_event_loop(), EVRUN_NOWAIT);
 }
 
 static int set_up(void **state)
@@ -68,7 +68,7 @@
 
 static int tear_down(void **state)
 {
-	struct ev_loop *loop = fl_loop();
+	struct ev_loop *loop = fl_event_loop();
 
 	(void)state;
 	fl_coroutines_shutdown();
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -58,16 +58,16 @@
 	memset(&sim, 0, sizeof(sim));
 	sim_seed(seed);
 	long_lease = sim_chance(0.4);
-	sim.node_count = 3 + sim_pick(3);
-	sim.zone_count = 2 + sim_pick(2);
+	sim.node_count = 3 + sim_random_index(3);
+	sim.zone_count = 2 + sim_random_index(2);
 	sim.heartbeat_interval_s = 1.5;
 	sim.cloud_capacity = 3;
 	sim.lease_s = long_lease ? 14 : 10;
 	sim.cancel_s = long_lease ? 44 : 40;
 	for (int i = 0; i < sim.node_count; i++)
-		sim_configure(i);
-	for (int i = 15 + sim_pick(11); i > 0; i--)
-		sim_job_add(sim_between(0, 45));
+		sim_configure_node(i);
+	for (int i = 15 + sim_random_index(11); i > 0; i--)
+		sim_job_add_random(sim_random_between(0, 45));
 }
 
 static int set_up(void **state)
@@ -98,8 +98,8 @@
 	              "max_task_starts=%d\n%s",
 	              test_case->name, (unsigned long long)seed_of(test_case), sim.node_count,
 	              sim.zone_count, sim.lease_s, sim.duration_s, sim.job_count, sim.machine_count,
-	              sim.starts, sim.completions, sim.status_queries, sim.late_starts,
-	              sim.max_task_starts, sim.violations);
+	              sim.starts, sim.completions, sim.status_queries,
+	              sim.starts_after_cancellation, sim.max_task_starts, sim.violations);
 }
 
 static void print_job(const struct sim_job *job)
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -58,7 +58,7 @@
 
 	(void)state;
 	tasks[1].state = FL_TASK_STATE_EXITED;
-	tasks[1].exit = FL_EXIT_DONE;
+	tasks[1].exit_reason = FL_EXIT_DONE;
 	heartbeat.interruption_in_s = 12.5;
 	text = fl_cached_heartbeat_encode(&heartbeat);
 	element = fl_json_parse(text, strlen(text));
@@ -69,7 +69,7 @@
 	assert_true(decoded.interruption_in_s == 12.5 && decoded.task_count == 2);
 	assert_int_equal(decoded.tasks[0].state, FL_TASK_STATE_RUNNING);
 	assert_int_equal(decoded.tasks[0].index, 3);
-	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
+	assert_int_equal(decoded.tasks[1].exit_reason, FL_EXIT_DONE);
 	fl_heartbeat_free(&decoded);
 	cJSON_Delete(element);
 
@@ -121,7 +121,7 @@
 {
 	double now = fl_now();
 
-	fixture->node.kv_store.last_success_at = now - duration_s;
+	fixture->node.kv_store.last_success_sent_at = now - duration_s;
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
@@ -263,7 +263,7 @@
 		response = send_user_request(fixture, requests[i].kind, "run-000001",
 		                             requests[i].body);
 		assert_int_equal(response.status, 503);
-		assert_true(response.retry_after_s > 0 && response.close);
+		assert_true(response.retry_after_s > 0 && response.close_connection);
 		free(response.body);
 	}
 
@@ -279,7 +279,7 @@
 
 	/* The node is ready again once it is connected. */
 	fixture->node.peers[0].up = true;
-	fixture->node.kv_store.last_success_at = fl_now() + 1;
+	fixture->node.kv_store.last_success_sent_at = fl_now() + 1;
 	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
 }
 
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -41,7 +41,7 @@
 };
 
 /* Computation takes no virtual time. */
-void sim_process_compute(int process) { (void)process; }
+void sim_process_delay_if_slow(int process) { (void)process; }
 
 /* Calls the leader, or the third controller, which forwards messages. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
@@ -146,7 +146,7 @@
 	config->lease_s = 14;
 	config->report_s = 2;
 	snprintf(node->leader_view.leader, sizeof(node->leader_view.leader), "host-1");
-	node->kv_store.last_success_at = fl_now();
+	node->kv_store.last_success_sent_at = fl_now();
 	node->kv_store.last_failure_at = -INFINITY;
 }
 
@@ -256,7 +256,7 @@
 	struct fl_peer_heartbeats message;
 	struct fl_http_response response = {0};
 	struct fl_heartbeat heartbeat;
-	cJSON *list = fl_heartbeat_list_begin();
+	cJSON *list = fl_heartbeat_list_create();
 	char *text;
 
 	(void)state;
@@ -274,7 +274,7 @@
 	fl_heartbeat_list_add(list, "{\"Host\":7}");
 	text = fl_peer_heartbeats_encode(list, "host-2", true, true);
 	assert_int_equal(fl_peer_heartbeats_decode(text, strlen(text), &message), 0);
-	assert_true(message.last_hop && message.disconnected);
+	assert_true(message.last_hop && message.sender_kv_unavailable);
 	assert_string_equal(message.entry_node, "host-2");
 	fl_peer_heartbeats_free(&message);
 	fl_heartbeat_forward_serve(&scenario.leader, text, strlen(text), &response);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -40,7 +40,7 @@
 	response->status = 200;
 	response->body = strdup(request->body);
 	if (strcmp(request->path, "/close") == 0)
-		response->close = true;
+		response->close_connection = true;
 	if (strcmp(request->path, "/slow") == 0)
 		fl_sleep(5);
 }
@@ -109,7 +109,7 @@
 static int connect_to(const char *address)
 {
 	struct sockaddr_in parsed;
-	int fd = fl_socket();
+	int fd = fl_socket_open();
 
 	assert_int_equal(fl_address_parse(address, &parsed), 0);
 	assert_true(connect(fd, (struct sockaddr *)&parsed, sizeof(parsed)) == 0 ||
@@ -126,7 +126,7 @@
 	if (fl_io_wait(fd, EV_READ, 5) == 0)
 		received = recv(fd, text, size - 1, 0);
 	text[received > 0 ? received : 0] = 0;
-	fl_close(fd);
+	fl_socket_close(fd);
 }
 
 /* Sends less body than announced, and shuts down the sending side if `half_close`. */
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -50,7 +50,7 @@
 	for (int i = 0; i < SIM_TEAMS; i++)
 		sim_teams[i].cpus_max = sim_teams[i].gpus_max = FAR_BEYOND;
 	for (int i = 0; i < sim.node_count; i++) {
-		sim_configure(i);
+		sim_configure_node(i);
 		sim.config[i].max_connections = 1500;
 	}
 }
@@ -58,7 +58,7 @@
 /* An array of whose tasks two fit on each machine; they outlive the test. */
 static void add_job(void)
 {
-	struct sim_job *job = sim_job_add(sim_between(0, 5));
+	struct sim_job *job = sim_job_add_random(sim_random_between(0, 5));
 	struct fl_job_spec *spec = &job->spec;
 
 	spec->kind = FL_ARRAY;
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -199,7 +199,7 @@
 	       the_jobs_of_the_elections_finish() && all_jobs_are_known_after_the_faults() &&
 	       no_invariant_was_violated());
 	run.completed = true;
-	ev_break(fl_loop(), EVBREAK_ALL);
+	ev_break(fl_event_loop(), EVBREAK_ALL);
 }
 
 static void jobs_finish_despite_crashes_and_failovers(void **state)
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -39,7 +39,7 @@
 };
 
 /* Computation takes no virtual time. */
-void sim_process_compute(int process) { (void)process; }
+void sim_process_delay_if_slow(int process) { (void)process; }
 
 /* Calls the leader, which answers from its memory one one-way latency after the call. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
@@ -153,7 +153,7 @@
 
 	/* The first queries are sent at once in one request each, then a full request follows. */
 	assert_int_equal(scenario.requests, FL_STATUS_REQUESTS_MAX + 1);
-	assert_int_equal(answered, FL_STATUS_REQUESTS_MAX + FL_STATUS_QUERY_MAX);
+	assert_int_equal(answered, FL_STATUS_REQUESTS_MAX + FL_STATUS_QUERY_JOBS_MAX);
 	assert_int_equal(overloaded, QUERIES - answered);
 
 	free_queries(queries, QUERIES);
--- a/tests/virtual_time_fixture.h
+++ b/tests/virtual_time_fixture.h
@@ -1,6 +1,6 @@
 /*
  * Virtual time without a network, for tests that define fl_http_call() themselves. Such a test must
- * also define sim_process_compute().
+ * also define sim_process_delay_if_slow().
  */
 #ifndef FL_TESTS_VIRTUAL_TIME_FIXTURE_H
 #define FL_TESTS_VIRTUAL_TIME_FIXTURE_H
