--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -1,4 +1,4 @@
-/* One node without connections: its set-up, its roles, and the heartbeats delivered to it. */
+/* A node without connections: its set-up, its roles, and the delivery of heartbeats to it. */
 #include "node_fixture.h"
 
 #include <setjmp.h>
