--- a/tests/service_fixture.c
+++ b/tests/service_fixture.c
@@ -103,7 +103,7 @@
 
 int kill_leader(void)
 {
-	const char *leader = fake_services_leader();
+	const char *leader = fake_services_leader_node();
 	int controller = leader[0] ? leader[1] - '0' : 0;
 
 	kill_controller(controller);
@@ -202,9 +202,9 @@
 {
 	double deadline = fl_now() + TIMEOUT_S;
 
-	while (!fake_services_leader()[0] && fl_now() < deadline)
+	while (!fake_services_leader_node()[0] && fl_now() < deadline)
 		fl_sleep(0.05);
-	return fake_services_leader()[0];
+	return fake_services_leader_node()[0];
 }
 
 bool wait_for_job_status(const char *ref, const char *expected, int first_controller)
@@ -235,18 +235,18 @@
 {
 	double deadline = fl_now() + TIMEOUT_S;
 
-	while (fake_services_running_tasks(ref) > 0 && fl_now() < deadline)
+	while (fake_services_running_task_count(ref) > 0 && fl_now() < deadline)
 		fl_sleep(0.1);
-	return fake_services_running_tasks(ref) == 0;
+	return fake_services_running_task_count(ref) == 0;
 }
 
 bool wait_until_unreachable_machines_are_deleted(void)
 {
 	double deadline = fl_now() + TIMEOUT_S;
 
-	while (fake_services_unreachable_count() > 0 && fl_now() < deadline)
+	while (fake_services_unreachable_machine_count() > 0 && fl_now() < deadline)
 		fl_sleep(0.1);
-	return fake_services_unreachable_count() == 0;
+	return fake_services_unreachable_machine_count() == 0;
 }
 
 /* ---- set-up ---- */
@@ -256,7 +256,7 @@
 	fake_services.heartbeat_interval_s = 0.25;
 	fake_services.lease_s = 8;
 	fake_services.task_duration_s = 0.5;
-	fake_services.commands_repeat_every = 3;
+	fake_services.repeated_command_every = 3;
 }
 
 static void choose_ports(void)
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -46,7 +46,7 @@
 		status->state = FL_TASK_STATE_EXITED;
 		status->exit_reason = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
 		if (status->exit_reason == FL_EXIT_DONE) {
-			sim->actually_done[atoi(status->ref + 4)][status->index] = true;
+			sim->completed[atoi(status->ref + 4)][status->index] = true;
 			sim->completions++;
 		}
 		return;
@@ -163,7 +163,7 @@
 			bool all_done = true;
 
 			for (int k = 0; k < TASKS; k++)
-				all_done = all_done && sim->actually_done[j][k];
+				all_done = all_done && sim->completed[j][k];
 			finished_jobs += all_done;
 		}
 		tear_down(sim);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -67,7 +67,7 @@
 	restart_all_controllers();
 	EXPECT(wait_for_job_status_on_all_controllers("run-000001", "\"Status\":\"done\""));
 	EXPECT(submit_job("run-000006", "sweep", 2, 0));
-	EXPECT(fake_services_running_tasks("run-000002") == 2);
+	EXPECT(fake_services_running_task_count("run-000002") == 2);
 	fake_services.cloud_unavailable = false;
 	EXPECT(wait_for_job_status("run-000006", "\"Status\":\"done\"", 1));
 	return true;
@@ -78,9 +78,9 @@
 {
 	int killed;
 
-	fake_services.kv_refuses_every = 13;
-	fake_services.kv_slow_every = 7;
-	fake_services.kv_loses_every = 29;
+	fake_services.kv_refused_request_every = 13;
+	fake_services.kv_slow_request_every = 7;
+	fake_services.kv_lost_reply_every = 29;
 	EXPECT(submit_job("run-000003", "sweep", 70, 0));
 	EXPECT(wait_for_job_status("run-000003", "\"Status\":\"running\"", 0));
 	killed = kill_leader();
@@ -90,7 +90,7 @@
 	EXPECT(wait_for_job_status("run-000003", "\"Status\":\"done\"", 0));
 	EXPECT(wait_for_job_status("run-000004", "\"Status\":\"done\"", 1));
 	/* The service kept running throughout. */
-	EXPECT(fake_services_running_tasks("run-000002") == 2);
+	EXPECT(fake_services_running_task_count("run-000002") == 2);
 	return true;
 }
 
@@ -127,14 +127,14 @@
 {
 	/* Copies of heartbeats arrive two leases late; the next machines rented are unreachable. */
 	fake_services.delayed_heartbeat_every = 3;
-	fake_services.unreachable_to_rent = 2;
+	fake_services.unreachable_machines_to_rent = 2;
 	EXPECT(submit_job("run-000005", "sweep", 90, 1));
 	fake_services.interrupt = restart_all_controllers;
 	for (int step = 1; step <= ELECTION_STEPS; step++) {
 		kill_leader();
-		fake_services.interrupt_after = step;
+		fake_services.interrupt_after_requests = step;
 		start_stopped_controllers();
-		while (fake_services.interrupt_after > 0)
+		while (fake_services.interrupt_after_requests > 0)
 			fl_sleep(0.02);
 		if (!submit_jobs_of_step(step))
 			return false;
@@ -150,7 +150,7 @@
 	 * If the idle machines were sufficient (once in 60 runs), no unreachable machine was
 	 * rented. A job with more tasks than they can run at once makes the leader rent more.
 	 */
-	if (fake_services.unreachable_to_rent > 0) {
+	if (fake_services.unreachable_machines_to_rent > 0) {
 		EXPECT(submit_job("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
 		EXPECT(wait_for_job_status("run-000007", "\"Status\":\"done\"", 0));
 	}
@@ -162,9 +162,9 @@
 {
 	char ref[24];
 
-	fake_services.kv_refuses_every = 0;
-	fake_services.kv_slow_every = 0;
-	fake_services.kv_loses_every = 0;
+	fake_services.kv_refused_request_every = 0;
+	fake_services.kv_slow_request_every = 0;
+	fake_services.kv_lost_reply_every = 0;
 	for (int step = 1; step <= ELECTION_STEPS; step++)
 		for (int i = 0; i < JOBS_PER_STEP; i++) {
 			format_step_ref(step, i, ref);
@@ -177,12 +177,12 @@
 
 static bool no_invariant_was_violated(void)
 {
-	EXPECT(fake_services.unreachable_to_rent == 0);
+	EXPECT(fake_services.unreachable_machines_to_rent == 0);
 	EXPECT(wait_until_unreachable_machines_are_deleted());
 	EXPECT(fake_services.duplicate_starts == 0);
 	EXPECT(fake_services.tokens_reused == 0);
 	EXPECT(fake_services.rental_names_reused == 0);
-	EXPECT(fake_services.starts_on_deleted == 0);
+	EXPECT(fake_services.starts_on_deleted_machines == 0);
 	return true;
 }
 
