--- a/tests/service_fixture.c
+++ b/tests/service_fixture.c
@@ -103,7 +103,7 @@
 
 int kill_leader(void)
 {
-	const char *leader = fake_services_leader();
+	const char *leader = fake_services_leader_node();
 	int controller = leader[0] ? leader[1] - '0' : 0;
 
 	kill_controller(controller);
@@ -199,9 +199,9 @@
 {
 	double until = fl_now() + TIMEOUT_S;
 
-	while (!fake_services_leader()[0] && fl_now() < until)
+	while (!fake_services_leader_node()[0] && fl_now() < until)
 		fl_sleep(0.05);
-	return fake_services_leader()[0];
+	return fake_services_leader_node()[0];
 }
 
 bool wait_for_status(const char *ref, const char *wanted, int first)
@@ -231,18 +231,18 @@
 {
 	double until = fl_now() + TIMEOUT_S;
 
-	while (fake_services_running_tasks(ref) > 0 && fl_now() < until)
+	while (fake_services_running_task_count(ref) > 0 && fl_now() < until)
 		fl_sleep(0.1);
-	return fake_services_running_tasks(ref) == 0;
+	return fake_services_running_task_count(ref) == 0;
 }
 
 bool wait_until_unreachable_are_returned(void)
 {
 	double until = fl_now() + TIMEOUT_S;
 
-	while (fake_services_unreachable_count() > 0 && fl_now() < until)
+	while (fake_services_unreachable_machine_count() > 0 && fl_now() < until)
 		fl_sleep(0.1);
-	return fake_services_unreachable_count() == 0;
+	return fake_services_unreachable_machine_count() == 0;
 }
 
 /* ---- set-up ---- */
@@ -252,7 +252,7 @@
 	fake_services.heartbeat_interval_s = 0.25;
 	fake_services.lease_s = 8;
 	fake_services.task_duration_s = 0.5;
-	fake_services.commands_repeat_every = 3;
+	fake_services.repeated_command_every = 3;
 }
 
 static void choose_ports(void)
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -46,7 +46,7 @@
 		status->state = FL_TASK_STATE_EXITED;
 		status->exit = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
 		if (status->exit == FL_EXIT_DONE) {
-			sim->actually_done[atoi(status->ref + 4)][status->index] = true;
+			sim->completed[atoi(status->ref + 4)][status->index] = true;
 			sim->completions++;
 		}
 		return;
@@ -163,7 +163,7 @@
 			bool all = true;
 
 			for (int k = 0; k < TASKS; k++)
-				all = all && sim->actually_done[j][k];
+				all = all && sim->completed[j][k];
 			finished_jobs += all;
 		}
 		tear_down(sim);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -63,7 +63,7 @@
 	restart_all();
 	EXPECT(wait_for_status_everywhere("run-000001", "\"Status\":\"done\""));
 	EXPECT(submit("run-000006", "sweep", 2, 0));
-	EXPECT(fake_services_running_tasks("run-000002") == 2);
+	EXPECT(fake_services_running_task_count("run-000002") == 2);
 	fake_services.cloud_unavailable = false;
 	EXPECT(wait_for_status("run-000006", "\"Status\":\"done\"", 1));
 	return true;
@@ -74,9 +74,9 @@
 {
 	int killed;
 
-	fake_services.kv_refuses_every = 13;
-	fake_services.kv_slow_every = 7;
-	fake_services.kv_loses_every = 29;
+	fake_services.kv_refused_request_every = 13;
+	fake_services.kv_slow_request_every = 7;
+	fake_services.kv_lost_reply_every = 29;
 	EXPECT(submit("run-000003", "sweep", 70, 0));
 	EXPECT(wait_for_status("run-000003", "\"Status\":\"running\"", 0));
 	killed = kill_leader();
@@ -86,7 +86,7 @@
 	EXPECT(wait_for_status("run-000003", "\"Status\":\"done\"", 0));
 	EXPECT(wait_for_status("run-000004", "\"Status\":\"done\"", 1));
 	/* The service ran through all of it. */
-	EXPECT(fake_services_running_tasks("run-000002") == 2);
+	EXPECT(fake_services_running_task_count("run-000002") == 2);
 	return true;
 }
 
@@ -124,14 +124,14 @@
 	/* Copies of heartbeats come two leases late, and the next machines rented are unreachable.
 	 */
 	fake_services.delayed_heartbeat_every = 3;
-	fake_services.unreachable_to_rent = 2;
+	fake_services.unreachable_machines_to_rent = 2;
 	EXPECT(submit("run-000005", "sweep", 90, 1));
 	fake_services.interrupt = restart_all;
 	for (int step = 1; step <= ELECTION_STEPS; step++) {
 		kill_leader();
-		fake_services.interrupt_after = step;
+		fake_services.interrupt_after_requests = step;
 		start_stopped_controllers();
-		while (fake_services.interrupt_after > 0)
+		while (fake_services.interrupt_after_requests > 0)
 			fl_sleep(0.02);
 		if (!submit_jobs_of_step(step))
 			return false;
@@ -147,7 +147,7 @@
 	 * Idle machines may have been enough, so that no unreachable machine was rented: it
 	 * happened once in sixty runs. More work at once than they can hold has them rented.
 	 */
-	if (fake_services.unreachable_to_rent > 0) {
+	if (fake_services.unreachable_machines_to_rent > 0) {
 		EXPECT(submit("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
 		EXPECT(wait_for_status("run-000007", "\"Status\":\"done\"", 0));
 	}
@@ -159,9 +159,9 @@
 {
 	char ref[24];
 
-	fake_services.kv_refuses_every = 0;
-	fake_services.kv_slow_every = 0;
-	fake_services.kv_loses_every = 0;
+	fake_services.kv_refused_request_every = 0;
+	fake_services.kv_slow_request_every = 0;
+	fake_services.kv_lost_reply_every = 0;
 	for (int step = 1; step <= ELECTION_STEPS; step++)
 		for (int i = 0; i < JOBS_A_STEP; i++) {
 			format_step_ref(step, i, ref);
@@ -174,12 +174,12 @@
 
 static bool nothing_forbidden_was_seen(void)
 {
-	EXPECT(fake_services.unreachable_to_rent == 0);
+	EXPECT(fake_services.unreachable_machines_to_rent == 0);
 	EXPECT(wait_until_unreachable_are_returned());
 	EXPECT(fake_services.duplicate_starts == 0);
 	EXPECT(fake_services.tokens_reused == 0);
 	EXPECT(fake_services.rental_names_reused == 0);
-	EXPECT(fake_services.starts_on_deleted == 0);
+	EXPECT(fake_services.starts_on_deleted_machines == 0);
 	return true;
 }
 
