--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -1,4 +1,4 @@
-/* The fake of the cloud: one machine type, rentals by name, deletion, and a list. */
+/* The fake cloud: one machine type, rentals by name, deletion, and a machine list. */
 #include "fake_services_internal.h"
 
 #include <assert.h>
@@ -13,18 +13,18 @@
 	UT_hash_handle hh;
 	char name[64];
 	cJSON *machines;
-	uint64_t fencing_token; /* of the leader that asked for it */
+	uint64_t leader_revision; /* revision of the leader's key, which identifies the leader */
 };
 
 static struct rental *rentals;
 
-static struct rental *add_rental(const char *name, uint64_t fencing_token, uint64_t count)
+static struct rental *add_rental(const char *name, uint64_t leader_revision, uint64_t count)
 {
 	struct rental *rental = calloc(1, sizeof(*rental));
 
 	assert(rental);
 	copy_text(rental->name, sizeof(rental->name), name);
-	rental->fencing_token = fencing_token;
+	rental->leader_revision = leader_revision;
 	rental->machines = cJSON_CreateArray();
 	for (uint64_t i = 0; i < count && fake_machine_count < FAKE_MACHINES; i++)
 		cJSON_AddItemToArray(rental->machines,
@@ -33,7 +33,10 @@
 	return rental;
 }
 
-/* The same name again rents nothing; reused by another leader it would prevent its rental. */
+/*
+ * Returns the rental of this name, and rents machines only if there is none. A name that another
+ * leader uses again would rent nothing for that leader, so it is counted as a violation.
+ */
 static const struct rental *find_or_add_rental(const cJSON *body)
 {
 	const struct kv_entry *leader = fake_kv_find("c/lead");
@@ -46,7 +49,7 @@
 	HASH_FIND_STR(rentals, name, rental);
 	if (!rental)
 		return add_rental(name, leader ? leader->mod_revision : 0, count);
-	if (leader && rental->fencing_token != leader->mod_revision)
+	if (leader && rental->leader_revision != leader->mod_revision)
 		fake_services.rental_names_reused++;
 	return rental;
 }
--- a/tests/fake_kv_store.c
+++ b/tests/fake_kv_store.c
@@ -1,4 +1,4 @@
-/* The fake of the key-value store: the model over HTTP in real time, with faults by counts. */
+/* The fake key-value store: kv_model.h over HTTP in real time, with faults by request count. */
 #include "fake_services_internal.h"
 
 #include <errno.h>
@@ -55,7 +55,7 @@
 	char page[16];
 	int limit = atoi(kv_model_query_param(query, "Page=", page, sizeof(page)));
 
-	/* Small pages, so that lists have more than one. */
+	/* Small pages, so that clients have to fetch several. */
 	kv_model_serve_list(&model, query, limit > 5 ? 5 : limit, response);
 }
 
@@ -104,7 +104,7 @@
 	if (fault_is_due(fake_services.kv_slow_request_every, number) && fl_sleep(0.3) != 0)
 		return;
 	apply_request(request, response);
-	/* Applied, but the reply comes after the client's timeout. */
+	/* The request is applied, but its reply is sent after the client's timeout. */
 	if (fault_is_due(fake_services.kv_lost_reply_every, number))
 		fl_sleep(2.5);
 }
--- a/tests/fake_services.c
+++ b/tests/fake_services.c
@@ -1,4 +1,4 @@
-/* Starts and frees the fakes. */
+/* Start and end of the fakes. */
 #include "fake_services_internal.h"
 
 #include <assert.h>
--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -1,8 +1,8 @@
 /*
- * Fakes of the external systems: key-value store, cloud and workers, on loopback, speaking the
- * published protocol in real time. They can be slow, refuse, lose replies, and carry requests out
- * late or twice; they count what must never happen. All run in the event loop of the test's
- * process, which owns the one instance, `fake_services`.
+ * Fakes of the external systems (key-value store, cloud and workers) on loopback, which implement
+ * the published protocol in real time. They can delay or refuse requests, lose replies and execute
+ * commands twice, and they count violations of invariants. All run in the event loop of the test's
+ * process, which has one instance, `fake_services`.
  */
 #ifndef FL_TESTS_FAKE_SERVICES_H
 #define FL_TESTS_FAKE_SERVICES_H
@@ -21,37 +21,37 @@
 	int controller_count;
 	double heartbeat_interval_s, lease_s, task_duration_s;
 
-	/* Faults, one every so many requests; 0: never. */
+	/* Faults: each affects every n-th request or direct command; 0: none. */
 	int kv_refused_request_every, kv_lost_reply_every, kv_slow_request_every,
 		repeated_command_every;
-	/* One every so many heartbeats: a copy comes two leases later, to another controller. */
+	/* A copy of a worker's every n-th heartbeat goes to another controller 2 leases later. */
 	int delayed_heartbeat_every;
-	/* So many of the machines rented next exchange no messages; counts down. */
+	/* Number of machines rented next that get neither replies nor commands; counts down. */
 	int unreachable_machines_to_rent;
 	bool cloud_unavailable;
-	/* Counts down with the requests of the key-value store; at 0 `interrupt` is called, and
-	 * that request is applied after it, late. */
+	/* Counts down with each request to the key-value store but watches. At 0 `interrupt` is
+	 * called, and the request is applied 0.2 s later. */
 	int interrupt_after_requests;
 	void (*interrupt)(void);
 
-	/* What the workers saw. */
+	/* Totals of all workers. */
 	int starts, completions, max_machines;
-	/* What must never happen: a task started while it runs elsewhere, a fencing token used
-	 * again, a rental's name used by two leaders, a start on a machine that was returned. */
+	/* Violations: starts of a task that is already running, fencing tokens that did not
+	 * increase, rental names used by two leaders, starts on deleted machines. */
 	int duplicate_starts, tokens_reused, rental_names_reused, starts_on_deleted_machines;
 };
 
 extern struct fake_services fake_services;
 
-/* Starts all of them in this process's loop. */
+/* Starts the fakes in the event loop of this process. */
 void fake_services_start(void);
-/* Once their coroutines have ended. */
+/* Frees the fakes, whose coroutines must have ended. */
 void fake_services_free(void);
-/* The node that holds the leader's key, or an empty string; valid until the next call. */
+/* Returns the node that the leader's key names, or ""; the text is valid until the next call. */
 const char *fake_services_leader_node(void);
-/* Unreachable machines that are rented and not returned yet. */
+/* Returns the number of unreachable machines that have not been deleted. */
 int fake_services_unreachable_machine_count(void);
-/* The tasks of this job that run on any machine. */
+/* Returns how many of the job's tasks run, on all machines that have not been deleted. */
 int fake_services_running_task_count(const char *ref);
 
 #endif
--- a/tests/fake_workers.c
+++ b/tests/fake_workers.c
@@ -1,4 +1,4 @@
-/* The fakes of the workers: machines that send heartbeats, execute commands and meet faults. */
+/* The fake workers: they send heartbeats and execute commands, with injected faults. */
 #include "fake_services_internal.h"
 
 #include <assert.h>
@@ -27,14 +27,14 @@
 	fl_http_client_init(client, addr, 0);
 }
 
-/* ---- heartbeats that come late ---- */
+/* ---- delayed heartbeats ---- */
 
 struct delayed_heartbeat {
 	char *text;
 	int controller;
 };
 
-/* Two leases later; nobody reads the reply. */
+/* Sends the heartbeat two leases later, and ignores the reply. */
 static void send_delayed_heartbeat(void *arg)
 {
 	struct delayed_heartbeat *delayed = arg;
@@ -91,7 +91,10 @@
 	return NULL;
 }
 
-/* Counts the copies of the task that run; true if this attempt is on the machine already. */
+/*
+ * Counts running copies of the task as duplicate starts. Returns true, and ends the count, if this
+ * attempt is already on the machine.
+ */
 static bool count_duplicate_starts(const struct fake_machine *machine,
                                    const struct fl_task_status *status)
 {
@@ -185,7 +188,7 @@
 	return fl_heartbeat_encode(&heartbeat);
 }
 
-/* A reply of another leader than the newest known, or after the lease, counts for nothing. */
+/* Executes a reply's commands, unless its fencing token is stale or the lease has expired. */
 static void accept_reply(struct fake_machine *machine, const struct fl_http_reply *reply,
                          double sent_at)
 {
@@ -220,7 +223,7 @@
 		return;
 	}
 	if (machine->unreachable) {
-		/* It waits for its timeout, and tries another node. */
+		/* The reply is lost: the worker waits for its timeout, then tries another node. */
 		fl_sleep(5.0);
 		machine->next_controller++;
 	} else if (reply.status == 200) {
@@ -257,7 +260,7 @@
 	bool accepted;
 
 	if (machine->unreachable) {
-		fl_sleep(3.0); /* it does not arrive, and nobody replies */
+		fl_sleep(3.0); /* nothing is executed, and the leader's request times out */
 		return;
 	}
 	if (machine->deleted || strcmp(request->path, "/commands") != 0) {
@@ -331,7 +334,7 @@
 	}
 }
 
-/* ---- what the test asks ---- */
+/* ---- queries by the test ---- */
 
 int fake_services_running_task_count(const char *ref)
 {
--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -1,4 +1,4 @@
-/* What the combinations of faults share. */
+/* Faults that several combinations inject. */
 #include "fault_combinations.h"
 
 #include "sim.h"
--- a/tests/fault_combinations_failover.c
+++ b/tests/fault_combinations_failover.c
@@ -1,9 +1,9 @@
-/* Combinations around changes of leader: controllers that stop, are paused, and come back. */
+/* Combinations around failovers: controllers are killed and restarted, or paused. */
 #include "fault_combinations.h"
 
 #include "sim.h"
 
-/* Jobs of two or three tasks whose tasks complete far apart, across a change of leader. */
+/* The tasks of each job complete at very different times, before and after failovers. */
 static void staggered_task_completions(int variant)
 {
 	for (int i = 0; i < sim.job_count; i++) {
@@ -35,9 +35,7 @@
 		           .magnitude = 0.4);
 }
 
-/*
- * Leadership changes hands and back, all controllers stop, and one returns, also within a second.
- */
+/* Leaders stop one after another, then all controllers at once, some for less than a second. */
 static void repeated_failover(int variant)
 {
 	double start_s = 40;
@@ -52,7 +50,7 @@
 	inject_leader_down(start_s + 9, 0.4);
 }
 
-/* Ten failovers in two minutes, also inside an outage. */
+/* Ten failovers in two minutes, with or without an outage of the key-value store. */
 static void ten_failovers(int variant)
 {
 	for (int i = 0; i < 10; i++)
@@ -67,9 +65,7 @@
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 60, .duration_s = 1, .count = 10);
 }
 
-/*
- * A leader stops while machines with long tasks are unreachable, or get no replies of the new one.
- */
+/* The leader stops while machines with long tasks are partitioned one-way, or hang. */
 static void leader_down_workers_unreachable(int variant)
 {
 	static const enum sim_fault_kind fault_kinds[] = {
@@ -87,7 +83,7 @@
 		inject_cancel_running(start_s + sim_random_between(-1, 6), 5, 0);
 }
 
-/* Cancelled in the seconds in which leadership changes hands. */
+/* Jobs are cancelled one by one in the seconds around a failover. */
 static void cancel_at_failover(int variant)
 {
 	double start_s = sim_random_between(42, 55);
@@ -105,7 +101,7 @@
 		           .magnitude = 1.2);
 }
 
-/* All controllers stop, and one of them is back within a second. */
+/* All controllers stop, and one of them restarts within a second. */
 static void all_down_one_returns(int variant)
 {
 	double start_s = sim_random_between(42, 55);
@@ -123,7 +119,7 @@
 		           .target = first);
 }
 
-/* A leader is paused for longer than its lease; jobs are cancelled through the next. */
+/* The leader is paused for longer than its lease; jobs are cancelled through the next leader. */
 static void process_pause(int variant)
 {
 	double start_s = sim_random_between(42, 55),
@@ -182,7 +178,7 @@
          .inject_faults = cancel_at_failover,
          .first_variant = 236,
          .variant_count = 1,
-         .protects = "submission.c, job_responses.c: the conditions of a cancellation"},
+         .protects = "submission.c, cancellation.c: the conditions of a cancellation"},
 	{.name = "all_down_one_returns",
          .seed_name = "one_returns",
          .inject_faults = all_down_one_returns,
@@ -194,7 +190,7 @@
          .inject_faults = all_down_one_returns,
          .first_variant = 153,
          .variant_count = 1,
-         .protects = "schedule_preemption.c: could_preempt_in_turn"},
+         .protects = "schedule_preemption.c: could_be_preempted_back"},
 	{.name = "process_pause",
          .seed_name = "frozen_leader",
          .inject_faults = process_pause,
--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -1,11 +1,12 @@
 /*
- * Combinations around the key-value store: it refuses, is slow or unavailable, or loses replies.
+ * Combinations around the key-value store: it refuses requests, is slow or unavailable, or loses
+ * replies.
  */
 #include "fault_combinations.h"
 
 #include "sim.h"
 
-/* What keeps the leader's stop commands from the machines at that moment. */
+/* Injects a random fault by which the leader's stop commands do not reach machines. */
 static void inject_command_failure(double start_s, double duration_s)
 {
 	switch (sim_random_index(3)) {
@@ -24,9 +25,9 @@
 }
 
 /*
- * The key-value store refuses the leader alone; another leads and confirms cancellations; then it
- * is unavailable for all, for longer than cancel_s, while machines still send heartbeats to the
- * old leader.
+ * The key-value store refuses the leader's requests, and another node leads and confirms
+ * cancellations. Then the store is unavailable to all nodes, for longer than cancel_s, while
+ * machines still send heartbeats to the old leader.
  */
 static void kv_refusal_then_outage(int variant)
 {
@@ -67,7 +68,7 @@
 	}
 }
 
-/* A transaction without a reply is applied late, after newer ones of the same node. */
+/* Transactions get no reply and are applied late, after newer ones of the same node. */
 static void delayed_write(int variant)
 {
 	double start_s = sim_random_between(10, 30);
@@ -82,7 +83,7 @@
 		           .target = TARGET_LEADER);
 }
 
-/* Cancelled at the very moment of the refusal, with an outage a second later. */
+/* Jobs are cancelled as the store begins to refuse the leader; an outage follows 1 s later. */
 static void cancel_at_kv_refusal(int variant)
 {
 	double start_s = sim_random_between(45, 60),
@@ -97,7 +98,7 @@
 		inject_command_failure(start_s, duration_s);
 }
 
-/* A leader partitioned from key-value store and controllers, not from machines and users. */
+/* The leader is partitioned from the store and its peers, but not from workers and users. */
 static void leader_partition(int variant)
 {
 	double start_s = sim_random_between(45, 55), duration_s = sim_random_between(15, 80),
@@ -115,7 +116,7 @@
 		           .duration_s = duration_s - 5, .target = TARGET_LEADER);
 }
 
-/* Slow, or refusing the leader and then everybody, while users cancel and query. */
+/* The store is slow or refuses the leader, then is unavailable, while users cancel and query. */
 static void degraded_kv_then_outage(int variant)
 {
 	double start_s = sim_random_between(40, 50),
@@ -136,7 +137,7 @@
 		inject_command_failure(start_s + 14.8, duration_s);
 }
 
-/* Applied at once, and only the reply is lost, while all nodes are asked what it wrote. */
+/* Writes are applied at once but their replies lost, while users query the jobs at all nodes. */
 static void lost_write_reply(int variant)
 {
 	double start_s = sim_random_between(15, 30);
--- a/tests/fault_combinations_load.c
+++ b/tests/fault_combinations_load.c
@@ -1,17 +1,15 @@
-/* Combinations around load: quotas, bursts of jobs and queries, and users who act at once. */
+/* Combinations around load: quotas, bursts of jobs and queries, and concurrent user requests. */
 #include "fault_combinations.h"
 
 #include "sim.h"
 
-/*
- * A team at its quota, a new leader, machines that cannot be reached, a cancellation meanwhile.
- */
+/* A failover with teams at their quotas and machines unreachable, while jobs are cancelled. */
 static void quota_reached_at_failover(int variant)
 {
 	double start_s = sim_random_between(45, 55);
 
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 20, .duration_s = 1, .count = 24);
-	/* Copies from before the cancelled tasks began, which must free no capacity. */
+	/* Stale heartbeats from before the start of the cancelled tasks must free no capacity. */
 	SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = 15, .duration_s = 80, .magnitude = 0.9);
 	inject_leader_down(start_s, sim_random_between(5, 30));
 	SIM_INJECT(variant % 2 ? FAULT_INBOUND_PARTITION : FAULT_OUTBOUND_PARTITION,
@@ -22,7 +20,7 @@
 	inject_cancel_running(start_s + sim_random_between(1, 8), 6, 0);
 }
 
-/* More work than capacity, urgent and not, over slow links. */
+/* More jobs than there is capacity for, of all priorities, over slow links. */
 static void overload(int variant)
 {
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 20, .duration_s = 1, .count = 40);
@@ -34,7 +32,8 @@
 }
 
 /*
- * Small jobs keep coming for minutes: the largest start all the same, and every team is served.
+ * Jobs are submitted continuously for minutes: the largest jobs and those of every team must start
+ * nevertheless.
  */
 static void sustained_submissions(int variant)
 {
@@ -47,12 +46,10 @@
 		inject_leader_down_within(50, 50, sim_random_between(5, 20));
 }
 
-/*
- * A cancellation, a status query, a duplicate submission at the completion of a job's last task.
- */
+/* Jobs are cancelled, queried and submitted again as their last task completes. */
 static void cancel_at_completion(int variant)
 {
-	/* By itself, and where writes or their replies are late. */
+	/* Without another fault, or with late writes or replies of the key-value store. */
 	if (variant % 3 == 1)
 		SIM_INJECT(FAULT_DELAYED_WRITES, .start_s = 20, .duration_s = 90, .magnitude = 0.4);
 	if (variant % 3 == 2)
@@ -61,7 +58,7 @@
 	SIM_INJECT(FAULT_INVALID_REQUESTS, .start_s = 20, .duration_s = 80);
 }
 
-/* Users read at all nodes within milliseconds of every reply to them, and submit again. */
+/* Users query all nodes, and submit again, within milliseconds of each change of their job. */
 static void concurrent_reads(int variant)
 {
 	SIM_INJECT(FAULT_CONCURRENT_READS, .start_s = 1, .duration_s = 100);
@@ -74,7 +71,7 @@
 		inject_leader_down_within(40, 20, sim_random_between(1, 9));
 }
 
-/* Every team is at its quota, and the machines of what is cancelled are partitioned or hang. */
+/* Every team is at its quota, and the machines of cancelled jobs are partitioned or hang. */
 static void all_quotas_reached(int variant)
 {
 	double start_s = sim_random_between(48, 58);
@@ -88,11 +85,11 @@
 	inject_cancel_running(start_s + sim_random_between(4, 9), 6, variant % 3 ? 5 : 0);
 }
 
-/* One-task jobs, four a second, of which a quarter is cancelled. */
+/* Jobs of one task, four per second, of which a quarter are cancelled. */
 static void small_jobs(int variant)
 {
-	/* Submitted, placed by the write-ahead log or a record, and three at its end; the rest is
-	 * shared. */
+	/* One for the submission, one for the placement in the write-ahead log or a record, and
+	 * three at the end of the job; jobs share the other changes. */
 	sim.max_kv_changes_per_job = 6;
 	for (int i = 0; i < 200; i++) {
 		struct sim_job *job = sim_job_add_random(8 + 0.25 * i);
@@ -112,7 +109,7 @@
 		inject_leader_down(sim_random_between(25, 50), 8);
 }
 
-/* Controllers that compute several times slower, with more work and a change of leader. */
+/* All controllers are several times slower, with more jobs and, in most variants, a failover. */
 static void slow_controllers(int variant)
 {
 	double start_s = sim_random_between(25, 35);
@@ -126,7 +123,7 @@
 	inject_cancel_running(start_s + 30, 4, 0);
 }
 
-/* Eight times as many status queries, while the leader changes. */
+/* Eight times as many status queries, during a failover. */
 static void status_query_storm(int variant)
 {
 	double start_s = sim_random_between(40, 50);
@@ -146,7 +143,7 @@
          .inject_faults = quota_reached_at_failover,
          .first_variant = 0,
          .variant_count = 3,
-         .protects = "tasks.c: whatever may be on a machine counts; reconciliation.c"},
+         .protects = "tasks.c: every task that may be on a machine counts; reconciliation.c"},
 	{.name = "quota_reached_at_failover",
          .seed_name = "at_limit",
          .inject_faults = quota_reached_at_failover,
@@ -183,19 +180,19 @@
          .first_variant = 163,
          .variant_count = 1,
          .protects = "status_from_leader.c: undecided states"},
-	/* Found here: two jobs that may each preempt the other, by priority and by quota. */
+	/* Guards against two jobs that preempt each other, one by priority and one by quota. */
 	{.name = "concurrent_reads",
          .seed_name = "close_looks",
          .inject_faults = concurrent_reads,
          .first_variant = 132,
          .variant_count = 1,
-         .protects = "schedule_preemption.c: could_preempt_in_turn"},
+         .protects = "schedule_preemption.c: could_be_preempted_back"},
 	{.name = "all_quotas_reached",
          .seed_name = "all_limits",
          .inject_faults = all_quotas_reached,
          .first_variant = 0,
          .variant_count = 1,
-         .protects = "tasks.c: whatever may be on a machine counts"},
+         .protects = "tasks.c: every task that may be on a machine counts"},
 	{.name = "small_jobs",
          .seed_name = "small_jobs",
          .inject_faults = small_jobs,
@@ -207,13 +204,13 @@
          .inject_faults = slow_controllers,
          .first_variant = 1,
          .variant_count = 1,
-         .protects = "election.c, lease_renewal.c: what is urgent and what is too late"},
+         .protects = "election.c, lease_renewal.c: urgent coroutines and deadlines"},
 	{.name = "status_query_storm",
          .seed_name = "poll_storm",
          .inject_faults = status_query_storm,
          .first_variant = 0,
          .variant_count = 1,
-         .protects = "job_lookup.c: fl_job_lookup_within_budget"},
+         .protects = "job_lookup.c: fl_job_lookup_take_budget"},
 };
 
 const struct combination_group load_combinations = {combinations,
--- a/tests/fault_combinations_random.c
+++ b/tests/fault_combinations_random.c
@@ -1,4 +1,4 @@
-/* Combinations drawn at random, by the seed of the variant. */
+/* Combinations of random faults, drawn with the seed of the variant. */
 #include "fault_combinations.h"
 
 #include "sim.h"
@@ -61,7 +61,7 @@
 	sim_fault_inject(&fault);
 }
 
-/* Pairs and triples, at least one of them of the kinds that random_faults does not draw. */
+/* Pairs and triples with one of `first_kinds`, most of which random_faults does not draw. */
 static void random_timing_faults(int variant)
 {
 	static const enum sim_fault_kind first_kinds[] = {
@@ -86,13 +86,13 @@
          .inject_faults = random_faults,
          .first_variant = 0,
          .variant_count = 14,
-         .protects = "all of them"},
+         .protects = "the code that the other combinations test"},
 	{.name = "random_timing_faults",
          .seed_name = "chance_timing",
          .inject_faults = random_timing_faults,
          .first_variant = 1,
          .variant_count = 9,
-         .protects = "all of them"},
+         .protects = "the code that the other combinations test"},
 };
 
 const struct combination_group random_combinations = {
--- a/tests/fault_combinations_workers.c
+++ b/tests/fault_combinations_workers.c
@@ -1,16 +1,13 @@
-/*
- * Combinations around machines: partitions, hangs, and heartbeats and commands that arrive late.
- */
+/* Combinations around machines: partitions, hangs, and late heartbeats and commands. */
 #include "copy_text.h"
 #include "fault_combinations.h"
 
 #include "sim.h"
 
-/* A stale heartbeat arrives after newer ones, also from an earlier incarnation or attempt. */
+/* Stale heartbeats arrive after newer ones, some from an earlier incarnation or attempt. */
 static void stale_heartbeats(int variant)
 {
-	/* Tasks that checkpoint for long: a heartbeat from before their start may come meanwhile.
-	 */
+	/* Long checkpoints, during which a heartbeat from before the task's start may arrive. */
 	for (int i = 0; i < sim.job_count; i++) {
 		struct fl_job_spec *spec = &sim.jobs[i].spec;
 
@@ -29,7 +26,7 @@
 		inject_leader_down(sim_random_between(70, 85), 10);
 }
 
-/* Machines that reach no controller, while direct commands reach them. */
+/* Heartbeats of some machines are lost, while direct commands reach the machines. */
 static void one_way_partition(int variant)
 {
 	double start_s = sim_random_between(35, 55);
@@ -56,7 +53,7 @@
 		inject_leader_down(start_s + 6, 10);
 }
 
-/* A heartbeat is held back until a new leader has acted, and arrives there. */
+/* Heartbeats are held until a new leader may have acted, and then arrive. */
 static void heartbeats_delayed_past_failover(int variant)
 {
 	double start_s = sim_random_between(40, 55);
@@ -71,7 +68,7 @@
 	inject_cancel_running(start_s + sim_random_between(2, 8), 4, 0);
 }
 
-/* Jobs bound to one zone, arrays too, lose machines. */
+/* Machines end while jobs that are bound to one zone, including arrays, run there. */
 static void zonal_machine_loss(int variant)
 {
 	double start_s = sim_random_between(40, 55);
@@ -93,7 +90,7 @@
 		SIM_INJECT(FAULT_CLOUD_UNAVAILABLE, .start_s = start_s, .duration_s = 15);
 }
 
-/* A command or its reply is delayed for seconds by a hung machine, which then resumes. */
+/* Commands and replies are delayed for seconds by hung machines that resume, or are lost. */
 static void hung_machines_and_lost_replies(int variant)
 {
 	double start_s = 20, hang_s;
@@ -115,7 +112,7 @@
 		inject_leader_down(50, 10);
 }
 
-/* A command of a leader that has since stopped or been replaced arrives after the next one's. */
+/* Commands of a leader that was stopped or replaced arrive after those of the next leader. */
 static void stale_leader_command(int variant)
 {
 	double start_s = sim_random_between(42, 55);
@@ -142,7 +139,7 @@
 	inject_cancel_running(start_s + sim_random_between(4, 9), 4, 0);
 }
 
-/* Direct commands delayed for seconds, and executed when nobody waits for them any more. */
+/* Direct commands are executed seconds late, when the leader no longer waits for a response. */
 static void delayed_command(int variant)
 {
 	double start_s = sim_random_between(25, 35), hang_s;
@@ -162,7 +159,7 @@
 		           .magnitude = 0.3);
 }
 
-/* Machines that boot at once get work while writes lag, and the leader stops. */
+/* Machines that boot early get tasks while writes are slow or delayed, and the leader stops. */
 static void irregular_boots(int variant)
 {
 	double start_s = sim_random_between(30, 45);
@@ -181,7 +178,7 @@
 	inject_cancel_running(start_s + sim_random_between(-1, 5), 3, 0);
 }
 
-/* Heartbeats are held, and reach every controller just as the next leader begins. */
+/* Heartbeats are held, and reach every controller just before the next leader takes over. */
 static void heartbeats_held_for_next_leader(int variant)
 {
 	double start_s = sim_random_between(42, 52);
@@ -204,7 +201,7 @@
 	}
 }
 
-/* Images that are fetched at once take long, while leaders change and jobs are cancelled. */
+/* Concurrent image fetches take long, during a failover and cancellations. */
 static void shared_image_bandwidth(int variant)
 {
 	double start_s = sim_random_between(25, 40);
@@ -228,7 +225,7 @@
          .inject_faults = stale_heartbeats,
          .first_variant = 0,
          .variant_count = 3,
-         .protects = "reconciliation_contact.c: fl_reconcile_is_newer, "
+         .protects = "reconciliation_contact.c: fl_reconcile_heartbeat_is_newer, "
                      "fl_reconcile_predates_leadership"},
 	{.name = "one_way_partition",
          .seed_name = "mute",
@@ -249,7 +246,7 @@
          .first_variant = 0,
          .variant_count = 3,
          .protects = "reconciliation_contact.c: fl_reconcile_predates_leadership, "
-                     "fl_reconcile_is_newer"},
+                     "fl_reconcile_heartbeat_is_newer"},
 	{.name = "zonal_machine_loss",
          .seed_name = "zone_loses",
          .inject_faults = zonal_machine_loss,
@@ -262,7 +259,7 @@
          .first_variant = 0,
          .variant_count = 3,
          .protects = "reconciliation_unreported.c: absence_is_conclusive; "
-                     "reconciliation_reported.c: may_forget"},
+                     "reconciliation_reported.c: forget_is_safe"},
 	{.name = "stale_leader_command",
          .seed_name = "old_command",
          .inject_faults = stale_leader_command,
@@ -276,20 +273,20 @@
          .first_variant = 1,
          .variant_count = 2,
          .protects = "reconciliation_unreported.c: absence_is_conclusive; "
-                     "reconciliation_reported.c: may_forget, the fencing token of direct "
+                     "reconciliation_reported.c: forget_is_safe, the fencing token of direct "
                      "starts"},
 	{.name = "irregular_boots",
          .seed_name = "quick_machines",
          .inject_faults = irregular_boots,
          .first_variant = 0,
          .variant_count = 1,
-         .protects = "tasks.c: fl_task_durable, before a start"},
+         .protects = "tasks.c: fl_task_change_is_durable, before a start"},
 	{.name = "irregular_boots",
          .seed_name = "quick_machines",
          .inject_faults = irregular_boots,
          .first_variant = 141,
          .variant_count = 1,
-         .protects = "tasks.c: fl_task_durable, before a start"},
+         .protects = "tasks.c: fl_task_change_is_durable, before a start"},
 	{.name = "heartbeats_held_for_next_leader",
          .seed_name = "report_for_next",
          .inject_faults = heartbeats_held_for_next_leader,
@@ -307,13 +304,13 @@
          .inject_faults = heartbeats_held_for_next_leader,
          .first_variant = 241,
          .variant_count = 1,
-         .protects = "schedule_preemption.c: could_preempt_in_turn"},
+         .protects = "schedule_preemption.c: could_be_preempted_back"},
 	{.name = "shared_image_bandwidth",
          .seed_name = "shared_fetches",
          .inject_faults = shared_image_bandwidth,
          .first_variant = 0,
          .variant_count = 1,
-         .protects = "schedule.c, reconciliation.c: tasks that fetch their image count"},
+         .protects = "schedule.c, reconciliation.c: tasks that fetch their image are counted"},
 };
 
 const struct combination_group workers_combinations = {
--- a/tests/kv_model.c
+++ b/tests/kv_model.c
@@ -7,7 +7,7 @@
 
 #include "transport/clock.h"
 
-/* In every build, also where assert() is compiled out. */
+/* Aborts unless the condition holds, also in builds without assert(). */
 static void require(bool holds)
 {
 	if (!holds)
@@ -89,7 +89,7 @@
 
 uint64_t kv_model_lease_grant(struct kv_model *model, double ttl_s)
 {
-	/* The protocol's limits. */
+	/* The protocol's limits of the duration, and the model's number of leases. */
 	require(ttl_s >= 0.1 && ttl_s <= 600 && model->lease_count < KV_MODEL_LEASES_MAX);
 	model->leases[model->lease_count++] =
 		(struct kv_lease){++model->last_lease_id, ttl_s, fl_now() + ttl_s};
@@ -129,7 +129,7 @@
 		model->leases[i].expires_at = fl_now() + model->leases[i].ttl_s;
 }
 
-/* ---- the whole ---- */
+/* ---- leader, and end of the model ---- */
 
 void kv_model_leader_node(const struct kv_model *model, char node[KV_MODEL_KEY_SIZE])
 {
--- a/tests/kv_model.h
+++ b/tests/kv_model.h
@@ -1,10 +1,10 @@
 /*
- * The key-value store as the protocol describes it, for the fakes that serve it: keys with
- * revisions, the events of their changes in order, and leases. What differs between the fakes
- * (virtual or real time, faults, HTTP) is theirs; the model runs on the clock of fl_now() and on
- * the conditions of the coroutines, whichever are linked. A transaction is applied whole or not at
- * all, and all of its changes get one revision. Nothing here fails: what a correct controller never
- * sends aborts the test.
+ * A model of the key-value store as its protocol describes it, for the fakes that serve it: keys
+ * with revisions, the ordered events of their changes, and leases. Each fake adds its own faults
+ * and transport; time is real or virtual, depending on which fl_now() and coroutine conditions are
+ * linked. A transaction is applied completely or not at all, and all its changes get the same
+ * revision. No function returns an error: a lease that a correct controller never requests aborts
+ * the test.
  */
 #ifndef FL_TESTS_KV_MODEL_H
 #define FL_TESTS_KV_MODEL_H
@@ -24,18 +24,18 @@
 	char key[KV_MODEL_KEY_SIZE];
 	char *value; /* JSON text */
 	uint64_t mod_revision;
-	uint64_t lease_id; /* 0: none */
+	uint64_t lease_id; /* lease that the key is attached to; 0: none */
 };
 
 struct kv_event {
 	char key[KV_MODEL_KEY_SIZE];
-	char *value; /* NULL: deleted */
+	char *value; /* JSON text; NULL: the key was deleted */
 	uint64_t mod_revision;
 };
 
 struct kv_lease {
 	uint64_t lease_id;
-	double ttl_s, expires_at; /* steady clock */
+	double ttl_s, expires_at; /* expires_at: monotonic clock, s */
 };
 
 struct kv_model {
@@ -45,48 +45,52 @@
 	struct kv_lease leases[KV_MODEL_LEASES_MAX];
 	int lease_count;
 	uint64_t revision, last_lease_id;
-	struct fl_condition changed; /* broadcast at each event */
-	/* Called before a put, with the entry so far or NULL; may be NULL itself. */
+	struct fl_condition changed; /* broadcast when an event is added */
+	/* If not NULL, called before each put; `old` is the key's entry, or NULL for a new key. */
 	void (*before_put)(const struct kv_entry *old, const char *key, const char *value);
 };
 
 /* ---- data ---- */
 
 struct kv_entry *kv_model_find(const struct kv_model *model, const char *key);
-/* At the model's revision; takes the value. */
+/* Sets a key at the model's current revision; takes ownership of the value. */
 void kv_model_put(struct kv_model *model, const char *key, char *value, uint64_t lease_id);
 void kv_model_delete(struct kv_model *model, struct kv_entry *entry);
-/* The first event above the revision whose key has the prefix; -1: none. */
+/* Returns the index of the first event after the revision whose key has the prefix; -1: none. */
 int kv_model_first_event_index(const struct kv_model *model, const char *prefix, uint64_t revision);
 
+/* Returns the id of the new lease. */
 uint64_t kv_model_lease_grant(struct kv_model *model, double ttl_s);
-/* The lease's index; -1: there is none, or no more. */
+/* Returns the index of a lease; -1: it never existed or has ended. */
 int kv_model_lease_index(const struct kv_model *model, uint64_t lease_id);
-/* Deletes the keys that hang on it, too. */
+/* Ends the lease and deletes the keys attached to it. */
 void kv_model_lease_revoke(struct kv_model *model, int index);
-/* Revokes those whose time is up. */
+/* Revokes all expired leases. */
 void kv_model_leases_expire(struct kv_model *model);
-/* All have their full time again. */
+/* Renews all leases. */
 void kv_model_leases_renew(struct kv_model *model);
 
-/* The node that the leader's key names, or an empty string. */
+/* Stores in `node` the node that the leader's key names, or an empty string. */
 void kv_model_leader_node(const struct kv_model *model, char node[KV_MODEL_KEY_SIZE]);
 void kv_model_free(struct kv_model *model);
 
 /* ---- requests ---- */
 
-/* The value of a query's parameter, whose name ends in '='; an empty string if it is missing. */
+/*
+ * Copies the value of a query's parameter to `out` and returns it; an empty string if it is
+ * missing. `name` ends in '='.
+ */
 const char *kv_model_query_param(const char *query, const char *name, char *out, size_t size);
 
 void kv_model_serve_get(const struct kv_model *model, const char *key,
                         struct fl_http_response *response);
-/* At most `limit` keys a reply. */
+/* Responds with at most `limit` keys. */
 void kv_model_serve_list(const struct kv_model *model, const char *query, int limit,
                          struct fl_http_response *response);
-/* The events from this index on, which may be -1; the caller has waited for them. */
+/* Responds with the prefix's events from index `first` on, or none if it is -1; does not wait. */
 void kv_model_serve_events(const struct kv_model *model, const char *prefix, int first,
                            struct fl_http_response *response);
-/* Grants, renews and revokes. */
+/* Serves a request to grant, renew or revoke a lease. */
 void kv_model_serve_lease(struct kv_model *model, const struct fl_http_request *request,
                           struct fl_http_response *response);
 void kv_model_serve_transaction(struct kv_model *model, const cJSON *transaction,
--- a/tests/kv_model_requests.c
+++ b/tests/kv_model_requests.c
@@ -1,4 +1,4 @@
-/* The requests that the key-value store's model answers, in the protocol's JSON. */
+/* The requests to the model of the key-value store, in the protocol's JSON. */
 #include "kv_model.h"
 
 #include <stdlib.h>
@@ -67,7 +67,7 @@
 	              (*(const struct kv_entry *const *)right)->key);
 }
 
-/* Those with the prefix that come after `after`, sorted; the array is the caller's. */
+/* Returns the entries with the prefix after the key `after`, sorted; the caller frees the array. */
 static const struct kv_entry **sorted_entries(const struct kv_model *model, const char *prefix,
                                               const char *after, int *count)
 {
@@ -175,7 +175,7 @@
 	return false;
 }
 
-/* The keys whose revisions are others than the transaction expects. */
+/* Returns the keys whose revisions differ from those that the transaction expects. */
 static cJSON *failed_conditions(const struct kv_model *model, const cJSON *conditions)
 {
 	cJSON *failed = cJSON_CreateArray();
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -1,4 +1,4 @@
-/* The leader of the simulation for reconciliation, its records and its messages. */
+/* The leader of the reconciliation simulation, its records and its messages. */
 #include "reconciliation_sim.h"
 
 #include <setjmp.h>
@@ -15,7 +15,7 @@
 #include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
-static const double far_future_s = 1e18;
+static const double far_future_s = 1e18; /* monotonic clock */
 
 int random_below(struct simulation *sim, int count)
 {
@@ -61,7 +61,7 @@
 		++sim->fencing_token;
 }
 
-/* NULL if nothing was written yet. */
+/* Returns NULL if nothing has been written yet. */
 static cJSON *parse_stored_value(const char *text)
 {
 	return text ? fl_json_parse(text, strlen(text)) : NULL;
@@ -139,7 +139,7 @@
 
 /* ---- records ---- */
 
-/* Adds to the value what no record of the job holds; false if there is nothing. */
+/* Adds the changes that the job's record lacks to the value; returns false if there are none. */
 static bool add_wal_group(struct simulation *sim, struct fl_job *job, cJSON *value)
 {
 	struct fl_task_block *block;
@@ -154,7 +154,7 @@
 	return true;
 }
 
-/* In one or more values. */
+/* Writes the unsaved changes of all jobs to one or more values of the log. */
 static void save_wal(struct simulation *sim)
 {
 	cJSON *values[WAL_VALUES] = {NULL};
@@ -194,7 +194,7 @@
 		save_wal(sim);
 		return;
 	}
-	/* Records follow one by one, in any order. */
+	/* Each record is written separately, so any subset of them may be. */
 	for (int job = 0; job < JOBS; job++)
 		if (!random_below(sim, 2))
 			save_record(sim, job);
@@ -288,7 +288,7 @@
 	text = fl_command_list_take(&commands);
 	if (random_below(sim, 2))
 		deliver_command_now(sim, worker, text);
-	/* Late, or once more after it was executed. */
+	/* The command may arrive late, also after it has been executed. */
 	queue_message(sim, worker, text, true);
 }
 
@@ -305,7 +305,7 @@
 		deliver_heartbeat(sim, message->worker, message->text, FL_HEARTBEAT_FROM_DIGEST);
 }
 
-/* ---- cases ---- */
+/* ---- setup and teardown ---- */
 
 static void configure_cluster(struct fl_cluster *cluster)
 {
--- a/tests/reconciliation_workers.c
+++ b/tests/reconciliation_workers.c
@@ -1,4 +1,4 @@
-/* The workers of the simulation for reconciliation, and the invariants on what they run. */
+/* The workers of the reconciliation simulation, and the invariants of the tasks they run. */
 #include "reconciliation_sim.h"
 
 #include <setjmp.h>
@@ -14,7 +14,7 @@
 #include "copy_text.h"
 #include "worker_command.h"
 
-enum { TEAM_CPUS_MAX = 6 /* one a task */ };
+enum { TEAM_CPUS_MAX = 6 /* one per task */ };
 
 void format_ref(int job, char ref[FL_REF_MAX]) { snprintf(ref, FL_REF_MAX, "run-%06d", job); }
 
@@ -105,7 +105,7 @@
 	for (int i = 0; i < WORKER_TASKS; i++)
 		if (!worker->tasks[i].used)
 			return &worker->tasks[i];
-	fail_msg("a worker's table is full: no task is ever forgotten");
+	fail_msg("worker has no unused task slot; exited tasks were not forgotten");
 	return NULL;
 }
 
--- a/tests/simulation_fixture.h
+++ b/tests/simulation_fixture.h
@@ -1,4 +1,4 @@
-/* A simulation of a leader and its workers for each test, as setup and teardown of cmocka. */
+/* Setup and teardown functions of cmocka: a simulated leader and its workers for each test. */
 #ifndef FL_TESTS_SIMULATION_FIXTURE_H
 #define FL_TESTS_SIMULATION_FIXTURE_H
 
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -1,11 +1,11 @@
 /*
- * Combinations of faults: several controllers' real coordination code in virtual time, against
- * fakes of everything else, and an invariant checker that knows the protocol's rules and nothing of
- * the code under test.
+ * Combinations of faults: the real coordination code of several controllers runs in virtual time
+ * against fakes of all external systems. The invariant checker is written from the protocol's rules
+ * and uses nothing of the code under test.
  *
- * test_fault_combinations [NAME [VARIANT [COUNT]]] runs one combination, one variant of it, or so
- * many from that one on. SIM_VERBOSE=1 prints a summary of each, SIM_JOBS=1 its faults and jobs,
- * SIM_LOG=debug the controllers' logs.
+ * test_fault_combinations [NAME [VARIANT [COUNT]]] runs all combinations, one of them, one variant
+ * of it, or COUNT variants beginning with VARIANT. SIM_VERBOSE=1 prints a summary of each run,
+ * SIM_JOBS=1 its faults and jobs, SIM_LOG=debug the controllers' logs.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -24,7 +24,7 @@
 struct sim sim;
 
 enum {
-	/* Of one task, in some 200 s: by losses, refusals and stops. At most nine were seen. */
+	/* Of one task, in about 200 s; losses, refusals and stops cause nine starts at most. */
 	MAX_TASK_STARTS = 30,
 	MAX_CASES = 256
 };
@@ -89,13 +89,13 @@
 	return 0;
 }
 
-/* ---- what is printed ---- */
+/* ---- printed results ---- */
 
 static void print_summary(const struct test_case *test_case)
 {
 	print_message("%s: seed=%llu nodes=%d zones=%d lease_s=%g duration_s=%.0f jobs=%d "
-	              "machines=%d starts=%d completions=%d status_queries=%d late_starts=%d "
-	              "max_task_starts=%d\n%s",
+	              "machines=%d starts=%d completions=%d status_queries=%d "
+	              "starts_after_cancellation=%d max_task_starts=%d\n%s",
 	              test_case->name, (unsigned long long)case_seed(test_case), sim.node_count,
 	              sim.zone_count, sim.lease_s, sim.duration_s, sim.job_count, sim.machine_count,
 	              sim.starts, sim.completions, sim.status_queries,
@@ -142,13 +142,14 @@
 
 static void check_run_bounds(void)
 {
-	/* Found here: an array that was started and stopped in turn, 212 times, because the job for
-	 * which it was preempted never took the capacity. */
+	/* Guards against endless preemption: an array was started and stopped 212 times, because
+	 * the job for which it was preempted never used the capacity. */
 	if (sim.max_task_starts > MAX_TASK_STARTS)
-		sim_violation("churn", "one task was started %d times", sim.max_task_starts);
+		sim_violation("task_starts", "task started too often starts=%d",
+		              sim.max_task_starts);
 	if (sim.max_kv_changes_per_job > 0 &&
 	    sim_kv_change_count() > sim.max_kv_changes_per_job * sim.job_count)
-		sim_violation("writes", "%d changes in the key-value store for %d jobs",
+		sim_violation("kv_changes", "key-value store changed too often changes=%d jobs=%d",
 		              sim_kv_change_count(), sim.job_count);
 }
 
@@ -162,11 +163,11 @@
 	check_run_bounds();
 	print_result(test_case);
 	if (sim.violation_count > 0)
-		fail_msg("%s: %d invariants violated; it protects: %s", test_case->name,
+		fail_msg("%s: %d invariants violated; code under test: %s", test_case->name,
 		         sim.violation_count, test_case->combination->protects);
 }
 
-/* ---- choosing ---- */
+/* ---- selection of cases ---- */
 
 struct case_list {
 	struct test_case cases[MAX_CASES];
@@ -191,7 +192,7 @@
 	};
 }
 
-/* What the arguments ask for: NAME, VARIANT and COUNT, each optional. */
+/* Adds the cases that the arguments NAME, VARIANT and COUNT select; each is optional. */
 static void add_selected_cases(struct case_list *list, const struct combination *combination,
                                int argc, char **argv)
 {
@@ -202,8 +203,7 @@
 	if (argc > 2) {
 		first = atoi(argv[2]);
 		count = argc > 3 ? atoi(argv[3]) : 1;
-		/* Variants that are asked for run once, also of a combination that is listed
-		 * several times. */
+		/* Requested variants run once, even if the combination is listed several times. */
 		if (list->count > 0)
 			return;
 	}
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -1,8 +1,8 @@
 /*
- * A site of some 4,000 machines with full load, in virtual time: start, heartbeats, scheduling, a
- * failover, a restart of all controllers, and a cloud list of many pages. No limit of ours stands
- * below that, no record or transaction grows beyond the key-value store's limits, and the work is
- * bounded by counts.
+ * A site of about 4,000 machines at full load, in virtual time: start, heartbeats, scheduling, a
+ * failover, a restart of all controllers, and a cloud list of many pages. Guards against an
+ * internal limit below this size, against records and transactions beyond the key-value store's
+ * limits, and against more requests than the bounds allow.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,16 +20,17 @@
 #include "transport/log.h"
 
 enum {
-	CLOUD_CAPACITY = 350, /* machines of each type, zone and kind of rental; 4,200 in all */
+	CLOUD_CAPACITY = 350, /* machines per type, zone, and spot or on-demand; 4,200 in all */
 	JOBS = 16,
 	TASKS_PER_JOB = 501,
 	TASKS_PER_MACHINE = 2,
 	TASKS = JOBS * TASKS_PER_JOB,
 	MACHINES = TASKS / TASKS_PER_MACHINE, /* 4,008 */
-	UNLIMITED_QUOTA = 1000000
+	UNLIMITED_QUOTA = 1000000             /* CPUs or GPUs, more than the site has */
 };
 
-static const double all_started_s = 110; /* s after which everything has started */
+/* Seconds since the beginning of the run. */
+static const double all_started_s = 110; /* by then, all tasks have started */
 static const double leader_down_s = 115, all_down_s = 145, run_duration_s = 200;
 
 struct sim sim;
@@ -43,7 +44,7 @@
 	sim.zone_count = SIM_ZONES;
 	sim.cloud_capacity = CLOUD_CAPACITY;
 	sim.reliable_machines = true;
-	/* As rarely as the number of heartbeats in the test asks for. */
+	/* A long interval, which keeps the number of heartbeats in the test low. */
 	sim.heartbeat_interval_s = 10;
 	sim.lease_s = 40;
 	sim.cancel_s = 100;
@@ -55,7 +56,7 @@
 	}
 }
 
-/* An array of whose tasks two fit on each machine; they outlive the test. */
+/* Adds an array whose tasks outlast the test; two of them fit on each machine. */
 static void add_job(void)
 {
 	struct sim_job *job = sim_job_add_random(sim_random_between(0, 5));
@@ -103,7 +104,7 @@
 	return 0;
 }
 
-/* Machines that are up and run as many tasks as they hold. */
+/* Returns the number of machines that are up and run as many tasks as fit on them. */
 static int full_machine_count(void)
 {
 	int count = 0;
@@ -123,8 +124,8 @@
 static void run_until(double seconds) { sim_time_run(sim.started_at + seconds); }
 
 /*
- * Seen were 871 changes, 3,635 requests to the key-value store, 559 to the cloud, and 62,396
- * between controllers for 95,362 heartbeats and users' requests.
+ * Checks upper bounds. The run has 871 changes and 3,635 requests of the key-value store, 559
+ * requests to the cloud, and 62,396 between controllers for 95,362 heartbeats and users' requests.
  */
 static void check_request_counts(void)
 {
@@ -147,7 +148,7 @@
 	assert_int_equal(full_machine_count(), MACHINES);
 	assert_int_equal(sim.starts, TASKS);
 	run_until(run_duration_s);
-	/* Through a failover and a restart of all controllers nothing is lost or started again. */
+	/* The failover and the restart of all controllers lost no task and started none again. */
 	assert_int_equal(full_machine_count(), MACHINES);
 	assert_int_equal(sim.starts, TASKS);
 	for (int i = 0; i < sim.machine_count; i++)
