--- a/src/coordination/api/status_from_leader.c
+++ b/src/coordination/api/status_from_leader.c
@@ -45,7 +45,7 @@
 
 	if (job)
 		return fl_live_job_report(job);
-	return (struct fl_job_status_report){.known = true, .status = FL_PENDING};
+	return (struct fl_job_status_report){.status_known = true, .status = FL_PENDING};
 }
 
 enum fl_record_result fl_job_status_from_record(struct fl_node *node, const char *ref,
@@ -97,7 +97,7 @@
 	struct fl_job_status_report report = fl_job_status_from_memory(&node->cluster, ref);
 	enum fl_record_result result;
 
-	if (report.known) {
+	if (report.status_known) {
 		fl_respond_job_status(response, ref, &report);
 		return;
 	}
--- a/src/coordination/api/status_from_records.c
+++ b/src/coordination/api/status_from_records.c
@@ -32,7 +32,7 @@
 
 	snprintf(key, sizeof(key), FL_PREFIX_PROGRESS "%s/", ref);
 	fl_kv_list(kv_store, key, add_task_block_counts, &progress, &revision);
-	return (struct fl_job_status_report){.known = true,
+	return (struct fl_job_status_report){.status_known = true,
 	                                     .status = progress.placed_count ? FL_RUNNING
 	                                                                     : FL_PENDING,
 	                                     .done_count = progress.done_count,
--- a/src/coordination/api/status_query_batch.c
+++ b/src/coordination/api/status_query_batch.c
@@ -29,8 +29,8 @@
 struct status_batch {
 	struct fl_batch base; /* must be first: see fl_batch */
 	int count;
-	char refs[FL_STATUS_QUERY_MAX][FL_REF_MAX];
-	struct fl_job_status_report reports[FL_STATUS_QUERY_MAX];
+	char refs[FL_STATUS_QUERY_JOBS_MAX][FL_REF_MAX];
+	struct fl_job_status_report reports[FL_STATUS_QUERY_JOBS_MAX];
 };
 
 static char *encode_queries(const void *context, const struct fl_forward_flags *flags)
@@ -70,7 +70,7 @@
 	struct status_batch *batch = (struct status_batch *)queue->open_batch;
 
 	if (batch)
-		return batch->count < FL_STATUS_QUERY_MAX ? batch : NULL;
+		return batch->count < FL_STATUS_QUERY_JOBS_MAX ? batch : NULL;
 	batch = calloc(1, sizeof(*batch));
 	if (batch)
 		fl_batch_begin(queue, &batch->base);
@@ -81,7 +81,7 @@
 static enum fl_query_result respond_from_batch(const struct status_batch *batch, int index,
                                                struct fl_http_response *response)
 {
-	if (!batch->reports[index].known)
+	if (!batch->reports[index].status_known)
 		return FL_QUERY_NOT_IN_MEMORY;
 	fl_respond_job_status(response, batch->refs[index], &batch->reports[index]);
 	return FL_QUERY_ANSWERED;
@@ -114,8 +114,8 @@
 void fl_status_query_serve(struct fl_node *node, const char *body, size_t len,
                            struct fl_http_response *response)
 {
-	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_MAX, sizeof(*refs));
-	struct fl_job_status_report *reports = calloc(FL_STATUS_QUERY_MAX, sizeof(*reports));
+	char(*refs)[FL_REF_MAX] = calloc(FL_STATUS_QUERY_JOBS_MAX, sizeof(*refs));
+	struct fl_job_status_report *reports = calloc(FL_STATUS_QUERY_JOBS_MAX, sizeof(*reports));
 	enum fl_decode_result result = FL_DECODE_NO_MEMORY;
 	int count = 0;
 
--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -53,7 +53,7 @@
 	int count;
 
 	if (fl_autoscaler_await_call_budget(node) != FL_CALL_ALLOWED ||
-	    fl_cloud_machine_types(&node->cloud, &types, &count) != FL_CLOUD_OK)
+	    fl_cloud_get_machine_types(&node->cloud, &types, &count) != FL_CLOUD_OK)
 		return;
 	fl_machine_types_set(&node->cluster.machines, &node->cluster.zones, types, count);
 	store_machine_types(node, types, count);
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -158,7 +158,7 @@
 
 	for (int i = 0; i < autoscaler->request_count; i++) {
 		request = &autoscaler->requests[i];
-		if (same_kind(request->kind, kind) && request->count < FL_RENT_MAX)
+		if (same_kind(request->kind, kind) && request->count < FL_CLOUD_RENT_MACHINES_MAX)
 			return request;
 	}
 	if (autoscaler->request_count == FL_SCALE_OUT_REQUESTS_MAX)
--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -70,7 +70,8 @@
 		int count;
 
 		if (fl_autoscaler_await_call_budget(node) != FL_CALL_ALLOWED ||
-		    fl_cloud_list(&node->cloud, from, &listed, &count, &more) != FL_CLOUD_OK)
+		    fl_cloud_list_machines(&node->cloud, from, &listed, &count, &more) !=
+		            FL_CLOUD_OK)
 			return;
 		for (int i = 0; i < count; i++)
 			apply_listed_machine(node, &listed[i], fl_now(), known_count);
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -137,14 +137,16 @@
 }
 
 /* Chooses the machines to be returned, and marks them as draining; returns their number. */
-static int choose_machines_to_return(struct fl_node *node, struct fl_machine *chosen[FL_DELETE_MAX])
+static int choose_machines_to_return(struct fl_node *node,
+                                     struct fl_machine *chosen[FL_CLOUD_DELETE_MACHINES_MAX])
 {
 	double now = fl_now(), timeouts[FL_ZONES_MAX];
 	int count = 0;
 
 	fl_failure_detector_zone_timeouts(node, now, timeouts);
 	suspect_silent_zones(&node->autoscaler, now, timeouts);
-	for (int i = 0; i < node->cluster.machines.count && count < FL_DELETE_MAX; i++) {
+	for (int i = 0; i < node->cluster.machines.count && count < FL_CLOUD_DELETE_MACHINES_MAX;
+	     i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
 		enum scale_in_reason reason = scale_in_reason(node, machine, now, timeouts);
 
@@ -165,14 +167,14 @@
 
 void fl_autoscaler_scale_in(struct fl_node *node)
 {
-	struct fl_machine *chosen[FL_DELETE_MAX];
-	const char *names[FL_DELETE_MAX];
+	struct fl_machine *chosen[FL_CLOUD_DELETE_MACHINES_MAX];
+	const char *names[FL_CLOUD_DELETE_MACHINES_MAX];
 	int count = choose_machines_to_return(node, chosen);
 
 	for (int i = 0; i < count; i++)
 		names[i] = chosen[i]->name;
 	if (count == 0 || fl_autoscaler_await_call_budget(node) != FL_CALL_ALLOWED ||
-	    fl_cloud_delete(&node->cloud, names, count) != FL_CLOUD_OK)
+	    fl_cloud_delete_machines(&node->cloud, names, count) != FL_CLOUD_OK)
 		return;
 	for (int i = 0; i < count; i++) {
 		chosen[i]->lifecycle.scaled_in = true;
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -50,10 +50,10 @@
 
 		if (permission != FL_CALL_ALLOWED)
 			return permission;
-		rental->result = fl_cloud_rent(&node->cloud, &rental->call, &rental->hosts,
-		                               &rental->host_count);
+		rental->result = fl_cloud_rent_machines(&node->cloud, &rental->call, &rental->hosts,
+		                                        &rental->host_count);
 		if (rental->result != FL_CLOUD_OUTCOME_UNKNOWN &&
-		    rental->result != FL_CLOUD_UNREADABLE)
+		    rental->result != FL_CLOUD_UNEXPECTED_RESPONSE)
 			break;
 	}
 	return FL_CALL_ALLOWED;
--- a/src/coordination/follower/follower.c
+++ b/src/coordination/follower/follower.c
@@ -25,7 +25,7 @@
 		fl_respond_error(response, 400, "malformed heartbeat");
 		return;
 	}
-	heartbeat.entry_node = fl_node_index(node, node->config->node);
+	heartbeat.entry_node_index = fl_node_index(node, node->config->node);
 	target = fl_redirect_target(node, &heartbeat);
 	if (target) {
 		fl_debug("follower", "worker redirected machine=%s peer=%s", heartbeat.host,
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -67,7 +67,7 @@
 	double oldest_sent_at = sent_at;
 
 	/* If this node was suspended during the exchange, the reply may lack cancellations. */
-	if (!gossip->complete || !node->live_jobs_loaded ||
+	if (!gossip->cancellations_complete || !node->live_jobs_loaded ||
 	    fl_now() > sent_at + tunables.timeout_s + tunables.clock_slack_s / 2)
 		return;
 	peer->cancellations_complete_as_of = sent_at;
@@ -88,7 +88,7 @@
 		fl_leader_lease_step_down(node, "a peer reported a higher fencing token");
 	}
 	fl_leader_view_merge(&node->leader_view, gossip->fencing_token, gossip->leader,
-	                     sent_at - gossip->leadership_age_s);
+	                     sent_at - gossip->leader_confirmed_age_s);
 }
 
 /* Returns the seconds since `at`, at most AGE_MAX_S. */
@@ -107,7 +107,7 @@
 	gossip->cancelled = calloc((size_t)count + 1, sizeof(*gossip->cancelled));
 	if (!gossip->cancelled)
 		return;
-	gossip->complete = true;
+	gossip->cancellations_complete = true;
 	gossip->cancelled_count = count;
 	for (int i = 0; i < count; i++) {
 		fl_copy_string(gossip->cancelled[i].ref, sizeof(gossip->cancelled[i].ref),
@@ -122,9 +122,9 @@
 	fl_copy_string(gossip->node, sizeof(gossip->node), node->config->node);
 	fl_copy_string(gossip->leader, sizeof(gossip->leader), node->leader_view.leader);
 	gossip->fencing_token = node->leader_view.fencing_token;
-	gossip->leadership_age_s = seconds_since(node->leader_view.confirmed_at);
+	gossip->leader_confirmed_age_s = seconds_since(node->leader_view.confirmed_at);
 	gossip->watermark_age_s = seconds_since(node->cancellation_watermark);
-	gossip->is_leader = fl_leader_lease_is_valid(&node->leader_lease);
+	gossip->sender_is_leader = fl_leader_lease_is_valid(&node->leader_lease);
 }
 
 void fl_gossip_serve(struct fl_node *node, const char *body, size_t len,
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -125,8 +125,8 @@
 		if (used + len > limit)
 			break;
 		if (!digest)
-			digest = fl_digest_begin(node->leader_view.fencing_token);
-		fl_digest_add(digest, cached->digest_entry);
+			digest = fl_digest_create(node->leader_view.fencing_token);
+		fl_digest_add_heartbeat(digest, cached->digest_entry);
 		used += len;
 		cached->in_digest = true;
 		/* Moved to the end, so that a small write budget is shared by all machines. */
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -80,7 +80,7 @@
 	struct heartbeat_batch *batch = (struct heartbeat_batch *)queue->open_batch;
 
 	if (batch && (batch->count == FL_PEER_HEARTBEATS_MAX ||
-	              batch->bytes + len > FL_PEER_HEARTBEATS_BYTES)) {
+	              batch->bytes + len > FL_PEER_HEARTBEATS_BYTES_MAX)) {
 		fl_batch_close(queue);
 		batch = NULL;
 	}
@@ -89,7 +89,7 @@
 	batch = calloc(1, sizeof(*batch));
 	if (!batch)
 		return NULL;
-	batch->heartbeats = fl_heartbeat_list_begin();
+	batch->heartbeats = fl_heartbeat_list_create();
 	fl_batch_begin(queue, &batch->base);
 	return batch;
 }
@@ -115,7 +115,7 @@
 	struct heartbeat_batch *batch;
 	int index;
 
-	if (len > FL_PEER_HEARTBEATS_BYTES)
+	if (len > FL_PEER_HEARTBEATS_BYTES_MAX)
 		return FL_FORWARD_TOO_LARGE;
 	batch = find_or_begin_batch(queue, len);
 	if (!batch)
@@ -140,7 +140,7 @@
 	struct fl_heartbeat heartbeat;
 
 	if (fl_heartbeat_decode_json(item, &heartbeat) == FL_DECODE_OK) {
-		heartbeat.entry_node = fl_node_index(node, entry_node);
+		heartbeat.entry_node_index = fl_node_index(node, entry_node);
 		fl_leader_reply_respond(node, &heartbeat, &response);
 		fl_heartbeat_free(&heartbeat);
 	} else {
@@ -159,7 +159,7 @@
 	int count = 0;
 	const cJSON *item;
 
-	cJSON_ArrayForEach (item, message->list)
+	cJSON_ArrayForEach (item, message->heartbeat_list)
 		replies[count++] = answer_heartbeat(node, message->entry_node, item);
 	response->status = 200;
 	response->body = fl_heartbeat_replies_encode(replies, count);
@@ -172,7 +172,7 @@
 {
 	const cJSON *item;
 
-	cJSON_ArrayForEach (item, message->list) {
+	cJSON_ArrayForEach (item, message->heartbeat_list) {
 		struct fl_heartbeat heartbeat;
 
 		if (fl_heartbeat_decode_json(item, &heartbeat) != FL_DECODE_OK)
@@ -185,7 +185,8 @@
 static void forward_last_hop(struct fl_node *node, const struct fl_peer_heartbeats *message,
                              struct fl_http_response *response)
 {
-	struct heartbeat_request heartbeats = {(cJSON *)message->list, message->entry_node};
+	struct heartbeat_request heartbeats = {(cJSON *)message->heartbeat_list,
+	                                       message->entry_node};
 	struct fl_forward_request request = make_forward_request(&heartbeats, FL_HOP_LAST);
 	struct fl_http_reply reply;
 	enum fl_forward_result result = fl_forward_to_leader(node, &request, &reply);
@@ -197,7 +198,7 @@
 	}
 	if (result == FL_FORWARD_ANSWERED)
 		fl_buffer_free(&reply.body);
-	if (message->disconnected)
+	if (message->sender_kv_unavailable)
 		cache_heartbeats(node, message);
 	fl_respond_error(response, 421, "not the leader");
 }
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -96,7 +96,7 @@
 	fl_command_list_init(&commands, node->leader_view.fencing_token);
 	fl_renewal_add_stop_commands(&node->cluster, heartbeat, &commands);
 	response->status = 200;
-	response->body = fl_command_list_take(&commands);
+	response->body = fl_command_list_take_body(&commands);
 	fl_heartbeat_cache(node, heartbeat);
 	if (node->leadership.active)
 		fl_reconcile_record_renewal(node, heartbeat);
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -95,7 +95,7 @@
  */
 static bool own_links_failed(const struct fl_node *node, double last_exchange_at)
 {
-	double last_success_at = node->kv_store.last_success_at;
+	double last_success_at = node->kv_store.last_success_sent_at;
 
 	if (fl_now() > node->api.last_readiness_probe_at + tunables.readiness_probe_timeout_s)
 		return false;
--- a/src/coordination/machine_types.c
+++ b/src/coordination/machine_types.c
@@ -37,8 +37,8 @@
 
 	if (read_recorded_types(&node->kv_store, types, count))
 		return true;
-	result = fl_cloud_machine_types(&node->cloud, types, count);
-	if (result == FL_CLOUD_UNREADABLE)
+	result = fl_cloud_get_machine_types(&node->cloud, types, count);
+	if (result == FL_CLOUD_UNEXPECTED_RESPONSE)
 		fl_error("cloud", "machine type list unreadable; retried");
 	return result == FL_CLOUD_OK;
 }
--- a/src/coordination/persistence/final_record_writer.c
+++ b/src/coordination/persistence/final_record_writer.c
@@ -54,7 +54,7 @@
 
 static void finish_job(struct fl_node *node, struct fl_job *job, enum fl_job_status status)
 {
-	fl_info("jobs", "job finished job=%s status=%s", job->ref, fl_status_name(status));
+	fl_info("jobs", "job finished job=%s status=%s", job->ref, fl_job_status_name(status));
 	fl_job_finalise(&node->cluster, job, status);
 }
 
--- a/src/coordination/persistence/finished_jobs_loader.c
+++ b/src/coordination/persistence/finished_jobs_loader.c
@@ -36,7 +36,7 @@
 	while (fl_sleep(tunables.list_interval_s) == 0) {
 		if (digit > 9 || !fl_is_leader(node))
 			continue;
-		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_REF_BEGIN "%d", digit);
+		snprintf(prefix, sizeof(prefix), FL_PREFIX_FINISHED FL_JOB_REF_PREFIX "%d", digit);
 		if (fl_kv_list(&node->kv_store, prefix, on_finished_job, &node->cluster,
 		               &revision) == FL_KV_OK)
 			digit++;
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -68,7 +68,7 @@
                              struct fl_http_response *response)
 {
 	char ref[FL_REF_MAX];
-	enum fl_user_request kind = fl_user_route(request->path, ref);
+	enum fl_user_request kind = fl_user_request_parse_path(request->path, ref);
 
 	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != expected_method(kind)) {
 		fl_respond_error(response, 405, "method not allowed");
--- a/src/coordination/workers/command.c
+++ b/src/coordination/workers/command.c
@@ -40,7 +40,7 @@
 		cJSON_Delete(commands.root);
 		return NULL;
 	}
-	return fl_command_list_take(&commands);
+	return fl_command_list_take_body(&commands);
 }
 
 /* Sends the current commands in one request and applies the heartbeat in the response. */
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -39,5 +39,5 @@
 	if (commands.count == 0)
 		fl_renewal_add_stop_commands(&node->cluster, heartbeat, &commands);
 	response->status = 200;
-	response->body = fl_command_list_take(&commands);
+	response->body = fl_command_list_take_body(&commands);
 }
--- a/src/coordination/workers/reconciliation_exit.c
+++ b/src/coordination/workers/reconciliation_exit.c
@@ -94,7 +94,7 @@
 	struct fl_node *node = context->node;
 	double retry_delay_s = 0;
 
-	switch (status->exit) {
+	switch (status->exit_reason) {
 	case FL_EXIT_DONE:
 		record_task_completion(context, job, task, status->index);
 		return;
@@ -107,7 +107,7 @@
 		retry_delay_s = tunables.refused_start_delay_s;
 		fl_info("workers", "start refused task=%s/%u machine=%s reason=%s", job->ref,
 		        status->index, context->machine->name,
-		        status->exit == FL_EXIT_BUSY ? "busy" : "no_capacity");
+		        status->exit_reason == FL_EXIT_BUSY ? "busy" : "no_capacity");
 		break;
 	case FL_EXIT_ERROR:
 	case FL_EXIT_UNKNOWN_TASK:
--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -49,7 +49,7 @@
 {
 	struct fl_task *task;
 
-	if (status->exit != FL_EXIT_DONE || !job || job->cancelled ||
+	if (status->exit_reason != FL_EXIT_DONE || !job || job->cancelled ||
 	    status->index >= job->task_count || job->kind != FL_ARRAY)
 		return;
 	task = fl_task_get_or_alloc(job, status->index);
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -6,13 +6,14 @@
 #include <string.h>
 
 static const struct {
-	double timeout_s, default_pull_gb_s;
+	double request_timeout_s, default_pull_gb_s;
 } tunables = {
-	.timeout_s = 4.0, /* s; the cloud is slow at times, and a rental may be carried out late */
+	.request_timeout_s =
+		4.0, /* s; the cloud is slow at times, and a rental may be carried out late */
 	.default_pull_gb_s = 1.0, /* of a type that names none, or none above zero */
 };
 
-static enum fl_cloud_result result_of_status(int status)
+static enum fl_cloud_result result_of_http_status(int status)
 {
 	switch (status) {
 	case 200:
@@ -21,7 +22,7 @@
 	case 503:
 		return FL_CLOUD_UNAVAILABLE;
 	default:
-		return FL_CLOUD_UNREADABLE;
+		return FL_CLOUD_UNEXPECTED_RESPONSE;
 	}
 }
 
@@ -31,7 +32,7 @@
 	case FL_DECODE_OK:
 		return FL_CLOUD_OK;
 	case FL_DECODE_MALFORMED:
-		return FL_CLOUD_UNREADABLE;
+		return FL_CLOUD_UNEXPECTED_RESPONSE;
 	case FL_DECODE_NO_MEMORY:
 		break;
 	}
@@ -51,7 +52,7 @@
 		return "cancelled";
 	case FL_CLOUD_OUTCOME_UNKNOWN:
 		return "outcome unknown";
-	case FL_CLOUD_UNREADABLE:
+	case FL_CLOUD_UNEXPECTED_RESPONSE:
 		return "unreadable answer";
 	}
 	return "unknown result";
@@ -69,7 +70,7 @@
 {
 	char *text = body ? fl_json_print_and_delete(body) : NULL;
 	struct fl_http_reply reply;
-	int rc = fl_http_call(&cloud->http, method, path, text, tunables.timeout_s, &reply);
+	int rc = fl_http_call(&cloud->http, method, path, text, tunables.request_timeout_s, &reply);
 
 	free(text);
 	*answer = (struct answer){0};
@@ -80,11 +81,11 @@
 	answer->status = reply.status;
 	answer->tree = fl_json_parse(reply.body.data, reply.body.length);
 	fl_buffer_free(&reply.body);
-	return result_of_status(reply.status);
+	return result_of_http_status(reply.status);
 }
 
-static enum fl_decode_result decode_type_amounts(const cJSON *item,
-                                                 struct fl_cloud_machine_type *type)
+static enum fl_decode_result decode_machine_type_amounts(const cJSON *item,
+                                                         struct fl_cloud_machine_type *type)
 {
 	if (fl_json_get_amount(item, "Vcpus", &type->cpus) != FL_JSON_OK ||
 	    fl_json_get_amount(item, "Accelerators", &type->gpus) != FL_JSON_OK ||
@@ -103,12 +104,13 @@
 	return FL_DECODE_OK;
 }
 
-static enum fl_decode_result decode_type(const cJSON *item, struct fl_cloud_machine_type *type)
+static enum fl_decode_result decode_machine_type(const cJSON *item,
+                                                 struct fl_cloud_machine_type *type)
 {
 	const cJSON *zones = fl_json_get(item, "Sites"), *zone;
 
 	if (fl_json_get_string(item, "Name", type->name, sizeof(type->name)) != FL_JSON_OK ||
-	    decode_type_amounts(item, type) != FL_DECODE_OK || !cJSON_IsArray(zones))
+	    decode_machine_type_amounts(item, type) != FL_DECODE_OK || !cJSON_IsArray(zones))
 		return FL_DECODE_MALFORMED;
 	cJSON_ArrayForEach (zone, zones) {
 		if (type->zone_count == FL_TYPE_ZONES_MAX ||
@@ -133,7 +135,7 @@
 	if (!*types)
 		return FL_DECODE_NO_MEMORY;
 	cJSON_ArrayForEach (item, list) {
-		if (decode_type(item, &(*types)[*count]) != FL_DECODE_OK) {
+		if (decode_machine_type(item, &(*types)[*count]) != FL_DECODE_OK) {
 			free(*types);
 			*types = NULL;
 			*count = 0;
@@ -144,7 +146,7 @@
 	return FL_DECODE_OK;
 }
 
-static cJSON *encode_type(const struct fl_cloud_machine_type *type)
+static cJSON *encode_machine_type(const struct fl_cloud_machine_type *type)
 {
 	cJSON *item = cJSON_CreateObject(), *zones;
 
@@ -168,12 +170,12 @@
 	cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "HostKinds");
 
 	for (int i = 0; i < count; i++)
-		cJSON_AddItemToArray(list, encode_type(&types[i]));
+		cJSON_AddItemToArray(list, encode_machine_type(&types[i]));
 	return object;
 }
 
-enum fl_cloud_result fl_cloud_machine_types(struct fl_cloud *cloud,
-                                            struct fl_cloud_machine_type **types, int *count)
+enum fl_cloud_result fl_cloud_get_machine_types(struct fl_cloud *cloud,
+                                                struct fl_cloud_machine_type **types, int *count)
 {
 	struct answer answer;
 	enum fl_cloud_result result = send_request(cloud, "GET", "/machine_types", NULL, &answer);
@@ -196,8 +198,8 @@
 	       strcmp(reason, "no capacity") == 0;
 }
 
-static enum fl_decode_result decode_rental(const cJSON *answer, char (**hosts)[FL_NAME_MAX],
-                                           int *host_count)
+static enum fl_decode_result decode_rented_hosts(const cJSON *answer, char (**hosts)[FL_NAME_MAX],
+                                                 int *host_count)
 {
 	const cJSON *list = fl_json_get(answer, "Hosts"), *item;
 
@@ -212,8 +214,9 @@
 	return FL_DECODE_OK;
 }
 
-enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const struct fl_cloud_rental *rental,
-                                   char (**hosts)[FL_NAME_MAX], int *host_count)
+enum fl_cloud_result fl_cloud_rent_machines(struct fl_cloud *cloud,
+                                            const struct fl_cloud_rental *rental,
+                                            char (**hosts)[FL_NAME_MAX], int *host_count)
 {
 	cJSON *body = cJSON_CreateObject();
 	enum fl_cloud_result result;
@@ -230,12 +233,13 @@
 	if (result == FL_CLOUD_UNAVAILABLE && is_out_of_capacity(&answer))
 		result = FL_CLOUD_NO_CAPACITY;
 	if (result == FL_CLOUD_OK)
-		result = result_of_decoding(decode_rental(answer.tree, hosts, host_count));
+		result = result_of_decoding(decode_rented_hosts(answer.tree, hosts, host_count));
 	cJSON_Delete(answer.tree);
 	return result;
 }
 
-enum fl_cloud_result fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int count)
+enum fl_cloud_result fl_cloud_delete_machines(struct fl_cloud *cloud, const char *const *hosts,
+                                              int count)
 {
 	cJSON *body = cJSON_CreateObject();
 	enum fl_cloud_result result;
@@ -247,7 +251,7 @@
 	return result;
 }
 
-static enum fl_cloud_machine_status status_of_name(const char *name)
+static enum fl_cloud_machine_status machine_status_of_name(const char *name)
 {
 	if (strcmp(name, "failed") == 0)
 		return FL_CLOUD_MACHINE_FAILED;
@@ -270,13 +274,13 @@
 		return FL_DECODE_MALFORMED;
 	fl_json_get_string(item, "Endpoint", machine->endpoint, sizeof(machine->endpoint));
 	fl_json_get_amount(item, "AgeS", &machine->age_s);
-	machine->status = status_of_name(status);
+	machine->status = machine_status_of_name(status);
 	return FL_DECODE_OK;
 }
 
 /* On any result `*machines` is the caller's. */
-static enum fl_decode_result decode_page(const cJSON *answer, struct fl_cloud_machine **machines,
-                                         int *count, bool *more)
+static enum fl_decode_result
+decode_machine_page(const cJSON *answer, struct fl_cloud_machine **machines, int *count, bool *more)
 {
 	const cJSON *list = fl_json_get(answer, "Hosts"), *item;
 
@@ -296,8 +300,9 @@
 	return FL_DECODE_OK;
 }
 
-enum fl_cloud_result fl_cloud_list(struct fl_cloud *cloud, const char *from,
-                                   struct fl_cloud_machine **machines, int *count, bool *more)
+enum fl_cloud_result fl_cloud_list_machines(struct fl_cloud *cloud, const char *from,
+                                            struct fl_cloud_machine **machines, int *count,
+                                            bool *more)
 {
 	char path[FL_NAME_MAX + 64];
 	enum fl_cloud_result result;
@@ -307,12 +312,14 @@
 	*count = 0;
 	*more = false;
 	if (from && *from)
-		snprintf(path, sizeof(path), "/rentals?From=%s&Page=%d", from, FL_LIST_PAGE);
+		snprintf(path, sizeof(path), "/rentals?From=%s&Page=%d", from,
+		         FL_CLOUD_LIST_PAGE_SIZE);
 	else
-		snprintf(path, sizeof(path), "/rentals?Page=%d", FL_LIST_PAGE);
+		snprintf(path, sizeof(path), "/rentals?Page=%d", FL_CLOUD_LIST_PAGE_SIZE);
 	result = send_request(cloud, "GET", path, NULL, &answer);
 	if (result == FL_CLOUD_OK)
-		result = result_of_decoding(decode_page(answer.tree, machines, count, more));
+		result =
+			result_of_decoding(decode_machine_page(answer.tree, machines, count, more));
 	if (result != FL_CLOUD_OK) {
 		free(*machines);
 		*machines = NULL;
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -10,7 +10,12 @@
 #include "transport/http_client.h"
 
 /* Machines in one request, items on one page, zones of one type: at most. */
-enum { FL_RENT_MAX = 50, FL_DELETE_MAX = 100, FL_LIST_PAGE = 500, FL_TYPE_ZONES_MAX = 8 };
+enum {
+	FL_CLOUD_RENT_MACHINES_MAX = 50,
+	FL_CLOUD_DELETE_MACHINES_MAX = 100,
+	FL_CLOUD_LIST_PAGE_SIZE = 500,
+	FL_TYPE_ZONES_MAX = 8
+};
 
 /* The result of a request: what the caller may conclude, and what it has to do. */
 enum fl_cloud_result {
@@ -21,7 +26,7 @@
 	/* No answer, or no memory to read it: it may have been executed, or may still be. */
 	FL_CLOUD_OUTCOME_UNKNOWN,
 	/* The same, but the answer cannot be read or has another status: a fault, to be logged. */
-	FL_CLOUD_UNREADABLE
+	FL_CLOUD_UNEXPECTED_RESPONSE
 };
 
 /* The words for a result in a log line. */
@@ -63,8 +68,8 @@
 cJSON *fl_machine_types_encode(const struct fl_cloud_machine_type *types, int count);
 
 /* The types on offer; `*types` is to be freed. */
-enum fl_cloud_result fl_cloud_machine_types(struct fl_cloud *cloud,
-                                            struct fl_cloud_machine_type **types, int *count);
+enum fl_cloud_result fl_cloud_get_machine_types(struct fl_cloud *cloud,
+                                                struct fl_cloud_machine_type **types, int *count);
 
 /* A rental of `count` machines, under a name that no other rental ever has. */
 struct fl_cloud_rental {
@@ -77,15 +82,18 @@
  * Rents machines. On success `*hosts` holds the names of `*host_count` of them, perhaps fewer than
  * asked for; to be freed.
  */
-enum fl_cloud_result fl_cloud_rent(struct fl_cloud *cloud, const struct fl_cloud_rental *rental,
-                                   char (**hosts)[FL_NAME_MAX], int *host_count);
-/* Returns at most FL_DELETE_MAX machines to the cloud. */
-enum fl_cloud_result fl_cloud_delete(struct fl_cloud *cloud, const char *const *hosts, int count);
+enum fl_cloud_result fl_cloud_rent_machines(struct fl_cloud *cloud,
+                                            const struct fl_cloud_rental *rental,
+                                            char (**hosts)[FL_NAME_MAX], int *host_count);
+/* Returns at most FL_CLOUD_DELETE_MACHINES_MAX machines to the cloud. */
+enum fl_cloud_result fl_cloud_delete_machines(struct fl_cloud *cloud, const char *const *hosts,
+                                              int count);
 /*
  * One page of the rented machines after `from` (NULL or empty: the first page); `*machines` is to
  * be freed; `*more`: it is not the last page.
  */
-enum fl_cloud_result fl_cloud_list(struct fl_cloud *cloud, const char *from,
-                                   struct fl_cloud_machine **machines, int *count, bool *more);
+enum fl_cloud_result fl_cloud_list_machines(struct fl_cloud *cloud, const char *from,
+                                            struct fl_cloud_machine **machines, int *count,
+                                            bool *more);
 
 #endif
--- a/src/protocol/heartbeat_digests.c
+++ b/src/protocol/heartbeat_digests.c
@@ -12,7 +12,7 @@
 	cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->attempt));
 	cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->state));
 	if (status->state == FL_TASK_STATE_EXITED)
-		cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->exit));
+		cJSON_AddItemToArray(entry, cJSON_CreateNumber(status->exit_reason));
 	return entry;
 }
 
@@ -39,15 +39,15 @@
 	uint64_t index, attempt, state, reason = FL_EXIT_OTHER;
 
 	if (!fl_job_ref_decode(cJSON_GetArrayItem(entry, 0), status->ref) ||
-	    fl_json_get_item(entry, 1, FL_TASKS_MAX - 1, &index) != FL_JSON_OK ||
-	    fl_json_get_item(entry, 2, UINT32_MAX, &attempt) != FL_JSON_OK ||
-	    fl_json_get_item(entry, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_JSON_OK ||
-	    fl_json_get_item(entry, 4, FL_EXIT_OTHER, &reason) == FL_JSON_INVALID)
+	    fl_json_get_uint_at(entry, 1, FL_TASKS_MAX - 1, &index) != FL_JSON_OK ||
+	    fl_json_get_uint_at(entry, 2, UINT32_MAX, &attempt) != FL_JSON_OK ||
+	    fl_json_get_uint_at(entry, 3, FL_TASK_STATE_AWAITING_GANG, &state) != FL_JSON_OK ||
+	    fl_json_get_uint_at(entry, 4, FL_EXIT_OTHER, &reason) == FL_JSON_INVALID)
 		return FL_DECODE_MALFORMED;
 	status->index = (uint32_t)index;
 	status->attempt = (uint32_t)attempt;
 	status->state = (enum fl_task_state)state;
-	status->exit = (enum fl_exit)reason;
+	status->exit_reason = (enum fl_exit_reason)reason;
 	return FL_DECODE_OK;
 }
 
@@ -72,22 +72,22 @@
 
 enum fl_decode_result fl_cached_heartbeat_decode(const cJSON *item, struct fl_heartbeat *out)
 {
-	const cJSON *notice = cJSON_GetArrayItem(item, 4);
+	const cJSON *interruption = cJSON_GetArrayItem(item, 4);
 
 	memset(out, 0, sizeof(*out));
 	if (fl_json_read_string(cJSON_GetArrayItem(item, 0), out->host, sizeof(out->host)) !=
 	            FL_JSON_OK ||
 	    !out->host[0] ||
-	    fl_json_get_item(item, 1, FL_COUNT_MAX, &out->incarnation) != FL_JSON_OK ||
-	    fl_json_get_item(item, 2, FL_COUNT_MAX, &out->sequence) != FL_JSON_OK ||
-	    fl_json_get_item(item, 3, FL_COUNT_MAX, &out->fencing_token) != FL_JSON_OK ||
-	    !cJSON_IsNumber(notice))
+	    fl_json_get_uint_at(item, 1, FL_JSON_UINT_MAX, &out->incarnation) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 2, FL_JSON_UINT_MAX, &out->sequence) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 3, FL_JSON_UINT_MAX, &out->fencing_token) != FL_JSON_OK ||
+	    !cJSON_IsNumber(interruption))
 		return FL_DECODE_MALFORMED;
-	out->interruption_in_s = notice->valuedouble >= 0 ? notice->valuedouble : -1;
+	out->interruption_in_s = interruption->valuedouble >= 0 ? interruption->valuedouble : -1;
 	return decode_tasks(cJSON_GetArrayItem(item, 5), out);
 }
 
-cJSON *fl_digest_begin(uint64_t fencing_token)
+cJSON *fl_digest_create(uint64_t fencing_token)
 {
 	cJSON *object = cJSON_CreateObject();
 
@@ -96,10 +96,10 @@
 	return object;
 }
 
-void fl_digest_add(cJSON *digest, const char *cached)
+void fl_digest_add_heartbeat(cJSON *digest, const char *encoded_heartbeat)
 {
 	cJSON_AddItemToArray(cJSON_GetObjectItemCaseSensitive(digest, "kept"),
-	                     cJSON_CreateRaw(cached));
+	                     cJSON_CreateRaw(encoded_heartbeat));
 }
 
 const cJSON *fl_digest_heartbeats(const cJSON *digest) { return fl_json_get(digest, "kept"); }
--- a/src/protocol/heartbeat_digests.h
+++ b/src/protocol/heartbeat_digests.h
@@ -13,9 +13,9 @@
 /* Reads one; machine type, zone and endpoint stay empty. */
 enum fl_decode_result fl_cached_heartbeat_decode(const cJSON *item, struct fl_heartbeat *out);
 /* A new digest without heartbeats, owned by the caller. */
-cJSON *fl_digest_begin(uint64_t fencing_token);
+cJSON *fl_digest_create(uint64_t fencing_token);
 /* Adds a text of fl_cached_heartbeat_encode, which is copied. */
-void fl_digest_add(cJSON *digest, const char *cached);
+void fl_digest_add_heartbeat(cJSON *digest, const char *encoded_heartbeat);
 /* The heartbeats of a digest that was read, still unchecked, in its tree; NULL: there are none. */
 const cJSON *fl_digest_heartbeats(const cJSON *digest);
 
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -19,7 +19,7 @@
  * The end of a string whose opening quote is before `position`: the position behind the closing
  * quote, or `length` if there is none. 0: it holds an escaped NUL, at which cJSON would end it.
  */
-static size_t string_end(const char *text, size_t position, size_t length)
+static size_t find_string_end(const char *text, size_t position, size_t length)
 {
 	while (position < length) {
 		const char *quote = memchr(text + position, '"', length - position);
@@ -37,7 +37,7 @@
 }
 
 /* Whether the nesting is within the limit, and no string is cut short by an escaped NUL. */
-static bool is_within_depth(const char *text, size_t length)
+static bool is_safe_for_cjson(const char *text, size_t length)
 {
 	int depth = 0;
 
@@ -45,7 +45,7 @@
 		char next = text[i++];
 
 		if (next == '"') {
-			i = string_end(text, i, length);
+			i = find_string_end(text, i, length);
 			if (i == 0)
 				return false;
 		} else if (next == '[' || next == '{') {
@@ -59,7 +59,7 @@
 }
 
 /* How many bytes at the start are surely ASCII, tested a word at a time. */
-static size_t ascii_prefix(const char *text, size_t length)
+static size_t ascii_prefix_length(const char *text, size_t length)
 {
 	const uint64_t high_bits = 0x8080808080808080;
 	size_t i = 0;
@@ -75,7 +75,7 @@
 }
 
 /* How many bytes a character with this first byte has, if it is one. */
-static size_t utf8_length_of_lead(unsigned char lead)
+static size_t utf8_length_from_lead_byte(unsigned char lead)
 {
 	if (lead < 0x80)
 		return 1;
@@ -104,7 +104,7 @@
 /* How many bytes the character at `bytes` has; 0 if it is none, or could be written shorter. */
 static size_t utf8_length(const unsigned char *bytes, size_t available)
 {
-	size_t length = utf8_length_of_lead(bytes[0]);
+	size_t length = utf8_length_from_lead_byte(bytes[0]);
 
 	if (length == 1)
 		return 1;
@@ -122,7 +122,7 @@
  */
 static bool is_utf8(const char *text, size_t length)
 {
-	size_t i = ascii_prefix(text, length);
+	size_t i = ascii_prefix_length(text, length);
 
 	while (i < length) {
 		size_t step = utf8_length((const unsigned char *)text + i, length - i);
@@ -137,7 +137,7 @@
 cJSON *fl_json_parse(const char *text, size_t length)
 {
 	/* An embedded NUL would end the text early and hide what follows. */
-	if (!text || memchr(text, 0, length) || !is_within_depth(text, length) ||
+	if (!text || memchr(text, 0, length) || !is_safe_for_cjson(text, length) ||
 	    !is_utf8(text, length))
 		return NULL;
 	return cJSON_ParseWithLengthOpts(text, length + 1, NULL, 1);
@@ -179,7 +179,7 @@
 	return FL_JSON_OK;
 }
 
-static enum fl_json_result get_whole_number(const cJSON *value, uint64_t max, uint64_t *out)
+static enum fl_json_result read_uint(const cJSON *value, uint64_t max, uint64_t *out)
 {
 	if (!value)
 		return FL_JSON_ABSENT;
@@ -190,14 +190,14 @@
 	return FL_JSON_OK;
 }
 
-enum fl_json_result fl_json_get_count(const cJSON *object, const char *key, uint64_t *out)
+enum fl_json_result fl_json_get_uint(const cJSON *object, const char *key, uint64_t *out)
 {
-	return get_whole_number(fl_json_get(object, key), FL_COUNT_MAX, out);
+	return read_uint(fl_json_get(object, key), FL_JSON_UINT_MAX, out);
 }
 
-enum fl_json_result fl_json_get_item(const cJSON *array, int index, uint64_t max, uint64_t *out)
+enum fl_json_result fl_json_get_uint_at(const cJSON *array, int index, uint64_t max, uint64_t *out)
 {
-	return get_whole_number(cJSON_GetArrayItem(array, index), max, out);
+	return read_uint(cJSON_GetArrayItem(array, index), max, out);
 }
 
 enum fl_json_result fl_json_get_choice(const cJSON *object, const char *key,
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -22,7 +22,7 @@
 };
 
 /* The largest integer up to which a double holds each exactly. */
-#define FL_COUNT_MAX (1ULL << 53)
+#define FL_JSON_UINT_MAX (1ULL << 53)
 
 /*
  * Like cJSON_Parse, but the whole input must be one value in UTF-8 of limited nesting without NUL,
@@ -37,10 +37,10 @@
                                        size_t capacity);
 /* A number from 0 to 1e12. */
 enum fl_json_result fl_json_get_amount(const cJSON *object, const char *key, double *out);
-/* A whole number from 0 to FL_COUNT_MAX. */
-enum fl_json_result fl_json_get_count(const cJSON *object, const char *key, uint64_t *out);
+/* A whole number from 0 to FL_JSON_UINT_MAX. */
+enum fl_json_result fl_json_get_uint(const cJSON *object, const char *key, uint64_t *out);
 /* A whole number in an array, from 0 to `max`. */
-enum fl_json_result fl_json_get_item(const cJSON *array, int index, uint64_t max, uint64_t *out);
+enum fl_json_result fl_json_get_uint_at(const cJSON *array, int index, uint64_t max, uint64_t *out);
 /* The items of an array that is no parameter. */
 #define FL_COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
 /* One of these names: its index. INVALID also if it is none of them. */
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -10,29 +10,30 @@
 
 static const struct {
 	double timeout_s, watch_slack_s;
-	int page_size, max_idle, max_idle_watch;
+	int page_size, max_idle_connections, max_idle_watch_connections;
 } tunables = {
-	.timeout_s = 1.0,     /* s; answers take 10 ms, at times a few hundred */
-	.watch_slack_s = 2.0, /* s; what a watch may take beyond its own timeout */
-	.page_size = 1000,    /* items; the store's own maximum */
-	.max_idle = 6,        /* connections kept for short requests */
-	.max_idle_watch = 2,  /* and for watches */
+	.timeout_s = 1.0,                /* s; answers take 10 ms, at times a few hundred */
+	.watch_slack_s = 2.0,            /* s; what a watch may take beyond its own timeout */
+	.page_size = 1000,               /* items; the store's own maximum */
+	.max_idle_connections = 6,       /* connections kept for short requests */
+	.max_idle_watch_connections = 2, /* and for watches */
 };
 
 bool fl_kv_init(struct fl_kv_store *store, const char *address)
 {
 	memset(store, 0, sizeof(*store));
-	store->last_success_at = store->last_failure_at = FL_LONG_AGO;
-	return fl_http_client_init(&store->client, address, tunables.max_idle) == 0 &&
-	       fl_http_client_init(&store->watch_client, address, tunables.max_idle_watch) == 0;
+	store->last_success_sent_at = store->last_failure_at = FL_LONG_AGO;
+	return fl_http_client_init(&store->client, address, tunables.max_idle_connections) == 0 &&
+	       fl_http_client_init(&store->watch_client, address,
+	                           tunables.max_idle_watch_connections) == 0;
 }
 
 bool fl_kv_is_unavailable(const struct fl_kv_store *store)
 {
-	return store->last_failure_at > store->last_success_at;
+	return store->last_failure_at > store->last_success_sent_at;
 }
 
-static enum fl_kv_result result_of_status(int status)
+static enum fl_kv_result result_of_http_status(int status)
 {
 	switch (status) {
 	case 200:
@@ -87,7 +88,7 @@
 static enum fl_kv_result send_request(struct fl_kv_store *store, struct fl_http_client *client,
                                       const struct request *request, cJSON **answer)
 {
-	double sent = fl_now();
+	double sent_at = fl_now();
 	struct fl_http_reply reply;
 	int rc = fl_http_call(client, request->method, request->path, request->body,
 	                      request->timeout_s, &reply);
@@ -102,9 +103,9 @@
 	}
 	if (reply.status == 503)
 		store->last_failure_at = fl_now();
-	else if (reply.status != 429 && sent > store->last_success_at)
-		store->last_success_at = sent;
-	result = result_of_status(reply.status);
+	else if (reply.status != 429 && sent_at > store->last_success_sent_at)
+		store->last_success_sent_at = sent_at;
+	result = result_of_http_status(reply.status);
 	*answer = fl_json_parse(reply.body.data, reply.body.length);
 	fl_buffer_free(&reply.body);
 	if (result == FL_KV_OK && !cJSON_IsObject(*answer))
@@ -124,12 +125,12 @@
 	snprintf(path, sizeof(path), "/keys/%s", key);
 	result = send_request(store, &store->client,
 	                      &(struct request){"GET", path, NULL, tunables.timeout_s}, &object);
-	if (result == FL_KV_OK && fl_json_get_count(object, "KeyRev", revision) != FL_JSON_OK)
+	if (result == FL_KV_OK && fl_json_get_uint(object, "KeyRev", revision) != FL_JSON_OK)
 		result = FL_KV_OUTCOME_UNKNOWN;
 	if (result == FL_KV_OK) {
 		if (!lease_id)
 			lease_id = &ignored_lease_id;
-		if (fl_json_get_count(object, "Grant", lease_id) != FL_JSON_OK)
+		if (fl_json_get_uint(object, "Grant", lease_id) != FL_JSON_OK)
 			*lease_id = 0;
 		*value = cJSON_DetachItemFromObjectCaseSensitive(object, "V");
 	}
@@ -151,8 +152,8 @@
 	return FL_KV_OK;
 }
 
-static enum fl_kv_result each_item(const cJSON *items, fl_kv_event_fn on_event, void *context,
-                                   char last_key[FL_KEY_MAX])
+static enum fl_kv_result deliver_items(const cJSON *items, fl_kv_event_fn on_event, void *context,
+                                       char last_key[FL_KEY_MAX])
 {
 	const cJSON *item;
 
@@ -161,7 +162,7 @@
 		char key[FL_KEY_MAX];
 
 		if (fl_json_get_string(item, "Key", key, sizeof(key)) != FL_JSON_OK ||
-		    fl_json_get_count(item, "KeyRev", &event.mod_revision) != FL_JSON_OK)
+		    fl_json_get_uint(item, "KeyRev", &event.mod_revision) != FL_JSON_OK)
 			return FL_KV_OUTCOME_UNKNOWN;
 		event.key = key;
 		event.value = fl_json_get(item, "V");
@@ -189,9 +190,9 @@
 	/* Without `More`, a truncated list would count as complete. */
 	if (!cJSON_IsArray(items) ||
 	    fl_json_get_bool(object, "More", &reader->more) != FL_JSON_OK ||
-	    fl_json_get_count(object, "LedgerRev", &reader->revision) != FL_JSON_OK)
+	    fl_json_get_uint(object, "LedgerRev", &reader->revision) != FL_JSON_OK)
 		return FL_KV_OUTCOME_UNKNOWN;
-	result = each_item(items, on_event, context, reader->last_key);
+	result = deliver_items(items, on_event, context, reader->last_key);
 	if (cJSON_GetArraySize(items) == 0)
 		reader->more = false;
 	return result;
@@ -231,7 +232,7 @@
 	return FL_KV_OK;
 }
 
-static enum fl_kv_result each_event(const cJSON *events, fl_kv_event_fn on_event, void *context)
+static enum fl_kv_result deliver_events(const cJSON *events, fl_kv_event_fn on_event, void *context)
 {
 	const cJSON *item;
 
@@ -239,7 +240,7 @@
 		struct fl_kv_event event = {0};
 		char key[FL_KEY_MAX];
 
-		if (fl_json_get_count(item, "KeyRev", &event.mod_revision) != FL_JSON_OK)
+		if (fl_json_get_uint(item, "KeyRev", &event.mod_revision) != FL_JSON_OK)
 			return FL_KV_OUTCOME_UNKNOWN;
 		if (fl_json_get_string(item, "Put", key, sizeof(key)) == FL_JSON_OK)
 			event.value = fl_json_get(item, "V");
@@ -268,11 +269,11 @@
 		&object);
 	if (result == FL_KV_OK) {
 		events = fl_json_get(object, "Log");
-		if (fl_json_get_count(object, "LedgerRev", &new_revision) != FL_JSON_OK ||
+		if (fl_json_get_uint(object, "LedgerRev", &new_revision) != FL_JSON_OK ||
 		    (events && !cJSON_IsArray(events)))
 			result = FL_KV_OUTCOME_UNKNOWN;
 		else
-			result = each_event(events, watch->on_event, watch->context);
+			result = deliver_events(events, watch->on_event, watch->context);
 		if (result == FL_KV_OK && new_revision > *revision)
 			*revision = new_revision;
 	}
@@ -325,7 +326,7 @@
 }
 
 enum fl_kv_result fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn,
-                                   uint64_t *revision, char failed[FL_KEY_MAX])
+                                   uint64_t *revision, char failed_key[FL_KEY_MAX])
 {
 	char *text = fl_json_print_and_delete(txn->root);
 	cJSON *object;
@@ -336,14 +337,14 @@
 	                      &(struct request){"POST", "/multi", text, tunables.timeout_s},
 	                      &object);
 	free(text);
-	if (result == FL_KV_OK && fl_json_get_count(object, "LedgerRev", revision) != FL_JSON_OK)
+	if (result == FL_KV_OK && fl_json_get_uint(object, "LedgerRev", revision) != FL_JSON_OK)
 		result = FL_KV_OUTCOME_UNKNOWN;
-	if (result == FL_KV_COMPARE_FAILED && failed) {
+	if (result == FL_KV_COMPARE_FAILED && failed_key) {
 		const cJSON *first = cJSON_GetArrayItem(fl_json_get(object, "failed"), 0);
 
-		failed[0] = 0;
+		failed_key[0] = 0;
 		if (cJSON_IsString(first) && strlen(first->valuestring) < FL_KEY_MAX)
-			fl_copy_string(failed, FL_KEY_MAX, first->valuestring);
+			fl_copy_string(failed_key, FL_KEY_MAX, first->valuestring);
 	}
 	cJSON_Delete(object);
 	return result;
@@ -359,7 +360,7 @@
 	result = send_request(store, &store->client,
 	                      &(struct request){"POST", "/holds", body, tunables.timeout_s},
 	                      &object);
-	if (result == FL_KV_OK && fl_json_get_count(object, "Grant", lease_id) != FL_JSON_OK)
+	if (result == FL_KV_OK && fl_json_get_uint(object, "Grant", lease_id) != FL_JSON_OK)
 		result = FL_KV_OUTCOME_UNKNOWN;
 	cJSON_Delete(object);
 	return result;
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -33,7 +33,7 @@
 struct fl_kv_store {
 	struct fl_http_client client;       /* short requests */
 	struct fl_http_client watch_client; /* one open watch, on a connection of its own */
-	double last_success_at;             /* when the newest request that was answered was sent */
+	double last_success_sent_at;        /* when the newest request that was answered was sent */
 	double last_failure_at;             /* when one last got a 503, or no answer */
 };
 
@@ -105,7 +105,7 @@
  * gets the first failed key, or is empty if the store names none.
  */
 enum fl_kv_result fl_kv_txn_commit(struct fl_kv_store *store, struct fl_kv_txn *txn,
-                                   uint64_t *revision, char failed[FL_KEY_MAX]);
+                                   uint64_t *revision, char failed_key[FL_KEY_MAX]);
 
 /* Grants a lease that expires `ttl_s` after its last renewal. */
 enum fl_kv_result fl_kv_lease_grant(struct fl_kv_store *store, double ttl_s, uint64_t *lease_id);
--- a/src/protocol/peer_heartbeats.c
+++ b/src/protocol/peer_heartbeats.c
@@ -6,7 +6,7 @@
 /* The range of HTTP statuses. */
 enum { STATUS_MIN = 100, STATUS_MAX = 599 };
 
-cJSON *fl_heartbeat_list_begin(void) { return cJSON_CreateArray(); }
+cJSON *fl_heartbeat_list_create(void) { return cJSON_CreateArray(); }
 
 void fl_heartbeat_list_add(cJSON *list, const char *body)
 {
@@ -15,12 +15,12 @@
 }
 
 char *fl_peer_heartbeats_encode(cJSON *list, const char *entry_node, bool last_hop,
-                                bool disconnected)
+                                bool sender_kv_unavailable)
 {
 	cJSON *object = cJSON_CreateObject();
 
 	cJSON_AddBoolToObject(object, "last_hop", last_hop);
-	if (disconnected)
+	if (sender_kv_unavailable)
 		cJSON_AddBoolToObject(object, "adrift", true);
 	cJSON_AddStringToObject(object, "via", entry_node);
 	cJSON_AddItemReferenceToObject(object, "reports", list);
@@ -31,14 +31,14 @@
 {
 	const cJSON *tree = message->tree;
 
-	message->list = fl_json_get(tree, "reports");
+	message->heartbeat_list = fl_json_get(tree, "reports");
 	if (fl_json_get_bool(tree, "last_hop", &message->last_hop) != FL_JSON_OK ||
-	    fl_json_get_bool(tree, "adrift", &message->disconnected) == FL_JSON_INVALID ||
+	    fl_json_get_bool(tree, "adrift", &message->sender_kv_unavailable) == FL_JSON_INVALID ||
 	    fl_json_get_string(tree, "via", message->entry_node, sizeof(message->entry_node)) !=
 	            FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
-	if (!cJSON_IsArray(message->list) ||
-	    cJSON_GetArraySize(message->list) > FL_PEER_HEARTBEATS_MAX)
+	if (!cJSON_IsArray(message->heartbeat_list) ||
+	    cJSON_GetArraySize(message->heartbeat_list) > FL_PEER_HEARTBEATS_MAX)
 		return FL_DECODE_MALFORMED;
 	return FL_DECODE_OK;
 }
@@ -60,7 +60,7 @@
 {
 	cJSON_Delete(message->tree);
 	message->tree = NULL;
-	message->list = NULL;
+	message->heartbeat_list = NULL;
 }
 
 char *fl_heartbeat_replies_encode(const struct fl_heartbeat_reply *replies, int count)
@@ -83,7 +83,7 @@
 	const cJSON *body = fl_json_get(item, "body");
 	uint64_t status;
 
-	if (fl_json_get_count(item, "status", &status) != FL_JSON_OK || status < STATUS_MIN ||
+	if (fl_json_get_uint(item, "status", &status) != FL_JSON_OK || status < STATUS_MIN ||
 	    status > STATUS_MAX || (body && !cJSON_IsString(body)))
 		return FL_DECODE_MALFORMED;
 	out->status = (int)status;
--- a/src/protocol/peer_heartbeats.h
+++ b/src/protocol/peer_heartbeats.h
@@ -12,14 +12,14 @@
 #define FL_PATH_HEARTBEATS "/reports"
 
 /* Heartbeats in one message at most, and the bytes that they may have together. */
-enum { FL_PEER_HEARTBEATS_MAX = 64, FL_PEER_HEARTBEATS_BYTES = 60 * 1024 };
+enum { FL_PEER_HEARTBEATS_MAX = 64, FL_PEER_HEARTBEATS_BYTES_MAX = 60 * 1024 };
 
 /* A message of heartbeats. */
 struct fl_peer_heartbeats {
 	bool last_hop;                /* must not be forwarded again */
-	bool disconnected;            /* the sender cannot reach the key-value store either */
+	bool sender_kv_unavailable;   /* the sender cannot reach the key-value store either */
 	char entry_node[FL_NAME_MAX]; /* the node that the workers sent them to */
-	const cJSON *list;            /* the heartbeats, still unchecked; in `tree` */
+	const cJSON *heartbeat_list;  /* the heartbeats, still unchecked; in `tree` */
 	cJSON *tree;                  /* owned; see fl_peer_heartbeats_free */
 };
 
@@ -30,12 +30,12 @@
 };
 
 /* An empty list of heartbeats, to be deleted. */
-cJSON *fl_heartbeat_list_begin(void);
+cJSON *fl_heartbeat_list_create(void);
 /* Adds a heartbeat's text, which is copied. fl_heartbeat_decode must have accepted it. */
 void fl_heartbeat_list_add(cJSON *list, const char *body);
 /* The text of a message with this list, which stays the caller's. To be freed. */
 char *fl_peer_heartbeats_encode(cJSON *list, const char *entry_node, bool last_hop,
-                                bool disconnected);
+                                bool sender_kv_unavailable);
 /* Reads a message. */
 enum fl_decode_result fl_peer_heartbeats_decode(const char *text, size_t length,
                                                 struct fl_peer_heartbeats *out);
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -10,10 +10,10 @@
 	cJSON_AddStringToObject(object, "node", gossip->node);
 	cJSON_AddStringToObject(object, "leader", gossip->leader);
 	cJSON_AddNumberToObject(object, "epoch", (double)gossip->fencing_token);
-	cJSON_AddNumberToObject(object, "proof_age_s", gossip->leadership_age_s);
-	cJSON_AddBoolToObject(object, "leads", gossip->is_leader);
+	cJSON_AddNumberToObject(object, "proof_age_s", gossip->leader_confirmed_age_s);
+	cJSON_AddBoolToObject(object, "leads", gossip->sender_is_leader);
 	cJSON_AddNumberToObject(object, "known_age_s", gossip->watermark_age_s);
-	cJSON_AddBoolToObject(object, "whole", gossip->complete);
+	cJSON_AddBoolToObject(object, "whole", gossip->cancellations_complete);
 	list = cJSON_AddArrayToObject(object, "cancelled");
 	for (int i = 0; i < gossip->cancelled_count; i++) {
 		item = cJSON_CreateArray();
@@ -35,7 +35,7 @@
 	return FL_DECODE_OK;
 }
 
-static enum fl_decode_result decode_cancelled(const cJSON *list, struct fl_gossip *out)
+static enum fl_decode_result decode_cancellations(const cJSON *list, struct fl_gossip *out)
 {
 	int count = cJSON_GetArraySize(list);
 	const cJSON *item;
@@ -56,13 +56,13 @@
 {
 	if (fl_json_get_string(object, "node", out->node, sizeof(out->node)) != FL_JSON_OK ||
 	    fl_json_get_string(object, "leader", out->leader, sizeof(out->leader)) != FL_JSON_OK ||
-	    fl_json_get_count(object, "epoch", &out->fencing_token) != FL_JSON_OK ||
-	    fl_json_get_amount(object, "proof_age_s", &out->leadership_age_s) != FL_JSON_OK ||
-	    fl_json_get_bool(object, "leads", &out->is_leader) != FL_JSON_OK ||
+	    fl_json_get_uint(object, "epoch", &out->fencing_token) != FL_JSON_OK ||
+	    fl_json_get_amount(object, "proof_age_s", &out->leader_confirmed_age_s) != FL_JSON_OK ||
+	    fl_json_get_bool(object, "leads", &out->sender_is_leader) != FL_JSON_OK ||
 	    fl_json_get_amount(object, "known_age_s", &out->watermark_age_s) != FL_JSON_OK ||
-	    fl_json_get_bool(object, "whole", &out->complete) != FL_JSON_OK)
+	    fl_json_get_bool(object, "whole", &out->cancellations_complete) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
-	return decode_cancelled(fl_json_get(object, "cancelled"), out);
+	return decode_cancellations(fl_json_get(object, "cancelled"), out);
 }
 
 enum fl_decode_result fl_gossip_decode(const char *body, size_t length, struct fl_gossip *out)
@@ -113,7 +113,7 @@
 	const cJSON *body = fl_json_get(object, "body");
 	uint64_t kind;
 
-	if (fl_json_get_count(object, "call", &kind) != FL_JSON_OK ||
+	if (fl_json_get_uint(object, "call", &kind) != FL_JSON_OK ||
 	    fl_json_get_bool(object, "last_hop", &out->last_hop) != FL_JSON_OK ||
 	    fl_json_get_string(object, "ref", out->ref, sizeof(out->ref)) == FL_JSON_INVALID ||
 	    !is_forwardable(kind, out->ref, body))
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -25,14 +25,14 @@
 	char node[FL_NAME_MAX], leader[FL_NAME_MAX]; /* leader empty: none known */
 	uint64_t fencing_token;
 	/* Since the sending of the read of the store that leader and fencing token rest on. */
-	double leadership_age_s;
-	bool is_leader;         /* the sender holds a valid lease */
+	double leader_confirmed_age_s;
+	bool sender_is_leader;  /* the sender holds a valid lease */
 	double watermark_age_s; /* since when the sender may lack a cancellation */
 	/*
 	 * In an answer: `cancelled` has every cancellation that the sender has learned of since
 	 * the asker's watermark. If false, some may be missing: the watermark must not rise.
 	 */
-	bool complete;
+	bool cancellations_complete;
 	struct fl_cancellation *cancelled; /* owned; see fl_gossip_free */
 	int cancelled_count;
 };
--- a/src/protocol/status_messages.c
+++ b/src/protocol/status_messages.c
@@ -15,7 +15,7 @@
 	const cJSON *item;
 
 	*count = 0;
-	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > FL_STATUS_QUERY_MAX)
+	if (!cJSON_IsArray(list) || cJSON_GetArraySize(list) > FL_STATUS_QUERY_JOBS_MAX)
 		return FL_DECODE_MALFORMED;
 	cJSON_ArrayForEach (item, list) {
 		if (!fl_job_ref_decode(item, refs[*count]))
@@ -44,8 +44,8 @@
 		const struct fl_job_status_report *report = &reports[i];
 		double values[] = {report->status, report->done_count, report->running_count};
 
-		cJSON_AddItemToArray(list, report->known ? cJSON_CreateDoubleArray(values, 3)
-		                                         : cJSON_CreateNull());
+		cJSON_AddItemToArray(list, report->status_known ? cJSON_CreateDoubleArray(values, 3)
+		                                                : cJSON_CreateNull());
 	}
 	return fl_json_print_and_delete(object);
 }
@@ -57,11 +57,11 @@
 	*out = (struct fl_job_status_report){0};
 	if (cJSON_IsNull(item))
 		return FL_DECODE_OK;
-	if (fl_json_get_item(item, 0, FL_CANCELLED, &status) != FL_JSON_OK ||
-	    fl_json_get_item(item, 1, FL_TASKS_MAX, &done) != FL_JSON_OK ||
-	    fl_json_get_item(item, 2, FL_TASKS_MAX, &running) != FL_JSON_OK)
+	if (fl_json_get_uint_at(item, 0, FL_CANCELLED, &status) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 1, FL_TASKS_MAX, &done) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 2, FL_TASKS_MAX, &running) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
-	*out = (struct fl_job_status_report){.known = true,
+	*out = (struct fl_job_status_report){.status_known = true,
 	                                     .status = (enum fl_job_status)status,
 	                                     .done_count = (uint32_t)done,
 	                                     .running_count = (uint32_t)running};
--- a/src/protocol/status_messages.h
+++ b/src/protocol/status_messages.h
@@ -11,18 +11,18 @@
 #define FL_PATH_STATUS "/status"
 
 /* Jobs in one query at most. */
-enum { FL_STATUS_QUERY_MAX = 256 };
+enum { FL_STATUS_QUERY_JOBS_MAX = 256 };
 
 /* The status of a job as its user sees it. */
 struct fl_job_status_report {
-	bool known; /* else the leader cannot answer from memory: read the records */
+	bool status_known; /* else the leader cannot answer from memory: read the records */
 	enum fl_job_status status;
 	uint32_t done_count, running_count; /* tasks, for display */
 };
 
 /* The text of a query for `count` jobs, to be freed. */
 char *fl_status_query_encode(const char (*refs)[FL_REF_MAX], int count);
-/* Reads a query of at most FL_STATUS_QUERY_MAX jobs into `refs`. */
+/* Reads a query of at most FL_STATUS_QUERY_JOBS_MAX jobs into `refs`. */
 enum fl_decode_result fl_status_query_decode(const char *text, size_t length,
                                              char (*refs)[FL_REF_MAX], int *count);
 /* The text of the answer, to be freed; `reports` in the order of the query. */
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -15,13 +15,13 @@
 static const char ready_path[] = "/ready";
 static const char cancel_suffix[] = "/cancel";
 
-const char *fl_status_name(enum fl_job_status status) { return status_names[status]; }
+const char *fl_job_status_name(enum fl_job_status status) { return status_names[status]; }
 
 bool fl_job_ref_is_valid(const char *ref)
 {
-	size_t prefix_length = sizeof(FL_REF_BEGIN) - 1, digit_count;
+	size_t prefix_length = sizeof(FL_JOB_REF_PREFIX) - 1, digit_count;
 
-	if (strncmp(ref, FL_REF_BEGIN, prefix_length) != 0)
+	if (strncmp(ref, FL_JOB_REF_PREFIX, prefix_length) != 0)
 		return false;
 	digit_count = strspn(ref + prefix_length, "0123456789");
 	return digit_count >= 6 && digit_count <= 12 && ref[prefix_length + digit_count] == 0;
@@ -101,7 +101,7 @@
 {
 	uint64_t task_count;
 
-	if (fl_json_get_count(object, FL_FIELD_TASK_COUNT, &task_count) != FL_JSON_OK ||
+	if (fl_json_get_uint(object, FL_FIELD_TASK_COUNT, &task_count) != FL_JSON_OK ||
 	    task_count < 1 || task_count > FL_TASKS_MAX)
 		return false;
 	out->task_count = (uint32_t)task_count;
@@ -123,7 +123,7 @@
 }
 
 /* What the job is; NULL, or the first bad field. */
-static const char *decode_identity(const cJSON *object, struct fl_job_spec *out)
+static const char *decode_identity_fields(const cJSON *object, struct fl_job_spec *out)
 {
 	if (!fl_job_ref_decode(fl_json_get(object, FL_FIELD_REF), out->ref))
 		return FL_FIELD_REF;
@@ -143,7 +143,7 @@
 }
 
 /* Where it may run; NULL, or the first bad field. */
-static const char *decode_constraints(const cJSON *object, struct fl_job_spec *out)
+static const char *decode_placement_fields(const cJSON *object, struct fl_job_spec *out)
 {
 	if (!decode_machine_types(object, out))
 		return FL_FIELD_MACHINE_TYPES;
@@ -159,7 +159,7 @@
 }
 
 /* What it needs and how long it takes; NULL, or the first bad field. */
-static const char *decode_amounts(const cJSON *object, struct fl_job_spec *out)
+static const char *decode_amount_fields(const cJSON *object, struct fl_job_spec *out)
 {
 	const struct {
 		const char *field;
@@ -189,11 +189,11 @@
 	const char *bad_field;
 
 	memset(out, 0, sizeof(*out));
-	bad_field = decode_identity(object, out);
+	bad_field = decode_identity_fields(object, out);
 	if (!bad_field)
-		bad_field = decode_constraints(object, out);
+		bad_field = decode_placement_fields(object, out);
 	if (!bad_field)
-		bad_field = decode_amounts(object, out);
+		bad_field = decode_amount_fields(object, out);
 	return bad_field;
 }
 
@@ -237,7 +237,8 @@
 	return object;
 }
 
-char *fl_status_encode(const char *ref, enum fl_job_status status, int64_t done, int64_t running)
+char *fl_job_status_encode(const char *ref, enum fl_job_status status, int64_t done,
+                           int64_t running)
 {
 	cJSON *object = cJSON_CreateObject();
 
@@ -251,7 +252,7 @@
 }
 
 /* `id` ends at `end`. One that no job can have leaves `ref` empty. */
-static void copy_ref(char ref[FL_REF_MAX], const char *id, const char *end)
+static void copy_valid_ref(char ref[FL_REF_MAX], const char *id, const char *end)
 {
 	size_t length = (size_t)(end - id);
 
@@ -263,7 +264,7 @@
 		ref[0] = 0;
 }
 
-enum fl_user_request fl_user_route(const char *path, char ref[FL_REF_MAX])
+enum fl_user_request fl_user_request_parse_path(const char *path, char ref[FL_REF_MAX])
 {
 	size_t prefix_length = sizeof(jobs_path) - 1;
 	const char *id, *suffix;
@@ -284,6 +285,6 @@
 	if (suffix && strcmp(suffix, cancel_suffix) != 0)
 		return FL_USER_REQUEST_UNKNOWN;
 	/* The path is valid even with an id that no job can have: the job is unknown. */
-	copy_ref(ref, id, suffix ? suffix : id + strlen(id));
+	copy_valid_ref(ref, id, suffix ? suffix : id + strlen(id));
 	return suffix ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
 }
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -8,7 +8,7 @@
 
 #include "protocol/json.h"
 
-#define FL_REF_BEGIN "run-" /* of every job id; 6 to 12 digits follow */
+#define FL_JOB_REF_PREFIX "run-" /* of every job id; 6 to 12 digits follow */
 
 /* The fields of a job description, as users write them. Stored job records use them, too. */
 #define FL_FIELD_REF "Ref"
@@ -74,9 +74,10 @@
 /* The description as fl_job_spec_decode reads it; owned by the caller. */
 cJSON *fl_job_spec_encode(const struct fl_job_spec *spec);
 /* The answer to a status query, to be freed; the counts are left out if `done` is negative. */
-char *fl_status_encode(const char *ref, enum fl_job_status status, int64_t done, int64_t running);
+char *fl_job_status_encode(const char *ref, enum fl_job_status status, int64_t done,
+                           int64_t running);
 /* The status as it is written. */
-const char *fl_status_name(enum fl_job_status status);
+const char *fl_job_status_name(enum fl_job_status status);
 
 /* What a path asks for. */
 enum fl_user_request {
@@ -88,6 +89,6 @@
 	FL_USER_REQUEST_HEARTBEAT
 };
 /* Takes a path apart; `ref` gets the job id, or is empty if it has none or none that is valid. */
-enum fl_user_request fl_user_route(const char *path, char ref[FL_REF_MAX]);
+enum fl_user_request fl_user_request_parse_path(const char *path, char ref[FL_REF_MAX]);
 
 #endif
--- a/src/protocol/workers.c
+++ b/src/protocol/workers.c
@@ -4,9 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const state_names[] = {"pulling", "running", "flushing", "ended", "gathering"};
-static const char *const exit_names[] = {"done", "stopped", "error",      "no_room",
-                                         "busy", "no_such", "mates_gone", "alone"};
+static const char *const task_state_names[] = {"pulling", "running", "flushing", "ended",
+                                               "gathering"};
+static const char *const exit_reason_names[] = {"done", "stopped", "error",      "no_room",
+                                                "busy", "no_such", "mates_gone", "alone"};
 static const char *const command_names[] = {"launch", "kill", "forget"};
 
 /* The statuses of a worker's answers that hold a heartbeat. */
@@ -43,18 +44,18 @@
 	if (fl_json_get_string(item, "Part", name, sizeof(name)) != FL_JSON_OK ||
 	    !decode_task_name(name, status))
 		return FL_DECODE_MALFORMED;
-	if (fl_json_get_count(item, "Try", &attempt) != FL_JSON_OK || attempt > UINT32_MAX)
+	if (fl_json_get_uint(item, "Try", &attempt) != FL_JSON_OK || attempt > UINT32_MAX)
 		return FL_DECODE_MALFORMED;
 	status->attempt = (uint32_t)attempt;
-	if (fl_json_get_choice(item, "Status", state_names, FL_COUNT_OF(state_names), &state) !=
-	    FL_JSON_OK)
+	if (fl_json_get_choice(item, "Status", task_state_names, FL_COUNT_OF(task_state_names),
+	                       &state) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	status->state = (enum fl_task_state)state;
-	status->exit = FL_EXIT_OTHER;
-	if (fl_json_get_choice(item, "ExitReason", exit_names, FL_COUNT_OF(exit_names), &reason) ==
-	    FL_JSON_OK)
-		status->exit = (enum fl_exit)reason;
-	fl_json_get_bool(item, "Saved", &status->saved);
+	status->exit_reason = FL_EXIT_OTHER;
+	if (fl_json_get_choice(item, "ExitReason", exit_reason_names,
+	                       FL_COUNT_OF(exit_reason_names), &reason) == FL_JSON_OK)
+		status->exit_reason = (enum fl_exit_reason)reason;
+	fl_json_get_bool(item, "Saved", &status->checkpoint_saved);
 	return FL_DECODE_OK;
 }
 
@@ -95,9 +96,9 @@
 static enum fl_decode_result decode_heartbeat(const cJSON *object, struct fl_heartbeat *out)
 {
 	if (decode_machine(object, out) != FL_DECODE_OK ||
-	    fl_json_get_count(object, "Tenure", &out->incarnation) != FL_JSON_OK ||
-	    fl_json_get_count(object, "Serial", &out->sequence) != FL_JSON_OK ||
-	    fl_json_get_count(object, "Epoch", &out->fencing_token) != FL_JSON_OK)
+	    fl_json_get_uint(object, "Tenure", &out->incarnation) != FL_JSON_OK ||
+	    fl_json_get_uint(object, "Serial", &out->sequence) != FL_JSON_OK ||
+	    fl_json_get_uint(object, "Epoch", &out->fencing_token) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	if (fl_json_get_amount(object, "ReclaimInS", &out->interruption_in_s) != FL_JSON_OK)
 		out->interruption_in_s = -1;
@@ -146,10 +147,10 @@
 
 	add_task_name(item, status->ref, status->index);
 	cJSON_AddNumberToObject(item, "Try", status->attempt);
-	cJSON_AddStringToObject(item, "Status", state_names[status->state]);
-	if (status->state == FL_TASK_STATE_EXITED && status->exit != FL_EXIT_OTHER)
-		cJSON_AddStringToObject(item, "ExitReason", exit_names[status->exit]);
-	if (status->saved)
+	cJSON_AddStringToObject(item, "Status", task_state_names[status->state]);
+	if (status->state == FL_TASK_STATE_EXITED && status->exit_reason != FL_EXIT_OTHER)
+		cJSON_AddStringToObject(item, "ExitReason", exit_reason_names[status->exit_reason]);
+	if (status->checkpoint_saved)
 		cJSON_AddBoolToObject(item, "Saved", true);
 	return item;
 }
@@ -200,7 +201,7 @@
 	commands->count++;
 }
 
-char *fl_command_list_take(struct fl_command_list *commands)
+char *fl_command_list_take_body(struct fl_command_list *commands)
 {
 	char *text = fl_json_print_and_delete(commands->root);
 
@@ -214,9 +215,9 @@
 	if (reply->status == STATUS_INVALID)
 		return FL_WORKER_INVALID;
 	if (reply->status != STATUS_ACCEPTED && reply->status != STATUS_REJECTED)
-		return FL_WORKER_FAILED;
+		return FL_WORKER_OUTCOME_UNKNOWN;
 	if (fl_heartbeat_decode(reply->body.data, reply->body.length, heartbeat) != FL_DECODE_OK)
-		return FL_WORKER_FAILED;
+		return FL_WORKER_OUTCOME_UNKNOWN;
 	return reply->status == STATUS_ACCEPTED ? FL_WORKER_ACCEPTED : FL_WORKER_REJECTED;
 }
 
@@ -230,7 +231,7 @@
 	memset(heartbeat, 0, sizeof(*heartbeat));
 	if (fl_http_client_init(&client, endpoint, 0) != 0 ||
 	    fl_http_call(&client, "POST", "/commands", body, timeout_s, &reply) != 0)
-		return FL_WORKER_FAILED;
+		return FL_WORKER_OUTCOME_UNKNOWN;
 	result = decode_reply(&reply, heartbeat);
 	fl_buffer_free(&reply.body);
 	return result;
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -18,7 +18,7 @@
 	FL_TASK_STATE_AWAITING_GANG
 };
 /* Why a task ended. OTHER: no reason is given, or none that this version knows. */
-enum fl_exit {
+enum fl_exit_reason {
 	FL_EXIT_DONE,
 	FL_EXIT_STOPPED,
 	FL_EXIT_ERROR,
@@ -36,8 +36,8 @@
 	uint32_t index;
 	uint32_t attempt;
 	enum fl_task_state state;
-	enum fl_exit exit; /* valid if EXITED */
-	bool saved;        /* its checkpoint is stored */
+	enum fl_exit_reason exit_reason; /* valid if EXITED */
+	bool checkpoint_saved;           /* its checkpoint is stored */
 };
 
 /* A worker's heartbeat. */
@@ -48,7 +48,8 @@
 	double interruption_in_s;     /* seconds until the machine is taken back; < 0: no notice */
 	struct fl_task_status *tasks; /* owned; see fl_heartbeat_free */
 	int task_count;
-	int entry_node; /* not in the message: the node it was sent to, by an index; 0: not known */
+	int entry_node_index; /* not in the message: the node it was sent to, by an index; 0: not
+	                         known */
 };
 
 /* What a worker is to do with an attempt. */
@@ -85,14 +86,14 @@
 /* Makes the commands valid for this incarnation of the worker only, as direct ones must be. */
 void fl_command_list_bind_incarnation(struct fl_command_list *commands, uint64_t incarnation);
 /* The body, to be freed; the builder is used up. */
-char *fl_command_list_take(struct fl_command_list *commands);
+char *fl_command_list_take_body(struct fl_command_list *commands);
 
 /* The result of a direct command. */
 enum fl_worker_result {
 	FL_WORKER_ACCEPTED, /* carried out; the heartbeat shows its effect */
 	FL_WORKER_REJECTED, /* of another incarnation or fencing token; the heartbeat shows why */
 	FL_WORKER_INVALID,  /* refused as malformed (400); no heartbeat */
-	FL_WORKER_FAILED    /* no heartbeat: it may or may not have been carried out */
+	FL_WORKER_OUTCOME_UNKNOWN /* no heartbeat: it may or may not have been carried out */
 };
 
 /*
--- a/src/storage/election_records.c
+++ b/src/storage/election_records.c
@@ -30,5 +30,5 @@
 
 bool fl_fencing_token_record_decode(const cJSON *value, uint64_t *out)
 {
-	return fl_json_get_count(value, "epoch", out) == FL_JSON_OK;
+	return fl_json_get_uint(value, "epoch", out) == FL_JSON_OK;
 }
--- a/src/storage/job_records.c
+++ b/src/storage/job_records.c
@@ -15,7 +15,7 @@
 
 static cJSON *add_final_fields(cJSON *object, enum fl_job_status status, uint32_t task_count)
 {
-	cJSON_AddStringToObject(object, "final", fl_status_name(status));
+	cJSON_AddStringToObject(object, "final", fl_job_status_name(status));
 	cJSON_AddNumberToObject(object, "parts", task_count);
 	return object;
 }
@@ -81,9 +81,9 @@
 
 static enum fl_decode_result decode_final_status(const char *name, enum fl_job_status *out)
 {
-	if (strcmp(name, fl_status_name(FL_DONE)) == 0)
+	if (strcmp(name, fl_job_status_name(FL_DONE)) == 0)
 		*out = FL_DONE;
-	else if (strcmp(name, fl_status_name(FL_CANCELLED)) == 0)
+	else if (strcmp(name, fl_job_status_name(FL_CANCELLED)) == 0)
 		*out = FL_CANCELLED;
 	else
 		return FL_DECODE_MALFORMED;
@@ -102,7 +102,7 @@
 		return FL_DECODE_OK;
 	if (final == FL_JSON_INVALID || decode_final_status(name, &out->status) != FL_DECODE_OK)
 		return FL_DECODE_MALFORMED;
-	if (fl_json_get_count(value, "parts", &task_count) != FL_JSON_OK ||
+	if (fl_json_get_uint(value, "parts", &task_count) != FL_JSON_OK ||
 	    task_count > FL_TASKS_MAX ||
 	    fl_json_get_amount(value, "cancelled", &out->cancelled_wall) == FL_JSON_INVALID)
 		return FL_DECODE_MALFORMED;
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -140,8 +140,8 @@
 
 static enum fl_decode_result decode_range(const cJSON *item, uint64_t *first, uint64_t *last)
 {
-	if (fl_json_get_item(item, 0, FL_TASKS_MAX, first) != FL_JSON_OK ||
-	    fl_json_get_item(item, 1, FL_TASKS_MAX, last) != FL_JSON_OK)
+	if (fl_json_get_uint_at(item, 0, FL_TASKS_MAX, first) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 1, FL_TASKS_MAX, last) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	return FL_DECODE_OK;
 }
@@ -164,8 +164,8 @@
 	struct task_state state = {.phase = FL_TASK_WAITING, .source = merge->source};
 	uint64_t index, attempt;
 
-	if (fl_json_get_item(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
-	    fl_json_get_item(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK)
+	if (fl_json_get_uint_at(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	state.attempt = (uint32_t)attempt;
 	return merge_task(merge, index, &state);
@@ -177,11 +177,11 @@
 	const cJSON *name = cJSON_GetArrayItem(item, 2);
 	uint64_t index, attempt, placed = 0;
 
-	if (fl_json_get_item(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
-	    fl_json_get_item(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK ||
-	    fl_json_get_item(item, 3, FL_COUNT_MAX, &state.incarnation) != FL_JSON_OK ||
+	if (fl_json_get_uint_at(item, 0, FL_TASKS_MAX, &index) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 1, UINT32_MAX, &attempt) != FL_JSON_OK ||
+	    fl_json_get_uint_at(item, 3, FL_JSON_UINT_MAX, &state.incarnation) != FL_JSON_OK ||
 	    /* Records of earlier versions have no time; the task then counts as placed now. */
-	    fl_json_get_item(item, 4, FL_COUNT_MAX, &placed) == FL_JSON_INVALID ||
+	    fl_json_get_uint_at(item, 4, FL_JSON_UINT_MAX, &placed) == FL_JSON_INVALID ||
 	    !cJSON_IsString(name) || strlen(name->valuestring) >= FL_NAME_MAX)
 		return FL_DECODE_MALFORMED;
 	state.attempt = (uint32_t)attempt;
--- a/src/storage/write_ahead_log.c
+++ b/src/storage/write_ahead_log.c
@@ -116,7 +116,7 @@
 	uint64_t block_index;
 
 	if (!fl_job_ref_decode(cJSON_GetArrayItem(item, 0), group.ref) ||
-	    fl_json_get_item(item, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
+	    fl_json_get_uint_at(item, 1, FL_TASKS_MAX / FL_TASK_BLOCK_SIZE + 1, &block_index) !=
 	            FL_JSON_OK ||
 	    !cJSON_IsObject(group.changes))
 		return FL_DECODE_MALFORMED;
--- a/tests/contract_heartbeats.c
+++ b/tests/contract_heartbeats.c
@@ -35,68 +35,68 @@
          .index = 0,
          .attempt = 1,
          .state = FL_TASK_STATE_PULLING,
-         .exit = FL_EXIT_OTHER},
+         .exit_reason = FL_EXIT_OTHER},
 	{.ref = "run-000402",
          .index = 3,
          .attempt = 2,
          .state = FL_TASK_STATE_RUNNING,
-         .exit = FL_EXIT_OTHER},
+         .exit_reason = FL_EXIT_OTHER},
 	{.ref = "run-000403",
          .index = 99999,
          .attempt = 4294967295,
          .state = FL_TASK_STATE_CHECKPOINTING,
-         .exit = FL_EXIT_OTHER},
+         .exit_reason = FL_EXIT_OTHER},
 	{.ref = "run-000404",
          .index = 5,
          .attempt = 4,
          .state = FL_TASK_STATE_AWAITING_GANG,
-         .exit = FL_EXIT_OTHER},
+         .exit_reason = FL_EXIT_OTHER},
 	{.ref = "run-000405",
          .index = 6,
          .attempt = 5,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_DONE},
+         .exit_reason = FL_EXIT_DONE},
 	{.ref = "run-000406",
          .index = 7,
          .attempt = 6,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_STOPPED,
-         .saved = true},
+         .exit_reason = FL_EXIT_STOPPED,
+         .checkpoint_saved = true},
 	{.ref = "run-000407",
          .index = 8,
          .attempt = 7,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_ERROR},
+         .exit_reason = FL_EXIT_ERROR},
 	{.ref = "run-000408",
          .index = 9,
          .attempt = 8,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_NO_ROOM},
+         .exit_reason = FL_EXIT_NO_ROOM},
 	{.ref = "run-000409",
          .index = 10,
          .attempt = 9,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_BUSY},
+         .exit_reason = FL_EXIT_BUSY},
 	{.ref = "run-000410",
          .index = 11,
          .attempt = 10,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_UNKNOWN_TASK},
+         .exit_reason = FL_EXIT_UNKNOWN_TASK},
 	{.ref = "run-000411",
          .index = 12,
          .attempt = 11,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_GANG_PEERS_LOST},
+         .exit_reason = FL_EXIT_GANG_PEERS_LOST},
 	{.ref = "run-000412",
          .index = 13,
          .attempt = 12,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_GANG_INCOMPLETE},
+         .exit_reason = FL_EXIT_GANG_INCOMPLETE},
 	{.ref = "run-000413",
          .index = 14,
          .attempt = 13,
          .state = FL_TASK_STATE_EXITED,
-         .exit = FL_EXIT_OTHER},
+         .exit_reason = FL_EXIT_OTHER},
 };
 
 struct fl_heartbeat busy_heartbeat(void)
@@ -114,7 +114,8 @@
 	                             .task_count = COUNT_OF(busy_tasks)};
 }
 
-void assert_heartbeat_tasks(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
+void assert_heartbeat_tasks_equal(const struct fl_heartbeat *got,
+                                  const struct fl_heartbeat *expected)
 {
 	assert_int_equal(got->task_count, expected->task_count);
 	for (int i = 0; i < expected->task_count; i++) {
@@ -122,11 +123,11 @@
 		assert_int_equal(got->tasks[i].index, expected->tasks[i].index);
 		assert_int_equal(got->tasks[i].attempt, expected->tasks[i].attempt);
 		assert_int_equal(got->tasks[i].state, expected->tasks[i].state);
-		assert_int_equal(got->tasks[i].exit, expected->tasks[i].exit);
+		assert_int_equal(got->tasks[i].exit_reason, expected->tasks[i].exit_reason);
 	}
 }
 
-void assert_heartbeat(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
+void assert_heartbeat_equal(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
 {
 	assert_string_equal(got->host, expected->host);
 	assert_string_equal(got->endpoint, expected->endpoint);
@@ -137,9 +138,10 @@
 	assert_int_equal(got->sequence, expected->sequence);
 	assert_int_equal(got->fencing_token, expected->fencing_token);
 	assert_true(got->interruption_in_s == expected->interruption_in_s);
-	assert_heartbeat_tasks(got, expected);
+	assert_heartbeat_tasks_equal(got, expected);
 	for (int i = 0; i < expected->task_count; i++)
-		assert_int_equal(got->tasks[i].saved, expected->tasks[i].saved);
+		assert_int_equal(got->tasks[i].checkpoint_saved,
+		                 expected->tasks[i].checkpoint_saved);
 }
 
 const char idle_heartbeat_text[] =
--- a/tests/fake_kv_store.c
+++ b/tests/fake_kv_store.c
@@ -15,7 +15,7 @@
 	cJSON *object = fl_json_parse(value, strlen(value));
 	uint64_t fencing_token = 0;
 
-	fl_json_get_count(object, "epoch", &fencing_token);
+	fl_json_get_uint(object, "epoch", &fencing_token);
 	cJSON_Delete(object);
 	return fencing_token;
 }
@@ -98,7 +98,7 @@
 			return;
 	}
 	if (fault_is_due(fake_services.kv_refused_request_every, number)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	if (fault_is_due(fake_services.kv_slow_request_every, number) && fl_sleep(0.3) != 0)
--- a/tests/fake_workers.c
+++ b/tests/fake_workers.c
@@ -75,10 +75,10 @@
 	return task->used && task->status.state != FL_TASK_STATE_EXITED;
 }
 
-static void end_task(struct fake_task *task, enum fl_exit exit)
+static void end_task(struct fake_task *task, enum fl_exit_reason exit)
 {
 	task->status.state = FL_TASK_STATE_EXITED;
-	task->status.exit = exit;
+	task->status.exit_reason = exit;
 }
 
 static struct fake_task *find_attempt(struct fake_machine *machine,
@@ -86,7 +86,7 @@
 {
 	for (int i = 0; i < FAKE_MACHINE_TASKS; i++)
 		if (machine->tasks[i].used &&
-		    worker_command_names_attempt(status, &machine->tasks[i].status))
+		    worker_command_is_for_attempt(status, &machine->tasks[i].status))
 			return &machine->tasks[i];
 	return NULL;
 }
@@ -102,7 +102,7 @@
 		for (int i = 0; i < FAKE_MACHINE_TASKS && !fake_machines[k]->deleted; i++) {
 			const struct fake_task *task = &fake_machines[k]->tasks[i];
 
-			if (!task->used || !worker_command_names_task(status, &task->status))
+			if (!task->used || !worker_command_is_for_task(status, &task->status))
 				continue;
 			if (fake_machines[k] == machine && task->status.attempt == status->attempt)
 				return true;
@@ -195,7 +195,7 @@
 	cJSON *object = fl_json_parse(reply->body.data, reply->body.length);
 	uint64_t fencing_token = 0;
 
-	if (fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
+	if (fl_json_get_uint(object, "Epoch", &fencing_token) == FL_JSON_OK &&
 	    fencing_token >= machine->fencing_token &&
 	    fl_now() < machine->lease_started_at + fake_services.lease_s) {
 		machine->fencing_token = fencing_token;
@@ -242,8 +242,8 @@
 	uint64_t fencing_token = 0, incarnation = 0;
 	bool accepted;
 
-	fl_json_get_count(object, "Epoch", &fencing_token);
-	fl_json_get_count(object, "Tenure", &incarnation);
+	fl_json_get_uint(object, "Epoch", &fencing_token);
+	fl_json_get_uint(object, "Tenure", &incarnation);
 	accepted = fencing_token >= machine->fencing_token && incarnation == machine->incarnation;
 	if (accepted) {
 		machine->fencing_token = fencing_token;
@@ -264,7 +264,7 @@
 		return;
 	}
 	if (machine->deleted || strcmp(request->path, "/commands") != 0) {
-		json_response(response, 404, NULL);
+		set_json_response(response, 404, NULL);
 		return;
 	}
 	accepted = accept_direct_commands(machine, request->body);
--- a/tests/kv_model_requests.c
+++ b/tests/kv_model_requests.c
@@ -52,13 +52,13 @@
 	if (!entry) {
 		object = cJSON_CreateObject();
 		add_revision(model, object);
-		json_response(response, 404, object);
+		set_json_response(response, 404, object);
 		return;
 	}
 	object = encode_key("Key", entry->key, entry->value, entry->mod_revision);
 	if (entry->lease_id)
 		cJSON_AddNumberToObject(object, "Grant", (double)entry->lease_id);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 static int compare_keys(const void *left, const void *right)
@@ -101,7 +101,7 @@
 		                                       sorted[i]->mod_revision));
 	cJSON_AddBoolToObject(object, "More", count > limit);
 	add_revision(model, object);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 	free(sorted);
 }
 
@@ -120,7 +120,7 @@
 			                     encode_key(event->value ? "Put" : "Delete", event->key,
 			                                event->value, event->mod_revision));
 	}
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 /* ---- leases ---- */
@@ -136,7 +136,7 @@
 	cJSON_Delete(body);
 	cJSON_AddNumberToObject(object, "Grant",
 	                        (double)kv_model_lease_grant(model, ttl_ms / 1000));
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 void kv_model_serve_lease(struct kv_model *model, const struct fl_http_request *request,
@@ -151,14 +151,14 @@
 	}
 	index = kv_model_lease_index(model, strtoull(request->path + sizeof(path), NULL, 10));
 	if (index < 0) {
-		json_response(response, 404, NULL);
+		set_json_response(response, 404, NULL);
 		return;
 	}
 	if (request->method == HTTP_DELETE)
 		kv_model_lease_revoke(model, index);
 	else
 		model->leases[index].expires_at = fl_now() + model->leases[index].ttl_s;
-	json_response(response, 200, NULL);
+	set_json_response(response, 200, NULL);
 }
 
 /* ---- transactions ---- */
@@ -169,7 +169,7 @@
 	uint64_t lease_id;
 
 	cJSON_ArrayForEach (operation, operations)
-		if (fl_json_get_count(operation, "Grant", &lease_id) == FL_JSON_OK &&
+		if (fl_json_get_uint(operation, "Grant", &lease_id) == FL_JSON_OK &&
 		    kv_model_lease_index(model, lease_id) < 0)
 			return true;
 	return false;
@@ -187,7 +187,7 @@
 		const struct kv_entry *entry;
 
 		fl_json_get_string(condition, "Key", key, sizeof(key));
-		fl_json_get_count(condition, "KeyRev", &expected);
+		fl_json_get_uint(condition, "KeyRev", &expected);
 		entry = kv_model_find(model, key);
 		if ((entry ? entry->mod_revision : 0) != expected)
 			cJSON_AddItemToArray(failed, cJSON_CreateString(key));
@@ -202,7 +202,7 @@
 	struct kv_entry *entry;
 
 	if (fl_json_get_string(operation, "Put", key, sizeof(key)) == FL_JSON_OK) {
-		if (fl_json_get_count(operation, "Grant", &lease_id) != FL_JSON_OK)
+		if (fl_json_get_uint(operation, "Grant", &lease_id) != FL_JSON_OK)
 			lease_id = 0;
 		kv_model_put(model, key, cJSON_PrintUnformatted(fl_json_get(operation, "V")),
 		             lease_id);
@@ -221,14 +221,14 @@
 
 	if (operations_use_unknown_lease(model, operations)) {
 		cJSON_AddStringToObject(object, "error", "no such lease");
-		json_response(response, 400, object);
+		set_json_response(response, 400, object);
 		return;
 	}
 	failed = failed_conditions(model, fl_json_get(transaction, "When"));
 	if (cJSON_GetArraySize(failed) > 0) {
 		cJSON_AddItemToObject(object, "failed", failed);
 		add_revision(model, object);
-		json_response(response, 409, object);
+		set_json_response(response, 409, object);
 		return;
 	}
 	cJSON_Delete(failed);
@@ -237,5 +237,5 @@
 	cJSON_ArrayForEach (operation, operations)
 		apply_operation(model, operation);
 	add_revision(model, object);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -229,7 +229,7 @@
 		    &sim->node, &heartbeat, from_worker ? &commands : NULL, source)) &&
 	    from_worker) {
 		drop_reply(&sim->workers[index]);
-		sim->workers[index].reply_in_flight = fl_command_list_take(&commands);
+		sim->workers[index].reply_in_flight = fl_command_list_take_body(&commands);
 	} else {
 		cJSON_Delete(commands.root);
 	}
@@ -285,7 +285,7 @@
 		cJSON_Delete(commands.root);
 		return;
 	}
-	text = fl_command_list_take(&commands);
+	text = fl_command_list_take_body(&commands);
 	if (random_below(sim, 2))
 		deliver_command_now(sim, worker, text);
 	/* The command may arrive late, also after it has been executed. */
--- a/tests/reconciliation_workers.c
+++ b/tests/reconciliation_workers.c
@@ -56,7 +56,7 @@
 
 	for (int i = 0; i < WORKER_TASKS; i++)
 		copies += task_is_running(&worker->tasks[i]) &&
-		          worker_command_names_task(status, &worker->tasks[i].status);
+		          worker_command_is_for_task(status, &worker->tasks[i].status);
 	return copies;
 }
 
@@ -95,7 +95,7 @@
 {
 	for (int i = 0; i < WORKER_TASKS; i++)
 		if (worker->tasks[i].used &&
-		    worker_command_names_attempt(status, &worker->tasks[i].status))
+		    worker_command_is_for_attempt(status, &worker->tasks[i].status))
 			return &worker->tasks[i];
 	return NULL;
 }
@@ -109,10 +109,10 @@
 	return NULL;
 }
 
-static void end_task(struct worker_task *task, enum fl_exit exit)
+static void end_task(struct worker_task *task, enum fl_exit_reason exit)
 {
 	task->status.state = FL_TASK_STATE_EXITED;
-	task->status.exit = exit;
+	task->status.exit_reason = exit;
 }
 
 static void start_task(struct simulation *sim, struct worker *worker,
@@ -162,10 +162,10 @@
 	uint64_t fencing_token, incarnation;
 	const cJSON *item;
 
-	assert_int_equal(fl_json_get_count(object, "Epoch", &fencing_token), FL_JSON_OK);
+	assert_int_equal(fl_json_get_uint(object, "Epoch", &fencing_token), FL_JSON_OK);
 	if (fencing_token < worker->fencing_token)
 		goto out;
-	if (direct && (fl_json_get_count(object, "Tenure", &incarnation) != FL_JSON_OK ||
+	if (direct && (fl_json_get_uint(object, "Tenure", &incarnation) != FL_JSON_OK ||
 	               incarnation != worker->incarnation))
 		goto out;
 	worker->fencing_token = fencing_token;
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -149,7 +149,7 @@
 	uint64_t fencing_token = 0;
 
 	/* After an ignored reply the worker keeps sending to this node while its lease runs out. */
-	if (fl_json_get_count(object, "Epoch", &fencing_token) == FL_JSON_OK &&
+	if (fl_json_get_uint(object, "Epoch", &fencing_token) == FL_JSON_OK &&
 	    fencing_token >= machine->fencing_token && incarnation == machine->incarnation) {
 		sim_machine_raise_fencing_token(machine, fencing_token);
 		machine->lease_started_at = sent_at;
--- a/tests/sim_kv_store.c
+++ b/tests/sim_kv_store.c
@@ -180,7 +180,7 @@
 	if (!wait_before_applying(&delays))
 		return;
 	if (!delays.reply_lost && refuses_requests_from(from)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	apply_request(request, transaction, response);
@@ -196,7 +196,7 @@
 	cJSON *transaction = NULL;
 
 	if (refuses_requests_from(from)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	if (strcmp(request->path, "/multi") == 0) {
@@ -204,7 +204,7 @@
 		sim_require(transaction != NULL);
 	}
 	if (!take_tokens(transaction))
-		json_response(response, 429, NULL);
+		set_json_response(response, 429, NULL);
 	else if (strcmp(request->path, "/follow") == 0)
 		serve_watch(from, request->query, response);
 	else
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -16,11 +16,11 @@
 	task->counted_running = false;
 }
 
-static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit exit)
+static void end_task(struct sim_machine *machine, struct sim_task *task, enum fl_exit_reason exit)
 {
 	count_task_as_ended(task);
 	task->status.state = FL_TASK_STATE_EXITED;
-	task->status.exit = exit;
+	task->status.exit_reason = exit;
 	sim_heartbeat_make_due(machine);
 }
 
@@ -163,7 +163,7 @@
 	} else if (task->status.state == FL_TASK_STATE_RUNNING) {
 		on_task_completed(machine, task);
 	} else {
-		task->status.saved = true;
+		task->status.checkpoint_saved = true;
 		end_task(machine, task, FL_EXIT_STOPPED);
 	}
 }
@@ -206,7 +206,7 @@
 {
 	for (int i = 0; i < machine->task_slots_used; i++)
 		if (machine->tasks[i].used &&
-		    worker_command_names_attempt(status, &machine->tasks[i].status))
+		    worker_command_is_for_attempt(status, &machine->tasks[i].status))
 			return &machine->tasks[i];
 	return NULL;
 }
@@ -217,7 +217,7 @@
 		const struct sim_task *task = &machine->tasks[i];
 
 		if (task->used && task->status.state != FL_TASK_STATE_EXITED &&
-		    worker_command_names_task(status, &task->status))
+		    worker_command_is_for_task(status, &task->status))
 			return true;
 	}
 	return false;
@@ -254,9 +254,9 @@
 }
 
 /* Returns FL_EXIT_OTHER if the task can start. */
-static enum fl_exit start_refusal_reason(const struct sim_machine *machine,
-                                         const struct sim_job *job,
-                                         const struct fl_task_status *status)
+static enum fl_exit_reason start_refusal_reason(const struct sim_machine *machine,
+                                                const struct sim_job *job,
+                                                const struct fl_task_status *status)
 {
 	if (!job || job->first_sent_at == 0 || status->index >= job->spec.task_count)
 		return FL_EXIT_UNKNOWN_TASK;
@@ -268,7 +268,7 @@
 static void start_task(struct sim_machine *machine, const struct fl_task_status *status)
 {
 	struct sim_job *job = sim_job_find(status->ref);
-	enum fl_exit refusal = start_refusal_reason(machine, job, status);
+	enum fl_exit_reason refusal = start_refusal_reason(machine, job, status);
 	struct sim_task *task = add_task(machine, status);
 
 	task->job = job;
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -141,8 +141,8 @@
 	cJSON *object = fl_json_parse(request->body, request->body_len);
 	uint64_t fencing_token = 0, incarnation = 0;
 
-	if (fl_json_get_count(object, "Epoch", &fencing_token) != FL_JSON_OK ||
-	    fl_json_get_count(object, "Tenure", &incarnation) != FL_JSON_OK) {
+	if (fl_json_get_uint(object, "Epoch", &fencing_token) != FL_JSON_OK ||
+	    fl_json_get_uint(object, "Tenure", &incarnation) != FL_JSON_OK) {
 		response->status = 400;
 	} else {
 		sim_check_fencing_token(fencing_token, process);
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -20,7 +20,7 @@
 static void a_follower_caches_the_newest_heartbeat(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_cached_heartbeat *cached;
 	double received_at;
 
@@ -51,14 +51,14 @@
 	                                        "[\"\",1,2,3,-1,[]]",
 	                                        "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
 	                                        "{\"m\":1}"};
-	struct fl_task_status tasks[2] = {running_task(3, 2), running_task(1, 1)};
+	struct fl_task_status tasks[2] = {running_task_status(3, 2), running_task_status(1, 1)};
 	struct fl_heartbeat heartbeat = make_heartbeat(4, 5, 6, tasks, 2), decoded;
 	char *text;
 	cJSON *element;
 
 	(void)state;
 	tasks[1].state = FL_TASK_STATE_EXITED;
-	tasks[1].exit = FL_EXIT_DONE;
+	tasks[1].exit_reason = FL_EXIT_DONE;
 	heartbeat.interruption_in_s = 12.5;
 	text = fl_cached_heartbeat_encode(&heartbeat);
 	element = fl_json_parse(text, strlen(text));
@@ -69,7 +69,7 @@
 	assert_true(decoded.interruption_in_s == 12.5 && decoded.task_count == 2);
 	assert_int_equal(decoded.tasks[0].state, FL_TASK_STATE_RUNNING);
 	assert_int_equal(decoded.tasks[0].index, 3);
-	assert_int_equal(decoded.tasks[1].exit, FL_EXIT_DONE);
+	assert_int_equal(decoded.tasks[1].exit_reason, FL_EXIT_DONE);
 	fl_heartbeat_free(&decoded);
 	cJSON_Delete(element);
 
@@ -85,7 +85,7 @@
 }
 
 /* Refused, the worker would lose seconds of its lease looking for a node that is up. */
-static void a_node_that_just_started_waits_for_the_fencing_token_and_the_jobs(void **state)
+static void a_starting_node_renews_leases_once_it_has_the_fencing_token_and_jobs(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_node *node = &fixture->node;
@@ -121,7 +121,7 @@
 {
 	double now = fl_now();
 
-	fixture->node.kv_store.last_success_at = now - duration_s;
+	fixture->node.kv_store.last_success_sent_at = now - duration_s;
 	fixture->node.kv_store.last_failure_at = now;
 	for (int i = 0; i < fixture->node.peer_count; i++) {
 		fixture->node.peers[i].up = false;
@@ -233,7 +233,7 @@
 }
 
 /* An isolated node refuses its users at once, and is not ready for the load balancer. */
-static void an_isolated_node_refuses_users_at_once(void **state)
+static void an_isolated_node_rejects_user_requests_at_once(void **state)
 {
 	static const char job[] =
 		"{\"Ref\":\"run-000099\",\"JobClass\":\"c\",\"Owner\":\"team\",\"JobKind\":"
@@ -278,7 +278,7 @@
 
 	/* Connected again, it is ready. */
 	fixture->node.peers[0].up = true;
-	fixture->node.kv_store.last_success_at = fl_now() + 1;
+	fixture->node.kv_store.last_success_sent_at = fl_now() + 1;
 	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
 }
 
@@ -286,12 +286,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		NODE_TEST(a_follower_caches_the_newest_heartbeat),
-		NODE_TEST(a_node_that_just_started_waits_for_the_fencing_token_and_the_jobs),
+		NODE_TEST(a_starting_node_renews_leases_once_it_has_the_fencing_token_and_jobs),
 		NODE_TEST(a_cached_heartbeat_is_restored_from_its_compact_form),
 		NODE_TEST(an_isolated_node_redirects_its_workers_once),
 		NODE_TEST(a_node_isolated_with_its_workers_renews_their_leases),
 		NODE_TEST(a_worker_is_answered_before_it_is_redirected),
-		NODE_TEST(an_isolated_node_refuses_users_at_once),
+		NODE_TEST(an_isolated_node_rejects_user_requests_at_once),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -107,7 +107,7 @@
 static void a_machine_is_not_suspect_after_one_lost_reply(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_task *task;
 
 	deliver_idle_heartbeat(fixture, 1, 1);
@@ -144,19 +144,20 @@
 
 	fixture->config.report_s = 6;
 	fixture->node.peer_count = 2;
-	for (heartbeat.entry_node = 1; heartbeat.entry_node <= 3; heartbeat.entry_node++) {
+	for (heartbeat.entry_node_index = 1; heartbeat.entry_node_index <= 3;
+	     heartbeat.entry_node_index++) {
 		/* It changes its node after a timeout, or when it was redirected. */
 		for (int i = 0; i < 3; i++) {
 			deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 			assert_int_equal(fl_reachability_is_suspect(only_machine(fixture)),
-			                 heartbeat.entry_node > 1 && i == 0);
+			                 heartbeat.entry_node_index > 1 && i == 0);
 			set_last_reply_age(fixture, 6);
 			heartbeat.sequence++;
 		}
 	}
 
 	/* Even then its own answer to a command, or a start command that shows, ends the doubt. */
-	heartbeat.entry_node = 1;
+	heartbeat.entry_node_index = 1;
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
 
@@ -175,10 +176,10 @@
 }
 
 /* Across a failover nothing is known that would show a copy to be old, except its fencing token. */
-static void a_late_heartbeat_copy_after_a_failover_is_only_answered(void **state)
+static void a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_task *task;
 
 	/* A machine that the leader before returned: no record, no list names it any more. */
@@ -223,7 +224,7 @@
 static void a_late_heartbeat_copy_within_a_leadership_changes_nothing(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	double heartbeat_at;
 
 	deliver_idle_heartbeat(fixture, 2, 10);
@@ -261,7 +262,7 @@
  * Found by the random walk: a reply with a start command is in flight when the task is stopped. The
  * reply to the stop lacks the task, since the worker has not had the answer yet.
  */
-static void a_command_reply_that_overtakes_a_heartbeat_reply_proves_no_absence(void **state)
+static void a_command_response_that_overtakes_a_heartbeat_reply_does_not_prove_absence(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_task *task;
@@ -288,9 +289,10 @@
 		NODE_TEST(a_machine_is_suspect_after_commands_without_effect),
 		NODE_TEST(a_machine_is_not_suspect_after_one_lost_reply),
 		NODE_TEST(a_machine_with_a_long_heartbeat_interval_is_not_suspect),
-		NODE_TEST(a_late_heartbeat_copy_after_a_failover_is_only_answered),
+		NODE_TEST(a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied),
 		NODE_TEST(a_late_heartbeat_copy_within_a_leadership_changes_nothing),
-		NODE_TEST(a_command_reply_that_overtakes_a_heartbeat_reply_proves_no_absence),
+		NODE_TEST(
+			a_command_response_that_overtakes_a_heartbeat_reply_does_not_prove_absence),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
