--- a/src/coordination/api/admission.c
+++ b/src/coordination/api/admission.c
@@ -13,7 +13,7 @@
 	.body_memory_share = 0.15, /* of ram_mb, for the bodies of requests being received */
 	.idle_connection_kb = 9,   /* asserted by test_message_costs */
 	.idle_process_mb = 6,      /* used by a controller that has just started */
-	.forwarded_heartbeat_cpu_s = 0.00025, /* processor time of the leader */
+	.forwarded_heartbeat_cpu_s = 0.00025, /* processor time of the leader, per heartbeat */
 	/* Of a core; with less, a leader cannot serve hundreds of machines. */
 	.min_core_share = 0.02,
 };
@@ -64,11 +64,11 @@
 {
 	snprintf(text, cap,
 	         "core setting low core_share=%g heartbeats_per_s=%.0f "
-	         "effect=\"a leader delays more heartbeats than that\"",
+	         "effect=\"a leader delays heartbeats above heartbeats_per_s\"",
 	         config->core_share, config->core_share / tunables.forwarded_heartbeat_cpu_s);
 }
 
-/* The checks for tight settings; a controller starts in spite of them. */
+/* The checks for tight settings, which are logged but do not prevent a controller's start. */
 static const struct {
 	bool (*is_tight)(const struct fl_config *config);
 	void (*describe)(const struct fl_config *config, char *text, size_t cap);
--- a/src/coordination/api/admission.h
+++ b/src/coordination/api/admission.h
@@ -1,6 +1,6 @@
 /*
  * Admission control by memory: while memory is low, new jobs are rejected before anything is
- * stored, so that the accepted ones can be kept. Settings that make such rejections or a slow
+ * stored, so that the accepted jobs can be kept. Settings that make such rejections or a slow
  * leader likely are logged at the start. Apart from the memory in use, all results depend on the
  * settings alone.
  */
--- a/src/coordination/api/job_lookup.c
+++ b/src/coordination/api/job_lookup.c
@@ -12,8 +12,8 @@
 static const struct {
 	double kv_request_share, burst_s, reads_per_lookup, wait_timeout_s;
 } tunables = {
-	.kv_request_share = 0.4, /* of the store's request rate, for all controllers together */
-	.burst_s = 2.0,          /* how much of that share may be used at once */
+	.kv_request_share = 0.4, /* of the store's request rate, for status queries of all nodes */
+	.burst_s = 2.0,          /* seconds of that rate that may be used at once */
 	.reads_per_lookup = 2,   /* the live record, then the final one */
 	.wait_timeout_s = 1.8,   /* for another request's read; users wait 2 s */
 };
--- a/src/coordination/api/job_status_response.h
+++ b/src/coordination/api/job_status_response.h
@@ -15,7 +15,7 @@
 /* Returns the report of a live job from this node's counts of its tasks. */
 struct fl_job_status_report fl_live_job_report(const struct fl_job *job);
 
-/* Answers a status query: 200 with the status and task counts of a `known` report. */
+/* Answers a status query: 200 with the status, which must be known, and the task counts. */
 void fl_respond_job_status(struct fl_http_response *response, const char *ref,
                            const struct fl_job_status_report *report);
 /* Answers a cancellation: 200 with the final status, which may be DONE, without counts. */
--- a/src/coordination/api/status_from_leader.c
+++ b/src/coordination/api/status_from_leader.c
@@ -62,7 +62,7 @@
 		*report = fl_final_job_report(finished->status, finished->task_count);
 		result = FL_RECORD_FOUND;
 	} else if (result == FL_RECORD_FOUND && record.final) {
-		/* Without a value it is the last record: all tasks are gone, nothing to apply. */
+		/* Without a value, the record is that of a finished job: nothing to apply. */
 		if (value)
 			apply_final_record(node, ref, &record, revision);
 		*report = fl_final_job_report(record.status, record.task_count);
--- a/src/coordination/api/status_from_leader.h
+++ b/src/coordination/api/status_from_leader.h
@@ -12,7 +12,10 @@
 struct fl_cluster;
 struct fl_node;
 
-/* Returns the report from memory; not `known` if the record must be read. Does not wait. */
+/*
+ * Returns the report from memory, with `status_known` false if the record must be read. Does not
+ * wait.
+ */
 struct fl_job_status_report fl_job_status_from_memory(const struct fl_cluster *cluster,
                                                       const char *ref);
 /*
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -18,7 +18,7 @@
 static const struct {
 	double kv_down_s;
 } tunables = {
-	.kv_down_s = 0.3, /* after a failed request, for which the key-value store counts as down */
+	.kv_down_s = 0.3, /* time for which a failed request marks the key-value store as down */
 };
 
 /* A submission being handled. It owns nothing. */
@@ -181,9 +181,10 @@
 }
 
 /*
- * The key-value store may refuse this node's requests, or be partitioned from this node, while the
- * leader reaches it. The decoded submission is sent and not the body, since a large body would
- * exceed 64 KiB when it is escaped once more.
+ * Forwards the submission to the leader, which may reach the key-value store when the store refuses
+ * this node's requests or is partitioned from this node. Returns whether the leader has accepted
+ * the job or answered a duplicate. The decoded submission is sent and not the body, since a large
+ * body would exceed 64 KiB when it is escaped once more.
  */
 static bool submit_through_leader(const struct submission *submission)
 {
@@ -212,7 +213,7 @@
 	bool may_forward = submission->hop == FL_HOP_FIRST;
 	enum fl_kv_result result = FL_KV_UNAVAILABLE;
 
-	/* In a network partition, a write from here would time out and cost the user a second. */
+	/* In a network partition, this node's write would time out and cost the user a second. */
 	if (may_forward && fl_kv_is_unavailable(&submission->node->kv_store)) {
 		if (submit_through_leader(submission))
 			return;
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -16,7 +16,7 @@
 	RESPONDER_FINISHED_JOB, /* this node's memory of a finished job */
 	RESPONDER_THIS_LEADER,
 	RESPONDER_LEADER_FOR_PEER, /* only the leader: a peer forwarded the request */
-	RESPONDER_LEADER           /* another controller; without it, the records */
+	RESPONDER_LEADER           /* another controller or else, for a query, the records */
 };
 
 static enum responder find_responder(const struct fl_node *node, const char *ref,
@@ -35,7 +35,7 @@
 	return hop == FL_HOP_LAST ? RESPONDER_LEADER_FOR_PEER : RESPONDER_LEADER;
 }
 
-/* Forwards the request; returns false without a reply that can be passed on to a user. */
+/* Forwards the request; returns false if there is no reply to pass on to the user. */
 static bool respond_through_leader(struct fl_node *node,
                                    const struct fl_outgoing_user_request *request,
                                    struct fl_http_response *response)
--- a/src/coordination/election/election.c
+++ b/src/coordination/election/election.c
@@ -150,8 +150,8 @@
 	}
 	if (fl_now() > lease->valid_until)
 		fl_debug("election",
-		         "leader lease not renewed; retried, with only worker leases renewed "
-		         "meanwhile result=%s",
+		         "leader lease not renewed; retried, and workers get only lease renewals "
+		         "meanwhile result=\"%s\"",
 		         fl_kv_result_text(result));
 	return tunables.retry_s;
 }
--- a/src/coordination/follower/follower.c
+++ b/src/coordination/follower/follower.c
@@ -40,7 +40,10 @@
 	fl_heartbeat_free(&heartbeat);
 }
 
-/* One coroutine for both, so that old workers are dropped before a digest is written. */
+/*
+ * Drops old misplaced workers and writes heartbeat digests, in one coroutine so that old workers
+ * are dropped before a digest is written.
+ */
 static void maintenance_coroutine(void *arg)
 {
 	struct fl_node *node = arg;
--- a/src/coordination/follower/forwarding.h
+++ b/src/coordination/follower/forwarding.h
@@ -19,11 +19,11 @@
 	FL_FORWARD_ANSWERED = 0,    /* a reply has arrived; the caller checks its status */
 	FL_FORWARD_NO_LEADER,       /* no leader is known, or no peer reaches it either */
 	FL_FORWARD_REJECTED,        /* the reply does not have the expected status */
-	FL_FORWARD_CONNECTION_LOST, /* not connected, or broken: it may have been executed */
+	FL_FORWARD_CONNECTION_LOST, /* not connected, or broken: the request may be executed */
 	FL_FORWARD_OVERLOADED,      /* not sent: too many requests are in flight */
 	FL_FORWARD_TOO_LARGE,       /* not sent: larger than a request may be */
-	FL_FORWARD_TIMED_OUT,       /* the request may still be executed */
-	FL_FORWARD_CANCELLED,       /* this coroutine is cancelled; it may still be executed */
+	FL_FORWARD_TIMED_OUT,       /* no reply in time; the request may still be executed */
+	FL_FORWARD_CANCELLED,       /* this coroutine is cancelled; the request may be executed */
 	FL_FORWARD_MALFORMED_REPLY, /* the peer uses another protocol */
 	FL_FORWARD_OUT_OF_MEMORY    /* not sent */
 };
@@ -61,7 +61,10 @@
 enum fl_forward_result fl_forward_to_leader(struct fl_node *node,
                                             const struct fl_forward_request *request,
                                             struct fl_http_reply *leader_reply);
-/* The same, for a reply with status 200 and a body that `decode` reads into its context. */
+/*
+ * Forwards a request as fl_forward_to_leader does, and passes the body of a reply with status 200
+ * to `decode`. Returns FL_FORWARD_REJECTED for a reply with another status.
+ */
 enum fl_forward_result fl_forward_and_decode(struct fl_node *node,
                                              const struct fl_forward_request *request,
                                              fl_forward_decoder decode, void *decode_context);
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -18,7 +18,7 @@
 } tunables = {
 	.interval_s = 1.0,    /* between two exchanges with a peer */
 	.timeout_s = 1.0,     /* of an exchange; a slower peer counts as unreachable */
-	.clock_slack_s = 1.0, /* overlap between replies, for clock drift */
+	.clock_slack_s = 1.0, /* added to the period that a reply covers, for clock drift */
 };
 
 /* Upper limit of the ages in messages, which need not be exact beyond it. */
@@ -54,12 +54,13 @@
 }
 
 /*
- * A complete reply has all cancellations that the peer has learned of since this node's watermark,
- * and a user is told of a cancellation only by a controller that has learned of it. So once all
- * peers have replied, this node has every cancellation that any user was told of before the oldest
- * of these requests, even if the key-value store is unavailable. This does not hold for a process
- * that has not read the job records since its start: its predecessor may have told a user of a
- * cancellation that the new process lacks.
+ * Raises the cancellation watermark after a complete reply, which has all cancellations that the
+ * peer has learned of since this node's watermark. A cancellation is confirmed to a user only by a
+ * controller that has learned of it. So once all peers have replied, this node has every
+ * cancellation that was confirmed to any user before the oldest of these requests, even if the
+ * key-value store is unavailable. This does not hold for a process that has not read the job
+ * records since its start: its predecessor may have confirmed a cancellation that the new process
+ * lacks.
  */
 static void raise_watermark(struct fl_node *node, struct fl_peer *peer,
                             const struct fl_gossip *gossip, double sent_at)
@@ -140,9 +141,9 @@
 		return;
 	}
 	/*
-	 * A request raises no watermark here, since it may have been delayed for minutes. The
-	 * requester waits only one timeout for the reply, though: if it still does, its watermark
-	 * had this age at most one timeout ago.
+	 * A request raises no watermark here, since it may have been delayed for minutes. But the
+	 * requester uses the reply only within its timeout, so if the reply is used, the watermark
+	 * in the request had the given age at most one timeout ago.
 	 */
 	since = fl_now() - gossip.watermark_age_s - tunables.timeout_s - tunables.clock_slack_s;
 	fl_gossip_free(&gossip);
--- a/src/coordination/follower/gossip.h
+++ b/src/coordination/follower/gossip.h
@@ -19,7 +19,7 @@
 
 /* Starts a coroutine for each other controller, with no exchange completed yet. */
 void fl_gossip_start(struct fl_node *node);
-/* Returns when an exchange with any peer last completed; FL_LONG_AGO if none has. */
+/* Returns when any peer last responded to this node's gossip; FL_LONG_AGO if none has. */
 double fl_gossip_last_response_at(const struct fl_node *node);
 /* Returns the text of a gossip request; the caller frees it. */
 char *fl_gossip_request_encode(struct fl_node *node);
--- a/src/coordination/follower/heartbeat_digest.c
+++ b/src/coordination/follower/heartbeat_digest.c
@@ -19,8 +19,8 @@
 } tunables = {
 	.record_fill_share = 0.85,      /* of the size limit of a value, for one digest */
 	.kv_write_share = 0.12,         /* of the store's write rate, for one node's digests */
-	.max_cached_age_intervals = 5,  /* digest intervals until a heartbeat is dropped */
-	.max_written_age_intervals = 2, /* digest intervals until it is too old to be written */
+	.max_cached_age_intervals = 5,  /* digest intervals until a cached heartbeat is dropped */
+	.max_written_age_intervals = 2, /* digest intervals until a heartbeat is too old to write */
 };
 
 /*
--- a/src/coordination/follower/heartbeat_forwarding.c
+++ b/src/coordination/follower/heartbeat_forwarding.c
@@ -12,9 +12,11 @@
 	double send_timeout_s, exchange_timeout_s;
 	int max_in_flight;
 } tunables = {
-	.send_timeout_s = 0.75,    /* until the batch is sent; then this node renews leases */
+	/* Maximum wait of a batch until it is sent; after that, this node renews the leases. */
+	.send_timeout_s = 0.75,
 	.exchange_timeout_s = 1.5, /* for the leader's reply; the worker times out after 4 s */
-	.max_in_flight = FL_HEARTBEAT_REQUESTS_MAX, /* a stalled one must not block the rest */
+	/* More than one, so that a stalled request does not block the rest. */
+	.max_in_flight = FL_HEARTBEAT_REQUESTS_MAX,
 };
 
 /* The heartbeats of one request, and the replies to them. */
--- a/src/coordination/follower/lease_renewal.c
+++ b/src/coordination/follower/lease_renewal.c
@@ -12,7 +12,7 @@
 	double refresh_interval_s, wait_timeout_s;
 } tunables = {
 	.refresh_interval_s = 0.5, /* minimum time between two reads of the leader view */
-	.wait_timeout_s = 1.5,     /* of a heartbeat for fencing token and job list */
+	.wait_timeout_s = 1.5,     /* maximum wait of a heartbeat for the token and the job list */
 };
 
 /*
@@ -52,9 +52,9 @@
 /*
  * Waits for the fencing token and the job list, if this node lacks them, and returns whether it can
  * renew leases. A node that has just started has neither, and so no cancellation watermark, when
- * many workers send it heartbeats at once; a rejected worker loses seconds of its lease on nodes
- * that are down. With a wait for the token alone, some 50 workers were rejected each time that all
- * controllers restarted, because the jobs were not listed yet.
+ * many workers send it heartbeats at once; a rejected worker spends seconds of its lease on trying
+ * nodes that are down. With a wait for the token alone, some 50 workers were rejected each time
+ * that all controllers restarted, because the jobs were not listed yet.
  */
 static bool wait_until_can_renew(struct fl_node *node, uint64_t fencing_token)
 {
@@ -85,7 +85,7 @@
 		fl_respond_error(response, 503, "leadership not confirmed");
 		return;
 	}
-	/* After the wait, since a node that has just started has no cancellations before it. */
+	/* Checked after the wait: before it, a node that has just started has no cancellations. */
 	if (fl_renewal_heartbeat_has_overdue_task(node, heartbeat)) {
 		fl_debug("follower",
 		         "lease renewal rejected machine=%s reason=\"cancelled task overdue\"",
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -13,7 +13,7 @@
 	double min_peer_up_s, redirect_interval_leases, min_served_heartbeats,
 		readiness_probe_timeout_s, same_cause_window_s;
 } tunables = {
-	.min_peer_up_s = 1.0, /* time for which the peer in the worker's zone was reachable */
+	.min_peer_up_s = 1.0,             /* minimum up time of the peer in the worker's own zone */
 	.redirect_interval_leases = 1.5,  /* lease durations between two redirects of a worker */
 	.min_served_heartbeats = 1.0,     /* heartbeat intervals before the first redirect */
 	.readiness_probe_timeout_s = 2.5, /* the load balancer probes about once a second */
@@ -46,9 +46,9 @@
 
 /*
  * Returns whether a worker may be redirected now, and if so records the redirect. A worker is
- * redirected once in more than a lease and otherwise served here, and it is served here first: it
- * may have searched for a live node until its lease has nearly expired, and a redirect that takes
- * half a second more would end its tasks.
+ * redirected at most once per redirect interval, which is longer than a lease, and this node serves
+ * it before the first redirect: the worker may have searched for a live node until its lease has
+ * nearly expired, and a redirect that takes half a second more would end its tasks.
  */
 static bool try_begin_redirect(struct fl_node *node, const char *host)
 {
@@ -104,11 +104,12 @@
 }
 
 /*
- * Returns the peer for a worker of this node if the node is isolated. It could renew the lease, but
- * the leader gets no heartbeats and would consider the machine lost after a lease. Other nodes
- * serve the worker better if only this node's own links have failed. A node that is partitioned
- * together with its zone renews its workers' leases, since they cannot reach any other node either;
- * the last node that is up in an outage does the same. Workers are redirected to the peers in turn.
+ * Returns the peer to redirect a worker to if this node is isolated. The node could renew the
+ * lease, but the leader would get no heartbeats and consider the machine lost after a lease. Other
+ * nodes serve the worker better if only this node's own links have failed. A node that is
+ * partitioned together with its zone renews its workers' leases, since they cannot reach any other
+ * node either; the last node that is up in an outage does the same. Workers are redirected to the
+ * peers in turn.
  */
 static const struct fl_peer *find_target_if_isolated(struct fl_node *node,
                                                      const struct fl_heartbeat *heartbeat)
--- a/src/coordination/follower/redirect.h
+++ b/src/coordination/follower/redirect.h
@@ -1,7 +1,8 @@
 /*
  * Redirects of misplaced workers: a worker that sends its heartbeats to a node of another zone or
- * to an isolated node is redirected to a better one, at most once in more than a lease; in between,
- * this node serves it. Points in time are seconds of the monotonic clock.
+ * to an isolated node is redirected to a better one, at most once per redirect interval, which is
+ * longer than a lease; in between, this node serves it. Points in time are seconds of the monotonic
+ * clock.
  */
 #ifndef FL_COORDINATION_FOLLOWER_REDIRECT_H
 #define FL_COORDINATION_FOLLOWER_REDIRECT_H
--- a/src/coordination/job_watch.c
+++ b/src/coordination/job_watch.c
@@ -15,7 +15,8 @@
 } tunables = {
 	.types_check_interval_s = 0.1, /* between checks whether machine types are loaded */
 	.retry_s = 0.5,                /* delay after a failed read */
-	.watch_timeout_s = 1.0,        /* a completed watch proves that no change was missed */
+	/* Duration of one watch request, whose completion shows that no change was missed. */
+	.watch_timeout_s = 1.0,
 };
 
 static void on_job_event(void *context, const struct fl_kv_event *event)
--- a/src/coordination/leadership/failover.c
+++ b/src/coordination/leadership/failover.c
@@ -74,8 +74,7 @@
 	/* A cancelled job is kept while its tasks may run: they must be stopped and counted. */
 	if (job) {
 		job->cancelled = true;
-		/* If the deadline restarted at each failover, brief leaders would enforce nothing.
-		 */
+		/* If each failover restarted the deadline, it might never be enforced. */
 		job->cancelled_at = fl_monotonic_from_wall(record.cancelled_wall);
 	}
 	fl_finished_job_add(failover->cluster, ref, record.status, record.task_count,
@@ -127,7 +126,7 @@
 		const struct fl_wal_group *group = &failover->wal.groups[i];
 		struct fl_job *job = fl_job_find(failover->cluster, group->ref);
 
-		/* A missing job is finished: older values of the log may stay indefinitely. */
+		/* A missing job has finished: old values of the log may stay indefinitely. */
 		if (group->restored || !job)
 			continue;
 		if (fl_task_block_restore(failover->cluster, job, group->block_index, &source,
--- a/src/coordination/leadership/failover.h
+++ b/src/coordination/leadership/failover.h
@@ -15,7 +15,7 @@
 	FL_FAILOVER_LOADED = 0,
 	FL_FAILOVER_STORE_FAILED, /* a read failed: repeat the whole failover */
 	FL_FAILOVER_LEASE_LOST,   /* the lease was lost during the failover: do not lead */
-	/* A record or its key is unreadable, so unknown tasks may be running: see the log. */
+	/* A record (named in the log) or its key is unreadable: unknown tasks may be running. */
 	FL_FAILOVER_UNREADABLE_RECORD
 };
 
--- a/src/coordination/machine_types.c
+++ b/src/coordination/machine_types.c
@@ -39,7 +39,8 @@
 		return true;
 	result = fl_cloud_get_machine_types(&node->cloud, types, count);
 	if (result == FL_CLOUD_UNEXPECTED_RESPONSE)
-		fl_error("cloud", "machine type list unreadable; retried");
+		fl_error("cloud",
+		         "machine types not loaded: unexpected response from the cloud; retried");
 	return result == FL_CLOUD_OK;
 }
 
--- a/src/coordination/node.c
+++ b/src/coordination/node.c
@@ -22,11 +22,11 @@
 } tunables = {
 	.peer_idle_connections = 6,     /* kept open to each peer */
 	.cloud_idle_connections = 2,    /* kept open to the cloud */
-	.outbound_connections = 48,     /* to the key-value store, the cloud and machines at once */
-	.finished_memory_share = 0.1,   /* of the memory, for final states of jobs */
+	.outbound_connections = 48,     /* reserved for key-value store, cloud and machines */
+	.finished_memory_share = 0.1,   /* of ram_mb, for final states of jobs */
 	.public_connection_share = 0.6, /* of all connections, at least, for users and workers */
 	.idle_timeout_intervals = 4.0,  /* heartbeat intervals until an idle connection is closed */
-	.idle_timeout_min_s = 20.0,     /* at least, since users query every 5 s */
+	.idle_timeout_min_s = 20.0,     /* lower bound, since users query every 5 s */
 };
 
 /* Assigns indices to the zones and job classes of the settings; false: out of memory. */
@@ -149,7 +149,8 @@
 
 	if (limit < config->max_connections)
 		fl_error("node",
-		         "open file limit too low for max_connections limit=%d max_connections=%d",
+		         "open file limit too low; connections above it wait or fail limit=%d "
+		         "max_connections=%d",
 		         limit, config->max_connections);
 }
 
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -32,10 +32,11 @@
 	char name[FL_NAME_MAX];
 	struct fl_http_client http;
 	char location[FL_NAME_MAX];
-	double up_since;                     /* start of the current up period; valid while `up` */
-	double last_response_at;             /* when the peer last responded */
-	double cancellations_complete_as_of; /* sending time of the last complete exchange */
-	bool up;
+	double up_since;         /* start of the current up period; valid while `up` */
+	double last_response_at; /* when the peer last responded */
+	/* When the last request was sent whose reply had all cancellations of the peer. */
+	double cancellations_complete_as_of;
+	bool up; /* the last gossip exchange got a reply */
 };
 
 /* The state of users' requests on a node. */
@@ -55,7 +56,7 @@
 	struct fl_cloud cloud;
 	struct fl_peer peers[FL_CONFIG_PEERS_MAX];
 	int peer_count;
-	char process_id[FL_PROCESS_ID_MAX]; /* differs from the node's earlier processes */
+	char process_id[FL_PROCESS_ID_MAX]; /* unique to each start of the node */
 	bool machine_types_loaded, live_jobs_loaded;
 	/* Number of job classes with an objective in the settings; their indices are below it. */
 	int slo_class_count;
--- a/src/coordination/persistence/job_record_refresh.h
+++ b/src/coordination/persistence/job_record_refresh.h
@@ -25,7 +25,7 @@
 /*
  * Reads the records of a job whose last write had an unknown outcome. Takes a job id, not a
  * pointer, since the job may be dropped before the response arrives. Only the record writer may
- * drop a job, so a finished one keeps its `write_outcome_unknown`. `out` is set only if a record
+ * drop a job, so a finished job keeps its `write_outcome_unknown`. `out` is set only if a record
  * was found.
  */
 enum fl_record_result fl_job_record_refresh(struct fl_node *node, const char *ref,
--- a/src/coordination/persistence/progress_writer.c
+++ b/src/coordination/persistence/progress_writer.c
@@ -11,7 +11,7 @@
 static const struct {
 	int wal_min_blocks;
 } tunables = {
-	.wal_min_blocks = 3, /* urgent blocks; fewer are written as progress records */
+	.wal_min_blocks = 3, /* fewer urgent blocks are written as progress records instead */
 };
 
 /* Maximum number of blocks in one transaction. */
--- a/src/coordination/persistence/progress_writer.h
+++ b/src/coordination/persistence/progress_writer.h
@@ -6,7 +6,10 @@
 
 struct fl_node;
 
-/* Stores the placements that starts wait for: few as progress records, many through the log. */
+/*
+ * Stores the placements that start commands wait for: a few as progress records, many in the
+ * write-ahead log.
+ */
 enum fl_kv_result fl_progress_write_urgent(struct fl_node *node);
 /* Writes as many unsaved progress records as the write budget allows without waiting. */
 enum fl_kv_result fl_progress_write_within_budget(struct fl_node *node);
--- a/src/coordination/persistence/record_txn.h
+++ b/src/coordination/persistence/record_txn.h
@@ -1,6 +1,6 @@
 /*
- * The transactions in which a leader writes its records. They succeed only while it is still the
- * leader, and are limited to its share of the store's write rate.
+ * The transactions in which a leader writes its records. They succeed only while the node is
+ * still the leader, and are limited to the leader's share of the store's write rate.
  */
 #ifndef FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
 #define FL_COORDINATION_PERSISTENCE_RECORD_TXN_H
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -105,7 +105,7 @@
 	return true;
 }
 
-/* Makes the log's stored revision known, which the next write expects since it replaces it. */
+/* Reads the log's stored revision, unless it is known; the next write expects it. */
 static enum fl_kv_result read_wal_revision(struct fl_node *node)
 {
 	struct fl_record_writer *writer = &node->record_writer;
@@ -155,7 +155,7 @@
 	if (result != FL_KV_OK)
 		return FL_WAL_FAILED;
 	result = fl_record_txn_commit(node, &write->txn, &revision);
-	fl_debug("records", "write-ahead log write attempted blocks=%zu values=%d result=%s",
+	fl_debug("records", "write-ahead log write finished blocks=%zu values=%d result=\"%s\"",
 	         write->block_count, write->value_count, fl_kv_result_text(result));
 	if (result == FL_KV_OK) {
 		writer->wal_mod_revision = revision;
--- a/src/coordination/persistence/wal_writer.h
+++ b/src/coordination/persistence/wal_writer.h
@@ -14,7 +14,7 @@
 	FL_WAL_FAILED     /* not written, or outcome unknown: retry later */
 };
 
-/* Writes all unsaved changes to the log, replacing the version that this leader knows. */
+/* Replaces the log by all unsaved changes, if it still has the revision that is known here. */
 enum fl_wal_write_result fl_wal_writer_write(struct fl_node *node);
 
 #endif
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -20,7 +20,7 @@
 static const struct {
 	int deferred_queries_max;
 } tunables = {
-	.deferred_queries_max = 64, /* as many status queries are answered within a second */
+	.deferred_queries_max = 64, /* status queries; that many are answered within a second */
 };
 
 static void respond_to_readiness_probe(struct fl_node *node, struct fl_http_response *response)
@@ -131,7 +131,7 @@
 	if (strcmp(path, FL_PATH_GOSSIP) == 0) {
 		fl_gossip_serve(node, request->body, request->body_len, response);
 	} else if (strcmp(path, FL_PATH_STATUS) == 0) {
-		/* One batch holds queries of up to 256 users and is answered from memory. */
+		/* Urgent, since a batch has queries of up to 256 users, answered from memory. */
 		fl_coroutine_set_urgent();
 		fl_status_query_serve(node, request->body, request->body_len, response);
 	} else if (strcmp(path, FL_PATH_HEARTBEATS) == 0) {
