--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -137,10 +137,10 @@
 	 * guaranteed work.
 	 */
 	if (attempt->priority < job->priority)
-		return !attempt->within_guaranteed || job->within_guaranteed || job->service ||
-		       attempt->team == job->team;
+		return !attempt->within_guaranteed_quota || job->within_guaranteed_quota ||
+		       job->service || attempt->team == job->team;
 	return within_guarantee && attempt->team != job->team && !attempt->service &&
-	       !attempt->within_guaranteed &&
+	       !attempt->within_guaranteed_quota &&
 	       !model_usage_within_guarantee(team, team->used_cpus, team->used_gpus);
 }
 
@@ -159,9 +159,10 @@
 	struct fl_resources available = machine->free, covered = {0};
 
 	fl_resources_add(&available, model->releasing_resources[machine_index]);
-	if (!reserved->active || (job->priority >= reserved->priority &&
-	                          (model_is_urgent_service(job) || !reserved->within_guaranteed ||
-	                           job->within_guaranteed)))
+	if (!reserved->active ||
+	    (job->priority >= reserved->priority &&
+	     (model_is_urgent_service(job) || !reserved->within_guaranteed_quota ||
+	      job->within_guaranteed_quota)))
 		return available;
 	if (machine->requested.active && machine->requested.priority >= reserved->priority)
 		covered = machine->requested.resources;
