--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -100,7 +100,7 @@
 		return RANK_FIRST;
 	if (!job->service && !job->begun && job->waited_s > OVERDUE_AFTER_S)
 		return 2;
-	return job->within_guaranteed ? 1 : 0;
+	return job->within_guaranteed_quota ? 1 : 0;
 }
 
 /* The formula of the paper, with the waiting of overdue jobs. */
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -134,10 +134,10 @@
 		return false;
 	/* What is within a guarantee gives way to a service, its own team, or another guarantee. */
 	if (attempt->priority < job->priority)
-		return !attempt->within_guaranteed || job->within_guaranteed || job->service ||
-		       attempt->team == job->team;
+		return !attempt->within_guaranteed_quota || job->within_guaranteed_quota ||
+		       job->service || attempt->team == job->team;
 	return within_guarantee && attempt->team != job->team && !attempt->service &&
-	       !attempt->within_guaranteed &&
+	       !attempt->within_guaranteed_quota &&
 	       !model_within_guarantee(team, team->used_cpus, team->used_gpus);
 }
 
@@ -156,9 +156,9 @@
 	struct fl_resources available = machine->free, covered = {0};
 
 	fl_resources_add(&available, model->freed_later[machine_index]);
-	if (!reserved->active ||
-	    (job->priority >= reserved->priority &&
-	     (model_goes_first(job) || !reserved->within_guaranteed || job->within_guaranteed)))
+	if (!reserved->active || (job->priority >= reserved->priority &&
+	                          (model_goes_first(job) || !reserved->within_guaranteed_quota ||
+	                           job->within_guaranteed_quota)))
 		return available;
 	if (machine->requested.active && machine->requested.priority >= reserved->priority)
 		covered = machine->requested.resources;
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -26,7 +26,7 @@
 	double timeouts[FL_ZONES_MAX];
 
 	fl_failure_detector_zone_timeouts(&fixture->node, fl_now(), timeouts);
-	return fl_failure_detector_machine_expired(&fixture->node, only_machine(fixture), fl_now(),
+	return fl_failure_detector_machine_is_lost(&fixture->node, only_machine(fixture), fl_now(),
 	                                           timeouts);
 }
 
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -145,14 +145,14 @@
 	snapshot.attempts[0] = running_attempt(0, 4, 50);
 	snapshot.attempts[0].priority = FL_BEST_EFFORT;
 	snapshot.attempts[0].team = 1;
-	snapshot.attempts[0].within_guaranteed = true;
+	snapshot.attempts[0].within_guaranteed_quota = true;
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 0);
 	fl_sched_output_free(&output);
 	/* Beyond the guarantee it gives way to the higher priority. */
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.jobs[0].startable_count = 1;
-	snapshot.attempts[0].within_guaranteed = false;
+	snapshot.attempts[0].within_guaranteed_quota = false;
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 1);
 	fl_sched_output_free(&output);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -107,7 +107,7 @@
 			arrival->job = plain_job(1, stream->task_count, stream->estimate_s, 0);
 			arrival->job.priority = stream->priority;
 			arrival->job.team = stream->team;
-			arrival->job.within_guaranteed = stream->within_guarantee;
+			arrival->job.within_guaranteed_quota = stream->within_guarantee;
 			arrival->class = class_index;
 			arrival->arrived_at = next_at[class_index];
 			arrival->begun_at = -1;
