--- a/src/coordination/autoscaling/autoscaler.c
+++ b/src/coordination/autoscaling/autoscaler.c
@@ -19,7 +19,7 @@
 	double interval_s, list_interval_s, types_interval_s, tombstone_retention_s, spot_prior_s;
 	double call_share, burst_s;
 } tunables = {
-	.interval_s = 0.5,              /* between two examinations of the machines */
+	.interval_s = 0.5,              /* between two rounds of scale in and scale out */
 	.list_interval_s = 3.0,         /* between two machine lists */
 	.types_interval_s = 30.0,       /* between two requests for types and prices */
 	.tombstone_retention_s = 900.0, /* messages may arrive minutes late */
@@ -100,8 +100,8 @@
 		if (!fl_leader_lease_is_valid(&node->leader_lease))
 			continue;
 		/*
-		 * Safe: no call of this coroutine is in flight, and machines with a command in
-		 * flight are kept.
+		 * Freeing machines is safe here: this coroutine has no call in flight, and machines
+		 * with a command in flight are kept.
 		 */
 		fl_cluster_purge_tombstones(&node->cluster,
 		                            fl_now() - tunables.tombstone_retention_s);
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -34,7 +34,8 @@
 struct fl_autoscaler {
 	struct fl_scale_out_request requests[FL_SCALE_OUT_REQUESTS_MAX];
 	int request_count;
-	long machines_examined; /* planned machines examined by the last plan: its work */
+	/* Number of planned machines that the last plan examined: a measure of its work. */
+	long machines_examined;
 	/* Rental calls are in flight; until they return, the rented machines are unknown. */
 	bool scale_out_in_flight;
 	uint64_t rental_name_count; /* rental names used by this leader since the failover */
@@ -43,7 +44,7 @@
 	/* By zone: rentals cost more until then, as too many machines of the zone were silent. */
 	double zone_suspected_until[FL_ZONES_MAX];
 	double last_list_started_at; /* start of the last complete machine list */
-	double types_refreshed_at;   /* last request for types and prices */
+	double types_refreshed_at;   /* time of the last request for types and prices */
 	struct fl_token_bucket call_budget;
 	double spot_losses;             /* spot machines that were reclaimed or fell silent */
 	double spot_machine_seconds;    /* total time for which spot machines were up */
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -16,7 +16,7 @@
 	double max_boot_times, ending_soon_boot_times;
 } tunables = {
 	.max_boot_times = 1.6, /* boot times after which a booting machine is no longer expected */
-	.ending_soon_boot_times = 0.7, /* boot times within which freed resources are waited for */
+	.ending_soon_boot_times = 0.7, /* an array task that ends this soon saves a rental */
 };
 
 static bool can_take_task(const struct fl_planned_machine *machine,
--- a/src/coordination/autoscaling/call_budget.h
+++ b/src/coordination/autoscaling/call_budget.h
@@ -11,7 +11,7 @@
 	FL_CALL_CANCELLED        /* the calling coroutine is being cancelled and must unwind */
 };
 
-/* Waits until the rate limit allows one call, and counts the call. */
+/* Waits until the rate limit allows one call, and counts it; returns whether it may be made. */
 enum fl_call_permission fl_autoscaler_await_call_budget(struct fl_node *node);
 
 #endif
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -43,8 +43,9 @@
 }
 
 /*
- * Returns the newest urgent service submitted within arrival_window_s, the model for services to
- * come, and in `*task_count` the tasks of all such services; NULL if there is none.
+ * Returns the newest urgent service submitted within arrival_window_s, which is the model for
+ * future services; NULL if there is none. Stores the number of tasks of all such services in
+ * `*task_count`.
  */
 static const struct fl_job *newest_recent_service(const struct fl_autoscaler_plan *plan,
                                                   double *task_count)
@@ -114,9 +115,9 @@
 }
 
 /*
- * A service should not wait for a machine to boot. Machines that are up must have capacity for as
- * many tasks as recently arrived in one boot time, plus a margin; resources of arrays that can be
- * preempted count as capacity.
+ * A service should not wait for a machine to boot. Machines that are up must have capacity for the
+ * recent average number of tasks that arrive in one boot time, plus a margin; resources of arrays
+ * that can be preempted count as capacity.
  */
 void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan)
 {
--- a/src/coordination/autoscaling/machine_list.c
+++ b/src/coordination/autoscaling/machine_list.c
@@ -12,7 +12,7 @@
 	double max_list_lags, list_slack_s;
 } tunables = {
 	.max_list_lags = 2.0, /* list lags by which a list may be out of date */
-	.list_slack_s = 1.0,  /* in addition, for the call itself */
+	.list_slack_s = 1.0,  /* added to these lags, for the call itself */
 };
 
 /* Applies one entry of the list. `known_count`: number of machines known when the list began. */
--- a/src/coordination/autoscaling/machine_list.h
+++ b/src/coordination/autoscaling/machine_list.h
@@ -1,7 +1,7 @@
 /*
- * The list of the machines rented from the cloud, which shows what machines exist and proves that a
- * machine has failed or is gone. The list may be out of date by the list lag in the settings; the
- * proof allows for the lag.
+ * The list of the machines rented from the cloud, which shows the machines that exist and proves
+ * that a machine has failed or is gone. The list may be out of date by the list lag in the
+ * settings; the proof allows for the lag.
  */
 #ifndef FL_COORDINATION_AUTOSCALING_MACHINE_LIST_H
 #define FL_COORDINATION_AUTOSCALING_MACHINE_LIST_H
--- a/src/coordination/autoscaling/planned_machines.c
+++ b/src/coordination/autoscaling/planned_machines.c
@@ -7,7 +7,7 @@
 static const struct {
 	double suspected_zone_cost_factor, zone_balance_weight, spread_weight;
 } tunables = {
-	.suspected_zone_cost_factor = 2.0, /* in a zone where too many machines are silent */
+	.suspected_zone_cost_factor = 2.0, /* for zones where too many machines are silent */
 	.zone_balance_weight = 1e-4, /* share of the price, per machine in the zone: breaks ties */
 	.spread_weight = 0.1, /* share of the price, per task in the zone, for a job to be spread */
 };
--- a/src/coordination/autoscaling/planned_machines.h
+++ b/src/coordination/autoscaling/planned_machines.h
@@ -31,9 +31,9 @@
 	const struct fl_cluster *cluster;
 	struct fl_planned_machine *machines; /* owned */
 	int planned_machine_count, planned_machine_capacity, rental_count;
-	double tasks_ending_soon; /* tasks that end before a rented machine could boot */
-	int machines_by_zone[FL_ZONES_MAX];
-	double now, now_wall; /* monotonic clock, s; wall clock, s */
+	double tasks_ending_soon;           /* tasks that end before a rented machine could boot */
+	int machines_by_zone[FL_ZONES_MAX]; /* number of machines, with the planned rentals */
+	double now, now_wall;               /* monotonic clock, s; wall clock, s */
 };
 
 /* A job whose tasks the plan places. */
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -27,7 +27,7 @@
 	IDLE,
 	FAULTY,       /* quarantined with too many faults */
 	SILENT,       /* no heartbeats arrive */
-	UNREACHABLE,  /* heartbeats arrive, but our replies do not reach the machine */
+	UNREACHABLE,  /* heartbeats arrive, but the leader's replies do not reach the machine */
 	NEVER_BOOTED, /* no heartbeat long after the rental */
 	DRAINING      /* already being drained */
 };
@@ -99,8 +99,8 @@
 }
 
 /*
- * Returns why a machine is to be returned. `timeouts`: of silent machines, by zone, in worker
- * leases.
+ * Returns why a machine is to be returned. `timeout_leases`: the timeout of silent machines, by
+ * zone, in worker leases.
  */
 static enum scale_in_reason scale_in_reason(struct fl_node *node, struct fl_machine *machine,
                                             double now, const double timeout_leases[FL_ZONES_MAX])
@@ -128,6 +128,7 @@
 	return empty_machine_reason(&node->autoscaler, machine, type, now);
 }
 
+/* Makes rentals cost more in each zone whose timeout is raised because many machines are silent. */
 static void suspect_silent_zones(struct fl_autoscaler *autoscaler, double now,
                                  const double timeout_leases[FL_ZONES_MAX])
 {
--- a/src/coordination/autoscaling/scale_out.c
+++ b/src/coordination/autoscaling/scale_out.c
@@ -22,7 +22,7 @@
 	const struct fl_scale_out_request *request;
 	char name[64];
 	struct fl_cloud_rental call; /* points to the name above */
-	char (*hosts)[FL_NAME_MAX];
+	char (*hosts)[FL_NAME_MAX];  /* names of the rented machines; owned */
 	int host_count;
 	enum fl_cloud_result result;
 };
--- a/src/coordination/scheduling/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -64,7 +64,7 @@
 	struct fl_sched_job *job = &cycle->input->jobs[job_index];
 	double estimate_s = job->estimate_s;
 
-	/* A service never ends: it starts as the top job, or where the top job may not run. */
+	/* A service never ends: backfilled, it starts only where the top job may not run. */
 	if (max_duration_s && estimate_s <= 0)
 		job->estimate_s =
 			job->service ? INFINITY : cycle->input->params->default_estimate_s;
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -40,7 +40,7 @@
 	bool service;
 	bool gang; /* all its startable tasks start in one cycle, or none */
 	int team;
-	double waited_s, estimate_s; /* estimate_s: duration of one task; 0: no estimate */
+	double waited_s, estimate_s; /* time since submission; duration of one task, 0: unknown */
 	struct fl_resources need;    /* resources of one task */
 	double image_gb;
 	uint32_t task_count, startable_count; /* startable: waiting tasks that may start now */
@@ -58,7 +58,9 @@
 
 /*
  * Resources of a machine that are reserved for a waiting job, also while victims are being stopped
- * there: meanwhile only jobs of the same or a higher priority may use them.
+ * there: meanwhile only jobs of the same or a higher priority may use them. With
+ * `within_guaranteed_quota`, only urgent services and jobs within their team's guaranteed quota may
+ * use them.
  */
 struct fl_reservation {
 	bool active, within_guaranteed_quota;
@@ -84,7 +86,10 @@
 	bool service, stopping;
 	bool preemptible;             /* may be chosen as a victim */
 	bool within_guaranteed_quota; /* its job is within its team's guaranteed quota */
-	/* The only placed task of an overdue job: only urgent jobs may preempt it. */
+	/*
+	 * The only placed task of an array or gang that was submitted more than overdue_after_s
+	 * ago: only urgent jobs may preempt it.
+	 */
 	bool last_running_task;
 	struct fl_resources used;
 	double estimated_remaining_s; /* by its job's estimate; INFINITY for a service */
@@ -125,7 +130,7 @@
 	int top_job;              /* index of the blocked top job; -1: none */
 	double window_s;          /* backfill window of the top job from now on */
 	int resume_position;      /* where the cycle ran out of time; 0: the cycle is complete */
-	long machines_examined;   /* the work of the cycle, independent of the clock */
+	long machines_examined;   /* measures the work of the cycle without a clock */
 };
 
 /* The result of a step of a cycle, and whether its output can be used. */
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -30,7 +30,7 @@
 
 uint32_t fl_sched_placement_capacity(const struct fl_sched_job *job, struct fl_resources available)
 {
-	/* A reservation can make an amount negative that the job does not need. */
+	/* A reservation can make the amount of a resource negative that the job does not need. */
 	if (!fl_resources_fit(job->need, available))
 		return 0;
 	return fl_fitting_task_count(job->need, available);
@@ -46,9 +46,12 @@
 static bool may_use_reservation(const struct fl_sched_cycle *cycle, const struct fl_sched_job *job,
                                 const struct fl_reservation *reserved)
 {
+	/*
+	 * This also applies to urgent services: an urgent service is considered before a critical
+	 * array, although the array may preempt it.
+	 */
 	if (job->priority < reserved->priority)
 		return false;
-	/* Services too: an urgent one goes before a critical array, which may preempt it. */
 	if (fl_sched_is_urgent_service(job))
 		return true;
 	return !cycle->resumed &&
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -7,10 +7,13 @@
 	double zone_replica_cost_s, empty_machine_cost_s, on_demand_cost_s, free_gpu_cost_s,
 		restart_s, urgent_fetch_weight;
 } tunables = {
-	.zone_replica_cost_s = 1000, /* per replica in the zone: outweighs a fetch */
-	.empty_machine_cost_s = 8,   /* without a service: if empty, it could be scaled in */
-	.on_demand_cost_s = 8,       /* such a machine, on demand, for a job that may use spot */
-	.free_gpu_cost_s = 1,     /* per accelerator left free: bin packing, so that others empty */
+	.zone_replica_cost_s = 1000, /* per replica in the zone: outweighs an image fetch */
+	/* On a machine without services: once it is empty, it could be scaled in. */
+	.empty_machine_cost_s = 8,
+	/* In addition, if that machine is on-demand and the job may use spot machines. */
+	.on_demand_cost_s = 8,
+	/* Per accelerator left free: bin packing, so that other machines become empty. */
+	.free_gpu_cost_s = 1,
 	.restart_s = 30,          /* time to restart a lost task, in addition to the lost work */
 	.urgent_fetch_weight = 3, /* weight of the image fetch of an urgent service */
 };
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -34,7 +34,10 @@
 	double *start_cost, *preemption_cost;
 	int *victims; /* scratch space for the attempts on one machine */
 	bool resumed; /* the cycle skipped a part of the order before the job being considered */
-	/* Tasks of the job being considered with capacity requested where their image is cached. */
+	/*
+	 * Number of tasks of the job being considered that wait for requested capacity on machines
+	 * that have their image cached.
+	 */
 	uint32_t tasks_awaiting_image;
 	bool out_of_memory; /* an allocation failed: the output is incomplete */
 };
@@ -116,7 +119,10 @@
 
 /* Makes a job the blocked top job, and sets its backfill window. */
 void fl_sched_set_backfill_window(struct fl_sched_cycle *cycle, int top);
-/* Computes how long backfilled tasks may run, per machine: INFINITY if the top job may not. */
+/*
+ * Computes how long backfilled tasks may run, per machine; INFINITY on machines that the top job
+ * may not use.
+ */
 void fl_sched_compute_backfill_limits(const struct fl_sched_cycle *cycle, double *max_duration_s);
 /* Returns whether the top job's backfill window limits this job. */
 bool fl_sched_is_bound_by_window(const struct fl_sched_cycle *cycle,
--- a/src/coordination/scheduling/schedule_order.c
+++ b/src/coordination/scheduling/schedule_order.c
@@ -15,7 +15,7 @@
 	.priority_base = 10,     /* one priority level is worth ten times the wait */
 	.window_factor = 4,      /* the finite value with the best results in the paper's tables */
 	.default_estimate_s = 3600, /* for a job with neither an estimate nor a history */
-	.overdue_after_s = 120,     /* half of what users grant the largest job before it begins */
+	.overdue_after_s = 120,     /* half of the wait that users accept for the largest job */
 	.aging_exponent = 4, /* at twice overdue_after_s, the wait outweighs all but the priority */
 	.background_overdue_factor = 3, /* background jobs have no deadline */
 };
--- a/src/coordination/scheduling/schedule_placement.c
+++ b/src/coordination/scheduling/schedule_placement.c
@@ -37,7 +37,10 @@
 		cycle->start_cost[i] = start_cost(cycle, job, limits, i);
 }
 
-/* Returns the zone of a job whose tasks must share one: that of its tasks, else where most fit. */
+/*
+ * Returns the zone for a job whose tasks must share one: the zone of its placed tasks, otherwise
+ * the zone where most of its tasks fit. Returns FL_ANY_ZONE for other jobs, or if no task fits.
+ */
 static int choose_zone(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
 	double capacity[FL_ZONES_MAX] = {0};
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -7,7 +7,7 @@
 static const struct {
 	double max_fetch_s, max_cached_loss_s, stop_cost_s;
 } tunables = {
-	.max_fetch_s = 4,        /* an urgent service with a longer fetch may preempt */
+	.max_fetch_s = 4,        /* an urgent service may preempt to avoid a longer image fetch */
 	.max_cached_loss_s = 60, /* work that such a preemption may lose */
 	.stop_cost_s = 1,        /* cost of each stop in addition to the lost work */
 };
@@ -262,7 +262,7 @@
 	return request_preemption(cycle, job, request);
 }
 
-/* Returns what entitles one more task of the job, given the team's usage so far. */
+/* Returns what entitles one more task of the job to preempt, given the team's usage so far. */
 static enum entitlement next_task_entitlement(const struct fl_sched_job *job,
                                               const struct fl_team *team)
 {
@@ -275,7 +275,7 @@
 
 /*
  * Requests resources for tasks one by one, until no machine can provide them; returns the number of
- * tasks. Meanwhile the team's usage includes these tasks.
+ * tasks. Adds these tasks to the team's usage; the caller restores it.
  */
 static uint32_t request_tasks_one_by_one(struct fl_sched_cycle *cycle, struct fl_sched_job *job,
                                          const double *max_duration_s)
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -16,8 +16,8 @@
 	double min_interval_s, max_interval_s, max_cycle_share, max_budget_s,
 		min_token_raise_interval_s;
 } tunables = {
-	.min_interval_s = 0.1,  /* at least; one cycle handles many heartbeats */
-	.max_interval_s = 1.0,  /* at most */
+	.min_interval_s = 0.1,  /* from start to start; one cycle handles many heartbeats */
+	.max_interval_s = 1.0,  /* also the longest wait for work */
 	.max_cycle_share = 0.5, /* share of this controller's processor time for cycles */
 	.max_budget_s = 0.03,   /* time after which a cycle stops, to be resumed by the next */
 	.min_token_raise_interval_s = 40.0, /* between token raises for retained exits */
@@ -75,7 +75,8 @@
 	snapshot.input.out_of_time = out_of_time;
 	snapshot.input.context = &deadline;
 	if (fl_schedule(&snapshot.input, &output) != FL_SCHEDULE_OK) {
-		fl_error("schedule", "cycle skipped reason=\"out of memory\"");
+		fl_error("schedule", "cycle failed: out of memory; its decisions are discarded, "
+		                     "and the next cycle retries");
 		goto out;
 	}
 	node->leadership.queue_resume_position = output.resume_position;
@@ -100,7 +101,9 @@
 	fl_command_send(node, machine);
 }
 
-/* Stops the tasks that can save their progress on machines with an interruption notice. */
+/*
+ * Stops services, and tasks that can save their progress, on machines with an interruption notice.
+ */
 static void drain_interrupted_machines(struct fl_node *node)
 {
 	for (int i = 0; i < node->cluster.machines.count; i++) {
@@ -115,7 +118,10 @@
 
 			if (task->stop_reason != FL_STOP_NONE || job->cancelled)
 				continue;
-			/* A task that cannot save progress runs on: it may end in time. */
+			/*
+			 * Other tasks cannot save their progress and run on: they may end before
+			 * the interruption.
+			 */
 			if (job->kind == FL_SERVICE || job->checkpoint_every_s > 0)
 				stop_task_to_drain(node, machine, task);
 		}
@@ -141,8 +147,8 @@
 }
 
 /*
- * Waits for work, and until `earliest_start` (monotonic clock, s); returns false if the coroutine
- * is cancelled.
+ * Waits for work or a timeout, and then until `earliest_start` (monotonic clock, s); returns false
+ * if the coroutine is cancelled.
  */
 static bool await_next_cycle(struct fl_node *node, double earliest_start)
 {
@@ -154,7 +160,10 @@
 	return fl_now() >= earliest_start || fl_sleep(earliest_start - fl_now()) == 0;
 }
 
-/* Requests a higher fencing token if workers retain exited tasks, which it lets them forget. */
+/*
+ * Requests a higher fencing token if workers retain exited tasks, which they may forget only once
+ * they have seen it.
+ */
 static void request_token_raise(struct fl_node *node, double now)
 {
 	if (node->leadership.retained_exit_count > 0 &&
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -17,7 +17,7 @@
 	.considered_tasks_per_machine = 2, /* on larger sites, per machine that is up */
 	.max_heartbeat_intervals = 3,      /* silence after which a machine gets no new tasks */
 	.reservation_s = 3.0, /* time for which resources freed by a preemption stay reserved */
-	.overdue_remaining_s = 1.0, /* of a task past its estimate: until the next cycle */
+	.overdue_remaining_s = 1.0, /* of a task past its estimate: it may end by the next cycle */
 };
 
 /* A snapshot that is being built. */
@@ -69,7 +69,10 @@
 	return gang && count < job->counts.waiting ? 0 : count;
 }
 
-/* Returns whether the job is background work. Urgent work and services count by priority alone. */
+/*
+ * Returns whether the job is a background job. Urgent jobs and services never are: only their
+ * priority counts.
+ */
 static bool is_background_job(const struct fl_node *node, const struct fl_job *job)
 {
 	return node->slo_class_count > 0 && job->job_class >= node->slo_class_count &&
@@ -224,9 +227,9 @@
 
 /*
  * Returns the machine's reservation if it has not expired. A heartbeat proves a victim gone only
- * some cycles after the stop, and in between the job may request resources elsewhere, at a lower
- * cost. Without the reservation, the freed resources went to the preempted job, which was preempted
- * again, every second for minutes.
+ * some cycles after the stop, and in between the preempting job may request resources elsewhere, at
+ * a lower cost. Without the reservation, the freed resources went to the preempted job, which was
+ * preempted again, every second for minutes.
  */
 static struct fl_reservation active_reservation(const struct fl_machine *machine, double now)
 {
--- a/src/coordination/workers/command.h
+++ b/src/coordination/workers/command.h
@@ -13,8 +13,9 @@
 struct fl_machine;
 
 /*
- * Sends the machine its commands directly; if a request to it is in flight, once that has returned.
- * Beyond the limit of requests in flight they go with the reply to the worker's next heartbeat.
+ * Sends the machine its commands directly; if a request to it is in flight, after that request has
+ * returned. If too many requests are in flight, the commands go only with the reply to the worker's
+ * next heartbeat.
  */
 void fl_command_send(struct fl_node *node, struct fl_machine *machine);
 /* Sends pending commands of all machines; to be called when new tasks' records are written. */
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -14,18 +14,25 @@
 		machine_fault_share, machine_fault_timeout_leases, network_fault_timeout_leases,
 		zone_silence_slack_s;
 } tunables = {
-	.timeout_margin_s = 0.5, /* beyond the timeout, before the machine is considered lost */
-	.tolerated_silent_machines = 2,  /* so few silent machines exceed no share */
-	.silent_after_leases = 0.6,      /* without contact; must be below the shortest timeout */
-	.network_fault_share = 0.4,      /* silent share of all machines, if exceeded */
-	.network_fault_zone_share = 0.6, /* silent share of one zone's machines, if exceeded */
-	.machine_fault_share = 0.15,     /* up to this silent share, single machines are faulty */
-	.machine_fault_timeout_leases = 0.7, /* only while all controllers are stable */
-	.network_fault_timeout_leases = 3.0,
-	.zone_silence_slack_s = 5.0, /* between a machine and its controller falling silent */
+	/* Added to the timeout of a silent machine before it is considered lost. */
+	.timeout_margin_s = 0.5,
+	/* With no more silent machines than this, none of the shares below counts as exceeded. */
+	.tolerated_silent_machines = 2,
+	/* Time without contact after which a machine is silent; must be below all timeouts. */
+	.silent_after_leases = 0.6,
+	/* A larger silent share, of all machines or of a zone, indicates a network fault. */
+	.network_fault_share = 0.4,
+	.network_fault_zone_share = 0.6,
+	/* Up to this silent share of all machines, the faults are of single machines. */
+	.machine_fault_share = 0.15,
+	/* Timeout for faults of single machines, only while all controllers are stable. */
+	.machine_fault_timeout_leases = 0.7,
+	.network_fault_timeout_leases = 3.0, /* timeout during a network fault */
+	/* Longest time between a machine and a controller of its zone falling silent. */
+	.zone_silence_slack_s = 5.0,
 };
 
-/* Returns the time from which silence is counted: of the last contact in both directions. */
+/* Returns the time of the last contact in both directions, from which silence is counted. */
 static double last_contact_at(const struct fl_node *node, const struct fl_machine *machine)
 {
 	double heartbeat_at = fmax(fmax(machine->heartbeat.last_received_at,
@@ -79,7 +86,7 @@
 		return false;
 	timeout_s =
 		(machine->zone >= 0 ? timeout_leases[machine->zone] : 1) * node->config->lease_s;
-	/* Almost all of the thousands of machines return here, without a scan of the peers. */
+	/* This saves a scan of the peers for almost all of the thousands of machines. */
 	if (silent_s <= timeout_s)
 		return false;
 	renewal_window_s = zone_renewal_window_s(node, machine);
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -14,7 +14,10 @@
 		return "machine unknown";
 	if (!fl_renewal_watermark_is_fresh(node))
 		return "cancellation watermark too old";
-	/* An ignored heartbeat gets no stop command: an overdue task must not keep the lease. */
+	/*
+	 * An ignored heartbeat gets no stop command, so a worker with an overdue task must not have
+	 * its lease renewed.
+	 */
 	if (command_count == 0 && fl_renewal_heartbeat_has_overdue_task(node, heartbeat))
 		return "task of a cancelled job overdue";
 	return NULL;
--- a/src/coordination/workers/reachability.c
+++ b/src/coordination/workers/reachability.c
@@ -10,8 +10,8 @@
 	int max_unacknowledged_replies;
 	double worker_reply_timeout_s, max_heartbeat_interval_factor;
 } tunables = {
-	.max_unacknowledged_replies = 2,       /* then the machine gets no new task */
-	.worker_reply_timeout_s = 4.0,         /* then the worker tries the next node */
+	.max_unacknowledged_replies = 2, /* from this number on, the machine gets no new task */
+	.worker_reply_timeout_s = 4.0,   /* after this, the worker tries the next node */
 	.max_heartbeat_interval_factor = 1.25, /* of report_s: the longest heartbeat interval */
 };
 
@@ -41,7 +41,10 @@
 	       tunables.worker_reply_timeout_s;
 }
 
-/* Returns whether the heartbeat reports every attempt with a start command, even if refused. */
+/*
+ * Returns whether the heartbeat reports every attempt whose start command was in a reply, even if
+ * the worker refused to start it.
+ */
 static bool reports_all_started_attempts(const struct fl_machine *machine,
                                          const struct fl_heartbeat *heartbeat)
 {
--- a/src/coordination/workers/reconciliation.c
+++ b/src/coordination/workers/reconciliation.c
@@ -64,7 +64,10 @@
 
 	if (context.machine && context.machine->lifecycle.decommissioned)
 		return FL_RECONCILE_DECOMMISSIONED;
-	/* This leader's own token raise is not confirmed yet; the next heartbeat is applied. */
+	/*
+	 * The higher token is this leader's own, whose raise is not confirmed yet; the next
+	 * heartbeat is applied.
+	 */
 	if (heartbeat->fencing_token > node->leader_lease.fencing_token)
 		return FL_RECONCILE_HIGHER_TOKEN;
 	if (fl_reconcile_predates_leadership(node, heartbeat))
--- a/src/coordination/workers/reconciliation.h
+++ b/src/coordination/workers/reconciliation.h
@@ -27,11 +27,11 @@
 /* The result of reconciling a heartbeat, which determines the reply to the worker. */
 enum fl_reconcile_result {
 	FL_RECONCILE_APPLIED,       /* the cluster state and commands reflect it */
-	FL_RECONCILE_IGNORED_STALE, /* not newer than an applied one: no effect; reply */
-	FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP, /* older fencing token: no effect; reply */
-	FL_RECONCILE_DECOMMISSIONED,            /* its machine is proven gone: reject */
-	FL_RECONCILE_HIGHER_TOKEN, /* its fencing token is higher than this leader's: reject */
-	FL_RECONCILE_OUT_OF_MEMORY /* its machine could not be added: reject */
+	FL_RECONCILE_IGNORED_STALE, /* not newer than an applied one: no effect; replied to */
+	FL_RECONCILE_IGNORED_BEFORE_LEADERSHIP, /* older fencing token: no effect; replied to */
+	FL_RECONCILE_DECOMMISSIONED,            /* its machine is proven gone: rejected */
+	FL_RECONCILE_HIGHER_TOKEN, /* its fencing token is higher than this leader's: rejected */
+	FL_RECONCILE_OUT_OF_MEMORY /* its machine could not be added: rejected */
 };
 
 /* Returns whether the reply to a heartbeat with this result is a rejection. */
--- a/src/coordination/workers/reconciliation_commands.c
+++ b/src/coordination/workers/reconciliation_commands.c
@@ -5,7 +5,7 @@
 static const struct {
 	double checkpoint_margin_s;
 } tunables = {
-	.checkpoint_margin_s = 1.0, /* for the stop, in addition to the checkpoint */
+	.checkpoint_margin_s = 1.0, /* time for the stop, in addition to the checkpoint */
 };
 
 bool fl_attempt_should_run(const struct fl_job *job, const struct fl_task *task)
