--- a/src/coordination/workers/reconciliation_reported.c
+++ b/src/coordination/workers/reconciliation_reported.c
@@ -113,8 +113,8 @@
 
 	if (task->last_observed_state == observed)
 		return;
-	fl_debug("workers", "task state changed task=%s/%u state=%s machine=%s after_s=%.1f",
-	         job->ref, status->index, observed_state_name(observed), context->machine->name,
+	fl_debug("workers", "task state changed state=%s task=%s/%u machine=%s after_s=%.1f",
+	         observed_state_name(observed), job->ref, status->index, context->machine->name,
 	         context->now - task->running_since);
 	fl_task_set_observed_state(job, task, observed, context->now);
 	fl_condition_broadcast(&context->node->leadership.work_available);
