--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -58,27 +58,27 @@
 }
 
 /* A response of the cloud. */
-struct answer {
+struct response {
 	int status;  /* 0: no response */
 	cJSON *tree; /* owned; NULL: none, or not valid JSON */
 };
 
-/* Sends a request and frees `body`. The caller owns `answer->tree` on every result. */
+/* Sends a request and frees `body`. The caller owns `response->tree` on every result. */
 static enum fl_cloud_result send_request(struct fl_cloud *cloud, const char *method,
-                                         const char *path, cJSON *body, struct answer *answer)
+                                         const char *path, cJSON *body, struct response *response)
 {
 	char *text = body ? fl_json_print_and_delete(body) : NULL;
 	struct fl_http_reply reply;
 	int rc = fl_http_call(&cloud->http, method, path, text, tunables.request_timeout_s, &reply);
 
 	free(text);
-	*answer = (struct answer){0};
+	*response = (struct response){0};
 	if (rc == -ECANCELED)
 		return FL_CLOUD_CANCELLED;
 	if (rc)
 		return FL_CLOUD_OUTCOME_UNKNOWN;
-	answer->status = reply.status;
-	answer->tree = fl_json_parse(reply.body.data, reply.body.length);
+	response->status = reply.status;
+	response->tree = fl_json_parse(reply.body.data, reply.body.length);
 	fl_buffer_free(&reply.body);
 	return result_of_http_status(reply.status);
 }
@@ -176,14 +176,14 @@
 enum fl_cloud_result fl_cloud_get_machine_types(struct fl_cloud *cloud,
                                                 struct fl_cloud_machine_type **types, int *count)
 {
-	struct answer answer;
-	enum fl_cloud_result result = send_request(cloud, "GET", "/machine_types", NULL, &answer);
+	struct response response;
+	enum fl_cloud_result result = send_request(cloud, "GET", "/machine_types", NULL, &response);
 
 	*types = NULL;
 	*count = 0;
 	if (result == FL_CLOUD_OK)
-		result = result_of_decoding(fl_machine_types_decode(answer.tree, types, count));
-	cJSON_Delete(answer.tree);
+		result = result_of_decoding(fl_machine_types_decode(response.tree, types, count));
+	cJSON_Delete(response.tree);
 	return result;
 }
 
@@ -191,19 +191,19 @@
  * Returns whether the response is a 503 for lack of capacity, which lasts. A 503 with another
  * reason, or with none, is temporary.
  */
-static bool is_out_of_capacity(const struct answer *answer)
+static bool is_out_of_capacity(const struct response *response)
 {
 	char reason[64];
 
-	return answer->status == 503 &&
-	       fl_json_get_string(answer->tree, "error", reason, sizeof(reason)) == FL_JSON_OK &&
+	return response->status == 503 &&
+	       fl_json_get_string(response->tree, "error", reason, sizeof(reason)) == FL_JSON_OK &&
 	       strcmp(reason, "no capacity") == 0;
 }
 
-static enum fl_decode_result decode_rented_hosts(const cJSON *answer, char (**hosts)[FL_NAME_MAX],
+static enum fl_decode_result decode_rented_hosts(const cJSON *response, char (**hosts)[FL_NAME_MAX],
                                                  int *host_count)
 {
-	const cJSON *list = fl_json_get(answer, "Hosts"), *item;
+	const cJSON *list = fl_json_get(response, "Hosts"), *item;
 
 	if (!cJSON_IsArray(list))
 		return FL_DECODE_MALFORMED;
@@ -222,7 +222,7 @@
 {
 	cJSON *body = cJSON_CreateObject();
 	enum fl_cloud_result result;
-	struct answer answer;
+	struct response response;
 
 	*hosts = NULL;
 	*host_count = 0;
@@ -231,12 +231,12 @@
 	cJSON_AddStringToObject(body, "Site", rental->zone);
 	cJSON_AddBoolToObject(body, "Reclaimable", rental->spot);
 	cJSON_AddNumberToObject(body, "Count", rental->count);
-	result = send_request(cloud, "POST", "/rentals", body, &answer);
-	if (result == FL_CLOUD_UNAVAILABLE && is_out_of_capacity(&answer))
+	result = send_request(cloud, "POST", "/rentals", body, &response);
+	if (result == FL_CLOUD_UNAVAILABLE && is_out_of_capacity(&response))
 		result = FL_CLOUD_NO_CAPACITY;
 	if (result == FL_CLOUD_OK)
-		result = result_of_decoding(decode_rented_hosts(answer.tree, hosts, host_count));
-	cJSON_Delete(answer.tree);
+		result = result_of_decoding(decode_rented_hosts(response.tree, hosts, host_count));
+	cJSON_Delete(response.tree);
 	return result;
 }
 
@@ -245,11 +245,11 @@
 {
 	cJSON *body = cJSON_CreateObject();
 	enum fl_cloud_result result;
-	struct answer answer;
+	struct response response;
 
 	cJSON_AddItemToObject(body, "Hosts", cJSON_CreateStringArray(hosts, count));
-	result = send_request(cloud, "POST", "/rentals/delete", body, &answer);
-	cJSON_Delete(answer.tree);
+	result = send_request(cloud, "POST", "/rentals/delete", body, &response);
+	cJSON_Delete(response.tree);
 	return result;
 }
 
@@ -281,10 +281,11 @@
 }
 
 /* The caller owns `*machines` on every result. */
-static enum fl_decode_result
-decode_machine_page(const cJSON *answer, struct fl_cloud_machine **machines, int *count, bool *more)
+static enum fl_decode_result decode_machine_page(const cJSON *response,
+                                                 struct fl_cloud_machine **machines, int *count,
+                                                 bool *more)
 {
-	const cJSON *list = fl_json_get(answer, "Hosts"), *item;
+	const cJSON *list = fl_json_get(response, "Hosts"), *item;
 
 	if (!cJSON_IsArray(list))
 		return FL_DECODE_MALFORMED;
@@ -297,7 +298,7 @@
 			return FL_DECODE_MALFORMED;
 		(*count)++;
 	}
-	if (fl_json_get_bool(answer, "More", more) != FL_JSON_OK)
+	if (fl_json_get_bool(response, "More", more) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	return FL_DECODE_OK;
 }
@@ -308,7 +309,7 @@
 {
 	char path[FL_NAME_MAX + 64];
 	enum fl_cloud_result result;
-	struct answer answer;
+	struct response response;
 
 	*machines = NULL;
 	*count = 0;
@@ -318,15 +319,15 @@
 		         FL_CLOUD_LIST_PAGE_SIZE);
 	else
 		snprintf(path, sizeof(path), "/rentals?Page=%d", FL_CLOUD_LIST_PAGE_SIZE);
-	result = send_request(cloud, "GET", path, NULL, &answer);
+	result = send_request(cloud, "GET", path, NULL, &response);
 	if (result == FL_CLOUD_OK)
-		result =
-			result_of_decoding(decode_machine_page(answer.tree, machines, count, more));
+		result = result_of_decoding(
+			decode_machine_page(response.tree, machines, count, more));
 	if (result != FL_CLOUD_OK) {
 		free(*machines);
 		*machines = NULL;
 		*count = 0;
 	}
-	cJSON_Delete(answer.tree);
+	cJSON_Delete(response.tree);
 	return result;
 }
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -84,9 +84,9 @@
 	double timeout_s;
 };
 
-/* The caller deletes `*answer` on every result; NULL: no response, or not valid JSON. */
+/* The caller deletes `*response` on every result; NULL: no response, or not valid JSON. */
 static enum fl_kv_result send_request(struct fl_kv_store *store, struct fl_http_client *client,
-                                      const struct request *request, cJSON **answer)
+                                      const struct request *request, cJSON **response)
 {
 	double sent_at = fl_now();
 	struct fl_http_reply reply;
@@ -94,7 +94,7 @@
 	                      request->timeout_s, &reply);
 	enum fl_kv_result result;
 
-	*answer = NULL;
+	*response = NULL;
 	if (rc == -ECANCELED)
 		return FL_KV_CANCELLED;
 	if (rc) {
@@ -106,9 +106,9 @@
 	else if (reply.status != 429 && sent_at > store->last_success_sent_at)
 		store->last_success_sent_at = sent_at;
 	result = result_of_http_status(reply.status);
-	*answer = fl_json_parse(reply.body.data, reply.body.length);
+	*response = fl_json_parse(reply.body.data, reply.body.length);
 	fl_buffer_free(&reply.body);
-	if (result == FL_KV_OK && !cJSON_IsObject(*answer))
+	if (result == FL_KV_OK && !cJSON_IsObject(*response))
 		result = FL_KV_OUTCOME_UNKNOWN;
 	return result;
 }
