--- a/src/config.h
+++ b/src/config.h
@@ -53,7 +53,7 @@
 	struct fl_config_slo slos[FL_CONFIG_SLOS_MAX];
 	int slo_count;
 	double report_s; /* interval between the heartbeats of a worker */
-	double lease_s;  /* a worker that gets no reply for this long ends its tasks */
+	double lease_s;  /* lease of a worker, which ends its tasks without a reply for this long */
 	double cancel_s; /* time after a cancellation until the job's tasks must have ended */
 	double state_rps, state_write_rps; /* limits of the key-value store, requests per second */
 	double value_kb;                   /* maximum size of a value, KB */
--- a/src/main.c
+++ b/src/main.c
@@ -86,7 +86,8 @@
 	signal(SIGPIPE, SIG_IGN);
 	fl_coroutines_init(ev_default_loop(EVFLAG_AUTO));
 	if (fl_node_start(&config) != FL_NODE_STARTED) {
-		fprintf(stderr, "fawnlead: %s: cannot listen on bind or cluster_listen\n",
+		fprintf(stderr,
+		        "fawnlead: %s: cannot listen on bind or cluster_listen, or out of memory\n",
 		        args.config_path);
 		return 1;
 	}
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -8,7 +8,7 @@
 static const struct {
 	double request_timeout_s, default_pull_gb_s;
 } tunables = {
-	.request_timeout_s = 4.0, /* the cloud is slow at times and may execute a rental late */
+	.request_timeout_s = 4.0, /* the cloud is slow at times and may make a rental after that */
 	.default_pull_gb_s = 1.0, /* GB/s, for a type whose rate is missing or 0 */
 };
 
@@ -280,7 +280,7 @@
 	return FL_DECODE_OK;
 }
 
-/* The caller owns `*machines` on every result. */
+/* Decodes one page of the list; the caller owns `*machines` on every result. */
 static enum fl_decode_result decode_machine_page(const cJSON *response,
                                                  struct fl_cloud_machine **machines, int *count,
                                                  bool *more)
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -26,14 +26,17 @@
 	FL_CLOUD_CANCELLED,   /* the calling coroutine is cancelled; clean up and return */
 	/* No response, or no memory to decode it; the request may be executed already, or later. */
 	FL_CLOUD_OUTCOME_UNKNOWN,
-	/* The same, but the response is malformed or has another status: an error to be logged. */
+	/*
+	 * The response is malformed or has another status, which is an error to be logged. The
+	 * outcome is unknown, too.
+	 */
 	FL_CLOUD_UNEXPECTED_RESPONSE
 };
 
 /* Returns a description of the result for log lines. */
 const char *fl_cloud_result_text(enum fl_cloud_result result);
 
-/* A machine type that the cloud offers. */
+/* A machine type that the cloud offers. `pull_gb_s` is the rate of pulling an image, GB/s. */
 struct fl_cloud_machine_type {
 	char name[FL_NAME_MAX];
 	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price;
--- a/src/protocol/heartbeat_digests.h
+++ b/src/protocol/heartbeat_digests.h
@@ -1,7 +1,8 @@
 /*
  * Heartbeat digests: cached heartbeats of hundreds of machines in the compact form in which they
  * are stored in the key-value store, whose value sizes and writes are limited. A digest holds the
- * tasks on each machine, but not its type, zone and endpoint, which are known from elsewhere.
+ * tasks on each machine, but not its type, zone and endpoint, which are in the cloud's list of
+ * machines.
  */
 #ifndef FL_PROTOCOL_HEARTBEAT_DIGESTS_H
 #define FL_PROTOCOL_HEARTBEAT_DIGESTS_H
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -75,7 +75,7 @@
 	return i;
 }
 
-/* Returns the length of a UTF-8 character by its first byte, if that is valid. */
+/* Returns the length of the UTF-8 character that begins with this byte, if the byte is valid. */
 static size_t utf8_length_from_lead_byte(unsigned char lead)
 {
 	if (lead < 0x80)
@@ -118,8 +118,9 @@
 }
 
 /*
- * cJSON accepts any bytes, but JSON must be UTF-8: a name in another encoding would be accepted
- * here and rejected by the key-value store, on every retry by its user.
+ * Returns whether the text is valid UTF-8. cJSON accepts any bytes, but JSON must be UTF-8: a name
+ * in another encoding would be accepted here and rejected by the key-value store, on every retry by
+ * its user.
  */
 static bool is_utf8(const char *text, size_t length)
 {
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -32,7 +32,7 @@
 cJSON *fl_json_parse(const char *text, size_t length);
 /* Reads a string that fits into `capacity` bytes with its terminator; `value` may be NULL. */
 enum fl_json_result fl_json_read_string(const cJSON *value, char *out, size_t capacity);
-/* Reads such a string from a field. */
+/* Reads a string from a field, as fl_json_read_string does. */
 enum fl_json_result fl_json_get_string(const cJSON *object, const char *key, char *out,
                                        size_t capacity);
 /* Reads a number between 0 and 1e12 from a field. */
@@ -43,7 +43,7 @@
 enum fl_json_result fl_json_get_uint_at(const cJSON *array, int index, uint64_t max, uint64_t *out);
 /* The number of elements of an array, which must not be a function parameter. */
 #define FL_COUNT_OF(array) ((int)(sizeof(array) / sizeof((array)[0])))
-/* Reads a string, and sets `*out` to its index in `names`; INVALID if it is none of them. */
+/* Reads a string from a field; sets `*out` to its index in `names`, INVALID if not in `names`. */
 enum fl_json_result fl_json_get_choice(const cJSON *object, const char *key,
                                        const char *const *names, int name_count, int *out);
 /* Reads a boolean from a field. */
--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -84,7 +84,10 @@
 	double timeout_s;
 };
 
-/* The caller deletes `*response` on every result; NULL: no response, or not valid JSON. */
+/*
+ * Sends a request. The caller deletes `*response` on every result; NULL: no response, or not valid
+ * JSON.
+ */
 static enum fl_kv_result send_request(struct fl_kv_store *store, struct fl_http_client *client,
                                       const struct request *request, cJSON **response)
 {
@@ -178,7 +181,7 @@
 	const char *prefix;
 	char last_key[FL_KEY_MAX]; /* the last key read; empty: none yet */
 	bool more;
-	uint64_t revision; /* the store's at the last page read */
+	uint64_t revision; /* the store's revision at the last page read */
 };
 
 static enum fl_kv_result read_page(struct list_reader *reader, fl_kv_event_fn on_event,
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -32,7 +32,7 @@
 /* A client, and when the store last responded. Times: monotonic clock, s. */
 struct fl_kv_store {
 	struct fl_http_client client;       /* for short requests */
-	struct fl_http_client watch_client; /* for one open watch, on its own connection */
+	struct fl_http_client watch_client; /* for watches, each on its own connection */
 	/* When the newest request was sent that got a response other than 429 or 503. */
 	double last_success_sent_at;
 	double last_failure_at; /* when a request last got a 503 or no response */
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -26,8 +26,9 @@
 	uint64_t fencing_token;
 	/* Time since the sending of the store read that shows this leader and fencing token. */
 	double leader_confirmed_age_s;
-	bool sender_is_leader;  /* the sender holds a valid leader lease */
-	double watermark_age_s; /* the sender may lack cancellations after its watermark */
+	bool sender_is_leader; /* the sender holds a valid leader lease */
+	/* Age of the sender's cancellation watermark; the sender may lack later cancellations. */
+	double watermark_age_s;
 	/*
 	 * In a reply: `cancelled` has every cancellation that the sender has learned of since the
 	 * requester's watermark. If false, some may be missing, and the requester must not raise
--- a/src/protocol/status_messages.h
+++ b/src/protocol/status_messages.h
@@ -15,9 +15,9 @@
 
 /* The status of a job as reported to its user. */
 struct fl_job_status_report {
-	bool status_known; /* else only the records can tell the status, not the leader's memory */
+	bool status_known; /* if false, only the records show the status, not the leader's memory */
 	enum fl_job_status status;
-	uint32_t done_count, running_count; /* of tasks, for display only */
+	uint32_t done_count, running_count; /* numbers of tasks, for display only */
 };
 
 /* Encodes a query for `count` jobs; the caller frees the text. */
--- a/src/protocol/workers.h
+++ b/src/protocol/workers.h
@@ -45,10 +45,11 @@
 	char host[FL_NAME_MAX], endpoint[FL_NAME_MAX], type[FL_NAME_MAX], zone[FL_NAME_MAX];
 	bool spot;
 	uint64_t incarnation, sequence, fencing_token;
-	double interruption_in_s;     /* until the cloud reclaims the machine; < 0: no notice */
+	double interruption_in_s; /* time until the cloud reclaims the machine; < 0: no notice */
 	struct fl_task_status *tasks; /* owned; see fl_heartbeat_free */
 	int task_count;
-	int entry_node_index; /* of the node it was sent to; 0: unknown; not in the message */
+	/* Index of the node that the heartbeat was sent to; 0: unknown. Not in the message. */
+	int entry_node_index;
 };
 
 /* The action of a command on an attempt of a task. */
--- a/src/storage/cluster.c
+++ b/src/storage/cluster.c
@@ -20,7 +20,7 @@
 		fl_job_finalise(cluster, job, FL_CANCELLED);
 		return;
 	}
-	/* This leader may be isolated: it still counts the tasks, and reads the record later. */
+	/* A leader that may be isolated still counts the job's tasks and reads the record later. */
 	job->cancelled = true;
 	fl_finished_job_add(cluster, ref, FL_CANCELLED, job->task_count, cancelled_at);
 }
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -63,10 +63,11 @@
 
 /* Distribution of a job's placed tasks over zones, and state used to place the next ones. */
 struct fl_job_placement {
-	uint32_t by_zone[FL_ZONES_MAX];
-	uint32_t in_unknown_zone;     /* placed on machines whose zone is not known yet */
-	uint32_t waiting_scan_start;  /* no task with a lower index is WAITING */
-	double backfill_window_until; /* end of the window when first in the queue; 0: not set */
+	uint32_t by_zone[FL_ZONES_MAX]; /* placed tasks per zone */
+	uint32_t in_unknown_zone;       /* placed on machines whose zone is not known yet */
+	uint32_t waiting_scan_start;    /* no task with a lower index is WAITING */
+	/* End of the backfill window of a job that is first in the queue; 0: not set. */
+	double backfill_window_until;
 };
 
 /* When the tasks of a failing job may be started again. */
@@ -97,7 +98,8 @@
 	double expected_s, checkpoint_every_s, checkpoint_cost_s, due_s;
 	uint32_t allowed_type_mask; /* one bit per allowed machine type; UINT32_MAX: any type */
 	bool same_zone, spread_zones, spot_allowed;
-	bool within_guaranteed_quota; /* fits the quota along with the team's earlier jobs */
+	/* The team's guaranteed quota has room for this job and the team's earlier jobs. */
+	bool within_guaranteed_quota;
 	bool cancelled;      /* cancelled by its user; tasks may still have to be stopped */
 	double cancelled_at; /* not later than the reply to the cancellation; 0: not cancelled */
 	double submitted_wall;
@@ -115,7 +117,7 @@
 	char ref[FL_REF_MAX];
 	enum fl_job_status status : 8;
 	uint32_t task_count;
-	double cancelled_at; /* CANCELLED: start of the deadline by which its tasks must stop */
+	double cancelled_at; /* if CANCELLED: start of the time in which its tasks must stop */
 	double added_at;     /* when this process added the job */
 };
 
@@ -127,7 +129,7 @@
 	struct fl_job *jobs;              /* live jobs by ref */
 	struct fl_finished_job *finished; /* finished jobs by ref, in the order of addition */
 	unsigned finished_max;            /* limit of `finished`; the oldest are dropped; 0: none */
-	double finished_dropped_up_to;    /* `added_at` of the newest one dropped; 0: none */
+	double finished_dropped_up_to;    /* `added_at` of the newest job dropped; 0: none */
 	struct fl_job *dirty_jobs;        /* jobs with unsaved blocks or a final record to write */
 	uint64_t job_list_revision;       /* revision of the job list that the failover read */
 	bool has_leader_state;            /* holds tasks and machines, not only job descriptions */
--- a/src/storage/job_records.h
+++ b/src/storage/job_records.h
@@ -38,7 +38,10 @@
                                          struct fl_job_record *record, cJSON **value,
                                          uint64_t *revision);
 
-/* Returns the record of a live job, which the caller owns, as with the next two functions. */
+/*
+ * Returns the record of a live job. The caller owns the result of this function and of the next
+ * two.
+ */
 cJSON *fl_job_record_encode_live(const struct fl_job_spec *spec, double submitted_wall);
 /* Returns the final record of a finished job. */
 cJSON *fl_job_record_encode_final(enum fl_job_status status, uint32_t task_count);
--- a/src/storage/job_updates.c
+++ b/src/storage/job_updates.c
@@ -43,7 +43,7 @@
 		job = fl_job_add(cluster, &record->spec, record->submitted_wall, revision);
 	if (!job)
 		fl_error("jobs",
-		         "job record ignored; unknown team or zone, or out of memory job=%s", ref);
+		         "job record ignored: unknown team or zone, or out of memory job=%s", ref);
 	if (job && !cluster->has_leader_state)
 		job->record.seen_in_list = true;
 	return job;
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -58,8 +58,7 @@
 		int index = fl_machine_type_find(machines, types[i].name);
 
 		if (index == FL_INDEX_NONE && machines->type_count == FL_MACHINE_TYPES_MAX) {
-			fl_error("cloud",
-			         "machine type ignored; the limit is reached type=%s max=%d",
+			fl_error("cloud", "machine type limit reached; type ignored type=%s max=%d",
 			         types[i].name, FL_MACHINE_TYPES_MAX);
 			continue;
 		}
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -15,7 +15,10 @@
 /* Limits; FL_IMAGE_CACHE_MAX is the number of cached images recorded per machine. */
 enum { FL_MACHINE_TYPES_MAX = 32, FL_ZONES_MAX = 8, FL_IMAGE_CACHE_MAX = 16 };
 
-/* A type of machine that the cloud offers. */
+/*
+ * A type of machine that the cloud offers. `pull_gb_s` is the rate of pulling an image, GB/s;
+ * `ready_s` is the time from the rental to the first heartbeat.
+ */
 struct fl_machine_type {
 	char name[FL_NAME_MAX];
 	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price, ready_s;
@@ -48,7 +51,7 @@
 	uint64_t incarnation, sequence; /* order of heartbeats: incarnation, then sequence */
 	double last_received_at;        /* when the heartbeat was received */
 	int entry_node_index;           /* index of the node that it was sent to; 0: not known */
-	int orphan_task_count;          /* tasks in it that no record accounts for */
+	int orphan_task_count;          /* tasks in the heartbeat that no record accounts for */
 };
 
 /* Replies and commands to a machine, and evidence of whether they reach it. */
@@ -60,7 +63,7 @@
 	uint64_t direct_start_token; /* highest fencing token of a direct start command; 0: none */
 	int unacknowledged_replies;  /* consecutive replies without effect in the next heartbeat */
 	bool last_reply_had_start;   /* the newest reply carried a start command */
-	bool last_reply_timed_out;   /* the worker seems to have timed out before it arrived */
+	bool last_reply_timed_out;   /* the worker seems to have timed out before the last reply */
 	bool command_in_flight;      /* a direct command is in flight */
 	bool command_pending;        /* a direct command has to be sent */
 };
@@ -75,7 +78,7 @@
 
 /* Recent failures on a machine, and its quarantine. */
 struct fl_machine_health {
-	double quarantined_until; /* no task is placed on the machine before */
+	double quarantined_until; /* no task is placed on the machine before this time */
 	int fault_count;          /* consecutive faults */
 };
 
--- a/src/storage/progress_records.c
+++ b/src/storage/progress_records.c
@@ -119,7 +119,7 @@
 struct block_merge {
 	const struct fl_job *job;
 	uint32_t block_index;
-	enum state_source source; /* of the value being merged */
+	enum state_source source; /* source of the value being merged */
 	struct task_state states[FL_TASK_BLOCK_SIZE];
 };
 
--- a/src/storage/progress_records.h
+++ b/src/storage/progress_records.h
@@ -20,7 +20,8 @@
 struct fl_task_block_source {
 	const cJSON *value; /* the progress record; NULL: no record exists */
 	uint64_t revision;  /* revision of the record; 0: no record exists */
-	struct fl_wal *wal; /* its groups of the block are marked `restored`; NULL: not read */
+	/* The log, whose groups of this block are marked as `restored`; NULL: not read. */
+	struct fl_wal *wal;
 };
 
 /*
@@ -32,7 +33,10 @@
 enum fl_decode_result fl_task_block_restore(struct fl_cluster *cluster, struct fl_job *job,
                                             uint32_t block_index,
                                             const struct fl_task_block_source *source, double now);
-/* Adds a progress record's numbers of done and placed tasks; for a node that is not the leader. */
+/*
+ * Adds the numbers of done and placed tasks in a progress record to `*done` and `*placed`; for a
+ * node that is not the leader.
+ */
 enum fl_decode_result fl_progress_record_add_counts(const cJSON *value, uint32_t *done,
                                                     uint32_t *placed);
 
--- a/src/storage/resources.h
+++ b/src/storage/resources.h
@@ -1,7 +1,7 @@
 /*
  * Amounts of the three resources that tasks need and machines have. Amounts are sums of decimal
  * fractions, so comparisons allow a tolerance. Sums are computed in the order of the calls, because
- * decisions are compared bit for bit.
+ * scheduling decisions are compared bit for bit.
  */
 #ifndef FL_STORAGE_RESOURCES_H
 #define FL_STORAGE_RESOURCES_H
--- a/src/storage/teams.h
+++ b/src/storage/teams.h
@@ -16,8 +16,8 @@
 struct fl_team {
 	char name[64];
 	double guaranteed_cpus, guaranteed_gpus; /* guaranteed quota; 0: none */
-	double max_cpus, max_gpus;               /* maximum quota; 0: none */
-	double used_cpus, used_gpus;             /* by placed tasks */
+	double max_cpus, max_gpus;               /* maximum quota; 0: no limit */
+	double used_cpus, used_gpus;             /* resources used by placed tasks */
 };
 
 /* All teams, by index. */
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -14,8 +14,8 @@
 	char ref[FL_REF_MAX];
 	uint32_t block_index;
 	cJSON *changes;    /* owned; in the format of a progress record */
-	bool restored;     /* its block has been restored with it */
-	int next_of_block; /* index of the next group read for the block, or FL_INDEX_NONE */
+	bool restored;     /* the task block has been restored with these changes */
+	int next_of_block; /* index of the next group of the same block, or FL_INDEX_NONE */
 };
 
 struct fl_wal_block;
--- a/src/transport/coroutine.c
+++ b/src/transport/coroutine.c
@@ -136,10 +136,10 @@
 
 /*
  * Runs ready coroutines for one turn: the urgent ones first, the others until `turn_s` has passed,
- * after which the loop polls for new events. On controllers several times slower, a turn over all
- * ready coroutines took seconds, and a lease expired although the response to its renewal had
- * arrived. Deferred coroutines run when no other is ready, and otherwise one in each turn, so that
- * they are delayed but not starved.
+ * after which the loop polls for new events. When controllers ran several times slower than
+ * usual, a turn over all ready coroutines took seconds, and a lease expired although the response
+ * to its renewal had arrived. Deferred coroutines run when no other is ready, and otherwise one in
+ * each turn, so that they are delayed but not starved.
  */
 static void run_ready(void)
 {
@@ -217,7 +217,10 @@
 	coroutine->context.argument = arg;
 	fl_context_init(&coroutine->context, fl_coroutine_stack_size());
 	ev_init(&coroutine->io, on_io);
-	/* After a process pause both may be due: data that has arrived must not time out. */
+	/*
+	 * After a process pause both watchers may be due; the data that has arrived must not be
+	 * taken for a timeout.
+	 */
 	ev_set_priority(&coroutine->io, EV_MAXPRI);
 	ev_init(&coroutine->timer, on_timer);
 	coroutine->io.data = coroutine->timer.data = coroutine;
--- a/src/transport/coroutine.h
+++ b/src/transport/coroutine.h
@@ -48,7 +48,7 @@
 bool fl_coroutine_defer(int max_waiting);
 /* Returns the number of coroutines. */
 int fl_coroutines_count(void);
-/* Returns whether more coroutines were ready than the last turn could run; new events wait. */
+/* Returns whether the last turn left coroutines ready, so that new events are served late. */
 bool fl_coroutines_overloaded(void);
 
 /*
--- a/src/transport/coroutine_context.h
+++ b/src/transport/coroutine_context.h
@@ -28,8 +28,8 @@
 /* Prepares a context, whose stack, function and argument are set, for its first resume. */
 void fl_context_init(struct fl_coroutine_context *context, size_t stack_size);
 /*
- * Resumes a coroutine, on the loop's stack. Returns true when the coroutine has suspended itself,
- * and false when its function has returned, after which its stack may be released.
+ * Resumes a coroutine. Returns true when the coroutine has suspended itself, and false when its
+ * function has returned, after which its stack may be released. Called on the loop's stack.
  */
 bool fl_context_resume(struct fl_loop_context *loop, struct fl_coroutine_context *context,
                        size_t stack_size);
--- a/src/transport/http.c
+++ b/src/transport/http.c
@@ -113,7 +113,7 @@
  */
 static char read_buffer[READ_BYTES];
 
-/* Parses `count` read bytes, none at the end of the connection; returns 0 or a negative errno. */
+/* Parses the `count` bytes read, 0 at the end of the connection; returns 0 or a negative errno. */
 static int parse_read_bytes(struct fl_http_message *message, size_t count)
 {
 	size_t parsed =
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -19,6 +19,7 @@
 	size_t max_body_bytes;
 	size_t reserved_bytes;      /* part of the body memory that this message has reserved */
 	double remainder_timeout_s; /* limit from the first byte to the last; 0: no such limit */
+	/* `started`: at least one byte has been read. */
 	bool complete, too_large, body_memory_exhausted, started;
 	bool keep_alive;
 };
@@ -30,12 +31,12 @@
 void fl_http_message_free(struct fl_http_message *message);
 /*
  * Limits the memory for the bodies of all requests that are being read or served; 0 means no limit.
- * Without it, a thousand connections that send 64 KiB each could exhaust the process's memory.
+ * Without a limit, a thousand connections that send 64 KiB each could exhaust the process's memory.
  */
 void fl_http_set_body_memory_limit(size_t bytes);
 /*
  * Reads one whole message, waiting in the current coroutine. Returns 0, -ECONNRESET, -EPROTO (not
- * HTTP), -EMSGSIZE (body over the limit), -ENOBUFS (the memory for request bodies is in use),
+ * HTTP), -EMSGSIZE (body over the limit), -ENOBUFS (request body memory limit reached),
  * -ETIMEDOUT or -ECANCELED.
  */
 int fl_http_message_read(struct fl_http_message *message, int fd, double timeout_s);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -20,10 +20,10 @@
 	.write_timeout_s = 5.0,              /* users wait 2 to 5 s for a response, and no longer */
 	.max_body_bytes = (size_t)64 * 1024, /* the protocol's limit */
 	.accept_retry_s = 0.05,              /* without this delay, failing accepts would spin */
-	.remainder_timeout_s = 4.0,          /* for the rest of a request; no client waits longer */
+	.remainder_timeout_s = 4.0,          /* from first to last byte; no client waits longer */
 	.discard_read_timeout_s = 1.0,       /* for each read of a body that is discarded */
-	.single_response_divisor = 32, /* the last 1/32 of the limit is for single responses */
-	.retry_after_s = 1,            /* sent while the memory for request bodies is in use */
+	.single_response_divisor = 32, /* above 31/32 of the limit, one response per connection */
+	.retry_after_s = 1,            /* sent while the request body memory limit is reached */
 };
 
 /* Maximum number of reads of a body that is discarded, and the bytes of each read. */
@@ -38,7 +38,8 @@
 struct fl_http_server {
 	int fd;
 	int connection_count, connection_limit;
-	double idle_timeout_s; /* without it, a partitioned peer held a socket indefinitely */
+	/* Without this timeout, a partitioned peer held a socket indefinitely. */
+	double idle_timeout_s;
 	fl_http_handler handler;
 	void *context;
 };
@@ -255,7 +256,7 @@
 		if (start_connection(server, fd))
 			continue;
 		fl_error("transport",
-		         "connection rejected; limit reached or out of memory open=%d limit=%d",
+		         "connection rejected: limit reached or out of memory open=%d limit=%d",
 		         server->connection_count, server->connection_limit);
 		close(fd);
 	}
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -35,8 +35,8 @@
 /*
  * Starts a server on the address; returns NULL with errno set if it cannot be started. The server
  * closes connections on which no request arrives for `idle_timeout_s`. Near its connection limit it
- * closes each connection after one response, so that all clients get one in turn; at the limit it
- * closes new connections at once.
+ * closes each connection after one response, so that all clients are served in turn; at the limit
+ * it closes new connections at once.
  */
 struct fl_http_server *fl_http_serve(const char *addr, int max_connections, double idle_timeout_s,
                                      fl_http_handler handler, void *context);
