--- a/src/coordination/workers/reachability.c
+++ b/src/coordination/workers/reachability.c
@@ -35,9 +35,9 @@
 {
 	if (since_reply_s < tunables.worker_reply_timeout_s)
 		return false;
-	if (heartbeat->entry_node_index && machine->heartbeat.entry_node_index &&
+	if (heartbeat->entry_node_index && machine->heartbeat.last_entry_node_index &&
 	    node->peer_count > 0)
-		return heartbeat->entry_node_index != machine->heartbeat.entry_node_index;
+		return heartbeat->entry_node_index != machine->heartbeat.last_entry_node_index;
 	return tunables.max_heartbeat_interval_factor * node->config->report_s <
 	       tunables.worker_reply_timeout_s;
 }
@@ -94,7 +94,7 @@
 
 	machine->outbound.last_reply_timed_out =
 		worker_timed_out(node, machine, heartbeat, since_reply_s);
-	machine->heartbeat.entry_node_index = heartbeat->entry_node_index;
+	machine->heartbeat.last_entry_node_index = heartbeat->entry_node_index;
 	if (!has_replied)
 		return;
 	if (last_reply_had_no_effect(node, machine, heartbeat, since_reply_s))
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -128,11 +128,11 @@
 	struct fl_machines machines;
 	struct fl_job *jobs;              /* live jobs by ref */
 	struct fl_finished_job *finished; /* finished jobs by ref, in the order of addition */
-	unsigned finished_max;            /* limit of `finished`; the oldest are dropped; 0: none */
-	double finished_dropped_up_to;    /* `added_at` of the newest job dropped; 0: none */
-	struct fl_job *dirty_jobs;        /* jobs with unsaved blocks or a final record to write */
-	uint64_t job_list_revision;       /* revision of the job list that the failover read */
-	bool has_leader_state;            /* holds tasks and machines, not only job descriptions */
+	unsigned finished_max; /* limit of `finished`; the oldest are dropped; 0: no limit */
+	double finished_dropped_up_to; /* `added_at` of the newest job dropped; 0: none */
+	struct fl_job *dirty_jobs;     /* jobs with unsaved blocks or a final record to write */
+	uint64_t job_list_revision;    /* revision of the job list that the failover read */
+	bool has_leader_state;         /* holds tasks and machines, not only job descriptions */
 };
 
 /*
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -50,7 +50,7 @@
 struct fl_machine_heartbeat {
 	uint64_t incarnation, sequence; /* order of heartbeats: incarnation, then sequence */
 	double last_received_at;        /* when the heartbeat was received */
-	int entry_node_index;           /* index of the node that it was sent to; 0: not known */
+	int last_entry_node_index;      /* index of the node that it was sent to; 0: not known */
 	int orphan_task_count;          /* tasks in the heartbeat that no record accounts for */
 };
 
