--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -103,7 +103,7 @@
  * leases.
  */
 static enum scale_in_reason scale_in_reason(struct fl_node *node, struct fl_machine *machine,
-                                            double now, const double timeouts[FL_ZONES_MAX])
+                                            double now, const double timeout_leases[FL_ZONES_MAX])
 {
 	const struct fl_machine_type *type =
 		machine->type >= 0 ? &node->cluster.machines.types[machine->type] : NULL;
@@ -114,7 +114,7 @@
 		return DRAINING;
 	if (machine->lifecycle.decommissioned)
 		return KEPT;
-	if (fl_failure_detector_machine_expired(node, machine, now, timeouts))
+	if (fl_failure_detector_machine_is_lost(node, machine, now, timeout_leases))
 		return fl_reachability_lost_since(machine) < INFINITY ? UNREACHABLE : SILENT;
 	if (!type)
 		return KEPT;
@@ -129,10 +129,10 @@
 }
 
 static void suspect_silent_zones(struct fl_autoscaler *autoscaler, double now,
-                                 const double timeouts[FL_ZONES_MAX])
+                                 const double timeout_leases[FL_ZONES_MAX])
 {
 	for (int z = 0; z < FL_ZONES_MAX; z++)
-		if (timeouts[z] > 1)
+		if (timeout_leases[z] > 1)
 			autoscaler->zone_suspected_until[z] = now + tunables.zone_suspected_s;
 }
 
@@ -140,15 +140,15 @@
 static int choose_machines_to_return(struct fl_node *node,
                                      struct fl_machine *chosen[FL_CLOUD_DELETE_MACHINES_MAX])
 {
-	double now = fl_now(), timeouts[FL_ZONES_MAX];
+	double now = fl_now(), timeout_leases[FL_ZONES_MAX];
 	int count = 0;
 
-	fl_failure_detector_zone_timeouts(node, now, timeouts);
-	suspect_silent_zones(&node->autoscaler, now, timeouts);
+	fl_failure_detector_zone_timeouts(node, now, timeout_leases);
+	suspect_silent_zones(&node->autoscaler, now, timeout_leases);
 	for (int i = 0; i < node->cluster.machines.count && count < FL_CLOUD_DELETE_MACHINES_MAX;
 	     i++) {
 		struct fl_machine *machine = node->cluster.machines.by_id[i];
-		enum scale_in_reason reason = scale_in_reason(node, machine, now, timeouts);
+		enum scale_in_reason reason = scale_in_reason(node, machine, now, timeout_leases);
 
 		if (reason == KEPT)
 			continue;
--- a/src/coordination/follower/gossip.c
+++ b/src/coordination/follower/gossip.c
@@ -24,7 +24,7 @@
 /* Upper limit of the ages in messages, which need not be exact beyond it. */
 #define AGE_MAX_S 1e6
 
-double fl_gossip_last_exchange_at(const struct fl_node *node)
+double fl_gossip_last_response_at(const struct fl_node *node)
 {
 	double last = FL_LONG_AGO;
 
@@ -34,7 +34,7 @@
 	return last;
 }
 
-static void learn_cancellations(struct fl_node *node, const struct fl_gossip *gossip)
+static void apply_received_cancellations(struct fl_node *node, const struct fl_gossip *gossip)
 {
 	for (int i = 0; i < gossip->cancelled_count; i++) {
 		const struct fl_cancellation *cancellation = &gossip->cancelled[i];
@@ -78,7 +78,8 @@
 	             fmax(oldest_sent_at, sent_at - gossip->watermark_age_s));
 }
 
-static void learn_leadership(struct fl_node *node, const struct fl_gossip *gossip, double sent_at)
+static void apply_received_leadership(struct fl_node *node, const struct fl_gossip *gossip,
+                                      double sent_at)
 {
 	/* If this node's lease is valid, the higher token is its own, which it is raising. */
 	if (gossip->fencing_token > node->leader_view.fencing_token && node->leader_lease.held) {
@@ -170,9 +171,9 @@
 		         peer->name);
 		return;
 	}
-	learn_cancellations(node, &gossip);
+	apply_received_cancellations(node, &gossip);
 	raise_watermark(node, peer, &gossip, sent_at);
-	learn_leadership(node, &gossip, sent_at);
+	apply_received_leadership(node, &gossip, sent_at);
 	fl_gossip_free(&gossip);
 }
 
--- a/src/coordination/follower/gossip.h
+++ b/src/coordination/follower/gossip.h
@@ -20,7 +20,7 @@
 /* Starts a coroutine for each other controller, with no exchange completed yet. */
 void fl_gossip_start(struct fl_node *node);
 /* Returns when an exchange with any peer last completed; FL_LONG_AGO if none has. */
-double fl_gossip_last_exchange_at(const struct fl_node *node);
+double fl_gossip_last_response_at(const struct fl_node *node);
 /* Returns the text of a gossip request; the caller frees it. */
 char *fl_gossip_request_encode(struct fl_node *node);
 /* Answers another controller's gossip request. */
--- a/src/coordination/follower/isolation.c
+++ b/src/coordination/follower/isolation.c
@@ -21,6 +21,6 @@
 	for (int i = 0; i < node->peer_count; i++)
 		if (node->peers[i].up)
 			return false;
-	last_reply_at = fmax(fl_gossip_last_exchange_at(node), node->kv_store.last_success_sent_at);
+	last_reply_at = fmax(fl_gossip_last_response_at(node), node->kv_store.last_success_sent_at);
 	return fl_now() > last_reply_at + tunables.isolation_delay_s;
 }
--- a/src/coordination/follower/redirect.c
+++ b/src/coordination/follower/redirect.c
@@ -93,14 +93,14 @@
  * the node, so its region is reachable, and the key-value store and the other controllers became
  * unreachable at the same time.
  */
-static bool own_links_failed(const struct fl_node *node, double last_exchange_at)
+static bool own_links_failed(const struct fl_node *node, double last_peer_response_at)
 {
 	double last_success_at = node->kv_store.last_success_sent_at;
 
 	if (fl_now() > node->api.last_readiness_probe_at + tunables.readiness_probe_timeout_s)
 		return false;
-	return last_exchange_at >= last_success_at - tunables.same_cause_window_s &&
-	       last_exchange_at <= last_success_at + tunables.same_cause_window_s;
+	return last_peer_response_at >= last_success_at - tunables.same_cause_window_s &&
+	       last_peer_response_at <= last_success_at + tunables.same_cause_window_s;
 }
 
 /*
@@ -113,16 +113,16 @@
 static const struct fl_peer *find_target_if_isolated(struct fl_node *node,
                                                      const struct fl_heartbeat *heartbeat)
 {
-	double last_exchange_at = fl_gossip_last_exchange_at(node);
+	double last_peer_response_at = fl_gossip_last_response_at(node);
 
-	if (!fl_node_is_isolated(node) || !own_links_failed(node, last_exchange_at))
+	if (!fl_node_is_isolated(node) || !own_links_failed(node, last_peer_response_at))
 		return NULL;
 	for (int i = 0; i < node->peer_count; i++) {
 		const struct fl_peer *peer =
 			&node->peers[node->follower.redirect_round_robin++ % node->peer_count];
 
 		/* Skips a peer that had become unreachable before the others. */
-		if (peer->last_response_at > last_exchange_at - tunables.same_cause_window_s)
+		if (peer->last_response_at > last_peer_response_at - tunables.same_cause_window_s)
 			return try_begin_redirect(node, heartbeat->host) ? peer : NULL;
 	}
 	return NULL;
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -48,7 +48,7 @@
 	int zone;                             /* the only allowed zone; -1: any */
 	bool same_zone, spread_zones, spot_allowed;
 	/* The job fits its team's guaranteed quota together with the team's earlier jobs. */
-	bool within_guaranteed;
+	bool within_guaranteed_quota;
 	bool background; /* an array of a class without an SLO, while other classes have one */
 	bool begun;      /* some task of the job is placed or done */
 	uint32_t placed_by_zone[FL_ZONES_MAX], placed_in_unknown_zone; /* placed tasks, by zone */
@@ -61,7 +61,7 @@
  * there: meanwhile only jobs of the same or a higher priority may use them.
  */
 struct fl_reservation {
-	bool active, within_guaranteed;
+	bool active, within_guaranteed_quota;
 	enum fl_priority priority;
 	struct fl_resources resources; /* all jobs may use the rest of the machine */
 };
@@ -82,8 +82,8 @@
 	int machine, team;
 	enum fl_priority priority;
 	bool service, stopping;
-	bool preemptible;       /* may be chosen as a victim */
-	bool within_guaranteed; /* its job is within its team's guaranteed quota */
+	bool preemptible;             /* may be chosen as a victim */
+	bool within_guaranteed_quota; /* its job is within its team's guaranteed quota */
 	/* The only placed task of an overdue job: only urgent jobs may preempt it. */
 	bool last_running_task;
 	struct fl_resources used;
--- a/src/coordination/scheduling/schedule_constraints.c
+++ b/src/coordination/scheduling/schedule_constraints.c
@@ -51,7 +51,8 @@
 	/* Services too: an urgent one goes before a critical array, which may preempt it. */
 	if (fl_sched_is_urgent_service(job))
 		return true;
-	return !cycle->resumed && (!reserved->within_guaranteed || job->within_guaranteed);
+	return !cycle->resumed &&
+	       (!reserved->within_guaranteed_quota || job->within_guaranteed_quota);
 }
 
 /* Returns the resources of the machine that are withheld from the job. */
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -47,7 +47,7 @@
 static bool could_be_preempted_back(const struct fl_sched_job *job,
                                     const struct fl_sched_attempt *attempt)
 {
-	return attempt->within_guaranteed && !job->within_guaranteed && !job->service &&
+	return attempt->within_guaranteed_quota && !job->within_guaranteed_quota && !job->service &&
 	       attempt->team != job->team;
 }
 
@@ -63,7 +63,7 @@
 {
 	const struct fl_team *team = &cycle->input->teams[attempt->team];
 
-	if (attempt->team == job->team || attempt->service || attempt->within_guaranteed)
+	if (attempt->team == job->team || attempt->service || attempt->within_guaranteed_quota)
 		return false;
 	return !fl_team_fits_guaranteed_quota(team, team->used_cpus, team->used_gpus);
 }
@@ -213,7 +213,7 @@
 	if (!machine->requested.active)
 		machine->requested = (struct fl_reservation){
 			.active = true,
-			.within_guaranteed = entitlement == ENTITLED_BY_GUARANTEE,
+			.within_guaranteed_quota = entitlement == ENTITLED_BY_GUARANTEE,
 			.priority = job->priority};
 	fl_resources_add(&machine->requested.resources, job->need);
 }
@@ -266,7 +266,7 @@
 static enum entitlement next_task_entitlement(const struct fl_sched_job *job,
                                               const struct fl_team *team)
 {
-	bool within = job->within_guaranteed &&
+	bool within = job->within_guaranteed_quota &&
 	              fl_team_fits_guaranteed_quota(team, team->used_cpus + job->need.cpus,
 	                                            team->used_gpus + job->need.gpus);
 
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -112,7 +112,7 @@
 	memcpy(target->placed_by_zone, job->placement.by_zone, sizeof(target->placed_by_zone));
 	target->placed_in_unknown_zone = job->placement.in_unknown_zone;
 	target->image = job->image;
-	target->within_guaranteed = job->within_guaranteed_quota;
+	target->within_guaranteed_quota = job->within_guaranteed_quota;
 	target->background = is_background_job(builder->node, job);
 	target->begun = job->counts.placed > 0 || job->counts.done > 0;
 	target->window_remaining_s = backfill_window_remaining_s(job, builder->now);
@@ -180,7 +180,7 @@
 	target->service = job->kind == FL_SERVICE;
 	target->stopping = job->cancelled || task->stop_reason != FL_STOP_NONE;
 	target->preemptible = !target->stopping;
-	target->within_guaranteed = job->within_guaranteed_quota;
+	target->within_guaranteed_quota = job->within_guaranteed_quota;
 	target->used = fl_job_task_resources(job);
 	target->estimated_remaining_s = task_remaining_s(job, task, builder->now);
 	target->stop_loss_s = task_stop_loss_s(job, task, builder->now);
@@ -235,7 +235,7 @@
 		return (struct fl_reservation){0};
 	return (struct fl_reservation){
 		.active = true,
-		.within_guaranteed = machine->reservation.within_guaranteed_quota,
+		.within_guaranteed_quota = machine->reservation.within_guaranteed_quota,
 		.priority = machine->reservation.priority,
 		.resources = {machine->reservation.cpus, machine->reservation.gpus,
 	                      machine->reservation.ram_gb}};
--- a/src/coordination/workers/failure_detector.c
+++ b/src/coordination/workers/failure_detector.c
@@ -68,7 +68,7 @@
 	return 0;
 }
 
-bool fl_failure_detector_machine_expired(const struct fl_node *node,
+bool fl_failure_detector_machine_is_lost(const struct fl_node *node,
                                          const struct fl_machine *machine, double now,
                                          const double timeout_leases[FL_ZONES_MAX])
 {
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -20,7 +20,7 @@
 void fl_failure_detector_zone_timeouts(const struct fl_node *node, double now,
                                        double timeout_leases[FL_ZONES_MAX]);
 /* Returns whether the machine's silence exceeds its timeout and possible renewals of its lease. */
-bool fl_failure_detector_machine_expired(const struct fl_node *node,
+bool fl_failure_detector_machine_is_lost(const struct fl_node *node,
                                          const struct fl_machine *machine, double now,
                                          const double timeout_leases[FL_ZONES_MAX]);
 
--- a/tests/contract_fixture.c
+++ b/tests/contract_fixture.c
@@ -14,49 +14,51 @@
 
 enum { EXCHANGES_MAX = 16, REQUEST_MAX = 2048 };
 
-struct contract_run {
+struct contract_run_exchanges {
 	const struct contract_exchange *script;
-	int count, served;
+	int exchange_count, request_count;
 	char requests[EXCHANGES_MAX][REQUEST_MAX];
-	void (*calls)(const char *address, void *results);
+	void (*client_calls)(const char *address, void *results);
 	void *results;
 };
 
-static void answer_by_script(void *context, const struct fl_http_request *request,
-                             struct fl_http_response *response)
+static void respond_by_script(void *context, const struct fl_http_request *request,
+                              struct fl_http_response *response)
 {
-	struct contract_run *run = context;
-	int index = run->served++;
+	struct contract_run_exchanges *server = context;
+	int index = server->request_count++;
 
 	response->status = 500;
-	if (index >= run->count)
+	if (index >= server->exchange_count)
 		return;
-	snprintf(run->requests[index], REQUEST_MAX, "%s %s%s%s\n%.*s",
+	snprintf(server->requests[index], REQUEST_MAX, "%s %s%s%s\n%.*s",
 	         http_method_str(request->method), request->path, request->query[0] ? "?" : "",
 	         request->query, (int)request->body_len, request->body);
-	response->status = run->script[index].status;
-	response->body = strdup(run->script[index].answer);
+	response->status = server->script[index].status;
+	response->body = strdup(server->script[index].response_body);
 }
 
-static void make_calls(const char *address, void *context)
+static void run_client_calls(const char *address, void *context)
 {
-	const struct contract_run *run = context;
+	const struct contract_run_exchanges *server = context;
 
-	run->calls(address, run->results);
+	server->client_calls(address, server->results);
 }
 
-void contract_run(void (*calls)(const char *address, void *results), void *results,
-                  const struct contract_exchange *script, int count)
+void contract_run_exchanges(void (*client_calls)(const char *address, void *results), void *results,
+                            const struct contract_exchange *script, int exchange_count)
 {
-	struct contract_run run = {
-		.script = script, .count = count, .calls = calls, .results = results};
+	struct contract_run_exchanges server = {.script = script,
+	                                        .exchange_count = exchange_count,
+	                                        .client_calls = client_calls,
+	                                        .results = results};
 
-	assert_in_range(count, 1, EXCHANGES_MAX);
+	assert_in_range(exchange_count, 1, EXCHANGES_MAX);
 	run_http_client(&(struct http_run){.max_connections = 16,
-	                                   .handler = answer_by_script,
-	                                   .client = make_calls,
-	                                   .context = &run});
-	for (int i = 0; i < count; i++)
-		assert_string_equal(run.requests[i], script[i].request);
-	assert_int_equal(run.served, count);
+	                                   .handler = respond_by_script,
+	                                   .client = run_client_calls,
+	                                   .context = &server});
+	for (int i = 0; i < exchange_count; i++)
+		assert_string_equal(server.requests[i], script[i].request);
+	assert_int_equal(server.request_count, exchange_count);
 }
--- a/tests/contract_fixture.h
+++ b/tests/contract_fixture.h
@@ -6,7 +6,7 @@
 struct contract_exchange {
 	const char *request; /* method, path with query, a line feed, the body */
 	int status;
-	const char *answer;
+	const char *response_body;
 };
 
 /*
@@ -14,7 +14,7 @@
  * requests were just those of the script. What the calls return is to be put into `results` and
  * asserted afterwards: an assertion must not leave a coroutine.
  */
-void contract_run(void (*calls)(const char *address, void *results), void *results,
-                  const struct contract_exchange *script, int count);
+void contract_run_exchanges(void (*client_calls)(const char *address, void *results), void *results,
+                            const struct contract_exchange *script, int exchange_count);
 
 #endif
--- a/tests/contract_heartbeats.c
+++ b/tests/contract_heartbeats.c
@@ -114,7 +114,8 @@
 	                             .task_count = COUNT_OF(busy_tasks)};
 }
 
-void assert_heartbeat_tasks(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
+void assert_heartbeat_tasks_equal(const struct fl_heartbeat *got,
+                                  const struct fl_heartbeat *expected)
 {
 	assert_int_equal(got->task_count, expected->task_count);
 	for (int i = 0; i < expected->task_count; i++) {
@@ -126,7 +127,7 @@
 	}
 }
 
-void assert_heartbeat(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
+void assert_heartbeat_equal(const struct fl_heartbeat *got, const struct fl_heartbeat *expected)
 {
 	assert_string_equal(got->host, expected->host);
 	assert_string_equal(got->endpoint, expected->endpoint);
@@ -137,7 +138,7 @@
 	assert_int_equal(got->sequence, expected->sequence);
 	assert_int_equal(got->fencing_token, expected->fencing_token);
 	assert_true(got->interruption_in_s == expected->interruption_in_s);
-	assert_heartbeat_tasks(got, expected);
+	assert_heartbeat_tasks_equal(got, expected);
 	for (int i = 0; i < expected->task_count; i++)
 		assert_int_equal(got->tasks[i].checkpoint_saved,
 		                 expected->tasks[i].checkpoint_saved);
--- a/tests/contract_heartbeats.h
+++ b/tests/contract_heartbeats.h
@@ -13,9 +13,10 @@
 struct fl_heartbeat busy_heartbeat(void);
 
 /* All fields are equal that a cached heartbeat keeps of each task, and the tasks are as many. */
-void assert_heartbeat_tasks(const struct fl_heartbeat *got, const struct fl_heartbeat *expected);
+void assert_heartbeat_tasks_equal(const struct fl_heartbeat *got,
+                                  const struct fl_heartbeat *expected);
 
 /* All fields are equal. */
-void assert_heartbeat(const struct fl_heartbeat *got, const struct fl_heartbeat *expected);
+void assert_heartbeat_equal(const struct fl_heartbeat *got, const struct fl_heartbeat *expected);
 
 #endif
--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -14,7 +14,7 @@
 #include "contract_text.h"
 #include "transport/clock.h"
 
-const struct fl_job_spec live_spec = {
+const struct fl_job_spec live_job_spec = {
 	.ref = "run-000412",
 	.job_class = "nightly",
 	.team = "physics",
@@ -37,11 +37,11 @@
 	.same_zone = true,
 };
 
-const struct fl_heartbeat heartbeat_without_tasks = {.host = "m-000013",
-                                                     .incarnation = 105,
-                                                     .sequence = 106,
-                                                     .fencing_token = 107,
-                                                     .interruption_in_s = -1};
+const struct fl_heartbeat cached_idle_heartbeat = {.host = "m-000013",
+                                                   .incarnation = 105,
+                                                   .sequence = 106,
+                                                   .fencing_token = 107,
+                                                   .interruption_in_s = -1};
 
 void add_zones_and_teams(struct fl_cluster *cluster)
 {
@@ -52,11 +52,11 @@
 	strcpy(cluster->teams.by_index[1].name, "physics");
 }
 
-struct fl_job *add_job(struct fl_cluster *cluster)
+struct fl_job *add_live_job(struct fl_cluster *cluster)
 {
 	struct fl_job *job;
 	struct fl_cloud_machine_type *types;
-	cJSON *tree = parse_json(MACHINE_TYPES);
+	cJSON *tree = parse_json(MACHINE_TYPES_RECORD);
 	int count;
 
 	assert_int_equal(fl_machine_types_decode(tree, &types, &count), 0);
@@ -65,47 +65,48 @@
 	fl_machine_types_set(&cluster->machines, &cluster->zones, types, count);
 	free(types);
 	cluster->has_leader_state = true;
-	job = fl_job_add(cluster, &live_spec, 1700000100.25, 5);
+	job = fl_job_add(cluster, &live_job_spec, 1700000100.25, 5);
 	assert_non_null(job);
 	return job;
 }
 
-static void place(struct fl_cluster *cluster, struct fl_job *job, uint32_t index, uint32_t attempt,
-                  const char *machine, uint64_t incarnation, double placed)
+static void restore_placed_task(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                                uint32_t attempt, const char *machine, uint64_t incarnation,
+                                double placed)
 {
-	struct fl_machine *at = fl_machine_get_or_add(&cluster->machines, machine, 1);
-
-	assert_non_null(at);
-	assert_int_equal(
-		fl_task_restore(cluster, job, index,
-	                        &(struct fl_recorded_attempt){attempt, at, incarnation, placed},
-	                        fl_now()),
-		FL_PLACE_OK);
+	struct fl_machine *placed_on = fl_machine_get_or_add(&cluster->machines, machine, 1);
+
+	assert_non_null(placed_on);
+	assert_int_equal(fl_task_restore(cluster, job, index,
+	                                 &(struct fl_recorded_attempt){attempt, placed_on,
+	                                                               incarnation, placed},
+	                                 fl_now()),
+	                 FL_PLACE_OK);
 	fl_task_mark_changed(cluster, job, index);
 }
 
-static void wait_after(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
-                       uint32_t attempt)
+static void set_waiting_attempt(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
+                                uint32_t attempt)
 {
 	fl_task_get_or_alloc(job, index)->attempt = attempt;
 	fl_task_mark_changed(cluster, job, index);
 }
 
-void make_progress(struct fl_cluster *cluster, struct fl_job *job)
+void set_recorded_progress(struct fl_cluster *cluster, struct fl_job *job)
 {
 	for (uint32_t index = 64; index <= 66; index++)
 		fl_task_mark_done(cluster, job, index);
-	wait_after(cluster, job, 67, 2);
-	place(cluster, job, 68, 3, "m-000012", 101, 1700000123);
+	set_waiting_attempt(cluster, job, 67, 2);
+	restore_placed_task(cluster, job, 68, 3, "m-000012", 101, 1700000123);
 	fl_task_mark_done(cluster, job, 70);
-	wait_after(cluster, job, 72, 5);
-	place(cluster, job, 127, 4, "m-000013", 102, 1700000456);
-	wait_after(cluster, job, 128, 6);
+	set_waiting_attempt(cluster, job, 72, 5);
+	restore_placed_task(cluster, job, 127, 4, "m-000013", 102, 1700000456);
+	set_waiting_attempt(cluster, job, 128, 6);
 }
 
-void assert_task(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
-                 enum fl_task_phase phase, uint32_t attempt, const char *machine,
-                 uint64_t incarnation, double placed)
+void assert_task_state(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
+                       enum fl_task_phase phase, uint32_t attempt, const char *machine,
+                       uint64_t incarnation, double placed)
 {
 	const struct fl_task *task = fl_task_find(job, index);
 
@@ -119,30 +120,30 @@
 	assert_true(task->placed_wall == placed);
 }
 
-void assert_progress(const struct fl_cluster *cluster, const struct fl_job *job)
+void assert_recorded_progress(const struct fl_cluster *cluster, const struct fl_job *job)
 {
 	for (uint32_t index = 64; index < 128; index++) {
 		if (index <= 66 || index == 70)
-			assert_task(cluster, job, index, FL_TASK_DONE, 0, NULL, 0, 0);
+			assert_task_state(cluster, job, index, FL_TASK_DONE, 0, NULL, 0, 0);
 		else if (index == 67)
-			assert_task(cluster, job, index, FL_TASK_WAITING, 2, NULL, 0, 0);
+			assert_task_state(cluster, job, index, FL_TASK_WAITING, 2, NULL, 0, 0);
 		else if (index == 68)
-			assert_task(cluster, job, index, FL_TASK_PLACED, 3, "m-000012", 101,
-			            1700000123);
+			assert_task_state(cluster, job, index, FL_TASK_PLACED, 3, "m-000012", 101,
+			                  1700000123);
 		else if (index == 72)
-			assert_task(cluster, job, index, FL_TASK_WAITING, 5, NULL, 0, 0);
+			assert_task_state(cluster, job, index, FL_TASK_WAITING, 5, NULL, 0, 0);
 		else if (index == 127)
-			assert_task(cluster, job, index, FL_TASK_PLACED, 4, "m-000013", 102,
-			            1700000456);
+			assert_task_state(cluster, job, index, FL_TASK_PLACED, 4, "m-000013", 102,
+			                  1700000456);
 		else
-			assert_task(cluster, job, index, FL_TASK_WAITING, 0, NULL, 0, 0);
+			assert_task_state(cluster, job, index, FL_TASK_WAITING, 0, NULL, 0, 0);
 	}
 	assert_int_equal(job->counts.done, 4);
 	assert_int_equal(job->counts.placed, 2);
 	assert_int_equal(job->counts.waiting, 124);
 }
 
-struct fl_heartbeat make_heartbeat(struct fl_task_status tasks[CACHED_TASKS])
+struct fl_heartbeat make_cached_heartbeat(struct fl_task_status tasks[CACHED_TASK_COUNT])
 {
 	static const enum fl_task_state states[] = {FL_TASK_STATE_PULLING, FL_TASK_STATE_RUNNING,
 	                                            FL_TASK_STATE_CHECKPOINTING,
@@ -162,9 +163,9 @@
 	                                 .fencing_token = 103,
 	                                 .interruption_in_s = 104.5,
 	                                 .tasks = tasks,
-	                                 .task_count = CACHED_TASKS};
+	                                 .task_count = CACHED_TASK_COUNT};
 
-	for (uint32_t i = 0; i < CACHED_TASKS; i++) {
+	for (uint32_t i = 0; i < CACHED_TASK_COUNT; i++) {
 		tasks[i] = (struct fl_task_status){.index = 3 + i, .attempt = 21 + i};
 		snprintf(tasks[i].ref, sizeof(tasks[i].ref), "run-%06u", 412 + i);
 		tasks[i].state = i < 4 ? states[i] : FL_TASK_STATE_EXITED;
--- a/tests/contract_store_fixture.h
+++ b/tests/contract_store_fixture.h
@@ -7,7 +7,7 @@
 
 #include "coordination/node.h"
 
-enum { KEYS_MAX = 8, WRITES_MAX = 16, TEXT_MAX = 8192 };
+enum { STORED_RECORDS_MAX = 8, TRANSACTIONS_MAX = 16, TRANSACTION_TEXT_MAX = 8192 };
 
 struct contract_store {
 	struct fl_node node;
@@ -15,31 +15,32 @@
 	struct {
 		const char *key, *value;
 		int mod_revision, lease_id;
-	} stored[KEYS_MAX];
+	} stored[STORED_RECORDS_MAX];
 	int stored_count;
-	char written[WRITES_MAX][TEXT_MAX]; /* the transactions, in their order */
-	int written_count;
-	const char *event;  /* what the watches learn once; NULL: nothing */
-	bool lists_refused; /* of the key-value store */
-	int lease_grants, revoked_lease;
+	char transactions[TRANSACTIONS_MAX]
+			 [TRANSACTION_TEXT_MAX]; /* the transactions, in their order */
+	int transaction_count;
+	const char *watch_events; /* what the watches learn once; NULL: nothing */
+	bool lists_unavailable;   /* of the key-value store */
+	int lease_grant_count, revoked_lease_id;
 	void (*action)(struct fl_node *node);
-	int result; /* of that, where it has one; 0 is good */
+	int action_result; /* of that, where it has one; 0 is good */
 };
 
-extern struct contract_store world;
+extern struct contract_store store_fixture;
 
 /* Before and after each test: `state` is the node, and nothing is stored. */
-int begin_node(void **state);
+int set_up_node(void **state);
 
-int end_node(void **state);
+int tear_down_node(void **state);
 
 /* Stores the literal under the key; lease 0 is none. */
 void store_record(const char *key, const char *value, int mod_revision, int lease_id);
 
 /* Runs this as the node, for so long. */
-void run_as_node(void (*action)(struct fl_node *node), double seconds);
+void run_action_on_node(void (*action)(struct fl_node *node), double seconds);
 
 /* Among the transactions there is this one, byte for byte. */
-void assert_written(const char *expected);
+void assert_transaction_written(const char *expected);
 
 #endif
--- a/tests/contract_text.c
+++ b/tests/contract_text.c
@@ -18,19 +18,19 @@
 	return tree;
 }
 
-void assert_text(char *text, const char *expected)
+void assert_text_and_free(char *text, const char *expected)
 {
 	assert_non_null(text);
 	assert_string_equal(text, expected);
 	free(text);
 }
 
-void assert_json_text(cJSON *tree, const char *expected)
+void assert_json_text_and_delete(cJSON *tree, const char *expected)
 {
-	assert_text(fl_json_print_and_delete(tree), expected);
+	assert_text_and_free(fl_json_print_and_delete(tree), expected);
 }
 
-void assert_job_spec(const struct fl_job_spec *got, const struct fl_job_spec *expected)
+void assert_job_spec_equal(const struct fl_job_spec *got, const struct fl_job_spec *expected)
 {
 	assert_string_equal(got->ref, expected->ref);
 	assert_string_equal(got->job_class, expected->job_class);
--- a/tests/contract_text.h
+++ b/tests/contract_text.h
@@ -14,12 +14,12 @@
 cJSON *parse_json(const char *text);
 
 /* The text, which is freed, is exactly the expected one. */
-void assert_text(char *text, const char *expected);
+void assert_text_and_free(char *text, const char *expected);
 
 /* The tree, which is freed, has exactly this text. */
-void assert_json_text(cJSON *tree, const char *expected);
+void assert_json_text_and_delete(cJSON *tree, const char *expected);
 
 /* All fields of two job descriptions are equal. */
-void assert_job_spec(const struct fl_job_spec *got, const struct fl_job_spec *expected);
+void assert_job_spec_equal(const struct fl_job_spec *got, const struct fl_job_spec *expected);
 
 #endif
--- a/tests/coroutine_fixture.c
+++ b/tests/coroutine_fixture.c
@@ -14,7 +14,7 @@
 	bool finished;
 };
 
-static void run_to_its_end(void *context)
+static void run_and_end_loop(void *context)
 {
 	struct coroutine_run *run = context;
 
@@ -27,7 +27,7 @@
 {
 	struct coroutine_run run = {.function = function, .argument = argument};
 
-	assert_non_null(fl_coroutine_spawn(run_to_its_end, &run));
+	assert_non_null(fl_coroutine_spawn(run_and_end_loop, &run));
 	fl_coroutines_run();
 	assert_true(run.finished);
 }
--- a/tests/fake_cloud.c
+++ b/tests/fake_cloud.c
@@ -58,7 +58,7 @@
 		"\"LocalGb\":50,\"PullGbPerS\":1.0,\"Price\":1.0,\"SpotPrice\":0.4,\"ReadyS\":1,"
 		"\"Sites\":[\"a\"]}]}";
 
-	json_response(response, 200, fl_json_parse(types, strlen(types)));
+	set_json_response(response, 200, fl_json_parse(types, strlen(types)));
 }
 
 static void serve_rental(const struct fl_http_request *request, struct fl_http_response *response)
@@ -69,7 +69,7 @@
 	cJSON_AddItemToObject(object, "Hosts",
 	                      cJSON_Duplicate(find_or_add_rental(body)->machines, true));
 	cJSON_Delete(body);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 static void delete_machine(const char *name)
@@ -89,7 +89,7 @@
 		delete_machine(name->valuestring);
 	cJSON_Delete(body);
 	cJSON_AddArrayToObject(object, "Hosts");
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 static cJSON *encode_machine(const struct fake_machine *machine)
@@ -114,7 +114,7 @@
 		if (!fake_machines[i]->deleted)
 			cJSON_AddItemToArray(list, encode_machine(fake_machines[i]));
 	cJSON_AddBoolToObject(object, "More", false);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 static void on_cloud_request(void *context, const struct fl_http_request *request,
@@ -125,7 +125,7 @@
 		cJSON *object = cJSON_CreateObject();
 
 		cJSON_AddStringToObject(object, "error", "unavailable");
-		json_response(response, 503, object);
+		set_json_response(response, 503, object);
 	} else if (strcmp(request->path, "/machine_types") == 0) {
 		serve_machine_types(response);
 	} else if (strcmp(request->path, "/rentals/delete") == 0) {
--- a/tests/fake_kv_store.c
+++ b/tests/fake_kv_store.c
@@ -36,23 +36,24 @@
 
 static void serve_watch(const char *query, struct fl_http_response *response)
 {
-	char prefix[KV_MODEL_KEY], word[32];
-	uint64_t revision = strtoull(kv_model_param(query, "From=", word, sizeof(word)), NULL, 10);
-	double timeout_s = atof(kv_model_param(query, "HoldMs=", word, sizeof(word))) / 1000;
+	char prefix[KV_MODEL_KEY_SIZE], word[32];
+	uint64_t revision =
+		strtoull(kv_model_query_param(query, "From=", word, sizeof(word)), NULL, 10);
+	double timeout_s = atof(kv_model_query_param(query, "HoldMs=", word, sizeof(word))) / 1000;
 	double until = fl_now() + timeout_s;
 
-	kv_model_param(query, "Prefix=", prefix, sizeof(prefix));
-	while (kv_model_first_event(&model, prefix, revision) < 0 && fl_now() < until)
+	kv_model_query_param(query, "Prefix=", prefix, sizeof(prefix));
+	while (kv_model_first_event_index(&model, prefix, revision) < 0 && fl_now() < until)
 		if (fl_condition_wait(&model.changed, until - fl_now()) == -ECANCELED)
 			return;
-	kv_model_serve_events(&model, prefix, kv_model_first_event(&model, prefix, revision),
+	kv_model_serve_events(&model, prefix, kv_model_first_event_index(&model, prefix, revision),
 	                      response);
 }
 
 static void serve_list(const char *query, struct fl_http_response *response)
 {
 	char page[16];
-	int limit = atoi(kv_model_param(query, "Page=", page, sizeof(page)));
+	int limit = atoi(kv_model_query_param(query, "Page=", page, sizeof(page)));
 
 	/* Small pages, so that lists have more than one. */
 	kv_model_serve_list(&model, query, limit > 5 ? 5 : limit, response);
@@ -67,7 +68,7 @@
 	cJSON_Delete(transaction);
 }
 
-static void apply(const struct fl_http_request *request, struct fl_http_response *response)
+static void apply_request(const struct fl_http_request *request, struct fl_http_response *response)
 {
 	if (strcmp(request->path, "/multi") == 0)
 		serve_transaction(request, response);
@@ -90,20 +91,21 @@
 		serve_watch(request->query, response);
 		return;
 	}
-	if (fake_services.interrupt_after > 0 && --fake_services.interrupt_after == 0) {
+	if (fake_services.interrupt_after_requests > 0 &&
+	    --fake_services.interrupt_after_requests == 0) {
 		fake_services.interrupt();
 		if (fl_sleep(0.2) != 0)
 			return;
 	}
-	if (every_nth(fake_services.kv_refuses_every, number)) {
-		json_response(response, 503, NULL);
+	if (fault_is_due(fake_services.kv_refused_request_every, number)) {
+		set_json_response(response, 503, NULL);
 		return;
 	}
-	if (every_nth(fake_services.kv_slow_every, number) && fl_sleep(0.3) != 0)
+	if (fault_is_due(fake_services.kv_slow_request_every, number) && fl_sleep(0.3) != 0)
 		return;
-	apply(request, response);
+	apply_request(request, response);
 	/* Applied, but the reply comes after the client's timeout. */
-	if (every_nth(fake_services.kv_loses_every, number))
+	if (fault_is_due(fake_services.kv_lost_reply_every, number))
 		fl_sleep(2.5);
 }
 
@@ -118,10 +120,10 @@
 
 void fake_kv_free(void) { kv_model_free(&model); }
 
-const char *fake_services_leader(void)
+const char *fake_services_leader_node(void)
 {
-	static char node[KV_MODEL_KEY];
+	static char node[KV_MODEL_KEY_SIZE];
 
-	kv_model_leader(&model, node);
+	kv_model_leader_node(&model, node);
 	return node;
 }
--- a/tests/fake_services.c
+++ b/tests/fake_services.c
@@ -16,7 +16,7 @@
 	servers[server_count++] = server;
 }
 
-bool every_nth(int every, unsigned count) { return every > 0 && count % (unsigned)every == 0; }
+bool fault_is_due(int every, unsigned count) { return every > 0 && count % (unsigned)every == 0; }
 
 static void add_service(struct fl_http_server *server, char addr[32])
 {
--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -22,22 +22,23 @@
 	double heartbeat_interval_s, lease_s, task_duration_s;
 
 	/* Faults, one every so many requests; 0: never. */
-	int kv_refuses_every, kv_loses_every, kv_slow_every, commands_repeat_every;
+	int kv_refused_request_every, kv_lost_reply_every, kv_slow_request_every,
+		repeated_command_every;
 	/* One every so many heartbeats: a copy comes two leases later, to another controller. */
 	int delayed_heartbeat_every;
 	/* So many of the machines rented next exchange no messages; counts down. */
-	int unreachable_to_rent;
+	int unreachable_machines_to_rent;
 	bool cloud_unavailable;
 	/* Counts down with the requests of the key-value store; at 0 `interrupt` is called, and
 	 * that request is applied after it, late. */
-	int interrupt_after;
+	int interrupt_after_requests;
 	void (*interrupt)(void);
 
 	/* What the workers saw. */
 	int starts, completions, max_machines;
 	/* What must never happen: a task started while it runs elsewhere, a fencing token used
 	 * again, a rental's name used by two leaders, a start on a machine that was returned. */
-	int duplicate_starts, tokens_reused, rental_names_reused, starts_on_deleted;
+	int duplicate_starts, tokens_reused, rental_names_reused, starts_on_deleted_machines;
 };
 
 extern struct fake_services fake_services;
@@ -47,10 +48,10 @@
 /* Once their coroutines have ended. */
 void fake_services_free(void);
 /* The node that holds the leader's key, or an empty string; valid until the next call. */
-const char *fake_services_leader(void);
+const char *fake_services_leader_node(void);
 /* Unreachable machines that are rented and not returned yet. */
-int fake_services_unreachable_count(void);
+int fake_services_unreachable_machine_count(void);
 /* The tasks of this job that run on any machine. */
-int fake_services_running_tasks(const char *ref);
+int fake_services_running_task_count(const char *ref);
 
 #endif
--- a/tests/fake_services_internal.h
+++ b/tests/fake_services_internal.h
@@ -7,7 +7,7 @@
 #include "transport/http_server.h"
 
 /* Does a fault that comes with every so many requests come with this one? 0: never. */
-bool every_nth(int every, unsigned count);
+bool fault_is_due(int every, unsigned count);
 
 /* For fake_services_free(). */
 void fake_server_add(struct fl_http_server *server);
@@ -26,7 +26,7 @@
 
 /* ---- workers ---- */
 
-enum { FAKE_TASKS = 64, FAKE_MACHINES = 512 };
+enum { FAKE_MACHINE_TASKS = 64, FAKE_MACHINES = 512 };
 
 struct fake_task {
 	struct fl_task_status status;
@@ -39,8 +39,8 @@
 	bool deleted, unreachable;
 	uint64_t incarnation, sequence, fencing_token;
 	double lease_started_at; /* when the last answered heartbeat was sent */
-	struct fake_task tasks[FAKE_TASKS];
-	int controller; /* where the next heartbeat goes, modulo their number */
+	struct fake_task tasks[FAKE_MACHINE_TASKS];
+	int next_controller; /* where the next heartbeat goes, modulo their number */
 	unsigned heartbeat_count;
 	char *repeated_command; /* to be executed once more; NULL: none */
 };
--- a/tests/fake_workers.c
+++ b/tests/fake_workers.c
@@ -16,9 +16,9 @@
 struct fake_machine *fake_machines[FAKE_MACHINES];
 int fake_machine_count;
 
-static unsigned command_count;
+static unsigned direct_command_count;
 
-static void controller_client(struct fl_http_client *client, int controller)
+static void init_controller_client(struct fl_http_client *client, int controller)
 {
 	int port = fake_services.controller_ports[controller % fake_services.controller_count];
 	char addr[32];
@@ -35,13 +35,13 @@
 };
 
 /* Two leases later; nobody reads the reply. */
-static void send_delayed(void *arg)
+static void send_delayed_heartbeat(void *arg)
 {
 	struct delayed_heartbeat *delayed = arg;
 	struct fl_http_client client;
 	struct fl_http_reply reply;
 
-	controller_client(&client, delayed->controller);
+	init_controller_client(&client, delayed->controller);
 	if (fl_sleep(2 * fake_services.lease_s) == 0 &&
 	    fl_http_call(&client, "POST", "/hello", delayed->text, 4.0, &reply) == 0)
 		fl_buffer_free(&reply.body);
@@ -49,13 +49,13 @@
 	free(delayed);
 }
 
-static void send_copy_later(const char *text, int controller)
+static void send_heartbeat_copy_later(const char *text, int controller)
 {
 	struct delayed_heartbeat *delayed = malloc(sizeof(*delayed));
 
 	assert(delayed);
 	*delayed = (struct delayed_heartbeat){strdup(text), controller};
-	fl_coroutine_spawn(send_delayed, delayed);
+	fl_coroutine_spawn(send_delayed_heartbeat, delayed);
 }
 
 /* ---- tasks ---- */
@@ -70,7 +70,7 @@
 	return job && strstr(job->value, "standing");
 }
 
-static bool is_running(const struct fake_task *task)
+static bool task_is_running(const struct fake_task *task)
 {
 	return task->used && task->status.state != FL_TASK_STATE_EXITED;
 }
@@ -84,35 +84,36 @@
 static struct fake_task *find_attempt(struct fake_machine *machine,
                                       const struct fl_task_status *status)
 {
-	for (int i = 0; i < FAKE_TASKS; i++)
+	for (int i = 0; i < FAKE_MACHINE_TASKS; i++)
 		if (machine->tasks[i].used &&
-		    worker_command_names_attempt(status, &machine->tasks[i].status))
+		    worker_command_is_for_attempt(status, &machine->tasks[i].status))
 			return &machine->tasks[i];
 	return NULL;
 }
 
 /* Counts the copies of the task that run; true if this attempt is on the machine already. */
-static bool check_copies(const struct fake_machine *machine, const struct fl_task_status *status)
+static bool count_duplicate_starts(const struct fake_machine *machine,
+                                   const struct fl_task_status *status)
 {
 	for (int k = 0; k < fake_machine_count; k++)
-		for (int i = 0; i < FAKE_TASKS && !fake_machines[k]->deleted; i++) {
+		for (int i = 0; i < FAKE_MACHINE_TASKS && !fake_machines[k]->deleted; i++) {
 			const struct fake_task *task = &fake_machines[k]->tasks[i];
 
-			if (!task->used || !worker_command_names_task(status, &task->status))
+			if (!task->used || !worker_command_is_for_task(status, &task->status))
 				continue;
 			if (fake_machines[k] == machine && task->status.attempt == status->attempt)
 				return true;
-			fake_services.duplicate_starts += is_running(task);
+			fake_services.duplicate_starts += task_is_running(task);
 		}
 	return false;
 }
 
 static void start_task(struct fake_machine *machine, const struct fl_task_status *status)
 {
-	fake_services.starts_on_deleted += machine->deleted;
-	if (check_copies(machine, status))
+	fake_services.starts_on_deleted_machines += machine->deleted;
+	if (count_duplicate_starts(machine, status))
 		return;
-	for (int i = 0; i < FAKE_TASKS; i++) {
+	for (int i = 0; i < FAKE_MACHINE_TASKS; i++) {
 		struct fake_task *task = &machine->tasks[i];
 
 		if (task->used)
@@ -134,11 +135,11 @@
 		start_task(machine, &command->task);
 		break;
 	case FL_COMMAND_STOP:
-		if (task && is_running(task))
+		if (task && task_is_running(task))
 			end_task(task, FL_EXIT_STOPPED);
 		break;
 	case FL_COMMAND_FORGET:
-		if (task && !is_running(task))
+		if (task && !task_is_running(task))
 			task->used = false;
 		break;
 	}
@@ -157,9 +158,9 @@
 
 /* ---- heartbeats ---- */
 
-static char *next_heartbeat(struct fake_machine *machine)
+static char *encode_next_heartbeat(struct fake_machine *machine)
 {
-	struct fl_task_status tasks[FAKE_TASKS];
+	struct fl_task_status tasks[FAKE_MACHINE_TASKS];
 	struct fl_heartbeat heartbeat = {.incarnation = machine->incarnation,
 	                                 .sequence = ++machine->sequence,
 	                                 .fencing_token = machine->fencing_token,
@@ -170,12 +171,12 @@
 	copy_text(heartbeat.endpoint, sizeof(heartbeat.endpoint), machine->addr);
 	copy_text(heartbeat.type, sizeof(heartbeat.type), "small");
 	copy_text(heartbeat.zone, sizeof(heartbeat.zone), "a");
-	for (int i = 0; i < FAKE_TASKS; i++) {
+	for (int i = 0; i < FAKE_MACHINE_TASKS; i++) {
 		struct fake_task *task = &machine->tasks[i];
 
 		if (!task->used)
 			continue;
-		if (is_running(task) && !task->is_service && fl_now() > task->completes_at) {
+		if (task_is_running(task) && !task->is_service && fl_now() > task->completes_at) {
 			end_task(task, FL_EXIT_DONE);
 			fake_services.completions++;
 		}
@@ -206,33 +207,33 @@
 	struct fl_http_client client;
 	struct fl_http_reply reply;
 	double sent_at = fl_now();
-	char *text = next_heartbeat(machine);
+	char *text = encode_next_heartbeat(machine);
 	int rc;
 
-	controller_client(&client, machine->controller);
-	if (every_nth(fake_services.delayed_heartbeat_every, ++machine->heartbeat_count))
-		send_copy_later(text, machine->controller + 1);
+	init_controller_client(&client, machine->next_controller);
+	if (fault_is_due(fake_services.delayed_heartbeat_every, ++machine->heartbeat_count))
+		send_heartbeat_copy_later(text, machine->next_controller + 1);
 	rc = fl_http_call(&client, "POST", "/hello", text, 4.0, &reply);
 	free(text);
 	if (rc != 0) {
-		machine->controller++;
+		machine->next_controller++;
 		return;
 	}
 	if (machine->unreachable) {
 		/* It waits for its timeout, and tries another node. */
 		fl_sleep(5.0);
-		machine->controller++;
+		machine->next_controller++;
 	} else if (reply.status == 200) {
 		accept_reply(machine, &reply, sent_at);
 	} else {
-		machine->controller++;
+		machine->next_controller++;
 	}
 	fl_buffer_free(&reply.body);
 }
 
 /* ---- direct commands ---- */
 
-static bool accept_commands(struct fake_machine *machine, const char *body)
+static bool accept_direct_commands(struct fake_machine *machine, const char *body)
 {
 	cJSON *object = fl_json_parse(body, strlen(body));
 	uint64_t fencing_token = 0, incarnation = 0;
@@ -260,21 +261,21 @@
 		return;
 	}
 	if (machine->deleted || strcmp(request->path, "/commands") != 0) {
-		json_response(response, 404, NULL);
+		set_json_response(response, 404, NULL);
 		return;
 	}
-	accepted = accept_commands(machine, request->body);
-	if (every_nth(fake_services.commands_repeat_every, ++command_count)) {
+	accepted = accept_direct_commands(machine, request->body);
+	if (fault_is_due(fake_services.repeated_command_every, ++direct_command_count)) {
 		free(machine->repeated_command);
 		machine->repeated_command = strdup(request->body);
 	}
 	response->status = accepted ? 200 : 409;
-	response->body = next_heartbeat(machine);
+	response->body = encode_next_heartbeat(machine);
 }
 
 /* ---- machines ---- */
 
-static void check_lease(struct fake_machine *machine)
+static void end_expired_lease(struct fake_machine *machine)
 {
 	if (fl_now() <= machine->lease_started_at + fake_services.lease_s)
 		return;
@@ -289,10 +290,10 @@
 
 	machine->lease_started_at = fl_now();
 	while (!machine->deleted && fl_sleep(fake_services.heartbeat_interval_s) == 0) {
-		check_lease(machine);
+		end_expired_lease(machine);
 		send_heartbeat(machine);
 		if (machine->repeated_command) {
-			accept_commands(machine, machine->repeated_command);
+			accept_direct_commands(machine, machine->repeated_command);
 			free(machine->repeated_command);
 			machine->repeated_command = NULL;
 		}
@@ -307,9 +308,9 @@
 	assert(machine && fake_machine_count < FAKE_MACHINES);
 	snprintf(machine->name, sizeof(machine->name), "m-%06d", fake_machine_count);
 	machine->incarnation = 1;
-	machine->controller = fake_machine_count;
-	machine->unreachable =
-		fake_services.unreachable_to_rent > 0 && fake_services.unreachable_to_rent--;
+	machine->next_controller = fake_machine_count;
+	machine->unreachable = fake_services.unreachable_machines_to_rent > 0 &&
+	                       fake_services.unreachable_machines_to_rent--;
 	fake_machines[fake_machine_count++] = machine;
 	server = fl_http_serve("127.0.0.1:0", 64, 90, on_worker_request, machine);
 	fake_server_add(server);
@@ -332,18 +333,18 @@
 
 /* ---- what the test asks ---- */
 
-int fake_services_running_tasks(const char *ref)
+int fake_services_running_task_count(const char *ref)
 {
 	int count = 0;
 
 	for (int k = 0; k < fake_machine_count; k++)
-		for (int i = 0; i < FAKE_TASKS && !fake_machines[k]->deleted; i++)
-			count += is_running(&fake_machines[k]->tasks[i]) &&
+		for (int i = 0; i < FAKE_MACHINE_TASKS && !fake_machines[k]->deleted; i++)
+			count += task_is_running(&fake_machines[k]->tasks[i]) &&
 			         strcmp(fake_machines[k]->tasks[i].status.ref, ref) == 0;
 	return count;
 }
 
-int fake_services_unreachable_count(void)
+int fake_services_unreachable_machine_count(void)
 {
 	int count = 0;
 
--- a/tests/fault_combinations.c
+++ b/tests/fault_combinations.c
@@ -14,7 +14,7 @@
 	           .target = TARGET_LEADER);
 }
 
-void inject_leader_down_between(double start_s, double window_s, double duration_s)
+void inject_leader_down_within(double start_s, double window_s, double duration_s)
 {
 	inject_leader_down(sim_random_between(start_s, start_s + window_s), duration_s);
 }
--- a/tests/fault_combinations.h
+++ b/tests/fault_combinations.h
@@ -33,6 +33,6 @@
 void inject_cancel_running(double start_s, int count, double hang_s);
 void inject_leader_down(double start_s, double duration_s);
 /* The same, beginning at a random time within the window. */
-void inject_leader_down_between(double start_s, double window_s, double duration_s);
+void inject_leader_down_within(double start_s, double window_s, double duration_s);
 
 #endif
--- a/tests/fault_combinations_failover.c
+++ b/tests/fault_combinations_failover.c
@@ -15,7 +15,7 @@
 				k == 0 ? sim_random_between(3, 15) : sim_random_between(40, 110);
 	}
 	for (int i = 0; i < 2 + variant % 2; i++)
-		inject_leader_down_between(45 + 25 * i, 10, sim_random_between(4, 20));
+		inject_leader_down_within(45 + 25 * i, 10, sim_random_between(4, 20));
 }
 
 /* All controllers are down for longer than a lease. */
@@ -56,7 +56,7 @@
 static void ten_failovers(int variant)
 {
 	for (int i = 0; i < 10; i++)
-		inject_leader_down_between(30 + 12 * i, 5, sim_random_between(0.5, 8));
+		inject_leader_down_within(30 + 12 * i, 5, sim_random_between(0.5, 8));
 	if (variant % 2) {
 		double outage_s = sim_random_between(8, 40);
 
@@ -72,15 +72,15 @@
  */
 static void leader_down_workers_unreachable(int variant)
 {
-	static const enum sim_fault_kind types[] = {FAULT_INBOUND_PARTITION,
-	                                            FAULT_OUTBOUND_PARTITION, FAULT_MACHINE_HANG};
+	static const enum sim_fault_kind fault_kinds[] = {
+		FAULT_INBOUND_PARTITION, FAULT_OUTBOUND_PARTITION, FAULT_MACHINE_HANG};
 	double start_s = sim_random_between(45, 55), unreachable_s;
 
 	for (int i = 0; i < sim.job_count; i++)
 		for (uint32_t k = 0; k < SIM_JOB_TASKS; k++)
 			sim.jobs[i].duration_s[k] *= 2;
 	unreachable_s = sim_random_between(6, 40);
-	SIM_INJECT(types[variant % 3], .start_s = start_s - sim_random_between(0, 4),
+	SIM_INJECT(fault_kinds[variant % 3], .start_s = start_s - sim_random_between(0, 4),
 	           .duration_s = unreachable_s, .magnitude = 0.6);
 	inject_leader_down(start_s, sim_random_between(2, 30));
 	if (variant % 2)
--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -6,7 +6,7 @@
 #include "sim.h"
 
 /* What keeps the leader's stop commands from the machines at that moment. */
-static void commands_fail(double start_s, double duration_s)
+static void inject_command_failure(double start_s, double duration_s)
 {
 	switch (sim_random_index(3)) {
 	case 0:
@@ -94,7 +94,7 @@
 	                      variant % 2 ? sim_random_between(3, 9) : 0);
 	SIM_INJECT(FAULT_KV_UNAVAILABLE, .start_s = start_s + 1, .duration_s = duration_s - 1);
 	if (variant % 2)
-		commands_fail(start_s, duration_s);
+		inject_command_failure(start_s, duration_s);
 }
 
 /* A leader partitioned from key-value store and controllers, not from machines and users. */
@@ -133,7 +133,7 @@
 	inject_cancel_running(start_s + sim_random_between(4, 14), 4, hang_s);
 	inject_cancel_running(start_s + 14.9, 3, 0);
 	if (variant % 3 == 2)
-		commands_fail(start_s + 14.8, duration_s);
+		inject_command_failure(start_s + 14.8, duration_s);
 }
 
 /* Applied at once, and only the reply is lost, while all nodes are asked what it wrote. */
--- a/tests/fault_combinations_load.c
+++ b/tests/fault_combinations_load.c
@@ -44,7 +44,7 @@
 	SIM_INJECT(FAULT_MACHINE_TERMINATION, .start_s = sim_random_between(60, 90),
 	           .duration_s = 1, .magnitude = 0.4);
 	if (variant % 2)
-		inject_leader_down_between(50, 50, sim_random_between(5, 20));
+		inject_leader_down_within(50, 50, sim_random_between(5, 20));
 }
 
 /*
@@ -71,7 +71,7 @@
 	if (variant % 3 == 1)
 		SIM_INJECT(FAULT_KV_SLOW, .start_s = 20, .duration_s = 70, .magnitude = 1.2);
 	if (variant % 3 == 2)
-		inject_leader_down_between(40, 20, sim_random_between(1, 9));
+		inject_leader_down_within(40, 20, sim_random_between(1, 9));
 }
 
 /* Every team is at its quota, and the machines of what is cancelled are partitioned or hang. */
@@ -84,7 +84,7 @@
 	           .start_s = start_s - 2, .duration_s = sim.lease_s + sim_random_between(-3, 25),
 	           .magnitude = 0.6);
 	inject_cancel_running(start_s, 8, sim.lease_s + sim_random_between(-6, 6));
-	inject_leader_down_between(start_s - 1, 4, sim_random_between(2, 20));
+	inject_leader_down_within(start_s - 1, 4, sim_random_between(2, 20));
 	inject_cancel_running(start_s + sim_random_between(4, 9), 6, variant % 3 ? 5 : 0);
 }
 
--- a/tests/fault_combinations_random.c
+++ b/tests/fault_combinations_random.c
@@ -47,7 +47,7 @@
 	return TARGET_LEADER;
 }
 
-static void inject_random(enum sim_fault_kind kind, double start_s)
+static void inject_random_fault(enum sim_fault_kind kind, double start_s)
 {
 	bool has_count = kind >= FAULT_CANCEL_RUNNING && kind <= FAULT_SUBMISSION_BURST;
 	struct sim_fault fault = {.kind = kind, .count = has_count ? 6 : 0};
@@ -64,18 +64,19 @@
 /* Pairs and triples, at least one of them of the kinds that random_faults does not draw. */
 static void random_timing_faults(int variant)
 {
-	static const enum sim_fault_kind first[] = {
+	static const enum sim_fault_kind first_kinds[] = {
 		FAULT_DELAYED_COMMANDS,   FAULT_CONCURRENT_READS,       FAULT_SLOW_NODES,
 		FAULT_PROCESS_PAUSE,      FAULT_SHARED_IMAGE_BANDWIDTH, FAULT_IRREGULAR_BOOTS,
 		FAULT_STATUS_QUERY_STORM, FAULT_DELAYED_WRITES,         FAULT_DELAYED_HEARTBEATS,
 	};
 	double start_s = sim_random_between(25, 45);
 
-	inject_random(first[variant % 9], start_s);
+	inject_random_fault(first_kinds[variant % 9], start_s);
 	for (int i = 0; i < 1 + variant % 2; i++)
-		inject_random((enum sim_fault_kind)sim_random_index(SIM_FAULT_KINDS), start_s);
+		inject_random_fault((enum sim_fault_kind)sim_random_index(SIM_FAULT_KINDS),
+		                    start_s);
 	if (sim_chance(0.5))
-		inject_leader_down_between(start_s, 12, sim_random_between(0.5, 20));
+		inject_leader_down_within(start_s, 12, sim_random_between(0.5, 20));
 	inject_cancel_running(start_s + sim_random_between(0, 15), 4, 0);
 }
 
--- a/tests/fault_combinations_workers.c
+++ b/tests/fault_combinations_workers.c
@@ -22,7 +22,7 @@
 	}
 	SIM_INJECT(FAULT_DELAYED_HEARTBEATS, .start_s = 5, .duration_s = 90, .magnitude = 0.9);
 	SIM_INJECT(FAULT_SUBMISSION_BURST, .start_s = 25, .duration_s = 1, .count = 10);
-	inject_leader_down_between(45, 10, sim_random_between(1, 20));
+	inject_leader_down_within(45, 10, sim_random_between(1, 20));
 	SIM_INJECT(FAULT_OUTBOUND_PARTITION, .start_s = sim_random_between(50, 65),
 	           .duration_s = sim.lease_s + 4, .magnitude = 0.4);
 	if (variant % 2)
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -23,36 +23,37 @@
 	struct fl_buffer body = {0};
 
 	response->status = 503;
-	if (fixture->kv_store_refuses)
+	if (fixture->kv_store_returns_503)
 		return;
 	response->status = 200;
 	if (strcmp(request->path, "/multi") == 0) {
 		fixture->record_writes++;
 		fl_buffer_printf(&body, "{\"LedgerRev\":9}");
 	} else if (strcmp(request->path, "/keys") == 0) {
-		if (fixture->record && strstr(request->query, "Prefix=" FL_PREFIX_JOBS))
+		if (fixture->job_record && strstr(request->query, "Prefix=" FL_PREFIX_JOBS))
 			fl_buffer_printf(&body,
 			                 "{\"Items\":[{\"Key\":\"j/run-000001\",\"V\":%s,"
 			                 "\"KeyRev\":3}],\"More\":false,\"LedgerRev\":9}",
-			                 fixture->record);
-		else if (fixture->progress && strstr(request->query, "Prefix=" FL_PREFIX_PROGRESS))
+			                 fixture->job_record);
+		else if (fixture->progress_record &&
+		         strstr(request->query, "Prefix=" FL_PREFIX_PROGRESS))
 			fl_buffer_printf(&body,
 			                 "{\"Items\":[{\"Key\":\"p/run-000001/0\",\"V\":%s,"
 			                 "\"KeyRev\":4}],\"More\":false,\"LedgerRev\":9}",
-			                 fixture->progress);
+			                 fixture->progress_record);
 		else
 			fl_buffer_printf(&body, "{\"Items\":[],%s\"LedgerRev\":9}",
-			                 fixture->lists_without_more ? "" : "\"More\":false,");
+			                 fixture->lists_lack_more_field ? "" : "\"More\":false,");
 	} else if (strcmp(request->path, "/rentals") == 0) {
 		fl_buffer_printf(&body, "{%s\"Hosts\":[]}",
-		                 fixture->lists_without_more ? "" : "\"More\":false,");
-	} else if ((fixture->reads_gated ? fixture->known_at_read_begin : fixture->job_known) &&
+		                 fixture->lists_lack_more_field ? "" : "\"More\":false,");
+	} else if ((fixture->reads_gated ? fixture->job_known_at_read_start : fixture->job_known) &&
 	           strncmp(request->path, "/keys/f/", 8) == 0) {
 		fixture->record_reads++;
 		fl_buffer_printf(&body, "{\"V\":{\"final\":\"done\",\"parts\":4},\"KeyRev\":3}");
 	} else {
 		fixture->record_reads++;
-		fixture->known_at_read_begin = fixture->job_known;
+		fixture->job_known_at_read_start = fixture->job_known;
 		if (fixture->reads_gated)
 			fl_condition_wait(&fixture->read_gate, -1);
 		response->status = 404;
@@ -149,16 +150,16 @@
 {
 	va_list ap;
 
-	if (fixture->failure[0])
+	if (fixture->first_failure[0])
 		return;
 	va_start(ap, format);
-	vsnprintf(fixture->failure, sizeof(fixture->failure), format, ap);
+	vsnprintf(fixture->first_failure, sizeof(fixture->first_failure), format, ap);
 	va_end(ap);
 }
 
 void run_in_coroutine(struct frontend_fixture *fixture, void (*function)(void *fixture))
 {
 	run_coroutine(function, fixture);
-	if (fixture->failure[0])
-		fail_msg("%s", fixture->failure);
+	if (fixture->first_failure[0])
+		fail_msg("%s", fixture->first_failure);
 }
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -10,22 +10,22 @@
 	struct fl_node node;
 	struct fl_config config;
 	struct fl_http_server *kv_store, *leader;
-	bool kv_store_refuses;           /* this node alone; 503 to all requests */
+	bool kv_store_returns_503;       /* this node alone; 503 to all requests */
 	bool job_known;                  /* the job was accepted before */
-	const char *record;              /* the only job record there is, of run-000001 */
-	const char *progress;            /* and the only progress record */
-	bool lists_without_more;         /* a list does not say whether there is more of it */
+	const char *job_record;          /* the only job record there is, of run-000001 */
+	const char *progress_record;     /* and the only progress record */
+	bool lists_lack_more_field;      /* a list does not say whether there is more of it */
 	int record_writes, record_reads; /* of job records */
 	bool reads_gated;                /* a read of one waits for the gate */
 	struct fl_condition read_gate;
-	bool known_at_read_begin; /* whether the job was known when it began */
-	int last_ref;             /* number of the job submitted last */
-	char failure[400];        /* the first one inside a coroutine; empty: none */
+	bool job_known_at_read_start; /* whether the job was known when it began */
+	int last_job_number;          /* number of the job submitted last */
+	char first_failure[400];      /* the first one inside a coroutine; empty: none */
 };
 
 /* Fields given twice: the first one counts. */
-#define RECORD(fields) "{" fields ",\"Ref\":\"run-000001\",\"submitted\":5," BASE "}"
-#define BASE                                                                                       \
+#define JOB_RECORD(fields) "{" fields ",\"Ref\":\"run-000001\",\"submitted\":5," JOB_FIELDS "}"
+#define JOB_FIELDS                                                                                 \
 	"\"JobClass\":\"c\",\"Owner\":\"t\",\"JobKind\":\"sweep\",\"Tier\":\"standard\","          \
 	"\"Parts\":4,\"Vcpus\":1,\"Accelerators\":0,\"RamGb\":1,\"Bundle\":\"i\",\"ImageGb\":1,"   \
 	"\"Together\":false,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":1,"                 \
--- a/tests/json_response.h
+++ b/tests/json_response.h
@@ -6,7 +6,7 @@
 #include "transport/http_server.h"
 
 /* Takes the object; NULL gives an empty one. */
-static inline void json_response(struct fl_http_response *response, int status, cJSON *object)
+static inline void set_json_response(struct fl_http_response *response, int status, cJSON *object)
 {
 	response->status = status;
 	response->body = fl_json_print_and_delete(object ? object : cJSON_CreateObject());
--- a/tests/kv_model.c
+++ b/tests/kv_model.c
@@ -74,7 +74,7 @@
 	free(entry);
 }
 
-int kv_model_first_event(const struct kv_model *model, const char *prefix, uint64_t revision)
+int kv_model_first_event_index(const struct kv_model *model, const char *prefix, uint64_t revision)
 {
 	int first = -1;
 
@@ -90,13 +90,13 @@
 uint64_t kv_model_lease_grant(struct kv_model *model, double ttl_s)
 {
 	/* The protocol's limits. */
-	require(ttl_s >= 0.1 && ttl_s <= 600 && model->lease_count < KV_MODEL_LEASES);
+	require(ttl_s >= 0.1 && ttl_s <= 600 && model->lease_count < KV_MODEL_LEASES_MAX);
 	model->leases[model->lease_count++] =
 		(struct kv_lease){++model->last_lease_id, ttl_s, fl_now() + ttl_s};
 	return model->last_lease_id;
 }
 
-int kv_model_lease_find(const struct kv_model *model, uint64_t lease_id)
+int kv_model_lease_index(const struct kv_model *model, uint64_t lease_id)
 {
 	for (int i = 0; i < model->lease_count; i++)
 		if (model->leases[i].lease_id == lease_id)
@@ -131,13 +131,13 @@
 
 /* ---- the whole ---- */
 
-void kv_model_leader(const struct kv_model *model, char node[KV_MODEL_KEY])
+void kv_model_leader_node(const struct kv_model *model, char node[KV_MODEL_KEY_SIZE])
 {
 	const struct kv_entry *entry = kv_model_find(model, "c/lead");
 	cJSON *value = entry ? fl_json_parse(entry->value, strlen(entry->value)) : NULL;
 
 	node[0] = 0;
-	fl_json_get_string(value, "node", node, KV_MODEL_KEY);
+	fl_json_get_string(value, "node", node, KV_MODEL_KEY_SIZE);
 	cJSON_Delete(value);
 }
 
--- a/tests/kv_model.h
+++ b/tests/kv_model.h
@@ -17,18 +17,18 @@
 #include "transport/coroutine.h"
 #include "transport/http_server.h"
 
-enum { KV_MODEL_LEASES = 128, KV_MODEL_KEY = 200 };
+enum { KV_MODEL_LEASES_MAX = 128, KV_MODEL_KEY_SIZE = 200 };
 
 struct kv_entry {
 	UT_hash_handle hh;
-	char key[KV_MODEL_KEY];
+	char key[KV_MODEL_KEY_SIZE];
 	char *value; /* JSON text */
 	uint64_t mod_revision;
 	uint64_t lease_id; /* 0: none */
 };
 
 struct kv_event {
-	char key[KV_MODEL_KEY];
+	char key[KV_MODEL_KEY_SIZE];
 	char *value; /* NULL: deleted */
 	uint64_t mod_revision;
 };
@@ -42,7 +42,7 @@
 	struct kv_entry *entries;
 	struct kv_event *events;
 	int event_count, event_capacity;
-	struct kv_lease leases[KV_MODEL_LEASES];
+	struct kv_lease leases[KV_MODEL_LEASES_MAX];
 	int lease_count;
 	uint64_t revision, last_lease_id;
 	struct fl_condition changed; /* broadcast at each event */
@@ -57,11 +57,11 @@
 void kv_model_put(struct kv_model *model, const char *key, char *value, uint64_t lease_id);
 void kv_model_delete(struct kv_model *model, struct kv_entry *entry);
 /* The first event above the revision whose key has the prefix; -1: none. */
-int kv_model_first_event(const struct kv_model *model, const char *prefix, uint64_t revision);
+int kv_model_first_event_index(const struct kv_model *model, const char *prefix, uint64_t revision);
 
 uint64_t kv_model_lease_grant(struct kv_model *model, double ttl_s);
 /* The lease's index; -1: there is none, or no more. */
-int kv_model_lease_find(const struct kv_model *model, uint64_t lease_id);
+int kv_model_lease_index(const struct kv_model *model, uint64_t lease_id);
 /* Deletes the keys that hang on it, too. */
 void kv_model_lease_revoke(struct kv_model *model, int index);
 /* Revokes those whose time is up. */
@@ -70,13 +70,13 @@
 void kv_model_leases_renew(struct kv_model *model);
 
 /* The node that the leader's key names, or an empty string. */
-void kv_model_leader(const struct kv_model *model, char node[KV_MODEL_KEY]);
+void kv_model_leader_node(const struct kv_model *model, char node[KV_MODEL_KEY_SIZE]);
 void kv_model_free(struct kv_model *model);
 
 /* ---- requests ---- */
 
 /* The value of a query's parameter, whose name ends in '='; an empty string if it is missing. */
-const char *kv_model_param(const char *query, const char *name, char *out, size_t size);
+const char *kv_model_query_param(const char *query, const char *name, char *out, size_t size);
 
 void kv_model_serve_get(const struct kv_model *model, const char *key,
                         struct fl_http_response *response);
--- a/tests/kv_model_requests.c
+++ b/tests/kv_model_requests.c
@@ -7,7 +7,7 @@
 #include "json_response.h"
 #include "transport/clock.h"
 
-const char *kv_model_param(const char *query, const char *name, char *out, size_t size)
+const char *kv_model_query_param(const char *query, const char *name, char *out, size_t size)
 {
 	const char *value = query ? strstr(query, name) : NULL;
 	size_t length;
@@ -52,13 +52,13 @@
 	if (!entry) {
 		object = cJSON_CreateObject();
 		add_revision(model, object);
-		json_response(response, 404, object);
+		set_json_response(response, 404, object);
 		return;
 	}
 	object = encode_key("Key", entry->key, entry->value, entry->mod_revision);
 	if (entry->lease_id)
 		cJSON_AddNumberToObject(object, "Grant", (double)entry->lease_id);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 static int compare_keys(const void *left, const void *right)
@@ -89,19 +89,19 @@
                          struct fl_http_response *response)
 {
 	cJSON *object = cJSON_CreateObject(), *items = cJSON_AddArrayToObject(object, "Items");
-	char prefix[KV_MODEL_KEY], after[KV_MODEL_KEY];
+	char prefix[KV_MODEL_KEY_SIZE], after[KV_MODEL_KEY_SIZE];
 	const struct kv_entry **sorted;
 	int count;
 
-	kv_model_param(query, "Prefix=", prefix, sizeof(prefix));
-	kv_model_param(query, "From=", after, sizeof(after));
+	kv_model_query_param(query, "Prefix=", prefix, sizeof(prefix));
+	kv_model_query_param(query, "From=", after, sizeof(after));
 	sorted = sorted_entries(model, prefix, after, &count);
 	for (int i = 0; i < count && i < limit; i++)
 		cJSON_AddItemToArray(items, encode_key("Key", sorted[i]->key, sorted[i]->value,
 		                                       sorted[i]->mod_revision));
 	cJSON_AddBoolToObject(object, "More", count > limit);
 	add_revision(model, object);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 	free(sorted);
 }
 
@@ -120,13 +120,13 @@
 			                     encode_key(event->value ? "Put" : "Delete", event->key,
 			                                event->value, event->mod_revision));
 	}
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 /* ---- leases ---- */
 
-static void serve_grant(struct kv_model *model, const struct fl_http_request *request,
-                        struct fl_http_response *response)
+static void serve_lease_grant(struct kv_model *model, const struct fl_http_request *request,
+                              struct fl_http_response *response)
 {
 	cJSON *body = fl_json_parse(request->body, request->body_len);
 	cJSON *object = cJSON_CreateObject();
@@ -136,7 +136,7 @@
 	cJSON_Delete(body);
 	cJSON_AddNumberToObject(object, "Grant",
 	                        (double)kv_model_lease_grant(model, ttl_ms / 1000));
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 void kv_model_serve_lease(struct kv_model *model, const struct fl_http_request *request,
@@ -146,31 +146,31 @@
 	int index;
 
 	if (strcmp(request->path, path) == 0) {
-		serve_grant(model, request, response);
+		serve_lease_grant(model, request, response);
 		return;
 	}
-	index = kv_model_lease_find(model, strtoull(request->path + sizeof(path), NULL, 10));
+	index = kv_model_lease_index(model, strtoull(request->path + sizeof(path), NULL, 10));
 	if (index < 0) {
-		json_response(response, 404, NULL);
+		set_json_response(response, 404, NULL);
 		return;
 	}
 	if (request->method == HTTP_DELETE)
 		kv_model_lease_revoke(model, index);
 	else
 		model->leases[index].expires_at = fl_now() + model->leases[index].ttl_s;
-	json_response(response, 200, NULL);
+	set_json_response(response, 200, NULL);
 }
 
 /* ---- transactions ---- */
 
-static bool names_unknown_lease(const struct kv_model *model, const cJSON *operations)
+static bool operations_use_unknown_lease(const struct kv_model *model, const cJSON *operations)
 {
 	const cJSON *operation;
 	uint64_t lease_id;
 
 	cJSON_ArrayForEach (operation, operations)
 		if (fl_json_get_uint(operation, "Grant", &lease_id) == FL_JSON_OK &&
-		    kv_model_lease_find(model, lease_id) < 0)
+		    kv_model_lease_index(model, lease_id) < 0)
 			return true;
 	return false;
 }
@@ -182,7 +182,7 @@
 	const cJSON *condition;
 
 	cJSON_ArrayForEach (condition, conditions) {
-		char key[KV_MODEL_KEY] = "";
+		char key[KV_MODEL_KEY_SIZE] = "";
 		uint64_t expected = 0;
 		const struct kv_entry *entry;
 
@@ -197,7 +197,7 @@
 
 static void apply_operation(struct kv_model *model, const cJSON *operation)
 {
-	char key[KV_MODEL_KEY];
+	char key[KV_MODEL_KEY_SIZE];
 	uint64_t lease_id;
 	struct kv_entry *entry;
 
@@ -219,16 +219,16 @@
 	const cJSON *operations = fl_json_get(transaction, "Apply"), *operation;
 	cJSON *object = cJSON_CreateObject(), *failed;
 
-	if (names_unknown_lease(model, operations)) {
+	if (operations_use_unknown_lease(model, operations)) {
 		cJSON_AddStringToObject(object, "error", "no such lease");
-		json_response(response, 400, object);
+		set_json_response(response, 400, object);
 		return;
 	}
 	failed = failed_conditions(model, fl_json_get(transaction, "When"));
 	if (cJSON_GetArraySize(failed) > 0) {
 		cJSON_AddItemToObject(object, "failed", failed);
 		add_revision(model, object);
-		json_response(response, 409, object);
+		set_json_response(response, 409, object);
 		return;
 	}
 	cJSON_Delete(failed);
@@ -237,5 +237,5 @@
 	cJSON_ArrayForEach (operation, operations)
 		apply_operation(model, operation);
 	add_revision(model, object);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -154,9 +154,9 @@
 	return fl_machine_find(&fixture->node.cluster.machines, "m-000001");
 }
 
-void set_last_reply_age(struct node_fixture *fixture, double seconds)
+void set_last_reply_age(struct node_fixture *fixture, double age_s)
 {
-	only_machine(fixture)->outbound.last_reply_at = fl_now() - seconds;
+	only_machine(fixture)->outbound.last_reply_at = fl_now() - age_s;
 }
 
 struct fl_task *place_task(struct node_fixture *fixture, uint32_t index)
@@ -172,7 +172,7 @@
 	return fl_task_find(fixture->job, index);
 }
 
-struct fl_task_status running_task(uint32_t index, uint32_t attempt)
+struct fl_task_status running_task_status(uint32_t index, uint32_t attempt)
 {
 	struct fl_task_status status = {
 		.index = index, .attempt = attempt, .state = FL_TASK_STATE_RUNNING};
@@ -213,9 +213,10 @@
 	return response;
 }
 
-int stop_commands_in_reply;
+int stop_commands_in_last_reply;
 
-int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat, char *to)
+int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
+                   char *redirect_target)
 {
 	char *text = fl_heartbeat_encode(&heartbeat);
 	struct fl_http_response response =
@@ -223,17 +224,18 @@
 	cJSON *object = response.body ? fl_json_parse(response.body, strlen(response.body)) : NULL;
 	const cJSON *element;
 
-	stop_commands_in_reply = 0;
+	stop_commands_in_last_reply = 0;
 	cJSON_ArrayForEach (element, fl_json_get(object, "Orders")) {
 		char verb[16];
 
 		fl_json_get_string(element, "Verb", verb, sizeof(verb));
 		assert_string_not_equal(verb, "launch");
-		stop_commands_in_reply += strcmp(verb, "kill") == 0;
+		stop_commands_in_last_reply += strcmp(verb, "kill") == 0;
 	}
 
-	if (to && fl_json_get_string(object, "Steward", to, FL_NAME_MAX) != FL_JSON_OK)
-		to[0] = 0;
+	if (redirect_target &&
+	    fl_json_get_string(object, "Steward", redirect_target, FL_NAME_MAX) != FL_JSON_OK)
+		redirect_target[0] = 0;
 	cJSON_Delete(object);
 	free(response.body);
 	free(text);
@@ -253,7 +255,7 @@
 		fixture, make_heartbeat(incarnation, sequence, FENCING_TOKEN, status, 1), NULL);
 }
 
-static void send_and_note_status(void *argument)
+static void send_and_record_status(void *argument)
 {
 	struct waiting_heartbeat *waiting = argument;
 
@@ -264,7 +266,7 @@
 {
 	waiting->loop = ev_loop_new(0);
 	fl_coroutines_init(waiting->loop);
-	assert_non_null(fl_coroutine_spawn(send_and_note_status, waiting));
+	assert_non_null(fl_coroutine_spawn(send_and_record_status, waiting));
 	run_waiting_heartbeat(waiting);
 }
 
@@ -279,22 +281,22 @@
 	ev_loop_destroy(waiting->loop);
 }
 
-double renewable_time(const struct node_fixture *fixture)
+double lease_renewal_window_s(const struct node_fixture *fixture)
 {
 	return fixture->config.cancel_s - fixture->config.lease_s - 1;
 }
 
-cJSON *cancelled_record(struct node_fixture *fixture, double seconds)
+cJSON *cancelled_job_record(struct node_fixture *fixture, double age_s)
 {
 	struct fl_job_spec spec;
 
 	fl_job_to_spec(&fixture->node.cluster, fixture->job, &spec);
-	return fl_job_record_encode_cancelled(&spec, 1, fl_wall_time() - seconds);
+	return fl_job_record_encode_cancelled(&spec, 1, fl_wall_time() - age_s);
 }
 
-void apply_cancellation(struct node_fixture *fixture, double seconds)
+void apply_cancellation(struct node_fixture *fixture, double age_s)
 {
-	cJSON *record = cancelled_record(fixture, seconds);
+	cJSON *record = cancelled_job_record(fixture, age_s);
 
 	assert_null(
 		fl_cluster_apply_job_record(&fixture->node.cluster, fixture->job->ref, record, 9));
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -53,13 +53,13 @@
 struct fl_machine *only_machine(struct node_fixture *fixture);
 
 /* Sets the time since the last reply to the machine. */
-void set_last_reply_age(struct node_fixture *fixture, double seconds);
+void set_last_reply_age(struct node_fixture *fixture, double age_s);
 
 /* Places a task of the job on it, as if its record were written. */
 struct fl_task *place_task(struct node_fixture *fixture, uint32_t index);
 
 /* For a heartbeat: this attempt of a task of the job is running. */
-struct fl_task_status running_task(uint32_t index, uint32_t attempt);
+struct fl_task_status running_task_status(uint32_t index, uint32_t attempt);
 
 /* Another node leads, and this one is in contact with the key-value store. */
 void become_follower(struct node_fixture *fixture, int peer_count);
@@ -67,10 +67,11 @@
 struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_user_request kind,
                                           const char *ref, const char *body);
 
-extern int stop_commands_in_reply; /* to the heartbeat sent last */
+extern int stop_commands_in_last_reply; /* to the heartbeat sent last */
 
 /* Sends it as a worker does; the status, and in `to`, if given, the node of a redirect. */
-int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat, char *to);
+int send_heartbeat(struct node_fixture *fixture, struct fl_heartbeat heartbeat,
+                   char *redirect_target);
 
 /* The same without tasks or with one, with FENCING_TOKEN. */
 int send_idle_heartbeat(struct node_fixture *fixture, uint64_t incarnation, uint64_t sequence);
@@ -95,13 +96,13 @@
 void end_waiting_heartbeat(struct waiting_heartbeat *waiting);
 
 /* For so long after a cancellation leases may be renewed: one more then ends in time. */
-double renewable_time(const struct node_fixture *fixture);
+double lease_renewal_window_s(const struct node_fixture *fixture);
 
 /* The record of the job, cancelled so long ago. */
-cJSON *cancelled_record(struct node_fixture *fixture, double seconds);
+cJSON *cancelled_job_record(struct node_fixture *fixture, double age_s);
 
 /* Applies that record, as every node does when it is written. */
-void apply_cancellation(struct node_fixture *fixture, double seconds);
+void apply_cancellation(struct node_fixture *fixture, double age_s);
 
 /* A test entry with a node of its own. */
 #define NODE_TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -15,7 +15,7 @@
 #include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
-static const double never = 1e18;
+static const double far_future_s = 1e18;
 
 int random_below(struct simulation *sim, int count)
 {
@@ -56,13 +56,13 @@
 	memset(&node->leadership, 0, sizeof(node->leadership));
 	node->cluster.has_leader_state = node->leadership.active = true;
 	node->leader_lease.held = true;
-	node->leader_lease.valid_until = never;
+	node->leader_lease.valid_until = far_future_s;
 	node->leader_lease.fencing_token = node->leadership.first_fencing_token =
 		++sim->fencing_token;
 }
 
 /* NULL if nothing was written yet. */
-static cJSON *parse_stored(const char *text)
+static cJSON *parse_stored_value(const char *text)
 {
 	return text ? fl_json_parse(text, strlen(text)) : NULL;
 }
@@ -70,7 +70,7 @@
 static void read_wal(struct simulation *sim, struct fl_wal *wal)
 {
 	for (int i = 0; i < WAL_VALUES; i++) {
-		cJSON *value = parse_stored(sim->wal_values[i]);
+		cJSON *value = parse_stored_value(sim->wal_values[i]);
 
 		if (value)
 			assert_int_equal(fl_wal_read_value(wal, value), 0);
@@ -81,7 +81,7 @@
 static void restore_job(struct simulation *sim, int index, struct fl_wal *wal)
 {
 	struct fl_job *job = add_job(sim, index);
-	cJSON *record = parse_stored(sim->records[index]);
+	cJSON *record = parse_stored_value(sim->records[index]);
 
 	if (record || wal->group_count > 0)
 		assert_int_equal(fl_task_block_restore(
@@ -123,7 +123,7 @@
 		job = job->hh.next;
 	for (int i = 0; job && i < cluster->machines.count; i++) {
 		struct fl_machine *machine = random_machine_after(sim, i);
-		uint32_t index = fl_task_next_waiting(job, 0, never);
+		uint32_t index = fl_task_next_waiting(job, 0, far_future_s);
 
 		if (index >= job->task_count || !machine->lifecycle.up || machine->used.cpus >= 4 ||
 		    !fl_team_fits_maximum_quota(team, team->used_cpus + 1, 0))
@@ -211,7 +211,7 @@
 			const struct fl_task *task = fl_task_find(job, index);
 
 			if (task && task->phase == FL_TASK_DONE)
-				assert_true(sim->actually_done[i][index]);
+				assert_true(sim->completed[i][index]);
 		}
 	}
 }
--- a/tests/reconciliation_sim.h
+++ b/tests/reconciliation_sim.h
@@ -42,7 +42,7 @@
 	char *records[JOBS]; /* progress records, as the key-value store holds them */
 	/* And the write-ahead log; a write need not fill all values, what was there stays. */
 	char *wal_values[WAL_VALUES];
-	bool actually_done[JOBS][TASKS];
+	bool completed[JOBS][TASKS];
 	gsl_rng *random;
 	uint64_t fencing_token;
 	int starts, completions, failovers, wal_writes;
--- a/tests/reconciliation_workers.c
+++ b/tests/reconciliation_workers.c
@@ -45,18 +45,18 @@
 
 /* ---- invariants ---- */
 
-static bool is_running(const struct worker_task *task)
+static bool task_is_running(const struct worker_task *task)
 {
 	return task->used && task->status.state != FL_TASK_STATE_EXITED;
 }
 
-static int running_copies_on(const struct worker *worker, const struct fl_task_status *status)
+static int count_running_copies(const struct worker *worker, const struct fl_task_status *status)
 {
 	int copies = 0;
 
 	for (int i = 0; i < WORKER_TASKS; i++)
-		copies += is_running(&worker->tasks[i]) &&
-		          worker_command_names_task(status, &worker->tasks[i].status);
+		copies += task_is_running(&worker->tasks[i]) &&
+		          worker_command_is_for_task(status, &worker->tasks[i].status);
 	return copies;
 }
 
@@ -67,7 +67,7 @@
 
 	format_ref(job, status.ref);
 	for (int k = 0; k < WORKERS; k++)
-		copies += running_copies_on(&sim->workers[k], &status);
+		copies += count_running_copies(&sim->workers[k], &status);
 	assert_in_range(copies, 0, 1);
 }
 
@@ -77,7 +77,7 @@
 
 	for (int k = 0; k < WORKERS; k++)
 		for (int i = 0; i < WORKER_TASKS; i++)
-			running += is_running(&sim->workers[k].tasks[i]);
+			running += task_is_running(&sim->workers[k].tasks[i]);
 	assert_in_range(running, 0, TEAM_CPUS_MAX);
 }
 
@@ -95,12 +95,12 @@
 {
 	for (int i = 0; i < WORKER_TASKS; i++)
 		if (worker->tasks[i].used &&
-		    worker_command_names_attempt(status, &worker->tasks[i].status))
+		    worker_command_is_for_attempt(status, &worker->tasks[i].status))
 			return &worker->tasks[i];
 	return NULL;
 }
 
-static struct worker_task *unused_task(struct worker *worker)
+static struct worker_task *find_unused_slot(struct worker *worker)
 {
 	for (int i = 0; i < WORKER_TASKS; i++)
 		if (!worker->tasks[i].used)
@@ -123,13 +123,13 @@
 
 	if (find_attempt(worker, status))
 		return;
-	task = unused_task(worker);
+	task = find_unused_slot(worker);
 	task->used = true;
 	task->status = *status;
 	task->status.state = FL_TASK_STATE_RUNNING;
-	if (running_copies_on(worker, status) > 1)
+	if (count_running_copies(worker, status) > 1)
 		end_task(task, FL_EXIT_BUSY);
-	else if (sim->actually_done[job][status->index])
+	else if (sim->completed[job][status->index])
 		end_task(task, FL_EXIT_DONE);
 	sim->starts++;
 	check_invariants(sim);
@@ -145,11 +145,11 @@
 		start_task(sim, worker, &command->task);
 		break;
 	case FL_COMMAND_STOP:
-		if (task && is_running(task))
+		if (task && task_is_running(task))
 			end_task(task, FL_EXIT_STOPPED);
 		break;
 	case FL_COMMAND_FORGET:
-		if (task && !is_running(task))
+		if (task && !task_is_running(task))
 			task->used = false;
 		break;
 	}
--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-static int no_cache[FL_IMAGE_CACHE_MAX];
+static int default_cached_images[FL_IMAGE_CACHE_MAX];
 
 void run_schedule(struct snapshot *snapshot, struct fl_sched_output *output)
 {
@@ -27,13 +27,14 @@
 	assert_int_equal(fl_schedule(&input, output), FL_SCHEDULE_OK);
 }
 
-struct fl_sched_job plain_job(double cpus, uint32_t waiting, double estimate_s, double waited_s)
+struct fl_sched_job plain_job(double cpus, uint32_t waiting_count, double estimate_s,
+                              double waited_s)
 {
 	return (struct fl_sched_job){.priority = FL_STANDARD,
 	                             .need.cpus = cpus,
 	                             .need.ram_gb = 1,
-	                             .task_count = waiting,
-	                             .startable_count = waiting,
+	                             .task_count = waiting_count,
+	                             .startable_count = waiting_count,
 	                             .estimate_s = estimate_s,
 	                             .waited_s = waited_s,
 	                             .allowed_types = 1,
@@ -43,16 +44,18 @@
 
 struct fl_sched_machine plain_machine(double cpus)
 {
-	return (struct fl_sched_machine){
-		.free.cpus = cpus, .free.ram_gb = 64, .pull_gb_s = 1, .cached_images = no_cache};
+	return (struct fl_sched_machine){.free.cpus = cpus,
+	                                 .free.ram_gb = 64,
+	                                 .pull_gb_s = 1,
+	                                 .cached_images = default_cached_images};
 }
 
-struct fl_sched_attempt running_attempt(int machine, double cpus, double left_s)
+struct fl_sched_attempt running_attempt(int machine, double cpus, double remaining_s)
 {
 	return (struct fl_sched_attempt){.machine = machine,
 	                                 .priority = FL_STANDARD,
 	                                 .preemptible = true,
 	                                 .used.cpus = cpus,
 	                                 .used.ram_gb = 1,
-	                                 .estimated_remaining_s = left_s};
+	                                 .estimated_remaining_s = remaining_s};
 }
--- a/tests/schedule_fixture.h
+++ b/tests/schedule_fixture.h
@@ -19,10 +19,11 @@
 /* Runs one scheduling cycle with the default parameters. */
 void run_schedule(struct snapshot *snapshot, struct fl_sched_output *output);
 
-struct fl_sched_job plain_job(double cpus, uint32_t waiting, double estimate_s, double waited_s);
+struct fl_sched_job plain_job(double cpus, uint32_t waiting_count, double estimate_s,
+                              double waited_s);
 
 struct fl_sched_machine plain_machine(double cpus);
 
-struct fl_sched_attempt running_attempt(int machine, double cpus, double left_s);
+struct fl_sched_attempt running_attempt(int machine, double cpus, double remaining_s);
 
 #endif
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { OVERDUE_AFTER_S = 120, RANK_FIRST = 3 };
+enum { OVERDUE_AFTER_S = 120, RANK_URGENT_SERVICE = 3 };
 
 /* The machine with the lowest score that may take one more task now; -1: none. */
 static int model_best_machine(const struct model *model, const struct fl_sched_job *job, int zone,
@@ -18,31 +18,33 @@
 
 		if (zone >= 0 && machine->zone != zone)
 			continue;
-		if (!model_machine_allowed(job, machine) || !model_fits(job, machine->free) ||
-		    !model_zone_allowed(job, machine->zone) || !model_ends_in_time(constraint, i))
+		if (!model_machine_allowed(job, machine) || !model_task_fits(job, machine->free) ||
+		    !model_zone_allowed(job, machine->zone) ||
+		    !model_duration_allowed(constraint, i))
 			continue;
 		/* Reserved to one before this job. */
-		if (!model_fits(job, model_available(model, job, i)))
+		if (!model_task_fits(job, model_available_resources(model, job, i)))
 			continue;
-		if (best < 0 || model_score(model, job, machine) <
-		                        model_score(model, job, &model->snapshot.machines[best]))
+		if (best < 0 ||
+		    model_placement_cost(model, job, machine) <
+		            model_placement_cost(model, job, &model->snapshot.machines[best]))
 			best = i;
 	}
 	return best;
 }
 
 /* Whether one task of a service waits for a machine that has its image, which is then reserved. */
-static bool model_awaits_image(struct model *model, struct fl_sched_job *job,
-                               const struct fl_sched_machine *machine)
+static bool model_task_awaits_image(struct model *model, struct fl_sched_job *job,
+                                    const struct fl_sched_machine *machine)
 {
 	const struct model_constraint constraint = {.image_cached_only = true};
 	double fetch_s = model_image_cached(job, machine) ? 0 : job->image_gb / machine->pull_gb_s;
 
-	return model_goes_first(job) && !job->gang && fetch_s > 4 && job->waited_s < fetch_s &&
-	       model_request_one(model, job, &constraint);
+	return model_is_urgent_service(job) && !job->gang && fetch_s > 4 &&
+	       job->waited_s < fetch_s && model_request_task_capacity(model, job, &constraint);
 }
 
-static void model_start_one(struct model *model, int job_index, int machine_index)
+static void model_start_one_task(struct model *model, int job_index, int machine_index)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
 	struct fl_sched_machine *machine = &model->snapshot.machines[machine_index];
@@ -57,24 +59,24 @@
 }
 
 /* Starts what fits; whether some of the rest found no machine. */
-static bool model_start_tasks(struct model *model, int job_index,
-                              const struct model_constraint *constraint)
+static bool model_start_fitting_tasks(struct model *model, int job_index,
+                                      const struct model_constraint *constraint)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
-	const bool only_one =
+	const bool only_one_task =
 		!job->service && !job->begun && job->waited_s > OVERDUE_AFTER_S && !job->gang;
 	const uint32_t startable_at_begin = job->startable_count;
-	struct model *before = NULL;
+	struct model *saved_model = NULL;
 	int zone = model_zone_choice(model, job);
 	bool no_machine = false;
 
 	model->awaiting_image_count = 0;
 	if (job->gang) {
-		before = malloc(sizeof(*before));
-		*before = *model;
+		saved_model = malloc(sizeof(*saved_model));
+		*saved_model = *model;
 	}
 	while (job->startable_count > model->awaiting_image_count &&
-	       !(only_one && job->startable_count < startable_at_begin)) {
+	       !(only_one_task && job->startable_count < startable_at_begin)) {
 		int best;
 
 		if (!model_within_team_maximum(model, job))
@@ -83,28 +85,28 @@
 		no_machine = best < 0;
 		if (no_machine)
 			break;
-		if (model_awaits_image(model, job, &model->snapshot.machines[best]))
+		if (model_task_awaits_image(model, job, &model->snapshot.machines[best]))
 			model->awaiting_image_count++;
 		else
-			model_start_one(model, job_index, best);
+			model_start_one_task(model, job_index, best);
 	}
-	if (before && job->startable_count > 0)
-		*model = *before;
-	free(before);
+	if (saved_model && job->startable_count > 0)
+		*model = *saved_model;
+	free(saved_model);
 	return no_machine;
 }
 
-static int model_rank(const struct fl_sched_job *job)
+static int model_job_rank(const struct fl_sched_job *job)
 {
 	if (job->service && job->priority >= FL_URGENT)
-		return RANK_FIRST;
+		return RANK_URGENT_SERVICE;
 	if (!job->service && !job->begun && job->waited_s > OVERDUE_AFTER_S)
 		return 2;
-	return job->within_guaranteed ? 1 : 0;
+	return job->within_guaranteed_quota ? 1 : 0;
 }
 
 /* The formula of the paper, with the waiting of overdue jobs. */
-static double model_priority(const struct fl_sched_job *job)
+static double model_effective_priority(const struct fl_sched_job *job)
 {
 	static const double weights[] = {0.1, 1, 10, 100};
 	double waited_s = fmax(job->waited_s, 0.1);
@@ -122,8 +124,8 @@
 
 	for (int i = 0; i < model->snapshot.job_count; i++) {
 		const struct fl_sched_job *job = &model->snapshot.jobs[i];
-		double priority = model_priority(job);
-		int rank = model_rank(job);
+		double priority = model_effective_priority(job);
+		int rank = model_job_rank(job);
 
 		if (examined[i])
 			continue;
@@ -138,21 +140,21 @@
 }
 
 /* The job becomes the top one, whose window bounds the ends of what starts after it. */
-static void model_set_top_job(struct model *model, int job_index, double *latest_end)
+static void model_set_top_job(struct model *model, int job_index, double *max_task_duration_s)
 {
 	const struct fl_sched_job *job = &model->snapshot.jobs[job_index];
 
 	model->top_job = job_index;
-	model->window_s = 4 * model_time_to_fit(model, job);
+	model->window_s = 4 * model_time_to_fit_s(model, job);
 	if (job->window_remaining_s >= 0)
 		model->window_s = fmin(model->window_s, job->window_remaining_s);
 	for (int i = 0; i < model->snapshot.machine_count; i++)
-		latest_end[i] = model_machine_allowed(job, &model->snapshot.machines[i])
-		                        ? model->window_s
-		                        : INFINITY;
+		max_task_duration_s[i] = model_machine_allowed(job, &model->snapshot.machines[i])
+		                                 ? model->window_s
+		                                 : INFINITY;
 }
 
-static void model_place_job(struct model *model, int job_index, double *latest_end)
+static void model_place_job(struct model *model, int job_index, double *max_task_duration_s)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
 	struct model_constraint constraint = {.estimate_s = job->estimate_s > 0 ? job->estimate_s
@@ -160,21 +162,21 @@
 	                                                                        : 3600};
 
 	/* The top's window does not bind what may stop the top's tasks. */
-	if (model->top_job >= 0 && model_rank(job) != RANK_FIRST &&
+	if (model->top_job >= 0 && model_job_rank(job) != RANK_URGENT_SERVICE &&
 	    job->priority <= model->snapshot.jobs[model->top_job].priority)
-		constraint.latest_end = latest_end;
-	if (!model_start_tasks(model, job_index, &constraint))
+		constraint.max_task_duration_s = max_task_duration_s;
+	if (!model_start_fitting_tasks(model, job_index, &constraint))
 		return;
 	model->unplaced_tasks[job_index] = job->startable_count - model->awaiting_image_count -
-	                                   model_request_all(model, job_index, constraint);
+	                                   model_request_job_capacity(model, job_index, constraint);
 	if (model->unplaced_tasks[job_index] > 0 && model->top_job < 0)
-		model_set_top_job(model, job_index, latest_end);
+		model_set_top_job(model, job_index, max_task_duration_s);
 }
 
-void model_cycle(struct model *model)
+void model_run_cycle(struct model *model)
 {
 	bool examined[JOBS_MAX] = {false};
-	double latest_end[MACHINES_MAX];
+	double max_task_duration_s[MACHINES_MAX];
 	int next;
 
 	model->top_job = -1;
@@ -182,11 +184,12 @@
 		const struct fl_sched_attempt *attempt = &model->snapshot.attempts[i];
 
 		if (attempt->stopping)
-			fl_resources_add(&model->freed_later[attempt->machine], attempt->used);
+			fl_resources_add(&model->releasing_resources[attempt->machine],
+			                 attempt->used);
 	}
 	while ((next = model_next_job(model, examined)) >= 0) {
 		examined[next] = true;
 		if (model->snapshot.jobs[next].startable_count > 0)
-			model_place_job(model, next, latest_end);
+			model_place_job(model, next, max_task_duration_s);
 	}
 }
--- a/tests/schedule_model_reservations.c
+++ b/tests/schedule_model_reservations.c
@@ -4,9 +4,10 @@
 #include <math.h>
 #include <string.h>
 
-bool model_ends_in_time(const struct model_constraint *constraint, int machine)
+bool model_duration_allowed(const struct model_constraint *constraint, int machine)
 {
-	return !constraint->latest_end || constraint->estimate_s <= constraint->latest_end[machine];
+	return !constraint->max_task_duration_s ||
+	       constraint->estimate_s <= constraint->max_task_duration_s[machine];
 }
 
 /* Of the attempts on a machine that may be preempted, that which loses least; -1: none. */
@@ -31,11 +32,11 @@
 static double model_preemption_cost(const struct model *model, const struct fl_sched_job *job,
                                     int machine, bool within_guarantee, bool *victims)
 {
-	struct fl_resources available = model_available(model, job, machine);
+	struct fl_resources available = model_available_resources(model, job, machine);
 	double cost = 0;
 
 	memset(victims, 0, sizeof(bool) * ATTEMPTS_MAX);
-	while (!model_fits(job, available)) {
+	while (!model_task_fits(job, available)) {
 		int cheapest =
 			model_cheapest_victim(model, job, machine, within_guarantee, victims);
 
@@ -61,13 +62,14 @@
 		double cost;
 
 		if (!model_machine_allowed(job, machine) ||
-		    !model_zone_allowed(job, machine->zone) || !model_ends_in_time(constraint, i))
+		    !model_zone_allowed(job, machine->zone) ||
+		    !model_duration_allowed(constraint, i))
 			continue;
 		cost = model_preemption_cost(model, job, i, constraint->within_guarantee, victims);
 		if (constraint->image_cached_only &&
 		    (cost > 60 || (!model_image_cached(job, machine) && job->image_gb > 0)))
 			continue;
-		cost += model_score(model, job, machine);
+		cost += model_placement_cost(model, job, machine);
 		if (cost < best_cost) {
 			best_cost = cost;
 			best = i;
@@ -77,7 +79,7 @@
 }
 
 /* Cheapest first, as they were chosen. */
-static void model_preempt(struct model *model, int machine, bool *victims)
+static void model_preempt_victims(struct model *model, int machine, bool *victims)
 {
 	for (;;) {
 		int next = -1;
@@ -92,12 +94,13 @@
 		victims[next] = false;
 		model->preemptions[model->preemption_count++] = next;
 		model->snapshot.attempts[next].stopping = true;
-		fl_resources_add(&model->freed_later[machine], model->snapshot.attempts[next].used);
+		fl_resources_add(&model->releasing_resources[machine],
+		                 model->snapshot.attempts[next].used);
 	}
 }
 
-bool model_request_one(struct model *model, struct fl_sched_job *job,
-                       const struct model_constraint *constraint)
+bool model_request_task_capacity(struct model *model, struct fl_sched_job *job,
+                                 const struct model_constraint *constraint)
 {
 	int best = model_machine_to_reserve(model, job, constraint);
 	struct fl_sched_machine *machine = &model->snapshot.machines[best < 0 ? 0 : best];
@@ -106,19 +109,20 @@
 	if (best < 0)
 		return false;
 	model_preemption_cost(model, job, best, constraint->within_guarantee, victims);
-	model_preempt(model, best, victims);
+	model_preempt_victims(model, best, victims);
 	fl_resources_subtract(&machine->free, job->need);
 	job->placed_by_zone[machine->zone]++;
 	if (!machine->requested.active) {
 		machine->requested.active = true;
-		machine->requested.within_guaranteed = constraint->within_guarantee;
+		machine->requested.within_guaranteed_quota = constraint->within_guarantee;
 		machine->requested.priority = job->priority;
 	}
 	fl_resources_add(&machine->requested.resources, job->need);
 	return true;
 }
 
-uint32_t model_request_all(struct model *model, int job_index, struct model_constraint constraint)
+uint32_t model_request_job_capacity(struct model *model, int job_index,
+                                    struct model_constraint constraint)
 {
 	struct fl_sched_job *job = &model->snapshot.jobs[job_index];
 	struct fl_team saved_team = model->snapshot.teams[job->team],
@@ -127,12 +131,12 @@
 
 	while (requested + model->awaiting_image_count < job->startable_count && !job->gang) {
 		constraint.within_guarantee =
-			job->within_guaranteed &&
-			model_within_guarantee(team, team->used_cpus + job->need.cpus,
-		                               team->used_gpus + job->need.gpus);
+			job->within_guaranteed_quota &&
+			model_usage_within_guarantee(team, team->used_cpus + job->need.cpus,
+		                                     team->used_gpus + job->need.gpus);
 		if (!model_within_team_maximum(model, job) ||
 		    (!constraint.within_guarantee && job->priority == FL_BEST_EFFORT) ||
-		    !model_request_one(model, job, &constraint))
+		    !model_request_task_capacity(model, job, &constraint))
 			break;
 		team->used_cpus += job->need.cpus;
 		team->used_gpus += job->need.gpus;
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -12,7 +12,7 @@
 	return !machine->spot || job->spot_allowed;
 }
 
-bool model_fits(const struct fl_sched_job *job, struct fl_resources available)
+bool model_task_fits(const struct fl_sched_job *job, struct fl_resources available)
 {
 	return available.cpus >= job->need.cpus - 1e-6 && available.gpus >= job->need.gpus - 1e-6 &&
 	       available.ram_gb >= job->need.ram_gb - 1e-6;
@@ -41,7 +41,7 @@
 	       (team->max_gpus == 0 || team->used_gpus + job->need.gpus <= team->max_gpus + 1e-6);
 }
 
-bool model_within_guarantee(const struct fl_team *team, double cpus, double gpus)
+bool model_usage_within_guarantee(const struct fl_team *team, double cpus, double gpus)
 {
 	if (team->guaranteed_cpus == 0 && team->guaranteed_gpus == 0)
 		return false;
@@ -50,7 +50,7 @@
 	return team->guaranteed_gpus > 0 ? gpus <= team->guaranteed_gpus + 1e-6 : gpus <= 1e-6;
 }
 
-bool model_goes_first(const struct fl_sched_job *job)
+bool model_is_urgent_service(const struct fl_sched_job *job)
 {
 	return job->service && (job->priority == FL_URGENT || job->priority == FL_CRITICAL);
 }
@@ -63,25 +63,25 @@
 	return false;
 }
 
-double model_score(const struct model *model, const struct fl_sched_job *job,
-                   const struct fl_sched_machine *machine)
+double model_placement_cost(const struct model *model, const struct fl_sched_job *job,
+                            const struct fl_sched_machine *machine)
 {
-	double score = machine->free.gpus - job->need.gpus,
+	double cost = machine->free.gpus - job->need.gpus,
 	       estimate_s = job->estimate_s > 0 ? job->estimate_s : 3600;
 	int slot = 0;
 
 	while (slot < FL_IMAGE_CACHE_MAX && machine->cached_images[slot] != job->image)
 		slot++;
 	if (slot == FL_IMAGE_CACHE_MAX)
-		score += job->image_gb / machine->pull_gb_s * (model_goes_first(job) ? 3 : 1);
+		cost += job->image_gb / machine->pull_gb_s * (model_is_urgent_service(job) ? 3 : 1);
 	if (!machine->runs_service)
-		score += job->spot_allowed && !machine->spot ? 16 : 8;
+		cost += job->spot_allowed && !machine->spot ? 16 : 8;
 	if (machine->spot && !job->service && job->waited_s > 120)
-		score += fmin(model->snapshot.spot_loss_rate * estimate_s, 1) *
-		         (30 + estimate_s / 2);
+		cost += fmin(model->snapshot.spot_loss_rate * estimate_s, 1) *
+		        (30 + estimate_s / 2);
 	if (job->spread_zones)
-		score += 1000.0 * job->placed_by_zone[machine->zone];
-	return score;
+		cost += 1000.0 * job->placed_by_zone[machine->zone];
+	return cost;
 }
 
 /* How many tasks of the job fit, a thousand at most. */
@@ -89,7 +89,7 @@
 {
 	int count = 0;
 
-	while (count < 1000 && model_fits(job, available)) {
+	while (count < 1000 && model_task_fits(job, available)) {
 		fl_resources_subtract(&available, job->need);
 		count++;
 	}
@@ -134,43 +134,44 @@
 		return false;
 	/* What is within a guarantee gives way to a service, its own team, or another guarantee. */
 	if (attempt->priority < job->priority)
-		return !attempt->within_guaranteed || job->within_guaranteed || job->service ||
-		       attempt->team == job->team;
+		return !attempt->within_guaranteed_quota || job->within_guaranteed_quota ||
+		       job->service || attempt->team == job->team;
 	return within_guarantee && attempt->team != job->team && !attempt->service &&
-	       !attempt->within_guaranteed &&
-	       !model_within_guarantee(team, team->used_cpus, team->used_gpus);
+	       !attempt->within_guaranteed_quota &&
+	       !model_usage_within_guarantee(team, team->used_cpus, team->used_gpus);
 }
 
 /* What of a reservation the other requests of this cycle do not cover is not available. */
-static void model_withhold(double *available, double reserved, double requested)
+static void model_subtract_uncovered(double *available, double reserved, double requested)
 {
 	if (reserved > requested)
 		*available -= reserved - requested;
 }
 
-struct fl_resources model_available(const struct model *model, const struct fl_sched_job *job,
-                                    int machine_index)
+struct fl_resources model_available_resources(const struct model *model,
+                                              const struct fl_sched_job *job, int machine_index)
 {
 	const struct fl_sched_machine *machine = &model->snapshot.machines[machine_index];
 	const struct fl_reservation *reserved = &machine->reserved;
 	struct fl_resources available = machine->free, covered = {0};
 
-	fl_resources_add(&available, model->freed_later[machine_index]);
+	fl_resources_add(&available, model->releasing_resources[machine_index]);
 	if (!reserved->active ||
 	    (job->priority >= reserved->priority &&
-	     (model_goes_first(job) || !reserved->within_guaranteed || job->within_guaranteed)))
+	     (model_is_urgent_service(job) || !reserved->within_guaranteed_quota ||
+	      job->within_guaranteed_quota)))
 		return available;
 	if (machine->requested.active && machine->requested.priority >= reserved->priority)
 		covered = machine->requested.resources;
-	model_withhold(&available.cpus, reserved->resources.cpus, covered.cpus);
-	model_withhold(&available.gpus, reserved->resources.gpus, covered.gpus);
-	model_withhold(&available.ram_gb, reserved->resources.ram_gb, covered.ram_gb);
+	model_subtract_uncovered(&available.cpus, reserved->resources.cpus, covered.cpus);
+	model_subtract_uncovered(&available.gpus, reserved->resources.gpus, covered.gpus);
+	model_subtract_uncovered(&available.ram_gb, reserved->resources.ram_gb, covered.ram_gb);
 	return available;
 }
 
 /* Free on a machine at this time from now, by the estimates of its attempts. */
-static struct fl_resources model_free_at(const struct model *model, int machine_index,
-                                         double time_s)
+static struct fl_resources model_free_resources_at(const struct model *model, int machine_index,
+                                                   double time_s)
 {
 	struct fl_resources available = model->snapshot.machines[machine_index].free;
 
@@ -185,7 +186,8 @@
 }
 
 /* Would the job's next start fit at this time from now, by the estimates? */
-static bool model_fits_at(const struct model *model, const struct fl_sched_job *job, double time_s)
+static bool model_job_fits_at(const struct model *model, const struct fl_sched_job *job,
+                              double time_s)
 {
 	int capacity_by_zone[ZONES] = {0}, capacity = 0;
 
@@ -197,7 +199,7 @@
 			continue;
 		if (!job->gang && !model_zone_allowed(job, machine->zone))
 			continue;
-		count = model_task_capacity(job, model_free_at(model, i, time_s));
+		count = model_task_capacity(job, model_free_resources_at(model, i, time_s));
 		if (!job->gang && count > 0)
 			return true;
 		capacity_by_zone[machine->zone] += count;
@@ -211,15 +213,16 @@
 	return !job->same_zone && capacity >= (int)job->startable_count;
 }
 
-double model_time_to_fit(const struct model *model, const struct fl_sched_job *job)
+double model_time_to_fit_s(const struct model *model, const struct fl_sched_job *job)
 {
 	double best = INFINITY;
 
-	if (model_fits_at(model, job, 0))
+	if (model_job_fits_at(model, job, 0))
 		return 0;
 	for (int i = 0; i < model->snapshot.attempt_count; i++)
 		if (model->snapshot.attempts[i].estimated_remaining_s < best &&
-		    model_fits_at(model, job, model->snapshot.attempts[i].estimated_remaining_s))
+		    model_job_fits_at(model, job,
+		                      model->snapshot.attempts[i].estimated_remaining_s))
 			best = model->snapshot.attempts[i].estimated_remaining_s;
 	return best;
 }
--- a/tests/service_fixture.c
+++ b/tests/service_fixture.c
@@ -28,7 +28,7 @@
 
 /* ---- settings ---- */
 
-static int free_port(void)
+static int find_free_port(void)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET};
 	socklen_t length = sizeof(address);
@@ -103,7 +103,7 @@
 
 int kill_leader(void)
 {
-	const char *leader = fake_services_leader();
+	const char *leader = fake_services_leader_node();
 	int controller = leader[0] ? leader[1] - '0' : 0;
 
 	kill_controller(controller);
@@ -117,7 +117,7 @@
 			start_controller(i);
 }
 
-void restart_all(void)
+void restart_all_controllers(void)
 {
 	for (int i = 0; i < CONTROLLERS; i++)
 		kill_controller(i);
@@ -127,10 +127,11 @@
 
 /* ---- users ---- */
 
-int ask(int first, const char *method, const char *path, const char *body, char *text, size_t size)
+int call_running_controller(int first_controller, const char *method, const char *path,
+                            const char *body, char *text, size_t size)
 {
 	for (int i = 0; i < CONTROLLERS; i++) {
-		struct controller *controller = &controllers[(first + i) % CONTROLLERS];
+		struct controller *controller = &controllers[(first_controller + i) % CONTROLLERS];
 		struct fl_http_reply reply;
 
 		if (!controller->pid ||
@@ -143,10 +144,10 @@
 	return -1;
 }
 
-bool submit(const char *ref, const char *kind, int task_count, int first)
+bool submit_job(const char *ref, const char *kind, int task_count, int first_controller)
 {
 	char body[700], text[512];
-	double until = fl_now() + TIMEOUT_S;
+	double deadline = fl_now() + TIMEOUT_S;
 
 	snprintf(body, sizeof(body),
 	         "{\"Ref\":\"%s\",\"JobClass\":\"c\",\"Owner\":\"t\",\"JobKind\":\"%s\","
@@ -154,8 +155,9 @@
 	         "\"Bundle\":\"img\",\"ImageGb\":1,\"Together\":false,\"Apart\":false,"
 	         "\"Reclaimable\":true,\"ExpectedS\":1,\"SnapshotEveryS\":0,\"SnapshotCostS\":0}",
 	         ref, kind, task_count);
-	while (fl_now() < until) {
-		int status = ask(first++, "POST", "/v2/runs", body, text, sizeof(text));
+	while (fl_now() < deadline) {
+		int status = call_running_controller(first_controller++, "POST", "/v2/runs", body,
+		                                     text, sizeof(text));
 
 		if (status == 201 || status == 200)
 			return true;
@@ -166,14 +168,15 @@
 	return false;
 }
 
-bool cancel(const char *ref)
+bool cancel_job(const char *ref)
 {
 	char path[64], text[512];
-	double until = fl_now() + TIMEOUT_S;
+	double deadline = fl_now() + TIMEOUT_S;
 
 	snprintf(path, sizeof(path), "/v2/runs/%s/cancel", ref);
-	for (int first = 0; fl_now() < until; first++) {
-		if (ask(first, "POST", path, "{}", text, sizeof(text)) == 200)
+	for (int first_controller = 0; fl_now() < deadline; first_controller++) {
+		if (call_running_controller(first_controller, "POST", path, "{}", text,
+		                            sizeof(text)) == 200)
 			return strstr(text, "aborted") != NULL;
 		fl_sleep(0.2);
 	}
@@ -185,10 +188,10 @@
 bool wait_until_ready(void)
 {
 	char text[512];
-	double until = fl_now() + TIMEOUT_S;
+	double deadline = fl_now() + TIMEOUT_S;
 
-	while (ask(0, "GET", "/ready", NULL, text, sizeof(text)) != 200) {
-		if (fl_now() >= until)
+	while (call_running_controller(0, "GET", "/ready", NULL, text, sizeof(text)) != 200) {
+		if (fl_now() >= deadline)
 			return false;
 		fl_sleep(0.1);
 	}
@@ -197,52 +200,53 @@
 
 bool wait_for_leader(void)
 {
-	double until = fl_now() + TIMEOUT_S;
+	double deadline = fl_now() + TIMEOUT_S;
 
-	while (!fake_services_leader()[0] && fl_now() < until)
+	while (!fake_services_leader_node()[0] && fl_now() < deadline)
 		fl_sleep(0.05);
-	return fake_services_leader()[0];
+	return fake_services_leader_node()[0];
 }
 
-bool wait_for_status(const char *ref, const char *wanted, int first)
+bool wait_for_job_status(const char *ref, const char *expected, int first_controller)
 {
 	char path[64], text[512];
-	double until = fl_now() + TIMEOUT_S;
+	double deadline = fl_now() + TIMEOUT_S;
 
 	snprintf(path, sizeof(path), "/v2/runs/%s", ref);
-	while (fl_now() < until) {
-		if (ask(first++, "GET", path, NULL, text, sizeof(text)) == 200 &&
-		    strstr(text, wanted))
+	while (fl_now() < deadline) {
+		if (call_running_controller(first_controller++, "GET", path, NULL, text,
+		                            sizeof(text)) == 200 &&
+		    strstr(text, expected))
 			return true;
 		fl_sleep(0.1);
 	}
 	return false;
 }
 
-bool wait_for_status_everywhere(const char *ref, const char *wanted)
+bool wait_for_job_status_on_all_controllers(const char *ref, const char *expected)
 {
 	for (int i = 0; i < CONTROLLERS; i++)
-		if (!wait_for_status(ref, wanted, i))
+		if (!wait_for_job_status(ref, expected, i))
 			return false;
 	return true;
 }
 
-bool wait_until_stopped(const char *ref)
+bool wait_until_job_stopped(const char *ref)
 {
-	double until = fl_now() + TIMEOUT_S;
+	double deadline = fl_now() + TIMEOUT_S;
 
-	while (fake_services_running_tasks(ref) > 0 && fl_now() < until)
+	while (fake_services_running_task_count(ref) > 0 && fl_now() < deadline)
 		fl_sleep(0.1);
-	return fake_services_running_tasks(ref) == 0;
+	return fake_services_running_task_count(ref) == 0;
 }
 
-bool wait_until_unreachable_are_returned(void)
+bool wait_until_unreachable_machines_are_deleted(void)
 {
-	double until = fl_now() + TIMEOUT_S;
+	double deadline = fl_now() + TIMEOUT_S;
 
-	while (fake_services_unreachable_count() > 0 && fl_now() < until)
+	while (fake_services_unreachable_machine_count() > 0 && fl_now() < deadline)
 		fl_sleep(0.1);
-	return fake_services_unreachable_count() == 0;
+	return fake_services_unreachable_machine_count() == 0;
 }
 
 /* ---- set-up ---- */
@@ -252,7 +256,7 @@
 	fake_services.heartbeat_interval_s = 0.25;
 	fake_services.lease_s = 8;
 	fake_services.task_duration_s = 0.5;
-	fake_services.commands_repeat_every = 3;
+	fake_services.repeated_command_every = 3;
 }
 
 static void choose_ports(void)
@@ -261,8 +265,8 @@
 		struct controller *controller = &controllers[i];
 		char addr[32];
 
-		controller->port = free_port();
-		controller->peer_port = free_port();
+		controller->port = find_free_port();
+		controller->peer_port = find_free_port();
 		fake_services.controller_ports[fake_services.controller_count++] = controller->port;
 		snprintf(addr, sizeof(addr), "127.0.0.1:%d", controller->port);
 		fl_http_client_init(&controller->client, addr, 2);
--- a/tests/service_fixture.h
+++ b/tests/service_fixture.h
@@ -25,26 +25,27 @@
 int kill_leader(void);
 void start_stopped_controllers(void);
 /* All of them end and restart at once, whatever each was doing. */
-void restart_all(void);
+void restart_all_controllers(void);
 
 /* ---- users ---- */
 
 /* Asks controllers that run, from this one on; the status, with the body in `text`; -1: none
  * answers. */
-int ask(int first, const char *method, const char *path, const char *body, char *text, size_t size);
-bool submit(const char *ref, const char *kind, int task_count, int first);
+int call_running_controller(int first_controller, const char *method, const char *path,
+                            const char *body, char *text, size_t size);
+bool submit_job(const char *ref, const char *kind, int task_count, int first_controller);
 /* True if the job is cancelled in the end. */
-bool cancel(const char *ref);
+bool cancel_job(const char *ref);
 
 /* ---- waiting, for TIMEOUT_S at most ---- */
 
 bool wait_until_ready(void);
 bool wait_for_leader(void);
 /* Controllers are asked from this one on, in turn, for a body that holds the text. */
-bool wait_for_status(const char *ref, const char *text, int first);
+bool wait_for_job_status(const char *ref, const char *text, int first_controller);
 /* The same of each controller, asked first. */
-bool wait_for_status_everywhere(const char *ref, const char *text);
-bool wait_until_stopped(const char *ref);
-bool wait_until_unreachable_are_returned(void);
+bool wait_for_job_status_on_all_controllers(const char *ref, const char *text);
+bool wait_until_job_stopped(const char *ref);
+bool wait_until_unreachable_machines_are_deleted(void);
 
 #endif
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -31,7 +31,7 @@
 	cJSON *object = cJSON_CreateObject();
 
 	cJSON_AddStringToObject(object, "error", error);
-	json_response(response, 503, object);
+	set_json_response(response, 503, object);
 }
 
 static void serve_machine_types(struct fl_http_response *response)
@@ -56,7 +56,7 @@
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
 		cJSON_AddItemToArray(list, item);
 	}
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 static int type_index(const char *name)
@@ -139,7 +139,7 @@
 	for (int i = 0; i < rental->machine_count; i++)
 		cJSON_AddItemToArray(
 			list, cJSON_CreateString(sim.machines[rental->first_machine + i].name));
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 struct rental_request {
@@ -204,7 +204,7 @@
 	const struct rental *rental;
 
 	if (!decode_rental_request(http, &request)) {
-		json_response(response, 400, NULL);
+		set_json_response(response, 400, NULL);
 		return;
 	}
 	sim_check_rental_name(request.name, process);
@@ -238,7 +238,7 @@
 		}
 	}
 	cJSON_Delete(object);
-	json_response(response, 200, NULL);
+	set_json_response(response, 200, NULL);
 }
 
 /* Returns whether the list has the machine at a past time; once listed it stays until its end. */
@@ -304,7 +304,7 @@
 			cJSON_AddItemToArray(list, encode_machine(i, as_of));
 	}
 	cJSON_AddBoolToObject(object, "More", more);
-	json_response(response, 200, object);
+	set_json_response(response, 200, object);
 }
 
 void sim_cloud_serve(struct sim_endpoint from, const struct fl_http_request *request,
--- a/tests/sim_kv_store.c
+++ b/tests/sim_kv_store.c
@@ -39,7 +39,7 @@
 		bool refused = refuses_requests_from(from);
 		double timeout_s = refused ? 0.2 : until - fl_now();
 
-		if (!refused && (kv_model_first_event(&store.model, prefix, revision) >= 0 ||
+		if (!refused && (kv_model_first_event_index(&store.model, prefix, revision) >= 0 ||
 		                 fl_now() >= until))
 			return true;
 		if (fl_condition_wait(&store.model.changed, timeout_s) == -ECANCELED)
@@ -50,15 +50,16 @@
 static void serve_watch(struct sim_endpoint from, const char *query,
                         struct fl_http_response *response)
 {
-	char prefix[KV_MODEL_KEY], word[32];
-	uint64_t revision = strtoull(kv_model_param(query, "From=", word, sizeof(word)), NULL, 10);
-	double timeout_s = atof(kv_model_param(query, "HoldMs=", word, sizeof(word))) / 1000;
+	char prefix[KV_MODEL_KEY_SIZE], word[32];
+	uint64_t revision =
+		strtoull(kv_model_query_param(query, "From=", word, sizeof(word)), NULL, 10);
+	double timeout_s = atof(kv_model_query_param(query, "HoldMs=", word, sizeof(word))) / 1000;
 
-	kv_model_param(query, "Prefix=", prefix, sizeof(prefix));
+	kv_model_query_param(query, "Prefix=", prefix, sizeof(prefix));
 	if (!wait_for_event(from, prefix, revision, fl_now() + timeout_s))
 		return;
 	kv_model_serve_events(&store.model, prefix,
-	                      kv_model_first_event(&store.model, prefix, revision), response);
+	                      kv_model_first_event_index(&store.model, prefix, revision), response);
 }
 
 /* ---- limits ---- */
@@ -150,7 +151,7 @@
 {
 	char page[16];
 	/* Small pages, so that clients have to fetch several. */
-	int limit = atoi(kv_model_param(query, "Page=", page, sizeof(page))) > 7 ? 7 : 3;
+	int limit = atoi(kv_model_query_param(query, "Page=", page, sizeof(page))) > 7 ? 7 : 3;
 
 	kv_model_serve_list(&store.model, query, limit, response);
 }
@@ -179,7 +180,7 @@
 	if (!wait_before_applying(&delays))
 		return;
 	if (!delays.reply_lost && refuses_requests_from(from)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	apply_request(request, transaction, response);
@@ -195,7 +196,7 @@
 	cJSON *transaction = NULL;
 
 	if (refuses_requests_from(from)) {
-		json_response(response, 503, NULL);
+		set_json_response(response, 503, NULL);
 		return;
 	}
 	if (strcmp(request->path, "/multi") == 0) {
@@ -203,7 +204,7 @@
 		sim_require(transaction != NULL);
 	}
 	if (!take_tokens(transaction))
-		json_response(response, 429, NULL);
+		set_json_response(response, 429, NULL);
 	else if (strcmp(request->path, "/follow") == 0)
 		serve_watch(from, request->query, response);
 	else
@@ -259,10 +260,10 @@
 
 int sim_leader_node(void)
 {
-	char name[KV_MODEL_KEY];
+	char name[KV_MODEL_KEY_SIZE];
 	int leader = -1;
 
-	kv_model_leader(&store.model, name);
+	kv_model_leader_node(&store.model, name);
 	for (int i = 0; i < sim.node_count; i++)
 		if (strcmp(sim.config[i].node, name) == 0)
 			leader = i;
--- a/tests/sim_tasks.c
+++ b/tests/sim_tasks.c
@@ -206,7 +206,7 @@
 {
 	for (int i = 0; i < machine->task_slots_used; i++)
 		if (machine->tasks[i].used &&
-		    worker_command_names_attempt(status, &machine->tasks[i].status))
+		    worker_command_is_for_attempt(status, &machine->tasks[i].status))
 			return &machine->tasks[i];
 	return NULL;
 }
@@ -217,7 +217,7 @@
 		const struct sim_task *task = &machine->tasks[i];
 
 		if (task->used && task->status.state != FL_TASK_STATE_EXITED &&
-		    worker_command_names_task(status, &task->status))
+		    worker_command_is_for_task(status, &task->status))
 			return true;
 	}
 	return false;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -11,7 +11,7 @@
 #include "coordination/node.h"
 
 /* What is set aside for peers grows with them, and not with the machines. */
-static void the_public_share_of_the_sockets_grows_with_the_limit(void **state)
+static void public_connections_grow_with_the_connection_limit(void **state)
 {
 	struct fl_config config = {.max_connections = 3565, .peer_count = 4};
 
@@ -25,7 +25,7 @@
  * Four peers may each want their part of a leader with few sockets, while its public side is full:
  * peers, key-value store, cloud and commands keep their share, and so do users and workers.
  */
-static void every_side_keeps_its_share_of_the_sockets(void **state)
+static void connection_shares_stay_within_the_connection_limit(void **state)
 {
 	static const int limits[] = {900, 1500, 4000};
 	const int commands_and_services = 48;
@@ -33,18 +33,18 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(limits) / sizeof(limits[0]); i++) {
 		struct fl_config config = {.peer_count = 4, .max_connections = limits[i]};
-		int public_share = fl_node_public_connections_max(&config);
+		int public_connections = fl_node_public_connections_max(&config);
 		int from_peers = config.peer_count * FL_PEER_CONNECTIONS_MAX;
 		int to_leader = FL_PEER_CONNECTIONS_MAX + config.peer_count;
 
-		assert_true(public_share >= (int)(0.6 * limits[i]));
-		assert_true(limits[i] - public_share >= from_peers);
-		assert_true(public_share + from_peers + to_leader + commands_and_services <=
+		assert_true(public_connections >= (int)(0.6 * limits[i]));
+		assert_true(limits[i] - public_connections >= from_peers);
+		assert_true(public_connections + from_peers + to_leader + commands_and_services <=
 		            limits[i]);
 	}
 }
 
-static void a_tight_setting_is_named_with_its_cost(void **state)
+static void a_tight_setting_is_described_with_its_resource_use(void **state)
 {
 	struct fl_config config = {.core_share = 0.029, .ram_mb = 37, .max_connections = 900};
 	char text[256];
@@ -65,9 +65,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(the_public_share_of_the_sockets_grows_with_the_limit),
-		cmocka_unit_test(every_side_keeps_its_share_of_the_sockets),
-		cmocka_unit_test(a_tight_setting_is_named_with_its_cost),
+		cmocka_unit_test(public_connections_grow_with_the_connection_limit),
+		cmocka_unit_test(connection_shares_stay_within_the_connection_limit),
+		cmocka_unit_test(a_tight_setting_is_described_with_its_resource_use),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -12,7 +12,7 @@
 
 #include "coordination/scheduling/schedule.h"
 
-enum { BACKGROUND, EXPECTED, JOBS };
+enum { BACKGROUND, WITH_SLO, JOBS };
 
 struct site {
 	struct fl_sched_job jobs[JOBS];
@@ -51,7 +51,7 @@
 }
 
 /* Which job the only free place goes to. */
-static int first_started(struct site *site)
+static int first_started_job(struct site *site)
 {
 	struct fl_sched_output output;
 	int job;
@@ -71,11 +71,11 @@
 	init_site(&site, 90, true);
 
 	/* By the product of the paper the longer wait decides. */
-	assert_int_equal(first_started(&site), BACKGROUND);
+	assert_int_equal(first_started_job(&site), BACKGROUND);
 
 	init_site(&site, 90, true);
 	site.jobs[BACKGROUND].background = true;
-	assert_int_equal(first_started(&site), EXPECTED);
+	assert_int_equal(first_started_job(&site), WITH_SLO);
 }
 
 /* Its waiting weighs more and more too, so that no stream of other work keeps it for ever. */
@@ -86,7 +86,7 @@
 	(void)state;
 	init_site(&site, 600, true);
 	site.jobs[BACKGROUND].background = true;
-	assert_int_equal(first_started(&site), BACKGROUND);
+	assert_int_equal(first_started_job(&site), BACKGROUND);
 }
 
 /* The largest job of any class begins within four minutes. */
@@ -97,7 +97,7 @@
 	(void)state;
 	init_site(&site, fl_sched_default_params.overdue_after_s + 1, false);
 	site.jobs[BACKGROUND].background = true;
-	assert_int_equal(first_started(&site), BACKGROUND);
+	assert_int_equal(first_started_job(&site), BACKGROUND);
 }
 
 int main(void)
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -27,8 +27,8 @@
 static void the_lease_of_a_cancelled_task_is_not_renewed_past_its_deadline(void **state)
 {
 	struct node_fixture *fixture = *state;
-	double renewable_s = renewable_time(fixture);
-	struct fl_task_status status = running_task(0, 1);
+	double renewable_s = lease_renewal_window_s(fixture);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_finished_job *final;
 
 	become_follower(fixture, 0);
@@ -61,8 +61,8 @@
 static void a_repeated_heartbeat_is_answered_with_the_stop_command_again(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
-	cJSON *record = cancelled_record(fixture, 1);
+	struct fl_task_status status = running_task_status(0, 1);
+	cJSON *record = cancelled_job_record(fixture, 1);
 
 	deliver_idle_heartbeat(fixture, 1, 1);
 	status.attempt = place_task(fixture, 0)->attempt;
@@ -71,7 +71,7 @@
 	cJSON_Delete(record);
 	for (int i = 0; i < 2; i++) {
 		assert_int_equal(send_task_heartbeat(fixture, 1, 2, &status), 200);
-		assert_int_equal(stop_commands_in_reply, 1);
+		assert_int_equal(stop_commands_in_last_reply, 1);
 	}
 }
 
@@ -82,7 +82,7 @@
 static void a_cancellation_read_while_a_heartbeat_waits_is_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct waiting_heartbeat waiting = {
 		.fixture = fixture, .heartbeat = make_heartbeat(1, 20, FENCING_TOKEN, &status, 1)};
 
@@ -106,8 +106,8 @@
 static void a_new_leader_does_not_renew_the_lease_of_a_cancelled_task(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
-	double renewable_s = renewable_time(fixture);
+	struct fl_task_status status = running_task_status(0, 1);
+	double renewable_s = lease_renewal_window_s(fixture);
 
 	fixture->node.cluster.has_leader_state = false;
 	apply_cancellation(fixture, renewable_s + 2);
@@ -128,7 +128,7 @@
  * leader, which took the record for its own earlier write, did not stop the job that it had
  * confirmed.
  */
-static void a_leader_learns_of_a_cancellation_from_the_record(void **state)
+static void a_leader_applies_a_cancellation_from_the_job_record(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_finished_job *final;
@@ -136,7 +136,7 @@
 	cJSON *record;
 
 	fixture->job->record.write_outcome_unknown = true;
-	record = cancelled_record(fixture, 3);
+	record = cancelled_job_record(fixture, 3);
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
 
 	fl_job_record_apply_cancellation(&fixture->node, fixture->job, &decoded, 9);
@@ -164,7 +164,7 @@
 	struct fl_job_record decoded;
 	cJSON *record;
 
-	record = cancelled_record(fixture, 20);
+	record = cancelled_job_record(fixture, 20);
 	assert_int_equal(fl_job_record_decode(record, fixture->job->ref, &decoded), 0);
 	cJSON_Delete(record);
 	assert_true(decoded.final && decoded.has_spec && decoded.status == FL_CANCELLED);
@@ -181,7 +181,7 @@
 		NODE_TEST(a_cancellation_read_while_a_heartbeat_waits_is_applied),
 		NODE_TEST(a_repeated_heartbeat_is_answered_with_the_stop_command_again),
 		NODE_TEST(a_new_leader_does_not_renew_the_lease_of_a_cancelled_task),
-		NODE_TEST(a_leader_learns_of_a_cancellation_from_the_record),
+		NODE_TEST(a_leader_applies_a_cancellation_from_the_job_record),
 		NODE_TEST(a_cancellation_keeps_its_age_across_a_failover),
 	};
 
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -113,7 +113,7 @@
 	fl_wal_free(&wal);
 }
 
-static void a_malformed_write_ahead_log_value_is_refused(void **state)
+static void a_malformed_write_ahead_log_value_is_rejected(void **state)
 {
 	static const char *const malformed[] = {"{}", "{\"log\":[[\"x\",0,{}]]}",
 	                                        "{\"log\":[[\"run-000001\",-1,{}]]}",
@@ -269,7 +269,7 @@
 		cmocka_unit_test_setup_teardown(
 			write_ahead_log_and_record_are_merged_by_the_newer_entry, begin_simulation,
 			end_simulation),
-		cmocka_unit_test(a_malformed_write_ahead_log_value_is_refused),
+		cmocka_unit_test(a_malformed_write_ahead_log_value_is_rejected),
 		cmocka_unit_test_setup_teardown(the_write_ahead_log_holds_many_jobs_in_few_values,
 	                                        begin_simulation, end_simulation),
 		cmocka_unit_test_setup_teardown(a_deleted_job_is_not_restored_by_a_late_watch_event,
--- a/tests/test_contract_cloud.c
+++ b/tests/test_contract_cloud.c
@@ -16,7 +16,7 @@
 #include "contract_text.h"
 #include "protocol/cloud.h"
 
-static const char types_text[] =
+static const char machine_types_text[] =
 	"{\"HostKinds\":[{\"Name\":\"g8\",\"Vcpus\":96,\"Accelerators\":8,\"RamGb\":768,"
 	"\"LocalGb\":200.5,\"PullGbPerS\":1.25,\"Price\":12.5,\"SpotPrice\":4.5,\"ReadyS\":45,"
 	"\"Sites\":[\"zone-a\",\"zone-b\"]},"
@@ -64,9 +64,9 @@
 	}
 }
 
-static void machine_types_have_the_agreed_fields(void **state)
+static void machine_types_have_the_contract_fields(void **state)
 {
-	cJSON *tree = parse_json(types_text);
+	cJSON *tree = parse_json(machine_types_text);
 	struct fl_cloud_machine_type *got;
 	int count;
 
@@ -75,42 +75,42 @@
 	cJSON_Delete(tree);
 	assert_machine_types(got, count);
 	free(got);
-	assert_text(fl_json_print_and_delete(
-			    fl_machine_types_encode(offered_types, COUNT_OF(offered_types))),
-	            types_text);
+	assert_text_and_free(fl_json_print_and_delete(fl_machine_types_encode(
+				     offered_types, COUNT_OF(offered_types))),
+	                     machine_types_text);
 }
 
-struct types_results {
+struct machine_type_results {
 	enum fl_cloud_result result[3];
 	struct fl_cloud_machine_type *types;
 	int count;
 };
 
-static void ask_for_types(const char *address, void *results)
+static void request_machine_types(const char *address, void *results)
 {
-	struct types_results *got = results;
-	struct fl_cloud_machine_type *none;
+	struct machine_type_results *got = results;
+	struct fl_cloud_machine_type *unused_types;
 	struct fl_cloud cloud;
-	int none_count;
+	int unused_count;
 
 	fl_http_client_init(&cloud.http, address, 1);
 	got->result[0] = fl_cloud_get_machine_types(&cloud, &got->types, &got->count);
-	got->result[1] = fl_cloud_get_machine_types(&cloud, &none, &none_count);
-	got->result[2] = fl_cloud_get_machine_types(&cloud, &none, &none_count);
+	got->result[1] = fl_cloud_get_machine_types(&cloud, &unused_types, &unused_count);
+	got->result[2] = fl_cloud_get_machine_types(&cloud, &unused_types, &unused_count);
 	fl_http_client_close(&cloud.http);
 }
 
-static void machine_types_are_asked_of_the_cloud(void **state)
+static void machine_types_are_requested_from_the_cloud(void **state)
 {
 	static const struct contract_exchange script[] = {
-		{"GET /machine_types\n", 200, types_text},
+		{"GET /machine_types\n", 200, machine_types_text},
 		{"GET /machine_types\n", 429, "{}"},
 		{"GET /machine_types\n", 503, "{\"error\":\"trouble\"}"},
 	};
-	struct types_results got = {0};
+	struct machine_type_results got = {0};
 
 	(void)state;
-	contract_run(ask_for_types, &got, script, COUNT_OF(script));
+	contract_run_exchanges(request_machine_types, &got, script, COUNT_OF(script));
 	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_machine_types(got.types, got.count);
 	free(got.types);
@@ -124,14 +124,14 @@
 	int count[3];
 };
 
-static void rent_and_delete(const char *address, void *results)
+static void rent_and_delete_machines(const char *address, void *results)
 {
 	static const struct fl_cloud_rental rentals[] = {
 		{"r-17", "g8", "zone-a", true, 12},
 		{"r-18", "c32", "zone-b", false, 1},
 		{"r-18", "c32", "zone-b", false, 1},
 	};
-	static const char *const returned[] = {"m-000231", "m-000232"};
+	static const char *const deleted_hosts[] = {"m-000231", "m-000232"};
 	struct rental_results *got = results;
 	struct fl_cloud cloud;
 
@@ -139,7 +139,7 @@
 	for (int i = 0; i < 3; i++)
 		got->result[i] =
 			fl_cloud_rent_machines(&cloud, &rentals[i], &got->hosts[i], &got->count[i]);
-	got->result[3] = fl_cloud_delete_machines(&cloud, returned, COUNT_OF(returned));
+	got->result[3] = fl_cloud_delete_machines(&cloud, deleted_hosts, COUNT_OF(deleted_hosts));
 	fl_http_client_close(&cloud.http);
 }
 
@@ -163,7 +163,7 @@
 	struct rental_results got = {0};
 
 	(void)state;
-	contract_run(rent_and_delete, &got, script, COUNT_OF(script));
+	contract_run_exchanges(rent_and_delete_machines, &got, script, COUNT_OF(script));
 	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_int_equal(got.count[0], 2);
 	assert_string_equal(got.hosts[0][0], "m-000231");
@@ -174,13 +174,13 @@
 	assert_int_equal(got.result[3], FL_CLOUD_OK);
 }
 
-static const char first_listed_text[] =
+static const char first_page_text[] =
 	"{\"Hosts\":[{\"Ref\":\"m-000231\",\"Endpoint\":\"10.1.0.232:9000\",\"HostKind\":\"g8\","
 	"\"Site\":\"zone-a\",\"Reclaimable\":true,\"Status\":\"running\",\"AgeS\":61.5},"
 	"{\"Ref\":\"m-000232\",\"Endpoint\":\"10.1.0.233:9000\",\"HostKind\":\"c32\","
 	"\"Site\":\"zone-b\",\"Reclaimable\":false,\"Status\":\"booting\",\"AgeS\":4}],"
 	"\"More\":true}";
-static const char last_listed_text[] =
+static const char last_page_text[] =
 	"{\"Hosts\":[{\"Ref\":\"m-000240\",\"Endpoint\":\"10.1.0.241:9000\",\"HostKind\":\"g4\","
 	"\"Site\":\"zone-c\",\"Reclaimable\":false,\"Status\":\"failed\",\"AgeS\":300}],"
 	"\"More\":false}";
@@ -220,8 +220,8 @@
 static void rented_machines_are_listed_page_by_page(void **state)
 {
 	static const struct contract_exchange script[] = {
-		{"GET /rentals?Page=500\n", 200, first_listed_text},
-		{"GET /rentals?From=m-000232&Page=500\n", 200, last_listed_text},
+		{"GET /rentals?Page=500\n", 200, first_page_text},
+		{"GET /rentals?From=m-000232&Page=500\n", 200, last_page_text},
 	};
 	static const struct fl_cloud_machine expected[] = {
 		{"m-000231", "10.1.0.232:9000", "g8", "zone-a", true, FL_CLOUD_MACHINE_RUNNING,
@@ -234,7 +234,7 @@
 	struct rental_list_results got = {0};
 
 	(void)state;
-	contract_run(list_machines, &got, script, COUNT_OF(script));
+	contract_run_exchanges(list_machines, &got, script, COUNT_OF(script));
 	assert_int_equal(got.result[0], FL_CLOUD_OK);
 	assert_int_equal(got.count[0], 2);
 	assert_true(got.more[0]);
@@ -251,8 +251,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(machine_types_have_the_agreed_fields),
-		cmocka_unit_test(machine_types_are_asked_of_the_cloud),
+		cmocka_unit_test(machine_types_have_the_contract_fields),
+		cmocka_unit_test(machine_types_are_requested_from_the_cloud),
 		cmocka_unit_test(machines_are_rented_and_deleted),
 		cmocka_unit_test(rented_machines_are_listed_page_by_page),
 	};
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -84,7 +84,8 @@
 	.due_s = -1,
 };
 
-static void assert_live(const char *text, const struct fl_job_spec *spec, double submitted)
+static void assert_live_job_record(const char *text, const struct fl_job_spec *spec,
+                                   double submitted)
 {
 	struct fl_job_record record = read_record(text, spec->ref);
 
@@ -93,21 +94,21 @@
 	assert_int_equal(record.task_count, spec->task_count);
 	assert_true(record.submitted_wall == submitted);
 	assert_true(record.cancelled_wall == 0);
-	assert_job_spec(&record.spec, spec);
-	assert_json_text(fl_job_record_encode_live(spec, submitted), text);
+	assert_job_spec_equal(&record.spec, spec);
+	assert_json_text_and_delete(fl_job_record_encode_live(spec, submitted), text);
 }
 
 static void a_live_job_is_stored_with_every_field_of_its_description(void **state)
 {
 	(void)state;
-	assert_live(LIVE_JOB, &live_spec, 1700000100.25);
-	assert_live(SPOT_JOB, &spot_spec, 8);
-	assert_live(STANDARD_JOB, &standard_spec, 8);
+	assert_live_job_record(LIVE_JOB_RECORD, &live_job_spec, 1700000100.25);
+	assert_live_job_record(SPOT_JOB_RECORD, &spot_spec, 8);
+	assert_live_job_record(STANDARD_JOB_RECORD, &standard_spec, 8);
 }
 
-static void a_cancelled_job_is_stored_with_its_description_and_end(void **state)
+static void a_cancelled_job_is_stored_with_its_description_and_cancellation_time(void **state)
 {
-	struct fl_job_record record = read_record(CANCELLED_JOB, "run-000413");
+	struct fl_job_record record = read_record(CANCELLED_JOB_RECORD, "run-000413");
 
 	(void)state;
 	assert_true(record.final);
@@ -116,13 +117,14 @@
 	assert_int_equal(record.task_count, 9);
 	assert_true(record.submitted_wall == 1700000200.5);
 	assert_true(record.cancelled_wall == 1700000300.75);
-	assert_job_spec(&record.spec, &cancelled_spec);
-	assert_json_text(
+	assert_job_spec_equal(&record.spec, &cancelled_spec);
+	assert_json_text_and_delete(
 		fl_job_record_encode_cancelled(&cancelled_spec, 1700000200.5, 1700000300.75),
-		CANCELLED_JOB);
+		CANCELLED_JOB_RECORD);
 }
 
-static void assert_final(const char *text, enum fl_job_status status, uint32_t task_count)
+static void assert_final_job_record(const char *text, enum fl_job_status status,
+                                    uint32_t task_count)
 {
 	struct fl_job_record record = read_record(text, "run-000412");
 
@@ -130,32 +132,33 @@
 	assert_false(record.has_spec);
 	assert_int_equal(record.status, status);
 	assert_int_equal(record.task_count, task_count);
-	assert_json_text(fl_job_record_encode_final(status, task_count), text);
+	assert_json_text_and_delete(fl_job_record_encode_final(status, task_count), text);
 }
 
-static void a_job_that_is_over_is_stored_as_its_status_and_size(void **state)
+static void a_finished_job_is_stored_as_its_status_and_task_count(void **state)
 {
 	(void)state;
-	assert_final(FINAL_DONE, FL_DONE, 71);
-	assert_final(FINAL_CANCELLED, FL_CANCELLED, 72);
+	assert_final_job_record(FINAL_RECORD_DONE, FL_DONE, 71);
+	assert_final_job_record(FINAL_RECORD_CANCELLED, FL_CANCELLED, 72);
 }
 
 /* What a job was submitted with survives its stay in memory, where its record is written from. */
-static void a_job_read_from_its_record_is_written_as_it_was(void **state)
+static void a_job_in_memory_is_encoded_as_the_record_that_it_came_from(void **state)
 {
 	struct fl_cluster cluster = {0};
-	struct fl_job *job = add_job(&cluster);
+	struct fl_job *job = add_live_job(&cluster);
 	struct fl_job_spec spec;
 
 	(void)state;
 	fl_job_to_spec(&cluster, job, &spec);
-	assert_json_text(fl_job_record_encode_live(&spec, job->submitted_wall), LIVE_JOB);
+	assert_json_text_and_delete(fl_job_record_encode_live(&spec, job->submitted_wall),
+	                            LIVE_JOB_RECORD);
 	fl_cluster_free(&cluster);
 }
 
 /* ---- machine types ---- */
 
-static void assert_large(const struct fl_cloud_machine_type *type)
+static void assert_large_machine_type(const struct fl_cloud_machine_type *type)
 {
 	assert_string_equal(type->name, "large");
 	assert_true(type->cpus == 96);
@@ -174,16 +177,16 @@
 static void machine_types_are_stored_with_every_field(void **state)
 {
 	struct fl_cloud_machine_type *types;
-	cJSON *tree = parse_json(MACHINE_TYPES);
+	cJSON *tree = parse_json(MACHINE_TYPES_RECORD);
 	int count;
 
 	(void)state;
 	assert_int_equal(fl_machine_types_decode(tree, &types, &count), 0);
 	cJSON_Delete(tree);
 	assert_int_equal(count, 2);
-	assert_large(&types[0]);
+	assert_large_machine_type(&types[0]);
 	assert_string_equal(types[1].name, "small");
-	assert_json_text(fl_machine_types_encode(types, count), MACHINE_TYPES);
+	assert_json_text_and_delete(fl_machine_types_encode(types, count), MACHINE_TYPES_RECORD);
 	free(types);
 }
 
@@ -226,9 +229,10 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_live_job_is_stored_with_every_field_of_its_description),
-		cmocka_unit_test(a_cancelled_job_is_stored_with_its_description_and_end),
-		cmocka_unit_test(a_job_that_is_over_is_stored_as_its_status_and_size),
-		cmocka_unit_test(a_job_read_from_its_record_is_written_as_it_was),
+		cmocka_unit_test(
+			a_cancelled_job_is_stored_with_its_description_and_cancellation_time),
+		cmocka_unit_test(a_finished_job_is_stored_as_its_status_and_task_count),
+		cmocka_unit_test(a_job_in_memory_is_encoded_as_the_record_that_it_came_from),
 		cmocka_unit_test(machine_types_are_stored_with_every_field),
 		cmocka_unit_test(every_key_and_prefix_has_its_stored_form),
 	};
--- a/tests/test_contract_kv.c
+++ b/tests/test_contract_kv.c
@@ -18,17 +18,17 @@
 #include "protocol/kv_store.h"
 
 /* Changes as text, one a line: key, revision, value. */
-struct event_text {
+struct event_log {
 	char text[512];
 };
 
 static void append_event(void *context, const struct fl_kv_event *event)
 {
-	struct event_text *changes = context;
+	struct event_log *events = context;
 	char *value = event->value ? cJSON_PrintUnformatted(event->value) : NULL;
-	size_t used = strlen(changes->text);
+	size_t used = strlen(events->text);
 
-	snprintf(changes->text + used, sizeof(changes->text) - used, "%s %llu %s\n", event->key,
+	snprintf(events->text + used, sizeof(events->text) - used, "%s %llu %s\n", event->key,
 	         (unsigned long long)event->mod_revision, value ? value : "deleted");
 	free(value);
 }
@@ -64,33 +64,33 @@
 	struct get_results got = {.lease_id = {99, 99, 99}};
 
 	(void)state;
-	contract_run(read_keys, &got, script, COUNT_OF(script));
+	contract_run_exchanges(read_keys, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.mod_revision[0], 412);
 	assert_int_equal(got.lease_id[0], 7);
-	assert_text(fl_json_print_and_delete(got.value[0]), "{\"n\":5}");
+	assert_text_and_free(fl_json_print_and_delete(got.value[0]), "{\"n\":5}");
 	assert_int_equal(got.rc[1], FL_KV_OK);
 	assert_int_equal(got.mod_revision[1], 413);
 	assert_int_equal(got.lease_id[1], 0);
-	assert_text(fl_json_print_and_delete(got.value[1]), "[6]");
+	assert_text_and_free(fl_json_print_and_delete(got.value[1]), "[6]");
 	assert_int_equal(got.rc[2], FL_KV_NOT_FOUND);
 	assert_null(got.value[2]);
 }
 
-struct read_results {
+struct event_results {
 	int rc[2];
 	uint64_t mod_revision[2];
-	struct event_text changes[2];
+	struct event_log events[2];
 };
 
 static void list_keys(const char *address, void *results)
 {
-	struct read_results *got = results;
+	struct event_results *got = results;
 	struct fl_kv_store kv_store;
 
 	fl_kv_init(&kv_store, address);
 	got->rc[0] =
-		fl_kv_list(&kv_store, "c/", append_event, &got->changes[0], &got->mod_revision[0]);
+		fl_kv_list(&kv_store, "c/", append_event, &got->events[0], &got->mod_revision[0]);
 	fl_http_client_close(&kv_store.client);
 	fl_http_client_close(&kv_store.watch_client);
 }
@@ -106,31 +106,31 @@
 	         "{\"Items\":[{\"Key\":\"c/8\",\"V\":3,\"KeyRev\":403}],\"More\":false,"
 	         "\"LedgerRev\":432}"},
 	};
-	struct read_results got = {0};
+	struct event_results got = {0};
 
 	(void)state;
-	contract_run(list_keys, &got, script, COUNT_OF(script));
+	contract_run_exchanges(list_keys, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.mod_revision[0], 431);
-	assert_string_equal(got.changes[0].text, "c/6 401 {\"n\":1}\nc/7 402 \"two\"\nc/8 403 3\n");
+	assert_string_equal(got.events[0].text, "c/6 401 {\"n\":1}\nc/7 402 \"two\"\nc/8 403 3\n");
 }
 
 static void watch_keys(const char *address, void *results)
 {
-	struct read_results *got = results;
+	struct event_results *got = results;
 	struct fl_kv_store kv_store;
 
 	fl_kv_init(&kv_store, address);
 	for (int i = 0; i < 2; i++)
 		got->rc[i] = fl_kv_watch(
 			&kv_store,
-			&(struct fl_kv_watch_request){"c/", 2.5, append_event, &got->changes[i]},
+			&(struct fl_kv_watch_request){"c/", 2.5, append_event, &got->events[i]},
 			&got->mod_revision[i]);
 	fl_http_client_close(&kv_store.client);
 	fl_http_client_close(&kv_store.watch_client);
 }
 
-static void a_watch_brings_writes_and_deletions(void **state)
+static void a_watch_returns_writes_and_deletions(void **state)
 {
 	static const struct contract_exchange script[] = {
 		{"GET /follow?Prefix=c/&From=431&HoldMs=2500\n", 200,
@@ -138,13 +138,13 @@
 	         "{\"Delete\":\"c/d\",\"KeyRev\":432}]}"},
 		{"GET /follow?Prefix=c/&From=17&HoldMs=2500\n", 410, "{\"LedgerRev\":434}"},
 	};
-	struct read_results got = {.mod_revision = {431, 17}};
+	struct event_results got = {.mod_revision = {431, 17}};
 
 	(void)state;
-	contract_run(watch_keys, &got, script, COUNT_OF(script));
+	contract_run_exchanges(watch_keys, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.mod_revision[0], 434);
-	assert_string_equal(got.changes[0].text, "c/9 433 {\"n\":9}\nc/d 432 deleted\n");
+	assert_string_equal(got.events[0].text, "c/9 433 {\"n\":9}\nc/d 432 deleted\n");
 	assert_int_equal(got.rc[1], FL_KV_COMPACTED);
 	assert_int_equal(got.mod_revision[1], 17);
 }
@@ -196,7 +196,7 @@
 	struct txn_results got = {0};
 
 	(void)state;
-	contract_run(send_transactions, &got, script, COUNT_OF(script));
+	contract_run_exchanges(send_transactions, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.mod_revision[0], 432);
 	assert_int_equal(got.rc[1], FL_KV_COMPARE_FAILED);
@@ -213,11 +213,11 @@
 {
 	struct lease_results *got = results;
 	struct fl_kv_store kv_store;
-	uint64_t none;
+	uint64_t unused_lease_id;
 
 	fl_kv_init(&kv_store, address);
 	got->rc[0] = fl_kv_lease_grant(&kv_store, 5.25, &got->lease_id);
-	got->rc[1] = fl_kv_lease_grant(&kv_store, 5, &none);
+	got->rc[1] = fl_kv_lease_grant(&kv_store, 5, &unused_lease_id);
 	got->rc[2] = fl_kv_lease_keep_alive(&kv_store, 7, 5);
 	got->rc[3] = fl_kv_lease_keep_alive(&kv_store, 8, 5);
 	got->rc[4] = fl_kv_lease_keep_alive(&kv_store, 7, 5);
@@ -227,7 +227,7 @@
 	fl_http_client_close(&kv_store.watch_client);
 }
 
-static void a_lease_is_taken_out_renewed_and_ended(void **state)
+static void a_lease_is_granted_renewed_and_revoked(void **state)
 {
 	static const struct contract_exchange script[] = {
 		{"POST /holds\n{\"TtlMs\":5250}", 200, "{\"Grant\":7}"},
@@ -241,7 +241,7 @@
 	struct lease_results got = {0};
 
 	(void)state;
-	contract_run(use_leases, &got, script, COUNT_OF(script));
+	contract_run_exchanges(use_leases, &got, script, COUNT_OF(script));
 	assert_int_equal(got.rc[0], FL_KV_OK);
 	assert_int_equal(got.lease_id, 7);
 	assert_int_equal(got.rc[1], FL_KV_UNAVAILABLE);
@@ -257,9 +257,9 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_key_is_read_with_its_revision_and_lease),
 		cmocka_unit_test(keys_are_listed_page_by_page),
-		cmocka_unit_test(a_watch_brings_writes_and_deletions),
+		cmocka_unit_test(a_watch_returns_writes_and_deletions),
 		cmocka_unit_test(a_transaction_has_conditions_writes_deletions_and_leases),
-		cmocka_unit_test(a_lease_is_taken_out_renewed_and_ended),
+		cmocka_unit_test(a_lease_is_granted_renewed_and_revoked),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_contract_peers.c
+++ b/tests/test_contract_peers.c
@@ -19,7 +19,7 @@
 #include "protocol/peers.h"
 #include "protocol/status_messages.h"
 
-static void assert_gossip_both_ways(const char *text, const struct fl_gossip *expected)
+static void assert_gossip_round_trip(const char *text, const struct fl_gossip *expected)
 {
 	struct fl_gossip got;
 
@@ -37,44 +37,44 @@
 		assert_true(got.cancelled[i].age_s == expected->cancelled[i].age_s);
 	}
 	fl_gossip_free(&got);
-	assert_text(fl_gossip_encode(expected), text);
+	assert_text_and_free(fl_gossip_encode(expected), text);
 }
 
 static void a_gossip_message_has_leader_fencing_token_and_cancellations(void **state)
 {
 	struct fl_cancellation cancelled[] = {{"run-000412", 1.5}, {"run-000413", 20}};
-	const struct fl_gossip from_the_leader = {.node = "host-1",
-	                                          .leader = "host-1",
-	                                          .fencing_token = 41,
-	                                          .leader_confirmed_age_s = 0.25,
-	                                          .sender_is_leader = true,
-	                                          .watermark_age_s = 3.5,
-	                                          .cancelled = cancelled,
-	                                          .cancelled_count = COUNT_OF(cancelled)};
-	const struct fl_gossip from_another = {.node = "host-2",
-	                                       .leader = "host-3",
-	                                       .fencing_token = 42,
-	                                       .leader_confirmed_age_s = 5,
-	                                       .watermark_age_s = 6,
-	                                       .cancellations_complete = true};
+	const struct fl_gossip leader_gossip = {.node = "host-1",
+	                                        .leader = "host-1",
+	                                        .fencing_token = 41,
+	                                        .leader_confirmed_age_s = 0.25,
+	                                        .sender_is_leader = true,
+	                                        .watermark_age_s = 3.5,
+	                                        .cancelled = cancelled,
+	                                        .cancelled_count = COUNT_OF(cancelled)};
+	const struct fl_gossip follower_gossip = {.node = "host-2",
+	                                          .leader = "host-3",
+	                                          .fencing_token = 42,
+	                                          .leader_confirmed_age_s = 5,
+	                                          .watermark_age_s = 6,
+	                                          .cancellations_complete = true};
 
 	(void)state;
-	assert_gossip_both_ways(
+	assert_gossip_round_trip(
 		"{\"node\":\"host-1\",\"leader\":\"host-1\",\"epoch\":41,\"proof_age_s\":0.25,"
 		"\"leads\":true,\"known_age_s\":3.5,\"whole\":false,"
 		"\"cancelled\":[[\"run-000412\",1.5],[\"run-000413\",20]]}",
-		&from_the_leader);
-	assert_gossip_both_ways(
+		&leader_gossip);
+	assert_gossip_round_trip(
 		"{\"node\":\"host-2\",\"leader\":\"host-3\",\"epoch\":42,\"proof_age_s\":5,"
 		"\"leads\":false,\"known_age_s\":6,\"whole\":true,\"cancelled\":[]}",
-		&from_another);
+		&follower_gossip);
 }
 
-static void a_forwarded_request_has_the_number_of_its_kind(void **state)
+static void a_forwarded_request_has_the_number_of_its_request_kind(void **state)
 {
 	static const struct {
 		const char *text;
-		enum fl_user_request call;
+		enum fl_user_request kind;
 		bool last_hop;
 		const char *ref, *body;
 	} forwarded[] = {
@@ -93,7 +93,7 @@
 		assert_int_equal(fl_forwarded_request_decode(forwarded[i].text,
 		                                             strlen(forwarded[i].text), &got),
 		                 0);
-		assert_int_equal(got.kind, forwarded[i].call);
+		assert_int_equal(got.kind, forwarded[i].kind);
 		assert_int_equal(got.last_hop, forwarded[i].last_hop);
 		assert_string_equal(got.ref, forwarded[i].ref ? forwarded[i].ref : "");
 		if (forwarded[i].body)
@@ -101,9 +101,10 @@
 		else
 			assert_null(got.body);
 		fl_forwarded_request_free(&got);
-		assert_text(fl_forwarded_request_encode(forwarded[i].call, forwarded[i].last_hop,
-		                                        forwarded[i].ref, forwarded[i].body),
-		            forwarded[i].text);
+		assert_text_and_free(
+			fl_forwarded_request_encode(forwarded[i].kind, forwarded[i].last_hop,
+		                                    forwarded[i].ref, forwarded[i].body),
+			forwarded[i].text);
 	}
 }
 
@@ -130,12 +131,12 @@
 	cJSON *list = fl_heartbeat_list_create();
 
 	(void)state;
-	assert_text(fl_peer_heartbeats_encode(list, "host-2", true, false),
-	            last_hop_heartbeats_text);
+	assert_text_and_free(fl_peer_heartbeats_encode(list, "host-2", true, false),
+	                     last_hop_heartbeats_text);
 
 	fl_heartbeat_list_add(list, idle_heartbeat_text);
-	assert_text(fl_peer_heartbeats_encode(list, "host-3", false, true),
-	            forwarded_heartbeats_text);
+	assert_text_and_free(fl_peer_heartbeats_encode(list, "host-3", false, true),
+	                     forwarded_heartbeats_text);
 	cJSON_Delete(list);
 	assert_int_equal(fl_peer_heartbeats_decode(forwarded_heartbeats_text,
 	                                           strlen(forwarded_heartbeats_text), &got),
@@ -146,7 +147,7 @@
 	assert_int_equal(cJSON_GetArraySize(got.heartbeat_list), 1);
 	assert_int_equal(
 		fl_heartbeat_decode_json(cJSON_GetArrayItem(got.heartbeat_list, 0), &heartbeat), 0);
-	assert_heartbeat(&heartbeat, &idle_heartbeat);
+	assert_heartbeat_equal(&heartbeat, &idle_heartbeat);
 	fl_peer_heartbeats_free(&got);
 	assert_int_equal(fl_peer_heartbeats_decode(last_hop_heartbeats_text,
 	                                           strlen(last_hop_heartbeats_text), &got),
@@ -181,7 +182,7 @@
 			assert_null(got[i].body);
 		free(got[i].body);
 	}
-	assert_text(fl_heartbeat_replies_encode(expected, COUNT_OF(expected)), text);
+	assert_text_and_free(fl_heartbeat_replies_encode(expected, COUNT_OF(expected)), text);
 }
 
 static void a_status_query_is_a_list_of_job_ids(void **state)
@@ -196,10 +197,10 @@
 	assert_int_equal(count, COUNT_OF(refs));
 	assert_string_equal(got[0], refs[0]);
 	assert_string_equal(got[1], refs[1]);
-	assert_text(fl_status_query_encode(refs, COUNT_OF(refs)), text);
+	assert_text_and_free(fl_status_query_encode(refs, COUNT_OF(refs)), text);
 }
 
-static void a_status_query_answer_has_the_number_of_each_status(void **state)
+static void a_status_query_response_has_the_number_of_each_status(void **state)
 {
 	static const char text[] = "{\"jobs\":[[0,1,2],[1,3,13],null,[2,16,4],[3,5,6]]}";
 	static const struct fl_job_status_report expected[] = {
@@ -216,7 +217,7 @@
 		assert_int_equal(got[i].done_count, expected[i].done_count);
 		assert_int_equal(got[i].running_count, expected[i].running_count);
 	}
-	assert_text(fl_status_answer_encode(expected, COUNT_OF(expected)), text);
+	assert_text_and_free(fl_status_answer_encode(expected, COUNT_OF(expected)), text);
 }
 
 /* ---- cached heartbeats, which a later leader reads from the key-value store ---- */
@@ -243,11 +244,11 @@
 	assert_int_equal(got.sequence, expected->sequence);
 	assert_int_equal(got.fencing_token, expected->fencing_token);
 	assert_true(got.interruption_in_s == expected->interruption_in_s);
-	assert_heartbeat_tasks(&got, expected);
+	assert_heartbeat_tasks_equal(&got, expected);
 	fl_heartbeat_free(&got);
 }
 
-static void a_cached_heartbeat_has_the_numbers_of_states_and_exits(void **state)
+static void a_cached_heartbeat_has_the_numbers_of_task_states_and_exit_reasons(void **state)
 {
 	const struct fl_heartbeat busy = busy_heartbeat();
 	cJSON *tree = parse_json(cached_heartbeat_text);
@@ -255,8 +256,9 @@
 	(void)state;
 	assert_cached_heartbeat(tree, &busy);
 	cJSON_Delete(tree);
-	assert_text(fl_cached_heartbeat_encode(&busy), cached_heartbeat_text);
-	assert_text(fl_cached_heartbeat_encode(&idle_heartbeat), cached_idle_heartbeat_text);
+	assert_text_and_free(fl_cached_heartbeat_encode(&busy), cached_heartbeat_text);
+	assert_text_and_free(fl_cached_heartbeat_encode(&idle_heartbeat),
+	                     cached_idle_heartbeat_text);
 }
 
 static void a_digest_has_the_fencing_token_and_the_cached_heartbeats(void **state)
@@ -273,20 +275,21 @@
 	cJSON_Delete(tree);
 	fl_digest_add_heartbeat(digest, cached_idle_heartbeat_text);
 	fl_digest_add_heartbeat(digest, cached_idle_heartbeat_text);
-	assert_text(fl_json_print_and_delete(digest), text);
+	assert_text_and_free(fl_json_print_and_delete(digest), text);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_gossip_message_has_leader_fencing_token_and_cancellations),
-		cmocka_unit_test(a_forwarded_request_has_the_number_of_its_kind),
+		cmocka_unit_test(a_forwarded_request_has_the_number_of_its_request_kind),
 		cmocka_unit_test(forwarded_messages_have_their_paths),
 		cmocka_unit_test(forwarded_heartbeats_name_their_entry_node),
 		cmocka_unit_test(replies_to_forwarded_heartbeats_have_status_and_body),
 		cmocka_unit_test(a_status_query_is_a_list_of_job_ids),
-		cmocka_unit_test(a_status_query_answer_has_the_number_of_each_status),
-		cmocka_unit_test(a_cached_heartbeat_has_the_numbers_of_states_and_exits),
+		cmocka_unit_test(a_status_query_response_has_the_number_of_each_status),
+		cmocka_unit_test(
+			a_cached_heartbeat_has_the_numbers_of_task_states_and_exit_reasons),
 		cmocka_unit_test(a_digest_has_the_fencing_token_and_the_cached_heartbeats),
 	};
 
--- a/tests/test_contract_progress_records.c
+++ b/tests/test_contract_progress_records.c
@@ -22,32 +22,32 @@
 
 /* ---- progress records and the write-ahead log ---- */
 
-static void progress_is_stored_by_phase(void **state)
+static void a_progress_record_lists_tasks_by_phase(void **state)
 {
-	struct fl_cluster read = {0}, made = {0};
-	struct fl_job *job = add_job(&read);
-	cJSON *tree = parse_json(PROGRESS);
+	struct fl_cluster decoded = {0}, built = {0};
+	struct fl_job *job = add_live_job(&decoded);
+	cJSON *tree = parse_json(PROGRESS_RECORD);
 
 	(void)state;
-	assert_int_equal(fl_task_block_restore(&read, job, 1,
+	assert_int_equal(fl_task_block_restore(&decoded, job, 1,
 	                                       &(struct fl_task_block_source){tree, 6, NULL}, 1),
 	                 0);
 	cJSON_Delete(tree);
-	assert_progress(&read, job);
+	assert_recorded_progress(&decoded, job);
 	assert_int_equal(job->blocks[1]->mod_revision, 6);
-	assert_json_text(fl_task_block_encode(&read, job, 1), PROGRESS);
-
-	job = add_job(&made);
-	make_progress(&made, job);
-	assert_json_text(fl_task_block_encode(&made, job, 1), PROGRESS);
-	assert_json_text(fl_task_block_encode_unsaved(&made, job, 1), PROGRESS);
-	fl_cluster_free(&read);
-	fl_cluster_free(&made);
+	assert_json_text_and_delete(fl_task_block_encode(&decoded, job, 1), PROGRESS_RECORD);
+
+	job = add_live_job(&built);
+	set_recorded_progress(&built, job);
+	assert_json_text_and_delete(fl_task_block_encode(&built, job, 1), PROGRESS_RECORD);
+	assert_json_text_and_delete(fl_task_block_encode_unsaved(&built, job, 1), PROGRESS_RECORD);
+	fl_cluster_free(&decoded);
+	fl_cluster_free(&built);
 }
 
-static void progress_is_counted_from_its_record(void **state)
+static void task_counts_are_read_from_a_progress_record(void **state)
 {
-	cJSON *tree = parse_json(PROGRESS);
+	cJSON *tree = parse_json(PROGRESS_RECORD);
 	uint32_t done = 10, placed = 20;
 
 	(void)state;
@@ -60,12 +60,12 @@
 static void the_write_ahead_log_is_written_as_groups_of_changes(void **state)
 {
 	struct fl_cluster cluster = {0};
-	struct fl_job *job = add_job(&cluster);
+	struct fl_job *job = add_live_job(&cluster);
 	cJSON *value = fl_wal_value_create();
 	static const char *const expected[] = {NULL, WAL_GROUP, OTHER_WAL_GROUP};
 
 	(void)state;
-	make_progress(&cluster, job);
+	set_recorded_progress(&cluster, job);
 	for (uint32_t block_index = 1; block_index <= 2; block_index++) {
 		char *group = fl_wal_group_encode(&cluster, job, block_index);
 
@@ -73,14 +73,14 @@
 		fl_wal_value_add_group(value, group);
 		free(group);
 	}
-	assert_json_text(value, WAL_VALUE);
+	assert_json_text_and_delete(value, WAL_VALUE);
 	fl_cluster_free(&cluster);
 }
 
 static void the_write_ahead_log_is_read_as_groups_of_changes(void **state)
 {
 	struct fl_cluster cluster = {0};
-	struct fl_job *job = add_job(&cluster);
+	struct fl_job *job = add_live_job(&cluster);
 	cJSON *tree = parse_json(WAL_VALUE);
 	struct fl_wal wal = {0};
 
@@ -92,12 +92,12 @@
 	assert_string_equal(wal.groups[1].ref, "run-000412");
 	assert_int_equal(wal.groups[0].block_index, 1);
 	assert_int_equal(wal.groups[1].block_index, 2);
-	assert_json_text(cJSON_Duplicate(wal.groups[0].changes, true), PROGRESS);
+	assert_json_text_and_delete(cJSON_Duplicate(wal.groups[0].changes, true), PROGRESS_RECORD);
 	assert_int_equal(fl_task_block_restore(&cluster, job, 1,
 	                                       &(struct fl_task_block_source){NULL, 0, &wal}, 1),
 	                 0);
 	assert_true(wal.groups[0].restored && !wal.groups[1].restored);
-	assert_progress(&cluster, job);
+	assert_recorded_progress(&cluster, job);
 	assert_false(fl_task_change_is_saved(fl_job_task_block(job, 1), fl_task_find(job, 68)));
 	fl_wal_free(&wal);
 	fl_cluster_free(&cluster);
@@ -105,21 +105,21 @@
 
 /* ---- cached heartbeats ---- */
 
-static void assert_cached_heartbeat(const struct fl_heartbeat *read,
+static void assert_cached_heartbeat(const struct fl_heartbeat *decoded,
                                     const struct fl_heartbeat *expected)
 {
-	assert_string_equal(read->host, expected->host);
-	assert_int_equal(read->incarnation, expected->incarnation);
-	assert_int_equal(read->sequence, expected->sequence);
-	assert_int_equal(read->fencing_token, expected->fencing_token);
-	assert_true(read->interruption_in_s == expected->interruption_in_s);
-	assert_heartbeat_tasks(read, expected);
+	assert_string_equal(decoded->host, expected->host);
+	assert_int_equal(decoded->incarnation, expected->incarnation);
+	assert_int_equal(decoded->sequence, expected->sequence);
+	assert_int_equal(decoded->fencing_token, expected->fencing_token);
+	assert_true(decoded->interruption_in_s == expected->interruption_in_s);
+	assert_heartbeat_tasks_equal(decoded, expected);
 }
 
 static void a_digest_is_written_as_cached_heartbeats(void **state)
 {
-	struct fl_task_status tasks[CACHED_TASKS];
-	struct fl_heartbeat heartbeat = make_heartbeat(tasks);
+	struct fl_task_status tasks[CACHED_TASK_COUNT];
+	struct fl_heartbeat heartbeat = make_cached_heartbeat(tasks);
 	char *cached = fl_cached_heartbeat_encode(&heartbeat);
 	cJSON *digest = fl_digest_create(108);
 
@@ -128,37 +128,37 @@
 
 	fl_digest_add_heartbeat(digest, cached);
 	free(cached);
-	cached = fl_cached_heartbeat_encode(&heartbeat_without_tasks);
+	cached = fl_cached_heartbeat_encode(&cached_idle_heartbeat);
 	assert_string_equal(cached, CACHED_IDLE_HEARTBEAT);
 
 	fl_digest_add_heartbeat(digest, cached);
 	free(cached);
-	assert_json_text(digest, DIGEST);
+	assert_json_text_and_delete(digest, DIGEST_RECORD);
 }
 
 static void a_digest_is_read_as_cached_heartbeats(void **state)
 {
-	struct fl_task_status tasks[CACHED_TASKS];
-	struct fl_heartbeat expected = make_heartbeat(tasks), read;
-	cJSON *digest = parse_json(DIGEST);
+	struct fl_task_status tasks[CACHED_TASK_COUNT];
+	struct fl_heartbeat expected = make_cached_heartbeat(tasks), decoded;
+	cJSON *digest = parse_json(DIGEST_RECORD);
 	const cJSON *list = fl_digest_heartbeats(digest);
 
 	(void)state;
 	assert_int_equal(cJSON_GetArraySize(list), 2);
-	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 0), &read), 0);
-	assert_cached_heartbeat(&read, &expected);
-	fl_heartbeat_free(&read);
-	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 1), &read), 0);
-	assert_cached_heartbeat(&read, &heartbeat_without_tasks);
-	fl_heartbeat_free(&read);
+	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 0), &decoded), 0);
+	assert_cached_heartbeat(&decoded, &expected);
+	fl_heartbeat_free(&decoded);
+	assert_int_equal(fl_cached_heartbeat_decode(cJSON_GetArrayItem(list, 1), &decoded), 0);
+	assert_cached_heartbeat(&decoded, &cached_idle_heartbeat);
+	fl_heartbeat_free(&decoded);
 	cJSON_Delete(digest);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(progress_is_stored_by_phase),
-		cmocka_unit_test(progress_is_counted_from_its_record),
+		cmocka_unit_test(a_progress_record_lists_tasks_by_phase),
+		cmocka_unit_test(task_counts_are_read_from_a_progress_record),
 		cmocka_unit_test(the_write_ahead_log_is_written_as_groups_of_changes),
 		cmocka_unit_test(the_write_ahead_log_is_read_as_groups_of_changes),
 		cmocka_unit_test(a_digest_is_written_as_cached_heartbeats),
--- a/tests/test_contract_settings.c
+++ b/tests/test_contract_settings.c
@@ -19,7 +19,7 @@
 /* Each line as it can be taken out. */
 static const struct {
 	const char *line;
-	const char *refused; /* what is said without the line; NULL: nothing */
+	const char *expected_error; /* what is said without the line; NULL: nothing */
 } settings[] = {
 	{"node = \"host-1\"\n", "node: missing"},
 	{"location = \"north\"\n", "location: missing"},
@@ -63,40 +63,40 @@
 	{"max_connections = 1234\n", "settings.resources.max_connections: missing"},
 };
 
-enum { SETTINGS = sizeof(settings) / sizeof(settings[0]), SETTINGS_TEXT_MAX = 4096 };
+enum { SETTING_LINES = sizeof(settings) / sizeof(settings[0]), SETTINGS_TEXT_MAX = 4096 };
 
 /* Reads the text as a settings file; `error` begins after the file's name. */
 static int read_settings(const char *text, struct fl_config *config, char error[256])
 {
-	char path[] = P_tmpdir "/contract-settings-XXXXXX", said[320] = "";
+	char path[] = P_tmpdir "/contract-settings-XXXXXX", message[320] = "";
 	int file = mkstemp(path), result;
-	struct fl_config_error found;
+	struct fl_config_error config_error;
 	size_t length = strlen(text);
 
 	assert_true(file >= 0);
 	assert_int_equal(write(file, text, length), (ssize_t)length);
 	close(file);
-	result = fl_config_read(path, config, &found);
+	result = fl_config_read(path, config, &config_error);
 	unlink(path);
 	error[0] = 0;
 	if (result != FL_CONFIG_OK) {
-		fl_config_error_text(&found, said, sizeof(said));
-		assert_memory_equal(said, path, strlen(path));
-		snprintf(error, 256, "%s", said + strlen(path) + strlen(": "));
+		fl_config_error_text(&config_error, message, sizeof(message));
+		assert_memory_equal(message, path, strlen(path));
+		snprintf(error, 256, "%s", message + strlen(path) + strlen(": "));
 	}
 	return result;
 }
 
 /* The whole file without this line; a table's line gives way to that of a table not read. */
-static void settings_without(int without, char text[SETTINGS_TEXT_MAX])
+static void build_settings_without(int omitted_line, char text[SETTINGS_TEXT_MAX])
 {
 	size_t length = 0;
 
 	text[0] = 0;
-	for (int number = 0; number < SETTINGS; number++) {
-		const char *line = settings[number].line;
+	for (int line_number = 0; line_number < SETTING_LINES; line_number++) {
+		const char *line = settings[line_number].line;
 
-		if (number == without)
+		if (line_number == omitted_line)
 			line = line[0] == '[' ? "[elsewhere]\n" : "";
 		length += (size_t)snprintf(text + length, SETTINGS_TEXT_MAX - length, "%s", line);
 	}
@@ -131,7 +131,7 @@
 	char text[SETTINGS_TEXT_MAX], error[256];
 
 	(void)state;
-	settings_without(-1, text);
+	build_settings_without(-1, text);
 	if (read_settings(text, &config, error) != 0)
 		fail_msg("%s", error);
 
@@ -156,36 +156,36 @@
 	assert_int_equal(config.max_connections, 1234);
 }
 
-static void a_settings_file_that_lacks_a_key_is_refused_by_its_name(void **state)
+static void a_settings_file_that_lacks_a_key_is_rejected_and_the_key_named(void **state)
 {
 	struct fl_config config;
 	char text[SETTINGS_TEXT_MAX], error[256];
 
 	(void)state;
-	for (int number = 0; number < SETTINGS; number++) {
-		if (!settings[number].refused)
+	for (int line_number = 0; line_number < SETTING_LINES; line_number++) {
+		if (!settings[line_number].expected_error)
 			continue;
-		settings_without(number, text);
+		build_settings_without(line_number, text);
 		assert_int_equal(read_settings(text, &config, error), FL_CONFIG_INVALID_SETTING);
-		assert_string_equal(error, settings[number].refused);
+		assert_string_equal(error, settings[line_number].expected_error);
 	}
 
-	settings_without(-1, text);
+	build_settings_without(-1, text);
 	*strstr(text, "[settings]") = 0;
 	assert_int_equal(read_settings(text, &config, error), FL_CONFIG_INVALID_SETTING);
 	assert_string_equal(error, "settings: missing");
 }
 
-static void an_objective_without_a_class_is_for_all(void **state)
+static void an_objective_without_a_class_applies_to_all_classes(void **state)
 {
 	struct fl_config config;
 	char text[SETTINGS_TEXT_MAX], error[256];
 
 	(void)state;
-	for (int number = 0; number < SETTINGS; number++) {
-		if (strncmp(settings[number].line, "class", 5) != 0)
+	for (int line_number = 0; line_number < SETTING_LINES; line_number++) {
+		if (strncmp(settings[line_number].line, "class", 5) != 0)
 			continue;
-		settings_without(number, text);
+		build_settings_without(line_number, text);
 		assert_int_equal(read_settings(text, &config, error), 0);
 		assert_string_equal(config.slos[0].job_class, "");
 		assert_string_equal(config.slos[0].kind, "wait");
@@ -196,8 +196,8 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(every_setting_is_read_from_its_key),
-		cmocka_unit_test(a_settings_file_that_lacks_a_key_is_refused_by_its_name),
-		cmocka_unit_test(an_objective_without_a_class_is_for_all),
+		cmocka_unit_test(a_settings_file_that_lacks_a_key_is_rejected_and_the_key_named),
+		cmocka_unit_test(an_objective_without_a_class_applies_to_all_classes),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_contract_users.c
+++ b/tests/test_contract_users.c
@@ -89,23 +89,23 @@
                                             .checkpoint_cost_s = 7};
 
 /* Decoded from the text, and the text again encoded from what was expected. */
-static void assert_job_spec_both_ways(const char *text, const struct fl_job_spec *expected)
+static void assert_job_spec_round_trip(const char *text, const struct fl_job_spec *expected)
 {
 	cJSON *tree = parse_json(text);
 	struct fl_job_spec got;
 
 	assert_null(fl_job_spec_decode(tree, &got));
 	cJSON_Delete(tree);
-	assert_job_spec(&got, expected);
-	assert_text(fl_json_print_and_delete(fl_job_spec_encode(expected)), text);
+	assert_job_spec_equal(&got, expected);
+	assert_text_and_free(fl_json_print_and_delete(fl_job_spec_encode(expected)), text);
 }
 
-static void a_job_description_has_the_agreed_fields_for_each_kind(void **state)
+static void a_job_description_has_the_contract_fields_for_each_kind(void **state)
 {
 	(void)state;
-	assert_job_spec_both_ways(array_job_text, &array_job);
-	assert_job_spec_both_ways(service_job_text, &service_job);
-	assert_job_spec_both_ways(gang_job_text, &gang_job);
+	assert_job_spec_round_trip(array_job_text, &array_job);
+	assert_job_spec_round_trip(service_job_text, &service_job);
+	assert_job_spec_round_trip(gang_job_text, &gang_job);
 }
 
 static const char critical_job_text[] =
@@ -148,12 +148,13 @@
 	(void)state;
 	assert_null(fl_job_spec_decode(tree, &got));
 	cJSON_Delete(tree);
-	assert_job_spec(&got, &expected);
-	assert_text(fl_json_print_and_delete(fl_job_spec_encode(&expected)), critical_job_encoded);
+	assert_job_spec_equal(&got, &expected);
+	assert_text_and_free(fl_json_print_and_delete(fl_job_spec_encode(&expected)),
+	                     critical_job_encoded);
 }
 
 /* The user is told the name of the field. */
-static void a_missing_field_of_a_job_description_is_named(void **state)
+static void a_missing_or_invalid_field_of_a_job_description_is_named(void **state)
 {
 	static const char *const required[] = {
 		"Ref",    "JobClass", "Owner",     "JobKind",        "Tier",         "Parts",
@@ -181,31 +182,35 @@
 
 /* ---- users: answers and paths ---- */
 
-static void a_status_answer_has_the_word_of_each_status(void **state)
+static void a_status_response_has_the_name_of_each_status(void **state)
 {
 	(void)state;
-	assert_text(fl_job_status_encode("run-000412", FL_PENDING, 0, 0),
-	            "{\"Ref\":\"run-000412\",\"Status\":\"pending\",\"done\":0,\"running\":0}");
-	assert_text(fl_job_status_encode("run-000412", FL_RUNNING, 3, 13),
-	            "{\"Ref\":\"run-000412\",\"Status\":\"running\",\"done\":3,\"running\":13}");
-	assert_text(fl_job_status_encode("run-000413", FL_DONE, 16, 0),
-	            "{\"Ref\":\"run-000413\",\"Status\":\"done\",\"done\":16,\"running\":0}");
-	assert_text(fl_job_status_encode("run-000414", FL_CANCELLED, 2, 1),
-	            "{\"Ref\":\"run-000414\",\"Status\":\"aborted\",\"done\":2,\"running\":1}");
+	assert_text_and_free(
+		fl_job_status_encode("run-000412", FL_PENDING, 0, 0),
+		"{\"Ref\":\"run-000412\",\"Status\":\"pending\",\"done\":0,\"running\":0}");
+	assert_text_and_free(
+		fl_job_status_encode("run-000412", FL_RUNNING, 3, 13),
+		"{\"Ref\":\"run-000412\",\"Status\":\"running\",\"done\":3,\"running\":13}");
+	assert_text_and_free(
+		fl_job_status_encode("run-000413", FL_DONE, 16, 0),
+		"{\"Ref\":\"run-000413\",\"Status\":\"done\",\"done\":16,\"running\":0}");
+	assert_text_and_free(
+		fl_job_status_encode("run-000414", FL_CANCELLED, 2, 1),
+		"{\"Ref\":\"run-000414\",\"Status\":\"aborted\",\"done\":2,\"running\":1}");
 }
 
-static void an_answer_to_a_submission_or_cancellation_has_no_task_counts(void **state)
+static void a_submission_or_cancellation_response_has_no_task_counts(void **state)
 {
 	(void)state;
-	assert_text(fl_job_status_encode("run-000412", FL_PENDING, -1, -1),
-	            "{\"Ref\":\"run-000412\",\"Status\":\"pending\"}");
-	assert_text(fl_job_status_encode("run-000412", FL_CANCELLED, -1, -1),
-	            "{\"Ref\":\"run-000412\",\"Status\":\"aborted\"}");
-	assert_text(fl_job_status_encode("run-000412", FL_DONE, -1, -1),
-	            "{\"Ref\":\"run-000412\",\"Status\":\"done\"}");
+	assert_text_and_free(fl_job_status_encode("run-000412", FL_PENDING, -1, -1),
+	                     "{\"Ref\":\"run-000412\",\"Status\":\"pending\"}");
+	assert_text_and_free(fl_job_status_encode("run-000412", FL_CANCELLED, -1, -1),
+	                     "{\"Ref\":\"run-000412\",\"Status\":\"aborted\"}");
+	assert_text_and_free(fl_job_status_encode("run-000412", FL_DONE, -1, -1),
+	                     "{\"Ref\":\"run-000412\",\"Status\":\"done\"}");
 }
 
-static void each_status_has_its_word(void **state)
+static void each_job_status_has_its_name(void **state)
 {
 	(void)state;
 	assert_string_equal(fl_job_status_name(FL_PENDING), "pending");
@@ -214,11 +219,11 @@
 	assert_string_equal(fl_job_status_name(FL_CANCELLED), "aborted");
 }
 
-static void each_path_leads_to_its_request_kind(void **state)
+static void each_path_maps_to_its_request_kind(void **state)
 {
 	static const struct {
 		const char *path;
-		enum fl_user_request call;
+		enum fl_user_request kind;
 		const char *ref;
 	} paths[] = {
 		{"/v2/runs", FL_USER_REQUEST_SUBMIT, ""},
@@ -238,12 +243,12 @@
 
 	(void)state;
 	for (int i = 0; i < COUNT_OF(paths); i++) {
-		assert_int_equal(fl_user_request_parse_path(paths[i].path, ref), paths[i].call);
+		assert_int_equal(fl_user_request_parse_path(paths[i].path, ref), paths[i].kind);
 		assert_string_equal(ref, paths[i].ref);
 	}
 }
 
-static void a_job_id_is_run_and_six_to_twelve_digits(void **state)
+static void a_valid_job_id_is_run_and_six_to_twelve_digits(void **state)
 {
 	(void)state;
 	assert_string_equal(FL_JOB_REF_PREFIX, "run-");
@@ -256,25 +261,26 @@
 	assert_false(fl_job_ref_is_valid("RUN-000412"));
 }
 
-static void an_error_answer_has_the_field_error(void **state)
+static void an_error_response_has_the_field_error(void **state)
 {
 	(void)state;
-	assert_text(fl_json_error("bad field: %s", "Tier"), "{\"error\":\"bad field: Tier\"}");
-	assert_text(fl_json_error("the \"owner\""), "{\"error\":\"the \\\"owner\\\"\"}");
+	assert_text_and_free(fl_json_error("bad field: %s", "Tier"),
+	                     "{\"error\":\"bad field: Tier\"}");
+	assert_text_and_free(fl_json_error("the \"owner\""), "{\"error\":\"the \\\"owner\\\"\"}");
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_job_description_has_the_agreed_fields_for_each_kind),
+		cmocka_unit_test(a_job_description_has_the_contract_fields_for_each_kind),
 		cmocka_unit_test(a_job_description_with_nulls_has_no_constraints),
-		cmocka_unit_test(a_missing_field_of_a_job_description_is_named),
-		cmocka_unit_test(a_status_answer_has_the_word_of_each_status),
-		cmocka_unit_test(an_answer_to_a_submission_or_cancellation_has_no_task_counts),
-		cmocka_unit_test(each_status_has_its_word),
-		cmocka_unit_test(each_path_leads_to_its_request_kind),
-		cmocka_unit_test(a_job_id_is_run_and_six_to_twelve_digits),
-		cmocka_unit_test(an_error_answer_has_the_field_error),
+		cmocka_unit_test(a_missing_or_invalid_field_of_a_job_description_is_named),
+		cmocka_unit_test(a_status_response_has_the_name_of_each_status),
+		cmocka_unit_test(a_submission_or_cancellation_response_has_no_task_counts),
+		cmocka_unit_test(each_job_status_has_its_name),
+		cmocka_unit_test(each_path_maps_to_its_request_kind),
+		cmocka_unit_test(a_valid_job_id_is_run_and_six_to_twelve_digits),
+		cmocka_unit_test(an_error_response_has_the_field_error),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_contract_workers.c
+++ b/tests/test_contract_workers.c
@@ -17,7 +17,7 @@
 #include "contract_text.h"
 #include "protocol/workers.h"
 
-static void a_heartbeat_has_each_task_state_and_each_exit_word(void **state)
+static void a_heartbeat_has_the_name_of_each_task_state_and_exit_reason(void **state)
 {
 	const struct fl_heartbeat expected = busy_heartbeat();
 	struct fl_heartbeat got;
@@ -25,13 +25,13 @@
 	(void)state;
 	assert_int_equal(
 		fl_heartbeat_decode(busy_heartbeat_text, strlen(busy_heartbeat_text), &got), 0);
-	assert_heartbeat(&got, &expected);
+	assert_heartbeat_equal(&got, &expected);
 	fl_heartbeat_free(&got);
-	assert_text(fl_heartbeat_encode(&expected), busy_heartbeat_text);
+	assert_text_and_free(fl_heartbeat_encode(&expected), busy_heartbeat_text);
 }
 
 /* The largest count there is. */
-static void the_fencing_token_of_a_heartbeat_is_read_exactly(void **state)
+static void the_largest_counters_of_a_heartbeat_are_read_exactly(void **state)
 {
 	static const char text[] =
 		"{\"Host\":\"m-000232\",\"Endpoint\":\"10.1.0.233:9000\",\"HostKind\":\"c32\","
@@ -47,7 +47,7 @@
 	fl_heartbeat_free(&got);
 }
 
-static void a_heartbeat_without_spot_notice_and_tasks_has_neither(void **state)
+static void a_heartbeat_without_interruption_notice_has_none_after_decoding(void **state)
 {
 	static const char with_null[] =
 		"{\"Host\":\"m-000232\",\"Endpoint\":\"10.1.0.233:9000\",\"HostKind\":\"c32\","
@@ -58,10 +58,10 @@
 	(void)state;
 	assert_int_equal(
 		fl_heartbeat_decode(idle_heartbeat_text, strlen(idle_heartbeat_text), &got), 0);
-	assert_heartbeat(&got, &idle_heartbeat);
+	assert_heartbeat_equal(&got, &idle_heartbeat);
 	assert_int_equal(fl_heartbeat_decode(with_null, strlen(with_null), &got), 0);
-	assert_heartbeat(&got, &idle_heartbeat);
-	assert_text(fl_heartbeat_encode(&idle_heartbeat), idle_heartbeat_text);
+	assert_heartbeat_equal(&got, &idle_heartbeat);
+	assert_text_and_free(fl_heartbeat_encode(&idle_heartbeat), idle_heartbeat_text);
 }
 
 /* The body of a direct command, with its incarnation. */
@@ -81,7 +81,7 @@
 	                    &(struct fl_command){FL_COMMAND_FORGET, "run-000398", 0, 1, 10.5});
 }
 
-static void a_heartbeat_answer_has_the_fencing_token_and_each_verb(void **state)
+static void a_heartbeat_response_has_the_fencing_token_and_each_verb(void **state)
 {
 	struct fl_command_list commands;
 
@@ -89,22 +89,23 @@
 	fl_command_list_init(&commands, 41);
 	add_one_command_of_each_verb(&commands);
 	assert_int_equal(commands.count, 3);
-	assert_text(fl_command_list_take_body(&commands),
-	            "{\"Epoch\":41,\"Orders\":["
-	            "{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
-	            "{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
-	            "{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}]}");
+	assert_text_and_free(
+		fl_command_list_take_body(&commands),
+		"{\"Epoch\":41,\"Orders\":["
+		"{\"Verb\":\"launch\",\"Part\":\"run-000412/4\",\"Try\":2},"
+		"{\"Verb\":\"kill\",\"Part\":\"run-000377/1\",\"Try\":5,\"WindDownS\":10.5},"
+		"{\"Verb\":\"forget\",\"Part\":\"run-000398/0\",\"Try\":1}]}");
 
 	fl_command_list_init(&commands, 912345678901234);
-	assert_text(fl_command_list_take_body(&commands),
-	            "{\"Epoch\":912345678901234,\"Orders\":[]}");
+	assert_text_and_free(fl_command_list_take_body(&commands),
+	                     "{\"Epoch\":912345678901234,\"Orders\":[]}");
 }
 
 static void a_redirect_names_the_node_to_send_heartbeats_to(void **state)
 {
 	(void)state;
-	assert_text(fl_redirect_encode("host-2"), "{\"Steward\":\"host-2\"}");
-	assert_text(fl_redirect_encode(NULL), "{}");
+	assert_text_and_free(fl_redirect_encode("host-2"), "{\"Steward\":\"host-2\"}");
+	assert_text_and_free(fl_redirect_encode(NULL), "{}");
 }
 
 struct command_results {
@@ -122,7 +123,7 @@
 			fl_worker_send_commands(address, got->body, 5, &got->heartbeats[i]);
 }
 
-static void a_direct_command_is_posted_and_answered_with_a_heartbeat(void **state)
+static void a_direct_command_is_posted_and_its_response_is_a_heartbeat(void **state)
 {
 	static const char request[] =
 		"POST /commands\n"
@@ -146,12 +147,12 @@
 	got.body = fl_command_list_take_body(&commands);
 	assert_string_equal(got.body, command_text);
 
-	contract_run(send_commands, &got, script, COUNT_OF(script));
+	contract_run_exchanges(send_commands, &got, script, COUNT_OF(script));
 	free(got.body);
 	assert_int_equal(got.result[0], FL_WORKER_ACCEPTED);
-	assert_heartbeat(&got.heartbeats[0], &busy);
+	assert_heartbeat_equal(&got.heartbeats[0], &busy);
 	assert_int_equal(got.result[1], FL_WORKER_REJECTED);
-	assert_heartbeat(&got.heartbeats[1], &idle_heartbeat);
+	assert_heartbeat_equal(&got.heartbeats[1], &idle_heartbeat);
 	assert_int_equal(got.result[2], FL_WORKER_INVALID);
 	assert_int_equal(got.heartbeats[2].task_count, 0);
 
@@ -162,12 +163,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_heartbeat_has_each_task_state_and_each_exit_word),
-		cmocka_unit_test(the_fencing_token_of_a_heartbeat_is_read_exactly),
-		cmocka_unit_test(a_heartbeat_without_spot_notice_and_tasks_has_neither),
-		cmocka_unit_test(a_heartbeat_answer_has_the_fencing_token_and_each_verb),
+		cmocka_unit_test(a_heartbeat_has_the_name_of_each_task_state_and_exit_reason),
+		cmocka_unit_test(the_largest_counters_of_a_heartbeat_are_read_exactly),
+		cmocka_unit_test(a_heartbeat_without_interruption_notice_has_none_after_decoding),
+		cmocka_unit_test(a_heartbeat_response_has_the_fencing_token_and_each_verb),
 		cmocka_unit_test(a_redirect_names_the_node_to_send_heartbeats_to),
-		cmocka_unit_test(a_direct_command_is_posted_and_answered_with_a_heartbeat),
+		cmocka_unit_test(a_direct_command_is_posted_and_its_response_is_a_heartbeat),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_coroutine.c
+++ b/tests/test_coroutine.c
@@ -12,40 +12,40 @@
 #include "transport/clock.h"
 
 struct waiters {
-	struct fl_condition signal;
-	int woken, cancelled, unwound;
+	struct fl_condition condition;
+	int woken_count, cancelled_count, unwound_count;
 	int timeout_result; /* of a wait for a signal that does not come */
 };
 
-static void wait_for_signal(void *argument)
+static void wait_for_condition(void *argument)
 {
 	struct waiters *waiters = argument;
-	int rc = fl_condition_wait(&waiters->signal, -1);
+	int rc = fl_condition_wait(&waiters->condition, -1);
 
 	if (rc == 0)
-		waiters->woken++;
+		waiters->woken_count++;
 	if (rc == -ECANCELED) {
-		waiters->cancelled++;
+		waiters->cancelled_count++;
 		/* Once cancelled, no wait waits any more: the coroutine unwinds. */
 		if (fl_sleep(1000) == -ECANCELED && fl_io_wait(0, EV_READ, -1) == -ECANCELED)
-			waiters->unwound++;
+			waiters->unwound_count++;
 	}
 }
 
 static void cancel_one_waiter(void *argument)
 {
 	struct waiters *waiters = argument;
-	struct fl_coroutine *cancelled;
+	struct fl_coroutine *cancelled_count;
 
-	fl_coroutine_spawn(wait_for_signal, waiters);
-	fl_coroutine_spawn(wait_for_signal, waiters);
-	cancelled = fl_coroutine_spawn(wait_for_signal, waiters);
+	fl_coroutine_spawn(wait_for_condition, waiters);
+	fl_coroutine_spawn(wait_for_condition, waiters);
+	cancelled_count = fl_coroutine_spawn(wait_for_condition, waiters);
 	fl_sleep(0);
-	fl_coroutine_cancel(cancelled);
+	fl_coroutine_cancel(cancelled_count);
 	fl_sleep(0);
-	fl_condition_broadcast(&waiters->signal);
+	fl_condition_broadcast(&waiters->condition);
 	fl_sleep(0);
-	waiters->timeout_result = fl_condition_wait(&waiters->signal, 0.001);
+	waiters->timeout_result = fl_condition_wait(&waiters->condition, 0.001);
 }
 
 static void a_cancelled_coroutine_unwinds_by_itself(void **state)
@@ -57,9 +57,9 @@
 	run_coroutine(cancel_one_waiter, &waiters);
 	fl_coroutines_shutdown();
 
-	assert_int_equal(waiters.woken, 2);
-	assert_int_equal(waiters.cancelled, 1);
-	assert_int_equal(waiters.unwound, 1);
+	assert_int_equal(waiters.woken_count, 2);
+	assert_int_equal(waiters.cancelled_count, 1);
+	assert_int_equal(waiters.unwound_count, 1);
 	assert_int_equal(waiters.timeout_result, -ETIMEDOUT);
 }
 
@@ -73,7 +73,7 @@
 	int wait_results[2];
 };
 
-static void compute_for_a_turn(void *argument)
+static void compute_longer_than_a_turn(void *argument)
 {
 	struct turns *turns = argument;
 	double until = fl_now() + 0.02; /* longer than a turn, however fast the machine */
@@ -93,7 +93,7 @@
 
 	fl_coroutine_set_urgent();
 	for (int i = 0; i < BUSY_COROUTINES; i++)
-		fl_coroutine_spawn(compute_for_a_turn, turns);
+		fl_coroutine_spawn(compute_longer_than_a_turn, turns);
 	turns->wait_results[0] = fl_io_wait(turns->pipe[0], EV_READ, 10);
 	turns->order[turns->count++] = 'u';
 	/* After a standstill the answer and the end of its time come at once: it was not missed. */
--- a/tests/test_coroutine_order.c
+++ b/tests/test_coroutine_order.c
@@ -9,52 +9,52 @@
 #include "transport/clock.h"
 #include "transport/coroutine.h"
 
-enum { MAX_WAITING = 2, ORDER_SIZE = 32, ROUNDS = 16 };
+enum { MAX_WAITING = 2, ORDER_SIZE = 32, LOOP_ITERATIONS = 16 };
 static const double longer_than_a_turn_s = 0.02;
 
 /* The clock that turns are measured by: it advances only where a coroutine computes for long. */
-static double now = 1000;
+static double fake_now = 1000;
 
-double fl_now(void) { return now; }
+double fl_now(void) { return fake_now; }
 
 static char order[ORDER_SIZE];
 
-static void note(char letter) { order[strlen(order)] = letter; }
+static void append_to_order(char letter) { order[strlen(order)] = letter; }
 
-static void ordinary(void *argument) { note(*(const char *)argument); }
+static void run_ordinary(void *argument) { append_to_order(*(const char *)argument); }
 
 /* Computes until its turn is over. */
-static void slow(void *argument)
+static void run_slow(void *argument)
 {
-	now += longer_than_a_turn_s;
-	note(*(const char *)argument);
+	fake_now += longer_than_a_turn_s;
+	append_to_order(*(const char *)argument);
 }
 
-static void deferred(void *argument)
+static void run_deferred(void *argument)
 {
 	if (fl_coroutine_defer(MAX_WAITING))
-		note(*(const char *)argument);
+		append_to_order(*(const char *)argument);
 	else
-		note('-');
+		append_to_order('-');
 }
 
-static void urgent(void *argument)
+static void run_urgent(void *argument)
 {
 	fl_coroutine_set_urgent();
 	fl_sleep(0);
-	note(*(const char *)argument);
+	append_to_order(*(const char *)argument);
 }
 
-static void cancelled(void *argument)
+static void cancel_other(void *argument)
 {
 	fl_coroutine_cancel(argument);
-	note('c');
+	append_to_order('c');
 }
 
 /* No coroutine here waits for long: a few rounds of the loop, none of which may sleep. */
 static void run_all(void)
 {
-	for (int i = 0; i < ROUNDS; i++)
+	for (int i = 0; i < LOOP_ITERATIONS; i++)
 		ev_run(fl_event_loop(), EVRUN_NOWAIT);
 }
 
@@ -76,13 +76,13 @@
 	return 0;
 }
 
-static void a_deferred_coroutine_lets_all_others_run_first(void **state)
+static void a_deferred_coroutine_runs_after_all_others_that_are_ready(void **state)
 {
 	(void)state;
-	assert_non_null(fl_coroutine_spawn(deferred, "1"));
-	assert_non_null(fl_coroutine_spawn(ordinary, "a"));
-	assert_non_null(fl_coroutine_spawn(deferred, "2"));
-	assert_non_null(fl_coroutine_spawn(ordinary, "b"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(run_ordinary, "a"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "2"));
+	assert_non_null(fl_coroutine_spawn(run_ordinary, "b"));
 
 	run_all();
 	assert_string_equal(order, "ab12");
@@ -92,11 +92,11 @@
 static void a_deferred_coroutine_is_not_starved_by_slow_ones(void **state)
 {
 	(void)state;
-	assert_non_null(fl_coroutine_spawn(deferred, "1"));
-	assert_non_null(fl_coroutine_spawn(deferred, "2"));
-	assert_non_null(fl_coroutine_spawn(slow, "a"));
-	assert_non_null(fl_coroutine_spawn(slow, "b"));
-	assert_non_null(fl_coroutine_spawn(slow, "c"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "2"));
+	assert_non_null(fl_coroutine_spawn(run_slow, "a"));
+	assert_non_null(fl_coroutine_spawn(run_slow, "b"));
+	assert_non_null(fl_coroutine_spawn(run_slow, "c"));
 
 	run_all();
 	assert_string_equal(order, "a1b2c");
@@ -105,10 +105,10 @@
 static void a_coroutine_is_not_deferred_when_too_many_are_waiting(void **state)
 {
 	(void)state;
-	assert_non_null(fl_coroutine_spawn(deferred, "1"));
-	assert_non_null(fl_coroutine_spawn(deferred, "2"));
-	assert_non_null(fl_coroutine_spawn(deferred, "3"));
-	assert_non_null(fl_coroutine_spawn(ordinary, "a"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "2"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "3"));
+	assert_non_null(fl_coroutine_spawn(run_ordinary, "a"));
 
 	run_all();
 	assert_string_equal(order, "-a12");
@@ -117,10 +117,10 @@
 static void an_urgent_coroutine_runs_before_a_deferred_one(void **state)
 {
 	(void)state;
-	assert_non_null(fl_coroutine_spawn(urgent, "u"));
-	assert_non_null(fl_coroutine_spawn(slow, "a"));
-	assert_non_null(fl_coroutine_spawn(deferred, "1"));
-	assert_non_null(fl_coroutine_spawn(slow, "b"));
+	assert_non_null(fl_coroutine_spawn(run_urgent, "u"));
+	assert_non_null(fl_coroutine_spawn(run_slow, "a"));
+	assert_non_null(fl_coroutine_spawn(run_deferred, "1"));
+	assert_non_null(fl_coroutine_spawn(run_slow, "b"));
 
 	run_all();
 
@@ -128,14 +128,14 @@
 	assert_string_equal(order, "aub1");
 }
 
-static void a_deferred_coroutine_goes_on_without_its_turn_when_it_is_cancelled(void **state)
+static void a_deferral_fails_when_the_coroutine_is_cancelled(void **state)
 {
 	struct fl_coroutine *coroutine;
 
 	(void)state;
-	coroutine = fl_coroutine_spawn(deferred, "1");
+	coroutine = fl_coroutine_spawn(run_deferred, "1");
 	assert_non_null(coroutine);
-	assert_non_null(fl_coroutine_spawn(cancelled, coroutine));
+	assert_non_null(fl_coroutine_spawn(cancel_other, coroutine));
 	run_all();
 	assert_string_equal(order, "c-");
 }
@@ -143,17 +143,17 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(a_deferred_coroutine_lets_all_others_run_first,
-	                                        set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			a_deferred_coroutine_runs_after_all_others_that_are_ready, set_up,
+			tear_down),
 		cmocka_unit_test_setup_teardown(a_deferred_coroutine_is_not_starved_by_slow_ones,
 	                                        set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 			a_coroutine_is_not_deferred_when_too_many_are_waiting, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(an_urgent_coroutine_runs_before_a_deferred_one,
 	                                        set_up, tear_down),
-		cmocka_unit_test_setup_teardown(
-			a_deferred_coroutine_goes_on_without_its_turn_when_it_is_cancelled, set_up,
-			tear_down),
+		cmocka_unit_test_setup_teardown(a_deferral_fails_when_the_coroutine_is_cancelled,
+	                                        set_up, tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -21,7 +21,7 @@
 	"\"Together\":true,\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":240.0,"
 	"\"SnapshotEveryS\":30.0,\"SnapshotCostS\":4.0,\"DueS\":900.0,\"Later\":[1]}";
 
-static const char *decode(const char *text, struct fl_job_spec *spec)
+static const char *decode_job_text(const char *text, struct fl_job_spec *spec)
 {
 	cJSON *object = fl_json_parse(text, strlen(text));
 	const char *bad_field;
@@ -33,7 +33,7 @@
 }
 
 /* The good body with one field's value replaced. */
-static const char *decode_with(const char *field, const char *value)
+static const char *decode_job_with_field(const char *field, const char *value)
 {
 	static struct fl_job_spec spec;
 	cJSON *object = fl_json_parse(good_job_text, strlen(good_job_text)),
@@ -46,26 +46,26 @@
 	else
 		cJSON_DeleteItemFromObjectCaseSensitive(object, field);
 	text = fl_json_print_and_delete(object);
-	bad_field = decode(text, &spec);
+	bad_field = decode_job_text(text, &spec);
 	free(text);
 	return bad_field;
 }
 
 static void a_job_description_is_encoded_as_it_was_decoded(void **state)
 {
-	struct fl_job_spec spec, again;
+	struct fl_job_spec spec, decoded_again;
 	char *text;
 
 	(void)state;
-	assert_null(decode(good_job_text, &spec));
+	assert_null(decode_job_text(good_job_text, &spec));
 	assert_string_equal(spec.ref, "run-000412");
 	assert_int_equal(spec.task_count, 16);
 	assert_int_equal(spec.priority, FL_URGENT);
 	assert_false(spec.has_zone);
 
 	text = fl_json_print_and_delete(fl_job_spec_encode(&spec));
-	assert_null(decode(text, &again));
-	assert_memory_equal(&spec, &again, sizeof(spec));
+	assert_null(decode_job_text(text, &decoded_again));
+	assert_memory_equal(&spec, &decoded_again, sizeof(spec));
 	free(text);
 }
 
@@ -102,24 +102,25 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
-		const char *named = decode_with(malformed[i].field, malformed[i].value);
+		const char *bad_field =
+			decode_job_with_field(malformed[i].field, malformed[i].value);
 
-		assert_non_null(named);
-		assert_string_equal(named, malformed[i].field);
+		assert_non_null(bad_field);
+		assert_string_equal(bad_field, malformed[i].field);
 	}
 }
 
-static void a_null_field_is_taken_for_a_missing_one(void **state)
+static void a_null_optional_field_is_decoded_as_a_missing_one(void **state)
 {
 	(void)state;
-	assert_null(decode_with("DueS", "null"));
-	assert_null(decode_with("DueS", ""));
-	assert_null(decode_with("HostKinds", "null"));
-	assert_null(decode_with("Site", ""));
+	assert_null(decode_job_with_field("DueS", "null"));
+	assert_null(decode_job_with_field("DueS", ""));
+	assert_null(decode_job_with_field("HostKinds", "null"));
+	assert_null(decode_job_with_field("Site", ""));
 }
 
 /* Guards the small stacks of coroutines: cJSON recurses once a level. */
-static void malformed_json_is_refused(void **state)
+static void malformed_or_deeply_nested_json_is_rejected(void **state)
 {
 	char text[4001];
 	cJSON *object;
@@ -145,7 +146,7 @@
 	cJSON_Delete(object);
 }
 
-static void a_heartbeat_is_refused_when_it_is_malformed(void **state)
+static void a_malformed_heartbeat_is_rejected(void **state)
 {
 	static const char heartbeat[] =
 		"{\"Host\":\"m-000231\",\"Endpoint\":\"10.1.0.232:9000\",\"HostKind\":\"g8\","
@@ -196,7 +197,7 @@
 	                                     .zone_count = 2},
 				     *decoded_types;
 	cJSON *object = fl_machine_types_encode(&type, 1),
-	      *none = fl_machine_types_encode(&type, 0);
+	      *empty_list = fl_machine_types_encode(&type, 0);
 	int count;
 
 	(void)state;
@@ -206,13 +207,13 @@
 	free(decoded_types);
 
 	/* A record without any is refused: no job could be placed by it. */
-	assert_int_not_equal(fl_machine_types_decode(none, &decoded_types, &count), 0);
+	assert_int_not_equal(fl_machine_types_decode(empty_list, &decoded_types, &count), 0);
 	assert_null(decoded_types);
 	cJSON_Delete(object);
-	cJSON_Delete(none);
+	cJSON_Delete(empty_list);
 }
 
-static void a_forwarded_request_is_refused_unless_it_is_a_users_and_whole(void **state)
+static void an_incomplete_or_unknown_forwarded_request_is_rejected(void **state)
 {
 	static const char *const malformed[] = {
 		/* A heartbeat, which goes another way. */
@@ -266,11 +267,11 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_job_description_is_encoded_as_it_was_decoded),
 		cmocka_unit_test(a_malformed_field_of_a_job_description_is_named),
-		cmocka_unit_test(a_null_field_is_taken_for_a_missing_one),
-		cmocka_unit_test(malformed_json_is_refused),
-		cmocka_unit_test(a_heartbeat_is_refused_when_it_is_malformed),
+		cmocka_unit_test(a_null_optional_field_is_decoded_as_a_missing_one),
+		cmocka_unit_test(malformed_or_deeply_nested_json_is_rejected),
+		cmocka_unit_test(a_malformed_heartbeat_is_rejected),
 		cmocka_unit_test(machine_types_are_decoded_as_they_were_encoded),
-		cmocka_unit_test(a_forwarded_request_is_refused_unless_it_is_a_users_and_whole),
+		cmocka_unit_test(an_incomplete_or_unknown_forwarded_request_is_rejected),
 		cmocka_unit_test(a_user_path_is_parsed_into_request_kind_and_job),
 	};
 
