--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -17,33 +17,33 @@
 #include "virtual_time_fixture.h"
 
 enum { PROCESS = 1, BUSY_COROUTINES = 300 };
-static const double computation_s = 0.005; /* s of each piece of work */
-static const double one_way_s = 0.002;     /* s each way of a call */
-static const double busy_from_s = 2, busy_for_s = 30;
+static const double computation_s = 0.005;   /* s of each piece of work */
+static const double one_way_delay_s = 0.002; /* s each way of a call */
+static const double idle_duration_s = 2, busy_duration_s = 30;
 
 static struct {
 	struct fl_node node;
 	struct fl_config config;
 	bool busy;
 	int renewals, lease_grants;
-} world;
+} fixture;
 
 /* Each piece of work of a busy controller takes a while, in which nothing else of it runs. */
 void sim_process_delay_if_slow(int process)
 {
-	if (world.busy)
+	if (fixture.busy)
 		sim_process_pause_until(process, fl_now() + computation_s);
 }
 
 /* An empty key-value store that grants leases; and a cloud without machines. */
-static const char *answer(const char *path)
+static const char *response_text(const char *path)
 {
 	if (strstr(path, "/extend")) {
-		world.renewals++;
+		fixture.renewals++;
 		return "{}";
 	}
 	if (strcmp(path, "/holds") == 0) {
-		world.lease_grants++;
+		fixture.lease_grants++;
 		return "{\"Grant\":7}";
 	}
 	if (strncmp(path, "/follow", strlen("/follow")) == 0) {
@@ -62,9 +62,9 @@
 
 	(void)client, (void)method, (void)body, (void)timeout_s;
 	memset(out, 0, sizeof(*out));
-	fl_sleep(one_way_s);
-	text = answer(path);
-	if (fl_sleep(one_way_s) != 0)
+	fl_sleep(one_way_delay_s);
+	text = response_text(path);
+	if (fl_sleep(one_way_delay_s) != 0)
 		return -ECANCELED;
 	out->status = 200;
 	return fl_buffer_append(&out->body, text, strlen(text));
@@ -76,11 +76,11 @@
 	                                                       fl_leadership_end};
 
 	(void)arg;
-	fl_election_start(&world.node, &callbacks);
+	fl_election_start(&fixture.node, &callbacks);
 }
 
 /* Ready again as soon as it has run. */
-static void stay_ready(void *arg)
+static void yield_forever(void *arg)
 {
 	(void)arg;
 	while (fl_sleep(0) == 0)
@@ -93,33 +93,33 @@
  */
 static void a_leader_keeps_its_lease_when_its_controller_is_busy(void **state)
 {
-	struct fl_node *node = &world.node;
+	struct fl_node *node = &fixture.node;
 	int renewals_before;
 
 	(void)state;
 	sim_time_begin();
-	node->config = &world.config;
-	strcpy(world.config.node, "host-1");
-	world.config.core_share = 1;
-	world.config.state_rps = world.config.state_write_rps = 100;
-	world.config.cloud_rps = 1;
+	node->config = &fixture.config;
+	strcpy(fixture.config.node, "host-1");
+	fixture.config.core_share = 1;
+	fixture.config.state_rps = fixture.config.state_write_rps = 100;
+	fixture.config.cloud_rps = 1;
 	node->machine_types_loaded = node->live_jobs_loaded = true;
 	assert_non_null(sim_spawn(PROCESS, start_election, NULL));
 
-	sim_time_run(fl_now() + busy_from_s);
+	sim_time_run(fl_now() + idle_duration_s);
 	assert_true(node->leader_lease.held);
 
-	renewals_before = world.renewals;
-	world.busy = true;
+	renewals_before = fixture.renewals;
+	fixture.busy = true;
 	for (int i = 0; i < BUSY_COROUTINES; i++)
-		assert_non_null(sim_spawn(PROCESS, stay_ready, NULL));
+		assert_non_null(sim_spawn(PROCESS, yield_forever, NULL));
 
-	sim_time_run(fl_now() + busy_for_s);
+	sim_time_run(fl_now() + busy_duration_s);
 	assert_true(fl_leader_lease_is_valid(&node->leader_lease));
-	assert_int_equal(world.lease_grants, 1);
+	assert_int_equal(fixture.lease_grants, 1);
 
 	/* One each 0.8 s, and what the work before it takes. */
-	assert_true(world.renewals - renewals_before >= (int)busy_for_s);
+	assert_true(fixture.renewals - renewals_before >= (int)busy_duration_s);
 
 	virtual_time_end();
 	fl_cluster_free(&node->cluster);
--- a/tests/test_failover.c
+++ b/tests/test_failover.c
@@ -19,13 +19,13 @@
 
 static const char *const malformed_records[] = {
 	"{}",
-	RECORD("\"Parts\":0"),
-	RECORD("\"Ref\":\"run-000002\""),
-	RECORD("\"Owner\":\"nobody\""),
-	RECORD("\"Site\":\"z\""),
-	RECORD("\"final\":7"),
-	RECORD("\"final\":\"over\",\"parts\":4"),
-	RECORD("\"final\":\"aborted\",\"parts\":4,\"Tier\":\"high\""),
+	JOB_RECORD("\"Parts\":0"),
+	JOB_RECORD("\"Ref\":\"run-000002\""),
+	JOB_RECORD("\"Owner\":\"nobody\""),
+	JOB_RECORD("\"Site\":\"z\""),
+	JOB_RECORD("\"final\":7"),
+	JOB_RECORD("\"final\":\"over\",\"parts\":4"),
+	JOB_RECORD("\"final\":\"aborted\",\"parts\":4,\"Tier\":\"high\""),
 	"{\"final\":\"aborted\"}",
 };
 
@@ -39,11 +39,11 @@
 	if (fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) != 0)
 		note_failure(fixture, "a good list is not read");
 	free(machines);
-	fixture->lists_without_more = true;
+	fixture->lists_lack_more_field = true;
 	if (fl_failover_load_cluster(&fixture->node) == FL_FAILOVER_LOADED ||
 	    fl_cloud_list_machines(&fixture->node.cloud, NULL, &machines, &count, &more) == 0)
 		note_failure(fixture, "half a list passes for a whole one");
-	fixture->lists_without_more = false;
+	fixture->lists_lack_more_field = false;
 }
 
 static void load_malformed_records(void *argument)
@@ -51,32 +51,32 @@
 	struct frontend_fixture *fixture = argument;
 
 	fixture->node.leader_lease.held = true;
-	fixture->record = RECORD("\"Apart\":true");
+	fixture->job_record = JOB_RECORD("\"Apart\":true");
 	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED ||
 	    !fl_job_find(&fixture->node.cluster, "run-000001"))
 		note_failure(fixture, "a good record is not read");
 	check_partial_lists(fixture);
 	for (size_t i = 0; i < sizeof(malformed_records) / sizeof(malformed_records[0]); i++) {
-		fixture->record = malformed_records[i];
+		fixture->job_record = malformed_records[i];
 		fl_cluster_free(&fixture->node.cluster);
 		fixture->node.cluster.jobs = NULL;
 		fixture->node.cluster.finished = NULL;
 		fl_symbol_intern(&fixture->node.cluster.zones, "a");
 		if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_UNREADABLE_RECORD ||
 		    fixture->node.cluster.finished)
-			note_failure(fixture, "is decided by: %s", fixture->record);
+			note_failure(fixture, "is decided by: %s", fixture->job_record);
 	}
 	if (fixture->record_writes)
 		note_failure(fixture, "something is written");
 }
 
-static void a_new_leader_decides_nothing_over_a_malformed_record(void **state)
+static void a_new_leader_makes_no_decision_if_a_record_is_malformed(void **state)
 {
 	run_in_coroutine(*state, load_malformed_records);
 }
 
 /* Nor does a node whose watch brings it: the job neither runs nor is over. */
-static void a_follower_applies_no_malformed_record(void **state)
+static void a_follower_ignores_a_malformed_record(void **state)
 {
 	struct frontend_fixture *fixture = *state;
 
@@ -93,11 +93,11 @@
 }
 
 /* Loads one job with this progress; is its final state to be written? */
-static bool is_to_be_finished(struct frontend_fixture *fixture, const char *record,
-                              const char *progress)
+static bool loaded_job_is_finished(struct frontend_fixture *fixture, const char *record,
+                                   const char *progress)
 {
-	fixture->record = record;
-	fixture->progress = progress;
+	fixture->job_record = record;
+	fixture->progress_record = progress;
 	if (fl_failover_load_cluster(&fixture->node) != FL_FAILOVER_LOADED)
 		note_failure(fixture, "a good record is not read");
 	return fixture->node.cluster.dirty_jobs &&
@@ -107,17 +107,18 @@
 
 static void load_finished_jobs(void *argument)
 {
-	static const char cancelled[] = RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
+	static const char cancelled[] =
+		JOB_RECORD("\"final\":\"aborted\",\"parts\":4,\"cancelled\":5");
 	struct frontend_fixture *fixture = argument;
 
 	fixture->node.leader_lease.held = true;
-	if (is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
+	if (loaded_job_is_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,2]]}"))
 		note_failure(fixture, "one task is still to run");
-	if (!is_to_be_finished(fixture, RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
+	if (!loaded_job_is_finished(fixture, JOB_RECORD("\"Apart\":true"), "{\"d\":[[0,3]]}"))
 		note_failure(fixture, "all its tasks are done");
-	if (!is_to_be_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
+	if (!loaded_job_is_finished(fixture, cancelled, "{\"d\":[[0,2]]}"))
 		note_failure(fixture, "it is cancelled, and nothing of it is anywhere");
-	if (is_to_be_finished(fixture, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
+	if (loaded_job_is_finished(fixture, cancelled, "{\"m\":[[0,1,\"m-1\",1,5]]}"))
 		note_failure(fixture, "it is cancelled, and a task may still run");
 }
 
@@ -125,7 +126,7 @@
  * The previous leader ended between the record of the last task and that of the job. Nothing of the
  * job changes any more: found as a job that stayed pending for ever with all its tasks done.
  */
-static void a_new_leader_finishes_jobs_whose_tasks_are_all_over(void **state)
+static void a_new_leader_finishes_jobs_whose_tasks_have_all_ended(void **state)
 {
 	run_in_coroutine(*state, load_finished_jobs);
 }
@@ -133,9 +134,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(a_new_leader_decides_nothing_over_a_malformed_record),
-		FRONTEND_TEST(a_follower_applies_no_malformed_record),
-		FRONTEND_TEST(a_new_leader_finishes_jobs_whose_tasks_are_all_over),
+		FRONTEND_TEST(a_new_leader_makes_no_decision_if_a_record_is_malformed),
+		FRONTEND_TEST(a_follower_ignores_a_malformed_record),
+		FRONTEND_TEST(a_new_leader_finishes_jobs_whose_tasks_have_all_ended),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_failure_detector.c
+++ b/tests/test_failure_detector.c
@@ -12,7 +12,7 @@
 #include "node_fixture.h"
 #include "transport/clock.h"
 
-static void set_silence(struct node_fixture *fixture, double seconds)
+static void set_machine_silence(struct node_fixture *fixture, double seconds)
 {
 	struct fl_machine *machine = only_machine(fixture);
 
@@ -21,17 +21,17 @@
 	fixture->node.leadership.heartbeats_receivable_since = fl_now() - 1000;
 }
 
-static bool is_expired(struct node_fixture *fixture)
+static bool machine_is_expired(struct node_fixture *fixture)
 {
 	double timeouts[FL_ZONES_MAX];
 
 	fl_failure_detector_zone_timeouts(&fixture->node, fl_now(), timeouts);
-	return fl_failure_detector_machine_expired(&fixture->node, only_machine(fixture), fl_now(),
+	return fl_failure_detector_machine_is_lost(&fixture->node, only_machine(fixture), fl_now(),
 	                                           timeouts);
 }
 
 /* A machine with a task, whose zone has the only peer. */
-static struct fl_peer *add_peer_in_zone(struct node_fixture *fixture)
+static struct fl_peer *add_machine_with_peer_in_zone(struct node_fixture *fixture)
 {
 	struct fl_peer *peer = &fixture->node.peers[0];
 
@@ -43,64 +43,64 @@
 }
 
 /* All controllers well for long: only the machine can be faulty, a shorter silence is enough. */
-static void a_machine_expires_early_when_all_controllers_are_up_for_long(void **state)
+static void a_machine_expires_early_when_all_controllers_are_stable(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_peer *peer = add_peer_in_zone(fixture);
+	struct fl_peer *peer = add_machine_with_peer_in_zone(fixture);
 
 	peer->up = true;
 	peer->up_since = fl_now() - 100;
 
-	set_silence(fixture, 7);
-	assert_false(is_expired(fixture));
+	set_machine_silence(fixture, 7);
+	assert_false(machine_is_expired(fixture));
 
-	set_silence(fixture, 8);
-	assert_true(is_expired(fixture));
+	set_machine_silence(fixture, 8);
+	assert_true(machine_is_expired(fixture));
 }
 
 /* Workers may still be looking for a node: it expires after a lease. */
-static void a_machine_expires_after_a_lease_when_a_controller_came_up_lately(void **state)
+static void a_machine_expires_after_a_lease_when_a_controller_came_up_recently(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_peer *peer = add_peer_in_zone(fixture);
+	struct fl_peer *peer = add_machine_with_peer_in_zone(fixture);
 
 	peer->up = true;
 	peer->up_since = fl_now() - 5;
 
-	set_silence(fixture, 9);
-	assert_false(is_expired(fixture));
+	set_machine_silence(fixture, 9);
+	assert_false(machine_is_expired(fixture));
 
-	set_silence(fixture, 11);
-	assert_true(is_expired(fixture));
+	set_machine_silence(fixture, 11);
+	assert_true(machine_is_expired(fixture));
 }
 
 /* With its zone's controllers it expires when these must stop renewing. */
 static void a_machine_expires_late_when_the_controller_of_its_zone_is_silent_too(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_peer *peer = add_peer_in_zone(fixture);
-	double renewable_s = renewable_time(fixture);
+	struct fl_peer *peer = add_machine_with_peer_in_zone(fixture);
+	double renewable_s = lease_renewal_window_s(fixture);
 
-	set_silence(fixture, 11);
+	set_machine_silence(fixture, 11);
 	peer->last_response_at = fl_now() - 12;
-	assert_false(is_expired(fixture));
-	set_silence(fixture, fixture->config.lease_s + renewable_s + 1);
+	assert_false(machine_is_expired(fixture));
+	set_machine_silence(fixture, fixture->config.lease_s + renewable_s + 1);
 	peer->last_response_at = only_machine(fixture)->heartbeat.last_received_at;
-	assert_true(is_expired(fixture));
+	assert_true(machine_is_expired(fixture));
 }
 
 /* Silent long before, or of another zone. */
 static void a_machine_expires_after_a_lease_when_the_silent_controller_is_unrelated(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_peer *peer = add_peer_in_zone(fixture);
+	struct fl_peer *peer = add_machine_with_peer_in_zone(fixture);
 
-	set_silence(fixture, 11);
+	set_machine_silence(fixture, 11);
 	peer->last_response_at = fl_now() - 30;
-	assert_true(is_expired(fixture));
+	assert_true(machine_is_expired(fixture));
 	peer->last_response_at = only_machine(fixture)->heartbeat.last_received_at;
 	strcpy(peer->location, "b");
-	assert_true(is_expired(fixture));
+	assert_true(machine_is_expired(fixture));
 }
 
 static struct fl_machine *add_machine(struct node_fixture *fixture, int number, bool spot, int zone)
@@ -123,7 +123,7 @@
 static void a_zone_is_not_expired_a_few_machines_at_a_time(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_machine *silent[3];
+	struct fl_machine *silent_machines[3];
 
 	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
@@ -132,27 +132,27 @@
 
 	/* This one is due; three more of the four of its zone are silent too. */
 	for (int i = 0; i < 3; i++) {
-		silent[i] = add_machine(fixture, 30 + i, false, 0);
-		silent[i]->heartbeat.last_received_at = fl_now() - 7;
+		silent_machines[i] = add_machine(fixture, 30 + i, false, 0);
+		silent_machines[i]->heartbeat.last_received_at = fl_now() - 7;
 	}
-	set_silence(fixture, 11);
-	assert_false(is_expired(fixture));
+	set_machine_silence(fixture, 11);
+	assert_false(machine_is_expired(fixture));
 
-	set_silence(fixture, 31);
-	assert_true(is_expired(fixture));
+	set_machine_silence(fixture, 31);
+	assert_true(machine_is_expired(fixture));
 
 	/* Many reclaimed spot machines are no sign of a partition. */
-	set_silence(fixture, 11);
+	set_machine_silence(fixture, 11);
 	for (int i = 0; i < 3; i++)
-		silent[i]->spot = true;
-	assert_true(is_expired(fixture));
+		silent_machines[i]->spot = true;
+	assert_true(machine_is_expired(fixture));
 }
 
 /*
  * Found at a thousand machines: dozens that failed at once were waited for as in a partition of two
  * links, since more than two were silent. How many are many depends on the number of machines.
  */
-static void a_few_of_many_machines_expire_early(void **state)
+static void a_small_share_of_silent_machines_expires_early(void **state)
 {
 	struct node_fixture *fixture = *state;
 
@@ -161,15 +161,15 @@
 	for (int i = 2; i < 42; i++)
 		add_machine(fixture, i, false, i % 2)->heartbeat.last_received_at =
 			fl_now() - (i < 7 ? 7 : 0);
-	set_silence(fixture, 8);
-	assert_true(is_expired(fixture));
+	set_machine_silence(fixture, 8);
+	assert_true(machine_is_expired(fixture));
 
 	for (int i = 43; i < 46; i++)
 		add_machine(fixture, i, false, i % 2)->heartbeat.last_received_at = fl_now() - 7;
-	assert_false(is_expired(fixture));
+	assert_false(machine_is_expired(fixture));
 
-	set_silence(fixture, 11);
-	assert_true(is_expired(fixture));
+	set_machine_silence(fixture, 11);
+	assert_true(machine_is_expired(fixture));
 }
 
 /* An unreachable machine expires like a silent one; many at once point at this node. */
@@ -180,7 +180,7 @@
 	deliver_idle_heartbeat(fixture, 1, 1);
 	place_task(fixture, 0);
 	deliver_idle_heartbeats(fixture, 2, 4, 12);
-	assert_true(is_expired(fixture));
+	assert_true(machine_is_expired(fixture));
 
 	for (int i = 2; i < 6; i++) {
 		struct fl_machine *machine = add_machine(fixture, i, false, 0);
@@ -188,18 +188,18 @@
 		machine->outbound.unacknowledged_replies = 3;
 		machine->outbound.unacknowledged_since = fl_now() - 12;
 	}
-	assert_false(is_expired(fixture));
+	assert_false(machine_is_expired(fixture));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		NODE_TEST(a_machine_expires_early_when_all_controllers_are_up_for_long),
-		NODE_TEST(a_machine_expires_after_a_lease_when_a_controller_came_up_lately),
+		NODE_TEST(a_machine_expires_early_when_all_controllers_are_stable),
+		NODE_TEST(a_machine_expires_after_a_lease_when_a_controller_came_up_recently),
 		NODE_TEST(a_machine_expires_late_when_the_controller_of_its_zone_is_silent_too),
 		NODE_TEST(a_machine_expires_after_a_lease_when_the_silent_controller_is_unrelated),
 		NODE_TEST(a_zone_is_not_expired_a_few_machines_at_a_time),
-		NODE_TEST(a_few_of_many_machines_expire_early),
+		NODE_TEST(a_small_share_of_silent_machines_expires_early),
 		NODE_TEST(an_unreachable_machine_expires_unless_many_are_unreachable_at_once),
 	};
 
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -42,7 +42,7 @@
 
 /* ---- the site ---- */
 
-static uint64_t seed_of(const struct test_case *test_case)
+static uint64_t case_seed(const struct test_case *test_case)
 {
 	uint64_t seed = (uint64_t)test_case->variant * 1000 + 7;
 
@@ -51,7 +51,7 @@
 	return seed % 1000000;
 }
 
-static void configure(uint64_t seed)
+static void configure_site(uint64_t seed)
 {
 	bool long_lease;
 
@@ -75,7 +75,7 @@
 	const struct test_case *test_case = *state;
 
 	sim_time_begin();
-	configure(seed_of(test_case));
+	configure_site(case_seed(test_case));
 	sim.started_at = fl_now();
 	test_case->combination->inject_faults(test_case->variant);
 	sim_start();
@@ -96,7 +96,7 @@
 	print_message("%s: seed=%llu nodes=%d zones=%d lease_s=%g duration_s=%.0f jobs=%d "
 	              "machines=%d starts=%d completions=%d status_queries=%d late_starts=%d "
 	              "max_task_starts=%d\n%s",
-	              test_case->name, (unsigned long long)seed_of(test_case), sim.node_count,
+	              test_case->name, (unsigned long long)case_seed(test_case), sim.node_count,
 	              sim.zone_count, sim.lease_s, sim.duration_s, sim.job_count, sim.machine_count,
 	              sim.starts, sim.completions, sim.status_queries,
 	              sim.starts_after_cancellation, sim.max_task_starts, sim.violations);
@@ -140,7 +140,7 @@
 
 /* ---- running ---- */
 
-static void check_bounds(void)
+static void check_run_bounds(void)
 {
 	/* Found here: an array that was started and stopped in turn, 212 times, because the job for
 	 * which it was preempted never took the capacity. */
@@ -159,7 +159,7 @@
 	sim.duration_s = sim.faults_end_s + 95;
 	sim_time_run(sim.started_at + sim.duration_s);
 	sim_check_end();
-	check_bounds();
+	check_run_bounds();
 	print_result(test_case);
 	if (sim.violation_count > 0)
 		fail_msg("%s: %d invariants violated; it protects: %s", test_case->name,
@@ -192,8 +192,8 @@
 }
 
 /* What the arguments ask for: NAME, VARIANT and COUNT, each optional. */
-static void add_chosen(struct case_list *list, const struct combination *combination, int argc,
-                       char **argv)
+static void add_selected_cases(struct case_list *list, const struct combination *combination,
+                               int argc, char **argv)
 {
 	int first = combination->first_variant, count = combination->variant_count;
 
@@ -218,7 +218,7 @@
 	fl_log_set_level(getenv("SIM_LOG") ? getenv("SIM_LOG") : "error");
 	for (size_t i = 0; i < sizeof(groups) / sizeof(groups[0]); i++)
 		for (int k = 0; k < groups[i]->count; k++)
-			add_chosen(&list, &groups[i]->combinations[k], argc, argv);
+			add_selected_cases(&list, &groups[i]->combinations[k], argc, argv);
 	if (list.count == 0) {
 		fprintf(stderr, "no combination of faults named %s\n", argv[1]);
 		return EXIT_FAILURE;
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -20,7 +20,7 @@
 static void a_follower_caches_the_newest_heartbeat(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_cached_heartbeat *cached;
 	double received_at;
 
@@ -51,7 +51,7 @@
 	                                        "[\"\",1,2,3,-1,[]]",
 	                                        "[\"m\",1,2,3,-1,[[\"run-000001\",100000,1,0]]]",
 	                                        "{\"m\":1}"};
-	struct fl_task_status tasks[2] = {running_task(3, 2), running_task(1, 1)};
+	struct fl_task_status tasks[2] = {running_task_status(3, 2), running_task_status(1, 1)};
 	struct fl_heartbeat heartbeat = make_heartbeat(4, 5, 6, tasks, 2), decoded;
 	char *text;
 	cJSON *element;
@@ -85,7 +85,7 @@
 }
 
 /* Refused, the worker would lose seconds of its lease looking for a node that is up. */
-static void a_node_that_just_started_waits_for_the_fencing_token_and_the_jobs(void **state)
+static void a_starting_node_renews_leases_once_it_has_the_fencing_token_and_jobs(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_node *node = &fixture->node;
@@ -233,7 +233,7 @@
 }
 
 /* An isolated node refuses its users at once, and is not ready for the load balancer. */
-static void an_isolated_node_refuses_users_at_once(void **state)
+static void an_isolated_node_rejects_user_requests_at_once(void **state)
 {
 	static const char job[] =
 		"{\"Ref\":\"run-000099\",\"JobClass\":\"c\",\"Owner\":\"team\",\"JobKind\":"
@@ -286,12 +286,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		NODE_TEST(a_follower_caches_the_newest_heartbeat),
-		NODE_TEST(a_node_that_just_started_waits_for_the_fencing_token_and_the_jobs),
+		NODE_TEST(a_starting_node_renews_leases_once_it_has_the_fencing_token_and_jobs),
 		NODE_TEST(a_cached_heartbeat_is_restored_from_its_compact_form),
 		NODE_TEST(an_isolated_node_redirects_its_workers_once),
 		NODE_TEST(a_node_isolated_with_its_workers_renews_their_leases),
 		NODE_TEST(a_worker_is_answered_before_it_is_redirected),
-		NODE_TEST(an_isolated_node_refuses_users_at_once),
+		NODE_TEST(an_isolated_node_rejects_user_requests_at_once),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -28,12 +28,12 @@
 static struct {
 	struct fl_node *node;
 	struct link links[PEERS];
-} world;
+} network;
 
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	struct link *link = &world.links[client == &world.node->peers[0].http ? 0 : 1];
+	struct link *link = &network.links[client == &network.node->peers[0].http ? 0 : 1];
 
 	(void)method, (void)path;
 	assert_true(timeout_s > 0);
@@ -53,36 +53,36 @@
 	return strdup(flags->last_hop ? "last" : "first");
 }
 
-static char *encode_nothing(const void *context, const struct fl_forward_flags *flags)
+static char *fail_to_encode(const void *context, const struct fl_forward_flags *flags)
 {
 	(void)context, (void)flags;
 	return NULL;
 }
 
 /* `into`: what the reading of a body comes to. */
-static enum fl_decode_result decode(void *into, const char *body, size_t len)
+static enum fl_decode_result return_decode_result(void *result, const char *body, size_t len)
 {
 	assert_int_equal(len, 1);
 	assert_int_equal(body[0], 'x');
-	return *(const enum fl_decode_result *)into;
+	return *(const enum fl_decode_result *)result;
 }
 
-static struct fl_forward_request request_of(enum fl_forward_hop hop)
+static struct fl_forward_request make_request(enum fl_forward_hop hop)
 {
 	return (struct fl_forward_request){
 		.path = "/x", .encode = encode, .hop = hop, .timeout_s = 2};
 }
 
-static enum fl_forward_result forward(struct node_fixture *fixture, enum fl_forward_hop hop,
-                                      struct link leader, struct link third)
+static enum fl_forward_result forward_request(struct node_fixture *fixture, enum fl_forward_hop hop,
+                                              struct link leader, struct link third)
 {
-	const struct fl_forward_request request = request_of(hop);
+	const struct fl_forward_request request = make_request(hop);
 	enum fl_forward_result result;
 	struct fl_http_reply reply;
 
-	world.node = &fixture->node;
-	world.links[0] = leader;
-	world.links[1] = third;
+	network.node = &fixture->node;
+	network.links[0] = leader;
+	network.links[1] = third;
 	result = fl_forward_to_leader(&fixture->node, &request, &reply);
 	if (result == FL_FORWARD_ANSWERED)
 		fl_buffer_free(&reply.body);
@@ -90,7 +90,7 @@
 }
 
 /* A follower of n1, with a third controller. */
-static void follow(struct node_fixture *fixture)
+static void become_follower_of_n1(struct node_fixture *fixture)
 {
 	become_follower(fixture, PEERS);
 	strcpy(fixture->node.leader_view.leader, "n1");
@@ -101,66 +101,74 @@
 static const struct link down = {.rc = -ECONNREFUSED}, answers = {.status = 200},
 			 does_not_lead = {.status = 421};
 
-static void the_leader_is_asked_first_and_a_third_node_only_if_it_fails(void **state)
+static void a_third_node_gets_a_request_only_if_the_exchange_with_the_leader_fails(void **state)
 {
 	struct node_fixture *fixture = *state;
 
-	follow(fixture);
-	assert_int_equal(forward(fixture, FL_HOP_FIRST, answers, down), FL_FORWARD_ANSWERED);
-	assert_true(world.links[0].last_hop);
-	assert_int_equal(world.links[1].calls, 0);
-	assert_int_equal(forward(fixture, FL_HOP_FIRST, down, answers), FL_FORWARD_ANSWERED);
-	assert_false(world.links[1].last_hop);
-	assert_int_equal(forward(fixture, FL_HOP_FIRST, does_not_lead, answers),
+	become_follower_of_n1(fixture);
+	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, answers, down),
+	                 FL_FORWARD_ANSWERED);
+	assert_true(network.links[0].last_hop);
+	assert_int_equal(network.links[1].calls, 0);
+	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, down, answers),
+	                 FL_FORWARD_ANSWERED);
+	assert_false(network.links[1].last_hop);
+	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, does_not_lead, answers),
 	                 FL_FORWARD_ANSWERED);
 	/* On its last hop it goes to the leader alone. */
-	assert_int_equal(forward(fixture, FL_HOP_LAST, does_not_lead, answers),
+	assert_int_equal(forward_request(fixture, FL_HOP_LAST, does_not_lead, answers),
 	                 FL_FORWARD_NO_LEADER);
-	assert_int_equal(world.links[1].calls, 0);
+	assert_int_equal(network.links[1].calls, 0);
 	/* A leader that is down is not asked, unless there is no other way. */
 	fixture->node.peers[0].up = false;
 	assert_false(fl_forward_leader_is_reachable(&fixture->node));
-	assert_int_equal(forward(fixture, FL_HOP_FIRST, answers, answers), FL_FORWARD_ANSWERED);
-	assert_int_equal(world.links[0].calls, 0);
+	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, answers, answers),
+	                 FL_FORWARD_ANSWERED);
+	assert_int_equal(network.links[0].calls, 0);
 	fixture->node.peer_count = 1;
 	assert_true(fl_forward_leader_is_reachable(&fixture->node));
-	assert_int_equal(forward(fixture, FL_HOP_LAST, answers, down), FL_FORWARD_ANSWERED);
-	assert_int_equal(world.links[0].calls, 1);
+	assert_int_equal(forward_request(fixture, FL_HOP_LAST, answers, down), FL_FORWARD_ANSWERED);
+	assert_int_equal(network.links[0].calls, 1);
 }
 
-static void each_failure_has_its_result(void **state)
+static void each_failure_returns_its_own_result(void **state)
 {
 	struct node_fixture *fixture = *state;
-	const struct link late = {.rc = -ETIMEDOUT}, cancelled = {.rc = -ECANCELED};
+	const struct link times_out = {.rc = -ETIMEDOUT}, cancelled = {.rc = -ECANCELED};
 
-	follow(fixture);
-	assert_int_equal(forward(fixture, FL_HOP_FIRST, down, down), FL_FORWARD_CONNECTION_LOST);
-	assert_int_equal(forward(fixture, FL_HOP_FIRST, down, does_not_lead), FL_FORWARD_NO_LEADER);
-	assert_int_equal(forward(fixture, FL_HOP_LAST, late, answers), FL_FORWARD_TIMED_OUT);
-	assert_int_equal(forward(fixture, FL_HOP_LAST, cancelled, answers), FL_FORWARD_CANCELLED);
+	become_follower_of_n1(fixture);
+	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, down, down),
+	                 FL_FORWARD_CONNECTION_LOST);
+	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, down, does_not_lead),
+	                 FL_FORWARD_NO_LEADER);
+	assert_int_equal(forward_request(fixture, FL_HOP_LAST, times_out, answers),
+	                 FL_FORWARD_TIMED_OUT);
+	assert_int_equal(forward_request(fixture, FL_HOP_LAST, cancelled, answers),
+	                 FL_FORWARD_CANCELLED);
 	fixture->node.leader_view.leader[0] = '\0';
-	assert_int_equal(forward(fixture, FL_HOP_FIRST, answers, answers), FL_FORWARD_NO_LEADER);
-	assert_int_equal(world.links[0].calls + world.links[1].calls, 0);
+	assert_int_equal(forward_request(fixture, FL_HOP_FIRST, answers, answers),
+	                 FL_FORWARD_NO_LEADER);
+	assert_int_equal(network.links[0].calls + network.links[1].calls, 0);
 	assert_false(fl_forward_leader_is_reachable(&fixture->node));
 }
 
 static enum fl_forward_result forward_and_decode(struct node_fixture *fixture, int status,
                                                  enum fl_decode_result decoded)
 {
-	const struct fl_forward_request request = request_of(FL_HOP_LAST);
+	const struct fl_forward_request request = make_request(FL_HOP_LAST);
 
-	world.node = &fixture->node;
-	world.links[0] = (struct link){.status = status};
-	return fl_forward_and_decode(&fixture->node, &request, decode, &decoded);
+	network.node = &fixture->node;
+	network.links[0] = (struct link){.status = status};
+	return fl_forward_and_decode(&fixture->node, &request, return_decode_result, &decoded);
 }
 
-static void a_reply_is_judged_by_status_and_body(void **state)
+static void the_result_depends_on_status_and_body_of_the_reply(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_forward_request request = request_of(FL_HOP_LAST);
+	struct fl_forward_request request = make_request(FL_HOP_LAST);
 	struct fl_http_reply reply;
 
-	follow(fixture);
+	become_follower_of_n1(fixture);
 	assert_int_equal(forward_and_decode(fixture, 200, FL_DECODE_OK), FL_FORWARD_ANSWERED);
 	assert_int_equal(forward_and_decode(fixture, 200, FL_DECODE_MALFORMED),
 	                 FL_FORWARD_MALFORMED_REPLY);
@@ -168,15 +176,15 @@
 	                 FL_FORWARD_OUT_OF_MEMORY);
 	assert_int_equal(forward_and_decode(fixture, 503, FL_DECODE_OK), FL_FORWARD_REJECTED);
 	assert_int_equal(forward_and_decode(fixture, 421, FL_DECODE_OK), FL_FORWARD_NO_LEADER);
-	request.encode = encode_nothing;
-	world.links[0].calls = 0;
+	request.encode = fail_to_encode;
+	network.links[0].calls = 0;
 	assert_int_equal(fl_forward_to_leader(&fixture->node, &request, &reply),
 	                 FL_FORWARD_OUT_OF_MEMORY);
-	assert_int_equal(world.links[0].calls, 0);
+	assert_int_equal(network.links[0].calls, 0);
 }
 
 /* What gossip tells of the leader: a token only rises, and the same one can be confirmed later. */
-static void a_view_learns_only_what_is_newer(void **state)
+static void a_leader_view_merges_only_newer_views(void **state)
 {
 	struct fl_leader_view view;
 
@@ -204,10 +212,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		NODE_TEST(the_leader_is_asked_first_and_a_third_node_only_if_it_fails),
-		NODE_TEST(each_failure_has_its_result),
-		NODE_TEST(a_reply_is_judged_by_status_and_body),
-		NODE_TEST(a_view_learns_only_what_is_newer),
+		NODE_TEST(a_third_node_gets_a_request_only_if_the_exchange_with_the_leader_fails),
+		NODE_TEST(each_failure_returns_its_own_result),
+		NODE_TEST(the_result_depends_on_status_and_body_of_the_reply),
+		NODE_TEST(a_leader_view_merges_only_newer_views),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -21,19 +21,19 @@
 #include "virtual_time_fixture.h"
 
 enum { WORKERS = 300, FENCING_TOKEN = 4 };
-static const double one_way_s = 0.005;    /* s each way of a message */
-static const double worker_timeout_s = 4; /* s that a worker waits for an answer */
+static const double one_way_latency_s = 0.005; /* s each way of a message */
+static const double worker_timeout_s = 4;      /* s that a worker waits for an answer */
 
 static struct {
 	struct fl_node follower, third, leader;
 	struct fl_config follower_config, third_config, leader_config;
 	int messages; /* to the leader */
 	bool link_down, leader_stalls;
-} world;
+} scenario;
 
 struct worker {
 	char host[FL_NAME_MAX];
-	double begins_at; /* s from the beginning */
+	double send_delay_s; /* s from the beginning */
 	enum fl_forward_result result;
 	struct fl_http_response response;
 	bool completed;
@@ -47,23 +47,23 @@
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out)
 {
-	bool to_leader =
-		client == &world.follower.peers[0].http || client == &world.third.peers[0].http;
+	bool to_leader = client == &scenario.follower.peers[0].http ||
+	                 client == &scenario.third.peers[0].http;
 	struct fl_http_response response = {0};
 
 	(void)method;
 	assert_string_equal(path, FL_PATH_HEARTBEATS);
-	world.messages += to_leader;
-	if ((to_leader && world.leader_stalls) ||
-	    (client == &world.follower.peers[0].http && world.link_down)) {
+	scenario.messages += to_leader;
+	if ((to_leader && scenario.leader_stalls) ||
+	    (client == &scenario.follower.peers[0].http && scenario.link_down)) {
 		fl_sleep(timeout_s);
 		return -ETIMEDOUT;
 	}
-	fl_sleep(one_way_s);
-	fl_heartbeat_forward_serve(to_leader ? &world.leader : &world.third, body, strlen(body),
-	                           &response);
-	fl_sleep(one_way_s);
-	pass_response(&response, out);
+	fl_sleep(one_way_latency_s);
+	fl_heartbeat_forward_serve(to_leader ? &scenario.leader : &scenario.third, body,
+	                           strlen(body), &response);
+	fl_sleep(one_way_latency_s);
+	move_response_to_reply(&response, out);
 	return 0;
 }
 
@@ -86,18 +86,18 @@
 	return fl_heartbeat_encode(&heartbeat);
 }
 
-static void send_heartbeat(void *arg)
+static void send_heartbeat(void *argument)
 {
-	struct worker *worker = arg;
+	struct worker *worker = argument;
 	char *text;
 	double began_at;
 
-	if (fl_sleep(worker->begins_at) != 0)
+	if (fl_sleep(worker->send_delay_s) != 0)
 		return;
 	text = encode_heartbeat(worker);
 	began_at = fl_now();
 	worker->result =
-		fl_heartbeat_forward(&world.follower, text, strlen(text), &worker->response);
+		fl_heartbeat_forward(&scenario.follower, text, strlen(text), &worker->response);
 	worker->duration_s = fl_now() - began_at;
 	worker->completed = true;
 	free(text);
@@ -110,7 +110,7 @@
 
 	for (int i = 0; i < WORKERS; i++) {
 		snprintf(workers[i].host, sizeof(workers[i].host), "m-%06d", i);
-		workers[i].begins_at = i * interval_s;
+		workers[i].send_delay_s = i * interval_s;
 		sim_spawn(0, send_heartbeat, &workers[i]);
 	}
 	sim_time_run(fl_now() + 30);
@@ -118,18 +118,18 @@
 	return workers;
 }
 
-static int count_answered(struct worker *workers)
+static int count_answered_and_free(struct worker *workers)
 {
 	int count = 0;
 
 	for (int i = 0; i < WORKERS; i++) {
-		char own[32];
+		char own_task[32];
 
 		assert_true(workers[i].completed);
-		snprintf(own, sizeof(own), "run-%06d/0", i);
+		snprintf(own_task, sizeof(own_task), "run-%06d/0", i);
 		if (workers[i].result == FL_FORWARD_ANSWERED) {
 			assert_int_equal(workers[i].response.status, 200);
-			assert_non_null(strstr(workers[i].response.body, own));
+			assert_non_null(strstr(workers[i].response.body, own_task));
 			count++;
 		}
 		free(workers[i].response.body);
@@ -163,86 +163,86 @@
 	struct fl_cloud_machine_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
 
 	(void)state;
-	memset(&world, 0, sizeof(world));
+	memset(&scenario, 0, sizeof(scenario));
 	sim_time_begin();
-	init_node(&world.leader, &world.leader_config, "host-1");
-	init_node(&world.follower, &world.follower_config, "host-2");
-	init_node(&world.third, &world.third_config, "host-3");
-	add_peer(&world.follower, "host-1");
-	add_peer(&world.follower, "host-3");
-	add_peer(&world.third, "host-1");
-	world.leader.leadership.active = world.leader.leader_lease.held =
-		world.leader.live_jobs_loaded = true;
-	world.leader.leader_lease.valid_until = fl_now() + 1000;
-	world.leader.leader_lease.fencing_token = world.leader.leadership.first_fencing_token =
-		FENCING_TOKEN;
-	world.leader.cancellation_watermark = fl_now();
-	assert_int_equal(fl_symbol_intern(&world.leader.cluster.zones, "a"), 0);
-	fl_machine_types_set(&world.leader.cluster.machines, &world.leader.cluster.zones, &type, 1);
+	init_node(&scenario.leader, &scenario.leader_config, "host-1");
+	init_node(&scenario.follower, &scenario.follower_config, "host-2");
+	init_node(&scenario.third, &scenario.third_config, "host-3");
+	add_peer(&scenario.follower, "host-1");
+	add_peer(&scenario.follower, "host-3");
+	add_peer(&scenario.third, "host-1");
+	scenario.leader.leadership.active = scenario.leader.leader_lease.held =
+		scenario.leader.live_jobs_loaded = true;
+	scenario.leader.leader_lease.valid_until = fl_now() + 1000;
+	scenario.leader.leader_lease.fencing_token =
+		scenario.leader.leadership.first_fencing_token = FENCING_TOKEN;
+	scenario.leader.cancellation_watermark = fl_now();
+	assert_int_equal(fl_symbol_intern(&scenario.leader.cluster.zones, "a"), 0);
+	fl_machine_types_set(&scenario.leader.cluster.machines, &scenario.leader.cluster.zones,
+	                     &type, 1);
 	return 0;
 }
 
 static int tear_down(void **state)
 {
 	(void)state;
-	fl_cluster_free(&world.leader.cluster);
+	fl_cluster_free(&scenario.leader.cluster);
 	return 0;
 }
 
 /* Found with 3% of a core: a message for each heartbeat took more than the leader's processor. */
 static void many_heartbeats_cost_few_messages(void **state)
 {
-	const int full = (WORKERS + FL_PEER_HEARTBEATS_MAX - 1) / FL_PEER_HEARTBEATS_MAX;
+	const int full_messages = (WORKERS + FL_PEER_HEARTBEATS_MAX - 1) / FL_PEER_HEARTBEATS_MAX;
 
 	(void)state;
-	assert_int_equal(count_answered(run_workers(0)), WORKERS);
-	assert_true(world.messages <= full + FL_HEARTBEAT_REQUESTS_MAX);
+	assert_int_equal(count_answered_and_free(run_workers(0)), WORKERS);
+	assert_true(scenario.messages <= full_messages + FL_HEARTBEAT_REQUESTS_MAX);
 }
 
-static void a_heartbeat_alone_is_not_held_back(void **state)
+static void a_single_heartbeat_is_forwarded_without_delay(void **state)
 {
 	struct worker *workers;
 
 	(void)state;
 	workers = run_workers(0.05);
 	for (int i = 0; i < WORKERS; i++)
-		assert_true(workers[i].duration_s < 2.1 * one_way_s);
-	assert_int_equal(count_answered(workers), WORKERS);
-	assert_int_equal(world.messages, WORKERS);
+		assert_true(workers[i].duration_s < 2.1 * one_way_latency_s);
+	assert_int_equal(count_answered_and_free(workers), WORKERS);
+	assert_int_equal(scenario.messages, WORKERS);
 }
 
 static void a_third_controller_forwards_heartbeats_when_the_link_to_the_leader_is_down(void **state)
 {
 	(void)state;
-	world.link_down = true;
+	scenario.link_down = true;
 	/* Two that went at once, one each, and two full ones after them, in the order they came. */
-	assert_int_equal(count_answered(run_workers(0)), 2 + 2 * FL_PEER_HEARTBEATS_MAX);
+	assert_int_equal(count_answered_and_free(run_workers(0)), 2 + 2 * FL_PEER_HEARTBEATS_MAX);
 }
 
 /* Each of them is renewed by this node then, before its worker looks for another one. */
-static void
-a_heartbeat_returns_within_the_timeout_of_its_worker_when_the_leader_stalls(void **state)
+static void forwarding_fails_within_the_worker_timeout_when_the_leader_stalls(void **state)
 {
 	struct worker *workers;
 
 	(void)state;
-	world.leader_stalls = true;
+	scenario.leader_stalls = true;
 	workers = run_workers(0.01);
 	for (int i = 0; i < WORKERS; i++) {
 		assert_int_not_equal(workers[i].result, FL_FORWARD_ANSWERED);
 		assert_true(workers[i].duration_s < 0.75 * worker_timeout_s);
 	}
-	assert_int_equal(count_answered(workers), 0);
+	assert_int_equal(count_answered_and_free(workers), 0);
 }
 
-static enum fl_decode_result decode_answers(const char *text, int count)
+static enum fl_decode_result decode_replies(const char *text, int count)
 {
-	struct fl_heartbeat_reply answers[4];
+	struct fl_heartbeat_reply replies[4];
 
-	return fl_heartbeat_replies_decode(text, strlen(text), answers, count);
+	return fl_heartbeat_replies_decode(text, strlen(text), replies, count);
 }
 
-static void a_malformed_heartbeat_message_is_refused(void **state)
+static void a_malformed_heartbeat_message_is_rejected(void **state)
 {
 	static const char *const malformed[] = {
 		"{}",
@@ -264,9 +264,9 @@
 		assert_int_equal(
 			fl_peer_heartbeats_decode(malformed[i], strlen(malformed[i]), &message),
 			FL_DECODE_MALFORMED);
-	assert_int_equal(decode_answers("[]", 1), FL_DECODE_MALFORMED);
-	assert_int_equal(decode_answers("[{\"status\":200,\"body\":7}]", 1), FL_DECODE_MALFORMED);
-	assert_int_equal(decode_answers("[{\"status\":200,\"body\":\"\"},{\"status\":7}]", 2),
+	assert_int_equal(decode_replies("[]", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_replies("[{\"status\":200,\"body\":7}]", 1), FL_DECODE_MALFORMED);
+	assert_int_equal(decode_replies("[{\"status\":200,\"body\":\"\"},{\"status\":7}]", 2),
 	                 FL_DECODE_MALFORMED);
 	assert_int_equal(fl_heartbeat_decode_json(NULL, &heartbeat), FL_DECODE_MALFORMED);
 
@@ -277,7 +277,7 @@
 	assert_true(message.last_hop && message.sender_kv_unavailable);
 	assert_string_equal(message.entry_node, "host-2");
 	fl_peer_heartbeats_free(&message);
-	fl_heartbeat_forward_serve(&world.leader, text, strlen(text), &response);
+	fl_heartbeat_forward_serve(&scenario.leader, text, strlen(text), &response);
 	assert_int_equal(response.status, 200);
 	assert_non_null(strstr(response.body, "400"));
 	free(response.body);
@@ -290,15 +290,15 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(many_heartbeats_cost_few_messages, set_up,
 	                                        tear_down),
-		cmocka_unit_test_setup_teardown(a_heartbeat_alone_is_not_held_back, set_up,
-	                                        tear_down),
+		cmocka_unit_test_setup_teardown(a_single_heartbeat_is_forwarded_without_delay,
+	                                        set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 			a_third_controller_forwards_heartbeats_when_the_link_to_the_leader_is_down,
 			set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_heartbeat_returns_within_the_timeout_of_its_worker_when_the_leader_stalls,
-			set_up, tear_down),
-		cmocka_unit_test_setup_teardown(a_malformed_heartbeat_message_is_refused, set_up,
+			forwarding_fails_within_the_worker_timeout_when_the_leader_stalls, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(a_malformed_heartbeat_message_is_rejected, set_up,
 	                                        tear_down),
 	};
 
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -27,16 +27,16 @@
 
 /* What server and client note; the first lines of answers are asserted after the run. */
 struct exchange {
-	int served;
-	char answers[3][400];
+	int served_count;
+	char responses[3][400];
 };
 
-static void answer_with_body(void *context, const struct fl_http_request *request,
-                             struct fl_http_response *response)
+static void echo_body(void *context, const struct fl_http_request *request,
+                      struct fl_http_response *response)
 {
 	struct exchange *exchange = context;
 
-	exchange->served++;
+	exchange->served_count++;
 	response->status = 200;
 	response->body = strdup(request->body);
 	if (strcmp(request->path, "/close") == 0)
@@ -50,7 +50,7 @@
 {
 	memset(exchange, 0, sizeof(*exchange));
 	run_http_client(&(struct http_run){.max_connections = max_connections,
-	                                   .handler = answer_with_body,
+	                                   .handler = echo_body,
 	                                   .client = client,
 	                                   .context = exchange});
 }
@@ -60,7 +60,7 @@
 	assert_memory_equal(text, expected, strlen(expected));
 }
 
-static void assert_answered(struct fl_http_client *client, const char *path, const char *body,
+static void assert_response(struct fl_http_client *client, const char *path, const char *body,
                             int status)
 {
 	struct fl_http_reply reply;
@@ -72,7 +72,7 @@
 	fl_buffer_free(&reply.body);
 }
 
-static void call_again_and_again(const char *address, void *context)
+static void make_repeated_calls(const char *address, void *context)
 {
 	struct fl_http_client client;
 	struct fl_http_reply reply;
@@ -80,30 +80,30 @@
 
 	(void)context;
 	assert_int_equal(fl_http_client_init(&client, address, 2), 0);
-	assert_answered(&client, "/x", "{\"a\":1}", 200);
-	assert_answered(&client, "/close", "{\"a\":1}", 200);
-	assert_answered(&client, "/x", "{\"a\":1}", 200);
+	assert_response(&client, "/x", "{\"a\":1}", 200);
+	assert_response(&client, "/close", "{\"a\":1}", 200);
+	assert_response(&client, "/x", "{\"a\":1}", 200);
 	/* An idle connection that the other side has closed must not fail the next call. */
 	assert_int_equal(client.idle_count, 1);
 	shutdown(client.idle_fds[0], SHUT_RDWR);
-	assert_answered(&client, "/x", "{}", 200);
+	assert_response(&client, "/x", "{}", 200);
 	memset(oversized, 'x', OVERSIZED_BODY);
 	oversized[OVERSIZED_BODY] = 0;
 	/* Not 413: users repeat a call after any status other than 400 and 422. */
-	assert_answered(&client, "/x", oversized, 400);
+	assert_response(&client, "/x", oversized, 400);
 	assert_int_equal(fl_http_call(&client, "POST", "/slow", "{}", 0.05, &reply), -ETIMEDOUT);
 	free(oversized);
 	fl_http_client_close(&client);
 }
 
-static void calls_are_answered_reuse_connections_and_are_bounded(void **state)
+static void calls_reuse_connections_and_have_size_and_time_limits(void **state)
 {
 	struct exchange exchange;
 
 	(void)state;
-	run_exchange(&exchange, CONNECTIONS, call_again_and_again);
+	run_exchange(&exchange, CONNECTIONS, make_repeated_calls);
 
-	assert_int_equal(exchange.served, 5);
+	assert_int_equal(exchange.served_count, 5);
 }
 
 static int connect_to(const char *address)
@@ -119,7 +119,7 @@
 }
 
 /* Reads what has come, or nothing within 5 s, and closes the connection. */
-static void read_answer(int fd, char *text, size_t size)
+static void read_response_and_close(int fd, char *text, size_t size)
 {
 	ssize_t received = 0;
 
@@ -130,36 +130,36 @@
 }
 
 /* Sends the head of a longer body, and the end of the connection if wanted. */
-static void send_short_body(const char *address, bool end, char *answer, size_t size)
+static void send_short_body(const char *address, bool half_close, char *response_text, size_t size)
 {
 	static const char text[] = "POST /x HTTP/1.1\r\nContent-Length: 50\r\n\r\n{}";
 	int fd = connect_to(address);
 
 	assert_int_equal(fl_write_all(fd, text, sizeof(text) - 1, 1), 0);
-	if (end)
+	if (half_close)
 		shutdown(fd, SHUT_WR);
-	read_answer(fd, answer, size);
+	read_response_and_close(fd, response_text, size);
 }
 
 static void send_short_bodies(const char *address, void *context)
 {
 	struct exchange *exchange = context;
 
-	send_short_body(address, true, exchange->answers[0], sizeof(exchange->answers[0]));
-	send_short_body(address, false, exchange->answers[1], sizeof(exchange->answers[1]));
+	send_short_body(address, true, exchange->responses[0], sizeof(exchange->responses[0]));
+	send_short_body(address, false, exchange->responses[1], sizeof(exchange->responses[1]));
 }
 
 /* Its caller would wait 5 s for nothing and try again for a minute. */
-static void a_body_shorter_than_its_length_is_refused(void **state)
+static void a_body_shorter_than_its_content_length_is_rejected(void **state)
 {
 	struct exchange exchange;
 
 	(void)state;
 	run_exchange(&exchange, CONNECTIONS, send_short_bodies);
 
-	assert_starts_with(exchange.answers[0], bad_request);
-	assert_starts_with(exchange.answers[1], bad_request);
-	assert_int_equal(exchange.served, 0);
+	assert_starts_with(exchange.responses[0], bad_request);
+	assert_starts_with(exchange.responses[1], bad_request);
+	assert_int_equal(exchange.served_count, 0);
 }
 
 /* Begins a request with a large body and sends none of it; its socket. */
@@ -183,19 +183,19 @@
 	/* The first is there before the second. */
 	fl_sleep(0.05);
 	second = begin_large_body(address);
-	read_answer(second, exchange->answers[0], sizeof(exchange->answers[0]));
+	read_response_and_close(second, exchange->responses[0], sizeof(exchange->responses[0]));
 	assert_int_equal(fl_write_all(first, body, LARGE_BODY, 5), 0);
-	read_answer(first, exchange->answers[1], sizeof(exchange->answers[1]));
+	read_response_and_close(first, exchange->responses[1], sizeof(exchange->responses[1]));
 	fl_sleep(0.05);
 	/* There is room again. */
 	second = begin_large_body(address);
 	assert_int_equal(fl_write_all(second, body, LARGE_BODY, 5), 0);
-	read_answer(second, exchange->answers[2], sizeof(exchange->answers[2]));
+	read_response_and_close(second, exchange->responses[2], sizeof(exchange->responses[2]));
 	free(body);
 }
 
 /* A thousand connections may send 64 KiB each at once: more than a small controller has. */
-static void a_body_is_refused_when_all_bodies_together_reach_their_memory_limit(void **state)
+static void a_body_is_rejected_when_all_bodies_together_reach_the_memory_limit(void **state)
 {
 	struct exchange exchange;
 
@@ -204,10 +204,10 @@
 	run_exchange(&exchange, CONNECTIONS, send_large_bodies);
 	fl_http_set_body_memory_limit(0);
 
-	assert_starts_with(exchange.answers[0], "HTTP/1.1 503");
-	assert_non_null(strstr(exchange.answers[0], "Retry-After: 1"));
-	assert_starts_with(exchange.answers[1], "HTTP/1.1 200");
-	assert_starts_with(exchange.answers[2], "HTTP/1.1 200");
+	assert_starts_with(exchange.responses[0], "HTTP/1.1 503");
+	assert_non_null(strstr(exchange.responses[0], "Retry-After: 1"));
+	assert_starts_with(exchange.responses[1], "HTTP/1.1 200");
+	assert_starts_with(exchange.responses[2], "HTTP/1.1 200");
 }
 
 static void fill_server(const char *address, void *context)
@@ -218,7 +218,7 @@
 	/* All stay open but the last, closed once answered, so that one more can connect. */
 	for (int i = 0; i <= FULL_SERVER_CONNECTIONS; i++) {
 		assert_int_equal(fl_http_client_init(&clients[i], address, 1), 0);
-		assert_answered(&clients[i], "/x", "{}", 200);
+		assert_response(&clients[i], "/x", "{}", 200);
 		assert_int_equal(clients[i].idle_count, i < FULL_SERVER_CONNECTIONS - 1);
 	}
 	for (int i = 0; i <= FULL_SERVER_CONNECTIONS; i++)
@@ -233,10 +233,10 @@
 	(void)state;
 	run_exchange(&exchange, FULL_SERVER_CONNECTIONS, fill_server);
 
-	assert_int_equal(exchange.served, FULL_SERVER_CONNECTIONS + 1);
+	assert_int_equal(exchange.served_count, FULL_SERVER_CONNECTIONS + 1);
 }
 
-static void an_address_is_refused_unless_it_is_ipv4_and_port(void **state)
+static void an_address_is_rejected_unless_it_is_ipv4_and_port(void **state)
 {
 	struct sockaddr_in address;
 
@@ -251,12 +251,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(calls_are_answered_reuse_connections_and_are_bounded),
-		cmocka_unit_test(a_body_shorter_than_its_length_is_refused),
+		cmocka_unit_test(calls_reuse_connections_and_have_size_and_time_limits),
+		cmocka_unit_test(a_body_shorter_than_its_content_length_is_rejected),
 		cmocka_unit_test(
-			a_body_is_refused_when_all_bodies_together_reach_their_memory_limit),
+			a_body_is_rejected_when_all_bodies_together_reach_the_memory_limit),
 		cmocka_unit_test(a_nearly_full_server_closes_answered_connections),
-		cmocka_unit_test(an_address_is_refused_unless_it_is_ipv4_and_port),
+		cmocka_unit_test(an_address_is_rejected_unless_it_is_ipv4_and_port),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -41,7 +41,7 @@
 
 enum { QUERIES = 40 };
 
-static int answered_with(const struct query *queries, int from, int to, int status)
+static int count_answered_with(const struct query *queries, int from, int to, int status)
 {
 	int count = 0;
 
@@ -67,7 +67,7 @@
 }
 
 /* Nobody leads: each status query is answered from the records, at so many reads a second. */
-static void follow_nobody(struct frontend_fixture *fixture, double reads_per_s)
+static void configure_without_leader(struct frontend_fixture *fixture, double reads_per_s)
 {
 	fixture->node.peer_count = 0;
 	fixture->node.machine_types_loaded = fixture->node.live_jobs_loaded = true;
@@ -81,7 +81,7 @@
 	static struct query queries[QUERIES];
 	struct frontend_fixture *fixture = argument;
 
-	follow_nobody(fixture, 1000);
+	configure_without_leader(fixture, 1000);
 	fixture->reads_gated = true;
 	for (int i = 0; i < QUERIES / 2; i++)
 		spawn_query(fixture, &queries[i], "run-000001");
@@ -96,8 +96,8 @@
 		fl_condition_broadcast(&fixture->read_gate);
 		fl_sleep(0.01);
 	}
-	if (answered_with(queries, 0, 1, 404) != 1 ||
-	    answered_with(queries, 1, QUERIES, 200) != QUERIES - 1)
+	if (count_answered_with(queries, 0, 1, 404) != 1 ||
+	    count_answered_with(queries, 1, QUERIES, 200) != QUERIES - 1)
 		note_failure(fixture, "a status query is answered by an older read");
 	if (fixture->record_reads != 4)
 		note_failure(fixture, "%d reads for one job", fixture->record_reads);
@@ -111,7 +111,7 @@
 		note_failure(fixture, "what is done is read again");
 }
 
-static void status_queries_for_one_job_share_the_reads_that_begin_after_them(void **state)
+static void status_queries_for_one_job_share_reads_sent_after_their_arrival(void **state)
 {
 	run_in_coroutine(*state, query_one_job);
 }
@@ -123,7 +123,7 @@
 	struct frontend_fixture *fixture = argument;
 	char ref[FL_REF_MAX];
 
-	follow_nobody(fixture, 10);
+	configure_without_leader(fixture, 10);
 	for (int i = 0; i < QUERIES; i++) {
 		snprintf(ref, sizeof(ref), "run-%06d", 100 + i);
 		spawn_query(fixture, &queries[i], ref);
@@ -131,21 +131,21 @@
 	while (!all_answered(queries))
 		fl_sleep(0.01);
 	if (fixture->record_reads < 4 || fixture->record_reads > 12 ||
-	    answered_with(queries, 0, QUERIES, 404) * 2 != fixture->record_reads ||
-	    answered_with(queries, 0, QUERIES, 503) + fixture->record_reads / 2 != QUERIES)
+	    count_answered_with(queries, 0, QUERIES, 404) * 2 != fixture->record_reads ||
+	    count_answered_with(queries, 0, QUERIES, 503) + fixture->record_reads / 2 != QUERIES)
 		note_failure(fixture, "%d reads of 10 a second", fixture->record_reads);
 	for (int i = 0; i < QUERIES; i++)
 		if (queries[i].response.status == 503 && queries[i].response.retry_after_s <= 0)
 			note_failure(fixture, "no time is given for the next try");
 }
 
-static void status_queries_for_many_jobs_stay_within_the_share_of_the_key_value_store(void **state)
+static void status_queries_for_many_jobs_stay_within_the_read_budget(void **state)
 {
 	run_in_coroutine(*state, query_many_jobs);
 }
 
 /* The leader itself waits for a record, and the job ends meanwhile: its end is what is said. */
-static void end_job_while_its_record_is_read(void *argument)
+static void finish_job_while_its_record_is_read(void *argument)
 {
 	static struct query query;
 	struct frontend_fixture *fixture = argument;
@@ -179,18 +179,17 @@
 		note_failure(fixture, "%d %s", query.response.status, query.body);
 }
 
-static void a_status_query_reports_a_job_done_that_ends_while_its_record_is_read(void **state)
+static void a_job_that_finishes_while_its_record_is_read_is_reported_done(void **state)
 {
-	run_in_coroutine(*state, end_job_while_its_record_is_read);
+	run_in_coroutine(*state, finish_job_while_its_record_is_read);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(status_queries_for_one_job_share_the_reads_that_begin_after_them),
-		FRONTEND_TEST(
-			status_queries_for_many_jobs_stay_within_the_share_of_the_key_value_store),
-		FRONTEND_TEST(a_status_query_reports_a_job_done_that_ends_while_its_record_is_read),
+		FRONTEND_TEST(status_queries_for_one_job_share_reads_sent_after_their_arrival),
+		FRONTEND_TEST(status_queries_for_many_jobs_stay_within_the_read_budget),
+		FRONTEND_TEST(a_job_that_finishes_while_its_record_is_read_is_reported_done),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -21,8 +21,8 @@
 enum {
 	MACHINES = 300,
 	TASKS_PER_MACHINE = 48,
-	VALUE_LIMIT = 4096, /* bytes, of the smallest key-value store that is run */
-	PLACEMENT_BYTES = 48
+	VALUE_MAX_BYTES = 4096, /* bytes, of the smallest key-value store that is run */
+	PLACEMENT_MAX_BYTES = 48
 };
 
 struct site {
@@ -83,7 +83,7 @@
 	return 0;
 }
 
-static uint32_t blocks_held(const struct fl_job *job)
+static uint32_t allocated_block_count(const struct fl_job *job)
 {
 	uint32_t count = 0;
 
@@ -107,14 +107,14 @@
 	return index;
 }
 
-static void a_large_array_holds_memory_only_for_tasks_that_were_touched(void **state)
+static void a_large_array_allocates_blocks_only_for_changed_tasks(void **state)
 {
 	struct site *site = *state;
 	uint32_t placed;
 
-	assert_int_equal(blocks_held(site->job), 0);
+	assert_int_equal(allocated_block_count(site->job), 0);
 	placed = fill_machines(site);
-	assert_int_equal(blocks_held(site->job),
+	assert_int_equal(allocated_block_count(site->job),
 	                 (placed + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE);
 	assert_true(sizeof(struct fl_task_block) <= (size_t)FL_TASK_BLOCK_SIZE * 80);
 }
@@ -138,7 +138,7 @@
 	fl_snapshot_free(&snapshot);
 
 	/* Nothing is allocated by looking. */
-	assert_int_equal(blocks_held(site->job), 0);
+	assert_int_equal(allocated_block_count(site->job), 0);
 }
 
 /* Its tasks are all alike: the plan of rentals looks at each machine once, not for each task. */
@@ -177,11 +177,11 @@
 		log_bytes += strlen(group);
 		free(group);
 		record = fl_json_print_and_delete(fl_task_block_encode(cluster, site->job, i));
-		assert_true(strlen(record) < VALUE_LIMIT);
+		assert_true(strlen(record) < VALUE_MAX_BYTES);
 		free(record);
 	}
-	assert_int_equal(groups, blocks_held(site->job));
-	assert_true(log_bytes <= (size_t)placed * PLACEMENT_BYTES);
+	assert_int_equal(groups, allocated_block_count(site->job));
+	assert_true(log_bytes <= (size_t)placed * PLACEMENT_MAX_BYTES);
 }
 
 /* What is done is ranges: a task block that is done takes a few bytes, whatever it went through. */
@@ -203,8 +203,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			a_large_array_holds_memory_only_for_tasks_that_were_touched, set_up,
-			tear_down),
+			a_large_array_allocates_blocks_only_for_changed_tasks, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 			a_scheduling_cycle_examines_few_tasks_of_a_large_array, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
--- a/tests/test_large_site.c
+++ b/tests/test_large_site.c
@@ -20,35 +20,35 @@
 #include "transport/log.h"
 
 enum {
-	CAPACITY = 350, /* machines of each type, zone and kind of rental; 4,200 in all */
+	CLOUD_CAPACITY = 350, /* machines of each type, zone and kind of rental; 4,200 in all */
 	JOBS = 16,
 	TASKS_PER_JOB = 501,
 	TASKS_PER_MACHINE = 2,
 	TASKS = JOBS * TASKS_PER_JOB,
 	MACHINES = TASKS / TASKS_PER_MACHINE, /* 4,008 */
-	FAR_BEYOND = 1000000
+	UNLIMITED_QUOTA = 1000000
 };
 
 static const double all_started_s = 110; /* s after which everything has started */
-static const double leader_down_s = 115, all_down_s = 145, run_s = 200;
+static const double leader_down_s = 115, all_down_s = 145, run_duration_s = 200;
 
 struct sim sim;
 
-static void configure(void)
+static void configure_site(void)
 {
 	memset(&sim, 0, sizeof(sim));
 
 	sim_seed(4000);
 	sim.node_count = SIM_NODES;
 	sim.zone_count = SIM_ZONES;
-	sim.cloud_capacity = CAPACITY;
+	sim.cloud_capacity = CLOUD_CAPACITY;
 	sim.reliable_machines = true;
 	/* As rarely as the number of heartbeats in the test asks for. */
 	sim.heartbeat_interval_s = 10;
 	sim.lease_s = 40;
 	sim.cancel_s = 100;
 	for (int i = 0; i < SIM_TEAMS; i++)
-		sim_teams[i].cpus_max = sim_teams[i].gpus_max = FAR_BEYOND;
+		sim_teams[i].cpus_max = sim_teams[i].gpus_max = UNLIMITED_QUOTA;
 	for (int i = 0; i < sim.node_count; i++) {
 		sim_configure_node(i);
 		sim.config[i].max_connections = 1500;
@@ -71,7 +71,7 @@
 	spec->machine_type_count = -1;
 	spec->has_zone = spec->same_zone = spec->spread_zones = false;
 	spec->spot_allowed = true;
-	spec->expected_s = 10 * run_s;
+	spec->expected_s = 10 * run_duration_s;
 	spec->checkpoint_every_s = 0;
 	job->cancel_s = -1;
 	for (int i = 0; i < SIM_JOB_TASKS; i++)
@@ -83,11 +83,11 @@
 {
 	(void)state;
 	sim_time_begin();
-	configure();
+	configure_site();
 	for (int i = 0; i < JOBS; i++)
 		add_job();
 	sim.started_at = fl_now();
-	sim.faults_end_s = run_s - 1;
+	sim.faults_end_s = run_duration_s - 1;
 	SIM_INJECT(FAULT_NODE_DOWN, .start_s = leader_down_s, .duration_s = 8,
 	           .target = TARGET_LEADER);
 	SIM_INJECT(FAULT_NODE_DOWN, .start_s = all_down_s, .duration_s = 8,
@@ -126,7 +126,7 @@
  * Seen were 871 changes, 3,635 requests to the key-value store, 559 to the cloud, and 62,396
  * between controllers for 95,362 heartbeats and users' requests.
  */
-static void check_work(void)
+static void check_request_counts(void)
 {
 	print_message("kv_changes=%d kv_requests=%d cloud_requests=%d peer_requests=%d "
 	              "public_requests=%d\n",
@@ -135,7 +135,8 @@
 	              sim.requests[ENDPOINT_NODE]);
 	assert_true(sim_kv_change_count() <= TASKS / 6);
 	assert_true(sim.requests[ENDPOINT_KV_STORE] <= 5000);
-	assert_true(sim.requests[ENDPOINT_CLOUD] <= (int)(sim.config[0].cloud_rps * run_s));
+	assert_true(sim.requests[ENDPOINT_CLOUD] <=
+	            (int)(sim.config[0].cloud_rps * run_duration_s));
 	assert_true(sim.requests[ENDPOINT_PEER] < sim.requests[ENDPOINT_NODE]);
 }
 
@@ -145,7 +146,7 @@
 	run_until(all_started_s);
 	assert_int_equal(full_machine_count(), MACHINES);
 	assert_int_equal(sim.starts, TASKS);
-	run_until(run_s);
+	run_until(run_duration_s);
 	/* Through a failover and a restart of all controllers nothing is lost or started again. */
 	assert_int_equal(full_machine_count(), MACHINES);
 	assert_int_equal(sim.starts, TASKS);
@@ -154,7 +155,7 @@
 	sim_check_end();
 	if (sim.violation_count > 0)
 		fail_msg("%d invariants violated\n%s", sim.violation_count, sim.violations);
-	check_work();
+	check_request_counts();
 }
 
 int main(void)
--- a/tests/test_message_costs.c
+++ b/tests/test_message_costs.c
@@ -20,7 +20,7 @@
 #include "transport/http_client.h"
 #include "transport/coroutine.h"
 
-enum { CONNECTIONS = 16, MESSAGES = 200, IDLE_CONNECTIONS = 400, FIRST_MESSAGES = 3 };
+enum { CONNECTIONS = 16, MESSAGES = 200, IDLE_CONNECTIONS = 400, WARM_UP_MESSAGES = 3 };
 
 /*
  * Memory of a connection that has been served once and is idle. The sanitizers' own records of
@@ -33,8 +33,8 @@
 #endif
 
 static struct {
-	long receives, sends, registrations;
-} calls;
+	long recv_calls, send_calls, epoll_ctl_calls;
+} syscall_counts;
 
 static struct {
 	bool handler_waits;
@@ -44,25 +44,25 @@
 /* The names of their parameters are the library's. */
 ssize_t recv(int fd, void *buf, size_t n, int flags)
 {
-	calls.receives++;
+	syscall_counts.recv_calls++;
 	return syscall(SYS_recvfrom, fd, buf, n, flags, NULL, NULL);
 }
 
 ssize_t send(int fd, const void *buf, size_t n, int flags)
 {
-	calls.sends++;
+	syscall_counts.send_calls++;
 	return syscall(SYS_sendto, fd, buf, n, flags, NULL, 0);
 }
 
 int epoll_ctl(int epfd, int op, int fd, struct epoll_event *event)
 {
-	calls.registrations++;
+	syscall_counts.epoll_ctl_calls++;
 	return (int)syscall(SYS_epoll_ctl, epfd, op, fd, event);
 }
 
 /* As deep as a heartbeat is read: the stack below is touched. */
-static void answer_with_body(void *context, const struct fl_http_request *request,
-                             struct fl_http_response *response)
+static void echo_body(void *context, const struct fl_http_request *request,
+                      struct fl_http_response *response)
 {
 	cJSON *object = fl_json_parse(request->body, request->body_len);
 
@@ -78,7 +78,7 @@
 	"{\"Part\":\"run-000412/3\",\"Try\":2,\"Status\":\"running\"},"
 	"{\"Part\":\"run-000398/0\",\"Try\":1,\"Status\":\"ended\",\"ExitReason\":\"done\"}]}";
 
-static void exchange(struct fl_http_client *client)
+static void exchange_heartbeat(struct fl_http_client *client)
 {
 	struct fl_http_reply reply;
 
@@ -93,18 +93,18 @@
 
 	(void)context;
 	assert_int_equal(fl_http_client_init(&client, address, 1), 0);
-	for (int i = 0; i < FIRST_MESSAGES; i++)
-		exchange(&client);
-	memset(&calls, 0, sizeof(calls));
+	for (int i = 0; i < WARM_UP_MESSAGES; i++)
+		exchange_heartbeat(&client);
+	memset(&syscall_counts, 0, sizeof(syscall_counts));
 	for (int i = 0; i < MESSAGES; i++)
-		exchange(&client);
+		exchange_heartbeat(&client);
 	fl_http_client_close(&client);
 }
 
 static void run_with_server(void (*client)(const char *address, void *context), int max_connections)
 {
 	run_http_client(&(struct http_run){
-		.max_connections = max_connections, .handler = answer_with_body, .client = client});
+		.max_connections = max_connections, .handler = echo_body, .client = client});
 }
 
 /*
@@ -112,24 +112,24 @@
  * one or two registrations. Both ends are counted: two reads and two writes an exchange, and the
  * client, which gives its connection back to be used by others, registers anew.
  */
-static void a_message_costs_one_read_and_no_registration(void **state)
+static void a_message_costs_one_read_and_no_epoll_registration(void **state)
 {
 	(void)state;
 	run.handler_waits = false;
 	run_with_server(exchange_messages, CONNECTIONS);
-	assert_int_equal(calls.receives, 2 * MESSAGES);
-	assert_int_equal(calls.sends, 2 * MESSAGES);
-	assert_true(calls.registrations <= MESSAGES + FIRST_MESSAGES);
+	assert_int_equal(syscall_counts.recv_calls, 2 * MESSAGES);
+	assert_int_equal(syscall_counts.send_calls, 2 * MESSAGES);
+	assert_true(syscall_counts.epoll_ctl_calls <= MESSAGES + WARM_UP_MESSAGES);
 }
 
 /* A server's connection keeps its registration while the answer is waited for, too. */
-static void a_message_costs_no_registration_when_its_handler_waits(void **state)
+static void a_message_costs_no_epoll_registration_when_its_handler_waits(void **state)
 {
 	(void)state;
 	run.handler_waits = true;
 	run_with_server(exchange_messages, CONNECTIONS);
-	assert_int_equal(calls.receives, 2 * MESSAGES);
-	assert_true(calls.registrations <= MESSAGES + FIRST_MESSAGES);
+	assert_int_equal(syscall_counts.recv_calls, 2 * MESSAGES);
+	assert_true(syscall_counts.epoll_ctl_calls <= MESSAGES + WARM_UP_MESSAGES);
 }
 
 static long resident_bytes(void)
@@ -146,17 +146,17 @@
 static void open_connections(const char *address, void *context)
 {
 	static struct fl_http_client clients[IDLE_CONNECTIONS];
-	long before;
+	long bytes_before;
 
 	(void)context;
 	assert_int_equal(fl_http_client_init(&clients[0], address, 1), 0);
-	exchange(&clients[0]);
-	before = resident_bytes();
+	exchange_heartbeat(&clients[0]);
+	bytes_before = resident_bytes();
 	for (int i = 1; i < IDLE_CONNECTIONS; i++) {
 		assert_int_equal(fl_http_client_init(&clients[i], address, 1), 0);
-		exchange(&clients[i]);
+		exchange_heartbeat(&clients[i]);
 	}
-	run.idle_bytes = (resident_bytes() - before) / (IDLE_CONNECTIONS - 1);
+	run.idle_bytes = (resident_bytes() - bytes_before) / (IDLE_CONNECTIONS - 1);
 	for (int i = 0; i < IDLE_CONNECTIONS; i++)
 		fl_http_client_close(&clients[i]);
 }
@@ -178,8 +178,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_message_costs_one_read_and_no_registration),
-		cmocka_unit_test(a_message_costs_no_registration_when_its_handler_waits),
+		cmocka_unit_test(a_message_costs_one_read_and_no_epoll_registration),
+		cmocka_unit_test(a_message_costs_no_epoll_registration_when_its_handler_waits),
 		cmocka_unit_test(an_idle_connection_holds_little_memory),
 	};
 
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -107,7 +107,7 @@
 static void a_machine_is_not_suspect_after_one_lost_reply(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_task *task;
 
 	deliver_idle_heartbeat(fixture, 1, 1);
@@ -176,10 +176,10 @@
 }
 
 /* Across a failover nothing is known that would show a copy to be old, except its fencing token. */
-static void a_late_heartbeat_copy_after_a_failover_is_only_answered(void **state)
+static void a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	struct fl_task *task;
 
 	/* A machine that the leader before returned: no record, no list names it any more. */
@@ -224,7 +224,7 @@
 static void a_late_heartbeat_copy_within_a_leadership_changes_nothing(void **state)
 {
 	struct node_fixture *fixture = *state;
-	struct fl_task_status status = running_task(0, 1);
+	struct fl_task_status status = running_task_status(0, 1);
 	double heartbeat_at;
 
 	deliver_idle_heartbeat(fixture, 2, 10);
@@ -262,7 +262,7 @@
  * Found by the random walk: a reply with a start command is in flight when the task is stopped. The
  * reply to the stop lacks the task, since the worker has not had the answer yet.
  */
-static void a_command_reply_that_overtakes_a_heartbeat_reply_proves_no_absence(void **state)
+static void a_command_response_that_overtakes_a_heartbeat_reply_does_not_prove_absence(void **state)
 {
 	struct node_fixture *fixture = *state;
 	struct fl_task *task;
@@ -289,9 +289,10 @@
 		NODE_TEST(a_machine_is_suspect_after_commands_without_effect),
 		NODE_TEST(a_machine_is_not_suspect_after_one_lost_reply),
 		NODE_TEST(a_machine_with_a_long_heartbeat_interval_is_not_suspect),
-		NODE_TEST(a_late_heartbeat_copy_after_a_failover_is_only_answered),
+		NODE_TEST(a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied),
 		NODE_TEST(a_late_heartbeat_copy_within_a_leadership_changes_nothing),
-		NODE_TEST(a_command_reply_that_overtakes_a_heartbeat_reply_proves_no_absence),
+		NODE_TEST(
+			a_command_response_that_overtakes_a_heartbeat_reply_does_not_prove_absence),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_reconcile_results.c
+++ b/tests/test_reconcile_results.c
@@ -19,7 +19,7 @@
 	return fl_reconcile_heartbeat(&fixture->node, &heartbeat, NULL, FL_HEARTBEAT_FROM_COMMAND);
 }
 
-static void each_result_names_its_reason(void **state)
+static void heartbeat_results_distinguish_why_a_heartbeat_was_not_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
 
@@ -37,7 +37,7 @@
 	assert_int_equal(reconcile(fixture, 2, 6, FENCING_TOKEN + 1), FL_RECONCILE_DECOMMISSIONED);
 }
 
-static void what_is_ignored_is_answered_all_the_same(void **state)
+static void ignored_heartbeats_are_not_rejected(void **state)
 {
 	(void)state;
 	assert_false(fl_reconcile_is_rejection(FL_RECONCILE_APPLIED));
@@ -48,7 +48,7 @@
 	assert_true(fl_reconcile_is_rejection(FL_RECONCILE_OUT_OF_MEMORY));
 }
 
-static void an_incarnation_goes_before_the_sequence(void **state)
+static void the_incarnation_takes_precedence_over_the_sequence_number(void **state)
 {
 	const struct fl_heartbeat heartbeat = {.incarnation = 4, .sequence = 7};
 
@@ -62,9 +62,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		NODE_TEST(each_result_names_its_reason),
-		NODE_TEST(what_is_ignored_is_answered_all_the_same),
-		NODE_TEST(an_incarnation_goes_before_the_sequence),
+		NODE_TEST(heartbeat_results_distinguish_why_a_heartbeat_was_not_applied),
+		NODE_TEST(ignored_heartbeats_are_not_rejected),
+		NODE_TEST(the_incarnation_takes_precedence_over_the_sequence_number),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -31,7 +31,7 @@
 	queue_message(sim, worker_index, text, false);
 }
 
-static void end_some_task(struct simulation *sim, int worker_index)
+static void end_random_task(struct simulation *sim, int worker_index)
 {
 	struct worker *worker = &sim->workers[worker_index];
 	struct fl_task_status *status;
@@ -46,7 +46,7 @@
 		status->state = FL_TASK_STATE_EXITED;
 		status->exit_reason = random_below(sim, 4) == 0 ? FL_EXIT_DONE : FL_EXIT_ERROR;
 		if (status->exit_reason == FL_EXIT_DONE) {
-			sim->actually_done[atoi(status->ref + 4)][status->index] = true;
+			sim->completed[atoi(status->ref + 4)][status->index] = true;
 			sim->completions++;
 		}
 		return;
@@ -68,7 +68,7 @@
 		end_incarnation(sim, worker);
 }
 
-static void take_over_sometimes(struct simulation *sim, int worker)
+static void fail_over_sometimes(struct simulation *sim, int worker)
 {
 	(void)worker;
 	if (random_below(sim, 4 * sim->token_change_interval) == 0)
@@ -114,34 +114,34 @@
 
 /* What a step may do, and how often. */
 static const struct {
-	int share;
+	int weight;
 	void (*run)(struct simulation *sim, int worker);
 } actions[] = {
 	{1, end_incarnation_sometimes},
-	{1, take_over_sometimes},
+	{1, fail_over_sometimes},
 	{1, raise_fencing_token_sometimes},
 	{3, deliver_late_message_step},
 	{2, send_direct_command},
-	{2, end_some_task},
+	{2, end_random_task},
 	{3, save_some_records_step},
 	{2, place_some_tasks_step},
 	{1, preempt_a_task},
 	{8, send_heartbeat},
 };
 
-enum { SHARES = 24 };
+enum { WEIGHT_SUM = 24 };
 
-static void step(struct simulation *sim)
+static void run_random_step(struct simulation *sim)
 {
 	int worker = random_below(sim, WORKERS);
-	int choice = random_below(sim, SHARES);
+	int choice = random_below(sim, WEIGHT_SUM);
 
 	for (size_t i = 0; i < sizeof(actions) / sizeof(actions[0]); i++) {
-		if (choice < actions[i].share) {
+		if (choice < actions[i].weight) {
 			actions[i].run(sim, worker);
 			break;
 		}
-		choice -= actions[i].share;
+		choice -= actions[i].weight;
 	}
 	check_invariants(sim);
 }
@@ -155,16 +155,16 @@
 	for (unsigned long seed = 1; seed <= 150; seed++) {
 		set_up(sim, seed);
 		for (int i = 0; i < 1500; i++)
-			step(sim);
+			run_random_step(sim);
 		start_commands += sim->starts;
 		done_tasks += sim->completions;
 		failovers += sim->failovers;
 		for (int j = 0; j < JOBS; j++) {
-			bool all = true;
+			bool all_done = true;
 
 			for (int k = 0; k < TASKS; k++)
-				all = all && sim->actually_done[j][k];
-			finished_jobs += all;
+				all_done = all_done && sim->completed[j][k];
+			finished_jobs += all_done;
 		}
 		tear_down(sim);
 	}
@@ -176,8 +176,8 @@
 }
 
 /* One task of the job is placed on the machine and fails there. */
-static struct fl_machine *fail_task(struct simulation *sim, struct fl_job *job, int host,
-                                    uint32_t index, uint64_t sequence)
+static struct fl_machine *place_and_fail_task(struct simulation *sim, struct fl_job *job, int host,
+                                              uint32_t index, uint64_t sequence)
 {
 	struct fl_cluster *cluster = &sim->node.cluster;
 	struct fl_heartbeat heartbeat = {.incarnation = 1,
@@ -214,7 +214,7 @@
 
 	job = fl_job_find(&sim->node.cluster, "run-000000");
 	for (int i = 0; i < 12; i++) {
-		machine = fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
+		machine = place_and_fail_task(sim, job, 60 + i, (uint32_t)(i % TASKS), 1);
 		assert_true(machine->health.quarantined_until <= now);
 		assert_true(i < 4 || job->retry.not_before >= previous);
 		previous = job->retry.not_before;
@@ -223,24 +223,24 @@
 }
 
 /* Two tasks of a job of which nothing ever completed are no evidence against their machine. */
-static void a_machine_is_quarantined_by_evidence_only(void **state)
+static void a_machine_is_quarantined_only_after_enough_failures(void **state)
 {
 	struct simulation *sim = *state;
 	struct fl_job *job;
 	double now = fl_now();
 
 	job = fl_job_find(&sim->node.cluster, "run-000000");
-	assert_true(fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
-	assert_true(fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
+	assert_true(place_and_fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
+	assert_true(place_and_fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
 
 	/* A third in a row is: a service of one task must not go there again and again. */
-	assert_true(fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
+	assert_true(place_and_fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
 
 	/* Where a task of the job has completed, two are enough. */
 	job = fl_job_find(&sim->node.cluster, "run-000001");
 	fl_task_mark_done(&sim->node.cluster, job, 0);
-	assert_true(fail_task(sim, job, 61, 1, 1)->health.quarantined_until <= now);
-	assert_true(fail_task(sim, job, 61, 2, 2)->health.quarantined_until > now);
+	assert_true(place_and_fail_task(sim, job, 61, 1, 1)->health.quarantined_until <= now);
+	assert_true(place_and_fail_task(sim, job, 61, 2, 2)->health.quarantined_until > now);
 }
 
 int main(void)
@@ -248,7 +248,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(a_job_backs_off_when_it_fails_on_every_machine,
 	                                        begin_simulation, end_simulation),
-		cmocka_unit_test_setup_teardown(a_machine_is_quarantined_by_evidence_only,
+		cmocka_unit_test_setup_teardown(a_machine_is_quarantined_only_after_enough_failures,
 	                                        begin_simulation, end_simulation),
 		cmocka_unit_test(
 			no_interleaving_of_heartbeats_commands_and_leaders_violates_an_invariant),
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -21,7 +21,7 @@
 	uint32_t attempt;
 	int machine;
 	uint64_t incarnation;
-	bool logged;
+	bool from_wal;
 };
 
 /* A record or a group of the write-ahead log. */
@@ -32,7 +32,7 @@
 	int change_count;
 };
 
-struct world {
+struct scenario {
 	struct fl_cluster cluster;
 	struct fl_job *jobs[JOBS];
 	struct group records[JOBS][TASKS_MAX / FL_TASK_BLOCK_SIZE + 1];
@@ -51,7 +51,7 @@
 	return (uint32_t)(seed >> 33) % limit;
 }
 
-static void add_job(struct world *world, int i, uint32_t task_count)
+static void add_job(struct scenario *scenario, int i, uint32_t task_count)
 {
 	struct fl_job_spec spec = {.task_count = task_count,
 	                           .cpus = 1,
@@ -64,37 +64,37 @@
 	snprintf(spec.team, sizeof(spec.team), "team");
 	snprintf(spec.job_class, sizeof(spec.job_class), "class");
 	snprintf(spec.image, sizeof(spec.image), "image");
-	world->jobs[i] = fl_job_add(&world->cluster, &spec, 0, 1);
-	assert_non_null(world->jobs[i]);
+	scenario->jobs[i] = fl_job_add(&scenario->cluster, &spec, 0, 1);
+	assert_non_null(scenario->jobs[i]);
 }
 
-static struct world *create(void)
+static struct scenario *create_scenario(void)
 {
-	struct world *world = calloc(1, sizeof(*world));
-
-	assert_non_null(world);
-	world->cluster.has_leader_state = true;
-	world->cluster.teams.count = 1;
-	snprintf(world->cluster.teams.by_index[0].name,
-	         sizeof(world->cluster.teams.by_index[0].name), "team");
-	return world;
+	struct scenario *scenario = calloc(1, sizeof(*scenario));
+
+	assert_non_null(scenario);
+	scenario->cluster.has_leader_state = true;
+	scenario->cluster.teams.count = 1;
+	snprintf(scenario->cluster.teams.by_index[0].name,
+	         sizeof(scenario->cluster.teams.by_index[0].name), "team");
+	return scenario;
 }
 
-static void destroy(struct world *world)
+static void destroy_scenario(struct scenario *scenario)
 {
-	fl_cluster_free(&world->cluster);
-	free(world);
+	fl_cluster_free(&scenario->cluster);
+	free(scenario);
 }
 
 /* Some tasks of the task block in rising order, each in a random state. */
-static void fill_group(struct group *group, const struct world *world, int job,
-                       uint32_t block_index)
+static void fill_group_randomly(struct group *group, const struct scenario *scenario, int job,
+                                uint32_t block_index)
 {
 	uint32_t base = block_index * FL_TASK_BLOCK_SIZE;
 
 	*group = (struct group){.job = job, .block_index = block_index};
 	for (uint32_t i = random_below(4);
-	     i < FL_TASK_BLOCK_SIZE && base + i < world->jobs[job]->task_count;
+	     i < FL_TASK_BLOCK_SIZE && base + i < scenario->jobs[job]->task_count;
 	     i += 1 + random_below(5)) {
 		if (group->change_count == CHANGES_MAX)
 			break;
@@ -108,11 +108,11 @@
 	}
 }
 
-static cJSON *number_pair(double first, double second)
+static cJSON *create_number_pair(double first, double second)
 {
-	const double at[] = {first, second};
+	const double numbers[] = {first, second};
 
-	return cJSON_CreateDoubleArray(at, 2);
+	return cJSON_CreateDoubleArray(numbers, 2);
 }
 
 static cJSON *encode_group(const struct group *group)
@@ -125,9 +125,9 @@
 	for (int i = 0; i < group->change_count; i++) {
 		const struct change *change = &group->changes[i];
 		char name[16];
-		cJSON *item =
-			number_pair(change->index, change->phase == FL_TASK_DONE ? change->index
-		                                                                 : change->attempt);
+		cJSON *item = create_number_pair(change->index, change->phase == FL_TASK_DONE
+		                                                        ? change->index
+		                                                        : change->attempt);
 
 		if (change->phase == FL_TASK_PLACED) {
 			snprintf(name, sizeof(name), "host-%d", change->machine);
@@ -143,12 +143,13 @@
 	return object;
 }
 
-static void add_group_to_value(cJSON *value, const struct world *world, const struct group *group)
+static void add_group_to_value(cJSON *value, const struct scenario *scenario,
+                               const struct group *group)
 {
 	cJSON *item = cJSON_CreateArray();
 	char *text;
 
-	cJSON_AddItemToArray(item, cJSON_CreateString(world->jobs[group->job]->ref));
+	cJSON_AddItemToArray(item, cJSON_CreateString(scenario->jobs[group->job]->ref));
 	cJSON_AddItemToArray(item, cJSON_CreateNumber(group->block_index));
 	cJSON_AddItemToArray(item, encode_group(group));
 	text = fl_json_print_and_delete(item);
@@ -157,13 +158,13 @@
 }
 
 /* The groups from `from` up to `to`, read from a value as the key-value store would return it. */
-static void read_wal_value(struct fl_wal *wal, const struct world *world, int from, int to)
+static void read_wal_value(struct fl_wal *wal, const struct scenario *scenario, int from, int to)
 {
 	cJSON *value = fl_wal_value_create(), *parsed;
 	char *text;
 
 	for (int i = from; i < to; i++)
-		add_group_to_value(value, world, &world->groups[i]);
+		add_group_to_value(value, scenario, &scenario->groups[i]);
 	text = fl_json_print_and_delete(value);
 	parsed = fl_json_parse(text, strlen(text));
 	assert_non_null(parsed);
@@ -172,45 +173,47 @@
 	free(text);
 }
 
-static void read_wal(struct fl_wal *wal, const struct world *world)
+static void read_wal(struct fl_wal *wal, const struct scenario *scenario)
 {
-	int half = world->group_count > 0 ? (int)random_below((uint32_t)world->group_count) : 0;
+	int half =
+		scenario->group_count > 0 ? (int)random_below((uint32_t)scenario->group_count) : 0;
 
-	read_wal_value(wal, world, 0, half);
-	read_wal_value(wal, world, half, world->group_count);
-	assert_int_equal(wal->group_count, world->group_count);
+	read_wal_value(wal, scenario, 0, half);
+	read_wal_value(wal, scenario, half, scenario->group_count);
+	assert_int_equal(wal->group_count, scenario->group_count);
 }
 
 /* As a failover does it: the records, then what only the write-ahead log has. */
-static void restore_all(struct world *world, struct fl_wal *wal)
+static void restore_records_and_wal(struct scenario *scenario, struct fl_wal *wal)
 {
 	for (int j = 0; j < JOBS; j++)
-		for (uint32_t k = 0; k < world->jobs[j]->block_count; k++) {
-			cJSON *value = world->records[j][k].change_count > 0
-			                       ? encode_group(&world->records[j][k])
+		for (uint32_t k = 0; k < scenario->jobs[j]->block_count; k++) {
+			cJSON *value = scenario->records[j][k].change_count > 0
+			                       ? encode_group(&scenario->records[j][k])
 			                       : NULL;
 
 			if (value)
 				assert_int_equal(
 					fl_task_block_restore(
-						&world->cluster, world->jobs[j], k,
+						&scenario->cluster, scenario->jobs[j], k,
 						&(struct fl_task_block_source){value, 7, wal}, 0),
 					0);
 			cJSON_Delete(value);
 		}
 	for (int i = 0; i < wal->group_count; i++)
 		if (!wal->groups[i].restored)
-			assert_int_equal(fl_task_block_restore(
-						 &world->cluster,
-						 fl_job_find(&world->cluster, wal->groups[i].ref),
-						 wal->groups[i].block_index,
-						 &(struct fl_task_block_source){NULL, 0, wal}, 0),
-			                 0);
+			assert_int_equal(
+				fl_task_block_restore(
+					&scenario->cluster,
+					fl_job_find(&scenario->cluster, wal->groups[i].ref),
+					wal->groups[i].block_index,
+					&(struct fl_task_block_source){NULL, 0, wal}, 0),
+				0);
 }
 
 /* The plain reading: of two states done counts, then the higher attempt, then one not placed. */
-static void consider_changes(struct change *best, const struct group *group, uint32_t index,
-                             bool logged)
+static void merge_group_changes(struct change *best, const struct group *group, uint32_t index,
+                                bool from_wal)
 {
 	for (int i = 0; i < group->change_count; i++) {
 		const struct change *change = &group->changes[i];
@@ -224,87 +227,89 @@
 			better = change->phase == FL_TASK_WAITING && best->phase == FL_TASK_PLACED;
 		if (better) {
 			*best = *change;
-			best->logged = logged;
+			best->from_wal = from_wal;
 		}
 	}
 }
 
-static void compare_task(const struct world *world, int j, uint32_t index, uint32_t counts[3])
+static void assert_restored_task(const struct scenario *scenario, int j, uint32_t index,
+                                 uint32_t counts[3])
 {
-	const struct fl_task *task = fl_task_find(world->jobs[j], index);
+	const struct fl_task *task = fl_task_find(scenario->jobs[j], index);
 	const struct fl_task_block *block_index =
-		fl_job_task_block(world->jobs[j], index / FL_TASK_BLOCK_SIZE);
+		fl_job_task_block(scenario->jobs[j], index / FL_TASK_BLOCK_SIZE);
 	struct change best = {.phase = FL_TASK_WAITING};
 	char name[16];
 
-	consider_changes(&best, &world->records[j][index / FL_TASK_BLOCK_SIZE], index, false);
-	for (int i = 0; i < world->group_count; i++)
-		if (world->groups[i].job == j &&
-		    world->groups[i].block_index == index / FL_TASK_BLOCK_SIZE)
-			consider_changes(&best, &world->groups[i], index, true);
+	merge_group_changes(&best, &scenario->records[j][index / FL_TASK_BLOCK_SIZE], index, false);
+	for (int i = 0; i < scenario->group_count; i++)
+		if (scenario->groups[i].job == j &&
+		    scenario->groups[i].block_index == index / FL_TASK_BLOCK_SIZE)
+			merge_group_changes(&best, &scenario->groups[i], index, true);
 	counts[best.phase]++;
 	if (!task) {
 		assert_true(best.phase == FL_TASK_WAITING && best.attempt == 0);
 		return;
 	}
 	assert_int_equal(task->phase, best.phase);
-	assert_int_equal(!fl_task_change_is_saved(block_index, task), best.logged);
+	assert_int_equal(!fl_task_change_is_saved(block_index, task), best.from_wal);
 	if (best.phase == FL_TASK_DONE)
 		return;
 	assert_int_equal(task->attempt, best.attempt);
 	if (best.phase != FL_TASK_PLACED)
 		return;
 	snprintf(name, sizeof(name), "host-%d", best.machine);
-	assert_string_equal(world->cluster.machines.by_id[task->machine_id]->name, name);
+	assert_string_equal(scenario->cluster.machines.by_id[task->machine_id]->name, name);
 	assert_int_equal(task->incarnation, best.incarnation);
 }
 
-static void compare_all(const struct world *world)
+static void assert_restored_jobs(const struct scenario *scenario)
 {
 	for (int j = 0; j < JOBS; j++) {
 		uint32_t counts[3] = {0};
 
-		for (uint32_t i = 0; i < world->jobs[j]->task_count; i++)
-			compare_task(world, j, i, counts);
-		assert_int_equal(world->jobs[j]->counts.waiting, counts[FL_TASK_WAITING]);
-		assert_int_equal(world->jobs[j]->counts.placed, counts[FL_TASK_PLACED]);
-		assert_int_equal(world->jobs[j]->counts.done, counts[FL_TASK_DONE]);
+		for (uint32_t i = 0; i < scenario->jobs[j]->task_count; i++)
+			assert_restored_task(scenario, j, i, counts);
+		assert_int_equal(scenario->jobs[j]->counts.waiting, counts[FL_TASK_WAITING]);
+		assert_int_equal(scenario->jobs[j]->counts.placed, counts[FL_TASK_PLACED]);
+		assert_int_equal(scenario->jobs[j]->counts.done, counts[FL_TASK_DONE]);
 	}
 }
 
-static void a_restore_agrees_with_a_plain_reading_of_records_and_log(void **state)
+static void a_restore_agrees_with_a_reference_merge_of_records_and_wal(void **state)
 {
 	(void)state;
 	for (int round = 0; round < ROUNDS; round++) {
-		struct world *world = create();
+		struct scenario *scenario = create_scenario();
 		struct fl_wal wal = {0};
 
 		seed = 0x9e3779b97f4a7c15ULL * (uint64_t)(round + 1);
 		for (int j = 0; j < JOBS; j++) {
-			add_job(world, j, 1 + random_below(TASKS_MAX));
-			for (uint32_t k = 0; k < world->jobs[j]->block_count; k++)
+			add_job(scenario, j, 1 + random_below(TASKS_MAX));
+			for (uint32_t k = 0; k < scenario->jobs[j]->block_count; k++)
 				if (random_below(2))
-					fill_group(&world->records[j][k], world, j, k);
+					fill_group_randomly(&scenario->records[j][k], scenario, j,
+					                    k);
 		}
-		world->group_count = (int)random_below(GROUPS_MAX + 1);
-		for (int i = 0; i < world->group_count; i++) {
+		scenario->group_count = (int)random_below(GROUPS_MAX + 1);
+		for (int i = 0; i < scenario->group_count; i++) {
 			int j = (int)random_below(JOBS);
 
-			fill_group(&world->groups[i], world, j,
-			           random_below(world->jobs[j]->block_count));
+			fill_group_randomly(&scenario->groups[i], scenario, j,
+			                    random_below(scenario->jobs[j]->block_count));
 		}
-		read_wal(&wal, world);
-		restore_all(world, &wal);
-		compare_all(world);
+		read_wal(&wal, scenario);
+		restore_records_and_wal(scenario, &wal);
+		assert_restored_jobs(scenario);
 		fl_wal_free(&wal);
-		destroy(world);
+		destroy_scenario(scenario);
 	}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_restore_agrees_with_a_plain_reading_of_records_and_log),
+		cmocka_unit_test(a_restore_agrees_with_a_reference_merge_of_records_and_wal),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_schedule_backfill.c
+++ b/tests/test_schedule_backfill.c
@@ -40,7 +40,7 @@
 }
 
 /* The window lasts over scheduling cycles: it may shrink but does not begin anew. */
-static void a_backfill_window_does_not_begin_anew_with_each_cycle(void **state)
+static void a_backfill_window_does_not_restart_with_each_cycle(void **state)
 {
 	struct snapshot snapshot = {.job_count = 2, .machine_count = 1, .attempt_count = 1};
 	struct fl_sched_output output;
@@ -68,7 +68,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_backfill_window_is_not_shortened_by_fragmented_capacity),
-		cmocka_unit_test(a_backfill_window_does_not_begin_anew_with_each_cycle),
+		cmocka_unit_test(a_backfill_window_does_not_restart_with_each_cycle),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_schedule_model.c
+++ b/tests/test_schedule_model.c
@@ -17,7 +17,7 @@
 #include "schedule_random.h"
 
 struct totals {
-	long starts, preemptions, top_jobs, machines_examined, examined_max;
+	long starts, preemptions, top_jobs, machines_examined, machines_examined_max;
 };
 
 static void assert_reservation(const struct fl_reservation *reservation,
@@ -26,7 +26,7 @@
 	const struct fl_resources *resources = &reservation->resources;
 
 	assert_int_equal(reservation->active, expected->active);
-	assert_int_equal(reservation->within_guaranteed, expected->within_guaranteed);
+	assert_int_equal(reservation->within_guaranteed_quota, expected->within_guaranteed_quota);
 	assert_int_equal(reservation->priority, expected->priority);
 	assert_true(fabs(resources->cpus - expected->resources.cpus) < 1e-6 &&
 	            fabs(resources->gpus - expected->resources.gpus) < 1e-6 &&
@@ -47,14 +47,15 @@
 }
 
 /* Runs one cycle of both on the snapshot, which the real one changes. */
-static void compare_decisions(struct model *model, struct snapshot *snapshot, struct totals *totals)
+static void compare_with_model(struct model *model, struct snapshot *snapshot,
+                               struct totals *totals)
 {
 	struct fl_sched_output output;
 
 	memset(model, 0, sizeof(*model));
 	snapshot->spot_loss_rate = snapshot->machine_count % 2 * 0.002;
 	model->snapshot = *snapshot;
-	model_cycle(model);
+	model_run_cycle(model);
 	run_schedule(snapshot, &output);
 	assert_starts_and_preemptions(&output, model);
 	for (int i = 0; i < snapshot->machine_count; i++)
@@ -71,7 +72,7 @@
 	totals->top_jobs += output.top_job >= 0;
 	totals->machines_examined += output.machines_examined;
 	/* Each start, each reservation and each job that finds no machine examines all of them. */
-	totals->examined_max +=
+	totals->machines_examined_max +=
 		(long)snapshot->machine_count *
 		(output.start_count + 2 * snapshot->job_count + 2 * output.preemption_count);
 	fl_sched_output_free(&output);
@@ -103,7 +104,7 @@
 	return 0;
 }
 
-static void a_scheduling_cycle_decides_like_the_model(void **state)
+static void scheduling_decisions_match_the_model(void **state)
 {
 	struct comparison *comparison = *state;
 	struct model *model = &comparison->model;
@@ -114,7 +115,7 @@
 	gsl_rng_set(rng, 7);
 	for (int round = 0; round < 4000; round++) {
 		random_snapshot(rng, snapshot, 14, 9, 24);
-		compare_decisions(model, snapshot, &small);
+		compare_with_model(model, snapshot, &small);
 	}
 
 	/* The snapshots must reach all of it. */
@@ -128,10 +129,10 @@
 			snapshot->teams[i].max_gpus *= 30;
 			snapshot->teams[i].max_cpus *= 30;
 		}
-		compare_decisions(model, snapshot, &large);
+		compare_with_model(model, snapshot, &large);
 	}
 	assert_true(large.starts > 500 && large.preemptions > 50);
-	assert_true(large.machines_examined <= large.examined_max);
+	assert_true(large.machines_examined <= large.machines_examined_max);
 }
 
 /* Applies the model's starts to the snapshot, as a leader would. */
@@ -183,15 +184,16 @@
 }
 
 /* Jobs without waiting tasks are replaced by others; the rest wait on. */
-static void replace_finished_jobs(gsl_rng *rng, struct snapshot *snapshot, struct snapshot *fresh)
+static void replace_finished_jobs(gsl_rng *rng, struct snapshot *snapshot,
+                                  struct snapshot *replacement)
 {
 	do
-		random_snapshot(rng, fresh, JOBS_MAX, MACHINES_MAX, 0);
-	while (fresh->job_count < snapshot->job_count);
+		random_snapshot(rng, replacement, JOBS_MAX, MACHINES_MAX, 0);
+	while (replacement->job_count < snapshot->job_count);
 	for (int i = 0; i < snapshot->job_count; i++) {
 		snapshot->jobs[i].waited_s += 7;
 		if (snapshot->jobs[i].startable_count == 0)
-			snapshot->jobs[i] = fresh->jobs[i];
+			snapshot->jobs[i] = replacement->jobs[i];
 	}
 }
 
@@ -199,12 +201,13 @@
  * Hundreds of machines and thousands of tasks over many scheduling cycles: the decisions are
  * the plain model's all along, and the work stays in proportion to what is started.
  */
-static void scheduling_cycles_on_hundreds_of_machines_decide_like_the_model(void **state)
+static void scheduling_decisions_on_hundreds_of_machines_match_the_model(void **state)
 {
 	struct comparison *comparison = *state;
 	struct model *model = &comparison->model;
 	struct snapshot *snapshot = &comparison->snapshot;
-	struct snapshot *fresh = malloc(sizeof(*fresh)), *before = malloc(sizeof(*before));
+	struct snapshot *replacement = malloc(sizeof(*replacement)),
+			*snapshot_before = malloc(sizeof(*snapshot_before));
 	gsl_rng *rng = comparison->rng;
 	struct totals totals = {0};
 	long started = 0;
@@ -216,27 +219,27 @@
 	for (int i = 0; i < TEAMS; i++)
 		snapshot->teams[i] = (struct fl_team){.guaranteed_gpus = 200 * i, .max_gpus = 600};
 	for (int cycle = 0; cycle < 30; cycle++) {
-		*before = *snapshot;
-		compare_decisions(model, snapshot, &totals);
-		*snapshot = *before;
+		*snapshot_before = *snapshot;
+		compare_with_model(model, snapshot, &totals);
+		*snapshot = *snapshot_before;
 		started += apply_starts(snapshot, model);
 		end_attempts(rng, snapshot, model, 3);
-		replace_finished_jobs(rng, snapshot, fresh);
+		replace_finished_jobs(rng, snapshot, replacement);
 	}
 
 	assert_true(started > 2000);
-	assert_true(totals.machines_examined <= totals.examined_max);
-	free(fresh);
-	free(before);
+	assert_true(totals.machines_examined <= totals.machines_examined_max);
+	free(replacement);
+	free(snapshot_before);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(a_scheduling_cycle_decides_like_the_model, set_up,
+		cmocka_unit_test_setup_teardown(scheduling_decisions_match_the_model, set_up,
 	                                        tear_down),
 		cmocka_unit_test_setup_teardown(
-			scheduling_cycles_on_hundreds_of_machines_decide_like_the_model, set_up,
+			scheduling_decisions_on_hundreds_of_machines_match_the_model, set_up,
 			tear_down),
 	};
 
--- a/tests/test_schedule_placement.c
+++ b/tests/test_schedule_placement.c
@@ -90,7 +90,7 @@
 }
 
 /* After a cycle: one task waits, and capacity is counted anew while the first victim stops. */
-static void begin_next_cycle(struct cached_image_site *site)
+static void prepare_next_cycle(struct cached_image_site *site)
 {
 	fl_sched_output_free(&site->output);
 	site->job.startable_count = 1;
@@ -126,7 +126,7 @@
 	struct fl_sched_output *output = &site->output;
 
 	run_cycle(site);
-	begin_next_cycle(site);
+	prepare_next_cycle(site);
 
 	run_cycle(site);
 
@@ -140,9 +140,9 @@
 	struct fl_sched_output *output = &site->output;
 
 	run_cycle(site);
-	begin_next_cycle(site);
+	prepare_next_cycle(site);
 	run_cycle(site);
-	begin_next_cycle(site);
+	prepare_next_cycle(site);
 	site->job.waited_s = 11;
 
 	run_cycle(site);
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -40,16 +40,16 @@
 	fl_sched_output_free(&output);
 }
 
-enum { LOW, HIGH, COMPETITORS };
+enum { LOW_PRIORITY_JOB, HIGH_PRIORITY_JOB, COMPETING_JOBS };
 
 /* Two jobs on two machines over many cycles, and what was started and preempted of them. */
 struct competition {
 	struct snapshot snapshot;
-	int starts[COMPETITORS];
+	int starts[COMPETING_JOBS];
 	int preemptions;
 };
 
-static void begin_cycle(struct snapshot *snapshot)
+static void carry_over_reservations(struct snapshot *snapshot)
 {
 	for (int i = 0; i < snapshot->machine_count; i++) {
 		snapshot->machines[i].reserved = snapshot->machines[i].requested;
@@ -76,14 +76,14 @@
 /* What is stopped has ended by the next cycle; capacity is counted anew. */
 static void end_stopped_attempts(struct snapshot *snapshot)
 {
-	int kept = 0;
+	int kept_count = 0;
 
 	for (int i = 0; i < snapshot->attempt_count; i++)
 		if (!snapshot->attempts[i].stopping)
-			snapshot->attempts[kept++] = snapshot->attempts[i];
+			snapshot->attempts[kept_count++] = snapshot->attempts[i];
 		else
-			snapshot->jobs[LOW].startable_count++;
-	snapshot->attempt_count = kept;
+			snapshot->jobs[LOW_PRIORITY_JOB].startable_count++;
+	snapshot->attempt_count = kept_count;
 	for (int i = 0; i < snapshot->machine_count; i++)
 		snapshot->machines[i].free.cpus = 32;
 	for (int i = 0; i < snapshot->attempt_count; i++)
@@ -96,7 +96,7 @@
 	for (int cycle = 0; cycle < cycle_count; cycle++) {
 		struct fl_sched_output output;
 
-		begin_cycle(&competition->snapshot);
+		carry_over_reservations(&competition->snapshot);
 		run_schedule(&competition->snapshot, &output);
 		competition->preemptions += output.preemption_count;
 		apply_starts(competition, &output);
@@ -116,22 +116,22 @@
 	struct snapshot *snapshot = &competition.snapshot;
 
 	(void)state;
-	snapshot->jobs[LOW] = plain_job(6, 40, 300, 600);
-	snapshot->jobs[LOW].priority = FL_BEST_EFFORT;
-	snapshot->jobs[LOW].begun = true;
-	snapshot->jobs[HIGH] = plain_job(10, 6, 100, 10);
+	snapshot->jobs[LOW_PRIORITY_JOB] = plain_job(6, 40, 300, 600);
+	snapshot->jobs[LOW_PRIORITY_JOB].priority = FL_BEST_EFFORT;
+	snapshot->jobs[LOW_PRIORITY_JOB].begun = true;
+	snapshot->jobs[HIGH_PRIORITY_JOB] = plain_job(10, 6, 100, 10);
 	snapshot->machines[0] = snapshot->machines[1] = plain_machine(32);
 
 	run_competition(&competition, 40);
 
-	assert_int_equal(competition.starts[HIGH], 6);
+	assert_int_equal(competition.starts[HIGH_PRIORITY_JOB], 6);
 
 	/* Ten filled the machines; what was stopped for six tasks may have started once more. */
-	assert_true(competition.starts[LOW] >= 10 && competition.preemptions <= 12);
+	assert_true(competition.starts[LOW_PRIORITY_JOB] >= 10 && competition.preemptions <= 12);
 }
 
 /* Each of two jobs could stop the other, one by priority and one by guarantee: only one may. */
-static void guaranteed_work_is_not_preempted_by_what_it_could_preempt(void **state)
+static void guaranteed_work_is_not_preempted_by_a_job_that_it_could_preempt(void **state)
 {
 	struct snapshot snapshot = {.job_count = 1, .machine_count = 1, .attempt_count = 1};
 	struct fl_sched_output output;
@@ -145,14 +145,14 @@
 	snapshot.attempts[0] = running_attempt(0, 4, 50);
 	snapshot.attempts[0].priority = FL_BEST_EFFORT;
 	snapshot.attempts[0].team = 1;
-	snapshot.attempts[0].within_guaranteed = true;
+	snapshot.attempts[0].within_guaranteed_quota = true;
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 0);
 	fl_sched_output_free(&output);
 	/* Beyond the guarantee it gives way to the higher priority. */
 	snapshot.machines[0] = plain_machine(0);
 	snapshot.jobs[0].startable_count = 1;
-	snapshot.attempts[0].within_guaranteed = false;
+	snapshot.attempts[0].within_guaranteed_quota = false;
 	run_schedule(&snapshot, &output);
 	assert_int_equal(output.preemption_count, 1);
 	fl_sched_output_free(&output);
@@ -163,7 +163,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_reservation_is_not_made_twice_for_capacity_about_to_become_free),
 		cmocka_unit_test(preempted_capacity_goes_to_the_preempting_job),
-		cmocka_unit_test(guaranteed_work_is_not_preempted_by_what_it_could_preempt),
+		cmocka_unit_test(guaranteed_work_is_not_preempted_by_a_job_that_it_could_preempt),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -61,7 +61,7 @@
 		assert_true(started[i]);
 }
 
-enum { ARRIVALS_MAX = 800, SLOTS = 32, SECONDS = 900, CLASSES = 3 };
+enum { ARRIVALS_MAX = 800, SLOTS = 32, DURATION_S = 900, CLASSES = 3 };
 
 struct stream {
 	enum fl_priority priority;
@@ -107,7 +107,7 @@
 			arrival->job = plain_job(1, stream->task_count, stream->estimate_s, 0);
 			arrival->job.priority = stream->priority;
 			arrival->job.team = stream->team;
-			arrival->job.within_guaranteed = stream->within_guarantee;
+			arrival->job.within_guaranteed_quota = stream->within_guarantee;
 			arrival->class = class_index;
 			arrival->arrived_at = next_at[class_index];
 			arrival->begun_at = -1;
@@ -116,7 +116,7 @@
 }
 
 /* The machines, and the tasks on them that have not ended yet. */
-static void fill_machines(struct load *load, struct fl_sched_input *input, int now)
+static void add_machines_and_attempts(struct load *load, struct fl_sched_input *input, int now)
 {
 	for (int i = 0; i < SLOTS; i++) {
 		struct fl_sched_attempt *attempt = &cycle_input.attempts[input->attempt_count];
@@ -136,7 +136,7 @@
 	}
 }
 
-static void fill_jobs(const struct load *load, struct fl_sched_input *input, int now)
+static void add_waiting_jobs(const struct load *load, struct fl_sched_input *input, int now)
 {
 	for (int i = 0; i < load->arrival_count; i++) {
 		struct fl_sched_job *job = &cycle_input.jobs[input->job_count];
@@ -150,13 +150,13 @@
 	}
 	for (int attempt_index = 0; attempt_index < input->attempt_count; attempt_index++) {
 		int arrival = load->running[cycle_input.slot_of_attempt[attempt_index]];
-		int held = 0;
+		int occupied_slots = 0;
 
 		for (int i = 0; i < SLOTS; i++)
-			held += load->running[i] == arrival;
+			occupied_slots += load->running[i] == arrival;
 		cycle_input.attempts[attempt_index].last_running_task =
-			held == 1 && now - load->arrivals[arrival].arrived_at >
-					     fl_sched_default_params.overdue_after_s;
+			occupied_slots == 1 && now - load->arrivals[arrival].arrived_at >
+						       fl_sched_default_params.overdue_after_s;
 	}
 }
 
@@ -194,7 +194,7 @@
 	memset(load, 0, sizeof(*load));
 	for (int i = 0; i < SLOTS; i++)
 		load->running[i] = -1;
-	for (int now = 0; now < SECONDS; now++) {
+	for (int now = 0; now < DURATION_S; now++) {
 		struct fl_sched_input input = {.params = &fl_sched_default_params,
 		                               .jobs = cycle_input.jobs,
 		                               .machines = cycle_input.machines,
@@ -205,8 +205,8 @@
 
 		add_arrivals(load, streams, next_at, now);
 		memcpy(cycle_input.team_usage, team_settings, sizeof(cycle_input.team_usage));
-		fill_machines(load, &input, now);
-		fill_jobs(load, &input, now);
+		add_machines_and_attempts(load, &input, now);
+		add_waiting_jobs(load, &input, now);
 		assert_int_equal(fl_schedule(&input, &output), FL_SCHEDULE_OK);
 		apply_decisions(load, &output, now);
 		fl_sched_output_free(&output);
@@ -219,7 +219,7 @@
 	for (int i = 0; i < load->arrival_count; i++) {
 		const struct arrival *arrival = &load->arrivals[i];
 
-		if (arrival->arrived_at > SECONDS - 240)
+		if (arrival->arrived_at > DURATION_S - 240)
 			continue;
 		assert_true(arrival->begun_at >= 0);
 		assert_true(arrival->begun_at - arrival->arrived_at <= 240);
@@ -235,7 +235,7 @@
 
 	for (int i = 0; i < load->arrival_count; i++) {
 		if (load->arrivals[i].class != class ||
-		    load->arrivals[i].arrived_at > SECONDS - 240)
+		    load->arrivals[i].arrived_at > DURATION_S - 240)
 			continue;
 		started += load->arrivals[i].started_count;
 		all += load->arrivals[i].job.task_count;
--- a/tests/test_scheduling_cycle.c
+++ b/tests/test_scheduling_cycle.c
@@ -10,11 +10,11 @@
 static const double small_core_share = 0.03, period_s = 60;
 
 /* The part of the processor that scheduling cycles of this length use, one after the other. */
-static double used_share(double core_share, double processor_s)
+static double used_part_of_core_share(double core_share, double processor_s)
 {
-	double gap = fl_scheduling_cycle_interval_s(core_share, processor_s, processor_s);
+	double interval_s = fl_scheduling_cycle_interval_s(core_share, processor_s, processor_s);
 
-	return period_s / gap * processor_s / (period_s * core_share);
+	return period_s / interval_s * processor_s / (period_s * core_share);
 }
 
 /*
@@ -24,13 +24,13 @@
 static void scheduling_cycles_leave_half_of_a_small_core_share(void **state)
 {
 	(void)state;
-	assert_true(used_share(small_core_share, 0.004) < 0.51);
-	assert_true(used_share(4 * small_core_share, 0.004) < 0.51);
-	assert_true(used_share(1, 0.004) < 0.51);
+	assert_true(used_part_of_core_share(small_core_share, 0.004) < 0.51);
+	assert_true(used_part_of_core_share(4 * small_core_share, 0.004) < 0.51);
+	assert_true(used_part_of_core_share(1, 0.004) < 0.51);
 }
 
 /* Work that was stopped at its budget goes on within a second. */
-static void a_scheduling_cycle_waits_for_a_second_at_most(void **state)
+static void the_next_scheduling_cycle_begins_within_a_second(void **state)
 {
 	(void)state;
 	assert_true(fl_scheduling_cycle_interval_s(small_core_share, 0.5, 0.5) <= 1);
@@ -52,7 +52,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(scheduling_cycles_leave_half_of_a_small_core_share),
-		cmocka_unit_test(a_scheduling_cycle_waits_for_a_second_at_most),
+		cmocka_unit_test(the_next_scheduling_cycle_begins_within_a_second),
 		cmocka_unit_test(a_scheduling_cycle_stops_within_its_part_of_the_core_share),
 	};
 
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -15,18 +15,18 @@
 #include "service_fixture.h"
 #include "transport/coroutine.h"
 
-enum { ELECTION_STEPS = 9, JOBS_A_STEP = 4 };
+enum { ELECTION_STEPS = 9, JOBS_PER_STEP = 4 };
 
 /* The stages run in a coroutine, from which a failed assertion must not jump out. */
 static struct {
-	const char *failed;
-	bool over;
+	const char *failed_condition;
+	bool completed;
 } run;
 
 #define EXPECT(condition)                                                                          \
 	do {                                                                                       \
 		if (!(condition)) {                                                                \
-			run.failed = #condition;                                                   \
+			run.failed_condition = #condition;                                         \
 			return false;                                                              \
 		}                                                                                  \
 	} while (0)
@@ -38,34 +38,35 @@
 	char text[512];
 
 	EXPECT(wait_until_ready());
-	EXPECT(ask(0, "GET", "/v2/runs/run-999999", NULL, text, sizeof(text)) == 404);
-	EXPECT(ask(0, "GET", "/nowhere", NULL, text, sizeof(text)) == 404);
-	EXPECT(ask(0, "DELETE", "/v2/runs", NULL, text, sizeof(text)) == 405);
-	EXPECT(ask(0, "POST", "/v2/runs", "[1", text, sizeof(text)) == 400);
+	EXPECT(call_running_controller(0, "GET", "/v2/runs/run-999999", NULL, text, sizeof(text)) ==
+	       404);
+	EXPECT(call_running_controller(0, "GET", "/nowhere", NULL, text, sizeof(text)) == 404);
+	EXPECT(call_running_controller(0, "DELETE", "/v2/runs", NULL, text, sizeof(text)) == 405);
+	EXPECT(call_running_controller(0, "POST", "/v2/runs", "[1", text, sizeof(text)) == 400);
 	return true;
 }
 
 /* By any controller. */
 static bool jobs_are_accepted_and_run(void)
 {
-	EXPECT(submit("run-000001", "sweep", 6, 0));
-	EXPECT(submit("run-000001", "sweep", 6, 1)); /* again, elsewhere: the same job */
-	EXPECT(submit("run-000002", "standing", 2, 2));
-	EXPECT(wait_for_status("run-000002", "\"running\":2", 1));
-	EXPECT(wait_for_status("run-000001", "\"Status\":\"done\"", 0));
+	EXPECT(submit_job("run-000001", "sweep", 6, 0));
+	EXPECT(submit_job("run-000001", "sweep", 6, 1)); /* again, elsewhere: the same job */
+	EXPECT(submit_job("run-000002", "standing", 2, 2));
+	EXPECT(wait_for_job_status("run-000002", "\"running\":2", 1));
+	EXPECT(wait_for_job_status("run-000001", "\"Status\":\"done\"", 0));
 	return true;
 }
 
 /* All end during an outage of the cloud: its machine types are read from their record. */
-static bool all_restart_without_the_cloud(void)
+static bool all_controllers_restart_without_the_cloud(void)
 {
 	fake_services.cloud_unavailable = true;
-	restart_all();
-	EXPECT(wait_for_status_everywhere("run-000001", "\"Status\":\"done\""));
-	EXPECT(submit("run-000006", "sweep", 2, 0));
-	EXPECT(fake_services_running_tasks("run-000002") == 2);
+	restart_all_controllers();
+	EXPECT(wait_for_job_status_on_all_controllers("run-000001", "\"Status\":\"done\""));
+	EXPECT(submit_job("run-000006", "sweep", 2, 0));
+	EXPECT(fake_services_running_task_count("run-000002") == 2);
 	fake_services.cloud_unavailable = false;
-	EXPECT(wait_for_status("run-000006", "\"Status\":\"done\"", 1));
+	EXPECT(wait_for_job_status("run-000006", "\"Status\":\"done\"", 1));
 	return true;
 }
 
@@ -74,27 +75,27 @@
 {
 	int killed;
 
-	fake_services.kv_refuses_every = 13;
-	fake_services.kv_slow_every = 7;
-	fake_services.kv_loses_every = 29;
-	EXPECT(submit("run-000003", "sweep", 70, 0));
-	EXPECT(wait_for_status("run-000003", "\"Status\":\"running\"", 0));
+	fake_services.kv_refused_request_every = 13;
+	fake_services.kv_slow_request_every = 7;
+	fake_services.kv_lost_reply_every = 29;
+	EXPECT(submit_job("run-000003", "sweep", 70, 0));
+	EXPECT(wait_for_job_status("run-000003", "\"Status\":\"running\"", 0));
 	killed = kill_leader();
-	EXPECT(submit("run-000004", "ensemble", 3, 0));
-	EXPECT(wait_for_status("run-000001", "\"Status\":\"done\"", 0));
+	EXPECT(submit_job("run-000004", "ensemble", 3, 0));
+	EXPECT(wait_for_job_status("run-000001", "\"Status\":\"done\"", 0));
 	start_controller(killed);
-	EXPECT(wait_for_status("run-000003", "\"Status\":\"done\"", 0));
-	EXPECT(wait_for_status("run-000004", "\"Status\":\"done\"", 1));
+	EXPECT(wait_for_job_status("run-000003", "\"Status\":\"done\"", 0));
+	EXPECT(wait_for_job_status("run-000004", "\"Status\":\"done\"", 1));
 	/* The service ran through all of it. */
-	EXPECT(fake_services_running_tasks("run-000002") == 2);
+	EXPECT(fake_services_running_task_count("run-000002") == 2);
 	return true;
 }
 
 static bool a_cancelled_service_stops(void)
 {
-	EXPECT(cancel("run-000002"));
-	EXPECT(wait_until_stopped("run-000002"));
-	EXPECT(wait_for_status("run-000002", "aborted", 2));
+	EXPECT(cancel_job("run-000002"));
+	EXPECT(wait_until_job_stopped("run-000002"));
+	EXPECT(wait_for_job_status("run-000002", "aborted", 2));
 	EXPECT(fake_services.duplicate_starts == 0);
 	/* Finished work is not done again: one completion a task, not counting the lost. */
 	EXPECT(fake_services.completions >= 6 + 2 + 70 + 3);
@@ -111,27 +112,27 @@
 {
 	char ref[24];
 
-	for (int i = 0; i < JOBS_A_STEP; i++) {
+	for (int i = 0; i < JOBS_PER_STEP; i++) {
 		format_step_ref(step, i, ref);
-		EXPECT(submit(ref, "sweep", 2, step));
+		EXPECT(submit_job(ref, "sweep", 2, step));
 	}
 	return true;
 }
 
 /* All end at each step of an election and restart at once; what they sent arrives later. */
-static bool all_restart_at_each_step_of_an_election(void)
+static bool all_controllers_restart_at_each_step_of_an_election(void)
 {
 	/* Copies of heartbeats come two leases late, and the next machines rented are unreachable.
 	 */
 	fake_services.delayed_heartbeat_every = 3;
-	fake_services.unreachable_to_rent = 2;
-	EXPECT(submit("run-000005", "sweep", 90, 1));
-	fake_services.interrupt = restart_all;
+	fake_services.unreachable_machines_to_rent = 2;
+	EXPECT(submit_job("run-000005", "sweep", 90, 1));
+	fake_services.interrupt = restart_all_controllers;
 	for (int step = 1; step <= ELECTION_STEPS; step++) {
 		kill_leader();
-		fake_services.interrupt_after = step;
+		fake_services.interrupt_after_requests = step;
 		start_stopped_controllers();
-		while (fake_services.interrupt_after > 0)
+		while (fake_services.interrupt_after_requests > 0)
 			fl_sleep(0.02);
 		if (!submit_jobs_of_step(step))
 			return false;
@@ -140,16 +141,16 @@
 	return true;
 }
 
-static bool the_jobs_of_the_elections_end(void)
+static bool the_jobs_of_the_elections_finish(void)
 {
-	EXPECT(wait_for_status("run-000005", "\"Status\":\"done\"", 0));
+	EXPECT(wait_for_job_status("run-000005", "\"Status\":\"done\"", 0));
 	/*
 	 * Idle machines may have been enough, so that no unreachable machine was rented: it
 	 * happened once in sixty runs. More work at once than they can hold has them rented.
 	 */
-	if (fake_services.unreachable_to_rent > 0) {
-		EXPECT(submit("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
-		EXPECT(wait_for_status("run-000007", "\"Status\":\"done\"", 0));
+	if (fake_services.unreachable_machines_to_rent > 0) {
+		EXPECT(submit_job("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
+		EXPECT(wait_for_job_status("run-000007", "\"Status\":\"done\"", 0));
 	}
 	return true;
 }
@@ -159,60 +160,61 @@
 {
 	char ref[24];
 
-	fake_services.kv_refuses_every = 0;
-	fake_services.kv_slow_every = 0;
-	fake_services.kv_loses_every = 0;
+	fake_services.kv_refused_request_every = 0;
+	fake_services.kv_slow_request_every = 0;
+	fake_services.kv_lost_reply_every = 0;
 	for (int step = 1; step <= ELECTION_STEPS; step++)
-		for (int i = 0; i < JOBS_A_STEP; i++) {
+		for (int i = 0; i < JOBS_PER_STEP; i++) {
 			format_step_ref(step, i, ref);
-			EXPECT(wait_for_status_everywhere(ref, "\"Status\":\"done\""));
+			EXPECT(wait_for_job_status_on_all_controllers(ref, "\"Status\":\"done\""));
 		}
-	EXPECT(wait_for_status_everywhere("run-000001", "\"Status\":\"done\""));
-	EXPECT(wait_for_status_everywhere("run-000002", "aborted"));
+	EXPECT(wait_for_job_status_on_all_controllers("run-000001", "\"Status\":\"done\""));
+	EXPECT(wait_for_job_status_on_all_controllers("run-000002", "aborted"));
 	return true;
 }
 
-static bool nothing_forbidden_was_seen(void)
+static bool no_invariant_was_violated(void)
 {
-	EXPECT(fake_services.unreachable_to_rent == 0);
-	EXPECT(wait_until_unreachable_are_returned());
+	EXPECT(fake_services.unreachable_machines_to_rent == 0);
+	EXPECT(wait_until_unreachable_machines_are_deleted());
 	EXPECT(fake_services.duplicate_starts == 0);
 	EXPECT(fake_services.tokens_reused == 0);
 	EXPECT(fake_services.rental_names_reused == 0);
-	EXPECT(fake_services.starts_on_deleted == 0);
+	EXPECT(fake_services.starts_on_deleted_machines == 0);
 	return true;
 }
 
 /* ---- the test ---- */
 
 /* The stages build on each other, so that the first that fails ends the rest. */
-static void run_stages(void *arg)
+static void run_stages(void *argument)
 {
-	(void)arg;
+	(void)argument;
 	(void)(malformed_requests_are_rejected() && jobs_are_accepted_and_run() &&
-	       all_restart_without_the_cloud() && the_leader_is_killed_during_faults() &&
-	       a_cancelled_service_stops() && all_restart_at_each_step_of_an_election() &&
-	       the_jobs_of_the_elections_end() && all_jobs_are_known_after_the_faults() &&
-	       nothing_forbidden_was_seen());
-	run.over = true;
+	       all_controllers_restart_without_the_cloud() &&
+	       the_leader_is_killed_during_faults() && a_cancelled_service_stops() &&
+	       all_controllers_restart_at_each_step_of_an_election() &&
+	       the_jobs_of_the_elections_finish() && all_jobs_are_known_after_the_faults() &&
+	       no_invariant_was_violated());
+	run.completed = true;
 	ev_break(fl_event_loop(), EVBREAK_ALL);
 }
 
-static void the_service_survives_its_leader(void **state)
+static void jobs_finish_despite_crashes_and_failovers(void **state)
 {
 	(void)state;
 	fl_coroutine_spawn(run_stages, NULL);
 	fl_coroutines_run();
-	if (run.failed)
-		fail_msg("expected: %s", run.failed);
-	assert_true(run.over);
+	if (run.failed_condition)
+		fail_msg("expected: %s", run.failed_condition);
+	assert_true(run.completed);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(the_service_survives_its_leader, service_set_up,
-	                                        service_tear_down),
+		cmocka_unit_test_setup_teardown(jobs_finish_despite_crashes_and_failovers,
+	                                        service_set_up, service_tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -23,13 +23,13 @@
 	"[settings.resources]\ncore_share = 0.12\nram_mb = 72.0\nmax_connections = 1500\n";
 
 /* Reads the settings with one piece of text replaced. */
-static int read_with(const char *old, const char *new, char *error, size_t size)
+static int read_settings_with(const char *old, const char *new, char *error, size_t size)
 {
 	struct fl_config *config = calloc(1, sizeof(*config));
 	const char *position = old ? strstr(good_settings, old) : NULL;
 	char name[64];
 	FILE *file;
-	struct fl_config_error found;
+	struct fl_config_error config_error;
 	int rc;
 
 	snprintf(name, sizeof(name), "settings-%d.toml", (int)getpid());
@@ -43,18 +43,18 @@
 		fputs(good_settings, file);
 	fclose(file);
 	error[0] = 0;
-	rc = fl_config_read(name, config, &found);
+	rc = fl_config_read(name, config, &config_error);
 	if (rc != FL_CONFIG_OK)
-		fl_config_error_text(&found, error, size);
+		fl_config_error_text(&config_error, error, size);
 	unlink(name);
 	free(config);
 	return rc;
 }
 
-static void a_bad_setting_is_named_when_it_is_refused(void **state)
+static void an_invalid_setting_is_rejected_and_named(void **state)
 {
 	static const struct {
-		const char *old, *new, *named;
+		const char *old, *new, *expected_error;
 	} malformed[] = {
 		{"node = \"n0\"\n", "", "node: missing"},
 		{"\"n0\"", "7", "node: must be a string"},
@@ -81,24 +81,26 @@
 	char error[512];
 
 	(void)state;
-	assert_int_equal(read_with(NULL, NULL, error, sizeof(error)), 0);
+	assert_int_equal(read_settings_with(NULL, NULL, error, sizeof(error)), 0);
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
-		assert_int_not_equal(
-			read_with(malformed[i].old, malformed[i].new, error, sizeof(error)), 0);
-		if (!strstr(error, malformed[i].named))
-			fail_msg("'%s' does not say '%s'", error, malformed[i].named);
+		assert_int_not_equal(read_settings_with(malformed[i].old, malformed[i].new, error,
+		                                        sizeof(error)),
+		                     0);
+		if (!strstr(error, malformed[i].expected_error))
+			fail_msg("'%s' does not say '%s'", error, malformed[i].expected_error);
 	}
 }
 
-static void a_settings_file_that_cannot_be_read_is_named(void **state)
+static void an_unreadable_settings_file_is_named(void **state)
 {
 	struct fl_config *config = calloc(1, sizeof(*config));
-	struct fl_config_error found;
+	struct fl_config_error config_error;
 	char error[512];
 
 	(void)state;
-	assert_int_equal(fl_config_read("no/such/file", config, &found), FL_CONFIG_UNREADABLE);
-	fl_config_error_text(&found, error, sizeof(error));
+	assert_int_equal(fl_config_read("no/such/file", config, &config_error),
+	                 FL_CONFIG_UNREADABLE);
+	fl_config_error_text(&config_error, error, sizeof(error));
 	assert_non_null(strstr(error, "no/such/file"));
 	free(config);
 }
@@ -106,8 +108,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_bad_setting_is_named_when_it_is_refused),
-		cmocka_unit_test(a_settings_file_that_cannot_be_read_is_named),
+		cmocka_unit_test(an_invalid_setting_is_rejected_and_named),
+		cmocka_unit_test(an_unreadable_settings_file_is_named),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_status_messages.c
+++ b/tests/test_status_messages.c
@@ -20,16 +20,17 @@
 
 static enum fl_decode_result decode_answer(const char *text, int count)
 {
-	struct fl_job_status_report states[4];
+	struct fl_job_status_report reports[4];
 
-	return fl_status_answer_decode(text, strlen(text), states, count);
+	return fl_status_answer_decode(text, strlen(text), reports, count);
 }
 
-static void a_malformed_status_message_is_refused(void **state)
+static void status_messages_round_trip_and_malformed_ones_are_rejected(void **state)
 {
 	char refs[2][FL_REF_MAX] = {"run-000001", "run-000412"},
 	     decoded[FL_STATUS_QUERY_JOBS_MAX][FL_REF_MAX];
-	struct fl_job_status_report states[2] = {{true, FL_RUNNING, 3, 13}, {0}}, decoded_states[2];
+	struct fl_job_status_report reports[2] = {{true, FL_RUNNING, 3, 13}, {0}},
+				    decoded_reports[2];
 	char *text = fl_status_query_encode(refs, 2);
 	int count;
 
@@ -44,13 +45,13 @@
 	assert_int_equal(decode_query("{\"refs\":[7]}"), FL_DECODE_MALFORMED);
 	assert_int_equal(decode_query("{\"refs\":{}}"), FL_DECODE_MALFORMED);
 
-	text = fl_status_answer_encode(states, 2);
-	assert_int_equal(fl_status_answer_decode(text, strlen(text), decoded_states, 2),
+	text = fl_status_answer_encode(reports, 2);
+	assert_int_equal(fl_status_answer_decode(text, strlen(text), decoded_reports, 2),
 	                 FL_DECODE_OK);
-	assert_true(decoded_states[0].status_known && decoded_states[0].status == FL_RUNNING);
-	assert_int_equal(decoded_states[0].done_count, 3);
-	assert_int_equal(decoded_states[0].running_count, 13);
-	assert_false(decoded_states[1].status_known);
+	assert_true(decoded_reports[0].status_known && decoded_reports[0].status == FL_RUNNING);
+	assert_int_equal(decoded_reports[0].done_count, 3);
+	assert_int_equal(decoded_reports[0].running_count, 13);
+	assert_false(decoded_reports[1].status_known);
 	free(text);
 	assert_int_equal(decode_answer("{\"jobs\":[null]}", 2), FL_DECODE_MALFORMED);
 	assert_int_equal(decode_answer("{\"jobs\":[[9,0,0]]}", 1), FL_DECODE_MALFORMED);
@@ -63,7 +64,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_malformed_status_message_is_refused),
+		cmocka_unit_test(status_messages_round_trip_and_malformed_ones_are_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -19,18 +19,18 @@
 #include "virtual_time_fixture.h"
 
 enum { QUERIES = 300 };
-static const double one_way_s = 0.005; /* s each way of a request */
-static const double stall_s = 1.0;     /* s for which a leader stands still that is overloaded */
+static const double one_way_latency_s = 0.005; /* s each way of a request */
+static const double leader_stall_s = 1.0; /* s for which a leader stands still that is overloaded */
 
 static struct {
 	struct fl_node follower, leader;
 	int requests;
 	bool link_down, leader_stalls;
-} world;
+} scenario;
 
 struct query {
 	char ref[FL_REF_MAX];
-	double begins_at; /* s from the beginning */
+	double send_delay_s; /* s from the beginning */
 	enum fl_query_result result;
 	struct fl_http_response response;
 	bool completed;
@@ -48,31 +48,31 @@
 
 	(void)client, (void)method;
 	assert_string_equal(path, FL_PATH_STATUS);
-	world.requests++;
-	if (world.link_down) {
+	scenario.requests++;
+	if (scenario.link_down) {
 		fl_sleep(timeout_s);
 		return -ETIMEDOUT;
 	}
-	if (world.leader_stalls && timeout_s < stall_s + 2 * one_way_s) {
+	if (scenario.leader_stalls && timeout_s < leader_stall_s + 2 * one_way_latency_s) {
 		fl_sleep(timeout_s);
 		return -ETIMEDOUT;
 	}
-	fl_sleep(world.leader_stalls ? stall_s : one_way_s);
-	fl_status_query_serve(&world.leader, body, strlen(body), &response);
-	fl_sleep(one_way_s);
-	pass_response(&response, out);
+	fl_sleep(scenario.leader_stalls ? leader_stall_s : one_way_latency_s);
+	fl_status_query_serve(&scenario.leader, body, strlen(body), &response);
+	fl_sleep(one_way_latency_s);
+	move_response_to_reply(&response, out);
 	return 0;
 }
 
-static void send_query(void *arg)
+static void send_query(void *argument)
 {
-	struct query *query = arg;
+	struct query *query = argument;
 	double began_at;
 
-	if (fl_sleep(query->begins_at) != 0)
+	if (fl_sleep(query->send_delay_s) != 0)
 		return;
 	began_at = fl_now();
-	query->result = fl_status_query_send(&world.follower, query->ref, &query->response);
+	query->result = fl_status_query_send(&scenario.follower, query->ref, &query->response);
 	query->duration_s = fl_now() - began_at;
 	query->completed = true;
 }
@@ -87,9 +87,9 @@
 		assert_true(queries[i].completed);
 }
 
-static void format_ref(char ref[FL_REF_MAX], int begins_at)
+static void format_ref(char ref[FL_REF_MAX], int send_delay_s)
 {
-	snprintf(ref, FL_REF_MAX, "run-%06d", begins_at);
+	snprintf(ref, FL_REF_MAX, "run-%06d", send_delay_s);
 }
 
 static int set_up(void **state)
@@ -97,22 +97,23 @@
 	struct fl_job_spec spec = {.task_count = 8, .machine_type_count = -1, .kind = FL_ARRAY};
 
 	(void)state;
-	memset(&world, 0, sizeof(world));
+	memset(&scenario, 0, sizeof(scenario));
 	sim_time_begin();
-	snprintf(world.follower.leader_view.leader, sizeof(world.follower.leader_view.leader),
+	snprintf(scenario.follower.leader_view.leader, sizeof(scenario.follower.leader_view.leader),
 	         "host-2");
-	world.follower.peer_count = 2;
-	world.follower.peers[1].up = true;
-	snprintf(world.follower.peers[1].name, sizeof(world.follower.peers[1].name), "host-2");
-	world.leader.leadership.active = true;
-	world.leader.leader_lease.held = true;
-	world.leader.leader_lease.valid_until = fl_now() + 1000;
-	world.leader.cluster.teams.count = 1;
-	snprintf(world.leader.cluster.teams.by_index[0].name, FL_NAME_MAX, "vision");
+	scenario.follower.peer_count = 2;
+	scenario.follower.peers[1].up = true;
+	snprintf(scenario.follower.peers[1].name, sizeof(scenario.follower.peers[1].name),
+	         "host-2");
+	scenario.leader.leadership.active = true;
+	scenario.leader.leader_lease.held = true;
+	scenario.leader.leader_lease.valid_until = fl_now() + 1000;
+	scenario.leader.cluster.teams.count = 1;
+	snprintf(scenario.leader.cluster.teams.by_index[0].name, FL_NAME_MAX, "vision");
 	snprintf(spec.team, sizeof(spec.team), "vision");
 	for (int i = 0; i < QUERIES; i++) {
 		format_ref(spec.ref, i);
-		assert_non_null(fl_job_add(&world.leader.cluster, &spec, 0, 1));
+		assert_non_null(fl_job_add(&scenario.leader.cluster, &spec, 0, 1));
 	}
 	return 0;
 }
@@ -120,7 +121,7 @@
 static int tear_down(void **state)
 {
 	(void)state;
-	fl_cluster_free(&world.leader.cluster);
+	fl_cluster_free(&scenario.leader.cluster);
 	return 0;
 }
 
@@ -147,18 +148,19 @@
 	}
 
 	/* Those that went at once, one each, and a full request after them. */
-	assert_int_equal(world.requests, FL_STATUS_REQUESTS_MAX + 1);
+	assert_int_equal(scenario.requests, FL_STATUS_REQUESTS_MAX + 1);
 	assert_int_equal(answered, FL_STATUS_REQUESTS_MAX + FL_STATUS_QUERY_JOBS_MAX);
 	assert_int_equal(overloaded, QUERIES - answered);
 
 	free_queries(queries, QUERIES);
 }
 
-static void finish_job(void *arg)
+static void finish_job(void *argument)
 {
 	/* Between the leader's answer to the first query and the arrival of that answer. */
-	fl_sleep(one_way_s * 1.5);
-	fl_job_finalise(&world.leader.cluster, fl_job_find(&world.leader.cluster, arg), FL_DONE);
+	fl_sleep(one_way_latency_s * 1.5);
+	fl_job_finalise(&scenario.leader.cluster, fl_job_find(&scenario.leader.cluster, argument),
+	                FL_DONE);
 }
 
 /* Another controller may have said `done_count` meanwhile, so no earlier answer will do. */
@@ -169,7 +171,7 @@
 	(void)state;
 	format_ref(queries[0].ref, 7);
 	format_ref(queries[1].ref, 7);
-	queries[1].begins_at = one_way_s * 1.6;
+	queries[1].send_delay_s = one_way_latency_s * 1.6;
 	assert_non_null(sim_spawn(0, finish_job, queries[0].ref));
 
 	run_queries(queries, 2);
@@ -181,7 +183,7 @@
 	free_queries(queries, 2);
 }
 
-static void a_status_query_is_not_answered_when_memory_does_not_settle_it(void **state)
+static void a_status_query_is_not_answered_when_memory_has_no_certain_status(void **state)
 {
 	struct query *queries = calloc(3, sizeof(*queries));
 
@@ -189,8 +191,8 @@
 	format_ref(queries[0].ref, QUERIES + 1);
 	format_ref(queries[1].ref, 1);
 	format_ref(queries[2].ref, 2);
-	fl_job_find(&world.leader.cluster, queries[1].ref)->record.final_write_in_flight = true;
-	fl_job_find(&world.leader.cluster, queries[2].ref)->record.write_outcome_unknown = true;
+	fl_job_find(&scenario.leader.cluster, queries[1].ref)->record.final_write_in_flight = true;
+	fl_job_find(&scenario.leader.cluster, queries[2].ref)->record.write_outcome_unknown = true;
 	run_queries(queries, 3);
 
 	for (int i = 0; i < 3; i++) {
@@ -207,22 +209,22 @@
 
 	(void)state;
 	format_ref(queries[0].ref, 1);
-	world.leader.leader_lease.valid_until = fl_now();
+	scenario.leader.leader_lease.valid_until = fl_now();
 	run_queries(queries, 1);
 	assert_int_equal(queries[0].result, FL_QUERY_FAILED);
 	free_queries(queries, 1);
 }
 
 /* A user waits 2 s, and the records may still have to answer. */
-static void a_status_query_returns_within_its_timeout_when_the_leader_is_silent(void **state)
+static void a_status_query_returns_within_its_timeout_when_the_leader_does_not_reply(void **state)
 {
 	struct query *queries = calloc(QUERIES, sizeof(*queries));
 
 	(void)state;
-	world.link_down = true;
+	scenario.link_down = true;
 	for (int i = 0; i < QUERIES; i++) {
 		format_ref(queries[i].ref, i);
-		queries[i].begins_at = i * 0.002;
+		queries[i].send_delay_s = i * 0.002;
 	}
 	run_queries(queries, QUERIES);
 
@@ -243,7 +245,7 @@
 	struct query *queries = calloc(QUERIES, sizeof(*queries));
 
 	(void)state;
-	world.leader_stalls = true;
+	scenario.leader_stalls = true;
 	for (int i = 0; i < FL_STATUS_REQUESTS_MAX; i++)
 		format_ref(queries[i].ref, i);
 	run_queries(queries, FL_STATUS_REQUESTS_MAX);
@@ -262,13 +264,13 @@
 		cmocka_unit_test_setup_teardown(
 			a_status_query_is_answered_by_a_request_sent_after_it, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_status_query_is_not_answered_when_memory_does_not_settle_it, set_up,
+			a_status_query_is_not_answered_when_memory_has_no_certain_status, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(a_status_query_fails_when_the_lease_has_expired,
 	                                        set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_status_query_returns_within_its_timeout_when_the_leader_is_silent, set_up,
-			tear_down),
+			a_status_query_returns_within_its_timeout_when_the_leader_does_not_reply,
+			set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 			a_status_query_waits_for_a_leader_that_stalls_for_a_second, set_up,
 			tear_down),
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -21,7 +21,7 @@
 	struct fl_buffer body = {0};
 
 	fl_buffer_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
-	                 ++fixture->last_ref, BASE);
+	                 ++fixture->last_job_number, JOB_FIELDS);
 	fl_route_user_request(&fixture->node,
 	                      &(struct fl_client_request){.kind = FL_USER_REQUEST_SUBMIT,
 	                                                  .ref = "",
@@ -36,19 +36,19 @@
 }
 
 static void expect_status(struct frontend_fixture *fixture, const char *fields, int expected,
-                          const char *where)
+                          const char *condition)
 {
 	int status = submit(fixture, fields, NULL);
 
 	if (status != expected)
-		note_failure(fixture, "%d instead of %d, %s: %.200s", status, expected, where,
+		note_failure(fixture, "%d instead of %d, %s: %.200s", status, expected, condition,
 		             fields);
 }
 
 static const struct {
 	const char *fields;
 	int status;
-	bool unreadable; /* not even the Ref: 400 though it may be known */
+	bool ref_unreadable; /* not even the Ref: 400 though it may be known */
 } cases[] = {
 	{"", 201, false},
 	{"\"Parts\":null", 400, false},
@@ -89,24 +89,24 @@
 
 enum { CASES = sizeof(cases) / sizeof(cases[0]) };
 
-static void submit_all_cases(struct frontend_fixture *fixture, const char *where)
+static void submit_all_cases(struct frontend_fixture *fixture, const char *condition)
 {
 	for (int i = 0; i < CASES; i++)
-		expect_status(fixture, cases[i].fields, cases[i].status, where);
+		expect_status(fixture, cases[i].fields, cases[i].status, condition);
 }
 
-static void submit_while_the_leader_is_reachable(void *argument)
+static void submit_with_and_without_kv_store(void *argument)
 {
 	struct frontend_fixture *fixture = argument;
 
 	submit_all_cases(fixture, "all is well");
-	fixture->kv_store_refuses = true;
+	fixture->kv_store_returns_503 = true;
 	submit_all_cases(fixture, "refused by the key-value store");
 }
 
-static void a_submission_verdict_does_not_depend_on_the_key_value_store(void **state)
+static void a_submission_status_does_not_depend_on_the_key_value_store(void **state)
 {
-	run_in_coroutine(*state, submit_while_the_leader_is_reachable);
+	run_in_coroutine(*state, submit_with_and_without_kv_store);
 }
 
 /* Field, and as much white space as escapes of two characters, within the limit of a body. */
@@ -116,7 +116,7 @@
 	struct frontend_fixture *fixture = argument;
 	char *large = malloc(LARGE + 1);
 
-	fixture->kv_store_refuses = true;
+	fixture->kv_store_returns_503 = true;
 	memset(large, ' ', LARGE);
 	for (size_t i = 0; i < ESCAPED; i++)
 		memcpy(large + 2 * i, "\n ", 2);
@@ -138,16 +138,16 @@
 	struct frontend_fixture *fixture = argument;
 
 	fixture->job_known = true;
-	for (int refused = 0; refused < 2; refused++) {
-		fixture->kv_store_refuses = refused;
+	for (int unavailable = 0; unavailable < 2; unavailable++) {
+		fixture->kv_store_returns_503 = unavailable;
 		for (int i = 0; i < CASES; i++)
 			if (cases[i].status != 201)
 				expect_status(fixture, cases[i].fields,
-				              cases[i].unreadable ? 400 : 200, "known");
+				              cases[i].ref_unreadable ? 400 : 200, "known");
 	}
 }
 
-static void a_duplicate_submission_gets_the_state_of_the_job_whatever_its_body(void **state)
+static void a_duplicate_submission_returns_the_job_status_even_if_its_body_is_invalid(void **state)
 {
 	run_in_coroutine(*state, submit_known_job);
 }
@@ -158,13 +158,13 @@
 	struct frontend_fixture *fixture = argument;
 	int retry_after;
 
-	fixture->kv_store_refuses = true;
+	fixture->kv_store_returns_503 = true;
 	fixture->node.peers[0].up = false;
 	fixture->node.peer_count = 0;
 	for (int i = 0; i < CASES; i++)
-		if (!cases[i].unreadable)
+		if (!cases[i].ref_unreadable)
 			expect_status(fixture, cases[i].fields, 503, "nobody can tell");
-	fixture->kv_store_refuses = fixture->node.machine_types_loaded = false;
+	fixture->kv_store_returns_503 = fixture->node.machine_types_loaded = false;
 	if (submit(fixture, "", &retry_after) != 503 || retry_after <= 0)
 		note_failure(fixture, "machine types unknown");
 }
@@ -200,9 +200,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FRONTEND_TEST(a_submission_verdict_does_not_depend_on_the_key_value_store),
+		FRONTEND_TEST(a_submission_status_does_not_depend_on_the_key_value_store),
 		FRONTEND_TEST(a_submission_is_forwarded_when_its_body_is_large),
-		FRONTEND_TEST(a_duplicate_submission_gets_the_state_of_the_job_whatever_its_body),
+		FRONTEND_TEST(
+			a_duplicate_submission_returns_the_job_status_even_if_its_body_is_invalid),
 		FRONTEND_TEST(a_submission_is_unavailable_when_no_record_can_be_read),
 		FRONTEND_TEST(a_submission_is_unavailable_when_the_job_does_not_fit_in_memory),
 	};
--- a/tests/test_token_bucket.c
+++ b/tests/test_token_bucket.c
@@ -8,10 +8,10 @@
 
 #include "storage/token_bucket.h"
 
-static void a_token_bucket_holds_its_rate(void **state)
+static void a_token_bucket_grants_no_more_than_its_rate_and_burst(void **state)
 {
 	struct fl_token_bucket bucket;
-	double now = 0, spent = 0;
+	double now = 0, granted_tokens = 0;
 
 	(void)state;
 	fl_token_bucket_init(&bucket, 10, 10, now);
@@ -19,17 +19,17 @@
 		double wait_s = fl_token_bucket_take(&bucket, 3, now);
 
 		if (wait_s == 0)
-			spent += 3;
+			granted_tokens += 3;
 		now += wait_s > 0 ? wait_s : 0;
 	}
 
-	assert_true(spent <= 10 + 600 + 3 && spent > 590);
+	assert_true(granted_tokens <= 10 + 600 + 3 && granted_tokens > 590);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_token_bucket_holds_its_rate),
+		cmocka_unit_test(a_token_bucket_grants_no_more_than_its_rate_and_burst),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_write_ahead_log.c
+++ b/tests/test_write_ahead_log.c
@@ -10,7 +10,7 @@
 #include "storage/write_ahead_log.h"
 
 /* One value of a log: a group for each task block of each of these jobs. */
-static void read_all_blocks(struct fl_wal *wal, uint32_t job_count, uint32_t block_count)
+static void read_value_with_all_blocks(struct fl_wal *wal, uint32_t job_count, uint32_t block_count)
 {
 	cJSON *value = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(value, "log");
 
@@ -30,34 +30,34 @@
 }
 
 /* All task blocks of a few arrays of the largest size, in three values: as many steps as groups. */
-static void each_group_of_the_write_ahead_log_is_examined_once(void **state)
+static void each_group_is_visited_once_when_groups_are_listed_by_block(void **state)
 {
 	const uint32_t job_count = 4,
 		       block_count = (FL_TASKS_MAX + FL_TASK_BLOCK_SIZE - 1) / FL_TASK_BLOCK_SIZE,
 		       value_count = 3;
 	struct fl_wal wal = {0};
-	uint32_t steps = 0;
+	uint32_t visited_group_count = 0;
 
 	(void)state;
 	for (uint32_t value_index = 0; value_index < value_count; value_index++)
-		read_all_blocks(&wal, job_count, block_count);
+		read_value_with_all_blocks(&wal, job_count, block_count);
 	assert_int_equal(wal.group_count, job_count * block_count * value_count);
 	for (uint32_t j = 0; j < job_count; j++)
 		for (uint32_t k = 0; k < block_count; k++) {
 			char ref[FL_REF_MAX];
-			int before = -1;
+			int previous_group = -1;
 
 			snprintf(ref, sizeof(ref), "run-%06u", j);
 			for (int i = fl_wal_first_group(&wal, ref, k); i >= 0;
 			     i = wal.groups[i].next_of_block) {
 				assert_string_equal(wal.groups[i].ref, ref);
 				assert_int_equal(wal.groups[i].block_index, k);
-				assert_true(i > before);
-				before = i;
-				steps++;
+				assert_true(i > previous_group);
+				previous_group = i;
+				visited_group_count++;
 			}
 		}
-	assert_int_equal(steps, job_count * block_count * value_count);
+	assert_int_equal(visited_group_count, job_count * block_count * value_count);
 	assert_int_equal(fl_wal_first_group(&wal, "run-000000", block_count), -1);
 	assert_int_equal(fl_wal_first_group(&wal, "run-999999", 0), -1);
 	fl_wal_free(&wal);
@@ -67,7 +67,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(each_group_of_the_write_ahead_log_is_examined_once),
+		cmocka_unit_test(each_group_is_visited_once_when_groups_are_listed_by_block),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/virtual_time_fixture.c
+++ b/tests/virtual_time_fixture.c
@@ -10,7 +10,7 @@
 
 void virtual_time_end(void) { sim_time_end(drop_timer); }
 
-void pass_response(struct fl_http_response *response, struct fl_http_reply *reply)
+void move_response_to_reply(struct fl_http_response *response, struct fl_http_reply *reply)
 {
 	memset(reply, 0, sizeof(*reply));
 	reply->status = response->status;
--- a/tests/virtual_time_fixture.h
+++ b/tests/virtual_time_fixture.h
@@ -13,6 +13,6 @@
 void virtual_time_end(void);
 
 /* What a server answered becomes what the client got; the response is freed. */
-void pass_response(struct fl_http_response *response, struct fl_http_reply *reply);
+void move_response_to_reply(struct fl_http_response *response, struct fl_http_reply *reply);
 
 #endif
--- a/tests/worker_command.c
+++ b/tests/worker_command.c
@@ -5,7 +5,7 @@
 
 #include "copy_text.h"
 
-static enum fl_command_kind kind_of(const char *verb)
+static enum fl_command_kind kind_from_verb(const char *verb)
 {
 	if (strcmp(verb, "launch") == 0)
 		return FL_COMMAND_START;
@@ -30,21 +30,21 @@
 	if (!slash)
 		abort();
 	*slash = 0;
-	command.kind = kind_of(verb);
+	command.kind = kind_from_verb(verb);
 	copy_text(command.task.ref, sizeof(command.task.ref), name);
 	command.task.index = (uint32_t)strtoul(slash + 1, NULL, 10);
 	command.task.attempt = (uint32_t)attempt;
 	return command;
 }
 
-bool worker_command_names_task(const struct fl_task_status *command,
-                               const struct fl_task_status *task)
+bool worker_command_is_for_task(const struct fl_task_status *command,
+                                const struct fl_task_status *task)
 {
 	return command->index == task->index && strcmp(command->ref, task->ref) == 0;
 }
 
-bool worker_command_names_attempt(const struct fl_task_status *command,
-                                  const struct fl_task_status *task)
+bool worker_command_is_for_attempt(const struct fl_task_status *command,
+                                   const struct fl_task_status *task)
 {
-	return command->attempt == task->attempt && worker_command_names_task(command, task);
+	return command->attempt == task->attempt && worker_command_is_for_task(command, task);
 }
--- a/tests/worker_command.h
+++ b/tests/worker_command.h
@@ -14,9 +14,9 @@
 /* Aborts for what the protocol does not know. */
 struct worker_command worker_command_decode(const cJSON *item);
 
-bool worker_command_names_task(const struct fl_task_status *command,
-                               const struct fl_task_status *task);
-bool worker_command_names_attempt(const struct fl_task_status *command,
-                                  const struct fl_task_status *task);
+bool worker_command_is_for_task(const struct fl_task_status *command,
+                                const struct fl_task_status *task);
+bool worker_command_is_for_attempt(const struct fl_task_status *command,
+                                   const struct fl_task_status *task);
 
 #endif
