--- a/src/protocol/kv_store.c
+++ b/src/protocol/kv_store.c
@@ -84,9 +84,12 @@
 	double timeout_s;
 };
 
-/* The caller deletes `*answer` on every result; NULL: no response, or not valid JSON. */
+/*
+ * Sends a request. The caller deletes `*response` on every result; NULL: no response, or not valid
+ * JSON.
+ */
 static enum fl_kv_result send_request(struct fl_kv_store *store, struct fl_http_client *client,
-                                      const struct request *request, cJSON **answer)
+                                      const struct request *request, cJSON **response)
 {
 	double sent_at = fl_now();
 	struct fl_http_reply reply;
@@ -94,7 +97,7 @@
 	                      request->timeout_s, &reply);
 	enum fl_kv_result result;
 
-	*answer = NULL;
+	*response = NULL;
 	if (rc == -ECANCELED)
 		return FL_KV_CANCELLED;
 	if (rc) {
@@ -106,9 +109,9 @@
 	else if (reply.status != 429 && sent_at > store->last_success_sent_at)
 		store->last_success_sent_at = sent_at;
 	result = result_of_http_status(reply.status);
-	*answer = fl_json_parse(reply.body.data, reply.body.length);
+	*response = fl_json_parse(reply.body.data, reply.body.length);
 	fl_buffer_free(&reply.body);
-	if (result == FL_KV_OK && !cJSON_IsObject(*answer))
+	if (result == FL_KV_OK && !cJSON_IsObject(*response))
 		result = FL_KV_OUTCOME_UNKNOWN;
 	return result;
 }
@@ -178,7 +181,7 @@
 	const char *prefix;
 	char last_key[FL_KEY_MAX]; /* the last key read; empty: none yet */
 	bool more;
-	uint64_t revision; /* the store's at the last page read */
+	uint64_t revision; /* the store's revision at the last page read */
 };
 
 static enum fl_kv_result read_page(struct list_reader *reader, fl_kv_event_fn on_event,
