--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -26,15 +26,15 @@
 		repeated_command_every;
 	/* A copy of a worker's every n-th heartbeat goes to another controller 2 leases later. */
 	int delayed_heartbeat_every;
-	/* Number of machines rented next that get neither replies nor commands; counts down. */
+	/* Number of the next rented machines that get neither replies nor commands; counts down. */
 	int unreachable_machines_to_rent;
 	bool cloud_unavailable;
-	/* Counts down with each request to the key-value store but watches. At 0 `interrupt` is
+	/* Counts down with each request to the key-value store except watches. At 0 `interrupt` is
 	 * called, and the request is applied 0.2 s later. */
 	int interrupt_after_requests;
 	void (*interrupt)(void);
 
-	/* Totals of all workers. */
+	/* Totals of all workers; machines that were deleted later are included. */
 	int starts, completions, machines_rented;
 	/* Violations: starts of a task that is already running, fencing tokens that did not
 	 * increase, rental names used by two leaders, starts on deleted machines. */
--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -190,7 +190,8 @@
          .inject_faults = lost_write_reply,
          .first_variant = 2,
          .variant_count = 1,
-         .protects = "status_from_leader.c: undecided states; progress_writer.c: rereading"},
+         .protects = "status_from_leader.c: unknown outcomes of writes; "
+                     "progress_writer.c: rereading of revisions"},
 	{.name = "lost_write_reply",
          .seed_name = "answer_lost",
          .inject_faults = lost_write_reply,
--- a/tests/fault_combinations_load.c
+++ b/tests/fault_combinations_load.c
@@ -88,8 +88,8 @@
 /* Jobs of one task, four per second, of which a quarter are cancelled. */
 static void small_jobs(int variant)
 {
-	/* One for the submission, one for the placement in the write-ahead log or a record, and
-	 * three at the end of the job; jobs share the other changes. */
+	/* One change for the submission, one for the placement in the write-ahead log or a record,
+	 * and three at the end of the job; jobs share the other changes. */
 	sim.max_kv_changes_per_job = 6;
 	for (int i = 0; i < 200; i++) {
 		struct sim_job *job = sim_job_add_random(8 + 0.25 * i);
@@ -143,7 +143,8 @@
          .inject_faults = quota_reached_at_failover,
          .first_variant = 0,
          .variant_count = 3,
-         .protects = "tasks.c: every task that may be on a machine counts; reconciliation.c"},
+         .protects = "tasks.c: every task that may be on a machine counts against its team; "
+                     "reconciliation.c"},
 	{.name = "quota_reached_at_failover",
          .seed_name = "at_limit",
          .inject_faults = quota_reached_at_failover,
@@ -167,19 +168,19 @@
          .inject_faults = cancel_at_completion,
          .first_variant = 0,
          .variant_count = 4,
-         .protects = "status_from_leader.c: undecided final states; final_record_writer.c"},
+         .protects = "status_from_leader.c: unconfirmed final statuses; final_record_writer.c"},
 	{.name = "concurrent_reads",
          .seed_name = "close_looks",
          .inject_faults = concurrent_reads,
          .first_variant = 0,
          .variant_count = 1,
-         .protects = "status_from_leader.c: undecided final states; job_lookup.c"},
+         .protects = "status_from_leader.c: unconfirmed final statuses; job_lookup.c"},
 	{.name = "concurrent_reads",
          .seed_name = "close_looks",
          .inject_faults = concurrent_reads,
          .first_variant = 163,
          .variant_count = 1,
-         .protects = "status_from_leader.c: undecided states"},
+         .protects = "status_from_leader.c: unknown outcomes of writes"},
 	/* Guards against two jobs that preempt each other, one by priority and one by quota. */
 	{.name = "concurrent_reads",
          .seed_name = "close_looks",
@@ -192,7 +193,7 @@
          .inject_faults = all_quotas_reached,
          .first_variant = 0,
          .variant_count = 1,
-         .protects = "tasks.c: every task that may be on a machine counts"},
+         .protects = "tasks.c: every task that may be on a machine counts against its team"},
 	{.name = "small_jobs",
          .seed_name = "small_jobs",
          .inject_faults = small_jobs,
--- a/tests/fault_combinations_workers.c
+++ b/tests/fault_combinations_workers.c
@@ -68,7 +68,7 @@
 	inject_cancel_running(start_s + sim_random_between(2, 8), 4, 0);
 }
 
-/* Machines end while jobs that are bound to one zone, including arrays, run there. */
+/* Machines are terminated while jobs that are bound to one zone, including arrays, run there. */
 static void zonal_machine_loss(int variant)
 {
 	double start_s = sim_random_between(40, 55);
@@ -90,7 +90,7 @@
 		SIM_INJECT(FAULT_CLOUD_UNAVAILABLE, .start_s = start_s, .duration_s = 15);
 }
 
-/* Commands and replies are delayed for seconds by hung machines that resume, or are lost. */
+/* Machines that hang for seconds delay commands and replies, and a share of replies is lost. */
 static void hung_machines_and_lost_replies(int variant)
 {
 	double start_s = 20, hang_s;
@@ -178,7 +178,7 @@
 	inject_cancel_running(start_s + sim_random_between(-1, 5), 3, 0);
 }
 
-/* Heartbeats are held, and reach every controller just before the next leader takes over. */
+/* Heartbeats are held, and reach every controller once the next leader is elected. */
 static void heartbeats_held_for_next_leader(int variant)
 {
 	double start_s = sim_random_between(42, 52);
@@ -310,7 +310,7 @@
          .inject_faults = shared_image_bandwidth,
          .first_variant = 0,
          .variant_count = 1,
-         .protects = "schedule.c, reconciliation.c: tasks that fetch their image are counted"},
+         .protects = "schedule.c, reconciliation.c: tasks that fetch their image occupy capacity"},
 };
 
 const struct combination_group workers_combinations = {
--- a/tests/kv_model.h
+++ b/tests/kv_model.h
@@ -3,8 +3,8 @@
  * with revisions, the ordered events of their changes, and leases. Each fake adds its own faults
  * and transport; time is real or virtual, depending on which fl_now() and coroutine conditions are
  * linked. A transaction is applied completely or not at all, and all its changes get the same
- * revision. No function returns an error: a lease that a correct controller never requests aborts
- * the test.
+ * revision. No function returns an error; a request for a lease beyond the limits, which a correct
+ * controller never sends, aborts the test.
  */
 #ifndef FL_TESTS_KV_MODEL_H
 #define FL_TESTS_KV_MODEL_H
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -139,7 +139,7 @@
 
 /* ---- records ---- */
 
-/* Adds the changes that the job's record lacks to the value; returns false if there are none. */
+/* Adds to the value the changes that the job's record lacks; returns false if there are none. */
 static bool add_wal_group(struct simulation *sim, struct fl_job *job, cJSON *value)
 {
 	struct fl_task_block *block;
@@ -194,7 +194,7 @@
 		save_wal(sim);
 		return;
 	}
-	/* Each record is written separately, so any subset of them may be. */
+	/* Each record is written separately, so any subset of the records may be written. */
 	for (int job = 0; job < JOBS; job++)
 		if (!random_below(sim, 2))
 			save_record(sim, job);
--- a/tests/reconciliation_sim.h
+++ b/tests/reconciliation_sim.h
@@ -40,13 +40,14 @@
 	struct message messages[MESSAGES];
 	int message_count;
 	char *records[JOBS]; /* progress records in the key-value store; NULL: not written yet */
-	/* Values of the write-ahead log. A write may fill some; the others keep their content. */
+	/* Values of the write-ahead log. A write may replace only some; the others stay. */
 	char *wal_values[WAL_VALUES];
 	bool completed[JOBS][TASKS]; /* an attempt of the task has exited as done */
 	gsl_rng *random;
 	uint64_t fencing_token;
 	int starts, completions, failovers, wal_writes;
-	/* With a larger value new fencing tokens are rarer, and late commands valid for longer. */
+	/* Factor of the mean number of steps between new fencing tokens; with a larger one, late
+	 * commands stay valid for longer. */
 	int token_change_interval;
 };
 
@@ -78,7 +79,7 @@
 void place_some_tasks(struct simulation *sim);
 /* Writes the write-ahead log, or random ones of the records. */
 void save_some_records(struct simulation *sim);
-/* The leader reconciles a heartbeat; a reply to the worker itself is then in flight. */
+/* Lets the leader reconcile a heartbeat; if the worker itself sent it, its reply is in flight. */
 void deliver_heartbeat(struct simulation *sim, int index, const char *text,
                        enum fl_heartbeat_source source);
 /* The leader sends a direct command, which may be executed now and is kept to arrive late. */
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -164,7 +164,7 @@
 	int type, zone;
 	bool spot, up, terminated, failed, never_boots, listed, hung;
 	double rented_at, ready_at, terminated_at, hung_at;
-	double interruption_at; /* end of a spot machine; 0: never */
+	double interruption_at; /* interruption of a spot machine; 0: never */
 	uint64_t incarnation, sequence, fencing_token;
 	double lease_started_at;   /* send time of the last accepted heartbeat */
 	double fetches_checked_at; /* last update of its image fetches */
@@ -203,10 +203,11 @@
 void sim_heartbeats_release_held(void);
 void sim_heartbeats_end(void);
 
+/* Moves each task whose phase has ended to its next state. */
 void sim_tasks_tick(struct sim_machine *machine);
-/* Removes all tasks. */
+/* Removes all tasks from the machine. */
 void sim_tasks_drop(struct sim_machine *machine);
-/* Postpones the times of all tasks by the duration of a hang. */
+/* Postpones the start and the end of the phase of all tasks by the duration of a hang. */
 void sim_tasks_postpone(struct sim_machine *machine, double seconds);
 /* Executes the commands in the reply to a heartbeat or in a direct command. */
 void sim_tasks_execute_commands(struct sim_machine *machine, const cJSON *object);
--- a/tests/sim_check_replies.c
+++ b/tests/sim_check_replies.c
@@ -32,7 +32,7 @@
 	return reported;
 }
 
-/* Only a request that was sent after the final status was reported shows that it was reverted. */
+/* Checks only requests that were sent after a reply had reported the final status. */
 static void check_final_status(const struct sim_job *job, double sent_at,
                                const struct reported_status *reported, const char *request)
 {
@@ -76,7 +76,7 @@
 	if (job->invalid)
 		sim_violation("invalid_accepted", "invalid job accepted job=%s", job->spec.ref);
 	if (job->accepted_at > 0 && status == 201 && sent_at > job->accepted_at)
-		sim_violation("accepted_twice", "accepted job accepted as a new one job=%s",
+		sim_violation("accepted_twice", "resubmitted job accepted as a new one job=%s",
 		              job->spec.ref);
 	if (job->accepted_at == 0)
 		job->accepted_at = job->last_answered_at = fl_now();
@@ -89,7 +89,7 @@
 		sim_violation("job_lost", "accepted job rejected when resubmitted job=%s status=%d",
 		              job->spec.ref, status);
 	else if (!job->invalid)
-		sim_violation("valid_rejected", "valid job rejected job=%s status=%d body=%s",
+		sim_violation("valid_rejected", "valid job rejected job=%s status=%d body=\"%s\"",
 		              job->spec.ref, status, body);
 	job->rejected_at = fl_now();
 }
--- a/tests/sim_check_service.c
+++ b/tests/sim_check_service.c
@@ -10,9 +10,9 @@
 #include "transport/clock.h"
 
 static const struct {
-	double max_waiting_s;   /* longest wait of a job beside free capacity */
-	double largest_start_s; /* longest wait of the largest jobs of a class */
-	int min_jobs;           /* least size of a class or team whose starts are checked */
+	double max_waiting_s;   /* time that a job may wait beside free capacity */
+	double largest_start_s; /* time within which the largest jobs of a class must start */
+	int min_jobs;           /* least number of jobs of which half must have started */
 } tunables = {90, 240, 8};
 
 /* A run has more jobs than the teams' quotas allow at once, so jobs beyond a quota may wait. */
--- a/tests/sim_clock.c
+++ b/tests/sim_clock.c
@@ -85,7 +85,8 @@
 		clocks.heap = realloc(clocks.heap, (size_t)clocks.capacity * sizeof(*clocks.heap));
 		sim_require(clocks.heap != NULL);
 	}
-	/* A shorter remainder may be lost in rounding, and a loop that sleeps for it never ends. */
+	/* A duration below min_sleep_s may be lost in rounding, and a loop that sleeps until a
+	 * point in time would never end. */
 	if (seconds > 0 && seconds < min_sleep_s)
 		seconds = min_sleep_s;
 	timer->due_at = clocks.now + (seconds > 0 ? seconds : 0);
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -241,7 +241,7 @@
 	set_json_response(response, 200, NULL);
 }
 
-/* Returns whether the list has the machine at a past time; once listed it stays until its end. */
+/* Returns whether a list of that past time has the machine; once listed, it stays until its end. */
 static bool is_listed(struct sim_machine *machine, double as_of)
 {
 	if (machine->failed)
--- a/tests/sim_concurrent_reads.c
+++ b/tests/sim_concurrent_reads.c
@@ -67,7 +67,7 @@
 	sim_spawn(0, run_read_burst, burst);
 }
 
-/* Several users query the job at once; some also resubmit it, and some cancel it at once. */
+/* Users query the job at all nodes; some also submit it again, and at times one cancels it. */
 void sim_user_read_all_nodes(struct sim_job *job)
 {
 	if (!sim_fault_active(FAULT_CONCURRENT_READS, -1) || job->invalid)
--- a/tests/sim_coroutines.c
+++ b/tests/sim_coroutines.c
@@ -28,7 +28,7 @@
 	struct fl_coroutine_queue ready, urgent;
 	int cancelled_process; /* the last process that was cancelled */
 	bool ending;
-	/* A process that is paused until then, and its ready coroutines. */
+	/* The end of each process's pause, and the ready coroutines that wait for it. */
 	struct paused_process {
 		double until;
 		struct fl_coroutine_queue ready, urgent;
@@ -111,7 +111,10 @@
 
 /* ---- processes that are slow or paused ---- */
 
-/* Queues the paused coroutines again, in order; a slow process runs one and is paused again. */
+/*
+ * Queues the coroutines that waited for the pause to end, in order. A slow process runs one of them
+ * and is paused again.
+ */
 static void release_paused_coroutines(void *arg)
 {
 	struct paused_process *paused = arg;
@@ -265,13 +268,13 @@
 
 void fl_coroutine_set_urgent(void) { scheduler.current->urgent = true; }
 
-/* Work takes no virtual time, so coroutines only wait in a slow or paused process. */
+/* Work takes no virtual time, so only a slow or paused process has ready coroutines that wait. */
 bool fl_coroutines_overloaded(void)
 {
 	return scheduler.paused[sim_current_process()].ready.head != NULL;
 }
 
-/* Work takes no virtual time, so there is nothing to wait for. */
+/* Work takes no virtual time, so no other coroutine has to run before the current one. */
 bool fl_coroutine_defer(int max_waiting) { return max_waiting > 0; }
 
 int fl_sleep(double seconds)
--- a/tests/sim_faults.h
+++ b/tests/sim_faults.h
@@ -23,17 +23,17 @@
 	FAULT_OUTBOUND_PARTITION,     /* heartbeats of some machines are lost, commands arrive */
 	FAULT_INBOUND_PARTITION,      /* replies and commands to some machines are lost */
 	FAULT_MACHINE_HANG,           /* some machines hang */
-	FAULT_PACKETS_HELD,        /* requests between a node and workers are held until the end */
+	FAULT_PACKETS_HELD,        /* requests between a node and workers arrive after the fault */
 	FAULT_DELAYED_HEARTBEATS,  /* a share of the heartbeats arrives a second time, much later */
 	FAULT_SLOW_LINKS,          /* latencies of up to `magnitude` s in each direction */
 	FAULT_LOST_REPLIES,        /* a share of the replies to heartbeats and commands is lost */
 	FAULT_NODE_DOWN,           /* controllers are killed, and restarted at the end */
 	FAULT_CLOUD_UNAVAILABLE,   /* 503 for all requests */
-	FAULT_MACHINE_TERMINATION, /* some machines end, and are listed for 30 s more */
+	FAULT_MACHINE_TERMINATION, /* some machines are terminated, and listed for 30 s more */
 	FAULT_CANCEL_RUNNING,      /* users cancel running jobs */
-	FAULT_CANCEL_AT_COMPLETION, /* a share of jobs is cancelled as its last task completes */
-	FAULT_INVALID_REQUESTS,     /* duplicate submissions, invalid jobs, cancelled done jobs */
-	FAULT_SUBMISSION_BURST,     /* `count` submissions within 2 s */
+	FAULT_CANCEL_AT_COMPLETION, /* users cancel a share of jobs as their last task completes */
+	FAULT_INVALID_REQUESTS, /* duplicate or invalid submissions, cancellations of done jobs */
+	FAULT_SUBMISSION_BURST, /* `count` submissions within 2 s */
 	/*
 	 * The order is fixed, since kinds are drawn by number: random_faults draws from those
 	 * above, random_timing_faults from all.
@@ -56,9 +56,9 @@
 struct sim_fault {
 	enum sim_fault_kind kind;
 	double start_s, duration_s; /* start_s: since the beginning of the run */
-	int target;                 /* TARGET_LEADER is resolved when the fault begins */
+	int target;                 /* node or zone, resolved when the fault begins */
 	double magnitude;           /* probability, share, factor, or s */
-	int count;                  /* number of machines or jobs; 0: `magnitude` is the share */
+	int count;     /* number of jobs, or of machines; 0 machines: `magnitude` is their share */
 	double hang_s; /* FAULT_CANCEL_RUNNING: duration for which the jobs' machines hang */
 	/* FAULT_DELAYED_WRITES: the write is not delayed, and only its reply is lost. */
 	bool reply_lost_only;
--- a/tests/sim_heartbeats.c
+++ b/tests/sim_heartbeats.c
@@ -189,7 +189,7 @@
 static double handle_reply(struct sim_machine *machine, double sent_at, uint64_t incarnation,
                            const struct fl_http_reply *reply)
 {
-	/* The machine may have hung since, for longer than the timeout. */
+	/* The machine may have hung for longer than the timeout before it handled the reply. */
 	if (reply && fl_now() > sent_at + tunables.reply_timeout_s)
 		reply = NULL;
 	sim_machine_end_expired_lease(machine);
--- a/tests/sim_kv_store.c
+++ b/tests/sim_kv_store.c
@@ -120,7 +120,8 @@
 	struct delays delays = {.before_s =
 	                                sim_chance(0.01) ? sim_random_between(0.1, 0.4) : 0.002};
 
-	/* Delayed before or after it is applied: callers may time out on an applied write. */
+	/* Delays the request before or after it is applied; in the latter case the caller of a
+	 * write may time out although the write is applied. */
 	if (slow && sim_chance(0.5))
 		delays.before_s = sim_random_between(0, slow->magnitude);
 	else if (slow)
--- a/tests/sim_net.c
+++ b/tests/sim_net.c
@@ -21,7 +21,7 @@
 	struct sim_timer timer;
 };
 
-/* The simulation ends, and messages are dropped. */
+/* True while the simulation ends and all messages are dropped. */
 static bool network_ending;
 
 /* ---- addresses ---- */
--- a/tests/sim_time.h
+++ b/tests/sim_time.h
@@ -40,9 +40,9 @@
 void sim_time_end(void (*drop)(struct sim_timer *timer));
 void sim_timer_arm(struct sim_timer *timer, double seconds);
 void sim_timer_disarm(struct sim_timer *timer);
-/* Disarms the first timer that is due by `until`, and sets the clocks to it; NULL: none. */
+/* Disarms the first timer due by `until`, and sets the clocks to its due time; NULL: none. */
 struct sim_timer *sim_timer_pop_due(double until);
-/* Disarms any timer without moving the clocks; NULL: none. */
+/* Disarms the first timer, due or not, without moving the clocks; NULL: none. */
 struct sim_timer *sim_timer_pop_any(void);
 void sim_clock_begin(void);
 void sim_clock_set(double now);
@@ -56,9 +56,9 @@
 /* Cancels the coroutines of the process, which have ended after the caller's next wait. */
 void sim_process_cancel(int process);
 int sim_process_coroutine_count(int process);
-/* Pauses the process until then, while its clocks run on: its timers fire late. */
+/* Pauses the process until `until`, while its clocks run on: its coroutines wake late. */
 void sim_process_pause_until(int process, double until);
-/* Called at each piece of work of a process: if the process is slow, the next one has to wait. */
+/* Called before each coroutine of a process runs: a slow process is paused before the next one. */
 void sim_process_delay_if_slow(int process);
 
 /* ---- random numbers ---- */
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -18,7 +18,7 @@
 
 /* ---- one request ---- */
 
-/* The reported state of a job; when it changes, users may query all nodes. */
+/* The state of a job that replies have reported; when it changes, users may query all nodes. */
 struct user_view {
 	bool accepted, done, cancelled;
 };
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -157,7 +157,7 @@
 	cJSON_Delete(object);
 }
 
-/* A delayed command is executed, and its reply is lost. */
+/* Returns whether to delay a direct command, which is executed late and whose reply is lost. */
 static bool command_is_delayed(void)
 {
 	const struct sim_fault *fault = sim_fault_active(FAULT_DELAYED_COMMANDS, -1);
--- a/tests/simulation_fixture.h
+++ b/tests/simulation_fixture.h
@@ -1,4 +1,4 @@
-/* Setup and teardown functions of cmocka: a simulated leader and its workers for each test. */
+/* cmocka setup and teardown functions: each test gets a simulated leader with its workers. */
 #ifndef FL_TESTS_SIMULATION_FIXTURE_H
 #define FL_TESTS_SIMULATION_FIXTURE_H
 
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -24,7 +24,7 @@
 struct sim sim;
 
 enum {
-	/* Of one task, in about 200 s; losses, refusals and stops cause nine starts at most. */
+	/* Starts of one task in about 200 s; losses, refusals and stops cause nine at most. */
 	MAX_TASK_STARTS = 30,
 	MAX_CASES = 256
 };
@@ -106,7 +106,7 @@
 {
 	const struct fl_job_spec *spec = &job->spec;
 
-	print_message("  %s team=%s kind=%s priority=%d tasks=%u cpus=%g gpus=%g ram_gb=%g "
+	print_message("  job=%s team=%s kind=%s priority=%d tasks=%u cpus=%g gpus=%g ram_gb=%g "
 	              "type=%s zone=%s%s%s cancel_s=%g starts=%d\n",
 	              spec->ref, spec->team, spec->kind == FL_SERVICE ? "service" : "array",
 	              (int)spec->priority, spec->task_count, spec->cpus, spec->gpus, spec->ram_gb,
