--- a/tests/sim_faults.h
+++ b/tests/sim_faults.h
@@ -56,7 +56,7 @@
 struct sim_fault {
 	enum sim_fault_kind kind;
 	double start_s, duration_s; /* start_s: since the beginning of the run */
-	int target;                 /* node or zone, resolved when the fault begins */
+	int target;                 /* resolved to a node, a zone or all nodes at the start */
 	double magnitude;           /* probability, share, factor, or s */
 	int count;     /* number of jobs, or of machines; 0 machines: `magnitude` is their share */
 	double hang_s; /* FAULT_CANCEL_RUNNING: duration for which the jobs' machines hang */
