--- a/tests/contract_fixture.h
+++ b/tests/contract_fixture.h
@@ -12,7 +12,7 @@
 /*
  * Runs `client_calls` as a coroutine against a server that responds by the script, and asserts that
  * its requests were exactly those of the script. `client_calls` stores its results in `results`,
- * for assertions afterwards: an assertion that fails must not leave a coroutine.
+ * for assertions afterwards: an assertion that fails must not jump out of a coroutine.
  */
 void contract_run_exchanges(void (*client_calls)(const char *address, void *results), void *results,
                             const struct contract_exchange *script, int exchange_count);
--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -20,7 +20,7 @@
 	struct fl_condition read_gate;
 	bool job_known_at_read_start; /* job_known when the last read began */
 	int last_job_number;          /* number in the id of the last job submitted */
-	char first_failure[400];      /* of a check inside a coroutine; empty: none */
+	char first_failure[400];      /* text of a failed check in a coroutine; empty: none */
 };
 
 /* A live job record that begins with `fields`; of a field that occurs twice the first is used. */
@@ -36,7 +36,7 @@
 
 int tear_down(void **state);
 
-/* Keeps the text of the first failure: a failed assertion must not leave a coroutine. */
+/* Keeps the text of the first failure: a failed assertion must not jump out of a coroutine. */
 void note_failure(struct frontend_fixture *fixture, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -61,13 +61,13 @@
 /* Returns the status of a running attempt of one of the job's tasks, for a heartbeat. */
 struct fl_task_status running_task_status(uint32_t index, uint32_t attempt);
 
-/* Makes the node a follower of n1 that reaches the key-value store but has heard from no peer. */
+/* Makes the node a follower of n1 that reaches the key-value store, but no peer has responded. */
 void become_follower(struct node_fixture *fixture, int peer_count);
 
 struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_user_request kind,
                                           const char *ref, const char *body);
 
-extern int stop_commands_in_last_reply; /* number of them, set by send_heartbeat */
+extern int stop_commands_in_last_reply; /* number of stop commands, set by send_heartbeat */
 
 /*
  * Sends a heartbeat as a worker does and returns the status. `redirect_target` may be NULL; else it
@@ -107,7 +107,7 @@
 /* Returns the final record of the job, cancelled `age_s` ago; the caller deletes it. */
 cJSON *cancelled_job_record(struct node_fixture *fixture, double age_s);
 
-/* Applies that record, as every node does when the record is written. */
+/* Applies such a record to the node's state, as every node does when the record is written. */
 void apply_cancellation(struct node_fixture *fixture, double age_s);
 
 /* A cmocka test that is run with a new node. */
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -108,7 +108,7 @@
 	return job->within_guaranteed_quota ? 1 : 0;
 }
 
-/* Returns the priority by the paper's formula, in which the weight of the wait also grows. */
+/* Returns the priority of the paper that schedule.h cites, with a growing weight of the wait. */
 static double model_effective_priority(const struct fl_sched_job *job)
 {
 	static const double weights[] = {0.1, 1, 10, 100};
--- a/tests/schedule_model.h
+++ b/tests/schedule_model.h
@@ -11,7 +11,8 @@
 
 struct model {
 	struct snapshot snapshot;
-	struct fl_resources releasing_resources[MACHINES_MAX]; /* by attempts being stopped */
+	/* Per machine, the resources that attempts being stopped will release. */
+	struct fl_resources releasing_resources[MACHINES_MAX];
 	struct fl_sched_start starts[STARTS_MAX];
 	int preemptions[ATTEMPTS_MAX];
 	int start_count, preemption_count, top_job;
@@ -31,7 +32,8 @@
 	const double *max_task_duration_s; /* per machine; NULL: no limit */
 	double estimate_s;                 /* estimated duration of the task */
 	bool within_guarantee;             /* may preempt work beyond other teams' guarantees */
-	bool image_cached_only;            /* and only at a preemption cost of at most 60 s */
+	/* Only machines with the image cached, where the preemptions cost at most 60 s. */
+	bool image_cached_only;
 };
 
 /* Returns whether the estimated duration of the task is within the limit of the machine. */
@@ -45,8 +47,8 @@
                                  const struct model_constraint *constraint);
 
 /*
- * Requests capacity for the tasks of a job that could not be started. Returns for how many tasks it
- * was found.
+ * Requests capacity for the tasks of a job that could not be started. Returns the number of tasks
+ * for which capacity was found.
  */
 uint32_t model_request_job_capacity(struct model *model, int job_index,
                                     struct model_constraint constraint);
--- a/tests/service_fixture.c
+++ b/tests/service_fixture.c
@@ -295,7 +295,7 @@
 		kill_controller(i);
 		unlink(controllers[i].config_file);
 	}
-	/* Suspended coroutines release what they hold in their own cleanup. */
+	/* Suspended coroutines are cancelled and release their resources as they unwind. */
 	fl_coroutines_shutdown();
 	fake_services_free();
 	for (int i = 0; i < CONTROLLERS; i++)
--- a/tests/service_fixture.h
+++ b/tests/service_fixture.h
@@ -39,13 +39,13 @@
 /* Cancels a job, retried until the status is 200; returns whether it is reported as cancelled. */
 bool cancel_job(const char *ref);
 
-/* ---- waiting, for TIMEOUT_S at most ---- */
+/* ---- waiting, for TIMEOUT_S at most; false: timed out ---- */
 
 bool wait_until_ready(void);
 bool wait_for_leader(void);
 /* Queries the controllers in turn, from this one on, until a body contains `expected`. */
 bool wait_for_job_status(const char *ref, const char *expected, int first_controller);
-/* The same for each controller as the first one. */
+/* The same once for each controller, as the first one that is queried. */
 bool wait_for_job_status_on_all_controllers(const char *ref, const char *expected);
 bool wait_until_job_stopped(const char *ref);
 bool wait_until_unreachable_machines_are_deleted(void);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -29,18 +29,19 @@
 static void connection_shares_stay_within_the_connection_limit(void **state)
 {
 	static const int limits[] = {900, 1500, 4000};
-	const int commands_and_services = 48;
+	const int other_outgoing_connections = 48; /* key-value store, cloud, direct commands */
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(limits) / sizeof(limits[0]); i++) {
 		struct fl_config config = {.peer_count = 4, .max_connections = limits[i]};
 		int public_connections = fl_node_public_connections_max(&config);
-		int from_peers = config.peer_count * FL_PEER_CONNECTIONS_MAX;
-		int to_leader = FL_PEER_CONNECTIONS_MAX + config.peer_count;
+		int connections_from_peers = config.peer_count * FL_PEER_CONNECTIONS_MAX;
+		int connections_to_leader = FL_PEER_CONNECTIONS_MAX + config.peer_count;
 
 		assert_true(public_connections >= (int)(0.6 * limits[i]));
-		assert_true(limits[i] - public_connections >= from_peers);
-		assert_true(public_connections + from_peers + to_leader + commands_and_services <=
+		assert_true(limits[i] - public_connections >= connections_from_peers);
+		assert_true(public_connections + connections_from_peers + connections_to_leader +
+		                    other_outgoing_connections <=
 		            limits[i]);
 	}
 }
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -70,7 +70,7 @@
 	(void)state;
 	init_site(&site, 90, true);
 
-	/* By the paper's priority formula, the job that has waited longer starts first. */
+	/* By the paper that schedule.h cites, the job that has waited longer starts first. */
 	assert_int_equal(first_started_job(&site), BACKGROUND);
 
 	init_site(&site, 90, true);
@@ -78,7 +78,7 @@
 	assert_int_equal(first_started_job(&site), WITH_SLO);
 }
 
-/* The weight of its wait grows as well, so that no stream of other work can starve it. */
+/* The weight of a background job's wait grows too, so that other work cannot starve the job. */
 static void background_work_starts_when_it_has_waited_long(void **state)
 {
 	struct site site;
--- a/tests/test_cancellation.c
+++ b/tests/test_cancellation.c
@@ -169,7 +169,7 @@
 
 /*
  * If the time since the cancellation restarted at each failover, leaders that lead only briefly
- * would never expire a machine.
+ * would never drain the machine of an overdue task.
  */
 static void a_cancellation_keeps_its_age_across_a_failover(void **state)
 {
--- a/tests/test_cancellation_gossip.c
+++ b/tests/test_cancellation_gossip.c
@@ -151,7 +151,7 @@
 		/* Older than the requester's watermark, so not sent again. */
 		entry->added_at = outage.old_watermark - 9;
 
-	/* The cancellation learned last, and the only one that is sent. */
+	/* Only this cancellation, which the peer learned last, is sent. */
 	fl_finished_job_add(&peer->node.cluster, "run-000001", FL_CANCELLED, 1, fl_now());
 	exchange_gossip(fixture, 1, peer, 0.1);
 
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -1,6 +1,6 @@
 /*
  * The cluster state in memory and in the key-value store: progress records, the write-ahead log,
- * added and deleted jobs, final states, and machines whose entries are purged.
+ * added and deleted jobs, final states, and the purge of decommissioned machines.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,7 +18,7 @@
 #include "storage/write_ahead_log.h"
 #include "transport/clock.h"
 
-/* Guards against a crash of the leader: a job cancelled before any placement has no blocks. */
+/* Guards against a crash of the leader: a job cancelled before any placement has no task blocks. */
 static void a_job_without_task_blocks_can_be_cancelled(void **state)
 {
 	struct simulation *sim = *state;
@@ -172,7 +172,7 @@
 
 /*
  * A watch may lag: the event of a submission can arrive after a failover although the job had
- * finished before it.
+ * finished before the failover.
  */
 static void a_deleted_job_is_not_restored_by_a_late_watch_event(void **state)
 {
@@ -237,7 +237,7 @@
 	assert_non_null(fl_finished_job_find(cluster, "run-001015"));
 }
 
-/* A purge gives the index of the machine to another one, whose tasks must use the new index. */
+/* A purge gives the id of the purged machine to another, whose tasks must use the new id. */
 static void tasks_refer_to_their_machine_after_another_was_purged(void **state)
 {
 	struct simulation *sim = *state;
--- a/tests/test_coroutine.c
+++ b/tests/test_coroutine.c
@@ -1,4 +1,4 @@
-/* Cancellation of coroutines, and urgent coroutines among others that compute for long. */
+/* Cancellation of coroutines, and precedence of urgent ones over those that compute for long. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -76,7 +76,7 @@
 static void compute_longer_than_a_turn(void *argument)
 {
 	struct turns *turns = argument;
-	double until = fl_now() + 0.02; /* longer than a turn of the scheduler */
+	double until = fl_now() + 0.02; /* longer than a turn of the coroutine scheduler */
 
 	if (turns->count == 0)
 		turns->written = write(turns->pipe[1], "x", 1);
--- a/tests/test_coroutine_order.c
+++ b/tests/test_coroutine_order.c
@@ -12,7 +12,7 @@
 enum { MAX_WAITING = 2, ORDER_SIZE = 32, LOOP_ITERATIONS = 16 };
 static const double longer_than_a_turn_s = 0.02;
 
-/* The clock that limits a scheduler's turn; it advances only in coroutines that are slow. */
+/* The clock that limits a turn of the coroutine scheduler; it advances only in run_slow(). */
 static double fake_now = 1000;
 
 double fl_now(void) { return fake_now; }
@@ -23,7 +23,7 @@
 
 static void run_ordinary(void *argument) { append_to_order(*(const char *)argument); }
 
-/* Takes longer than a turn of the scheduler. */
+/* Takes longer than a turn of the coroutine scheduler. */
 static void run_slow(void *argument)
 {
 	fake_now += longer_than_a_turn_s;
--- a/tests/test_election_priority.c
+++ b/tests/test_election_priority.c
@@ -17,8 +17,8 @@
 #include "virtual_time_fixture.h"
 
 enum { PROCESS = 1, BUSY_COROUTINES = 300 };
-static const double computation_s = 0.005;   /* of each piece of work */
-static const double one_way_delay_s = 0.002; /* in each direction of a call */
+static const double computation_s = 0.005; /* duration of each piece of work */
+static const double one_way_latency_s = 0.002;
 static const double idle_duration_s = 2, busy_duration_s = 30;
 
 static struct {
@@ -62,9 +62,9 @@
 
 	(void)client, (void)method, (void)body, (void)timeout_s;
 	memset(out, 0, sizeof(*out));
-	fl_sleep(one_way_delay_s);
+	fl_sleep(one_way_latency_s);
 	text = response_text(path);
-	if (fl_sleep(one_way_delay_s) != 0)
+	if (fl_sleep(one_way_latency_s) != 0)
 		return -ECANCELED;
 	out->status = 200;
 	return fl_buffer_append(&out->body, text, strlen(text));
@@ -88,8 +88,8 @@
 }
 
 /*
- * Without this precedence, each wait of a renewal takes a round of all ready coroutines, 1.5 s
- * here, and the lease of 3 s ends.
+ * Without the precedence of the lease's coroutines, each wait of a renewal lasts until all ready
+ * coroutines have run, 1.5 s here, and the lease of 3 s expires.
  */
 static void a_leader_keeps_its_lease_when_its_controller_is_busy(void **state)
 {
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -41,7 +41,7 @@
 }
 
 /* The digest entry, which passes through the key-value store, decodes to the same heartbeat. */
-static void a_cached_heartbeat_is_restored_from_its_compact_form(void **state)
+static void a_cached_heartbeat_is_restored_from_its_digest_entry(void **state)
 {
 	static const char *const malformed[] = {"[]",
 	                                        "[\"m\",1,2,3,-1]",
@@ -151,7 +151,7 @@
 	disconnect(fixture, 3);
 	assert_true(fl_node_is_isolated(&fixture->node));
 
-	/* A worker that has just arrived may have little of its lease left: it is served first. */
+	/* The lease of a worker that has just arrived may end soon, so it is renewed at first. */
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
 	strcpy(heartbeat.host, "m-000002");
@@ -171,14 +171,17 @@
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 200);
 
-	/* Not with an old cancellation watermark: tasks of cancelled jobs must end in time. */
+	/*
+	 * With an old cancellation watermark the lease is not renewed, since the tasks of cancelled
+	 * jobs must end in time.
+	 */
 	disconnect(fixture, fixture->config.cancel_s - fixture->config.lease_s);
 	fixture->node.follower.fencing_token_refresh.refreshed_at = fl_now();
 	heartbeat.sequence++;
 	assert_int_equal(send_heartbeat(fixture, heartbeat, NULL), 503);
 }
 
-/* Workers of a node that is partitioned with its zone, or the only one up, have no other node. */
+/* If a node is partitioned with its zone, or the only one up, its workers reach no other node. */
 static void a_node_isolated_with_its_workers_renews_their_leases(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -288,7 +291,7 @@
 	const struct CMUnitTest tests[] = {
 		NODE_TEST(a_follower_caches_the_newest_heartbeat),
 		NODE_TEST(a_starting_node_renews_leases_once_it_has_the_fencing_token_and_jobs),
-		NODE_TEST(a_cached_heartbeat_is_restored_from_its_compact_form),
+		NODE_TEST(a_cached_heartbeat_is_restored_from_its_digest_entry),
 		NODE_TEST(an_isolated_node_redirects_its_workers_once),
 		NODE_TEST(a_node_isolated_with_its_workers_renews_their_leases),
 		NODE_TEST(a_worker_is_answered_before_it_is_redirected),
--- a/tests/test_forwarding.c
+++ b/tests/test_forwarding.c
@@ -18,7 +18,7 @@
 
 enum { PEERS = 2 };
 
-/* The outcome of calls to a peer, and the calls so far. */
+/* The outcome of calls to a peer, and the number of calls so far. */
 struct link {
 	int rc, status;
 	int calls;
@@ -184,7 +184,7 @@
 	assert_int_equal(network.links[0].calls, 0);
 }
 
-/* A fencing token from gossip never lowers the known one; the same token may be confirmed later. */
+/* Gossip never lowers the known fencing token; it may bring a later confirmation of the token. */
 static void a_leader_view_merges_only_newer_views(void **state)
 {
 	struct fl_leader_view view;
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -190,7 +190,7 @@
 	return 0;
 }
 
-/* With 3% of a core, one message for each heartbeat took more than the leader's CPU time. */
+/* With 3% of a core, one message for each heartbeat took more CPU time than the leader had. */
 static void many_heartbeats_cost_few_messages(void **state)
 {
 	const int full_messages = (WORKERS + FL_PEER_HEARTBEATS_MAX - 1) / FL_PEER_HEARTBEATS_MAX;
@@ -216,7 +216,10 @@
 {
 	(void)state;
 	scenario.link_down = true;
-	/* Two messages with the first heartbeats, one each, and then two full ones, in order. */
+	/*
+	 * Two messages with one heartbeat each and two full ones are answered; meanwhile the other
+	 * heartbeats reach their timeout.
+	 */
 	assert_int_equal(count_answered_and_free(run_workers(0)), 2 + 2 * FL_PEER_HEARTBEATS_MAX);
 }
 
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -17,15 +17,15 @@
 
 enum {
 	CONNECTIONS = 16,
-	OVERSIZED_BODY = 69999, /* bytes, above the maximum of a request */
-	LARGE_BODY = 60000,
-	BODY_MEMORY_LIMIT = 100000, /* bytes, enough for one large body but not for two */
+	OVERSIZED_BODY_BYTES = 69999, /* above the maximum of a request */
+	LARGE_BODY_BYTES = 60000,
+	BODY_MEMORY_LIMIT_BYTES = 100000, /* enough for one large body but not for two */
 	FULL_SERVER_CONNECTIONS = 32
 };
 
 static const char bad_request[] = "HTTP/1.1 400";
 
-/* Recorded by server and client; the status lines of the responses are checked after the run. */
+/* What the server and the client record; the test checks it after the run. */
 struct exchange {
 	int served_count;
 	char responses[3][400];
@@ -76,7 +76,7 @@
 {
 	struct fl_http_client client;
 	struct fl_http_reply reply;
-	char *oversized = malloc(OVERSIZED_BODY + 1);
+	char *oversized = malloc(OVERSIZED_BODY_BYTES + 1);
 
 	(void)context;
 	assert_int_equal(fl_http_client_init(&client, address, 2), 0);
@@ -87,9 +87,9 @@
 	assert_int_equal(client.idle_count, 1);
 	shutdown(client.idle_fds[0], SHUT_RDWR);
 	assert_response(&client, "/x", "{}", 200);
-	memset(oversized, 'x', OVERSIZED_BODY);
-	oversized[OVERSIZED_BODY] = 0;
-	/* Not 413: users retry after any status other than 400 and 422. */
+	memset(oversized, 'x', OVERSIZED_BODY_BYTES);
+	oversized[OVERSIZED_BODY_BYTES] = 0;
+	/* The status is not 413, since users retry after any status other than 400 and 422. */
 	assert_response(&client, "/x", oversized, 400);
 	assert_int_equal(fl_http_call(&client, "POST", "/slow", "{}", 0.05, &reply), -ETIMEDOUT);
 	free(oversized);
@@ -175,21 +175,21 @@
 static void send_large_bodies(const char *address, void *context)
 {
 	struct exchange *exchange = context;
-	char *body = malloc(LARGE_BODY);
+	char *body = malloc(LARGE_BODY_BYTES);
 	int first, second;
 
-	memset(body, ' ', LARGE_BODY);
+	memset(body, ' ', LARGE_BODY_BYTES);
 	first = begin_large_body(address);
 	/* The first request must arrive before the second. */
 	fl_sleep(0.05);
 	second = begin_large_body(address);
 	read_response_and_close(second, exchange->responses[0], sizeof(exchange->responses[0]));
-	assert_int_equal(fl_write_all(first, body, LARGE_BODY, 5), 0);
+	assert_int_equal(fl_write_all(first, body, LARGE_BODY_BYTES, 5), 0);
 	read_response_and_close(first, exchange->responses[1], sizeof(exchange->responses[1]));
 	fl_sleep(0.05);
 	/* The memory of the first body is free again. */
 	second = begin_large_body(address);
-	assert_int_equal(fl_write_all(second, body, LARGE_BODY, 5), 0);
+	assert_int_equal(fl_write_all(second, body, LARGE_BODY_BYTES, 5), 0);
 	read_response_and_close(second, exchange->responses[2], sizeof(exchange->responses[2]));
 	free(body);
 }
@@ -200,7 +200,7 @@
 	struct exchange exchange;
 
 	(void)state;
-	fl_http_set_body_memory_limit(BODY_MEMORY_LIMIT);
+	fl_http_set_body_memory_limit(BODY_MEMORY_LIMIT_BYTES);
 	run_exchange(&exchange, CONNECTIONS, send_large_bodies);
 	fl_http_set_body_memory_limit(0);
 
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -184,7 +184,8 @@
 		fl_sleep(0.01);
 	}
 	if (query.response.status != 200 || !strstr(query.body, "done"))
-		note_failure(fixture, "status %d, body %s", query.response.status, query.body);
+		note_failure(fixture, "the query of a done job returned status %d, body %s",
+		             query.response.status, query.body);
 }
 
 static void a_job_that_finishes_while_its_record_is_read_is_reported_done(void **state)
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -141,7 +141,7 @@
 	assert_int_equal(allocated_block_count(site->job), 0);
 }
 
-/* All its tasks are alike, so the plan examines each machine once rather than once per task. */
+/* All tasks of an array are alike, so the plan examines each machine once, not once per task. */
 static void a_scale_out_plan_examines_each_machine_once_for_a_large_array(void **state)
 {
 	struct site *site = *state;
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -33,7 +33,7 @@
 	/* Silence is counted from the first unacknowledged reply, not from the last heartbeat. */
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) < fl_now() - 4);
 
-	/* The attempt may have started nevertheless; it is released after proof of its absence. */
+	/* The attempt may have started, so it is released only when it is proved absent. */
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 	assert_int_equal(fixture->job->counts.waiting, 3);
 
@@ -75,7 +75,7 @@
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) == INFINITY);
 }
 
-/* Two replies without effect are enough, even if the heartbeats of the machine are prompt. */
+/* Two replies without effect make a machine suspect, even if its heartbeats are prompt. */
 static void a_machine_is_suspect_after_commands_without_effect(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -123,7 +123,7 @@
 	assert_int_equal(only_machine(fixture)->outbound.unacknowledged_replies, 0);
 	assert_int_equal(task->last_observed_state, FL_OBSERVED_RUNNING);
 
-	/* After a longer pause, as in an outage, it is suspect until its next prompt heartbeat. */
+	/* After a longer pause, as in an outage, a machine is suspect until a prompt heartbeat. */
 	set_last_reply_age(fixture, 6);
 	deliver_task_heartbeat(fixture, 1, 5, &status);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
@@ -157,7 +157,10 @@
 		}
 	}
 
-	/* Even then, a response to a direct command or an executed start command is enough. */
+	/*
+	 * Even after a change of the entry node, a response to a direct command or an executed
+	 * start command shows that replies reach the machine.
+	 */
 	heartbeat.entry_node_index = 1;
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_WORKER);
 	assert_true(fl_reachability_is_suspect(only_machine(fixture)));
@@ -176,7 +179,7 @@
 	}
 }
 
-/* After a failover, only its fencing token shows that a copy of a heartbeat is old. */
+/* After a failover, only the fencing token in a heartbeat copy shows that the copy is old. */
 static void a_late_heartbeat_copy_after_a_failover_is_answered_but_not_applied(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -195,7 +198,7 @@
 	                 0);
 	assert_null(only_machine(fixture));
 
-	/* For a machine known from a record, a copy proves no contact and no absence of a task. */
+	/* For a machine known from a record, a copy proves neither contact nor a task's absence. */
 	fl_cluster_describe_machine(
 		fl_machine_get_or_add(&fixture->node.cluster.machines, "m-000001", fl_now()), 0, 0,
 		false, "x");
@@ -215,7 +218,7 @@
 	assert_true(only_machine(fixture)->heartbeat.last_received_at == 0);
 	assert_int_equal(task->phase, FL_TASK_PLACED);
 
-	/* The worker has received a reply and sends its fencing token: this one is applied. */
+	/* The worker has received a reply, sends its token, and this heartbeat is applied. */
 	assert_int_equal(deliver_idle_heartbeat(fixture, 1, 70), 0);
 	assert_true(only_machine(fixture)->lifecycle.up);
 	assert_int_equal(task->phase, FL_TASK_WAITING);
@@ -233,7 +236,10 @@
 	only_machine(fixture)->heartbeat.last_received_at =
 		only_machine(fixture)->outbound.last_reachable_at = heartbeat_at = fl_now() - 30;
 	for (int source = FL_HEARTBEAT_FROM_WORKER; source <= FL_HEARTBEAT_FROM_DIGEST; source++) {
-		/* Older, duplicate, and of an earlier incarnation with a higher number. */
+		/*
+		 * An older heartbeat, a duplicate, and one of an earlier incarnation with a higher
+		 * sequence number.
+		 */
 		assert_int_equal(deliver_heartbeat(fixture,
 		                                   make_heartbeat(2, 11, FENCING_TOKEN, NULL, 0),
 		                                   (enum fl_heartbeat_source)source),
--- a/tests/test_reconcile_results.c
+++ b/tests/test_reconcile_results.c
@@ -1,4 +1,7 @@
-/* The results of heartbeats, by the reason why they are applied or not, and their order. */
+/*
+ * The result of a heartbeat: the reason why it is not applied, the results that are rejections, and
+ * which of two heartbeats is newer.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -21,7 +21,7 @@
 	struct worker *worker = &sim->workers[worker_index];
 	char *text;
 
-	/* A reply in flight is executed before the next heartbeat or never. */
+	/* The commands of a reply in flight are executed before the next heartbeat or never. */
 	if (worker->reply_in_flight && random_below(sim, 4))
 		execute_commands(sim, worker_index, worker->reply_in_flight, false);
 	drop_reply(worker);
@@ -204,7 +204,7 @@
 	return machine;
 }
 
-/* A job that fails on every machine is delayed ever longer, and no machine is quarantined. */
+/* The delay of a job that fails on every machine grows, and no machine is quarantined. */
 static void a_job_backs_off_when_it_fails_on_every_machine(void **state)
 {
 	struct simulation *sim = *state;
@@ -233,7 +233,7 @@
 	assert_true(place_and_fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
 	assert_true(place_and_fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
 
-	/* A third one does; otherwise a service of one task would start there again and again. */
+	/* A third failure does; otherwise a service of one task would restart there endlessly. */
 	assert_true(place_and_fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
 
 	/* If another task of the job has completed, two failures are enough. */
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -11,7 +11,7 @@
 
 #include "schedule_fixture.h"
 
-/* The resources of a victim that has not ended yet are reserved, so no other is stopped. */
+/* The resources of a victim that has not ended yet are reserved, so no other attempt is stopped. */
 static void a_reservation_is_not_made_twice_for_capacity_about_to_become_free(void **state)
 {
 	struct snapshot snapshot = {.job_count = 1, .machine_count = 2, .attempt_count = 2};
@@ -108,8 +108,8 @@
 /*
  * Guards against endless preemption: a best-effort array that has waited long precedes an array of
  * higher priority, which preempts it, and takes the freed capacity again. There were 80,000
- * preemptions in ten minutes, and the higher array got nothing either. Each preemption must lead to
- * a start of the higher array, in the second cycle after it at the latest.
+ * preemptions in ten minutes, and the array of higher priority started no task either. Each
+ * preemption must lead to a start of that array, in the second cycle after it at the latest.
  */
 static void preempted_capacity_goes_to_the_preempting_job(void **state)
 {
@@ -132,8 +132,8 @@
 }
 
 /*
- * If two jobs could preempt each other, one by its priority and one by its guarantee, only one of
- * them may.
+ * If each of two jobs could preempt the other, one by its priority and one by its team's guarantee,
+ * only the guaranteed job may.
  */
 static void guaranteed_work_is_not_preempted_by_a_job_that_it_could_preempt(void **state)
 {
--- a/tests/test_schedule_starvation.c
+++ b/tests/test_schedule_starvation.c
@@ -61,19 +61,19 @@
 		assert_true(started[i]);
 }
 
-enum { ARRIVALS_MAX = 800, SLOTS = 32, DURATION_S = 900, CLASSES = 3 };
+enum { ARRIVALS_MAX = 800, SLOTS = 32, DURATION_S = 900, STREAMS = 3 };
 
 struct stream {
 	enum fl_priority priority;
 	int team;
 	bool within_guarantee;
 	uint32_t task_count;
-	double estimate_s, interval_s; /* of a task; between two jobs */
+	double estimate_s, interval_s; /* duration of a task; time between two jobs */
 };
 
 struct arrival {
 	struct fl_sched_job job;
-	int class;
+	int source_stream;           /* index of the stream that the job belongs to */
 	double arrived_at, begun_at; /* s since the beginning; begun_at < 0: not begun */
 	uint32_t started_count;
 };
@@ -82,7 +82,7 @@
 	struct arrival arrivals[ARRIVALS_MAX];
 	int arrival_count;
 	int running[SLOTS];    /* per slot, the arrival whose task runs there; -1: none */
-	double ends_at[SLOTS]; /* of these tasks, s since the beginning */
+	double ends_at[SLOTS]; /* end of that task, s since the beginning */
 };
 
 /* The input of one scheduling cycle, and the arrival or slot of each of its jobs and attempts. */
@@ -96,20 +96,20 @@
 
 static void add_arrivals(struct load *load, const struct stream *streams, double *next_at, int now)
 {
-	for (int class_index = 0; class_index < CLASSES; class_index++) {
-		const struct stream *stream = &streams[class_index];
+	for (int stream_index = 0; stream_index < STREAMS; stream_index++) {
+		const struct stream *stream = &streams[stream_index];
 
-		for (; stream->task_count && next_at[class_index] <= now &&
+		for (; stream->task_count && next_at[stream_index] <= now &&
 		       load->arrival_count < ARRIVALS_MAX;
-		     next_at[class_index] += stream->interval_s) {
+		     next_at[stream_index] += stream->interval_s) {
 			struct arrival *arrival = &load->arrivals[load->arrival_count++];
 
 			arrival->job = plain_job(1, stream->task_count, stream->estimate_s, 0);
 			arrival->job.priority = stream->priority;
 			arrival->job.team = stream->team;
 			arrival->job.within_guaranteed_quota = stream->within_guarantee;
-			arrival->class = class_index;
-			arrival->arrived_at = next_at[class_index];
+			arrival->source_stream = stream_index;
+			arrival->arrived_at = next_at[stream_index];
 			arrival->begun_at = -1;
 		}
 	}
@@ -185,11 +185,11 @@
 	}
 }
 
-/* Runs SLOTS one-task machines under the streams; records when each job begins and its starts. */
+/* Runs SLOTS machines of one task each; records for each job its first start and its starts. */
 static void run_load(struct load *load, const struct stream *streams,
                      const struct fl_team *team_settings)
 {
-	double next_at[CLASSES] = {0};
+	double next_at[STREAMS] = {0};
 
 	memset(load, 0, sizeof(*load));
 	for (int i = 0; i < SLOTS; i++)
@@ -228,13 +228,13 @@
 	}
 }
 
-/* Returns the started share of a class's tasks, except those of the last four minutes. */
-static double started_share(const struct load *load, int class)
+/* Returns the started share of a stream's tasks, except those of the last four minutes. */
+static double started_share(const struct load *load, int source_stream)
 {
 	double started = 0, all = 0;
 
 	for (int i = 0; i < load->arrival_count; i++) {
-		if (load->arrivals[i].class != class ||
+		if (load->arrivals[i].source_stream != source_stream ||
 		    load->arrivals[i].arrived_at > DURATION_S - 240)
 			continue;
 		started += load->arrivals[i].started_count;
@@ -261,7 +261,7 @@
 /* Small jobs that fill nearly all of the 32 slots, and a growing number of wide jobs. */
 static void no_job_starves_when_small_jobs_compete_with_wide_ones(void **state)
 {
-	static const struct stream small_and_wide[CLASSES] = {
+	static const struct stream small_and_wide[STREAMS] = {
 		{FL_STANDARD, 1, false, 2, 20, 1.35}, {FL_STANDARD, 2, false, 60, 100, 300}};
 	struct load *load = *state;
 
@@ -269,13 +269,13 @@
 
 	assert_true(load->arrival_count < ARRIVALS_MAX);
 	assert_all_begun(load);
-	for (int class_index = 0; class_index < CLASSES; class_index++)
-		assert_true(started_share(load, class_index) >= 0.5);
+	for (int stream_index = 0; stream_index < STREAMS; stream_index++)
+		assert_true(started_share(load, stream_index) >= 0.5);
 }
 
 static void no_job_starves_when_a_team_within_its_guarantee_fills_all_slots(void **state)
 {
-	static const struct stream within_guarantee_and_not[CLASSES] = {
+	static const struct stream within_guarantee_and_not[STREAMS] = {
 		{FL_STANDARD, 0, true, 4, 30, 3}, {FL_STANDARD, 1, false, 10, 40, 120}};
 	struct load *load = *state;
 
@@ -288,7 +288,7 @@
 /* Best-effort work may be preempted for standard work. */
 static void no_job_starves_when_standard_work_fills_all_slots(void **state)
 {
-	static const struct stream priorities[CLASSES] = {{FL_STANDARD, 1, false, 4, 30, 3},
+	static const struct stream priorities[STREAMS] = {{FL_STANDARD, 1, false, 4, 30, 3},
 	                                                  {FL_BEST_EFFORT, 2, false, 10, 40, 120}};
 	struct load *load = *state;
 
--- a/tests/test_scheduling_cycle.c
+++ b/tests/test_scheduling_cycle.c
@@ -18,8 +18,8 @@
 
 /*
  * Guards against cycles that use up a small core share: a process runs at full speed until its
- * share is used up, so with 3.6% of a core a cycle of 4 ms on the clock seemed negligible, but ten
- * of them per second took the whole share.
+ * share is used up, so with 3.6% of a core a cycle of 4 ms of real time seemed negligible, but
+ * ten of them per second took the whole share.
  */
 static void scheduling_cycles_leave_half_of_a_small_core_share(void **state)
 {
--- a/tests/test_status_query.c
+++ b/tests/test_status_query.c
@@ -21,7 +21,7 @@
 
 enum { QUERIES = 300 };
 static const double one_way_latency_s = 0.005;
-static const double leader_stall_s = 1.0; /* time without replies of an overloaded leader */
+static const double leader_stall_s = 1.0; /* time for which an overloaded leader sends no reply */
 
 static struct {
 	struct fl_node follower, leader;
@@ -41,7 +41,7 @@
 /* Computation takes no virtual time. */
 void sim_process_delay_if_slow(int process) { (void)process; }
 
-/* Calls the leader, which answers from its memory one one-way latency after the call. */
+/* Calls the leader, which answers from its memory when the one-way latency has passed. */
 int fl_http_call(struct fl_http_client *client, const char *method, const char *path,
                  const char *body, double timeout_s, struct fl_http_reply *out)
 {
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -112,17 +112,17 @@
 /* Submits a body within the limit of 64 KiB that exceeds it when its newlines are escaped. */
 static void submit_large_body(void *argument)
 {
-	enum { LARGE = 50000, ESCAPED = 20000 };
+	enum { LARGE_BODY_BYTES = 50000, NEWLINE_COUNT = 20000 };
 	struct frontend_fixture *fixture = argument;
-	char *large = malloc(LARGE + 1);
+	char *large = malloc(LARGE_BODY_BYTES + 1);
 
 	fixture->kv_store_returns_503 = true;
-	memset(large, ' ', LARGE);
-	for (size_t i = 0; i < ESCAPED; i++)
+	memset(large, ' ', LARGE_BODY_BYTES);
+	for (size_t i = 0; i < NEWLINE_COUNT; i++)
 		memcpy(large + 2 * i, "\n ", 2);
 	memcpy(large, "\"Later\":", 8);
-	memcpy(large + LARGE - 10, "[7]", 3);
-	large[LARGE] = 0;
+	memcpy(large + LARGE_BODY_BYTES - 10, "[7]", 3);
+	large[LARGE_BODY_BYTES] = 0;
 	expect_status(fixture, large, 201, "large body");
 	free(large);
 }
@@ -170,7 +170,7 @@
 		note_failure(fixture, "no 503 with Retry-After while machine types are not loaded");
 }
 
-static void a_submission_is_unavailable_when_no_record_can_be_read(void **state)
+static void a_submission_gets_503_when_no_record_can_be_read(void **state)
 {
 	run_in_coroutine(*state, submit_without_peers);
 }
@@ -196,7 +196,7 @@
 	expect_status(fixture, "", 201, "memory available");
 }
 
-static void a_submission_is_unavailable_when_the_job_does_not_fit_in_memory(void **state)
+static void a_submission_gets_503_when_the_job_does_not_fit_in_memory(void **state)
 {
 	run_in_coroutine(*state, submit_without_memory);
 }
@@ -208,8 +208,8 @@
 		FRONTEND_TEST(a_submission_is_forwarded_when_its_body_is_large),
 		FRONTEND_TEST(
 			a_duplicate_submission_returns_the_job_status_even_if_its_body_is_invalid),
-		FRONTEND_TEST(a_submission_is_unavailable_when_no_record_can_be_read),
-		FRONTEND_TEST(a_submission_is_unavailable_when_the_job_does_not_fit_in_memory),
+		FRONTEND_TEST(a_submission_gets_503_when_no_record_can_be_read),
+		FRONTEND_TEST(a_submission_gets_503_when_the_job_does_not_fit_in_memory),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_write_ahead_log.c
+++ b/tests/test_write_ahead_log.c
@@ -1,4 +1,4 @@
-/* How groups of the write-ahead log are found by job and task block. */
+/* Lookup of the groups of the write-ahead log by job and task block. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
