--- a/tests/contract_records_fixture.c
+++ b/tests/contract_records_fixture.c
@@ -72,14 +72,14 @@
 
 static void restore_placed_task(struct fl_cluster *cluster, struct fl_job *job, uint32_t index,
                                 uint32_t attempt, const char *machine, uint64_t incarnation,
-                                double placed)
+                                double placed_wall_time)
 {
 	struct fl_machine *placed_on = fl_machine_get_or_add(&cluster->machines, machine, 1);
 
 	assert_non_null(placed_on);
 	assert_int_equal(fl_task_restore(cluster, job, index,
-	                                 &(struct fl_recorded_attempt){attempt, placed_on,
-	                                                               incarnation, placed},
+	                                 &(struct fl_recorded_attempt){
+						 attempt, placed_on, incarnation, placed_wall_time},
 	                                 fl_now()),
 	                 FL_PLACE_OK);
 	fl_task_mark_changed(cluster, job, index);
@@ -106,7 +106,7 @@
 
 void assert_task_state(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
                        enum fl_task_phase phase, uint32_t attempt, const char *machine,
-                       uint64_t incarnation, double placed)
+                       uint64_t incarnation, double placed_wall_time)
 {
 	const struct fl_task *task = fl_task_find(job, index);
 
@@ -117,7 +117,7 @@
 		return;
 	assert_string_equal(cluster->machines.by_id[task->machine_id]->name, machine);
 	assert_int_equal(task->incarnation, incarnation);
-	assert_true(task->placed_wall == placed);
+	assert_true(task->placed_wall == placed_wall_time);
 }
 
 void assert_recorded_progress(const struct fl_cluster *cluster, const struct fl_job *job)
--- a/tests/contract_records_fixture.h
+++ b/tests/contract_records_fixture.h
@@ -86,7 +86,7 @@
 /* Asserts the state of a task; machine, incarnation and placement time only if it is placed. */
 void assert_task_state(const struct fl_cluster *cluster, const struct fl_job *job, uint32_t index,
                        enum fl_task_phase phase, uint32_t attempt, const char *machine,
-                       uint64_t incarnation, double placed);
+                       uint64_t incarnation, double placed_wall_time);
 /* Asserts that the second task block is exactly in the state of PROGRESS_RECORD. */
 void assert_recorded_progress(const struct fl_cluster *cluster, const struct fl_job *job);
 /* Returns the heartbeat of CACHED_HEARTBEAT, whose tasks are stored in `tasks`. */
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -86,17 +86,17 @@
 };
 
 static void assert_live_job_record(const char *text, const struct fl_job_spec *spec,
-                                   double submitted)
+                                   double submitted_wall_time)
 {
 	struct fl_job_record record = read_record(text, spec->ref);
 
 	assert_false(record.final);
 	assert_true(record.has_spec);
 	assert_int_equal(record.task_count, spec->task_count);
-	assert_true(record.submitted_wall == submitted);
+	assert_true(record.submitted_wall == submitted_wall_time);
 	assert_true(record.cancelled_wall == 0);
 	assert_job_spec_equal(&record.spec, spec);
-	assert_json_text_and_delete(fl_job_record_encode_live(spec, submitted), text);
+	assert_json_text_and_delete(fl_job_record_encode_live(spec, submitted_wall_time), text);
 }
 
 static void a_live_job_is_stored_with_every_field_of_its_description(void **state)
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -36,7 +36,7 @@
 	struct fl_cluster cluster;
 	struct fl_job *jobs[JOBS];
 	struct group records[JOBS][TASKS_MAX / FL_TASK_BLOCK_SIZE + 1];
-	struct group groups[GROUPS_MAX];
+	struct group groups[GROUPS_MAX]; /* of the write-ahead log */
 	int group_count;
 };
 
