--- a/tests/fake_services.h
+++ b/tests/fake_services.h
@@ -35,7 +35,7 @@
 	void (*interrupt)(void);
 
 	/* Totals of all workers. */
-	int starts, completions, max_machines;
+	int starts, completions, machines_rented;
 	/* Violations: starts of a task that is already running, fencing tokens that did not
 	 * increase, rental names used by two leaders, starts on deleted machines. */
 	int duplicate_starts, tokens_reused, rental_names_reused, starts_on_deleted_machines;
--- a/tests/fake_workers.c
+++ b/tests/fake_workers.c
@@ -319,8 +319,8 @@
 	fake_server_add(server);
 	snprintf(machine->addr, sizeof(machine->addr), "127.0.0.1:%d", fl_http_server_port(server));
 	fl_coroutine_spawn(run_machine, machine);
-	if (fake_machine_count > fake_services.max_machines)
-		fake_services.max_machines = fake_machine_count;
+	if (fake_machine_count > fake_services.machines_rented)
+		fake_services.machines_rented = fake_machine_count;
 	return machine;
 }
 
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -151,7 +151,8 @@
 	 * rented. A job with more tasks than they can run at once makes the leader rent more.
 	 */
 	if (fake_services.unreachable_machines_to_rent > 0) {
-		EXPECT(submit_job("run-000007", "sweep", 4 * fake_services.max_machines + 40, 0));
+		EXPECT(submit_job("run-000007", "sweep", 4 * fake_services.machines_rented + 40,
+		                  0));
 		EXPECT(wait_for_job_status("run-000007", "\"Status\":\"done\"", 0));
 	}
 	return true;
