--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -92,7 +92,7 @@
 		count--;
 }
 
-/* Returns whether the machine is still booting, is not overdue and has no tasks. */
+/* Returns whether the machine is still booting, neither overdue nor draining, without tasks. */
 static bool is_booting(const struct fl_autoscaler_plan *plan, const struct fl_machine *machine,
                        double boot_s)
 {
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -43,9 +43,9 @@
 }
 
 /*
- * Returns the newest urgent service submitted within arrival_window_s, which is the model for
- * future services; NULL if there is none. Stores the number of tasks of all such services in
- * `*task_count`.
+ * Returns the newest urgent or critical service submitted within arrival_window_s, which is the
+ * model for future services; NULL if there is none. Stores the number of tasks of all such services
+ * in `*task_count`.
  */
 static const struct fl_job *newest_recent_service(const struct fl_autoscaler_plan *plan,
                                                   double *task_count)
@@ -115,9 +115,10 @@
 }
 
 /*
- * A service should not wait for a machine to boot. Machines that are up must have capacity for the
- * recent average number of tasks that arrive in one boot time, plus a margin; resources of arrays
- * that can be preempted count as capacity.
+ * A service should not wait for a machine to boot. The capacity needed is the recent average number
+ * of tasks that arrive in one boot time, plus a margin; resources of lower-priority tasks, which
+ * the service may preempt, count as capacity. The surplus counts only machines that are up; booting
+ * machines and planned rentals count as well before rentals for headroom are added.
  */
 void fl_autoscaler_plan_headroom(struct fl_autoscaler_plan *plan)
 {
--- a/src/coordination/scheduling/schedule.c
+++ b/src/coordination/scheduling/schedule.c
@@ -107,10 +107,11 @@
 		bool backfill = cycle->output->top_job >= 0;
 
 		/*
-		 * After a resumption, jobs must not use reserved resources. When cycles exceeded
-		 * their budget, the resumed ones gave the resources that preemptions had freed for
-		 * the head of the order to other jobs, which the head preempted again, tens of
-		 * thousands of times a day.
+		 * After a resumption, jobs behind the head of the order must not use reserved
+		 * resources, except for urgent services. When cycles exceeded their budget, the
+		 * resumed ones gave the resources that preemptions had freed for the head of the
+		 * order to other jobs, which the head preempted again, tens of thousands of times
+		 * a day.
 		 */
 		cycle->resumed = resume > 0 && backfill;
 
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -49,8 +49,9 @@
 	bool same_zone, spread_zones, spot_allowed;
 	/* The job fits its team's guaranteed quota together with the team's earlier jobs. */
 	bool within_guaranteed_quota;
-	bool background; /* an array of a class without an SLO, while other classes have one */
-	bool begun;      /* some task of the job is placed or done */
+	/* An array below urgent priority, of a class without an SLO; other classes have one. */
+	bool background;
+	bool begun; /* some task of the job is placed or done */
 	uint32_t placed_by_zone[FL_ZONES_MAX], placed_in_unknown_zone; /* placed tasks, by zone */
 	int image;
 	double window_remaining_s; /* rest of its backfill window; < 0: no window yet */
@@ -88,7 +89,7 @@
 	bool within_guaranteed_quota; /* its job is within its team's guaranteed quota */
 	/*
 	 * The only placed task of an array or gang that was submitted more than overdue_after_s
-	 * ago: only urgent jobs may preempt it.
+	 * ago: only urgent and critical jobs may preempt it.
 	 */
 	bool last_running_task;
 	struct fl_resources used;
@@ -126,7 +127,7 @@
 	int start_count, start_capacity;
 	int *preemptions; /* indices of the attempts to be stopped */
 	int preemption_count, preemption_capacity;
-	uint32_t *unplaced_tasks; /* per job: tasks left without a machine for lack of capacity */
+	uint32_t *unplaced_tasks; /* per job: tasks with no capacity found or requested */
 	int top_job;              /* index of the blocked top job; -1: none */
 	double window_s;          /* backfill window of the top job from now on */
 	int resume_position;      /* where the cycle ran out of time; 0: the cycle is complete */
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -21,7 +21,7 @@
 /*
  * Returns the expected loss of the task on a spot machine. Where many spot machines are reclaimed,
  * a long task is lost repeatedly, and its job ends last. This only matters for a job that has
- * waited long, possibly because of such losses; other jobs use the lower price.
+ * waited long, possibly because of such losses; other jobs use spot machines for their lower price.
  */
 static double expected_loss_s(const struct fl_sched_input *input, const struct fl_sched_job *job)
 {
--- a/src/coordination/scheduling/schedule_internal.h
+++ b/src/coordination/scheduling/schedule_internal.h
@@ -33,7 +33,7 @@
 	/* Per machine, for the job being considered; INFINITY: not possible on that machine. */
 	double *start_cost, *preemption_cost;
 	int *victims; /* scratch space for the attempts on one machine */
-	bool resumed; /* the cycle skipped a part of the order before the job being considered */
+	bool resumed; /* the cycle may have skipped jobs that precede the job being considered */
 	/*
 	 * Number of tasks of the job being considered that wait for requested capacity on machines
 	 * that have their image cached.
@@ -46,7 +46,7 @@
 
 /* Returns the estimated duration of a task, also of a service. */
 double fl_sched_estimate_s(const struct fl_sched_params *params, const struct fl_sched_job *job);
-/* Returns whether a job is a service that may preempt arrays, and so is placed before them. */
+/* Returns whether a job is an urgent or critical service, which is placed before arrays. */
 bool fl_sched_is_urgent_service(const struct fl_sched_job *job);
 /* Returns whether a job has waited over overdue_after_s without beginning; never a service. */
 bool fl_sched_is_overdue(const struct fl_sched_params *params, const struct fl_sched_job *job);
--- a/src/coordination/scheduling/schedule_preemption.c
+++ b/src/coordination/scheduling/schedule_preemption.c
@@ -294,8 +294,9 @@
 		if (entitlement == ENTITLED_BY_PRIORITY && job->priority == FL_BEST_EFFORT)
 			break;
 		/*
-		 * A request on one machine does not change the cost of any other machine: the costs
-		 * are computed once per job, and again if the entitlement changes.
+		 * A request on one machine does not change the cost of any other machine, unless
+		 * costs depend on zones (request_preemption then updates all): the costs are
+		 * computed once per job, and again if the entitlement changes.
 		 */
 		if (!costs_computed || request.entitlement != entitlement) {
 			request.entitlement = entitlement;
--- a/src/coordination/scheduling/scheduling_cycle.h
+++ b/src/coordination/scheduling/scheduling_cycle.h
@@ -18,9 +18,9 @@
  */
 double fl_scheduling_cycle_budget_s(double core_share);
 /*
- * Returns the seconds from the start of a cycle to the start of the next, for a process with this
- * share of a core, after a cycle that took `duration_s` on the monotonic clock and `cpu_s` of
- * processor time.
+ * Returns the minimum time, in seconds, from the start of a cycle to the start of the next, for a
+ * process with this share of a core, after a cycle that took `duration_s` on the monotonic clock
+ * and `cpu_s` of processor time.
  */
 double fl_scheduling_cycle_interval_s(double core_share, double duration_s, double cpu_s);
 
--- a/src/coordination/scheduling/scheduling_decisions.c
+++ b/src/coordination/scheduling/scheduling_decisions.c
@@ -70,7 +70,7 @@
 		const struct fl_reservation *requested = &scheduled->requested;
 		struct fl_machine *machine = snapshot->machines[i];
 
-		/* A request for the rest of a machine leaves a reservation of a higher priority. */
+		/* A request for the rest of a machine does not replace a higher reservation. */
 		if (!requested->active ||
 		    (reserved->active && reserved->priority > requested->priority))
 			continue;
--- a/src/coordination/workers/leader_reply.c
+++ b/src/coordination/workers/leader_reply.c
@@ -15,8 +15,8 @@
 	if (!fl_renewal_watermark_is_fresh(node))
 		return "cancellation watermark too old";
 	/*
-	 * An ignored heartbeat gets no stop command, so a worker with an overdue task must not have
-	 * its lease renewed.
+	 * The reconciliation adds no stop command for an ignored heartbeat, so a worker with an
+	 * overdue task must not have its lease renewed: see fl_renewal_heartbeat_has_overdue_task.
 	 */
 	if (command_count == 0 && fl_renewal_heartbeat_has_overdue_task(node, heartbeat))
 		return "task of a cancelled job overdue";
--- a/src/coordination/workers/reconciliation_exit.c
+++ b/src/coordination/workers/reconciliation_exit.c
@@ -23,7 +23,7 @@
 	.quarantine_s = 120.0,
 };
 
-/* Returns the delay of the next attempt after this number of consecutive failures. */
+/* Returns the delay of the next attempt after this number of failures. */
 static double backoff_after_failures_s(uint32_t failures)
 {
 	return fmin(tunables.max_backoff_s,
