--- a/src/coordination/api/status_query_batch.h
+++ b/src/coordination/api/status_query_batch.h
@@ -21,7 +21,7 @@
 	FL_QUERY_ANSWERED,      /* the response is filled in */
 	FL_QUERY_NOT_IN_MEMORY, /* the leader must read records: forward the query alone */
 	FL_QUERY_FAILED,        /* no answer from the leader, or it no longer leads */
-	FL_QUERY_OVERLOADED     /* too many queries are waiting */
+	FL_QUERY_OVERLOADED     /* too many queries are waiting, or out of memory */
 };
 
 /* Sends the query to the leader in a batch with others. Waits. */
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -182,8 +182,9 @@
 
 /*
  * Forwards the submission to the leader, which may reach the key-value store when the store refuses
- * this node's requests or is partitioned from this node. Returns whether the leader has accepted
- * the job or answered a duplicate. The decoded submission is sent and not the body, since a large
+ * this node's requests or is partitioned from this node. If the leader cannot be reached directly,
+ * a third controller receives the submission and stores the job itself. Returns whether the job was
+ * accepted or a duplicate answered. The decoded submission is sent and not the body, since a large
  * body would exceed 64 KiB when it is escaped once more.
  */
 static bool submit_through_leader(const struct submission *submission)
--- a/src/coordination/api/submission.h
+++ b/src/coordination/api/submission.h
@@ -9,7 +9,7 @@
  *  4. 503 if the machine types are not known yet; 422 if the job can never run (feasibility.h).
  *  5. 503 if memory is low (admission.h).
  *  6. The job's record is stored unless there is one: 201. If this node cannot store it, the leader
- *     does (request_forwarding.h); 503 if neither can.
+ *     does, or a third controller on the way to it (request_forwarding.h); 503 if none can.
  *
  * A duplicate submission is answered with the status of the job, even if its body has
  * invalid fields: before this node responds 400 for an invalid field or ends with step 4 or 5, it
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -16,7 +16,7 @@
 	RESPONDER_FINISHED_JOB, /* this node's memory of a finished job */
 	RESPONDER_THIS_LEADER,
 	RESPONDER_LEADER_FOR_PEER, /* only the leader: a peer forwarded the request */
-	RESPONDER_LEADER           /* another controller or else, for a query, the records */
+	RESPONDER_LEADER           /* a peer that leads or else, for a query, the records */
 };
 
 static enum responder find_responder(const struct fl_node *node, const char *ref,
@@ -62,7 +62,8 @@
 
 /*
  * Sends the query to the leader in a batch. If that fails or the leader cannot answer from memory,
- * the query is forwarded alone, in the time that is left; after that, the stored records are read.
+ * the query is forwarded alone, in the time that is left; if that fails too, the stored records are
+ * read.
  */
 static void query_leader_or_records(struct fl_node *node, const char *ref,
                                     struct fl_http_response *response)
--- a/src/coordination/api/user_requests.h
+++ b/src/coordination/api/user_requests.h
@@ -5,8 +5,8 @@
  *  1. this node's memory of finished jobs: storage/finished_jobs.h
  *  2. this node, if it is the leader: status_from_leader.h, cancellation.h
  *  3. the leader, if it is another node. A query is sent in a batch (status_query_batch.h), and
- *     alone if the leader has to read records for it; a cancellation is sent alone
- *     (request_forwarding.h)
+ *     then alone if the batch fails or the leader has to read records for it; a cancellation is
+ *     sent alone (request_forwarding.h)
  *  4. the stored records, for a query that the leader did not answer: status_from_records.h
  *
  * A node that reaches neither the key-value store nor another controller responds 503 before step
--- a/src/coordination/election/election.h
+++ b/src/coordination/election/election.h
@@ -11,7 +11,7 @@
 /* Called in the election's coroutine when this node becomes the leader and ceases to be it. */
 struct fl_election_callbacks {
 	void (*begin_leadership)(struct fl_node *node); /* must not wait */
-	void (*end_leadership)(struct fl_node *node);   /* returns once all coroutines ended */
+	void (*end_leadership)(struct fl_node *node);   /* returns once leader coroutines ended */
 };
 
 /*
--- a/src/coordination/election/leader_view.h
+++ b/src/coordination/election/leader_view.h
@@ -16,7 +16,7 @@
 struct fl_leader_view {
 	char leader[FL_NAME_MAX];    /* name of the leader's node; empty if none is known */
 	uint64_t fencing_token;      /* highest known token; 0 if none is known yet */
-	double confirmed_at;         /* when the last read that confirmed the view was sent */
+	double confirmed_at;         /* when the last request that confirmed the view was sent */
 	struct fl_condition changed; /* signalled by a change of the leader key or a step down */
 };
 
--- a/src/coordination/node.h
+++ b/src/coordination/node.h
@@ -89,7 +89,7 @@
 /* Starts a controller and its servers. A started one is never freed and keeps `config`. */
 enum fl_node_start_result fl_node_start(const struct fl_config *config);
 
-/* Maximum number of connections from one controller to another; the last one is for gossip. */
+/* Maximum number of connections from one controller to another; the + 1 is for gossip. */
 enum {
 	FL_PEER_CONNECTIONS_MAX =
 		FL_HEARTBEAT_REQUESTS_MAX + FL_STATUS_REQUESTS_MAX + FL_PEER_USER_REQUESTS_MAX + 1
--- a/src/coordination/persistence/record_writer.c
+++ b/src/coordination/persistence/record_writer.c
@@ -61,7 +61,7 @@
 	}
 }
 
-/* Writes the placements that start commands wait for, one final record and some others. */
+/* Writes the placements that start commands wait for, one final record and some other changes. */
 static enum fl_kv_result write_pending_records(struct fl_node *node)
 {
 	enum fl_kv_result final_result, result = fl_progress_write_urgent(node);
--- a/src/coordination/persistence/wal_writer.c
+++ b/src/coordination/persistence/wal_writer.c
@@ -67,7 +67,7 @@
 	write->value_bytes = 0;
 }
 
-/* Adds the unsaved changes of a block, if any; returns false if they do not fit. */
+/* Adds a block's unsaved changes, if any; false if they do not fit or memory is exhausted. */
 static bool add_block(struct wal_write *write, const struct fl_cluster *cluster, struct fl_job *job,
                       uint32_t block_index)
 {
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -114,7 +114,7 @@
 		.body = forwarded.body,
 		.body_len = forwarded.body ? strlen(forwarded.body) : 0,
 	};
-	/* Only the leader responds; a request before its last hop is forwarded once more. */
+	/* On the last hop only the leader responds; before that, any node responds or forwards. */
 	if (!fl_is_leader(node) && fl_forward_is_forbidden(node, forwarded.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
