--- a/src/coordination/api/status_from_records.h
+++ b/src/coordination/api/status_from_records.h
@@ -1,6 +1,7 @@
 /*
- * The status of a job while no leader is reachable, from the stored records. They are never older
- * than a status that any user has received before.
+ * The status of a job while no leader is reachable, from the stored records. A final status is
+ * stored before any user receives it; the task counts of a live job may be older than those that
+ * the leader has reported.
  */
 #ifndef FL_COORDINATION_API_STATUS_FROM_RECORDS_H
 #define FL_COORDINATION_API_STATUS_FROM_RECORDS_H
