--- a/src/config.h
+++ b/src/config.h
@@ -69,7 +69,7 @@
 enum fl_config_result {
 	FL_CONFIG_OK = 0,
 	FL_CONFIG_UNREADABLE,     /* the file cannot be opened or read */
-	FL_CONFIG_MALFORMED,      /* the file is not valid TOML */
+	FL_CONFIG_MALFORMED,      /* the file is not valid TOML, or out of memory */
 	FL_CONFIG_INVALID_SETTING /* a setting is missing or has no valid value */
 };
 
--- a/src/protocol/kv_store.h
+++ b/src/protocol/kv_store.h
@@ -2,7 +2,8 @@
  * The client of the key-value store, whose data outlives every controller: compare-and-swap
  * transactions, leases, lists and watches. Every call waits for the response and must be made from
  * a coroutine. Each write raises the store's revision; the `mod_revision` of a key is the revision
- * of its last write. Unless the result is FL_KV_OK, outputs hold no valid value.
+ * of its last write. Unless the result is FL_KV_OK, outputs hold no valid value, except where a
+ * function documents otherwise.
  */
 #ifndef FL_PROTOCOL_KV_STORE_H
 #define FL_PROTOCOL_KV_STORE_H
@@ -22,7 +23,10 @@
 	FL_KV_UNAVAILABLE,    /* rejected (429, 503) and not executed; retry later */
 	FL_KV_INVALID,        /* rejected as malformed, or because the lease has expired */
 	FL_KV_CANCELLED,      /* the calling coroutine is cancelled; clean up and return */
-	/* No readable response; the request may be executed already, or later. */
+	/*
+	 * No response, or one that is malformed or has another status; the request may be executed
+	 * already, or later.
+	 */
 	FL_KV_OUTCOME_UNKNOWN
 };
 
--- a/src/storage/cluster.h
+++ b/src/storage/cluster.h
@@ -34,7 +34,7 @@
 	enum fl_task_phase phase : 8;
 	enum fl_observed_state last_observed_state : 8;
 	enum fl_stop_reason stop_reason : 8;
-	uint8_t failure_count;  /* consecutive exits with an error */
+	uint8_t failure_count;  /* exits with an error seen by this leader, up to a maximum */
 	bool start_sent;        /* start command sent in a reply, not yet reported by a heartbeat */
 	uint32_t attempt;       /* number of the latest attempt; 0: none yet */
 	int32_t machine_id;     /* valid while PLACED */
@@ -129,10 +129,11 @@
 	struct fl_job *jobs;              /* live jobs by ref */
 	struct fl_finished_job *finished; /* finished jobs by ref, in the order of addition */
 	unsigned finished_max; /* limit of `finished`; the oldest are dropped; 0: no limit */
-	double finished_dropped_up_to; /* `added_at` of the newest job dropped; 0: none */
-	struct fl_job *dirty_jobs;     /* jobs with unsaved blocks or a final record to write */
-	uint64_t job_list_revision;    /* revision of the job list that the failover read */
-	bool has_leader_state;         /* holds tasks and machines, not only job descriptions */
+	/* `added_at` of the newest job dropped; 0 or FL_LONG_AGO: none. */
+	double finished_dropped_up_to;
+	struct fl_job *dirty_jobs;  /* jobs with unsaved blocks or a final record to write */
+	uint64_t job_list_revision; /* revision of the job list that the failover read */
+	bool has_leader_state;      /* holds tasks and machines, not only job descriptions */
 };
 
 /*
--- a/src/storage/job_updates.h
+++ b/src/storage/job_updates.h
@@ -9,9 +9,9 @@
 
 /*
  * Applies a change of a job record. Returns the live job, or NULL if there is none, if the record
- * was deleted or if the job's final state was known already. A deletion (`value` is NULL) means
- * that the job is finished; only a leader keeps the job, until its own work on it is complete. A
- * leader also keeps a cancelled job, marked `cancelled`, until its tasks have stopped.
+ * was deleted or is unreadable, or if the job's final state was known already. A deletion (`value`
+ * is NULL) means that the job is finished; only a leader keeps the job, until its own work on it is
+ * complete. A leader also keeps a cancelled job, marked `cancelled`, until its tasks have stopped.
  */
 struct fl_job *fl_cluster_apply_job_record(struct fl_cluster *cluster, const char *ref,
                                            const cJSON *value, uint64_t revision);
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -35,9 +35,9 @@
 
 /* The lifecycle of a machine from its rental to its return. */
 struct fl_machine_lifecycle {
-	double first_seen_at;     /* time of its rental, or of its first heartbeat or listing */
-	double idle_since;        /* start of the idle time; 0: not idle */
-	double interruption_at;   /* time of the reclaim in the interruption notice; 0: no notice */
+	double first_seen_at;   /* when first learned of, by a rental, heartbeat, list or record */
+	double idle_since;      /* start of the idle time; 0: not idle */
+	double interruption_at; /* time of the reclaim in the interruption notice; 0: no notice */
 	double decommissioned_at; /* valid if `decommissioned` */
 	bool up;             /* a heartbeat has reached this leader; not decommissioned since */
 	bool draining;       /* to be returned; no more tasks are placed on it */
@@ -82,7 +82,7 @@
 	int fault_count;          /* consecutive faults */
 };
 
-/* A machine, known since its rental or its first heartbeat. */
+/* A machine that this node has learned of. */
 struct fl_machine {
 	UT_hash_handle hh;
 	char name[FL_NAME_MAX], endpoint[FL_NAME_MAX];
--- a/src/storage/teams.h
+++ b/src/storage/teams.h
@@ -30,7 +30,10 @@
 int fl_teams_find(const struct fl_teams *teams, const char *name);
 /* Returns whether this usage stays within the team's maximum quota. */
 bool fl_team_fits_maximum_quota(const struct fl_team *team, double cpus, double gpus);
-/* Returns whether this usage fits into the team's guaranteed quota; false if the team has none. */
+/*
+ * Returns whether this usage fits into the team's guaranteed quota; false if the team has none. If
+ * only GPUs are guaranteed, any usage of CPUs fits.
+ */
 bool fl_team_fits_guaranteed_quota(const struct fl_team *team, double cpus, double gpus);
 
 #endif
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -37,7 +37,7 @@
 cJSON *fl_wal_value_create(void);
 /* Adds a copy of an encoded group to a value. */
 void fl_wal_value_add_group(cJSON *value, const char *group);
-/* Adds the groups of a value; if the result is not OK, only those before the failing one. */
+/* Adds the groups of a value in order; stops at the first that fails, if any. */
 enum fl_decode_result fl_wal_read_value(struct fl_wal *wal, const cJSON *value);
 /*
  * Returns the index of the first group of a block, or FL_INDEX_NONE; `next_of_block` links the
--- a/src/toml.h
+++ b/src/toml.h
@@ -15,7 +15,7 @@
 enum fl_toml_result {
 	FL_TOML_OK = 0,
 	FL_TOML_UNREADABLE, /* the file cannot be opened or read */
-	FL_TOML_MALFORMED   /* the file is not valid TOML; the reason names the line */
+	FL_TOML_MALFORMED   /* the file is not valid TOML (the reason has the line), or no memory */
 };
 
 /*
--- a/src/transport/coroutine.h
+++ b/src/transport/coroutine.h
@@ -1,8 +1,8 @@
 /*
  * Stackful coroutines over libev: one for each connection and each long-running activity. They are
- * scheduled cooperatively in one thread, so shared state changes only while a coroutine waits. A
- * cancelled coroutine is not destroyed from outside: its present and later waits return -ECANCELED,
- * and its function cleans up and returns.
+ * scheduled cooperatively in one thread, so other coroutines change shared state only while a
+ * coroutine waits. A cancelled coroutine is not destroyed from outside: its present and later waits
+ * return -ECANCELED, and its function cleans up and returns.
  */
 #ifndef FL_TRANSPORT_COROUTINE_H
 #define FL_TRANSPORT_COROUTINE_H
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -36,8 +36,8 @@
 void fl_http_set_body_memory_limit(size_t bytes);
 /*
  * Reads one whole message, waiting in the current coroutine. Returns 0, -ECONNRESET, -EPROTO (not
- * HTTP), -EMSGSIZE (body over the limit), -ENOBUFS (request body memory limit reached),
- * -ETIMEDOUT or -ECANCELED.
+ * HTTP, URL over the limit, or out of memory), -EMSGSIZE (body over the limit), -ENOBUFS (request
+ * body memory limit reached), -ETIMEDOUT or -ECANCELED.
  */
 int fl_http_message_read(struct fl_http_message *message, int fd, double timeout_s);
 
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -113,7 +113,7 @@
 			keep_or_close_connection(client, fd, !rc && response->keep_alive);
 			return rc;
 		}
-		/* The server closed the idle connection before it read the request: try another. */
+		/* The server probably closed the idle connection before reading: try another. */
 		fl_socket_close(fd);
 		/* A parser that has seen the end of a connection cannot parse another response. */
 		fl_http_message_free(response);
