--- a/tests/fault_combinations_kv_store.c
+++ b/tests/fault_combinations_kv_store.c
@@ -98,7 +98,10 @@
 		inject_command_failure(start_s, duration_s);
 }
 
-/* The leader is partitioned from the store and its peers, but not from workers and users. */
+/*
+ * The leader is partitioned from the store and its peers, in some variants later also from the
+ * workers, but not from users.
+ */
 static void leader_partition(int variant)
 {
 	double start_s = sim_random_between(45, 55), duration_s = sim_random_between(15, 80),
--- a/tests/fault_combinations_load.c
+++ b/tests/fault_combinations_load.c
@@ -32,7 +32,7 @@
 }
 
 /*
- * Jobs are submitted continuously for minutes: the largest jobs and those of every team must start
+ * Jobs are submitted continuously for minutes: the largest jobs and jobs of every team must start
  * nevertheless.
  */
 static void sustained_submissions(int variant)
--- a/tests/kv_model.c
+++ b/tests/kv_model.c
@@ -89,7 +89,7 @@
 
 uint64_t kv_model_lease_grant(struct kv_model *model, double ttl_s)
 {
-	/* The protocol's limits of a lease's duration, and the model's limit of their number. */
+	/* The protocol's limits of a lease's duration, and the model's limit of leases. */
 	require(ttl_s >= 0.1 && ttl_s <= 600 && model->lease_count < KV_MODEL_LEASES_MAX);
 	model->leases[model->lease_count++] =
 		(struct kv_lease){++model->last_lease_id, ttl_s, fl_now() + ttl_s};
--- a/tests/reconciliation_workers.c
+++ b/tests/reconciliation_workers.c
@@ -14,7 +14,7 @@
 #include "copy_text.h"
 #include "worker_command.h"
 
-enum { TEAM_CPUS_MAX = 6 /* one per task */ };
+enum { TEAM_CPUS_MAX = 6 /* each task uses one CPU */ };
 
 void format_ref(int job, char ref[FL_REF_MAX]) { snprintf(ref, FL_REF_MAX, "run-%06d", job); }
 
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -2,7 +2,7 @@
  * A simulation of a site in one process: several controllers run their real coordination code on a
  * simulated network and clock, with fakes of the key-value store, the cloud and the workers. The
  * fakes and the invariant checker are written from the protocol's documentation, and the checker
- * uses nothing of the code under test. Time is virtual (sim_time.h) and faults are injected
+ * uses no coordination code. Time is virtual (sim_time.h) and faults are injected
  * (sim_faults.h). There is one site at a time, `sim`, which the test program defines and zeroes.
  * Points in time are seconds of the monotonic clock; names in _s are durations, or seconds since
  * the beginning of the run.
--- a/tests/sim_check_service.c
+++ b/tests/sim_check_service.c
@@ -1,7 +1,7 @@
 /*
- * The invariants on service levels: after the last fault no job waits beside free capacity, and by
- * the end of the run at least half of the jobs of each class and team, and all of the largest ones,
- * have started.
+ * The invariants on service levels: after the last fault no job waits for long beside free
+ * capacity, and by the end of the run at least half of the jobs of each class and team, and all of
+ * the largest ones, have started, if they had time to start.
  */
 #include "sim.h"
 
@@ -12,7 +12,7 @@
 static const struct {
 	double max_waiting_s;   /* time that a job may wait beside free capacity */
 	double largest_start_s; /* time within which the largest jobs of a class must start */
-	int min_jobs;           /* least number of jobs of which half must have started */
+	int min_jobs;           /* least size of a group of jobs of which half must have started */
 } tunables = {90, 240, 8};
 
 /* A run has more jobs than the teams' quotas allow at once, so jobs beyond a quota may wait. */
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -122,7 +122,7 @@
 	machine->spot = spot;
 	machine->rented_at = fl_now();
 	machine->never_boots = sim_chance(0.04) && !sim.reliable_machines;
-	/* Some machines are up within 2 s, long before they are listed. */
+	/* Some machines are up within 2 s, often before they are listed. */
 	boot_s = sim_chance(0.2) ? sim_random_between(0.5, 2)
 	                         : sim_random_between(0.6, 1.5) * sim_machine_types[type].ready_s;
 	machine->ready_at = fl_now() + boot_s;
--- a/tests/sim_faults.c
+++ b/tests/sim_faults.c
@@ -125,7 +125,7 @@
 	for (int i = 0; i < sim.machine_count; i++)
 		if (fault->affects_machine[i]) {
 			sim_machine_terminate(i);
-			sim.machines[i].terminated_at += 30; /* the machine stays listed for 30 s */
+			sim.machines[i].terminated_at += 30; /* listed as running for 30 s more */
 		}
 }
 
--- a/tests/sim_load_balancer.c
+++ b/tests/sim_load_balancer.c
@@ -10,7 +10,7 @@
 	double probe_interval_s, probe_timeout_s;
 	double min_unhealthy_s; /* least time for which a removed node stays out */
 	int failures_to_remove, successes_to_return;
-	int max_tries; /* most nodes tried for a request */
+	int max_tries; /* most calls to nodes for a request */
 } tunables = {1.0, 1.0, 3, 2, 2, 3};
 
 static struct backend {
--- a/tests/test_fault_combinations.c
+++ b/tests/test_fault_combinations.c
@@ -1,7 +1,7 @@
 /*
  * Combinations of faults: the real coordination code of several controllers runs in virtual time
  * against fakes of all external systems. The invariant checker is written from the protocol's rules
- * and uses nothing of the code under test.
+ * and uses no coordination code.
  *
  * test_fault_combinations [NAME [VARIANT [COUNT]]] runs all combinations, one of them, one variant
  * of it, or COUNT variants beginning with VARIANT. SIM_VERBOSE=1 prints a summary of each run,
@@ -24,7 +24,7 @@
 struct sim sim;
 
 enum {
-	/* Starts of one task in about 200 s; losses, refusals and stops cause nine at most. */
+	/* Starts of one task in about 200 s; losses, refusals and stops have caused up to nine. */
 	MAX_TASK_STARTS = 30,
 	MAX_CASES = 256
 };
