--- a/tests/frontend_fixture.h
+++ b/tests/frontend_fixture.h
@@ -12,18 +12,18 @@
 	struct fl_http_server *kv_store, *leader;
 	bool kv_store_returns_503;       /* to this node only: the leader responds as before */
 	bool job_known;                  /* the leader knows the job, and it has a final record */
-	const char *job_record;          /* the live record of run-000001; NULL: none */
+	const char *job_record;          /* the record under j/run-000001; NULL: none */
 	const char *progress_record;     /* progress record of its block 0; NULL: none */
-	bool lists_lack_more_field;      /* lists are sent without the field More */
+	bool lists_lack_more_field;      /* empty lists are sent without the field More */
 	int record_writes, record_reads; /* number of transactions, and of job record reads */
 	bool reads_gated;                /* reads of a missing record wait for read_gate */
 	struct fl_condition read_gate;
-	bool job_known_at_read_start; /* job_known when the last read began */
+	bool job_known_at_read_start; /* job_known when the last read that got 404 began */
 	int last_job_number;          /* number in the id of the last job submitted */
 	char first_failure[400];      /* text of a failed check in a coroutine; empty: none */
 };
 
-/* A live job record that begins with `fields`; of a field that occurs twice the first is used. */
+/* A job record that begins with `fields`; of a field that occurs twice the first is used. */
 #define JOB_RECORD(fields) "{" fields ",\"Ref\":\"run-000001\",\"submitted\":5," JOB_FIELDS "}"
 #define JOB_FIELDS                                                                                 \
 	"\"JobClass\":\"c\",\"Owner\":\"t\",\"JobKind\":\"sweep\",\"Tier\":\"standard\","          \
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -104,7 +104,7 @@
  */
 double lease_renewal_window_s(const struct node_fixture *fixture);
 
-/* Returns the final record of the job, cancelled `age_s` ago; the caller deletes it. */
+/* Returns the record of the job as cancelled `age_s` ago; the caller deletes it. */
 cJSON *cancelled_job_record(struct node_fixture *fixture, double age_s);
 
 /* Applies such a record to the node's state, as every node does when the record is written. */
--- a/tests/service_fixture.h
+++ b/tests/service_fixture.h
@@ -34,9 +34,15 @@
  */
 int call_running_controller(int first_controller, const char *method, const char *path,
                             const char *body, char *text, size_t size);
-/* Submits a job, retried until it is accepted or rejected; returns whether it was accepted. */
+/*
+ * Submits a job, retried for TIMEOUT_S at most until it is accepted or rejected; returns whether it
+ * was accepted.
+ */
 bool submit_job(const char *ref, const char *kind, int task_count, int first_controller);
-/* Cancels a job, retried until the status is 200; returns whether it is reported as cancelled. */
+/*
+ * Cancels a job, retried for TIMEOUT_S at most until the status is 200; returns whether the job is
+ * reported as cancelled.
+ */
 bool cancel_job(const char *ref);
 
 /* ---- waiting, for TIMEOUT_S at most; false: timed out ---- */
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -40,7 +40,7 @@
 	assert_true(cached->incarnation == 2 && cached->sequence == 3 && !cached->in_digest);
 }
 
-/* The digest entry, which passes through the key-value store, decodes to the same heartbeat. */
+/* The fields in a digest entry, which passes through the key-value store, decode unchanged. */
 static void a_cached_heartbeat_is_restored_from_its_digest_entry(void **state)
 {
 	static const char *const malformed[] = {"[]",
--- a/tests/test_reachability.c
+++ b/tests/test_reachability.c
@@ -75,7 +75,10 @@
 	assert_true(fl_reachability_lost_since(only_machine(fixture)) == INFINITY);
 }
 
-/* Two replies without effect make a machine suspect, even if its heartbeats are prompt. */
+/*
+ * Two replies whose command or fencing token has no effect make a machine suspect, even if its
+ * heartbeats are prompt.
+ */
 static void a_machine_is_suspect_after_commands_without_effect(void **state)
 {
 	struct node_fixture *fixture = *state;
@@ -169,7 +172,10 @@
 	deliver_heartbeat(fixture, heartbeat, FL_HEARTBEAT_FROM_COMMAND);
 	assert_false(fl_reachability_is_suspect(only_machine(fixture)));
 
-	/* Without another node, only a start command without effect makes a machine suspect. */
+	/*
+	 * Without another node, an interval longer than the worker's timeout shows nothing: only
+	 * replies without effect make the machine suspect.
+	 */
 	fixture->node.peer_count = 0;
 	for (int i = 0; i < 3; i++) {
 		set_last_reply_age(fixture, 6);
--- a/tests/test_reconciliation.c
+++ b/tests/test_reconciliation.c
@@ -233,7 +233,7 @@
 	assert_true(place_and_fail_task(sim, job, 60, 0, 1)->health.quarantined_until <= now);
 	assert_true(place_and_fail_task(sim, job, 60, 1, 2)->health.quarantined_until <= now);
 
-	/* A third failure does; otherwise a service of one task would restart there endlessly. */
+	/* A third in a row does; otherwise a service of one task would restart there endlessly. */
 	assert_true(place_and_fail_task(sim, job, 60, 2, 3)->health.quarantined_until > now);
 
 	/* If another task of the job has completed, two failures are enough. */
--- a/tests/test_schedule_preemption.c
+++ b/tests/test_schedule_preemption.c
@@ -11,7 +11,7 @@
 
 #include "schedule_fixture.h"
 
-/* The resources of a victim that has not ended yet are reserved, so no other attempt is stopped. */
+/* A request may use the resources of a victim that is still stopping: nothing else is stopped. */
 static void a_reservation_is_not_made_twice_for_capacity_about_to_become_free(void **state)
 {
 	struct snapshot snapshot = {.job_count = 1, .machine_count = 2, .attempt_count = 2};
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -158,7 +158,7 @@
 	return true;
 }
 
-/* After the faults every controller reports the final status of the accepted jobs. */
+/* After the faults every controller reports the final status of jobs accepted earlier. */
 static bool all_jobs_are_known_after_the_faults(void)
 {
 	char ref[24];
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -78,7 +78,7 @@
 	{"\"Parts\":101", 201, false},
 	{"\"Parts\":101,\"JobKind\":\"standing\"", 422, false},
 	{"\"Parts\":101,\"JobKind\":\"ensemble\"", 422, false},
-	/* A service or gang that is limited to one zone could never place half of its tasks. */
+	/* A spread service or gang in only one zone could never place half of its tasks. */
 	{"\"Apart\":true,\"JobKind\":\"standing\"", 201, false},
 	{"\"Apart\":true,\"JobKind\":\"standing\",\"Site\":\"a\"", 422, false},
 	{"\"Apart\":true,\"JobKind\":\"ensemble\",\"Together\":true", 422, false},
