--- a/src/coordination/api/request_forwarding.c
+++ b/src/coordination/api/request_forwarding.c
@@ -12,17 +12,16 @@
 	.write_timeout_s = 2.0,  /* for a cancellation or submission; users wait 5 s */
 };
 
-double fl_user_request_timeout_s(enum fl_user_request kind)
+double fl_user_request_timeout_s(enum fl_request_kind kind)
 {
-	return kind == FL_USER_REQUEST_STATUS ? tunables.status_timeout_s
-	                                      : tunables.write_timeout_s;
+	return kind == FL_REQUEST_STATUS ? tunables.status_timeout_s : tunables.write_timeout_s;
 }
 
 /* Status queries leave half of the connections to cancellations and submissions. */
-static bool is_below_in_flight_limit(const struct fl_node *node, enum fl_user_request kind)
+static bool is_below_in_flight_limit(const struct fl_node *node, enum fl_request_kind kind)
 {
-	int max_in_flight = kind == FL_USER_REQUEST_STATUS ? FL_PEER_USER_REQUESTS_MAX / 2
-	                                                   : FL_PEER_USER_REQUESTS_MAX;
+	int max_in_flight = kind == FL_REQUEST_STATUS ? FL_PEER_USER_REQUESTS_MAX / 2
+	                                              : FL_PEER_USER_REQUESTS_MAX;
 
 	return node->api.forwarded_in_flight < max_in_flight;
 }
--- a/src/coordination/api/request_forwarding.h
+++ b/src/coordination/api/request_forwarding.h
@@ -19,7 +19,7 @@
 
 /* A user's request to be forwarded to the leader. It owns nothing. */
 struct fl_outgoing_user_request {
-	enum fl_user_request kind;
+	enum fl_request_kind kind;
 	const char *ref;  /* job id; NULL for a submission */
 	const char *body; /* NULL if there is none */
 	enum fl_forward_hop hop;
@@ -27,7 +27,7 @@
 };
 
 /* Returns the timeout for forwarding a request of this kind, in s: less than its user waits. */
-double fl_user_request_timeout_s(enum fl_user_request kind);
+double fl_user_request_timeout_s(enum fl_request_kind kind);
 /*
  * Forwards a user's request as fl_forward_to_leader does. Waits. Returns true if the leader
  * answered; the caller then owns `reply`. Returns false if the leader cannot be reached or too many
--- a/src/coordination/api/submission.c
+++ b/src/coordination/api/submission.c
@@ -53,10 +53,10 @@
 static enum duplicate_check respond_if_leader_knows_job(const struct submission *submission)
 {
 	const struct fl_outgoing_user_request request = {
-		.kind = FL_USER_REQUEST_STATUS,
+		.kind = FL_REQUEST_STATUS,
 		.ref = submission->spec->ref,
 		.hop = FL_HOP_FIRST,
-		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_STATUS)};
+		.timeout_s = fl_user_request_timeout_s(FL_REQUEST_STATUS)};
 	struct fl_http_reply reply;
 
 	if (fl_leader_lease_is_valid(&submission->node->leader_lease) ||
@@ -190,9 +190,9 @@
 static bool submit_through_leader(const struct submission *submission)
 {
 	struct fl_outgoing_user_request request = {
-		.kind = FL_USER_REQUEST_SUBMIT,
+		.kind = FL_REQUEST_SUBMIT,
 		.hop = FL_HOP_FIRST,
-		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_SUBMIT)};
+		.timeout_s = fl_user_request_timeout_s(FL_REQUEST_SUBMIT)};
 	struct fl_http_reply reply;
 	char *text;
 	bool answered;
--- a/src/coordination/api/user_requests.c
+++ b/src/coordination/api/user_requests.c
@@ -47,7 +47,7 @@
 }
 
 /* Answers another controller's request: forwards it once more, directly to the leader. */
-static void respond_to_peer(struct fl_node *node, enum fl_user_request kind, const char *ref,
+static void respond_to_peer(struct fl_node *node, enum fl_request_kind kind, const char *ref,
                             struct fl_http_response *response)
 {
 	const struct fl_outgoing_user_request request = {.kind = kind,
@@ -68,8 +68,8 @@
 static void query_leader_or_records(struct fl_node *node, const char *ref,
                                     struct fl_http_response *response)
 {
-	struct fl_outgoing_user_request request = {.kind = FL_USER_REQUEST_STATUS, .ref = ref};
-	double deadline = fl_now() + fl_user_request_timeout_s(FL_USER_REQUEST_STATUS);
+	struct fl_outgoing_user_request request = {.kind = FL_REQUEST_STATUS, .ref = ref};
+	double deadline = fl_now() + fl_user_request_timeout_s(FL_REQUEST_STATUS);
 
 	switch (fl_status_query_send(node, ref, response)) {
 	case FL_QUERY_ANSWERED:
@@ -90,10 +90,10 @@
                                  struct fl_http_response *response)
 {
 	const struct fl_outgoing_user_request request = {
-		.kind = FL_USER_REQUEST_CANCEL,
+		.kind = FL_REQUEST_CANCEL,
 		.ref = ref,
 		.hop = FL_HOP_FIRST,
-		.timeout_s = fl_user_request_timeout_s(FL_USER_REQUEST_CANCEL)};
+		.timeout_s = fl_user_request_timeout_s(FL_REQUEST_CANCEL)};
 
 	if (!respond_through_leader(node, &request, response))
 		fl_respond_unavailable(response, "no leader");
@@ -115,7 +115,7 @@
 		fl_leader_respond_job_status(node, ref, response);
 		break;
 	case RESPONDER_LEADER_FOR_PEER:
-		respond_to_peer(node, FL_USER_REQUEST_STATUS, ref, response);
+		respond_to_peer(node, FL_REQUEST_STATUS, ref, response);
 		break;
 	case RESPONDER_LEADER:
 		query_leader_or_records(node, ref, response);
@@ -137,7 +137,7 @@
 		fl_leader_cancel_job(node, ref, response);
 		break;
 	case RESPONDER_LEADER_FOR_PEER:
-		respond_to_peer(node, FL_USER_REQUEST_CANCEL, ref, response);
+		respond_to_peer(node, FL_REQUEST_CANCEL, ref, response);
 		break;
 	case RESPONDER_LEADER:
 		forward_cancellation(node, ref, response);
--- a/src/coordination/autoscaling/autoscaler_plan.c
+++ b/src/coordination/autoscaling/autoscaler_plan.c
@@ -134,7 +134,7 @@
 
 		if (machine->lifecycle.decommissioned || !machine->described)
 			continue;
-		boot_s = machines->types[machine->type].ready_s;
+		boot_s = machines->types[machine->type].boot_time_s;
 		plan->machines_by_zone[machine->zone]++;
 		if (is_booting(plan, machine, boot_s))
 			fl_autoscaler_add_planned_machine(plan, kind, FL_PLANNED_BOOTING);
--- a/src/coordination/autoscaling/headroom.c
+++ b/src/coordination/autoscaling/headroom.c
@@ -134,7 +134,7 @@
 	/* A service spread over zones needs headroom in each, also to replace lost replicas. */
 	headroom.share_count = headroom.service->spread_zones ? cluster->zones.count : 1;
 	autoscaler->headroom_share_count = headroom.share_count;
-	arrivals = task_count / tunables.arrival_window_s * cluster->machines.types[0].ready_s;
+	arrivals = task_count / tunables.arrival_window_s * cluster->machines.types[0].boot_time_s;
 	headroom.needed =
 		ceil((arrivals + tunables.margin_std_devs * sqrt(arrivals)) / headroom.share_count);
 	add_running_machines(plan, &headroom);
--- a/src/coordination/autoscaling/scale_in.c
+++ b/src/coordination/autoscaling/scale_in.c
@@ -75,7 +75,7 @@
 static bool never_booted(const struct fl_machine *machine, const struct fl_machine_type *type,
                          double now)
 {
-	double max_boot_s = tunables.max_boot_times * type->ready_s + tunables.boot_slack_s;
+	double max_boot_s = tunables.max_boot_times * type->boot_time_s + tunables.boot_slack_s;
 
 	return !machine->lifecycle.up && machine->assignment_count == 0 &&
 	       now - machine->lifecycle.first_seen_at > max_boot_s;
@@ -91,7 +91,7 @@
 	if (machine->health.quarantined_until > now &&
 	    machine->health.fault_count > tunables.max_faults)
 		return FAULTY;
-	if (now - machine->lifecycle.idle_since <= tunables.idle_boot_times * type->ready_s)
+	if (now - machine->lifecycle.idle_since <= tunables.idle_boot_times * type->boot_time_s)
 		return KEPT;
 	if (machine->spot)
 		return IDLE;
--- a/src/coordination/request_router.c
+++ b/src/coordination/request_router.c
@@ -32,45 +32,44 @@
 	response->status = ready ? 200 : 503;
 }
 
-void fl_route_user_request(struct fl_node *node, const struct fl_client_request *request,
-                           struct fl_http_response *response)
+void fl_route_client_request(struct fl_node *node, const struct fl_client_request *request,
+                             struct fl_http_response *response)
 {
 	switch (request->kind) {
-	case FL_USER_REQUEST_SUBMIT:
+	case FL_REQUEST_SUBMIT:
 		fl_handle_submission(node, request->body, request->body_len, request->hop,
 		                     response);
 		break;
-	case FL_USER_REQUEST_STATUS:
+	case FL_REQUEST_STATUS:
 		fl_handle_status_request(node, request->ref, request->hop, response);
 		break;
-	case FL_USER_REQUEST_CANCEL:
+	case FL_REQUEST_CANCEL:
 		fl_handle_cancellation(node, request->ref, request->hop, response);
 		break;
-	case FL_USER_REQUEST_HEARTBEAT:
+	case FL_REQUEST_HEARTBEAT:
 		fl_follower_handle_heartbeat(node, request->body, request->body_len, response);
 		break;
-	case FL_USER_REQUEST_READY:
+	case FL_REQUEST_READY:
 		respond_to_readiness_probe(node, response);
 		break;
-	case FL_USER_REQUEST_UNKNOWN:
+	case FL_REQUEST_UNKNOWN:
 		fl_respond_error(response, 404, "no such path");
 		break;
 	}
 }
 
-static enum http_method expected_method(enum fl_user_request kind)
+static enum http_method expected_method(enum fl_request_kind kind)
 {
-	return kind == FL_USER_REQUEST_STATUS || kind == FL_USER_REQUEST_READY ? HTTP_GET
-	                                                                       : HTTP_POST;
+	return kind == FL_REQUEST_STATUS || kind == FL_REQUEST_READY ? HTTP_GET : HTTP_POST;
 }
 
 void fl_route_public_request(void *context, const struct fl_http_request *request,
                              struct fl_http_response *response)
 {
 	char ref[FL_REF_MAX];
-	enum fl_user_request kind = fl_user_request_parse_path(request->path, ref);
+	enum fl_request_kind kind = fl_request_parse_path(request->path, ref);
 
-	if (kind != FL_USER_REQUEST_UNKNOWN && request->method != expected_method(kind)) {
+	if (kind != FL_REQUEST_UNKNOWN && request->method != expected_method(kind)) {
 		fl_respond_error(response, 405, "method not allowed");
 		/* The client of a HEAD request would parse the body as the next response. */
 		response->close_connection = true;
@@ -82,17 +81,17 @@
 	 * may reach a less loaded node. Deferred queries do not starve: each turn runs at least
 	 * one of them.
 	 */
-	if (kind == FL_USER_REQUEST_STATUS && !fl_coroutine_defer(tunables.deferred_queries_max)) {
+	if (kind == FL_REQUEST_STATUS && !fl_coroutine_defer(tunables.deferred_queries_max)) {
 		fl_respond_unavailable(response, "too many status queries in progress");
 		return;
 	}
-	fl_route_user_request(context,
-	                      &(struct fl_client_request){.kind = kind,
-	                                                  .hop = FL_HOP_FIRST,
-	                                                  .ref = ref,
-	                                                  .body = request->body,
-	                                                  .body_len = request->body_len},
-	                      response);
+	fl_route_client_request(context,
+	                        &(struct fl_client_request){.kind = kind,
+	                                                    .hop = FL_HOP_FIRST,
+	                                                    .ref = ref,
+	                                                    .body = request->body,
+	                                                    .body_len = request->body_len},
+	                        response);
 }
 
 static void serve_forwarded_request(struct fl_node *node, const struct fl_http_request *request,
@@ -118,7 +117,7 @@
 	if (!fl_is_leader(node) && fl_forward_is_forbidden(node, forwarded.last_hop))
 		fl_respond_error(response, 421, "not the leader");
 	else
-		fl_route_user_request(node, &client_request, response);
+		fl_route_client_request(node, &client_request, response);
 	fl_forwarded_request_free(&forwarded);
 }
 
--- a/src/coordination/request_router.h
+++ b/src/coordination/request_router.h
@@ -13,7 +13,7 @@
 
 /* A request of a user or worker, received directly or from another controller. Owns nothing. */
 struct fl_client_request {
-	enum fl_user_request kind;
+	enum fl_request_kind kind;
 	enum fl_forward_hop hop; /* FL_HOP_LAST if another controller forwarded the request */
 	const char *ref;         /* job id of a status query or cancellation */
 	const char *body;
@@ -27,7 +27,7 @@
 void fl_route_peer_request(void *context, const struct fl_http_request *request,
                            struct fl_http_response *response);
 /* Responds to a request; one that only the leader can decide is forwarded to the leader. */
-void fl_route_user_request(struct fl_node *node, const struct fl_client_request *request,
-                           struct fl_http_response *response);
+void fl_route_client_request(struct fl_node *node, const struct fl_client_request *request,
+                             struct fl_http_response *response);
 
 #endif
--- a/src/coordination/scheduling/schedule.h
+++ b/src/coordination/scheduling/schedule.h
@@ -76,7 +76,7 @@
 	bool runs_service; /* a service runs on it, so that it is not scaled in */
 	struct fl_reservation reserved, requested; /* by earlier cycles; by this cycle */
 	struct fl_resources free;
-	double pull_gb_s;
+	double pull_gb_per_s;
 	const int *cached_images; /* FL_IMAGE_CACHE_MAX images, borrowed; NULL: none */
 };
 
--- a/src/coordination/scheduling/schedule_cost.c
+++ b/src/coordination/scheduling/schedule_cost.c
@@ -38,7 +38,7 @@
 	for (int i = 0; i < FL_IMAGE_CACHE_MAX && machine->cached_images; i++)
 		if (machine->cached_images[i] == job->image)
 			return 0;
-	return job->image_gb / (machine->pull_gb_s > 0 ? machine->pull_gb_s : 1);
+	return job->image_gb / (machine->pull_gb_per_s > 0 ? machine->pull_gb_per_s : 1);
 }
 
 double fl_sched_placement_cost(const struct fl_sched_input *input, const struct fl_sched_job *job,
--- a/src/coordination/scheduling/scheduling_cycle.c
+++ b/src/coordination/scheduling/scheduling_cycle.c
@@ -79,7 +79,7 @@
 		                     "and the next cycle retries");
 		goto out;
 	}
-	node->leadership.queue_resume_position = output.resume_position;
+	node->leadership.order_resume_position = output.resume_position;
 	if (output.resume_position)
 		node->leadership.cycle_due = true;
 	fl_scheduling_decisions_apply(node, &snapshot, &output, now);
--- a/src/coordination/scheduling/scheduling_snapshot.c
+++ b/src/coordination/scheduling/scheduling_snapshot.c
@@ -256,7 +256,7 @@
 	                                    .spot = machine->spot,
 	                                    .reserved = active_reservation(machine, builder->now),
 	                                    .free = fl_machine_type_capacity(type),
-	                                    .pull_gb_s = type->pull_gb_s,
+	                                    .pull_gb_per_s = type->pull_gb_per_s,
 	                                    .cached_images = machine->cached_images};
 	fl_resources_subtract(&target->free, machine->used);
 	for (int k = 0; k < machine->assignment_count; k++) {
@@ -307,7 +307,7 @@
 		if (is_schedulable(node, cluster->machines.by_id[i], now))
 			add_machine(&builder, cluster->machines.by_id[i]);
 	snapshot->input.spot_loss_rate = fl_autoscaler_spot_loss_rate(&node->autoscaler);
-	snapshot->input.resume_position = node->leadership.queue_resume_position;
+	snapshot->input.resume_position = node->leadership.order_resume_position;
 	return FL_SCHEDULE_OK;
 }
 
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -90,16 +90,16 @@
 	    fl_json_get_amount(item, "Accelerators", &type->gpus) != FL_JSON_OK ||
 	    fl_json_get_amount(item, "RamGb", &type->ram_gb) != FL_JSON_OK ||
 	    fl_json_get_amount(item, "Price", &type->price) != FL_JSON_OK ||
-	    fl_json_get_amount(item, "ReadyS", &type->ready_s) != FL_JSON_OK)
+	    fl_json_get_amount(item, "ReadyS", &type->boot_time_s) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	type->spot_price = type->price;
-	type->pull_gb_s = tunables.default_pull_gb_s;
+	type->pull_gb_per_s = tunables.default_pull_gb_s;
 	if (fl_json_get_amount(item, "SpotPrice", &type->spot_price) == FL_JSON_INVALID ||
-	    fl_json_get_amount(item, "PullGbPerS", &type->pull_gb_s) == FL_JSON_INVALID ||
+	    fl_json_get_amount(item, "PullGbPerS", &type->pull_gb_per_s) == FL_JSON_INVALID ||
 	    fl_json_get_amount(item, "LocalGb", &type->cache_gb) == FL_JSON_INVALID)
 		return FL_DECODE_MALFORMED;
-	if (type->pull_gb_s <= 0)
-		type->pull_gb_s = tunables.default_pull_gb_s;
+	if (type->pull_gb_per_s <= 0)
+		type->pull_gb_per_s = tunables.default_pull_gb_s;
 	return FL_DECODE_OK;
 }
 
@@ -154,10 +154,10 @@
 	cJSON_AddNumberToObject(item, "Accelerators", type->gpus);
 	cJSON_AddNumberToObject(item, "RamGb", type->ram_gb);
 	cJSON_AddNumberToObject(item, "LocalGb", type->cache_gb);
-	cJSON_AddNumberToObject(item, "PullGbPerS", type->pull_gb_s);
+	cJSON_AddNumberToObject(item, "PullGbPerS", type->pull_gb_per_s);
 	cJSON_AddNumberToObject(item, "Price", type->price);
 	cJSON_AddNumberToObject(item, "SpotPrice", type->spot_price);
-	cJSON_AddNumberToObject(item, "ReadyS", type->ready_s);
+	cJSON_AddNumberToObject(item, "ReadyS", type->boot_time_s);
 	zones = cJSON_AddArrayToObject(item, "Sites");
 	for (int z = 0; z < type->zone_count; z++)
 		cJSON_AddItemToArray(zones, cJSON_CreateString(type->zones[z]));
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -36,11 +36,11 @@
 /* Returns a description of the result for log lines. */
 const char *fl_cloud_result_text(enum fl_cloud_result result);
 
-/* A machine type that the cloud offers. `pull_gb_s` is the rate of pulling an image, GB/s. */
+/* A machine type that the cloud offers. `pull_gb_per_s` is the rate of pulling an image, GB/s. */
 struct fl_cloud_machine_type {
 	char name[FL_NAME_MAX];
-	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price;
-	double ready_s; /* time from the rental to the first heartbeat */
+	double cpus, gpus, ram_gb, cache_gb, pull_gb_per_s, price, spot_price;
+	double boot_time_s; /* time from the rental to the first heartbeat */
 	char zones[FL_TYPE_ZONES_MAX][FL_NAME_MAX];
 	int zone_count;
 };
--- a/src/protocol/peers.c
+++ b/src/protocol/peers.c
@@ -85,7 +85,7 @@
 	gossip->cancelled_count = 0;
 }
 
-char *fl_forwarded_request_encode(enum fl_user_request kind, bool last_hop, const char *ref,
+char *fl_forwarded_request_encode(enum fl_request_kind kind, bool last_hop, const char *ref,
                                   const char *body)
 {
 	cJSON *object = cJSON_CreateObject();
@@ -102,9 +102,9 @@
 /* Returns whether nodes forward this kind of request and its body and job id are as required. */
 static bool is_forwardable(uint64_t kind, const char *ref, const cJSON *body)
 {
-	if (kind == FL_USER_REQUEST_SUBMIT)
+	if (kind == FL_REQUEST_SUBMIT)
 		return cJSON_IsString(body) && !ref[0];
-	return (kind == FL_USER_REQUEST_STATUS || kind == FL_USER_REQUEST_CANCEL) && !body &&
+	return (kind == FL_REQUEST_STATUS || kind == FL_REQUEST_CANCEL) && !body &&
 	       fl_job_ref_is_valid(ref);
 }
 
@@ -118,7 +118,7 @@
 	    fl_json_get_string(object, "ref", out->ref, sizeof(out->ref)) == FL_JSON_INVALID ||
 	    !is_forwardable(kind, out->ref, body))
 		return FL_DECODE_MALFORMED;
-	out->kind = (enum fl_user_request)kind;
+	out->kind = (enum fl_request_kind)kind;
 	out->body = body ? body->valuestring : NULL;
 	return FL_DECODE_OK;
 }
--- a/src/protocol/peers.h
+++ b/src/protocol/peers.h
@@ -51,7 +51,7 @@
 
 /* A forwarded user's request. Its body is forwarded unchanged, and the leader decodes it. */
 struct fl_forwarded_request {
-	enum fl_user_request kind;
+	enum fl_request_kind kind;
 	bool last_hop; /* the receiver must not forward it again */
 	char ref[FL_REF_MAX];
 	const char *body; /* the body of a submission, in `tree`; else NULL */
@@ -59,7 +59,7 @@
 };
 
 /* Encodes a request to forward; `ref` and `body` may be NULL. The caller frees the text. */
-char *fl_forwarded_request_encode(enum fl_user_request kind, bool last_hop, const char *ref,
+char *fl_forwarded_request_encode(enum fl_request_kind kind, bool last_hop, const char *ref,
                                   const char *body);
 /* Decodes a forwarded request. */
 enum fl_decode_result fl_forwarded_request_decode(const char *text, size_t length,
--- a/src/protocol/users.c
+++ b/src/protocol/users.c
@@ -267,27 +267,27 @@
 		ref[0] = 0;
 }
 
-enum fl_user_request fl_user_request_parse_path(const char *path, char ref[FL_REF_MAX])
+enum fl_request_kind fl_request_parse_path(const char *path, char ref[FL_REF_MAX])
 {
 	size_t prefix_length = sizeof(jobs_path) - 1;
 	const char *id, *suffix;
 
 	ref[0] = 0;
 	if (strcmp(path, heartbeat_path) == 0)
-		return FL_USER_REQUEST_HEARTBEAT;
+		return FL_REQUEST_HEARTBEAT;
 	if (strcmp(path, ready_path) == 0)
-		return FL_USER_REQUEST_READY;
+		return FL_REQUEST_READY;
 	if (strncmp(path, jobs_path, prefix_length) != 0)
-		return FL_USER_REQUEST_UNKNOWN;
+		return FL_REQUEST_UNKNOWN;
 	if (path[prefix_length] == 0)
-		return FL_USER_REQUEST_SUBMIT;
+		return FL_REQUEST_SUBMIT;
 	if (path[prefix_length] != '/')
-		return FL_USER_REQUEST_UNKNOWN;
+		return FL_REQUEST_UNKNOWN;
 	id = path + prefix_length + 1;
 	suffix = strchr(id, '/');
 	if (suffix && strcmp(suffix, cancel_suffix) != 0)
-		return FL_USER_REQUEST_UNKNOWN;
+		return FL_REQUEST_UNKNOWN;
 	/* A path with an invalid job id is still valid: the response is that no such job exists. */
 	copy_valid_ref(ref, id, suffix ? suffix : id + strlen(id));
-	return suffix ? FL_USER_REQUEST_CANCEL : FL_USER_REQUEST_STATUS;
+	return suffix ? FL_REQUEST_CANCEL : FL_REQUEST_STATUS;
 }
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -80,15 +80,15 @@
 const char *fl_job_status_name(enum fl_job_status status);
 
 /* The kind of a request, which its path determines. */
-enum fl_user_request {
-	FL_USER_REQUEST_UNKNOWN,
-	FL_USER_REQUEST_SUBMIT,
-	FL_USER_REQUEST_STATUS,
-	FL_USER_REQUEST_CANCEL,
-	FL_USER_REQUEST_READY,
-	FL_USER_REQUEST_HEARTBEAT
+enum fl_request_kind {
+	FL_REQUEST_UNKNOWN,
+	FL_REQUEST_SUBMIT,
+	FL_REQUEST_STATUS,
+	FL_REQUEST_CANCEL,
+	FL_REQUEST_READY,
+	FL_REQUEST_HEARTBEAT
 };
 /* Parses a path; `ref` receives the job id, or is empty if the path has no valid job id. */
-enum fl_user_request fl_user_request_parse_path(const char *path, char ref[FL_REF_MAX]);
+enum fl_request_kind fl_request_parse_path(const char *path, char ref[FL_REF_MAX]);
 
 #endif
--- a/src/storage/machines.c
+++ b/src/storage/machines.c
@@ -44,10 +44,10 @@
 	machine_type->gpus = offered->gpus;
 	machine_type->ram_gb = offered->ram_gb;
 	machine_type->cache_gb = offered->cache_gb;
-	machine_type->pull_gb_s = offered->pull_gb_s;
+	machine_type->pull_gb_per_s = offered->pull_gb_per_s;
 	machine_type->price = offered->price;
 	machine_type->spot_price = offered->spot_price;
-	machine_type->ready_s = offered->ready_s;
+	machine_type->boot_time_s = offered->boot_time_s;
 	machine_type->zone_mask = configured_zones_mask(offered, zones);
 }
 
--- a/src/storage/machines.h
+++ b/src/storage/machines.h
@@ -16,12 +16,12 @@
 enum { FL_MACHINE_TYPES_MAX = 32, FL_ZONES_MAX = 8, FL_IMAGE_CACHE_MAX = 16 };
 
 /*
- * A type of machine that the cloud offers. `pull_gb_s` is the rate of pulling an image, GB/s;
- * `ready_s` is the time from the rental to the first heartbeat.
+ * A type of machine that the cloud offers. `pull_gb_per_s` is the rate of pulling an image, GB/s;
+ * `boot_time_s` is the time from the rental to the first heartbeat.
  */
 struct fl_machine_type {
 	char name[FL_NAME_MAX];
-	double cpus, gpus, ram_gb, cache_gb, pull_gb_s, price, spot_price, ready_s;
+	double cpus, gpus, ram_gb, cache_gb, pull_gb_per_s, price, spot_price, boot_time_s;
 	uint32_t zone_mask; /* one bit per zone index */
 };
 
--- a/tests/frontend_fixture.c
+++ b/tests/frontend_fixture.c
@@ -72,7 +72,7 @@
 	response->status = 400;
 	if (fl_forwarded_request_decode(request->body, request->body_len, &forwarded) != 0)
 		return;
-	if (forwarded.kind == FL_USER_REQUEST_SUBMIT) {
+	if (forwarded.kind == FL_REQUEST_SUBMIT) {
 		object = fl_json_parse(forwarded.body, strlen(forwarded.body));
 		response->status = fl_job_spec_decode(object, &spec) ? 400 : 201;
 		cJSON_Delete(object);
--- a/tests/reconciliation_sim.c
+++ b/tests/reconciliation_sim.c
@@ -312,9 +312,9 @@
 	struct fl_cloud_machine_type type = {.name = "g",
 	                                     .cpus = 4,
 	                                     .ram_gb = 64,
-	                                     .pull_gb_s = 1,
+	                                     .pull_gb_per_s = 1,
 	                                     .price = 1,
-	                                     .ready_s = 10,
+	                                     .boot_time_s = 10,
 	                                     .zones = {"a", "b"},
 	                                     .zone_count = 2};
 	struct fl_team *team = &cluster->teams.by_index[0];
--- a/tests/schedule_fixture.c
+++ b/tests/schedule_fixture.c
@@ -46,7 +46,7 @@
 {
 	return (struct fl_sched_machine){.free.cpus = cpus,
 	                                 .free.ram_gb = 64,
-	                                 .pull_gb_s = 1,
+	                                 .pull_gb_per_s = 1,
 	                                 .cached_images = default_cached_images};
 }
 
--- a/tests/schedule_model.c
+++ b/tests/schedule_model.c
@@ -41,7 +41,8 @@
                                     const struct fl_sched_machine *machine)
 {
 	const struct model_constraint constraint = {.image_cached_only = true};
-	double fetch_s = model_image_cached(job, machine) ? 0 : job->image_gb / machine->pull_gb_s;
+	double fetch_s =
+		model_image_cached(job, machine) ? 0 : job->image_gb / machine->pull_gb_per_s;
 
 	return model_is_urgent_service(job) && !job->gang && fetch_s > 4 &&
 	       job->waited_s < fetch_s && model_request_task_capacity(model, job, &constraint);
--- a/tests/schedule_model_rules.c
+++ b/tests/schedule_model_rules.c
@@ -73,7 +73,8 @@
 	while (slot < FL_IMAGE_CACHE_MAX && machine->cached_images[slot] != job->image)
 		slot++;
 	if (slot == FL_IMAGE_CACHE_MAX)
-		cost += job->image_gb / machine->pull_gb_s * (model_is_urgent_service(job) ? 3 : 1);
+		cost += job->image_gb / machine->pull_gb_per_s *
+		        (model_is_urgent_service(job) ? 3 : 1);
 	if (!machine->runs_service)
 		cost += job->spot_allowed && !machine->spot ? 16 : 8;
 	if (machine->spot && !job->service && job->waited_s > 120)
--- a/tests/schedule_random.c
+++ b/tests/schedule_random.c
@@ -22,7 +22,7 @@
 		                                  .free.cpus = 16,
 		                                  .free.gpus = 4,
 		                                  .free.ram_gb = 64,
-		                                  .pull_gb_s = 0.5,
+		                                  .pull_gb_per_s = 0.5,
 		                                  .cached_images = snapshot->cached_images[i]};
 		snapshot->machines[i].reserved.active = random_below(rng, 4) == 0;
 		snapshot->machines[i].reserved.within_guaranteed_quota = random_below(rng, 2) > 0;
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -73,7 +73,7 @@
 
 struct sim_machine_type {
 	const char *name;
-	double cpus, gpus, ram_gb, price, ready_s;
+	double cpus, gpus, ram_gb, price, boot_time_s;
 };
 extern const struct sim_machine_type sim_machine_types[SIM_MACHINE_TYPES];
 
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -50,7 +50,7 @@
 		cJSON_AddNumberToObject(item, "PullGbPerS", 1.0);
 		cJSON_AddNumberToObject(item, "Price", type->price);
 		cJSON_AddNumberToObject(item, "SpotPrice", type->price * 0.4);
-		cJSON_AddNumberToObject(item, "ReadyS", type->ready_s);
+		cJSON_AddNumberToObject(item, "ReadyS", type->boot_time_s);
 		zones = cJSON_AddArrayToObject(item, "Sites");
 		for (int z = 0; z < sim.zone_count; z++)
 			cJSON_AddItemToArray(zones, cJSON_CreateString(sim.config[0].zones[z]));
@@ -101,7 +101,7 @@
 		break;
 	case 1:
 		machine->ready_at = fl_now() + sim_random_between(2, 6) *
-		                                       sim_machine_types[machine->type].ready_s;
+		                                       sim_machine_types[machine->type].boot_time_s;
 		break;
 	default:
 		machine->ready_at = fl_now() + sim_random_between(0.2, 2);
@@ -123,8 +123,9 @@
 	machine->rented_at = fl_now();
 	machine->never_boots = sim_chance(0.04) && !sim.reliable_machines;
 	/* Some machines are up within 2 s, often before they are listed. */
-	boot_s = sim_chance(0.2) ? sim_random_between(0.5, 2)
-	                         : sim_random_between(0.6, 1.5) * sim_machine_types[type].ready_s;
+	boot_s = sim_chance(0.2)
+	                 ? sim_random_between(0.5, 2)
+	                 : sim_random_between(0.6, 1.5) * sim_machine_types[type].boot_time_s;
 	machine->ready_at = fl_now() + boot_s;
 	apply_irregular_boot(machine);
 	if (spot && sim_chance(0.15) && !sim.reliable_machines)
--- a/tests/test_background.c
+++ b/tests/test_background.c
@@ -41,7 +41,7 @@
 	site->jobs[BACKGROUND].waited_s = background_waited_s;
 	site->jobs[BACKGROUND].begun = background_begun;
 	site->machine =
-		(struct fl_sched_machine){.free.cpus = 8, .free.ram_gb = 64, .pull_gb_s = 1};
+		(struct fl_sched_machine){.free.cpus = 8, .free.ram_gb = 64, .pull_gb_per_s = 1};
 	site->input = (struct fl_sched_input){.params = &fl_sched_default_params,
 	                                      .jobs = site->jobs,
 	                                      .job_count = JOBS,
--- a/tests/test_contract_cloud.c
+++ b/tests/test_contract_cloud.c
@@ -28,19 +28,19 @@
          .gpus = 8,
          .ram_gb = 768,
          .cache_gb = 200.5,
-         .pull_gb_s = 1.25,
+         .pull_gb_per_s = 1.25,
          .price = 12.5,
          .spot_price = 4.5,
-         .ready_s = 45,
+         .boot_time_s = 45,
          .zones = {"zone-a", "zone-b"},
          .zone_count = 2},
 	{.name = "c32",
          .cpus = 32,
          .ram_gb = 128,
-         .pull_gb_s = 0.5,
+         .pull_gb_per_s = 0.5,
          .price = 2,
          .spot_price = 0.75,
-         .ready_s = 20},
+         .boot_time_s = 20},
 };
 
 static void assert_machine_types(const struct fl_cloud_machine_type *got, int count)
@@ -54,10 +54,10 @@
 		assert_true(got[i].gpus == expected->gpus);
 		assert_true(got[i].ram_gb == expected->ram_gb);
 		assert_true(got[i].cache_gb == expected->cache_gb);
-		assert_true(got[i].pull_gb_s == expected->pull_gb_s);
+		assert_true(got[i].pull_gb_per_s == expected->pull_gb_per_s);
 		assert_true(got[i].price == expected->price);
 		assert_true(got[i].spot_price == expected->spot_price);
-		assert_true(got[i].ready_s == expected->ready_s);
+		assert_true(got[i].boot_time_s == expected->boot_time_s);
 		assert_int_equal(got[i].zone_count, expected->zone_count);
 		for (int zone = 0; zone < expected->zone_count; zone++)
 			assert_string_equal(got[i].zones[zone], expected->zones[zone]);
--- a/tests/test_contract_job_records.c
+++ b/tests/test_contract_job_records.c
@@ -166,10 +166,10 @@
 	assert_true(type->gpus == 8);
 	assert_true(type->ram_gb == 768.5);
 	assert_true(type->cache_gb == 900);
-	assert_true(type->pull_gb_s == 1.25);
+	assert_true(type->pull_gb_per_s == 1.25);
 	assert_true(type->price == 9.5);
 	assert_true(type->spot_price == 3.5);
-	assert_true(type->ready_s == 45);
+	assert_true(type->boot_time_s == 45);
 	assert_int_equal(type->zone_count, 2);
 	assert_string_equal(type->zones[0], "north");
 	assert_string_equal(type->zones[1], "south");
--- a/tests/test_contract_peers.c
+++ b/tests/test_contract_peers.c
@@ -74,16 +74,16 @@
 {
 	static const struct {
 		const char *text;
-		enum fl_user_request request_kind;
+		enum fl_request_kind request_kind;
 		bool last_hop;
 		const char *ref, *body;
 	} forwarded[] = {
 		{"{\"call\":1,\"last_hop\":true,\"body\":\"{\\\"Ref\\\":\\\"run-000412\\\"}\"}",
-	         FL_USER_REQUEST_SUBMIT, true, NULL, "{\"Ref\":\"run-000412\"}"},
-		{"{\"call\":2,\"last_hop\":false,\"ref\":\"run-000413\"}", FL_USER_REQUEST_STATUS,
-	         false, "run-000413", NULL},
-		{"{\"call\":3,\"last_hop\":true,\"ref\":\"run-000414\"}", FL_USER_REQUEST_CANCEL,
-	         true, "run-000414", NULL},
+	         FL_REQUEST_SUBMIT, true, NULL, "{\"Ref\":\"run-000412\"}"},
+		{"{\"call\":2,\"last_hop\":false,\"ref\":\"run-000413\"}", FL_REQUEST_STATUS, false,
+	         "run-000413", NULL},
+		{"{\"call\":3,\"last_hop\":true,\"ref\":\"run-000414\"}", FL_REQUEST_CANCEL, true,
+	         "run-000414", NULL},
 	};
 
 	(void)state;
--- a/tests/test_contract_users.c
+++ b/tests/test_contract_users.c
@@ -223,28 +223,27 @@
 {
 	static const struct {
 		const char *path;
-		enum fl_user_request request_kind;
+		enum fl_request_kind request_kind;
 		const char *ref;
 	} paths[] = {
-		{"/v2/runs", FL_USER_REQUEST_SUBMIT, ""},
-		{"/v2/runs/run-000412", FL_USER_REQUEST_STATUS, "run-000412"},
-		{"/v2/runs/run-000412/cancel", FL_USER_REQUEST_CANCEL, "run-000412"},
-		{"/ready", FL_USER_REQUEST_READY, ""},
-		{"/hello", FL_USER_REQUEST_HEARTBEAT, ""},
-		{"/v2/runs/task-000412", FL_USER_REQUEST_STATUS, ""},
-		{"/v2/runs/task-000412/cancel", FL_USER_REQUEST_CANCEL, ""},
-		{"/v2/runs/run-000412/abort", FL_USER_REQUEST_UNKNOWN, ""},
-		{"/v2/runsrun-000412", FL_USER_REQUEST_UNKNOWN, ""},
-		{"/v1/runs", FL_USER_REQUEST_UNKNOWN, ""},
-		{"/v2/jobs", FL_USER_REQUEST_UNKNOWN, ""},
-		{"/", FL_USER_REQUEST_UNKNOWN, ""},
+		{"/v2/runs", FL_REQUEST_SUBMIT, ""},
+		{"/v2/runs/run-000412", FL_REQUEST_STATUS, "run-000412"},
+		{"/v2/runs/run-000412/cancel", FL_REQUEST_CANCEL, "run-000412"},
+		{"/ready", FL_REQUEST_READY, ""},
+		{"/hello", FL_REQUEST_HEARTBEAT, ""},
+		{"/v2/runs/task-000412", FL_REQUEST_STATUS, ""},
+		{"/v2/runs/task-000412/cancel", FL_REQUEST_CANCEL, ""},
+		{"/v2/runs/run-000412/abort", FL_REQUEST_UNKNOWN, ""},
+		{"/v2/runsrun-000412", FL_REQUEST_UNKNOWN, ""},
+		{"/v1/runs", FL_REQUEST_UNKNOWN, ""},
+		{"/v2/jobs", FL_REQUEST_UNKNOWN, ""},
+		{"/", FL_REQUEST_UNKNOWN, ""},
 	};
 	char ref[FL_REF_MAX];
 
 	(void)state;
 	for (int i = 0; i < COUNT_OF(paths); i++) {
-		assert_int_equal(fl_user_request_parse_path(paths[i].path, ref),
-		                 paths[i].request_kind);
+		assert_int_equal(fl_request_parse_path(paths[i].path, ref), paths[i].request_kind);
 		assert_string_equal(ref, paths[i].ref);
 	}
 }
--- a/tests/test_decode.c
+++ b/tests/test_decode.c
@@ -192,10 +192,10 @@
 	                                     .gpus = 8,
 	                                     .ram_gb = 768,
 	                                     .cache_gb = 200,
-	                                     .pull_gb_s = 0.5,
+	                                     .pull_gb_per_s = 0.5,
 	                                     .price = 12,
 	                                     .spot_price = 4.5,
-	                                     .ready_s = 45,
+	                                     .boot_time_s = 45,
 	                                     .zones = {"a", "b"},
 	                                     .zone_count = 2},
 				     *decoded_types;
@@ -228,12 +228,12 @@
 		"{\"call\":3,\"last_hop\":true}",
 		"{\"call\":4,\"last_hop\":true}",
 	};
-	char *text = fl_forwarded_request_encode(FL_USER_REQUEST_SUBMIT, true, NULL, "{}");
+	char *text = fl_forwarded_request_encode(FL_REQUEST_SUBMIT, true, NULL, "{}");
 	struct fl_forwarded_request forwarded;
 
 	(void)state;
 	assert_int_equal(fl_forwarded_request_decode(text, strlen(text), &forwarded), 0);
-	assert_int_equal(forwarded.kind, FL_USER_REQUEST_SUBMIT);
+	assert_int_equal(forwarded.kind, FL_REQUEST_SUBMIT);
 	assert_true(forwarded.last_hop && !forwarded.ref[0]);
 	assert_string_equal(forwarded.body, "{}");
 	fl_forwarded_request_free(&forwarded);
@@ -249,20 +249,18 @@
 	char ref[FL_REF_MAX];
 
 	(void)state;
-	assert_int_equal(fl_user_request_parse_path("/v2/runs", ref), FL_USER_REQUEST_SUBMIT);
-	assert_int_equal(fl_user_request_parse_path("/v2/runs/run-000001", ref),
-	                 FL_USER_REQUEST_STATUS);
+	assert_int_equal(fl_request_parse_path("/v2/runs", ref), FL_REQUEST_SUBMIT);
+	assert_int_equal(fl_request_parse_path("/v2/runs/run-000001", ref), FL_REQUEST_STATUS);
 	assert_string_equal(ref, "run-000001");
-	assert_int_equal(fl_user_request_parse_path("/v2/runs/run-000001/cancel", ref),
-	                 FL_USER_REQUEST_CANCEL);
+	assert_int_equal(fl_request_parse_path("/v2/runs/run-000001/cancel", ref),
+	                 FL_REQUEST_CANCEL);
 	assert_string_equal(ref, "run-000001");
-	assert_int_equal(fl_user_request_parse_path("/v2/runs/run-000001/stop", ref),
-	                 FL_USER_REQUEST_UNKNOWN);
-	assert_int_equal(fl_user_request_parse_path("/v2/runs/whatever", ref),
-	                 FL_USER_REQUEST_STATUS);
+	assert_int_equal(fl_request_parse_path("/v2/runs/run-000001/stop", ref),
+	                 FL_REQUEST_UNKNOWN);
+	assert_int_equal(fl_request_parse_path("/v2/runs/whatever", ref), FL_REQUEST_STATUS);
 	assert_string_equal(ref, "");
-	assert_int_equal(fl_user_request_parse_path("/v2/run", ref), FL_USER_REQUEST_UNKNOWN);
-	assert_int_equal(fl_user_request_parse_path("/ready", ref), FL_USER_REQUEST_READY);
+	assert_int_equal(fl_request_parse_path("/v2/run", ref), FL_REQUEST_UNKNOWN);
+	assert_int_equal(fl_request_parse_path("/ready", ref), FL_REQUEST_READY);
 }
 
 int main(void)
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -248,19 +248,18 @@
 		"\"Apart\":false,\"Reclaimable\":true,\"ExpectedS\":1,\"SnapshotEveryS\":0,"
 		"\"SnapshotCostS\":0,\"DueS\":null}";
 	static const struct {
-		enum fl_user_request kind;
+		enum fl_request_kind kind;
 		const char *body;
-	} requests[] = {{FL_USER_REQUEST_SUBMIT, job},
-	                {FL_USER_REQUEST_STATUS, NULL},
-	                {FL_USER_REQUEST_CANCEL, NULL}};
+	} requests[] = {
+		{FL_REQUEST_SUBMIT, job}, {FL_REQUEST_STATUS, NULL}, {FL_REQUEST_CANCEL, NULL}};
 	struct node_fixture *fixture = *state;
 	struct fl_http_response response;
 
 	become_follower(fixture, 4);
-	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
+	assert_int_equal(send_user_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 200);
 
 	disconnect(fixture, 3);
-	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 503);
+	assert_int_equal(send_user_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 503);
 	for (size_t i = 0; i < sizeof(requests) / sizeof(requests[0]); i++) {
 		/* This is not a coroutine, so an attempt to connect would fail the test. */
 		response = send_user_request(fixture, requests[i].kind, "run-000001",
@@ -272,10 +271,10 @@
 
 	/* The status of a finished job is final, so any node can report it. */
 	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
-	response = send_user_request(fixture, FL_USER_REQUEST_STATUS, "run-000050", NULL);
+	response = send_user_request(fixture, FL_REQUEST_STATUS, "run-000050", NULL);
 	assert_int_equal(response.status, 200);
 	free(response.body);
-	response = send_user_request(fixture, FL_USER_REQUEST_CANCEL, "run-000050", NULL);
+	response = send_user_request(fixture, FL_REQUEST_CANCEL, "run-000050", NULL);
 	assert_int_equal(response.status, 200);
 	assert_non_null(strstr(response.body, "\"done\""));
 	free(response.body);
@@ -283,7 +282,7 @@
 	/* The node is ready again once it is connected. */
 	fixture->node.peers[0].up = true;
 	fixture->node.kv_store.last_success_sent_at = fl_now() + 1;
-	assert_int_equal(send_user_request(fixture, FL_USER_REQUEST_READY, NULL, NULL).status, 200);
+	assert_int_equal(send_user_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 200);
 }
 
 int main(void)
--- a/tests/test_heartbeat_forwarding.c
+++ b/tests/test_heartbeat_forwarding.c
@@ -160,7 +160,8 @@
 
 static int set_up(void **state)
 {
-	struct fl_cloud_machine_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
+	struct fl_cloud_machine_type type = {
+		.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_per_s = 1};
 
 	(void)state;
 	memset(&scenario, 0, sizeof(scenario));
--- a/tests/test_job_lookup.c
+++ b/tests/test_job_lookup.c
@@ -29,9 +29,9 @@
 {
 	struct query *query = argument;
 
-	fl_route_user_request(
+	fl_route_client_request(
 		&query->fixture->node,
-		&(struct fl_client_request){.kind = FL_USER_REQUEST_STATUS, .ref = query->ref},
+		&(struct fl_client_request){.kind = FL_REQUEST_STATUS, .ref = query->ref},
 		&query->response);
 	if (query->response.body)
 		copy_text(query->body, sizeof(query->body), query->response.body);
--- a/tests/test_large_array.c
+++ b/tests/test_large_array.c
@@ -35,7 +35,8 @@
 static int set_up(void **state)
 {
 	struct site *site = calloc(1, sizeof(*site));
-	struct fl_cloud_machine_type type = {.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_s = 1};
+	struct fl_cloud_machine_type type = {
+		.name = "t", .cpus = 12, .ram_gb = 96, .pull_gb_per_s = 1};
 	struct fl_job_spec spec = {.ref = "run-471286",
 	                           .job_class = "whole",
 	                           .team = "guest",
@@ -151,7 +152,7 @@
 		site->machines[i]->lifecycle.up = false;
 		site->machines[i]->lifecycle.first_seen_at = fl_now();
 	}
-	site->node.cluster.machines.types[0].ready_s = 60;
+	site->node.cluster.machines.types[0].boot_time_s = 60;
 	site->node.cluster.machines.types[0].zone_mask = 1;
 	fl_autoscaler_plan_scale_out(&site->node, &site->job, &missing_tasks, 1);
 
--- a/tests/test_submit.c
+++ b/tests/test_submit.c
@@ -22,12 +22,12 @@
 
 	fl_buffer_printf(&body, "{%s%s\"Ref\":\"run-%06d\",%s}", fields, *fields ? "," : "",
 	                 ++fixture->last_job_number, JOB_FIELDS);
-	fl_route_user_request(&fixture->node,
-	                      &(struct fl_client_request){.kind = FL_USER_REQUEST_SUBMIT,
-	                                                  .ref = "",
-	                                                  .body = body.data,
-	                                                  .body_len = body.length},
-	                      &response);
+	fl_route_client_request(&fixture->node,
+	                        &(struct fl_client_request){.kind = FL_REQUEST_SUBMIT,
+	                                                    .ref = "",
+	                                                    .body = body.data,
+	                                                    .body_len = body.length},
+	                        &response);
 	fl_buffer_free(&body);
 	free(response.body);
 	if (retry_after)
