--- a/src/coordination/leadership/leadership.h
+++ b/src/coordination/leadership/leadership.h
@@ -36,7 +36,8 @@
 	struct fl_condition coroutine_ended;
 	struct fl_condition work_available; /* signalled when a scheduling cycle may be needed */
 	bool cycle_due;                     /* a scheduling cycle is requested */
-	int order_resume_position; /* queue position at which the last cycle ran out of time */
+	/* Position in the order of jobs where the last cycle ran out of time. */
+	int order_resume_position;
 	uint64_t cycle_count;
 	int commands_in_flight;  /* direct commands in progress */
 	int retained_exit_count; /* exited tasks that workers may forget only after a token raise */
--- a/src/coordination/request_router.h
+++ b/src/coordination/request_router.h
@@ -11,7 +11,10 @@
 
 struct fl_node;
 
-/* A request of a user or worker, received directly or from another controller. Owns nothing. */
+/*
+ * A request of a client (a user, a worker or a load balancer), received directly or from another
+ * controller. Owns nothing.
+ */
 struct fl_client_request {
 	enum fl_request_kind kind;
 	enum fl_forward_hop hop; /* FL_HOP_LAST if another controller forwarded the request */
@@ -26,7 +29,7 @@
 /* Handler of the server for other controllers; its context is the fl_node. */
 void fl_route_peer_request(void *context, const struct fl_http_request *request,
                            struct fl_http_response *response);
-/* Responds to a request; one that only the leader can decide is forwarded to the leader. */
+/* Responds to a client's request; if only the leader can decide it, forwards it to the leader. */
 void fl_route_client_request(struct fl_node *node, const struct fl_client_request *request,
                              struct fl_http_response *response);
 
--- a/src/protocol/users.h
+++ b/src/protocol/users.h
@@ -79,7 +79,7 @@
 /* Returns the name of a status in responses and records. */
 const char *fl_job_status_name(enum fl_job_status status);
 
-/* The kind of a request, which its path determines. */
+/* The kind of a client's request, which its path determines. */
 enum fl_request_kind {
 	FL_REQUEST_UNKNOWN,
 	FL_REQUEST_SUBMIT,
--- a/src/transport/coroutine.h
+++ b/src/transport/coroutine.h
@@ -20,9 +20,9 @@
 	struct fl_coroutine *first, *last;
 };
 
-/* Initialises the scheduler for this event loop, which it does not own. */
+/* Initialises the coroutine scheduler for this event loop, which it does not own. */
 void fl_coroutines_init(struct ev_loop *loop);
-/* Returns the scheduler's event loop. */
+/* Returns the coroutine scheduler's event loop. */
 struct ev_loop *fl_event_loop(void);
 /* Runs the event loop and the coroutines until ev_break ends the loop. */
 void fl_coroutines_run(void);
--- a/src/transport/coroutine_context.h
+++ b/src/transport/coroutine_context.h
@@ -19,7 +19,8 @@
 /* The stack of one coroutine, and the function that runs on it. */
 struct fl_coroutine_context {
 	void *resume_point;
-	char *stack; /* lowest byte of the stack, which the scheduler acquires and releases */
+	/* Lowest byte of the stack, which the coroutine scheduler acquires and releases. */
+	char *stack;
 	void (*function)(void *);
 	void *argument;
 	void *fake_stack; /* for the address sanitizer */
