--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -6,10 +6,10 @@
 #include <string.h>
 
 static const struct {
-	double request_timeout_s, default_pull_gb_s;
+	double request_timeout_s, default_pull_gb_per_s;
 } tunables = {
 	.request_timeout_s = 4.0, /* the cloud is slow at times and may make a rental after that */
-	.default_pull_gb_s = 1.0, /* GB/s, for a type whose rate is missing or 0 */
+	.default_pull_gb_per_s = 1.0, /* GB/s, for a type whose rate is missing or 0 */
 };
 
 static enum fl_cloud_result result_of_http_status(int status)
@@ -93,13 +93,13 @@
 	    fl_json_get_amount(item, "ReadyS", &type->boot_time_s) != FL_JSON_OK)
 		return FL_DECODE_MALFORMED;
 	type->spot_price = type->price;
-	type->pull_gb_per_s = tunables.default_pull_gb_s;
+	type->pull_gb_per_s = tunables.default_pull_gb_per_s;
 	if (fl_json_get_amount(item, "SpotPrice", &type->spot_price) == FL_JSON_INVALID ||
 	    fl_json_get_amount(item, "PullGbPerS", &type->pull_gb_per_s) == FL_JSON_INVALID ||
 	    fl_json_get_amount(item, "LocalGb", &type->cache_gb) == FL_JSON_INVALID)
 		return FL_DECODE_MALFORMED;
 	if (type->pull_gb_per_s <= 0)
-		type->pull_gb_per_s = tunables.default_pull_gb_s;
+		type->pull_gb_per_s = tunables.default_pull_gb_per_s;
 	return FL_DECODE_OK;
 }
 
--- a/tests/node_fixture.c
+++ b/tests/node_fixture.c
@@ -199,8 +199,8 @@
 	node->kv_store.last_failure_at = -1e9;
 }
 
-struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_request_kind kind,
-                                          const char *ref, const char *body)
+struct fl_http_response send_client_request(struct node_fixture *fixture, enum fl_request_kind kind,
+                                            const char *ref, const char *body)
 {
 	struct fl_http_response response = {.status = 500};
 
@@ -220,7 +220,7 @@
 {
 	char *text = fl_heartbeat_encode(&heartbeat);
 	struct fl_http_response response =
-		send_user_request(fixture, FL_REQUEST_HEARTBEAT, NULL, text);
+		send_client_request(fixture, FL_REQUEST_HEARTBEAT, NULL, text);
 	cJSON *object = response.body ? fl_json_parse(response.body, strlen(response.body)) : NULL;
 	const cJSON *element;
 
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -64,8 +64,8 @@
 /* Makes the node a follower of n1 that reaches the key-value store, but no peer has responded. */
 void become_follower(struct node_fixture *fixture, int peer_count);
 
-struct fl_http_response send_user_request(struct node_fixture *fixture, enum fl_request_kind kind,
-                                          const char *ref, const char *body);
+struct fl_http_response send_client_request(struct node_fixture *fixture, enum fl_request_kind kind,
+                                            const char *ref, const char *body);
 
 extern int stop_commands_in_last_reply; /* number of stop commands, set by send_heartbeat */
 
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -256,14 +256,14 @@
 	struct fl_http_response response;
 
 	become_follower(fixture, 4);
-	assert_int_equal(send_user_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 200);
+	assert_int_equal(send_client_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 200);
 
 	disconnect(fixture, 3);
-	assert_int_equal(send_user_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 503);
+	assert_int_equal(send_client_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 503);
 	for (size_t i = 0; i < sizeof(requests) / sizeof(requests[0]); i++) {
 		/* This is not a coroutine, so an attempt to connect would fail the test. */
-		response = send_user_request(fixture, requests[i].kind, "run-000001",
-		                             requests[i].body);
+		response = send_client_request(fixture, requests[i].kind, "run-000001",
+		                               requests[i].body);
 		assert_int_equal(response.status, 503);
 		assert_true(response.retry_after_s > 0 && response.close_connection);
 		free(response.body);
@@ -271,10 +271,10 @@
 
 	/* The status of a finished job is final, so any node can report it. */
 	fl_finished_job_add(&fixture->node.cluster, "run-000050", FL_DONE, 2, 0);
-	response = send_user_request(fixture, FL_REQUEST_STATUS, "run-000050", NULL);
+	response = send_client_request(fixture, FL_REQUEST_STATUS, "run-000050", NULL);
 	assert_int_equal(response.status, 200);
 	free(response.body);
-	response = send_user_request(fixture, FL_REQUEST_CANCEL, "run-000050", NULL);
+	response = send_client_request(fixture, FL_REQUEST_CANCEL, "run-000050", NULL);
 	assert_int_equal(response.status, 200);
 	assert_non_null(strstr(response.body, "\"done\""));
 	free(response.body);
@@ -282,7 +282,7 @@
 	/* The node is ready again once it is connected. */
 	fixture->node.peers[0].up = true;
 	fixture->node.kv_store.last_success_sent_at = fl_now() + 1;
-	assert_int_equal(send_user_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 200);
+	assert_int_equal(send_client_request(fixture, FL_REQUEST_READY, NULL, NULL).status, 200);
 }
 
 int main(void)
